--- a/cmd/larch-control/main.go
+++ b/cmd/larch-control/main.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	return untilTold(log, c.Reseed, c.Run)
+	return untilTold(log, c.UpdateSeeds, c.Run)
 }
 
 // start reads the settings that every node has.
@@ -51,7 +51,7 @@
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
 	defer log.DumpOn(syscall.SIGUSR1)()
-	go process.Follow(ctx, log, reload)
+	go process.WatchSettings(ctx, log, reload)
 	return run(ctx)
 }
 
--- a/cmd/larch-control/store.go
+++ b/cmd/larch-control/store.go
@@ -25,12 +25,12 @@
 	if err != nil {
 		return err
 	}
-	if err := process.Need("data_dir", s.DataDir, "give a store a folder"); err != nil {
+	if err := process.RequireSetting("data_dir", s.DataDir, "give a store a folder"); err != nil {
 		return err
 	}
 	calls := &rpc.Clients{}
 	follower := feed.NewFollower(s, calls, log)
-	return untilTold(log, follower.Reseed, func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) })
+	return untilTold(log, follower.UpdateSeeds, func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) })
 }
 
 func runStore(ctx context.Context, s *process.Settings, log *process.Ring, follower *feed.Follower, calls *rpc.Clients) (err error) {
@@ -39,11 +39,11 @@
 		return err
 	}
 	defer func() { err = errors.CombineErrors(err, db.Close()) }()
-	store, err := turnstore.NewStore(turnstore.StoreConfig{DB: db, Placement: follower.Placement, Changed: follower.Changed, Calls: calls, Log: log})
+	store, err := turnstore.NewServer(turnstore.ServerOptions{DB: db, Placement: follower.Placement, Changed: follower.Changed, Calls: calls, Log: log})
 	if err != nil {
 		return err
 	}
-	self := turnstore.Store{ID: store.ID(), Name: s.NodeName, Addr: s.Peer(s.IP, process.StorePort), Zone: s.Zone}
+	self := turnstore.Store{ID: store.ID(), Name: s.NodeName, Addr: s.PeerAddr(s.IP, process.StorePort), Zone: s.Zone}
 	l, err := net.Listen("tcp4", self.Addr)
 	if err != nil {
 		return errors.Wrap(err, "listen for other nodes: free the port or change port_range")
@@ -69,16 +69,16 @@
 }
 
 // register tells the core of this store, again and again, and at once when a sweep has ended.
-func register(ctx context.Context, follower *feed.Follower, calls *rpc.Clients, store *turnstore.NodeStore, self turnstore.Store) {
+func register(ctx context.Context, follower *feed.Follower, calls *rpc.Clients, store *turnstore.Server, self turnstore.Store) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	var told feed.Registration
 	var at time.Time
 	for {
-		now := feed.Registration{Store: self, Swept: store.Swept(), Gen: store.Adopted(), Full: store.Full()}
+		now := feed.Registration{Store: self, SweptGeneration: store.SweptGeneration(), Generation: store.AdoptedGeneration(), Full: store.Full()}
 		every := registerUnplaced
 		if p := follower.Placement(); p != nil {
-			now.Gen = max(now.Gen, p.Gen)
+			now.Generation = max(now.Generation, p.Generation)
 			if slices.ContainsFunc(p.Stores(), func(o turnstore.Store) bool { return o.ID == self.ID }) {
 				every = registerEvery
 			}
--- a/cmd/larch-proxy/main.go
+++ b/cmd/larch-proxy/main.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if err := cmp.Or(process.Need("bind_addrs.front_addr", s.Bind.Front, "give HOST:PORT, for clients"), process.Need("bind_addrs.ready_addr", s.Bind.Ready, "give HOST:PORT, for the platform")); err != nil {
+	if err := cmp.Or(process.RequireSetting("bind_addrs.front_addr", s.Bind.Front, "give HOST:PORT, for clients"), process.RequireSetting("bind_addrs.ready_addr", s.Bind.Ready, "give HOST:PORT, for the platform")); err != nil {
 		return err
 	}
 	s.TuneRuntime()
@@ -62,7 +62,7 @@
 	defer calls.Close()
 	follower := feed.NewFollower(s, calls, log)
 	ledger := turnstore.NewClient(follower.Placement, calls, s.Zone, log)
-	grace := s.Bound("grace_period_s", 8*time.Second)
+	grace := s.TimingBound("grace_period_s", 8*time.Second)
 	server := proxy.New(proxy.Config{
 		Zone: s.Zone, Source: follower, Ledger: ledger, Log: log, Grace: grace, Seed: rand.Uint64(), MaxConns: s.Limits.MaxFDs / 2,
 		NewOracle: func(bound time.Duration) balancer.Oracle { return oracle.NewDestination(bound) },
@@ -70,7 +70,7 @@
 	following, unfollow := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { follower.Run(following) })
-	wg.Go(func() { process.Follow(following, log, follower.Reseed) })
+	wg.Go(func() { process.WatchSettings(following, log, follower.UpdateSeeds) })
 	wg.Go(func() { server.Serve(front, ready) })
 	<-ctx.Done()
 	draining, done := context.WithTimeout(context.Background(), grace-shutdownMargin)
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -16,9 +16,9 @@
 
 func init() { signal.Notify(hangups, syscall.SIGHUP) }
 
-// Follow has apply get the settings anew after each SIGHUP, and when the file changes without one. Settings that cannot
+// WatchSettings has apply get the settings anew after each SIGHUP, and when the file changes without one. Settings that cannot
 // be read or are wrong are told of, and what runs stays. It returns when ctx ends.
-func Follow(ctx context.Context, log *Ring, apply func(*Settings)) {
+func WatchSettings(ctx context.Context, log *Ring, apply func(*Settings)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	follow(ctx, log, os.Getenv(SettingsVariable), hangups, tick.C, apply)
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -69,7 +69,7 @@
 	got := make(chan string, 1)
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		Follow(ctx, NewRing(io.Discard), func(s *Settings) {
+		WatchSettings(ctx, NewRing(io.Discard), func(s *Settings) {
 			select {
 			case got <- s.Seeds[0]:
 			default:
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -52,7 +52,7 @@
 		Zones    int `yaml:"zones"`
 		Regions  int `yaml:"region_losses"`
 	} `yaml:"fault_tolerance"`
-	Bounds   Figures `yaml:"timing_bounds"`
+	Bounds   TimingBounds `yaml:"timing_bounds"`
 	Platform struct {
 		Address  string  `yaml:"address"`
 		Rate     float64 `yaml:"rate_per_s"`
@@ -60,17 +60,17 @@
 	} `yaml:"cloud_api"`
 }
 
-// Figures are numbers by name; true is 1 and false is 0. What is neither a number nor one of those is left out, as
+// TimingBounds are numbers by name; true is 1 and false is 0. What is neither a number nor one of those is left out, as
 // unknown fields are.
-type Figures map[string]float64
+type TimingBounds map[string]float64
 
 // UnmarshalYAML implements yaml.BytesUnmarshaler.
-func (f *Figures) UnmarshalYAML(b []byte) error {
+func (f *TimingBounds) UnmarshalYAML(b []byte) error {
 	var all map[string]any
 	if err := yaml.Unmarshal(b, &all); err != nil {
 		return errors.Wrap(err, "timing_bounds: give figures by name")
 	}
-	*f = Figures{}
+	*f = TimingBounds{}
 	for name, value := range all {
 		switch v := value.(type) {
 		case bool:
@@ -168,24 +168,24 @@
 	return nil
 }
 
-// Need gives the error for a setting that a program cannot do without and that is empty; nil where it is not.
-func Need(field, value, remedy string) error {
+// RequireSetting gives the error for a setting that a program cannot do without and that is empty; nil where it is not.
+func RequireSetting(field, value, remedy string) error {
 	if value != "" {
 		return nil
 	}
 	return errors.Mark(errors.Newf("settings file: %s is \"\": %s", field, remedy), ErrSettings)
 }
 
-// Peer is the address at which a program of the tier on the machine of an address takes calls of other nodes.
-func (s *Settings) Peer(ip string, p Port) string {
+// PeerAddr is the address at which a program of the tier on the machine of an address takes calls of other nodes.
+func (s *Settings) PeerAddr(ip string, p Port) string {
 	if host, _, err := net.SplitHostPort(ip); err == nil {
 		ip = host
 	}
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortRange[0]+int(p)))
 }
 
-// Bound is a figure of the rules that is stated in milliseconds (name ends in _ms) or seconds (_s).
-func (s *Settings) Bound(name string, otherwise time.Duration) time.Duration {
+// TimingBound is a figure of the rules that is stated in milliseconds (name ends in _ms) or seconds (_s).
+func (s *Settings) TimingBound(name string, otherwise time.Duration) time.Duration {
 	v, ok := s.Bounds[name]
 	if !ok || v < 0 {
 		return otherwise
@@ -196,12 +196,12 @@
 	return time.Duration(v * float64(time.Second))
 }
 
-// Losses is how many copies of a thing may be lost at once: copies stand in as many zones as there are, so that a zone
+// FaultTolerance is how many copies of a thing may be lost at once: copies stand in as many zones as there are, so that a zone
 // that is lost takes one along.
-func (s *Settings) Losses() int { return max(s.Tolerance.Machines, s.Tolerance.Zones) }
+func (s *Settings) FaultTolerance() int { return max(s.Tolerance.Machines, s.Tolerance.Zones) }
 
-// Copies is how many machines keep each thing: with as many lost as are tolerated, a majority is left.
-func (s *Settings) Copies() int { return 2*s.Losses() + 1 }
+// ReplicationFactor is how many machines keep each thing: with as many lost as are tolerated, a majority is left.
+func (s *Settings) ReplicationFactor() int { return 2*s.FaultTolerance() + 1 }
 
 // SameRegion tells whether a zone lies in this node's region.
 func (s *Settings) SameRegion(zone string) bool { return s.Zones[zone] == s.Region }
--- a/internal/process/settings_test.go
+++ b/internal/process/settings_test.go
@@ -98,18 +98,18 @@
 		{"platform", s.Platform.Address, "10.9.0.9:9005"},
 		{"rate", s.Platform.Rate, 47.5},
 		{"lag", s.Platform.MaxLagMs, 800.0},
-		{"peer of an address", s.Peer("10.8.0.4:9004", process.CorePort), "10.8.0.4:7101"},
-		{"peer of a machine", s.Peer("10.8.0.4", process.StorePort), "10.8.0.4:7102"},
-		{"bound in seconds", s.Bound("seed_lag_s", 0), 3 * time.Second},
-		{"bound in milliseconds", s.Bound("contact_ms", 0), 2500500 * time.Microsecond},
-		{"absent bound", s.Bound("none_ms", time.Minute), time.Minute},
-		{"bound below 0", s.Bound("back_ms", time.Minute), time.Minute},
-		{"bound that is no number", s.Bound("said", time.Minute), time.Minute},
-		{"bound that is a list", s.Bound("some", time.Minute), time.Minute},
+		{"peer of an address", s.PeerAddr("10.8.0.4:9004", process.CorePort), "10.8.0.4:7101"},
+		{"peer of a machine", s.PeerAddr("10.8.0.4", process.StorePort), "10.8.0.4:7102"},
+		{"bound in seconds", s.TimingBound("seed_lag_s", 0), 3 * time.Second},
+		{"bound in milliseconds", s.TimingBound("contact_ms", 0), 2500500 * time.Microsecond},
+		{"absent bound", s.TimingBound("none_ms", time.Minute), time.Minute},
+		{"bound below 0", s.TimingBound("back_ms", time.Minute), time.Minute},
+		{"bound that is no number", s.TimingBound("said", time.Minute), time.Minute},
+		{"bound that is a list", s.TimingBound("some", time.Minute), time.Minute},
 		{"true", s.Bounds["strict"], 1.0},
 		{"false", s.Bounds["loose"], 0.0},
-		{"copies", s.Copies(), 3},
-		{"losses", s.Losses(), 1},
+		{"copies", s.ReplicationFactor(), 3},
+		{"losses", s.FaultTolerance(), 1},
 		{"own region", s.SameRegion("pier"), true},
 		{"other region", s.SameRegion("hill"), false},
 		{"unknown region", s.SameRegion("moor"), false},
@@ -182,10 +182,10 @@
 }
 
 func TestNeed(t *testing.T) {
-	if err := process.Need("data_dir", "/data", "give a folder"); err != nil {
+	if err := process.RequireSetting("data_dir", "/data", "give a folder"); err != nil {
 		t.Error(err)
 	}
-	err := process.Need("data_dir", "", "give a folder")
+	err := process.RequireSetting("data_dir", "", "give a folder")
 	if !errors.Is(err, process.ErrSettings) || err.Error() != `settings file: data_dir is "": give a folder` {
 		t.Error(err)
 	}
--- a/internal/tier/balancer/balancer.go
+++ b/internal/tier/balancer/balancer.go
@@ -124,7 +124,7 @@
 		seen[g.ID] = true
 		h := b.byID[g.ID]
 		if h == nil {
-			h = &Host{cold: time.Duration(g.ColdMs) * time.Millisecond}
+			h = &Host{cold: time.Duration(g.WarmupMs) * time.Millisecond}
 			h.warm = now.Add(h.cold)
 			b.byID[g.ID] = h
 		}
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -28,7 +28,7 @@
 		if more == "draining" {
 			h.Phase = discovery.Draining
 		} else {
-			h.ColdMs, _ = strconv.Atoi(more)
+			h.WarmupMs, _ = strconv.Atoi(more)
 		}
 	}
 	return h
--- a/internal/tier/chain/chain.go
+++ b/internal/tier/chain/chain.go
@@ -18,10 +18,10 @@
 
 // State is what a member keeps on disk.
 type State struct {
-	Activated int64   // the last epoch in which it had the whole state of its predecessor, or was head
-	Place     int64   // of the last entry
-	Commit    int64   // entries up to here are committed for sure
-	Entries   []Entry // by index: the last of each key among the committed, and all others
+	ActivatedEpoch int64   // the last epoch in which it had the whole state of its predecessor, or was head
+	LastIndex      int64   // of the last entry
+	Commit         int64   // entries up to here are committed for sure
+	Entries        []Entry // by index: the last of each key among the committed, and all others
 }
 
 // Chain is one member's part.
@@ -47,21 +47,21 @@
 
 // Adopt begins with a view. It tells whether the state was changed and must be on disk before anything is sent.
 func (c *Chain) Adopt(v view.View) (changed bool) {
-	learner := c.view.Epoch > 0 && c.Learner() && v.Position(c.self) < 0
+	learner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
 	c.view, c.known = v, false
 	c.successor = outgoing{}
 	c.learners = map[string]*outgoing{}
 	if !learner { // what a learner was sent is committed, whoever is the tail
 		c.expect()
 	}
-	if v.Position(c.self) != 0 || c.state.Activated >= v.Epoch {
+	if v.Position(c.self) != 0 || c.state.ActivatedEpoch >= v.Epoch {
 		c.commitAlone() // a tail that has started again
 		return false
 	}
-	if c.state.Activated < v.Chain[0].Since {
+	if c.state.ActivatedEpoch < v.Chain[0].JoinedEpoch {
 		return false // not a holder: the view was not made by the rules, and this member takes no part
 	}
-	c.state.Activated = v.Epoch
+	c.state.ActivatedEpoch = v.Epoch
 	c.expect()
 	c.commitAlone()
 	return true
@@ -69,64 +69,64 @@
 
 // expect begins a stream anew, from what is in the state.
 func (c *Chain) expect() {
-	if c.Active() {
-		c.incoming = incoming{done: c.state.Place}
+	if c.IsActive() {
+		c.incoming = incoming{done: c.state.LastIndex}
 		return
 	}
 	c.incoming = incoming{done: c.state.Commit}
 }
 
-// Active tells whether this member takes part in the chain of its view.
-func (c *Chain) Active() bool {
-	return c.view.Epoch > 0 && c.view.Position(c.self) >= 0 && c.state.Activated == c.view.Epoch
+// IsActive tells whether this member takes part in the chain of its view.
+func (c *Chain) IsActive() bool {
+	return c.view.Epoch > 0 && c.view.Position(c.self) >= 0 && c.state.ActivatedEpoch == c.view.Epoch
 }
 
-// Learner tells whether this member has no place in the chain of its view.
-func (c *Chain) Learner() bool { return c.view.Position(c.self) < 0 }
+// IsLearner tells whether this member has no place in the chain of its view.
+func (c *Chain) IsLearner() bool { return c.view.Position(c.self) < 0 }
 
-// Known tells whether this member has everything committed that was acknowledged: what it kept on disk of Commit may be
+// CommitIsCurrent tells whether this member has everything committed that was acknowledged: what it kept on disk of Commit may be
 // old, until its successor has told what the tail has.
-func (c *Chain) Known() bool { return c.Active() && c.known }
+func (c *Chain) CommitIsCurrent() bool { return c.IsActive() && c.known }
 
 // commitAlone commits what is on disk where there is nobody behind.
 func (c *Chain) commitAlone() {
-	if c.Active() && c.view.Tail() == c.self {
+	if c.IsActive() && c.view.Tail() == c.self {
 		c.known = true
-		c.commit(c.state.Place)
+		c.commit(c.state.LastIndex)
 	}
 }
 
 // Append takes one entry at the head. It has to be on disk before Next is sent.
 func (c *Chain) Append(key string, value []byte) (Entry, bool) {
-	if !c.Active() || c.view.Head() != c.self {
+	if !c.IsActive() || c.view.Head() != c.self {
 		return Entry{}, false
 	}
-	e := Entry{Index: c.state.Place + 1, Key: key, Value: value}
+	e := Entry{Index: c.state.LastIndex + 1, Key: key, Value: value}
 	c.state.Entries = append(slices.Clip(c.state.Entries), e)
-	c.state.Place = e.Index
+	c.state.LastIndex = e.Index
 	return e, true
 }
 
-// Synced says that all that the state has is on disk.
-func (c *Chain) Synced() { c.commitAlone() }
+// MarkDurable says that all that the state has is on disk.
+func (c *Chain) MarkDurable() { c.commitAlone() }
 
-// Next is the next part of what the successor lacks; none where it has all, or as much is under way as may be.
-func (c *Chain) Next() (to string, u Update, some bool) {
-	to = c.view.Next(c.self)
-	if !c.Active() || to == "" {
+// NextUpdate is the next part of what the successor lacks; none where it has all, or as much is under way as may be.
+func (c *Chain) NextUpdate() (to string, u Update, some bool) {
+	to = c.view.Successor(c.self)
+	if !c.IsActive() || to == "" {
 		return to, Update{}, false
 	}
-	u, some = c.successor.next(c.state.Entries, c.state.Place)
+	u, some = c.successor.next(c.state.Entries, c.state.LastIndex)
 	u.Epoch, u.Commit = c.view.Epoch, c.state.Commit
 	return to, u, some
 }
 
-// Take takes an update of the predecessor. What it changed must be on disk before Ack is sent.
-func (c *Chain) Take(from string, u Update) (changed, ok bool) {
-	if u.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Before(c.self) != from {
+// HandleUpdate takes an update of the predecessor. What it changed must be on disk before Ack is sent.
+func (c *Chain) HandleUpdate(from string, u Update) (changed, ok bool) {
+	if u.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Predecessor(c.self) != from {
 		return false, false
 	}
-	if c.Active() {
+	if c.IsActive() {
 		return c.takeEntries(u), true
 	}
 	if u.Base != c.state.Commit || !c.incoming.take(u) {
@@ -136,8 +136,8 @@
 		return false, true
 	}
 	c.replaceAfterCommit(u.Through)
-	c.state.Activated = c.view.Epoch
-	c.commit(min(u.Commit, c.state.Place))
+	c.state.ActivatedEpoch = c.view.Epoch
+	c.commit(min(u.Commit, c.state.LastIndex))
 	c.expect()
 	return true, true
 }
@@ -149,11 +149,11 @@
 	}
 	if added := c.incoming.entries; len(added) > 0 {
 		c.state.Entries = append(slices.Clip(c.state.Entries), added...)
-		c.state.Place = added[len(added)-1].Index
+		c.state.LastIndex = added[len(added)-1].Index
 		c.incoming.entries = nil
 		changed = true
 	}
-	c.commit(min(u.Commit, c.state.Place))
+	c.commit(min(u.Commit, c.state.LastIndex))
 	return changed
 }
 
@@ -161,16 +161,16 @@
 func (c *Chain) replaceAfterCommit(through int64) {
 	kept := slices.DeleteFunc(slices.Clone(c.state.Entries), func(e Entry) bool { return e.Index > c.state.Commit })
 	c.state.Entries = append(kept, c.incoming.entries...)
-	c.state.Place = through
+	c.state.LastIndex = through
 }
 
-// Learn takes an update of the tail outside the chain. What it changed must be on disk before it is told of.
+// HandleLearnerUpdate takes an update of the tail outside the chain. What it changed must be on disk before it is told of.
 //
 // An update that was made before one that has come is refused: what was compacted away in between is neither in the
 // beginning, which is newer, nor in the end, which is older. What tails have committed never goes back, so that no newer
 // update is refused by this.
-func (c *Chain) Learn(u Update) (changed bool) {
-	if !c.Learner() || u.Base != c.state.Commit || u.Commit < c.incoming.madeAt {
+func (c *Chain) HandleLearnerUpdate(u Update) (changed bool) {
+	if !c.IsLearner() || u.Base != c.state.Commit || u.Commit < c.incoming.madeAt {
 		return false
 	}
 	c.incoming.madeAt = u.Commit
@@ -188,41 +188,41 @@
 
 // Ack is what a member tells its predecessor once its state is on disk, and a learner the tail.
 type Ack struct {
-	Epoch  int64
-	Place  int64
-	Commit int64
-	Known  bool
-	Active bool
-	Got    Position // of the stream of updates
+	Epoch           int64
+	LastIndex       int64
+	Commit          int64
+	CommitIsCurrent bool
+	Active          bool
+	Received        Position // of the stream of updates
 }
 
-// Report is the present ack of this member, whoever wants it.
-func (c *Chain) Report() Ack {
-	return Ack{Epoch: c.view.Epoch, Place: c.state.Place, Commit: c.state.Commit, Known: c.Known(), Active: c.Active(), Got: c.incoming.position()}
+// CurrentAck is the present ack of this member, whoever wants it.
+func (c *Chain) CurrentAck() Ack {
+	return Ack{Epoch: c.view.Epoch, LastIndex: c.state.LastIndex, Commit: c.state.Commit, CommitIsCurrent: c.CommitIsCurrent(), Active: c.IsActive(), Received: c.incoming.position()}
 }
 
-// Ack of this member for its predecessor.
-func (c *Chain) Ack() (to string, a Ack, ok bool) {
-	to = c.view.Before(c.self)
-	return to, c.Report(), to != ""
+// PredecessorAck of this member for its predecessor.
+func (c *Chain) PredecessorAck() (to string, a Ack, ok bool) {
+	to = c.view.Predecessor(c.self)
+	return to, c.CurrentAck(), to != ""
 }
 
-// Acked takes the successor's ack, said in one of its lives. It tells whether more was committed.
-func (c *Chain) Acked(from string, life int64, a Ack) (more bool) {
-	if a.Epoch != c.view.Epoch || c.view.Next(c.self) != from || c.Active() && a.Active && a.Place > c.state.Place {
+// HandleAck takes the successor's ack, said in one of its lives. It tells whether more was committed.
+func (c *Chain) HandleAck(from string, life int64, a Ack) (more bool) {
+	if a.Epoch != c.view.Epoch || c.view.Successor(c.self) != from || c.IsActive() && a.Active && a.LastIndex > c.state.LastIndex {
 		return false
 	}
 	complete := int64(-1)
 	if a.Active {
-		complete = a.Place
+		complete = a.LastIndex
 	}
 	c.successor.acked(life, a, complete)
-	if !a.Active || !c.Active() {
+	if !a.Active || !c.IsActive() {
 		return false
 	}
 	before := c.state.Commit
-	c.commit(min(a.Commit, c.state.Place))
-	if a.Known && !c.known {
+	c.commit(min(a.Commit, c.state.LastIndex))
+	if a.CommitIsCurrent && !c.known {
 		c.known = true
 		return true
 	}
@@ -250,8 +250,8 @@
 	c.state.Entries = kept
 }
 
-// After are the entries after an index.
-func After(entries []Entry, index int64) []Entry {
+// EntriesAfter are the entries after an index.
+func EntriesAfter(entries []Entry, index int64) []Entry {
 	i := len(entries)
 	for i > 0 && entries[i-1].Index > index {
 		i--
@@ -261,7 +261,7 @@
 
 // Committed are the committed entries after an index.
 func (c *Chain) Committed(index int64) []Entry {
-	all := After(c.state.Entries, index)
+	all := EntriesAfter(c.state.Entries, index)
 	for i, e := range all {
 		if e.Index > c.state.Commit {
 			return all[:i]
@@ -278,8 +278,8 @@
 	return bytes
 }
 
-// Last is the last entry of a key, committed or not.
-func (c *Chain) Last(key string) (Entry, bool) {
+// LastEntry is the last entry of a key, committed or not.
+func (c *Chain) LastEntry(key string) (Entry, bool) {
 	for i := len(c.state.Entries) - 1; i >= 0; i-- {
 		if c.state.Entries[i].Key == key {
 			return c.state.Entries[i], true
--- a/internal/tier/chain/chain_test.go
+++ b/internal/tier/chain/chain_test.go
@@ -7,23 +7,23 @@
 )
 
 func TestLoneMemberCommitsWhatIsSynced(t *testing.T) {
-	c := started("a", State{}, view.View{Epoch: 1, Chain: []view.Link{{ID: "a", Since: 0}}})
-	if !c.Active() || !c.Known() {
+	c := started("a", State{}, view.View{Epoch: 1, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 0}}})
+	if !c.IsActive() || !c.CommitIsCurrent() {
 		t.Fatal("a founder alone is head and tail")
 	}
 	c.Append("k", []byte("1"))
 	wantState(t, c, "1/0/1 k@1")
-	c.Synced()
+	c.MarkDurable()
 	wantState(t, c, "1/1/1 k@1")
 }
 
 func TestAppendOnlyAtAnActiveHead(t *testing.T) {
 	v := founded(2, "a", "b")
-	head, tail := started("a", State{Activated: 1}, v), started("b", State{Activated: 1}, v)
+	head, tail := started("a", State{ActivatedEpoch: 1}, v), started("b", State{ActivatedEpoch: 1}, v)
 	if _, ok := tail.Append("k", nil); ok {
 		t.Error("a tail appended")
 	}
-	if _, ok := started("c", State{Activated: 2}, v).Append("k", nil); ok {
+	if _, ok := started("c", State{ActivatedEpoch: 2}, v).Append("k", nil); ok {
 		t.Error("a member outside the chain appended")
 	}
 	if _, ok := New("a", State{}).Append("k", nil); ok {
@@ -37,7 +37,7 @@
 
 func TestNothingIsCommittedBeforeTheTailHasIt(t *testing.T) {
 	v := founded(2, "a", "b", "c")
-	s := State{Activated: 1}
+	s := State{ActivatedEpoch: 1}
 	a, b, c := started("a", s, v), started("b", s, v), started("c", s, v)
 	pass(t, a, b)
 	pass(t, b, c)
@@ -58,7 +58,7 @@
 }
 
 func TestCompactionKeepsTheLastOfEachKeyAndAllThatIsNotCommitted(t *testing.T) {
-	c := New("a", State{Place: 6, Entries: []Entry{{1, "x", nil}, {2, "y", nil}, {3, "x", nil}, {4, "x", nil}, {5, "y", nil}, {6, "x", nil}}})
+	c := New("a", State{LastIndex: 6, Entries: []Entry{{1, "x", nil}, {2, "y", nil}, {3, "x", nil}, {4, "x", nil}, {5, "y", nil}, {6, "x", nil}}})
 	c.commit(3)
 	wantState(t, c, "0/3/6 y@2 x@3 x@4 y@5 x@6")
 	c.commit(2)
@@ -71,17 +71,17 @@
 	if got := c.Committed(0); len(got) != 2 {
 		t.Error("committed:", got)
 	}
-	if e, ok := c.Last("x"); !ok || e.Index != 6 {
+	if e, ok := c.LastEntry("x"); !ok || e.Index != 6 {
 		t.Error("last of x:", e)
 	}
-	if _, ok := c.Last("z"); ok {
+	if _, ok := c.LastEntry("z"); ok {
 		t.Error("last of a key that there is not")
 	}
 }
 
 func TestStateThatWasGivenOutIsNotChanged(t *testing.T) {
 	v := founded(2, "a", "b")
-	a, b := started("a", State{Activated: 1}, v), started("b", State{Activated: 1}, v)
+	a, b := started("a", State{ActivatedEpoch: 1}, v), started("b", State{ActivatedEpoch: 1}, v)
 	pass(t, a, b)
 	put(t, a, "k", "k")
 	before := *a.State()
@@ -94,60 +94,60 @@
 
 func TestKnownOnlyOnceTheTailHasBeenHeardOf(t *testing.T) {
 	v := founded(2, "a", "b", "c")
-	s := State{Activated: 1}
+	s := State{ActivatedEpoch: 1}
 	a, b, c := started("a", s, v), started("b", s, v), started("c", s, v)
 	pass(t, a, b)
-	if a.Known() || b.Known() || c.Known() {
+	if a.CommitIsCurrent() || b.CommitIsCurrent() || c.CommitIsCurrent() {
 		t.Error("known before the tail is active")
 	}
 	pass(t, b, c)
-	if !b.Known() || !c.Known() || a.Known() {
+	if !b.CommitIsCurrent() || !c.CommitIsCurrent() || a.CommitIsCurrent() {
 		t.Error("the tail and whom it told know")
 	}
-	if !ackOf(b, a, 1) || !a.Known() {
+	if !ackOf(b, a, 1) || !a.CommitIsCurrent() {
 		t.Error("it went up the chain")
 	}
 	a = restarted(a)
-	if a.Known() || !a.Active() {
+	if a.CommitIsCurrent() || !a.IsActive() {
 		t.Error("known after a restart")
 	}
-	if c = restarted(c); !c.Known() {
+	if c = restarted(c); !c.CommitIsCurrent() {
 		t.Error("a tail has it on disk")
 	}
-	if !ackOf(b, a, 1) || !a.Known() {
+	if !ackOf(b, a, 1) || !a.CommitIsCurrent() {
 		t.Error("told again after its restart")
 	}
 	next := founded(3, "a", "b", "c")
 	a.Adopt(next)
 	c.Adopt(next)
-	if !a.Active() || a.Known() || c.Known() {
+	if !a.IsActive() || a.CommitIsCurrent() || c.CommitIsCurrent() {
 		t.Error("known in a new epoch")
 	}
 }
 
 func TestHeadMustBeAHolder(t *testing.T) {
-	v := view.View{Epoch: 5, Chain: []view.Link{{ID: "a", Since: 3}, {ID: "b", Since: 1}}}
-	if c := New("a", State{Activated: 2}); c.Adopt(v) || c.Active() {
+	v := view.View{Epoch: 5, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 3}, {ID: "b", JoinedEpoch: 1}}}
+	if c := New("a", State{ActivatedEpoch: 2}); c.Adopt(v) || c.IsActive() {
 		t.Error("a head that missed the state of epoch 3")
 	}
-	c := New("a", State{Activated: 3})
-	if !c.Adopt(v) || !c.Active() || c.State().Activated != 5 {
+	c := New("a", State{ActivatedEpoch: 3})
+	if !c.Adopt(v) || !c.IsActive() || c.State().ActivatedEpoch != 5 {
 		t.Error("a holder is active at once, and has to sync that")
 	}
 	if c.Adopt(v) {
 		t.Error("nothing to sync the second time")
 	}
-	if c := New("b", State{Activated: 4}); c.Adopt(v) || c.Active() {
+	if c := New("b", State{ActivatedEpoch: 4}); c.Adopt(v) || c.IsActive() {
 		t.Error("a successor waits for the state")
 	}
 }
 
 func TestActivationReplacesTheUncommittedAndKeepsTheCommitted(t *testing.T) {
 	v := founded(3, "a", "b")
-	a := started("a", State{Activated: 2, Place: 5, Commit: 2, Entries: []Entry{
+	a := started("a", State{ActivatedEpoch: 2, LastIndex: 5, Commit: 2, Entries: []Entry{
 		{1, "x", nil}, {2, "y", nil}, {3, "n", nil}, {4, "x", nil}, {5, "m", nil},
 	}}, v)
-	b := started("b", State{Activated: 2, Place: 4, Commit: 2, Entries: []Entry{
+	b := started("b", State{ActivatedEpoch: 2, LastIndex: 4, Commit: 2, Entries: []Entry{
 		{1, "x", nil}, {2, "y", nil}, {3, "old", nil}, {4, "old", nil},
 	}}, v)
 	pass(t, a, b)
@@ -157,10 +157,10 @@
 
 func TestActivationOfOneThatHasCommittedFurther(t *testing.T) {
 	v := founded(3, "a", "b")
-	a := started("a", State{Activated: 2, Place: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "x", nil}, {3, "z", nil}}}, v)
-	b := started("b", State{Activated: 2, Place: 2, Commit: 2, Entries: []Entry{{2, "x", nil}}}, v)
+	a := started("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "x", nil}, {3, "z", nil}}}, v)
+	b := started("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 2, Entries: []Entry{{2, "x", nil}}}, v)
 	ackOf(b, a, 1)
-	_, u, _ := a.Next()
+	_, u, _ := a.NextUpdate()
 	if len(u.Fragments) != 1 || u.Fragments[0].Index != 3 {
 		t.Error("sent what it has:", u.Fragments)
 	}
@@ -173,7 +173,7 @@
 
 func TestActivationWithNothingToTakeOver(t *testing.T) {
 	v := founded(3, "a", "b")
-	a, b := started("a", State{Activated: 2}, v), started("b", State{Activated: 2, Place: 1, Entries: []Entry{{1, "gone", nil}}}, v)
+	a, b := started("a", State{ActivatedEpoch: 2}, v), started("b", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "gone", nil}}}, v)
 	pass(t, a, b)
 	wantState(t, b, "3/0/0")
 	put(t, a, "k")
@@ -183,22 +183,22 @@
 
 func TestTransferThatIsNotCompletedChangesNothing(t *testing.T) {
 	v := founded(3, "a", "b")
-	a := started("a", State{Activated: 2, Place: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "big", large(1, 4)}, {3, "z", nil}}}, v)
-	b := started("b", State{Activated: 2, Place: 2, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "own", nil}}}, v)
+	a := started("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "big", large(1, 4)}, {3, "z", nil}}}, v)
+	b := started("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "own", nil}}}, v)
 	ackOf(b, a, 1)
 	for range 3 {
-		_, u, some := a.Next()
-		if changed, ok := b.Take("a", u); !some || changed || !ok || u.Complete {
+		_, u, some := a.NextUpdate()
+		if changed, ok := b.HandleUpdate("a", u); !some || changed || !ok || u.Complete {
 			t.Fatal("changed by a part", u.Complete)
 		}
 	}
 	wantState(t, b, "2/1/2 x@1 own@2")
-	if got := b.Report().Got; got.Done != 1 || got.Of != 2 || got.Part == 0 {
+	if got := b.CurrentAck().Received; got.LastIndex != 1 || got.PartialIndex != 2 || got.PartialBytes == 0 {
 		t.Error("staged:", got)
 	}
 	b.Adopt(founded(4, "b", "a"))
 	wantState(t, b, "4/1/2 x@1 own@2")
-	if got := b.Report().Got; got != (Position{Done: 2}) {
+	if got := b.CurrentAck().Received; got != (Position{LastIndex: 2}) {
 		t.Error("staged after another view:", got)
 	}
 }
@@ -207,20 +207,20 @@
 func TestTransferIsNotCompleteWithAPartUnderWay(t *testing.T) {
 	v := founded(3, "a", "b")
 	value := []byte("value")
-	part := Fragment{Index: 1, Key: "k", Size: 5, Sum: sum(value), Data: value[:2]}
+	part := Fragment{Index: 1, Key: "k", ValueSize: 5, Checksum: sum(value), Data: value[:2]}
 	u := Update{Epoch: 3, Fragments: []Fragment{part}, Complete: true, Through: 1, Commit: 1}
-	b, z := started("b", State{Activated: 2}, v), started("z", State{}, v)
-	if changed, ok := b.Take("a", u); changed || !ok || b.Active() {
+	b, z := started("b", State{ActivatedEpoch: 2}, v), started("z", State{}, v)
+	if changed, ok := b.HandleUpdate("a", u); changed || !ok || b.IsActive() {
 		t.Error("activated")
 	}
-	if z.Learn(u) {
+	if z.HandleLearnerUpdate(u) {
 		t.Error("learnt")
 	}
 	wantState(t, b, "2/0/0")
 	wantState(t, z, "0/0/0")
 	part.Offset, part.Data = 2, value[2:]
-	u.After, u.Fragments = Position{Of: 1, Part: 2}, []Fragment{part}
-	if changed, _ := b.Take("a", u); !changed || !z.Learn(u) {
+	u.After, u.Fragments = Position{PartialIndex: 1, PartialBytes: 2}, []Fragment{part}
+	if changed, _ := b.HandleUpdate("a", u); !changed || !z.HandleLearnerUpdate(u) {
 		t.Error("not taken once it is whole")
 	}
 	wantState(t, b, "3/1/1 k@1")
@@ -228,11 +228,11 @@
 }
 
 func TestActivationOnAnotherBaseIsRefused(t *testing.T) {
-	b := started("b", State{Activated: 2, Place: 4, Commit: 4}, founded(3, "a", "b"))
-	f := Fragment{Index: 5, Key: "k", Sum: sum(nil)}
+	b := started("b", State{ActivatedEpoch: 2, LastIndex: 4, Commit: 4}, founded(3, "a", "b"))
+	f := Fragment{Index: 5, Key: "k", Checksum: sum(nil)}
 	for _, base := range []int64{3, 5} {
-		u := Update{Epoch: 3, Base: base, After: Position{Done: 4}, Fragments: []Fragment{f}, Complete: true, Through: 5}
-		if changed, ok := b.Take("a", u); changed || !ok || b.Active() {
+		u := Update{Epoch: 3, Base: base, After: Position{LastIndex: 4}, Fragments: []Fragment{f}, Complete: true, Through: 5}
+		if changed, ok := b.HandleUpdate("a", u); changed || !ok || b.IsActive() {
 			t.Error("activated on base", base)
 		}
 	}
@@ -241,8 +241,8 @@
 
 func TestTakeOnlyFromThePredecessorInTheEpoch(t *testing.T) {
 	v := founded(2, "a", "b", "c")
-	b := started("b", State{Activated: 2}, v)
-	f := Fragment{Index: 1, Key: "k", Sum: sum(nil)}
+	b := started("b", State{ActivatedEpoch: 2}, v)
+	f := Fragment{Index: 1, Key: "k", Checksum: sum(nil)}
 	good := Update{Epoch: 2, Fragments: []Fragment{f}, Complete: true, Through: 1}
 	old := good
 	old.Epoch = 1
@@ -253,46 +253,46 @@
 	}{
 		"of the successor":       {"c", good, b},
 		"of an epoch before":     {"a", old, b},
-		"to a head":              {"a", good, started("a", State{Activated: 2}, v)},
-		"to one outside":         {"a", good, started("d", State{Activated: 2}, v)},
+		"to a head":              {"a", good, started("a", State{ActivatedEpoch: 2}, v)},
+		"to one outside":         {"a", good, started("d", State{ActivatedEpoch: 2}, v)},
 		"of one that is outside": {"d", good, b},
 	} {
-		if changed, ok := x.to.Take(x.from, x.u); changed || ok || x.to.State().Place != 0 {
+		if changed, ok := x.to.HandleUpdate(x.from, x.u); changed || ok || x.to.State().LastIndex != 0 {
 			t.Errorf("taken %s", name)
 		}
 	}
-	if changed, ok := b.Take("a", good); !changed || !ok {
+	if changed, ok := b.HandleUpdate("a", good); !changed || !ok {
 		t.Error("not taken of the predecessor")
 	}
-	if changed, ok := b.Take("a", good); changed || !ok {
+	if changed, ok := b.HandleUpdate("a", good); changed || !ok {
 		t.Error("taken twice")
 	}
 }
 
 func TestCommitNeverPassesWhatAMemberHas(t *testing.T) {
 	v := founded(2, "a", "b", "c")
-	b := started("b", State{Activated: 2}, v)
-	b.Take("a", Update{Epoch: 2, Commit: 9, Fragments: []Fragment{{Index: 1, Key: "k", Sum: sum(nil)}}})
+	b := started("b", State{ActivatedEpoch: 2}, v)
+	b.HandleUpdate("a", Update{Epoch: 2, Commit: 9, Fragments: []Fragment{{Index: 1, Key: "k", Checksum: sum(nil)}}})
 	wantState(t, b, "2/1/1 k@1")
-	a := started("a", State{Activated: 2, Place: 1, Entries: []Entry{{1, "k", nil}}}, v)
-	if a.Acked("b", 1, Ack{Epoch: 2, Place: 4, Commit: 4, Active: true}) || a.State().Commit != 0 {
+	a := started("a", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "k", nil}}}, v)
+	if a.HandleAck("b", 1, Ack{Epoch: 2, LastIndex: 4, Commit: 4, Active: true}) || a.State().Commit != 0 {
 		t.Error("an ack of more than there is was taken")
 	}
-	if a.Acked("b", 1, Ack{Epoch: 2, Place: 1, Commit: 9, Active: true}); a.State().Commit != 1 {
+	if a.HandleAck("b", 1, Ack{Epoch: 2, LastIndex: 1, Commit: 9, Active: true}); a.State().Commit != 1 {
 		t.Error("commit", a.State().Commit)
 	}
 }
 
 func TestAckOnlyOfTheSuccessorInTheEpoch(t *testing.T) {
 	v := founded(2, "a", "b", "c")
-	a := started("a", State{Activated: 2, Place: 1, Entries: []Entry{{1, "k", nil}}}, v)
-	good := Ack{Epoch: 2, Place: 1, Commit: 1, Known: true, Active: true}
+	a := started("a", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "k", nil}}}, v)
+	good := Ack{Epoch: 2, LastIndex: 1, Commit: 1, CommitIsCurrent: true, Active: true}
 	old, waiting := good, good
 	old.Epoch, waiting.Active = 1, false
-	if a.Acked("c", 1, good) || a.Acked("b", 1, old) || a.Acked("b", 1, waiting) || a.State().Commit != 0 || a.Known() {
+	if a.HandleAck("c", 1, good) || a.HandleAck("b", 1, old) || a.HandleAck("b", 1, waiting) || a.State().Commit != 0 || a.CommitIsCurrent() {
 		t.Error("taken")
 	}
-	if !a.Acked("b", 1, good) || a.State().Commit != 1 || !a.Known() {
+	if !a.HandleAck("b", 1, good) || a.State().Commit != 1 || !a.CommitIsCurrent() {
 		t.Error("not taken")
 	}
 }
--- a/internal/tier/chain/fuzz_test.go
+++ b/internal/tier/chain/fuzz_test.go
@@ -36,12 +36,12 @@
 func (r *reader) update(at Position) Update {
 	u := Update{Base: r.number(), Through: r.number(), Commit: r.number(), Complete: r.number()%2 == 0}
 	if u.After = at; r.number()%4 == 0 {
-		u.After = Position{Done: r.number(), Of: r.number(), Part: r.number()}
+		u.After = Position{LastIndex: r.number(), PartialIndex: r.number(), PartialBytes: r.number()}
 	}
 	for range r.number() % 4 {
-		f := Fragment{Index: r.number(), Key: "k", Size: r.number(), Sum: r.number(), Offset: r.number(), Data: r.bytes()}
+		f := Fragment{Index: r.number(), Key: "k", ValueSize: r.number(), Checksum: r.number(), Offset: r.number(), Data: r.bytes()}
 		if r.number()%2 == 0 {
-			f.Size, f.Sum, f.Offset = int64(len(f.Data)), sum(f.Data), 0
+			f.ValueSize, f.Checksum, f.Offset = int64(len(f.Data)), sum(f.Data), 0
 		}
 		u.Fragments = append(u.Fragments, f)
 	}
@@ -79,8 +79,8 @@
 			if last != in.done {
 				t.Fatalf("done %d, the last entry is %d", in.done, last)
 			}
-			if p := in.part; p != nil && (p.Size > maxValue || int64(len(p.Data)) >= max(p.Size, 1) || p.Index <= in.done) {
-				t.Fatalf("under way: %d of %d bytes of index %d", len(p.Data), p.Size, p.Index)
+			if p := in.part; p != nil && (p.ValueSize > maxValue || int64(len(p.Data)) >= max(p.ValueSize, 1) || p.Index <= in.done) {
+				t.Fatalf("under way: %d of %d bytes of index %d", len(p.Data), p.ValueSize, p.Index)
 			}
 		}
 	})
@@ -93,10 +93,10 @@
 		v := founded(3, "a", "b")
 		for _, id := range []string{"z", "b"} {
 			r := reader(input)
-			c := started(id, State{Activated: 1, Place: 4, Commit: 2, Entries: []Entry{{1, "k", nil}, {2, "l", nil}, {4, "own", nil}}}, v)
-			for len(r) > 0 && c.State().Commit == 2 && !c.Active() {
+			c := started(id, State{ActivatedEpoch: 1, LastIndex: 4, Commit: 2, Entries: []Entry{{1, "k", nil}, {2, "l", nil}, {4, "own", nil}}}, v)
+			for len(r) > 0 && c.State().Commit == 2 && !c.IsActive() {
 				before := text(c.State())
-				u := r.update(c.Report().Got)
+				u := r.update(c.CurrentAck().Received)
 				u.Epoch = 3
 				base := c.State().Commit
 				changed := learnOrTake(c, v, u)
@@ -113,8 +113,8 @@
 
 func learnOrTake(c *Chain, v view.View, u Update) bool {
 	if v.Position(c.self) < 0 {
-		return c.Learn(u)
+		return c.HandleLearnerUpdate(u)
 	}
-	changed, _ := c.Take(v.Head(), u)
+	changed, _ := c.HandleUpdate(v.Head(), u)
 	return changed
 }
--- a/internal/tier/chain/ghosts_test.go
+++ b/internal/tier/chain/ghosts_test.go
@@ -34,8 +34,8 @@
 func (w *world) check(i int) {
 	c := w.members[i]
 	s := c.State()
-	if s.Commit > s.Place {
-		w.fail("%s committed %d, has %d", c.self, s.Commit, s.Place)
+	if s.Commit > s.LastIndex {
+		w.fail("%s committed %d, has %d", c.self, s.Commit, s.LastIndex)
 	}
 	if s.Commit > int64(len(w.truth)) {
 		w.rise(c)
@@ -67,7 +67,7 @@
 	w.truth = append(w.truth, added...)
 	for _, l := range c.view.Chain {
 		m := w.member(l.ID).State()
-		if m.Activated < c.view.Epoch || m.Place < s.Commit || !w.holds(m, s.Commit) {
+		if m.ActivatedEpoch < c.view.Epoch || m.LastIndex < s.Commit || !w.holds(m, s.Commit) {
 			w.fail("%s committed %d in epoch %d, %s has %s", c.self, s.Commit, c.view.Epoch, l.ID, text(m))
 		}
 	}
@@ -104,11 +104,11 @@
 	head := w.member(w.view.Head()).State()
 	for _, c := range w.members {
 		s := c.State()
-		if s.Commit != head.Place || c.view.Position(c.self) >= 0 && !c.Known() {
+		if s.Commit != head.LastIndex || c.view.Position(c.self) >= 0 && !c.CommitIsCurrent() {
 			w.fail("settled: %s has %s, the head %s", c.self, text(s), text(head))
 		}
 		for _, e := range s.Entries {
-			if last, _ := c.Last(e.Key); s.Commit == s.Place && last.Index != e.Index {
+			if last, _ := c.LastEntry(e.Key); s.Commit == s.LastIndex && last.Index != e.Index {
 				w.fail("%s is not compacted: %s", c.self, text(s))
 			}
 		}
--- a/internal/tier/chain/helpers_test.go
+++ b/internal/tier/chain/helpers_test.go
@@ -14,7 +14,7 @@
 	v := view.View{Epoch: epoch}
 	for _, id := range ids {
 		v.Voters = append(v.Voters, view.Member{ID: id, Name: id, Addr: id})
-		v.Chain = append(v.Chain, view.Link{ID: id, Since: 1})
+		v.Chain = append(v.Chain, view.ChainMember{ID: id, JoinedEpoch: 1})
 	}
 	return v
 }
@@ -34,7 +34,7 @@
 
 // text writes a state as "activated/commit/index key@index ...".
 func text(s *State) string {
-	words := []string{fmt.Sprintf("%d/%d/%d", s.Activated, s.Commit, s.Place)}
+	words := []string{fmt.Sprintf("%d/%d/%d", s.ActivatedEpoch, s.Commit, s.LastIndex)}
 	for _, e := range s.Entries {
 		words = append(words, fmt.Sprint(e.Key, "@", e.Index))
 	}
@@ -55,18 +55,18 @@
 			t.Fatal("not taken at the head")
 		}
 	}
-	c.Synced()
+	c.MarkDurable()
 }
 
 // large is a value of some pieces, another for each number.
 func large(number byte, pieces int) []byte {
-	return bytes.Repeat([]byte{number, 1, number, 3}, pieces*PieceSize/4)
+	return bytes.Repeat([]byte{number, 1, number, 3}, pieces*ChunkSize/4)
 }
 
 // ackOf gives the predecessor what a member reports.
 func ackOf(member, predecessor *Chain, life int64) bool {
-	_, a, _ := member.Ack()
-	return predecessor.Acked(member.self, life, a)
+	_, a, _ := member.PredecessorAck()
+	return predecessor.HandleAck(member.self, life, a)
 }
 
 // pass brings all that a member has for its successor there, and the answers back, until there is nothing more.
@@ -74,14 +74,14 @@
 	t.Helper()
 	ackOf(to, from, 1)
 	for range 1000 {
-		_, u, some := from.Next()
+		_, u, some := from.NextUpdate()
 		if !some {
 			return
 		}
-		if _, ok := to.Take(from.self, u); !ok {
+		if _, ok := to.HandleUpdate(from.self, u); !ok {
 			t.Fatal("an update of the predecessor was not for it")
 		}
-		to.Synced()
+		to.MarkDurable()
 		ackOf(to, from, 1)
 	}
 	t.Fatal("it does not end")
@@ -90,14 +90,14 @@
 // teach brings all that a tail has for a learner there.
 func teach(t *testing.T, tail, learner *Chain) {
 	t.Helper()
-	tail.Learned(learner.self, 1, learner.Report())
+	tail.HandleLearnerAck(learner.self, 1, learner.CurrentAck())
 	for range 1000 {
-		u, some := tail.NextFor(learner.self)
+		u, some := tail.NextLearnerUpdate(learner.self)
 		if !some {
 			return
 		}
-		learner.Learn(u)
-		tail.Learned(learner.self, 1, learner.Report())
+		learner.HandleLearnerUpdate(u)
+		tail.HandleLearnerAck(learner.self, 1, learner.CurrentAck())
 	}
 	t.Fatal("it does not end")
 }
--- a/internal/tier/chain/learners.go
+++ b/internal/tier/chain/learners.go
@@ -1,8 +1,8 @@
 package chain
 
-// Learned takes what a member outside the chain tells of itself, said in one of its lives: a tail sends it what it lacks.
-func (c *Chain) Learned(from string, life int64, a Ack) {
-	if !c.Known() || c.view.Tail() != c.self || c.view.Position(from) >= 0 {
+// HandleLearnerAck takes what a member outside the chain tells of itself, said in one of its lives: a tail sends it what it lacks.
+func (c *Chain) HandleLearnerAck(from string, life int64, a Ack) {
+	if !c.CommitIsCurrent() || c.view.Tail() != c.self || c.view.Position(from) >= 0 {
 		return
 	}
 	o := c.learners[from]
@@ -19,19 +19,19 @@
 	o.acked(life, a, a.Commit)
 }
 
-// Forget ends what is kept for a learner.
-func (c *Chain) Forget(id string) { delete(c.learners, id) }
+// RemoveLearner ends what is kept for a learner.
+func (c *Chain) RemoveLearner(id string) { delete(c.learners, id) }
 
-// Teaching tells whether a learner lacks something that is committed.
-func (c *Chain) Teaching(id string) bool {
+// LearnerIsBehind tells whether a learner lacks something that is committed.
+func (c *Chain) LearnerIsBehind(id string) bool {
 	o := c.learners[id]
 	return o != nil && o.known && o.complete < c.state.Commit
 }
 
-// NextFor is the next part of what a learner lacks of what is committed.
-func (c *Chain) NextFor(id string) (u Update, some bool) {
+// NextLearnerUpdate is the next part of what a learner lacks of what is committed.
+func (c *Chain) NextLearnerUpdate(id string) (u Update, some bool) {
 	o := c.learners[id]
-	if o == nil || !c.Known() || c.view.Tail() != c.self {
+	if o == nil || !c.CommitIsCurrent() || c.view.Tail() != c.self {
 		return Update{}, false
 	}
 	u, some = o.next(c.state.Entries, c.state.Commit)
@@ -49,16 +49,16 @@
 
 // Transfer is how far a member has been brought.
 type Transfer struct {
-	ID     string
-	Place  int64 // all up to it has come
-	Target int64
-	Bytes  int64 // of the entry that is under way
+	ID           string
+	LastIndex    int64 // all up to it has come
+	Target       int64
+	PartialBytes int64 // of the entry that is under way
 }
 
 // Transfers are those to members that lack something.
 func (c *Chain) Transfers() (all []Transfer) {
-	if to := c.view.Next(c.self); c.Active() && to != "" && c.successor.complete < c.state.Place {
-		all = append(all, c.successor.transfer(to, c.state.Place))
+	if to := c.view.Successor(c.self); c.IsActive() && to != "" && c.successor.complete < c.state.LastIndex {
+		all = append(all, c.successor.transfer(to, c.state.LastIndex))
 	}
 	for id, o := range c.learners {
 		if o.complete < c.state.Commit {
@@ -69,5 +69,5 @@
 }
 
 func (o *outgoing) transfer(id string, target int64) Transfer {
-	return Transfer{ID: id, Place: o.told.Done, Target: target, Bytes: o.told.Part}
+	return Transfer{ID: id, LastIndex: o.told.LastIndex, Target: target, PartialBytes: o.told.PartialBytes}
 }
--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -64,7 +64,7 @@
 }
 
 var noise = func() []byte {
-	b := make([]byte, (longestPieces+2)*PieceSize)
+	b := make([]byte, (longestPieces+2)*ChunkSize)
 	r := rand.NewChaCha8([32]byte{1})
 	r.Read(b)
 	return b
@@ -78,11 +78,11 @@
 	for i := range modelMembers {
 		w.view.Voters = append(w.view.Voters, view.Member{ID: name(i)})
 		if i < 2+w.pick(2) && i < 3 {
-			w.view.Chain = append(w.view.Chain, view.Link{ID: name(i), Since: 1})
+			w.view.Chain = append(w.view.Chain, view.ChainMember{ID: name(i), JoinedEpoch: 1})
 		}
 	}
 	for i := range modelMembers {
-		w.members[i] = New(name(i), State{Activated: 1})
+		w.members[i] = New(name(i), State{ActivatedEpoch: 1})
 		w.adopt(i)
 	}
 	return w
@@ -129,9 +129,9 @@
 	c := w.members[i]
 	size := w.pick(200)
 	if w.pick(5) == 0 {
-		size = w.pick(longestPieces * PieceSize)
+		size = w.pick(longestPieces * ChunkSize)
 	}
-	from := w.pick(PieceSize)
+	from := w.pick(ChunkSize)
 	value := append(binary.BigEndian.AppendUint32(nil, uint32(len(w.entries))), w.random[from:from+size]...)
 	var before *written
 	if had := c.State().Entries; len(had) > 0 {
@@ -139,7 +139,7 @@
 	}
 	if e, ok := c.Append(fmt.Sprint("k", w.pick(6)), value); ok {
 		w.entries = append(w.entries, &written{Entry: e, before: before})
-		c.Synced()
+		c.MarkDurable()
 		w.check(i)
 	}
 }
@@ -160,7 +160,7 @@
 func (w *world) change() {
 	next := view.View{Epoch: w.view.Epoch + 1, Voters: w.view.Voters}
 	for _, l := range w.view.Chain {
-		if w.member(l.ID).State().Activated >= l.Since {
+		if w.member(l.ID).State().ActivatedEpoch >= l.JoinedEpoch {
 			next.Chain = append(next.Chain, l)
 		}
 	}
@@ -169,7 +169,7 @@
 		next.Chain = slices.Delete(next.Chain, i, i+1)
 	}
 	if id := name(w.pick(modelMembers)); len(next.Chain) < 3 && next.Position(id) < 0 && w.view.Position(id) < 0 {
-		next.Chain = append(next.Chain, view.Link{ID: id, Since: next.Epoch})
+		next.Chain = append(next.Chain, view.ChainMember{ID: id, JoinedEpoch: next.Epoch})
 	}
 	if len(next.Chain) > 0 {
 		w.view = next
@@ -200,7 +200,7 @@
 		w.faults.before(c)
 	}
 	for {
-		to, u, some := c.Next()
+		to, u, some := c.NextUpdate()
 		if !some {
 			break
 		}
@@ -208,7 +208,7 @@
 	}
 	for _, m := range w.view.Voters {
 		for c.view.Position(m.ID) < 0 {
-			u, some := c.NextFor(m.ID)
+			u, some := c.NextLearnerUpdate(m.ID)
 			if !some {
 				break
 			}
@@ -226,10 +226,10 @@
 	for _, f := range o.flight {
 		inFlight += f.bytes
 	}
-	if size > PieceSize || inFlight > windowSize+PieceSize+fragmentCost {
+	if size > ChunkSize || inFlight > windowSize+ChunkSize+fragmentCost {
 		w.fail("%d bytes in an update, %d under way", size, inFlight)
 	}
-	if u.After.Part > 0 {
+	if u.After.PartialBytes > 0 {
 		w.resumed++
 	}
 	if w.faults.update != nil {
@@ -241,8 +241,8 @@
 // report tells the predecessor, or the tail, where a member is.
 func (w *world) report(i int) {
 	c := w.members[i]
-	to, a, ok := c.Ack()
-	learn := c.Learner()
+	to, a, ok := c.PredecessorAck()
+	learn := c.IsLearner()
 	if learn {
 		to, ok = c.view.Tail(), true
 	}
@@ -271,15 +271,15 @@
 		c, from := w.members[to], name(m.from)
 		switch {
 		case m.ack != nil && m.learn:
-			c.Learned(from, m.life, *m.ack)
+			c.HandleLearnerAck(from, m.life, *m.ack)
 		case m.ack != nil:
-			c.Acked(from, m.life, *m.ack)
+			c.HandleAck(from, m.life, *m.ack)
 		case m.learn:
-			c.Learn(*m.update)
+			c.HandleLearnerUpdate(*m.update)
 			w.report(to)
 		default:
-			if _, ok := c.Take(from, *m.update); ok {
-				c.Synced()
+			if _, ok := c.HandleUpdate(from, *m.update); ok {
+				c.MarkDurable()
 				w.report(to)
 			}
 		}
--- a/internal/tier/chain/planted_test.go
+++ b/internal/tier/chain/planted_test.go
@@ -13,15 +13,15 @@
 		f    modelFaults
 		says string
 	}{
-		"a member tells that all it has is committed": {modelFaults{ack: func(_ *world, _ *Chain, a *Ack) { a.Commit = a.Place }}, "has"},
+		"a member tells that all it has is committed": {modelFaults{ack: func(_ *world, _ *Chain, a *Ack) { a.Commit = a.LastIndex }}, "has"},
 		"a part of a transfer said to be all of it": {modelFaults{update: func(_ *world, from *Chain, u *Update) {
 			u.Complete, u.Through = true, from.State().Commit
 		}}, ", has "},
 		"values altered on the way": {modelFaults{update: func(w *world, _ *Chain, u *Update) {
-			if f := len(u.Fragments) - 1; f >= 0 && u.Fragments[f].Size == int64(len(u.Fragments[f].Data)) && w.pick(20) == 0 {
+			if f := len(u.Fragments) - 1; f >= 0 && u.Fragments[f].ValueSize == int64(len(u.Fragments[f].Data)) && w.pick(20) == 0 {
 				u.Fragments[f].Data = append(slices.Clone(u.Fragments[f].Data), 1)
-				u.Fragments[f].Size++
-				u.Fragments[f].Sum = sum(u.Fragments[f].Data)
+				u.Fragments[f].ValueSize++
+				u.Fragments[f].Checksum = sum(u.Fragments[f].Data)
 			}
 		}}, ""},
 		"entries left out": {modelFaults{update: func(w *world, _ *Chain, u *Update) {
@@ -37,11 +37,11 @@
 			c.successor.bytes = -windowSize
 		}}, "under way"},
 		"what is not committed is kept at activation": {modelFaults{adopt: func(c *Chain) {
-			c.state.Commit = c.state.Place
+			c.state.Commit = c.state.LastIndex
 		}}, ""},
 		"an entry that is gone is gone on with": {modelFaults{update: func(_ *world, from *Chain, u *Update) {
 			for _, o := range from.learners {
-				if u.After.Part == 0 && o.told.Part > 0 && o.told.Done == u.After.Done {
+				if u.After.PartialBytes == 0 && o.told.PartialBytes > 0 && o.told.LastIndex == u.After.LastIndex {
 					u.After = o.told
 				}
 			}
--- a/internal/tier/chain/stream.go
+++ b/internal/tier/chain/stream.go
@@ -5,7 +5,7 @@
 // Bounds of a stream of updates. A piece is small enough that a heartbeat behind it is not late on a link of 30 Mbit/s
 // (17 ms); the window keeps such a link busy for a round trip of some ten milliseconds.
 const (
-	PieceSize    = 64 << 10  // bytes of values in one update
+	ChunkSize    = 64 << 10  // bytes of values in one update
 	windowSize   = 256 << 10 // bytes under way to one receiver, beyond which no further piece is sent
 	fragmentCost = 64        // what a fragment is counted for beside its bytes
 	maxValue     = 128 << 20 // larger values are not taken: they are garbage
@@ -13,24 +13,24 @@
 
 // Position in a stream of entries: all up to Done has come, and Part bytes of the entry that follows, whose index is Of.
 type Position struct {
-	Done int64
-	Of   int64 // 0 while Part is 0
-	Part int64
+	LastIndex    int64
+	PartialIndex int64 // 0 while Part is 0
+	PartialBytes int64
 }
 
 // Less tells whether p comes before o.
 func (p Position) Less(o Position) bool {
-	return p.Done < o.Done || p.Done == o.Done && p.Part < o.Part
+	return p.LastIndex < o.LastIndex || p.LastIndex == o.LastIndex && p.PartialBytes < o.PartialBytes
 }
 
 // Fragment is a part of an entry.
 type Fragment struct {
-	Index  int64
-	Key    string
-	Size   int64 // of the whole value
-	Sum    int64 // xxhash of the whole value
-	Offset int64 // of Data in it
-	Data   []byte
+	Index     int64
+	Key       string
+	ValueSize int64 // of the whole value
+	Checksum  int64 // xxhash of the whole value
+	Offset    int64 // of Data in it
+	Data      []byte
 }
 
 // Update is what a member sends its successor, and the tail a learner: the next fragments of a stream of entries.
@@ -75,13 +75,13 @@
 		return // said in an earlier life
 	}
 	if !o.known || life != o.life || o.base != a.Commit && complete < 0 {
-		*o = outgoing{known: true, life: life, base: a.Commit, told: a.Got, sent: a.Got, through: -1, complete: complete, progressed: true, patience: 1}
+		*o = outgoing{known: true, life: life, base: a.Commit, told: a.Received, sent: a.Received, through: -1, complete: complete, progressed: true, patience: 1}
 		return
 	}
-	if o.told.Less(a.Got) || o.complete < complete {
+	if o.told.Less(a.Received) || o.complete < complete {
 		o.progressed = true
 	}
-	o.base, o.told = a.Commit, a.Got
+	o.base, o.told = a.Commit, a.Received
 	o.complete = max(o.complete, complete)
 	for len(o.flight) > 0 && !o.told.Less(o.flight[0].after) {
 		o.bytes -= o.flight[0].bytes
@@ -120,7 +120,7 @@
 	}
 	e := o.entry(entries, limit) // it gives up a part of an entry that is gone: only then o.sent is what to go on after
 	u = Update{Base: o.base, After: o.sent}
-	room := PieceSize
+	room := ChunkSize
 	for ; e != nil && room > 0; e = o.entry(entries, limit) {
 		f := o.fragment(e, room)
 		room -= len(f.Data) + fragmentCost
@@ -132,7 +132,7 @@
 	if len(u.Fragments) == 0 && !u.Complete {
 		return Update{}, false
 	}
-	size := PieceSize - room
+	size := ChunkSize - room
 	o.flight = append(o.flight, flight{o.sent, size})
 	o.bytes += size
 	return u, true
@@ -141,11 +141,11 @@
 // entry is the one that is sent next, nil for none. Where a part of one was sent that is neither pinned nor among the
 // entries any more, the stream goes on with the entry that follows: the receiver then drops its part.
 func (o *outgoing) entry(entries []Entry, limit int64) *Entry {
-	if o.sent.Part > 0 && o.pin(entries) {
+	if o.sent.PartialBytes > 0 && o.pin(entries) {
 		return o.pinned
 	}
-	o.sent.Of, o.sent.Part = 0, 0
-	rest := After(entries, o.sent.Done)
+	o.sent.PartialIndex, o.sent.PartialBytes = 0, 0
+	rest := EntriesAfter(entries, o.sent.LastIndex)
 	if len(rest) == 0 || rest[0].Index > limit {
 		return nil
 	}
@@ -154,16 +154,16 @@
 
 // pin finds the entry of which a part was sent, perhaps by another member.
 func (o *outgoing) pin(entries []Entry) bool {
-	if o.pinned == nil || o.pinned.Index != o.sent.Of {
+	if o.pinned == nil || o.pinned.Index != o.sent.PartialIndex {
 		o.pinned = nil
-		for _, e := range After(entries, o.sent.Of-1) {
-			if e.Index == o.sent.Of {
+		for _, e := range EntriesAfter(entries, o.sent.PartialIndex-1) {
+			if e.Index == o.sent.PartialIndex {
 				o.pinned, o.pinnedSum = &e, sum(e.Value)
 				break
 			}
 		}
 	}
-	return o.pinned != nil && o.sent.Part < int64(len(o.pinned.Value))
+	return o.pinned != nil && o.sent.PartialBytes < int64(len(o.pinned.Value))
 }
 
 // fragment cuts the next part of an entry off.
@@ -173,12 +173,12 @@
 		o.pinned, o.pinnedSum = &pinned, sum(e.Value)
 	}
 	size := int64(len(e.Value))
-	n := min(int64(room), size-o.sent.Part)
-	f := Fragment{Index: e.Index, Key: e.Key, Size: size, Sum: o.pinnedSum, Offset: o.sent.Part, Data: e.Value[o.sent.Part : o.sent.Part+n]}
+	n := min(int64(room), size-o.sent.PartialBytes)
+	f := Fragment{Index: e.Index, Key: e.Key, ValueSize: size, Checksum: o.pinnedSum, Offset: o.sent.PartialBytes, Data: e.Value[o.sent.PartialBytes : o.sent.PartialBytes+n]}
 	if f.Offset+n < size {
-		o.sent.Of, o.sent.Part = e.Index, f.Offset+n
+		o.sent.PartialIndex, o.sent.PartialBytes = e.Index, f.Offset+n
 	} else {
-		o.pinned, o.sent = nil, Position{Done: e.Index}
+		o.pinned, o.sent = nil, Position{LastIndex: e.Index}
 	}
 	return f
 }
@@ -194,19 +194,19 @@
 }
 
 func (in *incoming) position() Position {
-	p := Position{Done: in.done}
+	p := Position{LastIndex: in.done}
 	if in.part != nil && len(in.part.Data) > 0 {
-		p.Of, p.Part = in.part.Index, int64(len(in.part.Data))
+		p.PartialIndex, p.PartialBytes = in.part.Index, int64(len(in.part.Data))
 	}
 	return p
 }
 
 // take takes an update if it is the next of the stream, or begins the entry that is under way again.
 func (in *incoming) take(u Update) bool {
-	if u.After.Done != in.done || u.After.Part != 0 && u.After != in.position() {
+	if u.After.LastIndex != in.done || u.After.PartialBytes != 0 && u.After != in.position() {
 		return false
 	}
-	if u.After.Part == 0 {
+	if u.After.PartialBytes == 0 {
 		in.part = nil
 	}
 	for i := range u.Fragments {
@@ -218,22 +218,22 @@
 }
 
 func (in *incoming) add(f *Fragment) bool {
-	if f.Index <= in.done || f.Size > maxValue || f.Size < 0 || f.Offset+int64(len(f.Data)) > f.Size {
+	if f.Index <= in.done || f.ValueSize > maxValue || f.ValueSize < 0 || f.Offset+int64(len(f.Data)) > f.ValueSize {
 		return false
 	}
 	if in.part == nil {
-		in.part = &Fragment{Index: f.Index, Key: f.Key, Size: f.Size, Sum: f.Sum}
+		in.part = &Fragment{Index: f.Index, Key: f.Key, ValueSize: f.ValueSize, Checksum: f.Checksum}
 	}
-	if f.Index != in.part.Index || f.Sum != in.part.Sum || f.Size != in.part.Size || f.Offset != int64(len(in.part.Data)) {
+	if f.Index != in.part.Index || f.Checksum != in.part.Checksum || f.ValueSize != in.part.ValueSize || f.Offset != int64(len(in.part.Data)) {
 		return false
 	}
 	in.part.Data = append(in.part.Data, f.Data...)
-	if int64(len(in.part.Data)) < in.part.Size {
+	if int64(len(in.part.Data)) < in.part.ValueSize {
 		return true
 	}
 	whole := in.part
 	in.part = nil
-	if sum(whole.Data) != whole.Sum {
+	if sum(whole.Data) != whole.Checksum {
 		return false
 	}
 	in.entries = append(in.entries, Entry{Index: whole.Index, Key: whole.Key, Value: whole.Data})
--- a/internal/tier/chain/stream_test.go
+++ b/internal/tier/chain/stream_test.go
@@ -19,7 +19,7 @@
 		for _, f := range u.Fragments {
 			size += len(f.Data)
 		}
-		if size > PieceSize || u.Complete != (i == 3) {
+		if size > ChunkSize || u.Complete != (i == 3) {
 			t.Error("update", i, "of", size, u.Complete)
 		}
 		if !in.take(u) || in.position() != o.flight[i].after {
@@ -40,12 +40,12 @@
 	entries := []Entry{{1, "large", large(1, 20)}}
 	o := sender(Ack{})
 	updates := all(o, entries, 1)
-	if o.bytes < windowSize || o.bytes > windowSize+PieceSize+fragmentCost {
+	if o.bytes < windowSize || o.bytes > windowSize+ChunkSize+fragmentCost {
 		t.Error("under way:", o.bytes)
 	}
 	var in incoming
 	in.take(updates[0])
-	o.acked(1, Ack{Got: in.position()}, -1)
+	o.acked(1, Ack{Received: in.position()}, -1)
 	if more := all(o, entries, 1); len(more) != 1 {
 		t.Error("one piece came,", len(more), "more were sent")
 	}
@@ -58,7 +58,7 @@
 	}
 	o := sender(Ack{})
 	updates := all(o, entries, 20_000)
-	if o.bytes > windowSize+PieceSize+fragmentCost || len(updates) > 1+windowSize/PieceSize || updates[0].Complete {
+	if o.bytes > windowSize+ChunkSize+fragmentCost || len(updates) > 1+windowSize/ChunkSize || updates[0].Complete {
 		t.Error("under way:", o.bytes, len(updates))
 	}
 }
@@ -80,7 +80,7 @@
 			t.Fatal("sent again at", sentAt)
 		}
 	}
-	o.acked(1, Ack{Got: Position{Done: 1}}, -1)
+	o.acked(1, Ack{Received: Position{LastIndex: 1}}, -1)
 	o.resend()
 	if o.patience != 1 {
 		t.Error("progress does not end the patience")
@@ -92,7 +92,7 @@
 	entries := []Entry{{1, "k", []byte("v")}}
 	o := sender(Ack{})
 	all(o, entries, 1)
-	o.acked(1, Ack{Got: Position{Done: 1}}, 1)
+	o.acked(1, Ack{Received: Position{LastIndex: 1}}, 1)
 	for range 100 {
 		o.resend()
 	}
@@ -111,7 +111,7 @@
 	entries := []Entry{{1, "k", []byte("v")}}
 	o := sender(Ack{})
 	all(o, entries, 1)
-	o.acked(1, Ack{Got: Position{Done: 1}}, -1)
+	o.acked(1, Ack{Received: Position{LastIndex: 1}}, -1)
 	sent := 0
 	for range 4 {
 		o.resend()
@@ -126,9 +126,9 @@
 	entries := []Entry{{1, "k", nil}, {2, "large", large(1, 4)}, {3, "l", nil}}
 	o := sender(Ack{})
 	o.next(entries, 3)
-	o.acked(1, Ack{Got: Position{Done: 2}}, -1) // what was sent before a rewind has come
+	o.acked(1, Ack{Received: Position{LastIndex: 2}}, -1) // what was sent before a rewind has come
 	updates := all(o, entries, 3)
-	if len(updates) != 1 || updates[0].After != (Position{Done: 2}) || updates[0].Fragments[0].Index != 3 {
+	if len(updates) != 1 || updates[0].After != (Position{LastIndex: 2}) || updates[0].Fragments[0].Index != 3 {
 		t.Error("sent", updates)
 	}
 }
@@ -136,14 +136,14 @@
 func TestAckOfAnEarlierLifeIsIgnored(t *testing.T) {
 	entries := []Entry{{1, "k", nil}, {2, "l", nil}}
 	o := new(outgoing)
-	o.acked(7, Ack{Commit: 1, Got: Position{Done: 1}}, -1)
+	o.acked(7, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
 	before := *o
-	o.acked(6, Ack{Commit: 0, Got: Position{}}, 2)
+	o.acked(6, Ack{Commit: 0, Received: Position{}}, 2)
 	if o.told != before.told || o.life != 7 || o.complete != -1 {
 		t.Error("taken", o.told, o.complete)
 	}
 	all(o, entries, 2)
-	o.acked(8, Ack{Commit: 1, Got: Position{Done: 1}}, -1)
+	o.acked(8, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
 	if o.life != 8 || o.bytes != 0 || len(all(o, entries, 2)) == 0 {
 		t.Error("a receiver that has started again is not sent again")
 	}
@@ -153,9 +153,9 @@
 	entries := []Entry{{1, "k", nil}, {2, "l", nil}, {3, "m", nil}}
 	o := sender(Ack{})
 	all(o, entries, 3)
-	o.acked(1, Ack{Commit: 1, Got: Position{Done: 1}}, -1)
+	o.acked(1, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
 	u, some := o.next(entries, 3)
-	if !some || u.Base != 1 || u.After != (Position{Done: 1}) || u.Fragments[0].Index != 2 {
+	if !some || u.Base != 1 || u.After != (Position{LastIndex: 1}) || u.Fragments[0].Index != 2 {
 		t.Error("sent", some, u)
 	}
 }
@@ -175,10 +175,10 @@
 	for range 2 {
 		u, _ := o.next(entries, 1)
 		in.take(u)
-		o.acked(1, Ack{Got: in.position()}, -1)
+		o.acked(1, Ack{Received: in.position()}, -1)
 	}
 	in = incoming{}
-	o.acked(2, Ack{Got: in.position()}, -1)
+	o.acked(2, Ack{Received: in.position()}, -1)
 	for _, u := range all(o, entries, 1) {
 		in.take(u)
 	}
@@ -192,8 +192,8 @@
 	var in incoming
 	u, _ := sender(Ack{}).next(entries, 1)
 	in.take(u)
-	updates := all(sender(Ack{Got: in.position()}), entries, 1)
-	if updates[0].Fragments[0].Offset != PieceSize {
+	updates := all(sender(Ack{Received: in.position()}), entries, 1)
+	if updates[0].Fragments[0].Offset != ChunkSize {
 		t.Error("began at", updates[0].Fragments[0].Offset)
 	}
 	for _, u := range updates {
@@ -238,10 +238,10 @@
 				}
 			}
 			if restarts {
-				o = sender(Ack{Got: in.position()})
+				o = sender(Ack{Received: in.position()})
 			}
 			for range 40 {
-				o.acked(1, Ack{Got: in.position()}, -1)
+				o.acked(1, Ack{Received: in.position()}, -1)
 				for _, u := range all(o, after, 2) {
 					in.take(u)
 				}
@@ -256,28 +256,28 @@
 
 func TestGarbageFragmentsAreRefused(t *testing.T) {
 	value := []byte("value")
-	good := Fragment{Index: 3, Key: "k", Size: 5, Sum: sum(value), Data: value}
+	good := Fragment{Index: 3, Key: "k", ValueSize: 5, Checksum: sum(value), Data: value}
 	for name, spoil := range map[string]func(f *Fragment){
 		"place that has come": func(f *Fragment) { f.Index = 2 },
 		"place below 0":       func(f *Fragment) { f.Index = -1 },
-		"size below 0":        func(f *Fragment) { f.Size = -1 },
-		"size beyond all":     func(f *Fragment) { f.Size = maxValue + 1 },
-		"size too small":      func(f *Fragment) { f.Size = 4 },
-		"offset after a gap":  func(f *Fragment) { f.Offset, f.Size = 5, 10 },
+		"size below 0":        func(f *Fragment) { f.ValueSize = -1 },
+		"size beyond all":     func(f *Fragment) { f.ValueSize = maxValue + 1 },
+		"size too small":      func(f *Fragment) { f.ValueSize = 4 },
+		"offset after a gap":  func(f *Fragment) { f.Offset, f.ValueSize = 5, 10 },
 		"offset below 0":      func(f *Fragment) { f.Offset = -1 },
 		"offset beyond all":   func(f *Fragment) { f.Offset = math.MaxInt64 },
-		"wrong sum":           func(f *Fragment) { f.Sum++ },
+		"wrong sum":           func(f *Fragment) { f.Checksum++ },
 		"wrong data":          func(f *Fragment) { f.Data = []byte("velue") },
 	} {
 		in := incoming{done: 2}
 		f := good
-		if spoil(&f); in.take(Update{After: Position{Done: 2}, Fragments: []Fragment{f}}) {
+		if spoil(&f); in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{f}}) {
 			t.Errorf("taken: %s", name)
 		}
-		if in.done != 2 || len(in.entries) != 0 || in.position() != (Position{Done: 2}) {
+		if in.done != 2 || len(in.entries) != 0 || in.position() != (Position{LastIndex: 2}) {
 			t.Errorf("%s: staged at %v", name, in.position())
 		}
-		if !in.take(Update{After: Position{Done: 2}, Fragments: []Fragment{good}}) || len(in.entries) != 1 {
+		if !in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{good}}) || len(in.entries) != 1 {
 			t.Errorf("after %s the good one is not taken", name)
 		}
 	}
@@ -285,17 +285,17 @@
 
 func TestFragmentsOfAnotherEntryAreRefused(t *testing.T) {
 	value := large(1, 2)
-	first := Fragment{Index: 3, Key: "k", Size: int64(len(value)), Sum: sum(value), Data: value[:PieceSize]}
+	first := Fragment{Index: 3, Key: "k", ValueSize: int64(len(value)), Checksum: sum(value), Data: value[:ChunkSize]}
 	second := first
-	second.Offset, second.Data = PieceSize, value[PieceSize:]
+	second.Offset, second.Data = ChunkSize, value[ChunkSize:]
 	for name, spoil := range map[string]func(f *Fragment){
 		"place":  func(f *Fragment) { f.Index = 4 },
-		"sum":    func(f *Fragment) { f.Sum++ },
-		"size":   func(f *Fragment) { f.Size++ },
+		"sum":    func(f *Fragment) { f.Checksum++ },
+		"size":   func(f *Fragment) { f.ValueSize++ },
 		"offset": func(f *Fragment) { f.Offset-- },
 	} {
 		in := incoming{done: 2}
-		in.take(Update{After: Position{Done: 2}, Fragments: []Fragment{first}})
+		in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
 		at := in.position()
 		f := second
 		if spoil(&f); in.take(Update{After: at, Fragments: []Fragment{f}}) || in.position() != at {
@@ -309,15 +309,15 @@
 
 func TestUpdateThatIsNotTheNextIsRefused(t *testing.T) {
 	value := large(1, 2)
-	first := Fragment{Index: 3, Size: int64(len(value)), Sum: sum(value), Data: value[:PieceSize]}
+	first := Fragment{Index: 3, ValueSize: int64(len(value)), Checksum: sum(value), Data: value[:ChunkSize]}
 	in := incoming{done: 2}
-	in.take(Update{After: Position{Done: 2}, Fragments: []Fragment{first}})
-	for _, after := range []Position{{Done: 1}, {Done: 3}, {2, 3, 1}, {2, 4, PieceSize}} {
-		if in.take(Update{After: after}) || in.position() != (Position{2, 3, PieceSize}) {
+	in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
+	for _, after := range []Position{{LastIndex: 1}, {LastIndex: 3}, {2, 3, 1}, {2, 4, ChunkSize}} {
+		if in.take(Update{After: after}) || in.position() != (Position{2, 3, ChunkSize}) {
 			t.Error("taken after", after)
 		}
 	}
-	if !in.take(Update{After: Position{Done: 2}}) || in.position() != (Position{Done: 2}) {
+	if !in.take(Update{After: Position{LastIndex: 2}}) || in.position() != (Position{LastIndex: 2}) {
 		t.Error("the beginning of the entry again")
 	}
 }
--- a/internal/tier/controlnode/agreement.go
+++ b/internal/tier/controlnode/agreement.go
@@ -30,7 +30,7 @@
 		return
 	}
 	v := &n.vote.View
-	if v.Epoch == 0 || !v.Voter(n.set.Self.ID) || n.now < n.tryAt {
+	if v.Epoch == 0 || !v.IsVoter(n.set.Self.ID) || n.now < n.tryAt {
 		return
 	}
 	c := n.conditions()
@@ -63,8 +63,8 @@
 func (n *Node) prepareNext() {
 	v := &n.vote.View
 	n.round++
-	b := view.Ballot{Round: n.round, By: n.set.Self.ID}
-	fresh := !n.vote.Sealed()
+	b := view.Ballot{Number: n.round, Proposer: n.set.Self.ID}
+	fresh := !n.vote.HasPromised()
 	if !n.vote.Prepare(v.Epoch+1, b) {
 		return
 	}
@@ -73,7 +73,7 @@
 	}
 	n.out.Dirty = true
 	n.trying = &proposal{epoch: v.Epoch + 1, ballot: b, began: n.now, promises: map[string]view.Promise{
-		n.set.Self.ID: {From: n.set.Self, AcceptedAt: n.vote.AcceptedAt, Accepted: n.vote.Accepted, Activated: n.chain.State().Activated}}}
+		n.set.Self.ID: {From: n.set.Self, AcceptedAt: n.vote.AcceptedAt, Accepted: n.vote.Accepted, ActivatedEpoch: n.chain.State().ActivatedEpoch}}}
 	n.sendToVoters(Message{Kind: prepare, Epoch: v.Epoch + 1, Ballot: b})
 	n.choose()
 }
@@ -82,9 +82,9 @@
 	if n.vote.View.Epoch == 0 {
 		return // it votes on nothing before it knows a view
 	}
-	fresh := !n.vote.Sealed()
+	fresh := !n.vote.HasPromised()
 	if !n.vote.Prepare(m.Epoch, m.Ballot) {
-		n.round = max(n.round, n.vote.Promised.Round)
+		n.round = max(n.round, n.vote.Promised.Number)
 		n.teach(m)
 		return
 	}
@@ -96,17 +96,17 @@
 		n.patience++
 	}
 	n.tryAt = max(n.tryAt, n.now+n.proposalTime()-proposalBeats*n.set.Timings.Beat) // for the other one to end it
-	n.round = max(n.round, m.Ballot.Round)
+	n.round = max(n.round, m.Ballot.Number)
 	n.out.Dirty = true
-	n.send(m.From.Addr, Message{Kind: promise, Epoch: m.Epoch, Ballot: m.Ballot, AcceptedAt: n.vote.AcceptedAt, View: n.vote.Accepted, Activated: n.chain.State().Activated})
+	n.send(m.From.Addr, Message{Kind: promise, Epoch: m.Epoch, Ballot: m.Ballot, AcceptedAt: n.vote.AcceptedAt, View: n.vote.Accepted, Activated: n.chain.State().ActivatedEpoch})
 }
 
 func (n *Node) takePromise(m Message) {
 	p := n.trying
-	if p == nil || m.Epoch != p.epoch || m.Ballot != p.ballot || p.view.Epoch > 0 || !n.vote.View.Voter(m.From.ID) {
+	if p == nil || m.Epoch != p.epoch || m.Ballot != p.ballot || p.view.Epoch > 0 || !n.vote.View.IsVoter(m.From.ID) {
 		return
 	}
-	p.promises[m.From.ID] = view.Promise{From: m.From, AcceptedAt: m.AcceptedAt, Accepted: m.View, Activated: m.Activated}
+	p.promises[m.From.ID] = view.Promise{From: m.From, AcceptedAt: m.AcceptedAt, Accepted: m.View, ActivatedEpoch: m.Activated}
 	n.choose()
 }
 
@@ -125,7 +125,7 @@
 			promises = append(promises, one)
 		}
 	}
-	next, ok := view.Choose(&n.vote.View, promises, c)
+	next, ok := view.ChooseView(&n.vote.View, promises, c)
 	if !ok || !n.vote.Accept(p.ballot, next) {
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 func (n *Node) takeAccepted(m Message) {
-	if p := n.trying; p != nil && p.view.Epoch > 0 && m.Epoch == p.epoch && m.Ballot == p.ballot && n.vote.View.Voter(m.From.ID) {
+	if p := n.trying; p != nil && p.view.Epoch > 0 && m.Epoch == p.epoch && m.Ballot == p.ballot && n.vote.View.IsVoter(m.From.ID) {
 		p.accepts[m.From.ID] = true
 		n.decided()
 	}
@@ -165,7 +165,7 @@
 		}
 	}
 	for _, m := range v.Voters {
-		if !before.Voter(m.ID) {
+		if !before.IsVoter(m.ID) {
 			n.send(m.Addr, Message{Kind: decide, View: v})
 		}
 	}
@@ -185,7 +185,7 @@
 	for id, p := range n.peers {
 		p.confirmed, p.confirmedKnown, p.confirmedCommit = 0, false, 0 // nothing was confirmed in this epoch yet
 		p.answered = false                                             // whoever was left out has to be heard of anew
-		if !v.Voter(id) && n.now-p.heard > 10*n.set.Timings.Gone {
+		if !v.IsVoter(id) && n.now-p.heard > 10*n.set.Timings.Gone {
 			delete(n.peers, id)
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	n.adoptedRound, n.roundWanted = n.rounds.number, n.rounds.number+1
 	n.acknowledge() // the predecessor has to know where this member is
-	if next := v.Next(n.set.Self.ID); next != "" {
+	if next := v.Successor(n.set.Self.ID); next != "" {
 		n.send(n.addr(next), Message{Kind: update, Update: chain.Update{Epoch: v.Epoch}}) // it answers where it is, if it adopted first
 	}
 }
--- a/internal/tier/controlnode/calls.go
+++ b/internal/tier/controlnode/calls.go
@@ -52,13 +52,13 @@
 		},
 		feed.FollowCall:   c.follow,
 		feed.ChangesCall:  answer(c.changes),
-		feed.PieceCall:    answer(c.piece),
+		feed.ChunkCall:    answer(c.piece),
 		feed.PutCall:      answer(c.putHere),
 		feed.ReadCall:     answer(c.readHere),
 		feed.RegisterCall: answer(c.register),
 		feed.RetireCall:   answer(c.retireHere),
 		feed.PhaseCall:    answer(c.phaseHere),
-		feed.StatusCall:   answer(func(context.Context, *feed.Nothing) (*Status, error) { return c.status(), nil }),
+		feed.StatusCall:   answer(func(context.Context, *feed.Empty) (*Status, error) { return c.status(), nil }),
 	}
 }
 
--- a/internal/tier/controlnode/conditions.go
+++ b/internal/tier/controlnode/conditions.go
@@ -10,8 +10,8 @@
 
 // conditions are what this node would have the next view take up.
 func (n *Node) conditions() view.Conditions {
-	c := view.Conditions{Alive: map[string]bool{n.set.Self.ID: true}, CaughtUp: map[string]bool{}, Gone: map[string]bool{},
-		Suspected: map[string]bool{}, Leaving: map[string]bool{}, Losses: n.set.Losses}
+	c := view.Conditions{Alive: map[string]bool{n.set.Self.ID: true}, CaughtUp: map[string]bool{}, Failed: map[string]bool{},
+		Suspected: map[string]bool{}, Leaving: map[string]bool{}, FaultTolerance: n.set.Losses}
 	if n.leaving {
 		c.Leaving[n.set.Self.ID] = true
 	}
@@ -34,7 +34,7 @@
 func (n *Node) describe(c *view.Conditions, id string, heardByMajority bool) {
 	p := n.peers[id]
 	silence := n.now - p.heard
-	voter := n.vote.View.Voter(id)
+	voter := n.vote.View.IsVoter(id)
 	deaf := heardByMajority && !n.hears(p) // cut off in one way
 	alive := p.ever && silence < n.set.Timings.Suspect && !deaf
 	if alive && (voter || n.applies(p)) {
@@ -51,8 +51,8 @@
 	if !voter {
 		return
 	}
-	c.Gone[id] = silence > n.set.Timings.Gone || p.leaving && silence > n.set.Timings.Suspect
-	c.Suspected[id] = !alive && p.ever && !c.Gone[id]
+	c.Failed[id] = silence > n.set.Timings.Gone || p.leaving && silence > n.set.Timings.Suspect
+	c.Suspected[id] = !alive && p.ever && !c.Failed[id]
 }
 
 // heardByMajority tells whether a majority of the voters hears this node: if not, the fault is its own.
@@ -107,7 +107,7 @@
 // may be on its way, unless it is so much that it takes long on a thin link.
 const (
 	catchUpLag   = 600 * time.Millisecond
-	catchUpBytes = 4 * chain.PieceSize
+	catchUpBytes = 4 * chain.ChunkSize
 )
 
 // commitHistory is what was committed at moments of the last second or so.
--- a/internal/tier/controlnode/confirm.go
+++ b/internal/tier/controlnode/confirm.go
@@ -59,7 +59,7 @@
 // Read ends in a Done with the request ID whose Index is committed and not older than anything acknowledged before the call.
 func (n *Node) Read(now time.Duration, requestID int64) Output {
 	return n.step(now, func() {
-		if n.vote.View.Tail() != n.set.Self.ID || !n.chain.Active() || n.vote.Sealed() {
+		if n.vote.View.Tail() != n.set.Self.ID || !n.chain.IsActive() || n.vote.HasPromised() {
 			n.done(Done{RequestID: requestID, Kind: Elsewhere, To: n.addr(n.vote.View.Tail())})
 			return
 		}
@@ -70,7 +70,7 @@
 // Refresh asks for a round now, for whoever waits for ConfirmedSince.
 func (n *Node) Refresh(now time.Duration) Output {
 	return n.step(now, func() {
-		if n.chain.Active() && !n.vote.Sealed() {
+		if n.chain.IsActive() && !n.vote.HasPromised() {
 			n.roundWanted = max(n.roundWanted, n.rounds.number+1)
 		}
 	})
@@ -80,7 +80,7 @@
 // moment: in a round sent at it or later a majority has confirmed the epoch, the tail has told what it has committed,
 // and this node has that.
 func (n *Node) ConfirmedSince(moment time.Duration) bool {
-	if n.vote.Sealed() || !n.chain.Known() {
+	if n.vote.HasPromised() || !n.chain.CommitIsCurrent() {
 		return false
 	}
 	if sent, ok := n.confirmedAt(); !ok || sent < moment {
@@ -100,7 +100,7 @@
 
 // confirmedAt is when the newest round was sent that a majority of the voters has confirmed in this epoch.
 func (n *Node) confirmedAt() (sent time.Duration, ok bool) {
-	if n.vote.View.Majority() == 1 && n.vote.View.Voter(n.set.Self.ID) {
+	if n.vote.View.Majority() == 1 && n.vote.View.IsVoter(n.set.Self.ID) {
 		return n.now, true
 	}
 	return n.rounds.at(n.confirmedRound())
@@ -160,7 +160,7 @@
 			role = n.vote.View.Tail()
 		}
 		switch {
-		case w.epoch != n.vote.View.Epoch || n.vote.Sealed() || role != n.set.Self.ID || n.now-w.began > 2*n.set.Timings.Suspect:
+		case w.epoch != n.vote.View.Epoch || n.vote.HasPromised() || role != n.set.Self.ID || n.now-w.began > 2*n.set.Timings.Suspect:
 			n.done(Done{RequestID: w.requestID, Kind: Unclear})
 		case (round >= w.round || alone) && w.index <= commit:
 			n.done(Done{RequestID: w.requestID, Kind: Committed, Index: w.index})
@@ -184,7 +184,7 @@
 		return
 	}
 	p.confirmed = e.Round
-	if m.Ack.Known {
+	if m.Ack.CommitIsCurrent {
 		p.confirmedKnown, p.confirmedCommit = true, max(p.confirmedCommit, m.Ack.Commit)
 	}
 }
--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -135,10 +135,10 @@
 		if _, cut := c.cutOff[a]; !m.up || m.frozen || cut {
 			continue
 		}
-		if newest.Voter(m.id) {
+		if newest.IsVoter(m.id) {
 			majority++
 		}
-		if i := newest.Position(m.id); i >= 0 && m.disk.State.Activated >= newest.Chain[i].Since {
+		if i := newest.Position(m.id); i >= 0 && m.disk.State.ActivatedEpoch >= newest.Chain[i].JoinedEpoch {
 			holder = true
 		}
 	}
@@ -392,7 +392,7 @@
 				n := m.node
 				sent, ok := n.confirmedAt()
 				tail := n.peers[n.vote.View.Tail()]
-				c.note("%s(%s) frozen %v fresh %v epoch %d sealed %v known %v commit %d confirmed %v %v tail %v %+v", a, m.id, m.frozen, n.Fresh(), n.vote.View.Epoch, n.vote.Sealed(), n.chain.Known(), n.chain.State().Commit, sent, ok, n.vote.View.Tail(), tail)
+				c.note("%s(%s) frozen %v fresh %v epoch %d sealed %v known %v commit %d confirmed %v %v tail %v %+v", a, m.id, m.frozen, n.Fresh(), n.vote.View.Epoch, n.vote.HasPromised(), n.chain.CommitIsCurrent(), n.chain.State().Commit, sent, ok, n.vote.View.Tail(), tail)
 			}
 		}
 		t.Fatalf("%s\n%s", c.failure, c.story())
--- a/internal/tier/controlnode/core.go
+++ b/internal/tier/controlnode/core.go
@@ -67,7 +67,7 @@
 
 // Open makes a core node from its settings and its disk.
 func Open(s *process.Settings, log *process.Ring) (*Core, error) {
-	if err := cmp.Or(process.Need("bind_addrs.control_addr", s.Bind.Control, "give HOST:PORT, for operators"), process.Need("data_dir", s.DataDir, "give a core node a folder")); err != nil {
+	if err := cmp.Or(process.RequireSetting("bind_addrs.control_addr", s.Bind.Control, "give HOST:PORT, for operators"), process.RequireSetting("data_dir", s.DataDir, "give a core node a folder")); err != nil {
 		return nil, err
 	}
 	db, err := sqlitelog.Open(s.DataDir, "core.db", int64(s.Limits.DiskMB*0.8)<<20, "vote", "entries")
@@ -85,19 +85,19 @@
 	}
 	var seeds []string
 	for _, one := range s.Seeds {
-		seeds = append(seeds, s.Peer(one, process.CorePort))
+		seeds = append(seeds, s.PeerAddr(one, process.CorePort))
 	}
-	c.node = NewNode(NodeSettings{Self: c.self, Life: c.life, Seeds: seeds, Losses: s.Losses(), Timings: DefaultTimings()}, d, 0)
+	c.node = NewNode(NodeSettings{Self: c.self, Life: c.life, Seeds: seeds, Losses: s.FaultTolerance(), Timings: DefaultTimings()}, d, 0)
 	return c, nil
 }
 
 func (c *Core) now() time.Duration { return time.Since(c.begin) }
 
-// Reseed takes in the core nodes that settings name, for a node that has to be admitted.
-func (c *Core) Reseed(s *process.Settings) {
+// UpdateSeeds takes in the core nodes that settings name, for a node that has to be admitted.
+func (c *Core) UpdateSeeds(s *process.Settings) {
 	var seeds []string
 	for _, one := range s.Seeds {
-		seeds = append(seeds, s.Peer(one, process.CorePort))
+		seeds = append(seeds, s.PeerAddr(one, process.CorePort))
 	}
 	c.do(func() { c.node.set.Seeds = seeds })
 }
--- a/internal/tier/controlnode/course_test.go
+++ b/internal/tier/controlnode/course_test.go
@@ -270,7 +270,7 @@
 		d.Acceptor.Promised, d.Acceptor.AcceptedAt, d.Acceptor.Accepted = view.Ballot{}, view.Ballot{}, view.View{}
 	}
 	if c.fault.forgetsState {
-		d.State.Entries, d.State.Place, d.State.Commit = nil, 0, 0
+		d.State.Entries, d.State.LastIndex, d.State.Commit = nil, 0, 0
 	}
 	if c.fault.unsynced {
 		if m.late != nil {
@@ -325,7 +325,7 @@
 		if !c.quiet && c.rng.IntN(50) == 0 || c.mute && e.Kind == decide {
 			continue // lost
 		}
-		if to := c.machines[e.To]; c.fault.noSuccessor && to != nil && !c.newest.Voter(m.id) && e.Kind == heartbeat {
+		if to := c.machines[e.To]; c.fault.noSuccessor && to != nil && !c.newest.IsVoter(m.id) && e.Kind == heartbeat {
 			continue
 		}
 		c.seq++
@@ -374,7 +374,7 @@
 			c.fail("%s has %s at index %d, %s was acknowledged", m.addr, e.Value, e.Index, v)
 		}
 	}
-	if e, ok := m.node.Chain().Last("config"); c.acked > 0 && to >= c.acked && (!ok || e.Index < c.acked) {
+	if e, ok := m.node.Chain().LastEntry("config"); c.acked > 0 && to >= c.acked && (!ok || e.Index < c.acked) {
 		c.fail("%s tells index %d without what was acknowledged at %d", m.addr, to, c.acked)
 	}
 }
@@ -387,7 +387,7 @@
 	if c.fault.shortWrite && o.Dirty {
 		if r, ok := c.asked[c.requestID]; ok {
 			delete(c.asked, c.requestID)
-			c.acknowledge(m.node.Chain().State().Place, r.value)
+			c.acknowledge(m.node.Chain().State().LastIndex, r.value)
 		}
 	}
 	c.carry(m, o)
@@ -395,12 +395,12 @@
 
 func (c *course) read(m *machine) {
 	c.requestID++
-	if v := m.node.View(); c.fault.oldTail && v.Tail() == m.id && m.node.Chain().Active() {
+	if v := m.node.View(); c.fault.oldTail && v.Tail() == m.id && m.node.Chain().IsActive() {
 		c.asked[c.requestID] = request{at: c.acked, by: m.addr}
 		c.emit(m, Output{Done: []Done{{RequestID: c.requestID, Kind: Committed, Index: m.node.Chain().State().Commit}}})
 		return
 	}
-	if e, ok := m.node.Chain().Last("config"); c.fault.dirtyRead && ok && m.node.Head() {
+	if e, ok := m.node.Chain().LastEntry("config"); c.fault.dirtyRead && ok && m.node.Head() {
 		c.acknowledge(e.Index, string(e.Value))
 		return
 	}
--- a/internal/tier/controlnode/decisions.go
+++ b/internal/tier/controlnode/decisions.go
@@ -17,9 +17,9 @@
 // statuses are what operators are answered for each kind of decision.
 var statuses = map[orders.Kind]int{
 	orders.Accept:          http.StatusOK,
-	orders.AlreadyTaken:    http.StatusOK,
-	orders.UnderWay:        http.StatusOK,
-	orders.Emptied:         http.StatusOK,
+	orders.AlreadyApplied:  http.StatusOK,
+	orders.InProgress:      http.StatusOK,
+	orders.Retired:         http.StatusOK,
 	orders.Found:           http.StatusOK,
 	orders.Serving:         http.StatusOK,
 	orders.Complete:        http.StatusOK,
@@ -27,7 +27,7 @@
 	orders.Invalid:         http.StatusBadRequest,
 	orders.NotFound:        http.StatusNotFound,
 	orders.Conflict:        http.StatusConflict,
-	orders.Unsure:          http.StatusServiceUnavailable,
+	orders.Unavailable:     http.StatusServiceUnavailable,
 }
 
 // replyTo puts a decision in the operator's terms.
@@ -56,14 +56,14 @@
 	var d orders.Decision
 	var err error
 	done, heard := c.ask(ctx, func(requestID int64) Output {
-		d, err = orders.Decide(c.node.Chain().State().Entries, c.set.Losses(), o)
+		d, err = orders.Decide(c.node.Chain().State().Entries, c.set.FaultTolerance(), o)
 		switch {
 		case err != nil || !c.node.Leads():
 			return Output{Done: []Done{{RequestID: requestID, Kind: Unclear}}}
 		case d.Kind == orders.Accept:
 			return c.appendAll(requestID, d.Append)
 		}
-		return c.confirm(requestID, d.Rests)
+		return c.confirm(requestID, d.DependsOn)
 	})
 	switch {
 	case !heard:
@@ -108,7 +108,7 @@
 		return d, "", errUnclear
 	}
 	if !c.do(func() {
-		d, err = orders.Decide(c.node.Chain().Committed(0), c.set.Losses(), o)
+		d, err = orders.Decide(c.node.Chain().Committed(0), c.set.FaultTolerance(), o)
 	}) {
 		return orders.Decision{}, "", errUnclear
 	}
--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -22,11 +22,11 @@
 	for k := orders.Accept; k <= orders.Found; k++ {
 		r := replyTo(orders.Decision{Kind: k, Reason: "reason", Body: []byte("{}")})
 		switch {
-		case k.Refuses() && (r.Status < 400 || r.Status >= 500):
+		case k.IsRejection() && (r.Status < 400 || r.Status >= 500):
 			t.Errorf("%v: %d, a refusal", k, r.Status)
-		case k == orders.Unsure && r.Status != http.StatusServiceUnavailable:
+		case k == orders.Unavailable && r.Status != http.StatusServiceUnavailable:
 			t.Errorf("%v: %d", k, r.Status)
-		case !k.Refuses() && k != orders.Unsure && r.Status != http.StatusOK:
+		case !k.IsRejection() && k != orders.Unavailable && r.Status != http.StatusOK:
 			t.Errorf("%v: %d", k, r.Status)
 		}
 	}
@@ -77,14 +77,14 @@
 	calls := &rpc.Clients{}
 	defer calls.Close()
 	settings := c.settings(0, false)
-	to := calls.To(settings.Peer(c.control(0), process.CorePort))
-	var a feed.FollowAnswer
+	to := calls.To(settings.PeerAddr(c.control(0), process.CorePort))
+	var a feed.FollowResponse
 	c.until("a node tells all that it has", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), 2*time.Second)
 		defer done()
-		a = feed.FollowAnswer{}
+		a = feed.FollowResponse{}
 		err := to.Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "front-1", Class: "front", WaitMs: 500}, &a)
-		return err == nil && a.Fresh && a.Index >= 6 // each version is a record and a configuration
+		return err == nil && a.Confirmed && a.Index >= 6 // each version is a record and a configuration
 	})
 	if len(a.Entries) != 1 || a.Entries[0].Key != feed.ConfigKey {
 		t.Fatalf("a follower is sent %v", a.Entries)
--- a/internal/tier/controlnode/disk.go
+++ b/internal/tier/controlnode/disk.go
@@ -27,7 +27,7 @@
 
 // load reads what the disk has; with an empty one the node gets its identity, which is on disk before it is used.
 func (c *Core) load() (d Durable, err error) {
-	c.self = view.Member{Name: c.set.NodeName, Addr: c.set.Peer(c.set.IP, process.CorePort)}
+	c.self = view.Member{Name: c.set.NodeName, Addr: c.set.PeerAddr(c.set.IP, process.CorePort)}
 	if err := c.beginLife(); err != nil {
 		return d, err
 	}
@@ -40,7 +40,7 @@
 		if c.set.Bootstrap && slices.Contains(c.set.Seeds, c.set.Bind.Control) {
 			var founders []view.Member
 			for _, seed := range c.set.Seeds {
-				addr := c.set.Peer(seed, process.CorePort)
+				addr := c.set.PeerAddr(seed, process.CorePort)
 				founders = append(founders, view.Member{ID: "seed-" + addr, Addr: addr})
 			}
 			c.self.ID = "seed-" + c.self.Addr
@@ -64,7 +64,7 @@
 			return d, errors.Wrap(err, "the state on disk cannot be read: empty the data folder, the node joins anew")
 		}
 	}
-	d.State = chain.State{Activated: m.Activated, Place: m.Place, Commit: m.Commit}
+	d.State = chain.State{ActivatedEpoch: m.Activated, LastIndex: m.Place, Commit: m.Commit}
 	err = c.db.Range("entries", nil, nil, func(k, v []byte) error {
 		var e chain.Entry
 		if err := rpc.Decode(v, &e); err != nil {
@@ -97,9 +97,9 @@
 func (c *Core) rows(d Durable) []sqlitelog.Write {
 	w := []sqlitelog.Write{
 		{Table: "vote", Key: acceptorKey, Value: rpc.Encode(&d.Acceptor)},
-		{Table: "vote", Key: metaKey, Value: rpc.Encode(&meta{d.State.Activated, d.State.Place, d.State.Commit})},
+		{Table: "vote", Key: metaKey, Value: rpc.Encode(&meta{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit})},
 	}
-	replaced := d.State.Activated != c.savedTo.Activated // entries may have been replaced under their indexes
+	replaced := d.State.ActivatedEpoch != c.savedTo.ActivatedEpoch // entries may have been replaced under their indexes
 	now := make(map[int64]uint64, len(d.State.Entries))
 	for _, e := range d.State.Entries {
 		old, saved := c.saved[e.Index]
--- a/internal/tier/controlnode/disk_test.go
+++ b/internal/tier/controlnode/disk_test.go
@@ -23,8 +23,8 @@
 	for index := int64(1); index <= changes; index++ {
 		value := make([]byte, size)
 		value[index%size] = byte(index)
-		d.State.Place, d.State.Commit = index, index-1
-		d.State.Entries = append(chain.After(d.State.Entries, index-2), chain.Entry{Index: index, Key: "config", Value: value})
+		d.State.LastIndex, d.State.Commit = index, index-1
+		d.State.Entries = append(chain.EntriesAfter(d.State.Entries, index-2), chain.Entry{Index: index, Key: "config", Value: value})
 		if err := core.db.Commit(context.Background(), core.rows(d)); err != nil {
 			t.Fatalf("change %d: %v", index, err)
 		}
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	defer again.db.Close()
-	if got := again.node.Durable().State; got.Place != changes || len(got.Entries) != 2 {
-		t.Errorf("it starts again at index %d with %d entries, wanted %d with 2", got.Place, len(got.Entries), changes)
+	if got := again.node.Durable().State; got.LastIndex != changes || len(got.Entries) != 2 {
+		t.Errorf("it starts again at index %d with %d entries, wanted %d with 2", got.LastIndex, len(got.Entries), changes)
 	}
 }
--- a/internal/tier/controlnode/duty.go
+++ b/internal/tier/controlnode/duty.go
@@ -19,8 +19,8 @@
 type duty struct {
 	epoch  int64
 	since  time.Duration
-	told   placement.Handover // by the head before
-	stores map[string]placement.Registered
+	told   placement.Observations // by the head before
+	stores map[string]placement.StoreStatus
 	place  *turnstore.Placement // that was seen last
 	left   placement.Departures
 	gen    int64         // of the placement
@@ -38,13 +38,13 @@
 // measured before it.
 func (d *duty) tick(now time.Duration) {
 	if now-d.ticked > pauseOfOwn {
-		d.since, d.told = now, placement.Handover{}
+		d.since, d.told = now, placement.Observations{}
 	}
 	d.ticked = now
 }
 
 // register is told by stores, again and again; the head keeps it for its duty.
-func (c *Core) register(ctx context.Context, r *feed.Registration) (*feed.Nothing, error) {
+func (c *Core) register(ctx context.Context, r *feed.Registration) (*feed.Empty, error) {
 	head, here := "", false
 	if !c.do(func() {
 		if here = c.node.Head(); !here {
@@ -52,18 +52,18 @@
 			return
 		}
 		c.takeDuty()
-		placement.Hear(c.duty.stores, placement.Registration{Store: r.Store, Gen: r.Gen, Swept: r.Swept, Full: r.Full}, c.now(), c.placementTimings())
+		placement.Register(c.duty.stores, placement.Registration{Store: r.Store, Generation: r.Generation, SweptGeneration: r.SweptGeneration, Full: r.Full}, c.now(), c.placementTimings())
 	}) {
 		return nil, errors.New("this node stops: ask another")
 	}
 	if here {
-		return &feed.Nothing{}, nil
+		return &feed.Empty{}, nil
 	}
-	if r.Relayed {
+	if r.Forwarded {
 		return nil, errNoHead
 	}
-	r.Relayed = true
-	return forward[feed.Registration, feed.Nothing](ctx, c, head, feed.RegisterCall, r)
+	r.Forwarded = true
+	return forward[feed.Registration, feed.Empty](ctx, c, head, feed.RegisterCall, r)
 }
 
 // takeDuty begins the duties anew where the epoch has changed. It runs in the loop.
@@ -71,7 +71,7 @@
 	if e := c.node.View().Epoch; c.duty.epoch != e {
 		stores := c.duty.stores
 		if stores == nil || c.duty.epoch == 0 || !c.wasHead(e) {
-			stores = map[string]placement.Registered{}
+			stores = map[string]placement.StoreStatus{}
 			c.duty = duty{since: c.now(), told: c.node.Handover(), left: placement.Departures{}, ticked: c.now()}
 		}
 		c.duty.epoch, c.duty.stores, c.duty.busy = e, stores, false
@@ -84,7 +84,7 @@
 		return nil
 	}
 	for _, r := range c.duty.stores {
-		if r.Full && c.now()-r.Last < c.placementTimings().Gone {
+		if r.Full && c.now()-r.LastSeen < c.placementTimings().RemovalTimeout {
 			names = append(names, r.Store.Name)
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 func (c *Core) placementTimings() placement.Timings {
-	return placement.DefaultTimings(c.set.Bound("contact_ms", 3*time.Second))
+	return placement.DefaultTimings(c.set.TimingBound("contact_ms", 3*time.Second))
 }
 
 // wasHead tells whether this node held the duties in the epoch before as well, so that what it knows still counts.
@@ -112,27 +112,27 @@
 	}
 	c.duty.asked = now
 	s := c.situation(now)
-	c.node.SetHandover(s.Handover(c.placementTimings()))
-	if lost := placement.LostWhileEmptied(s); len(lost) > 0 {
+	c.node.SetHandover(s.Observe(c.placementTimings()))
+	if lost := placement.LostWhileRetiring(s); len(lost) > 0 {
 		c.log.Say("msg", "a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
 		c.writeDuty(orders.RetireKey(lost[0].Name, lost[0].ID), rpc.Encode(&feed.RetireEntry{ID: lost[0].ID}))
 		return
 	}
 	if next := placement.Plan(s, c.placementTimings()); next != nil {
-		c.log.Say("msg", "placement", "gen", next.Gen, "old", len(next.Old), "new", len(next.New))
+		c.log.Say("msg", "placement", "gen", next.Generation, "old", len(next.Old), "new", len(next.New))
 		c.writeDuty(feed.PlacementKey, rpc.Encode(next))
 	}
 }
 
 // situation is what the head knows of stores at a time. It runs in the loop.
-func (c *Core) situation(now time.Duration) placement.Situation {
-	s := placement.Situation{Now: now, Since: c.duty.since, Told: c.duty.told, Losses: c.set.Losses(), Stores: c.duty.stores, Retired: map[string]bool{}}
+func (c *Core) situation(now time.Duration) placement.Input {
+	s := placement.Input{Now: now, TookOverAt: c.duty.since, Inherited: c.duty.told, FaultTolerance: c.set.FaultTolerance(), Stores: c.duty.stores, Retired: map[string]bool{}}
 	for _, e := range c.node.Chain().State().Entries {
 		switch {
 		case e.Key == feed.PlacementKey:
 			p := new(turnstore.Placement)
 			if rpc.Decode(e.Value, p) == nil {
-				s.Place = p // the last one, committed or not
+				s.Current = p // the last one, committed or not
 			}
 		case len(e.Key) > len(feed.RetirePrefix) && e.Key[:len(feed.RetirePrefix)] == feed.RetirePrefix:
 			var r feed.RetireEntry
@@ -141,24 +141,24 @@
 			}
 		}
 	}
-	if s.Place != nil && s.Place.Gen != c.duty.gen {
-		c.duty.gen, c.duty.began = s.Place.Gen, c.duty.told.Began(s.Place.Gen, now)
+	if s.Current != nil && s.Current.Generation != c.duty.gen {
+		c.duty.gen, c.duty.began = s.Current.Generation, c.duty.told.GenerationSince(s.Current.Generation, now)
 	}
-	s.Began = c.duty.began
-	c.duty.left.Note(c.duty.place, s.Place, s.Retired, now)
-	s.Left, c.duty.place = c.duty.left, s.Place
+	s.GenerationSince = c.duty.began
+	c.duty.left.Record(c.duty.place, s.Current, s.Retired, now)
+	s.Departures, c.duty.place = c.duty.left, s.Current
 	return s
 }
 
 // handover is what is known of the stores that are late: at the head what it measures, elsewhere what the head has told. It
 // runs in the loop.
-func (c *Core) handover() placement.Handover {
+func (c *Core) handover() placement.Observations {
 	if !c.node.Head() {
 		return c.node.Handover()
 	}
 	c.takeDuty()
 	s := c.situation(c.now())
-	return s.Handover(c.placementTimings())
+	return s.Observe(c.placementTimings())
 }
 
 // writeDuty writes an entry for the duty; nothing is planned until that has ended. It runs in the loop.
@@ -184,7 +184,7 @@
 
 // askPlatform does the duty of asking the platform's list.
 func (c *Core) askPlatform() {
-	asker := discovery.NewAsker(c.set.Platform.Address)
+	asker := discovery.NewClient(c.set.Platform.Address)
 	defer asker.Close()
 	var last *discovery.List
 	for c.ctx.Err() == nil {
@@ -194,7 +194,7 @@
 			continue
 		}
 		began := time.Now()
-		hosts, err := asker.Ask(c.ctx)
+		hosts, err := asker.FetchHosts(c.ctx)
 		if err != nil {
 			_ = c.log.Log("msg", "the platform's list was not told", "err", err)
 			c.wait(askEvery / 3)
@@ -207,7 +207,7 @@
 					return
 				}
 				next.Term = c.node.View().Epoch
-				next.Number = discovery.Number(next.Term, c.life, c.node.Hosts())
+				next.Number = discovery.NextNumber(next.Term, c.life, c.node.Hosts())
 				c.add(c.node.Publish(c.now(), next))
 				last = next
 			})
--- a/internal/tier/controlnode/duty_test.go
+++ b/internal/tier/controlnode/duty_test.go
@@ -14,15 +14,15 @@
 	const pause = 10 * time.Second
 	timings := placement.DefaultTimings(3 * time.Second)
 	var d duty
-	d.stores = map[string]placement.Registered{}
+	d.stores = map[string]placement.StoreStatus{}
 	now := time.Duration(0)
-	p := &turnstore.Placement{Gen: 1, Copies: 3, Synced: 2, Losses: 1}
+	p := &turnstore.Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1}
 	look := func(ids ...string) *turnstore.Placement {
 		for _, id := range ids {
-			placement.Hear(d.stores, placement.Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Gen: 1, Swept: 1}, now, timings)
+			placement.Register(d.stores, placement.Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Generation: 1, SweptGeneration: 1}, now, timings)
 		}
 		d.tick(now)
-		return placement.Plan(placement.Situation{Now: now, Since: d.since, Losses: 1, Place: p, Stores: d.stores}, timings)
+		return placement.Plan(placement.Input{Now: now, TookOverAt: d.since, FaultTolerance: 1, Current: p, Stores: d.stores}, timings)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		p.Old = append(p.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
@@ -33,9 +33,9 @@
 		}
 	}
 	now += pause
-	for end := now + timings.Doubt; now < end; now += 50 * time.Millisecond {
+	for end := now + timings.SuspectTimeout; now < end; now += 50 * time.Millisecond {
 		if next := look("d"); next != nil && len(next.New) < 4 {
-			t.Fatalf("%v after a pause a store loses its place: %+v", now-end+timings.Doubt, next)
+			t.Fatalf("%v after a pause a store loses its place: %+v", now-end+timings.SuspectTimeout, next)
 		}
 	}
 }
--- a/internal/tier/controlnode/feed_bench_test.go
+++ b/internal/tier/controlnode/feed_bench_test.go
@@ -25,23 +25,23 @@
 
 func (h *hollow) poll(n *counts) {
 	b, err := h.call(&h.q)
-	a := new(feed.ChangesAnswer)
-	if err != nil || rpc.Decode(b, a) != nil || !a.Fresh {
+	a := new(feed.ChangesResponse)
+	if err != nil || rpc.Decode(b, a) != nil || !a.Confirmed {
 		n.failed.Add(1)
 		return
 	}
 	n.polls.Add(1)
 	n.asked.Store(int64(len(rpc.Encode(&h.q))))
 	n.bytes.Add(int64(len(b)))
-	h.q.Told, h.q.Index = a.Index, a.Index
+	h.q.ReceivedIndex, h.q.AppliedIndex = a.Index, a.Index
 	for _, p := range a.Patches {
 		n.patches.Add(1)
 		size := len(bodydelta.Digest{})
-		h.q.Held = []feed.HeldValue{{Key: feed.ConfigKey, Digest: p.Delta[1+size : 1+2*size]}}
+		h.q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: p.Delta[1+size : 1+2*size]}}
 	}
-	for _, name := range a.Large {
+	for _, name := range a.LargeValues {
 		n.whole.Add(1)
-		h.q.Held = []feed.HeldValue{{Key: feed.ConfigKey, Digest: name.Digest}}
+		h.q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: name.Digest}}
 	}
 }
 
@@ -86,7 +86,7 @@
 	return func(q *feed.ChangesRequest) ([]byte, error) {
 		one, done := context.WithTimeout(ctx, 2*time.Second)
 		defer done()
-		a := new(feed.ChangesAnswer)
+		a := new(feed.ChangesResponse)
 		err := client.Call(one, feed.ChangesCall, q, a)
 		return rpc.Encode(a), err
 	}
--- a/internal/tier/controlnode/feed_server.go
+++ b/internal/tier/controlnode/feed_server.go
@@ -14,20 +14,20 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// Following is what a core node knows of one of its followers.
-type Following struct {
-	Name   string
-	Class  string
-	Acting int64 // version acted on
-	Place  int64
-	Seen   time.Time
+// Follower is what a core node knows of one of its followers.
+type Follower struct {
+	Name          string
+	Class         string
+	ActiveVersion int64 // version acted on
+	AppliedIndex  int64
+	LastSeen      time.Time
 }
 
 // feedServer is what a core node keeps for its followers. The zero feedServer is ready for use.
 type feedServer struct {
-	values    feed.Values
+	values    feed.ValueCache
 	mu        sync.Mutex
-	transfers feed.Transfers
+	transfers feed.TransferLimiter
 	waiting   []unconfirmed // of the loop
 }
 
@@ -57,53 +57,53 @@
 	if err := rpc.Decode(body, &q); err != nil {
 		return nil, err
 	}
-	now, err := c.await(ctx, &feed.ChangesRequest{Name: q.Name, Class: q.Class, Index: q.Index, Told: q.Index, Acting: q.Acting, Term: q.Term,
-		Number: q.Number, WaitMs: q.WaitMs})
+	now, err := c.await(ctx, &feed.ChangesRequest{Name: q.Name, Class: q.Class, AppliedIndex: q.AppliedIndex, ReceivedIndex: q.AppliedIndex, ActiveVersion: q.ActiveVersion, HostListTerm: q.HostListTerm,
+		HostListNumber: q.HostListNumber, WaitMs: q.WaitMs})
 	if err != nil {
 		return nil, err
 	}
-	return &feed.FollowAnswer{Fresh: now.fresh, Index: now.index, Entries: now.entries, Hosts: now.hosts, Delta: now.delta, Cores: now.cores}, nil
+	return &feed.FollowResponse{Confirmed: now.fresh, Index: now.index, Entries: now.entries, Hosts: now.hosts, Delta: now.delta, CoreAddrs: now.cores}, nil
 }
 
 // changes answers followers: short entries whole, long ones as differences or by name.
-func (c *Core) changes(ctx context.Context, q *feed.ChangesRequest) (*feed.ChangesAnswer, error) {
+func (c *Core) changes(ctx context.Context, q *feed.ChangesRequest) (*feed.ChangesResponse, error) {
 	now, err := c.await(ctx, q)
 	if err != nil {
 		return nil, err
 	}
-	a := &feed.ChangesAnswer{Fresh: now.fresh, Index: now.index, Hosts: now.hosts, Delta: now.delta, Cores: now.cores}
+	a := &feed.ChangesResponse{Confirmed: now.fresh, Index: now.index, Hosts: now.hosts, Delta: now.delta, CoreAddrs: now.cores}
 	if !now.fresh {
 		return a, nil // nothing of it is taken
 	}
-	c.feed.values.Keep(now.kept)
+	c.feed.values.Update(now.kept)
 	for _, e := range now.entries {
-		c.feed.values.Add(a, e, q.Held)
+		c.feed.values.Add(a, e, q.BaseValues)
 	}
 	return a, nil
 }
 
 // piece answers with a part of a large value that this node gave by its name, or has committed since.
-func (c *Core) piece(_ context.Context, q *feed.PieceRequest) (*feed.Piece, error) {
+func (c *Core) piece(_ context.Context, q *feed.ChunkRequest) (*feed.Chunk, error) {
 	var kept []chain.Entry
-	if !c.do(func() { kept = feed.ForFollowers(c.node.Chain().Committed(0)) }) {
+	if !c.do(func() { kept = feed.FilterForFollowers(c.node.Chain().Committed(0)) }) {
 		return nil, errStops
 	}
 	return c.feed.piece(q, kept, c.now()), nil
 }
 
-func (s *feedServer) piece(q *feed.PieceRequest, committed []chain.Entry, now time.Duration) *feed.Piece {
-	s.values.Keep(committed)
-	p := s.values.Piece(q)
-	if p.State != feed.PieceGiven {
+func (s *feedServer) piece(q *feed.ChunkRequest, committed []chain.Entry, now time.Duration) *feed.Chunk {
+	s.values.Update(committed)
+	p := s.values.Chunk(q)
+	if p.Status != feed.ChunkServed {
 		return p
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.transfers.Admit(q.Name, now) {
-		return &feed.Piece{State: feed.PieceBusy}
+		return &feed.Chunk{Status: feed.ChunkBusy}
 	}
-	if p.Last {
-		s.transfers.End(q.Name)
+	if p.Final {
+		s.transfers.Release(q.Name)
 	}
 	return p
 }
@@ -117,7 +117,7 @@
 // await waits for something that the follower does not have, for as long as it asks, and gives the feed then. What it
 // gives is confirmed after the poll came; where that takes too long the answer says that it is not fresh.
 func (c *Core) await(ctx context.Context, q *feed.ChangesRequest) (now moment, err error) {
-	c.followers.Store(q.Name, &Following{Name: q.Name, Class: q.Class, Acting: q.Acting, Place: q.Index, Seen: time.Now()})
+	c.followers.Store(q.Name, &Follower{Name: q.Name, Class: q.Class, ActiveVersion: q.ActiveVersion, AppliedIndex: q.AppliedIndex, LastSeen: time.Now()})
 	arrival := c.now()
 	wait := time.Duration(q.WaitMs) * time.Millisecond
 	timer := time.NewTimer(wait)
@@ -131,7 +131,7 @@
 			return now, errStops
 		}
 		over := spent >= wait
-		stale := !now.lately && (over || q.Told > 0 && spent >= followFresh) // one that has nothing yet waits on
+		stale := !now.lately && (over || q.ReceivedIndex > 0 && spent >= followFresh) // one that has nothing yet waits on
 		if stale || spent >= wait+followFresh || now.fresh && (over || now.news(q)) {
 			return now, nil
 		}
@@ -158,7 +158,7 @@
 }
 
 func (m *moment) news(q *feed.ChangesRequest) bool {
-	return m.index > q.Told || len(m.hosts)+len(m.delta) > 0
+	return m.index > q.ReceivedIndex || len(m.hosts)+len(m.delta) > 0
 }
 
 // confirmWait registers a poll that is to be answered, and asks for a round. It runs in the loop.
@@ -189,13 +189,13 @@
 func (c *Core) moment(q *feed.ChangesRequest, arrival time.Duration, over bool) (now moment) {
 	state := c.node.Chain()
 	now.index = state.State().Commit
-	behind := now.index < q.Told // another node gave the follower more: this one lacks it
+	behind := now.index < q.ReceivedIndex // another node gave the follower more: this one lacks it
 	now.fresh = !behind && c.freshSince(arrival)
 	now.lately = !behind && c.node.Fresh()
-	now.kept = feed.ForFollowers(state.Committed(0))
-	now.entries = chain.After(now.kept, q.Told)
-	if h := c.node.Hosts(); h != nil && h.Newer(&discovery.List{Term: q.Term, Number: q.Number}) {
-		if d, ok := c.history.Since(q.Term, q.Number); ok && d.Term == h.Term && d.Number == h.Number {
+	now.kept = feed.FilterForFollowers(state.Committed(0))
+	now.entries = chain.EntriesAfter(now.kept, q.ReceivedIndex)
+	if h := c.node.Hosts(); h != nil && h.Newer(&discovery.List{Term: q.HostListTerm, Number: q.HostListNumber}) {
+		if d, ok := c.history.Since(q.HostListTerm, q.HostListNumber); ok && d.Term == h.Term && d.Number == h.Number {
 			now.delta = []discovery.Delta{d}
 		} else {
 			now.hosts = []discovery.List{*h}
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -43,20 +43,20 @@
 }
 
 // ask polls a core node until it answers fresh.
-func (c *cluster) ask(calls *rpc.Clients, node int, q *feed.ChangesRequest) *feed.ChangesAnswer {
+func (c *cluster) ask(calls *rpc.Clients, node int, q *feed.ChangesRequest) *feed.ChangesResponse {
 	c.t.Helper()
-	var a *feed.ChangesAnswer
+	var a *feed.ChangesResponse
 	c.until("a fresh answer", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
-		a = new(feed.ChangesAnswer)
-		return calls.To(c.core(node)).Call(ctx, feed.ChangesCall, q, a) == nil && a.Fresh
+		a = new(feed.ChangesResponse)
+		return calls.To(c.core(node)).Call(ctx, feed.ChangesCall, q, a) == nil && a.Confirmed
 	})
 	return a
 }
 
 func (c *cluster) core(node int) string {
-	return c.settings(0, false).Peer(c.ip(node), process.CorePort)
+	return c.settings(0, false).PeerAddr(c.ip(node), process.CorePort)
 }
 
 func TestLargeConfigurationsGoInPiecesAndAsDifferences(t *testing.T) {
@@ -70,18 +70,18 @@
 	defer calls.Close()
 	q := &feed.ChangesRequest{Name: "by hand", WaitMs: 500}
 	a := c.ask(calls, 0, q)
-	if len(a.Large) != 1 || len(rpc.Encode(a)) > 1000 {
-		t.Fatalf("%d values by name in an answer of %d bytes", len(a.Large), len(rpc.Encode(a)))
+	if len(a.LargeValues) != 1 || len(rpc.Encode(a)) > 1000 {
+		t.Fatalf("%d values by name in an answer of %d bytes", len(a.LargeValues), len(rpc.Encode(a)))
 	}
-	value := c.fetch(calls, a.Large[0])
+	value := c.fetch(calls, a.LargeValues[0])
 
 	c.putBody(3, largeConfig(9))
 	c.acts(f, 9)
-	q.Told = a.Large[0].Index
-	q.Held = []feed.HeldValue{{Key: feed.ConfigKey, Digest: a.Large[0].Digest}}
+	q.ReceivedIndex = a.LargeValues[0].Index
+	q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: a.LargeValues[0].Digest}}
 	b := c.ask(calls, 0, q)
 	if len(b.Patches) != 1 || len(b.Patches[0].Delta) > 500 {
-		t.Fatalf("%d differences, %d by name, %d whole", len(b.Patches), len(b.Large), len(b.Entries))
+		t.Fatalf("%d differences, %d by name, %d whole", len(b.Patches), len(b.LargeValues), len(b.Entries))
 	}
 	next, err := bodydelta.Apply(value, b.Patches[0].Delta, rpc.MaxFrame)
 	var e feed.ConfigEntry
@@ -91,17 +91,17 @@
 }
 
 // fetch takes the pieces of a value from one node after the other.
-func (c *cluster) fetch(calls *rpc.Clients, name feed.ValueName) (value []byte) {
+func (c *cluster) fetch(calls *rpc.Clients, name feed.ValueRef) (value []byte) {
 	c.t.Helper()
 	node := 0
 	c.until("all pieces", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
-		p := new(feed.Piece)
+		p := new(feed.Chunk)
 		node++
-		q := &feed.PieceRequest{Name: "by hand", Digest: name.Digest, From: int64(len(value)), Length: 50_000}
-		if calls.To(c.core(node%c.n)).Call(ctx, feed.PieceCall, q, p) == nil && p.State == feed.PieceGiven {
-			value = append(value, p.Bytes...)
+		q := &feed.ChunkRequest{Name: "by hand", Digest: name.Digest, Offset: int64(len(value)), Length: 50_000}
+		if calls.To(c.core(node%c.n)).Call(ctx, feed.ChunkCall, q, p) == nil && p.Status == feed.ChunkServed {
+			value = append(value, p.Data...)
 		}
 		return int64(len(value)) == name.Size
 	})
@@ -117,13 +117,13 @@
 	c.putBody(0, largeConfig(3))
 	calls := &rpc.Clients{}
 	defer calls.Close()
-	var a *feed.FollowAnswer
+	var a *feed.FollowResponse
 	c.until("a fresh answer", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
-		a = new(feed.FollowAnswer)
+		a = new(feed.FollowResponse)
 		err := calls.To(c.core(1)).Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "old", WaitMs: 500}, a)
-		return err == nil && a.Fresh && a.Index > 0
+		return err == nil && a.Confirmed && a.Index > 0
 	})
 	var e feed.ConfigEntry
 	if len(a.Entries) == 0 || rpc.Decode(a.Entries[0].Value, &e) != nil || e.Version != 3 {
@@ -136,26 +136,26 @@
 	value := rpc.Encode(&feed.ConfigEntry{Version: 3, Body: largeConfig(3)})
 	digest := bodydelta.DigestOf(value)
 	entry := []chain.Entry{{Index: 1, Key: feed.ConfigKey, Value: value}}
-	q := func(i int) *feed.PieceRequest {
-		return &feed.PieceRequest{Name: fmt.Sprint(i), Digest: digest[:], Length: 1 << 20}
+	q := func(i int) *feed.ChunkRequest {
+		return &feed.ChunkRequest{Name: fmt.Sprint(i), Digest: digest[:], Length: 1 << 20}
 	}
 	given, busy := 0, 0
 	for i := range 20 {
-		switch p := s.piece(q(i), entry, 0); p.State {
-		case feed.PieceGiven:
+		switch p := s.piece(q(i), entry, 0); p.Status {
+		case feed.ChunkServed:
 			given++
-			if len(p.Bytes) != 64<<10 {
-				t.Errorf("a piece of %d bytes", len(p.Bytes))
+			if len(p.Data) != 64<<10 {
+				t.Errorf("a piece of %d bytes", len(p.Data))
 			}
-		case feed.PieceBusy:
+		case feed.ChunkBusy:
 			busy++
 		}
 	}
 	if given != 8 || busy != 12 {
 		t.Errorf("%d were given a piece and %d told to wait", given, busy)
 	}
-	if p := s.piece(&feed.PieceRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.State != feed.PieceUnknown {
-		t.Errorf("a value that there never was: state %d", p.State)
+	if p := s.piece(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
+		t.Errorf("a value that there never was: state %d", p.Status)
 	}
 }
 
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -311,10 +311,10 @@
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
 	r.began = f.hist.now()
-	var a feed.FollowAnswer
+	var a feed.FollowResponse
 	err := f.calls.To(f.peer(i)).Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "probe", Class: "front"}, &a)
 	r.ended = f.hist.now()
-	if err != nil || !a.Fresh {
+	if err != nil || !a.Confirmed {
 		return false, 0
 	}
 	for _, e := range a.Entries {
--- a/internal/tier/controlnode/follower_cut_test.go
+++ b/internal/tier/controlnode/follower_cut_test.go
@@ -129,7 +129,7 @@
 func (l *linkedFollower) cutEndsAsAChangeArrives(directions []cutproxy.Direction, lose bool) {
 	l.f.t.Helper()
 	l.hold(directions, l.f.all()...)
-	heard := l.Tables().Heard
+	heard := l.Tables().ConfirmedAt
 	for range 3 {
 		l.f.change(2, l.f.all()...)
 	}
--- a/internal/tier/controlnode/handover.go
+++ b/internal/tier/controlnode/handover.go
@@ -12,21 +12,21 @@
 // handover is what passes from the head to the one after it about the placement of stores. It is soft state: what is lost
 // costs the one after it time.
 type handover struct {
-	own   []placement.Handover // that this node tells as the head, at most one
-	told  placement.Handover   // the newest that it was told
-	from  string               // the id of the node that told it
+	own   []placement.Observations // that this node tells as the head, at most one
+	told  placement.Observations   // the newest that it was told
+	from  string                   // the id of the node that told it
 	life  int64
 	round int64 // of the heartbeat that it came with
 	at    time.Duration
 }
 
 // SetHandover has this node tell the others, with its heartbeats as the head, what it has measured of the stores.
-func (n *Node) SetHandover(h placement.Handover) { n.handover.own = []placement.Handover{h} }
+func (n *Node) SetHandover(h placement.Observations) { n.handover.own = []placement.Observations{h} }
 
 // Handover is what the head has told last, empty where that is too long ago.
-func (n *Node) Handover() placement.Handover {
+func (n *Node) Handover() placement.Observations {
 	if n.now-n.handover.at > handoverFor {
-		return placement.Handover{}
+		return placement.Observations{}
 	}
 	return n.handover.told
 }
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -11,12 +11,12 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-func silentFor(d time.Duration) placement.Handover {
-	return placement.Handover{Gen: 4, Held: time.Minute, Silent: []placement.Silence{{ID: "store", For: d}}}
+func silentFor(d time.Duration) placement.Observations {
+	return placement.Observations{Generation: 4, GenerationAge: time.Minute, Unresponsive: []placement.UnresponsiveStore{{ID: "store", Elapsed: d}}}
 }
 
 func TestHandoverPassesBetweenNodes(t *testing.T) {
-	sent := Message{Kind: heartbeat, Handover: []placement.Handover{silentFor(1500 * time.Millisecond)}}
+	sent := Message{Kind: heartbeat, Handover: []placement.Observations{silentFor(1500 * time.Millisecond)}}
 	var got Message
 	if err := rpc.Decode(rpc.Encode(&sent), &got); err != nil || !reflect.DeepEqual(got.Handover, sent.Handover) {
 		t.Fatalf("%+v, %v", got.Handover, err)
@@ -49,7 +49,7 @@
 		t.Errorf("it takes the duty with %+v", core.duty.told)
 	}
 	c.run(handoverFor)
-	if got := next.node.Handover(); got.Gen != 0 || len(got.Silent) > 0 {
+	if got := next.node.Handover(); got.Generation != 0 || len(got.Unresponsive) > 0 {
 		t.Errorf("what was told long ago still counts: %+v", got)
 	}
 }
@@ -58,24 +58,24 @@
 func TestTheHeadTellsWhichStoresAreSilent(t *testing.T) {
 	c := newCluster(t, 3)
 	registering := []string{"a", "b", "c", "d"}
-	told := func() placement.Handover {
+	told := func() placement.Observations {
 		for _, id := range registering {
 			one := turnstore.Store{ID: id, Name: id, Addr: id + ":1"}
 			_, _ = c.cores[1].register(t.Context(), &feed.Registration{Store: one})
 		}
-		var h placement.Handover
+		var h placement.Observations
 		c.cores[2].do(func() { h = c.cores[2].node.Handover() })
 		return h
 	}
-	c.until("all stores are placed", func() bool { return told().Gen > 0 })
-	c.until("all stores are heard", func() bool { return len(told().Silent) == 0 })
+	c.until("all stores are placed", func() bool { return told().Generation > 0 })
+	c.until("all stores are heard", func() bool { return len(told().Unresponsive) == 0 })
 	registering = registering[:3]
 	c.until("a node that does not lead knows which store is silent", func() bool {
 		h := told()
-		return len(h.Silent) == 1 && h.Silent[0].ID == "d"
+		return len(h.Unresponsive) == 1 && h.Unresponsive[0].ID == "d"
 	})
 	registering = append(registering, "d")
-	c.until("the store is heard again", func() bool { return len(told().Silent) == 0 })
+	c.until("the store is heard again", func() bool { return len(told().Unresponsive) == 0 })
 }
 
 // A node that no majority confirms does not know whether it still holds the duty.
@@ -127,11 +127,11 @@
 	view := node.View()
 	tell := func(from *machine, epoch, round int64, silence time.Duration) {
 		self := from.node.set.Self
-		node.Receive(c.now, Message{Kind: heartbeat, From: self, Life: from.life, Epoch: epoch, Round: round, Handover: []placement.Handover{silentFor(silence)}})
+		node.Receive(c.now, Message{Kind: heartbeat, From: self, Life: from.life, Epoch: epoch, Round: round, Handover: []placement.Observations{silentFor(silence)}})
 	}
 	holds := func(what string, want time.Duration) {
 		t.Helper()
-		if got := node.Handover(); len(got.Silent) != 1 || got.Silent[0].For != want {
+		if got := node.Handover(); len(got.Unresponsive) != 1 || got.Unresponsive[0].Elapsed != want {
 			t.Errorf("%s: %+v, wanted %v", what, got, want)
 		}
 	}
@@ -150,11 +150,11 @@
 func TestAfterAPauseNothingCountsThatWasMeasuredBefore(t *testing.T) {
 	d := duty{since: time.Second, ticked: time.Second, told: silentFor(time.Second)}
 	d.tick(time.Second + pauseOfOwn)
-	if len(d.told.Silent) != 1 {
+	if len(d.told.Unresponsive) != 1 {
 		t.Error("forgotten without a pause")
 	}
 	d.tick(10 * time.Second)
-	if len(d.told.Silent) > 0 || d.since != 10*time.Second {
+	if len(d.told.Unresponsive) > 0 || d.since != 10*time.Second {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/tier/controlnode/leave.go
+++ b/internal/tier/controlnode/leave.go
@@ -18,7 +18,7 @@
 // few others are there for a chain without it, so that waiting is of no use.
 func (n *Node) Left() bool {
 	v := &n.vote.View
-	if v.Position(n.set.Self.ID) < 0 && (!v.Voter(n.set.Self.ID) || len(v.Voters) <= 2*n.set.Losses+1) {
+	if v.Position(n.set.Self.ID) < 0 && (!v.IsVoter(n.set.Self.ID) || len(v.Voters) <= 2*n.set.Losses+1) {
 		return true
 	}
 	c := n.conditions()
--- a/internal/tier/controlnode/membership.go
+++ b/internal/tier/controlnode/membership.go
@@ -15,10 +15,10 @@
 // wantsChange tells whether the view should change.
 func (n *Node) wantsChange(c view.Conditions) bool {
 	v := &n.vote.View
-	if n.vote.Sealed() && n.now-n.sealedAt > 2*n.set.Timings.Beat {
+	if n.vote.HasPromised() && n.now-n.sealedAt > 2*n.set.Timings.Beat {
 		return true // somebody began one and did not end it
 	}
-	return n.chainTooLong(c) || n.chainTooShort(c) || view.Replaceable(v, c) || view.Admissible(v, c) || n.voterTooMany(c)
+	return n.chainTooLong(c) || n.chainTooShort(c) || view.CanReplace(v, c) || view.CanAdmit(v, c) || n.voterTooMany(c)
 }
 
 // chainTooLong tells whether a member should go out of the chain.
@@ -38,7 +38,7 @@
 func (n *Node) canSpare(c view.Conditions) bool {
 	staying := 0
 	for _, l := range n.vote.View.Chain {
-		active := l.ID == n.set.Self.ID && n.chain.Active()
+		active := l.ID == n.set.Self.ID && n.chain.IsActive()
 		if p := n.peers[l.ID]; p != nil && p.ack.Active && p.ack.Epoch == n.vote.View.Epoch {
 			active = true
 		}
@@ -62,7 +62,7 @@
 
 // voterTooMany tells whether a voter should lose its vote.
 func (n *Node) voterTooMany(c view.Conditions) bool {
-	id := view.Removable(&n.vote.View, c)
+	id := view.RemovableVoter(&n.vote.View, c)
 	return id != "" && (n.vote.View.Position(id) < 0 || n.canSpare(c))
 }
 
--- a/internal/tier/controlnode/message.go
+++ b/internal/tier/controlnode/message.go
@@ -47,7 +47,7 @@
 	Delta      []discovery.Delta // at most one
 	Term       int64             // of the sender's list of hosts
 	Number     int64
-	Handover   []placement.Handover // with a heartbeat of the head, at most one
+	Handover   []placement.Observations // with a heartbeat of the head, at most one
 }
 
 // Echo tells a node, in one of its lives, the newest round of confirmation that has come from it.
@@ -67,7 +67,7 @@
 	if to == "" || to == n.set.Self.Addr {
 		return
 	}
-	m.From, m.Life, m.Sealed = n.set.Self, n.set.Life, n.vote.Sealed()
+	m.From, m.Life, m.Sealed = n.set.Self, n.set.Life, n.vote.HasPromised()
 	if m.Epoch == 0 {
 		m.Epoch = n.vote.View.Epoch
 	}
@@ -84,7 +84,7 @@
 
 // sendHeartbeat tells all how this node is, with a round of confirmation.
 func (n *Node) sendHeartbeat() {
-	m := Message{Kind: heartbeat, Activated: n.chain.State().Activated, Leaving: n.leaving, Ack: n.chain.Report(), Round: n.rounds.begin(n.now)}
+	m := Message{Kind: heartbeat, Activated: n.chain.State().ActivatedEpoch, Leaving: n.leaving, Ack: n.chain.CurrentAck(), Round: n.rounds.begin(n.now)}
 	if n.hosts != nil {
 		m.Term, m.Number = n.hosts.Term, n.hosts.Number
 	}
@@ -114,7 +114,7 @@
 			addresses = append(addresses, p.member.Addr)
 		}
 	}
-	if !n.vote.View.Voter(n.set.Self.ID) {
+	if !n.vote.View.IsVoter(n.set.Self.ID) {
 		addresses = append(addresses, n.set.Seeds...)
 	}
 	slices.Sort(addresses)
--- a/internal/tier/controlnode/node.go
+++ b/internal/tier/controlnode/node.go
@@ -68,7 +68,7 @@
 // NewNode makes a node from what its disk has. A founding one has a View of epoch 1 there.
 func NewNode(s NodeSettings, d Durable, now time.Duration) *Node {
 	n := &Node{set: s, vote: d.Acceptor, chain: chain.New(s.Self.ID, d.State), peers: map[string]*peer{}, now: now}
-	n.round = d.Acceptor.Promised.Round
+	n.round = d.Acceptor.Promised.Number
 	n.sealedAt = now
 	if n.vote.View.Epoch > 0 {
 		if n.chain.Adopt(n.vote.View) {
@@ -86,9 +86,9 @@
 	v := view.View{Epoch: 1, Voters: slices.Clone(seeds)}
 	slices.SortFunc(v.Voters, func(a, b view.Member) int { return cmp.Compare(a.ID, b.ID) })
 	for _, m := range v.Voters {
-		v.Chain = append(v.Chain, view.Link{ID: m.ID, Since: 1})
+		v.Chain = append(v.Chain, view.ChainMember{ID: m.ID, JoinedEpoch: 1})
 	}
-	return Durable{Acceptor: view.Acceptor{View: v}, State: chain.State{Activated: 1}}
+	return Durable{Acceptor: view.Acceptor{View: v}, State: chain.State{ActivatedEpoch: 1}}
 }
 
 // View is the newest decided view that the node knows.
@@ -105,7 +105,7 @@
 // Leads tells whether orders are decided at this node: it is the head of its view's chain, takes part, and has not promised
 // to the next view. It may have been replaced without knowing: what is decided is told after Confirm or a commit.
 func (n *Node) Leads() bool {
-	return n.vote.View.Head() == n.set.Self.ID && n.chain.Active() && !n.vote.Sealed()
+	return n.vote.View.Head() == n.set.Self.ID && n.chain.IsActive() && !n.vote.HasPromised()
 }
 
 // HeadAddr is the address of the head, empty where none is known.
@@ -145,9 +145,9 @@
 // step brackets one event; what it asks for comes back.
 func (n *Node) step(now time.Duration, event func()) Output {
 	n.clock(now)
-	known := n.chain.Known()
+	known := n.chain.CommitIsCurrent()
 	event()
-	if !known && n.chain.Known() { // followers wait for this node
+	if !known && n.chain.CommitIsCurrent() { // followers wait for this node
 		n.roundWanted = n.rounds.number + 1
 	}
 	n.settleWrites()
@@ -194,7 +194,7 @@
 // resend repeats what is under way: its messages, or the answers to them, may be lost.
 func (n *Node) resend() {
 	n.chain.Resend()
-	if !n.chain.Active() || !n.updated {
+	if !n.chain.IsActive() || !n.updated {
 		n.acknowledge() // the predecessor has to know where this member is
 	}
 	if p := n.trying; p != nil {
--- a/internal/tier/controlnode/operator.go
+++ b/internal/tier/controlnode/operator.go
@@ -119,13 +119,13 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case !here && q.Relayed:
+	case !here && q.Forwarded:
 		return nil, errUnclear
 	case !here && len(q.Body) > maxRelayed && head != "":
 		return c.redirect(head, configPath), nil
 	case !here:
 		on := *q
-		on.Relayed = true
+		on.Forwarded = true
 		return forward[feed.PutRequest, feed.Reply](ctx, c, head, feed.PutCall, &on)
 	}
 	began := time.Now()
@@ -154,10 +154,10 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case !here && q.Relayed:
+	case !here && q.Forwarded:
 		return nil, errUnclear
 	case !here:
-		on := &feed.OrderRequest{Name: q.Name, Relayed: true}
+		on := &feed.OrderRequest{Name: q.Name, Forwarded: true}
 		return forward[feed.OrderRequest, feed.Reply](ctx, c, head, feed.RetireCall, on)
 	}
 	d, err := c.decideAtHead(ctx, orders.RetireStore{Name: q.Name})
@@ -193,10 +193,10 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case tail != "" && !q.Relayed && call == feed.ReadCall && c.configSize() > maxRelayed:
+	case tail != "" && !q.Forwarded && call == feed.ReadCall && c.configSize() > maxRelayed:
 		return c.redirect(tail, configPath), nil
-	case tail != "" && !q.Relayed:
-		on := &feed.OrderRequest{Name: q.Name, Relayed: true}
+	case tail != "" && !q.Forwarded:
+		on := &feed.OrderRequest{Name: q.Name, Forwarded: true}
 		return forward[feed.OrderRequest, feed.Reply](ctx, c, tail, call, on)
 	case d.Kind == 0:
 		return nil, errUnclear
@@ -207,7 +207,7 @@
 // configSize is that of the configuration as this node has it, in bytes.
 func (c *Core) configSize() (size int) {
 	c.do(func() {
-		e, _ := c.node.Chain().Last(feed.ConfigKey)
+		e, _ := c.node.Chain().LastEntry(feed.ConfigKey)
 		size = len(e.Value)
 	})
 	return size
--- a/internal/tier/controlnode/receive.go
+++ b/internal/tier/controlnode/receive.go
@@ -50,15 +50,15 @@
 	case ack:
 		n.takeAck(m)
 	case learn:
-		if n.chain.Learn(m.Update) {
+		if n.chain.HandleLearnerUpdate(m.Update) {
 			n.out.Dirty = true
 		}
-		n.send(m.From.Addr, Message{Kind: learned, Ack: n.chain.Report()})
+		n.send(m.From.Addr, Message{Kind: learned, Ack: n.chain.CurrentAck()})
 	case learned:
 		n.takeLearned(p, m)
 	case confirm:
 		p.round = max(p.round, m.Round)
-		n.send(m.From.Addr, Message{Kind: confirmed, Echoes: []Echo{{ID: m.From.ID, Life: m.Life, Round: m.Round}}, Ack: n.chain.Report()})
+		n.send(m.From.Addr, Message{Kind: confirmed, Echoes: []Echo{{ID: m.From.ID, Life: m.Life, Round: m.Round}}, Ack: n.chain.CurrentAck()})
 	case confirmed:
 		for _, e := range m.Echoes {
 			n.takeConfirmed(p, m, e)
@@ -85,39 +85,39 @@
 	n.takeLearned(p, m)
 	n.takeAck(m)
 	behind := m.Term < n.listTerm() || m.Term == n.listTerm() && n.hosts != nil && m.Number < n.hosts.Number
-	if n.hosts != nil && behind && n.vote.View.Voter(m.From.ID) && n.vote.View.Head() == n.set.Self.ID {
+	if n.hosts != nil && behind && n.vote.View.IsVoter(m.From.ID) && n.vote.View.Head() == n.set.Self.ID {
 		n.send(m.From.Addr, Message{Kind: hostList, Hosts: []discovery.List{*n.hosts}})
 	}
 }
 
 func (n *Node) takeAck(m Message) {
-	if n.chain.Acked(m.From.ID, m.Life, m.Ack) {
+	if n.chain.HandleAck(m.From.ID, m.Life, m.Ack) {
 		n.acknowledge() // what is committed is told upstream
 	}
 }
 
 func (n *Node) takeLearned(p *peer, m Message) {
 	p.ack = m.Ack
-	n.chain.Learned(m.From.ID, m.Life, m.Ack)
+	n.chain.HandleLearnerAck(m.From.ID, m.Life, m.Ack)
 	if m.From.ID == n.learner {
 		n.learnsAt = n.now
 	}
 }
 
 func (n *Node) takeUpdate(m Message) {
-	if n.vote.Sealed() {
+	if n.vote.HasPromised() {
 		return
 	}
 	if m.Update.Epoch < n.vote.View.Epoch {
 		n.teach(Message{Epoch: m.Update.Epoch, From: m.From})
 		return
 	}
-	changed, ok := n.chain.Take(m.From.ID, m.Update)
+	changed, ok := n.chain.HandleUpdate(m.From.ID, m.Update)
 	if !ok {
 		return
 	}
 	n.updated = true
 	n.out.Dirty = n.out.Dirty || changed
-	n.chain.Synced()
+	n.chain.MarkDurable()
 	n.acknowledge()
 }
--- a/internal/tier/controlnode/replicate.go
+++ b/internal/tier/controlnode/replicate.go
@@ -13,7 +13,7 @@
 // Write asks for an entry at the head. It ends in a Done with the request ID.
 func (n *Node) Write(now time.Duration, requestID int64, key string, value []byte) Output {
 	return n.step(now, func() {
-		if n.vote.Sealed() && n.vote.View.Head() == n.set.Self.ID {
+		if n.vote.HasPromised() && n.vote.View.Head() == n.set.Self.ID {
 			n.done(Done{RequestID: requestID, Kind: Elsewhere})
 			return
 		}
@@ -23,7 +23,7 @@
 			return
 		}
 		n.out.Dirty = true
-		n.chain.Synced() // Done goes out after the sync that Dirty asks for
+		n.chain.MarkDurable() // Done goes out after the sync that Dirty asks for
 		n.writes = append(n.writes, write{requestID, e.Index})
 	})
 }
@@ -42,9 +42,9 @@
 
 // replicate sends the successor what it lacks, and a learner.
 func (n *Node) replicate() {
-	if !n.vote.Sealed() {
+	if !n.vote.HasPromised() {
 		for {
-			to, u, some := n.chain.Next()
+			to, u, some := n.chain.NextUpdate()
 			if !some {
 				break
 			}
@@ -56,11 +56,11 @@
 
 // teachLearner sends one learner at a time what it lacks: several would share the link, and all would take long.
 func (n *Node) teachLearner() {
-	if n.learner != "" && !n.chain.Teaching(n.learner) {
+	if n.learner != "" && !n.chain.LearnerIsBehind(n.learner) {
 		n.learner = ""
 	}
 	if n.learner != "" && n.now-n.learnsAt > n.set.Timings.Suspect {
-		n.chain.Forget(n.learner)
+		n.chain.RemoveLearner(n.learner)
 		n.learner = ""
 	}
 	if n.learner == "" {
@@ -68,7 +68,7 @@
 		n.learnsAt = n.now
 	}
 	for n.learner != "" {
-		u, some := n.chain.NextFor(n.learner)
+		u, some := n.chain.NextLearnerUpdate(n.learner)
 		if !some {
 			return
 		}
@@ -79,7 +79,7 @@
 func (n *Node) nextLearner() string {
 	next := ""
 	for id := range n.peers {
-		if n.chain.Teaching(id) && (next == "" || id < next) {
+		if n.chain.LearnerIsBehind(id) && (next == "" || id < next) {
 			next = id
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 func (n *Node) acknowledge() {
-	if to, a, ok := n.chain.Ack(); ok {
+	if to, a, ok := n.chain.PredecessorAck(); ok {
 		n.send(n.addr(to), Message{Kind: ack, Ack: a})
 	}
 }
--- a/internal/tier/controlnode/retire_test.go
+++ b/internal/tier/controlnode/retire_test.go
@@ -19,7 +19,7 @@
 	}
 	state := func() *orders.State {
 		for _, one := range registering {
-			_, _ = c.cores[1].register(t.Context(), &feed.Registration{Store: one, Gen: swept, Swept: swept})
+			_, _ = c.cores[1].register(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
 		}
 		s := &orders.State{}
 		c.cores[0].do(func() {
@@ -40,7 +40,7 @@
 	if !joint() {
 		t.Errorf("the placement went on by itself: %+v", state().Placement)
 	}
-	swept = state().Placement.Gen
+	swept = state().Placement.Generation
 	c.until("it is complete", func() bool {
 		state()
 		got, text := c.send(2, http.MethodGet, "/api/retire/d", "", nil)
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -67,9 +67,9 @@
 
 func (c *Core) role() string {
 	switch {
-	case c.node.Chain().Known():
+	case c.node.Chain().CommitIsCurrent():
 		return RoleMember
-	case c.node.vote.View.Voter(c.self.ID):
+	case c.node.vote.View.IsVoter(c.self.ID):
 		return RoleCatchingUp
 	}
 	return RoleApplicant
@@ -96,7 +96,7 @@
 	s := &Status{Node: c.self.Name}
 	c.do(func() {
 		v := c.node.View()
-		s.Epoch, s.Chain, s.Sealed, s.Fresh = v.Epoch, c.chainNames(), c.node.vote.Sealed(), c.node.Fresh()
+		s.Epoch, s.Chain, s.Sealed, s.Fresh = v.Epoch, c.chainNames(), c.node.vote.HasPromised(), c.node.Fresh()
 		if len(s.Chain) > 0 {
 			s.Head, s.Tail = s.Chain[0], s.Chain[len(s.Chain)-1]
 		}
@@ -111,24 +111,24 @@
 		}
 		s.Role = c.role()
 		for _, t := range c.node.Chain().Transfers() {
-			s.Transfers = append(s.Transfers, Transfer{To: c.name(t.ID), Place: t.Place, Target: t.Target, Bytes: t.Bytes})
+			s.Transfers = append(s.Transfers, Transfer{To: c.name(t.ID), Place: t.LastIndex, Target: t.Target, Bytes: t.PartialBytes})
 		}
-		s.Place, s.Commit = c.node.Chain().State().Place, c.node.Chain().State().Commit
+		s.Place, s.Commit = c.node.Chain().State().LastIndex, c.node.Chain().State().Commit
 		if h := c.node.Hosts(); h != nil {
 			s.Hosts = len(h.Hosts)
 		}
-		if known, err := orders.ReadState(c.node.Chain().Committed(0), c.set.Losses()); err == nil {
+		if known, err := orders.ReadState(c.node.Chain().Committed(0), c.set.FaultTolerance()); err == nil {
 			s.Version = known.Version()
 			if p := known.Placement; p != nil {
-				s.Gen, s.Joint, s.Stores = p.Gen, len(p.New) > 0, p.Stores()
+				s.Gen, s.Joint, s.Stores = p.Generation, len(p.New) > 0, p.Stores()
 				c.describeSilent(s, p)
 			}
 		}
 		s.Full = c.fullStores()
 	})
 	c.followers.Range(func(_, v any) bool {
-		f := v.(*Following)
-		s.Followers = append(s.Followers, FollowerStatus{Name: f.Name, Class: f.Class, Version: f.Acting, Place: f.Place, SilentMs: time.Since(f.Seen).Milliseconds()})
+		f := v.(*Follower)
+		s.Followers = append(s.Followers, FollowerStatus{Name: f.Name, Class: f.Class, Version: f.ActiveVersion, Place: f.AppliedIndex, SilentMs: time.Since(f.LastSeen).Milliseconds()})
 		return true
 	})
 	return s
@@ -136,11 +136,11 @@
 
 // describeSilent adds the stores that are not heard. It runs in the loop.
 func (c *Core) describeSilent(s *Status, p *turnstore.Placement) {
-	silent := c.handover().SilentLong(c.placementTimings())
-	s.Lacking = placement.Lacking(p, silent)
+	silent := c.handover().FailedStores(c.placementTimings())
+	s.Lacking = placement.StoresRequired(p, silent)
 	for _, one := range silent {
 		if i := slices.IndexFunc(s.Stores, func(o turnstore.Store) bool { return o.ID == one.ID }); i >= 0 {
-			s.Silent = append(s.Silent, SilentStore{ID: one.ID, Name: s.Stores[i].Name, Addr: s.Stores[i].Addr, SilentMs: one.For.Milliseconds()})
+			s.Silent = append(s.Silent, SilentStore{ID: one.ID, Name: s.Stores[i].Name, Addr: s.Stores[i].Addr, SilentMs: one.Elapsed.Milliseconds()})
 		}
 	}
 }
@@ -161,7 +161,7 @@
 		asked++
 		go func() {
 			var other Status
-			if c.calls.To(v.Addr).Call(ctx, feed.StatusCall, &feed.Nothing{}, &other) != nil {
+			if c.calls.To(v.Addr).Call(ctx, feed.StatusCall, &feed.Empty{}, &other) != nil {
 				other.Followers = nil
 			}
 			told <- other.Followers
--- a/internal/tier/controlnode/timeline_test.go
+++ b/internal/tier/controlnode/timeline_test.go
@@ -220,7 +220,7 @@
 	for _, b := range c.order[1:] { // cut off before the write
 		c.cut[[2]string{"m0", b}], c.cut[[2]string{b, "m0"}] = true, true
 	}
-	index := head.node.Chain().State().Place + 1
+	index := head.node.Chain().State().LastIndex + 1
 	o := head.node.Write(c.now, 1000, "config", []byte("lost"))
 	c.carry(head, o)
 	o = head.node.Confirm(c.now, 1001, index)
@@ -235,7 +235,7 @@
 		t.Fatalf("waits %v, values %v", waits, c.values)
 	}
 	for i, a := range c.order {
-		if e, ok := c.machines[a].node.Chain().Last("config"); !ok || string(e.Value) == "lost" {
+		if e, ok := c.machines[a].node.Chain().LastEntry("config"); !ok || string(e.Value) == "lost" {
 			t.Errorf("node %d ends with %s: %s", i, fmt.Sprint(e.Index), e.Value)
 		}
 	}
--- a/internal/tier/discovery/asker.go
+++ b/internal/tier/discovery/asker.go
@@ -19,22 +19,22 @@
 	maxPages = 1000
 )
 
-// Asker asks the platform for the whole list. It decides nothing of when.
-type Asker struct {
+// Client asks the platform for the whole list. It decides nothing of when.
+type Client struct {
 	addr string
 	http *http.Client
 }
 
-// NewAsker asks at an address.
-func NewAsker(addr string) *Asker {
-	return &Asker{addr: addr, http: &http.Client{Timeout: askTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second, Proxy: nil}}}
+// NewClient asks at an address.
+func NewClient(addr string) *Client {
+	return &Client{addr: addr, http: &http.Client{Timeout: askTime, Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 20 * time.Second, Proxy: nil}}}
 }
 
 // Close ends kept connections.
-func (a *Asker) Close() { a.http.CloseIdleConnections() }
+func (a *Client) Close() { a.http.CloseIdleConnections() }
 
-// Ask gives all hosts, ordered by id. A list that comes in part is an error.
-func (a *Asker) Ask(ctx context.Context) (hosts []Host, err error) {
+// FetchHosts gives all hosts, ordered by id. A list that comes in part is an error.
+func (a *Client) FetchHosts(ctx context.Context) (hosts []Host, err error) {
 	token := ""
 	for range maxPages {
 		page, next, err := a.page(ctx, token)
@@ -51,7 +51,7 @@
 	return nil, errors.Newf("the platform's list has over %d pages", maxPages)
 }
 
-func (a *Asker) page(ctx context.Context, token string) (hosts []Host, next string, err error) {
+func (a *Client) page(ctx context.Context, token string) (hosts []Host, next string, err error) {
 	u := "http://" + a.addr + "/instances"
 	if token != "" {
 		u += "?page_token=" + url.QueryEscape(token)
@@ -86,7 +86,7 @@
 	}
 	list.ForEach(func(_, v gjson.Result) bool {
 		h := Host{ID: v.Get("host_id").String(), Service: v.Get("target_service").String(), Addr: v.Get("address").String(), Zone: v.Get("zone_name").String(),
-			Capacity: int(v.Get("capacity").Int()), Phase: v.Get("phase").String(), ColdMs: int(v.Get("cold_left_ms").Int())}
+			Capacity: int(v.Get("capacity").Int()), Phase: v.Get("phase").String(), WarmupMs: int(v.Get("cold_left_ms").Int())}
 		v.Get("model_list").ForEach(func(_, m gjson.Result) bool {
 			h.Models = append(h.Models, m.Get("name").String())
 			return true
--- a/internal/tier/discovery/delta.go
+++ b/internal/tier/discovery/delta.go
@@ -25,7 +25,7 @@
 			i++
 		}
 		if i < len(old.Hosts) && old.Hosts[i].ID == h.ID {
-			if !old.Hosts[i].Equal(h) || old.Hosts[i].ColdMs != h.ColdMs {
+			if !old.Hosts[i].Equal(h) || old.Hosts[i].WarmupMs != h.WarmupMs {
 				d.Changed = append(d.Changed, h)
 			}
 			i++
--- a/internal/tier/discovery/delta_test.go
+++ b/internal/tier/discovery/delta_test.go
@@ -13,7 +13,7 @@
 	l := &List{Term: term, Number: number, Hosts: []Host{}}
 	for i := range 12 {
 		if rapid.Bool().Draw(t, "there") {
-			l.Hosts = append(l.Hosts, Host{ID: fmt.Sprintf("i%02d", i), Addr: "a", Phase: rapid.SampledFrom([]string{Ready, Draining}).Draw(t, "phase"), ColdMs: rapid.IntRange(0, 1).Draw(t, "cold")})
+			l.Hosts = append(l.Hosts, Host{ID: fmt.Sprintf("i%02d", i), Addr: "a", Phase: rapid.SampledFrom([]string{Ready, Draining}).Draw(t, "phase"), WarmupMs: rapid.IntRange(0, 1).Draw(t, "cold")})
 		}
 	}
 	return l
--- a/internal/tier/discovery/discovery.go
+++ b/internal/tier/discovery/discovery.go
@@ -15,7 +15,7 @@
 	Zone     string
 	Capacity int
 	Phase    string
-	ColdMs   int // how much longer it stays slow, as the list had it
+	WarmupMs int // how much longer it stays slow, as the list had it
 	Models   []string
 }
 
@@ -32,9 +32,9 @@
 	return other == nil || l.Term > other.Term || l.Term == other.Term && l.Number > other.Number
 }
 
-// Number is that of the next list under a term. A holder that dies and starts again within its term knows nothing of the
+// NextNumber is that of the next list under a term. A holder that dies and starts again within its term knows nothing of the
 // lists that it spread before: those of each life are numbered above all of the lives before it.
-func Number(term, life int64, last *List) int64 {
+func NextNumber(term, life int64, last *List) int64 {
 	number := life << 32
 	if last != nil && last.Term == term {
 		number = max(number, last.Number)
--- a/internal/tier/discovery/discovery_test.go
+++ b/internal/tier/discovery/discovery_test.go
@@ -28,9 +28,9 @@
 	t.Helper()
 	s := httptest.NewServer(h)
 	defer s.Close()
-	a := NewAsker(s.Listener.Addr().String())
+	a := NewClient(s.Listener.Addr().String())
 	defer a.Close()
-	return a.Ask(context.Background())
+	return a.FetchHosts(context.Background())
 }
 
 func TestAllPagesMakeTheList(t *testing.T) {
@@ -54,7 +54,7 @@
 	if !slices.Equal(ids, []string{"i1", "i2", "i3"}) {
 		t.Fatalf("hosts %v: ordered by id and each once was wanted", ids)
 	}
-	if h := hosts[0]; h.Service != "s1" || h.Addr != "10.0.0.1:80" || h.Zone != "z" || h.Capacity != 96 || h.Phase != Ready || h.ColdMs != 5 || !slices.Equal(h.Models, []string{"m"}) {
+	if h := hosts[0]; h.Service != "s1" || h.Addr != "10.0.0.1:80" || h.Zone != "z" || h.Capacity != 96 || h.Phase != Ready || h.WarmupMs != 5 || !slices.Equal(h.Models, []string{"m"}) {
 		t.Fatalf("%+v", h)
 	}
 }
@@ -106,13 +106,13 @@
 		if last != nil && last.Number>>32 != life {
 			last = nil // it has started anew
 		}
-		next := &List{Term: 7, Number: Number(7, life, last)}
+		next := &List{Term: 7, Number: NextNumber(7, life, last)}
 		if !next.Newer(seen) {
 			t.Fatalf("life %d: list %d is not newer than %d", life, next.Number, seen.Number)
 		}
 		seen, last = next, next
 	}
-	if next := (&List{Term: 8, Number: Number(8, 1, seen)}); !next.Newer(seen) {
+	if next := (&List{Term: 8, Number: NextNumber(8, 1, seen)}); !next.Newer(seen) {
 		t.Fatal("the first list of a newer term is not newer")
 	}
 }
--- a/internal/tier/feed/bench_test.go
+++ b/internal/tier/feed/bench_test.go
@@ -54,7 +54,7 @@
 	for r.fetch != nil {
 		part, _ := r.fetch.claim()
 		d := r.fetch
-		d.give(part, s.values.Piece(&PieceRequest{Digest: d.name.Digest, From: part.from, Length: part.length}))
+		d.give(part, s.values.Chunk(&ChunkRequest{Digest: d.name.Digest, Offset: part.from, Length: part.length}))
 		if d.complete() {
 			if err := r.fetched(); err != nil {
 				b.Fatal(err)
--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -19,7 +19,7 @@
 // download is a value that comes in pieces. It is pure: what was begun at one source goes on at another, since the
 // digest names the value.
 type download struct {
-	name    ValueName
+	name    ValueRef
 	have    []byte           // without gaps, from the start
 	early   map[int64][]byte // pieces that came before those in front of them
 	asked   []span
@@ -27,12 +27,12 @@
 	refused int  // calls without a piece, one after the other; not those of sources that are busy
 }
 
-func newDownload(name ValueName) *download {
+func newDownload(name ValueRef) *download {
 	return &download{name: name, early: map[int64][]byte{}}
 }
 
 // fetchable tells whether a name can be one of a value.
-func (n ValueName) fetchable() bool {
+func (n ValueRef) fetchable() bool {
 	return n.Size > 0 && n.Size <= rpc.MaxFrame && len(n.Digest) == len(bodydelta.Digest{})
 }
 
@@ -52,19 +52,19 @@
 }
 
 // give takes an answer for a part in, nil for a call that failed, and tells whether it was a piece of this value.
-func (d *download) give(s span, p *Piece) bool {
+func (d *download) give(s span, p *Chunk) bool {
 	if i := slices.Index(d.asked, s); i >= 0 {
 		d.asked = slices.Delete(d.asked, i, i+1)
 	}
-	if p != nil && p.State == PieceBusy {
+	if p != nil && p.Status == ChunkBusy {
 		return false
 	}
-	if p == nil || p.State != PieceGiven || !bytes.Equal(p.Digest, d.name.Digest) || p.From != s.from || int64(len(p.Bytes)) != s.length {
+	if p == nil || p.Status != ChunkServed || !bytes.Equal(p.Digest, d.name.Digest) || p.Offset != s.from || int64(len(p.Data)) != s.length {
 		d.refused++
 		return false
 	}
 	d.refused = 0
-	d.early[s.from] = p.Bytes
+	d.early[s.from] = p.Data
 	for {
 		next, ok := d.early[int64(len(d.have))]
 		if !ok {
--- a/internal/tier/feed/fetch.go
+++ b/internal/tier/feed/fetch.go
@@ -33,8 +33,8 @@
 			return
 		}
 		one, done := context.WithTimeout(ctx, pieceLimit)
-		p := new(Piece)
-		err := f.calls.Call(one, core, PieceCall, &PieceRequest{Name: f.name, Digest: d.name.Digest, From: part.from, Length: part.length}, p)
+		p := new(Chunk)
+		err := f.calls.Call(one, core, ChunkCall, &ChunkRequest{Name: f.name, Digest: d.name.Digest, Offset: part.from, Length: part.length}, p)
 		done()
 		if err != nil {
 			_ = f.log.Log("msg", "no piece", "core", core, "from", part.from, "err", err)
@@ -44,7 +44,7 @@
 			failed = 0
 			continue
 		}
-		if p != nil && p.State == PieceBusy && f.oneWaits() {
+		if p != nil && p.Status == ChunkBusy && f.oneWaits() {
 			return
 		}
 		f.mu.Lock()
@@ -80,7 +80,7 @@
 }
 
 // give takes a piece in, nil for none, and tells whether the same core node is to be asked on.
-func (f *Follower) give(d *download, part span, p *Piece) bool {
+func (f *Follower) give(d *download, part span, p *Chunk) bool {
 	f.state.Lock()
 	defer f.state.Unlock()
 	if f.replica.fetch != d {
--- a/internal/tier/feed/follower.go
+++ b/internal/tier/feed/follower.go
@@ -65,13 +65,13 @@
 
 func coreSeeds(s *process.Settings) (cores []string) {
 	for _, seed := range s.Seeds {
-		cores = append(cores, s.Peer(seed, process.CorePort))
+		cores = append(cores, s.PeerAddr(seed, process.CorePort))
 	}
 	return cores
 }
 
-// Reseed takes in the core nodes that settings name, beside those that are known.
-func (f *Follower) Reseed(s *process.Settings) {
+// UpdateSeeds takes in the core nodes that settings name, beside those that are known.
+func (f *Follower) UpdateSeeds(s *process.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sources.reseed(coreSeeds(s))
@@ -135,27 +135,27 @@
 }
 
 // ask makes one call and gives when it was sent: what is heard by it was so then, not when the answer came.
-func (f *Follower) ask(ctx context.Context, core string, q *ChangesRequest) (*ChangesAnswer, time.Time, error) {
+func (f *Follower) ask(ctx context.Context, core string, q *ChangesRequest) (*ChangesResponse, time.Time, error) {
 	one, done := context.WithTimeout(ctx, time.Duration(q.WaitMs)*time.Millisecond+pollGrace)
 	defer done()
 	sent := time.Now()
-	a := new(ChangesAnswer)
+	a := new(ChangesResponse)
 	err := f.calls.Call(one, core, ChangesCall, q, a)
 	return a, sent, err
 }
 
 // accept takes an answer in, if its source may be relied on. Of others nothing is taken but whom else there is to ask.
-func (f *Follower) accept(ctx context.Context, core string, sent time.Time, q *ChangesRequest, a *ChangesAnswer) bool {
-	if a.Fresh && f.take(sent, q, a) {
+func (f *Follower) accept(ctx context.Context, core string, sent time.Time, q *ChangesRequest, a *ChangesResponse) bool {
+	if a.Confirmed && f.take(sent, q, a) {
 		f.mu.Lock()
-		f.sources.replace(a.Cores, core)
+		f.sources.replace(a.CoreAddrs, core)
 		f.mu.Unlock()
 		f.fetch(ctx)
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sources.add(a.Cores)
+	f.sources.add(a.CoreAddrs)
 	return false
 }
 
@@ -174,7 +174,7 @@
 	type told struct {
 		core string
 		sent time.Time
-		a    *ChangesAnswer
+		a    *ChangesResponse
 		err  error
 	}
 	f.mu.Lock()
@@ -199,7 +199,7 @@
 			done() // the others need not answer
 		default:
 			f.mu.Lock()
-			f.sources.add(t.a.Cores)
+			f.sources.add(t.a.CoreAddrs)
 			f.mu.Unlock()
 		}
 	}
@@ -222,7 +222,7 @@
 }
 
 // take swaps the tables for those that a fresh answer makes of them; false where its source is behind.
-func (f *Follower) take(sent time.Time, q *ChangesRequest, a *ChangesAnswer) bool {
+func (f *Follower) take(sent time.Time, q *ChangesRequest, a *ChangesResponse) bool {
 	f.state.Lock()
 	defer f.state.Unlock()
 	faults, err := f.replica.take(sent, q, a)
--- a/internal/tier/feed/follower_test.go
+++ b/internal/tier/feed/follower_test.go
@@ -269,7 +269,7 @@
 			1000  few      .          .           .          .
 			1900  .        %[1]s      %[1]s       %[1]s      v2
 			61900 .        .          .           .          v2`, trouble), func(w *world) {
-			if heard := time.Since(w.f.Tables().Heard); trouble != "lies" && heard < 60*time.Second {
+			if heard := time.Since(w.f.Tables().ConfirmedAt); trouble != "lies" && heard < 60*time.Second {
 				t.Errorf("%s: heard %v ago", trouble, heard)
 			}
 			w.mu.Lock()
@@ -287,7 +287,7 @@
 		ms    commits  a             front
 		0     few      up,joins,slow .
 		400   .        .             v1`, func(w *world) {
-		if heard := time.Since(w.f.Tables().Heard); heard < 390*time.Millisecond || heard > 400*time.Millisecond {
+		if heard := time.Since(w.f.Tables().ConfirmedAt); heard < 390*time.Millisecond || heard > 400*time.Millisecond {
 			t.Errorf("the answer, of a poll that was sent at 0 ms, was heard %v ago at 400 ms", heard)
 		}
 	})
--- a/internal/tier/feed/model_test.go
+++ b/internal/tier/feed/model_test.go
@@ -72,7 +72,7 @@
 }
 
 func (h *history) placement() chain.Entry {
-	return h.put(PlacementKey, rpc.Encode(&turnstore.Placement{Gen: int64(len(h.all)) + 1}))
+	return h.put(PlacementKey, rpc.Encode(&turnstore.Placement{Generation: int64(len(h.all)) + 1}))
 }
 
 // committed is the newest entry of each key up to an index, in order.
@@ -96,13 +96,13 @@
 		return fmt.Errorf("index goes back from %d to %d", old.Index, next.Index)
 	case old.Config != nil && (next.Config == nil || next.Config.Version < old.Config.Version):
 		return fmt.Errorf("configuration goes back from %d", old.Config.Version)
-	case old.Placement != nil && (next.Placement == nil || next.Placement.Gen < old.Placement.Gen):
-		return fmt.Errorf("placement goes back from %d", old.Placement.Gen)
-	case next.Heard.Before(old.Heard):
+	case old.Placement != nil && (next.Placement == nil || next.Placement.Generation < old.Placement.Generation):
+		return fmt.Errorf("placement goes back from %d", old.Placement.Generation)
+	case next.ConfirmedAt.Before(old.ConfirmedAt):
 		return fmt.Errorf("heard goes back")
 	}
 	for _, e := range h.committed(min(next.Index, int64(len(h.all)))) {
-		if e.Key == PlacementKey && (next.Placement == nil || next.Placement.Gen < e.Index) {
+		if e.Key == PlacementKey && (next.Placement == nil || next.Placement.Generation < e.Index) {
 			return fmt.Errorf("at index %d the placement of index %d is missing", next.Index, e.Index)
 		}
 		if v, _ := readConfig(e); e.Key == ConfigKey && (next.Config == nil || next.Config.Version < v.Version) {
@@ -144,16 +144,16 @@
 // source is a core node as followers see it: what it has committed, and what it keeps.
 type source struct {
 	commit int64
-	values Values
+	values ValueCache
 }
 
 // answer is what the feed server gives.
-func (s *source) answer(h *history, q *ChangesRequest, fresh bool) *ChangesAnswer {
-	a := &ChangesAnswer{Fresh: fresh, Index: s.commit}
+func (s *source) answer(h *history, q *ChangesRequest, fresh bool) *ChangesResponse {
+	a := &ChangesResponse{Confirmed: fresh, Index: s.commit}
 	committed := h.committed(s.commit)
-	s.values.Keep(committed)
-	for _, e := range chain.After(committed, q.Told) {
-		s.values.Add(a, e, q.Held)
+	s.values.Update(committed)
+	for _, e := range chain.EntriesAfter(committed, q.ReceivedIndex) {
+		s.values.Add(a, e, q.BaseValues)
 	}
 	return copied(a)
 }
@@ -177,19 +177,19 @@
 	s.commit = 3
 	digest := bodydelta.DigestOf(old.Value)
 	for name, one := range map[string]struct {
-		held    []HeldValue
+		held    []BaseValue
 		patches int
 		large   int
 	}{
 		"nothing held":     {nil, 0, 1},
-		"the one before":   {[]HeldValue{{ConfigKey, digest[:]}}, 1, 0},
-		"another":          {[]HeldValue{{ConfigKey, make([]byte, 32)}}, 0, 1},
-		"of another key":   {[]HeldValue{{PlacementKey, digest[:]}}, 0, 1},
-		"a digest cut off": {[]HeldValue{{ConfigKey, digest[:7]}}, 0, 1},
+		"the one before":   {[]BaseValue{{ConfigKey, digest[:]}}, 1, 0},
+		"another":          {[]BaseValue{{ConfigKey, make([]byte, 32)}}, 0, 1},
+		"of another key":   {[]BaseValue{{PlacementKey, digest[:]}}, 0, 1},
+		"a digest cut off": {[]BaseValue{{ConfigKey, digest[:7]}}, 0, 1},
 	} {
-		a := s.answer(&h, &ChangesRequest{Held: one.held}, true)
-		if len(a.Patches) != one.patches || len(a.Large) != one.large || len(a.Entries) != 0 {
-			t.Errorf("%s: %d deltas, %d by name, %d whole", name, len(a.Patches), len(a.Large), len(a.Entries))
+		a := s.answer(&h, &ChangesRequest{BaseValues: one.held}, true)
+		if len(a.Patches) != one.patches || len(a.LargeValues) != one.large || len(a.Entries) != 0 {
+			t.Errorf("%s: %d deltas, %d by name, %d whole", name, len(a.Patches), len(a.LargeValues), len(a.Entries))
 		}
 		if size := len(rpc.Encode(a)); size > 400 {
 			t.Errorf("%s: an answer of %d bytes", name, size)
@@ -197,23 +197,23 @@
 	}
 	h.config(largeRoutes, 2) // nothing in common
 	s.commit = 4
-	if a := s.answer(&h, &ChangesRequest{Told: 3, Held: []HeldValue{{ConfigKey, digest[:]}}}, true); len(a.Large) != 1 || len(a.Patches) != 0 {
-		t.Errorf("a delta that is no shorter: %d deltas, %d by name", len(a.Patches), len(a.Large))
+	if a := s.answer(&h, &ChangesRequest{ReceivedIndex: 3, BaseValues: []BaseValue{{ConfigKey, digest[:]}}}, true); len(a.LargeValues) != 1 || len(a.Patches) != 0 {
+		t.Errorf("a delta that is no shorter: %d deltas, %d by name", len(a.Patches), len(a.LargeValues))
 	}
 }
 
 func TestValuesKeepABoundedNumberAndBytes(t *testing.T) {
-	var v Values
+	var v ValueCache
 	value := func(n, size int) []byte { return slices.Concat([]byte{byte(n)}, make([]byte, size-1)) }
 	for i := range 300 {
-		v.Keep([]chain.Entry{{Index: int64(i + 1), Key: ConfigKey, Value: value(i, 5000)}})
-		v.Keep([]chain.Entry{{Index: int64(i + 1), Key: ConfigKey, Value: value(i, 5000)}}) // again
+		v.Update([]chain.Entry{{Index: int64(i + 1), Key: ConfigKey, Value: value(i, 5000)}})
+		v.Update([]chain.Entry{{Index: int64(i + 1), Key: ConfigKey, Value: value(i, 5000)}}) // again
 	}
 	if len(v.kept) != keptValues {
 		t.Errorf("%d values are kept, wanted %d", len(v.kept), keptValues)
 	}
-	v.Keep([]chain.Entry{{Index: 301, Key: ConfigKey, Value: value(1, keptBytes+1)}})
-	v.Keep([]chain.Entry{{Index: 302, Key: ConfigKey, Value: value(2, keptBytes+1)}})
+	v.Update([]chain.Entry{{Index: 301, Key: ConfigKey, Value: value(1, keptBytes+1)}})
+	v.Update([]chain.Entry{{Index: 302, Key: ConfigKey, Value: value(2, keptBytes+1)}})
 	if len(v.kept) != 1 || v.kept[0].Index != 302 {
 		t.Errorf("%d values are kept of which the one before is above the bound", len(v.kept))
 	}
@@ -223,7 +223,7 @@
 }
 
 func TestNoMoreThanSomeTransfersAtOnce(t *testing.T) {
-	var tr Transfers
+	var tr TransferLimiter
 	for i := range transfersMost {
 		if !tr.Admit(fmt.Sprint("f", i), 0) {
 			t.Fatalf("transfer %d was not admitted", i)
@@ -241,7 +241,7 @@
 	if !tr.Admit("f3", transferIdle) || len(tr.last) != 2 {
 		t.Errorf("%d transfers, wanted 2", len(tr.last))
 	}
-	if tr.End("f3"); len(tr.last) != 1 {
+	if tr.Release("f3"); len(tr.last) != 1 {
 		t.Errorf("%d transfers after the end of one, wanted 1", len(tr.last))
 	}
 }
--- a/internal/tier/feed/oneway_test.go
+++ b/internal/tier/feed/oneway_test.go
@@ -245,25 +245,25 @@
 func (w *oneWayCourse) handle(ctx context.Context, n *oneWayNode, m rpc.Method, body any) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if m == PieceCall {
-		n.values.Keep(w.h.committed(n.commit))
-		return rpc.Encode(n.values.Piece(body.(*PieceRequest)))
+	if m == ChunkCall {
+		n.values.Update(w.h.committed(n.commit))
+		return rpc.Encode(n.values.Chunk(body.(*ChunkRequest)))
 	}
 	q := copied(body.(*ChangesRequest))
 	arrived := time.Now()
 	for {
-		fresh := n.commit >= q.Told && (!n.alone || w.fault == staleIsFresh)
+		fresh := n.commit >= q.ReceivedIndex && (!n.alone || w.fault == staleIsFresh)
 		rest := time.Duration(q.WaitMs) * time.Millisecond
 		if !fresh {
 			rest = min(rest, 300*time.Millisecond)
 		}
-		if news := fresh && n.commit > q.Told; news || time.Since(arrived) >= rest {
-			a := &ChangesAnswer{Index: n.commit}
+		if news := fresh && n.commit > q.ReceivedIndex; news || time.Since(arrived) >= rest {
+			a := &ChangesResponse{Index: n.commit}
 			if fresh {
 				a = n.answer(&w.h, q, true)
 			}
 			if w.fault != membersUntold {
-				a.Cores = slices.Clone(n.members)
+				a.CoreAddrs = slices.Clone(n.members)
 			}
 			return rpc.Encode(a)
 		}
--- a/internal/tier/feed/replica.go
+++ b/internal/tier/feed/replica.go
@@ -33,40 +33,40 @@
 
 // request is the next poll, but for the follower's name.
 func (r *replica) request() ChangesRequest {
-	q := ChangesRequest{Index: r.tables.Index, Told: r.told}
+	q := ChangesRequest{AppliedIndex: r.tables.Index, ReceivedIndex: r.told}
 	if r.tables.Config != nil {
-		q.Acting = r.tables.Config.Version
+		q.ActiveVersion = r.tables.Config.Version
 	}
 	if r.tables.Hosts != nil {
-		q.Term, q.Number = r.tables.Hosts.Term, r.tables.Hosts.Number
+		q.HostListTerm, q.HostListNumber = r.tables.Hosts.Term, r.tables.Hosts.Number
 	}
 	if r.held != nil && !r.whole {
 		digest := r.digest // of its own: a value may be taken in while the request is written
-		q.Held = []HeldValue{{Key: ConfigKey, Digest: digest[:]}}
+		q.BaseValues = []BaseValue{{Key: ConfigKey, Digest: digest[:]}}
 	}
 	return q
 }
 
 // take makes tables of a fresh answer to a request that was sent at a time. What could not be used is in faults; err is
 // errBehind where the source cannot be fresh.
-func (r *replica) take(sent time.Time, q *ChangesRequest, a *ChangesAnswer) (faults []error, err error) {
+func (r *replica) take(sent time.Time, q *ChangesRequest, a *ChangesResponse) (faults []error, err error) {
 	if a.Index < r.seen {
 		return nil, errBehind
 	}
 	next := *r.tables
-	if q.Told <= r.told { // else entries between the two are missing: a fetch ended meanwhile
+	if q.ReceivedIndex <= r.told { // else entries between the two are missing: a fetch ended meanwhile
 		faults = r.takeEntries(&next, a)
 	}
 	r.takeHosts(&next, a)
-	if next.Index == a.Index && sent.After(next.Heard) {
-		next.Heard = sent
+	if next.Index == a.Index && sent.After(next.ConfirmedAt) {
+		next.ConfirmedAt = sent
 	}
 	r.tables = &next
 	return faults, nil
 }
 
 // takeEntries goes on to the answer's index, as far as nothing has to be fetched.
-func (r *replica) takeEntries(next *Tables, a *ChangesAnswer) (faults []error) {
+func (r *replica) takeEntries(next *Tables, a *ChangesResponse) (faults []error) {
 	for _, e := range a.Entries {
 		if err := r.apply(next, e); err != nil {
 			faults = append(faults, err)
@@ -78,7 +78,7 @@
 			return append(faults, err)
 		}
 	}
-	for _, name := range a.Large {
+	for _, name := range a.LargeValues {
 		r.want(name)
 	}
 	r.seen, r.told, r.whole = a.Index, a.Index, false
@@ -88,7 +88,7 @@
 	return faults
 }
 
-func (r *replica) takeHosts(next *Tables, a *ChangesAnswer) {
+func (r *replica) takeHosts(next *Tables, a *ChangesResponse) {
 	old := r.tables.Hosts
 	if len(a.Hosts) == 1 && a.Hosts[0].Newer(old) {
 		next.Hosts = &a.Hosts[0]
@@ -117,7 +117,7 @@
 
 // want begins to fetch a value, or goes on with it. One that is under way is finished first, also when a newer one is
 // there: the newer one then comes as a delta, and versions that follow each other fast do not start it anew for ever.
-func (r *replica) want(name ValueName) {
+func (r *replica) want(name ValueRef) {
 	if name.Index <= r.indexes[name.Key] || name.Key != ConfigKey && name.Key != PlacementKey || !name.fetchable() {
 		return
 	}
--- a/internal/tier/feed/replica_test.go
+++ b/internal/tier/feed/replica_test.go
@@ -48,13 +48,13 @@
 type exchange struct {
 	sent time.Time
 	q    *ChangesRequest
-	a    *ChangesAnswer
+	a    *ChangesResponse
 }
 
 type part struct {
 	d    *download
 	span span
-	p    *Piece
+	p    *Chunk
 }
 
 func newCourse(t *testing.T, seed uint64, f fault) *course {
@@ -106,7 +106,7 @@
 	c.poll = &exchange{c.clock, &q, a}
 }
 
-func (c *course) mustRefuse(q *ChangesRequest, a *ChangesAnswer) {
+func (c *course) mustRefuse(q *ChangesRequest, a *ChangesResponse) {
 	before := c.r.tables
 	if _, err := c.r.take(c.clock, q, a); !errors.Is(err, errBehind) || c.r.tables != before {
 		c.t.Fatalf("a source at index %d was taken for fresh at index %d: %v", a.Index, before.Index, err)
@@ -117,13 +117,13 @@
 func (c *course) receive() {
 	x := c.poll
 	c.poll = nil
-	if x == nil || !x.a.Fresh {
+	if x == nil || !x.a.Confirmed {
 		return
 	}
 	c.plant(x)
 	_, err := c.r.take(x.sent, x.q, x.a)
 	if c.fault == heardEarly && err == nil {
-		c.r.tables.Heard = x.sent
+		c.r.tables.ConfirmedAt = x.sent
 	}
 }
 
@@ -131,12 +131,12 @@
 func (c *course) plant(x *exchange) {
 	switch c.fault {
 	case indexGoesBack:
-		c.r.seen, c.r.told = 0, x.q.Told
+		c.r.seen, c.r.told = 0, x.q.ReceivedIndex
 	case staleAccepted:
-		c.r.seen, c.r.told = 0, x.q.Told
+		c.r.seen, c.r.told = 0, x.q.ReceivedIndex
 		clear(c.r.indexes)
 	case gapOverlooked:
-		c.r.told = max(c.r.told, x.q.Told)
+		c.r.told = max(c.r.told, x.q.ReceivedIndex)
 	case noDigest:
 		for i, p := range x.a.Patches {
 			if value := careless(c.r.held, p.Delta); value != nil {
@@ -181,10 +181,10 @@
 		return
 	}
 	if s, ok := d.claim(); ok {
-		q := &PieceRequest{Digest: d.name.Digest, From: s.from, Length: s.length}
-		p := copied(c.source().values.Piece(q))
-		if p.State == PieceGiven && c.rand.IntN(10) == 0 {
-			p.Bytes[c.rand.IntN(len(p.Bytes))] ^= 1
+		q := &ChunkRequest{Digest: d.name.Digest, Offset: s.from, Length: s.length}
+		p := copied(c.source().values.Chunk(q))
+		if p.Status == ChunkServed && c.rand.IntN(10) == 0 {
+			p.Data[c.rand.IntN(len(p.Data))] ^= 1
 		}
 		c.parts = append(c.parts, &part{d, s, p})
 	}
@@ -225,14 +225,14 @@
 func (c *course) mix(x *part) {
 	for _, e := range c.h.all {
 		if int64(len(e.Value)) == x.d.name.Size && x.p != nil {
-			x.p = &Piece{Digest: x.d.name.Digest, From: x.span.from, Bytes: e.Value[x.span.from : x.span.from+x.span.length]}
+			x.p = &Chunk{Digest: x.d.name.Digest, Offset: x.span.from, Data: e.Value[x.span.from : x.span.from+x.span.length]}
 			return
 		}
 	}
 }
 
 // restart loses what a source keeps beside what is committed.
-func (c *course) restart() { c.source().values = Values{} }
+func (c *course) restart() { c.source().values = ValueCache{} }
 
 func (c *course) catchUp() { c.source().commit = int64(len(c.h.all)) }
 
@@ -267,12 +267,12 @@
 }
 
 func (c *course) judgeHeard(t *Tables) error {
-	if t.Heard.After(c.clock) {
+	if t.ConfirmedAt.After(c.clock) {
 		return fmt.Errorf("heard after now")
 	}
 	for i, at := range c.times {
-		if !c.lied && at.Before(t.Heard) && t.Index < int64(i)+1 {
-			return fmt.Errorf("heard at %v, at index %d, index %d was committed before", t.Heard, t.Index, i+1)
+		if !c.lied && at.Before(t.ConfirmedAt) && t.Index < int64(i)+1 {
+			return fmt.Errorf("heard at %v, at index %d, index %d was committed before", t.ConfirmedAt, t.Index, i+1)
 		}
 	}
 	return nil
@@ -297,7 +297,7 @@
 			if !ok {
 				return fmt.Errorf("nothing to ask for with %d of %d bytes", len(d.have), d.name.Size)
 			}
-			p := s.values.Piece(&PieceRequest{Digest: d.name.Digest, From: part.from, Length: part.length})
+			p := s.values.Chunk(&ChunkRequest{Digest: d.name.Digest, Offset: part.from, Length: part.length})
 			if !d.give(part, p) && d.refused >= 6 {
 				c.r.gone()
 			} else if d.complete() {
--- a/internal/tier/feed/round.go
+++ b/internal/tier/feed/round.go
@@ -35,7 +35,7 @@
 	core    string
 	sent    time.Time
 	request *ChangesRequest
-	answer  *ChangesAnswer
+	answer  *ChangesResponse
 	err     error
 }
 
@@ -88,7 +88,7 @@
 // first asks the source that is followed, and gives after what time it is late.
 func (r *round) first(ctx context.Context, wait time.Duration) time.Duration {
 	q := r.follower.request(wait)
-	if q.Told == 0 {
+	if q.ReceivedIndex == 0 {
 		q.WaitMs = 0
 	}
 	r.ask(ctx, q)
@@ -123,7 +123,7 @@
 	if !f.accept(ctx, one.core, one.sent, one.request, one.answer) {
 		return false
 	}
-	if one.request.Told == 0 && one.answer.Index == 0 && len(one.answer.Entries) == 0 { // nothing is there yet
+	if one.request.ReceivedIndex == 0 && one.answer.Index == 0 && len(one.answer.Entries) == 0 { // nothing is there yet
 		pause(ctx, retryWait)
 	}
 	return true
--- a/internal/tier/feed/state.go
+++ b/internal/tier/feed/state.go
@@ -17,8 +17,8 @@
 	PlacementKey = "placement"
 )
 
-// ForFollowers are those of some entries that followers have a use for; the others are for core nodes alone.
-func ForFollowers(entries []chain.Entry) []chain.Entry {
+// FilterForFollowers are those of some entries that followers have a use for; the others are for core nodes alone.
+func FilterForFollowers(entries []chain.Entry) []chain.Entry {
 	var kept []chain.Entry
 	for _, e := range entries {
 		if e.Key == ConfigKey || e.Key == PlacementKey {
@@ -30,11 +30,11 @@
 
 // Tables is what a relay acts on. It is immutable and swapped whole; what is nil has not come yet.
 type Tables struct {
-	Index     int64
-	Config    *routing.Config
-	Placement *turnstore.Placement
-	Hosts     *discovery.List
-	Heard     time.Time // all that was acknowledged before it is here: when the poll was sent that showed so last
+	Index       int64
+	Config      *routing.Config
+	Placement   *turnstore.Placement
+	Hosts       *discovery.List
+	ConfirmedAt time.Time // all that was acknowledged before it is here: when the poll was sent that showed so last
 }
 
 // Source is what the rest of a process knows of the feed.
--- a/internal/tier/feed/transfers.go
+++ b/internal/tier/feed/transfers.go
@@ -7,14 +7,14 @@
 	transferIdle  = 400 * time.Millisecond // a follower that asks for no piece so long has given its turn up
 )
 
-// Transfers bounds how many followers a source sends large values at once, so that what waits in its link does not keep
-// its polls and heartbeats back. The zero Transfers is ready for use; it is not safe for concurrent use.
-type Transfers struct {
+// TransferLimiter bounds how many followers a source sends large values at once, so that what waits in its link does not keep
+// its polls and heartbeats back. The zero TransferLimiter is ready for use; it is not safe for concurrent use.
+type TransferLimiter struct {
 	last map[string]time.Duration // by follower: when it asked for a piece
 }
 
 // Admit tells whether a follower may have a piece now.
-func (t *Transfers) Admit(name string, now time.Duration) bool {
+func (t *TransferLimiter) Admit(name string, now time.Duration) bool {
 	if t.last == nil {
 		t.last = map[string]time.Duration{}
 	}
@@ -30,5 +30,5 @@
 	return true
 }
 
-// End gives up the turn of a follower that has its last piece.
-func (t *Transfers) End(name string) { delete(t.last, name) }
+// Release gives up the turn of a follower that has its last piece.
+func (t *TransferLimiter) Release(name string) { delete(t.last, name) }
--- a/internal/tier/feed/values.go
+++ b/internal/tier/feed/values.go
@@ -17,9 +17,9 @@
 	pieceMost  = 64 << 10 // bytes of one piece
 )
 
-// Values are the values of the control state that a source gave lately, by digest, and the deltas between them. The zero
-// Values is ready for use; it is safe for concurrent use.
-type Values struct {
+// ValueCache are the values of the control state that a source gave lately, by digest, and the deltas between them. The zero
+// ValueCache is ready for use; it is safe for concurrent use.
+type ValueCache struct {
 	mu     sync.Mutex
 	kept   []*value // in the order of their indexes
 	deltas map[pair]*delta
@@ -37,8 +37,8 @@
 	bytes []byte // nil where the whole value is shorter
 }
 
-// Keep takes in what is committed now. Of a key it keeps the newest values, as far as the bounds allow.
-func (v *Values) Keep(committed []chain.Entry) {
+// Update takes in what is committed now. Of a key it keeps the newest values, as far as the bounds allow.
+func (v *ValueCache) Update(committed []chain.Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, e := range committed {
@@ -50,7 +50,7 @@
 }
 
 // at is the value of a key at an index. Committed entries never change.
-func (v *Values) at(key string, index int64) *value {
+func (v *ValueCache) at(key string, index int64) *value {
 	for _, one := range v.kept {
 		if one.Index == index && one.Key == key {
 			return one
@@ -60,7 +60,7 @@
 }
 
 // trim drops the oldest values beyond the bounds, never the newest one of a key.
-func (v *Values) trim() {
+func (v *ValueCache) trim() {
 	count, newest, total := map[string]int{}, map[string]int64{}, 0
 	for _, one := range v.kept {
 		count[one.Key]++
@@ -86,7 +86,7 @@
 	v.kept = kept
 }
 
-func (v *Values) forget(d bodydelta.Digest) {
+func (v *ValueCache) forget(d bodydelta.Digest) {
 	for p := range v.deltas {
 		if p.from == d || p.to == d {
 			delete(v.deltas, p)
@@ -95,7 +95,7 @@
 }
 
 // Find gives the value with a digest, nil for none.
-func (v *Values) Find(digest []byte) []byte {
+func (v *ValueCache) Find(digest []byte) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if one := v.find(digest); one != nil {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (v *Values) find(digest []byte) *value {
+func (v *ValueCache) find(digest []byte) *value {
 	for _, one := range v.kept {
 		if bytes.Equal(one.digest[:], digest) {
 			return one
@@ -114,7 +114,7 @@
 }
 
 // Add puts an entry into an answer: as a delta against what the follower holds, whole, or by its name.
-func (v *Values) Add(a *ChangesAnswer, e chain.Entry, held []HeldValue) {
+func (v *ValueCache) Add(a *ChangesResponse, e chain.Entry, held []BaseValue) {
 	v.mu.Lock()
 	one := v.at(e.Key, e.Index)
 	v.mu.Unlock()
@@ -135,12 +135,12 @@
 		a.Entries = append(a.Entries, e)
 		return
 	}
-	a.Large = append(a.Large, ValueName{Index: e.Index, Key: e.Key, Size: int64(len(e.Value)), Digest: one.digest[:]})
+	a.LargeValues = append(a.LargeValues, ValueRef{Index: e.Index, Key: e.Key, Size: int64(len(e.Value)), Digest: one.digest[:]})
 }
 
 // delta leads from the value with a digest to another one; nil where there is none worth sending. It is made once for
 // all followers.
-func (v *Values) delta(from []byte, to *value) []byte {
+func (v *ValueCache) delta(from []byte, to *value) []byte {
 	v.mu.Lock()
 	old := v.find(from)
 	if old == nil || old.Key != to.Key {
@@ -166,13 +166,13 @@
 	return d.bytes
 }
 
-// Piece answers a request for a part of a value.
-func (v *Values) Piece(q *PieceRequest) *Piece {
+// Chunk answers a request for a part of a value.
+func (v *ValueCache) Chunk(q *ChunkRequest) *Chunk {
 	whole := v.Find(q.Digest)
 	if whole == nil {
-		return &Piece{State: PieceUnknown}
+		return &Chunk{Status: ChunkUnknown}
 	}
-	from := min(max(q.From, 0), int64(len(whole)))
+	from := min(max(q.Offset, 0), int64(len(whole)))
 	to := min(from+min(max(q.Length, 0), pieceMost), int64(len(whole)))
-	return &Piece{State: PieceGiven, Digest: q.Digest, From: from, Bytes: whole[from:to], Last: to == int64(len(whole))}
+	return &Chunk{Status: ChunkServed, Digest: q.Digest, Offset: from, Data: whole[from:to], Final: to == int64(len(whole))}
 }
--- a/internal/tier/feed/world_test.go
+++ b/internal/tier/feed/world_test.go
@@ -154,29 +154,29 @@
 
 // handle gives a node's answer, nil for a poll that waits on.
 func (w *world) handle(n *coreNode, m rpc.Method, body any) []byte {
-	if m == PieceCall {
+	if m == ChunkCall {
 		w.sent.pieces++
-		n.values.Keep(w.h.committed(n.commit))
+		n.values.Update(w.h.committed(n.commit))
 		if n.busy {
-			return rpc.Encode(&Piece{State: PieceBusy})
+			return rpc.Encode(&Chunk{Status: ChunkBusy})
 		}
-		return rpc.Encode(n.values.Piece(body.(*PieceRequest)))
+		return rpc.Encode(n.values.Chunk(body.(*ChunkRequest)))
 	}
 	q := body.(*ChangesRequest)
-	fresh := n.company == "lies" || n.company == "up" && n.commit >= q.Told
-	if news := fresh && n.commit > q.Told; !news && q.WaitMs > 0 {
+	fresh := n.company == "lies" || n.company == "up" && n.commit >= q.ReceivedIndex
+	if news := fresh && n.commit > q.ReceivedIndex; !news && q.WaitMs > 0 {
 		wait := time.Duration(q.WaitMs) * time.Millisecond
 		q.WaitMs = 0
 		time.AfterFunc(wait, w.wake)
 		return nil
 	}
 	if !fresh {
-		return rpc.Encode(&ChangesAnswer{Index: n.commit, Cores: n.cores(w)})
+		return rpc.Encode(&ChangesResponse{Index: n.commit, CoreAddrs: n.cores(w)})
 	}
 	a := n.answer(&w.h, q, true)
-	a.Cores = n.cores(w)
+	a.CoreAddrs = n.cores(w)
 	w.sent.polls++
-	w.sent.whole, w.sent.patches, w.sent.large = w.sent.whole+len(a.Entries), w.sent.patches+len(a.Patches), w.sent.large+len(a.Large)
+	w.sent.whole, w.sent.patches, w.sent.large = w.sent.whole+len(a.Entries), w.sent.patches+len(a.Patches), w.sent.large+len(a.LargeValues)
 	for _, p := range a.Patches {
 		if n.garbles {
 			p.Delta[len(p.Delta)-1] ^= 1
@@ -258,7 +258,7 @@
 	case "quick":
 		n.late = 0
 	case "lost":
-		n.values = Values{}
+		n.values = ValueCache{}
 	case "thin":
 		n.thin = true
 	case "busy":
@@ -282,7 +282,7 @@
 // ask plays one cell of the follower's column.
 func (w *world) ask(at, cell string) {
 	if seeds, ok := strings.CutPrefix(cell, "seeds="); ok {
-		w.f.Reseed(settings(strings.Split(seeds, "+")))
+		w.f.UpdateSeeds(settings(strings.Split(seeds, "+")))
 		return
 	}
 	want, err := strconv.Atoi(strings.TrimPrefix(cell, "v"))
--- a/internal/tier/orders/config.go
+++ b/internal/tier/orders/config.go
@@ -19,11 +19,11 @@
 // decide holds an order first against what was taken, then against what is in place: what was taken is acknowledged
 // again, or left without a clear answer, whatever else is to be said of it.
 func (o PutConfig) decide(s *State) Decision {
-	d := Decision{Rests: s.configRests}
+	d := Decision{DependsOn: s.configRests}
 	current := s.Version()
 	if o.Invalid != "" {
 		if s.history.find(o.Digest) { // taken when the checks were others
-			d.Kind, d.Reason = AlreadyTaken, "taken before"
+			d.Kind, d.Reason = AlreadyApplied, "taken before"
 			return d
 		}
 		d.Kind, d.Reason = Invalid, o.Invalid
@@ -32,15 +32,15 @@
 	if o.Version <= current {
 		switch s.history.look(o.Version, o.IfMatch, o.Digest) {
 		case takenSo:
-			d.Kind, d.Reason = AlreadyTaken, "taken before"
+			d.Kind, d.Reason = AlreadyApplied, "taken before"
 			return d
 		case takenOnOther:
-			d.Kind = Unsure
+			d.Kind = Unavailable
 			d.Reason = fmt.Sprintf("this very configuration %d was taken, but not on version %d: read what is in place (now %d)",
 				o.Version, o.IfMatch, current)
 			return d
 		case unknown:
-			d.Kind = Unsure
+			d.Kind = Unavailable
 			d.Reason = fmt.Sprintf("version %d is older than what is known of orders, it may have been taken: "+
 				"read what is in place (now %d), build on it", o.Version, current)
 			return d
@@ -48,7 +48,7 @@
 	}
 	switch {
 	case o.IfMatch > current && o.Version > o.IfMatch: // another copy may come once that version is in place
-		d.Kind = Unsure
+		d.Kind = Unavailable
 		d.Reason = fmt.Sprintf("version %d, on which it builds, is not in place, version %d is: "+
 			"send it again once it is, or read and build on what is in place", o.IfMatch, current)
 	case o.IfMatch != current:
@@ -69,8 +69,8 @@
 	if current > 0 && !s.history.linked() { // the first put since the format without records
 		w = append(w, Write{Key: earlierKey, Value: rpc.Encode(s.history.earlier)})
 	}
-	w = append(w, s.history.add(Record{Version: o.Version, BuiltOn: o.IfMatch, Digest: o.Digest}))
-	entry := feed.ConfigEntry{Version: o.Version, Body: o.Body, Taken: [][]byte{o.Digest}}
+	w = append(w, s.history.add(Record{Version: o.Version, BaseVersion: o.IfMatch, Digest: o.Digest}))
+	entry := feed.ConfigEntry{Version: o.Version, Body: o.Body, RecentDigests: [][]byte{o.Digest}}
 	return append(w, Write{Key: feed.ConfigKey, Value: rpc.Encode(&entry)})
 }
 
@@ -79,7 +79,7 @@
 
 func (ReadConfig) decide(s *State) Decision {
 	if s.Config == nil {
-		return Decision{Kind: NotFound, Rests: s.configRests, Reason: "no configuration was taken yet: put the first with If-Match: 0"}
+		return Decision{Kind: NotFound, DependsOn: s.configRests, Reason: "no configuration was taken yet: put the first with If-Match: 0"}
 	}
-	return Decision{Kind: Found, Rests: s.configRests, Body: s.Config.Body}
+	return Decision{Kind: Found, DependsOn: s.configRests, Body: s.Config.Body}
 }
--- a/internal/tier/orders/course_test.go
+++ b/internal/tier/orders/course_test.go
@@ -145,7 +145,7 @@
 	c.answers[d.Kind]++
 	was, some := c.was(one)
 	switch {
-	case d.Kind.Acknowledges():
+	case d.Kind.IsAcknowledgement():
 		if !some || was != one {
 			c.fail("%v was acknowledged (%v) and is not in force", one, d.Kind)
 		}
@@ -157,7 +157,7 @@
 		}
 		c.ackedOn[one.on], c.acked[one] = one, true
 		c.mostAcked = max(c.mostAcked, one.version)
-	case d.Kind.Refuses():
+	case d.Kind.IsRejection():
 		if some && (before || was == one) {
 			c.fail("%v was refused (%v: %s), and that configuration was taken", one, d.Kind, d.Reason)
 		}
@@ -202,12 +202,12 @@
 	}
 	switch {
 	case c.fault.noConfirm:
-		r.waits = append(r.waits, wait{place: d.Rests, until: c.now + callTimeout, reply: told})
+		r.waits = append(r.waits, wait{place: d.DependsOn, until: c.now + callTimeout, reply: told})
 	case c.fault.noWait:
 		r.waits = append(r.waits, wait{confirmed: c.now + 1, until: c.now + callTimeout, reply: told})
 	default:
 		round := time.Duration(1+c.rng.IntN(40)) * time.Millisecond
-		r.waits = append(r.waits, wait{place: d.Rests, confirmed: c.now + round, until: c.now + callTimeout, reply: told})
+		r.waits = append(r.waits, wait{place: d.DependsOn, confirmed: c.now + round, until: c.now + callTimeout, reply: told})
 	}
 }
 
@@ -234,7 +234,7 @@
 			return
 		}
 		c.send(one, func(d Decision) {
-			if d.Kind != Unsure && c.rng.IntN(5) > 0 { // the answer is not lost
+			if d.Kind != Unavailable && c.rng.IntN(5) > 0 { // the answer is not lost
 				end()
 			}
 		})
@@ -349,9 +349,9 @@
 				break
 			}
 		}
-		if answered == Unsure {
+		if answered == Unavailable {
 			unsure++
-		} else if answered != AlreadyTaken {
+		} else if answered != AlreadyApplied {
 			c.fail("%v, the %d. of %d in force, sent once more in calm: %v", one, i+1, len(c.inForce), answered)
 		}
 	}
@@ -383,7 +383,7 @@
 		}
 	}
 	t.Logf("%d courses, up to %d versions each, answers: %v", coursesToPlay(), most, total)
-	for _, k := range []Kind{Accept, AlreadyTaken, VersionMismatch, Invalid, Unsure} {
+	for _, k := range []Kind{Accept, AlreadyApplied, VersionMismatch, Invalid, Unavailable} {
 		if total[k] < coursesToPlay() {
 			t.Errorf("%d answers of kind %v in %d courses: they show nothing of it", total[k], k, coursesToPlay())
 		}
--- a/internal/tier/orders/decision.go
+++ b/internal/tier/orders/decision.go
@@ -16,14 +16,14 @@
 // The kinds of decisions.
 const (
 	Accept          Kind = iota + 1 // append the writes; it is taken once the last of them is committed
-	AlreadyTaken                    // this very order was taken before
+	AlreadyApplied                  // this very order was taken before
 	VersionMismatch                 // it was never taken, and another version than it builds on is in place
 	Invalid                         // it was never taken, and must never be
-	Unsure                          // whether it was taken is not known any more: neither acknowledged nor refused
+	Unavailable                     // whether it was taken is not known any more: neither acknowledged nor refused
 	NotFound                        // no configuration, or no store of this name
 	Conflict                        // too few stores would be left
-	UnderWay                        // the store is being emptied
-	Emptied                         // the store was emptied
+	InProgress                      // the store is being emptied
+	Retired                         // the store was emptied
 	Serving                         // phase: a store of this name holds turns
 	Complete                        // phase: the store may be taken away
 	Found                           // the configuration that was asked for
@@ -40,14 +40,14 @@
 	return kindNames[k]
 }
 
-// Refuses tells whether the decision says that the order was not taken and will not be.
-func (k Kind) Refuses() bool {
+// IsRejection tells whether the decision says that the order was not taken and will not be.
+func (k Kind) IsRejection() bool {
 	return k == VersionMismatch || k == Invalid || k == NotFound || k == Conflict
 }
 
-// Acknowledges tells whether the decision says that the order was taken, now or before.
-func (k Kind) Acknowledges() bool {
-	return k == Accept || k == AlreadyTaken || k == UnderWay || k == Emptied
+// IsAcknowledgement tells whether the decision says that the order was taken, now or before.
+func (k Kind) IsAcknowledgement() bool {
+	return k == Accept || k == AlreadyApplied || k == InProgress || k == Retired
 }
 
 // Write is one entry to be appended to the chain.
@@ -58,11 +58,11 @@
 
 // Decision is what becomes of an order.
 type Decision struct {
-	Kind   Kind
-	Rests  int64   // index of the last entry looked at, committed or not; 0 for none
-	Append []Write // with Accept: in this order
-	Body   []byte  // with Found
-	Reason string  // for the operator: what is the case, and what to do
+	Kind      Kind
+	DependsOn int64   // index of the last entry looked at, committed or not; 0 for none
+	Append    []Write // with Accept: in this order
+	Body      []byte  // with Found
+	Reason    string  // for the operator: what is the case, and what to do
 }
 
 // Order is one of PutConfig, ReadConfig, RetireStore and StorePhase.
--- a/internal/tier/orders/faults_test.go
+++ b/internal/tier/orders/faults_test.go
@@ -20,7 +20,7 @@
 func (f planted) put(r *replica, o PutConfig) (Decision, error) {
 	d, err := Decide(r.entries, 1, o)
 	if f.recordCounts && d.Kind == Accept && recorded(r, o) {
-		d.Kind, d.Append = AlreadyTaken, nil
+		d.Kind, d.Append = AlreadyApplied, nil
 	}
 	if f.decide == nil || err != nil {
 		return d, err
@@ -49,20 +49,20 @@
 }
 
 func refusal(s *State, d Decision) Decision {
-	return Decision{Kind: VersionMismatch, Rests: d.Rests, Reason: "planted"}
+	return Decision{Kind: VersionMismatch, DependsOn: d.DependsOn, Reason: "planted"}
 }
 
 func TestPlantedFaultsOfConfigurationsAreFound(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]planted{
 		"refused after 64 others": {decide: func(d Decision, s *State, o PutConfig) Decision {
-			if d.Kind == AlreadyTaken && o.Version < s.Version()-128 {
+			if d.Kind == AlreadyApplied && o.Version < s.Version()-128 {
 				return refusal(s, d)
 			}
 			return d
 		}},
 		"refused where nothing is known any more": {decide: func(d Decision, s *State, _ PutConfig) Decision {
-			if d.Kind == Unsure && strings.Contains(d.Reason, "older than what is known") {
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "older than what is known") {
 				return refusal(s, d)
 			}
 			return d
@@ -74,25 +74,25 @@
 			return d
 		}},
 		"400 before the digest is looked at": {decide: func(d Decision, s *State, o PutConfig) Decision {
-			if d.Kind == AlreadyTaken && o.Version <= s.Version() {
-				return Decision{Kind: Invalid, Rests: d.Rests}
+			if d.Kind == AlreadyApplied && o.Version <= s.Version() {
+				return Decision{Kind: Invalid, DependsOn: d.DependsOn}
 			}
 			return d
 		}},
 		"what it was built on is forgotten": {decide: func(d Decision, _ *State, _ PutConfig) Decision {
-			if d.Kind == Unsure && strings.Contains(d.Reason, "this very configuration") {
-				d.Kind = AlreadyTaken
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "this very configuration") {
+				d.Kind = AlreadyApplied
 			}
 			return d
 		}},
 		"the same on another version is refused": {decide: func(d Decision, s *State, _ PutConfig) Decision {
-			if d.Kind == Unsure && strings.Contains(d.Reason, "this very configuration") {
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "this very configuration") {
 				return refusal(s, d)
 			}
 			return d
 		}},
 		"what builds on a version to come is refused": {decide: func(d Decision, s *State, _ PutConfig) Decision {
-			if d.Kind == Unsure && strings.Contains(d.Reason, "on which it builds") {
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "on which it builds") {
 				return refusal(s, d)
 			}
 			return d
@@ -101,7 +101,7 @@
 			s.history.back(0)
 			for _, r := range s.history.taken {
 				if r.Version == o.Version && o.Invalid == "" {
-					d.Kind = AlreadyTaken
+					d.Kind = AlreadyApplied
 				}
 			}
 			return d
@@ -120,21 +120,21 @@
 			return d
 		}},
 		"the format before is forgotten": {decide: func(d Decision, s *State, o PutConfig) Decision {
-			if s.history.inEarlier(o.Digest) && d.Kind == AlreadyTaken {
+			if s.history.inEarlier(o.Digest) && d.Kind == AlreadyApplied {
 				return refusal(s, d)
 			}
 			return d
 		}},
 		"the base is not looked at": {decide: func(d Decision, s *State, o PutConfig) Decision {
 			if d.Kind == VersionMismatch && o.Version > s.Version() {
-				return Decision{Kind: Accept, Rests: d.Rests, Append: o.writes(s, s.Version())}
+				return Decision{Kind: Accept, DependsOn: d.DependsOn, Append: o.writes(s, s.Version())}
 			}
 			return d
 		}},
 		"versions may fall": {decide: func(d Decision, s *State, o PutConfig) Decision {
 			if d.Kind == Invalid && o.Invalid == "" {
-				entry := feed.ConfigEntry{Version: o.Version, Body: o.Body, Taken: [][]byte{o.Digest}}
-				return Decision{Kind: Accept, Rests: d.Rests, Append: []Write{{Key: feed.ConfigKey, Value: rpc.Encode(&entry)}}}
+				entry := feed.ConfigEntry{Version: o.Version, Body: o.Body, RecentDigests: [][]byte{o.Digest}}
+				return Decision{Kind: Accept, DependsOn: d.DependsOn, Append: []Write{{Key: feed.ConfigKey, Value: rpc.Encode(&entry)}}}
 			}
 			return d
 		}},
--- a/internal/tier/orders/history.go
+++ b/internal/tier/orders/history.go
@@ -37,17 +37,17 @@
 // Record is what is kept of a configuration that was taken. A record alone proves nothing, as it is written before the
 // configuration: it counts once the configuration in place is reached from it by BuiltOn.
 type Record struct {
-	Sequence int64 // rises by one with each record: says on which page it is
-	Version  int64
-	BuiltOn  int64 // the version that was in place, 0 for none
-	Digest   []byte
+	Sequence    int64 // rises by one with each record: says on which page it is
+	Version     int64
+	BaseVersion int64 // the version that was in place, 0 for none
+	Digest      []byte
 }
 
 // Page is the value under a page's key.
 type Page struct{ Records []Record }
 
-// Earlier is the value under earlierKey: what is known of configurations taken before there were records.
-type Earlier struct {
+// LegacyHistory is the value under earlierKey: what is known of configurations taken before there were records.
+type LegacyHistory struct {
 	Version  int64    // the last of them
 	Digests  [][]byte // of the last of them, that of Version included
 	Complete bool     // Digests has all of them
@@ -61,7 +61,7 @@
 // orders rest on the newest one.
 type history struct {
 	pages   []chain.Entry // not read yet, the newest last
-	earlier *Earlier
+	earlier *LegacyHistory
 	err     error // of a page that cannot be read
 
 	loose   []Record // of the pages read, those not reached yet
@@ -94,7 +94,7 @@
 		if best >= 0 {
 			r := h.loose[best]
 			h.loose = slices.DeleteFunc(h.loose, func(o Record) bool { return o.Sequence >= r.Sequence })
-			h.taken, h.horizon = append(h.taken, r), r.BuiltOn
+			h.taken, h.horizon = append(h.taken, r), r.BaseVersion
 			return true
 		}
 		if len(h.pages) == 0 {
@@ -144,7 +144,7 @@
 		switch r := h.taken[i]; {
 		case !bytes.Equal(r.Digest, digest):
 			return neverTaken // of each version one was taken
-		case r.BuiltOn != builtOn:
+		case r.BaseVersion != builtOn:
 			return takenOnOther
 		}
 		return takenSo
