--- a/internal/tier/orders/orders_test.go
+++ b/internal/tier/orders/orders_test.go
@@ -78,7 +78,7 @@
 func legacy(version int64, taken ...PutConfig) Write {
 	e := feed.ConfigEntry{Version: version, Body: taken[len(taken)-1].Body}
 	for _, o := range taken {
-		e.Taken = append(e.Taken, o.Digest)
+		e.RecentDigests = append(e.RecentDigests, o.Digest)
 	}
 	return Write{Key: feed.ConfigKey, Value: rpc.Encode(&e)}
 }
@@ -134,61 +134,61 @@
 		want  Kind
 	}{
 		{"the first", empty, put(3, 0, "a"), Accept},
-		{"the first, on a version that is not there", empty, put(3, 2, "a"), Unsure},
+		{"the first, on a version that is not there", empty, put(3, 2, "a"), Unavailable},
 		{"cannot be read, nothing in place", empty, bad("a"), Invalid},
 		{"the next", three, put(10, 9, "a"), Accept},
-		{"the newest again", three, put(9, 5, "a"), AlreadyTaken},
-		{"an older one again", three, put(5, 3, "a"), AlreadyTaken},
-		{"the first again", three, put(3, 0, "a"), AlreadyTaken},
+		{"the newest again", three, put(9, 5, "a"), AlreadyApplied},
+		{"an older one again", three, put(5, 3, "a"), AlreadyApplied},
+		{"the first again", three, put(3, 0, "a"), AlreadyApplied},
 		{"same number, other body, on the same version", three, put(9, 5, "b"), VersionMismatch},
 		{"same number, other body, on the newest", three, put(9, 9, "b"), Invalid},
-		{"the newest, on itself", three, put(9, 9, "a"), Unsure},
-		{"the newest, on an older version", three, put(9, 3, "a"), Unsure},
-		{"an older one, on the newest", three, put(5, 9, "a"), Unsure},
+		{"the newest, on itself", three, put(9, 9, "a"), Unavailable},
+		{"the newest, on an older version", three, put(9, 3, "a"), Unavailable},
+		{"an older one, on the newest", three, put(5, 9, "a"), Unavailable},
 		{"a number that was passed over", three, put(4, 3, "b"), VersionMismatch},
 		{"a number below the first", three, put(2, 0, "b"), VersionMismatch},
 		{"a number below the newest, on it", three, put(4, 9, "b"), Invalid},
 		{"a higher number on an older version", three, put(12, 5, "b"), VersionMismatch},
-		{"a higher number on one to come", three, put(12, 11, "b"), Unsure},
+		{"a higher number on one to come", three, put(12, 11, "b"), Unavailable},
 		{"a higher number on one to come that is not below it", three, put(12, 12, "b"), VersionMismatch},
 		{"cannot be read", three, bad("x"), Invalid},
-		{"cannot be read any more, but was taken", three, noLongerRead(put(5, 3, "a")), AlreadyTaken},
+		{"cannot be read any more, but was taken", three, noLongerRead(put(5, 3, "a")), AlreadyApplied},
 		{"only its record is there: it again", pending, put(12, 9, "b"), Accept},
 		{"only the record of another is there", pending, put(11, 9, "c"), Accept},
 		{"only the record of another with its number is there", pending, put(12, 9, "c"), Accept},
 		{"only its record was there, others were taken", overtaken, put(12, 9, "b"), VersionMismatch},
-		{"taken after a record that came to nothing", overtaken, put(11, 9, "c"), AlreadyTaken},
-		{"taken before a record that came to nothing", overtaken, put(9, 5, "a"), AlreadyTaken},
-		{"format before: the newest again", old, put(4, 3, "a"), AlreadyTaken},
-		{"format before: the first again", old, put(1, 0, "a"), AlreadyTaken},
+		{"taken after a record that came to nothing", overtaken, put(11, 9, "c"), AlreadyApplied},
+		{"taken before a record that came to nothing", overtaken, put(9, 5, "a"), AlreadyApplied},
+		{"format before: the newest again", old, put(4, 3, "a"), AlreadyApplied},
+		{"format before: the first again", old, put(1, 0, "a"), AlreadyApplied},
 		{"format before: the next", old, put(5, 4, "a"), Accept},
 		{"format before: another with the newest number", old, put(4, 3, "b"), VersionMismatch},
 		{"format before: another with an older number, all are known", old, put(2, 1, "b"), VersionMismatch},
 		{"format before: another with an older number, on the newest", old, put(2, 4, "b"), Invalid},
-		{"format before, full: one that it has", oldMany, put(37, 36, "a"), AlreadyTaken},
-		{"format before, full: one that it has not", oldMany, put(36, 35, "a"), Unsure},
+		{"format before, full: one that it has", oldMany, put(37, 36, "a"), AlreadyApplied},
+		{"format before, full: one that it has not", oldMany, put(36, 35, "a"), Unavailable},
 		{"format before, full: another with the newest number", oldMany, put(100, 99, "b"), VersionMismatch},
-		{"format before, full: an older number on the newest", oldMany, put(36, 100, "b"), Unsure},
-		{"format before: the newest, on itself", old, put(4, 4, "a"), Unsure},
-		{"after the format before: the newest", oldThenNew, put(102, 101, "a"), AlreadyTaken},
-		{"after the format before: its last", oldThenNew, put(100, 99, "a"), AlreadyTaken},
-		{"after the format before: its oldest", oldThenNew, put(37, 36, "a"), AlreadyTaken},
-		{"after the format before: older than that", oldThenNew, put(36, 35, "a"), Unsure},
+		{"format before, full: an older number on the newest", oldMany, put(36, 100, "b"), Unavailable},
+		{"format before: the newest, on itself", old, put(4, 4, "a"), Unavailable},
+		{"after the format before: the newest", oldThenNew, put(102, 101, "a"), AlreadyApplied},
+		{"after the format before: its last", oldThenNew, put(100, 99, "a"), AlreadyApplied},
+		{"after the format before: its oldest", oldThenNew, put(37, 36, "a"), AlreadyApplied},
+		{"after the format before: older than that", oldThenNew, put(36, 35, "a"), Unavailable},
 		{"after the format before: another with the first number since", oldThenNew, put(101, 100, "b"), VersionMismatch},
 		{"after the format before: another with its last number", oldThenNew, put(100, 99, "b"), VersionMismatch},
 		{"format before and a record alone: the one", oldPending, put(9, 4, "b"), Accept},
-		{"format before and a record alone: an older one", oldPending, put(2, 1, "a"), AlreadyTaken},
+		{"format before and a record alone: an older one", oldPending, put(2, 1, "a"), AlreadyApplied},
 		{"format before and a record alone: another", oldPending, put(2, 1, "b"), VersionMismatch},
-		{"earlier program again: its newest", back, put(15, 9, "a"), AlreadyTaken},
-		{"earlier program again: one that it has", back, put(9, 5, "a"), AlreadyTaken},
-		{"earlier program again: one that it has not", back, put(5, 3, "a"), Unsure},
+		{"earlier program again: its newest", back, put(15, 9, "a"), AlreadyApplied},
+		{"earlier program again: one that it has", back, put(9, 5, "a"), AlreadyApplied},
+		{"earlier program again: one that it has not", back, put(5, 3, "a"), Unavailable},
 		{"earlier program again: the next", back, put(16, 15, "a"), Accept},
-		{"1200 taken: 65 before the newest", long, put(1135, 1134, "a"), AlreadyTaken},
-		{"1200 taken: 1000 before the newest", long, put(200, 199, "a"), AlreadyTaken},
+		{"1200 taken: 65 before the newest", long, put(1135, 1134, "a"), AlreadyApplied},
+		{"1200 taken: 1000 before the newest", long, put(200, 199, "a"), AlreadyApplied},
 		{"1200 taken: another 1000 before the newest", long, put(200, 199, "b"), VersionMismatch},
-		{"1200 taken: the first", long, put(1, 0, "a"), Unsure},
-		{"1200 taken: another first", long, put(1, 0, "b"), Unsure},
-		{"1200 taken: an old number on the newest", long, put(1, 1200, "b"), Unsure},
+		{"1200 taken: the first", long, put(1, 0, "a"), Unavailable},
+		{"1200 taken: another first", long, put(1, 0, "b"), Unavailable},
+		{"1200 taken: an old number on the newest", long, put(1, 1200, "b"), Unavailable},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			l := &entryLog{}
@@ -197,8 +197,8 @@
 			if d.Kind != one.want {
 				t.Fatalf("%v (%s), wanted %v", d.Kind, d.Reason, one.want)
 			}
-			if last := len(l.entries); last > 0 && d.Rests != l.entries[last-1].Index {
-				t.Errorf("it rests on %d, the last entry is %d", d.Rests, l.entries[last-1].Index)
+			if last := len(l.entries); last > 0 && d.DependsOn != l.entries[last-1].Index {
+				t.Errorf("it rests on %d, the last entry is %d", d.DependsOn, l.entries[last-1].Index)
 			}
 			if d.Reason == "" {
 				t.Error("it gives no reason")
@@ -208,7 +208,7 @@
 			}
 			if d.Kind == Accept {
 				l.append(d.Append...)
-				if again := l.decide(t, one.order); again.Kind != AlreadyTaken {
+				if again := l.decide(t, one.order); again.Kind != AlreadyApplied {
 					t.Errorf("the same again, while it is being committed: %v", again.Kind)
 				}
 				if got := l.decide(t, ReadConfig{}); got.Kind != Found || !bytes.Equal(got.Body, one.order.Body) {
@@ -224,7 +224,7 @@
 	l.take(t, put(3, 0, "a"))
 	var e feed.ConfigEntry // its form on disk and on the feed has not changed
 	err := rpc.Decode(l.entries[len(l.entries)-1].Value, &e)
-	if err != nil || e.Version != 3 || string(e.Body) != "3 by a" || len(e.Taken) != 1 {
+	if err != nil || e.Version != 3 || string(e.Body) != "3 by a" || len(e.RecentDigests) != 1 {
 		t.Fatal(e, err)
 	}
 }
@@ -280,7 +280,7 @@
 }
 
 func place(old, next string) Write {
-	p := turnstore.Placement{Gen: 1, Copies: 3, Losses: 1, Old: stores(old), New: stores(next)}
+	p := turnstore.Placement{Generation: 1, ReplicationFactor: 3, FaultTolerance: 1, Old: stores(old), New: stores(next)}
 	return Write{Key: feed.PlacementKey, Value: rpc.Encode(&p)}
 }
 
@@ -307,21 +307,21 @@
 		{"unknown", writes{place("a b c d", "")}, "x", NotFound, NotFound},
 		{"enough are left", writes{place("a b c d", "")}, "a", Accept, Serving},
 		{"too few are left", writes{place("a b c", "")}, "a", Conflict, Serving},
-		{"ordered", writes{place("a b c d", ""), retired("a", false)}, "a", UnderWay, Serving},
-		{"ordered, format before", writes{place("a b c d", ""), retired("a", true)}, "a", UnderWay, Serving},
+		{"ordered", writes{place("a b c d", ""), retired("a", false)}, "a", InProgress, Serving},
+		{"ordered, format before", writes{place("a b c d", ""), retired("a", true)}, "a", InProgress, Serving},
 		{"another at the edge", writes{place("a b c d", ""), retired("a", false)}, "b", Conflict, Serving},
 		{"another, above the edge", writes{place("a b c d e", ""), retired("a", false)}, "b", Accept, Serving},
-		{"being emptied", writes{retired("a", false), place("a b c d", "b c d")}, "a", UnderWay, Serving},
-		{"emptied", writes{retired("a", false), place("b c d", "")}, "a", Emptied, Complete},
-		{"emptied, format before", writes{retired("a", true), place("b c d", "")}, "a", Emptied, Complete},
-		{"emptied, another comes", writes{retired("a", false), place("b c d", "b c d e")}, "a", Emptied, Complete},
+		{"being emptied", writes{retired("a", false), place("a b c d", "b c d")}, "a", InProgress, Serving},
+		{"emptied", writes{retired("a", false), place("b c d", "")}, "a", Retired, Complete},
+		{"emptied, format before", writes{retired("a", true), place("b c d", "")}, "a", Retired, Complete},
+		{"emptied, another comes", writes{retired("a", false), place("b c d", "b c d e")}, "a", Retired, Complete},
 		{"emptied, a new machine under the name", writes{retired("a", false), place("a' b c d", "")}, "a", Accept, Serving},
 		{"emptied, a new machine under the name, format before", writes{retired("a", true), place("a' b c d", "")}, "a", Accept, Serving},
 		{"emptied, a new machine under the name comes", writes{retired("a", false), place("b c d", "b c d a'")}, "a", Accept, Serving},
 		{"emptied, a new machine under the name, at the edge", writes{retired("a", false), place("a' b c", "")}, "a", Conflict, Serving},
-		{"both were emptied", writes{retired("a", false), retired("a'", false), place("b c d", "")}, "a", Emptied, Complete},
+		{"both were emptied", writes{retired("a", false), retired("a'", false), place("b c d", "")}, "a", Retired, Complete},
 		{"ordered, its disk was lost, the machine is back", writes{retired("a", false), place("a b c d", "a' b c d")}, "a", Accept, Serving},
-		{"its disk was lost while it was emptied, which was noted", writes{retired("a", false), retired("a'", false), place("a b c d", "b c d")}, "a", UnderWay, Serving},
+		{"its disk was lost while it was emptied, which was noted", writes{retired("a", false), retired("a'", false), place("a b c d", "b c d")}, "a", InProgress, Serving},
 		{"its disk was lost, the machine is back", writes{place("a b c d", "a' b c d")}, "a", Accept, Serving},
 		{"leaves already, without an order", writes{place("a b c d", "b c d")}, "a", Accept, Serving},
 	} {
@@ -336,14 +336,14 @@
 			if p.Kind != one.phase {
 				t.Errorf("phase: %v, wanted %v", p.Kind, one.phase)
 			}
-			if last := int64(len(l.entries)); d.Rests != last || p.Rests != last {
-				t.Errorf("they rest on %d and %d, the last entry is %d", d.Rests, p.Rests, last)
+			if last := int64(len(l.entries)); d.DependsOn != last || p.DependsOn != last {
+				t.Errorf("they rest on %d and %d, the last entry is %d", d.DependsOn, p.DependsOn, last)
 			}
 			if d.Kind == Accept {
 				before := len(l.stateOf(t).Retirements)
 				l.append(d.Append...)
 				l.compact()
-				if again := l.decide(t, RetireStore{Name: one.store}); again.Kind != UnderWay {
+				if again := l.decide(t, RetireStore{Name: one.store}); again.Kind != InProgress {
 					t.Errorf("the same again: %v", again.Kind)
 				}
 				if after := len(l.stateOf(t).Retirements); after != before+1 {
@@ -364,7 +364,7 @@
 }
 
 func TestNothingIsThereToRead(t *testing.T) {
-	if d := (&entryLog{}).decide(t, ReadConfig{}); d.Kind != NotFound || d.Rests != 0 || d.Reason == "" {
+	if d := (&entryLog{}).decide(t, ReadConfig{}); d.Kind != NotFound || d.DependsOn != 0 || d.Reason == "" {
 		t.Fatalf("%+v", d)
 	}
 }
@@ -374,7 +374,7 @@
 		if k.String() == "" || strings.HasPrefix(k.String(), "Kind(") {
 			t.Errorf("%d has no name", int(k))
 		}
-		if k.Refuses() && k.Acknowledges() {
+		if k.IsRejection() && k.IsAcknowledgement() {
 			t.Errorf("%v refuses and acknowledges", k)
 		}
 	}
--- a/internal/tier/orders/retire.go
+++ b/internal/tier/orders/retire.go
@@ -16,7 +16,7 @@
 type RetireStore struct{ Name string }
 
 func (o RetireStore) decide(s *State) Decision {
-	d := Decision{Rests: s.storesRests}
+	d := Decision{DependsOn: s.storesRests}
 	if s.Placement == nil {
 		d.Kind, d.Reason = NotFound, "no store is known yet: look at the name"
 		return d
@@ -24,13 +24,13 @@
 	bearer, placed, staying := s.bearer(o.Name)
 	switch retired := s.Retired(); {
 	case !placed && s.wasRetired(o.Name):
-		d.Kind, d.Reason = Emptied, "it is emptied"
+		d.Kind, d.Reason = Retired, "it is emptied"
 	case !placed:
 		d.Kind, d.Reason = NotFound, unknownStore
 	case retired[bearer.ID]:
-		d.Kind, d.Reason = UnderWay, "under way"
-	case staying && !placement.MayRetire(s.Placement, retired, s.Losses):
-		d.Kind, d.Reason = Conflict, fmt.Sprintf("fewer than %d stores would be left: add one first", 2*s.Losses+1)
+		d.Kind, d.Reason = InProgress, "under way"
+	case staying && !placement.CanRetire(s.Placement, retired, s.FaultTolerance):
+		d.Kind, d.Reason = Conflict, fmt.Sprintf("fewer than %d stores would be left: add one first", 2*s.FaultTolerance+1)
 	default:
 		d.Kind, d.Reason = Accept, "under way"
 		d.Append = []Write{{Key: RetireKey(o.Name, bearer.ID), Value: rpc.Encode(&feed.RetireEntry{ID: bearer.ID})}}
@@ -43,7 +43,7 @@
 
 // decide says complete only where no store of the name holds anything: who hears it takes the machine away with its disk.
 func (o StorePhase) decide(s *State) Decision {
-	d := Decision{Rests: s.storesRests}
+	d := Decision{DependsOn: s.storesRests}
 	if s.Placement == nil {
 		d.Kind, d.Reason = NotFound, "no store is known yet: look at the name"
 		return d
--- a/internal/tier/orders/state.go
+++ b/internal/tier/orders/state.go
@@ -16,10 +16,10 @@
 
 // State is what the head of the chain knows, as far as orders rest on it.
 type State struct {
-	Losses      int
-	Config      *feed.ConfigEntry    // nil for none
-	Placement   *turnstore.Placement // nil for none
-	Retirements []Retirement
+	FaultTolerance int
+	Config         *feed.ConfigEntry    // nil for none
+	Placement      *turnstore.Placement // nil for none
+	Retirements    []Retirement
 
 	history     history
 	configRests int64 // index of the last entry on which decisions about configurations rest
@@ -28,7 +28,7 @@
 
 // ReadState reads the state from the entries of the chain, which may hold several entries of a key: the last counts.
 func ReadState(entries []chain.Entry, losses int) (*State, error) {
-	s := &State{Losses: losses}
+	s := &State{FaultTolerance: losses}
 	last := map[string]chain.Entry{}
 	for _, e := range entries {
 		last[e.Key] = e
@@ -50,7 +50,7 @@
 		return rpc.Decode(e.Value, s.Config)
 	case key == earlierKey:
 		s.configRests = max(s.configRests, e.Index)
-		s.history.earlier = new(Earlier)
+		s.history.earlier = new(LegacyHistory)
 		return rpc.Decode(e.Value, s.history.earlier)
 	case strings.HasPrefix(key, keyPrefix):
 		s.configRests = max(s.configRests, e.Index)
@@ -83,15 +83,15 @@
 		return
 	}
 	var digest []byte
-	if n := len(s.Config.Taken); n > 0 {
-		digest = s.Config.Taken[n-1]
+	if n := len(s.Config.RecentDigests); n > 0 {
+		digest = s.Config.RecentDigests[n-1]
 	}
 	h.begin(s.Config.Version, digest)
 	if h.linked() || h.earlier != nil && h.earlier.Version == s.Config.Version {
 		return // written with a record, or the first record since came to nothing
 	}
-	h.earlier = &Earlier{Version: s.Config.Version, Digests: s.Config.Taken,
-		Complete: len(s.Config.Taken) < earlierMost && pages == 0 && h.earlier == nil}
+	h.earlier = &LegacyHistory{Version: s.Config.Version, Digests: s.Config.RecentDigests,
+		Complete: len(s.Config.RecentDigests) < earlierMost && pages == 0 && h.earlier == nil}
 }
 
 // Version in place, 0 for none.
--- a/internal/tier/orders/stores_course_test.go
+++ b/internal/tier/orders/stores_course_test.go
@@ -126,7 +126,7 @@
 func describe(s *State) string {
 	var b strings.Builder
 	if s.Placement != nil {
-		fmt.Fprintf(&b, "gen %d, old", s.Placement.Gen)
+		fmt.Fprintf(&b, "gen %d, old", s.Placement.Generation)
 		for _, one := range s.Placement.Old {
 			fmt.Fprintf(&b, " %s(%s)", one.Name, one.ID)
 		}
@@ -162,16 +162,16 @@
 		c.fail("%v", err)
 		return
 	}
-	registry := map[string]placement.Registered{}
-	t := placement.Situation{Now: c.now, Since: c.began, Losses: 1, Place: s.Placement, Stores: registry, Retired: s.Retired()}
+	registry := map[string]placement.StoreStatus{}
+	t := placement.Input{Now: c.now, TookOverAt: c.began, FaultTolerance: 1, Current: s.Placement, Stores: registry, Retired: s.Retired()}
 	for _, one := range c.machines {
-		registered := placement.Registered{Store: one, Heard: c.now}
+		registered := placement.StoreStatus{Store: one, ConfirmedAt: c.now}
 		if s.Placement != nil {
-			registered.Swept = s.Placement.Gen
+			registered.SweptGeneration = s.Placement.Generation
 		}
 		registry[one.ID] = registered
 	}
-	if lost := placement.LostWhileEmptied(t); len(lost) > 0 && !c.fault.lapses {
+	if lost := placement.LostWhileRetiring(t); len(lost) > 0 && !c.fault.lapses {
 		r.append(Write{Key: RetireKey(lost[0].Name, lost[0].ID), Value: rpc.Encode(&feed.RetireEntry{ID: lost[0].ID})})
 		return
 	}
@@ -191,7 +191,7 @@
 		if c.fault.byName && d.Kind == Accept {
 			d.Append[0].Key = feed.RetirePrefix + o.Name
 		}
-		if c.fault.forgets && d.Kind == Emptied {
+		if c.fault.forgets && d.Kind == Retired {
 			d.Kind = NotFound
 		}
 	case StorePhase:
@@ -219,7 +219,7 @@
 	}
 	d := c.decision(entries, RetireStore{Name: name})
 	before := c.state()
-	one := wait{place: d.Rests, confirmed: c.now + time.Duration(1+c.rng.IntN(40))*time.Millisecond, until: c.now + callTimeout}
+	one := wait{place: d.DependsOn, confirmed: c.now + time.Duration(1+c.rng.IntN(40))*time.Millisecond, until: c.now + callTimeout}
 	one.reply = func(heard bool) {
 		if heard {
 			c.told(name, d, before)
@@ -244,7 +244,7 @@
 	c.answers[d.Kind]++
 	s := c.state()
 	switch {
-	case d.Kind.Acknowledges():
+	case d.Kind.IsAcknowledgement():
 		if !s.wasRetired(name) {
 			c.fail("the order for %s was acknowledged (%v), and is not there", name, d.Kind)
 		}
@@ -389,7 +389,7 @@
 		}
 	}
 	t.Logf("%d courses, answers: %v", coursesToPlay(), total)
-	for _, k := range []Kind{Accept, UnderWay, Emptied, Conflict, NotFound, Serving, Complete} {
+	for _, k := range []Kind{Accept, InProgress, Retired, Conflict, NotFound, Serving, Complete} {
 		if total[k] < coursesToPlay()/4 {
 			t.Errorf("%d answers of kind %v in %d courses: they show nothing of it", total[k], k, coursesToPlay())
 		}
--- a/internal/tier/placement/course_test.go
+++ b/internal/tier/placement/course_test.go
@@ -162,7 +162,7 @@
 		return
 	}
 	h := t.any()
-	if h == nil || t.place == nil || t.retired[h.id] || !in(t.place.Stores(), h.id) || !MayRetire(t.place, t.retired, t.losses) {
+	if h == nil || t.place == nil || t.retired[h.id] || !in(t.place.Stores(), h.id) || !CanRetire(t.place, t.retired, t.losses) {
 		return
 	}
 	t.retired[h.id], h.ordered = true, true
@@ -219,12 +219,12 @@
 		return
 	}
 	m.note("the core is founded anew")
-	m.place, m.before, m.since, m.stores, m.retired = nil, nil, m.now, map[string]Registered{}, map[string]bool{}
+	m.place, m.before, m.since, m.stores, m.retired = nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
 	for _, h := range m.hosts {
 		h.ordered = false
 	}
 	m.left = Departures{}
-	m.handed, m.report, m.heard = Handover{}, Handover{}, map[string]Registered{}
+	m.handed, m.report, m.heard = Observations{}, Observations{}, map[string]StoreStatus{}
 	m.run(m.now+15*time.Second, t.step)
 	if m.place == nil {
 		m.fail("STUCK: no placement 15 s after the core was founded anew")
--- a/internal/tier/placement/handover_test.go
+++ b/internal/tier/placement/handover_test.go
@@ -10,7 +10,7 @@
 
 // reign plays heads that follow each other over the stores of one placement, in steps of planning.
 type reign struct {
-	situation Situation
+	situation Input
 	timings   Timings
 }
 
@@ -18,11 +18,11 @@
 
 func newReign(losses int, ids ...string) *reign {
 	r := &reign{timings: DefaultTimings(4 * time.Second)}
-	p := &turnstore.Placement{Gen: 3, Copies: 2*losses + 1, Synced: losses + 1, Losses: losses}
+	p := &turnstore.Placement{Generation: 3, ReplicationFactor: 2*losses + 1, DurableReplicas: losses + 1, FaultTolerance: losses}
 	for _, id := range ids {
 		p.Old = append(p.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
 	}
-	r.situation = Situation{Losses: losses, Place: p, Stores: map[string]Registered{}, Retired: map[string]bool{}}
+	r.situation = Input{FaultTolerance: losses, Current: p, Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
 	return r
 }
 
@@ -43,18 +43,18 @@
 func (r *reign) hear(who string) {
 	s := &r.situation
 	id, unswept := strings.CutSuffix(who, "~")
-	one := Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Gen: s.Place.Gen}
+	one := Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Generation: s.Current.Generation}
 	if !unswept {
-		one.Swept = s.Place.Gen
+		one.SweptGeneration = s.Current.Generation
 	}
-	Hear(s.Stores, one, s.Now, r.timings)
+	Register(s.Stores, one, s.Now, r.timings)
 }
 
 // head has another head take over, with what the one before it told a while ago.
-func (r *reign) head(told Handover) {
+func (r *reign) head(told Observations) {
 	s := &r.situation
-	s.Since, s.Told, s.Stores = s.Now, told, map[string]Registered{}
-	s.Began = told.Began(s.Place.Gen, s.Now)
+	s.TookOverAt, s.Inherited, s.Stores = s.Now, told, map[string]StoreStatus{}
+	s.GenerationSince = told.GenerationSince(s.Current.Generation, s.Now)
 }
 
 func TestANewHeadGoesOnWithTheSilenceThatTheOneBeforeItMeasured(t *testing.T) {
@@ -62,7 +62,7 @@
 	r.run(4*time.Second, "a", "b", "c", "d")
 	r.run(4700*time.Millisecond, "a", "b", "c")
 	r.run(5900*time.Millisecond, "a", "b", "c", "e") // e is not placed while d may come back
-	r.head(r.situation.Handover(r.timings))
+	r.head(r.situation.Observe(r.timings))
 	next := r.run(10*time.Second, "a", "b", "c", "e")
 	if next == nil || !in(next.New, "e") || in(next.New, "d") {
 		t.Fatalf("%+v", next)
@@ -76,16 +76,16 @@
 	r := newReign(1, "a", "b", "c", "d")
 	s := &r.situation
 	r.run(4*time.Second, "a", "b", "c", "d")
-	next := *s.Place
-	next.Gen, next.New = 4, next.Old
-	s.Place, s.Began = &next, s.Now
+	next := *s.Current
+	next.Generation, next.New = 4, next.Old
+	s.Current, s.GenerationSince = &next, s.Now
 	r.run(5900*time.Millisecond, "a", "b", "c", "d~") // d takes long: 1.9 s of the 2 s for which it is waited
-	r.head(s.Handover(r.timings))
+	r.head(s.Observe(r.timings))
 	ended := r.run(10*time.Second, "a", "b", "c", "d~")
 	if ended == nil || len(ended.New) > 0 {
 		t.Fatalf("%+v", ended)
 	}
-	if took := s.Now - s.Since; took > 200*time.Millisecond {
+	if took := s.Now - s.TookOverAt; took > 200*time.Millisecond {
 		t.Errorf("the change ends %v after the new head came", took)
 	}
 }
@@ -97,16 +97,16 @@
 	s := &r.situation
 	r.run(4*time.Second, "a", "b", "c", "d")
 	r.run(5900*time.Millisecond, "a", "b", "c")
-	report := s.Handover(r.timings)
+	report := s.Observe(r.timings)
 	if next := r.run(6500*time.Millisecond, "a", "b", "c", "d"); next != nil {
 		t.Fatalf("with the head before: %+v", next)
 	}
 	r.head(report)
-	if next := r.run(s.Now+r.timings.Listen-planStep, "a", "b", "c", "e"); next != nil {
+	if next := r.run(s.Now+r.timings.TakeoverGrace-planStep, "a", "b", "c", "e"); next != nil {
 		t.Fatalf("before d could register: %+v", next)
 	}
 	r.hear("d")
-	if next := r.run(s.Since+r.timings.Silent, "a", "b", "c", "e"); next != nil {
+	if next := r.run(s.TookOverAt+r.timings.FailureTimeout, "a", "b", "c", "e"); next != nil {
 		t.Fatalf("after d registered once: %+v", next)
 	}
 }
@@ -116,10 +116,10 @@
 	s := &r.situation
 	r.run(4*time.Second, "a", "b", "c", "d")
 	r.run(5*time.Second, "a", "b", "c")
-	r.head(s.Handover(r.timings))
+	r.head(s.Observe(r.timings))
 	r.run(s.Now+300*time.Millisecond, "a", "b", "c")
-	h := s.Handover(r.timings)
-	if len(h.Silent) != 1 || h.Silent[0] != (Silence{ID: "d", For: 1400 * time.Millisecond}) {
+	h := s.Observe(r.timings)
+	if len(h.Unresponsive) != 1 || h.Unresponsive[0] != (UnresponsiveStore{ID: "d", Elapsed: 1400 * time.Millisecond}) {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/tier/placement/lacking_test.go
+++ b/internal/tier/placement/lacking_test.go
@@ -30,12 +30,12 @@
 		{"a b c d e", "", "b c d e", 2, 2},
 		{"a b c", "", "x y z", 1, 0},
 	} {
-		p := &turnstore.Placement{Losses: c.losses, Old: list(c.old), New: list(c.next)}
-		var silent []Silence
+		p := &turnstore.Placement{FaultTolerance: c.losses, Old: list(c.old), New: list(c.next)}
+		var silent []UnresponsiveStore
 		for _, id := range strings.Fields(c.silent) {
-			silent = append(silent, Silence{ID: id, For: time.Minute})
+			silent = append(silent, UnresponsiveStore{ID: id, Elapsed: time.Minute})
 		}
-		if got := Lacking(p, silent); got != c.want {
+		if got := StoresRequired(p, silent); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
@@ -43,11 +43,11 @@
 
 func TestWhichSilencesAreLong(t *testing.T) {
 	timings := DefaultTimings(3 * time.Second)
-	h := Handover{Silent: []Silence{{"a", timings.Silent}, {"b", 2 * time.Second}, {"c", time.Minute}}}
-	if got := h.SilentLong(timings); !slices.Equal(got, []Silence{{"c", time.Minute}, {"b", 2 * time.Second}}) {
+	h := Observations{Unresponsive: []UnresponsiveStore{{"a", timings.FailureTimeout}, {"b", 2 * time.Second}, {"c", time.Minute}}}
+	if got := h.FailedStores(timings); !slices.Equal(got, []UnresponsiveStore{{"c", time.Minute}, {"b", 2 * time.Second}}) {
 		t.Errorf("%+v", got)
 	}
-	if len(h.Silent) != 3 {
+	if len(h.Unresponsive) != 3 {
 		t.Error("what was handed over is changed")
 	}
 }
--- a/internal/tier/placement/model_test.go
+++ b/internal/tier/placement/model_test.go
@@ -99,18 +99,18 @@
 	writes  []written
 	of      [programsDrawn]uint64 // the writes of each program
 	place   *turnstore.Placement
-	groups  map[placed][]turnstore.Copies // computed before
-	before  *turnstore.Placement          // what fronts that lag go by
-	beforeT time.Duration                 // until then
+	groups  map[placed][]turnstore.ReplicaSet // computed before
+	before  *turnstore.Placement              // what fronts that lag go by
+	beforeT time.Duration                     // until then
 	since   time.Duration
 	gen     int64
 	genAt   time.Duration // it was seen first
-	stores  map[string]Registered
-	handed  Handover              // what this head was told by the one before it
-	reports *rand.Rand            // which reports of the head are lost
-	aims    *rand.Rand            // whether a loss hits a store that is being emptied
-	report  Handover              // the last that the other core nodes have of the head
-	heard   map[string]Registered // what a head that never changes would have heard
+	stores  map[string]StoreStatus
+	handed  Observations           // what this head was told by the one before it
+	reports *rand.Rand             // which reports of the head are lost
+	aims    *rand.Rand             // whether a loss hits a store that is being emptied
+	report  Observations           // the last that the other core nodes have of the head
+	heard   map[string]StoreStatus // what a head that never changes would have heard
 	retired map[string]bool
 	left    Departures // as this head saw it
 	mail    []message
@@ -127,16 +127,16 @@
 
 func newModel(seed uint64, f fault, stores, losses int, contact, catchUp, slowest time.Duration) *model {
 	m := &model{fault: f, rng: rand.New(rand.NewPCG(seed, 3)), losses: losses, catchUp: catchUp, slowest: slowest, told: 300 * time.Millisecond,
-		timings: DefaultTimings(contact), stores: map[string]Registered{}, retired: map[string]bool{}, ids: map[string]*host{},
-		reports: rand.New(rand.NewPCG(seed, 7)), aims: rand.New(rand.NewPCG(seed, 11)), left: Departures{}, heard: map[string]Registered{}}
+		timings: DefaultTimings(contact), stores: map[string]StoreStatus{}, retired: map[string]bool{}, ids: map[string]*host{},
+		reports: rand.New(rand.NewPCG(seed, 7)), aims: rand.New(rand.NewPCG(seed, 11)), left: Departures{}, heard: map[string]StoreStatus{}}
 	if f == pulledUnadopted || f == toldLate {
 		m.told = 3 * time.Second
 	}
 	switch f {
 	case slowSilent:
-		m.timings.Silent = m.timings.Gone
+		m.timings.FailureTimeout = m.timings.RemovalTimeout
 	case toldAtOnce:
-		m.timings.Listen = 0
+		m.timings.TakeoverGrace = 0
 	}
 	for range stores {
 		m.add("")
@@ -213,7 +213,7 @@
 }
 
 func (m *model) registration(h *host) Registration {
-	return Registration{Store: turnstore.Store{ID: h.id, Name: h.name, Addr: h.addr, Zone: "z"}, Gen: max(h.adopted, h.swept), Swept: h.swept}
+	return Registration{Store: turnstore.Store{ID: h.id, Name: h.name, Addr: h.addr, Zone: "z"}, Generation: max(h.adopted, h.swept), SweptGeneration: h.swept}
 }
 
 func (h *host) lives() bool { return h.up && !h.frozen }
@@ -253,8 +253,8 @@
 	for len(h.hears) > 0 && h.hears[0].at <= m.now {
 		p := h.hears[0].p
 		h.hears = h.hears[1:]
-		if h.heard == nil || p.Gen > h.heard.Gen || p.Gen == h.heard.Gen && len(p.New) == 0 {
-			h.heard, h.adopted = p, max(h.adopted, p.Gen)
+		if h.heard == nil || p.Generation > h.heard.Generation || p.Generation == h.heard.Generation && len(p.New) == 0 {
+			h.heard, h.adopted = p, max(h.adopted, p.Generation)
 		}
 	}
 	every := registers
@@ -275,11 +275,11 @@
 // sweep is as turnstore's: peer after peer; what was pulled under a gen is not pulled again.
 func (m *model) sweep(h *host) {
 	p := h.heard
-	if p == nil || h.swept >= p.Gen || p.Gen == 1 || !in(p.New, h.id) && (len(p.New) > 0 || !in(p.Old, h.id)) {
+	if p == nil || h.swept >= p.Generation || p.Generation == 1 || !in(p.New, h.id) && (len(p.New) > 0 || !in(p.Old, h.id)) {
 		h.peer = ""
 		return
 	}
-	if phase := 2*p.Gen + int64(min(1, len(p.New))); h.under != phase {
+	if phase := 2*p.Generation + int64(min(1, len(p.New))); h.under != phase {
 		h.under, h.pulled, h.peer, h.stalled = phase, map[string]bool{}, "", 0
 	}
 	if h.peer != "" {
@@ -322,8 +322,8 @@
 		h.stalled = m.now + sweepsAgain
 		return
 	}
-	h.swept = p.Gen
-	m.note("%s has swept gen %d, missed %d", h.id, p.Gen, missed)
+	h.swept = p.Generation
+	m.note("%s has swept gen %d, missed %d", h.id, p.Generation, missed)
 }
 
 // nextPeer gives the one to pull from: those that said nothing a moment ago come last, and not at all where they are
@@ -347,7 +347,7 @@
 
 func (m *model) pull(h *host, p *turnstore.Placement, from string) bool {
 	at := m.by(from)
-	if at == nil || !at.lives() || at.adopted < p.Gen && m.fault != pulledUnadopted {
+	if at == nil || !at.lives() || at.adopted < p.Generation && m.fault != pulledUnadopted {
 		return false
 	}
 	h.had[from] = true
@@ -367,24 +367,24 @@
 func (m *model) duty() {
 	sort.SliceStable(m.mail, func(i, j int) bool { return m.mail[i].at < m.mail[j].at })
 	for len(m.mail) > 0 && m.mail[0].at <= m.now {
-		Hear(m.stores, m.mail[0].r, m.now, m.timings)
-		Hear(m.heard, m.mail[0].r, m.now, m.timings)
+		Register(m.stores, m.mail[0].r, m.now, m.timings)
+		Register(m.heard, m.mail[0].r, m.now, m.timings)
 		m.mail = m.mail[1:]
 	}
 	if m.now%(100*time.Millisecond) != 0 {
 		return
 	}
-	if m.place != nil && m.place.Gen != m.gen {
-		m.gen, m.genAt = m.place.Gen, m.now
+	if m.place != nil && m.place.Generation != m.gen {
+		m.gen, m.genAt = m.place.Generation, m.now
 	}
-	s := Situation{Now: m.now, Since: m.since, Told: m.handed, Began: m.handed.Began(m.gen, max(m.since, m.genAt)), Losses: m.losses,
-		Place: m.place, Stores: m.stores, Retired: m.retired, Left: m.left}
+	s := Input{Now: m.now, TookOverAt: m.since, Inherited: m.handed, GenerationSince: m.handed.GenerationSince(m.gen, max(m.since, m.genAt)), FaultTolerance: m.losses,
+		Current: m.place, Stores: m.stores, Retired: m.retired, Departures: m.left}
 	m.checkSilence(&s)
 	if m.now%reportsEvery == 0 && m.reports.IntN(4) > 0 {
-		m.report = s.Handover(m.timings)
+		m.report = s.Observe(m.timings)
 	}
 	if m.fault != orderForgotten {
-		for _, one := range LostWhileEmptied(s) {
+		for _, one := range LostWhileRetiring(s) {
 			m.retired[one.ID] = true
 			m.note("%s is to be emptied as well", one.ID)
 		}
@@ -405,9 +405,9 @@
 		m.worst = max(m.worst, m.now-m.begun)
 	}
 	m.before, m.beforeT = m.place, m.now+m.span(0, m.told+200*time.Millisecond)
-	m.left.Note(m.place, next, m.retired, m.now)
+	m.left.Record(m.place, next, m.retired, m.now)
 	m.place = next
-	m.note("gen %d %s > %s", next.Gen, names(next.Old), names(next.New))
+	m.note("gen %d %s > %s", next.Generation, names(next.Old), names(next.New))
 	for _, h := range m.hosts {
 		if h.up {
 			m.tell(h)
@@ -417,36 +417,36 @@
 
 // anotherHead takes the duty over, with the last report of the one before it that has come.
 func (m *model) anotherHead() {
-	m.stores, m.since, m.handed, m.left = map[string]Registered{}, m.now, m.report, Departures{}
+	m.stores, m.since, m.handed, m.left = map[string]StoreStatus{}, m.now, m.report, Departures{}
 	m.note("another head")
 }
 
 // checkSilence: no store is counted silent that a head which never changes would just have heard.
-func (m *model) checkSilence(s *Situation) {
-	if s.Place == nil {
+func (m *model) checkSilence(s *Input) {
+	if s.Current == nil {
 		return
 	}
-	for _, one := range s.Place.Stores() {
+	for _, one := range s.Current.Stores() {
 		r, known := m.heard[one.ID]
-		if known && r.Heard > 0 && m.now-r.Heard <= m.timings.Doubt && s.silence(one.ID, m.timings) > m.timings.Silent {
-			m.fail("SILENT: %s, heard %v ago, is counted as silent", one.ID, m.now-r.Heard)
+		if known && r.ConfirmedAt > 0 && m.now-r.ConfirmedAt <= m.timings.SuspectTimeout && s.silence(one.ID, m.timings) > m.timings.FailureTimeout {
+			m.fail("SILENT: %s, heard %v ago, is counted as silent", one.ID, m.now-r.ConfirmedAt)
 		}
 	}
 }
 
-func (m *model) plan(s Situation) *turnstore.Placement {
+func (m *model) plan(s Input) *turnstore.Placement {
 	if m.fault == stableUnswept || m.fault == allUnswept {
-		s.Stores = map[string]Registered{}
+		s.Stores = map[string]StoreStatus{}
 		for id, r := range m.stores {
-			if s.Place != nil && (m.fault == stableUnswept || s.Now-r.Heard > m.timings.Silent/4) {
-				r.Swept = s.Place.Gen
+			if s.Current != nil && (m.fault == stableUnswept || s.Now-r.ConfirmedAt > m.timings.FailureTimeout/4) {
+				r.SweptGeneration = s.Current.Generation
 			}
 			s.Stores[id] = r
 		}
 	}
 	next := Plan(s, m.timings)
 	if next != nil && m.place == nil && m.fault == foundedAtOne {
-		next.Gen = 1
+		next.Generation = 1
 	}
 	return next
 }
@@ -460,15 +460,15 @@
 }
 
 // copies of a program by the lists in force.
-func (m *model) copies(program int) []turnstore.Copies { return m.copiesBy(m.place, program) }
+func (m *model) copies(program int) []turnstore.ReplicaSet { return m.copiesBy(m.place, program) }
 
-func (m *model) copiesBy(p *turnstore.Placement, program int) []turnstore.Copies {
+func (m *model) copiesBy(p *turnstore.Placement, program int) []turnstore.ReplicaSet {
 	if m.groups == nil || len(m.groups) > 1000 {
-		m.groups = map[placed][]turnstore.Copies{}
+		m.groups = map[placed][]turnstore.ReplicaSet{}
 	}
 	k := placed{p, program}
 	if m.groups[k] == nil {
-		m.groups[k] = p.Groups(key(program))
+		m.groups[k] = p.ReplicaSets(key(program))
 	}
 	return m.groups[k]
 }
@@ -503,7 +503,7 @@
 		for _, s := range g {
 			if _, asked := took[s.ID]; !asked {
 				h := m.by(s.ID)
-				takes := h != nil && h.lives() && h.adopted <= p.Gen && (!skip || m.rng.IntN(3) > 0)
+				takes := h != nil && h.lives() && h.adopted <= p.Generation && (!skip || m.rng.IntN(3) > 0)
 				if took[s.ID] = takes; takes {
 					h.has |= 1 << w
 				}
@@ -512,14 +512,14 @@
 				yes++
 			}
 		}
-		acked = acked && len(g) > 0 && yes >= max(g.Majority(), min(p.Synced, len(g)))
+		acked = acked && len(g) > 0 && yes >= max(g.Majority(), min(p.DurableReplicas, len(g)))
 	}
 	m.writes[w].acked = acked
 }
 
 // valid is as turnstore's: the store may say what there is not.
 func (h *host) valid() bool {
-	return h.heard != nil && (in(h.heard.Old, h.id) || h.swept == h.heard.Gen)
+	return h.heard != nil && (in(h.heard.Old, h.id) || h.swept == h.heard.Generation)
 }
 
 // check holds the state against the invariant of docs/design/015.
@@ -560,7 +560,7 @@
 		for _, g := range m.copies(p) {
 			live := 0
 			for _, s := range g {
-				if h := m.by(s.ID); h != nil && h.lives() && h.adopted <= m.place.Gen {
+				if h := m.by(s.ID); h != nil && h.lives() && h.adopted <= m.place.Generation {
 					live++
 				}
 			}
--- a/internal/tier/placement/plan_test.go
+++ b/internal/tier/placement/plan_test.go
@@ -28,7 +28,7 @@
 	}
 	names := lines[0][1:]
 	timings := DefaultTimings(3 * time.Second)
-	s := Situation{Losses: losses, Stores: map[string]Registered{}, Retired: map[string]bool{}}
+	s := Input{FaultTolerance: losses, Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
 	tell := func(list []turnstore.Store) string {
 		var out []string
 		for _, one := range list {
@@ -61,26 +61,26 @@
 				}
 				r := s.Stores[id]
 				if r.Store.ID == "" {
-					r = Registered{Store: turnstore.Store{ID: id, Name: names[i], Addr: names[i] + ":1"}, First: s.Now}
+					r = StoreStatus{Store: turnstore.Store{ID: id, Name: names[i], Addr: names[i] + ":1"}, FirstSeen: s.Now}
 				}
-				if r.Heard = s.Now; mark != "~" && s.Place != nil {
-					r.Swept = s.Place.Gen
+				if r.ConfirmedAt = s.Now; mark != "~" && s.Current != nil {
+					r.SweptGeneration = s.Current.Generation
 				}
 				s.Stores[id] = r
 			}
 			if next := Plan(s, timings); next != nil {
-				if s.Place != nil && next.Gen < s.Place.Gen {
-					t.Fatalf("at %v the gen falls from %d to %d", s.Now, s.Place.Gen, next.Gen)
+				if s.Current != nil && next.Generation < s.Current.Generation {
+					t.Fatalf("at %v the gen falls from %d to %d", s.Now, s.Current.Generation, next.Generation)
 				}
-				if s.Place == nil || next.Gen != s.Place.Gen {
-					s.Began = s.Now
+				if s.Current == nil || next.Generation != s.Current.Generation {
+					s.GenerationSince = s.Now
 				}
-				s.Place = next
+				s.Current = next
 			}
 		}
 		got := "none"
-		if s.Place != nil {
-			got = strings.TrimSpace(fmt.Sprintf("%d %s %s", s.Place.Gen, tell(s.Place.Old), tell(s.Place.New)))
+		if s.Current != nil {
+			got = strings.TrimSpace(fmt.Sprintf("%d %s %s", s.Current.Generation, tell(s.Current.Old), tell(s.Current.New)))
 		}
 		if want := strings.Join(l[bar+1:], " "); got != want {
 			t.Fatalf("at %s ms: %q, wanted %q", l[0], got, want)
@@ -225,8 +225,8 @@
 
 func TestANewHeadWaitsBeforeItTakesOthersForSilent(t *testing.T) {
 	t.Parallel()
-	s := Situation{Now: 100 * time.Second, Since: 99 * time.Second, Losses: 1, Stores: map[string]Registered{}, Retired: map[string]bool{},
-		Place: &turnstore.Placement{Gen: 4, Old: []turnstore.Store{{ID: "a", Name: "a"}, {ID: "b", Name: "b"}, {ID: "c", Name: "c"}, {ID: "d", Name: "d"}}}}
+	s := Input{Now: 100 * time.Second, TookOverAt: 99 * time.Second, FaultTolerance: 1, Stores: map[string]StoreStatus{}, Retired: map[string]bool{},
+		Current: &turnstore.Placement{Generation: 4, Old: []turnstore.Store{{ID: "a", Name: "a"}, {ID: "b", Name: "b"}, {ID: "c", Name: "c"}, {ID: "d", Name: "d"}}}}
 	if next := Plan(s, DefaultTimings(3*time.Second)); next != nil {
 		t.Fatalf("it moves at once: %+v", next)
 	}
@@ -253,7 +253,7 @@
 		for i := range one.retired {
 			gone[fmt.Sprint(i)] = true
 		}
-		if got := MayRetire(&p, gone, one.losses); got != one.may {
+		if got := CanRetire(&p, gone, one.losses); got != one.may {
 			t.Errorf("%+v: %v", one, got)
 		}
 	}
--- a/internal/tier/placement/registration_test.go
+++ b/internal/tier/placement/registration_test.go
@@ -12,7 +12,7 @@
 
 // hearing plays registrations as lines: a time in ms, and the ids that are heard then, each as id@address or
 // id@address:swept.
-func hearing(t *testing.T, stores map[string]Registered, lines string) (now time.Duration) {
+func hearing(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
 	t.Helper()
 	timings := DefaultTimings(3 * time.Second)
 	for _, l := range strings.Split(strings.TrimSpace(lines), "\n") {
@@ -26,8 +26,8 @@
 			who, swept, _ := strings.Cut(one, ":")
 			id, addr, _ := strings.Cut(who, "@")
 			gen, _ := strconv.Atoi(swept)
-			r := Registration{Store: turnstore.Store{ID: id, Name: id[:1], Addr: addr}, Gen: int64(gen), Swept: int64(gen)}
-			Hear(stores, r, now, timings)
+			r := Registration{Store: turnstore.Store{ID: id, Name: id[:1], Addr: addr}, Generation: int64(gen), SweptGeneration: int64(gen)}
+			Register(stores, r, now, timings)
 		}
 	}
 	return now
@@ -63,20 +63,20 @@
 			5200  a@1 b@2 d@3`},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "_"), func(t *testing.T) {
-			stores := map[string]Registered{}
+			stores := map[string]StoreStatus{}
 			now := hearing(t, stores, c.lines)
 			placed := func(ids ...string) *turnstore.Placement {
-				p := &turnstore.Placement{Gen: 4, Copies: 3, Synced: 2, Losses: 1}
+				p := &turnstore.Placement{Generation: 4, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1}
 				for i, id := range ids {
 					p.Old = append(p.Old, turnstore.Store{ID: id, Name: id, Addr: strconv.Itoa(i + 1)})
 				}
 				return p
 			}
-			s := Situation{Now: now, Losses: 1, Stores: stores}
-			if s.Place = placed("a", "b", "d"); len(s.newcomers(s.Place.Old, DefaultTimings(3*time.Second))) > 0 {
+			s := Input{Now: now, FaultTolerance: 1, Stores: stores}
+			if s.Current = placed("a", "b", "d"); len(s.newcomers(s.Current.Old, DefaultTimings(3*time.Second))) > 0 {
 				t.Errorf("the store that is gone is taken for a newcomer: %+v", stores)
 			}
-			s.Place = placed("a", "b", "c")
+			s.Current = placed("a", "b", "c")
 			next := Plan(s, DefaultTimings(3*time.Second))
 			if next == nil || !slices.ContainsFunc(next.New, func(o turnstore.Store) bool { return o.ID == "d" }) {
 				t.Errorf("the successor is not taken for one: %+v", next)
@@ -86,21 +86,21 @@
 }
 
 func TestRegistrationsOutOfOrderTakeNothingBack(t *testing.T) {
-	stores := map[string]Registered{}
+	stores := map[string]StoreStatus{}
 	hearing(t, stores, `
 		100  a@1:2
 		200  a@1:5
 		210  a@1:2`)
-	if r := stores["a"]; r.Swept != 5 || r.Gen != 5 || r.Heard != 210*time.Millisecond {
+	if r := stores["a"]; r.SweptGeneration != 5 || r.Generation != 5 || r.ConfirmedAt != 210*time.Millisecond {
 		t.Errorf("%+v", r)
 	}
 }
 
 // A core that is founded anew knows no placement; stores that kept their disks refuse what comes under an older gen.
 func TestFoundedAnewAboveWhatStoresHaveAdopted(t *testing.T) {
-	stores := map[string]Registered{}
+	stores := map[string]StoreStatus{}
 	timings := DefaultTimings(3 * time.Second)
-	s := Situation{Losses: 1, Stores: stores}
+	s := Input{FaultTolerance: 1, Stores: stores}
 	for ms := 100; ms <= 4000; ms += 100 {
 		s.Now = hearing(t, stores, strconv.Itoa(ms)+" a@1:7 b@2:9 c@3:9")
 		if next := Plan(s, timings); next != nil {
@@ -110,14 +110,14 @@
 	s.Now = hearing(t, stores, "4200 a@1:7 b@2:9 c@3:9 d@4:9")
 	s.Now = hearing(t, stores, "4300 a@1:7 b@2:9 c@3:9 d@4:9")
 	next := Plan(s, timings)
-	if next == nil || next.Gen != 10 || len(next.Old) != 4 || len(next.New) > 0 {
+	if next == nil || next.Generation != 10 || len(next.Old) != 4 || len(next.New) > 0 {
 		t.Fatalf("%+v", next)
 	}
 	// One that comes later, and has adopted more, moves all above it.
-	s.Place = next
+	s.Current = next
 	hearing(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
 	s.Now = hearing(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
-	if next = Plan(s, timings); next == nil || next.Gen != 13 || len(next.New) != 5 {
+	if next = Plan(s, timings); next == nil || next.Generation != 13 || len(next.New) != 5 {
 		t.Fatalf("%+v", next)
 	}
 }
--- a/internal/tier/placement/retired_test.go
+++ b/internal/tier/placement/retired_test.go
@@ -15,9 +15,9 @@
 	s := &r.situation
 	s.Retired["d"] = true
 	if joint {
-		next := *s.Place
-		next.Gen, next.New = 4, s.Place.Old[:3]
-		s.Place, s.Began = &next, s.Now
+		next := *s.Current
+		next.Generation, next.New = 4, s.Current.Old[:3]
+		s.Current, s.GenerationSince = &next, s.Now
 	}
 	return r
 }
@@ -25,7 +25,7 @@
 // hearAgain has a store register twice, as one must to count.
 func (r *reign) hearAgain(one turnstore.Store) {
 	for range 2 {
-		Hear(r.situation.Stores, Registration{Store: one, Gen: r.situation.Place.Gen}, r.situation.Now, r.timings)
+		Register(r.situation.Stores, Registration{Store: one, Generation: r.situation.Current.Generation}, r.situation.Now, r.timings)
 		r.situation.Now += planStep
 	}
 }
@@ -37,11 +37,11 @@
 			s := &r.situation
 			empty := turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}
 			r.hearAgain(empty)
-			if got := LostWhileEmptied(*s); !slices.Equal(got, []turnstore.Store{empty}) {
+			if got := LostWhileRetiring(*s); !slices.Equal(got, []turnstore.Store{empty}) {
 				t.Fatalf("%+v", got)
 			}
 			s.Retired["d2"] = true
-			if got := LostWhileEmptied(*s); len(got) > 0 {
+			if got := LostWhileRetiring(*s); len(got) > 0 {
 				t.Fatalf("noted already: %+v", got)
 			}
 			began := s.Now
@@ -56,10 +56,10 @@
 				if len(next.New) == 0 && s.Now-began > 500*time.Millisecond {
 					t.Errorf("the change ends after %v", s.Now-began)
 				}
-				s.Place = next
+				s.Current = next
 			}
-			if len(s.Place.New) > 0 || len(s.Place.Old) != 3 || in(s.Place.Old, "d") {
-				t.Errorf("not emptied: %+v", s.Place)
+			if len(s.Current.New) > 0 || len(s.Current.Old) != 3 || in(s.Current.Old, "d") {
+				t.Errorf("not emptied: %+v", s.Current)
 			}
 		})
 	}
@@ -75,7 +75,7 @@
 			r.run(4*time.Second, "a", "b", "c", "d")
 			r.run(5*time.Second, "a", "b", "c")
 			if takeOver {
-				r.head(Handover{})
+				r.head(Observations{})
 				r.run(s.Now+200*time.Millisecond, "a", "b", "c")
 			}
 			s.Retired["d"], s.Retired["d2"] = true, true
@@ -93,21 +93,21 @@
 func TestNoStoreOfTheNameIsPlacedJustAfterAnOrderIsComplete(t *testing.T) {
 	r := emptying(true)
 	s := &r.situation
-	before := s.Place
+	before := s.Current
 	after := *before
 	after.Old, after.New = before.New, nil
-	s.Left = Departures{}
-	s.Left.Note(before, &after, s.Retired, s.Now)
-	s.Place = &after
+	s.Departures = Departures{}
+	s.Departures.Record(before, &after, s.Retired, s.Now)
+	s.Current = &after
 	complete := s.Now
 	r.hearAgain(turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"})
-	if next := r.run(complete+2*r.timings.Silent, "a", "b", "c", "e"); next == nil || in(next.New, "d2") || !in(next.New, "e") {
+	if next := r.run(complete+2*r.timings.FailureTimeout, "a", "b", "c", "e"); next == nil || in(next.New, "d2") || !in(next.New, "e") {
 		t.Errorf("one of another name: %+v", next)
 	}
 	delete(s.Stores, "e")
-	for s.Now < complete+2*r.timings.Silent {
+	for s.Now < complete+2*r.timings.FailureTimeout {
 		r.hearAgain(turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"})
-		if next := Plan(*s, r.timings); next != nil && s.Now < complete+2*r.timings.Silent {
+		if next := Plan(*s, r.timings); next != nil && s.Now < complete+2*r.timings.FailureTimeout {
 			t.Fatalf("placed %v after: %+v", s.Now-complete, next)
 		}
 	}
@@ -120,16 +120,16 @@
 func TestOnlyStoresThatWereOrderedToLeaveAreNoted(t *testing.T) {
 	r := emptying(true)
 	s := &r.situation
-	after := *s.Place
-	after.Old, after.New = s.Place.Old[1:3], nil // a goes without an order
+	after := *s.Current
+	after.Old, after.New = s.Current.Old[1:3], nil // a goes without an order
 	left := Departures{}
-	left.Note(nil, &after, s.Retired, s.Now)
-	left.Note(s.Place, nil, s.Retired, s.Now)
-	left.Note(s.Place, s.Place, s.Retired, s.Now)
+	left.Record(nil, &after, s.Retired, s.Now)
+	left.Record(s.Current, nil, s.Retired, s.Now)
+	left.Record(s.Current, s.Current, s.Retired, s.Now)
 	if len(left) > 0 {
 		t.Errorf("%+v", left)
 	}
-	left.Note(s.Place, &after, s.Retired, s.Now)
+	left.Record(s.Current, &after, s.Retired, s.Now)
 	if at, known := left["d"]; len(left) != 1 || !known || at != s.Now {
 		t.Errorf("%+v", left)
 	}
@@ -142,7 +142,7 @@
 	s := &r.situation
 	successor := turnstore.Store{ID: "d2", Name: "d", Addr: "z:1"}
 	r.run(4*time.Second, "a", "b", "c", "d")
-	for gone := 3900*time.Millisecond + r.timings.Silent; s.Now+3*planStep < gone; {
+	for gone := 3900*time.Millisecond + r.timings.FailureTimeout; s.Now+3*planStep < gone; {
 		r.hearAgain(successor)
 		if next := r.run(s.Now+planStep, "a", "b", "c"); next != nil {
 			t.Fatalf("at %v: %+v", s.Now, next)
@@ -158,13 +158,13 @@
 func TestAnOrderHoldsForNoOtherStore(t *testing.T) {
 	for name, c := range map[string]struct {
 		one   turnstore.Store
-		setup func(s *Situation)
+		setup func(s *Input)
 	}{
 		"another machine under the name":         {turnstore.Store{ID: "d2", Name: "d", Addr: "z:1"}, nil},
 		"another name at the address":            {turnstore.Store{ID: "e", Name: "e", Addr: "d:1"}, nil},
 		"the disk of one that stays":             {turnstore.Store{ID: "c2", Name: "c", Addr: "c:1"}, nil},
-		"a new one after the order was complete": {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(s *Situation) { s.Place.Old, s.Place.New = s.Place.New, nil }},
-		"one that is placed already":             {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(s *Situation) { s.Place.New = append(slices.Clone(s.Place.New), turnstore.Store{ID: "d2"}) }},
+		"a new one after the order was complete": {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(s *Input) { s.Current.Old, s.Current.New = s.Current.New, nil }},
+		"one that is placed already":             {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(s *Input) { s.Current.New = append(slices.Clone(s.Current.New), turnstore.Store{ID: "d2"}) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := emptying(true)
@@ -172,14 +172,14 @@
 				c.setup(&r.situation)
 			}
 			r.hearAgain(c.one)
-			if got := LostWhileEmptied(r.situation); len(got) > 0 {
+			if got := LostWhileRetiring(r.situation); len(got) > 0 {
 				t.Errorf("%+v", got)
 			}
 		})
 	}
 	r := emptying(true)
-	Hear(r.situation.Stores, Registration{Store: turnstore.Store{ID: "d0", Name: "d", Addr: "d:1"}}, r.situation.Now, r.timings)
-	if got := LostWhileEmptied(r.situation); len(got) > 0 {
+	Register(r.situation.Stores, Registration{Store: turnstore.Store{ID: "d0", Name: "d", Addr: "d:1"}}, r.situation.Now, r.timings)
+	if got := LostWhileRetiring(r.situation); len(got) > 0 {
 		t.Errorf("after one registration, which may be late: %+v", got)
 	}
 }
--- a/internal/tier/proxy/forwarder.go
+++ b/internal/tier/proxy/forwarder.go
@@ -89,10 +89,10 @@
 		r.client.abort()
 		return nil
 	case left <= 0 || f.sent >= max(1, r.route.MaxAttempts) || f.unsent > maxUnsent:
-		f.giveUp(admission.RetryAfter(r.route.Target, 0, 0, 0.5))
+		f.giveUp(admission.RetryAfter(r.route.LatencyTarget, 0, 0, 0.5))
 		return nil
 	}
-	host, wait := r.server().dispatch.acquire(f.query, r.route.Rank, r.finish, r.route.Target, f.patience(left), r.gone)
+	host, wait := r.server().dispatch.acquire(f.query, r.route.Priority, r.finish, r.route.LatencyTarget, f.patience(left), r.gone)
 	if host == nil {
 		f.giveUp(wait)
 	}
@@ -101,7 +101,7 @@
 
 // patience is how long a slot is waited for.
 func (f *forwarder) patience(left time.Duration) time.Duration {
-	target := f.request.route.Target
+	target := f.request.route.LatencyTarget
 	if !f.mayHaveRun && f.sent == 0 {
 		return admission.Patience(target, left)
 	}
@@ -179,7 +179,7 @@
 // repeats tells whether another host is tried in place of a failure.
 func (f *forwarder) repeats(status int) bool {
 	route := f.request.route
-	return f.repeatable && status >= 500 && f.sent < route.MaxAttempts && time.Until(f.request.until) > route.Target/4
+	return f.repeatable && status >= 500 && f.sent < route.MaxAttempts && time.Until(f.request.until) > route.LatencyTarget/4
 }
 
 // failed takes in a try that may have run and has no whole answer. over tells that no other may follow.
--- a/internal/tier/proxy/idle_test.go
+++ b/internal/tier/proxy/idle_test.go
@@ -231,7 +231,7 @@
 	for age, status := range map[time.Duration]int{0: 404, time.Second: 404, 2 * time.Second: 503, time.Minute: 503} {
 		synctest.Test(t, func(t *testing.T) {
 			v := newVirtual(t, nil)
-			v.source.set(func(tb *feed.Tables) { tb.Heard = time.Now().Add(-age) })
+			v.source.set(func(tb *feed.Tables) { tb.ConfirmedAt = time.Now().Add(-age) })
 			want(t, "status at "+age.String(), v.ask("/none/", "a", ""), status)
 		})
 	}
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -21,7 +21,7 @@
 // Ledger is the store of turns and budgets, as turnstore.Client is: after an error of Open nothing stays reserved, and the
 // error is marked with turnstore.ErrBudget, ErrNoTurn or, otherwise, ErrUnsure. Settle does not wait.
 type Ledger interface {
-	Open(ctx context.Context, o turnstore.Opening) (*turnstore.Opened, error)
+	Open(ctx context.Context, o turnstore.OpenRequest) (*turnstore.OpenedTurn, error)
 	Close(ctx context.Context, t *turnstore.Turn) error
 	Settle(program, turn string, used int)
 }
--- a/internal/tier/proxy/proxy_test.go
+++ b/internal/tier/proxy/proxy_test.go
@@ -101,8 +101,8 @@
 	return strings.Join(l.notes, "; ")
 }
 
-func (l *ledger) Open(ctx context.Context, o turnstore.Opening) (*turnstore.Opened, error) {
-	l.note("open %s %s<-%s %d/%d", o.Program, o.Turn, o.Previous, o.Need, o.Budget)
+func (l *ledger) Open(ctx context.Context, o turnstore.OpenRequest) (*turnstore.OpenedTurn, error) {
+	l.note("open %s %s<-%s %d/%d", o.Program, o.Turn, o.Previous, o.MaxTokens, o.Budget)
 	if l.openErr != nil {
 		return nil, l.openErr
 	}
@@ -111,12 +111,12 @@
 			return nil, err
 		}
 	}
-	opened := &turnstore.Opened{Opening: o, History: []byte(l.history[o.Previous]), Base: l.base}
+	opened := &turnstore.OpenedTurn{OpenRequest: o, History: []byte(l.history[o.Previous]), ForeignBase: l.base}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, t := range l.kept {
 		if t.ID == o.Previous {
-			opened.Home, opened.Context = t.Home, t.Context
+			opened.CacheHost, opened.ContextTokens = t.CacheHost, t.ContextTokens
 		}
 	}
 	return opened, nil
@@ -126,7 +126,7 @@
 	l.mu.Lock()
 	l.kept = append(l.kept, turn)
 	l.mu.Unlock()
-	l.note("close %s %d", turn.ID, turn.Used)
+	l.note("close %s %d", turn.ID, turn.UsedTokens)
 	if l.closing != nil {
 		return l.closing(ctx)
 	}
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -107,7 +107,7 @@
 	}
 	shares := make([]int, len(r.route.Targets))
 	for i, t := range r.route.Targets {
-		shares[i] = t.Share
+		shares[i] = t.Weight
 	}
 	r.service = r.tables.Config.Services[r.route.Targets[balancer.Target(shares, r.id)].Service]
 	r.gone = make(chan struct{})
@@ -121,5 +121,5 @@
 
 // stale tells whether the configuration may be an old one: no core node that hears a majority has answered for a while.
 func stale(t *feed.Tables, now time.Time) bool {
-	return !t.Heard.IsZero() && now.Sub(t.Heard) > staleAfter
+	return !t.ConfirmedAt.IsZero() && now.Sub(t.ConfirmedAt) > staleAfter
 }
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -22,7 +22,7 @@
 			f.body = append(f.body, tn.opened.History)
 		}
 		if w := f.query.Work; w != nil {
-			w.Home, w.Context = tn.opened.Home, tn.opened.Context
+			w.Home, w.Context = tn.opened.CacheHost, tn.opened.ContextTokens
 		}
 	}
 	if len(r.body) > 0 {
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -23,7 +23,7 @@
 // turn is one request of an agent program on a retained route.
 type turn struct {
 	program string
-	opened  *turnstore.Opened
+	opened  *turnstore.OpenedTurn
 	open    bool // its reservation stands
 }
 
@@ -56,7 +56,7 @@
 	defer stop()
 	r.opening(stop)
 	defer r.opening(nil)
-	opened, err := r.server().cfg.Ledger.Open(ctx, turnstore.Opening{Program: t.program, Turn: r.id, Previous: r.get("Previous"), Need: r.tokens, Budget: budget})
+	opened, err := r.server().cfg.Ledger.Open(ctx, turnstore.OpenRequest{Program: t.program, Turn: r.id, Previous: r.get("Previous"), MaxTokens: r.tokens, Budget: budget})
 	switch {
 	case err == nil:
 		t.opened, t.open = opened, true
@@ -84,7 +84,7 @@
 func (r *request) closeTurn(tn *turn, t *attempt, e *events) bool {
 	used := r.used(e)
 	kept := tn.opened.Record(r.body, e.out, used, r.route.Retain)
-	kept.Home, kept.Context = t.dest.calls.ID, r.prompt+used
+	kept.CacheHost, kept.ContextTokens = t.dest.calls.ID, r.prompt+used
 	ctx, stop := context.WithDeadline(r.server().ctx, r.until)
 	defer stop()
 	if err := r.server().cfg.Ledger.Close(ctx, kept); err != nil {
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -95,7 +95,7 @@
 	want(t, "input", string(k.Input), "input")
 	want(t, "output", string(k.Output), "one\ntwo\nth\nree\n")
 	want(t, "base", k.Base == nil, true)
-	want(t, "retained", k.Retain, 60)
+	want(t, "retained", k.RetainSeconds, 60)
 	// The connection serves on.
 	f.ledger.closing = nil
 	c.send(request1("POST", "/tool/x", "a", timeLeft, "x"))
@@ -144,7 +144,7 @@
 			h := newHost(t, "i-1", c.script)
 			f := newFront(t, h, newHost(t, "i-2", c.script))
 			if c.fails {
-				f.ledger.closing = func(context.Context) error { return turnstore.ErrUnsure }
+				f.ledger.closing = func(context.Context) error { return turnstore.ErrUnavailable }
 			}
 			k := f.dial()
 			k.send(request1("POST", "/turn/x", "t1", turnHeader, "input"))
@@ -171,7 +171,7 @@
 
 // What the ledger says decides, and no host is asked.
 func TestTurnThatMayNotRun(t *testing.T) {
-	for kind, status := range map[error]int{turnstore.ErrBudget: 402, turnstore.ErrNoTurn: 404, turnstore.ErrUnsure: 503, context.DeadlineExceeded: 503} {
+	for kind, status := range map[error]int{turnstore.ErrBudget: 402, turnstore.ErrNoTurn: 404, turnstore.ErrUnavailable: 503, context.DeadlineExceeded: 503} {
 		h := newHost(t, "i-1", serves("ran"))
 		f := newFront(t, h)
 		f.ledger.openErr = errors.Mark(errors.New("as the test has it"), kind)
@@ -340,7 +340,7 @@
 		return s
 	}
 	unsure := newFront(t, newHost(t, "i-1", func(c *call) bool { return streams(c, event(1, "x")) }))
-	unsure.ledger.openErr = turnstore.ErrUnsure
+	unsure.ledger.openErr = turnstore.ErrUnavailable
 	for name, s := range map[string]float64{"stores away": after(unsure), "no host": after(newFront(t))} {
 		if s < 0.5 || s > 1 {
 			t.Errorf("%s: Retry-After %v s", name, s)
--- a/internal/tier/routing/parse.go
+++ b/internal/tier/routing/parse.go
@@ -104,11 +104,11 @@
 	r := Route{
 		Name: n.text("name", ""), Host: hostname(n.text("host_name", "")), Prefix: n.text("path_prefix", ""),
 		Kind: n.text("route_kind", NonIdempotent), Deadline: n.duration("deadline_ms", time.Millisecond, false, 0),
-		GapAim: n.duration("gap_aim_ms", time.Millisecond, true, 0), Rank: n.whole("rank", 0, 0),
+		GapTarget: n.duration("gap_aim_ms", time.Millisecond, true, 0), Priority: n.whole("rank", 0, 0),
 		MaxAttempts: n.whole("max_attempts", 1, 1), Retained: n.flag("retained"), Retain: n.duration("retain_s", time.Second, true, 0),
 		Affinity: n.flag("affinity"), Resumable: n.flag("resumable"), Targets: c.targets(n),
 	}
-	r.Target = n.duration("target_ms", time.Millisecond, false, r.Deadline)
+	r.LatencyTarget = n.duration("target_ms", time.Millisecond, false, r.Deadline)
 	switch {
 	case r.Host == "":
 		n.fail("host_name", `""`, "name the host that clients ask for")
@@ -143,7 +143,7 @@
 		return nil
 	}
 	if !weighted {
-		return []Target{{Service: known(n), Share: 1}}
+		return []Target{{Service: known(n), Weight: 1}}
 	}
 	var targets []Target
 	var shares []float64
@@ -158,8 +158,8 @@
 	}
 	all := 0
 	for i, share := range shares {
-		targets[i].Share = int(math.Round(share * unit))
-		all += targets[i].Share
+		targets[i].Weight = int(math.Round(share * unit))
+		all += targets[i].Weight
 	}
 	if all == 0 || sum > mostShares {
 		n.fail("weighted_targets", fmt.Sprintf("a list whose shares add up to %v", sum), "give shares that add up to more than 0 and at most %d", mostShares)
--- a/internal/tier/routing/parse_test.go
+++ b/internal/tier/routing/parse_test.go
@@ -256,12 +256,12 @@
 			r := &c.Routes[i]
 			all := 0
 			for _, target := range r.Targets {
-				if _, known := c.Services[target.Service]; !known || target.Share < 0 {
+				if _, known := c.Services[target.Service]; !known || target.Weight < 0 {
 					t.Fatalf("target %+v", target)
 				}
-				all += target.Share
+				all += target.Weight
 			}
-			if all <= 0 || r.Deadline <= 0 || r.Target <= 0 || r.GapAim < 0 || r.Retain < 0 || r.MaxAttempts < 1 || r.Rank < 0 {
+			if all <= 0 || r.Deadline <= 0 || r.LatencyTarget <= 0 || r.GapTarget < 0 || r.Retain < 0 || r.MaxAttempts < 1 || r.Priority < 0 {
 				t.Fatalf("route %+v", r)
 			}
 			if !strings.Contains(r.Prefix, "?") && c.Route(r.Host, r.Prefix) != r {
--- a/internal/tier/routing/routing.go
+++ b/internal/tier/routing/routing.go
@@ -14,25 +14,25 @@
 // Target is a service with its share of a route.
 type Target struct {
 	Service string
-	Share   int
+	Weight  int
 }
 
 // Route is one route.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string
-	Kind        string
-	Deadline    time.Duration
-	Target      time.Duration // an answer within it earns its full worth
-	GapAim      time.Duration
-	Rank        int
-	Targets     []Target // at least one; shares add up to more than 0
-	MaxAttempts int
-	Retained    bool
-	Retain      time.Duration
-	Affinity    bool
-	Resumable   bool
+	Name          string
+	Host          string
+	Prefix        string
+	Kind          string
+	Deadline      time.Duration
+	LatencyTarget time.Duration // an answer within it earns its full worth
+	GapTarget     time.Duration
+	Priority      int
+	Targets       []Target // at least one; shares add up to more than 0
+	MaxAttempts   int
+	Retained      bool
+	Retain        time.Duration
+	Affinity      bool
+	Resumable     bool
 }
 
 // Service is one service. The engine's figures are 0 where it is no model service.
--- a/internal/tier/turnstore/bench_test.go
+++ b/internal/tier/turnstore/bench_test.go
@@ -45,7 +45,7 @@
 				program, previous = fmt.Sprintf("%p-%d", pb, n), ""
 			}
 			id := fmt.Sprintf("%s-%d", program, n)
-			opened, err := c.Open(context.Background(), Opening{Program: program, Turn: id, Previous: previous, Need: 10, Budget: 10_000})
+			opened, err := c.Open(context.Background(), OpenRequest{Program: program, Turn: id, Previous: previous, MaxTokens: 10, Budget: 10_000})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -77,7 +77,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					r := &Record{Key: "program", ID: fmt.Sprint(n.Add(1)), Root: true, Retain: 30, Piece: make([]byte, 2600)}
+					r := &Record{Key: "program", ID: fmt.Sprint(n.Add(1)), Root: true, RetainSeconds: 30, Increment: make([]byte, 2600)}
 					writes := append(turnWrites(r), entryWrite(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}))
 					if one {
 						turn.Lock()
@@ -107,13 +107,13 @@
 			now := time.Now()
 			n.store.mu.Lock()
 			for t := range turns {
-				r := &Record{Key: fmt.Sprintf("p%d", p), ID: fmt.Sprintf("p%d-t%d", p, t), Root: t == 0, Retain: 3600, Piece: make([]byte, size)}
+				r := &Record{Key: fmt.Sprintf("p%d", p), ID: fmt.Sprintf("p%d-t%d", p, t), Root: t == 0, RetainSeconds: 3600, Increment: make([]byte, size)}
 				if t > 0 {
 					r.Previous = fmt.Sprintf("p%d-t%d", p, t-1)
 				}
 				e, _ := n.store.index.join(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}, now)
 				writes = append(append(writes, turnWrites(r)...), entryWrite(r.Key, e))
-				n.store.index.add(r.Key, r.ID, indexRow{Previous: r.Previous, Root: r.Root, Retain: r.Retain}, -1, now)
+				n.store.index.add(r.Key, r.ID, indexRow{Previous: r.Previous, Root: r.Root, Retain: r.RetainSeconds}, -1, now)
 			}
 			n.store.mu.Unlock()
 			if err := n.db.Commit(context.Background(), writes); err != nil {
@@ -128,13 +128,13 @@
 		lost.wipe()
 		lost.start()
 		was := tr.stores(tr.nodes[1:]...)
-		tr.place(&Placement{Gen: gen, Old: append([]Store{old[0]}, was...), New: append(tr.stores(lost), was...)})
+		tr.place(&Placement{Generation: gen, Old: append([]Store{old[0]}, was...), New: append(tr.stores(lost), was...)})
 		b.StartTimer()
 		if !lost.store.sweep(context.Background(), tr.placed.Load()) {
 			b.Fatal("the sweep is not complete")
 		}
 		b.StopTimer()
-		if _, n := lost.store.Held(); n != programs*turns {
+		if _, n := lost.store.Counts(); n != programs*turns {
 			b.Fatalf("%d turns", n)
 		}
 		old = append(tr.stores(lost), was...)
--- a/internal/tier/turnstore/client_ask.go
+++ b/internal/tier/turnstore/client_ask.go
@@ -50,7 +50,7 @@
 func askInto[R any](c *Client, out chan<- answer[R], stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any), status func(*R) int) {
 	for _, s := range stores {
 		if !c.call(s.ID) {
-			out <- answer[R]{store: s, err: errors.Mark(errors.New("too much is under way"), ErrUnsure)}
+			out <- answer[R]{store: s, err: errors.Mark(errors.New("too much is under way"), ErrUnavailable)}
 			continue
 		}
 		go func() {
@@ -92,7 +92,7 @@
 }
 
 // storesOf lists the copies in all groups once.
-func storesOf(groups []Copies) []Store {
+func storesOf(groups []ReplicaSet) []Store {
 	if len(groups) == 1 {
 		return groups[0]
 	}
@@ -127,7 +127,7 @@
 // newer waits a little for a placement after a generation.
 func (c *Client) newer(ctx context.Context, gen int64) *Placement {
 	for waited := time.Duration(0); ; waited += newerLook {
-		if p := c.placement(); p != nil && p.Gen > gen {
+		if p := c.placement(); p != nil && p.Generation > gen {
 			return p
 		}
 		if waited >= newerWait || !c.sleep(ctx, newerLook) {
@@ -140,7 +140,7 @@
 	if err == nil {
 		err = errors.New("no answer")
 	}
-	return errors.Mark(errors.Wrapf(err, "%s: try again once the stores answer", what), ErrUnsure)
+	return errors.Mark(errors.Wrapf(err, "%s: try again once the stores answer", what), ErrUnavailable)
 }
 
 // worse prefers what decides how to go on: an old placement before all.
--- a/internal/tier/turnstore/client_bound_test.go
+++ b/internal/tier/turnstore/client_bound_test.go
@@ -38,7 +38,7 @@
 func TestStalledStoreTakesNoRoomFromTheOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stores := []Store{{ID: "a", Name: "a", Addr: "a"}, {ID: "b", Name: "b", Addr: "b"}, {ID: "c", Name: "c", Addr: "c"}}
-		p := &Placement{Gen: 1, Copies: 3, Synced: 2, Losses: 1, Old: stores}
+		p := &Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: stores}
 		network := &scriptedStores{stalled: "b"}
 		c := newClient(func() *Placement { return p }, network, "zone", process.NewRing(io.Discard))
 		const turns = 2 * laterMost // within the time that a call to the stalled store takes
@@ -46,7 +46,7 @@
 		var group sync.WaitGroup
 		for i := range turns {
 			program := fmt.Sprint("p", i)
-			o, err := c.Open(t.Context(), Opening{Program: program, Turn: program, Need: 1, Budget: 100})
+			o, err := c.Open(t.Context(), OpenRequest{Program: program, Turn: program, MaxTokens: 1, Budget: 100})
 			if err != nil {
 				refused.Add(1)
 				continue
--- a/internal/tier/turnstore/client_close.go
+++ b/internal/tier/turnstore/client_close.go
@@ -19,19 +19,19 @@
 	}
 	var err error
 	for range 4 {
-		if err = c.closeUnder(ctx, p, &record, t.Used); err == nil {
+		if err = c.closeUnder(ctx, p, &record, t.UsedTokens); err == nil {
 			previous := t.Previous
 			if record.Root {
 				previous = ""
 			}
-			c.pieces.put(&piece{key: t.Key, id: t.ID, previous: previous, bytes: record.Piece, until: time.Now().Add(time.Duration(t.Retain) * time.Second)})
+			c.pieces.put(&piece{key: t.Key, id: t.ID, previous: previous, bytes: record.Increment, until: time.Now().Add(time.Duration(t.RetainSeconds) * time.Second)})
 			return nil
 		}
 		if ctx.Err() != nil {
 			return unsure(ctx.Err(), "keep a turn")
 		}
 		if errors.Is(err, ErrOldPlacement) {
-			if newer := c.newer(ctx, p.Gen); newer != nil {
+			if newer := c.newer(ctx, p.Generation); newer != nil {
 				p = newer
 			}
 			continue
@@ -47,11 +47,11 @@
 }
 
 func (c *Client) closeUnder(ctx context.Context, p *Placement, t *Record, used int) error {
-	groups := p.Groups(t.Key)
+	groups := p.ReplicaSets(t.Key)
 	stores := storesOf(groups)
-	q := newQuorum(groups, func(g Copies) int { return max(g.Majority(), min(p.Synced, len(g))) })
+	q := newQuorum(groups, func(g ReplicaSet) int { return max(g.Majority(), min(p.DurableReplicas, len(g))) })
 	answers := ask(c, stores, c.closeTime, func(s Store) (rpc.Method, any) {
-		return MethodClose, &closeCall{To: Head{s.ID, p.Gen}, Turn: *t, Used: used}
+		return MethodClose, &closeCall{To: RequestHeader{s.ID, p.Generation}, Turn: *t, Used: used}
 	}, func(r *plainReply) int { return r.Status })
 	var failed error
 	for range stores {
@@ -68,10 +68,10 @@
 		case reached:
 			return nil
 		case lost:
-			return worse(failed, ErrUnsure)
+			return worse(failed, ErrUnavailable)
 		}
 	}
-	return worse(failed, ErrUnsure)
+	return worse(failed, ErrUnavailable)
 }
 
 // Settle tells the stores in the background what a turn handed out that was opened and is not kept: 0 if it did not run.
@@ -91,7 +91,7 @@
 				continue
 			}
 			var stores []Store
-			for _, s := range storesOf(p.Groups(program)) {
+			for _, s := range storesOf(p.ReplicaSets(program)) {
 				if !told[s.ID] {
 					stores = append(stores, s)
 				}
@@ -100,7 +100,7 @@
 				return
 			}
 			answers := ask(c, stores, c.callTime, func(s Store) (rpc.Method, any) {
-				return MethodSettle, &settleCall{To: Head{s.ID, p.Gen}, Program: program, Turn: turn, Used: used}
+				return MethodSettle, &settleCall{To: RequestHeader{s.ID, p.Generation}, Program: program, Turn: turn, Used: used}
 			}, func(r *plainReply) int { return r.Status })
 			for range stores {
 				if a := <-answers; a.err == nil {
--- a/internal/tier/turnstore/client_history.go
+++ b/internal/tier/turnstore/client_history.go
@@ -48,14 +48,14 @@
 func (c *Client) find(ctx context.Context, p *Placement, id string) (string, []Store, error) {
 	stores := p.Stores()
 	answers := ask(c, stores, c.callTime, func(s Store) (rpc.Method, any) {
-		return MethodFind, &findCall{To: Head{s.ID, p.Gen}, Turn: id}
+		return MethodFindTurn, &findCall{To: RequestHeader{s.ID, p.Generation}, Turn: id}
 	}, func(r *findReply) int { return r.Status })
 	// A turn is on more stores than may be lost: if all but as many say no, there is none.
-	lists := []Copies{p.Old}
+	lists := []ReplicaSet{p.Old}
 	if len(p.New) > 0 {
 		lists = append(lists, p.New)
 	}
-	no := newQuorum(lists, func(list Copies) int { return max(1, len(list)-p.Losses) })
+	no := newQuorum(lists, func(list ReplicaSet) int { return max(1, len(list)-p.FaultTolerance) })
 	var failed error
 	for range stores {
 		select {
@@ -84,7 +84,7 @@
 
 // history reads a turn's history, put together from several stores where none has all of the chain.
 func (c *Client) history(ctx context.Context, p *Placement, key, id string, l *look) ([]byte, time.Duration, error) {
-	stores := storesOf(p.Groups(key))
+	stores := storesOf(p.ReplicaSets(key))
 	for _, s := range l.knows {
 		if !slices.ContainsFunc(stores, func(o Store) bool { return o.ID == s.ID }) {
 			stores = append(slices.Clone(stores), s)
@@ -132,7 +132,7 @@
 			return
 		}
 		askInto(c, answers, stores[asked:asked+1], c.callTime, func(s Store) (rpc.Method, any) {
-			return MethodHistory, &historyCall{To: Head{s.ID, p.Gen}, Key: key, Turn: id}
+			return MethodHistory, &historyCall{To: RequestHeader{s.ID, p.Generation}, Key: key, Turn: id}
 		}, func(r *historyReply) int { return r.Status })
 		asked++
 		waiting++
@@ -200,7 +200,7 @@
 			defer done()
 			ctx, stop := context.WithTimeout(c.ctx, c.callTime)
 			defer stop()
-			_ = c.calls.Notify(ctx, s.Addr, MethodRepair, &repairNotice{To: Head{s.ID, p.Gen}, Key: key})
+			_ = c.calls.Notify(ctx, s.Addr, MethodRepair, &repairNotice{To: RequestHeader{s.ID, p.Generation}, Key: key})
 		}()
 	}
 }
--- a/internal/tier/turnstore/client_open.go
+++ b/internal/tier/turnstore/client_open.go
@@ -7,30 +7,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Opening asks for a turn.
-type Opening struct {
-	Program  string
-	Turn     string
-	Previous string // empty at the start
-	Need     int    // tokens at most
-	Budget   int    // of the program
+// OpenRequest asks for a turn.
+type OpenRequest struct {
+	Program   string
+	Turn      string
+	Previous  string // empty at the start
+	MaxTokens int    // tokens at most
+	Budget    int    // of the program
 }
 
-// Opened is a turn that may run.
-type Opened struct {
-	Opening
-	History []byte // of Previous
-	Base    bool   // Previous is another program's turn: the record must hold the history
-	Home    string // the host that ran Previous, empty where no store remembers it
-	Context int    // tokens of Previous's prompt and of what it generated
+// OpenedTurn is a turn that may run.
+type OpenedTurn struct {
+	OpenRequest
+	History       []byte // of Previous
+	ForeignBase   bool   // Previous is another program's turn: the record must hold the history
+	CacheHost     string // the host that ran Previous, empty where no store remembers it
+	ContextTokens int    // tokens of Previous's prompt and of what it generated
 }
 
 // Record gives the turn for Close once it has ended whole. output is the data of each event, each followed by a line
 // feed.
-func (o *Opened) Record(input, output []byte, used int, retain time.Duration) *Turn {
-	t := &Turn{Key: o.Program, ID: o.Turn, Previous: o.Previous, Input: input, Output: output, Used: used,
-		Retain: int((retain + time.Second - 1) / time.Second)}
-	if o.Base {
+func (o *OpenedTurn) Record(input, output []byte, used int, retain time.Duration) *Turn {
+	t := &Turn{Key: o.Program, ID: o.Turn, Previous: o.Previous, Input: input, Output: output, UsedTokens: used,
+		RetainSeconds: int((retain + time.Second - 1) / time.Second)}
+	if o.ForeignBase {
 		t.Base = nonNil(o.History)
 	}
 	return t
@@ -38,9 +38,9 @@
 
 // Open reserves what a turn may generate and gives the history that it continues. Its errors are ErrBudget, ErrNoTurn
 // and ErrUnsure; after one the turn must not run, and the reservation is taken back.
-func (c *Client) Open(ctx context.Context, o Opening) (*Opened, error) {
-	if o.Need > o.Budget {
-		return nil, errors.Mark(errors.Newf("%d tokens of a budget of %d", o.Need, o.Budget), ErrBudget)
+func (c *Client) Open(ctx context.Context, o OpenRequest) (*OpenedTurn, error) {
+	if o.MaxTokens > o.Budget {
+		return nil, errors.Mark(errors.Newf("%d tokens of a budget of %d", o.MaxTokens, o.Budget), ErrBudget)
 	}
 	p := c.placement()
 	if p == nil {
@@ -52,7 +52,7 @@
 		case err == nil:
 			return opened, nil
 		case errors.Is(err, ErrOldPlacement):
-			if p = c.newer(ctx, p.Gen); p != nil {
+			if p = c.newer(ctx, p.Generation); p != nil {
 				continue
 			}
 			err = unsure(err, "open")
--- a/internal/tier/turnstore/client_open_attempt.go
+++ b/internal/tier/turnstore/client_open_attempt.go
@@ -24,13 +24,13 @@
 	reservation *reservation
 	look        *look // what the answers say of the previous turn
 	failed      error
-	opened      *Opened
+	opened      *OpenedTurn
 	hasHistory  bool // it was at hand, or there is none
 }
 
-func (c *Client) newOpenAttempt(p *Placement, o Opening) *openAttempt {
-	groups := p.Groups(o.Program)
-	a := &openAttempt{client: c, placement: p, stores: c.prefer(storesOf(groups)), opened: &Opened{Opening: o},
+func (c *Client) newOpenAttempt(p *Placement, o OpenRequest) *openAttempt {
+	groups := p.ReplicaSets(o.Program)
+	a := &openAttempt{client: c, placement: p, stores: c.prefer(storesOf(groups)), opened: &OpenedTurn{OpenRequest: o},
 		reservation: newReservation(groups, o.Budget), look: &look{quorum: newQuorum(groups, majority)}}
 	a.takeCached()
 	if !a.hasHistory && len(a.stores) > 0 {
@@ -47,11 +47,11 @@
 		return
 	}
 	if key, history, ok := a.client.pieces.history(o.Previous, time.Now()); ok {
-		o.History, o.Base, a.hasHistory = history, key != o.Program, true
+		o.History, o.ForeignBase, a.hasHistory = history, key != o.Program, true
 	}
 }
 
-func (a *openAttempt) run(ctx context.Context) (*Opened, error) {
+func (a *openAttempt) run(ctx context.Context) (*OpenedTurn, error) {
 	a.ask()
 	if err := a.reserve(ctx); err != nil {
 		return nil, err
@@ -75,10 +75,10 @@
 
 // ask sends the reservation to all copies.
 func (a *openAttempt) ask() {
-	o := &a.opened.Opening
+	o := &a.opened.OpenRequest
 	a.began, a.waiting = time.Now(), len(a.stores)
 	a.answers = ask(a.client, a.stores, a.client.callTime, func(s Store) (rpc.Method, any) {
-		return MethodOpen, &openCall{To: Head{s.ID, a.placement.Gen}, Program: o.Program, Turn: o.Turn, Previous: o.Previous, Need: o.Need, History: s.ID == a.historyFrom}
+		return MethodOpen, &openCall{To: RequestHeader{s.ID, a.placement.Generation}, Program: o.Program, Turn: o.Turn, Previous: o.Previous, Need: o.MaxTokens, History: s.ID == a.historyFrom}
 	}, func(r *openReply) int { return r.Status })
 }
 
@@ -93,7 +93,7 @@
 	}
 	a.look.take(one.store, one.reply)
 	if one.reply.Home != "" {
-		a.opened.Home, a.opened.Context = one.reply.Home, one.reply.Context
+		a.opened.CacheHost, a.opened.ContextTokens = one.reply.Home, one.reply.Context
 	}
 	a.reservation.answer(1, one.store.ID, true, one.reply.Ledger)
 }
@@ -121,7 +121,7 @@
 	case Granted:
 		return nil
 	default:
-		return worse(a.failed, ErrUnsure)
+		return worse(a.failed, ErrUnavailable)
 	}
 }
 
@@ -172,14 +172,14 @@
 		return err
 	}
 	a.client.keep(key, o.Previous, history, left)
-	o.History, o.Base = history, key != o.Program
+	o.History, o.ForeignBase = history, key != o.Program
 	return nil
 }
 
 // readAgain reads the ledgers of a majority once more, past half of the budget.
 func (c *Client) readAgain(ctx context.Context, p *Placement, program string, stores []Store, r *reservation) (Verdict, error) {
 	answers := ask(c, stores, c.callTime, func(s Store) (rpc.Method, any) {
-		return MethodPeek, &peekCall{To: Head{s.ID, p.Gen}, Program: program}
+		return MethodReadLedger, &peekCall{To: RequestHeader{s.ID, p.Generation}, Program: program}
 	}, func(r *peekReply) int { return r.Status })
 	var failed error
 	for range stores {
--- a/internal/tier/turnstore/course_test.go
+++ b/internal/tier/turnstore/course_test.go
@@ -195,7 +195,7 @@
 	if a.previous != nil {
 		w.oracle.used[a.previous.program] = w.now()
 	}
-	o := turnstore.Opening{Program: a.program, Turn: t.id, Need: a.need, Budget: b.all}
+	o := turnstore.OpenRequest{Program: a.program, Turn: t.id, MaxTokens: a.need, Budget: b.all}
 	var must bool
 	if a.previous != nil {
 		t.previous, o.Previous = a.previous.id, a.previous.id
@@ -638,7 +638,7 @@
 			return
 		}
 	}
-	if m.life.Load().store.Swept() < p.Gen {
+	if m.life.Load().store.SweptGeneration() < p.Generation {
 		w.fail("%s has not caught up %v after it came back without its disk: %s", m.name, catchUp, show(p))
 	}
 }
@@ -816,7 +816,7 @@
 	slices.SortFunc(kept, func(a, b *told) int { return int(a.ended - b.ended) })
 	copies := 0
 	for _, t := range kept {
-		for _, s := range p.Groups(t.program)[0] {
+		for _, s := range p.ReplicaSets(t.program)[0] {
 			if l := w.at(s.Addr).life.Load(); l != nil && l.store.Has(t.id) {
 				copies++
 			} else if !w.noDigest {
@@ -828,7 +828,7 @@
 	if !w.noDigest {
 		for program := range programs {
 			var first uint64
-			for i, s := range p.Groups(program)[0] {
+			for i, s := range p.ReplicaSets(program)[0] {
 				l := w.at(s.Addr).life.Load().store.Ledger(program)
 				if i == 0 {
 					first = l.Digest()
@@ -876,7 +876,7 @@
 	}
 	for _, m := range w.stores {
 		if l := m.life.Load(); l != nil {
-			if _, n := l.store.Held(); n > 0 {
+			if _, n := l.store.Counts(); n > 0 {
 				w.fail("EXPIRED: %s has %d turns still", m.name, n)
 			}
 			m.disk().mu.Lock()
--- a/internal/tier/turnstore/disk_fault_test.go
+++ b/internal/tier/turnstore/disk_fault_test.go
@@ -93,7 +93,7 @@
 	n.db = db
 	d := &faultyDisk{disk: file{db}}
 	var log bytes.Buffer
-	c := StoreConfig{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(&log)}
+	c := ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(&log)}
 	if n.store, err = newStore(c, d, connections{c.Calls}); err != nil {
 		t.Fatal(err)
 	}
@@ -101,14 +101,16 @@
 	return d, &log
 }
 
-func (n *node) head() Head { return Head{Store: n.store.ID(), Gen: n.tier.placed.Load().Gen} }
+func (n *node) head() RequestHeader {
+	return RequestHeader{Store: n.store.ID(), Generation: n.tier.placed.Load().Generation}
+}
 
 func (n *node) open(t *testing.T, program, turn string) error {
 	return statusError(n.store.open(t.Context(), &openCall{To: n.head(), Program: program, Turn: turn, Need: 10}).Status)
 }
 
 func (n *node) close(t *testing.T, program, turn, text string) error {
-	record := Record{Key: program, ID: turn, Root: true, Retain: 30, Piece: []byte(text)}
+	record := Record{Key: program, ID: turn, Root: true, RetainSeconds: 30, Increment: []byte(text)}
 	return statusError(n.store.close(t.Context(), &closeCall{To: n.head(), Turn: record, Used: 5}).Status)
 }
 
@@ -244,7 +246,7 @@
 	if n := rows(); n != 0 {
 		t.Errorf("%d rows of what has expired are left on a disk that takes writes", n)
 	}
-	if programs, turns := n.store.Held(); programs != 0 || turns != 0 {
+	if programs, turns := n.store.Counts(); programs != 0 || turns != 0 {
 		t.Errorf("%d programs and %d turns are held", programs, turns)
 	}
 }
@@ -283,16 +285,16 @@
 		t.Run(what, func(t *testing.T) {
 			tr := quiet(t, 4)
 			old, fresh := tr.nodes[:3], tr.nodes[3]
-			tr.place(&Placement{Gen: 1, Old: tr.stores(old...)})
+			tr.place(&Placement{Generation: 1, Old: tr.stores(old...)})
 			for _, n := range old {
 				must(t, n.open(t, "p", "promised"))
 			}
 			d, _ := fresh.withFaults()
-			next := &Placement{Gen: 2, Old: tr.stores(old...), New: tr.stores(old[0], old[1], fresh)}
+			next := &Placement{Generation: 2, Old: tr.stores(old...), New: tr.stores(old[0], old[1], fresh)}
 			tr.place(next)
 			d.set(fault)
 			for range 3 {
-				if fresh.store.sweep(t.Context(), next) || fresh.store.Swept() != 0 {
+				if fresh.store.sweep(t.Context(), next) || fresh.store.SweptGeneration() != 0 {
 					t.Fatal("a sweep ends on a disk that takes no writes")
 				}
 			}
@@ -301,8 +303,8 @@
 				t.Fatal("the sweep does not end on a disk that is well again")
 			}
 			ledger := fresh.restarted("p")
-			if fresh.store.Swept() != 2 || ledger.Sum() != 10 {
-				t.Errorf("after a kill it has swept %d, and %d tokens of 10 that were promised", fresh.store.Swept(), ledger.Sum())
+			if fresh.store.SweptGeneration() != 2 || ledger.Sum() != 10 {
+				t.Errorf("after a kill it has swept %d, and %d tokens of 10 that were promised", fresh.store.SweptGeneration(), ledger.Sum())
 			}
 		})
 	}
@@ -378,7 +380,7 @@
 		return !waits
 	})
 	peek := new(peekReply) // another call goes past the one that waits
-	must(t, link.Call(t.Context(), MethodPeek, &peekCall{To: n.head(), Program: "p"}, peek))
+	must(t, link.Call(t.Context(), MethodReadLedger, &peekCall{To: n.head(), Program: "p"}, peek))
 	if len(peek.Ledger) != 1 || peek.Ledger[0].Turn != "turn of p" {
 		t.Errorf("ledger of the first opening's program: %+v", peek.Ledger)
 	}
--- a/internal/tier/turnstore/disk_trouble_test.go
+++ b/internal/tier/turnstore/disk_trouble_test.go
@@ -133,8 +133,8 @@
 		life := bad.life.Load()
 		bad.disk().stall()
 		ctx, leave := context.WithCancel(t.Context())
-		call := turnstore.CloseCall{To: turnstore.Head{Store: bad.disk().id, Gen: bad.placement().Gen},
-			Turn: turnstore.Record{Key: "p", ID: "turn", Root: true, Retain: 10, Piece: []byte("text")}}
+		call := turnstore.CloseCall{To: turnstore.RequestHeader{Store: bad.disk().id, Generation: bad.placement().Generation},
+			Turn: turnstore.Record{Key: "p", ID: "turn", Root: true, RetainSeconds: 10, Increment: []byte("text")}}
 		var calls sync.WaitGroup
 		calls.Go(func() { _, _ = life.handlers[turnstore.MethodClose](ctx, rpc.Encode(&call)) })
 		w.sleep(time.Second)
--- a/internal/tier/turnstore/export_test.go
+++ b/internal/tier/turnstore/export_test.go
@@ -36,8 +36,8 @@
 )
 
 // NewStoreOn makes a store of which the model has disk and network.
-func NewStoreOn(d Disk, n Network, placement func() *Placement, changed func() <-chan struct{}) (*NodeStore, error) {
-	return newStore(StoreConfig{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, n)
+func NewStoreOn(d Disk, n Network, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
+	return newStore(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, n)
 }
 
 // NewClientOn makes a client of which the model has the network.
@@ -46,7 +46,7 @@
 }
 
 // Turns are the ids of the turns that the store has, by program.
-func (s *NodeStore) Turns() map[string][]string {
+func (s *Server) Turns() map[string][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string][]string{}
@@ -57,14 +57,14 @@
 }
 
 // Has tells whether the store has a turn.
-func (s *NodeStore) Has(turn string) bool {
+func (s *Server) Has(turn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.turns[turn] != nil
 }
 
 // Ledger of a program at the store.
-func (s *NodeStore) Ledger(program string) (l budget.Ledger) {
+func (s *Server) Ledger(program string) (l budget.Ledger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.index.get(program); p != nil {
@@ -74,7 +74,7 @@
 }
 
 // EntriesLacking are the entries of ledgers that the store holds and for which a table of rows has none.
-func (s *NodeStore) EntriesLacking(rows map[string][]byte) (lacking []string) {
+func (s *Server) EntriesLacking(rows map[string][]byte) (lacking []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, bucket := range s.index.programs {
@@ -91,7 +91,7 @@
 }
 
 // ForgetGone plants a fault: what has expired is not remembered.
-func (s *NodeStore) ForgetGone() {
+func (s *Server) ForgetGone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.index.gone[0])
@@ -99,13 +99,13 @@
 }
 
 // Expire drops what is over now, as Run does now and then.
-func (s *NodeStore) Expire(ctx context.Context) {
+func (s *Server) Expire(ctx context.Context) {
 	for s.expire(ctx) {
 	}
 }
 
 // Compare brings in what all others have, as Run does now and then with one.
-func (s *NodeStore) Compare(ctx context.Context) error {
+func (s *Server) Compare(ctx context.Context) error {
 	p := s.Placement()
 	for _, o := range p.Stores() {
 		if err := s.compare(ctx, p, o); err != nil {
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -41,7 +41,7 @@
 	dir    string
 	limit  int64
 	db     *sqlitelog.DB
-	store  *NodeStore
+	store  *Server
 	server *rpc.Server
 	stop   context.CancelFunc
 	wg     sync.WaitGroup
@@ -69,7 +69,7 @@
 		}
 		tr.calls.Close()
 	})
-	tr.place(&Placement{Gen: 1, Old: tr.stores(tr.nodes...)})
+	tr.place(&Placement{Generation: 1, Old: tr.stores(tr.nodes...)})
 	return tr
 }
 
@@ -86,7 +86,7 @@
 
 // place puts a placement in force for all that hear of the tier's; its figures are those of one loss.
 func (tr *tier) place(p *Placement) {
-	p.Copies, p.Synced, p.Losses = 3, 2, 1
+	p.ReplicationFactor, p.DurableReplicas, p.FaultTolerance = 3, 2, 1
 	tr.placed.Store(p)
 }
 
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	n.db = db
-	n.store, err = NewStore(StoreConfig{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(io.Discard)})
+	n.store, err = NewServer(ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,13 +188,13 @@
 }
 
 // turn opens and closes one turn and gives what the host was sent.
-func turnOf(t *testing.T, c *Client, o Opening, input, output string) string {
+func turnOf(t *testing.T, c *Client, o OpenRequest, input, output string) string {
 	t.Helper()
 	opened, err := c.Open(t.Context(), o)
 	if err != nil {
 		t.Fatalf("open %s: %+v", o.Turn, err)
 	}
-	if err := c.Close(t.Context(), opened.Record([]byte(input), []byte(output), o.Need/2, 30*time.Second)); err != nil {
+	if err := c.Close(t.Context(), opened.Record([]byte(input), []byte(output), o.MaxTokens/2, 30*time.Second)); err != nil {
 		t.Fatalf("close %s: %+v", o.Turn, err)
 	}
 	return string(opened.History) + input
--- a/internal/tier/turnstore/index.go
+++ b/internal/tier/turnstore/index.go
@@ -273,7 +273,7 @@
 func (p *program) holds(pl *Placement, store string) bool {
 	if p.under != pl {
 		p.under, p.copies = pl, p.copies[:0]
-		for _, g := range pl.Groups(p.key) {
+		for _, g := range pl.ReplicaSets(p.key) {
 			for _, s := range g {
 				p.copies = append(p.copies, s.ID)
 			}
--- a/internal/tier/turnstore/model_test.go
+++ b/internal/tier/turnstore/model_test.go
@@ -88,7 +88,7 @@
 	return &world{seed: seed, fault: f, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), counts: map[message]uint64{},
 		cuts: map[[2]string]chan struct{}{}, ends: make(chan struct{}), alone: make(chan struct{}, 1),
 		oracle: oracle{turns: map[string]*told{}, programs: map[string]*budget{}, used: map[string]time.Duration{}},
-		core:   core{stores: map[string]placement.Registered{}, retired: map[string]bool{}}}
+		core:   core{stores: map[string]placement.StoreStatus{}, retired: map[string]bool{}}}
 }
 
 func (w *world) now() time.Duration { return time.Since(w.began) }
@@ -270,7 +270,7 @@
 func (n *node) hear(p *turnstore.Placement) {
 	for {
 		was := n.heard.Load()
-		if was != nil && (was.Gen > p.Gen || was.Gen == p.Gen && len(p.New) > 0) {
+		if was != nil && (was.Generation > p.Generation || was.Generation == p.Generation && len(p.New) > 0) {
 			return
 		}
 		if n.heard.CompareAndSwap(was, p) {
@@ -384,17 +384,17 @@
 	case w.fault == noMargin && m == turnstore.MethodClose:
 		var c turnstore.CloseCall
 		_ = rpc.Decode(raw, &c)
-		c.Turn.Retain = max(1, c.Turn.Retain-int(turnstore.KeepMargin/time.Second))
+		c.Turn.RetainSeconds = max(1, c.Turn.RetainSeconds-int(turnstore.KeepMargin/time.Second))
 		return rpc.Encode(&c)
 	case w.fault == noFence && front && m == turnstore.MethodOpen:
 		var c turnstore.OpenCall
 		_ = rpc.Decode(raw, &c)
-		c.To.Gen = 1 << 40
+		c.To.Generation = 1 << 40
 		return rpc.Encode(&c)
 	case w.fault == noFence && front && m == turnstore.MethodClose:
 		var c turnstore.CloseCall
 		_ = rpc.Decode(raw, &c)
-		c.To.Gen = 1 << 40
+		c.To.Generation = 1 << 40
 		return rpc.Encode(&c)
 	case w.fault == noReservation && m == turnstore.MethodOpen:
 		var c turnstore.OpenCall
@@ -699,7 +699,7 @@
 type life struct {
 	ctx      context.Context
 	stop     context.CancelFunc
-	store    *turnstore.NodeStore
+	store    *turnstore.Server
 	handlers map[rpc.Method]rpc.Handler
 	had      map[string]bool // turns it had; false: dropped
 }
@@ -769,7 +769,7 @@
 	var told int64 = -1
 	var at time.Time
 	for {
-		swept, gen := l.store.Swept(), l.store.Adopted()
+		swept, gen := l.store.SweptGeneration(), l.store.AdoptedGeneration()
 		if m.w.fault == genUntold {
 			swept, gen = 0, 0
 		}
@@ -778,7 +778,7 @@
 			every = 90 * time.Millisecond
 		}
 		if p := m.placement(); m.w.fault == sweptEarly && p != nil {
-			swept = p.Gen
+			swept = p.Generation
 		}
 		if swept != told || time.Since(at) > every {
 			told, at = swept, time.Now()
@@ -839,7 +839,7 @@
 	since   time.Duration
 	gen     int64
 	began   time.Duration // when the gen was seen first
-	stores  map[string]placement.Registered
+	stores  map[string]placement.StoreStatus
 	retired map[string]bool
 	wiped   int
 }
@@ -847,7 +847,7 @@
 func (c *core) register(w *world, s turnstore.Store, gen, swept int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	placement.Hear(c.stores, placement.Registration{Store: s, Gen: gen, Swept: swept}, w.now(), placement.DefaultTimings(contact))
+	placement.Register(c.stores, placement.Registration{Store: s, Generation: gen, SweptGeneration: swept}, w.now(), placement.DefaultTimings(contact))
 }
 
 // run plans the placement; now and then the duty moves to another node.
@@ -858,12 +858,12 @@
 		c.mu.Lock()
 		if w.now() > move {
 			move += 40 * time.Second
-			c.stores, c.since = map[string]placement.Registered{}, w.now()
+			c.stores, c.since = map[string]placement.StoreStatus{}, w.now()
 		}
-		if c.place != nil && c.place.Gen != c.gen {
-			c.gen, c.began = c.place.Gen, w.now()
+		if c.place != nil && c.place.Generation != c.gen {
+			c.gen, c.began = c.place.Generation, w.now()
 		}
-		next := placement.Plan(placement.Situation{Now: w.now(), Since: c.since, Began: max(c.since, c.began), Losses: 1, Place: c.place, Stores: c.stores, Retired: c.retired}, timings)
+		next := placement.Plan(placement.Input{Now: w.now(), TookOverAt: c.since, GenerationSince: max(c.since, c.began), FaultTolerance: 1, Current: c.place, Stores: c.stores, Retired: c.retired}, timings)
 		if next != nil {
 			c.place = next
 		}
@@ -885,7 +885,7 @@
 		}
 		return out
 	}
-	return strings.TrimSpace(fmt.Sprintf("gen %d %s > %s", p.Gen, strings.Join(list(p.Old), ","), strings.Join(list(p.New), ",")))
+	return strings.TrimSpace(fmt.Sprintf("gen %d %s > %s", p.Generation, strings.Join(list(p.Old), ","), strings.Join(list(p.New), ",")))
 }
 
 func (w *world) nodes() (out []*node) {
@@ -917,7 +917,7 @@
 		case !strings.HasPrefix(n.name, "f"):
 		case w.fault == majorityOfOne:
 			one := *p
-			one.Copies, one.Synced = 1, 1
+			one.ReplicationFactor, one.DurableReplicas = 1, 1
 			p = &one
 		case w.fault == onlyNew && len(p.New) > 0:
 			one := *p
@@ -932,7 +932,7 @@
 func (c *core) anew(w *world) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.place, c.stores, c.retired, c.since = nil, map[string]placement.Registered{}, map[string]bool{}, w.now()
+	c.place, c.stores, c.retired, c.since = nil, map[string]placement.StoreStatus{}, map[string]bool{}, w.now()
 	w.lines = append(w.lines, line{w.now(), "core", "founded anew"})
 }
 
@@ -946,7 +946,7 @@
 func (c *core) retire(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.place == nil || !placement.MayRetire(c.place, c.retired, 1) {
+	if c.place == nil || !placement.CanRetire(c.place, c.retired, 1) {
 		return false
 	}
 	c.retired[id] = true
@@ -960,7 +960,7 @@
 		return
 	}
 	p := to.placement()
-	if p == nil || p.Gen != n.To.Gen || to.disk().id != n.To.Store || len(p.New) > 0 {
+	if p == nil || p.Generation != n.To.Generation || to.disk().id != n.To.Store || len(p.New) > 0 {
 		return
 	}
 	w.oracle.mu.Lock()
@@ -970,7 +970,7 @@
 		return
 	}
 	want := l.store.Ledger(n.Key)
-	for _, c := range p.Groups(n.Key)[0] {
+	for _, c := range p.ReplicaSets(n.Key)[0] {
 		m := w.at(c.Addr)
 		if m == nil || m.life.Load() == nil || m.disk().id != c.ID || m.frozen.Load() != nil {
 			return
--- a/internal/tier/turnstore/placement.go
+++ b/internal/tier/turnstore/placement.go
@@ -20,26 +20,26 @@
 // Placement says which stores hold the copies. Stable, New is empty; joint, every operation needs a majority of
 // copies by both lists. A placement is never changed once it is shared.
 type Placement struct {
-	Gen    int64 // rises with each change of the lists, not when joint becomes stable
-	Copies int
-	Synced int // copies that must be on disk before a turn's end is passed on
-	Losses int
-	Old    []Store
-	New    []Store
-	Done   []string // ids of those in New that have swept under Gen
+	Generation        int64 // rises with each change of the lists, not when joint becomes stable
+	ReplicationFactor int
+	DurableReplicas   int // copies that must be on disk before a turn's end is passed on
+	FaultTolerance    int
+	Old               []Store
+	New               []Store
+	SweptIDs          []string // ids of those in New that have swept under Gen
 }
 
-// Copies by one list of stores.
-type Copies []Store
+// ReplicaSet by one list of stores.
+type ReplicaSet []Store
 
 // Majority of the copies.
-func (c Copies) Majority() int { return len(c)/2 + 1 }
+func (c ReplicaSet) Majority() int { return len(c)/2 + 1 }
 
-// Groups gives the copies of a key by each list in force: one group where stable, two where joint.
-func (p *Placement) Groups(key string) []Copies {
-	groups := []Copies{place(p.Old, p.Copies, key)}
+// ReplicaSets gives the copies of a key by each list in force: one group where stable, two where joint.
+func (p *Placement) ReplicaSets(key string) []ReplicaSet {
+	groups := []ReplicaSet{place(p.Old, p.ReplicationFactor, key)}
 	if len(p.New) > 0 {
-		groups = append(groups, place(p.New, p.Copies, key))
+		groups = append(groups, place(p.New, p.ReplicationFactor, key))
 	}
 	return groups
 }
@@ -55,7 +55,7 @@
 	return all
 }
 
-func place(stores []Store, copies int, key string) Copies {
+func place(stores []Store, copies int, key string) ReplicaSet {
 	type ranked struct {
 		Store
 		rank uint64
@@ -69,7 +69,7 @@
 		all[i] = ranked{s, h.Sum64()}
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.ID, b.ID)) })
-	out := make(Copies, 0, min(copies, len(all)))
+	out := make(ReplicaSet, 0, min(copies, len(all)))
 	zones := map[string]bool{}
 	for again := range 2 { // one for each zone, so that a zone that is lost takes one copy along; then whoever comes next
 		for i, s := range all {
--- a/internal/tier/turnstore/placement_test.go
+++ b/internal/tier/turnstore/placement_test.go
@@ -13,7 +13,7 @@
 		n := rapid.IntRange(1, 12).Draw(t, "stores")
 		copies := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "copies")
 		var p Placement
-		p.Copies = copies
+		p.ReplicationFactor = copies
 		there := map[string]bool{}
 		for i := range n {
 			z := fmt.Sprint("z", rapid.IntRange(0, zones-1).Draw(t, "zone"))
@@ -21,7 +21,7 @@
 			p.Old = append(p.Old, Store{ID: fmt.Sprint("i", i), Name: fmt.Sprint("s", i), Zone: z})
 		}
 		key := rapid.String().Draw(t, "key")
-		got := p.Groups(key)[0]
+		got := p.ReplicaSets(key)[0]
 		if len(got) != min(copies, n) {
 			t.Fatalf("%d copies of %d on %d stores", len(got), copies, n)
 		}
@@ -37,7 +37,7 @@
 		}
 		one := rapid.IntRange(0, n-1).Draw(t, "another id at the same name")
 		p.Old[one].ID = "other"
-		for i, s := range p.Groups(key)[0] {
+		for i, s := range p.ReplicaSets(key)[0] {
 			if s.Name != got[i].Name {
 				t.Fatal("a machine that comes back under another id has another part")
 			}
--- a/internal/tier/turnstore/quorum.go
+++ b/internal/tier/turnstore/quorum.go
@@ -4,14 +4,14 @@
 
 // quorum counts the answers of copies, in each group of a key's copies. It is pure.
 type quorum struct {
-	groups []Copies
-	need   func(Copies) int
+	groups []ReplicaSet
+	need   func(ReplicaSet) int
 	said   map[string]bool // by store: answered as wanted, or failed
 }
 
-func majority(c Copies) int { return c.Majority() }
+func majority(c ReplicaSet) int { return c.Majority() }
 
-func newQuorum(groups []Copies, need func(Copies) int) *quorum {
+func newQuorum(groups []ReplicaSet, need func(ReplicaSet) int) *quorum {
 	return &quorum{groups: groups, need: need, said: map[string]bool{}}
 }
 
@@ -61,13 +61,13 @@
 // first, then, past half of the budget, to a second read. It is pure.
 type reservation struct {
 	budget int
-	groups []Copies
+	groups []ReplicaSet
 	ledger budget.Ledger
 	round  int
 	quorum *quorum
 }
 
-func newReservation(groups []Copies, budget int) *reservation {
+func newReservation(groups []ReplicaSet, budget int) *reservation {
 	return &reservation{budget: budget, groups: groups, round: 1, quorum: newQuorum(groups, majority)}
 }
 
--- a/internal/tier/turnstore/records.go
+++ b/internal/tier/turnstore/records.go
@@ -11,17 +11,17 @@
 
 // The calls that a store takes.
 const (
-	MethodOpen    rpc.Method = 20 + iota // reserve, and look for the previous turn
-	MethodClose                          // keep a turn and settle its entry
-	MethodSettle                         // settle an entry
-	MethodPeek                           // read a ledger
-	MethodHistory                        // read the history of a turn
-	MethodFind                           // look for a turn under all keys
-	MethodDigest                         // sums over buckets of keys
-	MethodKeys                           // digests of keys, by pages
-	MethodStates                         // ledgers and turns of some keys
-	MethodBodies                         // records of some turns
-	MethodRepair                         // notice: a key is not whole there
+	MethodOpen       rpc.Method = 20 + iota // reserve, and look for the previous turn
+	MethodClose                             // keep a turn and settle its entry
+	MethodSettle                            // settle an entry
+	MethodReadLedger                        // read a ledger
+	MethodHistory                           // read the history of a turn
+	MethodFindTurn                          // look for a turn under all keys
+	MethodDigest                            // sums over buckets of keys
+	MethodListKeys                          // digests of keys, by pages
+	MethodStates                            // ledgers and turns of some keys
+	MethodBodies                            // records of some turns
+	MethodRepair                            // notice: a key is not whole there
 )
 
 // The kinds of errors of a store's answer and of a client's operation.
@@ -30,14 +30,14 @@
 	ErrBudget = errors.New("budget is spent")
 	// ErrNoTurn: the previous turn does not exist, which enough stores have said to be sure.
 	ErrNoTurn = errors.New("no such turn")
-	// ErrUnsure: too few stores answered to know.
-	ErrUnsure = errors.New("too few stores answered")
+	// ErrUnavailable: too few stores answered to know.
+	ErrUnavailable = errors.New("too few stores answered")
 	// ErrWrongStore: a store of another identity answers at that address.
 	ErrWrongStore = errors.New("store has another identity")
 	// ErrOldPlacement: the store has adopted a newer placement than the caller's.
 	ErrOldPlacement = errors.New("placement is older than the store's")
-	// ErrBehind: the store has not adopted the caller's placement yet.
-	ErrBehind = errors.New("store has not adopted the placement yet")
+	// ErrPlacementBehind: the store has not adopted the caller's placement yet.
+	ErrPlacementBehind = errors.New("store has not adopted the placement yet")
 	// ErrFull: the store's disk or memory bound has no room.
 	ErrFull = errors.New("store is full: give it more disk, or add stores")
 	// ErrBusy: too many writes wait for the store's disk.
@@ -63,7 +63,7 @@
 	case statusOldPlacement:
 		return ErrOldPlacement
 	case statusBehind:
-		return ErrBehind
+		return ErrPlacementBehind
 	case statusFull:
 		return ErrFull
 	case statusBusy:
@@ -75,34 +75,34 @@
 
 // Turn is a turn that ended whole, as the front hands it over.
 type Turn struct {
-	Key      string // its program
-	ID       string
-	Previous string
-	Base     []byte // the whole history before it, where Previous is another key's turn
-	Input    []byte
-	Output   []byte // the data of each event, each followed by a line feed
-	Used     int    // tokens handed out
-	Retain   int    // seconds
-	Home     string // the host that ran it, and has its prompt in its cache
-	Context  int    // tokens of its prompt and what it generated
+	Key           string // its program
+	ID            string
+	Previous      string
+	Base          []byte // the whole history before it, where Previous is another key's turn
+	Input         []byte
+	Output        []byte // the data of each event, each followed by a line feed
+	UsedTokens    int    // tokens handed out
+	RetainSeconds int    // seconds
+	CacheHost     string // the host that ran it, and has its prompt in its cache
+	ContextTokens int    // tokens of its prompt and what it generated
 }
 
 // Record is a turn as stores keep it: what it adds to the history is all that is ever read of it.
 type Record struct {
-	Key      string
-	ID       string
-	Previous string
-	Root     bool // the piece is the whole history: first turn, or one with the base in it
-	Retain   int
-	Piece    []byte
-	Home     string
-	Context  int
+	Key           string
+	ID            string
+	Previous      string
+	Root          bool // the piece is the whole history: first turn, or one with the base in it
+	RetainSeconds int
+	Increment     []byte
+	CacheHost     string
+	ContextTokens int
 }
 
 func (t *Turn) record() Record {
 	piece := make([]byte, 0, len(t.Base)+len(t.Input)+len(t.Output))
 	piece = append(append(append(piece, t.Base...), t.Input...), t.Output...)
-	return Record{Key: t.Key, ID: t.ID, Previous: t.Previous, Root: t.Previous == "" || t.Base != nil, Retain: t.Retain, Piece: piece, Home: t.Home, Context: t.Context}
+	return Record{Key: t.Key, ID: t.ID, Previous: t.Previous, Root: t.Previous == "" || t.Base != nil, RetainSeconds: t.RetainSeconds, Increment: piece, CacheHost: t.CacheHost, ContextTokens: t.ContextTokens}
 }
 
 // indexRow is what the index needs of a turn, in a table of its own so that a start reads no bodies.
@@ -134,13 +134,13 @@
 }
 
 // head names the store that a call is meant for and the placement that it goes by.
-type Head struct {
-	Store string
-	Gen   int64
+type RequestHeader struct {
+	Store      string
+	Generation int64
 }
 
 type openCall struct {
-	To       Head
+	To       RequestHeader
 	Program  string
 	Turn     string
 	Previous string
@@ -162,13 +162,13 @@
 }
 
 type closeCall struct {
-	To   Head
+	To   RequestHeader
 	Turn Record
 	Used int
 }
 
 type settleCall struct {
-	To      Head
+	To      RequestHeader
 	Program string
 	Turn    string
 	Used    int
@@ -179,7 +179,7 @@
 }
 
 type peekCall struct {
-	To      Head
+	To      RequestHeader
 	Program string
 }
 
@@ -189,7 +189,7 @@
 }
 
 type historyCall struct {
-	To   Head
+	To   RequestHeader
 	Key  string
 	Turn string
 }
@@ -204,7 +204,7 @@
 }
 
 type findCall struct {
-	To   Head
+	To   RequestHeader
 	Turn string
 }
 
@@ -216,7 +216,7 @@
 }
 
 type digestCall struct {
-	To    Head
+	To    RequestHeader
 	Asker string // identity of the store that asks
 }
 
@@ -226,7 +226,7 @@
 }
 
 type keysCall struct {
-	To      Head
+	To      RequestHeader
 	Asker   string
 	Sweep   bool  // all that the asker should hold; else only what both should
 	Buckets []int // empty: all
@@ -250,7 +250,7 @@
 }
 
 type statesCall struct {
-	To   Head
+	To   RequestHeader
 	Keys []string
 }
 
@@ -268,7 +268,7 @@
 }
 
 type bodiesCall struct {
-	To    Head
+	To    RequestHeader
 	Turns []string
 }
 
@@ -279,6 +279,6 @@
 }
 
 type repairNotice struct {
-	To  Head
+	To  RequestHeader
 	Key string
 }
--- a/internal/tier/turnstore/reservation_test.go
+++ b/internal/tier/turnstore/reservation_test.go
@@ -83,10 +83,10 @@
 }
 
 func (m *model) open(turn string, need int) {
-	group := Copies{{ID: "0"}, {ID: "1"}, {ID: "2"}}
-	r := newReservation([]Copies{group}, m.budget)
+	group := ReplicaSet{{ID: "0"}, {ID: "1"}, {ID: "2"}}
+	r := newReservation([]ReplicaSet{group}, m.budget)
 	if m.fault == "one copy is enough" {
-		r.quorum = newQuorum(r.groups, func(Copies) int { return 1 })
+		r.quorum = newQuorum(r.groups, func(ReplicaSet) int { return 1 })
 	}
 	over := false
 	var ask func(round int)
@@ -205,7 +205,7 @@
 }
 
 func TestQuorumByGroups(t *testing.T) {
-	groups := []Copies{{{ID: "a"}, {ID: "b"}, {ID: "c"}}, {{ID: "b"}, {ID: "c"}, {ID: "d"}}}
+	groups := []ReplicaSet{{{ID: "a"}, {ID: "b"}, {ID: "c"}}, {{ID: "b"}, {ID: "c"}, {ID: "d"}}}
 	for _, c := range []struct {
 		yes, no       string
 		reached, lost bool
@@ -224,7 +224,7 @@
 			t.Errorf("yes %q no %q: %v %v", c.yes, c.no, reached, lost)
 		}
 	}
-	if reached, lost := newQuorum([]Copies{{}}, majority).state(); reached || !lost {
+	if reached, lost := newQuorum([]ReplicaSet{{}}, majority).state(); reached || !lost {
 		t.Errorf("without stores: %v %v", reached, lost)
 	}
 }
--- a/internal/tier/turnstore/room.go
+++ b/internal/tier/turnstore/room.go
@@ -34,10 +34,10 @@
 func (r *room) full() bool { return r.low || r.refused || r.ledgers }
 
 // Full tells whether the store opens no turns because its disk, or its memory of ledgers, has little room.
-func (s *NodeStore) Full() bool { return s.full.Load() }
+func (s *Server) Full() bool { return s.full.Load() }
 
 // updateRoom takes what was learnt of the room, under the mutex, and tells of a change.
-func (s *NodeStore) updateRoom(learn func(*room)) {
+func (s *Server) updateRoom(learn func(*room)) {
 	s.mu.Lock()
 	learn(&s.room)
 	now := s.room.full()
@@ -58,14 +58,14 @@
 }
 
 // noteWrite learns of the room from how a write ended.
-func (s *NodeStore) noteWrite(err error) {
+func (s *Server) noteWrite(err error) {
 	if errors.Is(err, sqlitelog.ErrFull) {
 		s.updateRoom(func(r *room) { r.refused = true })
 	}
 }
 
 // lookForRoom looks at what the disk can still take; Run does it now and then.
-func (s *NodeStore) lookForRoom(ctx context.Context) {
+func (s *Server) lookForRoom(ctx context.Context) {
 	left, most, err := s.disk.Room()
 	if err != nil {
 		return // a disk that fails is told of by what writes
@@ -84,7 +84,7 @@
 }
 
 // probe writes something large, and deletes it.
-func (s *NodeStore) probe(ctx context.Context) error {
+func (s *Server) probe(ctx context.Context) error {
 	key := []byte(factProbe)
 	if err := s.disk.Commit(ctx, []sqlitelog.Write{{Table: tableFacts, Key: key, Value: make([]byte, probeBytes)}}); err != nil {
 		return err
--- a/internal/tier/turnstore/room_test.go
+++ b/internal/tier/turnstore/room_test.go
@@ -16,9 +16,9 @@
 		n.limit = 1 // raised to the least that a file may have
 		n.start()
 	}
-	tr.place(&Placement{Gen: 2, Old: tr.stores(tr.nodes...)})
+	tr.place(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
 	c := tr.client()
-	var open []*Opened
+	var open []*OpenedTurn
 	for i := range 5 {
 		o, err := c.Open(t.Context(), opening(fmt.Sprint("open", i), fmt.Sprint("o", i), ""))
 		if err != nil {
@@ -38,12 +38,12 @@
 		if kept > 1000 {
 			t.Fatal("no store takes its disk for nearly full")
 		}
-		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: piece, Retain: 30}); err != nil {
+		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: piece, RetainSeconds: 30}); err != nil {
 			t.Fatalf("turn %d does not end, before any store said that it is nearly full: %v", kept, err)
 		}
 	}
 	_, err := c.Open(t.Context(), opening("another", "a", ""))
-	wantError(t, err, ErrUnsure)
+	wantError(t, err, ErrUnavailable)
 	wantError(t, err, ErrFull)
 	for _, o := range open {
 		if err := c.Close(t.Context(), o.Record([]byte("x"), piece, 5, 30*time.Second)); err != nil {
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -31,8 +31,8 @@
 	readBytes   = 1 << 20 // bodies read at once, about
 )
 
-// StoreConfig is what a store is made of.
-type StoreConfig struct {
+// ServerOptions is what a store is made of.
+type ServerOptions struct {
 	DB        *sqlitelog.DB          // opened with StoreTables; its identity is the store's
 	Placement func() *Placement      // in force as far as this node knows; nil before it was heard of
 	Changed   func() <-chan struct{} // closed with the next change of the placement; nil: it is looked at often
@@ -41,9 +41,9 @@
 	Log       *process.Ring
 }
 
-// NodeStore is the server side: one node's copies. Its answers are what its disk has synced.
-type NodeStore struct {
-	StoreConfig
+// Server is the server side: one node's copies. Its answers are what its disk has synced.
+type Server struct {
+	ServerOptions
 	disk     disk
 	peers    network
 	id       string
@@ -63,16 +63,16 @@
 	swept    int64
 }
 
-// NewStore reads what the file has.
-func NewStore(c StoreConfig) (*NodeStore, error) {
+// NewServer reads what the file has.
+func NewServer(c ServerOptions) (*Server, error) {
 	return newStore(c, file{c.DB}, connections{c.Calls})
 }
 
-func newStore(c StoreConfig, d disk, peers network) (*NodeStore, error) {
+func newStore(c ServerOptions, d disk, peers network) (*Server, error) {
 	if c.Now == nil {
 		c.Now = time.Now
 	}
-	s := &NodeStore{StoreConfig: c, disk: d, peers: peers, pieces: newPieces(storePieces), repair: make(chan string, 256), index: newIndex(),
+	s := &Server{ServerOptions: c, disk: d, peers: peers, pieces: newPieces(storePieces), repair: make(chan string, 256), index: newIndex(),
 		unsynced: newUnsynced()}
 	s.id, _ = d.Identity()
 	now := c.Now()
@@ -91,24 +91,24 @@
 }
 
 // ID is the identity under which the store is placed.
-func (s *NodeStore) ID() string { return s.id }
+func (s *Server) ID() string { return s.id }
 
-// Swept is the newest placement under which the store has all that it should hold.
-func (s *NodeStore) Swept() int64 {
+// SweptGeneration is the newest placement under which the store has all that it should hold.
+func (s *Server) SweptGeneration() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.swept
 }
 
-// Adopted is the newest gen that the store goes by: it refuses what comes under an older one.
-func (s *NodeStore) Adopted() int64 {
+// AdoptedGeneration is the newest gen that the store goes by: it refuses what comes under an older one.
+func (s *Server) AdoptedGeneration() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.adopted, s.swept)
 }
 
-// Held tells how many programs and turns the store has.
-func (s *NodeStore) Held() (programs, turns int) {
+// Counts tells how many programs and turns the store has.
+func (s *Server) Counts() (programs, turns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.index.programs {
@@ -118,7 +118,7 @@
 }
 
 // Run expires, sweeps and repairs until ctx ends.
-func (s *NodeStore) Run(ctx context.Context) {
+func (s *Server) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		tick := time.NewTicker(expireEvery)
--- a/internal/tier/turnstore/store_calls.go
+++ b/internal/tier/turnstore/store_calls.go
@@ -9,19 +9,19 @@
 )
 
 // Handlers are the calls that the store takes.
-func (s *NodeStore) Handlers() map[rpc.Method]rpc.Handler {
+func (s *Server) Handlers() map[rpc.Method]rpc.Handler {
 	return map[rpc.Method]rpc.Handler{
-		MethodOpen:    handle(s.open),
-		MethodClose:   handle(s.close),
-		MethodSettle:  handle(s.settle),
-		MethodPeek:    handle(s.peek),
-		MethodHistory: handle(s.history),
-		MethodFind:    handle(s.find),
-		MethodDigest:  handle(s.digest),
-		MethodKeys:    handle(s.keys),
-		MethodStates:  handle(s.states),
-		MethodBodies:  handle(s.bodies),
-		MethodRepair:  handle(s.takeRepair),
+		MethodOpen:       handle(s.open),
+		MethodClose:      handle(s.close),
+		MethodSettle:     handle(s.settle),
+		MethodReadLedger: handle(s.peek),
+		MethodHistory:    handle(s.history),
+		MethodFindTurn:   handle(s.find),
+		MethodDigest:     handle(s.digest),
+		MethodListKeys:   handle(s.keys),
+		MethodStates:     handle(s.states),
+		MethodBodies:     handle(s.bodies),
+		MethodRepair:     handle(s.takeRepair),
 	}
 }
 
@@ -36,14 +36,14 @@
 }
 
 // refuse tells why a call is not for this store under its placement; the mutex is held.
-func (s *NodeStore) refuse(h Head) int {
+func (s *Server) refuse(h RequestHeader) int {
 	if h.Store != s.id {
 		return statusWrongStore
 	}
-	if p := s.Placement(); p != nil && p.Gen > s.adopted {
-		s.adopted = p.Gen
+	if p := s.Placement(); p != nil && p.Generation > s.adopted {
+		s.adopted = p.Generation
 	}
-	if h.Gen < s.adopted {
+	if h.Generation < s.adopted {
 		return statusOldPlacement
 	}
 	return statusOK
@@ -51,7 +51,7 @@
 
 // valid tells whether the store has all that was promised under a placement, so that it may say what does not exist.
 // The mutex is held.
-func (s *NodeStore) valid() bool {
+func (s *Server) valid() bool {
 	p := s.Placement()
 	if p == nil {
 		return false
@@ -61,11 +61,11 @@
 			return true
 		}
 	}
-	return s.swept == p.Gen && p.Gen > 0
+	return s.swept == p.Generation && p.Generation > 0
 }
 
 // open reserves a turn and answers once the reservation is synced.
-func (s *NodeStore) open(ctx context.Context, c *openCall) *openReply {
+func (s *Server) open(ctx context.Context, c *openCall) *openReply {
 	s.mu.Lock()
 	now := s.Now()
 	if st := s.refuse(c.To); st != statusOK {
@@ -100,7 +100,7 @@
 
 // openAnswer tells of a program's ledger and of the previous turn; ids are the turns that make the history, if it is wanted.
 // The mutex is held.
-func (s *NodeStore) openAnswer(c *openCall, now time.Time) (r *openReply, ids []string) {
+func (s *Server) openAnswer(c *openCall, now time.Time) (r *openReply, ids []string) {
 	r = &openReply{Valid: s.valid()}
 	if p := s.index.get(c.Program); p != nil {
 		r.Ledger = append(r.Ledger, p.ledger.Entries()...)
@@ -122,10 +122,10 @@
 }
 
 // left is for how long the turns of a program are kept at least, in ms; the mutex is held.
-func (s *NodeStore) left(p *program) int { return int(max(0, p.until.Sub(s.Now()).Milliseconds())) }
+func (s *Server) left(p *program) int { return int(max(0, p.until.Sub(s.Now()).Milliseconds())) }
 
 // close keeps a turn, settles its entry, and answers once both are synced.
-func (s *NodeStore) close(ctx context.Context, c *closeCall) *plainReply {
+func (s *Server) close(ctx context.Context, c *closeCall) *plainReply {
 	t := &c.Turn
 	s.mu.Lock()
 	if st := s.refuse(c.To); st != statusOK {
@@ -141,16 +141,16 @@
 	if st := s.wait(ctx, wrote); st != statusOK {
 		return &plainReply{st}
 	}
-	s.pieces.put(&piece{key: t.Key, id: t.ID, bytes: nonNil(t.Piece)})
+	s.pieces.put(&piece{key: t.Key, id: t.ID, bytes: nonNil(t.Increment)})
 	s.mu.Lock()
-	s.index.add(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, Retain: t.Retain}, -1, s.Now())
-	s.index.hint(t.ID, t.Home, t.Context)
+	s.index.add(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, Retain: t.RetainSeconds}, -1, s.Now())
+	s.index.hint(t.ID, t.CacheHost, t.ContextTokens)
 	st := s.refuse(c.To) // adopted meanwhile: a sweep may have missed the turn
 	s.mu.Unlock()
 	return &plainReply{st}
 }
 
-func (s *NodeStore) settle(ctx context.Context, c *settleCall) *plainReply {
+func (s *Server) settle(ctx context.Context, c *settleCall) *plainReply {
 	s.mu.Lock()
 	if st := s.refuse(c.To); st != statusOK {
 		s.mu.Unlock()
@@ -169,7 +169,7 @@
 	return &plainReply{s.refuse(c.To)}
 }
 
-func (s *NodeStore) peek(_ context.Context, c *peekCall) *peekReply {
+func (s *Server) peek(_ context.Context, c *peekCall) *peekReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st := s.refuse(c.To); st != statusOK {
@@ -182,7 +182,7 @@
 	return r
 }
 
-func (s *NodeStore) history(_ context.Context, c *historyCall) *historyReply {
+func (s *Server) history(_ context.Context, c *historyCall) *historyReply {
 	s.mu.Lock()
 	if st := s.refuse(c.To); st != statusOK {
 		s.mu.Unlock()
@@ -202,7 +202,7 @@
 	return r
 }
 
-func (s *NodeStore) find(_ context.Context, c *findCall) *findReply {
+func (s *Server) find(_ context.Context, c *findCall) *findReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st := s.refuse(c.To); st != statusOK {
--- a/internal/tier/turnstore/store_expire.go
+++ b/internal/tier/turnstore/store_expire.go
@@ -9,7 +9,7 @@
 )
 
 // expire drops what no one may ask for any more, a bounded part at a time; more tells that there is more.
-func (s *NodeStore) expire(ctx context.Context) (more bool) {
+func (s *Server) expire(ctx context.Context) (more bool) {
 	s.mu.Lock()
 	now := s.Now()
 	turns := s.index.expire(now, expireMost)
--- a/internal/tier/turnstore/store_read.go
+++ b/internal/tier/turnstore/store_read.go
@@ -1,7 +1,7 @@
 package turnstore
 
 // read gives the history that turns make, from behind the last whose body is not there.
-func (s *NodeStore) read(program string, ids []string, missing string) (history []byte, lacks string, got bool) {
+func (s *Server) read(program string, ids []string, missing string) (history []byte, lacks string, got bool) {
 	parts := s.readBodies(program, ids)
 	size, from := 0, 0
 	for i := len(ids) - 1; i >= 0; i-- {
@@ -19,7 +19,7 @@
 }
 
 // readBodies gives the bytes of turns, nil for those that are gone, and keeps them at hand.
-func (s *NodeStore) readBodies(program string, ids []string) [][]byte {
+func (s *Server) readBodies(program string, ids []string) [][]byte {
 	parts := make([][]byte, len(ids))
 	var keys [][]byte
 	var at []int
--- a/internal/tier/turnstore/store_start.go
+++ b/internal/tier/turnstore/store_start.go
@@ -11,7 +11,7 @@
 )
 
 // readLedgers fills the index with the ledgers on disk.
-func (s *NodeStore) readLedgers(now time.Time) error {
+func (s *Server) readLedgers(now time.Time) error {
 	return s.disk.Range(tableEntries, nil, nil, func(k, v []byte) error {
 		program, turn, err := splitKey(k)
 		if err != nil {
@@ -28,7 +28,7 @@
 
 // readTurns fills the index with the turns on disk. How long ago they ended is not known for sure: their time counts from
 // now on.
-func (s *NodeStore) readTurns(now time.Time) error {
+func (s *Server) readTurns(now time.Time) error {
 	return s.disk.Range(tableTurns, nil, nil, func(k, v []byte) error {
 		program, turn, err := splitKey(k)
 		if err != nil {
@@ -45,7 +45,7 @@
 }
 
 // readFacts reads which placements the store has adopted and swept under.
-func (s *NodeStore) readFacts() error {
+func (s *Server) readFacts() error {
 	for name, to := range map[string]*int64{factAdopted: &s.kept, factSwept: &s.swept} {
 		v, err := s.disk.Get(tableFacts, []byte(name))
 		if err != nil {
--- a/internal/tier/turnstore/store_write.go
+++ b/internal/tier/turnstore/store_write.go
@@ -16,12 +16,12 @@
 
 // wait returns after the sync, also where the caller has left meanwhile: the write is made all the same, and the index has to
 // know of it.
-func (s *NodeStore) wait(ctx context.Context, p pending) int {
+func (s *Server) wait(ctx context.Context, p pending) int {
 	return s.writeStatus(ctx, p.Wait(context.WithoutCancel(ctx)))
 }
 
 // writeStatus is what a caller is told of how a write ended.
-func (s *NodeStore) writeStatus(ctx context.Context, err error) int {
+func (s *Server) writeStatus(ctx context.Context, err error) int {
 	switch {
 	case err == nil:
 		s.troubled.Store(false)
@@ -41,7 +41,7 @@
 }
 
 // trouble tells of a disk that failed, once.
-func (s *NodeStore) trouble(what string, err error) {
+func (s *Server) trouble(what string, err error) {
 	if !s.troubled.Swap(true) {
 		s.Log.Trouble("store", what, "err", err)
 	}
@@ -57,7 +57,7 @@
 func turnWrites(t *Record) []sqlitelog.Write {
 	key := rowKey(t.Key, t.ID)
 	return []sqlitelog.Write{
-		{Table: tableTurns, Key: key, Value: rpc.Encode(&indexRow{Previous: t.Previous, Root: t.Root, Retain: t.Retain})},
-		{Table: tableBodies, Key: key, Value: nonNil(t.Piece)},
+		{Table: tableTurns, Key: key, Value: rpc.Encode(&indexRow{Previous: t.Previous, Root: t.Root, Retain: t.RetainSeconds})},
+		{Table: tableBodies, Key: key, Value: nonNil(t.Increment)},
 	}
 }
--- a/internal/tier/turnstore/sweep.go
+++ b/internal/tier/turnstore/sweep.go
@@ -29,7 +29,7 @@
 
 // keepWhole brings the copies together: a whole sweep for each new placement, repairs, and a look at one other store
 // now and then.
-func (s *NodeStore) keepWhole(ctx context.Context) {
+func (s *Server) keepWhole(ctx context.Context) {
 	var changed <-chan struct{}
 	caught, tries := false, 0 // up with what happened before the start
 	next := s.Now()
@@ -51,7 +51,7 @@
 				pause = sweepAgain
 			}
 		case !caught:
-			if tries++; s.compareAll(ctx, p) > p.Losses && tries < catchUpTries {
+			if tries++; s.compareAll(ctx, p) > p.FaultTolerance && tries < catchUpTries {
 				pause = catchUpAgain
 				break
 			}
@@ -76,12 +76,12 @@
 }
 
 // placed tells whether a placement names this store.
-func (s *NodeStore) placed(p *Placement) bool {
+func (s *Server) placed(p *Placement) bool {
 	return p != nil && slices.ContainsFunc(p.Stores(), func(o Store) bool { return o.ID == s.id })
 }
 
 // compareAll brings in what all other stores have, and tells how many could not be asked.
-func (s *NodeStore) compareAll(ctx context.Context, p *Placement) (silent int) {
+func (s *Server) compareAll(ctx context.Context, p *Placement) (silent int) {
 	for _, peer := range p.Stores() {
 		if s.compare(ctx, p, peer) != nil {
 			silent++
@@ -94,19 +94,19 @@
 
 // toSweep tells whether the store is to sweep: while joint all of the new list; then those that the change did not wait
 // for, or whose placement was founded above theirs.
-func (s *NodeStore) toSweep(p *Placement) bool {
+func (s *Server) toSweep(p *Placement) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := p.New
-	if len(list) == 0 && p.Gen > 1 {
+	if len(list) == 0 && p.Generation > 1 {
 		list = p.Old
 	}
-	return s.swept < p.Gen && slices.ContainsFunc(list, func(o Store) bool { return o.ID == s.id })
+	return s.swept < p.Generation && slices.ContainsFunc(list, func(o Store) bool { return o.ID == s.id })
 }
 
 // sweep takes over from the stores of the old list what this store should hold by the new one; it tells whether that
 // is complete. What was pulled in a round before is not pulled again.
-func (s *NodeStore) sweep(ctx context.Context, p *Placement) bool {
+func (s *Server) sweep(ctx context.Context, p *Placement) bool {
 	s.sweeping.Lock()
 	defer s.sweeping.Unlock()
 	r := &s.rounds
@@ -118,33 +118,33 @@
 		}
 		err := s.pull(ctx, p, peer, nil, true)
 		r.pulled(peer.ID, err == nil, s.Now())
-		if err != nil && !errors.Is(err, ErrBehind) {
-			_ = s.Log.Log("sweep", peer.Name, "gen", p.Gen, "err", err)
+		if err != nil && !errors.Is(err, ErrPlacementBehind) {
+			_ = s.Log.Log("sweep", peer.Name, "gen", p.Generation, "err", err)
 		}
 	}
 	missed := r.missed(p, s.id)
 	r.again()
-	if missed > p.Losses || ctx.Err() != nil {
+	if missed > p.FaultTolerance || ctx.Err() != nil {
 		return false
 	}
-	if err := s.commitSwept(ctx, p.Gen); err != nil {
+	if err := s.commitSwept(ctx, p.Generation); err != nil {
 		s.noteWrite(err)
 		return false
 	}
 	s.mu.Lock()
-	s.swept = max(s.swept, p.Gen)
+	s.swept = max(s.swept, p.Generation)
 	s.mu.Unlock()
-	_ = s.Log.Log("swept", p.Gen, "missed", missed)
+	_ = s.Log.Log("swept", p.Generation, "missed", missed)
 	return true
 }
 
 // compare brings in what another store has of the programs that both should hold.
-func (s *NodeStore) compare(ctx context.Context, p *Placement, peer Store) error {
+func (s *Server) compare(ctx context.Context, p *Placement, peer Store) error {
 	if peer.ID == s.id {
 		return nil
 	}
 	var r digestReply
-	if err := s.call(ctx, peer, MethodDigest, &digestCall{To: Head{peer.ID, p.Gen}, Asker: s.id}, &r, &r.Status); err != nil {
+	if err := s.call(ctx, peer, MethodDigest, &digestCall{To: RequestHeader{peer.ID, p.Generation}, Asker: s.id}, &r, &r.Status); err != nil {
 		return err
 	}
 	if len(r.Sums) != 8*buckets {
@@ -170,7 +170,7 @@
 }
 
 // mend brings in programs that a front found not to be whole here.
-func (s *NodeStore) mend(ctx context.Context, key string) {
+func (s *Server) mend(ctx context.Context, key string) {
 	timer := time.NewTimer(repairAfter)
 	defer timer.Stop()
 	keys := []string{key}
@@ -192,7 +192,7 @@
 	}
 	byPeer := map[string][]string{}
 	for _, key := range keys {
-		for _, g := range p.Groups(key) {
+		for _, g := range p.ReplicaSets(key) {
 			for _, peer := range g {
 				if peer.ID != s.id && !slices.Contains(byPeer[peer.ID], key) {
 					byPeer[peer.ID] = append(byPeer[peer.ID], key)
--- a/internal/tier/turnstore/sweep_pull.go
+++ b/internal/tier/turnstore/sweep_pull.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-func (s *NodeStore) call(ctx context.Context, peer Store, m rpc.Method, call, reply any, status *int) error {
+func (s *Server) call(ctx context.Context, peer Store, m rpc.Method, call, reply any, status *int) error {
 	limit := sweepCall
 	if m == MethodBodies || m == MethodStates {
 		limit = bodiesCallIn
@@ -24,11 +24,11 @@
 }
 
 // pull brings in what another store has, in the given buckets (nil: all).
-func (s *NodeStore) pull(ctx context.Context, p *Placement, peer Store, in []int, sweep bool) error {
-	c := &keysCall{To: Head{peer.ID, p.Gen}, Asker: s.id, Sweep: sweep, Buckets: in}
+func (s *Server) pull(ctx context.Context, p *Placement, peer Store, in []int, sweep bool) error {
+	c := &keysCall{To: RequestHeader{peer.ID, p.Generation}, Asker: s.id, Sweep: sweep, Buckets: in}
 	for {
 		var r keysReply
-		if err := s.call(ctx, peer, MethodKeys, c, &r, &r.Status); err != nil {
+		if err := s.call(ctx, peer, MethodListKeys, c, &r, &r.Status); err != nil {
 			return err
 		}
 		var want []string
@@ -50,10 +50,10 @@
 }
 
 // fetch brings in what another store has of some programs.
-func (s *NodeStore) fetch(ctx context.Context, p *Placement, peer Store, keys []string) error {
+func (s *Server) fetch(ctx context.Context, p *Placement, peer Store, keys []string) error {
 	for len(keys) > 0 {
 		var r statesReply
-		c := &statesCall{To: Head{peer.ID, p.Gen}, Keys: keys[:min(len(keys), statesMost)]}
+		c := &statesCall{To: RequestHeader{peer.ID, p.Generation}, Keys: keys[:min(len(keys), statesMost)]}
 		if err := s.call(ctx, peer, MethodStates, c, &r, &r.Status); err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 }
 
 // takeStates joins in the ledgers of programs, writes what is new in them, and gives the turns that are lacking here.
-func (s *NodeStore) takeStates(ctx context.Context, states []keyState) (lacking []string, err error) {
+func (s *Server) takeStates(ctx context.Context, states []keyState) (lacking []string, err error) {
 	var rows entryRows
 	s.mu.Lock()
 	now := s.Now()
@@ -117,9 +117,9 @@
 }
 
 // fetchTurns brings in turns, and tells with how many of them it is done.
-func (s *NodeStore) fetchTurns(ctx context.Context, p *Placement, peer Store, turns []string, left map[string]time.Duration) (int, error) {
+func (s *Server) fetchTurns(ctx context.Context, p *Placement, peer Store, turns []string, left map[string]time.Duration) (int, error) {
 	var r bodiesReply
-	if err := s.call(ctx, peer, MethodBodies, &bodiesCall{To: Head{peer.ID, p.Gen}, Turns: turns}, &r, &r.Status); err != nil {
+	if err := s.call(ctx, peer, MethodBodies, &bodiesCall{To: RequestHeader{peer.ID, p.Generation}, Turns: turns}, &r, &r.Status); err != nil {
 		return 0, err
 	}
 	if r.Done <= 0 || r.Done > len(turns) {
@@ -136,7 +136,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range r.Turns {
-		s.index.add(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, Retain: t.Retain}, left[t.Key], s.Now())
+		s.index.add(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, Retain: t.RetainSeconds}, left[t.Key], s.Now())
 	}
 	return r.Done, nil
 }
--- a/internal/tier/turnstore/sweep_round.go
+++ b/internal/tier/turnstore/sweep_round.go
@@ -16,14 +16,14 @@
 // begin starts anew with each phase: what was pulled while joint does not count for the stable placement, where fewer
 // stores than before may have had a turn then.
 func (r *sweepRounds) begin(p *Placement) {
-	if joint := len(p.New) > 0; r.tried == nil || r.gen != p.Gen || r.joint != joint {
-		r.gen, r.joint, r.tried = p.Gen, joint, map[string]bool{}
+	if joint := len(p.New) > 0; r.tried == nil || r.gen != p.Generation || r.joint != joint {
+		r.gen, r.joint, r.tried = p.Generation, joint, map[string]bool{}
 	}
 }
 
 // next gives the peer to pull from. Those that failed a moment ago come last, and not at all where they are not needed.
 func (r *sweepRounds) next(p *Placement, self string, now time.Time) (Store, bool) {
-	needed := r.missed(p, self) > p.Losses
+	needed := r.missed(p, self) > p.FaultTolerance
 	for _, silent := range []bool{false, true} {
 		i := slices.IndexFunc(p.Old, func(o Store) bool {
 			_, tried := r.tried[o.ID]
--- a/internal/tier/turnstore/sweep_round_test.go
+++ b/internal/tier/turnstore/sweep_round_test.go
@@ -14,7 +14,7 @@
 		}
 		return out
 	}
-	joint := &Placement{Gen: 3, Losses: 1, Old: list("abcd"), New: list("abce")}
+	joint := &Placement{Generation: 3, FaultTolerance: 1, Old: list("abcd"), New: list("abce")}
 	now := time.Unix(100, 0)
 	var r sweepRounds
 	// round pulls from each peer that is given; failing names those that do not answer.
@@ -47,10 +47,10 @@
 	now = now.Add(staysSilent)
 	asked, missed = round(joint, "e", "d")
 	expect("later it is tried again", asked, missed, "d", 1)
-	stable := &Placement{Gen: 3, Losses: 1, Old: list("abce")}
+	stable := &Placement{Generation: 3, FaultTolerance: 1, Old: list("abce")}
 	asked, missed = round(stable, "e", "")
 	expect("what was pulled while joint does not count once stable", asked, missed, "abc", 0)
-	next := &Placement{Gen: 4, Losses: 1, Old: list("abce"), New: list("abcef")}
+	next := &Placement{Generation: 4, FaultTolerance: 1, Old: list("abce"), New: list("abcef")}
 	asked, missed = round(next, "e", "")
 	expect("another gen begins anew", asked, missed, "abc", 0)
 }
--- a/internal/tier/turnstore/sweep_serve.go
+++ b/internal/tier/turnstore/sweep_serve.go
@@ -10,14 +10,14 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-func (s *NodeStore) digest(_ context.Context, c *digestCall) *digestReply {
+func (s *Server) digest(_ context.Context, c *digestCall) *digestReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st := s.refuse(c.To); st != statusOK {
 		return &digestReply{Status: st}
 	}
 	p := s.Placement()
-	if p == nil || p.Gen < c.To.Gen {
+	if p == nil || p.Generation < c.To.Generation {
 		return &digestReply{Status: statusBehind}
 	}
 	sums := s.index.sums(p, s.id, c.Asker)
@@ -28,14 +28,14 @@
 	return r
 }
 
-func (s *NodeStore) keys(ctx context.Context, c *keysCall) *keysReply {
+func (s *Server) keys(ctx context.Context, c *keysCall) *keysReply {
 	s.mu.Lock()
 	if st := s.refuse(c.To); st != statusOK {
 		s.mu.Unlock()
 		return &keysReply{Status: st}
 	}
 	p := s.Placement()
-	if p == nil || p.Gen < c.To.Gen {
+	if p == nil || p.Generation < c.To.Generation {
 		s.mu.Unlock()
 		return &keysReply{Status: statusBehind}
 	}
@@ -68,7 +68,7 @@
 	return sqlitelog.Write{Table: tableFacts, Key: []byte(name), Value: strconv.AppendInt(nil, n, 10)}
 }
 
-func (s *NodeStore) states(_ context.Context, c *statesCall) *statesReply {
+func (s *Server) states(_ context.Context, c *statesCall) *statesReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if st := s.refuse(c.To); st != statusOK {
@@ -94,7 +94,7 @@
 	return r
 }
 
-func (s *NodeStore) bodies(_ context.Context, c *bodiesCall) *bodiesReply {
+func (s *Server) bodies(_ context.Context, c *bodiesCall) *bodiesReply {
 	s.mu.Lock()
 	if st := s.refuse(c.To); st != statusOK {
 		s.mu.Unlock()
@@ -103,7 +103,7 @@
 	r := &bodiesReply{}
 	for _, id := range c.Turns {
 		if t := s.index.find("", id); t != nil {
-			r.Turns = append(r.Turns, Record{Key: t.program.key, ID: id, Previous: t.previous, Root: t.root, Retain: int(t.program.retain / time.Second)})
+			r.Turns = append(r.Turns, Record{Key: t.program.key, ID: id, Previous: t.previous, Root: t.root, RetainSeconds: int(t.program.retain / time.Second)})
 		}
 	}
 	s.mu.Unlock()
@@ -123,7 +123,7 @@
 	whole := r.Turns[:0]
 	for i, v := range values {
 		if t := r.Turns[i]; v != nil { // else expired a moment ago
-			t.Piece = v
+			t.Increment = v
 			whole = append(whole, t)
 		}
 	}
@@ -131,7 +131,7 @@
 	return r
 }
 
-func (s *NodeStore) takeRepair(_ context.Context, c *repairNotice) *plainReply {
+func (s *Server) takeRepair(_ context.Context, c *repairNotice) *plainReply {
 	s.mu.Lock()
 	st := s.refuse(c.To)
 	s.mu.Unlock()
--- a/internal/tier/turnstore/timeline_test.go
+++ b/internal/tier/turnstore/timeline_test.go
@@ -604,16 +604,16 @@
 		p := w.core.place
 		w.core.mu.Unlock()
 		store := apart.life.Load().store
-		if len(p.New) > 0 || len(p.Old) != 5 || store.Swept() >= p.Gen {
-			t.Errorf("with a store that has not swept: %s, and it has swept gen %d", show(p), store.Swept())
+		if len(p.New) > 0 || len(p.Old) != 5 || store.SweptGeneration() >= p.Generation {
+			t.Errorf("with a store that has not swept: %s, and it has swept gen %d", show(p), store.SweptGeneration())
 		}
 		for _, o := range others {
 			w.join(o.name, apart.name)
 			w.join(apart.name, o.name)
 		}
 		w.sleep(2 * time.Second)
-		if store.Swept() != p.Gen {
-			t.Errorf("it has swept gen %d, 2 s after it is back: %s", store.Swept(), show(p))
+		if store.SweptGeneration() != p.Generation {
+			t.Errorf("it has swept gen %d, 2 s after it is back: %s", store.SweptGeneration(), show(p))
 		}
 		w.close()
 	})
--- a/internal/tier/turnstore/turnstore_test.go
+++ b/internal/tier/turnstore/turnstore_test.go
@@ -17,8 +17,8 @@
 	"larchrouter/internal/tier/budget"
 )
 
-func opening(program, turn, previous string) Opening {
-	return Opening{Program: program, Turn: turn, Previous: previous, Need: 10, Budget: 10_000}
+func opening(program, turn, previous string) OpenRequest {
+	return OpenRequest{Program: program, Turn: turn, Previous: previous, MaxTokens: 10, Budget: 10_000}
 }
 
 func wantError(t *testing.T, err, kind error) {
@@ -32,7 +32,7 @@
 func (tr *tier) copiesOf(program string) (in, out []*node) {
 	for _, n := range tr.nodes {
 		held := false
-		for _, s := range tr.placed.Load().Groups(program)[0] {
+		for _, s := range tr.placed.Load().ReplicaSets(program)[0] {
 			held = held || s.ID == n.store.ID()
 		}
 		if held {
@@ -125,7 +125,7 @@
 		turnOf(t, tr.client(), opening(old, old+"-2", old+"-1"), "two", "2\n")
 		c := tr.client()
 		opened, err := c.Open(t.Context(), opening(fresh, fresh+"-1", old+"-2"))
-		if err != nil || !opened.Base || string(opened.History) != "one1\ntwo2\n" {
+		if err != nil || !opened.ForeignBase || string(opened.History) != "one1\ntwo2\n" {
 			t.Fatalf("%+v %v", opened, err)
 		}
 		if err := c.Close(t.Context(), opened.Record([]byte("three"), []byte("3\n"), 5, time.Minute)); err != nil {
@@ -133,7 +133,7 @@
 		}
 		for _, front := range []*Client{c, tr.client()} { // from its cache, and from the stores
 			opened, err := front.Open(t.Context(), opening(fresh, fmt.Sprintf("%s-%p", fresh, front), fresh+"-1"))
-			if err != nil || opened.Base || string(opened.History) != "one1\ntwo2\nthree3\n" {
+			if err != nil || opened.ForeignBase || string(opened.History) != "one1\ntwo2\nthree3\n" {
 				t.Fatalf("%+v %v", opened, err)
 			}
 		}
@@ -160,7 +160,7 @@
 	wantError(t, err, ErrNoTurn) // all but as many as may be lost say so
 	tr.nodes[1].end()
 	_, err = tr.hasty().Open(t.Context(), opening("p", "d", "nothing"))
-	wantError(t, err, ErrUnsure)
+	wantError(t, err, ErrUnavailable)
 }
 
 func TestTwoOfFourStoresDownMakesUnsure(t *testing.T) {
@@ -171,10 +171,10 @@
 	in[1].end()
 	c := tr.hasty()
 	_, err := c.Open(t.Context(), opening("p", "b", "a"))
-	wantError(t, err, ErrUnsure)
+	wantError(t, err, ErrUnavailable)
 	ctx, stop := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer stop()
-	wantError(t, c.Close(ctx, &Turn{Key: "p", ID: "b", Previous: "a", Retain: 30}), ErrUnsure)
+	wantError(t, c.Close(ctx, &Turn{Key: "p", ID: "b", Previous: "a", RetainSeconds: 30}), ErrUnavailable)
 	in[0].start()
 	if got := turnOf(t, tr.client(), opening("p", "e", "a"), "x", ""); got != "inx" {
 		t.Fatalf("with one back: %q", got)
@@ -191,7 +191,7 @@
 		c := tr.client()
 		wg.Go(func() {
 			for i := range tries {
-				_, err := c.Open(t.Context(), Opening{Program: "p", Turn: fmt.Sprintf("%d-%d", f, i), Need: need, Budget: budget})
+				_, err := c.Open(t.Context(), OpenRequest{Program: "p", Turn: fmt.Sprintf("%d-%d", f, i), MaxTokens: need, Budget: budget})
 				switch {
 				case err == nil:
 					granted.Add(need)
@@ -207,11 +207,11 @@
 	}
 	// What is handed back may be used, what was used not; all of the rest may be granted.
 	c := tr.client()
-	turnOf(t, c, Opening{Program: "q", Turn: "a", Need: 60, Budget: budget}, "", "") // uses 30
-	if _, err := c.Open(t.Context(), Opening{Program: "q", Turn: "b", Need: 70, Budget: budget}); err != nil {
+	turnOf(t, c, OpenRequest{Program: "q", Turn: "a", MaxTokens: 60, Budget: budget}, "", "") // uses 30
+	if _, err := c.Open(t.Context(), OpenRequest{Program: "q", Turn: "b", MaxTokens: 70, Budget: budget}); err != nil {
 		t.Fatal(err)
 	}
-	_, err := c.Open(t.Context(), Opening{Program: "q", Turn: "c", Need: 1, Budget: budget})
+	_, err := c.Open(t.Context(), OpenRequest{Program: "q", Turn: "c", MaxTokens: 1, Budget: budget})
 	wantError(t, err, ErrBudget)
 	c.Settle("q", "b", 0)
 	until(t, "the reservation is settled", func() bool {
@@ -223,7 +223,7 @@
 		}
 		return true
 	})
-	if _, err := c.Open(t.Context(), Opening{Program: "q", Turn: "d", Need: 70, Budget: budget}); err != nil {
+	if _, err := c.Open(t.Context(), OpenRequest{Program: "q", Turn: "d", MaxTokens: 70, Budget: budget}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -231,7 +231,7 @@
 func TestAllAcknowledgedIsThereAfterAllStoresStartAgain(t *testing.T) {
 	tr := newTier(t, 4)
 	turnOf(t, tr.client(), opening("p", "a", ""), "in", "out\n")
-	if _, err := tr.client().Open(t.Context(), Opening{Program: "p", Turn: "b", Previous: "a", Need: 50, Budget: 100}); err != nil {
+	if _, err := tr.client().Open(t.Context(), OpenRequest{Program: "p", Turn: "b", Previous: "a", MaxTokens: 50, Budget: 100}); err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range tr.nodes {
@@ -240,7 +240,7 @@
 	for _, n := range tr.nodes {
 		n.start()
 	}
-	_, err := tr.client().Open(t.Context(), Opening{Program: "p", Turn: "c", Previous: "a", Need: 50, Budget: 100})
+	_, err := tr.client().Open(t.Context(), OpenRequest{Program: "p", Turn: "c", Previous: "a", MaxTokens: 50, Budget: 100})
 	wantError(t, err, ErrBudget) // 5 used and 50 reserved before
 	until(t, "the refused turn is settled everywhere", func() bool {
 		in, _ := tr.copiesOf("p")
@@ -251,7 +251,7 @@
 		}
 		return true
 	})
-	if got := turnOf(t, tr.client(), Opening{Program: "p", Turn: "d", Previous: "a", Need: 45, Budget: 100}, "x", ""); got != "inout\nx" {
+	if got := turnOf(t, tr.client(), OpenRequest{Program: "p", Turn: "d", Previous: "a", MaxTokens: 45, Budget: 100}, "x", ""); got != "inout\nx" {
 		t.Fatal(got)
 	}
 }
@@ -260,17 +260,17 @@
 func (tr *tier) joint(nodes ...*node) {
 	tr.t.Helper()
 	was := tr.placed.Load()
-	p := &Placement{Gen: was.Gen + 1, Old: was.Old, New: tr.stores(nodes...)}
+	p := &Placement{Generation: was.Generation + 1, Old: was.Old, New: tr.stores(nodes...)}
 	tr.place(p)
 	until(tr.t, "all stores of the new list have swept", func() bool {
 		for _, n := range nodes {
-			if n.store.Swept() != p.Gen {
+			if n.store.SweptGeneration() != p.Generation {
 				return false
 			}
 		}
 		return true
 	})
-	tr.place(&Placement{Gen: p.Gen, Old: p.New})
+	tr.place(&Placement{Generation: p.Generation, Old: p.New})
 }
 
 func TestStoreWhoseDiskWasLostJoinsAsANewcomer(t *testing.T) {
@@ -290,7 +290,7 @@
 	}
 	// It is no copy of the old list: what is asked for under that identity is refused.
 	turnOf(t, tr.client(), opening("p0", "p0c", "p0b"), "x", "")
-	if n, _ := lost.store.Held(); n != 0 {
+	if n, _ := lost.store.Counts(); n != 0 {
 		t.Fatalf("a store that is not placed took %d programs", n)
 	}
 	tr.joint(tr.nodes...)
@@ -304,7 +304,7 @@
 	}
 	for i := range programs {
 		p := fmt.Sprint("p", i)
-		for _, s := range tr.placed.Load().Groups(p)[0] {
+		for _, s := range tr.placed.Load().ReplicaSets(p)[0] {
 			if s.ID == lost.store.ID() && !lost.has(p+"a") {
 				t.Errorf("%s is not whole in the store that joined", p)
 			}
@@ -320,11 +320,11 @@
 	added.alone = true // does not sweep
 	added.start()
 	others := tr.nodes[:2]
-	tr.place(&Placement{Gen: 2, Old: was.Old, New: tr.stores(others[0], added, tr.nodes[2])})
+	tr.place(&Placement{Generation: 2, Old: was.Old, New: tr.stores(others[0], added, tr.nodes[2])})
 	tr.nodes[2].end()
 	// By the new list one store is away and one cannot tell: nobody may say that there is no such turn.
 	_, err := tr.hasty().Open(t.Context(), opening("p", "b", "nothing"))
-	wantError(t, err, ErrUnsure)
+	wantError(t, err, ErrUnavailable)
 	if got := turnOf(t, tr.client(), opening("p", "c", "a"), "x", ""); got != "inx" {
 		t.Fatalf("a turn that there is: %q", got)
 	}
@@ -356,7 +356,7 @@
 	n := tr.nodes[0]
 	call := func(store string, gen int64) error {
 		var r plainReply
-		c := &closeCall{To: Head{store, gen}, Turn: Record{Key: "p", ID: fmt.Sprint("t", gen, store), Root: true, Retain: 30}}
+		c := &closeCall{To: RequestHeader{store, gen}, Turn: Record{Key: "p", ID: fmt.Sprint("t", gen, store), Root: true, RetainSeconds: 30}}
 		if err := tr.calls.To(n.addr).Call(t.Context(), MethodClose, c, &r); err != nil {
 			t.Fatal(err)
 		}
@@ -366,18 +366,18 @@
 	if err := call(n.store.ID(), 1); err != nil {
 		t.Fatal(err)
 	}
-	tr.place(&Placement{Gen: 2, Old: tr.placed.Load().Old})
+	tr.place(&Placement{Generation: 2, Old: tr.placed.Load().Old})
 	wantError(t, call(n.store.ID(), 1), ErrOldPlacement)
 	if err := call(n.store.ID(), 3); err != nil { // a front may hear of a placement first
 		t.Fatal(err)
 	}
 	// A front with the older one goes on as soon as it hears of the newer.
 	var placed atomic.Pointer[Placement]
-	placed.Store(&Placement{Gen: 1, Copies: 3, Synced: 2, Losses: 1, Old: tr.placed.Load().Old})
+	placed.Store(&Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: tr.placed.Load().Old})
 	c := NewClient(placed.Load, &tr.calls, "zone-0", n.store.Log)
 	defer c.Shutdown(t.Context())
 	_, err := c.Open(t.Context(), opening("p", "x", ""))
-	wantError(t, err, ErrUnsure)
+	wantError(t, err, ErrUnavailable)
 	done := make(chan error)
 	go func() { _, err := c.Open(t.Context(), opening("p", "y", "")); done <- err }()
 	placed.Store(tr.placed.Load())
@@ -397,7 +397,7 @@
 	}
 	added := tr.add("store-9", "zone-0")
 	added.start()
-	next := &Placement{Gen: 2, Copies: 3, Synced: 2, Losses: 1, Old: was.Old, New: tr.stores(tr.nodes[1], tr.nodes[2], added)}
+	next := &Placement{Generation: 2, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: was.Old, New: tr.stores(tr.nodes[1], tr.nodes[2], added)}
 	added.placed.Store(next)
 	if added.store.sweep(t.Context(), next) {
 		t.Fatal("swept stores that may still take writes by the older placement")
@@ -417,7 +417,7 @@
 		t.Fatal(err)
 	}
 	tr.nodes[1].placed.Store(next)
-	until(t, "the store has swept all but one", func() bool { return added.store.Swept() == 2 })
+	until(t, "the store has swept all but one", func() bool { return added.store.SweptGeneration() == 2 })
 	if !added.has("a") || !added.has("b") {
 		t.Fatal("what was written by the older placement was not swept")
 	}
@@ -426,7 +426,7 @@
 	tr.nodes[0].start() // hears of the older one for a moment
 	var r plainReply
 	until(t, "the store that started again is reached", func() bool { // the connection of before ends
-		c := &settleCall{To: Head{tr.nodes[0].store.ID(), 1}, Program: "p", Turn: "z"}
+		c := &settleCall{To: RequestHeader{tr.nodes[0].store.ID(), 1}, Program: "p", Turn: "z"}
 		return tr.calls.To(tr.nodes[0].addr).Call(t.Context(), MethodSettle, c, &r) == nil
 	})
 	wantError(t, statusError(r.Status), ErrOldPlacement)
@@ -440,25 +440,25 @@
 	looks := 0
 	n.hear = func() *Placement {
 		p := *tr.placed.Load()
-		p.Gen = gen
+		p.Generation = gen
 		if looks++; looks > 1 {
-			p.Gen++
+			p.Generation++
 		}
 		return &p
 	}
-	for what, call := range map[string]func(Head) int{
-		"open": func(h Head) int {
+	for what, call := range map[string]func(RequestHeader) int{
+		"open": func(h RequestHeader) int {
 			return n.store.open(t.Context(), &openCall{To: h, Program: "p", Turn: "a", Need: 1}).Status
 		},
-		"close": func(h Head) int {
-			return n.store.close(t.Context(), &closeCall{To: h, Turn: Record{Key: "p", ID: "b", Root: true, Retain: 30}}).Status
+		"close": func(h RequestHeader) int {
+			return n.store.close(t.Context(), &closeCall{To: h, Turn: Record{Key: "p", ID: "b", Root: true, RetainSeconds: 30}}).Status
 		},
-		"settle": func(h Head) int {
+		"settle": func(h RequestHeader) int {
 			return n.store.settle(t.Context(), &settleCall{To: h, Program: "p", Turn: "c"}).Status
 		},
 	} {
 		looks = 0
-		if err := statusError(call(Head{n.store.ID(), gen})); !errors.Is(err, ErrOldPlacement) {
+		if err := statusError(call(RequestHeader{n.store.ID(), gen})); !errors.Is(err, ErrOldPlacement) {
 			t.Errorf("%s: %v", what, err)
 		}
 		gen++
@@ -472,16 +472,16 @@
 	want := ""
 	for i := range 9 {
 		id := fmt.Sprint("t", i)
-		record := Record{Key: "p", ID: id, Previous: previous, Root: i == 0, Retain: 30, Piece: fmt.Append(nil, "piece", i, "\n")}
+		record := Record{Key: "p", ID: id, Previous: previous, Root: i == 0, RetainSeconds: 30, Increment: fmt.Append(nil, "piece", i, "\n")}
 		for j, n := range tr.nodes {
 			if i%3 == j {
 				continue
 			}
-			if r := n.store.close(t.Context(), &closeCall{To: Head{n.store.ID(), 1}, Turn: record}); r.Status != statusOK {
+			if r := n.store.close(t.Context(), &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: record}); r.Status != statusOK {
 				t.Fatal(r.Status)
 			}
 		}
-		want += string(record.Piece)
+		want += string(record.Increment)
 		previous = id
 	}
 	opened, err := tr.client().Open(t.Context(), opening("p", "x", previous))
@@ -496,7 +496,7 @@
 		n.store.mend(t.Context(), "p")
 	}
 	for _, n := range tr.nodes {
-		r := n.store.history(t.Context(), &historyCall{To: Head{n.store.ID(), 1}, Key: "p", Turn: previous})
+		r := n.store.history(t.Context(), &historyCall{To: RequestHeader{n.store.ID(), 1}, Key: "p", Turn: previous})
 		if string(r.History) != want || r.Missing != "" {
 			t.Fatalf("%s: %q, from behind %q", n.name, r.History, r.Missing)
 		}
@@ -507,7 +507,7 @@
 	tr := quiet(t, 3)
 	lacks := tr.nodes[0] // in the zone of the front: it is asked for the history
 	for _, n := range tr.nodes[1:] {
-		c := &closeCall{To: Head{n.store.ID(), 1}, Turn: Record{Key: "p", ID: "a", Root: true, Retain: 30, Piece: []byte("piece")}}
+		c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: "p", ID: "a", Root: true, RetainSeconds: 30, Increment: []byte("piece")}}
 		if r := n.store.close(t.Context(), c); r.Status != statusOK {
 			t.Fatal(r.Status)
 		}
@@ -530,7 +530,7 @@
 		key := fmt.Sprint("p", i)
 		in, _ := tr.copiesOf(key)
 		for j, n := range in { // each has a turn and an entry that the others lack
-			c := &closeCall{To: Head{n.store.ID(), 1}, Turn: Record{Key: key, ID: fmt.Sprint(key, "-", j), Root: true, Retain: 30, Piece: []byte(key)}, Used: j}
+			c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: key, ID: fmt.Sprint(key, "-", j), Root: true, RetainSeconds: 30, Increment: []byte(key)}, Used: j}
 			if r := n.store.close(t.Context(), c); r.Status != statusOK {
 				t.Fatal(r.Status)
 			}
@@ -552,7 +552,7 @@
 			if l := n.ledger(key); !n.has(key+"-0") || !n.has(key+"-1") || !n.has(key+"-2") || l.Sum() != 3 {
 				t.Fatalf("%s of %s is not whole", key, n.name)
 			}
-			r := n.store.history(t.Context(), &historyCall{To: Head{n.store.ID(), 1}, Key: key, Turn: key + "-1"})
+			r := n.store.history(t.Context(), &historyCall{To: RequestHeader{n.store.ID(), 1}, Key: key, Turn: key + "-1"})
 			if string(r.History) != key {
 				t.Fatalf("%s of %s: %q", key, n.name, r.History)
 			}
@@ -639,7 +639,7 @@
 	for range 4 {
 		n.store.expire(t.Context())
 	}
-	if programs, turns := n.store.Held(); programs != 0 || turns != 0 {
+	if programs, turns := n.store.Counts(); programs != 0 || turns != 0 {
 		t.Fatalf("after hours it holds %d programs and %d turns", programs, turns)
 	}
 	for _, table := range []string{tableEntries, tableTurns, tableBodies} {
@@ -677,26 +677,26 @@
 		n.limit = 1 // raised to the least that a file may have
 		n.start()
 	}
-	tr.place(&Placement{Gen: 2, Old: tr.stores(tr.nodes...)})
+	tr.place(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
 	c := tr.hasty()
 	output := []byte(strings.Repeat("token\n", 20_000))
 	kept := 0
 	var err error
 	for ; kept < 200; kept++ {
 		ctx, stop := context.WithTimeout(t.Context(), 2*time.Second)
-		err = c.Close(ctx, &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: output, Retain: 30})
+		err = c.Close(ctx, &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: output, RetainSeconds: 30})
 		stop()
 		if err != nil {
 			break
 		}
 	}
-	wantError(t, err, ErrUnsure)
+	wantError(t, err, ErrUnavailable)
 	if kept < 5 {
 		t.Fatalf("full after %d turns", kept)
 	}
 	for i := range kept {
 		opened, err := tr.client().Open(t.Context(), opening(fmt.Sprint("p", i), fmt.Sprint("next", i), fmt.Sprint("t", i)))
-		if errors.Is(err, ErrUnsure) {
+		if errors.Is(err, ErrUnavailable) {
 			continue // no room for its reservation
 		}
 		if err != nil || string(opened.History) != string(output) {
@@ -722,7 +722,7 @@
 	for i := range turns {
 		wg.Go(func() {
 			p := fmt.Sprint("p", i)
-			if err := c.Close(t.Context(), &Turn{Key: p, ID: p, Output: []byte("x\n"), Retain: 30}); err != nil {
+			if err := c.Close(t.Context(), &Turn{Key: p, ID: p, Output: []byte("x\n"), RetainSeconds: 30}); err != nil {
 				t.Error(err)
 			}
 		})
@@ -799,7 +799,7 @@
 		}
 	}
 	_, err := tr.hasty().Open(t.Context(), opening("p", "other", "b"))
-	wantError(t, err, ErrUnsure) // a turn that there is, and whose history cannot be had, is no 404
+	wantError(t, err, ErrUnavailable) // a turn that there is, and whose history cannot be had, is no 404
 	if _, _, ok := writer.pieces.history("b", time.Now().Add(31*time.Second)); ok {
 		t.Fatal("a cached turn outlives the time for which the stores keep it")
 	}
--- a/internal/tier/turnstore/unsynced.go
+++ b/internal/tier/turnstore/unsynced.go
@@ -82,14 +82,14 @@
 
 // entrySync is a pending write of entries that keeps the record of what is not synced.
 type entrySync struct {
-	store  *NodeStore
+	store  *Server
 	ids    []entryID
 	number uint64
 	write  pending
 }
 
 // submit gives rows to the disk; the mutex is held, so that rows are written in the order of the index.
-func (s *NodeStore) submit(rows entryRows) *entrySync {
+func (s *Server) submit(rows entryRows) *entrySync {
 	return &entrySync{store: s, ids: rows.ids, number: s.unsynced.submitted(rows.ids), write: s.disk.Submit(rows.writes)}
 }
 
@@ -107,7 +107,7 @@
 }
 
 // unsyncedRows gives the rows of entries that the disk may lack, as the index has them now; the mutex is held.
-func (s *NodeStore) unsyncedRows(onlyFailed bool, most int) (rows entryRows) {
+func (s *Server) unsyncedRows(onlyFailed bool, most int) (rows entryRows) {
 	for _, id := range s.unsynced.list(onlyFailed, most) {
 		e, ok := s.index.entry(id)
 		if !ok {
@@ -120,7 +120,7 @@
 }
 
 // rewriteEntries writes entries again whose write failed, a bounded part at a time; more tells that there may be more.
-func (s *NodeStore) rewriteEntries(ctx context.Context) (more bool, err error) {
+func (s *Server) rewriteEntries(ctx context.Context) (more bool, err error) {
 	s.mu.Lock()
 	rows := s.unsyncedRows(true, rewriteMost)
 	if len(rows.ids) == 0 {
@@ -137,7 +137,7 @@
 
 // commitSwept puts on disk that the store has all that it should hold under a placement, in one transaction with each
 // entry that the disk may still lack.
-func (s *NodeStore) commitSwept(ctx context.Context, gen int64) error {
+func (s *Server) commitSwept(ctx context.Context, gen int64) error {
 	for more := true; more; {
 		var err error
 		if more, err = s.rewriteEntries(ctx); err != nil {
--- a/internal/tier/view/model_test.go
+++ b/internal/tier/view/model_test.go
@@ -64,7 +64,7 @@
 	for i := range founders {
 		m := w.nodes[2*i].Member
 		first.Voters = append(first.Voters, m)
-		first.Chain = append(first.Chain, Link{m.ID, 1})
+		first.Chain = append(first.Chain, ChainMember{m.ID, 1})
 	}
 	w.decided[1] = first
 	for i := range founders {
@@ -120,7 +120,7 @@
 		if w.pick(4) == 0 || !n.acceptor.Adopt(v) {
 			continue
 		}
-		if v.Head() == n.ID && n.activated >= v.Chain[0].Since {
+		if v.Head() == n.ID && n.activated >= v.Chain[0].JoinedEpoch {
 			n.activated = v.Epoch
 			w.stored(n)
 		}
@@ -129,7 +129,7 @@
 
 func (w *world) active(n *node) bool {
 	v := &n.acceptor.View
-	return v.Position(n.ID) >= 0 && n.activated == v.Epoch && !n.acceptor.Sealed()
+	return v.Position(n.ID) >= 0 && n.activated == v.Epoch && !n.acceptor.HasPromised()
 }
 
 // replicate appends at a head, and brings the state of a member to its successor.
@@ -144,9 +144,9 @@
 			n.log = append(slices.Clip(n.log), w.entries)
 			w.stored(n)
 		}
-		if next := v.Next(n.ID); next != "" && w.pick(3) > 0 {
+		if next := v.Successor(n.ID); next != "" && w.pick(3) > 0 {
 			to := w.node(next)
-			if to.acceptor.View.Epoch == v.Epoch && !to.acceptor.Sealed() {
+			if to.acceptor.View.Epoch == v.Epoch && !to.acceptor.HasPromised() {
 				to.log, to.activated = n.log, v.Epoch
 				w.stored(to)
 			}
@@ -177,12 +177,12 @@
 func (w *world) propose() {
 	n := w.nodes[w.pick(len(w.nodes))]
 	for range 8 { // mostly one that knows the newest view
-		if n.acceptor.View.Epoch == int64(len(w.decided)) && n.acceptor.View.Voter(n.ID) {
+		if n.acceptor.View.Epoch == int64(len(w.decided)) && n.acceptor.View.IsVoter(n.ID) {
 			break
 		}
 		n = w.nodes[w.pick(len(w.nodes))]
 	}
-	if n.acceptor.View.Epoch == 0 || !n.acceptor.View.Voter(n.ID) {
+	if n.acceptor.View.Epoch == 0 || !n.acceptor.View.IsVoter(n.ID) {
 		return
 	}
 	w.round += int64(w.pick(2)) // two may have one round
@@ -190,7 +190,7 @@
 	for _, o := range w.proposals { // one proposer never uses a ballot twice
 		if o.by == n && o.ballot == p.ballot {
 			w.round++
-			p.ballot.Round++
+			p.ballot.Number++
 		}
 	}
 	w.proposals = append(w.proposals, p)
@@ -214,7 +214,7 @@
 		if w.pick(4) == 0 || !a.Prepare(p.now.Epoch+1, p.ballot) {
 			continue
 		}
-		answer := Promise{From: m, AcceptedAt: a.AcceptedAt, Accepted: a.Accepted, Activated: w.node(m.ID).activated}
+		answer := Promise{From: m, AcceptedAt: a.AcceptedAt, Accepted: a.Accepted, ActivatedEpoch: w.node(m.ID).activated}
 		if w.faults.forgets {
 			a.Promised = Ballot{}
 		}
@@ -236,7 +236,7 @@
 		promises = w.faults.promises(promises)
 	}
 	c := w.conditions(&p.now)
-	next, ok := Choose(&p.now, promises, c)
+	next, ok := ChooseView(&p.now, promises, c)
 	if !ok {
 		return
 	}
@@ -252,15 +252,15 @@
 	var applicants []Member
 	for _, n := range w.nodes {
 		ids = append(ids, n.ID)
-		if now.Voter(n.ID) {
+		if now.IsVoter(n.ID) {
 			voters = append(voters, n.ID)
 		} else if w.pick(8) == 0 {
 			applicants = append(applicants, n.Member)
 		}
 	}
-	c := Conditions{Losses: w.losses, Applicants: applicants, CaughtUp: w.some(ids...), Gone: w.some(voters...), Alive: map[string]bool{}}
+	c := Conditions{FaultTolerance: w.losses, Applicants: applicants, CaughtUp: w.some(ids...), Failed: w.some(voters...), Alive: map[string]bool{}}
 	for _, id := range ids {
-		c.Alive[id] = !c.Gone[id]
+		c.Alive[id] = !c.Failed[id]
 	}
 	if w.pick(2) == 0 {
 		c.Suspected = w.some(voters...)
@@ -311,7 +311,7 @@
 		w.fail("voters changed by more than one: %v to %v", p.now.Voters, p.view.Voters)
 	}
 	for _, l := range p.view.Chain {
-		if !p.view.Voter(l.ID) {
+		if !p.view.IsVoter(l.ID) {
 			w.fail("%s is in the chain without a vote", l.ID)
 		}
 	}
--- a/internal/tier/view/planted_test.go
+++ b/internal/tier/view/planted_test.go
@@ -16,7 +16,7 @@
 	}{
 		"holder check left out": {faults{promises: func(all []Promise) []Promise {
 			for i := range all {
-				all[i].Activated = math.MaxInt64
+				all[i].ActivatedEpoch = math.MaxInt64
 			}
 			return all
 		}}, "lacks what was committed"},
@@ -28,14 +28,14 @@
 		}}, "two views decided"},
 		"highest ballot not minded": {faults{promises: func(all []Promise) []Promise {
 			for i := range all {
-				if round := all[i].AcceptedAt.Round; round > 0 {
-					all[i].AcceptedAt = Ballot{math.MaxInt64 - round, all[i].AcceptedAt.By}
+				if round := all[i].AcceptedAt.Number; round > 0 {
+					all[i].AcceptedAt = Ballot{math.MaxInt64 - round, all[i].AcceptedAt.Proposer}
 				}
 			}
 			return all
 		}}, "two views decided"},
 		"two admitted at once": {faults{chosen: func(now *View, next View, c Conditions) View {
-			if i := len(c.Applicants) - 1; i > 0 && difference(next.Voters, now.Voters) == 1 && !next.Voter(c.Applicants[i].ID) {
+			if i := len(c.Applicants) - 1; i > 0 && difference(next.Voters, now.Voters) == 1 && !next.IsVoter(c.Applicants[i].ID) {
 				next.Voters = append(slices.Clip(next.Voters), c.Applicants[i])
 			}
 			return next
@@ -47,7 +47,7 @@
 		"newcomer counted as a holder of old": {faults{chosen: func(_ *View, next View, _ Conditions) View {
 			next.Chain = slices.Clone(next.Chain)
 			for i := range next.Chain {
-				next.Chain[i].Since = 1
+				next.Chain[i].JoinedEpoch = 1
 			}
 			return next
 		}}, "lacks what was committed"},
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -12,24 +12,24 @@
 	Addr string // for calls of other nodes
 }
 
-// Link is a member of a chain. Since is the epoch from which on it is in every chain up to this one.
-type Link struct {
-	ID    string
-	Since int64
+// ChainMember is a member of a chain. Since is the epoch from which on it is in every chain up to this one.
+type ChainMember struct {
+	ID          string
+	JoinedEpoch int64
 }
 
 // View is who votes on the next view and who keeps the state, in the order of the chain. It is never changed once made.
 type View struct {
 	Epoch  int64
 	Voters []Member
-	Chain  []Link
+	Chain  []ChainMember
 }
 
 // Majority of the voters.
 func (v *View) Majority() int { return len(v.Voters)/2 + 1 }
 
-// Voter tells whether an id votes in this view.
-func (v *View) Voter(id string) bool {
+// IsVoter tells whether an id votes in this view.
+func (v *View) IsVoter(id string) bool {
 	return slices.ContainsFunc(v.Voters, func(m Member) bool { return m.ID == id })
 }
 
@@ -44,7 +44,7 @@
 
 // Position in the chain, below 0 for none.
 func (v *View) Position(id string) int {
-	return slices.IndexFunc(v.Chain, func(l Link) bool { return l.ID == id })
+	return slices.IndexFunc(v.Chain, func(l ChainMember) bool { return l.ID == id })
 }
 
 // Head is where writes enter, empty where there is no chain.
@@ -63,16 +63,16 @@
 	return v.Chain[len(v.Chain)-1].ID
 }
 
-// Next is the successor in the chain, empty for none.
-func (v *View) Next(id string) string {
+// Successor is the successor in the chain, empty for none.
+func (v *View) Successor(id string) string {
 	if i := v.Position(id); i >= 0 && i+1 < len(v.Chain) {
 		return v.Chain[i+1].ID
 	}
 	return ""
 }
 
-// Before is the predecessor in the chain, empty for none.
-func (v *View) Before(id string) string {
+// Predecessor is the predecessor in the chain, empty for none.
+func (v *View) Predecessor(id string) string {
 	if i := v.Position(id); i > 0 {
 		return v.Chain[i-1].ID
 	}
@@ -81,15 +81,17 @@
 
 // Ballot orders the proposals of one epoch.
 type Ballot struct {
-	Round int64
-	By    string
+	Number   int64
+	Proposer string
 }
 
 // Less tells whether b comes before o.
-func (b Ballot) Less(o Ballot) bool { return b.Round < o.Round || b.Round == o.Round && b.By < o.By }
+func (b Ballot) Less(o Ballot) bool {
+	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
+}
 
-// Zero tells whether no ballot was made.
-func (b Ballot) Zero() bool { return b.Round == 0 }
+// IsZero tells whether no ballot was made.
+func (b Ballot) IsZero() bool { return b.Number == 0 }
 
 // Acceptor is what a voter keeps on disk: the newest decided view that it knows, and its vote on the next. Whoever changes
 // it syncs it before anything is answered.
@@ -100,9 +102,9 @@
 	Accepted   View // Epoch 0 for none
 }
 
-// Sealed tells whether this voter has promised for the epoch after its view: it then takes no entries of its view's
+// HasPromised tells whether this voter has promised for the epoch after its view: it then takes no entries of its view's
 // epoch and confirms no reads of it any more.
-func (a *Acceptor) Sealed() bool { return !a.Promised.Zero() }
+func (a *Acceptor) HasPromised() bool { return !a.Promised.IsZero() }
 
 // Prepare promises to a ballot for an epoch, or tells that it does not.
 func (a *Acceptor) Prepare(epoch int64, b Ballot) bool {
@@ -133,25 +135,25 @@
 
 // Promise is what a voter tells with its promise.
 type Promise struct {
-	From       Member
-	AcceptedAt Ballot
-	Accepted   View
-	Activated  int64 // last epoch in which it had the whole state of its chain
+	From           Member
+	AcceptedAt     Ballot
+	Accepted       View
+	ActivatedEpoch int64 // last epoch in which it had the whole state of its chain
 }
 
 // Conditions are what the proposer knows of the members, and would have the next view take up.
 type Conditions struct {
-	Alive      map[string]bool // voters and applicants
-	CaughtUp   map[string]bool // members outside the chain that have what was committed a moment ago
-	Applicants []Member        // members that want to vote, alive
-	Gone       map[string]bool // voters silent for so long, or after they said that they leave, that they may lose their vote
-	Suspected  map[string]bool // voters that are silent, but not gone yet
-	Leaving    map[string]bool // members that are about to stop
-	Losses     int
+	Alive          map[string]bool // voters and applicants
+	CaughtUp       map[string]bool // members outside the chain that have what was committed a moment ago
+	Applicants     []Member        // members that want to vote, alive
+	Failed         map[string]bool // voters silent for so long, or after they said that they leave, that they may lose their vote
+	Suspected      map[string]bool // voters that are silent, but not gone yet
+	Leaving        map[string]bool // members that are about to stop
+	FaultTolerance int
 }
 
-// Choose gives the view to propose once a majority has promised; ok is false where no safe one can be made yet.
-func Choose(now *View, promises []Promise, c Conditions) (next View, ok bool) {
+// ChooseView gives the view to propose once a majority has promised; ok is false where no safe one can be made yet.
+func ChooseView(now *View, promises []Promise, c Conditions) (next View, ok bool) {
 	if len(promises) < now.Majority() {
 		return View{}, false
 	}
@@ -170,17 +172,17 @@
 	if len(next.Chain) == 0 {
 		return View{}, false
 	}
-	if id := Removable(now, c); !changed && id != "" && next.Position(id) < 0 {
+	if id := RemovableVoter(now, c); !changed && id != "" && next.Position(id) < 0 {
 		next.Voters = slices.DeleteFunc(voters, func(m Member) bool { return m.ID == id })
 	}
-	return next, len(next.Chain) > c.Losses || len(next.Voters) <= c.Losses
+	return next, len(next.Chain) > c.FaultTolerance || len(next.Voters) <= c.FaultTolerance
 }
 
 // nextChain keeps the members that have promised and hold all that was committed, and adds those that have caught up.
-func nextChain(now, next *View, promises []Promise, c Conditions) []Link {
+func nextChain(now, next *View, promises []Promise, c Conditions) []ChainMember {
 	holders := holders(now, next, promises)
-	staying := slices.DeleteFunc(slices.Clone(holders), func(l Link) bool { return c.Leaving[l.ID] })
-	if len(staying) <= c.Losses { // one that leaves may have one of the last copies: it waits
+	staying := slices.DeleteFunc(slices.Clone(holders), func(l ChainMember) bool { return c.Leaving[l.ID] })
+	if len(staying) <= c.FaultTolerance { // one that leaves may have one of the last copies: it waits
 		staying = holders
 	}
 	if len(staying) == 0 {
@@ -189,25 +191,25 @@
 	links := staying
 	add := func(wanted func(id string) bool) {
 		for _, m := range next.Voters {
-			has := slices.ContainsFunc(links, func(l Link) bool { return l.ID == m.ID })
+			has := slices.ContainsFunc(links, func(l ChainMember) bool { return l.ID == m.ID })
 			if !has && c.Alive[m.ID] && !c.Leaving[m.ID] && wanted(m.ID) {
-				links = append(links, Link{ID: m.ID, Since: next.Epoch})
+				links = append(links, ChainMember{ID: m.ID, JoinedEpoch: next.Epoch})
 			}
 		}
 	}
 	add(func(id string) bool { return c.CaughtUp[id] })
-	add(func(string) bool { return len(links) <= c.Losses }) // a chain that is too short takes nothing
+	add(func(string) bool { return len(links) <= c.FaultTolerance }) // a chain that is too short takes nothing
 	return links
 }
 
 // holders are the members of the chain that have promised and have all that was committed.
-func holders(now, next *View, promises []Promise) (links []Link) {
+func holders(now, next *View, promises []Promise) (links []ChainMember) {
 	activated := map[string]int64{}
 	for _, p := range promises {
-		activated[p.From.ID] = p.Activated
+		activated[p.From.ID] = p.ActivatedEpoch
 	}
 	for _, l := range now.Chain {
-		if in, promised := activated[l.ID]; promised && in >= l.Since && next.Voter(l.ID) {
+		if in, promised := activated[l.ID]; promised && in >= l.JoinedEpoch && next.IsVoter(l.ID) {
 			links = append(links, l)
 		}
 	}
@@ -229,30 +231,30 @@
 			return list, true
 		}
 	}
-	if i := slices.IndexFunc(list, func(m Member) bool { return c.Gone[m.ID] }); i >= 0 && len(c.Applicants) > 0 {
+	if i := slices.IndexFunc(list, func(m Member) bool { return c.Failed[m.ID] }); i >= 0 && len(c.Applicants) > 0 {
 		list[i] = c.Applicants[0]
 		return list, true
 	}
-	if !Admissible(now, c) {
+	if !CanAdmit(now, c) {
 		return list, false
 	}
 	i := slices.IndexFunc(c.Applicants, func(a Member) bool { return c.CaughtUp[a.ID] })
 	return append(list, c.Applicants[i]), true
 }
 
-// Admissible tells whether an applicant may get a vote of its own now.
-func Admissible(now *View, c Conditions) bool {
+// CanAdmit tells whether an applicant may get a vote of its own now.
+func CanAdmit(now *View, c Conditions) bool {
 	if slices.ContainsFunc(now.Voters, func(m Member) bool { return c.Suspected[m.ID] }) {
 		return false
 	}
 	return slices.ContainsFunc(c.Applicants, func(a Member) bool { return c.CaughtUp[a.ID] })
 }
 
-// Replaceable tells whether an applicant may take the vote of another identity now.
-func Replaceable(now *View, c Conditions) bool {
+// CanReplace tells whether an applicant may take the vote of another identity now.
+func CanReplace(now *View, c Conditions) bool {
 	for _, a := range c.Applicants {
 		for _, m := range now.Voters {
-			if c.Gone[m.ID] || m.Addr == a.Addr || m.Name == a.Name && !c.Alive[m.ID] {
+			if c.Failed[m.ID] || m.Addr == a.Addr || m.Name == a.Name && !c.Alive[m.ID] {
 				return true
 			}
 		}
@@ -260,12 +262,12 @@
 	return false
 }
 
-// Removable is a voter that may lose its vote, empty for none: one that is gone or leaves, while more vote than the losses need.
-func Removable(now *View, c Conditions) string {
-	if len(now.Voters) <= 2*c.Losses+1 {
+// RemovableVoter is a voter that may lose its vote, empty for none: one that is gone or leaves, while more vote than the losses need.
+func RemovableVoter(now *View, c Conditions) string {
+	if len(now.Voters) <= 2*c.FaultTolerance+1 {
 		return ""
 	}
-	for _, unwanted := range []map[string]bool{c.Gone, c.Leaving} {
+	for _, unwanted := range []map[string]bool{c.Failed, c.Leaving} {
 		for i := len(now.Voters) - 1; i >= 0; i-- {
 			if id := now.Voters[i].ID; unwanted[id] {
 				return id
--- a/internal/tier/view/view_test.go
+++ b/internal/tier/view/view_test.go
@@ -14,9 +14,9 @@
 	return all
 }
 
-func links(since int64, ids ...string) (all []Link) {
+func links(since int64, ids ...string) (all []ChainMember) {
 	for _, id := range ids {
-		all = append(all, Link{ID: id, Since: since})
+		all = append(all, ChainMember{ID: id, JoinedEpoch: since})
 	}
 	return all
 }
@@ -32,7 +32,7 @@
 // promised are promises of members that were all activated in one epoch.
 func promised(activated int64, ids ...string) (all []Promise) {
 	for _, id := range ids {
-		all = append(all, Promise{From: member(id), Activated: activated})
+		all = append(all, Promise{From: member(id), ActivatedEpoch: activated})
 	}
 	return all
 }
@@ -63,17 +63,17 @@
 	if v.Majority() != 3 || v.Head() != "b" || v.Tail() != "d" {
 		t.Error("majority, head or tail", v.Majority(), v.Head(), v.Tail())
 	}
-	if v.Next("b") != "a" || v.Next("d") != "" || v.Next("c") != "" || v.Before("b") != "" || v.Before("d") != "a" || v.Before("c") != "" {
+	if v.Successor("b") != "a" || v.Successor("d") != "" || v.Successor("c") != "" || v.Predecessor("b") != "" || v.Predecessor("d") != "a" || v.Predecessor("c") != "" {
 		t.Error("neighbours")
 	}
-	if m, ok := v.Member("c"); !ok || m != member("c") || !v.Voter("c") || v.Voter("e") || v.Position("c") >= 0 {
+	if m, ok := v.Member("c"); !ok || m != member("c") || !v.IsVoter("c") || v.IsVoter("e") || v.Position("c") >= 0 {
 		t.Error("membership")
 	}
 	if _, ok := v.Member("e"); ok {
 		t.Error("found a member that there is not")
 	}
 	empty := View{}
-	if empty.Head() != "" || empty.Tail() != "" || empty.Next("a") != "" {
+	if empty.Head() != "" || empty.Tail() != "" || empty.Successor("a") != "" {
 		t.Error("empty chain")
 	}
 }
@@ -87,20 +87,20 @@
 			}
 		}
 	}
-	if !ordered[0].Zero() || ordered[1].Zero() {
+	if !ordered[0].IsZero() || ordered[1].IsZero() {
 		t.Error("zero")
 	}
 }
 
 func TestAcceptorPromisesNothingBelowItsPromise(t *testing.T) {
 	a := Acceptor{View: View{Epoch: 3}}
-	if a.Sealed() {
+	if a.HasPromised() {
 		t.Error("sealed at the start")
 	}
-	if a.Prepare(3, Ballot{1, "a"}) || a.Prepare(5, Ballot{1, "a"}) || a.Sealed() {
+	if a.Prepare(3, Ballot{1, "a"}) || a.Prepare(5, Ballot{1, "a"}) || a.HasPromised() {
 		t.Error("promised for an epoch that is not the next")
 	}
-	if !a.Prepare(4, Ballot{2, "b"}) || !a.Sealed() {
+	if !a.Prepare(4, Ballot{2, "b"}) || !a.HasPromised() {
 		t.Error("no promise, or not sealed by it")
 	}
 	if !a.Prepare(4, Ballot{2, "b"}) {
@@ -138,10 +138,10 @@
 func TestAcceptorAdoptsOnlyNewerViews(t *testing.T) {
 	a := Acceptor{View: View{Epoch: 3}}
 	a.Accept(Ballot{2, "b"}, View{Epoch: 4})
-	if a.Adopt(View{Epoch: 3}) || a.Adopt(View{Epoch: 2}) || !a.Sealed() {
+	if a.Adopt(View{Epoch: 3}) || a.Adopt(View{Epoch: 2}) || !a.HasPromised() {
 		t.Error("adopted an old view")
 	}
-	if !a.Adopt(View{Epoch: 6}) || a.Sealed() || a.View.Epoch != 6 || a.Accepted.Epoch != 0 || !a.AcceptedAt.Zero() {
+	if !a.Adopt(View{Epoch: 6}) || a.HasPromised() || a.View.Epoch != 6 || a.Accepted.Epoch != 0 || !a.AcceptedAt.IsZero() {
 		t.Error("a newer view begins without votes", a)
 	}
 	if a.Prepare(4, Ballot{9, "z"}) || a.Accept(Ballot{9, "z"}, View{Epoch: 4}) {
@@ -153,10 +153,10 @@
 	for voters, majority := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 8: 5} {
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}[:voters]
 		now := View{Epoch: 1, Voters: members(ids...), Chain: links(1, ids...)}
-		if _, ok := Choose(&now, promised(1, ids[:majority-1]...), Conditions{}); ok {
+		if _, ok := ChooseView(&now, promised(1, ids[:majority-1]...), Conditions{}); ok {
 			t.Errorf("%d promises of %d sufficed", majority-1, voters)
 		}
-		if _, ok := Choose(&now, promised(1, ids[:majority]...), Conditions{}); !ok {
+		if _, ok := ChooseView(&now, promised(1, ids[:majority]...), Conditions{}); !ok {
 			t.Errorf("%d promises of %d did not suffice", majority, voters)
 		}
 	}
@@ -170,36 +170,36 @@
 	promises[0].Accepted, promises[0].AcceptedAt = newer, Ballot{3, "b"}
 	promises[1].Accepted, promises[1].AcceptedAt = older, Ballot{3, "a"}
 	promises[2].Accepted, promises[2].AcceptedAt = past, Ballot{9, "a"}
-	next, ok := Choose(&now, promises, Conditions{Losses: 1})
+	next, ok := ChooseView(&now, promises, Conditions{FaultTolerance: 1})
 	if !ok || next.Head() != "newer" {
 		t.Error("got", next, ok)
 	}
-	if _, ok := Choose(&now, promises[:1], Conditions{}); ok {
+	if _, ok := ChooseView(&now, promises[:1], Conditions{}); ok {
 		t.Error("a view that one has accepted was taken without a majority")
 	}
 }
 
 func TestChooseKeepsHoldersInOrder(t *testing.T) {
-	now := View{Epoch: 6, Voters: members("a", "b", "c", "d", "e"), Chain: []Link{{"d", 2}, {"a", 4}, {"c", 6}, {"b", 1}}}
+	now := View{Epoch: 6, Voters: members("a", "b", "c", "d", "e"), Chain: []ChainMember{{"d", 2}, {"a", 4}, {"c", 6}, {"b", 1}}}
 	promises := []Promise{
-		{From: member("a"), Activated: 3}, // since 4: it missed the state of 4
-		{From: member("b"), Activated: 1},
-		{From: member("e"), Activated: 6}, // not in the chain
-		{From: member("d"), Activated: 5},
+		{From: member("a"), ActivatedEpoch: 3}, // since 4: it missed the state of 4
+		{From: member("b"), ActivatedEpoch: 1},
+		{From: member("e"), ActivatedEpoch: 6}, // not in the chain
+		{From: member("d"), ActivatedEpoch: 5},
 	}
-	next, ok := Choose(&now, promises, Conditions{Losses: 1, Alive: set("b", "d")})
-	if !ok || next.Epoch != 7 || !slices.Equal(next.Chain, []Link{{"d", 2}, {"b", 1}}) {
+	next, ok := ChooseView(&now, promises, Conditions{FaultTolerance: 1, Alive: set("b", "d")})
+	if !ok || next.Epoch != 7 || !slices.Equal(next.Chain, []ChainMember{{"d", 2}, {"b", 1}}) {
 		t.Error("got", next, ok)
 	}
-	if _, ok := Choose(&now, append(promises[:1:1], promises[2], Promise{From: member("c"), Activated: 5}), Conditions{}); ok {
+	if _, ok := ChooseView(&now, append(promises[:1:1], promises[2], Promise{From: member("c"), ActivatedEpoch: 5}), Conditions{}); ok {
 		t.Error("made a view without a holder")
 	}
 }
 
 func TestChooseHeadIsAHolderWhoeverHasCaughtUp(t *testing.T) {
 	now := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: links(1, "b")}
-	next, ok := Choose(&now, promised(2, "a", "b", "c"), Conditions{Losses: 1, Alive: set("a", "b", "c"), CaughtUp: set("a", "c")})
-	if !ok || !slices.Equal(next.Chain, []Link{{"b", 1}, {"a", 3}, {"c", 3}}) {
+	next, ok := ChooseView(&now, promised(2, "a", "b", "c"), Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("a", "c")})
+	if !ok || !slices.Equal(next.Chain, []ChainMember{{"b", 1}, {"a", 3}, {"c", 3}}) {
 		t.Error("got", next, ok)
 	}
 }
@@ -208,11 +208,11 @@
 	now := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: links(1, "a", "b", "c")}
 	all := promised(2, "a", "b", "c")
 	alive := set("a", "b", "c")
-	next, _ := Choose(&now, all, Conditions{Losses: 1, Alive: alive, Leaving: set("a")})
+	next, _ := ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a")})
 	want(t, "two others stay", chainOf(next), "b", "c")
-	next, _ = Choose(&now, all, Conditions{Losses: 1, Alive: alive, Leaving: set("a", "b")})
+	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a", "b")})
 	want(t, "one other would stay", chainOf(next), "a", "b", "c")
-	next, _ = Choose(&now, all[:2], Conditions{Losses: 1, Alive: set("a", "b"), Leaving: set("a")})
+	next, _ = ChooseView(&now, all[:2], Conditions{FaultTolerance: 1, Alive: set("a", "b"), Leaving: set("a")})
 	want(t, "one of two leaves", chainOf(next), "a", "b")
 }
 
@@ -220,30 +220,30 @@
 	now := View{Epoch: 2, Voters: members("a", "b", "c", "d"), Chain: links(1, "a", "b")}
 	all := promised(2, "a", "b", "c", "d")
 	alive := set("a", "b", "c", "d")
-	next, ok := Choose(&now, all, Conditions{Losses: 1, Alive: alive})
+	next, ok := ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive})
 	if !ok {
 		t.Error("a chain that is long enough")
 	}
 	want(t, "long enough, nobody has caught up", chainOf(next), "a", "b")
-	next, _ = Choose(&now, all, Conditions{Losses: 1, Alive: alive, CaughtUp: set("d")})
+	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("d")})
 	want(t, "one has caught up", chainOf(next), "a", "b", "d")
-	next, _ = Choose(&now, all, Conditions{Losses: 1, Alive: alive, CaughtUp: set("c", "d"), Leaving: set("c")})
+	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("c", "d"), Leaving: set("c")})
 	want(t, "one that has caught up leaves", chainOf(next), "a", "b", "d")
-	next, _ = Choose(&now, all, Conditions{Losses: 1, Alive: set("a", "b", "c"), CaughtUp: set("c", "d")})
+	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("c", "d")})
 	want(t, "one that has caught up is silent", chainOf(next), "a", "b", "c")
-	next, ok = Choose(&now, promised(2, "a", "c", "d"), Conditions{Losses: 1, Alive: set("a", "c", "d")})
+	next, ok = ChooseView(&now, promised(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a", "c", "d")})
 	want(t, "too short", chainOf(next), "a", "c")
 	if !ok {
 		t.Error("too short, filled")
 	}
-	if next, ok = Choose(&now, promised(2, "a", "c", "d"), Conditions{Losses: 1, Alive: set("a")}); ok {
+	if next, ok = ChooseView(&now, promised(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a")}); ok {
 		t.Error("a chain of one with losses of 1", next)
 	}
 }
 
 func TestChooseLoneVoterMayBeAChainOfOne(t *testing.T) {
 	now := View{Epoch: 1, Voters: members("a"), Chain: links(1, "a")}
-	next, ok := Choose(&now, promised(1, "a"), Conditions{Losses: 1, Alive: set("a")})
+	next, ok := ChooseView(&now, promised(1, "a"), Conditions{FaultTolerance: 1, Alive: set("a")})
 	want(t, "alone", chainOf(next), "a")
 	if !ok {
 		t.Error("one voter can not have two copies")
@@ -267,17 +267,17 @@
 			three, Conditions{Applicants: []Member{sameAddr}, Alive: set("a", "b", "c")}, []string{"a", "b", "c2"}},
 		"two identities, one at a time": {three, Conditions{Applicants: []Member{reborn, sameAddr}}, []string{"a", "b2", "c"}},
 		"an own identity goes before one that is gone": {
-			three, Conditions{Applicants: []Member{member("d"), sameAddr}, Gone: set("b")}, []string{"a", "b", "c2"}},
-		"the place of one that is gone":   {two, Conditions{Applicants: members("d", "e"), Gone: set("b")}, []string{"a", "d", "c"}},
-		"nobody for the one that is gone": {two, Conditions{Gone: set("b")}, []string{"a", "b", "c"}},
+			three, Conditions{Applicants: []Member{member("d"), sameAddr}, Failed: set("b")}, []string{"a", "b", "c2"}},
+		"the place of one that is gone":   {two, Conditions{Applicants: members("d", "e"), Failed: set("b")}, []string{"a", "d", "c"}},
+		"nobody for the one that is gone": {two, Conditions{Failed: set("b")}, []string{"a", "b", "c"}},
 		"not caught up":                   {three, Conditions{Applicants: members("d")}, []string{"a", "b", "c"}},
 		"caught up": {
 			three, Conditions{Applicants: members("d", "e", "f"), CaughtUp: set("e", "f")}, []string{"a", "b", "c", "e"}},
 		"caught up, somebody is suspected": {
 			three, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("b")}, []string{"a", "b", "c"}},
 	} {
-		x.c.Losses = 1
-		next, ok := Choose(&now, x.promises, x.c)
+		x.c.FaultTolerance = 1
+		next, ok := ChooseView(&now, x.promises, x.c)
 		if !ok {
 			t.Errorf("%s: no view", name)
 		}
@@ -296,17 +296,17 @@
 		c        Conditions
 		voters   []string
 	}{
-		"one that is gone":              {&four, all[:3], Conditions{Gone: set("d")}, []string{"a", "b", "c"}},
+		"one that is gone":              {&four, all[:3], Conditions{Failed: set("d")}, []string{"a", "b", "c"}},
 		"one that leaves":               {&four, all, Conditions{Leaving: set("b")}, []string{"a", "c", "d"}},
-		"gone before leaving":           {&four, all[:3], Conditions{Gone: set("d"), Leaving: set("a")}, []string{"a", "b", "c"}},
-		"one at a time":                 {&four, all[:3], Conditions{Gone: set("c", "d")}, []string{"a", "b", "c"}},
-		"it stays in the chain":         {&four, all[:3], Conditions{Leaving: set("a", "b"), Gone: set("x")}, []string{"a", "b", "c", "d"}},
-		"no more voters than needed":    {&three, all[:3], Conditions{Leaving: set("b"), Gone: set("c")}, []string{"a", "b", "c"}},
-		"an admission goes before":      {&four, all[:3], Conditions{Gone: set("d"), Applicants: members("e")}, []string{"a", "b", "c", "e"}},
+		"gone before leaving":           {&four, all[:3], Conditions{Failed: set("d"), Leaving: set("a")}, []string{"a", "b", "c"}},
+		"one at a time":                 {&four, all[:3], Conditions{Failed: set("c", "d")}, []string{"a", "b", "c"}},
+		"it stays in the chain":         {&four, all[:3], Conditions{Leaving: set("a", "b"), Failed: set("x")}, []string{"a", "b", "c", "d"}},
+		"no more voters than needed":    {&three, all[:3], Conditions{Leaving: set("b"), Failed: set("c")}, []string{"a", "b", "c"}},
+		"an admission goes before":      {&four, all[:3], Conditions{Failed: set("d"), Applicants: members("e")}, []string{"a", "b", "c", "e"}},
 		"nobody is gone, nobody leaves": {&four, all, Conditions{}, []string{"a", "b", "c", "d"}},
 	} {
-		x.c.Losses = 1
-		next, ok := Choose(x.now, x.promises, x.c)
+		x.c.FaultTolerance = 1
+		next, ok := ChooseView(x.now, x.promises, x.c)
 		if !ok {
 			t.Errorf("%s: no view", name)
 		}
@@ -317,18 +317,18 @@
 func TestAdmissibleAndReplaceable(t *testing.T) {
 	now := View{Epoch: 2, Voters: members("a", "b", "c")}
 	reborn := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
-	if Replaceable(&now, Conditions{Gone: set("a")}) || !Replaceable(&now, Conditions{Gone: set("a"), Applicants: members("d")}) {
+	if CanReplace(&now, Conditions{Failed: set("a")}) || !CanReplace(&now, Conditions{Failed: set("a"), Applicants: members("d")}) {
 		t.Error("the place of one that is gone")
 	}
 	again := Conditions{Applicants: []Member{reborn}}
 	alive := Conditions{Applicants: []Member{reborn}, Alive: set("b")}
-	if !Replaceable(&now, again) || Replaceable(&now, alive) {
+	if !CanReplace(&now, again) || CanReplace(&now, alive) {
 		t.Error("another identity of one machine")
 	}
-	if Admissible(&now, Conditions{Applicants: members("d")}) || !Admissible(&now, Conditions{Applicants: members("d"), CaughtUp: set("d")}) {
+	if CanAdmit(&now, Conditions{Applicants: members("d")}) || !CanAdmit(&now, Conditions{Applicants: members("d"), CaughtUp: set("d")}) {
 		t.Error("one that has caught up")
 	}
-	if Admissible(&now, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("c")}) {
+	if CanAdmit(&now, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("c")}) {
 		t.Error("admissible while one is silent")
 	}
 }
