--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -59,57 +59,57 @@
 // allEncoded are all that core nodes, followers and stores send each other through core nodes, and what core nodes keep.
 // Numbers are literals on purpose: they are on the wire.
 func allEncoded() []encoded {
-	host := discovery.Host{ID: "host", Service: "service", Addr: "addr", Zone: "zone", Capacity: big + 31, Phase: "phase", ColdMs: big + 32, Models: []string{"model-1", "model-2"}}
+	host := discovery.Host{ID: "host", Service: "service", Addr: "addr", Zone: "zone", Capacity: big + 31, Phase: "phase", WarmupMs: big + 32, Models: []string{"model-1", "model-2"}}
 	list := discovery.List{Term: big + 33, Number: big + 34, Hosts: []discovery.Host{host}}
-	other := discovery.Host{ID: "host-2", Service: "service-2", Addr: "addr-2", Zone: "zone-2", Capacity: big + 41, Phase: "phase-2", ColdMs: big + 42, Models: []string{"model-3"}}
+	other := discovery.Host{ID: "host-2", Service: "service-2", Addr: "addr-2", Zone: "zone-2", Capacity: big + 41, Phase: "phase-2", WarmupMs: big + 42, Models: []string{"model-3"}}
 	delta := discovery.Delta{FromTerm: big + 43, FromNumber: big + 44, Term: big + 45, Number: big + 46, Changed: []discovery.Host{other}, Removed: []string{"removed-1", "removed-2"}}
 	entry := chain.Entry{Index: big + 51, Key: "entry-key", Value: []byte("entry-value")}
 	store := turnstore.Store{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}
 	all := []encoded{
-		{2, "follow", sideRequest, &feed.FollowRequest{Name: "name", Class: "class", Index: big + 1, Acting: big + 2, Term: big + 3, Number: big + 4, WaitMs: big + 5}},
-		{2, "follow", sideReply, &feed.FollowAnswer{Fresh: true, Index: big + 1, Entries: []chain.Entry{entry}, Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, Cores: []string{"core-1", "core-2"}}},
-		{3, "put", sideRequest, &feed.PutRequest{IfMatch: big + 1, Body: []byte("body"), Relayed: true}},
+		{2, "follow", sideRequest, &feed.FollowRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ActiveVersion: big + 2, HostListTerm: big + 3, HostListNumber: big + 4, WaitMs: big + 5}},
+		{2, "follow", sideReply, &feed.FollowResponse{Confirmed: true, Index: big + 1, Entries: []chain.Entry{entry}, Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, CoreAddrs: []string{"core-1", "core-2"}}},
+		{3, "put", sideRequest, &feed.PutRequest{IfMatch: big + 1, Body: []byte("body"), Forwarded: true}},
 		{3, "put", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
-		{4, "read", sideRequest, &feed.OrderRequest{Name: "name", Relayed: true}},
+		{4, "read", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
 		{4, "read", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
-		{5, "register", sideRequest, &feed.Registration{Store: store, Gen: big + 1, Swept: big + 2, Full: true, Relayed: true}},
-		{5, "register", sideReply, &feed.Nothing{Unused: true}},
-		{6, "retire", sideRequest, &feed.OrderRequest{Name: "name", Relayed: true}},
+		{5, "register", sideRequest, &feed.Registration{Store: store, Generation: big + 1, SweptGeneration: big + 2, Full: true, Forwarded: true}},
+		{5, "register", sideReply, &feed.Empty{Unused: true}},
+		{6, "retire", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
 		{6, "retire", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
-		{7, "phase", sideRequest, &feed.OrderRequest{Name: "name", Relayed: true}},
+		{7, "phase", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
 		{7, "phase", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
-		{8, "status", sideRequest, &feed.Nothing{Unused: true}},
+		{8, "status", sideRequest, &feed.Empty{Unused: true}},
 		{8, "status", sideReply, fullStatus()},
-		{9, "changes", sideRequest, &feed.ChangesRequest{Name: "name", Class: "class", Index: big + 1, Told: big + 2, Acting: big + 3, Term: big + 4, Number: big + 5, WaitMs: big + 6,
-			Held: []feed.HeldValue{{Key: "held-key", Digest: []byte("held-digest")}}}},
-		{9, "changes", sideReply, &feed.ChangesAnswer{Fresh: true, Index: big + 1, Entries: []chain.Entry{entry}, Patches: []feed.Patch{{Index: big + 2, Key: "patch-key", Delta: []byte("patch-delta")}},
-			Large: []feed.ValueName{{Index: big + 3, Key: "large-key", Size: big + 4, Digest: []byte("large-digest")}},
-			Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, Cores: []string{"core-1", "core-2"}}},
-		{10, "piece", sideRequest, &feed.PieceRequest{Name: "name", Digest: []byte("digest"), From: big + 1, Length: big + 2}},
-		{10, "piece", sideReply, &feed.Piece{State: big + 1, Digest: []byte("digest"), From: big + 2, Bytes: []byte("bytes"), Last: true}},
+		{9, "changes", sideRequest, &feed.ChangesRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ReceivedIndex: big + 2, ActiveVersion: big + 3, HostListTerm: big + 4, HostListNumber: big + 5, WaitMs: big + 6,
+			BaseValues: []feed.BaseValue{{Key: "held-key", Digest: []byte("held-digest")}}}},
+		{9, "changes", sideReply, &feed.ChangesResponse{Confirmed: true, Index: big + 1, Entries: []chain.Entry{entry}, Patches: []feed.Patch{{Index: big + 2, Key: "patch-key", Delta: []byte("patch-delta")}},
+			LargeValues: []feed.ValueRef{{Index: big + 3, Key: "large-key", Size: big + 4, Digest: []byte("large-digest")}},
+			Hosts:       []discovery.List{list}, Delta: []discovery.Delta{delta}, CoreAddrs: []string{"core-1", "core-2"}}},
+		{10, "piece", sideRequest, &feed.ChunkRequest{Name: "name", Digest: []byte("digest"), Offset: big + 1, Length: big + 2}},
+		{10, "piece", sideReply, &feed.Chunk{Status: big + 1, Digest: []byte("digest"), Offset: big + 2, Data: []byte("bytes"), Final: true}},
 
-		{0, "configuration", sideStored, &feed.ConfigEntry{Version: big + 1, Body: []byte("body"), Taken: [][]byte{[]byte("digest-1"), []byte("digest-2")}}},
-		{0, "placement", sideStored, &turnstore.Placement{Gen: big + 1, Copies: big + 2, Synced: big + 3, Losses: big + 4, Old: []turnstore.Store{store},
-			New: []turnstore.Store{{ID: "store-id-2", Name: "store-name-2", Addr: "store-addr-2", Zone: "store-zone-2"}}, Done: []string{"done-1", "done-2"}}},
+		{0, "configuration", sideStored, &feed.ConfigEntry{Version: big + 1, Body: []byte("body"), RecentDigests: [][]byte{[]byte("digest-1"), []byte("digest-2")}}},
+		{0, "placement", sideStored, &turnstore.Placement{Generation: big + 1, ReplicationFactor: big + 2, DurableReplicas: big + 3, FaultTolerance: big + 4, Old: []turnstore.Store{store},
+			New: []turnstore.Store{{ID: "store-id-2", Name: "store-name-2", Addr: "store-addr-2", Zone: "store-zone-2"}}, SweptIDs: []string{"done-1", "done-2"}}},
 		{0, "retirement", sideStored, &feed.RetireEntry{ID: "store-id"}},
-		{0, "page of orders", sideStored, &orders.Page{Records: []orders.Record{{Sequence: big + 1, Version: big + 2, BuiltOn: big + 3, Digest: []byte("digest-1")},
-			{Sequence: big + 4, Version: big + 5, BuiltOn: big + 6, Digest: []byte("digest-2")}}}},
-		{0, "earlier orders", sideStored, &orders.Earlier{Version: big + 1, Digests: [][]byte{[]byte("digest-1"), []byte("digest-2")}, Complete: true}},
+		{0, "page of orders", sideStored, &orders.Page{Records: []orders.Record{{Sequence: big + 1, Version: big + 2, BaseVersion: big + 3, Digest: []byte("digest-1")},
+			{Sequence: big + 4, Version: big + 5, BaseVersion: big + 6, Digest: []byte("digest-2")}}}},
+		{0, "earlier orders", sideStored, &orders.LegacyHistory{Version: big + 1, Digests: [][]byte{[]byte("digest-1"), []byte("digest-2")}, Complete: true}},
 		{0, "entry", sideStored, &entry},
-		{0, "acceptor", sideStored, &view.Acceptor{View: fullView("a", 100), Promised: view.Ballot{Round: big + 1, By: "promised"}, AcceptedAt: view.Ballot{Round: big + 2, By: "accepted"}, Accepted: fullView("b", 200)}},
+		{0, "acceptor", sideStored, &view.Acceptor{View: fullView("a", 100), Promised: view.Ballot{Number: big + 1, Proposer: "promised"}, AcceptedAt: view.Ballot{Number: big + 2, Proposer: "accepted"}, Accepted: fullView("b", 200)}},
 		{0, "meta", sideStored, &meta{Activated: big + 1, Place: big + 2, Commit: big + 3}},
 	}
 	for number, kind := range messageKinds {
 		all = append(all, encoded{1, "peer, " + kind, sideRequest, &Message{
 			Kind: number, From: view.Member{ID: "from-id", Name: "from-name", Addr: "from-addr"}, Life: big + 1, Epoch: big + 2, Sealed: true, Leaving: true, Round: big + 3,
 			Echoes: []Echo{{ID: "echo-1", Life: big + 4, Round: big + 5}, {ID: "echo-2", Life: big + 6, Round: big + 7}},
-			Ballot: view.Ballot{Round: big + 8, By: "ballot-by"}, AcceptedAt: view.Ballot{Round: big + 9, By: "accepted-by"}, View: fullView("m", 100), Activated: big + 10,
-			Update: chain.Update{Epoch: big + 11, Base: big + 12, After: chain.Position{Done: big + 13, Of: big + 14, Part: big + 15},
-				Fragments: []chain.Fragment{{Index: big + 16, Key: "fragment-key", Size: big + 17, Sum: big + 18, Offset: big + 19, Data: []byte("data")}},
+			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedAt: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), Activated: big + 10,
+			Update: chain.Update{Epoch: big + 11, Base: big + 12, After: chain.Position{LastIndex: big + 13, PartialIndex: big + 14, PartialBytes: big + 15},
+				Fragments: []chain.Fragment{{Index: big + 16, Key: "fragment-key", ValueSize: big + 17, Checksum: big + 18, Offset: big + 19, Data: []byte("data")}},
 				Complete:  true, Through: big + 20, Commit: big + 21},
-			Ack:   chain.Ack{Epoch: big + 22, Place: big + 23, Commit: big + 24, Known: true, Active: true, Got: chain.Position{Done: big + 25, Of: big + 26, Part: big + 27}},
+			Ack:   chain.Ack{Epoch: big + 22, LastIndex: big + 23, Commit: big + 24, CommitIsCurrent: true, Active: true, Received: chain.Position{LastIndex: big + 25, PartialIndex: big + 26, PartialBytes: big + 27}},
 			Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, Term: big + 61, Number: big + 62,
-			Handover: []placement.Handover{{Gen: big + 63, Held: big + 64, Silent: []placement.Silence{{ID: "silent-1", For: big + 65}, {ID: "silent-2", For: big + 66}}}},
+			Handover: []placement.Observations{{Generation: big + 63, GenerationAge: big + 64, Unresponsive: []placement.UnresponsiveStore{{ID: "silent-1", Elapsed: big + 65}, {ID: "silent-2", Elapsed: big + 66}}}},
 		}})
 	}
 	return all
@@ -119,10 +119,10 @@
 var boolMessages = []encoded{
 	{1, "peer, sealed", sideRequest, &Message{Sealed: true}},
 	{1, "peer, leaving", sideRequest, &Message{Leaving: true}},
-	{1, "peer, known", sideRequest, &Message{Ack: chain.Ack{Known: true}}},
+	{1, "peer, known", sideRequest, &Message{Ack: chain.Ack{CommitIsCurrent: true}}},
 	{1, "peer, active", sideRequest, &Message{Ack: chain.Ack{Active: true}}},
 	{5, "register, full", sideRequest, &feed.Registration{Full: true}},
-	{5, "register, relayed", sideRequest, &feed.Registration{Relayed: true}},
+	{5, "register, relayed", sideRequest, &feed.Registration{Forwarded: true}},
 	{8, "status, sealed", sideReply, &Status{Sealed: true}},
 	{8, "status, fresh", sideReply, &Status{Fresh: true}},
 	{8, "status, joint", sideReply, &Status{Joint: true}},
@@ -130,7 +130,7 @@
 
 func fullView(name string, n int64) view.View {
 	return view.View{Epoch: big + n, Voters: []view.Member{{ID: name + "-id-1", Name: name + "-name-1", Addr: name + "-addr-1"}, {ID: name + "-id-2", Name: name + "-name-2", Addr: name + "-addr-2"}},
-		Chain: []view.Link{{ID: name + "-link-1", Since: big + n + 1}, {ID: name + "-link-2", Since: big + n + 2}}}
+		Chain: []view.ChainMember{{ID: name + "-link-1", JoinedEpoch: big + n + 1}, {ID: name + "-link-2", JoinedEpoch: big + n + 2}}}
 }
 
 func fullStatus() *Status {
@@ -252,7 +252,7 @@
 
 // The numbers of methods, kinds of messages and states of pieces are on the wire.
 func TestNumbersOnTheWire(t *testing.T) {
-	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutCall, feed.ReadCall, feed.RegisterCall, feed.RetireCall, feed.PhaseCall, feed.StatusCall, feed.ChangesCall, feed.PieceCall}
+	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutCall, feed.ReadCall, feed.RegisterCall, feed.RetireCall, feed.PhaseCall, feed.StatusCall, feed.ChangesCall, feed.ChunkCall}
 	if want := []rpc.Method{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}; !reflect.DeepEqual(methods, want) {
 		t.Errorf("methods are %v, want %v", methods, want)
 	}
@@ -260,7 +260,7 @@
 	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !reflect.DeepEqual(kinds, want) {
 		t.Errorf("kinds of messages are %v, want %v", kinds, want)
 	}
-	pieces := []int{feed.PieceGiven, feed.PieceUnknown, feed.PieceBusy}
+	pieces := []int{feed.ChunkServed, feed.ChunkUnknown, feed.ChunkBusy}
 	if want := []int{0, 1, 2}; !reflect.DeepEqual(pieces, want) {
 		t.Errorf("states of pieces are %v, want %v", pieces, want)
 	}
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -40,8 +40,8 @@
 	store := func(n int) turnstore.Store {
 		return turnstore.Store{ID: fmt.Sprintf("store-id-%d", n), Name: fmt.Sprintf("store-%d", n), Addr: fmt.Sprintf("127.0.20.%d:21003", n), Zone: fmt.Sprintf("zone-%d", n%2)}
 	}
-	return &turnstore.Placement{Gen: 7, Copies: 3, Synced: 2, Losses: 1, Old: []turnstore.Store{store(1), store(2), store(3), store(4)},
-		New: []turnstore.Store{store(2), store(3), store(4), store(5)}, Done: []string{"store-id-2", "store-id-5"}}
+	return &turnstore.Placement{Generation: 7, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: []turnstore.Store{store(1), store(2), store(3), store(4)},
+		New: []turnstore.Store{store(2), store(3), store(4), store(5)}, SweptIDs: []string{"store-id-2", "store-id-5"}}
 }
 
 // network is a core node with its disk, and two nodes in memory that it exchanges messages with. Time is a count.
@@ -124,7 +124,7 @@
 // whole tells whether all three are in the chain and all that was written is committed.
 func (n *network) whole() bool {
 	s := n.core.node.Chain().State()
-	return n.core.node.Head() && len(n.core.node.View().Chain) == 3 && s.Commit == s.Place
+	return n.core.node.Head() && len(n.core.node.View().Chain) == 3 && s.Commit == s.LastIndex
 }
 
 // order decides an order at the head and appends what it asks for.
@@ -156,7 +156,7 @@
 	last := storedMembers[2]
 	n.start(view.Member{ID: "seed-" + last.Addr, Name: last.Name, Addr: last.Addr}, founding(n.core))
 	n.until("the chain is whole", n.whole)
-	before := &feed.ConfigEntry{Version: 3, Body: storedBody(3), Taken: [][]byte{orders.Digest(storedBody(2)), orders.Digest(storedBody(3))}}
+	before := &feed.ConfigEntry{Version: 3, Body: storedBody(3), RecentDigests: [][]byte{orders.Digest(storedBody(2)), orders.Digest(storedBody(3))}}
 	n.write(feed.ConfigKey, rpc.Encode(before))
 	n.write(feed.RetirePrefix+"store-0", rpc.Encode(&feed.RetireEntry{ID: "store-id-0"}))
 	n.write("deleted", nil)
@@ -175,7 +175,7 @@
 	n.until("the last is out of the chain", func() bool { return len(n.core.node.View().Chain) == 2 })
 	n.cut[last.Addr] = false
 	n.start(last, Durable{})
-	n.until("the last is back under another identity", func() bool { return n.whole() && n.core.node.vote.View.Voter(last.ID) })
+	n.until("the last is back under another identity", func() bool { return n.whole() && n.core.node.vote.View.IsVoter(last.ID) })
 
 	// What is not committed, and a vote on a view that is not decided.
 	if d := n.order(putOf(22)); d.Kind != orders.Accept {
@@ -188,10 +188,10 @@
 		m.From, m.Life, m.Epoch = from, 1, next.Epoch
 		n.take(n.core.node.Receive(n.now, m))
 	}
-	one := view.Ballot{Round: 101, By: storedMembers[1].ID}
+	one := view.Ballot{Number: 101, Proposer: storedMembers[1].ID}
 	ask(storedMembers[1], Message{Kind: prepare, Ballot: one})
 	ask(storedMembers[1], Message{Kind: accept, Ballot: one, View: next})
-	ask(storedMembers[2], Message{Kind: prepare, Ballot: view.Ballot{Round: 102, By: storedMembers[2].ID}})
+	ask(storedMembers[2], Message{Kind: prepare, Ballot: view.Ballot{Number: 102, Proposer: storedMembers[2].ID}})
 	n.close()
 }
 
@@ -240,7 +240,7 @@
 // storedRecords are those of the versions from one to another; the first record is of version 4.
 func storedRecords(from, to int64) (all []orders.Record) {
 	for v := from; v <= to; v++ {
-		all = append(all, orders.Record{Sequence: v - 3, Version: v, BuiltOn: v - 1, Digest: storedDigests[v-2]})
+		all = append(all, orders.Record{Sequence: v - 3, Version: v, BaseVersion: v - 1, Digest: storedDigests[v-2]})
 	}
 	return all
 }
@@ -248,12 +248,12 @@
 // storedEntries are the entries of the fixture.
 func storedEntries() []storedEntry {
 	config := func(version int64) *feed.ConfigEntry {
-		return &feed.ConfigEntry{Version: version, Body: storedBody(version), Taken: [][]byte{storedDigests[version-2]}}
+		return &feed.ConfigEntry{Version: version, Body: storedBody(version), RecentDigests: [][]byte{storedDigests[version-2]}}
 	}
 	return []storedEntry{
 		{2, "retire/store-0", &feed.RetireEntry{ID: "store-id-0"}},
 		{3, "deleted", nil},
-		{4, "order/earlier", &orders.Earlier{Version: 3, Digests: storedDigests[:2], Complete: true}},
+		{4, "order/earlier", &orders.LegacyHistory{Version: 3, Digests: storedDigests[:2], Complete: true}},
 		{33, "order/0", &orders.Page{Records: storedRecords(4, 18)}},
 		{39, "order/1", &orders.Page{Records: storedRecords(19, 21)}},
 		{40, "config", config(21)},
@@ -270,10 +270,10 @@
 		founder := func(addr string) view.Member { return view.Member{ID: "seed-" + addr, Addr: addr} }
 		return view.View{Epoch: epoch,
 			Voters: []view.Member{founder("127.0.10.1:21002"), founder("127.0.10.2:21002"), {ID: "second-identity", Name: "core-2", Addr: "127.0.10.3:21002"}},
-			Chain:  []view.Link{{ID: "seed-127.0.10.1:21002", Since: 1}, {ID: "seed-127.0.10.2:21002", Since: 1}, {ID: "second-identity", Since: 3}}}
+			Chain:  []view.ChainMember{{ID: "seed-127.0.10.1:21002", JoinedEpoch: 1}, {ID: "seed-127.0.10.2:21002", JoinedEpoch: 1}, {ID: "second-identity", JoinedEpoch: 3}}}
 	}
-	return view.Acceptor{View: inView(3), Promised: view.Ballot{Round: 102, By: "second-identity"},
-		AcceptedAt: view.Ballot{Round: 101, By: "seed-127.0.10.2:21002"}, Accepted: inView(4)}
+	return view.Acceptor{View: inView(3), Promised: view.Ballot{Number: 102, Proposer: "second-identity"},
+		AcceptedAt: view.Ballot{Number: 101, Proposer: "seed-127.0.10.2:21002"}, Accepted: inView(4)}
 }
 
 // requireEntries compares entries, values included, both as they are read and as they are encoded.
@@ -324,7 +324,7 @@
 	}
 	peers := func(core *Core) Durable { // those that hold what is committed in the fixture
 		state := *core.node.chain.State()
-		state.Entries, state.Place = core.node.chain.Committed(0), state.Commit
+		state.Entries, state.LastIndex = core.node.chain.Committed(0), state.Commit
 		return Durable{Acceptor: view.Acceptor{View: core.node.View()}, State: state}
 	}
 	n := openNetwork(t, dir, peers)
@@ -345,20 +345,20 @@
 	if !reflect.DeepEqual(d.Acceptor, storedAcceptor()) {
 		t.Errorf("the vote is %+v, want %+v", d.Acceptor, storedAcceptor())
 	}
-	if got, want := [3]int64{d.State.Activated, d.State.Place, d.State.Commit}, [3]int64{3, 44, 42}; got != want {
+	if got, want := [3]int64{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit}, [3]int64{3, 44, 42}; got != want {
 		t.Errorf("activated, place, commit are %v, want %v", got, want)
 	}
 	requireEntries(t, "as it was", d.State.Entries, storedEntries())
 	committed := n.core.node.Chain().Committed(0)
 	requireDecided(t, committed, orders.ReadConfig{}, orders.Found)
-	requireDecided(t, committed, putOf(3), orders.AlreadyTaken)
-	requireDecided(t, committed, putOf(4), orders.AlreadyTaken)
-	requireDecided(t, committed, putOf(21), orders.AlreadyTaken)
+	requireDecided(t, committed, putOf(3), orders.AlreadyApplied)
+	requireDecided(t, committed, putOf(4), orders.AlreadyApplied)
+	requireDecided(t, committed, putOf(21), orders.AlreadyApplied)
 	requireDecided(t, committed, putOf(22), orders.Accept) // on disk, and not committed
-	requireDecided(t, d.State.Entries, putOf(22), orders.AlreadyTaken)
+	requireDecided(t, d.State.Entries, putOf(22), orders.AlreadyApplied)
 	requireDecided(t, committed, orders.StorePhase{Name: "store-0"}, orders.Complete)
 	requireDecided(t, committed, orders.StorePhase{Name: "store-1"}, orders.Serving)
-	requireDecided(t, committed, orders.RetireStore{Name: "store-5"}, orders.UnderWay)
+	requireDecided(t, committed, orders.RetireStore{Name: "store-5"}, orders.InProgress)
 
 	n.until("the view that was voted on, or one after it, is decided and all is committed", n.whole)
 	epoch := n.core.node.View().Epoch
@@ -375,11 +375,11 @@
 	defer n.close()
 	d = n.core.node.Durable()
 	place := storedEntries()[len(storedEntries())-1].index
-	if d.Acceptor.View.Epoch != epoch || d.State.Place != place+2 || n.core.life != 5 {
-		t.Errorf("opened again in life %d: epoch %d, place %d; want 5, %d, %d", n.core.life, d.Acceptor.View.Epoch, d.State.Place, epoch, place+2)
+	if d.Acceptor.View.Epoch != epoch || d.State.LastIndex != place+2 || n.core.life != 5 {
+		t.Errorf("opened again in life %d: epoch %d, place %d; want 5, %d, %d", n.core.life, d.Acceptor.View.Epoch, d.State.LastIndex, epoch, place+2)
 	}
-	requireDecided(t, d.State.Entries, putOf(4), orders.AlreadyTaken)
-	requireDecided(t, d.State.Entries, putOf(23), orders.AlreadyTaken)
+	requireDecided(t, d.State.Entries, putOf(4), orders.AlreadyApplied)
+	requireDecided(t, d.State.Entries, putOf(23), orders.AlreadyApplied)
 	requireDecided(t, d.State.Entries, orders.StorePhase{Name: "store-0"}, orders.Complete)
 	var kept []storedEntry
 	for _, e := range storedEntries() {
@@ -387,7 +387,7 @@
 			kept = append(kept, e)
 		}
 	}
-	config := &feed.ConfigEntry{Version: 23, Body: storedBody(23), Taken: [][]byte{storedDigests[21]}}
+	config := &feed.ConfigEntry{Version: 23, Body: storedBody(23), RecentDigests: [][]byte{storedDigests[21]}}
 	kept = append(kept, storedEntry{place + 1, "order/1", &orders.Page{Records: storedRecords(19, 23)}}, storedEntry{place + 2, "config", config})
 	requireEntries(t, "opened again", d.State.Entries, kept)
 }
--- a/internal/tier/routing/parse_test.go
+++ b/internal/tier/routing/parse_test.go
@@ -32,8 +32,8 @@
 	}
 	got := fmt.Sprintf("%d\n%+v\n%+v\n%+v\n%+v\n%+v", c.Version, c.Routes[0], c.Routes[1], c.Services["redactor"], c.Services["mostrador"], c.Limits)
 	want := `7
-{Name:r-turns Host:press.example Prefix:/draft/ Kind:streaming Deadline:6s Target:250ms GapAim:400ms Rank:1 Targets:[{Service:redactor Share:90} {Service:mostrador Share:10}] MaxAttempts:2 Retained:true Retain:1m0s Affinity:true Resumable:true}
-{Name:r-jobs Host:press.example Prefix:/draft/jobs/ Kind:non_idempotent Deadline:1.5005s Target:1.5005s GapAim:0s Rank:0 Targets:[{Service:mostrador Share:1}] MaxAttempts:1 Retained:false Retain:0s Affinity:false Resumable:false}
+{Name:r-turns Host:press.example Prefix:/draft/ Kind:streaming Deadline:6s LatencyTarget:250ms GapTarget:400ms Priority:1 Targets:[{Service:redactor Weight:90} {Service:mostrador Weight:10}] MaxAttempts:2 Retained:true Retain:1m0s Affinity:true Resumable:true}
+{Name:r-jobs Host:press.example Prefix:/draft/jobs/ Kind:non_idempotent Deadline:1.5005s LatencyTarget:1.5005s GapTarget:0s Priority:0 Targets:[{Service:mostrador Weight:1}] MaxAttempts:1 Retained:false Retain:0s Affinity:false Resumable:false}
 {Name:redactor HealthPath:/health ConnLimit:480 Capacity:96 CacheTokens:257309 EventTokens:2 Models:[m n]}
 {Name:mostrador HealthPath:/health ConnLimit:0 Capacity:0 CacheTokens:0 EventTokens:0 Models:[]}
 {MaxHeader:1000 MaxBody:2000 HeaderTimeout:3ms IdleTimeout:4ms}`
--- a/internal/tier/turnstore/frames_test.go
+++ b/internal/tier/turnstore/frames_test.go
@@ -45,31 +45,31 @@
 
 // messages are all that stores and their clients send each other. Numbers are literals on purpose: they are on the wire.
 var messages = []message{
-	{20, "open", request, &openCall{To: Head{Store: "store", Gen: big + 1}, Program: "program", Turn: "turn", Previous: "previous", Need: big + 2, History: true}},
+	{20, "open", request, &openCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program", Turn: "turn", Previous: "previous", Need: big + 2, History: true}},
 	{20, "open", reply, &openReply{Status: big + 1, Ledger: []budget.Entry{{Turn: "turn", Tokens: big + 2, Settled: true}}, Valid: true, Known: true,
 		History: []byte("history"), Got: true, Missing: "missing", LeftMs: big + 3, Home: "home", Context: big + 4}},
-	{21, "close", request, &closeCall{To: Head{Store: "store", Gen: big + 1},
-		Turn: Record{Key: "key", ID: "id", Previous: "previous", Root: true, Retain: big + 2, Piece: []byte("piece"), Home: "home", Context: big + 3}, Used: big + 4}},
+	{21, "close", request, &closeCall{To: RequestHeader{Store: "store", Generation: big + 1},
+		Turn: Record{Key: "key", ID: "id", Previous: "previous", Root: true, RetainSeconds: big + 2, Increment: []byte("piece"), CacheHost: "home", ContextTokens: big + 3}, Used: big + 4}},
 	{21, "close", reply, &plainReply{Status: big + 1}},
-	{22, "settle", request, &settleCall{To: Head{Store: "store", Gen: big + 1}, Program: "program", Turn: "turn", Used: big + 2}},
+	{22, "settle", request, &settleCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program", Turn: "turn", Used: big + 2}},
 	{22, "settle", reply, &plainReply{Status: big + 1}},
-	{23, "peek", request, &peekCall{To: Head{Store: "store", Gen: big + 1}, Program: "program"}},
+	{23, "peek", request, &peekCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program"}},
 	{23, "peek", reply, &peekReply{Status: big + 1, Ledger: []budget.Entry{{Turn: "turn", Tokens: big + 2, Settled: true}}}},
-	{24, "history", request, &historyCall{To: Head{Store: "store", Gen: big + 1}, Key: "key", Turn: "turn"}},
+	{24, "history", request, &historyCall{To: RequestHeader{Store: "store", Generation: big + 1}, Key: "key", Turn: "turn"}},
 	{24, "history", reply, &historyReply{Status: big + 1, Valid: true, Known: true, History: []byte("history"), Missing: "missing", LeftMs: big + 2}},
-	{25, "find", request, &findCall{To: Head{Store: "store", Gen: big + 1}, Turn: "turn"}},
+	{25, "find", request, &findCall{To: RequestHeader{Store: "store", Generation: big + 1}, Turn: "turn"}},
 	{25, "find", reply, &findReply{Status: big + 1, Valid: true, Known: true, Key: "key"}},
-	{26, "digest", request, &digestCall{To: Head{Store: "store", Gen: big + 1}, Asker: "asker"}},
+	{26, "digest", request, &digestCall{To: RequestHeader{Store: "store", Generation: big + 1}, Asker: "asker"}},
 	{26, "digest", reply, &digestReply{Status: big + 1, Sums: []byte("8 bytes.")}},
-	{27, "keys", request, &keysCall{To: Head{Store: "store", Gen: big + 1}, Asker: "asker", Sweep: true, Buckets: []int{big + 2, big + 3}, Bucket: big + 4, After: "after"}},
+	{27, "keys", request, &keysCall{To: RequestHeader{Store: "store", Generation: big + 1}, Asker: "asker", Sweep: true, Buckets: []int{big + 2, big + 3}, Bucket: big + 4, After: "after"}},
 	{27, "keys", reply, &keysReply{Status: big + 1, Keys: []keyDigest{{Key: "key", Turns: big + 2, Ledger: big + 3, StaysMs: big + 4}}, More: true, Bucket: big + 5, After: "after"}},
-	{28, "states", request, &statesCall{To: Head{Store: "store", Gen: big + 1}, Keys: []string{"key-1", "key-2"}}},
+	{28, "states", request, &statesCall{To: RequestHeader{Store: "store", Generation: big + 1}, Keys: []string{"key-1", "key-2"}}},
 	{28, "states", reply, &statesReply{Status: big + 1, States: []keyState{{Key: "key", LeftMs: big + 2, StaysMs: big + 3,
 		Ledger: []budget.Entry{{Turn: "turn", Tokens: big + 4, Settled: true}}, Turns: []string{"turn-1", "turn-2"}}}}},
-	{29, "bodies", request, &bodiesCall{To: Head{Store: "store", Gen: big + 1}, Turns: []string{"turn-1", "turn-2"}}},
+	{29, "bodies", request, &bodiesCall{To: RequestHeader{Store: "store", Generation: big + 1}, Turns: []string{"turn-1", "turn-2"}}},
 	{29, "bodies", reply, &bodiesReply{Status: big + 1, Done: big + 2,
-		Turns: []Record{{Key: "key", ID: "id", Previous: "previous", Root: true, Retain: big + 3, Piece: []byte("piece"), Home: "home", Context: big + 4}}}},
-	{30, "repair", request, &repairNotice{To: Head{Store: "store", Gen: big + 1}, Key: "key"}},
+		Turns: []Record{{Key: "key", ID: "id", Previous: "previous", Root: true, RetainSeconds: big + 3, Increment: []byte("piece"), CacheHost: "home", ContextTokens: big + 4}}}},
+	{30, "repair", request, &repairNotice{To: RequestHeader{Store: "store", Generation: big + 1}, Key: "key"}},
 	{30, "repair", reply, &plainReply{Status: big + 1}},
 }
 
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	defer db.Close()
-	s, err := NewStore(StoreConfig{DB: db, Placement: func() *Placement { return nil }, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard)})
+	s, err := NewServer(ServerOptions{DB: db, Placement: func() *Placement { return nil }, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 
 // The numbers of methods and statuses are on the wire.
 func TestNumbersOnTheWire(t *testing.T) {
-	methods := []rpc.Method{MethodOpen, MethodClose, MethodSettle, MethodPeek, MethodHistory, MethodFind, MethodDigest, MethodKeys, MethodStates, MethodBodies, MethodRepair}
+	methods := []rpc.Method{MethodOpen, MethodClose, MethodSettle, MethodReadLedger, MethodHistory, MethodFindTurn, MethodDigest, MethodListKeys, MethodStates, MethodBodies, MethodRepair}
 	if want := []rpc.Method{20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30}; !reflect.DeepEqual(methods, want) {
 		t.Errorf("methods are %v, want %v", methods, want)
 	}
--- a/internal/tier/turnstore/stored_test.go
+++ b/internal/tier/turnstore/stored_test.go
@@ -69,7 +69,7 @@
 type folder struct {
 	t     *testing.T
 	db    *sqlitelog.DB
-	store *NodeStore
+	store *Server
 	gen   int64 // of the placement in force
 	ahead time.Duration
 }
@@ -83,7 +83,7 @@
 	}
 	f.db = db
 	begin := time.Now()
-	f.store, err = NewStore(StoreConfig{DB: db, Placement: f.placement, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard),
+	f.store, err = NewServer(ServerOptions{DB: db, Placement: f.placement, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard),
 		Now: func() time.Time { return begin.Add(f.ahead) }})
 	if err != nil {
 		t.Fatal(err)
@@ -93,10 +93,10 @@
 
 func (f *folder) placement() *Placement {
 	self := Store{ID: f.store.ID(), Name: "store-1", Addr: "127.0.0.1:1", Zone: "zone-1"}
-	return &Placement{Gen: f.gen, Copies: 1, Synced: 1, Old: []Store{self}}
+	return &Placement{Generation: f.gen, ReplicationFactor: 1, DurableReplicas: 1, Old: []Store{self}}
 }
 
-func (f *folder) head() Head { return Head{Store: f.store.ID(), Gen: f.gen} }
+func (f *folder) head() RequestHeader { return RequestHeader{Store: f.store.ID(), Generation: f.gen} }
 
 func (f *folder) close() {
 	f.t.Helper()
@@ -134,15 +134,15 @@
 	ctx := t.Context()
 	f := openFolder(t, dir)
 	f.gen = 4
-	f.turn(Record{Key: "program-expired", ID: "turn-old", Root: true, Retain: 1, Piece: []byte("expired")}, 55)
+	f.turn(Record{Key: "program-expired", ID: "turn-old", Root: true, RetainSeconds: 1, Increment: []byte("expired")}, 55)
 	f.ahead = time.Minute
-	f.turn(Record{Key: "program-1", ID: "turn-1", Root: true, Retain: 3601, Piece: []byte("input-1 output-1\n"), Home: "host-1", Context: 9}, 120)
-	f.turn(Record{Key: "program-1", ID: "turn-2", Previous: "turn-1", Retain: 3602, Piece: []byte("input-2 output-2\n")}, big+7)
+	f.turn(Record{Key: "program-1", ID: "turn-1", Root: true, RetainSeconds: 3601, Increment: []byte("input-1 output-1\n"), CacheHost: "host-1", ContextTokens: 9}, 120)
+	f.turn(Record{Key: "program-1", ID: "turn-2", Previous: "turn-1", RetainSeconds: 3602, Increment: []byte("input-2 output-2\n")}, big+7)
 	whole := &Turn{Key: "program-2", ID: "turn-based", Previous: "turn-2", Base: []byte("input-1 output-1\ninput-2 output-2\n"),
-		Input: []byte("input-3 "), Output: []byte("output-3\n"), Retain: 3603}
+		Input: []byte("input-3 "), Output: []byte("output-3\n"), RetainSeconds: 3603}
 	f.turn(whole.record(), 44)
-	f.turn(Record{Key: "program-3", ID: "turn-empty", Root: true, Retain: 3604}, 0)
-	f.turn(Record{Key: longProgram, ID: "turn-long", Root: true, Retain: 3605, Piece: []byte("\x00\xff input-4")}, 66)
+	f.turn(Record{Key: "program-3", ID: "turn-empty", Root: true, RetainSeconds: 3604}, 0)
+	f.turn(Record{Key: longProgram, ID: "turn-long", Root: true, RetainSeconds: 3605, Increment: []byte("\x00\xff input-4")}, 66)
 	f.begin("program-1", "turn-open", "", 900)
 	f.begin("program-1", "turn-failed", "", 901)
 	f.status("settle", f.store.settle(ctx, &settleCall{To: f.head(), Program: "program-1", Turn: "turn-failed", Used: 33}).Status)
@@ -215,10 +215,10 @@
 	if s.ID() != storedID {
 		f.t.Errorf("%s: the store's identity is %s, want %s", what, s.ID(), storedID)
 	}
-	if s.Adopted() != 5 || s.kept != 5 || s.Swept() != 4 {
-		f.t.Errorf("%s: adopted %d (on disk %d), swept %d; want 5, 5, 4", what, s.Adopted(), s.kept, s.Swept())
+	if s.AdoptedGeneration() != 5 || s.kept != 5 || s.SweptGeneration() != 4 {
+		f.t.Errorf("%s: adopted %d (on disk %d), swept %d; want 5, 5, 4", what, s.AdoptedGeneration(), s.kept, s.SweptGeneration())
 	}
-	if st := s.peek(ctx, &peekCall{To: Head{Store: storedID, Gen: 4}, Program: "program-1"}).Status; st != statusOldPlacement {
+	if st := s.peek(ctx, &peekCall{To: RequestHeader{Store: storedID, Generation: 4}, Program: "program-1"}).Status; st != statusOldPlacement {
 		f.t.Errorf("%s: a call under the placement before ended in status %d", what, st)
 	}
 	served := map[entryID]entryRow{}
@@ -234,7 +234,7 @@
 	if !maps.Equal(served, want.entries) {
 		f.t.Errorf("%s: the ledgers served are\n%v, want\n%v", what, served, want.entries)
 	}
-	if _, turns := s.Held(); turns != len(want.turns) {
+	if _, turns := s.Counts(); turns != len(want.turns) {
 		f.t.Errorf("%s: %d turns, want %d", what, turns, len(want.turns))
 	}
 	retain := map[string]int{} // a program's turns are all kept for as long as the one that is kept longest
@@ -243,7 +243,7 @@
 	}
 	for id, row := range want.turns {
 		r := s.bodies(ctx, &bodiesCall{To: f.head(), Turns: []string{id.turn}})
-		record := Record{Key: id.program, ID: id.turn, Previous: row.Previous, Root: row.Root, Retain: retain[id.program], Piece: []byte(want.bodies[id])}
+		record := Record{Key: id.program, ID: id.turn, Previous: row.Previous, Root: row.Root, RetainSeconds: retain[id.program], Increment: []byte(want.bodies[id])}
 		if len(r.Turns) != 1 || !reflect.DeepEqual(r.Turns[0], record) {
 			f.t.Errorf("%s: turn %s is served as %+v, want %+v", what, id.turn, r.Turns, record)
 		}
@@ -301,7 +301,7 @@
 	}
 	settled := f.store.settle(t.Context(), &settleCall{To: f.head(), Program: "program-1", Turn: "turn-open", Used: 88})
 	f.status("settle", settled.Status)
-	f.turn(Record{Key: "program-1", ID: "turn-new", Previous: "turn-2", Retain: 3606, Piece: []byte("input-5 output-5\n")}, 77)
+	f.turn(Record{Key: "program-1", ID: "turn-new", Previous: "turn-2", RetainSeconds: 3606, Increment: []byte("input-5 output-5\n")}, 77)
 	f.close()
 
 	want := rows{maps.Clone(storedRows.entries), maps.Clone(storedRows.turns), maps.Clone(storedRows.bodies), storedRows.facts}
