--- a/choice/why.go
+++ b/choice/why.go
@@ -31,6 +31,7 @@
 	WindowOver: "an attempt may have run, and its key is no longer remembered",
 }
 
+// String gives the reason as people read it; it is empty for NoReason.
 func (r Reason) String() string {
 	if r < 0 || int(r) >= len(reasons) {
 		return fmt.Sprintf("reason %d", int(r))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,9 +24,10 @@
 	"larchrouter/internal/verdict"
 )
 
-// Fault and Faults are what is wrong with a file.
 type (
-	Fault  = hclfile.Fault
+	// Fault is one thing that is wrong with a file.
+	Fault = hclfile.Fault
+	// Faults are all that is wrong with a file, in the order of its lines.
 	Faults = hclfile.Faults
 )
 
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -37,6 +37,7 @@
 	Text   string `json:"text"`
 }
 
+// Error gives the text, without status and code.
 func (e *Error) Error() string { return e.Text }
 
 // The codes of an Error.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -40,6 +40,7 @@
 	Duplicates int `json:"duplicates"` // payments that took effect more than once
 }
 
+// String gives the counts in one line.
 func (r Result) String() string {
 	return fmt.Sprintf("delivered %d of %d, refused %d, failed %d; duplicates %d", r.Delivered, r.Handed, r.Refused, r.Failed, r.Duplicates)
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -48,6 +48,7 @@
 	Name  string
 }
 
+// String writes a target as operators do: "relay", or scope and name, such as "partner:bank". ParseTarget reads it.
 func (t Target) String() string {
 	if t.Scope == Relay {
 		return string(Relay)
--- a/internal/handover/heir.go
+++ b/internal/handover/heir.go
@@ -25,6 +25,7 @@
 // Refused is an owner's own word that it does not hand over.
 type Refused struct{ Reason string }
 
+// Error gives the owner's reason.
 func (e *Refused) Error() string {
 	return "handover: the running relay does not hand over: " + e.Reason
 }
--- a/internal/hclfile/hclfile.go
+++ b/internal/hclfile/hclfile.go
@@ -23,6 +23,7 @@
 	Text         string
 }
 
+// Error gives file, line and column, and the text; a fault of the file as a whole has no line and column.
 func (f Fault) Error() string {
 	if f.Line == 0 {
 		return f.File + ": " + f.Text
@@ -33,6 +34,7 @@
 // Faults are all that is wrong with a file, in the order of its lines.
 type Faults []Fault
 
+// Error gives one fault a line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -44,10 +46,13 @@
 // Reader collects the faults of one file.
 type Reader struct{ faults Faults }
 
+// Fault records that something is wrong at a place of the file.
 func (r *Reader) Fault(at hcl.Range, format string, args ...any) {
 	r.faults = append(r.faults, Fault{at.Filename, at.Start.Line, at.Start.Column, fmt.Sprintf(format, args...)})
 }
 
+// Diags records the errors among what the parser of HCL reports, warnings left out. Where a name is not known, allowed, unless it is
+// empty, is added as the names that are.
 func (r *Reader) Diags(all hcl.Diagnostics, allowed string) {
 	for _, d := range all {
 		if d.Severity != hcl.DiagError {
@@ -164,6 +169,7 @@
 	return b.At
 }
 
+// Has is whether the block has an argument of the name.
 func (b Block) Has(name string) bool { return b.Attrs[name] != nil }
 
 // Need faults an argument that is not there.
@@ -220,6 +226,7 @@
 	return true
 }
 
+// Text reads a text, which must not be empty. Where there is none, or a faulty one, it gives or.
 func (b Block) Text(name, or string) string {
 	s := or
 	if b.value(name, cty.String, &s, "a text in quotes") && s == "" {
@@ -229,11 +236,13 @@
 	return s
 }
 
+// Texts reads a list of texts; nil where there is none, or a faulty one.
 func (b Block) Texts(name string) (all []string) {
 	b.value(name, cty.List(cty.String), &all, "a list of texts, such as [\"a\", \"b\"]")
 	return all
 }
 
+// Truth reads true or false. Where there is neither, it gives or.
 func (b Block) Truth(name string, or bool) bool {
 	b.value(name, cty.Bool, &or, "true or false")
 	return or
@@ -252,6 +261,7 @@
 	return n
 }
 
+// Show writes a number as files have it: without a point where it has no fraction.
 func Show(n float64) string {
 	if n == math.Trunc(n) && math.Abs(n) < 1e15 {
 		return fmt.Sprintf("%.0f", n)
@@ -259,6 +269,7 @@
 	return fmt.Sprintf("%g", n)
 }
 
+// Whole reads a number without a fraction, from least to most. Where there is none, or a faulty one, it gives or.
 func (b Block) Whole(name string, or, least, most int) int {
 	n := b.Number(name, float64(or), float64(least), float64(most))
 	if n != math.Trunc(n) {
--- a/internal/journal/read.go
+++ b/internal/journal/read.go
@@ -48,6 +48,7 @@
 	Saved       string
 }
 
+// String names the file, the sequences that are missing, and the bytes that cannot be read if there are any.
 func (d Damage) String() string {
 	s := fmt.Sprintf("%s: records %d to %d are missing", d.File, d.First, d.Last)
 	if d.To > d.From {
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -84,6 +84,7 @@
 // Count is what one destination saw.
 type Count struct{ Offered, Served, Calls, Over int }
 
+// String gives the main counts in one line, as shares of the messages offered, of the worth asked for or of the calls.
 func (r Result) String() string {
 	return fmt.Sprintf("offered %d, in time %.1f%%, late %.1f%%, worth %.1f%%, calls %d, over a limit %.1f%%, note bytes for each message %.1f",
 		r.Offered, 100*float64(r.InTime)/float64(max(1, r.Offered)), 100*float64(r.Late)/float64(max(1, r.Offered)), 100*r.Worth/max(1e-9, r.Asked),
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -30,6 +30,7 @@
 
 var kindNames = map[Kind]string{Partners: "partners", Fleet: "fleet", Rules: "rules", Build: "build"}
 
+// String gives the kind as operators read it.
 func (k Kind) String() string { return kindNames[k] }
 
 // Version is a digest of what a relay acts on; 0 is none.
--- a/internal/notes/notes.go
+++ b/internal/notes/notes.go
@@ -8,6 +8,7 @@
 	"hash/crc32"
 )
 
+// The sizes of notes between relays, which go in one datagram each.
 const (
 	Most     = 256             // bytes of a note
 	Room     = Most - sumBytes // of them, for all but the sum
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -335,6 +335,7 @@
 	Why                                       []string // messages failed, with their attempts
 }
 
+// String gives the counts in one line.
 func (t Tally) String() string {
 	return fmt.Sprintf("delivered %d, refused %d, failed %d, open %d, unknown %d", t.Delivered, t.Refused, t.Failed, t.Open, t.Unknown)
 }
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -65,6 +65,7 @@
 // Said is what an operator says. Relay and Of are below the number of relays.
 type Said struct{ Say }
 
+// String says what happens to the relay, as reports of a trial have it.
 func (s Stopped) String() string {
 	if s.On {
 		return fmt.Sprintf("relay %d stands still", s.Relay)
@@ -72,7 +73,10 @@
 	return fmt.Sprintf("relay %d goes on", s.Relay)
 }
 
-func (k Killed) String() string  { return fmt.Sprintf("relay %d ends", k.Relay) }
+// String says what happens to the relay, as reports of a trial have it.
+func (k Killed) String() string { return fmt.Sprintf("relay %d ends", k.Relay) }
+
+// String says what happens to the relay, as reports of a trial have it.
 func (s Started) String() string { return fmt.Sprintf("relay %d starts again", s.Relay) }
 
 // NewPlan works a scenario out. Steward tells the relay that is steward of a destination of a fleet in which all are well.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -92,6 +92,7 @@
 // Shape is how a cut parts the fleet.
 type Shape string
 
+// The shapes.
 const (
 	Sides  Shape = "sides"  // so many, relay by relay in turn; a relay hears its own side
 	Alone  Shape = "alone"  // so many relays hear nobody and are heard by nobody
@@ -142,11 +143,12 @@
 // Saying is what an operator says for the whole fleet.
 type Saying string
 
+// The sayings. Drains and their ends have a target, the others a relay.
 const (
 	SayDrain   Saying = "drain"
 	SayUndrain Saying = "undrain"
 	SayGone    Saying = "gone" // a relay, for good
-	SayBack    Saying = "back"
+	SayBack    Saying = "back" // it is not gone any more
 )
 
 // Say has an operator say something at a relay.
--- a/internal/tier/placement/plan.go
+++ b/internal/tier/placement/plan.go
@@ -26,7 +26,7 @@
 // and the next one takes up to 0.15 s. One that followed another node is heard within 0.65 s.
 const listen = 1200 * time.Millisecond
 
-// DefaultTimings, from the time for which a machine that is in trouble may stay away.
+// DefaultTimings gives the timings for contact, the time for which a machine that is in trouble may stay away.
 func DefaultTimings(contact time.Duration) Timings {
 	return Timings{Settle: 700 * time.Millisecond, Patient: 4 * time.Second, Confirm: 80 * time.Millisecond,
 		Doubt: 600 * time.Millisecond, Silent: contact / 2, Gone: 2 * contact, Listen: listen}
--- a/internal/tier/tiertest/check.go
+++ b/internal/tier/tiertest/check.go
@@ -15,6 +15,7 @@
 // Breach is a rule that was not kept.
 type Breach struct{ Rule, Text string }
 
+// String gives the rule, and what was seen.
 func (b Breach) String() string { return b.Rule + ": " + b.Text }
 
 // check finds breaches of one rule.
--- a/internal/tier/turnstore/records.go
+++ b/internal/tier/turnstore/records.go
@@ -133,7 +133,7 @@
 	return string(b[w : w+int(n)]), string(b[w+int(n):]), nil
 }
 
-// head names the store that a call is meant for and the placement that it goes by.
+// Head names the store that a call is meant for and the placement that it goes by.
 type Head struct {
 	Store string
 	Gen   int64
--- a/internal/trial/check.go
+++ b/internal/trial/check.go
@@ -25,6 +25,7 @@
 	Text string `json:"text"`
 }
 
+// String gives the rule, and what was seen.
 func (f Finding) String() string { return f.Rule + ": " + f.Text }
 
 // Share is what was seen over a span. All but the counts are shares of what hosts took, or would have taken.
