--- a/cmd/larchrouter-trial/main_test.go
+++ b/cmd/larchrouter-trial/main_test.go
@@ -60,9 +60,9 @@
 		err := cmd.ExecuteContext(t.Context())
 		code := 0
 		if err != nil {
-			if code = exitUsage; errors.As(err, new(coded)) {
-				code = err.(coded).code
-			}
+			with := coded{code: exitUsage}
+			errors.As(err, &with)
+			code = with.code
 			out.WriteString(err.Error())
 		}
 		if code != c.code || !strings.Contains(out.String(), c.want) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,6 +4,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"net"
@@ -198,7 +199,8 @@
 }
 
 func reason(err error) string {
-	if p, ok := err.(*os.PathError); ok {
+	var p *os.PathError
+	if errors.As(err, &p) {
 		return p.Err.Error()
 	}
 	return err.Error()
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -77,7 +77,7 @@
 		}
 		give = Errorf(code, "about %s", code)
 		_, err := c.Status(t.Context())
-		e, ok := err.(*Error)
+		e, ok := err.(*Error) //nolint:errorlint // the client gives it as it is
 		if !ok || e.Code != code || e.Status != status || e.Text != "about "+code {
 			t.Errorf("%s: %#v", code, err)
 		}
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -135,10 +135,10 @@
 
 // unread answers a request that read or bodyOf did not take.
 func unread(w http.ResponseWriter, status int, err error) {
-	if err == errNoRoom {
+	if errors.Is(err, errNoRoom) {
 		w.Header().Set("Retry-After", "1")
 	}
-	if err == errNoRoom || err == errBody {
+	if errors.Is(err, errNoRoom) || errors.Is(err, errBody) {
 		w.Header().Set("Connection", "close") // the rest of the body is not waited for
 	}
 	http.Error(w, err.Error(), status)
@@ -193,10 +193,10 @@
 
 // bodyOf reads a request's body. It counts as being read until its capacity is taken off r.reading.
 func (r *Relay) bodyOf(req *http.Request) (body []byte, status int, err error) {
-	switch body, err = r.readBody(req.Body, int(req.ContentLength)); err {
-	case nil:
+	switch body, err = r.readBody(req.Body, int(req.ContentLength)); {
+	case err == nil:
 		return body, 0, nil
-	case errNoRoom:
+	case errors.Is(err, errNoRoom):
 		return nil, http.StatusServiceUnavailable, err
 	}
 	return nil, http.StatusBadRequest, errBody
--- a/internal/relay/service_test.go
+++ b/internal/relay/service_test.go
@@ -169,10 +169,10 @@
 	wait(t, calls, "call").answer <- 200
 
 	r = &Relay{bodies: 5 << 10}
-	if _, err := r.readBody(strings.NewReader(body), len(body)); err != errNoRoom {
+	if _, err := r.readBody(strings.NewReader(body), len(body)); err != errNoRoom { //nolint:errorlint // as it is: clients get its text
 		t.Fatalf("error is %v, want no room", err)
 	}
-	if _, err := r.readBody(strings.NewReader("short"), 60<<10); err != io.ErrUnexpectedEOF {
+	if _, err := r.readBody(strings.NewReader("short"), 60<<10); err != io.ErrUnexpectedEOF { //nolint:errorlint // as it comes from the reader
 		t.Fatalf("error is %v, want an early end", err)
 	}
 	want(t, "bytes of bodies being read", r.reading.Load(), 0)
--- a/internal/rpc/conn_test.go
+++ b/internal/rpc/conn_test.go
@@ -90,7 +90,7 @@
 func wantKind(t *testing.T, err, kind error, text string) {
 	t.Helper()
 	for _, k := range []error{ErrUnsent, ErrLost, ErrRemote} {
-		if errors.Is(err, k) != (k == kind) {
+		if errors.Is(err, k) != (k == kind) { //nolint:errorlint // which of the kinds it is, no error of a call
 			t.Fatalf("%v, want of kind %q only", err, kind)
 		}
 	}
--- a/internal/sqlitelog/read.go
+++ b/internal/sqlitelog/read.go
@@ -17,7 +17,7 @@
 	defer rows.Close()
 	one := make([]driver.Value, 1)
 	switch err := rows.Next(one); {
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		return nil, nil
 	case err != nil:
 		return nil, err
@@ -112,7 +112,7 @@
 	defer rows.Close()
 	row := make([]driver.Value, 2)
 	for size := 0; len(keys) < rangeRows && size < rangeBytes; {
-		if err := rows.Next(row); err == io.EOF {
+		if err := rows.Next(row); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			return nil, nil, err
--- a/internal/standin/cutproxy/gate.go
+++ b/internal/standin/cutproxy/gate.go
@@ -1,6 +1,7 @@
 package cutproxy
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -79,7 +80,7 @@
 				return
 			}
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			_ = to.(*net.TCPConn).CloseWrite()
 			return
 		}
--- a/internal/standin/cutproxy/relay_test.go
+++ b/internal/standin/cutproxy/relay_test.go
@@ -98,7 +98,8 @@
 	c.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(patience))
 	got, err := c.r.ReadString('\n')
-	if timeout, is := err.(net.Error); got != "" || err == nil || is && timeout.Timeout() {
+	var timeout net.Error
+	if got != "" || err == nil || errors.As(err, &timeout) && timeout.Timeout() {
 		c.t.Fatalf("heard %q, %v; wanted the connection to break", got, err)
 	}
 }
@@ -213,7 +214,7 @@
 	_ = connection.SetReadDeadline(time.Now().Add(limit))
 	count, err := connection.Read(make([]byte, 1))
 	if count != 0 || !errors.Is(err, syscall.ECONNRESET) {
-		return fmt.Errorf("read %d bytes, %v; wanted a reset", count, err)
+		return fmt.Errorf("read %d bytes, %v; wanted a reset", count, err) //nolint:errorlint // it may be nil
 	}
 	return nil
 }
--- a/internal/standin/modelhost/engine_test.go
+++ b/internal/standin/modelhost/engine_test.go
@@ -298,7 +298,7 @@
 		if model != "" {
 			h.Set(Fault{Kind: Silence, After: 1})
 			d.ask("POST /x/", "e", "", "X-Time-Left-Ms: 100")
-			if _, err := io.ReadAll(d.head().Body); err != io.ErrUnexpectedEOF {
+			if _, err := io.ReadAll(d.head().Body); err != io.ErrUnexpectedEOF { //nolint:errorlint // as it comes from the reader
 				t.Fatal("a stream at its deadline:", err)
 			}
 			want(t, "end", h.Ledger().Of("e")[0].End, Cut)
--- a/internal/standin/modelhost/host.go
+++ b/internal/standin/modelhost/host.go
@@ -9,6 +9,7 @@
 	"cmp"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -430,8 +431,8 @@
 }
 
 func isTimeout(err error) bool {
-	t, ok := err.(net.Error)
-	return ok && t.Timeout()
+	var t net.Error
+	return errors.As(err, &t) && t.Timeout()
 }
 
 // after waits; false if the context ends before.
--- a/internal/standin/modelhost/run.go
+++ b/internal/standin/modelhost/run.go
@@ -112,7 +112,7 @@
 // stop ends a run whose context has ended; begun if something of the answer was written.
 func (w *work) stop(ctx context.Context, begun bool) {
 	switch {
-	case context.Cause(ctx) == errGone:
+	case errors.Is(context.Cause(ctx), errGone):
 		w.end(Dropped)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && !begun:
 		w.end(Failed)
--- a/internal/tier/proxy/plain.go
+++ b/internal/tier/proxy/plain.go
@@ -28,7 +28,7 @@
 			b = b[:len(b)+n]
 		}
 		switch {
-		case err == io.EOF:
+		case is(err, io.EOF):
 			r.served(t)
 			r.sendWhole(a, b)
 			return
@@ -81,7 +81,7 @@
 			return nil
 		}
 		n, err := a.Read(piece[:cap(piece)])
-		if err != nil && err != io.EOF {
+		if err != nil && !is(err, io.EOF) {
 			return err
 		}
 		piece = piece[:n]
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -85,9 +85,9 @@
 				return out, begun, upstream.ErrCancelled
 			}
 		}
-		switch err {
-		case nil:
-		case io.EOF:
+		switch {
+		case err == nil:
+		case is(err, io.EOF):
 			return out, begun, nil
 		default:
 			return out, begun, err
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -40,7 +40,7 @@
 	n, err := a.body.Read(p)
 	switch {
 	case err == nil:
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		a.ended = true
 	case a.call.cancelled():
 		err = ErrCancelled
--- a/internal/transport/httpcall/httpcall.go
+++ b/internal/transport/httpcall/httpcall.go
@@ -131,7 +131,8 @@
 	conn, in, err := p.send(ctx, c)
 	if err != nil {
 		o := choice.NoConnection
-		if err == errGated || err == errTold || err == errLeft || err == errNoDescriptor || context.Cause(ctx) == ErrCalledOff {
+		if errors.Is(err, errGated) || errors.Is(err, errTold) || errors.Is(err, errLeft) || errors.Is(err, errNoDescriptor) ||
+			errors.Is(context.Cause(ctx), ErrCalledOff) {
 			o = choice.NotSent // nothing that the host did
 		}
 		return slices.Repeat([]End{{Outcome: o, Dialled: o == choice.NoConnection}}, len(c.Messages)), time.Since(begin), c.Host.waits().Left()
@@ -169,9 +170,9 @@
 			ends = batchEnds(a, ids)
 		}
 		return ends, took, a.wait
-	case context.Cause(ctx) == ErrCalledOff:
+	case errors.Is(context.Cause(ctx), ErrCalledOff):
 		return all(End{Outcome: choice.Cancelled}), took, 0
-	case context.Cause(ctx) == errTimeout:
+	case errors.Is(context.Cause(ctx), errTimeout):
 		return all(End{Outcome: choice.Timeout}), took, 0
 	}
 	conn.note(true)
@@ -227,7 +228,7 @@
 		if in, err = c.write(conn); err == nil {
 			return conn, in, nil
 		}
-		if err == errLeft {
+		if errors.Is(err, errLeft) {
 			p.put(conn)
 			return nil, nil, err
 		}
