--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -22,16 +22,18 @@
 	Weight float64 `json:"weight"`
 }
 
+// listVersion is the version of a list that does not change.
+const listVersion = 1
+
 // Platform is a stand-in for the platform's agent on a relay's machine: discovery, and the taker of notices.
 // Its methods are safe for concurrent use.
 type Platform struct {
 	server *http.Server
 	addr   string
 
+	servers []Server // they stay as they are
+
 	mu      sync.Mutex
-	version int64
-	servers []Server
-	changed chan struct{}  // closed when the list changes
 	notices map[string]int // by status
 	told    func(id, status string)
 	silent  chan struct{} // closed when it answers again; nil while it answers
@@ -46,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Platform{told: told, addr: l.Addr().String(), version: 1, servers: servers, changed: make(chan struct{}), notices: map[string]int{}}
+	p := &Platform{told: told, addr: l.Addr().String(), servers: servers, notices: map[string]int{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", p.hosts)
 	mux.HandleFunc("POST /status", p.status)
@@ -61,16 +63,6 @@
 // Close ends it.
 func (p *Platform) Close() { p.server.Close() }
 
-// List replaces the list of endpoints; who watches is told at once.
-func (p *Platform) List(servers []Server) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.version++
-	p.servers = servers
-	close(p.changed)
-	p.changed = make(chan struct{})
-}
-
 // Silence has it answer no question about discovery, or go on; what was asked meanwhile is answered then. Notices are
 // taken throughout.
 func (p *Platform) Silence(on bool) {
@@ -118,26 +110,20 @@
 	if !p.answers(req) {
 		return
 	}
-	p.mu.Lock()
-	changed := p.changed
-	if since > 0 && since >= p.version {
-		p.mu.Unlock()
+	if since >= listVersion { // there is no news
 		select {
-		case <-changed:
 		case <-time.After(time.Duration(min(wait, 60_000)) * time.Millisecond):
 		case <-req.Context().Done():
 		}
-		p.mu.Lock()
 	}
 	answer := struct {
 		Version int64    `json:"version"`
 		Full    bool     `json:"full"`
 		Servers []Server `json:"servers"`
-	}{p.version, since < p.version, nil}
+	}{listVersion, since < listVersion, nil}
 	if answer.Full {
 		answer.Servers = p.servers
 	}
-	p.mu.Unlock()
 	json.NewEncoder(w).Encode(answer)
 }
 
