--- a/internal/tier/placement/plan.go
+++ b/internal/tier/placement/plan.go
@@ -26,7 +26,7 @@
 // and the next one takes up to 0.15 s. One that followed another node is heard within 0.65 s.
 const listen = 1200 * time.Millisecond
 
-// DefaultTimings, from the time for which a machine that is in trouble may stay away.
+// DefaultTimings gives the timings for contact, the time for which a machine that is in trouble may stay away.
 func DefaultTimings(contact time.Duration) Timings {
 	return Timings{InitialWait: 700 * time.Millisecond, ExtendedWait: 4 * time.Second, ConfirmInterval: 80 * time.Millisecond,
 		SuspectTimeout: 600 * time.Millisecond, FailureTimeout: contact / 2, RemovalTimeout: 2 * contact, TakeoverGrace: listen}
--- a/internal/tier/turnstore/records.go
+++ b/internal/tier/turnstore/records.go
@@ -133,7 +133,7 @@
 	return string(b[w : w+int(n)]), string(b[w+int(n):]), nil
 }
 
-// head names the store that a call is meant for and the placement that it goes by.
+// RequestHeader names the store that a call is meant for and the placement that it goes by.
 type RequestHeader struct {
 	Store      string
 	Generation int64
