--- a/choice/internal/reference/choice.go
+++ b/choice/internal/reference/choice.go
@@ -1,4 +1,4 @@
-// Package scanning decides as package choice does, by looking at all that waits in every Step: the way in which
+// Package reference decides as package choice does, by looking at all that waits in every Step: the way in which
 // it decided until its orders were built. It is the standard against which tests hold choice; nothing else
 // uses it, and it is changed only where a decision of choice is meant to change.
 //
--- a/internal/relay/adminapi/api.go
+++ b/internal/relay/adminapi/api.go
@@ -1,4 +1,4 @@
-// Package control is the local control API of a relay: HTTP with JSON on a Unix socket, for the command
+// Package adminapi is the local control API of a relay: HTTP with JSON on a Unix socket, for the command
 // line, the console and tests. Paths begin with the version of the API. The relay implements Backend; the
 // server bounds what clients can cost it, and the client is the only other end that the project has.
 //
--- a/internal/relay/batching/pieces.go
+++ b/internal/relay/batching/batching.go
@@ -1,4 +1,4 @@
-// Package pieces decides when work that falls due in heaps has to begin, so that it is done in pieces that hold up
+// Package batching decides when work that falls due in heaps has to begin, so that it is done in pieces that hold up
 // nothing else and still in time. It does no I/O and reads no clock.
 //
 // Time is cut into slots, and a piece is what may be done in one. As long as no more than a piece falls due in any
--- a/internal/relay/chaostest/trial.go
+++ b/internal/relay/chaostest/chaostest.go
@@ -1,4 +1,4 @@
-// Package trial plays a scenario with real processes: relays of the program, started as the platform starts them, with
+// Package chaostest plays a scenario with real processes: relays of the program, started as the platform starts them, with
 // stand-in agents, partners and clients round them and links between them that can be cut. What it counts is what
 // partners, agents and clients saw, never what a relay says of itself. Everything is on loopback, bounded in count and
 // time, and gone when it ends.
--- a/internal/relay/discoverypoll/membership.go
+++ b/internal/relay/discoverypoll/discoverypoll.go
@@ -1,4 +1,4 @@
-// Package membership decides when a relay asks discovery, and for what. It does no I/O and reads no clock.
+// Package discoverypoll decides when a relay asks discovery, and for what. It does no I/O and reads no clock.
 //
 // There are two questions. A look takes the whole list as the agent on the relay's own machine has it: that is answered
 // at once and costs discovery nothing. A watch waits for changes: that is how discovery tells of them soonest, a watch
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/engine.go
@@ -1,4 +1,4 @@
-// Package core joins the decisions about messages (choice) with those about what the fleet may send (internal/relay/fleetlimit),
+// Package engine joins the decisions about messages (choice) with those about what the fleet may send (internal/relay/fleetlimit),
 // so that whoever drives them sees one step function: time and events in, actions out.
 package engine
 
--- a/internal/relay/fleetlimit/fleet.go
+++ b/internal/relay/fleetlimit/fleet.go
@@ -1,4 +1,4 @@
-// Package grants has the relays of a fleet share what a destination takes. Each destination has a steward among them.
+// Package fleetlimit has the relays of a fleet share what a destination takes. Each destination has a steward among them.
 // A relay that could make calls asks it for leave; the steward knows of all calls of the fleet and how they ended, and
 // grants one by one what the routes have room for, to those first whose calls are worth most. So eighty relays that
 // see little each keep under a limit as one would that sees all.
--- a/internal/relay/gossip/conn.go
+++ b/internal/relay/gossip/conn.go
@@ -1,4 +1,4 @@
-// Package peers carries notes between the relays of a fleet: UDP datagrams of up to 256 bytes, which come late, twice
+// Package gossip carries notes between the relays of a fleet: UDP datagrams of up to 256 bytes, which come late, twice
 // or not at all. Who wrote one is told by the address that it came from.
 package gossip
 
--- a/internal/relay/gossip/frame.go
+++ b/internal/relay/gossip/frame.go
@@ -1,5 +1,3 @@
-// Package notes is the frame of all notes between relays: a byte that tells kinds and versions apart, what they say, and the
-// low half of a CRC-32C over both. A note has 256 bytes at most.
 package gossip
 
 import (
--- a/internal/relay/outcome/ends.go
+++ b/internal/relay/outcome/outcome.go
@@ -1,4 +1,4 @@
-// Package ends remembers how messages ended, bounded by number and age. It does no I/O and is told the time.
+// Package outcome remembers how messages ended, bounded by number and age. It does no I/O and is told the time.
 package outcome
 
 import (
--- a/internal/relay/override/verdict.go
+++ b/internal/relay/override/store.go
@@ -1,4 +1,4 @@
-// Package verdict holds what operators have said of things that a whole fleet deals with, and spreads it: that an endpoint or
+// Package override holds what operators have said of things that a whole fleet deals with, and spreads it: that an endpoint or
 // a partner is drained at every relay, or that a relay is gone for good. Word and release are facts that win over one another
 // by rule, whatever way they come and however often, so all relays that some chain of links joins hold the same in the end.
 //
--- a/internal/relay/quota/share.go
+++ b/internal/relay/quota/quota.go
@@ -1,4 +1,4 @@
-// Package share holds a limit as rights that are conserved. Each relay of a fleet has a part of a limit; whoever grants calls
+// Package quota holds a limit as rights that are conserved. Each relay of a fleet has a part of a limit; whoever grants calls
 // on it, a steward, may grant on the parts that were pledged to it, each for a lease, and a part is pledged to one steward
 // at a time. So whoever hears whom, all stewards of a limit together grant no more than the limit: a fleet that is cut
 // in two grants on each side as much as that side has, and a steward that stood still grants nothing on what has lapsed.
--- a/internal/relay/simulation/world.go
+++ b/internal/relay/simulation/world.go
@@ -1,4 +1,4 @@
-// Package lab plays whole fleets in virtual time: the relays' real decisions (internal/relay/engine), with a network that
+// Package simulation plays whole fleets in virtual time: the relays' real decisions (internal/relay/engine), with a network that
 // carries their notes and calls, and stand-in destinations with limits that refused calls use up, outages and cold
 // returns. There is one process, no socket and no clock; a seed gives the same day every time. What is counted is
 // counted where it happens, at the destination.
--- a/internal/relay/versionaudit/ledger.go
+++ b/internal/relay/versionaudit/versionaudit.go
@@ -1,4 +1,4 @@
-// Package ledger knows which relay of a fleet acts on which version of what, as far as relays tell one another: their operator's
+// Package versionaudit knows which relay of a fleet acts on which version of what, as far as relays tell one another: their operator's
 // files, in sections, and the program's build. It is the first part of the fleet's audit: it tells who is behind, and for how long.
 //
 // A file has no number that only grows, so versions are digests, and which of two is newer is told by when it appeared: the newest
--- a/internal/vfs/faultfs/faulty.go
+++ b/internal/vfs/faultfs/faultfs.go
@@ -1,4 +1,4 @@
-// Package faulty is a folder in memory that fails as disks and machines do: short writes, no room, errors, a process
+// Package faultfs is a folder in memory that fails as disks and machines do: short writes, no room, errors, a process
 // that ends at any operation, and power that goes while not all is synced. Everything it does follows from a seed.
 package faultfs
 
--- a/internal/vfs/files.go
+++ b/internal/vfs/vfs.go
@@ -1,5 +1,5 @@
-// Package files is the layer between durable records and a file system: the few operations that a journal needs, so
-// that tests can put one with faults in its place (package faulty).
+// Package vfs is the layer between durable records and a file system: the few operations that a journal needs, so
+// that tests can put one with faults in its place (package faultfs).
 package vfs
 
 import (
