--- a/internal/relay/gossip/frame.go
+++ b/internal/relay/gossip/frame.go
@@ -7,6 +7,8 @@
 )
 
 // The sizes of notes between relays, which go in one datagram each.
+// Every message between relays has one frame: a byte for its kind and version, the body, and the low half of a
+// CRC-32C over both. It has 256 bytes at most.
 const (
 	Most     = 256             // bytes of a note
 	Room     = Most - sumBytes // of them, for all but the sum
