--- /dev/null
+++ b/internal/drain/fixtures_test.go
@@ -0,0 +1,24 @@
+package drain
+
+import (
+	"slices"
+	"testing"
+)
+
+// Targets are stored in the journal and spread in the fleet; targets, phases and results are in the control API.
+func TestNamesAreAsFrozen(t *testing.T) {
+	for text, want := range map[string]Target{"relay": {Scope: Relay}, "partner:acme": {Scope: Partner, Name: "acme"}, "endpoint:a:1": {Scope: Endpoint, Name: "a:1"}} {
+		if got, err := ParseTarget(text); err != nil || got != want || got.String() != text {
+			t.Errorf("%q is read as %+v, %v and written as %q, want %+v", text, got, err, got, want)
+		}
+	}
+	if got, want := []Phase{Serving, Draining, Drained, Stopping}, []Phase{"serving", "draining", "drained", "stopping"}; !slices.Equal(got, want) {
+		t.Errorf("phases %q, want %q", got, want)
+	}
+	got := []Result{Begun, Already, Shortened, Undone, Not, StillBy, StillAll, StopBegun, StopAgain}
+	want := []Result{"drained", "already drained", "bound shortened", "undrained", "not drained", "still drained", "still drained for the fleet", "stopping",
+		"already stopping"}
+	if !slices.Equal(got, want) {
+		t.Errorf("results %q, want %q", got, want)
+	}
+}
--- /dev/null
+++ b/internal/journal/fixtures_test.go
@@ -0,0 +1,337 @@
+package journal
+
+import (
+	"encoding/hex"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"larchrouter/internal/fixture"
+)
+
+// The fixtures are state folders as a process leaves them that was killed: one for each format of the journal that is read.
+//
+//	testdata/state-format-1  the one file of JSON records, with a compaction of it that was cut short
+//	testdata/state-format-2  two segments: the first of a process that did not sync ("process"), the second of one that did ("power")
+
+// frozenFrame is a record as it stands in a segment.
+type frozenFrame struct {
+	seq      uint64
+	unsynced uint32
+	record   Record
+}
+
+// fullEntry has a value of its own for every field that is stored.
+func fullEntry() *Entry {
+	return &Entry{ID: "full", Class: "job-order", Dest: 11, Key: "key-12", Order: "order-13", Effect: 3, Due: 1700000014000,
+		Body: []byte("body\x00\xff"), Tries: 15, Wait: 16, Ran: true, RanAt: 1700000017000, Zone: 18, Out: true, OutAt: 1700000019000, OutTo: 20,
+		Status: "deferred", Again: 1700000021000, Partner: "acme", TakenAt: 1700000022000, EndAt: 1700000023000, Why: "its time was up",
+		Sum: 0x24252627, Bytes: 28, Log: []Attempt{
+			{Host: "host-29", At: 1700000030000, Took: 31, Outcome: "reset", Ran: true},
+			{Host: "host-32", At: 1700000033000}}, number: 3}
+}
+
+// processFrames are the records of the first segment.
+func processFrames() []frozenFrame {
+	small := func(id string, number uint64) *Entry {
+		return &Entry{ID: id, Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of " + id), number: number}
+	}
+	return []frozenFrame{
+		{1, 0, Record{Op: OpTaken, Entry: small("over", 1)}},
+		{2, 0, Record{Op: OpEnd, ID: "over", At: 1700000002000, Sum: 0x257e0630}},
+		{3, 0, Record{Op: OpTaken, Entry: fullEntry()}},
+		{4, 0, Record{Op: OpTaken, Entry: small("tried", 4)}},
+		{5, 0, Record{Op: OpTry, ID: "tried", At: 1700000005000, Wait: 300, Zone: 2, Host: "host-1"}},
+		{6, 0, Record{Op: OpOutcome, ID: "tried", Ran: true, Wait: 12, Why: "timed out"}},
+		{7, 0, Record{Op: OpTry, ID: "tried", At: 1700000007000, Wait: 301, Zone: -1}},
+		{8, 0, Record{Op: OpTaken, Entry: small("owed", 8)}},
+		{9, 0, Record{Op: OpNotice, ID: "owed", Status: "undeliverable", Again: 1700000009500, At: 1700000009000, Why: "refused", Sum: 0x51525354}},
+		{10, 0, Record{Op: OpTaken, Entry: small("gone", 10)}},
+		{11, 0, Record{Op: OpHealth, ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
+		{12, 0, Record{Op: OpHealth, ID: "host-2", Ran: true, Base: 0.125, At: 1700000012000}},
+		{13, 0, Record{Op: OpHealth, ID: "host-2"}},
+		{14, 0, Record{Op: OpDrain, ID: "partner:acme", Ran: true, At: 1700000014000, Status: "op", Wait: 30000}},
+		{15, 0, Record{Op: OpDrain, ID: "relay", Ran: true, At: 1700000015000, Status: "op", Wait: 60000}},
+		{16, 0, Record{Op: OpDrain, ID: "relay"}},
+		{17, 0, Record{Op: OpWord, ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000}},
+		{18, 0, Record{Op: OpWord, ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
+		{19, 0, Record{Op: OpForget, ID: "gone"}},
+	}
+}
+
+// powerFrames are the records of the second segment: first what was carried there.
+func powerFrames() []frozenFrame {
+	return []frozenFrame{
+		{20, 0, Record{Op: opEnded, ID: "over", At: 1700000002000, Sum: 0x257e0630}},
+		{21, 1, Record{Op: opCarried, Entry: fullEntry()}},
+		{22, 2, Record{Op: OpTaken, Entry: &Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"), number: 22}}},
+		{23, 3, Record{Op: OpTry, ID: "late", At: 1700000023000, Wait: 400, Zone: 1}},
+		{24, 4, Record{Op: OpOutcome, ID: "late"}},
+	}
+}
+
+// format1Records are those of the first segment that format 1 had. It had no Order.
+func format1Records() (all []Record) {
+	for _, f := range processFrames() {
+		if f.record.Op == OpForget {
+			continue
+		}
+		if e := f.record.Entry; e != nil {
+			e.Order, e.number = "", 0
+		}
+		all = append(all, f.record)
+	}
+	return all
+}
+
+// records are those of frames.
+func records(all []frozenFrame) (recs []Record) {
+	for _, f := range all {
+		recs = append(recs, f.record)
+	}
+	return recs
+}
+
+// writeFormat2 writes the folder with the present code, through the calls that a relay makes.
+func writeFormat2(t *testing.T, dir string) {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	j := open(t, dir, 3e6)
+	for _, r := range records(processFrames()) {
+		put(t, j, r)
+	}
+	j.Close()
+	j, err := Open(dir, Options{Budget: 3e6, Memory: memory, Power: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := j.carryTo(64); err != nil { // the first two that are live
+		t.Fatal(err)
+	}
+	put(t, j, records(powerFrames())[2:]...)
+	j.Close()
+	// What else is found there: the lock with the number of a process, room on the disk that it took, damaged bytes that it kept.
+	for name, text := range map[string]string{"lock": "4711\n", "journal.spare": "room that the process took\n",
+		"journal-damaged-00000001-100": "bytes that could not be read\n"} {
+		fixture.File(t, filepath.Join(dir, name), []byte(text))
+	}
+}
+
+// writeFormat1 writes what a program of that time left.
+func writeFormat1(t *testing.T, dir string) {
+	fixture.File(t, filepath.Join(dir, "journal"), legacyFile(format1Records()...))
+	fixture.File(t, filepath.Join(dir, "journal.tmp"), legacyFile(format1Records()[:3]...))
+	fixture.File(t, filepath.Join(dir, "lock"), []byte("4711\n"))
+}
+
+// stateFixture is the path of a fixture, which is written if that was asked for.
+func stateFixture(t *testing.T, name string, write func(*testing.T, string)) string {
+	dir := filepath.Join("testdata", name)
+	if fixture.Missing(t, dir) {
+		write(t, dir)
+	}
+	return dir
+}
+
+// sameFiles checks that the files that the present code writes have the bytes of the fixture.
+func sameFiles(t *testing.T, dir string, write func(*testing.T, string)) {
+	t.Helper()
+	present := t.TempDir()
+	write(t, present)
+	got, want := fixture.Folder(t, present), fixture.Folder(t, dir)
+	for name := range want {
+		if got[name] != want[name] {
+			t.Errorf("%s/%s: the present code writes\n%swant\n%s", dir, name, hex.Dump([]byte(got[name])), hex.Dump([]byte(want[name])))
+		}
+	}
+	if len(got) != len(want) {
+		t.Errorf("%s: the present code writes %d files, want %d", dir, len(got), len(want))
+	}
+}
+
+// Guards against a change of the segments, the frames and the records.
+func TestFormat2IsAsFrozen(t *testing.T) {
+	dir := stateFixture(t, "state-format-2", writeFormat2)
+	sameFiles(t, dir, writeFormat2)
+	covered := map[string]bool{}
+	var all []any
+	for _, tc := range []struct {
+		name   string
+		first  uint64
+		frames []frozenFrame
+	}{{"journal-00000001", 1, processFrames()}, {"journal-00000002", 20, powerFrames()}} {
+		data, err := os.ReadFile(filepath.Join(dir, tc.name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		want(t, "first bytes", string(data[:12]), "larchlog\x02\x00\x00\x00")
+		first, err := readHeader(data)
+		if err != nil || first != tc.first {
+			t.Errorf("%s: first sequence %d, %v, want %d", tc.name, first, err, tc.first)
+		}
+		var got []frozenFrame
+		end, tail := frames(data, 32, func(at int, f frame, damage *stretch) {
+			got = append(got, frozenFrame{f.seq, f.unsynced, f.record})
+			if again := appendFrame(nil, f.seq, f.unsynced, &f.record); string(again) != string(data[at:at+f.size]) {
+				t.Errorf("%s: record %d is encoded as\n%swant\n%s", tc.name, f.seq, hex.Dump(again), hex.Dump(data[at:at+f.size]))
+			}
+			if damage != nil {
+				t.Errorf("%s: damage before record %d", tc.name, f.seq)
+			}
+		})
+		if end != len(data) || tail != nil {
+			t.Errorf("%s: read up to byte %d of %d", tc.name, end, len(data))
+		}
+		if !reflect.DeepEqual(got, tc.frames) {
+			t.Errorf("%s: frames are\n%+v, want\n%+v", tc.name, got, tc.frames)
+		}
+		for _, f := range tc.frames {
+			covered[f.record.Op] = true
+			all = append(all, f.record)
+		}
+	}
+	frozen := []string{"", "taken", "try", "outcome", "notice", "end", "health", "drain", "carried", "ended", "forget", "word"}
+	want(t, "operations by code", fmt.Sprintf("%q", ops), fmt.Sprintf("%q", frozen))
+	for _, op := range ops[1:] {
+		if !covered[op] {
+			t.Errorf("no record %q in the fixture", op)
+		}
+	}
+	all = append(all, Entry{size: 1, place: 1}) // which are not stored
+	if unset := fixture.Unset(all...); len(unset) > 0 {
+		t.Errorf("no record sets %v", unset)
+	}
+}
+
+// Guards against a change of the JSON names of format 1.
+func TestFormat1IsAsFrozen(t *testing.T) {
+	dir := stateFixture(t, "state-format-1", writeFormat1)
+	sameFiles(t, dir, writeFormat1)
+	data, err := os.ReadFile(filepath.Join(dir, "journal"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []Record
+	for len(data) > 0 {
+		r, n, err := legacyRecord(data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, data = append(got, r), data[n:]
+	}
+	if !reflect.DeepEqual(got, format1Records()) {
+		t.Errorf("records are\n%+v, want\n%+v", got, format1Records())
+	}
+}
+
+// knows is all that an open journal knows.
+type knows struct {
+	entries               []Entry // in the order in which they were taken on
+	unwell, drains, words map[string]Record
+	ended                 []Ended
+}
+
+func known(j *Journal) knows {
+	k := knows{unwell: maps.Clone(j.Unwell), drains: maps.Clone(j.Drains), words: maps.Clone(j.Words)}
+	for _, e := range j.InOrder() {
+		c := *e
+		c.number, c.size, c.place = 0, 0, 0 // where it stands, which compaction changes
+		k.entries = append(k.entries, c)
+	}
+	for _, e := range j.Ended() {
+		k.ended = append(k.ended, Ended{ID: e.ID, Sum: e.Sum, At: e.At})
+	}
+	return k
+}
+
+// frozenKnows is what the records of the first segment amount to.
+func frozenKnows() knows {
+	full := *fullEntry()
+	full.number = 0
+	return knows{
+		entries: []Entry{
+			full,
+			{ID: "tried", Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of tried"), Tries: 2, Wait: 301, Ran: true, RanAt: 1700000005000, Zone: 2,
+				Out: true, OutAt: 1700000007000, OutTo: -1, Log: []Attempt{{Host: "host-1", At: 1700000005000, Took: 12, Outcome: "timed out", Ran: true}}},
+			{ID: "owed", Class: "payment", Dest: 7, Due: 1700000001000, Status: "undeliverable", Again: 1700000009500, EndAt: 1700000009000, Why: "refused", Sum: 0x51525354},
+		},
+		unwell: map[string]Record{"host-1": {Op: "health", ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
+		drains: map[string]Record{"partner:acme": {Op: "drain", ID: "partner:acme", Ran: true, At: 1700000014000, Status: "op", Wait: 30000}},
+		words: map[string]Record{
+			"endpoint:pay-1": {Op: "word", ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000},
+			"gone:r3":        {Op: "word", ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
+		ended: []Ended{{ID: "over", Sum: 0x257e0630, At: 1700000002000}},
+	}
+}
+
+// Guards against a state folder of an earlier build that is not taken over whole, or from which a relay cannot go on.
+func TestGoesOnFromFrozenFolders(t *testing.T) {
+	of1 := frozenKnows()
+	of1.entries[0].Order = ""                                             // format 1 had none
+	of1.entries = append(of1.entries, Entry{ID: "gone", Class: "payment", // nor a record that forgets it
+		Dest: 7, Due: 1700000001000, Body: []byte("body of gone")})
+	of2 := frozenKnows()
+	of2.entries = append(of2.entries, Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"),
+		Tries: 1, Wait: 400, OutAt: 1700000023000, OutTo: 1})
+	for name, tc := range map[string]struct {
+		write    func(*testing.T, string)
+		segments []SegmentReport
+		knows    knows
+	}{
+		"state-format-1": {writeFormat1, nil, of1},
+		"state-format-2": {writeFormat2, []SegmentReport{
+			{Name: "journal-00000001", Bytes: 1172, Records: 19, First: 1, Last: 19},
+			{Name: "journal-00000002", Bytes: 433, Records: 5, First: 20, Last: 24}}, of2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			dir := fixture.Copy(t, stateFixture(t, name, tc.write))
+			inspected, err := Inspect(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := known(inspected); !reflect.DeepEqual(got, tc.knows) {
+				t.Errorf("Inspect finds\n%+v, want\n%+v", got, tc.knows)
+			}
+			j := open(t, dir, 3e6)
+			if got := known(j); !reflect.DeepEqual(got, tc.knows) {
+				t.Errorf("Open finds\n%+v, want\n%+v", got, tc.knows)
+			}
+			if got, want := j.Report(), (Report{Segments: tc.segments, Foreign: []string{"lock"}}); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
+				t.Errorf("Open reports\n%+v, want\n%+v", got, want)
+			}
+
+			put(t, j, taken("new", 2), Record{Op: OpTry, ID: "new", At: 1700000099000, Zone: 5}, Record{Op: OpEnd, ID: "new", At: 1700000099500})
+			put(t, j, Record{Op: OpHealth, ID: "host-1"}, taken("newer", 2))
+			j.Close()
+			oldAndNew := tc.knows
+			oldAndNew.entries = append(slices.Clone(oldAndNew.entries), Entry{ID: "newer", Class: "payment", Dest: 7, Due: 99, Body: []byte{7, 7}})
+			oldAndNew.unwell = map[string]Record{}
+			oldAndNew.ended = append(slices.Clone(oldAndNew.ended), Ended{ID: "new", Sum: 0x3144f097, At: 1700000099500})
+			for range 2 {
+				j = open(t, dir, 3e6)
+				if got := known(j); !reflect.DeepEqual(got, oldAndNew) {
+					t.Errorf("opened again it finds\n%+v, want\n%+v", got, oldAndNew)
+				}
+				want(t, "damage", fmt.Sprint(j.Report().Damage, j.Report().Torn), "[] 0")
+				j.Close()
+			}
+			left := fixture.Folder(t, dir)
+			for _, gone := range []string{"journal", "journal.tmp", "journal.spare"} {
+				if _, is := left[gone]; is {
+					t.Errorf("%s is still there", gone)
+				}
+			}
+			for kept, text := range fixture.Folder(t, filepath.Join("testdata", name)) {
+				if (kept == "lock" || strings.HasPrefix(kept, "journal-damaged-")) && left[kept] != text {
+					t.Errorf("%s has become %q", kept, left[kept])
+				}
+			}
+		})
+	}
+}
