--- a/cmd/larchrouter/fixtures_test.go
+++ b/cmd/larchrouter/fixtures_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"larchrouter/internal/fixture"
-	"larchrouter/internal/journal"
+	"larchrouter/internal/relay/journal"
 )
 
 // What "journal inspect --json" and "journal verify --json" print, for operators' scripts. Fields of a damage have the names
--- a/internal/relay/adminapi/fixtures_test.go
+++ b/internal/relay/adminapi/fixtures_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"bytes"
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"larchrouter/choice"
-	"larchrouter/internal/drain"
 	"larchrouter/internal/fixture"
-	"larchrouter/internal/journal"
-	"larchrouter/internal/share"
-	"larchrouter/internal/verdict"
+	"larchrouter/internal/relay/drain"
+	"larchrouter/internal/relay/journal"
+	"larchrouter/internal/relay/override"
+	"larchrouter/internal/relay/quota"
 )
 
 // frozenTime is in the year 2100: what is held is not over, and what is remembered is not too old, whenever the test runs.
@@ -27,13 +27,13 @@
 var (
 	frozenPartner = Partner{Name: "acme", Number: 7, Kind: "bank", Classes: []string{"payment"},
 		Endpoints: []Endpoint{{ID: "acme-1", Address: "127.0.0.1:1", Zone: "north"}, {ID: "acme-2", Address: "127.0.0.1:2", Zone: "south"}},
-		Limit:     &share.Limit{Rate: 3.5, Burst: 4.5, AtOnce: 5}}
+		Limit:     &quota.Limit{Rate: 3.5, Burst: 4.5, AtOnce: 5}}
 	frozenClass = choice.Class{Name: "payment", Aim: time.Second, Deadline: 2 * time.Second, Worth: 3.5, LateShare: 0.25, Effect: choice.Unsafe,
 		SameZone: true, Window: 4 * time.Second, Ordered: true}
 	frozenKind  = choice.Kind{Apart: true, PerCall: 6}
 	frozenRules = choice.Rules{AnswerGrace: time.Millisecond, DrainGrace: 2 * time.Millisecond, OverloadFactor: 3.5, Fall: 4 * time.Second,
 		ColdFrom: 0.5, Cold: 6 * time.Second, OrderSettle: 7 * time.Second}
-	frozenWords = []verdict.Word{
+	frozenWords = []override.Word{
 		{Subject: "endpoint:acme-2", On: true, Count: 4, Origin: "r2", By: "op-a", AtMs: frozenTime + 1},
 		{Subject: "gone:r3", On: true, Count: 5, Origin: "r3", By: "op-b", AtMs: frozenTime + 2},
 		{Subject: "partner:other", Count: 6, Origin: "r1", By: "op-c", AtMs: frozenTime + 3}}
@@ -202,7 +202,7 @@
 		t.Errorf("no value sets %v", unset)
 	}
 	acts := newRelay(t, frozenConfig(t, t.TempDir())).company.talk.Acts(0)
-	wanted := []verdict.Acts{{Kind: 1, Version: 3837147583}, {Kind: 2, Version: 3183409465}, {Kind: 3, Version: 3447108203}, {Kind: 4, Version: 1943657945}}
+	wanted := []override.Acts{{Kind: 1, Version: 3837147583}, {Kind: 2, Version: 3183409465}, {Kind: 3, Version: 3447108203}, {Kind: 4, Version: 1943657945}}
 	if !reflect.DeepEqual(acts, wanted) {
 		t.Errorf("the relay says that it acts on %+v, want %+v", acts, wanted)
 	}
--- a/internal/relay/override/fixtures_test.go
+++ b/internal/relay/override/fixtures_test.go
@@ -1,4 +1,4 @@
-package verdict
+package override
 
 import (
 	"encoding/hex"
--- a/internal/relay/versionaudit/fixtures_test.go
+++ b/internal/relay/versionaudit/fixtures_test.go
@@ -1,4 +1,4 @@
-package ledger
+package versionaudit
 
 import (
 	"slices"
