--- a/cmd/larch-control/main.go
+++ b/cmd/larch-control/main.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -24,33 +25,34 @@
 type coreCommand struct{}
 
 func (coreCommand) Run() error {
-	s, log, err := start()
+	s, ring, err := start()
 	if err != nil {
 		return err
 	}
+	log := slog.New(ring)
 	c, err := controlnode.Open(s, log)
 	if err != nil {
 		return err
 	}
-	return untilTold(log, c.UpdateSeeds, c.Run)
+	return untilTold(ring, log, c.UpdateSeeds, c.Run)
 }
 
 // start reads the settings that every node has.
-func start() (*process.Settings, *process.Ring, error) {
+func start() (*process.Settings, *process.RingHandler, error) {
 	s, err := process.Load()
 	if err != nil {
 		return nil, nil, err
 	}
 	s.TuneRuntime()
-	return s, process.Stderr(), nil
+	return s, process.NewRingHandler(os.Stderr), nil
 }
 
 // untilTold runs a node until SIGTERM or SIGINT; settings that change are given to reload.
-func untilTold(log *process.Ring, reload func(*process.Settings), run func(context.Context) error) error {
+func untilTold(ring *process.RingHandler, log *slog.Logger, reload func(*process.Settings), run func(context.Context) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
-	defer log.DumpOn(syscall.SIGUSR1)()
+	defer ring.DumpOn(syscall.SIGUSR1)()
 	go process.WatchSettings(ctx, log, reload)
 	return run(ctx)
 }
--- a/cmd/larch-control/store.go
+++ b/cmd/larch-control/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"slices"
 	"sync"
@@ -21,19 +22,20 @@
 const registerTime = 800 * time.Millisecond
 
 func (storeCommand) Run() error {
-	s, log, err := start()
+	s, ring, err := start()
 	if err != nil {
 		return err
 	}
 	if err := process.RequireSetting("data_dir", s.DataDir, "give a store a folder"); err != nil {
 		return err
 	}
+	log := slog.New(ring)
 	calls := &rpc.Clients{}
 	follower := feed.NewFollower(s, calls, log)
-	return untilTold(log, follower.UpdateSeeds, func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) })
+	return untilTold(ring, log, follower.UpdateSeeds, func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) })
 }
 
-func runStore(ctx context.Context, s *process.Settings, log *process.Ring, follower *feed.Follower, calls *rpc.Clients) (err error) {
+func runStore(ctx context.Context, s *process.Settings, log *slog.Logger, follower *feed.Follower, calls *rpc.Clients) (err error) {
 	db, err := sqlitelog.Open(s.DataDir, "store.db", int64(s.Limits.DiskMB*0.9)<<20, turnstore.StoreTables...)
 	if err != nil {
 		return err
--- a/cmd/larch-proxy/main.go
+++ b/cmd/larch-proxy/main.go
@@ -6,6 +6,7 @@
 	"cmp"
 	"context"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -43,12 +44,12 @@
 	signal.Ignore(syscall.SIGPIPE)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	log := process.Stderr()
-	defer log.DumpOn(syscall.SIGUSR1)()
-	return serve(ctx, s, log)
+	ring := process.NewRingHandler(os.Stderr)
+	defer ring.DumpOn(syscall.SIGUSR1)()
+	return serve(ctx, s, slog.New(ring))
 }
 
-func serve(ctx context.Context, s *process.Settings, log *process.Ring) error {
+func serve(ctx context.Context, s *process.Settings, log *slog.Logger) error {
 	ready, err := net.Listen("tcp4", s.Bind.Ready)
 	if err != nil {
 		return errors.Wrap(err, "listen for the platform: free the port or change bind_addrs.ready_addr")
--- a/internal/process/log_test.go
+++ b/internal/process/log_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"log/slog"
 	"regexp"
 	"strings"
 	"sync"
@@ -28,58 +29,55 @@
 
 func TestRingKeepsTheLast(t *testing.T) {
 	var out bytes.Buffer
-	r := NewRing(&out)
+	handler := NewRingHandler(&out)
+	log := slog.New(handler)
 	for i := range 1000 {
-		if err := r.Log("event", i, "text", "two words"); err != nil {
-			t.Fatal(err)
-		}
+		log.Debug("", "event", i, "text", "two words")
 	}
 	if out.Len() > 0 {
 		t.Fatalf("written without need: %s", out.String())
 	}
-	r.Dump()
+	handler.Dump()
 	var want []string
 	for i := 1000 - 256; i < 1000; i++ {
 		want = append(want, fmt.Sprintf(`event=%d text="two words"`, i))
 	}
 	sameLines(t, "dump", written(&out), want...)
-	r.Dump()
+	handler.Dump()
 	sameLines(t, "dump once more", written(&out), "")
-	_ = r.Log("event", "after")
-	r.Dump()
+	log.Debug("", "event", "after")
+	handler.Dump()
 	sameLines(t, "dump of what came since", written(&out), "event=after")
 }
 
+var levels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
+
 func TestTroubleThatRepeats(t *testing.T) {
 	var out bytes.Buffer
-	r := NewRing(&out)
-	now := time.Unix(100, 0)
-	r.now = func() time.Time { return now }
-	r.begin = now
+	handler := NewRingHandler(&out)
+	log := slog.New(handler)
+	begin := time.Unix(100, 0)
+	now := begin
+	handler.ring.now = func() time.Time { return now }
+	handler.ring.begin = begin
 	for _, step := range []struct {
 		at   time.Duration
 		do   string
 		want []string
 	}{
-		{0, "log a", nil},
-		{0, "trouble b", []string{"event=a", "trouble=1 event=b"}},
-		{0, "log c", nil},
-		{dumpEvery - 1, "trouble d", []string{"trouble=1 event=d"}},
-		{dumpEvery - 1, "say e", []string{"event=e"}},
-		{dumpEvery - 1, "log f", nil},
-		{dumpEvery, "trouble g", []string{"event=c", "event=f", "trouble=1 event=g"}},
-		{dumpEvery + 1, "trouble h", []string{"trouble=1 event=h"}},
+		{0, "debug a", nil},
+		{0, "error b", []string{"event=a", "trouble=1 event=b"}},
+		{0, "debug c", nil},
+		{dumpEvery - 1, "error d", []string{"trouble=1 event=d"}},
+		{dumpEvery - 1, "info e", []string{"event=e"}},
+		{dumpEvery - 1, "debug f", nil},
+		{dumpEvery, "warn w", []string{"trouble=1 event=w"}},
+		{dumpEvery, "error g", []string{"event=c", "event=f", "trouble=1 event=g"}},
+		{dumpEvery + 1, "error h", []string{"trouble=1 event=h"}},
 	} {
-		now = r.begin.Add(step.at)
-		verb, event, _ := strings.Cut(step.do, " ")
-		switch verb {
-		case "log":
-			_ = r.Log("event", event)
-		case "trouble":
-			r.Trouble("event", event)
-		case "say":
-			r.Say("event", event)
-		}
+		now = begin.Add(step.at)
+		level, event, _ := strings.Cut(step.do, " ")
+		log.Log(t.Context(), levels[level], "", "event", event)
 		if step.want == nil {
 			step.want = []string{""}
 		}
@@ -89,9 +87,9 @@
 
 func TestLineBearsTheTime(t *testing.T) {
 	var out bytes.Buffer
-	r := NewRing(&out)
-	r.now = func() time.Time { return r.begin.Add(1234567 * time.Microsecond) }
-	r.Say("event", "start")
+	handler := NewRingHandler(&out)
+	handler.ring.now = func() time.Time { return handler.ring.begin.Add(1234567 * time.Microsecond) }
+	slog.New(handler).Info("", "event", "start")
 	if out.String() != "t=1.235 event=start\n" {
 		t.Fatalf("%q", out.String())
 	}
@@ -99,36 +97,39 @@
 
 func TestNamesThatCannotBeWritten(t *testing.T) {
 	var out bytes.Buffer
-	r := NewRing(&out)
-	r.Say(nil, "value")
-	r.Trouble("", 7)
+	log := NewLogger(&out)
+	log.Info("", slog.Any("", "value"))
+	log.Error("", "", 7)
 	if got := written(&out); len(got) != 2 || !strings.Contains(got[0], "value") || !strings.Contains(got[1], "7") {
 		t.Fatalf("%q", got)
 	}
 }
 
-type talker struct{ r *Ring }
+type talker struct{ log *slog.Logger }
 
-func (v talker) String() string { _ = v.r.Log("event", "inner"); return "outer" }
+func (v talker) String() string {
+	v.log.Debug("", "event", "inner")
+	return "outer"
+}
 
 func TestAValueThatLogs(t *testing.T) {
 	var out bytes.Buffer
-	r := NewRing(&out)
-	r.Trouble("event", talker{r})
-	sameLines(t, "trouble", written(&out), "event=inner", "trouble=1 event=outer")
+	log := NewLogger(&out)
+	log.Error("", "event", talker{log})
+	sameLines(t, "error", written(&out), "event=inner", "trouble=1 event=outer")
 }
 
 func TestRingFromManyGoroutines(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var out bytes.Buffer
-	r := NewRing(&out)
+	log := NewLogger(&out)
 	var all sync.WaitGroup
 	for g := range 8 {
 		all.Go(func() {
 			for i := range 20 {
-				_ = r.Log("kind", "log", "g", g, "i", i)
-				r.Say("kind", "say", "g", g, "i", i)
-				r.Trouble("kind", "trouble", "g", g, "i", i)
+				log.Debug("", "kind", "debug", "g", g, "i", i)
+				log.Info("", "kind", "info", "g", g, "i", i)
+				log.Error("", "kind", "error", "g", g, "i", i)
 			}
 		})
 	}
@@ -139,12 +140,12 @@
 	}
 	for g := range 8 {
 		for i := range 20 {
-			for _, l := range []string{fmt.Sprintf("kind=say g=%d i=%d", g, i), fmt.Sprintf("trouble=1 kind=trouble g=%d i=%d", g, i)} {
+			for _, l := range []string{fmt.Sprintf("kind=info g=%d i=%d", g, i), fmt.Sprintf("trouble=1 kind=error g=%d i=%d", g, i)} {
 				if seen[l] != 1 {
 					t.Errorf("%q was written %d times", l, seen[l])
 				}
 			}
-			if l := fmt.Sprintf("kind=log g=%d i=%d", g, i); seen[l] > 1 {
+			if l := fmt.Sprintf("kind=debug g=%d i=%d", g, i); seen[l] > 1 {
 				t.Errorf("%q was written %d times", l, seen[l])
 			}
 		}
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"log/slog"
 	"os"
 	"os/signal"
 	"syscall"
@@ -18,13 +19,13 @@
 
 // WatchSettings has apply get the settings anew after each SIGHUP, and when the file changes without one. Settings that cannot
 // be read or are wrong are told of, and what runs stays. It returns when ctx ends.
-func WatchSettings(ctx context.Context, log *Ring, apply func(*Settings)) {
+func WatchSettings(ctx context.Context, log *slog.Logger, apply func(*Settings)) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	follow(ctx, log, os.Getenv(SettingsVariable), hangups, tick.C, apply)
 }
 
-func follow(ctx context.Context, log *Ring, path string, told <-chan os.Signal, look <-chan time.Time, apply func(*Settings)) {
+func follow(ctx context.Context, log *slog.Logger, path string, told <-chan os.Signal, look <-chan time.Time, apply func(*Settings)) {
 	last, _ := os.ReadFile(path)
 	for {
 		signalled := false
@@ -37,7 +38,7 @@
 		}
 		b, err := os.ReadFile(path)
 		if err != nil {
-			log.Trouble("msg", "the settings file cannot be read; what runs stays", "err", err)
+			log.Error("the settings file cannot be read; what runs stays", "err", err)
 			continue
 		}
 		if !signalled && bytes.Equal(b, last) {
@@ -46,10 +47,10 @@
 		last = b
 		s, err := Parse(b)
 		if err != nil {
-			log.Trouble("msg", "the settings file is wrong; what runs stays", "err", err)
+			log.Error("the settings file is wrong; what runs stays", "err", err)
 			continue
 		}
-		_ = log.Log("msg", "settings read again", "seeds", len(s.Seeds))
+		log.Debug("settings read again", "seeds", len(s.Seeds))
 		apply(s)
 	}
 }
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -31,7 +31,7 @@
 	begun := make(chan bool)
 	wg.Go(func() {
 		close(begun)
-		follow(ctx, NewRing(io.Discard), path, told, look, func(s *Settings) { got <- s.Seeds[0] })
+		follow(ctx, NewLogger(io.Discard), path, told, look, func(s *Settings) { got <- s.Seeds[0] })
 	})
 	<-begun
 	defer wg.Wait()
@@ -69,7 +69,7 @@
 	got := make(chan string, 1)
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		WatchSettings(ctx, NewRing(io.Discard), func(s *Settings) {
+		WatchSettings(ctx, NewLogger(io.Discard), func(s *Settings) {
 			select {
 			case got <- s.Seeds[0]:
 			default:
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -1,5 +1,3 @@
-// Package process is the process shell of the serving tier: the checked settings file of a node, its log ring, and
-// the start and stop of a process. What every program of the tier is made of and no decision lives here.
 package process
 
 import (
--- a/internal/tier/controlnode/batch_test.go
+++ b/internal/tier/controlnode/batch_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core, err := Open(settings, process.NewRing(io.Discard))
+	core, err := Open(settings, process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/controlnode/callers_test.go
+++ b/internal/tier/controlnode/callers_test.go
@@ -176,7 +176,7 @@
 	}
 	for again := 0; again < 100 && (follower == nil || follower.Core() != f.peer(first)); again++ {
 		s.NodeName = fmt.Sprintf("front-%d", again)
-		follower = feed.NewFollower(s, calls, process.NewRing(io.Discard))
+		follower = feed.NewFollower(s, calls, process.NewLogger(io.Discard))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	began := f.hist.now()
--- a/internal/tier/controlnode/core.go
+++ b/internal/tier/controlnode/core.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"log/slog"
 	"net"
 	"net/http"
 	"sync"
@@ -32,7 +33,7 @@
 type Core struct {
 	set   *process.Settings
 	db    *sqlitelog.DB
-	log   *process.Ring
+	log   *slog.Logger
 	calls *rpc.Clients
 	self  view.Member
 	begin time.Time
@@ -66,7 +67,7 @@
 }
 
 // Open makes a core node from its settings and its disk.
-func Open(s *process.Settings, log *process.Ring) (*Core, error) {
+func Open(s *process.Settings, log *slog.Logger) (*Core, error) {
 	if err := cmp.Or(process.RequireSetting("bind_addrs.control_addr", s.Bind.Control, "give HOST:PORT, for operators"), process.RequireSetting("data_dir", s.DataDir, "give a core node a folder")); err != nil {
 		return nil, err
 	}
--- a/internal/tier/controlnode/core_test.go
+++ b/internal/tier/controlnode/core_test.go
@@ -100,7 +100,7 @@
 
 func (c *cluster) start(i int, bootstrap bool) {
 	c.t.Helper()
-	core, err := Open(c.settings(i, bootstrap), process.NewRing(io.Discard))
+	core, err := Open(c.settings(i, bootstrap), process.NewLogger(io.Discard))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	s := c.settings(0, false)
 	s.NodeName, s.MachineClass = name, "front"
 	calls := &rpc.Clients{}
-	f := feed.NewFollower(s, calls, process.NewRing(io.Discard))
+	f := feed.NewFollower(s, calls, process.NewLogger(io.Discard))
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { f.Run(ctx) })
--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -125,7 +125,7 @@
 // lasts.
 func TestCallersThatGiveUpLeaveNothing(t *testing.T) {
 	settings := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir()}}
-	core, err := Open(settings.settings(0, true), process.NewRing(io.Discard))
+	core, err := Open(settings.settings(0, true), process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/controlnode/disk_test.go
+++ b/internal/tier/controlnode/disk_test.go
@@ -15,7 +15,7 @@
 func TestTheDiskStaysBoundedOverHundredsOfLargeChanges(t *testing.T) {
 	const changes, size = 300, 256 << 10
 	c := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
-	core, err := Open(c.settings(0, true), process.NewRing(io.Discard))
+	core, err := Open(c.settings(0, true), process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	if total > 16*size {
 		t.Errorf("the folder has %d bytes after %d changes of %d", total, changes, size)
 	}
-	again, err := Open(c.settings(0, false), process.NewRing(io.Discard))
+	again, err := Open(c.settings(0, false), process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/controlnode/duty.go
+++ b/internal/tier/controlnode/duty.go
@@ -114,12 +114,12 @@
 	s := c.situation(now)
 	c.node.SetHandover(s.Observe(c.placementTimings()))
 	if lost := placement.LostWhileRetiring(s); len(lost) > 0 {
-		c.log.Say("msg", "a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
+		c.log.Info("a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
 		c.writeDuty(orders.RetireKey(lost[0].Name, lost[0].ID), rpc.Encode(&feed.RetireEntry{ID: lost[0].ID}))
 		return
 	}
 	if next := placement.Plan(s, c.placementTimings()); next != nil {
-		c.log.Say("msg", "placement", "gen", next.Generation, "old", len(next.Old), "new", len(next.New))
+		c.log.Info("placement", "gen", next.Generation, "old", len(next.Old), "new", len(next.New))
 		c.writeDuty(feed.PlacementKey, rpc.Encode(next))
 	}
 }
@@ -196,7 +196,7 @@
 		began := time.Now()
 		hosts, err := asker.FetchHosts(c.ctx)
 		if err != nil {
-			_ = c.log.Log("msg", "the platform's list was not told", "err", err)
+			c.log.Debug("the platform's list was not told", "err", err)
 			c.wait(askEvery / 3)
 			continue
 		}
--- a/internal/tier/controlnode/loop.go
+++ b/internal/tier/controlnode/loop.go
@@ -41,7 +41,7 @@
 			if c.ctx.Err() != nil {
 				return nil
 			}
-			c.log.Trouble("msg", "the disk does not take the node's state; it stops", "err", err)
+			c.log.Error("the disk does not take the node's state; it stops", "err", err)
 			return errors.Wrap(err, "sync the control state")
 		}
 		c.deliver()
@@ -136,14 +136,14 @@
 func (c *Core) publish(told *published) {
 	if v := c.node.View(); v.Epoch != told.epoch {
 		told.epoch = v.Epoch
-		c.log.Say("msg", "view", "epoch", v.Epoch, "voters", len(v.Voters), "chain", strings.Join(c.chainNames(), " "), "self", c.self.ID)
+		c.log.Info("view", "epoch", v.Epoch, "voters", len(v.Voters), "chain", strings.Join(c.chainNames(), " "), "id", c.self.ID)
 	}
 	commit, hosts, fresh := c.node.Chain().State().Commit, c.node.Hosts(), c.node.Fresh()
 	if commit == told.commit && hosts == told.hosts && fresh == told.fresh {
 		return
 	}
 	if fresh != told.fresh {
-		_ = c.log.Log("msg", "relied on by followers", "fresh", fresh, "age", c.node.Age(), "commit", commit)
+		c.log.Debug("relied on by followers", "fresh", fresh, "age", c.node.Age(), "commit", commit)
 	}
 	if hosts != told.hosts {
 		c.history.Add(told.hosts, hosts)
--- a/internal/tier/controlnode/operator.go
+++ b/internal/tier/controlnode/operator.go
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	if d.Kind == orders.Accept {
-		c.log.Say("msg", "configuration taken", "version", order().Version, "ms", time.Since(began).Milliseconds())
+		c.log.Info("configuration taken", "version", order().Version, "ms", time.Since(began).Milliseconds())
 	}
 	return replyTo(d), nil
 }
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return trouble(err)
 	}
-	log := process.NewRing(os.Stderr)
+	log := process.NewLogger(os.Stderr)
 	core, err := Open(settings, log)
 	if err != nil {
 		return trouble(err)
@@ -71,7 +71,7 @@
 	defer stop()
 	calls := &rpc.Clients{}
 	defer calls.Close()
-	follower := feed.NewFollower(settings, calls, process.NewRing(io.Discard))
+	follower := feed.NewFollower(settings, calls, process.NewLogger(io.Discard))
 	var run sync.WaitGroup
 	run.Go(func() { follower.Run(ctx) })
 	defer run.Wait()
--- a/internal/tier/feed/fetch.go
+++ b/internal/tier/feed/fetch.go
@@ -37,7 +37,7 @@
 		err := f.calls.Call(one, core, ChunkCall, &ChunkRequest{Name: f.name, Digest: d.name.Digest, Offset: part.from, Length: part.length}, p)
 		done()
 		if err != nil {
-			_ = f.log.Log("msg", "no piece", "core", core, "from", part.from, "err", err)
+			f.log.Debug("no piece", "node", core, "offset", part.from, "err", err)
 			p = nil
 		}
 		if f.give(d, part, p) {
@@ -91,7 +91,7 @@
 		patience := 2 * len(f.sources.cores)
 		f.mu.Unlock()
 		if d.refused >= patience {
-			_ = f.log.Log("msg", "no core node has the value any more", "place", d.name.Index, "have", len(d.have), "of", d.name.Size)
+			f.log.Debug("no core node has the value any more", "index", d.name.Index, "have", len(d.have), "size", d.name.Size)
 			f.replica.gone()
 		}
 		return false
@@ -100,7 +100,7 @@
 		return true
 	}
 	if err := f.replica.fetched(); err != nil {
-		f.log.Trouble("msg", "a fetched value cannot be used", "place", d.name.Index, "err", err)
+		f.log.Error("a fetched value cannot be used", "index", d.name.Index, "err", err)
 		return false
 	}
 	f.swap()
--- a/internal/tier/feed/follower.go
+++ b/internal/tier/feed/follower.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"math/rand/v2"
 	"slices"
 	"sync"
@@ -37,7 +38,7 @@
 type Follower struct {
 	name, class string
 	calls       Caller
-	log         *process.Ring
+	log         *slog.Logger
 	tables      atomic.Pointer[Tables]
 
 	mu      sync.Mutex
@@ -52,11 +53,11 @@
 }
 
 // NewFollower makes a follower that begins at the seeds' core addresses. Run runs it.
-func NewFollower(s *process.Settings, calls *rpc.Clients, log *process.Ring) *Follower {
+func NewFollower(s *process.Settings, calls *rpc.Clients, log *slog.Logger) *Follower {
 	return newFollower(s, clients{calls}, log)
 }
 
-func newFollower(s *process.Settings, calls Caller, log *process.Ring) *Follower {
+func newFollower(s *process.Settings, calls Caller, log *slog.Logger) *Follower {
 	f := &Follower{name: s.NodeName, class: s.MachineClass, calls: calls, log: log, changed: make(chan struct{}), replica: newReplica()}
 	f.tables.Store(f.replica.tables)
 	f.sources = newSources(s.NodeName, coreSeeds(s))
@@ -227,10 +228,10 @@
 	defer f.state.Unlock()
 	faults, err := f.replica.take(sent, q, a)
 	for _, fault := range faults {
-		f.log.Trouble("msg", "an entry of the feed cannot be used", "err", fault)
+		f.log.Error("an entry of the feed cannot be used", "err", fault)
 	}
 	if err != nil {
-		_ = f.log.Log("msg", "answer not taken", "place", a.Index, "err", err)
+		f.log.Debug("answer not taken", "index", a.Index, "err", err)
 		return false
 	}
 	f.swap()
@@ -242,10 +243,10 @@
 	old, next := f.tables.Load(), f.replica.tables
 	f.tables.Store(next)
 	if !old.complete() && next.complete() {
-		f.log.Say("msg", "tables complete", "place", next.Index, "version", next.Config.Version, "hosts", len(next.Hosts.Hosts))
+		f.log.Info("tables complete", "index", next.Index, "version", next.Config.Version, "hosts", len(next.Hosts.Hosts))
 	}
 	if next.Config != nil && (old.Config == nil || old.Config.Version != next.Config.Version) {
-		f.log.Say("msg", "acts on", "version", next.Config.Version)
+		f.log.Info("acts on", "version", next.Config.Version)
 	}
 	if next.Index == old.Index && next.Hosts == old.Hosts && next.Config == old.Config && next.Placement == old.Placement {
 		return
--- a/internal/tier/feed/oneway_test.go
+++ b/internal/tier/feed/oneway_test.go
@@ -138,7 +138,7 @@
 	f := &oneWayFollower{w: w, name: fmt.Sprint("front-", len(w.followers)), started: time.Now(), links: map[string]*link{}}
 	s := settings(seeds)
 	s.NodeName = f.name
-	f.Follower = newFollower(s, f, process.NewRing(io.Discard))
+	f.Follower = newFollower(s, f, process.NewLogger(io.Discard))
 	for _, n := range w.nodes {
 		f.links[n.addr] = &link{known: slices.Contains(seeds, strings.TrimSuffix(n.addr, ":7000"))}
 	}
--- a/internal/tier/feed/round.go
+++ b/internal/tier/feed/round.go
@@ -116,7 +116,7 @@
 func (f *Follower) relies(ctx context.Context, one received) bool {
 	if one.err != nil {
 		if ctx.Err() == nil {
-			_ = f.log.Log("msg", "core node does not answer", "core", one.core, "err", one.err)
+			f.log.Debug("core node does not answer", "node", one.core, "err", one.err)
 		}
 		return false
 	}
--- a/internal/tier/feed/world_test.go
+++ b/internal/tier/feed/world_test.go
@@ -329,7 +329,7 @@
 		}
 		names := rows[0][2 : len(rows[0])-1]
 		w := newWorld(t, names)
-		w.f = newFollower(settings(strings.Split(seeds, "+")), w, process.NewRing(io.Discard))
+		w.f = newFollower(settings(strings.Split(seeds, "+")), w, process.NewLogger(io.Discard))
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		begin := time.Now()
--- a/internal/tier/proxy/forwarder.go
+++ b/internal/tier/proxy/forwarder.go
@@ -32,7 +32,8 @@
 // broke ends a try whose call or answer broke off.
 func (r *request) broke(t *attempt, err error) {
 	if !is(err, upstream.ErrCancelled) {
-		r.server().note("attempt", r.id, "host", t.dest.calls.ID, "route", r.route.Name, "after", time.Since(t.begin), "broke", err)
+		r.server().cfg.Log.Debug("attempt failed", "attempt", r.id, "host", t.dest.calls.ID,
+			"route", r.route.Name, "after", time.Since(t.begin), "broke", err)
 	}
 	if t.Response != nil {
 		t.Response.Finish()
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -4,13 +4,13 @@
 
 import (
 	"context"
+	"log/slog"
 	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"larchrouter/internal/process"
 	"larchrouter/internal/tier/balancer"
 	"larchrouter/internal/tier/feed"
 	"larchrouter/internal/tier/routing"
@@ -37,7 +37,7 @@
 	Source    feed.Source
 	Ledger    Ledger
 	NewOracle func(deadline time.Duration) balancer.Oracle
-	Log       *process.Ring
+	Log       *slog.Logger  // nil: nothing is logged
 	Grace     time.Duration // between SIGTERM and SIGKILL
 	Slots     int           // calls to hosts at once
 	MaxConns  int           // of clients
@@ -83,6 +83,9 @@
 	if c.Grace <= 0 {
 		c.Grace = 8 * time.Second
 	}
+	if c.Log == nil {
+		c.Log = slog.New(slog.DiscardHandler)
+	}
 	s := &Server{cfg: c, dispatch: newDispatch(c), clients: map[*client]bool{}}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
@@ -162,13 +165,6 @@
 	}
 }
 
-// note keeps what went wrong in the log ring; it is not called for each request.
-func (s *Server) note(keyvals ...any) {
-	if s.cfg.Log != nil {
-		_ = s.cfg.Log.Log(keyvals...)
-	}
-}
-
 func (s *Server) gone(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -66,7 +66,7 @@
 	case is(err, turnstore.ErrNoTurn):
 		r.fail(http.StatusNotFound, 0, "no such turn: name one that was answered whole and is still retained")
 	default:
-		r.server().note("turn", r.id, "open", err)
+		r.server().cfg.Log.Debug("turn not opened", "turn", r.id, "open", err)
 		r.fail(http.StatusServiceUnavailable, startsAgain(), "the stores cannot be sure of the turn: come back after Retry-After")
 	}
 	return false
@@ -88,7 +88,7 @@
 	ctx, stop := context.WithDeadline(r.server().ctx, r.until)
 	defer stop()
 	if err := r.server().cfg.Ledger.Close(ctx, kept); err != nil {
-		r.server().note("turn", r.id, "close", err)
+		r.server().cfg.Log.Debug("turn not closed", "turn", r.id, "close", err)
 		r.settle(tn, used)
 		return false
 	}
--- a/internal/tier/turnstore/client.go
+++ b/internal/tier/turnstore/client.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"time"
 
-	"larchrouter/internal/process"
 	"larchrouter/internal/rpc"
 )
 
@@ -33,7 +33,7 @@
 	placement func() *Placement
 	calls     network
 	zone      string
-	log       *process.Ring
+	log       *slog.Logger
 	pieces    *pieces
 	callTime  time.Duration
 	closeTime time.Duration
@@ -50,11 +50,11 @@
 }
 
 // NewClient makes a client by the placement in force, which is nil before it was heard of.
-func NewClient(placement func() *Placement, calls *rpc.Clients, zone string, log *process.Ring) *Client {
+func NewClient(placement func() *Placement, calls *rpc.Clients, zone string, log *slog.Logger) *Client {
 	return newClient(placement, connections{calls}, zone, log)
 }
 
-func newClient(placement func() *Placement, calls network, zone string, log *process.Ring) *Client {
+func newClient(placement func() *Placement, calls network, zone string, log *slog.Logger) *Client {
 	c := &Client{placement: placement, calls: calls, zone: zone, log: log, pieces: newPieces(clientPieces),
 		callTime: callTime, closeTime: closeTime, calling: map[string]int{}, suspect: map[string]time.Time{}, idle: make(chan struct{})}
 	c.ctx, c.stop = context.WithCancel(context.Background())
--- a/internal/tier/turnstore/client_bound_test.go
+++ b/internal/tier/turnstore/client_bound_test.go
@@ -40,7 +40,7 @@
 		stores := []Store{{ID: "a", Name: "a", Addr: "a"}, {ID: "b", Name: "b", Addr: "b"}, {ID: "c", Name: "c", Addr: "c"}}
 		p := &Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: stores}
 		network := &scriptedStores{stalled: "b"}
-		c := newClient(func() *Placement { return p }, network, "zone", process.NewRing(io.Discard))
+		c := newClient(func() *Placement { return p }, network, "zone", process.NewLogger(io.Discard))
 		const turns = 2 * laterMost // within the time that a call to the stalled store takes
 		var refused atomic.Int64
 		var group sync.WaitGroup
--- a/internal/tier/turnstore/disk_fault_test.go
+++ b/internal/tier/turnstore/disk_fault_test.go
@@ -93,7 +93,7 @@
 	n.db = db
 	d := &faultyDisk{disk: file{db}}
 	var log bytes.Buffer
-	c := ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(&log)}
+	c := ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewLogger(&log)}
 	if n.store, err = newStore(c, d, connections{c.Calls}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/turnstore/export_test.go
+++ b/internal/tier/turnstore/export_test.go
@@ -37,12 +37,12 @@
 
 // NewStoreOn makes a store of which the model has disk and network.
 func NewStoreOn(d Disk, n Network, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
-	return newStore(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, n)
+	return newStore(ServerOptions{Placement: placement, Changed: changed, Log: process.NewLogger(io.Discard)}, d, n)
 }
 
 // NewClientOn makes a client of which the model has the network.
 func NewClientOn(n Network, placement func() *Placement, zone string) *Client {
-	return newClient(placement, n, zone, process.NewRing(io.Discard))
+	return newClient(placement, n, zone, process.NewLogger(io.Discard))
 }
 
 // Turns are the ids of the turns that the store has, by program.
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	n.db = db
-	n.store, err = NewServer(ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(io.Discard)})
+	n.store, err = NewServer(ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewLogger(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 
 // hasty makes a client with the time limits of a front.
 func (tr *tier) hasty() *Client {
-	c := NewClient(tr.placed.Load, &tr.calls, "zone-0", process.NewRing(io.Discard))
+	c := NewClient(tr.placed.Load, &tr.calls, "zone-0", process.NewLogger(io.Discard))
 	tr.t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), time.Millisecond)
 		defer stop()
--- a/internal/tier/turnstore/room.go
+++ b/internal/tier/turnstore/room.go
@@ -47,13 +47,13 @@
 	switch {
 	case !changed:
 	case is.refused:
-		s.Log.Trouble("store", "disk is full: no turns are opened until it takes writes again; give it more disk, or add stores")
+		s.Log.Error("disk is full: no turns are opened until it takes writes again; give it more disk, or add stores")
 	case is.ledgers:
-		s.Log.Trouble("store", "ledgers are full: no turns are opened until old ones are dropped; add stores")
+		s.Log.Error("ledgers are full: no turns are opened until old ones are dropped; add stores")
 	case now:
-		s.Log.Trouble("store", "disk is nearly full: no turns are opened until old ones expire; give it more disk, or add stores")
+		s.Log.Error("disk is nearly full: no turns are opened until old ones expire; give it more disk, or add stores")
 	default:
-		s.Log.Say("store", "disk has room again: turns are opened")
+		s.Log.Info("disk has room again: turns are opened")
 	}
 }
 
--- a/internal/tier/turnstore/store.go
+++ b/internal/tier/turnstore/store.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
-	"larchrouter/internal/process"
 	"larchrouter/internal/rpc"
 	"larchrouter/internal/sqlitelog"
 )
@@ -38,7 +38,7 @@
 	Changed   func() <-chan struct{} // closed with the next change of the placement; nil: it is looked at often
 	Calls     *rpc.Clients           // to the other stores
 	Now       func() time.Time       // the steady clock; nil: time.Now
-	Log       *process.Ring
+	Log       *slog.Logger           // nil: nothing is logged
 }
 
 // Server is the server side: one node's copies. Its answers are what its disk has synced.
@@ -72,6 +72,9 @@
 	if c.Now == nil {
 		c.Now = time.Now
 	}
+	if c.Log == nil {
+		c.Log = slog.New(slog.DiscardHandler)
+	}
 	s := &Server{ServerOptions: c, disk: d, peers: peers, pieces: newPieces(storePieces), repair: make(chan string, 256), index: newIndex(),
 		unsynced: newUnsynced()}
 	s.id, _ = d.Identity()
--- a/internal/tier/turnstore/store_write.go
+++ b/internal/tier/turnstore/store_write.go
@@ -43,7 +43,7 @@
 // trouble tells of a disk that failed, once.
 func (s *Server) trouble(what string, err error) {
 	if !s.troubled.Swap(true) {
-		s.Log.Trouble("store", what, "err", err)
+		s.Log.Error("the disk failed", "operation", what, "err", err)
 	}
 }
 
--- a/internal/tier/turnstore/sweep.go
+++ b/internal/tier/turnstore/sweep.go
@@ -119,7 +119,7 @@
 		err := s.pull(ctx, p, peer, nil, true)
 		r.pulled(peer.ID, err == nil, s.Now())
 		if err != nil && !errors.Is(err, ErrPlacementBehind) {
-			_ = s.Log.Log("sweep", peer.Name, "gen", p.Generation, "err", err)
+			s.Log.Debug("sweep of a store failed", "store", peer.Name, "gen", p.Generation, "err", err)
 		}
 	}
 	missed := r.missed(p, s.id)
@@ -134,7 +134,7 @@
 	s.mu.Lock()
 	s.swept = max(s.swept, p.Generation)
 	s.mu.Unlock()
-	_ = s.Log.Log("swept", p.Generation, "missed", missed)
+	s.Log.Debug("sweep complete", "gen", p.Generation, "missed", missed)
 	return true
 }
 
@@ -164,7 +164,7 @@
 	}
 	err := s.pull(ctx, p, peer, in, false)
 	if err != nil {
-		_ = s.Log.Log("compare", peer.Name, "err", err)
+		s.Log.Debug("comparison failed", "store", peer.Name, "err", err)
 	}
 	return err
 }
@@ -203,7 +203,7 @@
 	for _, peer := range p.Stores() {
 		if keys := byPeer[peer.ID]; len(keys) > 0 {
 			if err := s.fetch(ctx, p, peer, keys); err != nil {
-				_ = s.Log.Log("mend", peer.Name, "err", err)
+				s.Log.Debug("repair failed", "store", peer.Name, "err", err)
 			}
 		}
 	}
