--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Open(s, process.NewRing(io.Discard))
+	c, err := Open(s, process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/turnstore/frames_test.go
+++ b/internal/tier/turnstore/frames_test.go
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	defer db.Close()
-	s, err := NewServer(ServerOptions{DB: db, Placement: func() *Placement { return nil }, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard)})
+	s, err := NewServer(ServerOptions{DB: db, Placement: func() *Placement { return nil }, Calls: &rpc.Clients{}, Log: process.NewLogger(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/turnstore/stored_test.go
+++ b/internal/tier/turnstore/stored_test.go
@@ -83,7 +83,7 @@
 	}
 	f.db = db
 	begin := time.Now()
-	f.store, err = NewServer(ServerOptions{DB: db, Placement: f.placement, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard),
+	f.store, err = NewServer(ServerOptions{DB: db, Placement: f.placement, Calls: &rpc.Clients{}, Log: process.NewLogger(io.Discard),
 		Now: func() time.Time { return begin.Add(f.ahead) }})
 	if err != nil {
 		t.Fatal(err)
