--- a/internal/tier/orders/config.go
+++ b/internal/tier/orders/config.go
@@ -18,68 +18,68 @@
 
 // decide holds an order first against what was taken, then against what is in place: what was taken is acknowledged
 // again, or left without a clear answer, whatever else is to be said of it.
-func (o PutConfig) decide(s *State) Decision {
-	d := Decision{DependsOn: s.configRests}
-	current := s.Version()
+func (o PutConfig) decide(state *State) Decision {
+	decision := Decision{DependsOn: state.configDependsOn}
+	current := state.Version()
 	if o.Invalid != "" {
-		if s.history.find(o.Digest) { // taken when the checks were others
-			d.Kind, d.Reason = AlreadyApplied, "taken before"
-			return d
+		if state.history.containsDigest(o.Digest) { // taken when the checks were others
+			decision.Kind, decision.Reason = AlreadyApplied, "taken before"
+			return decision
 		}
-		d.Kind, d.Reason = Invalid, o.Invalid
-		return d
+		decision.Kind, decision.Reason = Invalid, o.Invalid
+		return decision
 	}
 	if o.Version <= current {
-		switch s.history.look(o.Version, o.IfMatch, o.Digest) {
-		case takenSo:
-			d.Kind, d.Reason = AlreadyApplied, "taken before"
-			return d
-		case takenOnOther:
-			d.Kind = Unavailable
-			d.Reason = fmt.Sprintf("this very configuration %d was taken, but not on version %d: read what is in place (now %d)",
+		switch state.history.lookup(o.Version, o.IfMatch, o.Digest) {
+		case appliedExactly:
+			decision.Kind, decision.Reason = AlreadyApplied, "taken before"
+			return decision
+		case appliedOnOtherBase:
+			decision.Kind = Unavailable
+			decision.Reason = fmt.Sprintf("this very configuration %d was taken, but not on version %d: read what is in place (now %d)",
 				o.Version, o.IfMatch, current)
-			return d
-		case unknown:
-			d.Kind = Unavailable
-			d.Reason = fmt.Sprintf("version %d is older than what is known of orders, it may have been taken: "+
+			return decision
+		case outcomeUnknown:
+			decision.Kind = Unavailable
+			decision.Reason = fmt.Sprintf("version %d is older than what is known of orders, it may have been taken: "+
 				"read what is in place (now %d), build on it", o.Version, current)
-			return d
+			return decision
 		}
 	}
 	switch {
 	case o.IfMatch > current && o.Version > o.IfMatch: // another copy may come once that version is in place
-		d.Kind = Unavailable
-		d.Reason = fmt.Sprintf("version %d, on which it builds, is not in place, version %d is: "+
+		decision.Kind = Unavailable
+		decision.Reason = fmt.Sprintf("version %d, on which it builds, is not in place, version %d is: "+
 			"send it again once it is, or read and build on what is in place", o.IfMatch, current)
 	case o.IfMatch != current:
-		d.Kind = VersionMismatch
-		d.Reason = fmt.Sprintf("version %d is in place, not %d: read it, build on it, and send with If-Match: %d", current, o.IfMatch, current)
+		decision.Kind = VersionMismatch
+		decision.Reason = fmt.Sprintf("version %d is in place, not %d: read it, build on it, and send with If-Match: %d", current, o.IfMatch, current)
 	case o.Version <= current:
-		d.Kind = Invalid
-		d.Reason = fmt.Sprintf("config_version is %d: give a version above %d, the current one", o.Version, current)
+		decision.Kind = Invalid
+		decision.Reason = fmt.Sprintf("config_version is %d: give a version above %d, the current one", o.Version, current)
 	default:
-		d.Kind, d.Reason, d.Append = Accept, "in force", o.writes(s, current)
+		decision.Kind, decision.Reason, decision.Append = Accept, "in force", o.appendedWrites(state, current)
 	}
-	return d
+	return decision
 }
 
-// writes are the record and then the configuration. Where only the record is committed it counts for nothing.
-func (o PutConfig) writes(s *State, current int64) []Write {
-	var w []Write
-	if current > 0 && !s.history.linked() { // the first put since the format without records
-		w = append(w, Write{Key: earlierKey, Value: rpc.Encode(s.history.earlier)})
+// appendedWrites are the record and then the configuration. Where only the record is committed it counts for nothing.
+func (o PutConfig) appendedWrites(state *State, current int64) []Write {
+	var writes []Write
+	if current > 0 && !state.history.hasCurrent() { // the first put since the format without records
+		writes = append(writes, Write{Key: legacyKey, Value: rpc.Encode(state.history.legacy)})
 	}
-	w = append(w, s.history.add(Record{Version: o.Version, BaseVersion: o.IfMatch, Digest: o.Digest}))
+	writes = append(writes, state.history.recordWrite(Record{Version: o.Version, BaseVersion: o.IfMatch, Digest: o.Digest}))
 	entry := feed.ConfigEntry{Version: o.Version, Body: o.Body, RecentDigests: [][]byte{o.Digest}}
-	return append(w, Write{Key: feed.ConfigKey, Value: rpc.Encode(&entry)})
+	return append(writes, Write{Key: feed.ConfigKey, Value: rpc.Encode(&entry)})
 }
 
 // ReadConfig asks for the configuration in place.
 type ReadConfig struct{}
 
-func (ReadConfig) decide(s *State) Decision {
-	if s.Config == nil {
-		return Decision{Kind: NotFound, DependsOn: s.configRests, Reason: "no configuration was taken yet: put the first with If-Match: 0"}
+func (ReadConfig) decide(state *State) Decision {
+	if state.Config == nil {
+		return Decision{Kind: NotFound, DependsOn: state.configDependsOn, Reason: "no configuration was taken yet: put the first with If-Match: 0"}
 	}
-	return Decision{Kind: Found, DependsOn: s.configRests, Body: s.Config.Body}
+	return Decision{Kind: Found, DependsOn: state.configDependsOn, Body: state.Config.Body}
 }
--- a/internal/tier/orders/decision.go
+++ b/internal/tier/orders/decision.go
@@ -70,14 +70,14 @@
 
 // Decide gives what becomes of an order in the state that the entries of the chain make. An error means that an entry of the
 // state cannot be read, which proves nothing about the order.
-func Decide(entries []chain.Entry, losses int, o Order) (Decision, error) {
-	s, err := ReadState(entries, losses)
+func Decide(entries []chain.Entry, faultTolerance int, o Order) (Decision, error) {
+	state, err := ReadState(entries, faultTolerance)
 	if err != nil {
 		return Decision{}, err
 	}
-	d := o.decide(s)
-	if s.history.err != nil {
-		return Decision{}, s.history.err
+	decision := o.decide(state)
+	if state.history.err != nil {
+		return Decision{}, state.history.err
 	}
-	return d, nil
+	return decision, nil
 }
--- a/internal/tier/orders/history.go
+++ b/internal/tier/orders/history.go
@@ -16,22 +16,22 @@
 // History is kept in pages: a put writes the page that its record is on, and the next page after the last one is the
 // first. So the state has a bounded number of entries, and none is ever deleted.
 const (
-	pageRecords = 16 // records on a page: what a put writes beside the configuration
-	pageCount   = 64
-	digestBytes = 16 // of SHA-256
-	earlierMost = 64 // digests that the format before records kept
+	recordsPerPage    = 16 // records on a page: what a put writes beside the configuration
+	pageCount         = 64
+	digestSize        = 16 // of SHA-256
+	legacyDigestLimit = 64 // digests that the format before records kept
 )
 
 // Keys of the history, below keyPrefix. They are of use to core nodes alone.
 const (
-	keyPrefix  = "order/"
-	earlierKey = keyPrefix + "earlier"
+	keyPrefix = "order/"
+	legacyKey = keyPrefix + "earlier"
 )
 
 // Digest of a configuration's body.
 func Digest(body []byte) []byte {
 	sum := sha256.Sum256(body)
-	return sum[:digestBytes]
+	return sum[:digestSize]
 }
 
 // Record is what is kept of a configuration that was taken. A record alone proves nothing, as it is written before the
@@ -54,50 +54,50 @@
 }
 
 func pageKey(sequence int64) string {
-	return fmt.Sprintf("%s%d", keyPrefix, sequence/pageRecords%pageCount)
+	return fmt.Sprintf("%s%d", keyPrefix, sequence/recordsPerPage%pageCount)
 }
 
 // history is what is known of the configurations that were taken. Pages are read as far as a decision needs them: most
 // orders rest on the newest one.
 type history struct {
-	pages   []chain.Entry // not read yet, the newest last
-	earlier *LegacyHistory
-	err     error // of a page that cannot be read
-
-	loose   []Record // of the pages read, those not reached yet
-	top     int64    // the highest sequence of the pages read
-	taken   []Record // those reached from the configuration in place, the newest first
-	horizon int64    // versions above it are decided by taken alone
+	unreadPages []chain.Entry // not read yet, the newest last
+	legacy      *LegacyHistory
+	err         error // of a page that cannot be read
+
+	unlinked         []Record // of the pages read, those not reached yet
+	highestSequence  int64    // the highest sequence of the pages read
+	applied          []Record // those reached from the configuration in place, the newest first
+	compactedVersion int64    // versions above it are decided by taken alone
 }
 
-// begin finds the record of the configuration in place. Another with its number is of a write that came to nothing.
-func (h *history) begin(version int64, digest []byte) {
-	slices.SortFunc(h.pages, func(a, b chain.Entry) int { return cmp.Compare(a.Index, b.Index) })
-	h.horizon = version
-	if version > 0 && h.follow() && !bytes.Equal(h.taken[0].Digest, digest) {
-		h.taken, h.horizon = nil, version
+// linkCurrent finds the record of the configuration in place. Another with its number is of a write that came to nothing.
+func (h *history) linkCurrent(version int64, digest []byte) {
+	slices.SortFunc(h.unreadPages, func(a, b chain.Entry) int { return cmp.Compare(a.Index, b.Index) })
+	h.compactedVersion = version
+	if version > 0 && h.linkPredecessor() && !bytes.Equal(h.applied[0].Digest, digest) {
+		h.applied, h.compactedVersion = nil, version
 	}
 }
 
-// linked tells whether the configuration in place has a record.
-func (h *history) linked() bool { return len(h.taken) > 0 }
+// hasCurrent tells whether the configuration in place has a record.
+func (h *history) hasCurrent() bool { return len(h.applied) > 0 }
 
-// follow reaches the record of the horizon. None that is newer than this one leads further.
-func (h *history) follow() bool {
+// linkPredecessor reaches the record of the horizon. None that is newer than this one leads further.
+func (h *history) linkPredecessor() bool {
 	for {
-		best := -1
-		for i, r := range h.loose {
-			if r.Version == h.horizon && (best < 0 || r.Sequence > h.loose[best].Sequence) {
-				best = i
+		newest := -1
+		for i, record := range h.unlinked {
+			if record.Version == h.compactedVersion && (newest < 0 || record.Sequence > h.unlinked[newest].Sequence) {
+				newest = i
 			}
 		}
-		if best >= 0 {
-			r := h.loose[best]
-			h.loose = slices.DeleteFunc(h.loose, func(o Record) bool { return o.Sequence >= r.Sequence })
-			h.taken, h.horizon = append(h.taken, r), r.BaseVersion
+		if newest >= 0 {
+			record := h.unlinked[newest]
+			h.unlinked = slices.DeleteFunc(h.unlinked, func(o Record) bool { return o.Sequence >= record.Sequence })
+			h.applied, h.compactedVersion = append(h.applied, record), record.BaseVersion
 			return true
 		}
-		if len(h.pages) == 0 {
+		if len(h.unreadPages) == 0 {
 			return false
 		}
 		h.readPage()
@@ -105,96 +105,96 @@
 }
 
 func (h *history) readPage() {
-	e := h.pages[len(h.pages)-1]
-	h.pages = h.pages[:len(h.pages)-1]
-	var p Page
-	if err := rpc.Decode(e.Value, &p); err != nil {
-		h.err = errors.Wrapf(err, "entry %q at %d: the node that wrote it has another version of the program", e.Key, e.Index)
+	entry := h.unreadPages[len(h.unreadPages)-1]
+	h.unreadPages = h.unreadPages[:len(h.unreadPages)-1]
+	var page Page
+	if err := rpc.Decode(entry.Value, &page); err != nil {
+		h.err = errors.Wrapf(err, "entry %q at %d: the node that wrote it has another version of the program", entry.Key, entry.Index)
 		return
 	}
-	for _, r := range p.Records {
-		h.top = max(h.top, r.Sequence)
+	for _, r := range page.Records {
+		h.highestSequence = max(h.highestSequence, r.Sequence)
 	}
-	h.loose = append(h.loose, p.Records...)
+	h.unlinked = append(h.unlinked, page.Records...)
 }
 
-// back follows the records down to a version, as far as they go.
-func (h *history) back(to int64) {
-	for h.linked() && h.horizon >= max(to, 1) && (h.earlier == nil || h.horizon != h.earlier.Version) {
-		if !h.follow() {
+// linkDownTo follows the records down to a version, as far as they go.
+func (h *history) linkDownTo(version int64) {
+	for h.hasCurrent() && h.compactedVersion >= max(version, 1) && (h.legacy == nil || h.compactedVersion != h.legacy.Version) {
+		if !h.linkPredecessor() {
 			return
 		}
 	}
 }
 
-// verdict says what is known of an order's having been taken.
-type verdict int
+// lookupResult says what is known of an order's having been taken.
+type lookupResult int
 
 const (
-	takenSo      verdict = iota + 1 // as it is
-	takenOnOther                    // the same configuration, built on another version
-	neverTaken
-	unknown
+	appliedExactly     lookupResult = iota + 1 // as it is
+	appliedOnOtherBase                         // the same configuration, built on another version
+	neverApplied
+	outcomeUnknown
 )
 
-// look tells whether a configuration was taken. It holds for versions up to the one in place: none above was.
-func (h *history) look(version, builtOn int64, digest []byte) verdict {
-	h.back(version)
-	if i := slices.IndexFunc(h.taken, func(r Record) bool { return r.Version == version }); i >= 0 {
-		switch r := h.taken[i]; {
+// lookup tells whether a configuration was taken. It holds for versions up to the one in place: none above was.
+func (h *history) lookup(version, baseVersion int64, digest []byte) lookupResult {
+	h.linkDownTo(version)
+	if i := slices.IndexFunc(h.applied, func(r Record) bool { return r.Version == version }); i >= 0 {
+		switch r := h.applied[i]; {
 		case !bytes.Equal(r.Digest, digest):
-			return neverTaken // of each version one was taken
-		case r.BaseVersion != builtOn:
-			return takenOnOther
+			return neverApplied // of each version one was taken
+		case r.BaseVersion != baseVersion:
+			return appliedOnOtherBase
 		}
-		return takenSo
+		return appliedExactly
 	}
 	switch {
-	case version > h.horizon:
-		return neverTaken
-	case h.inEarlier(digest) && builtOn >= version: // versions rise
-		return takenOnOther
-	case h.inEarlier(digest): // what it was built on is not known
-		return takenSo
-	case h.earlier != nil && (version == h.earlier.Version || version < h.earlier.Version && h.earlier.Complete):
-		return neverTaken // of that version one was taken, and Digests has it
+	case version > h.compactedVersion:
+		return neverApplied
+	case h.inLegacy(digest) && baseVersion >= version: // versions rise
+		return appliedOnOtherBase
+	case h.inLegacy(digest): // what it was built on is not known
+		return appliedExactly
+	case h.legacy != nil && (version == h.legacy.Version || version < h.legacy.Version && h.legacy.Complete):
+		return neverApplied // of that version one was taken, and Digests has it
 	}
-	return unknown
+	return outcomeUnknown
 }
 
-func (h *history) inEarlier(digest []byte) bool {
-	return h.earlier != nil && slices.ContainsFunc(h.earlier.Digests, func(d []byte) bool { return bytes.Equal(d, digest) })
+func (h *history) inLegacy(digest []byte) bool {
+	return h.legacy != nil && slices.ContainsFunc(h.legacy.Digests, func(d []byte) bool { return bytes.Equal(d, digest) })
 }
 
-// find looks for a digest in all that was taken.
-func (h *history) find(digest []byte) bool {
-	h.back(0)
-	for _, r := range h.taken {
+// containsDigest looks for a digest in all that was taken.
+func (h *history) containsDigest(digest []byte) bool {
+	h.linkDownTo(0)
+	for _, r := range h.applied {
 		if bytes.Equal(r.Digest, digest) {
 			return true
 		}
 	}
-	return h.inEarlier(digest)
+	return h.inLegacy(digest)
 }
 
-// add gives the page that a new record is written with. The record builds on the version in place.
-func (h *history) add(r Record) Write {
+// recordWrite gives the page that a new record is written with. The record builds on the version in place.
+func (h *history) recordWrite(r Record) Write {
 	var page Page
-	if h.linked() {
-		r.Sequence = h.taken[0].Sequence + 1
-		same := func(o Record) bool { return o.Sequence/pageRecords == r.Sequence/pageRecords }
-		for same(h.taken[len(h.taken)-1]) && h.follow() {
+	if h.hasCurrent() {
+		r.Sequence = h.applied[0].Sequence + 1
+		samePage := func(o Record) bool { return o.Sequence/recordsPerPage == r.Sequence/recordsPerPage }
+		for samePage(h.applied[len(h.applied)-1]) && h.linkPredecessor() {
 		}
-		for _, old := range slices.Backward(h.taken) {
-			if same(old) {
+		for _, old := range slices.Backward(h.applied) {
+			if samePage(old) {
 				page.Records = append(page.Records, old)
 			}
 		}
 	} else { // above all that is there: a record that led nowhere must not outrank this one
-		for len(h.pages) > 0 {
+		for len(h.unreadPages) > 0 {
 			h.readPage()
 		}
-		r.Sequence = h.top + 1
+		r.Sequence = h.highestSequence + 1
 	}
 	page.Records = append(page.Records, r)
 	return Write{Key: pageKey(r.Sequence), Value: rpc.Encode(&page)}
--- a/internal/tier/orders/orders_test.go
+++ b/internal/tier/orders/orders_test.go
@@ -18,11 +18,11 @@
 
 func (l *entryLog) append(writes ...Write) {
 	for _, w := range writes {
-		place := int64(1)
+		index := int64(1)
 		if n := len(l.entries); n > 0 {
-			place = l.entries[n-1].Index + 1
+			index = l.entries[n-1].Index + 1
 		}
-		l.entries = append(l.entries, chain.Entry{Index: place, Key: w.Key, Value: w.Value})
+		l.entries = append(l.entries, chain.Entry{Index: index, Key: w.Key, Value: w.Value})
 	}
 }
 
@@ -52,7 +52,7 @@
 	return PutConfig{IfMatch: on, Version: version, Digest: Digest(b), Body: b}
 }
 
-func (l *entryLog) take(t testing.TB, o PutConfig) {
+func (l *entryLog) mustPut(t testing.TB, o PutConfig) {
 	t.Helper()
 	d := l.decide(t, o)
 	if d.Kind != Accept {
@@ -63,40 +63,40 @@
 }
 
 // bad is an order whose body cannot be read.
-func bad(author string) PutConfig {
+func unreadablePut(author string) PutConfig {
 	b := body(0, author)
 	return PutConfig{Digest: Digest(b), Body: b, Invalid: "no JSON"}
 }
 
 // noLongerRead is an order as it is where the checks have become stricter since it was taken.
-func noLongerRead(o PutConfig) PutConfig {
+func nowUnreadable(o PutConfig) PutConfig {
 	o.Version, o.Invalid = 0, "checks are stricter"
 	return o
 }
 
 // legacy is an entry of the format before records.
-func legacy(version int64, taken ...PutConfig) Write {
-	e := feed.ConfigEntry{Version: version, Body: taken[len(taken)-1].Body}
-	for _, o := range taken {
+func legacyConfigWrite(version int64, applied ...PutConfig) Write {
+	e := feed.ConfigEntry{Version: version, Body: applied[len(applied)-1].Body}
+	for _, o := range applied {
 		e.RecentDigests = append(e.RecentDigests, o.Digest)
 	}
 	return Write{Key: feed.ConfigKey, Value: rpc.Encode(&e)}
 }
 
 // many are configurations from to to, each built on the one before.
-func many(from, to int64, author string) (all []PutConfig) {
+func consecutivePuts(from, to int64, author string) (all []PutConfig) {
 	for v := from; v <= to; v++ {
 		all = append(all, put(v, v-1, author))
 	}
 	return all
 }
 
-func TestConfigurationOrders(t *testing.T) {
+func TestDecidePutConfig(t *testing.T) {
 	empty := func(*testing.T, *entryLog) {}
 	three := func(t *testing.T, l *entryLog) { // 3, 5 and 9 were taken
-		l.take(t, put(3, 0, "a"))
-		l.take(t, put(5, 3, "a"))
-		l.take(t, put(9, 5, "a"))
+		l.mustPut(t, put(3, 0, "a"))
+		l.mustPut(t, put(5, 3, "a"))
+		l.mustPut(t, put(9, 5, "a"))
 	}
 	pending := func(t *testing.T, l *entryLog) { // of 12 the record alone is there
 		three(t, l)
@@ -104,15 +104,15 @@
 	}
 	overtaken := func(t *testing.T, l *entryLog) { // of 12 nothing but the record was ever there, then 11 was taken
 		pending(t, l)
-		l.take(t, put(11, 9, "c"))
-		l.take(t, put(20, 11, "c"))
+		l.mustPut(t, put(11, 9, "c"))
+		l.mustPut(t, put(20, 11, "c"))
 	}
-	old := func(_ *testing.T, l *entryLog) { l.append(legacy(4, many(1, 4, "a")...)) }
-	oldMany := func(_ *testing.T, l *entryLog) { l.append(legacy(100, many(37, 100, "a")...)) }
+	old := func(_ *testing.T, l *entryLog) { l.append(legacyConfigWrite(4, consecutivePuts(1, 4, "a")...)) }
+	oldMany := func(_ *testing.T, l *entryLog) { l.append(legacyConfigWrite(100, consecutivePuts(37, 100, "a")...)) }
 	oldThenNew := func(t *testing.T, l *entryLog) {
 		oldMany(t, l)
-		l.take(t, put(101, 100, "a"))
-		l.take(t, put(102, 101, "a"))
+		l.mustPut(t, put(101, 100, "a"))
+		l.mustPut(t, put(102, 101, "a"))
 	}
 	oldPending := func(t *testing.T, l *entryLog) {
 		old(t, l)
@@ -120,11 +120,11 @@
 	}
 	back := func(t *testing.T, l *entryLog) { // the earlier program ran again for a while
 		three(t, l)
-		l.append(legacy(15, put(9, 5, "a"), put(15, 9, "a")))
+		l.append(legacyConfigWrite(15, put(9, 5, "a"), put(15, 9, "a")))
 	}
 	long := func(t *testing.T, l *entryLog) {
-		for _, o := range many(1, 1200, "a") {
-			l.take(t, o)
+		for _, o := range consecutivePuts(1, 1200, "a") {
+			l.mustPut(t, o)
 		}
 	}
 	for _, one := range []struct {
@@ -135,7 +135,7 @@
 	}{
 		{"the first", empty, put(3, 0, "a"), Accept},
 		{"the first, on a version that is not there", empty, put(3, 2, "a"), Unavailable},
-		{"cannot be read, nothing in place", empty, bad("a"), Invalid},
+		{"cannot be read, nothing in place", empty, unreadablePut("a"), Invalid},
 		{"the next", three, put(10, 9, "a"), Accept},
 		{"the newest again", three, put(9, 5, "a"), AlreadyApplied},
 		{"an older one again", three, put(5, 3, "a"), AlreadyApplied},
@@ -151,8 +151,8 @@
 		{"a higher number on an older version", three, put(12, 5, "b"), VersionMismatch},
 		{"a higher number on one to come", three, put(12, 11, "b"), Unavailable},
 		{"a higher number on one to come that is not below it", three, put(12, 12, "b"), VersionMismatch},
-		{"cannot be read", three, bad("x"), Invalid},
-		{"cannot be read any more, but was taken", three, noLongerRead(put(5, 3, "a")), AlreadyApplied},
+		{"cannot be read", three, unreadablePut("x"), Invalid},
+		{"cannot be read any more, but was taken", three, nowUnreadable(put(5, 3, "a")), AlreadyApplied},
 		{"only its record is there: it again", pending, put(12, 9, "b"), Accept},
 		{"only the record of another is there", pending, put(11, 9, "c"), Accept},
 		{"only the record of another with its number is there", pending, put(12, 9, "c"), Accept},
@@ -219,9 +219,9 @@
 	}
 }
 
-func TestTheEntryOfAConfigurationIsReadByTheProgramBefore(t *testing.T) {
+func TestConfigEntryFormatIsUnchanged(t *testing.T) {
 	l := &entryLog{}
-	l.take(t, put(3, 0, "a"))
+	l.mustPut(t, put(3, 0, "a"))
 	var e feed.ConfigEntry // its form on disk and on the feed has not changed
 	err := rpc.Decode(l.entries[len(l.entries)-1].Value, &e)
 	if err != nil || e.Version != 3 || string(e.Body) != "3 by a" || len(e.RecentDigests) != 1 {
@@ -229,10 +229,10 @@
 	}
 }
 
-func TestTheHistoryStaysBounded(t *testing.T) {
+func TestHistoryIsBounded(t *testing.T) {
 	l := &entryLog{}
 	most, write := 0, 0
-	for _, o := range many(1, 2200, "a") {
+	for _, o := range consecutivePuts(1, 2200, "a") {
 		d := l.decide(t, o)
 		for _, w := range d.Append[:len(d.Append)-1] {
 			write = max(write, len(w.Value))
@@ -240,16 +240,16 @@
 		l.append(d.Append...)
 		l.compact()
 		most = max(most, len(l.entries))
-		if o.Version%7 > 0 && o.Version%pageRecords > 1 { // the ends of pages, and some between
+		if o.Version%7 > 0 && o.Version%recordsPerPage > 1 { // the ends of pages, and some between
 			continue
 		}
 		s := l.stateOf(t)
-		s.history.back(0)
-		if kept := int64(len(s.history.taken)); kept != o.Version && kept <= (pageCount-1)*pageRecords {
+		s.history.linkDownTo(0)
+		if kept := int64(len(s.history.applied)); kept != o.Version && kept <= (pageCount-1)*recordsPerPage {
 			t.Fatalf("after version %d only %d records are kept", o.Version, kept)
 		}
-		if s.history.horizon != o.Version-int64(len(s.history.taken)) {
-			t.Fatalf("after version %d: %d records, horizon %d", o.Version, len(s.history.taken), s.history.horizon)
+		if s.history.compactedVersion != o.Version-int64(len(s.history.applied)) {
+			t.Fatalf("after version %d: %d records, horizon %d", o.Version, len(s.history.applied), s.history.compactedVersion)
 		}
 	}
 	if most > pageCount+1 {
@@ -261,8 +261,8 @@
 	t.Logf("%d entries at most, a record's page has %d bytes at most", most, write)
 }
 
-func TestAnEntryThatCannotBeReadDecidesNothing(t *testing.T) {
-	for _, key := range []string{feed.ConfigKey, feed.PlacementKey, RetireKey("a", "b"), earlierKey, pageKey(1)} {
+func TestUndecodableEntryIsAnError(t *testing.T) {
+	for _, key := range []string{feed.ConfigKey, feed.PlacementKey, RetireKey("a", "b"), legacyKey, pageKey(1)} {
 		l := &entryLog{}
 		l.append(Write{Key: key, Value: []byte{255, 255, 255}})
 		if d, err := Decide(l.entries, 1, put(1, 0, "a")); err == nil || d.Kind != 0 {
@@ -272,21 +272,21 @@
 }
 
 // stores reads a list such as "a b c'": ' behind a name is the machine under another identity.
-func stores(list string) (all []turnstore.Store) {
+func parseStores(list string) (all []turnstore.Store) {
 	for _, one := range strings.Fields(list) {
 		all = append(all, turnstore.Store{ID: "id-" + one, Name: strings.TrimRight(one, "'")})
 	}
 	return all
 }
 
-func place(old, next string) Write {
-	p := turnstore.Placement{Generation: 1, ReplicationFactor: 3, FaultTolerance: 1, Old: stores(old), New: stores(next)}
+func placementWrite(old, next string) Write {
+	p := turnstore.Placement{Generation: 1, ReplicationFactor: 3, FaultTolerance: 1, Old: parseStores(old), New: parseStores(next)}
 	return Write{Key: feed.PlacementKey, Value: rpc.Encode(&p)}
 }
 
 // retired is the entry of an order; by the name alone it is of the format before.
-func retired(one string, byNameAlone bool) Write {
-	s := stores(one)[0]
+func retirementWrite(one string, byNameAlone bool) Write {
+	s := parseStores(one)[0]
 	key := RetireKey(s.Name, s.ID)
 	if byNameAlone {
 		key = feed.RetirePrefix + s.Name
@@ -294,7 +294,7 @@
 	return Write{Key: key, Value: rpc.Encode(&feed.RetireEntry{ID: s.ID})}
 }
 
-func TestStoreOrders(t *testing.T) {
+func TestDecideStoreOrders(t *testing.T) {
 	type writes []Write
 	for _, one := range []struct {
 		name   string
@@ -304,26 +304,26 @@
 		phase  Kind
 	}{
 		{"no store is placed", nil, "a", NotFound, NotFound},
-		{"unknown", writes{place("a b c d", "")}, "x", NotFound, NotFound},
-		{"enough are left", writes{place("a b c d", "")}, "a", Accept, Serving},
-		{"too few are left", writes{place("a b c", "")}, "a", Conflict, Serving},
-		{"ordered", writes{place("a b c d", ""), retired("a", false)}, "a", InProgress, Serving},
-		{"ordered, format before", writes{place("a b c d", ""), retired("a", true)}, "a", InProgress, Serving},
-		{"another at the edge", writes{place("a b c d", ""), retired("a", false)}, "b", Conflict, Serving},
-		{"another, above the edge", writes{place("a b c d e", ""), retired("a", false)}, "b", Accept, Serving},
-		{"being emptied", writes{retired("a", false), place("a b c d", "b c d")}, "a", InProgress, Serving},
-		{"emptied", writes{retired("a", false), place("b c d", "")}, "a", Retired, Complete},
-		{"emptied, format before", writes{retired("a", true), place("b c d", "")}, "a", Retired, Complete},
-		{"emptied, another comes", writes{retired("a", false), place("b c d", "b c d e")}, "a", Retired, Complete},
-		{"emptied, a new machine under the name", writes{retired("a", false), place("a' b c d", "")}, "a", Accept, Serving},
-		{"emptied, a new machine under the name, format before", writes{retired("a", true), place("a' b c d", "")}, "a", Accept, Serving},
-		{"emptied, a new machine under the name comes", writes{retired("a", false), place("b c d", "b c d a'")}, "a", Accept, Serving},
-		{"emptied, a new machine under the name, at the edge", writes{retired("a", false), place("a' b c", "")}, "a", Conflict, Serving},
-		{"both were emptied", writes{retired("a", false), retired("a'", false), place("b c d", "")}, "a", Retired, Complete},
-		{"ordered, its disk was lost, the machine is back", writes{retired("a", false), place("a b c d", "a' b c d")}, "a", Accept, Serving},
-		{"its disk was lost while it was emptied, which was noted", writes{retired("a", false), retired("a'", false), place("a b c d", "b c d")}, "a", InProgress, Serving},
-		{"its disk was lost, the machine is back", writes{place("a b c d", "a' b c d")}, "a", Accept, Serving},
-		{"leaves already, without an order", writes{place("a b c d", "b c d")}, "a", Accept, Serving},
+		{"unknown", writes{placementWrite("a b c d", "")}, "x", NotFound, NotFound},
+		{"enough are left", writes{placementWrite("a b c d", "")}, "a", Accept, Serving},
+		{"too few are left", writes{placementWrite("a b c", "")}, "a", Conflict, Serving},
+		{"ordered", writes{placementWrite("a b c d", ""), retirementWrite("a", false)}, "a", InProgress, Serving},
+		{"ordered, format before", writes{placementWrite("a b c d", ""), retirementWrite("a", true)}, "a", InProgress, Serving},
+		{"another at the edge", writes{placementWrite("a b c d", ""), retirementWrite("a", false)}, "b", Conflict, Serving},
+		{"another, above the edge", writes{placementWrite("a b c d e", ""), retirementWrite("a", false)}, "b", Accept, Serving},
+		{"being emptied", writes{retirementWrite("a", false), placementWrite("a b c d", "b c d")}, "a", InProgress, Serving},
+		{"emptied", writes{retirementWrite("a", false), placementWrite("b c d", "")}, "a", Retired, Complete},
+		{"emptied, format before", writes{retirementWrite("a", true), placementWrite("b c d", "")}, "a", Retired, Complete},
+		{"emptied, another comes", writes{retirementWrite("a", false), placementWrite("b c d", "b c d e")}, "a", Retired, Complete},
+		{"emptied, a new machine under the name", writes{retirementWrite("a", false), placementWrite("a' b c d", "")}, "a", Accept, Serving},
+		{"emptied, a new machine under the name, format before", writes{retirementWrite("a", true), placementWrite("a' b c d", "")}, "a", Accept, Serving},
+		{"emptied, a new machine under the name comes", writes{retirementWrite("a", false), placementWrite("b c d", "b c d a'")}, "a", Accept, Serving},
+		{"emptied, a new machine under the name, at the edge", writes{retirementWrite("a", false), placementWrite("a' b c", "")}, "a", Conflict, Serving},
+		{"both were emptied", writes{retirementWrite("a", false), retirementWrite("a'", false), placementWrite("b c d", "")}, "a", Retired, Complete},
+		{"ordered, its disk was lost, the machine is back", writes{retirementWrite("a", false), placementWrite("a b c d", "a' b c d")}, "a", Accept, Serving},
+		{"its disk was lost while it was emptied, which was noted", writes{retirementWrite("a", false), retirementWrite("a'", false), placementWrite("a b c d", "b c d")}, "a", InProgress, Serving},
+		{"its disk was lost, the machine is back", writes{placementWrite("a b c d", "a' b c d")}, "a", Accept, Serving},
+		{"leaves already, without an order", writes{placementWrite("a b c d", "b c d")}, "a", Accept, Serving},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			l := &entryLog{}
@@ -363,13 +363,13 @@
 	return s
 }
 
-func TestNothingIsThereToRead(t *testing.T) {
+func TestReadConfigWithoutConfiguration(t *testing.T) {
 	if d := (&entryLog{}).decide(t, ReadConfig{}); d.Kind != NotFound || d.DependsOn != 0 || d.Reason == "" {
 		t.Fatalf("%+v", d)
 	}
 }
 
-func TestKindsAreNamed(t *testing.T) {
+func TestKindString(t *testing.T) {
 	for k := Accept; k <= Found; k++ {
 		if k.String() == "" || strings.HasPrefix(k.String(), "Kind(") {
 			t.Errorf("%d has no name", int(k))
@@ -385,8 +385,8 @@
 
 func BenchmarkDecideWithAFullHistory(b *testing.B) {
 	l := &entryLog{}
-	for _, o := range many(1, 1100, "a") {
-		l.take(b, o)
+	for _, o := range consecutivePuts(1, 1100, "a") {
+		l.mustPut(b, o)
 	}
 	for name, order := range map[string]PutConfig{
 		"the next":         put(1101, 1100, "a"),
--- a/internal/tier/orders/state.go
+++ b/internal/tier/orders/state.go
@@ -21,48 +21,48 @@
 	Placement      *turnstore.Placement // nil for none
 	Retirements    []Retirement
 
-	history     history
-	configRests int64 // index of the last entry on which decisions about configurations rest
-	storesRests int64
+	history         history
+	configDependsOn int64 // index of the last entry on which decisions about configurations rest
+	storesDependsOn int64
 }
 
 // ReadState reads the state from the entries of the chain, which may hold several entries of a key: the last counts.
-func ReadState(entries []chain.Entry, losses int) (*State, error) {
-	s := &State{FaultTolerance: losses}
+func ReadState(entries []chain.Entry, faultTolerance int) (*State, error) {
+	s := &State{FaultTolerance: faultTolerance}
 	last := map[string]chain.Entry{}
 	for _, e := range entries {
 		last[e.Key] = e
 	}
 	for key, e := range last {
-		if err := s.take(key, e); err != nil {
+		if err := s.readEntry(key, e); err != nil {
 			return nil, errors.Wrapf(err, "entry %q at %d: the node that wrote it has another version of the program", key, e.Index)
 		}
 	}
-	s.settle()
+	s.linkHistory()
 	return s, nil
 }
 
-func (s *State) take(key string, e chain.Entry) error {
+func (s *State) readEntry(key string, e chain.Entry) error {
 	switch {
 	case key == feed.ConfigKey:
-		s.configRests = max(s.configRests, e.Index)
+		s.configDependsOn = max(s.configDependsOn, e.Index)
 		s.Config = new(feed.ConfigEntry)
 		return rpc.Decode(e.Value, s.Config)
-	case key == earlierKey:
-		s.configRests = max(s.configRests, e.Index)
-		s.history.earlier = new(LegacyHistory)
-		return rpc.Decode(e.Value, s.history.earlier)
+	case key == legacyKey:
+		s.configDependsOn = max(s.configDependsOn, e.Index)
+		s.history.legacy = new(LegacyHistory)
+		return rpc.Decode(e.Value, s.history.legacy)
 	case strings.HasPrefix(key, keyPrefix):
-		s.configRests = max(s.configRests, e.Index)
-		s.history.pages = append(s.history.pages, e)
+		s.configDependsOn = max(s.configDependsOn, e.Index)
+		s.history.unreadPages = append(s.history.unreadPages, e)
 		return nil
 	case key == feed.PlacementKey:
-		s.storesRests = max(s.storesRests, e.Index)
+		s.storesDependsOn = max(s.storesDependsOn, e.Index)
 		s.Placement = new(turnstore.Placement)
 		return rpc.Decode(e.Value, s.Placement)
 	}
 	if name, id, ok := ParseRetireKey(key); ok {
-		s.storesRests = max(s.storesRests, e.Index)
+		s.storesDependsOn = max(s.storesDependsOn, e.Index)
 		var r feed.RetireEntry
 		err := rpc.Decode(e.Value, &r)
 		if id != "" && id != r.ID {
@@ -74,24 +74,24 @@
 	return nil
 }
 
-// settle joins what was read to a history.
-func (s *State) settle() {
+// linkHistory joins what was read to a history.
+func (s *State) linkHistory() {
 	h := &s.history
-	pages := len(h.pages)
+	pages := len(h.unreadPages)
 	if s.Config == nil {
-		h.begin(0, nil)
+		h.linkCurrent(0, nil)
 		return
 	}
 	var digest []byte
 	if n := len(s.Config.RecentDigests); n > 0 {
 		digest = s.Config.RecentDigests[n-1]
 	}
-	h.begin(s.Config.Version, digest)
-	if h.linked() || h.earlier != nil && h.earlier.Version == s.Config.Version {
+	h.linkCurrent(s.Config.Version, digest)
+	if h.hasCurrent() || h.legacy != nil && h.legacy.Version == s.Config.Version {
 		return // written with a record, or the first record since came to nothing
 	}
-	h.earlier = &LegacyHistory{Version: s.Config.Version, Digests: s.Config.RecentDigests,
-		Complete: len(s.Config.RecentDigests) < earlierMost && pages == 0 && h.earlier == nil}
+	h.legacy = &LegacyHistory{Version: s.Config.Version, Digests: s.Config.RecentDigests,
+		Complete: len(s.Config.RecentDigests) < legacyDigestLimit && pages == 0 && h.legacy == nil}
 }
 
 // Version in place, 0 for none.
--- /dev/null
+++ b/internal/tier/orders/stores.go
@@ -0,0 +1,91 @@
+package orders
+
+import (
+	"fmt"
+	"slices"
+
+	"larchrouter/internal/rpc"
+	"larchrouter/internal/tier/feed"
+	"larchrouter/internal/tier/placement"
+	"larchrouter/internal/tier/turnstore"
+)
+
+const unknownStoreReason = "no store has this name: `larch-control members` lists them"
+
+// RetireStore orders a store to be emptied.
+type RetireStore struct{ Name string }
+
+func (o RetireStore) decide(state *State) Decision {
+	decision := Decision{DependsOn: state.storesDependsOn}
+	if state.Placement == nil {
+		decision.Kind, decision.Reason = NotFound, "no store is known yet: look at the name"
+		return decision
+	}
+	store, placed, staying := state.storeByName(o.Name)
+	switch retired := state.Retired(); {
+	case !placed && state.hasRetirement(o.Name):
+		decision.Kind, decision.Reason = Retired, "it is emptied"
+	case !placed:
+		decision.Kind, decision.Reason = NotFound, unknownStoreReason
+	case retired[store.ID]:
+		decision.Kind, decision.Reason = InProgress, "under way"
+	case staying && !placement.CanRetire(state.Placement, retired, state.FaultTolerance):
+		decision.Kind, decision.Reason = Conflict, fmt.Sprintf("fewer than %d stores would be left: add one first", 2*state.FaultTolerance+1)
+	default:
+		decision.Kind, decision.Reason = Accept, "under way"
+		decision.Append = []Write{{Key: RetireKey(o.Name, store.ID), Value: rpc.Encode(&feed.RetireEntry{ID: store.ID})}}
+	}
+	return decision
+}
+
+// StorePhase asks how far the emptying of a store is.
+type StorePhase struct{ Name string }
+
+// decide says complete only where no store of the name holds anything: who hears it takes the machine away with its disk.
+func (o StorePhase) decide(state *State) Decision {
+	decision := Decision{DependsOn: state.storesDependsOn}
+	if state.Placement == nil {
+		decision.Kind, decision.Reason = NotFound, "no store is known yet: look at the name"
+		return decision
+	}
+	_, placed, _ := state.storeByName(o.Name)
+	switch {
+	case placed:
+		decision.Kind = Serving
+	case state.hasRetirement(o.Name):
+		decision.Kind = Complete
+	default:
+		decision.Kind, decision.Reason = NotFound, unknownStoreReason
+	}
+	return decision
+}
+
+// storeByName is the store that bears a name now. Where a machine has lost its disk, the list that is being left may have
+// another under the same name. Staying says that it is in the list that is to be.
+func (s *State) storeByName(name string) (store turnstore.Store, placed, staying bool) {
+	target := s.Placement.Old
+	if len(s.Placement.New) > 0 {
+		target = s.Placement.New
+	}
+	hasName := func(store turnstore.Store) bool { return store.Name == name }
+	if i := slices.IndexFunc(target, hasName); i >= 0 {
+		return target[i], true, true
+	}
+	if i := slices.IndexFunc(s.Placement.Old, hasName); i >= 0 {
+		return s.Placement.Old[i], true, false
+	}
+	return turnstore.Store{}, false, false
+}
+
+// Retired are the identities of all stores that were ordered to be emptied.
+func (s *State) Retired() map[string]bool {
+	ids := make(map[string]bool, len(s.Retirements))
+	for _, r := range s.Retirements {
+		ids[r.ID] = true
+	}
+	return ids
+}
+
+func (s *State) hasRetirement(name string) bool {
+	return slices.ContainsFunc(s.Retirements, func(r Retirement) bool { return r.Name == name })
+}
