--- a/internal/tier/feed/follower.go
+++ b/internal/tier/feed/follower.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	pollWait  = 500 * time.Millisecond // a source that has nothing new answers after it
-	beginWait = time.Second            // a node that cannot be relied on yet keeps the first question so long
-	pollGrace = 450 * time.Millisecond // beyond that a source is silent
-	retryWait = 50 * time.Millisecond  // doubled with each failure, with chance, up to retryMost
-	retryMost = 800 * time.Millisecond
+	pollWait        = 500 * time.Millisecond // a source that has nothing new answers after it
+	initialPollWait = time.Second            // a node that cannot be relied on yet keeps the first question so long
+	pollGrace       = 450 * time.Millisecond // beyond that a source is silent
+	initialBackoff  = 50 * time.Millisecond  // doubled with each failure, with chance, up to retryMost
+	maxBackoff      = 800 * time.Millisecond
 )
 
 // Caller makes calls to core nodes by address. A call ends with its context.
@@ -26,9 +26,9 @@
 	Call(ctx context.Context, to string, m rpc.Method, body, answer any) error
 }
 
-type clients struct{ *rpc.Clients }
+type rpcCaller struct{ *rpc.Clients }
 
-func (c clients) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
+func (c rpcCaller) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
 	return c.To(to).Call(ctx, m, body, answer)
 }
 
@@ -44,16 +44,16 @@
 	changed chan struct{}
 	sources *sources
 
-	state    sync.Mutex // held while an answer is taken in
-	replica  *replica
-	fetchers int       // goroutines that fetch pieces
-	homeAt   time.Time // no try to return to the first source before it; of Run alone
-	wg       sync.WaitGroup
+	replicaMu    sync.Mutex // held while an answer is taken in
+	replica      *replica
+	fetchers     int       // goroutines that fetch pieces
+	nextFailback time.Time // no try to return to the first source before it; of Run alone
+	wg           sync.WaitGroup
 }
 
 // NewFollower makes a follower that begins at the seeds' core addresses. Run runs it.
 func NewFollower(s *process.Settings, calls *rpc.Clients, log *process.Ring) *Follower {
-	return newFollower(s, clients{calls}, log)
+	return newFollower(s, rpcCaller{calls}, log)
 }
 
 func newFollower(s *process.Settings, calls Caller, log *process.Ring) *Follower {
@@ -74,7 +74,7 @@
 func (f *Follower) UpdateSeeds(s *process.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sources.reseed(coreSeeds(s))
+	f.sources.setSeeds(coreSeeds(s))
 }
 
 // Tables implements Source.
@@ -100,77 +100,77 @@
 // Run follows until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	defer f.wg.Wait()
-	f.begin(ctx)
+	f.bootstrap(ctx)
 	wait := pollWait
-	for failed := 0; ctx.Err() == nil; {
+	for failures := 0; ctx.Err() == nil; {
 		if f.poll(ctx, wait) {
-			failed, wait = 0, pollWait
-			f.goHome(ctx)
+			failures, wait = 0, pollWait
+			f.failback(ctx)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		wait = 0 // until a source may be relied on, none is asked to wait for news
-		f.goOn()
-		pause(ctx, backoff(failed+firstRetry, roundMost))
-		failed++
+		f.failover()
+		sleep(ctx, backoff(failures+firstPollBackoffStep, maxPollBackoff))
+		failures++
 	}
 }
 
 // goOn goes to the next core node once all that are known have failed, and has the seeds asked as well.
-func (f *Follower) goOn() {
+func (f *Follower) failover() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sources.add(f.sources.seeds)
-	f.sources.move()
+	f.sources.advance()
 }
 
-func (f *Follower) request(wait time.Duration) *ChangesRequest {
-	f.state.Lock()
-	defer f.state.Unlock()
-	q := f.replica.request()
-	q.Name, q.Class, q.WaitMs = f.name, f.class, wait.Milliseconds()
-	return &q
+func (f *Follower) newRequest(wait time.Duration) *ChangesRequest {
+	f.replicaMu.Lock()
+	defer f.replicaMu.Unlock()
+	request := f.replica.nextRequest()
+	request.Name, request.Class, request.WaitMs = f.name, f.class, wait.Milliseconds()
+	return &request
 }
 
 // ask makes one call and gives when it was sent: what is heard by it was so then, not when the answer came.
-func (f *Follower) ask(ctx context.Context, core string, q *ChangesRequest) (*ChangesResponse, time.Time, error) {
-	one, done := context.WithTimeout(ctx, time.Duration(q.WaitMs)*time.Millisecond+pollGrace)
-	defer done()
+func (f *Follower) sendPoll(ctx context.Context, core string, request *ChangesRequest) (*ChangesResponse, time.Time, error) {
+	callCtx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+pollGrace)
+	defer cancel()
 	sent := time.Now()
-	a := new(ChangesResponse)
-	err := f.calls.Call(one, core, ChangesCall, q, a)
-	return a, sent, err
+	response := new(ChangesResponse)
+	err := f.calls.Call(callCtx, core, ChangesCall, request, response)
+	return response, sent, err
 }
 
 // accept takes an answer in, if its source may be relied on. Of others nothing is taken but whom else there is to ask.
-func (f *Follower) accept(ctx context.Context, core string, sent time.Time, q *ChangesRequest, a *ChangesResponse) bool {
-	if a.Confirmed && f.take(sent, q, a) {
+func (f *Follower) handleResponse(ctx context.Context, core string, sent time.Time, request *ChangesRequest, response *ChangesResponse) bool {
+	if response.Confirmed && f.applyResponse(sent, request, response) {
 		f.mu.Lock()
-		f.sources.replace(a.CoreAddrs, core)
+		f.sources.replace(response.CoreAddrs, core)
 		f.mu.Unlock()
-		f.fetch(ctx)
+		f.startFetchers(ctx)
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sources.add(a.CoreAddrs)
+	f.sources.add(response.CoreAddrs)
 	return false
 }
 
 // begin asks all core nodes at once, until the first that may be relied on has answered: where all machines have just
 // started, some do not listen yet, and each that says nothing would cost half a second.
-func (f *Follower) begin(ctx context.Context) {
-	for again := 0; ctx.Err() == nil; again++ {
-		if f.askAll(ctx) {
+func (f *Follower) bootstrap(ctx context.Context) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		if f.pollAllSources(ctx) {
 			return
 		}
-		pause(ctx, backoff(again, retryMost))
+		sleep(ctx, backoff(attempt, maxBackoff))
 	}
 }
 
-func (f *Follower) askAll(ctx context.Context) (begun bool) {
+func (f *Follower) pollAllSources(ctx context.Context) (accepted bool) {
 	type told struct {
 		core string
 		sent time.Time
@@ -180,39 +180,39 @@
 	f.mu.Lock()
 	cores := slices.Clone(f.sources.cores)
 	f.mu.Unlock()
-	all, done := context.WithCancel(ctx)
-	defer done()
-	answers := make(chan told, len(cores))
-	q := f.request(beginWait)
+	pollCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	results := make(chan told, len(cores))
+	request := f.newRequest(initialPollWait)
 	for _, core := range cores {
 		go func() {
-			a, sent, err := f.ask(all, core, q)
-			answers <- told{core, sent, a, err}
+			a, sent, err := f.sendPoll(pollCtx, core, request)
+			results <- told{core, sent, a, err}
 		}()
 	}
 	for range cores {
-		t := <-answers
+		result := <-results
 		switch {
-		case t.err != nil:
-		case !begun && (t.a.Index > 0 || len(t.a.Hosts) > 0) && f.accept(ctx, t.core, t.sent, q, t.a):
-			begun = true
-			done() // the others need not answer
+		case result.err != nil:
+		case !accepted && (result.a.Index > 0 || len(result.a.Hosts) > 0) && f.handleResponse(ctx, result.core, result.sent, request, result.a):
+			accepted = true
+			cancel() // the others need not answer
 		default:
 			f.mu.Lock()
-			f.sources.add(t.a.CoreAddrs)
+			f.sources.add(result.a.CoreAddrs)
 			f.mu.Unlock()
 		}
 	}
-	return begun
+	return accepted
 }
 
 // backoff spreads what many relays do after the same event. It gives half of the longest at least once it has grown.
-func backoff(again int, longest time.Duration) time.Duration {
-	most := min(longest, retryWait<<min(again, 10))
-	return most/2 + rand.N(most/2+1)
+func backoff(step int, longest time.Duration) time.Duration {
+	longestNow := min(longest, initialBackoff<<min(step, 10))
+	return longestNow/2 + rand.N(longestNow/2+1)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -222,23 +222,23 @@
 }
 
 // take swaps the tables for those that a fresh answer makes of them; false where its source is behind.
-func (f *Follower) take(sent time.Time, q *ChangesRequest, a *ChangesResponse) bool {
-	f.state.Lock()
-	defer f.state.Unlock()
-	faults, err := f.replica.take(sent, q, a)
+func (f *Follower) applyResponse(sent time.Time, request *ChangesRequest, response *ChangesResponse) bool {
+	f.replicaMu.Lock()
+	defer f.replicaMu.Unlock()
+	faults, err := f.replica.handleResponse(sent, request, response)
 	for _, fault := range faults {
 		f.log.Trouble("msg", "an entry of the feed cannot be used", "err", fault)
 	}
 	if err != nil {
-		_ = f.log.Log("msg", "answer not taken", "place", a.Index, "err", err)
+		_ = f.log.Log("msg", "answer not taken", "place", response.Index, "err", err)
 		return false
 	}
-	f.swap()
+	f.publishTables()
 	return true
 }
 
 // swap puts the replica's tables in force.
-func (f *Follower) swap() {
+func (f *Follower) publishTables() {
 	old, next := f.tables.Load(), f.replica.tables
 	f.tables.Store(next)
 	if !old.complete() && next.complete() {
--- a/internal/tier/feed/follower_test.go
+++ b/internal/tier/feed/follower_test.go
@@ -96,14 +96,14 @@
 			3001  edit     up,joins    down        .        .
 			6000  .        .           .           .        v3`},
 	} {
-		t.Run(name, func(t *testing.T) { play(t, one.seeds, one.timeline, nil) })
+		t.Run(name, func(t *testing.T) { playTimeline(t, one.seeds, one.timeline, nil) })
 	}
 }
 
 // A cut heals at any moment of a poll, of its end and of the pauses between polls.
-func TestACutThatHealsAtAnyMoment(t *testing.T) {
+func TestPartitionHealsAtAnyTime(t *testing.T) {
 	for heals := 1000; heals < 2600; heals += 17 {
-		play(t, "a+b+c", fmt.Sprintf(`
+		playTimeline(t, "a+b+c", fmt.Sprintf(`
 			ms    commits  a          b           c          front
 			0     few      up,joins   up,joins    up,joins   .
 			500   .        alone      cut         alone      v1
@@ -113,7 +113,7 @@
 }
 
 // Both core nodes are asked at the start; after the sleep there is one answer, and one value or one difference.
-func TestSleepThroughThreeHundredChanges(t *testing.T) {
+func TestCatchUpAfterThreeHundredChanges(t *testing.T) {
 	asleep := `
 		ms    commits  a          b           front
 		0     %s       up,joins   up,joins    .
@@ -133,9 +133,9 @@
 		"large and the old one is gone": {"large", "lost,up", 0, 0, 6, 303 << 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, "a+b", fmt.Sprintf(asleep, one.size, one.wakes), func(w *world) {
-				if w.sent.whole != one.whole || w.sent.patches != one.patches || w.sent.pieces != one.pieces || w.sent.bytes > one.bytes {
-					t.Errorf("%+v, wanted %+v", w.sent, one)
+			playTimeline(t, "a+b", fmt.Sprintf(asleep, one.size, one.wakes), func(w *scriptedCluster) {
+				if w.traffic.full != one.whole || w.traffic.patches != one.patches || w.traffic.chunks != one.pieces || w.traffic.bytes > one.bytes {
+					t.Errorf("%+v, wanted %+v", w.traffic, one)
 				}
 			})
 		})
@@ -143,35 +143,35 @@
 }
 
 // One that is awake takes each change as a difference: 300 of 11 KB are 3.4 MB otherwise.
-func TestThreeHundredChangesAsDifferences(t *testing.T) {
-	play(t, "a+b", `
+func TestThreeHundredChangesAsDeltas(t *testing.T) {
+	playTimeline(t, "a+b", `
 		ms    commits  a          b           front
 		0     some     up,joins   up,joins    .
 		1000  x300     .          .           .
-		5000  .        .          .           v301`, func(w *world) {
-		if w.sent.whole > 2 || w.sent.patches < 250 || w.sent.bytes > 90<<10 {
-			t.Errorf("%+v", w.sent)
+		5000  .        .          .           v301`, func(w *scriptedCluster) {
+		if w.traffic.full > 2 || w.traffic.patches < 250 || w.traffic.bytes > 90<<10 {
+			t.Errorf("%+v", w.traffic)
 		}
 	})
 }
 
-func TestALargeValueGoesOnAtAnotherSource(t *testing.T) {
-	play(t, "a+b", `
+func TestLargeValueResumesAtAnotherSource(t *testing.T) {
+	playTimeline(t, "a+b", `
 		ms    commits  a             b             front
 		0     large    up,slow,joins down,joins    .
 		700   .        cut           up            v0
 		1000  .        .             .             v0
-		3500  .        .             .             v1`, func(w *world) {
-		if w.sent.pieces != 4 {
-			t.Errorf("%d pieces were asked for of a value of three, of which one was lost", w.sent.pieces)
+		3500  .        .             .             v1`, func(w *scriptedCluster) {
+		if w.traffic.chunks != 4 {
+			t.Errorf("%d pieces were asked for of a value of three, of which one was lost", w.traffic.chunks)
 		}
 	})
 }
 
 // 5 MB take 1.35 s over a link of 30 Mbit/s, and a poll is given up after 0.95 s: the value comes, polls go on beside it,
 // and the source dies on the way.
-func TestFiveMegabytesOverAThinLink(t *testing.T) {
-	play(t, "a+b", `
+func TestFiveMegabytesOverSlowLink(t *testing.T) {
+	playTimeline(t, "a+b", `
 		ms    commits  a              b               front
 		0     huge     up,thin,joins  down,thin,joins .
 		1300  .        .              .               v0
@@ -179,50 +179,50 @@
 		2200  .        .              .               v2
 		2201  huge!    .              .               .
 		3000  .        cut            up              v2
-		6500  .        .              .               v3`, func(w *world) {
-		if size := len(w.h.all[0].Value); size < 5_000_000 {
+		6500  .        .              .               v3`, func(w *scriptedCluster) {
+		if size := len(w.log.entries[0].Value); size < 5_000_000 {
 			t.Errorf("a value of %d bytes", size)
 		}
-		pieces := (len(w.h.all[0].Value)+pieceMost-1)/pieceMost + (len(w.h.all[2].Value)+pieceMost-1)/pieceMost
-		if w.sent.pieces > pieces+2*piecesUnderWay || w.sent.polls < 6 {
-			t.Errorf("%+v of %d pieces", w.sent, pieces)
+		pieces := (len(w.log.entries[0].Value)+maxChunkSize-1)/maxChunkSize + (len(w.log.entries[2].Value)+maxChunkSize-1)/maxChunkSize
+		if w.traffic.chunks > pieces+2*maxChunksInFlight || w.traffic.polls < 6 {
+			t.Errorf("%+v of %d pieces", w.traffic, pieces)
 		}
 	})
 }
 
 // Where all sources are busy the follower asks for a piece now and then, and its polls go on.
-func TestALargeValueOfBusySources(t *testing.T) {
-	play(t, "a+b", `
+func TestLargeValueWhileSourcesAreBusy(t *testing.T) {
+	playTimeline(t, "a+b", `
 		ms    commits  a             b              front
 		0     large    up,busy,joins up,busy,joins  .
 		10000 .        .             .              v0
 		10001 .        .             serves         .
-		11500 .        .             .              v1`, func(w *world) {
-		if w.sent.pieces < 20 || w.sent.pieces > 80 {
-			t.Errorf("%d calls for pieces in ten seconds", w.sent.pieces)
+		11500 .        .             .              v1`, func(w *scriptedCluster) {
+		if w.traffic.chunks < 20 || w.traffic.chunks > 80 {
+			t.Errorf("%d calls for pieces in ten seconds", w.traffic.chunks)
 		}
 	})
 }
 
 // Versions that come faster than a value can be fetched do not start it anew for ever.
-func TestALargeValueIsFetchedWhileVersionsGoOn(t *testing.T) {
-	play(t, "a+b", `
+func TestLargeValueCompletesWhileVersionsAdvance(t *testing.T) {
+	playTimeline(t, "a+b", `
 		ms    commits     a             b          front
 		0     large       up,slow,joins down,joins .
 		500   edit        .             .          .
 		800   edit        .             .          .
 		1100  edit,place  .             .          .
 		1400  edit        .             .          .
-		4000  .           .             .          v5`, func(w *world) {
-		if w.sent.pieces != 3 || w.sent.patches == 0 {
-			t.Errorf("%+v, wanted 3 pieces and a delta", w.sent)
+		4000  .           .             .          v5`, func(w *scriptedCluster) {
+		if w.traffic.chunks != 3 || w.traffic.patches == 0 {
+			t.Errorf("%+v, wanted 3 pieces and a delta", w.traffic)
 		}
 	})
 }
 
 // Where no source has it any more, the newest one is fetched.
-func TestALargeValueThatIsNowhereAnyMore(t *testing.T) {
-	play(t, "a+b", `
+func TestLargeValueLostAtAllSources(t *testing.T) {
+	playTimeline(t, "a+b", `
 		ms    commits  a             b          front
 		0     large    up,slow,joins down,joins .
 		700   large!   lost          .          .
@@ -230,46 +230,46 @@
 		6000  .        .             .          v2`, nil)
 }
 
-func TestASourceWithoutTheValueThatIsHeldGivesItWhole(t *testing.T) {
-	play(t, "a+b", `
+func TestSourceWithoutBaseValueSendsFullValue(t *testing.T) {
+	playTimeline(t, "a+b", `
 		ms    commits  a          b           front
 		0     some     up,joins   down,joins  .
 		1000  .        lost       .           v1
 		1001  edit     lost       .           .
-		1500  .        .          .           v2`, func(w *world) {
-		if w.sent.patches != 0 || w.sent.whole != 2 {
-			t.Errorf("%+v, wanted two whole values", w.sent)
+		1500  .        .          .           v2`, func(w *scriptedCluster) {
+		if w.traffic.patches != 0 || w.traffic.full != 2 {
+			t.Errorf("%+v, wanted two whole values", w.traffic)
 		}
 	})
 }
 
-func TestAWrongDeltaIsAskedForWhole(t *testing.T) {
+func TestCorruptDeltaIsRequestedInFull(t *testing.T) {
 	for _, size := range []string{"some", "large"} {
-		play(t, "a", fmt.Sprintf(`
+		playTimeline(t, "a", fmt.Sprintf(`
 			ms    commits  a                  front
 			0     %s       up,joins,garbles   .
 			1000  edit     .                  v1
 			1500  .        .                  v2
 			1501  .        honest             .
 			1502  edit     .                  .
-			2000  .        .                  v3`, size), func(w *world) {
-			if w.sent.patches != 2 {
-				t.Errorf("%+v, wanted a wrong delta and a right one", w.sent)
+			2000  .        .                  v3`, size), func(w *scriptedCluster) {
+			if w.traffic.patches != 2 {
+				t.Errorf("%+v, wanted a wrong delta and a right one", w.traffic)
 			}
 		})
 	}
 }
 
 // While no source is fresh the follower goes on with what it has, asks at a bounded rate, and does not call it heard.
-func TestNoSourceIsFreshForAWhile(t *testing.T) {
+func TestNoConfirmedSourceForAMinute(t *testing.T) {
 	for _, trouble := range []string{"alone", "cut", "down", "lies"} {
-		play(t, "a+b+c", fmt.Sprintf(`
+		playTimeline(t, "a+b+c", fmt.Sprintf(`
 			ms    commits  a          b           c          front
 			0     few      up,joins   up,joins    up,joins   .
 			1000  few      .          .           .          .
 			1900  .        %[1]s      %[1]s       %[1]s      v2
-			61900 .        .          .           .          v2`, trouble), func(w *world) {
-			if heard := time.Since(w.f.Tables().ConfirmedAt); trouble != "lies" && heard < 60*time.Second {
+			61900 .        .          .           .          v2`, trouble), func(w *scriptedCluster) {
+			if heard := time.Since(w.follower.Tables().ConfirmedAt); trouble != "lies" && heard < 60*time.Second {
 				t.Errorf("%s: heard %v ago", trouble, heard)
 			}
 			w.mu.Lock()
@@ -282,12 +282,12 @@
 }
 
 // Heard is when the poll was sent, not when its answer came.
-func TestHeardIsWhenThePollWasSent(t *testing.T) {
-	play(t, "a", `
+func TestConfirmedAtIsWhenThePollWasSent(t *testing.T) {
+	playTimeline(t, "a", `
 		ms    commits  a             front
 		0     few      up,joins,slow .
-		400   .        .             v1`, func(w *world) {
-		if heard := time.Since(w.f.Tables().ConfirmedAt); heard < 390*time.Millisecond || heard > 400*time.Millisecond {
+		400   .        .             v1`, func(w *scriptedCluster) {
+		if heard := time.Since(w.follower.Tables().ConfirmedAt); heard < 390*time.Millisecond || heard > 400*time.Millisecond {
 			t.Errorf("the answer, of a poll that was sent at 0 ms, was heard %v ago at 400 ms", heard)
 		}
 	})
--- a/internal/tier/feed/world_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	linkDelay = 2 * time.Millisecond
-	thinLink  = 30_000_000 / 8 // bytes a second
+	linkDelay     = 2 * time.Millisecond
+	slowLinkBytes = 30_000_000 / 8 // bytes a second
 )
 
 // world is core nodes as scripts, one real follower, and a judge of all its tables. A timeline is text: a line is a time
@@ -39,74 +39,74 @@
 //	          joins leaves     the list of core nodes
 //	follower  v3               it acts on the third version by now; v0: on none
 //	          seeds=a+b        SIGHUP with these seeds
-type world struct {
-	t        *testing.T
-	f        *Follower
-	mu       sync.Mutex
-	h        history
-	versions []int64
-	routes   int
-	seed     int
-	nodes    map[string]*coreNode
-	members  []string
-	changed  chan struct{}
-	sent     tally
-	calls    int
-	worst    error
+type scriptedCluster struct {
+	t          *testing.T
+	follower   *Follower
+	mu         sync.Mutex
+	log        commitLog
+	versions   []int64
+	routeCount int
+	bodySeed   int
+	nodes      map[string]*coreNode
+	members    []string
+	changed    chan struct{}
+	traffic    trafficCounts
+	calls      int
+	violation  error
 }
 
 // tally counts what went to the follower.
-type tally struct{ polls, bytes, whole, patches, large, pieces int }
+type trafficCounts struct{ polls, bytes, full, patches, refs, chunks int }
 
 type coreNode struct {
-	source
-	name    string
-	reach   string // up cut down frozen
-	company string // up alone lies
-	late    time.Duration
-	garbles bool
-	busy    bool
-	thin    bool
-	free    time.Time // when a thin node's link has sent all that was given to it
-	members []string  // as it knew them when it was left alone
+	fakeSource
+	name           string
+	reachability   string // up cut down frozen
+	quorum         string // up alone lies
+	delay          time.Duration
+	corruptsDeltas bool
+	busy           bool
+	slowLink       bool
+	linkFreeAt     time.Time // when a thin node's link has sent all that was given to it
+	members        []string  // as it knew them when it was left alone
 }
 
-func newWorld(t *testing.T, names []string) *world {
-	w := &world{t: t, nodes: map[string]*coreNode{}, changed: make(chan struct{}), routes: fewRoutes}
+func newScriptedCluster(t *testing.T, names []string) *scriptedCluster {
+	w := &scriptedCluster{t: t, nodes: map[string]*coreNode{}, changed: make(chan struct{}), routeCount: fewRoutes}
 	for _, name := range names {
-		w.nodes[name] = &coreNode{name: name, reach: "down", company: "up"}
+		w.nodes[name] = &coreNode{name: name, reachability: "down", quorum: "up"}
 	}
 	return w
 }
 
-func address(name string) string { return name + ":7000" }
+func addressOf(name string) string { return name + ":7000" }
 
-func settings(seeds []string) *process.Settings {
+func settingsFor(seeds []string) *process.Settings {
 	s := &process.Settings{NodeName: "front-1", MachineClass: "front", Seeds: seeds}
 	s.PortRange = []int{7000 - int(process.CorePort), 7100}
 	return s
 }
 
 // Call implements Caller.
-func (w *world) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
-	n := w.nodes[strings.TrimSuffix(to, ":7000")]
+func (w *scriptedCluster) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
+	node := w.nodes[strings.TrimSuffix(to, ":7000")]
 	w.mu.Lock()
 	w.calls++
 	w.mu.Unlock()
-	pause(ctx, linkDelay)
+	sleep(ctx, linkDelay)
 	for ctx.Err() == nil {
 		w.mu.Lock()
 		reach, changed := "down", w.changed
-		if n != nil {
-			reach = n.reach
+		if node != nil {
+			reach = node.reachability
 		}
 		if reach == "up" {
-			given := w.handle(n, m, body)
-			late := n.late + n.send(len(given))
+			encoded := w.handle(node, m, body)
+			delay := node.delay + node.transmit(len(encoded))
 			w.mu.Unlock()
-			if given != nil {
-				pause(ctx, late+linkDelay)
-				return w.deliver(ctx, n, given, answer)
+			if encoded != nil {
+				sleep(ctx, delay+linkDelay)
+				return w.deliver(ctx, node, encoded, answer)
 			}
 		} else {
 			w.mu.Unlock()
@@ -123,22 +123,22 @@
 }
 
 // send gives how long bytes take over a node's link, behind those that wait in it.
-func (n *coreNode) send(size int) time.Duration {
-	if !n.thin {
+func (n *coreNode) transmit(size int) time.Duration {
+	if !n.slowLink {
 		return 0
 	}
 	now := time.Now()
-	if n.free.Before(now) {
-		n.free = now
+	if n.linkFreeAt.Before(now) {
+		n.linkFreeAt = now
 	}
-	n.free = n.free.Add(time.Duration(size) * time.Second / thinLink)
-	return n.free.Sub(now)
+	n.linkFreeAt = n.linkFreeAt.Add(time.Duration(size) * time.Second / slowLinkBytes)
+	return n.linkFreeAt.Sub(now)
 }
 
 // deliver brings an answer, if its node is not cut off or down meanwhile.
-func (w *world) deliver(ctx context.Context, n *coreNode, given []byte, answer any) error {
+func (w *scriptedCluster) deliver(ctx context.Context, n *coreNode, encoded []byte, answer any) error {
 	w.mu.Lock()
-	reach := n.reach
+	reach := n.reachability
 	w.mu.Unlock()
 	if reach == "cut" {
 		<-ctx.Done()
@@ -147,128 +147,128 @@
 		return rpc.ErrLost
 	}
 	w.mu.Lock()
-	w.sent.bytes += len(given)
+	w.traffic.bytes += len(encoded)
 	w.mu.Unlock()
-	return rpc.Decode(given, answer)
+	return rpc.Decode(encoded, answer)
 }
 
 // handle gives a node's answer, nil for a poll that waits on.
-func (w *world) handle(n *coreNode, m rpc.Method, body any) []byte {
+func (w *scriptedCluster) handle(n *coreNode, m rpc.Method, body any) []byte {
 	if m == ChunkCall {
-		w.sent.pieces++
-		n.values.Update(w.h.committed(n.commit))
+		w.traffic.chunks++
+		n.values.Update(w.log.latest(n.commitIndex))
 		if n.busy {
 			return rpc.Encode(&Chunk{Status: ChunkBusy})
 		}
 		return rpc.Encode(n.values.Chunk(body.(*ChunkRequest)))
 	}
-	q := body.(*ChangesRequest)
-	fresh := n.company == "lies" || n.company == "up" && n.commit >= q.ReceivedIndex
-	if news := fresh && n.commit > q.ReceivedIndex; !news && q.WaitMs > 0 {
-		wait := time.Duration(q.WaitMs) * time.Millisecond
-		q.WaitMs = 0
+	request := body.(*ChangesRequest)
+	confirmed := n.quorum == "lies" || n.quorum == "up" && n.commitIndex >= request.ReceivedIndex
+	if hasUpdate := confirmed && n.commitIndex > request.ReceivedIndex; !hasUpdate && request.WaitMs > 0 {
+		wait := time.Duration(request.WaitMs) * time.Millisecond
+		request.WaitMs = 0
 		time.AfterFunc(wait, w.wake)
 		return nil
 	}
-	if !fresh {
-		return rpc.Encode(&ChangesResponse{Index: n.commit, CoreAddrs: n.cores(w)})
+	if !confirmed {
+		return rpc.Encode(&ChangesResponse{Index: n.commitIndex, CoreAddrs: n.coreAddrs(w)})
 	}
-	a := n.answer(&w.h, q, true)
-	a.CoreAddrs = n.cores(w)
-	w.sent.polls++
-	w.sent.whole, w.sent.patches, w.sent.large = w.sent.whole+len(a.Entries), w.sent.patches+len(a.Patches), w.sent.large+len(a.LargeValues)
-	for _, p := range a.Patches {
-		if n.garbles {
+	response := n.respond(&w.log, request, true)
+	response.CoreAddrs = n.coreAddrs(w)
+	w.traffic.polls++
+	w.traffic.full, w.traffic.patches, w.traffic.refs = w.traffic.full+len(response.Entries), w.traffic.patches+len(response.Patches), w.traffic.refs+len(response.LargeValues)
+	for _, p := range response.Patches {
+		if n.corruptsDeltas {
 			p.Delta[len(p.Delta)-1] ^= 1
 		}
 	}
-	return rpc.Encode(a)
+	return rpc.Encode(response)
 }
 
-func (n *coreNode) cores(w *world) (cores []string) {
+func (n *coreNode) coreAddrs(w *scriptedCluster) (cores []string) {
 	members := w.members
-	if n.company != "up" {
+	if n.quorum != "up" {
 		members = n.members
 	}
 	for _, name := range members {
-		cores = append(cores, address(name))
+		cores = append(cores, addressOf(name))
 	}
 	return cores
 }
 
-func (w *world) wake() {
+func (w *scriptedCluster) wake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wakeHeld()
+	w.wakeLocked()
 }
 
-func (w *world) wakeHeld() {
+func (w *scriptedCluster) wakeLocked() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
 // commit plays one cell of the column of commits.
-func (w *world) commit(cell string) {
+func (w *scriptedCluster) commit(cell string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if strings.HasSuffix(cell, "!") {
-		w.seed++
+		w.bodySeed++
 	}
 	switch strings.TrimSuffix(cell, "!") {
 	case "few":
-		w.routes = fewRoutes
+		w.routeCount = fewRoutes
 	case "some":
-		w.routes = someRoutes
+		w.routeCount = someRoutes
 	case "large":
-		w.routes = largeRoutes
+		w.routeCount = largeRoutes
 	case "huge":
-		w.routes = hugeRoutes
+		w.routeCount = hugeRoutes
 	}
 	if cell == "place" {
-		w.h.placement()
+		w.log.commitPlacement()
 	} else {
-		w.h.config(w.routes, w.seed)
-		w.versions = append(w.versions, w.h.version)
+		w.log.commitConfig(w.routeCount, w.bodySeed)
+		w.versions = append(w.versions, w.log.version)
 	}
-	w.spread()
+	w.propagate()
 }
 
 // spread gives all nodes in touch what is committed.
-func (w *world) spread() {
+func (w *scriptedCluster) propagate() {
 	for _, n := range w.nodes {
-		if n.company == "up" && n.reach != "frozen" {
-			n.commit = int64(len(w.h.all))
+		if n.quorum == "up" && n.reachability != "frozen" {
+			n.commitIndex = int64(len(w.log.entries))
 		}
 	}
-	w.wakeHeld()
+	w.wakeLocked()
 }
 
-func (w *world) do(n *coreNode, cell string) {
+func (w *scriptedCluster) setNode(n *coreNode, cell string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch cell {
 	case "up":
-		n.reach, n.company = "up", "up"
+		n.reachability, n.quorum = "up", "up"
 	case "cut", "down", "frozen":
-		n.reach = cell
+		n.reachability = cell
 	case "alone", "lies":
-		n.reach, n.company, n.members = "up", cell, slices.Clone(w.members)
+		n.reachability, n.quorum, n.members = "up", cell, slices.Clone(w.members)
 	case "slow":
-		n.late = 300 * time.Millisecond
+		n.delay = 300 * time.Millisecond
 	case "quick":
-		n.late = 0
+		n.delay = 0
 	case "lost":
 		n.values = ValueCache{}
 	case "thin":
-		n.thin = true
+		n.slowLink = true
 	case "busy":
 		n.busy = true
 	case "serves":
 		n.busy = false
 	case "garbles":
-		n.garbles = true
+		n.corruptsDeltas = true
 	case "honest":
-		n.garbles = false
+		n.corruptsDeltas = false
 	case "joins":
 		w.members = append(w.members, n.name)
 	case "leaves":
@@ -276,13 +276,13 @@
 	default:
 		w.t.Errorf("no such cell: %q", cell)
 	}
-	w.spread()
+	w.propagate()
 }
 
 // ask plays one cell of the follower's column.
-func (w *world) ask(at, cell string) {
+func (w *scriptedCluster) checkFollower(at, cell string) {
 	if seeds, ok := strings.CutPrefix(cell, "seeds="); ok {
-		w.f.UpdateSeeds(settings(strings.Split(seeds, "+")))
+		w.follower.UpdateSeeds(settingsFor(strings.Split(seeds, "+")))
 		return
 	}
 	want, err := strconv.Atoi(strings.TrimPrefix(cell, "v"))
@@ -290,7 +290,7 @@
 		w.t.Fatalf("no such cell: %q", cell)
 	}
 	got := 0
-	if c := w.f.Tables().Config; c != nil {
+	if c := w.follower.Tables().Config; c != nil {
 		got = slices.Index(w.versions, c.Version) + 1
 	}
 	if got != want {
@@ -299,14 +299,14 @@
 }
 
 // watch judges all changes of the follower's tables.
-func (w *world) watch(ctx context.Context) {
+func (w *scriptedCluster) watch(ctx context.Context) {
 	old := &Tables{}
 	for {
-		changed := w.f.Changed()
-		next := w.f.Tables()
+		changed := w.follower.Changed()
+		next := w.follower.Tables()
 		w.mu.Lock()
-		if err := w.h.judge(old, next); err != nil && w.worst == nil {
-			w.worst = err
+		if err := w.log.check(old, next); err != nil && w.violation == nil {
+			w.violation = err
 		}
 		w.mu.Unlock()
 		old = next
@@ -320,7 +320,7 @@
 
 // play plays a timeline with a follower that begins at the seeds, and lets check look at the world after it. The
 // members at the start are those nodes that the first line has up, cut or frozen.
-func play(t *testing.T, seeds, timeline string, check func(w *world)) {
+func playTimeline(t *testing.T, seeds, timeline string, check func(cluster *scriptedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var rows [][]string
@@ -328,11 +328,11 @@
 			rows = append(rows, strings.Fields(line))
 		}
 		names := rows[0][2 : len(rows[0])-1]
-		w := newWorld(t, names)
-		w.f = newFollower(settings(strings.Split(seeds, "+")), w, process.NewRing(io.Discard))
+		cluster := newScriptedCluster(t, names)
+		cluster.follower = newFollower(settingsFor(strings.Split(seeds, "+")), cluster, process.NewRing(io.Discard))
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		begin := time.Now()
+		start := time.Now()
 		for i, row := range rows[1:] {
 			if len(row) != len(names)+3 {
 				t.Fatalf("line %q", row)
@@ -341,31 +341,31 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(time.Duration(math.Round(at*1e6)) - time.Since(begin))
-			w.row(row, names)
+			time.Sleep(time.Duration(math.Round(at*1e6)) - time.Since(start))
+			cluster.playRow(row, names)
 			if i == 0 {
-				wg.Go(func() { w.f.Run(ctx) })
-				wg.Go(func() { w.watch(ctx) })
+				wg.Go(func() { cluster.follower.Run(ctx) })
+				wg.Go(func() { cluster.watch(ctx) })
 			}
 		}
 		synctest.Wait()
 		if check != nil {
-			check(w)
+			check(cluster)
 		}
 		stop()
 		wg.Wait()
-		if w.worst != nil {
-			t.Error(w.worst)
+		if cluster.violation != nil {
+			t.Error(cluster.violation)
 		}
 	})
 }
 
-func (w *world) row(row, names []string) {
+func (w *scriptedCluster) playRow(row, names []string) {
 	for _, members := range []bool{true, false} { // what a node knows when it is left alone is as of the same moment
 		for i, name := range names {
 			for cell := range strings.SplitSeq(row[i+2], ",") {
 				if cell != "." && (cell == "joins" || cell == "leaves") == members {
-					w.do(w.nodes[name], cell)
+					w.setNode(w.nodes[name], cell)
 				}
 			}
 		}
@@ -383,7 +383,7 @@
 	synctest.Wait()
 	if last := row[len(row)-1]; last != "." {
 		for cell := range strings.SplitSeq(last, ",") {
-			w.ask(row[0], cell)
+			w.checkFollower(row[0], cell)
 		}
 	}
 }
--- a/internal/tier/feed/sources.go
+++ b/internal/tier/feed/sources.go
@@ -8,39 +8,39 @@
 )
 
 // coresMost bounds the core nodes that are known; there are some eight.
-const coresMost = 64
+const maxSources = 64
 
 // sources are the core nodes that a follower knows, in its own order, and the one that it follows. It is pure.
 type sources struct {
-	name  string   // of the follower
-	seeds []string // of its settings: the last resort where all others are gone
-	cores []string
-	at    int
+	name     string   // of the follower
+	seeds    []string // of its settings: the last resort where all others are gone
+	cores    []string
+	position int
 }
 
 func newSources(name string, seeds []string) *sources {
 	s := &sources{name: name}
-	s.reseed(seeds)
+	s.setSeeds(seeds)
 	return s
 }
 
-func (s *sources) current() string { return s.cores[s.at%len(s.cores)] }
+func (s *sources) current() string { return s.cores[s.position%len(s.cores)] }
 
-func (s *sources) move() { s.at = (s.at + 1) % len(s.cores) }
+func (s *sources) advance() { s.position = (s.position + 1) % len(s.cores) }
 
-func (s *sources) follow(core string) { s.at = max(0, slices.Index(s.cores, core)) }
+func (s *sources) use(core string) { s.position = max(0, slices.Index(s.cores, core)) }
 
 // home is the core node with which this follower begins, and to which it returns.
-func (s *sources) home() string { return s.cores[0] }
+func (s *sources) preferred() string { return s.cores[0] }
 
 // fromCurrent are the core nodes in the follower's own order, from the one that is followed on.
-func (s *sources) fromCurrent() []string {
-	at := s.at % len(s.cores)
+func (s *sources) fromCurrentOn() []string {
+	at := s.position % len(s.cores)
 	return slices.Concat(s.cores[at:], s.cores[:at])
 }
 
 // reseed takes in what settings name, beside those that are known.
-func (s *sources) reseed(seeds []string) {
+func (s *sources) setSeeds(seeds []string) {
 	s.seeds = slices.Clone(seeds)
 	s.add(seeds)
 }
@@ -53,11 +53,11 @@
 	}
 	all := slices.Clone(s.cores)
 	for _, core := range cores {
-		if len(all) < coresMost && !slices.Contains(all, core) {
+		if len(all) < maxSources && !slices.Contains(all, core) {
 			all = append(all, core)
 		}
 	}
-	s.set(all, current)
+	s.setAll(all, current)
 }
 
 // replace takes in the members that a fresh source gave: others are forgotten, but for the source itself.
@@ -69,18 +69,18 @@
 	if !slices.Contains(all, source) {
 		all = append(all, source)
 	}
-	s.set(all, source)
+	s.setAll(all, source)
 }
 
 // set has each follower begin at its own place on the ring of core nodes, so that they spread.
-func (s *sources) set(cores []string, current string) {
+func (s *sources) setAll(cores []string, current string) {
 	rank := func(core string) uint64 { return xxhash.Sum64String(s.name + "\x00" + core) }
 	slices.SortFunc(cores, func(a, b string) int { return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(a, b)) })
 	s.cores = slices.Compact(cores)
-	s.follow(current)
+	s.use(current)
 }
 
 // after is the core node that comes behind another one.
-func (s *sources) after(core string) string {
+func (s *sources) next(core string) string {
 	return s.cores[(slices.Index(s.cores, core)+1)%len(s.cores)]
 }
--- /dev/null
+++ b/internal/tier/feed/value_cache.go
@@ -0,0 +1,178 @@
+package feed
+
+import (
+	"bytes"
+	"sync"
+
+	"larchrouter/internal/tier/bodydelta"
+	"larchrouter/internal/tier/chain"
+)
+
+const (
+	minPatchedValue = 1 << 10  // shorter values always go whole
+	maxPatchSize    = 32 << 10 // longer deltas do not go in an answer
+	maxInlineValue  = 64 << 10 // longer values are fetched in pieces
+	maxValuesPerKey = 8        // of each key, the committed one included
+	maxCachedBytes  = 32 << 20 // of all values but the committed ones
+	maxChunkSize    = 64 << 10 // bytes of one piece
+)
+
+// ValueCache are the values of the control state that a source gave lately, by digest, and the deltas between them. The zero
+// ValueCache is ready for use; it is safe for concurrent use.
+type ValueCache struct {
+	mu     sync.Mutex
+	values []*cachedValue // in the order of their indexes
+	deltas map[digestPair]*cachedDelta
+}
+
+type cachedValue struct {
+	chain.Entry
+	digest bodydelta.Digest
+}
+
+type digestPair struct{ base, target bodydelta.Digest }
+
+type cachedDelta struct {
+	once  sync.Once
+	bytes []byte // nil where the whole value is shorter
+}
+
+// Update takes in what is committed now. Of a key it keeps the newest values, as far as the bounds allow.
+func (v *ValueCache) Update(committed []chain.Entry) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	for _, e := range committed {
+		if len(e.Value) >= minPatchedValue && v.lookup(e.Key, e.Index) == nil {
+			v.values = append(v.values, &cachedValue{e, bodydelta.DigestOf(e.Value)})
+			v.trim()
+		}
+	}
+}
+
+// at is the value of a key at an index. Committed entries never change.
+func (v *ValueCache) lookup(key string, index int64) *cachedValue {
+	for _, value := range v.values {
+		if value.Index == index && value.Key == key {
+			return value
+		}
+	}
+	return nil
+}
+
+// trim drops the oldest values beyond the bounds, never the newest one of a key.
+func (v *ValueCache) trim() {
+	count, newest, oldBytes := map[string]int{}, map[string]int64{}, 0
+	for _, value := range v.values {
+		count[value.Key]++
+		newest[value.Key] = max(newest[value.Key], value.Index)
+		oldBytes += len(value.Value)
+	}
+	for _, value := range v.values {
+		if newest[value.Key] == value.Index {
+			oldBytes -= len(value.Value)
+		}
+	}
+	kept := v.values[:0]
+	for _, value := range v.values {
+		if value.Index < newest[value.Key] && (count[value.Key] > maxValuesPerKey || oldBytes > maxCachedBytes) {
+			count[value.Key]--
+			oldBytes -= len(value.Value)
+			v.dropDeltas(value.digest)
+			continue
+		}
+		kept = append(kept, value)
+	}
+	clear(v.values[len(kept):])
+	v.values = kept
+}
+
+func (v *ValueCache) dropDeltas(d bodydelta.Digest) {
+	for p := range v.deltas {
+		if p.base == d || p.target == d {
+			delete(v.deltas, p)
+		}
+	}
+}
+
+// Find gives the value with a digest, nil for none.
+func (v *ValueCache) Find(digest []byte) []byte {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if value := v.findDigest(digest); value != nil {
+		return value.Value
+	}
+	return nil
+}
+
+func (v *ValueCache) findDigest(digest []byte) *cachedValue {
+	for _, value := range v.values {
+		if bytes.Equal(value.digest[:], digest) {
+			return value
+		}
+	}
+	return nil
+}
+
+// Add puts an entry into an answer: as a delta against what the follower holds, whole, or by its name.
+func (v *ValueCache) Add(response *ChangesResponse, entry chain.Entry, baseValues []BaseValue) {
+	v.mu.Lock()
+	target := v.lookup(entry.Key, entry.Index)
+	v.mu.Unlock()
+	if target == nil {
+		response.Entries = append(response.Entries, entry)
+		return
+	}
+	for _, base := range baseValues {
+		if base.Key != entry.Key {
+			continue
+		}
+		if patch := v.delta(base.Digest, target); patch != nil {
+			response.Patches = append(response.Patches, Patch{Index: entry.Index, Key: entry.Key, Delta: patch})
+			return
+		}
+	}
+	if len(entry.Value) <= maxInlineValue {
+		response.Entries = append(response.Entries, entry)
+		return
+	}
+	response.LargeValues = append(response.LargeValues, ValueRef{Index: entry.Index, Key: entry.Key, Size: int64(len(entry.Value)), Digest: target.digest[:]})
+}
+
+// delta leads from the value with a digest to another one; nil where there is none worth sending. It is made once for
+// all followers.
+func (v *ValueCache) delta(baseDigest []byte, target *cachedValue) []byte {
+	v.mu.Lock()
+	base := v.findDigest(baseDigest)
+	if base == nil || base.Key != target.Key {
+		v.mu.Unlock()
+		return nil
+	}
+	key := digestPair{base.digest, target.digest}
+	cached := v.deltas[key]
+	if cached == nil {
+		cached = new(cachedDelta)
+		if v.deltas == nil {
+			v.deltas = map[digestPair]*cachedDelta{}
+		}
+		v.deltas[key] = cached
+	}
+	v.mu.Unlock()
+	cached.once.Do(func() {
+		patch := bodydelta.DiffNamed(base.Value, target.Value, key.base, key.target)
+		if len(patch) <= maxPatchSize && len(patch) < len(target.Value) {
+			cached.bytes = patch
+		}
+	})
+	return cached.bytes
+}
+
+// Chunk answers a request for a part of a value.
+func (v *ValueCache) Chunk(request *ChunkRequest) *Chunk {
+	value := v.Find(request.Digest)
+	if value == nil {
+		return &Chunk{Status: ChunkUnknown}
+	}
+	start := min(max(request.Offset, 0), int64(len(value)))
+	end := min(start+min(max(request.Length, 0), maxChunkSize), int64(len(value)))
+	return &Chunk{Status: ChunkServed, Digest: request.Digest, Offset: start, Data: value[start:end], Final: end == int64(len(value))}
+}
