--- a/internal/tier/feed/bench_test.go
+++ b/internal/tier/feed/bench_test.go
@@ -7,33 +7,32 @@
 	"larchrouter/internal/rpc"
 )
 
-// BenchmarkTake1MB has a follower take in a version of 1 MB in which a few bytes have changed: as a difference, and whole
-// as all versions went before.
+// BenchmarkHandleResponse1MB applies a version of 1 MB in which a few bytes have changed: as a delta, and in full.
 func BenchmarkHandleResponse1MB(b *testing.B) {
-	var h commitLog
-	first, second := h.commitConfig(5400, 1), h.commitConfig(5400, 1)
-	b.Run("difference", func(b *testing.B) {
-		s := fakeSource{commitIndex: 1}
+	var log commitLog
+	first, second := log.commitConfig(5400, 1), log.commitConfig(5400, 1)
+	b.Run("delta", func(b *testing.B) {
+		source := fakeSource{commitIndex: 1}
 		r := newReplica()
-		catchUp(b, &h, &s, r)
-		s.commitIndex = 2
-		q := r.nextRequest()
-		a := s.respond(&h, &q, true)
-		if len(a.Patches) != 1 {
-			b.Fatal("no difference")
+		catchUp(b, &log, &source, r)
+		source.commitIndex = 2
+		request := r.nextRequest()
+		response := source.respond(&log, &request, true)
+		if len(response.Patches) != 1 {
+			b.Fatal("no delta")
 		}
 		b.SetBytes(int64(len(second.Value)))
 		b.ReportAllocs()
 		for b.Loop() {
-			one := *r
-			one.valueIndexes = map[string]int64{ConfigKey: first.Index}
-			if faults, err := one.handleResponse(time.Now(), &q, a); err != nil || faults != nil || one.tables.Index != 2 {
+			copied := *r
+			copied.valueIndexes = map[string]int64{ConfigKey: first.Index}
+			if faults, err := copied.handleResponse(time.Now(), &request, response); err != nil || faults != nil || copied.tables.Index != 2 {
 				b.Fatal(err, faults)
 			}
 		}
-		b.ReportMetric(float64(len(rpc.Encode(a))), "B/answer")
+		b.ReportMetric(float64(len(rpc.Encode(response))), "B/answer")
 	})
-	b.Run("whole", func(b *testing.B) {
+	b.Run("full", func(b *testing.B) {
 		b.SetBytes(int64(len(second.Value)))
 		b.ReportAllocs()
 		for b.Loop() {
@@ -45,16 +44,16 @@
 	})
 }
 
-func catchUp(b *testing.B, h *commitLog, s *fakeSource, r *replica) {
+func catchUp(b *testing.B, log *commitLog, source *fakeSource, r *replica) {
 	b.Helper()
-	q := r.nextRequest()
-	if _, err := r.handleResponse(time.Now(), &q, s.respond(h, &q, true)); err != nil {
+	request := r.nextRequest()
+	if _, err := r.handleResponse(time.Now(), &request, source.respond(log, &request, true)); err != nil {
 		b.Fatal(err)
 	}
 	for r.download != nil {
-		part, _ := r.download.nextSpan()
+		span, _ := r.download.nextSpan()
 		d := r.download
-		d.handleChunk(part, s.values.Chunk(&ChunkRequest{Digest: d.ref.Digest, Offset: part.offset, Length: part.length}))
+		d.handleChunk(span, source.values.Chunk(&ChunkRequest{Digest: d.ref.Digest, Offset: span.offset, Length: span.length}))
 		if d.complete() {
 			if err := r.finishDownload(); err != nil {
 				b.Fatal(err)
--- /dev/null
+++ b/internal/tier/feed/bootstrap.go
@@ -0,0 +1,48 @@
+package feed
+
+import (
+	"context"
+	"slices"
+	"time"
+)
+
+// initialPollWait is how long a core node may delay its response to a follower's first poll until it is confirmed.
+const initialPollWait = time.Second
+
+// bootstrap polls all core nodes at the same time until one response is applied. When all machines have just started,
+// some core nodes don't listen yet, and polling them one after the other would cost half a second for each.
+func (f *Follower) bootstrap(ctx context.Context) {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		if f.pollAllSources(ctx) {
+			return
+		}
+		sleep(ctx, backoff(attempt, maxBackoff))
+	}
+}
+
+// pollAllSources polls all known core nodes and reports whether a response was applied. It applies the first confirmed
+// one that is not empty and cancels the other polls.
+func (f *Follower) pollAllSources(ctx context.Context) (applied bool) {
+	f.mu.Lock()
+	cores := slices.Clone(f.sources.cores)
+	f.mu.Unlock()
+	pollCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	results := make(chan pollResult, len(cores))
+	request := f.newRequest(initialPollWait)
+	for _, core := range cores {
+		go func() { results <- f.sendPoll(pollCtx, core, request) }()
+	}
+	for range cores {
+		result := <-results
+		switch {
+		case result.err != nil:
+		case !applied && (result.response.Index > 0 || len(result.response.Hosts) > 0) && f.handleResponse(ctx, result):
+			applied = true
+			cancel()
+		default:
+			f.addSources(result.response.CoreAddrs)
+		}
+	}
+	return applied
+}
--- a/internal/tier/feed/commit_log_test.go
+++ b/internal/tier/feed/commit_log_test.go
@@ -4,18 +4,15 @@
 	"bytes"
 	"crypto/sha256"
 	"fmt"
-	"slices"
 	"strings"
 	"sync"
-	"testing"
 
 	"larchrouter/internal/rpc"
-	"larchrouter/internal/tier/bodydelta"
 	"larchrouter/internal/tier/chain"
 	"larchrouter/internal/tier/turnstore"
 )
 
-// configBody is a valid configuration; two of one seed that differ in the version differ in few bytes.
+// configBody returns a valid configuration. With the same seed and another version it differs in few bytes.
 func configBody(version int64, routes, seed int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"config_version":%d,"service_table":[{"name":"s"}],"route_table":[`, version)
@@ -47,41 +44,42 @@
 }
 
 const (
-	fewRoutes   = 3   // goes whole
-	someRoutes  = 60  // 11 KB: whole or as a delta
-	largeRoutes = 800 // 145 KB: by name or as a delta
-	hugeRoutes  = 27_500
+	fewRoutes   = 3      // sent in full
+	someRoutes  = 60     // 11 KB: sent in full or as a delta
+	largeRoutes = 800    // 145 KB: sent by reference or as a delta
+	hugeRoutes  = 27_500 // 5 MB
 )
 
-// history is what was committed: the judge of all that a follower says.
+// commitLog is everything that was committed. A follower's tables are checked against it.
 type commitLog struct {
 	entries []chain.Entry
 	version int64
 }
 
-func (h *commitLog) put(key string, value []byte) chain.Entry {
-	e := chain.Entry{Index: int64(len(h.entries)) + 1, Key: key, Value: value}
-	h.entries = append(h.entries, e)
+func (l *commitLog) put(key string, value []byte) chain.Entry {
+	e := chain.Entry{Index: int64(len(l.entries)) + 1, Key: key, Value: value}
+	l.entries = append(l.entries, e)
 	return e
 }
 
-// config commits the next version; versions skip a number now and then.
-func (h *commitLog) commitConfig(routes, seed int) chain.Entry {
-	h.version += 1 + h.version%3
-	return h.put(ConfigKey, configValue(h.version, routes, seed))
+// commitConfig commits the next version; some versions are skipped.
+func (l *commitLog) commitConfig(routes, seed int) chain.Entry {
+	l.version += 1 + l.version%3
+	return l.put(ConfigKey, configValue(l.version, routes, seed))
 }
 
-func (h *commitLog) commitPlacement() chain.Entry {
-	return h.put(PlacementKey, rpc.Encode(&turnstore.Placement{Generation: int64(len(h.entries)) + 1}))
+// commitPlacement commits a placement whose generation is the entry's index.
+func (l *commitLog) commitPlacement() chain.Entry {
+	return l.put(PlacementKey, rpc.Encode(&turnstore.Placement{Generation: int64(len(l.entries)) + 1}))
 }
 
-// committed is the newest entry of each key up to an index, in order.
-func (h *commitLog) latest(index int64) (entries []chain.Entry) {
+// latest returns the newest entry of each key up to an index, by rising index.
+func (l *commitLog) latest(index int64) (entries []chain.Entry) {
 	last := map[string]int64{}
-	for _, e := range h.entries[:index] {
+	for _, e := range l.entries[:index] {
 		last[e.Key] = e.Index
 	}
-	for _, e := range h.entries[:index] {
+	for _, e := range l.entries[:index] {
 		if last[e.Key] == e.Index {
 			entries = append(entries, e)
 		}
@@ -89,8 +87,8 @@
 	return entries
 }
 
-// judge tells what is wrong with new tables: nothing goes back, nothing was never committed, nothing is missing.
-func (h *commitLog) check(before, after *Tables) error {
+// check checks new tables against those before: nothing goes back, everything was committed, nothing is missing.
+func (l *commitLog) check(before, after *Tables) error {
 	switch {
 	case after.Index < before.Index:
 		return fmt.Errorf("index goes back from %d to %d", before.Index, after.Index)
@@ -99,58 +97,58 @@
 	case before.Placement != nil && (after.Placement == nil || after.Placement.Generation < before.Placement.Generation):
 		return fmt.Errorf("placement goes back from %d", before.Placement.Generation)
 	case after.ConfirmedAt.Before(before.ConfirmedAt):
-		return fmt.Errorf("heard goes back")
+		return fmt.Errorf("ConfirmedAt goes back")
 	}
-	for _, e := range h.latest(min(after.Index, int64(len(h.entries)))) {
+	for _, e := range l.latest(min(after.Index, int64(len(l.entries)))) {
 		if e.Key == PlacementKey && (after.Placement == nil || after.Placement.Generation < e.Index) {
 			return fmt.Errorf("at index %d the placement of index %d is missing", after.Index, e.Index)
 		}
-		if v, _ := decodeConfig(e); e.Key == ConfigKey && (after.Config == nil || after.Config.Version < v.Version) {
-			return fmt.Errorf("at index %d version %d is missing", after.Index, v.Version)
+		if config, _ := decodeConfig(e); e.Key == ConfigKey && (after.Config == nil || after.Config.Version < config.Version) {
+			return fmt.Errorf("at index %d version %d is missing", after.Index, config.Version)
 		}
 	}
 	if after.Config != nil && after.Config != before.Config {
-		return h.checkConfig(after)
+		return l.checkConfig(after)
 	}
 	return nil
 }
 
 func decodeConfig(e chain.Entry) (v ConfigEntry, err error) { return v, rpc.Decode(e.Value, &v) }
 
-// judgeConfig compares the routes in force with those of the committed version.
-func (h *commitLog) checkConfig(tables *Tables) error {
-	for _, e := range h.entries {
-		v, err := decodeConfig(e)
-		if e.Key != ConfigKey || err != nil || v.Version != tables.Config.Version {
+// checkConfig compares the routes of the tables with those of the committed version.
+func (l *commitLog) checkConfig(tables *Tables) error {
+	for _, e := range l.entries {
+		config, err := decodeConfig(e)
+		if e.Key != ConfigKey || err != nil || config.Version != tables.Config.Version {
 			continue
 		}
-		rest := v.Body
-		for _, r := range tables.Config.Routes {
-			line := fmt.Appendf(nil, `{"name":"%s","host_name":"%s","path_prefix":"%s"`, r.Name, r.Host, r.Prefix)
-			at := bytes.Index(rest, line)
-			if at < 0 {
-				return fmt.Errorf("version %d has a route %s %s that was not committed", v.Version, r.Host, r.Prefix)
+		rest := config.Body
+		for _, route := range tables.Config.Routes {
+			line := fmt.Appendf(nil, `{"name":"%s","host_name":"%s","path_prefix":"%s"`, route.Name, route.Host, route.Prefix)
+			position := bytes.Index(rest, line)
+			if position < 0 {
+				return fmt.Errorf("version %d has a route %s %s that was not committed", config.Version, route.Host, route.Prefix)
 			}
-			rest = rest[at+len(line):]
+			rest = rest[position+len(line):]
 		}
-		if n := bytes.Count(v.Body, []byte(`"path_prefix"`)); n != len(tables.Config.Routes) {
-			return fmt.Errorf("version %d has %d routes, %d were committed", v.Version, len(tables.Config.Routes), n)
+		if n := bytes.Count(config.Body, []byte(`"path_prefix"`)); n != len(tables.Config.Routes) {
+			return fmt.Errorf("version %d has %d routes, %d were committed", config.Version, len(tables.Config.Routes), n)
 		}
 		return nil
 	}
 	return fmt.Errorf("version %d was never committed", tables.Config.Version)
 }
 
-// source is a core node as followers see it: what it has committed, and what it keeps.
+// fakeSource is a core node as followers see it: its commit index and its cached values.
 type fakeSource struct {
 	commitIndex int64
 	values      ValueCache
 }
 
-// answer is what the feed server gives.
-func (s *fakeSource) respond(h *commitLog, request *ChangesRequest, confirmed bool) *ChangesResponse {
+// respond responds to a poll as the feed server does.
+func (s *fakeSource) respond(log *commitLog, request *ChangesRequest, confirmed bool) *ChangesResponse {
 	response := &ChangesResponse{Confirmed: confirmed, Index: s.commitIndex}
-	committed := h.latest(s.commitIndex)
+	committed := log.latest(s.commitIndex)
 	s.values.Update(committed)
 	for _, e := range chain.EntriesAfter(committed, request.ReceivedIndex) {
 		s.values.Add(response, e, request.BaseValues)
@@ -158,7 +156,7 @@
 	return wireCopy(response)
 }
 
-// copied goes over the wire: nothing is shared.
+// wireCopy encodes and decodes a message, so that nothing is shared.
 func wireCopy[T any](v *T) *T {
 	out := new(T)
 	if err := rpc.Decode(rpc.Encode(v), out); err != nil {
@@ -166,82 +164,3 @@
 	}
 	return out
 }
-
-func TestValueCacheAddFullDeltaOrRef(t *testing.T) {
-	var h commitLog
-	h.commitConfig(largeRoutes, 1)
-	old := h.commitConfig(largeRoutes, 1)
-	s := fakeSource{commitIndex: 2}
-	s.respond(&h, &ChangesRequest{}, true)
-	h.commitConfig(largeRoutes, 1)
-	s.commitIndex = 3
-	digest := bodydelta.DigestOf(old.Value)
-	for name, one := range map[string]struct {
-		held    []BaseValue
-		patches int
-		large   int
-	}{
-		"nothing held":     {nil, 0, 1},
-		"the one before":   {[]BaseValue{{ConfigKey, digest[:]}}, 1, 0},
-		"another":          {[]BaseValue{{ConfigKey, make([]byte, 32)}}, 0, 1},
-		"of another key":   {[]BaseValue{{PlacementKey, digest[:]}}, 0, 1},
-		"a digest cut off": {[]BaseValue{{ConfigKey, digest[:7]}}, 0, 1},
-	} {
-		a := s.respond(&h, &ChangesRequest{BaseValues: one.held}, true)
-		if len(a.Patches) != one.patches || len(a.LargeValues) != one.large || len(a.Entries) != 0 {
-			t.Errorf("%s: %d deltas, %d by name, %d whole", name, len(a.Patches), len(a.LargeValues), len(a.Entries))
-		}
-		if size := len(rpc.Encode(a)); size > 400 {
-			t.Errorf("%s: an answer of %d bytes", name, size)
-		}
-	}
-	h.commitConfig(largeRoutes, 2) // nothing in common
-	s.commitIndex = 4
-	if a := s.respond(&h, &ChangesRequest{ReceivedIndex: 3, BaseValues: []BaseValue{{ConfigKey, digest[:]}}}, true); len(a.LargeValues) != 1 || len(a.Patches) != 0 {
-		t.Errorf("a delta that is no shorter: %d deltas, %d by name", len(a.Patches), len(a.LargeValues))
-	}
-}
-
-func TestValueCacheIsBounded(t *testing.T) {
-	var v ValueCache
-	value := func(n, size int) []byte { return slices.Concat([]byte{byte(n)}, make([]byte, size-1)) }
-	for i := range 300 {
-		v.Update([]chain.Entry{{Index: int64(i + 1), Key: ConfigKey, Value: value(i, 5000)}})
-		v.Update([]chain.Entry{{Index: int64(i + 1), Key: ConfigKey, Value: value(i, 5000)}}) // again
-	}
-	if len(v.values) != maxValuesPerKey {
-		t.Errorf("%d values are kept, wanted %d", len(v.values), maxValuesPerKey)
-	}
-	v.Update([]chain.Entry{{Index: 301, Key: ConfigKey, Value: value(1, maxCachedBytes+1)}})
-	v.Update([]chain.Entry{{Index: 302, Key: ConfigKey, Value: value(2, maxCachedBytes+1)}})
-	if len(v.values) != 1 || v.values[0].Index != 302 {
-		t.Errorf("%d values are kept of which the one before is above the bound", len(v.values))
-	}
-	if len(v.deltas) != 0 {
-		t.Errorf("%d deltas of values that are gone", len(v.deltas))
-	}
-}
-
-func TestTransferLimiter(t *testing.T) {
-	var tr TransferLimiter
-	for i := range maxTransfers {
-		if !tr.Admit(fmt.Sprint("f", i), 0) {
-			t.Fatalf("transfer %d was not admitted", i)
-		}
-	}
-	if tr.Admit("late", transferIdleTimeout-1) {
-		t.Error("one too many was admitted")
-	}
-	if !tr.Admit("f3", transferIdleTimeout-1) {
-		t.Error("one that is under way was sent away")
-	}
-	if !tr.Admit("late", transferIdleTimeout) {
-		t.Error("none was admitted after the others had stopped")
-	}
-	if !tr.Admit("f3", transferIdleTimeout) || len(tr.lastChunkAt) != 2 {
-		t.Errorf("%d transfers, wanted 2", len(tr.lastChunkAt))
-	}
-	if tr.Release("f3"); len(tr.lastChunkAt) != 1 {
-		t.Errorf("%d transfers after the end of one, wanted 1", len(tr.lastChunkAt))
-	}
-}
--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -10,33 +10,33 @@
 	"larchrouter/internal/tier/bodydelta"
 )
 
-// errOtherBytes says that the pieces do not add up to the value that was named.
-var errDigestMismatch = errors.New("the pieces of a value are not those of its digest: it is fetched again, elsewhere")
+// errDigestMismatch reports that the chunks don't make the value with the digest.
+var errDigestMismatch = errors.New("the chunks of a value do not match its digest: it is downloaded again from another core node")
 
-// span is a part of a value.
+// span is a range of a value's bytes.
 type span struct{ offset, length int64 }
 
-// download is a value that comes in pieces. It is pure: what was begun at one source goes on at another, since the
-// digest names the value.
+// download is the state of a value's download in chunks. It is pure. Chunks may come from several core nodes, since the
+// digest identifies the value.
 type download struct {
 	ref        ValueRef
-	data       []byte           // without gaps, from the start
-	outOfOrder map[int64][]byte // pieces that came before those in front of them
-	pending    []span
-	abandoned  bool // no source has it any more; goes on if one names it again
-	failures   int  // calls without a piece, one after the other; not those of sources that are busy
+	data       []byte           // the first bytes, without gaps
+	outOfOrder map[int64][]byte // chunks after a gap, by offset
+	pending    []span           // requested chunks
+	abandoned  bool             // no source has the value; resumed if a source refers to it again
+	failures   int              // consecutive calls without a valid chunk; those at busy core nodes don't count
 }
 
 func newDownload(ref ValueRef) *download {
 	return &download{ref: ref, outOfOrder: map[int64][]byte{}}
 }
 
-// fetchable tells whether a name can be one of a value.
+// isValid reports whether a reference can be one of a value.
 func (n ValueRef) isValid() bool {
 	return n.Size > 0 && n.Size <= rpc.MaxFrame && len(n.Digest) == len(bodydelta.Digest{})
 }
 
-// claim gives the next part to ask for; false where all that is left is under way.
+// nextSpan returns the next span to request and marks it as pending; false if there is none.
 func (d *download) nextSpan() (span, bool) {
 	if d.abandoned {
 		return span{}, false
@@ -51,7 +51,7 @@
 	return span{}, false
 }
 
-// give takes an answer for a part in, nil for a call that failed, and tells whether it was a piece of this value.
+// handleChunk adds the response to a request for a span, nil for a failed call, and reports whether it was a valid chunk.
 func (d *download) handleChunk(s span, chunk *Chunk) bool {
 	if i := slices.Index(d.pending, s); i >= 0 {
 		d.pending = slices.Delete(d.pending, i, i+1)
@@ -59,7 +59,7 @@
 	if chunk != nil && chunk.Status == ChunkBusy {
 		return false
 	}
-	if chunk == nil || chunk.Status != ChunkServed || !bytes.Equal(chunk.Digest, d.ref.Digest) || chunk.Offset != s.offset || int64(len(chunk.Data)) != s.length {
+	if chunk == nil || !d.matches(s, chunk) {
 		d.failures++
 		return false
 	}
@@ -75,9 +75,16 @@
 	}
 }
 
+// matches reports whether a chunk has the bytes of a span of this value, as far as can be seen before all are there.
+func (d *download) matches(s span, chunk *Chunk) bool {
+	return chunk.Status == ChunkServed && bytes.Equal(chunk.Digest, d.ref.Digest) &&
+		chunk.Offset == s.offset && int64(len(chunk.Data)) == s.length
+}
+
+// complete reports whether all bytes are there; their digest is not checked yet.
 func (d *download) complete() bool { return int64(len(d.data)) == d.ref.Size }
 
-// value is the whole value. Where the digest is another one, all that came is dropped.
+// value returns the complete value. If its digest is wrong, all bytes are dropped and errDigestMismatch is returned.
 func (d *download) value() ([]byte, error) {
 	digest := bodydelta.DigestOf(d.data)
 	if !bytes.Equal(digest[:], d.ref.Digest) {
--- a/internal/tier/feed/fetchers.go
+++ b/internal/tier/feed/fetchers.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	maxChunksInFlight   = 2 // of the one value that a follower fetches
-	chunkTimeout        = time.Second
-	maxChunkBackoffStep = 3 // the pause between calls for pieces grows up to backoff of it, 0.2 to 0.4 s
+	maxChunksInFlight   = 2           // of the one value that a follower downloads
+	chunkTimeout        = time.Second // of one call
+	maxChunkBackoffStep = 3           // the pause between failed calls grows up to 0.2 to 0.4 s
 )
 
-// fetch begins to fetch the pieces of a large value, if there is one and it is not under way.
+// startFetchers starts the goroutines that fetch chunks, as far as they don't run, if there is a value to download.
 func (f *Follower) startFetchers(ctx context.Context) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -23,8 +23,8 @@
 	}
 }
 
-// fetchPieces asks for one piece after the other, beginning at the core node that is followed and going on at others,
-// until none is left to ask for.
+// fetchChunks fetches one chunk after the other until none is left to request. It starts at the source and goes on to
+// the next core node after each call without a chunk.
 func (f *Follower) fetchChunks(ctx context.Context) {
 	core := f.Core()
 	for failures := 0; ; {
@@ -34,7 +34,8 @@
 		}
 		callCtx, cancel := context.WithTimeout(ctx, chunkTimeout)
 		chunk := new(Chunk)
-		err := f.calls.Call(callCtx, core, ChunkCall, &ChunkRequest{Name: f.name, Digest: d.ref.Digest, Offset: span.offset, Length: span.length}, chunk)
+		request := &ChunkRequest{Name: f.name, Digest: d.ref.Digest, Offset: span.offset, Length: span.length}
+		err := f.calls.Call(callCtx, core, ChunkCall, request, chunk)
 		cancel()
 		if err != nil {
 			_ = f.log.Log("msg", "no piece", "core", core, "from", span.offset, "err", err)
@@ -55,7 +56,8 @@
 	}
 }
 
-// oneWaits ends all goroutines but one where sources are busy: the next answer to a poll begins them again.
+// retireFetcher reports whether the calling goroutine must end because core nodes are busy: only one goes on then. The
+// next response to a poll starts the others again.
 func (f *Follower) retireFetcher() bool {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -66,7 +68,7 @@
 	return true
 }
 
-// claim gives the next part of the value that is being fetched; where there is none the goroutine has to end.
+// claimSpan returns the next span to fetch. If there is none, the calling goroutine is no longer counted and must end.
 func (f *Follower) claimSpan(ctx context.Context) (*download, span, bool) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -79,12 +81,13 @@
 	return nil, span{}, false
 }
 
-// give takes a piece in, nil for none, and tells whether the same core node is to be asked on.
+// handleChunk adds a chunk, nil for a failed call, to the download, and applies the value when it is complete. It reports
+// whether the next chunk should be requested from the same core node.
 func (f *Follower) handleChunk(d *download, span span, chunk *Chunk) bool {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
 	if f.replica.download != d {
-		return true // a newer value came meanwhile
+		return true // this download was replaced meanwhile
 	}
 	if !d.handleChunk(span, chunk) {
 		f.mu.Lock()
@@ -106,5 +109,3 @@
 	f.publishTables()
 	return true
 }
-
-var _ Caller = rpcCaller{}
--- a/internal/tier/feed/follower.go
+++ b/internal/tier/feed/follower.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -14,55 +12,46 @@
 )
 
 const (
-	pollWait        = 500 * time.Millisecond // a source that has nothing new answers after it
-	initialPollWait = time.Second            // a node that cannot be relied on yet keeps the first question so long
-	pollGrace       = 450 * time.Millisecond // beyond that a source is silent
-	initialBackoff  = 50 * time.Millisecond  // doubled with each failure, with chance, up to retryMost
-	maxBackoff      = 800 * time.Millisecond
+	pollWait  = 500 * time.Millisecond // a source without changes responds to a long poll after it
+	pollGrace = 450 * time.Millisecond // a poll fails if the response is later than its wait by this
 )
 
-// Caller makes calls to core nodes by address. A call ends with its context.
-type Caller interface {
-	Call(ctx context.Context, to string, m rpc.Method, body, answer any) error
-}
-
-type rpcCaller struct{ *rpc.Clients }
-
-func (c rpcCaller) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
-	return c.To(to).Call(ctx, m, body, answer)
-}
-
-// Follower follows the feed of one core node at a time, and goes to another when that one is silent, cut off or behind.
-// Values that are too large for an answer it fetches in pieces meanwhile. It implements Source.
+// Follower follows the feed of one core node at a time and fails over to another if that one is unresponsive,
+// partitioned or behind. Values that are too large for a response are downloaded in chunks meanwhile. It implements
+// Source and is safe for concurrent use.
 type Follower struct {
-	name, class string
+	name, class string // of the machine
 	calls       Caller
 	log         *process.Ring
-	tables      atomic.Pointer[Tables]
+	tables      atomic.Pointer[Tables] // as published; never nil
 
 	mu      sync.Mutex
-	changed chan struct{}
-	sources *sources
+	changed chan struct{} // closed and replaced with each published change; guarded by mu
+	sources *sources      // guarded by mu
 
-	replicaMu    sync.Mutex // held while an answer is taken in
-	replica      *replica
-	fetchers     int       // goroutines that fetch pieces
-	nextFailback time.Time // no try to return to the first source before it; of Run alone
+	replicaMu    sync.Mutex // held while a response or chunk is applied and published
+	replica      *replica   // guarded by replicaMu
+	fetchers     int        // goroutines that fetch chunks; guarded by replicaMu
+	nextFailback time.Time  // no failback before it; used by Run only
 	wg           sync.WaitGroup
 }
 
-// NewFollower makes a follower that begins at the seeds' core addresses. Run runs it.
+var _ Source = (*Follower)(nil)
+
+// NewFollower returns a follower of the machine in the settings that knows the core nodes of the seeds. Run starts it.
 func NewFollower(s *process.Settings, calls *rpc.Clients, log *process.Ring) *Follower {
 	return newFollower(s, rpcCaller{calls}, log)
 }
 
 func newFollower(s *process.Settings, calls Caller, log *process.Ring) *Follower {
-	f := &Follower{name: s.NodeName, class: s.MachineClass, calls: calls, log: log, changed: make(chan struct{}), replica: newReplica()}
+	f := &Follower{name: s.NodeName, class: s.MachineClass, calls: calls, log: log,
+		changed: make(chan struct{}), replica: newReplica()}
 	f.tables.Store(f.replica.tables)
 	f.sources = newSources(s.NodeName, coreSeeds(s))
 	return f
 }
 
+// coreSeeds returns the core addresses of the seeds.
 func coreSeeds(s *process.Settings) (cores []string) {
 	for _, seed := range s.Seeds {
 		cores = append(cores, s.PeerAddr(seed, process.CorePort))
@@ -70,7 +59,7 @@
 	return cores
 }
 
-// UpdateSeeds takes in the core nodes that settings name, beside those that are known.
+// UpdateSeeds replaces the seeds by those of new settings, and adds them to the known core nodes.
 func (f *Follower) UpdateSeeds(s *process.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,17 +76,17 @@
 	return f.changed
 }
 
-// Placement is that of the tables, nil for none.
+// Placement returns the placement of the tables, nil if there is none.
 func (f *Follower) Placement() *turnstore.Placement { return f.tables.Load().Placement }
 
-// Core is the address of the core node that is followed.
+// Core returns the address of the core node that is followed.
 func (f *Follower) Core() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sources.current()
 }
 
-// Run follows until the context ends.
+// Run follows the feed until the context ends. It must be called once.
 func (f *Follower) Run(ctx context.Context) {
 	defer f.wg.Wait()
 	f.bootstrap(ctx)
@@ -111,14 +100,15 @@
 		if ctx.Err() != nil {
 			return
 		}
-		wait = 0 // until a source may be relied on, none is asked to wait for news
+		wait = 0 // no long polls until a source is confirmed
 		f.failover()
 		sleep(ctx, backoff(failures+firstPollBackoffStep, maxPollBackoff))
 		failures++
 	}
 }
 
-// goOn goes to the next core node once all that are known have failed, and has the seeds asked as well.
+// failover selects the next core node as the source, after all known ones have failed. The seeds are added again, since
+// all other core nodes may have been replaced.
 func (f *Follower) failover() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,6 +116,7 @@
 	f.sources.advance()
 }
 
+// newRequest returns the next poll request. A source without changes responds after the wait.
 func (f *Follower) newRequest(wait time.Duration) *ChangesRequest {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -134,110 +125,54 @@
 	return &request
 }
 
-// ask makes one call and gives when it was sent: what is heard by it was so then, not when the answer came.
-func (f *Follower) sendPoll(ctx context.Context, core string, request *ChangesRequest) (*ChangesResponse, time.Time, error) {
+// sendPoll sends one poll and waits for its response.
+func (f *Follower) sendPoll(ctx context.Context, core string, request *ChangesRequest) pollResult {
 	callCtx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond+pollGrace)
 	defer cancel()
-	sent := time.Now()
-	response := new(ChangesResponse)
-	err := f.calls.Call(callCtx, core, ChangesCall, request, response)
-	return response, sent, err
+	result := pollResult{core: core, sent: time.Now(), request: request, response: new(ChangesResponse)}
+	result.err = f.calls.Call(callCtx, core, ChangesCall, request, result.response)
+	return result
 }
 
-// accept takes an answer in, if its source may be relied on. Of others nothing is taken but whom else there is to ask.
-func (f *Follower) handleResponse(ctx context.Context, core string, sent time.Time, request *ChangesRequest, response *ChangesResponse) bool {
-	if response.Confirmed && f.applyResponse(sent, request, response) {
+// handleResponse applies a response and makes its core node the source. It reports false if the response is not
+// confirmed or the core node is behind; then only the core addresses are used, which are added to the known ones.
+func (f *Follower) handleResponse(ctx context.Context, result pollResult) bool {
+	if result.response.Confirmed && f.applyResponse(result) {
 		f.mu.Lock()
-		f.sources.replace(response.CoreAddrs, core)
+		f.sources.replace(result.response.CoreAddrs, result.core)
 		f.mu.Unlock()
 		f.startFetchers(ctx)
 		return true
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.sources.add(response.CoreAddrs)
+	f.addSources(result.response.CoreAddrs)
 	return false
 }
 
-// begin asks all core nodes at once, until the first that may be relied on has answered: where all machines have just
-// started, some do not listen yet, and each that says nothing would cost half a second.
-func (f *Follower) bootstrap(ctx context.Context) {
-	for attempt := 0; ctx.Err() == nil; attempt++ {
-		if f.pollAllSources(ctx) {
-			return
-		}
-		sleep(ctx, backoff(attempt, maxBackoff))
-	}
-}
-
-func (f *Follower) pollAllSources(ctx context.Context) (accepted bool) {
-	type told struct {
-		core string
-		sent time.Time
-		a    *ChangesResponse
-		err  error
-	}
+// addSources adds core nodes of a response that was not applied.
+func (f *Follower) addSources(cores []string) {
 	f.mu.Lock()
-	cores := slices.Clone(f.sources.cores)
-	f.mu.Unlock()
-	pollCtx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	results := make(chan told, len(cores))
-	request := f.newRequest(initialPollWait)
-	for _, core := range cores {
-		go func() {
-			a, sent, err := f.sendPoll(pollCtx, core, request)
-			results <- told{core, sent, a, err}
-		}()
-	}
-	for range cores {
-		result := <-results
-		switch {
-		case result.err != nil:
-		case !accepted && (result.a.Index > 0 || len(result.a.Hosts) > 0) && f.handleResponse(ctx, result.core, result.sent, request, result.a):
-			accepted = true
-			cancel() // the others need not answer
-		default:
-			f.mu.Lock()
-			f.sources.add(result.a.CoreAddrs)
-			f.mu.Unlock()
-		}
-	}
-	return accepted
-}
-
-// backoff spreads what many relays do after the same event. It gives half of the longest at least once it has grown.
-func backoff(step int, longest time.Duration) time.Duration {
-	longestNow := min(longest, initialBackoff<<min(step, 10))
-	return longestNow/2 + rand.N(longestNow/2+1)
-}
-
-func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-ctx.Done():
-	}
+	defer f.mu.Unlock()
+	f.sources.add(cores)
 }
 
-// take swaps the tables for those that a fresh answer makes of them; false where its source is behind.
-func (f *Follower) applyResponse(sent time.Time, request *ChangesRequest, response *ChangesResponse) bool {
+// applyResponse applies a confirmed response to the replica and publishes the tables. It reports false if the core node
+// is behind.
+func (f *Follower) applyResponse(result pollResult) bool {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
-	faults, err := f.replica.handleResponse(sent, request, response)
+	faults, err := f.replica.handleResponse(result.sent, result.request, result.response)
 	for _, fault := range faults {
 		f.log.Trouble("msg", "an entry of the feed cannot be used", "err", fault)
 	}
 	if err != nil {
-		_ = f.log.Log("msg", "answer not taken", "place", response.Index, "err", err)
+		_ = f.log.Log("msg", "answer not taken", "place", result.response.Index, "err", err)
 		return false
 	}
 	f.publishTables()
 	return true
 }
 
-// swap puts the replica's tables in force.
+// publishTables publishes the replica's tables and notifies of a change. The caller holds replicaMu.
 func (f *Follower) publishTables() {
 	old, next := f.tables.Load(), f.replica.tables
 	f.tables.Store(next)
@@ -255,5 +190,3 @@
 	f.changed = make(chan struct{})
 	f.mu.Unlock()
 }
-
-var _ Source = (*Follower)(nil)
--- a/internal/tier/feed/follower_test.go
+++ b/internal/tier/feed/follower_test.go
@@ -11,27 +11,27 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestFollowerTimelines(t *testing.T) {
-	for name, one := range map[string]struct{ seeds, timeline string }{
-		"its first sources are cut off at the start": {"a+b+c", `
+	for name, test := range map[string]struct{ seeds, timeline string }{
+		"first sources partitioned at the start": {"a+b+c", `
 			ms    commits  a         b         c         front
 			0     few      cut,joins cut,joins up,joins  .
 			100   .        .         .         .         v1
 			200   edit     .         .         .         .
 			300   .        .         .         .         v2`},
-		"its seeds name only the side that is cut off, the rest is learned": {"a+b", `
+		"seeds on the partitioned side only, others learned": {"a+b", `
 			ms    commits  a           b           c         d         e         front
 			0     few      alone,joins alone,joins up,joins  up,joins  up,joins  .
 			900   .        .           .           .         .         .         v0
 			1300  .        .           .           .         .         .         v1
 			2000  edit     .           .           .         .         .         .
 			2100  .        .           .           .         .         .         v2`},
-		"all are down at the start, then one comes": {"a+b+c", `
+		"all down at the start, then one starts": {"a+b+c", `
 			ms    commits  a          b          c          front
 			0     few      down,joins down,joins down,joins .
 			20000 .        .          .          .          v0
 			20001 .        .          up         .          .
 			21000 .        .          .          .          v1`},
-		"a source that answers late does not overwrite a later one's": {"a+b", `
+		"late response does not overwrite a newer one": {"a+b", `
 			ms    commits  a             b          front
 			0     few      up,slow,joins cut,joins  .
 			100   edit     .             .          v0
@@ -42,7 +42,7 @@
 			1100  edit     up            .          v2
 			1750  .        .             alone      v2
 			4000  .        .             .          v3`},
-		"a frozen source wakes and calls itself fresh": {"a+b", `
+		"frozen source resumes and claims to be confirmed": {"a+b", `
 			ms    commits  a          b          front
 			0     few      up,joins   down,joins .
 			100   .        frozen     .          v1
@@ -53,7 +53,7 @@
 			5000  .        .          .          v3
 			5001  edit     up         .          .
 			6500  .        .          .          v4`},
-		"a source is behind": {"a+b", `
+		"source behind": {"a+b", `
 			ms    commits  a          b          front
 			0     few      up,joins   down,joins .
 			100   .        alone      .          v1
@@ -63,7 +63,7 @@
 			4000  edit     .          .          v2
 			4001  .        up         .          .
 			5500  .        .          .          v3`},
-		"core nodes are replaced one after the other until no seed exists": {"a+b+c", `
+		"core nodes replaced until no seed exists": {"a+b+c", `
 			ms    commits  a           b           c           d        e        f        front
 			0     few      up,joins    up,joins    up,joins    .        .        .        .
 			1000  edit     down,leaves .           .           up,joins .        .        .
@@ -71,7 +71,7 @@
 			5000  edit     .           .           down,leaves .        .        up,joins v3
 			7000  edit     .           .           .           .        .        .        v4
 			8000  .        .           .           .           .        .        .        v5`},
-		"a node that was cut off names members that are gone": {"a+b", `
+		"partitioned node names removed members": {"a+b", `
 			ms    commits  a          b           c        front
 			0     few      up,joins   up,joins    .        .
 			900   .        alone      .           .        v1
@@ -79,7 +79,7 @@
 			3000  .        .          down,leaves cut      v2
 			5000  edit     .          .           up       .
 			8000  .        .          .           .        v3`},
-		"all were replaced while it was cut off: a hangup names the new ones": {"a+b", `
+		"all replaced during a partition, new seeds by SIGHUP": {"a+b", `
 			ms    commits  a           b           c        d        front
 			0     few      up,joins    up,joins    .        .        .
 			1000  .        cut         cut         .        .        v1
@@ -87,7 +87,7 @@
 			9000  .        .           .           .        .        v1
 			9001  .        .           .           .        .        seeds=c
 			13500 .        .           .           .        .        v2`},
-		"members that it learned are gone, its seeds are back": {"a", `
+		"learned members removed, seeds return": {"a", `
 			ms    commits  a           b           c        front
 			0     few      up,joins    up,joins    .        .
 			1000  .        cut,leaves  .           .        v1
@@ -96,11 +96,11 @@
 			3001  edit     up,joins    down        .        .
 			6000  .        .           .           .        v3`},
 	} {
-		t.Run(name, func(t *testing.T) { playTimeline(t, one.seeds, one.timeline, nil) })
+		t.Run(name, func(t *testing.T) { playTimeline(t, test.seeds, test.timeline, nil) })
 	}
 }
 
-// A cut heals at any moment of a poll, of its end and of the pauses between polls.
+// The partition heals at any time of a poll, of its end and of the pauses between polls.
 func TestPartitionHealsAtAnyTime(t *testing.T) {
 	for heals := 1000; heals < 2600; heals += 17 {
 		playTimeline(t, "a+b+c", fmt.Sprintf(`
@@ -112,37 +112,37 @@
 	}
 }
 
-// Both core nodes are asked at the start; after the sleep there is one answer, and one value or one difference.
+// Both core nodes are polled at the start. After the partition there is one response with one value or one delta.
 func TestCatchUpAfterThreeHundredChanges(t *testing.T) {
-	asleep := `
+	timeline := `
 		ms    commits  a          b           front
 		0     %s       up,joins   up,joins    .
 		1000  .        cut        cut         v1
 		1001  x300     .          .           .
 		5000  .        %[2]s      %[2]s       v1
 		8000  .        .          .           v301`
-	for name, one := range map[string]struct {
-		size, wakes            string
-		whole, patches, pieces int
-		bytes                  int
+	for name, test := range map[string]struct {
+		size, wakes string
+		traffic     trafficCounts // bytes: at most
 	}{
-		"short values":                  {"few", "up", 3, 0, 0, 3 << 10},
-		"the old value is kept":         {"some", "up", 2, 1, 0, 24 << 10},
-		"the old value is gone":         {"some", "lost,up", 3, 0, 0, 36 << 10},
-		"large, the old value is kept":  {"large", "up", 0, 1, 3, 152 << 10},
-		"large and the old one is gone": {"large", "lost,up", 0, 0, 6, 303 << 10},
+		"short values":                {"few", "up", trafficCounts{full: 3, bytes: 3 << 10}},
+		"old value cached":            {"some", "up", trafficCounts{full: 2, patches: 1, bytes: 24 << 10}},
+		"old value not cached":        {"some", "lost,up", trafficCounts{full: 3, bytes: 36 << 10}},
+		"large, old value cached":     {"large", "up", trafficCounts{patches: 1, chunks: 3, bytes: 152 << 10}},
+		"large, old value not cached": {"large", "lost,up", trafficCounts{chunks: 6, bytes: 303 << 10}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playTimeline(t, "a+b", fmt.Sprintf(asleep, one.size, one.wakes), func(w *scriptedCluster) {
-				if w.traffic.full != one.whole || w.traffic.patches != one.patches || w.traffic.chunks != one.pieces || w.traffic.bytes > one.bytes {
-					t.Errorf("%+v, wanted %+v", w.traffic, one)
+			playTimeline(t, "a+b", fmt.Sprintf(timeline, test.size, test.wakes), func(w *scriptedCluster) {
+				got, want := w.traffic, test.traffic
+				if got.full != want.full || got.patches != want.patches || got.chunks != want.chunks || got.bytes > want.bytes {
+					t.Errorf("%+v, want %+v", got, want)
 				}
 			})
 		})
 	}
 }
 
-// One that is awake takes each change as a difference: 300 of 11 KB are 3.4 MB otherwise.
+// A connected follower receives each change as a delta: 300 full values of 11 KB would be 3.4 MB.
 func TestThreeHundredChangesAsDeltas(t *testing.T) {
 	playTimeline(t, "a+b", `
 		ms    commits  a          b           front
@@ -163,13 +163,13 @@
 		1000  .        .             .             v0
 		3500  .        .             .             v1`, func(w *scriptedCluster) {
 		if w.traffic.chunks != 4 {
-			t.Errorf("%d pieces were asked for of a value of three, of which one was lost", w.traffic.chunks)
+			t.Errorf("%d chunks were requested of a value of three, of which one was lost", w.traffic.chunks)
 		}
 	})
 }
 
-// 5 MB take 1.35 s over a link of 30 Mbit/s, and a poll is given up after 0.95 s: the value comes, polls go on beside it,
-// and the source dies on the way.
+// 5 MB take 1.35 s over a link of 30 Mbit/s, and a poll times out after 0.95 s. The value is downloaded while polls go on,
+// and the source fails during a download.
 func TestFiveMegabytesOverSlowLink(t *testing.T) {
 	playTimeline(t, "a+b", `
 		ms    commits  a              b               front
@@ -183,14 +183,17 @@
 		if size := len(w.log.entries[0].Value); size < 5_000_000 {
 			t.Errorf("a value of %d bytes", size)
 		}
-		pieces := (len(w.log.entries[0].Value)+maxChunkSize-1)/maxChunkSize + (len(w.log.entries[2].Value)+maxChunkSize-1)/maxChunkSize
-		if w.traffic.chunks > pieces+2*maxChunksInFlight || w.traffic.polls < 6 {
-			t.Errorf("%+v of %d pieces", w.traffic, pieces)
+		chunks := 0
+		for _, i := range []int{0, 2} {
+			chunks += (len(w.log.entries[i].Value) + maxChunkSize - 1) / maxChunkSize
+		}
+		if w.traffic.chunks > chunks+2*maxChunksInFlight || w.traffic.polls < 6 {
+			t.Errorf("%+v of %d chunks", w.traffic, chunks)
 		}
 	})
 }
 
-// Where all sources are busy the follower asks for a piece now and then, and its polls go on.
+// While all sources are busy, the follower requests chunks at a bounded rate, and its polls go on.
 func TestLargeValueWhileSourcesAreBusy(t *testing.T) {
 	playTimeline(t, "a+b", `
 		ms    commits  a             b              front
@@ -199,12 +202,12 @@
 		10001 .        .             serves         .
 		11500 .        .             .              v1`, func(w *scriptedCluster) {
 		if w.traffic.chunks < 20 || w.traffic.chunks > 80 {
-			t.Errorf("%d calls for pieces in ten seconds", w.traffic.chunks)
+			t.Errorf("%d chunk requests in ten seconds", w.traffic.chunks)
 		}
 	})
 }
 
-// Versions that come faster than a value can be fetched do not start it anew for ever.
+// Versions that change faster than a download takes don't restart it for ever.
 func TestLargeValueCompletesWhileVersionsAdvance(t *testing.T) {
 	playTimeline(t, "a+b", `
 		ms    commits     a             b          front
@@ -215,12 +218,12 @@
 		1400  edit        .             .          .
 		4000  .           .             .          v5`, func(w *scriptedCluster) {
 		if w.traffic.chunks != 3 || w.traffic.patches == 0 {
-			t.Errorf("%+v, wanted 3 pieces and a delta", w.traffic)
+			t.Errorf("%+v, want 3 chunks and a delta", w.traffic)
 		}
 	})
 }
 
-// Where no source has it any more, the newest one is fetched.
+// If no source has the value any more, the newest one is downloaded.
 func TestLargeValueLostAtAllSources(t *testing.T) {
 	playTimeline(t, "a+b", `
 		ms    commits  a             b          front
@@ -238,7 +241,7 @@
 		1001  edit     lost       .           .
 		1500  .        .          .           v2`, func(w *scriptedCluster) {
 		if w.traffic.patches != 0 || w.traffic.full != 2 {
-			t.Errorf("%+v, wanted two whole values", w.traffic)
+			t.Errorf("%+v, want two full values", w.traffic)
 		}
 	})
 }
@@ -254,41 +257,40 @@
 			1502  edit     .                  .
 			2000  .        .                  v3`, size), func(w *scriptedCluster) {
 			if w.traffic.patches != 2 {
-				t.Errorf("%+v, wanted a wrong delta and a right one", w.traffic)
+				t.Errorf("%+v, want a corrupt delta and a correct one", w.traffic)
 			}
 		})
 	}
 }
 
-// While no source is fresh the follower goes on with what it has, asks at a bounded rate, and does not call it heard.
+// While no response is confirmed, the follower keeps its tables, polls at a bounded rate, and ConfirmedAt does not rise.
 func TestNoConfirmedSourceForAMinute(t *testing.T) {
-	for _, trouble := range []string{"alone", "cut", "down", "lies"} {
+	for _, fault := range []string{"alone", "cut", "down", "lies"} {
 		playTimeline(t, "a+b+c", fmt.Sprintf(`
 			ms    commits  a          b           c          front
 			0     few      up,joins   up,joins    up,joins   .
 			1000  few      .          .           .          .
 			1900  .        %[1]s      %[1]s       %[1]s      v2
-			61900 .        .          .           .          v2`, trouble), func(w *scriptedCluster) {
-			if heard := time.Since(w.follower.Tables().ConfirmedAt); trouble != "lies" && heard < 60*time.Second {
-				t.Errorf("%s: heard %v ago", trouble, heard)
+			61900 .        .          .           .          v2`, fault), func(w *scriptedCluster) {
+			if age := time.Since(w.follower.Tables().ConfirmedAt); fault != "lies" && age < 60*time.Second {
+				t.Errorf("%s: confirmed %v ago", fault, age)
 			}
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if calls := w.calls; trouble != "lies" && calls > 60*4 {
-				t.Errorf("%s: %d calls in a minute", trouble, calls)
+			if calls := w.calls; fault != "lies" && calls > 60*4 {
+				t.Errorf("%s: %d calls in a minute", fault, calls)
 			}
 		})
 	}
 }
 
-// Heard is when the poll was sent, not when its answer came.
 func TestConfirmedAtIsWhenThePollWasSent(t *testing.T) {
 	playTimeline(t, "a", `
 		ms    commits  a             front
 		0     few      up,joins,slow .
 		400   .        .             v1`, func(w *scriptedCluster) {
-		if heard := time.Since(w.follower.Tables().ConfirmedAt); heard < 390*time.Millisecond || heard > 400*time.Millisecond {
-			t.Errorf("the answer, of a poll that was sent at 0 ms, was heard %v ago at 400 ms", heard)
+		if age := time.Since(w.follower.Tables().ConfirmedAt); age < 390*time.Millisecond || age > 400*time.Millisecond {
+			t.Errorf("the response to a poll that was sent at 0 ms was confirmed %v ago at 400 ms", age)
 		}
 	})
 }
--- a/internal/tier/feed/messages.go
+++ b/internal/tier/feed/messages.go
@@ -7,81 +7,82 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Calls that a core node answers. Stores have theirs from 20 on.
+// Methods of core nodes. Those of stores begin at 20. The numbers are part of the protocol.
 const (
-	PeerCall rpc.Method = iota + 1 // a notice between core nodes
-	FollowCall
+	PeerCall   rpc.Method = iota + 1 // a message between core nodes
+	FollowCall                       // a poll by a follower of an earlier version
 	PutCall
 	ReadCall
 	RegisterCall
 	RetireCall
 	PhaseCall
 	StatusCall
-	ChangesCall // what FollowCall was, with differences and pieces
-	ChunkCall
+	ChangesCall // a poll, with deltas and references in the response
+	ChunkCall   // a chunk of a large value
 )
 
-// FollowRequest asks for what is new after an index; it waits for that for a bounded time. It is that of followers of an
-// earlier version, which get every value whole: Avro reads fields by their order, so that neither type may change.
+// FollowRequest is the poll of a follower of an earlier version, which is sent every value in full. All messages are
+// encoded as their fields in order, without names: a field must not be added, dropped, moved or retyped.
 type FollowRequest struct {
 	Name           string // of the machine
 	Class          string
 	AppliedIndex   int64
-	ActiveVersion  int64 // version of the configuration that the follower acts on
-	HostListTerm   int64 // of the list of hosts that it has
+	ActiveVersion  int64 // version of the configuration in its tables, 0 if there is none
+	HostListTerm   int64 // of the host list in its tables, 0 if there is none
 	HostListNumber int64
-	WaitMs         int64
+	WaitMs         int64 // how long the source may delay a response without changes
 }
 
-// FollowResponse is the feed.
+// FollowResponse is the response to FollowRequest.
 type FollowResponse struct {
-	Confirmed bool // the source hears a majority and has all that it knows to be committed
-	Index     int64
+	Confirmed bool  // a majority has confirmed the source's epoch after the request arrived; otherwise only CoreAddrs is set
+	Index     int64 // of the last committed entry
 	Entries   []chain.Entry
-	Hosts     []discovery.List  // the whole list, at most one
-	Delta     []discovery.Delta // or what differs from the one that the follower has
-	CoreAddrs []string          // addresses of core nodes
+	Hosts     []discovery.List  // the full host list, at most one
+	Delta     []discovery.Delta // or the delta to the follower's list, at most one
+	CoreAddrs []string          // addresses of the members
 }
 
-// ChangesRequest asks for what is new after an index; the source waits for that for a bounded time.
+// ChangesRequest is a long poll for all changes after ReceivedIndex.
 type ChangesRequest struct {
 	Name           string // of the machine
 	Class          string
-	AppliedIndex   int64 // up to it the follower acts on all entries
-	ReceivedIndex  int64 // up to it it was told of all entries: Index, or more while a large value is being fetched
-	ActiveVersion  int64 // version of the configuration that it acts on
-	HostListTerm   int64 // of the list of hosts that it has
+	AppliedIndex   int64 // up to it all entries are applied
+	ReceivedIndex  int64 // up to it all entries were received: above AppliedIndex while a large value is downloaded
+	ActiveVersion  int64 // version of the configuration in its tables, 0 if there is none
+	HostListTerm   int64 // of the host list in its tables, 0 if there is none
 	HostListNumber int64
-	WaitMs         int64
-	BaseValues     []BaseValue // what a difference may build on
+	WaitMs         int64       // how long the source may delay a response without changes
+	BaseValues     []BaseValue // possible bases of deltas
 }
 
-// BaseValue names the value that a follower has under a key.
+// BaseValue refers to the value that a follower has for a key.
 type BaseValue struct {
 	Key    string
 	Digest []byte
 }
 
-// ChangesResponse is the feed: each entry after Told is in one of Entries, Patches and Large.
+// ChangesResponse is the response to ChangesRequest: each entry after ReceivedIndex, unless there is a newer one of its
+// key, is in one of Entries, Patches and LargeValues.
 type ChangesResponse struct {
-	Confirmed   bool // a majority has confirmed after the request came that this is all that is committed
-	Index       int64
+	Confirmed   bool  // a majority has confirmed the source's epoch after the request arrived; otherwise only CoreAddrs counts
+	Index       int64 // of the last committed entry
 	Entries     []chain.Entry
 	Patches     []Patch
 	LargeValues []ValueRef
-	Hosts       []discovery.List  // the whole list, at most one
-	Delta       []discovery.Delta // or what differs from the one that the follower has
-	CoreAddrs   []string          // addresses of core nodes
+	Hosts       []discovery.List  // the full host list, at most one
+	Delta       []discovery.Delta // or the delta to the follower's list, at most one
+	CoreAddrs   []string          // addresses of the members
 }
 
-// Patch is an entry whose value is given as a delta (bodydelta) against the one that the follower holds.
+// Patch is an entry whose value is sent as a delta (package bodydelta) to the follower's base value.
 type Patch struct {
 	Index int64
 	Key   string
 	Delta []byte
 }
 
-// ValueRef is an entry whose value is to be fetched in pieces.
+// ValueRef is an entry whose value the follower has to download in chunks.
 type ValueRef struct {
 	Index  int64
 	Key    string
@@ -89,7 +90,7 @@
 	Digest []byte
 }
 
-// ChunkRequest asks for a part of a value; any core node that has it may be asked.
+// ChunkRequest requests a chunk of a value, from any core node.
 type ChunkRequest struct {
 	Name   string // of the machine
 	Digest []byte
@@ -97,67 +98,66 @@
 	Length int64
 }
 
-// The states of a Piece.
+// The values of Chunk.Status.
 const (
 	ChunkServed  = iota
-	ChunkUnknown // the node does not have the value, or has it no more
-	ChunkBusy    // the node serves as many transfers as it may: ask again later, or another
+	ChunkUnknown // the node does not have the value, or no longer
+	ChunkBusy    // the node serves its maximum of transfers: retry later, or at another node
 )
 
-// Chunk is a part of a value.
+// Chunk is the response to ChunkRequest.
 type Chunk struct {
 	Status int
-	Digest []byte // of the whole value
+	Digest []byte // of the complete value
 	Offset int64
 	Data   []byte
-	Final  bool // the value ends with it
+	Final  bool // the value ends with this chunk
 }
 
-// Registration is what a store tells of itself, again and again.
+// Registration is a store's report, which it repeats as a heartbeat.
 type Registration struct {
 	Store           turnstore.Store
-	Generation      int64 // the newest that it has adopted: it refuses what comes under an older one
-	SweptGeneration int64 // the gen under which it has swept all others
-	Full            bool  // its disk has little room: it opens no turns
-	// Forwarded by a core node that is not the head: it is passed on once.
-	Forwarded bool
+	Generation      int64 // the newest placement generation that it adopted; it rejects requests under older ones
+	SweptGeneration int64 // the generation under which it completed a sweep
+	Full            bool  // its disk is almost full: it opens no turns
+	Forwarded       bool  // by a core node that is not the head; it is not forwarded again
 }
 
-// PutRequest is a configuration that an operator sends. IfMatch is the version on which it builds.
+// PutRequest is an operator's order to put a configuration.
 type PutRequest struct {
-	IfMatch   int64
+	IfMatch   int64 // the version on which it builds
 	Body      []byte
-	Forwarded bool
+	Forwarded bool // as in Registration
 }
 
-// Reply is what an operator is answered: a status of HTTP and a text, or a body of JSON.
+// Reply is the response to an operator: an HTTP status and a text, or a JSON body.
 type Reply struct {
 	Status   int
 	Text     string
 	Body     []byte
-	Location string // of the node that answers instead, with status 307
+	Location string // with status 307: the URL at the node that can answer
 }
 
-// OrderRequest names a store that is to be emptied, or whose emptying is asked after.
+// OrderRequest is an operator's order to retire a store, or a request for the phase of its retirement.
 type OrderRequest struct {
-	Name      string
-	Forwarded bool
+	Name      string // of the store
+	Forwarded bool   // as in Registration
 }
 
-// Empty is an empty answer.
+// Empty is an empty response.
 type Empty struct{ Unused bool }
 
 // ConfigEntry is the value under ConfigKey.
 type ConfigEntry struct {
 	Version       int64
 	Body          []byte
-	RecentDigests [][]byte // digests of the versions taken last, this one included
+	RecentDigests [][]byte // of the configurations applied last, this one included; see package orders
 }
 
-// RetireEntry is the value under RetirePrefix + name.
+// RetireEntry is the value under a key with RetirePrefix.
 type RetireEntry struct {
-	ID string // of the store that is emptied
+	ID string // identity of the store to retire
 }
 
-// RetirePrefix begins the keys of stores that are to be emptied.
+// RetirePrefix is the prefix of the keys of orders to retire a store; see orders.RetireKey.
 const RetirePrefix = "retire/"
--- a/internal/tier/feed/poll.go
+++ b/internal/tier/feed/poll.go
@@ -7,56 +7,60 @@
 )
 
 const (
-	// lateAfter is how long after the time that a poll rests its answer may come before other core nodes are asked as well.
+	// hedgeDelay is how late the source's response may be, after the poll's wait, before other core nodes are polled too.
 	hedgeDelay = 300 * time.Millisecond
 
-	// askApart is the time between the calls to one core node and the next. A follower that knows eight and can reach one
-	// finds it 1.4 s after its source was cut off, within config_apply_ms; and those that lose one source together go to
-	// different ones, each to the first of its own order that answers.
+	// hedgeInterval is the time between the polls of one core node and the next. A follower that knows eight and can
+	// reach one finds it 1.4 s after its source was partitioned, within config_apply_ms. Followers that lose one source
+	// together go to different ones, each to the first of its own order that responds.
 	hedgeInterval = 100 * time.Millisecond
 
-	// searchTime is how long a round takes to ask all core nodes where none could be relied on in the one before. Calls
-	// overlap only as far as it demands: where links are joined again, each call under way is answered with all that is new.
+	// searchDuration is the time over which a poll spreads its calls to all core nodes if the poll before had no confirmed
+	// response. Calls overlap no more than needed for that: at the end of a partition each one in flight is answered with
+	// all changes.
 	searchDuration = 1400 * time.Millisecond
 
-	// homeWait is the time between two tries to return to the first core node of the follower's own order, at least and with chance
-	// up to twice that. Without it all followers stay where the last cut drove them.
+	// failbackInterval is the least time between two attempts to return to the first core node of the follower's order; a
+	// random time up to the same is added. Without failback all followers stay where the last partition drove them.
 	failbackInterval = 8 * time.Second
 
-	// roundMost bounds the pause after a round that failed: a follower that knows three core nodes makes three calls a second.
+	// maxPollBackoff bounds the pause after a failed poll: a follower that knows three core nodes makes three calls a
+	// second.
 	maxPollBackoff = 1200 * time.Millisecond
 
-	// firstRetry is the step of backoff after the first round that failed: 0.2 to 0.4 s.
+	// firstPollBackoffStep is the step of backoff after the first failed poll: 0.2 to 0.4 s.
 	firstPollBackoffStep = 3
 )
 
-// received is how a call to a core node ended.
+// pollResult is the outcome of one call to a core node.
 type pollResult struct {
 	core     string
-	sent     time.Time
+	sent     time.Time // when the call was made; the response shows the state at this time or later
 	request  *ChangesRequest
-	response *ChangesResponse
+	response *ChangesResponse // not nil; empty if err is not nil
 	err      error
 }
 
-// round asks the core node that is followed and, where that is late or cannot be relied on, the others beside it, one
-// after the other, until the first answer that may be relied on.
+// hedgedPoll polls the source and, if that is late or not confirmed, the other core nodes one after the other, until the
+// first confirmed response.
 type hedgedPoll struct {
 	follower  *Follower
-	remaining []string // to be asked
-	interval  time.Duration
+	remaining []string      // core nodes that are not polled yet
+	interval  time.Duration // between two calls
 	inFlight  int
-	results   chan pollResult
+	results   chan pollResult // with space for all calls, so that no call blocks
 }
 
-// poll makes one round, in which the source that is followed may wait for news, and tells whether one was relied on.
+// poll makes one hedged poll, in which the source may delay its response by wait if there is no change. It reports
+// whether a response was applied.
 func (f *Follower) poll(ctx context.Context, wait time.Duration) bool {
 	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.mu.Lock()
 	cores := f.sources.fromCurrentOn()
 	f.mu.Unlock()
-	poll := &hedgedPoll{follower: f, remaining: cores, interval: pollInterval(wait, len(cores)), results: make(chan pollResult, len(cores))}
+	poll := &hedgedPoll{follower: f, remaining: cores, interval: pollInterval(wait, len(cores)),
+		results: make(chan pollResult, len(cores))}
 	hedgeTimer := time.NewTimer(poll.sendFirst(pollCtx, wait))
 	defer hedgeTimer.Stop()
 	for poll.inFlight+len(poll.remaining) > 0 && ctx.Err() == nil {
@@ -77,7 +81,7 @@
 	return false
 }
 
-// apart is the time between two calls of a round: short where the source that was relied on until now is lost.
+// pollInterval returns the time between two calls of a poll: short if the source was confirmed until now.
 func pollInterval(wait time.Duration, cores int) time.Duration {
 	if wait > 0 {
 		return hedgeInterval
@@ -85,34 +89,31 @@
 	return max(hedgeInterval, min(pollGrace, searchDuration/time.Duration(cores)))
 }
 
-// first asks the source that is followed, and gives after what time it is late.
-func (r *hedgedPoll) sendFirst(ctx context.Context, wait time.Duration) time.Duration {
-	request := r.follower.newRequest(wait)
+// sendFirst polls the source and returns the time after which its response is late.
+func (p *hedgedPoll) sendFirst(ctx context.Context, wait time.Duration) time.Duration {
+	request := p.follower.newRequest(wait)
 	if request.ReceivedIndex == 0 {
 		request.WaitMs = 0
 	}
-	r.sendNext(ctx, request)
+	p.sendNext(ctx, request)
 	if wait == 0 {
-		return r.interval
+		return p.interval
 	}
 	return wait + hedgeDelay
 }
 
-// ask asks the next core node, if there is one.
-func (r *hedgedPoll) sendNext(ctx context.Context, request *ChangesRequest) {
-	if len(r.remaining) == 0 {
+// sendNext polls the next core node, if one is left.
+func (p *hedgedPoll) sendNext(ctx context.Context, request *ChangesRequest) {
+	if len(p.remaining) == 0 {
 		return
 	}
-	core := r.remaining[0]
-	r.remaining = r.remaining[1:]
-	r.inFlight++
-	r.follower.wg.Go(func() {
-		response, sent, err := r.follower.sendPoll(ctx, core, request)
-		r.results <- pollResult{core, sent, request, response, err}
-	})
+	core := p.remaining[0]
+	p.remaining = p.remaining[1:]
+	p.inFlight++
+	p.follower.wg.Go(func() { p.results <- p.follower.sendPoll(ctx, core, request) })
 }
 
-// relies takes an answer in and tells whether its source may be relied on.
+// acceptResult applies a response and reports whether its core node is the source now.
 func (f *Follower) acceptResult(ctx context.Context, result pollResult) bool {
 	if result.err != nil {
 		if ctx.Err() == nil {
@@ -120,16 +121,18 @@
 		}
 		return false
 	}
-	if !f.handleResponse(ctx, result.core, result.sent, result.request, result.response) {
+	if !f.handleResponse(ctx, result) {
 		return false
 	}
-	if result.request.ReceivedIndex == 0 && result.response.Index == 0 && len(result.response.Entries) == 0 { // nothing is there yet
+	empty := result.response.Index == 0 && len(result.response.Entries) == 0
+	if empty && result.request.ReceivedIndex == 0 { // there is no control state yet
 		sleep(ctx, initialBackoff)
 	}
 	return true
 }
 
-// goHome tries now and then to return to the first core node of the follower's own order.
+// failback polls the first core node of the follower's order, if another one is the source and the time has come, and
+// returns to it if its response is confirmed.
 func (f *Follower) failback(ctx context.Context) {
 	f.mu.Lock()
 	preferred, elsewhere := f.sources.preferred(), f.sources.current() != f.sources.preferred()
@@ -138,7 +141,5 @@
 		return
 	}
 	f.nextFailback = time.Now().Add(failbackInterval + rand.N(failbackInterval))
-	request := f.newRequest(0)
-	response, sent, err := f.sendPoll(ctx, preferred, request)
-	f.acceptResult(ctx, pollResult{preferred, sent, request, response, err})
+	f.acceptResult(ctx, f.sendPoll(ctx, preferred, f.newRequest(0)))
 }
--- a/internal/tier/feed/replica.go
+++ b/internal/tier/feed/replica.go
@@ -13,25 +13,25 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// errBehind says that a source called itself fresh and was not.
+// errSourceBehind reports a response below an index that was confirmed before, although it claims to be confirmed.
 var errSourceBehind = errors.New("the source is behind what another one gave: another is asked")
 
-// replica is what a follower has of the control state. It is pure: requests and answers in, tables out. Its index never
-// goes back, whatever sources say.
+// replica is a follower's copy of the control state. It is pure: it makes requests and turns responses into tables. No
+// index in it goes down, whatever sources send. It is not safe for concurrent use; the tables it made are immutable.
 type replica struct {
-	tables         *Tables
-	receivedIndex  int64            // up to it all entries were told of
-	confirmedIndex int64            // the highest index that a fresh source gave
-	valueIndexes   map[string]int64 // of the values in the tables, by key
-	baseValue      []byte           // the configuration's value, for deltas
-	baseDigest     bodydelta.Digest // of held
-	requestFull    bool             // the next answer is to have no deltas: one did not fit
-	download       *download        // nil for none
+	tables         *Tables          // never nil; replaced, never changed
+	receivedIndex  int64            // every entry up to it was received, in full, as a delta or as a reference
+	confirmedIndex int64            // the highest index of a confirmed response
+	valueIndexes   map[string]int64 // by key: the index of the value in the tables
+	baseValue      []byte           // the current configuration's value, the base of deltas; nil if there is none
+	baseDigest     bodydelta.Digest // of baseValue
+	requestFull    bool             // the next request names no base, since a delta could not be applied
+	download       *download        // the large value in progress, nil if there is none
 }
 
 func newReplica() *replica { return &replica{tables: &Tables{}, valueIndexes: map[string]int64{}} }
 
-// request is the next poll, but for the follower's name.
+// nextRequest returns the next poll request; the caller fills in Name, Class and WaitMs.
 func (r *replica) nextRequest() ChangesRequest {
 	request := ChangesRequest{AppliedIndex: r.tables.Index, ReceivedIndex: r.receivedIndex}
 	if r.tables.Config != nil {
@@ -41,20 +41,20 @@
 		request.HostListTerm, request.HostListNumber = r.tables.Hosts.Term, r.tables.Hosts.Number
 	}
 	if r.baseValue != nil && !r.requestFull {
-		digest := r.baseDigest // of its own: a value may be taken in while the request is written
+		digest := r.baseDigest // a copy: a value may be applied while the request is encoded
 		request.BaseValues = []BaseValue{{Key: ConfigKey, Digest: digest[:]}}
 	}
 	return request
 }
 
-// take makes tables of a fresh answer to a request that was sent at a time. What could not be used is in faults; err is
-// errBehind where the source cannot be fresh.
+// handleResponse applies a confirmed response to a request that was sent at a time. Faults are the entries that could not
+// be applied. If the source is behind, nothing is applied and err is errSourceBehind.
 func (r *replica) handleResponse(sent time.Time, request *ChangesRequest, response *ChangesResponse) (faults []error, err error) {
 	if response.Index < r.confirmedIndex {
 		return nil, errSourceBehind
 	}
 	next := *r.tables
-	if request.ReceivedIndex <= r.receivedIndex { // else entries between the two are missing: a fetch ended meanwhile
+	if request.ReceivedIndex <= r.receivedIndex { // otherwise entries between the two would be missed: a download ended meanwhile
 		faults = r.applyEntries(&next, response)
 	}
 	r.applyHosts(&next, response)
@@ -65,7 +65,8 @@
 	return faults, nil
 }
 
-// takeEntries goes on to the answer's index, as far as nothing has to be fetched.
+// applyEntries applies the entries of a response. Tables.Index rises to the response's index unless a value is still to be
+// downloaded, or a delta could not be applied; then its entry is requested in full with the next poll.
 func (r *replica) applyEntries(next *Tables, response *ChangesResponse) (faults []error) {
 	for _, e := range response.Entries {
 		if err := r.applyEntry(next, e); err != nil {
@@ -74,7 +75,7 @@
 	}
 	for _, p := range response.Patches {
 		if err := r.applyPatch(next, p); err != nil {
-			r.requestFull = true // told stays: the next poll asks for it again
+			r.requestFull = true // receivedIndex stays, so that the next poll requests it again
 			return append(faults, err)
 		}
 	}
@@ -88,6 +89,7 @@
 	return faults
 }
 
+// applyHosts applies a host list, or the delta of one, if it is newer than the current list.
 func (r *replica) applyHosts(next *Tables, response *ChangesResponse) {
 	current := r.tables.Hosts
 	if len(response.Hosts) == 1 && response.Hosts[0].Newer(current) {
@@ -100,23 +102,24 @@
 	}
 }
 
-// patch applies an entry that came as a delta. The digests are checked before anything is swapped.
+// applyPatch applies an entry that was sent as a delta to baseValue, after both digests were checked.
 func (r *replica) applyPatch(next *Tables, p Patch) error {
 	if p.Index <= r.valueIndexes[p.Key] {
 		return nil
 	}
 	if p.Key != ConfigKey {
-		return errors.Newf("a difference of %s, of which none was held: it is asked for whole", p.Key)
+		return errors.Newf("a delta of %s, which has no base value: the full value is requested", p.Key)
 	}
 	value, err := bodydelta.ApplyNamed(r.baseValue, r.baseDigest, p.Delta, rpc.MaxFrame)
 	if err != nil {
-		return errors.Wrapf(err, "%s at index %d: it is asked for whole", p.Key, p.Index)
+		return errors.Wrapf(err, "%s at index %d: the full value is requested", p.Key, p.Index)
 	}
 	return r.applyEntry(next, chain.Entry{Index: p.Index, Key: p.Key, Value: value})
 }
 
-// want begins to fetch a value, or goes on with it. One that is under way is finished first, also when a newer one is
-// there: the newer one then comes as a delta, and versions that follow each other fast do not start it anew for ever.
+// startDownload starts to download a value or resumes its download. A download in progress is completed even if there is
+// a newer value: that one is then sent as a delta, whereas versions that change faster than a download takes would
+// restart it for ever.
 func (r *replica) startDownload(ref ValueRef) {
 	if ref.Index <= r.valueIndexes[ref.Key] || ref.Key != ConfigKey && ref.Key != PlacementKey || !ref.isValid() {
 		return
@@ -131,7 +134,7 @@
 	}
 }
 
-// fetched takes in the value whose pieces are complete.
+// finishDownload applies the value of the complete download. On a digest mismatch the download starts again.
 func (r *replica) finishDownload() error {
 	d := r.download
 	value, err := d.value()
@@ -142,18 +145,20 @@
 	err = r.applyEntry(&next, chain.Entry{Index: d.ref.Index, Key: d.ref.Key, Value: value})
 	r.download = nil
 	next.Index = max(next.Index, d.ref.Index)
-	r.receivedIndex = next.Index // newer entries are told again
+	r.receivedIndex = next.Index // newer entries are requested again
 	r.tables = &next
 	return err
 }
 
-// gone gives up a fetch that no source can go on with: the next poll tells what there is now.
+// abandonDownload stops a download that no source can continue. The next poll requests the entries after Tables.Index
+// again, and the download resumes if a response refers to the same value.
 func (r *replica) abandonDownload() {
 	r.download.abandoned = true
 	r.receivedIndex = r.tables.Index
 }
 
-// apply takes one entry into the tables. One that cannot be read is passed over, as it would be the next time.
+// applyEntry applies one entry, unless it is older than the value in the tables. An entry that can't be decoded counts as
+// applied: it would fail in the same way the next time.
 func (r *replica) applyEntry(next *Tables, e chain.Entry) error {
 	if e.Index <= r.valueIndexes[e.Key] {
 		return nil
@@ -175,6 +180,7 @@
 	return errors.Wrapf(err, "%s at index %d", e.Key, e.Index)
 }
 
+// applyConfig applies a configuration's value, unless its version is not above the current one.
 func (r *replica) applyConfig(next *Tables, value []byte) error {
 	var entry ConfigEntry
 	if err := rpc.Decode(value, &entry); err != nil {
@@ -188,10 +194,10 @@
 	if err != nil {
 		return err
 	}
-	config.Raw = nil // it is in held
+	config.Raw = nil // part of baseValue
 	next.Config = config
 	return nil
 }
 
-// complete tells whether a front can serve by the tables.
+// complete reports whether the tables have all that a front needs to serve.
 func (t *Tables) complete() bool { return t.Config != nil && t.Placement != nil && t.Hosts != nil }
--- a/internal/tier/feed/replica_simulation_test.go
+++ b/internal/tier/feed/replica_simulation_test.go
@@ -14,20 +14,21 @@
 	"larchrouter/internal/tier/chain"
 )
 
-// fault is one that is planted into a replica, around its own code.
+// replicaFault is a fault planted around a replica.
 type replicaFault string
 
 const (
 	noFault        replicaFault = ""
 	indexGoesBack  replicaFault = "index goes back"
 	noDigest       replicaFault = "delta applied without its digests"
-	mixedChunks    replicaFault = "pieces of two values mixed"
+	mixedChunks    replicaFault = "chunks of two values mixed"
 	staleAccepted  replicaFault = "stale source accepted"
 	gapOverlooked  replicaFault = "entries between two requests overlooked"
-	confirmedEarly replicaFault = "heard before a value has come"
+	confirmedEarly replicaFault = "confirmed before a value is downloaded"
 )
 
-// course is a drawn one: three sources that lag, lie and lose what they kept, one replica, a poll and pieces under way.
+// replicaSimulation simulates a replica and three sources that lag, send stale responses as confirmed and lose cached
+// values, with a poll and chunk requests in flight.
 type replicaSimulation struct {
 	t           *testing.T
 	rand        *rand.Rand
@@ -41,8 +42,8 @@
 	routeCount  int
 	bodySeed    int
 	commitTimes []time.Time // when each entry was committed
-	mayLie      bool        // sources may lie in this course
-	lied        bool        // a source called itself fresh and was not: what is heard holds no more
+	mayLie      bool        // sources may send stale responses as confirmed
+	lied        bool        // one did, so ConfirmedAt is no longer checked
 }
 
 type pollExchange struct {
@@ -58,7 +59,8 @@
 }
 
 func newReplicaSimulation(t *testing.T, seed uint64, fault replicaFault) *replicaSimulation {
-	sim := &replicaSimulation{t: t, rand: rand.New(rand.NewPCG(seed, 0)), replica: newReplica(), fault: fault, clock: time.Unix(1000, 0)}
+	sim := &replicaSimulation{t: t, rand: rand.New(rand.NewPCG(seed, 0)), replica: newReplica(), fault: fault,
+		clock: time.Unix(1000, 0)}
 	sim.routeCount = []int{someRoutes, largeRoutes}[sim.rand.IntN(2)]
 	for range 3 {
 		sim.sources = append(sim.sources, &fakeSource{})
@@ -87,18 +89,18 @@
 	c.randomSource().commitIndex = int64(len(c.log.entries))
 }
 
-// send makes a poll: the answer is made now and comes later. A source that was frozen lies: it calls itself fresh with
-// what it had.
+// sendPoll sends a poll. The response is made now and received later. A source that was frozen may send its stale state as
+// confirmed.
 func (c *replicaSimulation) sendPoll() {
-	s := c.randomSource()
-	confirmed := s.commitIndex == int64(len(c.log.entries))
+	source := c.randomSource()
+	confirmed := source.commitIndex == int64(len(c.log.entries))
 	lies := !confirmed && c.mayLie && c.rand.IntN(4) == 0
 	c.lied = c.lied || lies
 	request := c.replica.nextRequest()
-	response := s.respond(&c.log, wireCopy(&request), confirmed || lies)
+	response := source.respond(&c.log, wireCopy(&request), confirmed || lies)
 	if len(response.Patches) > 0 && c.rand.IntN(4) == 0 {
-		d := response.Patches[0].Delta
-		d[c.rand.IntN(len(d))] ^= byte(1 + c.rand.IntN(255))
+		delta := response.Patches[0].Delta
+		delta[c.rand.IntN(len(delta))] ^= byte(1 + c.rand.IntN(255))
 	}
 	if lies && response.Index < c.replica.tables.Index && c.fault != staleAccepted {
 		c.mustReject(&request, response)
@@ -108,12 +110,13 @@
 
 func (c *replicaSimulation) mustReject(request *ChangesRequest, response *ChangesResponse) {
 	before := c.replica.tables
-	if _, err := c.replica.handleResponse(c.clock, request, response); !errors.Is(err, errSourceBehind) || c.replica.tables != before {
-		c.t.Fatalf("a source at index %d was taken for fresh at index %d: %v", response.Index, before.Index, err)
+	_, err := c.replica.handleResponse(c.clock, request, response)
+	if !errors.Is(err, errSourceBehind) || c.replica.tables != before {
+		c.t.Fatalf("a source at index %d was not rejected as behind at index %d: %v", response.Index, before.Index, err)
 	}
 }
 
-// receive delivers the answer to the poll.
+// receiveResponse delivers the response to the poll.
 func (c *replicaSimulation) receiveResponse() {
 	exchange := c.inFlight
 	c.inFlight = nil
@@ -127,7 +130,7 @@
 	}
 }
 
-// plant changes the replica's own memory, or what comes to it, so that one of its checks does not hold.
+// plantFault changes the replica's fields, or the response, so that one of its checks has no effect.
 func (c *replicaSimulation) plantFault(exchange *pollExchange) {
 	switch c.fault {
 	case indexGoesBack:
@@ -148,7 +151,7 @@
 	}
 }
 
-// careless applies a delta without a look at its digests; nil where that cannot be done at all.
+// applyUnchecked applies a delta without checking its digests; nil if that is impossible.
 func applyUnchecked(old, delta []byte) (value []byte) {
 	operations, copied := delta[min(len(delta), 1+2*len(bodydelta.Digest{})):], 0
 	for len(operations) > 0 {
@@ -214,35 +217,41 @@
 	}
 	if exchange.download.complete() {
 		if c.fault == mixedChunks {
-			d := bodydelta.DigestOf(exchange.download.data)
-			exchange.download.ref.Digest = d[:]
+			digest := bodydelta.DigestOf(exchange.download.data)
+			exchange.download.ref.Digest = digest[:]
 		}
 		_ = c.replica.finishDownload()
 	}
 }
 
-// mix has pieces of any other value of the size count as those that were asked for.
+// mixChunks replaces a chunk by that of any other value of the same size.
 func (c *replicaSimulation) mixChunks(exchange *chunkExchange) {
 	for _, e := range c.log.entries {
 		if int64(len(e.Value)) == exchange.download.ref.Size && exchange.chunk != nil {
-			exchange.chunk = &Chunk{Digest: exchange.download.ref.Digest, Offset: exchange.span.offset, Data: e.Value[exchange.span.offset : exchange.span.offset+exchange.span.length]}
+			from, to := exchange.span.offset, exchange.span.offset+exchange.span.length
+			exchange.chunk = &Chunk{Digest: exchange.download.ref.Digest, Offset: from, Data: e.Value[from:to]}
 			return
 		}
 	}
 }
 
-// restart loses what a source keeps beside what is committed.
+// clearCache drops a source's cached values.
 func (c *replicaSimulation) clearCache() { c.randomSource().values = ValueCache{} }
 
 func (c *replicaSimulation) catchUp() { c.randomSource().commitIndex = int64(len(c.log.entries)) }
 
-// step does one drawn thing, and judges the tables after it.
+// step makes one random step and checks the tables.
 func (c *replicaSimulation) step() error {
 	before := c.replica.tables
 	c.clock = c.clock.Add(time.Millisecond)
 	steps := []func(){
-		c.commitEntry, c.commitEntry, c.commitEntry, c.catchUp, c.catchUp, c.catchUp, c.sendPoll, c.sendPoll, c.sendPoll, c.sendPoll, c.receiveResponse, c.receiveResponse, c.receiveResponse, c.receiveResponse,
-		c.requestChunk, c.requestChunk, c.requestChunk, c.receiveChunk, c.receiveChunk, c.receiveChunk, c.clearCache,
+		c.commitEntry, c.commitEntry, c.commitEntry,
+		c.catchUp, c.catchUp, c.catchUp,
+		c.sendPoll, c.sendPoll, c.sendPoll, c.sendPoll,
+		c.receiveResponse, c.receiveResponse, c.receiveResponse, c.receiveResponse,
+		c.requestChunk, c.requestChunk, c.requestChunk,
+		c.receiveChunk, c.receiveChunk, c.receiveChunk,
+		c.clearCache,
 	}
 	steps[c.rand.IntN(len(steps))]()
 	return c.check(before)
@@ -261,43 +270,43 @@
 		}
 	}
 	if c.replica.baseValue != nil {
-		return fmt.Errorf("the value that is held was never committed")
+		return fmt.Errorf("the base value was never committed")
 	}
 	return nil
 }
 
 func (c *replicaSimulation) checkConfirmedAt(tables *Tables) error {
 	if tables.ConfirmedAt.After(c.clock) {
-		return fmt.Errorf("heard after now")
+		return fmt.Errorf("ConfirmedAt is in the future")
 	}
 	for i, at := range c.commitTimes {
 		if !c.lied && at.Before(tables.ConfirmedAt) && tables.Index < int64(i)+1 {
-			return fmt.Errorf("heard at %v, at index %d, index %d was committed before", tables.ConfirmedAt, tables.Index, i+1)
+			return fmt.Errorf("confirmed at %v with index %d, index %d was committed before", tables.ConfirmedAt, tables.Index, i+1)
 		}
 	}
 	return nil
 }
 
-// settle has all sources whole and honest: the replica must come to the newest index.
+// converge makes all sources current: the replica must reach the newest index.
 func (c *replicaSimulation) converge() error {
-	for _, s := range c.sources {
-		s.commitIndex = int64(len(c.log.entries))
+	for _, source := range c.sources {
+		source.commitIndex = int64(len(c.log.entries))
 	}
-	s := c.sources[1]
+	source := c.sources[1]
 	for range 40 {
 		before := c.replica.tables
 		request := c.replica.nextRequest()
-		if _, err := c.replica.handleResponse(c.clock, &request, s.respond(&c.log, &request, true)); err != nil {
+		if _, err := c.replica.handleResponse(c.clock, &request, source.respond(&c.log, &request, true)); err != nil {
 			return err
 		}
 		for c.replica.download != nil && !c.replica.download.abandoned {
-			c.replica.download.pending = nil // of pieces that are lost
+			c.replica.download.pending = nil // their requests are lost
 			download := c.replica.download
 			span, ok := download.nextSpan()
 			if !ok {
-				return fmt.Errorf("nothing to ask for with %d of %d bytes", len(download.data), download.ref.Size)
+				return fmt.Errorf("nothing to request with %d of %d bytes", len(download.data), download.ref.Size)
 			}
-			chunk := s.values.Chunk(&ChunkRequest{Digest: download.ref.Digest, Offset: span.offset, Length: span.length})
+			chunk := source.values.Chunk(&ChunkRequest{Digest: download.ref.Digest, Offset: span.offset, Length: span.length})
 			if !download.handleChunk(span, chunk) && download.failures >= 6 {
 				c.replica.abandonDownload()
 			} else if download.complete() {
@@ -307,11 +316,11 @@
 		if err := c.check(before); err != nil {
 			return err
 		}
-		if c.replica.tables.Index == s.commitIndex {
+		if c.replica.tables.Index == source.commitIndex {
 			return nil
 		}
 	}
-	return fmt.Errorf("stays at index %d of %d", c.replica.tables.Index, s.commitIndex)
+	return fmt.Errorf("remains at index %d of %d", c.replica.tables.Index, source.commitIndex)
 }
 
 func (c *replicaSimulation) run() error {
@@ -326,9 +335,9 @@
 	return c.converge()
 }
 
-const maxFaultSimulations = 1000 // at most, until the fault shows
+const maxFaultSimulations = 1000 // at most, until the fault is found
 
-var simulations = flag.Uint64("courses", 100, "drawn courses of a follower")
+var simulations = flag.Uint64("courses", 100, "random simulations of a replica")
 
 func TestRandomReplicaSimulations(t *testing.T) {
 	for seed := range *simulations {
@@ -338,17 +347,17 @@
 	}
 }
 
-// Each fault must show in some of the courses that find nothing without it.
+// Each fault must be found by some of the simulations that find nothing without it.
 func TestReplicaSimulationFindsPlantedFaults(t *testing.T) {
-	for _, f := range []replicaFault{indexGoesBack, noDigest, mixedChunks, staleAccepted, gapOverlooked, confirmedEarly} {
-		t.Run(string(f), func(t *testing.T) {
+	for _, fault := range []replicaFault{indexGoesBack, noDigest, mixedChunks, staleAccepted, gapOverlooked, confirmedEarly} {
+		t.Run(string(fault), func(t *testing.T) {
 			for seed := range uint64(maxFaultSimulations) {
-				if err := newReplicaSimulation(t, seed, f).run(); err != nil {
+				if err := newReplicaSimulation(t, seed, fault).run(); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Fatalf("not found in %d courses", maxFaultSimulations)
+			t.Fatalf("not found in %d simulations", maxFaultSimulations)
 		})
 	}
 }
--- a/internal/tier/feed/scripted_cluster_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -21,23 +21,24 @@
 	slowLinkBytes = 30_000_000 / 8 // bytes a second
 )
 
-// world is core nodes as scripts, one real follower, and a judge of all its tables. A timeline is text: a line is a time
-// in ms, then a cell for the commits, for each core node, and for the follower; "." is nothing, commas join several.
+// scriptedCluster is a set of scripted core nodes and one real follower, whose tables are all checked. A script is a text
+// timeline: each line is a time in ms, then a cell for the commits, for each core node, and for the follower. A cell is a
+// list separated by commas, "." if it is empty.
 //
-//	commits   few some large huge  a version of so many routes; few! ... with nothing in common with the one before
-//	          edit xN          the version before with another number; N of them, 10 ms apart
+//	commits   few some large huge  a version with this many routes; few! ... with nothing in common with the one before
+//	          edit xN          the same routes with the next version; N of them, 10 ms apart
 //	          place            a placement
-//	a node    up               it answers, has a majority and all that is committed
-//	          cut down frozen  calls are not answered; are refused; wait until it thaws
-//	          alone            it answers, hears no majority, gets no commits, and tells of the members that it knew
-//	          lies             as alone, but calls itself fresh, as one that was frozen does
-//	          thin             its link carries 30 Mbit/s
-//	          slow             each answer takes 300 ms more; quick: no more
-//	          lost             it has forgotten all values but the committed ones
-//	          garbles          each delta that it gives has a wrong byte; honest: no more
-//	          busy             it gives no pieces, others have its transfers; serves: it does
-//	          joins leaves     the list of core nodes
-//	follower  v3               it acts on the third version by now; v0: on none
+//	a node    up               its responses are confirmed, it has all committed entries
+//	          cut down frozen  calls get no response; are refused; wait until it resumes
+//	          alone            it responds without a majority, and has the entries and members that it had
+//	          lies             as alone, but its responses claim to be confirmed
+//	          thin             its link has 30 Mbit/s
+//	          slow             each response takes 300 ms more; quick ends that
+//	          lost             its cached values are dropped
+//	          garbles          each delta has a wrong byte; honest ends that
+//	          busy             it serves no chunks, since it has its maximum of transfers; serves ends that
+//	          joins leaves     it becomes a member; it is removed
+//	follower  v3               it must have applied the third version by now; v0: none
 //	          seeds=a+b        SIGHUP with these seeds
 type scriptedCluster struct {
 	t          *testing.T
@@ -55,28 +56,28 @@
 	violation  error
 }
 
-// tally counts what went to the follower.
+// trafficCounts counts what was sent to the follower.
 type trafficCounts struct{ polls, bytes, full, patches, refs, chunks int }
 
 type coreNode struct {
 	fakeSource
 	name           string
-	reachability   string // up cut down frozen
-	quorum         string // up alone lies
+	reachability   string // one of up, cut, down, frozen
+	quorum         string // one of up, alone, lies
 	delay          time.Duration
 	corruptsDeltas bool
 	busy           bool
 	slowLink       bool
-	linkFreeAt     time.Time // when a thin node's link has sent all that was given to it
-	members        []string  // as it knew them when it was left alone
+	linkFreeAt     time.Time // when a slow link has sent all its queued bytes
+	members        []string  // as of the time when it was partitioned
 }
 
 func newScriptedCluster(t *testing.T, names []string) *scriptedCluster {
-	w := &scriptedCluster{t: t, nodes: map[string]*coreNode{}, changed: make(chan struct{}), routeCount: fewRoutes}
+	cluster := &scriptedCluster{t: t, nodes: map[string]*coreNode{}, changed: make(chan struct{}), routeCount: fewRoutes}
 	for _, name := range names {
-		w.nodes[name] = &coreNode{name: name, reachability: "down", quorum: "up"}
+		cluster.nodes[name] = &coreNode{name: name, reachability: "down", quorum: "up"}
 	}
-	return w
+	return cluster
 }
 
 func addressOf(name string) string { return name + ":7000" }
@@ -88,28 +89,28 @@
 }
 
 // Call implements Caller.
-func (w *scriptedCluster) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
-	node := w.nodes[strings.TrimSuffix(to, ":7000")]
-	w.mu.Lock()
-	w.calls++
-	w.mu.Unlock()
+func (c *scriptedCluster) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
+	node := c.nodes[strings.TrimSuffix(to, ":7000")]
+	c.mu.Lock()
+	c.calls++
+	c.mu.Unlock()
 	sleep(ctx, linkDelay)
 	for ctx.Err() == nil {
-		w.mu.Lock()
-		reach, changed := "down", w.changed
+		c.mu.Lock()
+		reach, changed := "down", c.changed
 		if node != nil {
 			reach = node.reachability
 		}
 		if reach == "up" {
-			encoded := w.handle(node, m, body)
+			encoded := c.handle(node, m, body)
 			delay := node.delay + node.transmit(len(encoded))
-			w.mu.Unlock()
+			c.mu.Unlock()
 			if encoded != nil {
 				sleep(ctx, delay+linkDelay)
-				return w.deliver(ctx, node, encoded, answer)
+				return c.deliver(ctx, node, encoded, answer)
 			}
 		} else {
-			w.mu.Unlock()
+			c.mu.Unlock()
 		}
 		if reach == "down" {
 			return rpc.ErrUnsent
@@ -122,7 +123,7 @@
 	return rpc.ErrLost
 }
 
-// send gives how long bytes take over a node's link, behind those that wait in it.
+// transmit returns how long bytes take over a node's link, after those that are queued in it.
 func (n *coreNode) transmit(size int) time.Duration {
 	if !n.slowLink {
 		return 0
@@ -135,58 +136,61 @@
 	return n.linkFreeAt.Sub(now)
 }
 
-// deliver brings an answer, if its node is not cut off or down meanwhile.
-func (w *scriptedCluster) deliver(ctx context.Context, n *coreNode, encoded []byte, answer any) error {
-	w.mu.Lock()
-	reach := n.reachability
-	w.mu.Unlock()
+// deliver delivers a response, unless its node was cut off or stopped meanwhile.
+func (c *scriptedCluster) deliver(ctx context.Context, node *coreNode, encoded []byte, answer any) error {
+	c.mu.Lock()
+	reach := node.reachability
+	c.mu.Unlock()
 	if reach == "cut" {
 		<-ctx.Done()
 	}
 	if ctx.Err() != nil || reach == "down" {
 		return rpc.ErrLost
 	}
-	w.mu.Lock()
-	w.traffic.bytes += len(encoded)
-	w.mu.Unlock()
+	c.mu.Lock()
+	c.traffic.bytes += len(encoded)
+	c.mu.Unlock()
 	return rpc.Decode(encoded, answer)
 }
 
-// handle gives a node's answer, nil for a poll that waits on.
-func (w *scriptedCluster) handle(n *coreNode, m rpc.Method, body any) []byte {
+// handle returns a node's response, nil for a poll that has to wait.
+func (c *scriptedCluster) handle(node *coreNode, m rpc.Method, body any) []byte {
 	if m == ChunkCall {
-		w.traffic.chunks++
-		n.values.Update(w.log.latest(n.commitIndex))
-		if n.busy {
+		c.traffic.chunks++
+		node.values.Update(c.log.latest(node.commitIndex))
+		if node.busy {
 			return rpc.Encode(&Chunk{Status: ChunkBusy})
 		}
-		return rpc.Encode(n.values.Chunk(body.(*ChunkRequest)))
+		return rpc.Encode(node.values.Chunk(body.(*ChunkRequest)))
 	}
 	request := body.(*ChangesRequest)
-	confirmed := n.quorum == "lies" || n.quorum == "up" && n.commitIndex >= request.ReceivedIndex
-	if hasUpdate := confirmed && n.commitIndex > request.ReceivedIndex; !hasUpdate && request.WaitMs > 0 {
+	confirmed := node.quorum == "lies" || node.quorum == "up" && node.commitIndex >= request.ReceivedIndex
+	if hasUpdate := confirmed && node.commitIndex > request.ReceivedIndex; !hasUpdate && request.WaitMs > 0 {
 		wait := time.Duration(request.WaitMs) * time.Millisecond
 		request.WaitMs = 0
-		time.AfterFunc(wait, w.wake)
+		time.AfterFunc(wait, c.wake)
 		return nil
 	}
 	if !confirmed {
-		return rpc.Encode(&ChangesResponse{Index: n.commitIndex, CoreAddrs: n.coreAddrs(w)})
+		return rpc.Encode(&ChangesResponse{Index: node.commitIndex, CoreAddrs: node.coreAddrs(c)})
 	}
-	response := n.respond(&w.log, request, true)
-	response.CoreAddrs = n.coreAddrs(w)
-	w.traffic.polls++
-	w.traffic.full, w.traffic.patches, w.traffic.refs = w.traffic.full+len(response.Entries), w.traffic.patches+len(response.Patches), w.traffic.refs+len(response.LargeValues)
+	response := node.respond(&c.log, request, true)
+	response.CoreAddrs = node.coreAddrs(c)
+	c.traffic.polls++
+	c.traffic.full += len(response.Entries)
+	c.traffic.patches += len(response.Patches)
+	c.traffic.refs += len(response.LargeValues)
 	for _, p := range response.Patches {
-		if n.corruptsDeltas {
+		if node.corruptsDeltas {
 			p.Delta[len(p.Delta)-1] ^= 1
 		}
 	}
 	return rpc.Encode(response)
 }
 
-func (n *coreNode) coreAddrs(w *scriptedCluster) (cores []string) {
-	members := w.members
+// coreAddrs returns the addresses of the members that a node knows.
+func (n *coreNode) coreAddrs(cluster *scriptedCluster) (cores []string) {
+	members := cluster.members
 	if n.quorum != "up" {
 		members = n.members
 	}
@@ -196,119 +200,121 @@
 	return cores
 }
 
-func (w *scriptedCluster) wake() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.wakeLocked()
+func (c *scriptedCluster) wake() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.wakeLocked()
 }
 
-func (w *scriptedCluster) wakeLocked() {
-	close(w.changed)
-	w.changed = make(chan struct{})
+// wakeLocked wakes waiting calls. The caller holds the lock.
+func (c *scriptedCluster) wakeLocked() {
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// commit plays one cell of the column of commits.
-func (w *scriptedCluster) commit(cell string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// commit executes one item of the column of commits.
+func (c *scriptedCluster) commit(cell string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if strings.HasSuffix(cell, "!") {
-		w.bodySeed++
+		c.bodySeed++
 	}
 	switch strings.TrimSuffix(cell, "!") {
 	case "few":
-		w.routeCount = fewRoutes
+		c.routeCount = fewRoutes
 	case "some":
-		w.routeCount = someRoutes
+		c.routeCount = someRoutes
 	case "large":
-		w.routeCount = largeRoutes
+		c.routeCount = largeRoutes
 	case "huge":
-		w.routeCount = hugeRoutes
+		c.routeCount = hugeRoutes
 	}
 	if cell == "place" {
-		w.log.commitPlacement()
+		c.log.commitPlacement()
 	} else {
-		w.log.commitConfig(w.routeCount, w.bodySeed)
-		w.versions = append(w.versions, w.log.version)
+		c.log.commitConfig(c.routeCount, c.bodySeed)
+		c.versions = append(c.versions, c.log.version)
 	}
-	w.propagate()
+	c.propagate()
 }
 
-// spread gives all nodes in touch what is committed.
-func (w *scriptedCluster) propagate() {
-	for _, n := range w.nodes {
+// propagate replicates all committed entries to the nodes with a majority.
+func (c *scriptedCluster) propagate() {
+	for _, n := range c.nodes {
 		if n.quorum == "up" && n.reachability != "frozen" {
-			n.commitIndex = int64(len(w.log.entries))
+			n.commitIndex = int64(len(c.log.entries))
 		}
 	}
-	w.wakeLocked()
+	c.wakeLocked()
 }
 
-func (w *scriptedCluster) setNode(n *coreNode, cell string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// setNode executes one item of a node's column.
+func (c *scriptedCluster) setNode(node *coreNode, cell string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch cell {
 	case "up":
-		n.reachability, n.quorum = "up", "up"
+		node.reachability, node.quorum = "up", "up"
 	case "cut", "down", "frozen":
-		n.reachability = cell
+		node.reachability = cell
 	case "alone", "lies":
-		n.reachability, n.quorum, n.members = "up", cell, slices.Clone(w.members)
+		node.reachability, node.quorum, node.members = "up", cell, slices.Clone(c.members)
 	case "slow":
-		n.delay = 300 * time.Millisecond
+		node.delay = 300 * time.Millisecond
 	case "quick":
-		n.delay = 0
+		node.delay = 0
 	case "lost":
-		n.values = ValueCache{}
+		node.values = ValueCache{}
 	case "thin":
-		n.slowLink = true
+		node.slowLink = true
 	case "busy":
-		n.busy = true
+		node.busy = true
 	case "serves":
-		n.busy = false
+		node.busy = false
 	case "garbles":
-		n.corruptsDeltas = true
+		node.corruptsDeltas = true
 	case "honest":
-		n.corruptsDeltas = false
+		node.corruptsDeltas = false
 	case "joins":
-		w.members = append(w.members, n.name)
+		c.members = append(c.members, node.name)
 	case "leaves":
-		w.members = slices.DeleteFunc(w.members, func(name string) bool { return name == n.name })
+		c.members = slices.DeleteFunc(c.members, func(name string) bool { return name == node.name })
 	default:
-		w.t.Errorf("no such cell: %q", cell)
+		c.t.Errorf("unknown cell: %q", cell)
 	}
-	w.propagate()
+	c.propagate()
 }
 
-// ask plays one cell of the follower's column.
-func (w *scriptedCluster) checkFollower(at, cell string) {
+// checkFollower executes one item of the follower's column.
+func (c *scriptedCluster) checkFollower(at, cell string) {
 	if seeds, ok := strings.CutPrefix(cell, "seeds="); ok {
-		w.follower.UpdateSeeds(settingsFor(strings.Split(seeds, "+")))
+		c.follower.UpdateSeeds(settingsFor(strings.Split(seeds, "+")))
 		return
 	}
 	want, err := strconv.Atoi(strings.TrimPrefix(cell, "v"))
 	if err != nil {
-		w.t.Fatalf("no such cell: %q", cell)
+		c.t.Fatalf("unknown cell: %q", cell)
 	}
 	got := 0
-	if c := w.follower.Tables().Config; c != nil {
-		got = slices.Index(w.versions, c.Version) + 1
+	if config := c.follower.Tables().Config; config != nil {
+		got = slices.Index(c.versions, config.Version) + 1
 	}
 	if got != want {
-		w.t.Errorf("at %s ms it acts on version %d, wanted %d", at, got, want)
+		c.t.Errorf("at %s ms it has applied version %d, want %d", at, got, want)
 	}
 }
 
-// watch judges all changes of the follower's tables.
-func (w *scriptedCluster) watch(ctx context.Context) {
+// watch checks all changes of the follower's tables.
+func (c *scriptedCluster) watch(ctx context.Context) {
 	old := &Tables{}
 	for {
-		changed := w.follower.Changed()
-		next := w.follower.Tables()
-		w.mu.Lock()
-		if err := w.log.check(old, next); err != nil && w.violation == nil {
-			w.violation = err
+		changed := c.follower.Changed()
+		next := c.follower.Tables()
+		c.mu.Lock()
+		if err := c.log.check(old, next); err != nil && c.violation == nil {
+			c.violation = err
 		}
-		w.mu.Unlock()
+		c.mu.Unlock()
 		old = next
 		select {
 		case <-changed:
@@ -318,8 +324,8 @@
 	}
 }
 
-// play plays a timeline with a follower that begins at the seeds, and lets check look at the world after it. The
-// members at the start are those nodes that the first line has up, cut or frozen.
+// playTimeline executes a timeline with a follower that starts with the seeds, and calls check after it. The follower
+// starts after the first line.
 func playTimeline(t *testing.T, seeds, timeline string, check func(cluster *scriptedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -360,12 +366,13 @@
 	})
 }
 
-func (w *scriptedCluster) playRow(row, names []string) {
-	for _, members := range []bool{true, false} { // what a node knows when it is left alone is as of the same moment
+// playRow executes one line: members, other node states, commits, checks.
+func (c *scriptedCluster) playRow(row, names []string) {
+	for _, members := range []bool{true, false} { // members first: a node that is partitioned knows those of the same line
 		for i, name := range names {
 			for cell := range strings.SplitSeq(row[i+2], ",") {
 				if cell != "." && (cell == "joins" || cell == "leaves") == members {
-					w.setNode(w.nodes[name], cell)
+					c.setNode(c.nodes[name], cell)
 				}
 			}
 		}
@@ -373,17 +380,17 @@
 	for cell := range strings.SplitSeq(row[1], ",") {
 		if n, err := strconv.Atoi(strings.TrimPrefix(cell, "x")); err == nil {
 			for range n {
-				w.commit("edit")
+				c.commit("edit")
 				time.Sleep(10 * time.Millisecond)
 			}
 		} else if cell != "." {
-			w.commit(cell)
+			c.commit(cell)
 		}
 	}
 	synctest.Wait()
 	if last := row[len(row)-1]; last != "." {
 		for cell := range strings.SplitSeq(last, ",") {
-			w.checkFollower(row[0], cell)
+			c.checkFollower(row[0], cell)
 		}
 	}
 }
--- a/internal/tier/feed/sources.go
+++ b/internal/tier/feed/sources.go
@@ -7,15 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// coresMost bounds the core nodes that are known; there are some eight.
+// maxSources bounds the known core nodes; a system has some eight.
 const maxSources = 64
 
-// sources are the core nodes that a follower knows, in its own order, and the one that it follows. It is pure.
+// sources are the core nodes that a follower knows, in an order of its own (rendezvous hashing), and the one that it
+// follows. It is pure. It must have at least one core node.
 type sources struct {
-	name     string   // of the follower
-	seeds    []string // of its settings: the last resort where all others are gone
-	cores    []string
-	position int
+	name     string   // of the follower; determines the order
+	seeds    []string // core nodes of the settings: the last resort if all others are gone
+	cores    []string // all known core nodes in the follower's order
+	position int      // of the current source in cores
 }
 
 func newSources(name string, seeds []string) *sources {
@@ -24,28 +25,31 @@
 	return s
 }
 
+// current returns the core node that is followed.
 func (s *sources) current() string { return s.cores[s.position%len(s.cores)] }
 
+// advance selects the next core node in the order.
 func (s *sources) advance() { s.position = (s.position + 1) % len(s.cores) }
 
+// use selects a core node, or the first one if it is not known.
 func (s *sources) use(core string) { s.position = max(0, slices.Index(s.cores, core)) }
 
-// home is the core node with which this follower begins, and to which it returns.
+// preferred returns the first core node of the order: the follower starts with it and fails back to it.
 func (s *sources) preferred() string { return s.cores[0] }
 
-// fromCurrent are the core nodes in the follower's own order, from the one that is followed on.
+// fromCurrentOn returns all core nodes in the order, starting with the current one.
 func (s *sources) fromCurrentOn() []string {
 	at := s.position % len(s.cores)
 	return slices.Concat(s.cores[at:], s.cores[:at])
 }
 
-// reseed takes in what settings name, beside those that are known.
+// setSeeds replaces the seeds and adds them to the known core nodes.
 func (s *sources) setSeeds(seeds []string) {
 	s.seeds = slices.Clone(seeds)
 	s.add(seeds)
 }
 
-// add takes core nodes in that may or may not be there any more.
+// add adds core nodes that may or may not exist, as far as the bound allows.
 func (s *sources) add(cores []string) {
 	current := ""
 	if len(s.cores) > 0 {
@@ -60,7 +64,8 @@
 	s.setAll(all, current)
 }
 
-// replace takes in the members that a fresh source gave: others are forgotten, but for the source itself.
+// replace replaces all core nodes by the members that a confirmed response named, and selects the node that sent it,
+// which stays known even if it is not among them.
 func (s *sources) replace(cores []string, source string) {
 	if len(cores) == 0 {
 		return
@@ -72,7 +77,8 @@
 	s.setAll(all, source)
 }
 
-// set has each follower begin at its own place on the ring of core nodes, so that they spread.
+// setAll sorts core nodes into the follower's order and selects the current one. The order depends on the follower's name,
+// so that followers spread over the core nodes.
 func (s *sources) setAll(cores []string, current string) {
 	rank := func(core string) uint64 { return xxhash.Sum64String(s.name + "\x00" + core) }
 	slices.SortFunc(cores, func(a, b string) int { return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(a, b)) })
@@ -80,7 +86,7 @@
 	s.use(current)
 }
 
-// after is the core node that comes behind another one.
+// next returns the core node after another one in the order.
 func (s *sources) next(core string) string {
 	return s.cores[(slices.Index(s.cores, core)+1)%len(s.cores)]
 }
--- a/internal/tier/feed/tables.go
+++ b/internal/tier/feed/tables.go
@@ -1,5 +1,3 @@
-// Package feed is the change feed: relays follow the numbered entries of the committed control state from an index on,
-// starting from a snapshot, and swap immutable tables whole.
 package feed
 
 import (
@@ -17,7 +15,7 @@
 	PlacementKey = "placement"
 )
 
-// FilterForFollowers are those of some entries that followers have a use for; the others are for core nodes alone.
+// FilterForFollowers returns the entries that followers use. All others are for core nodes only.
 func FilterForFollowers(entries []chain.Entry) []chain.Entry {
 	var kept []chain.Entry
 	for _, e := range entries {
@@ -28,17 +26,18 @@
 	return kept
 }
 
-// Tables is what a relay acts on. It is immutable and swapped whole; what is nil has not come yet.
+// Tables are the state by which a front or store acts. They are immutable and replaced as a unit. What is nil was not
+// received yet.
 type Tables struct {
-	Index       int64
+	Index       int64 // every entry up to it, or a newer one of its key, is applied
 	Config      *routing.Config
 	Placement   *turnstore.Placement
 	Hosts       *discovery.List
-	ConfirmedAt time.Time // all that was acknowledged before it is here: when the poll was sent that showed so last
+	ConfirmedAt time.Time // everything that was acknowledged before it is in the tables: when the last poll that showed so was sent
 }
 
-// Source is what the rest of a process knows of the feed.
+// Source is the feed as the rest of a process sees it.
 type Source interface {
 	Tables() *Tables          // never nil
-	Changed() <-chan struct{} // closed with the next change of Index or Hosts
+	Changed() <-chan struct{} // closed with the next change of the tables' index, hosts, configuration or placement
 }
--- a/internal/tier/feed/transfer_limiter.go
+++ b/internal/tier/feed/transfer_limiter.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	maxTransfers        = 8                      // at once from one source, two pieces each: 1 MB queued at most, 0.28 s at 30 Mbit/s
-	transferIdleTimeout = 400 * time.Millisecond // a follower that asks for no piece so long has given its turn up
+	maxTransfers        = 8                      // of one source, two chunks each: 1 MB queued at most, 0.28 s at 30 Mbit/s
+	transferIdleTimeout = 400 * time.Millisecond // a transfer ends if the follower requests no chunk for this time
 )
 
-// TransferLimiter bounds how many followers a source sends large values at once, so that what waits in its link does not keep
-// its polls and heartbeats back. The zero TransferLimiter is ready for use; it is not safe for concurrent use.
+// TransferLimiter bounds how many followers download large values from a source at the same time, so that chunks queued
+// in its link don't delay polls and heartbeats. The zero value is ready for use. It is not safe for concurrent use.
 type TransferLimiter struct {
-	lastChunkAt map[string]time.Duration // by follower: when it asked for a piece
+	lastChunkAt map[string]time.Duration // by follower: when it last requested a chunk
 }
 
-// Admit tells whether a follower may have a piece now.
+// Admit reports whether a follower may have a chunk now, on the caller's monotonic clock, and counts it as a transfer if so.
 func (t *TransferLimiter) Admit(name string, now time.Duration) bool {
 	if t.lastChunkAt == nil {
 		t.lastChunkAt = map[string]time.Duration{}
@@ -30,5 +30,5 @@
 	return true
 }
 
-// Release gives up the turn of a follower that has its last piece.
+// Release ends the transfer of a follower that was sent its last chunk.
 func (t *TransferLimiter) Release(name string) { delete(t.lastChunkAt, name) }
--- a/internal/tier/feed/value_cache.go
+++ b/internal/tier/feed/value_cache.go
@@ -9,35 +9,38 @@
 )
 
 const (
-	minPatchedValue = 1 << 10  // shorter values always go whole
-	maxPatchSize    = 32 << 10 // longer deltas do not go in an answer
-	maxInlineValue  = 64 << 10 // longer values are fetched in pieces
-	maxValuesPerKey = 8        // of each key, the committed one included
-	maxCachedBytes  = 32 << 20 // of all values but the committed ones
-	maxChunkSize    = 64 << 10 // bytes of one piece
+	minPatchedValue = 1 << 10  // bytes; shorter values are always sent in full
+	maxPatchSize    = 32 << 10 // bytes; longer deltas are not sent
+	maxInlineValue  = 64 << 10 // bytes; longer values are sent by reference and downloaded in chunks
+	maxValuesPerKey = 8        // cached for each key, the committed one included
+	maxCachedBytes  = 32 << 20 // of all cached values but the committed ones
+	maxChunkSize    = 64 << 10 // bytes of one chunk
 )
 
-// ValueCache are the values of the control state that a source gave lately, by digest, and the deltas between them. The zero
-// ValueCache is ready for use; it is safe for concurrent use.
+// ValueCache keeps the values of the control state that a source sent lately, and the deltas between them, by digest. It
+// decides how an entry is sent. The zero value is ready for use. It is safe for concurrent use.
 type ValueCache struct {
 	mu     sync.Mutex
-	values []*cachedValue // in the order of their indexes
+	values []*cachedValue // in the order in which they were committed
 	deltas map[digestPair]*cachedDelta
 }
 
+// cachedValue is a committed entry of at least minPatchedValue bytes. It is immutable.
 type cachedValue struct {
 	chain.Entry
 	digest bodydelta.Digest
 }
 
+// digestPair identifies a delta.
 type digestPair struct{ base, target bodydelta.Digest }
 
+// cachedDelta is computed once, by the first follower's request that needs it.
 type cachedDelta struct {
 	once  sync.Once
-	bytes []byte // nil where the whole value is shorter
+	bytes []byte // nil if there is no delta worth sending
 }
 
-// Update takes in what is committed now. Of a key it keeps the newest values, as far as the bounds allow.
+// Update adds the values that are committed now, and drops old ones beyond the bounds.
 func (v *ValueCache) Update(committed []chain.Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -49,7 +52,7 @@
 	}
 }
 
-// at is the value of a key at an index. Committed entries never change.
+// lookup returns the value of a key with an index, nil if it is not cached. The caller holds the lock.
 func (v *ValueCache) lookup(key string, index int64) *cachedValue {
 	for _, value := range v.values {
 		if value.Index == index && value.Key == key {
@@ -59,7 +62,7 @@
 	return nil
 }
 
-// trim drops the oldest values beyond the bounds, never the newest one of a key.
+// trim drops the oldest values beyond the bounds, never the newest one of a key. The caller holds the lock.
 func (v *ValueCache) trim() {
 	count, newest, oldBytes := map[string]int{}, map[string]int64{}, 0
 	for _, value := range v.values {
@@ -86,6 +89,7 @@
 	v.values = kept
 }
 
+// dropDeltas drops all deltas from or to a value. The caller holds the lock.
 func (v *ValueCache) dropDeltas(d bodydelta.Digest) {
 	for p := range v.deltas {
 		if p.base == d || p.target == d {
@@ -94,7 +98,7 @@
 	}
 }
 
-// Find gives the value with a digest, nil for none.
+// Find returns the value with a digest, nil if it is not cached.
 func (v *ValueCache) Find(digest []byte) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -104,6 +108,7 @@
 	return nil
 }
 
+// findDigest returns the value with a digest, nil if it is not cached. The caller holds the lock.
 func (v *ValueCache) findDigest(digest []byte) *cachedValue {
 	for _, value := range v.values {
 		if bytes.Equal(value.digest[:], digest) {
@@ -113,7 +118,7 @@
 	return nil
 }
 
-// Add puts an entry into an answer: as a delta against what the follower holds, whole, or by its name.
+// Add adds an entry to a response: as a delta to one of the follower's base values, in full, or by reference.
 func (v *ValueCache) Add(response *ChangesResponse, entry chain.Entry, baseValues []BaseValue) {
 	v.mu.Lock()
 	target := v.lookup(entry.Key, entry.Index)
@@ -135,11 +140,12 @@
 		response.Entries = append(response.Entries, entry)
 		return
 	}
-	response.LargeValues = append(response.LargeValues, ValueRef{Index: entry.Index, Key: entry.Key, Size: int64(len(entry.Value)), Digest: target.digest[:]})
+	ref := ValueRef{Index: entry.Index, Key: entry.Key, Size: int64(len(entry.Value)), Digest: target.digest[:]}
+	response.LargeValues = append(response.LargeValues, ref)
 }
 
-// delta leads from the value with a digest to another one; nil where there is none worth sending. It is made once for
-// all followers.
+// delta returns the delta from the value with a digest to another one, nil if there is none worth sending. It is computed
+// once for all followers, without the lock.
 func (v *ValueCache) delta(baseDigest []byte, target *cachedValue) []byte {
 	v.mu.Lock()
 	base := v.findDigest(baseDigest)
@@ -166,7 +172,7 @@
 	return cached.bytes
 }
 
-// Chunk answers a request for a part of a value.
+// Chunk returns the response to a request for a chunk: at most maxChunkSize bytes of the value, or ChunkUnknown.
 func (v *ValueCache) Chunk(request *ChunkRequest) *Chunk {
 	value := v.Find(request.Digest)
 	if value == nil {
@@ -174,5 +180,6 @@
 	}
 	start := min(max(request.Offset, 0), int64(len(value)))
 	end := min(start+min(max(request.Length, 0), maxChunkSize), int64(len(value)))
-	return &Chunk{Status: ChunkServed, Digest: request.Digest, Offset: start, Data: value[start:end], Final: end == int64(len(value))}
+	return &Chunk{Status: ChunkServed, Digest: request.Digest, Offset: start, Data: value[start:end],
+		Final: end == int64(len(value))}
 }
