--- a/internal/tier/discovery/delta.go
+++ b/internal/tier/discovery/delta.go
@@ -1,111 +1,113 @@
 package discovery
 
-import (
-	"cmp"
-	"slices"
-)
+import "slices"
 
-// Delta is what differs between two lists: a list of thousands of hosts is sent whole once, then only what changes.
+// Delta is the difference between two lists. Its fields are encoded in this order.
 type Delta struct {
-	FromTerm   int64
+	FromTerm   int64 // of the list to which it applies
 	FromNumber int64
-	Term       int64
+	Term       int64 // of the list that it makes
 	Number     int64
-	Changed    []Host // new ones and those that say something else, by id
-	Removed    []string
+	Changed    []Host   // new and changed hosts, by rising ID
+	Removed    []string // IDs
 }
 
-// Diff gives what makes next of old. Both are ordered by id, as Asker gives them.
+// Diff returns the delta from old to next. The hosts of both must be sorted by ID, as FetchHosts returns them.
 func Diff(old, next *List) Delta {
-	d := Delta{FromTerm: old.Term, FromNumber: old.Number, Term: next.Term, Number: next.Number}
-	i := 0
-	for _, h := range next.Hosts {
-		for i < len(old.Hosts) && old.Hosts[i].ID < h.ID {
-			d.Removed = append(d.Removed, old.Hosts[i].ID)
-			i++
+	delta := Delta{FromTerm: old.Term, FromNumber: old.Number, Term: next.Term, Number: next.Number}
+	position := 0
+	for _, host := range next.Hosts {
+		for position < len(old.Hosts) && old.Hosts[position].ID < host.ID {
+			delta.Removed = append(delta.Removed, old.Hosts[position].ID)
+			position++
 		}
-		if i < len(old.Hosts) && old.Hosts[i].ID == h.ID {
-			if !old.Hosts[i].Equal(h) || old.Hosts[i].WarmupMs != h.WarmupMs {
-				d.Changed = append(d.Changed, h)
+		if position < len(old.Hosts) && old.Hosts[position].ID == host.ID {
+			if !old.Hosts[position].Equal(host) || old.Hosts[position].WarmupMs != host.WarmupMs {
+				delta.Changed = append(delta.Changed, host)
 			}
-			i++
+			position++
 			continue
 		}
-		d.Changed = append(d.Changed, h)
+		delta.Changed = append(delta.Changed, host)
 	}
-	for ; i < len(old.Hosts); i++ {
-		d.Removed = append(d.Removed, old.Hosts[i].ID)
+	for ; position < len(old.Hosts); position++ {
+		delta.Removed = append(delta.Removed, old.Hosts[position].ID)
 	}
-	return d
+	return delta
 }
 
-// Apply makes the next list; ok is false where the delta does not begin at this list.
-func (l *List) Apply(d Delta) (next *List, ok bool) {
-	if l == nil || l.Term != d.FromTerm || l.Number != d.FromNumber {
+// Apply returns the list that a delta makes of l, which is not changed. ok is false if the delta applies to another list,
+// or l is nil.
+func (l *List) Apply(delta Delta) (next *List, ok bool) {
+	if l == nil || l.Term != delta.FromTerm || l.Number != delta.FromNumber {
 		return nil, false
 	}
-	gone := make(map[string]bool, len(d.Removed)+len(d.Changed))
-	for _, id := range d.Removed {
-		gone[id] = true
+	replaced := make(map[string]bool, len(delta.Removed)+len(delta.Changed))
+	for _, id := range delta.Removed {
+		replaced[id] = true
 	}
-	for _, h := range d.Changed {
-		gone[h.ID] = true
+	for _, host := range delta.Changed {
+		replaced[host.ID] = true
 	}
-	next = &List{Term: d.Term, Number: d.Number, Hosts: make([]Host, 0, len(l.Hosts)+len(d.Changed))}
-	for _, h := range l.Hosts {
-		if !gone[h.ID] {
-			next.Hosts = append(next.Hosts, h)
+	next = &List{Term: delta.Term, Number: delta.Number, Hosts: make([]Host, 0, len(l.Hosts)+len(delta.Changed))}
+	for _, host := range l.Hosts {
+		if !replaced[host.ID] {
+			next.Hosts = append(next.Hosts, host)
 		}
 	}
-	next.Hosts = append(next.Hosts, d.Changed...)
-	slices.SortFunc(next.Hosts, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
+	next.Hosts = append(next.Hosts, delta.Changed...)
+	slices.SortFunc(next.Hosts, compareIDs)
 	return next, true
 }
 
-// History keeps the last deltas, so that a follower that is a little behind gets what it lacks.
-type History struct{ deltas []Delta }
+// maxDeltas bounds the changes that a History keeps.
+const maxDeltas = 64
 
-const historyKept = 64
+// History keeps the last changes of a list, so that a follower with an older list can be sent a delta. The zero value is
+// ready for use. It is not safe for concurrent use.
+type History struct {
+	deltas []Delta // consecutive: each applies to the list that the one before makes
+}
 
-// Add takes the change from one list to the next.
+// Add adds the change from one list to the next. If old is nil, all changes before are dropped.
 func (h *History) Add(old, next *List) {
 	if old == nil {
 		h.deltas = nil
 		return
 	}
 	h.deltas = append(h.deltas, Diff(old, next))
-	if len(h.deltas) > historyKept {
-		h.deltas = slices.Delete(h.deltas, 0, len(h.deltas)-historyKept)
+	if len(h.deltas) > maxDeltas {
+		h.deltas = slices.Delete(h.deltas, 0, len(h.deltas)-maxDeltas)
 	}
 }
 
-// Since gives one delta from a list on to the newest; ok is false where that one is not known any more.
-func (h *History) Since(term, number int64) (d Delta, ok bool) {
+// Since returns a single delta from a list to the newest one; ok is false if that list is too old or unknown.
+func (h *History) Since(term, number int64) (delta Delta, ok bool) {
 	i := slices.IndexFunc(h.deltas, func(d Delta) bool { return d.FromTerm == term && d.FromNumber == number })
 	if i < 0 {
 		return Delta{}, false
 	}
 	changed := map[string]Host{}
 	removed := map[string]bool{}
-	for _, one := range h.deltas[i:] {
-		for _, id := range one.Removed {
+	for _, step := range h.deltas[i:] {
+		for _, id := range step.Removed {
 			delete(changed, id)
 			removed[id] = true
 		}
-		for _, host := range one.Changed {
+		for _, host := range step.Changed {
 			changed[host.ID] = host
 			delete(removed, host.ID)
 		}
-		d.Term, d.Number = one.Term, one.Number
+		delta.Term, delta.Number = step.Term, step.Number
 	}
-	d.FromTerm, d.FromNumber = term, number
+	delta.FromTerm, delta.FromNumber = term, number
 	for _, host := range changed {
-		d.Changed = append(d.Changed, host)
+		delta.Changed = append(delta.Changed, host)
 	}
-	slices.SortFunc(d.Changed, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(delta.Changed, compareIDs)
 	for id := range removed {
-		d.Removed = append(d.Removed, id)
+		delta.Removed = append(delta.Removed, id)
 	}
-	slices.Sort(d.Removed)
-	return d, true
+	slices.Sort(delta.Removed)
+	return delta, true
 }
