--- a/internal/tier/routing/parse_test.go
+++ b/internal/tier/routing/parse_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -30,15 +31,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprintf("%d\n%+v\n%+v\n%+v\n%+v\n%+v", c.Version, c.Routes[0], c.Routes[1], c.Services["redactor"], c.Services["mostrador"], c.Limits)
-	want := `7
-{Name:r-turns Host:press.example Prefix:/draft/ Kind:streaming Deadline:6s Target:250ms GapAim:400ms Rank:1 Targets:[{Service:redactor Share:90} {Service:mostrador Share:10}] MaxAttempts:2 Retained:true Retain:1m0s Affinity:true Resumable:true}
-{Name:r-jobs Host:press.example Prefix:/draft/jobs/ Kind:non_idempotent Deadline:1.5005s Target:1.5005s GapAim:0s Rank:0 Targets:[{Service:mostrador Share:1}] MaxAttempts:1 Retained:false Retain:0s Affinity:false Resumable:false}
-{Name:redactor HealthPath:/health ConnLimit:480 Capacity:96 CacheTokens:257309 EventTokens:2 Models:[m n]}
-{Name:mostrador HealthPath:/health ConnLimit:0 Capacity:0 CacheTokens:0 EventTokens:0 Models:[]}
-{MaxHeader:1000 MaxBody:2000 HeaderTimeout:3ms IdleTimeout:4ms}`
-	if got != want {
-		t.Fatalf("read\n%s\nwant\n%s", got, want)
+	want := &routing.Config{
+		Version: 7,
+		Routes: []routing.Route{
+			{
+				Name: "r-turns", Host: "press.example", Prefix: "/draft/", Kind: routing.Streaming,
+				Deadline: 6 * time.Second, LatencyTarget: 250 * time.Millisecond, GapTarget: 400 * time.Millisecond, Priority: 1,
+				Targets:     []routing.Target{{Service: "redactor", Weight: 90}, {Service: "mostrador", Weight: 10}},
+				MaxAttempts: 2, Retained: true, Retain: time.Minute, Affinity: true, Resumable: true,
+			},
+			{
+				Name: "r-jobs", Host: "press.example", Prefix: "/draft/jobs/", Kind: routing.NonIdempotent,
+				Deadline: 1500500 * time.Microsecond, LatencyTarget: 1500500 * time.Microsecond,
+				Targets: []routing.Target{{Service: "mostrador", Weight: 1}}, MaxAttempts: 1,
+			},
+		},
+		Services: map[string]routing.Service{
+			"redactor": {Name: "redactor", HealthPath: "/health", ConnLimit: 480, Capacity: 96, CacheTokens: 257309,
+				EventTokens: 2, Models: []string{"m", "n"}},
+			"mostrador": {Name: "mostrador", HealthPath: "/health"},
+		},
+		Limits: routing.Limits{MaxHeader: 1000, MaxBody: 2000, HeaderTimeout: 3 * time.Millisecond, IdleTimeout: 4 * time.Millisecond},
+	}
+	if c.Version != want.Version || !reflect.DeepEqual(c.Routes, want.Routes) || !reflect.DeepEqual(c.Services, want.Services) ||
+		c.Limits != want.Limits {
+		t.Fatalf("read\n%+v\nwant\n%+v", c, want)
 	}
 	if string(c.Raw) != whole {
 		t.Fatal("Raw is not what was sent")
