--- a/internal/tier/routing/node.go
+++ b/internal/tier/routing/node.go
@@ -10,13 +10,13 @@
 	"github.com/tidwall/gjson"
 )
 
-// node is one object of a configuration at its path. Its readers give a field's value, or what stands for a field
-// that is absent or null, and keep the first fault.
+// node is an object of a configuration. Its methods return the value of a field, or a fallback if the field is absent or
+// null. An invalid field is recorded as a fault, unless there was one before, and parsing goes on with a fallback.
 type node struct {
 	gjson.Result
-	path   string
-	err    *error
-	fields []field
+	path   string  // of the object in the document, empty for the document
+	err    *error  // the first fault; shared by all nodes of a document
+	fields []field // of the object, in their order
 }
 
 type field struct {
@@ -24,18 +24,18 @@
 	value gjson.Result
 }
 
-// fieldsOf reads an object once, into space that is used again. A search of the text for each field takes most of the
-// time of a large configuration.
-func fieldsOf(object gjson.Result, space []field) []field {
-	space = space[:0]
+// readFields reads all fields of an object once, into a buffer that is reused. To search the text for each field would take
+// most of the time for a large configuration.
+func readFields(object gjson.Result, buffer []field) []field {
+	buffer = buffer[:0]
 	object.ForEach(func(key, value gjson.Result) bool {
-		space = append(space, field{key.Str, value})
+		buffer = append(buffer, field{key.Str, value})
 		return true
 	})
-	return space
+	return buffer
 }
 
-// Get gives the first field of a name.
+// Get returns the first field of a name. It replaces the search of gjson.Result.
 func (n node) Get(name string) gjson.Result {
 	for i := range n.fields {
 		if n.fields[i].name == name {
@@ -45,34 +45,37 @@
 	return gjson.Result{}
 }
 
-func (n node) at(name string) string {
+// pathOf returns the path of a field.
+func (n node) pathOf(name string) string {
 	if n.path == "" {
 		return name
 	}
 	return n.path + "." + name
 }
 
+// fail records a fault of a field, unless there is one.
 func (n node) fail(name string, value any, remedy string, args ...any) {
 	if *n.err == nil {
-		*n.err = invalid(n.at(name), value, remedy, args...)
+		*n.err = invalidField(n.pathOf(name), value, remedy, args...)
 	}
 }
 
-func (n node) has(name string) bool { return n.Get(name).Type != gjson.Null }
+// isSet reports whether a field is neither absent nor null.
+func (n node) isSet(name string) bool { return n.Get(name).Type != gjson.Null }
 
-func (n node) text(name, otherwise string) string {
+func (n node) stringField(name, fallback string) string {
 	switch v := n.Get(name); v.Type {
 	case gjson.Null:
-		return otherwise
+		return fallback
 	case gjson.String:
-		return strings.Clone(v.Str) // not the whole text with it
+		return strings.Clone(v.Str) // a copy, so that the document can be freed
 	default:
 		n.fail(name, v.Raw, "give a string")
-		return otherwise
+		return fallback
 	}
 }
 
-func (n node) flag(name string) bool {
+func (n node) boolField(name string) bool {
 	v := n.Get(name)
 	if v.Type != gjson.Null && !v.IsBool() {
 		n.fail(name, v.Raw, "give true or false")
@@ -80,47 +83,49 @@
 	return v.Type == gjson.True
 }
 
-func (n node) number(name string, least, most, otherwise float64) float64 {
+// numberField returns a number between lowest and highest.
+func (n node) numberField(name string, lowest, highest, fallback float64) float64 {
 	v := n.Get(name)
 	if v.Type == gjson.Null {
-		return otherwise
+		return fallback
 	}
-	if v.Type != gjson.Number || !(v.Num >= least && v.Num <= most) {
-		n.fail(name, v.Raw, "give a number from %v to %v", least, most)
-		return otherwise
+	if v.Type != gjson.Number || !(v.Num >= lowest && v.Num <= highest) {
+		n.fail(name, v.Raw, "give a number from %v to %v", lowest, highest)
+		return fallback
 	}
 	return v.Num
 }
 
-func (n node) whole(name string, least, otherwise int) int {
-	v := n.number(name, float64(least), mostWhole, float64(otherwise))
+// intField returns an integer between lowest and maxInt.
+func (n node) intField(name string, lowest, fallback int) int {
+	v := n.numberField(name, float64(lowest), maxInt, float64(fallback))
 	if v != math.Trunc(v) {
 		n.fail(name, v, "give a whole number")
 	}
 	return int(v)
 }
 
-// duration reads a number of units; zero tells whether 0 is a value.
-func (n node) duration(name string, unit time.Duration, zero bool, otherwise time.Duration) time.Duration {
-	if !n.has(name) {
-		return otherwise
+// durationField returns a duration that is given as a number of units; 0 is a fault unless allowZero is set.
+func (n node) durationField(name string, unit time.Duration, allowZero bool, fallback time.Duration) time.Duration {
+	if !n.isSet(name) {
+		return fallback
 	}
-	v := n.number(name, 0, float64(mostDuration/unit), 0)
+	v := n.numberField(name, 0, float64(maxDuration/unit), 0)
 	d := time.Duration(v * float64(unit))
-	if d == 0 && !zero {
+	if d == 0 && !allowZero {
 		n.fail(name, n.Get(name).Raw, "give more than 0")
 	}
 	return d
 }
 
-// version reads a whole number above 0, exactly.
-func (n node) version(name string) int64 {
+// versionField returns an integer above 0, without rounding.
+func (n node) versionField(name string) int64 {
 	v := n.Get(name)
 	if v.Type == gjson.Number {
 		if i, err := strconv.ParseInt(v.Raw, 10, 64); err == nil && i > 0 {
 			return i
 		}
-		if v.Num >= 1 && v.Num <= mostWhole && v.Num == math.Trunc(v.Num) { // 7.0
+		if v.Num >= 1 && v.Num <= maxInt && v.Num == math.Trunc(v.Num) { // 7.0
 			return int64(v.Num)
 		}
 	}
@@ -132,7 +137,8 @@
 	return 0
 }
 
-func (n node) object(name string) (node, bool) {
+// objectField returns an object; ok is false if it is absent, null or not an object.
+func (n node) objectField(name string) (object node, ok bool) {
 	v := n.Get(name)
 	if v.Type == gjson.Null {
 		return node{}, false
@@ -141,11 +147,11 @@
 		n.fail(name, v.Raw, "give an object")
 		return node{}, false
 	}
-	return node{v, n.at(name), n.err, fieldsOf(v, nil)}, true
+	return node{v, n.pathOf(name), n.err, readFields(v, nil)}, true
 }
 
-// list gives the objects of an array, until the first fault. Each is good until the next.
-func (n node) list(name string, required bool) iter.Seq[node] {
+// objects iterates over the objects of an array, until the first fault. Each is valid until the next one.
+func (n node) objects(name string, required bool) iter.Seq[node] {
 	return func(yield func(node) bool) {
 		v := n.Get(name)
 		if v.Type == gjson.Null && !required {
@@ -160,7 +166,7 @@
 			return
 		}
 		i := 0
-		var space []field
+		var buffer []field
 		v.ForEach(func(_, element gjson.Result) bool {
 			path := name + "." + strconv.Itoa(i)
 			i++
@@ -170,8 +176,8 @@
 			if *n.err != nil {
 				return false
 			}
-			space = fieldsOf(element, space)
-			return yield(node{element, n.at(path), n.err, space})
+			buffer = readFields(element, buffer)
+			return yield(node{element, n.pathOf(path), n.err, buffer})
 		})
 	}
 }
