--- a/internal/tier/bodydelta/delta_test.go
+++ b/internal/tier/bodydelta/delta_test.go
@@ -15,7 +15,7 @@
 
 const limit = 8 << 20
 
-// routes is a configuration-like body of n routes; changed ones have another target.
+// routes returns a body like a configuration with n routes; the changed ones have another target.
 func routes(n int, changed ...int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"config_version":1,"route_table":[`)
@@ -35,6 +35,7 @@
 	return []byte(b.String())
 }
 
+// check computes and applies a delta and returns it.
 func check(t interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -43,34 +44,35 @@
 	d := Diff(old, new)
 	got, err := Apply(old, d, limit)
 	if err != nil || !bytes.Equal(got, new) {
-		t.Fatalf("apply: %v, %d bytes, wanted %d", err, len(got), len(new))
+		t.Fatalf("apply: %v, %d bytes, want %d", err, len(got), len(new))
 	}
 	return d
 }
 
-func TestSmallChangesMakeSmallDeltas(t *testing.T) {
+func TestDiffOfSmallChangesIsSmall(t *testing.T) {
 	old := routes(5000)
 	swapped := append(append(append([]byte{}, old[700_000:]...), old[100_000:700_000]...), old[:100_000]...)
-	for name, one := range map[string]struct {
-		new  []byte
-		most int
+	for name, test := range map[string]struct {
+		new   []byte
+		limit int
 	}{
-		"nothing":                       {old, headerSize + 8},
-		"one route":                     {routes(5000, 2500), headerSize + 40},
-		"first, middle and last":        {routes(5000, 0, 2500, 4999), headerSize + 100},
-		"a hundred of them":             {routes(5000, every(50, 100)...), headerSize + 100*30},
-		"one route added":               {routes(5001), headerSize + 250},
-		"many routes taken away":        {routes(3000), headerSize + 20},
-		"three parts change places":     {swapped, headerSize + 60},
-		"old body twice":                {append(bytes.Clone(old), old...), headerSize + 20},
-		"all but a block is taken away": {old[500_000:500_032], headerSize + 20},
+		"no change":                 {old, headerSize + 8},
+		"one route":                 {routes(5000, 2500), headerSize + 40},
+		"first, middle and last":    {routes(5000, 0, 2500, 4999), headerSize + 100},
+		"a hundred routes":          {routes(5000, every(50, 100)...), headerSize + 100*30},
+		"one route added":           {routes(5001), headerSize + 250},
+		"many routes removed":       {routes(3000), headerSize + 20},
+		"three parts swapped":       {swapped, headerSize + 60},
+		"old body twice":            {append(bytes.Clone(old), old...), headerSize + 20},
+		"all but one block removed": {old[500_000:500_032], headerSize + 20},
 	} {
-		if d := check(t, old, one.new); len(d) > one.most {
-			t.Errorf("%s: a delta of %d bytes, wanted at most %d", name, len(d), one.most)
+		if d := check(t, old, test.new); len(d) > test.limit {
+			t.Errorf("%s: a delta of %d bytes, want at most %d", name, len(d), test.limit)
 		}
 	}
 }
 
+// every returns n multiples of step.
 func every(step, n int) (at []int) {
 	for i := range n {
 		at = append(at, i*step)
@@ -78,7 +80,7 @@
 	return at
 }
 
-func TestBodiesWithoutLikenessAreInserted(t *testing.T) {
+func TestDiffOfUnrelatedBodies(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	noise := func(n int) []byte {
 		b := make([]byte, n)
@@ -97,7 +99,7 @@
 	check(t, bytes.Repeat([]byte{7}, 70_000), bytes.Repeat([]byte{7}, 90_001))
 }
 
-// drawPair draws an old body and some edits of it: of few letters, so that blocks repeat, or of many.
+// drawPair draws an old body and a new one with some edits. With few different bytes blocks repeat.
 func drawPair(t *rapid.T) (old, new []byte) {
 	letters := rapid.SampledFrom([]byte{1, 2, 4, 255}).Draw(t, "letters")
 	bodies := rapid.SliceOfN(rapid.ByteRange(0, letters), 0, 400)
@@ -109,14 +111,14 @@
 		put := rapid.SliceOfN(rapid.ByteRange(0, letters), 0, 60).Draw(t, "put")
 		new = append(append(bytes.Clone(new[:from]), put...), new[to:]...)
 	}
-	if rapid.Bool().Draw(t, "turned") && len(new) > 0 {
-		at := rapid.IntRange(0, len(new)-1).Draw(t, "turn at")
+	if rapid.Bool().Draw(t, "rotated") && len(new) > 0 {
+		at := rapid.IntRange(0, len(new)-1).Draw(t, "rotate at")
 		new = append(bytes.Clone(new[at:]), new[:at]...)
 	}
 	return old, new
 }
 
-func TestApplyGivesExactlyTheNewBody(t *testing.T) {
+func TestApplyReturnsTheNewBody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, new := drawPair(t)
 		d := check(t, old, new)
@@ -126,8 +128,8 @@
 	})
 }
 
-// A delta that was altered anywhere gives an error, or (where the change does not matter) the right body.
-func TestAlteredDeltasNeverGiveAWrongBody(t *testing.T) {
+// An altered delta returns an error, or the right body if the change has no effect.
+func TestAlteredDeltaNeverMakesWrongBody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, new := drawPair(t)
 		d := Diff(old, new)
@@ -141,34 +143,34 @@
 			d = append(d, rapid.SliceOfN(rapid.Byte(), 1, 9).Draw(t, "tail")...)
 		}
 		if got, err := Apply(old, d, limit); err == nil && !bytes.Equal(got, new) {
-			t.Fatalf("a wrong body of %d bytes", len(got))
+			t.Fatalf("a wrong body of %d bytes and no error", len(got))
 		}
 	})
 }
 
-func TestADeltaAgainstAnotherBodyIsRefused(t *testing.T) {
+func TestApplyToAnotherBodyIsAnError(t *testing.T) {
 	old, new := routes(10), routes(10, 4)
 	if _, err := Apply(routes(10, 5), Diff(old, new), limit); !errors.Is(err, ErrBase) {
 		t.Errorf("against another body: %v", err)
 	}
 }
 
-func TestNoMoreIsMadeThanAllowed(t *testing.T) {
+func TestApplyRespectsTheLimit(t *testing.T) {
 	old := routes(100)
 	d := Diff(old, append(bytes.Clone(old), old...))
 	if _, err := Apply(old, d, 2*len(old)); err != nil {
-		t.Errorf("just within the bound: %v", err)
+		t.Errorf("at the limit: %v", err)
 	}
 	if _, err := Apply(old, d, 2*len(old)-1); !errors.Is(err, ErrTooLong) {
-		t.Errorf("one byte above it: %v", err)
+		t.Errorf("one byte above the limit: %v", err)
 	}
-	bomb := bytes.Clone(d[:headerSize]) // some 4 GB
+	bomb := bytes.Clone(d[:headerSize]) // makes some 4 GB
 	for range 200_000 {
-		bomb = binary.AppendUvarint(bomb, operation(len(old), copyRange))
+		bomb = binary.AppendUvarint(bomb, operationHeader(len(old), copyRange))
 		bomb = binary.AppendVarint(bomb, int64(-len(old)))
 	}
 	if _, err := Apply(old, bomb, limit); err == nil {
-		t.Error("a bomb was taken")
+		t.Error("a delta of some GB was applied")
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -176,14 +178,14 @@
 	runtime.ReadMemStats(&after)
 	allocated := after.TotalAlloc - before.TotalAlloc
 	if allocated > 64<<10 {
-		t.Errorf("a bomb had %d bytes allocated", allocated)
+		t.Errorf("a delta of some GB allocated %d bytes", allocated)
 	}
 }
 
-// A planted fault: an apply that trusts the operations. The property above must tell it from the real one.
-func TestTheCheckFindsAnApplyWithoutDigests(t *testing.T) {
-	careless := func(old, delta []byte) (body []byte) {
-		_ = walk(delta[headerSize:], len(old), func(from, length int, insert []byte) error {
+// Planted fault: an apply without digests. The comparison of the tests above must find it.
+func TestCheckFindsApplyWithoutDigests(t *testing.T) {
+	applyUnchecked := func(old, delta []byte) (body []byte) {
+		_ = forEachOperation(delta[headerSize:], len(old), func(from, length int, insert []byte) error {
 			if insert == nil {
 				insert = old[from : from+length]
 			}
@@ -196,8 +198,8 @@
 	d := Diff(old, new)
 	at := bytes.Index(d[headerSize:], []byte("other")) + headerSize
 	d[at] ^= 1
-	if bytes.Equal(careless(old, d), new) {
-		t.Fatal("the planted fault does not show")
+	if bytes.Equal(applyUnchecked(old, d), new) {
+		t.Fatal("the planted fault was not found")
 	}
 	if _, err := Apply(old, d, limit); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("an altered insert: %v", err)
@@ -211,7 +213,7 @@
 	f.Fuzz(func(t *testing.T, old, delta []byte) {
 		body, err := Apply(old, delta, 1<<16)
 		if err == nil && (len(body) > 1<<16 || DigestOf(body) != Digest(delta[1+len(Digest{}):headerSize])) {
-			t.Fatalf("a body that the delta does not name: %d bytes", len(body))
+			t.Fatalf("the body has another digest or is too long: %d bytes", len(body))
 		}
 	})
 }
--- a/internal/tier/feed/replica.go
+++ b/internal/tier/feed/replica.go
@@ -110,7 +110,7 @@
 	if p.Key != ConfigKey {
 		return errors.Newf("a delta of %s, which has no base value: the full value is requested", p.Key)
 	}
-	value, err := bodydelta.ApplyNamed(r.baseValue, r.baseDigest, p.Delta, rpc.MaxFrame)
+	value, err := bodydelta.ApplyWithDigest(r.baseValue, r.baseDigest, p.Delta, rpc.MaxFrame)
 	if err != nil {
 		return errors.Wrapf(err, "%s at index %d: the full value is requested", p.Key, p.Index)
 	}
--- a/internal/tier/feed/value_cache.go
+++ b/internal/tier/feed/value_cache.go
@@ -164,7 +164,7 @@
 	}
 	v.mu.Unlock()
 	cached.once.Do(func() {
-		patch := bodydelta.DiffNamed(base.Value, target.Value, key.base, key.target)
+		patch := bodydelta.DiffWithDigests(base.Value, target.Value, key.base, key.target)
 		if len(patch) <= maxPatchSize && len(patch) < len(target.Value) {
 			cached.bytes = patch
 		}
