--- a/internal/tier/bodydelta/match.go
+++ b/internal/tier/bodydelta/match.go
@@ -34,7 +34,7 @@
 // longer, but not wrong.
 type blockIndex struct {
 	slots []int32 // offset of the block in the old body, plus one; 0 if the slot is empty
-	shift uint // 64 minus the binary logarithm of the number of slots
+	shift uint    // 64 minus the binary logarithm of the number of slots
 }
 
 // indexBlocks returns the index of the old body's blocks at multiples of blockSize.
--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -13,8 +13,8 @@
 // errDigestMismatch reports that the chunks don't make the value with the digest.
 var errDigestMismatch = errors.New("the chunks of a value do not match its digest: it is downloaded again from another core node")
 
-// span is a range of a value's bytes.
-type span struct{ offset, length int64 }
+// byteRange is a range of a value's bytes.
+type byteRange struct{ offset, length int64 }
 
 // download is the state of a value's download in chunks. It is pure. Chunks may come from several core nodes, since the
 // digest identifies the value.
@@ -22,7 +22,7 @@
 	ref        ValueRef
 	data       []byte           // the first bytes, without gaps
 	outOfOrder map[int64][]byte // chunks after a gap, by offset
-	pending    []span           // requested chunks
+	pending    []byteRange      // requested chunks
 	abandoned  bool             // no source has the value; resumed if a source refers to it again
 	failures   int              // consecutive calls without a valid chunk; those at busy core nodes don't count
 }
@@ -37,22 +37,22 @@
 }
 
 // nextSpan returns the next span to request and marks it as pending; false if there is none.
-func (d *download) nextSpan() (span, bool) {
+func (d *download) nextSpan() (byteRange, bool) {
 	if d.abandoned {
-		return span{}, false
+		return byteRange{}, false
 	}
 	for offset := int64(len(d.data)); offset < d.ref.Size; offset += maxChunkSize {
-		s := span{offset, min(maxChunkSize, d.ref.Size-offset)}
+		s := byteRange{offset, min(maxChunkSize, d.ref.Size-offset)}
 		if _, received := d.outOfOrder[offset]; !received && !slices.Contains(d.pending, s) {
 			d.pending = append(d.pending, s)
 			return s, true
 		}
 	}
-	return span{}, false
+	return byteRange{}, false
 }
 
 // handleChunk adds the response to a request for a span, nil for a failed call, and reports whether it was a valid chunk.
-func (d *download) handleChunk(s span, chunk *Chunk) bool {
+func (d *download) handleChunk(s byteRange, chunk *Chunk) bool {
 	if i := slices.Index(d.pending, s); i >= 0 {
 		d.pending = slices.Delete(d.pending, i, i+1)
 	}
@@ -76,7 +76,7 @@
 }
 
 // matches reports whether a chunk has the bytes of a span of this value, as far as can be seen before all are there.
-func (d *download) matches(s span, chunk *Chunk) bool {
+func (d *download) matches(s byteRange, chunk *Chunk) bool {
 	return chunk.Status == ChunkServed && bytes.Equal(chunk.Digest, d.ref.Digest) &&
 		chunk.Offset == s.offset && int64(len(chunk.Data)) == s.length
 }
--- a/internal/tier/feed/fetchers.go
+++ b/internal/tier/feed/fetchers.go
@@ -69,7 +69,7 @@
 }
 
 // claimSpan returns the next span to fetch. If there is none, the calling goroutine is no longer counted and must end.
-func (f *Follower) claimSpan(ctx context.Context) (*download, span, bool) {
+func (f *Follower) claimSpan(ctx context.Context) (*download, byteRange, bool) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
 	if d := f.replica.download; d != nil && ctx.Err() == nil {
@@ -78,12 +78,12 @@
 		}
 	}
 	f.fetchers--
-	return nil, span{}, false
+	return nil, byteRange{}, false
 }
 
 // handleChunk adds a chunk, nil for a failed call, to the download, and applies the value when it is complete. It reports
 // whether the next chunk should be requested from the same core node.
-func (f *Follower) handleChunk(d *download, span span, chunk *Chunk) bool {
+func (f *Follower) handleChunk(d *download, span byteRange, chunk *Chunk) bool {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
 	if f.replica.download != d {
--- a/internal/tier/feed/link_simulation_test.go
+++ b/internal/tier/feed/link_simulation_test.go
@@ -177,7 +177,7 @@
 
 // Call implements Caller. A request on a cut direction is handled once that is open again, as bytes in a socket are; a
 // response likewise.
-func (f *simulatedFollower) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
+func (f *simulatedFollower) Call(ctx context.Context, to string, m rpc.Method, body, response any) error {
 	sim := f.sim
 	if sim.fault == neverFailsOver {
 		to = sim.nodes[0].addr
@@ -202,7 +202,7 @@
 		return rpc.ErrLost
 	}
 	f.learnMembers(node)
-	return rpc.Decode(encoded, answer)
+	return rpc.Decode(encoded, response)
 }
 
 // learnMembers records that the follower has a response of a node, and so knows its members.
--- a/internal/tier/feed/poll.go
+++ b/internal/tier/feed/poll.go
@@ -16,8 +16,8 @@
 	hedgeInterval = 100 * time.Millisecond
 
 	// searchDuration is the time over which a poll spreads its calls to all core nodes if the poll before had no confirmed
-	// response. Calls overlap no more than needed for that: at the end of a partition each one in flight is answered with
-	// all changes.
+	// response. Calls overlap no more than needed for that: at the end of a partition the response to each one in
+	// flight has all changes.
 	searchDuration = 1400 * time.Millisecond
 
 	// failbackInterval is the least time between two attempts to return to the first core node of the follower's order; a
--- a/internal/tier/feed/replica.go
+++ b/internal/tier/feed/replica.go
@@ -14,10 +14,12 @@
 )
 
 // errSourceBehind reports a response below an index that was confirmed before, although it claims to be confirmed.
-var errSourceBehind = errors.New("the source is behind what another one gave: another is asked")
+var errSourceBehind = errors.New("the source is behind an index that was confirmed before: another one is polled")
 
-// replica is a follower's copy of the control state. It is pure: it makes requests and turns responses into tables. No
-// index in it goes down, whatever sources send. It is not safe for concurrent use; the tables it made are immutable.
+// replica is a follower's copy of the control state. It is pure: it makes requests and turns responses into tables. The
+// index of the tables, the confirmed index and the indexes of values never go down, whatever sources send; the received
+// index goes back to that of the tables when a download is abandoned. It is not safe for concurrent use; the tables that
+// it made are immutable.
 type replica struct {
 	tables         *Tables          // never nil; replaced, never changed
 	receivedIndex  int64            // every entry up to it was received, in full, as a delta or as a reference
@@ -54,7 +56,7 @@
 		return nil, errSourceBehind
 	}
 	next := *r.tables
-	if request.ReceivedIndex <= r.receivedIndex { // otherwise entries between the two would be missed: a download ended meanwhile
+	if request.ReceivedIndex <= r.receivedIndex { // otherwise a download ended meanwhile, and entries would be missed
 		faults = r.applyEntries(&next, response)
 	}
 	r.applyHosts(&next, response)
--- a/internal/tier/feed/replica_simulation_test.go
+++ b/internal/tier/feed/replica_simulation_test.go
@@ -54,7 +54,7 @@
 
 type chunkExchange struct {
 	download *download
-	span     span
+	span     byteRange
 	chunk    *Chunk
 }
 
--- a/internal/tier/feed/scripted_cluster_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -89,7 +89,7 @@
 }
 
 // Call implements Caller.
-func (c *scriptedCluster) Call(ctx context.Context, to string, m rpc.Method, body, answer any) error {
+func (c *scriptedCluster) Call(ctx context.Context, to string, m rpc.Method, body, response any) error {
 	node := c.nodes[strings.TrimSuffix(to, ":7000")]
 	c.mu.Lock()
 	c.calls++
@@ -107,7 +107,7 @@
 			c.mu.Unlock()
 			if encoded != nil {
 				sleep(ctx, delay+linkDelay)
-				return c.deliver(ctx, node, encoded, answer)
+				return c.deliver(ctx, node, encoded, response)
 			}
 		} else {
 			c.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // deliver delivers a response, unless its node was cut off or stopped meanwhile.
-func (c *scriptedCluster) deliver(ctx context.Context, node *coreNode, encoded []byte, answer any) error {
+func (c *scriptedCluster) deliver(ctx context.Context, node *coreNode, encoded []byte, response any) error {
 	c.mu.Lock()
 	reach := node.reachability
 	c.mu.Unlock()
@@ -150,7 +150,7 @@
 	c.mu.Lock()
 	c.traffic.bytes += len(encoded)
 	c.mu.Unlock()
-	return rpc.Decode(encoded, answer)
+	return rpc.Decode(encoded, response)
 }
 
 // handle returns a node's response, nil for a poll that has to wait.
--- a/internal/tier/orders/history.go
+++ b/internal/tier/orders/history.go
@@ -144,7 +144,7 @@
 	if h.hasCurrent() {
 		r.Sequence = h.applied[0].Sequence + 1
 		page.Records = h.appliedOnPage(pageOf(r.Sequence))
-	} else { // above all existing sequences: an unreachable record must not be taken for the newest of its version
+	} else { // above all existing sequences: an unreachable record must not be preferred to this one
 		for len(h.unreadPages) > 0 {
 			h.readPage()
 		}
