--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -10,79 +10,86 @@
 	"larchrouter/internal/tier/bodydelta"
 )
 
-// errOtherBytes says that the pieces do not add up to the value that was named.
-var errOtherBytes = errors.New("the pieces of a value are not those of its digest: it is fetched again, elsewhere")
+// errDigestMismatch reports that the chunks don't make the value with the digest.
+var errDigestMismatch = errors.New("the chunks of a value do not match its digest: it is downloaded again from another core node")
 
-// span is a part of a value.
-type span struct{ from, length int64 }
+// byteRange is a range of a value's bytes.
+type byteRange struct{ offset, length int64 }
 
-// download is a value that comes in pieces. It is pure: what was begun at one source goes on at another, since the
-// digest names the value.
+// download is the state of a value's download in chunks. It is pure. Chunks may come from several core nodes, since the
+// digest identifies the value.
 type download struct {
-	name    ValueRef
-	have    []byte           // without gaps, from the start
-	early   map[int64][]byte // pieces that came before those in front of them
-	asked   []span
-	stopped bool // no source has it any more; goes on if one names it again
-	refused int  // calls without a piece, one after the other; not those of sources that are busy
+	ref        ValueRef
+	data       []byte           // the first bytes, without gaps
+	outOfOrder map[int64][]byte // chunks after a gap, by offset
+	pending    []byteRange      // requested chunks
+	abandoned  bool             // no source has the value; resumed if a source refers to it again
+	failures   int              // consecutive calls without a valid chunk; those at busy core nodes don't count
 }
 
-func newDownload(name ValueRef) *download {
-	return &download{name: name, early: map[int64][]byte{}}
+func newDownload(ref ValueRef) *download {
+	return &download{ref: ref, outOfOrder: map[int64][]byte{}}
 }
 
-// fetchable tells whether a name can be one of a value.
-func (n ValueRef) fetchable() bool {
+// isValid reports whether a reference can be one of a value.
+func (n ValueRef) isValid() bool {
 	return n.Size > 0 && n.Size <= rpc.MaxFrame && len(n.Digest) == len(bodydelta.Digest{})
 }
 
-// claim gives the next part to ask for; false where all that is left is under way.
-func (d *download) claim() (span, bool) {
-	if d.stopped {
-		return span{}, false
+// nextSpan returns the next span to request and marks it as pending; false if there is none.
+func (d *download) nextSpan() (byteRange, bool) {
+	if d.abandoned {
+		return byteRange{}, false
 	}
-	for from := int64(len(d.have)); from < d.name.Size; from += pieceMost {
-		s := span{from, min(pieceMost, d.name.Size-from)}
-		if _, early := d.early[from]; !early && !slices.Contains(d.asked, s) {
-			d.asked = append(d.asked, s)
+	for offset := int64(len(d.data)); offset < d.ref.Size; offset += maxChunkSize {
+		s := byteRange{offset, min(maxChunkSize, d.ref.Size-offset)}
+		if _, received := d.outOfOrder[offset]; !received && !slices.Contains(d.pending, s) {
+			d.pending = append(d.pending, s)
 			return s, true
 		}
 	}
-	return span{}, false
+	return byteRange{}, false
 }
 
-// give takes an answer for a part in, nil for a call that failed, and tells whether it was a piece of this value.
-func (d *download) give(s span, p *Chunk) bool {
-	if i := slices.Index(d.asked, s); i >= 0 {
-		d.asked = slices.Delete(d.asked, i, i+1)
+// handleChunk adds the response to a request for a span, nil for a failed call, and reports whether it was a valid chunk.
+func (d *download) handleChunk(s byteRange, chunk *Chunk) bool {
+	if i := slices.Index(d.pending, s); i >= 0 {
+		d.pending = slices.Delete(d.pending, i, i+1)
 	}
-	if p != nil && p.Status == ChunkBusy {
+	if chunk != nil && chunk.Status == ChunkBusy {
 		return false
 	}
-	if p == nil || p.Status != ChunkServed || !bytes.Equal(p.Digest, d.name.Digest) || p.Offset != s.from || int64(len(p.Data)) != s.length {
-		d.refused++
+	if chunk == nil || !d.matches(s, chunk) {
+		d.failures++
 		return false
 	}
-	d.refused = 0
-	d.early[s.from] = p.Data
+	d.failures = 0
+	d.outOfOrder[s.offset] = chunk.Data
 	for {
-		next, ok := d.early[int64(len(d.have))]
+		next, ok := d.outOfOrder[int64(len(d.data))]
 		if !ok {
 			return true
 		}
-		delete(d.early, int64(len(d.have)))
-		d.have = append(d.have, next...)
+		delete(d.outOfOrder, int64(len(d.data)))
+		d.data = append(d.data, next...)
 	}
 }
 
-func (d *download) complete() bool { return int64(len(d.have)) == d.name.Size }
+// matches reports whether a chunk has the bytes of a span of this value, as far as can be seen before all are there.
+func (d *download) matches(s byteRange, chunk *Chunk) bool {
+	return chunk.Status == ChunkServed && bytes.Equal(chunk.Digest, d.ref.Digest) &&
+		chunk.Offset == s.offset && int64(len(chunk.Data)) == s.length
+}
+
+// complete reports whether all bytes are there; their digest is not checked yet.
+func (d *download) complete() bool { return int64(len(d.data)) == d.ref.Size }
 
-// value is the whole value. Where the digest is another one, all that came is dropped.
+// value returns the complete value. If its digest is wrong, all bytes are dropped and errDigestMismatch is returned.
 func (d *download) value() ([]byte, error) {
-	digest := bodydelta.DigestOf(d.have)
-	if !bytes.Equal(digest[:], d.name.Digest) {
-		d.have = nil
-		return nil, errOtherBytes
+	digest := bodydelta.DigestOf(d.data)
+	if !bytes.Equal(digest[:], d.ref.Digest) {
+		d.data = nil
+		return nil, errDigestMismatch
 	}
-	return d.have, nil
+	return d.data, nil
 }
