--- a/internal/tier/view/model_test.go
+++ b/internal/tier/view/model_test.go
@@ -10,362 +10,362 @@
 	"pgregory.net/rapid"
 )
 
-// world is a model of nodes that agree on views, replicate entries along the chain of the view that each knows, and lose
+// simulation is a model of nodes that agree on views, replicate entries along the chain of the view that each knows, and lose
 // any message. A step draws what arrives; the ghost variables check what must hold.
-type world struct {
-	pick      func(n int) int // below n
-	faults    faults
-	losses    int
-	nodes     []*node
-	proposals []*proposal
-	round     int64
+type simulation struct {
+	draw           func(n int) int // below n
+	faults         plantedFaults
+	faultTolerance int
+	nodes          []*node
+	proposals      []*proposal
+	ballotNumber   int64
 
 	// ghosts
-	decided   map[int64]View
-	accepts   map[string]map[string]bool // by epoch and ballot: who accepted
-	committed []int
-	entries   int
-	err       error
+	decided    map[int64]View
+	acceptedBy map[string]map[string]bool // by epoch and ballot: who accepted
+	committed  []int
+	appended   int
+	violation  error
 }
 
-// faults are seams for planted faults; the zero value is the program.
-type faults struct {
-	promises func([]Promise) []Promise
-	chosen   func(*View, View, Conditions) View
-	forgets  bool // an acceptor does not keep its promise
+// plantedFaults are seams for planted plantedFaults; the zero value is the program.
+type plantedFaults struct {
+	mutatePromises func([]Promise) []Promise
+	mutateView     func(*View, View, Conditions) View
+	dropPromise    bool // an acceptor does not keep its promise
 }
 
 type node struct {
 	Member
-	acceptor  Acceptor
-	activated int64
-	log       []int
+	acceptor       Acceptor
+	activatedEpoch int64
+	log            []int
 }
 
 type proposal struct {
-	by       *node
-	now      View
+	proposer *node
+	current  View
 	ballot   Ballot
 	promises map[string]Promise
-	view     View // once chosen
+	chosen   View // once chosen
 }
 
-func newWorld(pick func(int) int, f faults) *world {
-	w := &world{pick: pick, faults: f, decided: map[int64]View{}, accepts: map[string]map[string]bool{}}
-	founders := 3 + pick(3)
-	w.losses = pick(2)
+func newSimulation(draw func(int) int, faults plantedFaults) *simulation {
+	sim := &simulation{draw: draw, faults: faults, decided: map[int64]View{}, acceptedBy: map[string]map[string]bool{}}
+	initialVoters := 3 + draw(3)
+	sim.faultTolerance = draw(2)
 	first := View{Epoch: 1}
 	for i := range 6 {
-		for _, life := range []string{"a", "b"} {
+		for _, incarnation := range []string{"a", "b"} {
 			name := fmt.Sprint("m", i)
-			w.nodes = append(w.nodes, &node{Member: Member{ID: name + life, Name: name, Addr: name}})
+			sim.nodes = append(sim.nodes, &node{Member: Member{ID: name + incarnation, Name: name, Addr: name}})
 		}
 	}
-	for i := range founders {
-		m := w.nodes[2*i].Member
-		first.Voters = append(first.Voters, m)
-		first.Chain = append(first.Chain, ChainMember{m.ID, 1})
+	for i := range initialVoters {
+		voter := sim.nodes[2*i].Member
+		first.Voters = append(first.Voters, voter)
+		first.Chain = append(first.Chain, ChainMember{voter.ID, 1})
 	}
-	w.decided[1] = first
-	for i := range founders {
-		w.nodes[2*i].activated = 1
-		w.nodes[2*i].acceptor.Adopt(first)
+	sim.decided[1] = first
+	for i := range initialVoters {
+		sim.nodes[2*i].activatedEpoch = 1
+		sim.nodes[2*i].acceptor.Adopt(first)
 	}
-	return w
+	return sim
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.err == nil {
-		w.err = fmt.Errorf(format, args...)
+func (sim *simulation) fail(format string, args ...any) {
+	if sim.violation == nil {
+		sim.violation = fmt.Errorf(format, args...)
 	}
 }
 
-func (w *world) node(id string) *node {
-	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n.ID == id })]
+func (sim *simulation) node(id string) *node {
+	return sim.nodes[slices.IndexFunc(sim.nodes, func(n *node) bool { return n.ID == id })]
 }
 
-func (w *world) some(ids ...string) map[string]bool {
+func (sim *simulation) subset(ids ...string) map[string]bool {
 	all := map[string]bool{}
 	for _, id := range ids {
-		if w.pick(3) == 0 {
+		if sim.draw(3) == 0 {
 			all[id] = true
 		}
 	}
 	return all
 }
 
-func (w *world) step() {
-	switch w.pick(6) {
+func (sim *simulation) step() {
+	switch sim.draw(6) {
 	case 0:
-		w.adopt()
+		sim.adopt()
 	case 1, 2:
-		w.replicate()
+		sim.replicate()
 	case 3:
-		w.propose()
+		sim.propose()
 	case 4:
-		w.prepare()
+		sim.prepare()
 	case 5:
-		w.accept()
+		sim.accept()
 	}
 }
 
 // adopt has some nodes hear of a decided view: mostly the newest.
-func (w *world) adopt() {
-	epoch := int64(len(w.decided)) - int64(w.pick(5)/4)
-	v, ok := w.decided[epoch]
+func (sim *simulation) adopt() {
+	epoch := int64(len(sim.decided)) - int64(sim.draw(5)/4)
+	decided, ok := sim.decided[epoch]
 	if !ok {
 		return
 	}
-	for _, n := range w.nodes {
-		if w.pick(4) == 0 || !n.acceptor.Adopt(v) {
+	for _, n := range sim.nodes {
+		if sim.draw(4) == 0 || !n.acceptor.Adopt(decided) {
 			continue
 		}
-		if v.Head() == n.ID && n.activated >= v.Chain[0].JoinedEpoch {
-			n.activated = v.Epoch
-			w.stored(n)
+		if decided.Head() == n.ID && n.activatedEpoch >= decided.Chain[0].JoinedEpoch {
+			n.activatedEpoch = decided.Epoch
+			sim.commitAtTail(n)
 		}
 	}
 }
 
-func (w *world) active(n *node) bool {
+func (sim *simulation) isActive(n *node) bool {
 	v := &n.acceptor.View
-	return v.Position(n.ID) >= 0 && n.activated == v.Epoch && !n.acceptor.HasPromised()
+	return v.Position(n.ID) >= 0 && n.activatedEpoch == v.Epoch && !n.acceptor.HasPromised()
 }
 
 // replicate appends at a head, and brings the state of a member to its successor.
-func (w *world) replicate() {
-	for _, n := range w.nodes {
-		if !w.active(n) || w.pick(4) == 0 {
+func (sim *simulation) replicate() {
+	for _, current := range sim.nodes {
+		if !sim.isActive(current) || sim.draw(4) == 0 {
 			continue
 		}
-		v := &n.acceptor.View
-		if v.Head() == n.ID {
-			w.entries++
-			n.log = append(slices.Clip(n.log), w.entries)
-			w.stored(n)
+		known := &current.acceptor.View
+		if known.Head() == current.ID {
+			sim.appended++
+			current.log = append(slices.Clip(current.log), sim.appended)
+			sim.commitAtTail(current)
 		}
-		if next := v.Successor(n.ID); next != "" && w.pick(3) > 0 {
-			to := w.node(next)
-			if to.acceptor.View.Epoch == v.Epoch && !to.acceptor.HasPromised() {
-				to.log, to.activated = n.log, v.Epoch
-				w.stored(to)
+		if successor := known.Successor(current.ID); successor != "" && sim.draw(3) > 0 {
+			receiver := sim.node(successor)
+			if receiver.acceptor.View.Epoch == known.Epoch && !receiver.acceptor.HasPromised() {
+				receiver.log, receiver.activatedEpoch = current.log, known.Epoch
+				sim.commitAtTail(receiver)
 			}
 		}
 	}
 }
 
-// stored commits what a tail has on disk.
-func (w *world) stored(n *node) {
-	v := &n.acceptor.View
-	if v.Tail() != n.ID || n.activated != v.Epoch {
+// commitAtTail commits what a tail has on disk.
+func (sim *simulation) commitAtTail(n *node) {
+	known := &n.acceptor.View
+	if known.Tail() != n.ID || n.activatedEpoch != known.Epoch {
 		return
 	}
-	if len(n.log) < len(w.committed) && slices.Equal(n.log, w.committed[:len(n.log)]) {
+	if len(n.log) < len(sim.committed) && slices.Equal(n.log, sim.committed[:len(n.log)]) {
 		return // it commits nothing new: an older tail that does not know yet
 	}
-	if !holds(n.log, w.committed) {
-		w.fail("committed %v in epoch %d, after %v", n.log, v.Epoch, w.committed)
+	if !isPrefix(n.log, sim.committed) {
+		sim.fail("committed %v in epoch %d, after %v", n.log, known.Epoch, sim.committed)
 		return
 	}
-	w.committed = n.log
+	sim.committed = n.log
 }
 
-func holds(log, committed []int) bool {
+func isPrefix(log, committed []int) bool {
 	return len(log) >= len(committed) && slices.Equal(log[:len(committed)], committed)
 }
 
-func (w *world) propose() {
-	n := w.nodes[w.pick(len(w.nodes))]
+func (sim *simulation) propose() {
+	proposer := sim.nodes[sim.draw(len(sim.nodes))]
 	for range 8 { // mostly one that knows the newest view
-		if n.acceptor.View.Epoch == int64(len(w.decided)) && n.acceptor.View.IsVoter(n.ID) {
+		if proposer.acceptor.View.Epoch == int64(len(sim.decided)) && proposer.acceptor.View.IsVoter(proposer.ID) {
 			break
 		}
-		n = w.nodes[w.pick(len(w.nodes))]
+		proposer = sim.nodes[sim.draw(len(sim.nodes))]
 	}
-	if n.acceptor.View.Epoch == 0 || !n.acceptor.View.IsVoter(n.ID) {
+	if proposer.acceptor.View.Epoch == 0 || !proposer.acceptor.View.IsVoter(proposer.ID) {
 		return
 	}
-	w.round += int64(w.pick(2)) // two may have one round
-	p := &proposal{by: n, now: n.acceptor.View, ballot: Ballot{w.round + 1, n.ID}, promises: map[string]Promise{}}
-	for _, o := range w.proposals { // one proposer never uses a ballot twice
-		if o.by == n && o.ballot == p.ballot {
-			w.round++
-			p.ballot.Number++
+	sim.ballotNumber += int64(sim.draw(2)) // two may have one round
+	next := &proposal{proposer: proposer, current: proposer.acceptor.View, ballot: Ballot{sim.ballotNumber + 1, proposer.ID}, promises: map[string]Promise{}}
+	for _, earlier := range sim.proposals { // one proposer never uses a ballot twice
+		if earlier.proposer == proposer && earlier.ballot == next.ballot {
+			sim.ballotNumber++
+			next.ballot.Number++
 		}
 	}
-	w.proposals = append(w.proposals, p)
+	sim.proposals = append(sim.proposals, next)
 }
 
-// recent is one of the proposals that were made last.
-func (w *world) recent() *proposal {
-	if len(w.proposals) == 0 {
+// recentProposal is one of the proposals that were made last.
+func (sim *simulation) recentProposal() *proposal {
+	if len(sim.proposals) == 0 {
 		return nil
 	}
-	return w.proposals[len(w.proposals)-1-w.pick(min(3, len(w.proposals)))]
+	return sim.proposals[len(sim.proposals)-1-sim.draw(min(3, len(sim.proposals)))]
 }
 
-func (w *world) prepare() {
-	p := w.recent()
-	if p == nil || p.view.Epoch > 0 {
+func (sim *simulation) prepare() {
+	pending := sim.recentProposal()
+	if pending == nil || pending.chosen.Epoch > 0 {
 		return
 	}
-	for _, m := range p.now.Voters {
-		a := &w.node(m.ID).acceptor
-		if w.pick(4) == 0 || !a.Prepare(p.now.Epoch+1, p.ballot) {
+	for _, voter := range pending.current.Voters {
+		acceptor := &sim.node(voter.ID).acceptor
+		if sim.draw(4) == 0 || !acceptor.Prepare(pending.current.Epoch+1, pending.ballot) {
 			continue
 		}
-		answer := Promise{From: m, AcceptedAt: a.AcceptedAt, Accepted: a.Accepted, ActivatedEpoch: w.node(m.ID).activated}
-		if w.faults.forgets {
-			a.Promised = Ballot{}
+		promise := Promise{From: voter, AcceptedAt: acceptor.AcceptedAt, Accepted: acceptor.Accepted, ActivatedEpoch: sim.node(voter.ID).activatedEpoch}
+		if sim.faults.dropPromise {
+			acceptor.Promised = Ballot{}
 		}
-		if w.pick(4) > 0 {
-			p.promises[m.ID] = answer
+		if sim.draw(4) > 0 {
+			pending.promises[voter.ID] = promise
 		}
 	}
-	w.choose(p)
+	sim.choose(pending)
 }
 
-func (w *world) choose(p *proposal) {
+func (sim *simulation) choose(pending *proposal) {
 	var promises []Promise
-	for _, m := range p.now.Voters {
-		if one, has := p.promises[m.ID]; has {
-			promises = append(promises, one)
+	for _, voter := range pending.current.Voters {
+		if promise, has := pending.promises[voter.ID]; has {
+			promises = append(promises, promise)
 		}
 	}
-	if w.faults.promises != nil {
-		promises = w.faults.promises(promises)
+	if sim.faults.mutatePromises != nil {
+		promises = sim.faults.mutatePromises(promises)
 	}
-	c := w.conditions(&p.now)
-	next, ok := ChooseView(&p.now, promises, c)
+	conditions := sim.conditions(&pending.current)
+	next, ok := ChooseView(&pending.current, promises, conditions)
 	if !ok {
 		return
 	}
-	if w.faults.chosen != nil {
-		next = w.faults.chosen(&p.now, next, c)
+	if sim.faults.mutateView != nil {
+		next = sim.faults.mutateView(&pending.current, next, conditions)
 	}
-	p.view = next
+	pending.chosen = next
 }
 
 // conditions are drawn without regard to what is so: what is safe must not rest on them.
-func (w *world) conditions(now *View) Conditions {
+func (sim *simulation) conditions(current *View) Conditions {
 	var ids, voters []string
 	var applicants []Member
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		ids = append(ids, n.ID)
-		if now.IsVoter(n.ID) {
+		if current.IsVoter(n.ID) {
 			voters = append(voters, n.ID)
-		} else if w.pick(8) == 0 {
+		} else if sim.draw(8) == 0 {
 			applicants = append(applicants, n.Member)
 		}
 	}
-	c := Conditions{FaultTolerance: w.losses, Applicants: applicants, CaughtUp: w.some(ids...), Failed: w.some(voters...), Alive: map[string]bool{}}
+	conditions := Conditions{FaultTolerance: sim.faultTolerance, Applicants: applicants, CaughtUp: sim.subset(ids...), Failed: sim.subset(voters...), Alive: map[string]bool{}}
 	for _, id := range ids {
-		c.Alive[id] = !c.Failed[id]
+		conditions.Alive[id] = !conditions.Failed[id]
 	}
-	if w.pick(2) == 0 {
-		c.Suspected = w.some(voters...)
+	if sim.draw(2) == 0 {
+		conditions.Suspected = sim.subset(voters...)
 	}
-	if w.pick(2) == 0 {
-		c.Leaving = w.some(voters...)
+	if sim.draw(2) == 0 {
+		conditions.Leaving = sim.subset(voters...)
 	}
-	return c
+	return conditions
 }
 
-func (w *world) accept() {
-	p := w.recent()
-	if p == nil || p.view.Epoch == 0 {
+func (sim *simulation) accept() {
+	pending := sim.recentProposal()
+	if pending == nil || pending.chosen.Epoch == 0 {
 		return
 	}
-	key := fmt.Sprint(p.view.Epoch, p.ballot)
-	if w.accepts[key] == nil {
-		w.accepts[key] = map[string]bool{}
+	key := fmt.Sprint(pending.chosen.Epoch, pending.ballot)
+	if sim.acceptedBy[key] == nil {
+		sim.acceptedBy[key] = map[string]bool{}
 	}
-	for _, m := range p.now.Voters {
-		if w.pick(3) > 0 && w.node(m.ID).acceptor.Accept(p.ballot, p.view) {
-			w.accepts[key][m.ID] = true
+	for _, voter := range pending.current.Voters {
+		if sim.draw(3) > 0 && sim.node(voter.ID).acceptor.Accept(pending.ballot, pending.chosen) {
+			sim.acceptedBy[key][voter.ID] = true
 		}
 	}
-	if len(w.accepts[key]) >= p.now.Majority() {
-		w.decide(p)
+	if len(sim.acceptedBy[key]) >= pending.current.Majority() {
+		sim.decide(pending)
 	}
 }
 
 // decide checks a view that a majority has accepted.
-func (w *world) decide(p *proposal) {
-	if other, has := w.decided[p.view.Epoch]; has {
-		if !reflect.DeepEqual(other, p.view) {
-			w.fail("two views decided in epoch %d: %v and %v", p.view.Epoch, other, p.view)
+func (sim *simulation) decide(accepted *proposal) {
+	if other, has := sim.decided[accepted.chosen.Epoch]; has {
+		if !reflect.DeepEqual(other, accepted.chosen) {
+			sim.fail("two views decided in epoch %d: %v and %v", accepted.chosen.Epoch, other, accepted.chosen)
 		}
 		return
 	}
-	w.decided[p.view.Epoch] = p.view
-	if len(p.view.Chain) == 0 {
-		w.fail("empty chain in epoch %d", p.view.Epoch)
+	sim.decided[accepted.chosen.Epoch] = accepted.chosen
+	if len(accepted.chosen.Chain) == 0 {
+		sim.fail("empty chain in epoch %d", accepted.chosen.Epoch)
 		return
 	}
-	if !holds(w.node(p.view.Head()).log, w.committed) {
-		w.fail("head of epoch %d lacks what was committed", p.view.Epoch)
+	if !isPrefix(sim.node(accepted.chosen.Head()).log, sim.committed) {
+		sim.fail("head of epoch %d lacks what was committed", accepted.chosen.Epoch)
 	}
-	added, removed := difference(p.view.Voters, p.now.Voters), difference(p.now.Voters, p.view.Voters)
+	added, removed := difference(accepted.chosen.Voters, accepted.current.Voters), difference(accepted.current.Voters, accepted.chosen.Voters)
 	if added > 1 || removed > 1 {
-		w.fail("voters changed by more than one: %v to %v", p.now.Voters, p.view.Voters)
+		sim.fail("voters changed by more than one: %v to %v", accepted.current.Voters, accepted.chosen.Voters)
 	}
-	for _, l := range p.view.Chain {
-		if !p.view.IsVoter(l.ID) {
-			w.fail("%s is in the chain without a vote", l.ID)
+	for _, member := range accepted.chosen.Chain {
+		if !accepted.chosen.IsVoter(member.ID) {
+			sim.fail("%s is in the chain without a vote", member.ID)
 		}
 	}
 }
 
-func difference(of, without []Member) (n int) {
-	for _, m := range of {
-		if !slices.Contains(without, m) {
+func difference(members, excluded []Member) (n int) {
+	for _, m := range members {
+		if !slices.Contains(excluded, m) {
 			n++
 		}
 	}
 	return n
 }
 
-const courseSteps = 300
+const scheduleSteps = 300
 
-// course runs a world until something does not hold.
-func course(w *world) error {
-	for range courseSteps {
-		if w.step(); w.err != nil {
-			return w.err
+// runSchedule runs a world until something does not hold.
+func runSchedule(sim *simulation) error {
+	for range scheduleSteps {
+		if sim.step(); sim.violation != nil {
+			return sim.violation
 		}
 	}
 	return nil
 }
 
-func seeded(seed uint64, f faults) *world {
-	return newWorld(rand.New(rand.NewPCG(seed, 0)).IntN, f)
+func newSeededSimulation(seed uint64, f plantedFaults) *simulation {
+	return newSimulation(rand.New(rand.NewPCG(seed, 0)).IntN, f)
 }
 
-func TestViewsAreSafeUnderDrawnCourses(t *testing.T) {
+func TestViewsAreSafeUnderRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		if err := course(seeded(seed, faults{})); err != nil {
+		if err := runSchedule(newSeededSimulation(seed, plantedFaults{})); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestCoursesGoSomewhere holds the courses to decide views, commit entries and change voters: else they would show nothing.
-func TestCoursesGoSomewhere(t *testing.T) {
-	var views, committed, voters int
+// TestRandomSchedulesMakeProgress holds the courses to decide views, commit entries and change voters: else they would show nothing.
+func TestRandomSchedulesMakeProgress(t *testing.T) {
+	var views, entries, voters int
 	for seed := range uint64(50) {
-		w := seeded(seed, faults{})
-		if err := course(w); err != nil {
+		sim := newSeededSimulation(seed, plantedFaults{})
+		if err := runSchedule(sim); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		views += len(w.decided) - 1
-		committed += len(w.committed)
-		last, first := w.decided[int64(len(w.decided))], w.decided[1]
+		views += len(sim.decided) - 1
+		entries += len(sim.committed)
+		last, first := sim.decided[int64(len(sim.decided))], sim.decided[1]
 		voters += difference(last.Voters, first.Voters)
 	}
-	t.Logf("50 courses: %d views, %d committed entries, %d new voters", views, committed, voters)
-	if views < 100 || committed < 500 || voters < 50 {
+	t.Logf("50 courses: %d views, %d committed entries, %d new voters", views, entries, voters)
+	if views < 100 || entries < 500 || voters < 50 {
 		t.Error("courses do too little")
 	}
 }
--- a/internal/tier/view/planted_test.go
+++ b/internal/tier/view/planted_test.go
@@ -7,26 +7,26 @@
 	"testing"
 )
 
-// TestPlantedFaultsOfViewsAreFound shows that the model finds what it is for.
-func TestPlantedFaultsOfViewsAreFound(t *testing.T) {
-	const courses = 3000
-	for name, x := range map[string]struct {
-		f    faults
-		says string
+// TestModelFindsPlantedFaults shows that the model finds what it is for.
+func TestModelFindsPlantedFaults(t *testing.T) {
+	const schedules = 3000
+	for name, test := range map[string]struct {
+		faults    plantedFaults
+		violation string
 	}{
-		"holder check left out": {faults{promises: func(all []Promise) []Promise {
+		"holder check left out": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
 			for i := range all {
 				all[i].ActivatedEpoch = math.MaxInt64
 			}
 			return all
 		}}, "lacks what was committed"},
-		"accepted view ignored": {faults{promises: func(all []Promise) []Promise {
+		"accepted view ignored": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
 			for i := range all {
 				all[i].Accepted = View{}
 			}
 			return all
 		}}, "two views decided"},
-		"highest ballot not minded": {faults{promises: func(all []Promise) []Promise {
+		"highest ballot not minded": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
 			for i := range all {
 				if round := all[i].AcceptedAt.Number; round > 0 {
 					all[i].AcceptedAt = Ballot{math.MaxInt64 - round, all[i].AcceptedAt.Proposer}
@@ -34,17 +34,17 @@
 			}
 			return all
 		}}, "two views decided"},
-		"two admitted at once": {faults{chosen: func(now *View, next View, c Conditions) View {
+		"two admitted at once": {plantedFaults{mutateView: func(now *View, next View, c Conditions) View {
 			if i := len(c.Applicants) - 1; i > 0 && difference(next.Voters, now.Voters) == 1 && !next.IsVoter(c.Applicants[i].ID) {
 				next.Voters = append(slices.Clip(next.Voters), c.Applicants[i])
 			}
 			return next
 		}}, "more than one"},
-		"promise of a majority not needed": {faults{promises: func(all []Promise) []Promise {
+		"promise of a majority not needed": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
 			return append(all, Promise{From: Member{ID: "nobody"}}, Promise{From: Member{ID: "nobody"}})
 		}}, "two views decided"},
-		"promise forgotten": {faults{forgets: true}, "two views decided"},
-		"newcomer counted as a holder of old": {faults{chosen: func(_ *View, next View, _ Conditions) View {
+		"promise forgotten": {plantedFaults{dropPromise: true}, "two views decided"},
+		"newcomer counted as a holder of old": {plantedFaults{mutateView: func(_ *View, next View, _ Conditions) View {
 			next.Chain = slices.Clone(next.Chain)
 			for i := range next.Chain {
 				next.Chain[i].JoinedEpoch = 1
@@ -53,13 +53,13 @@
 		}}, "lacks what was committed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(courses) {
-				if err := course(seeded(seed, x.f)); err != nil && strings.Contains(err.Error(), x.says) {
+			for seed := range uint64(schedules) {
+				if err := runSchedule(newSeededSimulation(seed, test.faults)); err != nil && strings.Contains(err.Error(), test.violation) {
 					t.Logf("found by seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not found in %d courses", courses)
+			t.Errorf("not found in %d courses", schedules)
 		})
 	}
 }
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -153,108 +153,110 @@
 }
 
 // ChooseView gives the view to propose once a majority has promised; ok is false where no safe one can be made yet.
-func ChooseView(now *View, promises []Promise, c Conditions) (next View, ok bool) {
-	if len(promises) < now.Majority() {
+func ChooseView(current *View, promises []Promise, conditions Conditions) (next View, ok bool) {
+	if len(promises) < current.Majority() {
 		return View{}, false
 	}
 	var highest Ballot
 	for _, p := range promises {
-		if p.Accepted.Epoch == now.Epoch+1 && highest.Less(p.AcceptedAt) {
+		if p.Accepted.Epoch == current.Epoch+1 && highest.Less(p.AcceptedAt) {
 			highest, next, ok = p.AcceptedAt, p.Accepted, true
 		}
 	}
 	if ok { // it may have been decided
 		return next, true
 	}
-	voters, changed := admit(now, c)
-	next = View{Epoch: now.Epoch + 1, Voters: voters}
-	next.Chain = nextChain(now, &next, promises, c)
+	voters, changed := nextVoters(current, conditions)
+	next = View{Epoch: current.Epoch + 1, Voters: voters}
+	next.Chain = nextChain(current, &next, promises, conditions)
 	if len(next.Chain) == 0 {
 		return View{}, false
 	}
-	if id := RemovableVoter(now, c); !changed && id != "" && next.Position(id) < 0 {
+	if id := RemovableVoter(current, conditions); !changed && id != "" && next.Position(id) < 0 {
 		next.Voters = slices.DeleteFunc(voters, func(m Member) bool { return m.ID == id })
 	}
-	return next, len(next.Chain) > c.FaultTolerance || len(next.Voters) <= c.FaultTolerance
+	return next, len(next.Chain) > conditions.FaultTolerance || len(next.Voters) <= conditions.FaultTolerance
 }
 
 // nextChain keeps the members that have promised and hold all that was committed, and adds those that have caught up.
-func nextChain(now, next *View, promises []Promise, c Conditions) []ChainMember {
-	holders := holders(now, next, promises)
-	staying := slices.DeleteFunc(slices.Clone(holders), func(l ChainMember) bool { return c.Leaving[l.ID] })
-	if len(staying) <= c.FaultTolerance { // one that leaves may have one of the last copies: it waits
-		staying = holders
+func nextChain(current, next *View, promises []Promise, conditions Conditions) []ChainMember {
+	complete := completeMembers(current, next, promises)
+	remaining := slices.DeleteFunc(slices.Clone(complete), func(l ChainMember) bool { return conditions.Leaving[l.ID] })
+	if len(remaining) <= conditions.FaultTolerance { // one that leaves may have one of the last copies: it waits
+		remaining = complete
 	}
-	if len(staying) == 0 {
+	if len(remaining) == 0 {
 		return nil
 	}
-	links := staying
-	add := func(wanted func(id string) bool) {
+	members := remaining
+	add := func(eligible func(id string) bool) {
 		for _, m := range next.Voters {
-			has := slices.ContainsFunc(links, func(l ChainMember) bool { return l.ID == m.ID })
-			if !has && c.Alive[m.ID] && !c.Leaving[m.ID] && wanted(m.ID) {
-				links = append(links, ChainMember{ID: m.ID, JoinedEpoch: next.Epoch})
+			present := slices.ContainsFunc(members, func(l ChainMember) bool { return l.ID == m.ID })
+			if !present && conditions.Alive[m.ID] && !conditions.Leaving[m.ID] && eligible(m.ID) {
+				members = append(members, ChainMember{ID: m.ID, JoinedEpoch: next.Epoch})
 			}
 		}
 	}
-	add(func(id string) bool { return c.CaughtUp[id] })
-	add(func(string) bool { return len(links) <= c.FaultTolerance }) // a chain that is too short takes nothing
-	return links
+	add(func(id string) bool { return conditions.CaughtUp[id] })
+	add(func(string) bool { return len(members) <= conditions.FaultTolerance }) // a chain that is too short takes nothing
+	return members
 }
 
-// holders are the members of the chain that have promised and have all that was committed.
-func holders(now, next *View, promises []Promise) (links []ChainMember) {
+// completeMembers are the members of the chain that have promised and have all that was committed.
+func completeMembers(current, next *View, promises []Promise) (members []ChainMember) {
 	activated := map[string]int64{}
 	for _, p := range promises {
 		activated[p.From.ID] = p.ActivatedEpoch
 	}
-	for _, l := range now.Chain {
-		if in, promised := activated[l.ID]; promised && in >= l.JoinedEpoch && next.IsVoter(l.ID) {
-			links = append(links, l)
+	for _, member := range current.Chain {
+		if epoch, promised := activated[member.ID]; promised && epoch >= member.JoinedEpoch && next.IsVoter(member.ID) {
+			members = append(members, member)
 		}
 	}
-	return links
+	return members
 }
 
-// admit changes the list of voters by one applicant at most. In this order: a machine that came back under another
+// nextVoters changes the list of voters by one applicant at most. In this order: a machine that came back under another
 // identity takes the vote of the one it was; an applicant takes the vote of one that is gone; an applicant that has caught
 // up gets a vote of its own.
 //
 // The first two put a member that is alive in the place of one that can not vote, so they never cost a majority, and need
 // not wait until the newcomer has the state. A longer list does cost one: it waits for that, and for those that are silent now.
-func admit(now *View, c Conditions) (list []Member, changed bool) {
-	list = slices.Clone(now.Voters)
-	for _, a := range c.Applicants {
-		same := func(m Member) bool { return m.Addr == a.Addr || m.Name == a.Name && !c.Alive[m.ID] }
-		if i := slices.IndexFunc(list, same); i >= 0 {
-			list[i] = a
-			return list, true
+func nextVoters(current *View, conditions Conditions) (voters []Member, changed bool) {
+	voters = slices.Clone(current.Voters)
+	for _, applicant := range conditions.Applicants {
+		replaces := func(m Member) bool {
+			return m.Addr == applicant.Addr || m.Name == applicant.Name && !conditions.Alive[m.ID]
+		}
+		if i := slices.IndexFunc(voters, replaces); i >= 0 {
+			voters[i] = applicant
+			return voters, true
 		}
 	}
-	if i := slices.IndexFunc(list, func(m Member) bool { return c.Failed[m.ID] }); i >= 0 && len(c.Applicants) > 0 {
-		list[i] = c.Applicants[0]
-		return list, true
+	if i := slices.IndexFunc(voters, func(m Member) bool { return conditions.Failed[m.ID] }); i >= 0 && len(conditions.Applicants) > 0 {
+		voters[i] = conditions.Applicants[0]
+		return voters, true
 	}
-	if !CanAdmit(now, c) {
-		return list, false
+	if !CanAdmit(current, conditions) {
+		return voters, false
 	}
-	i := slices.IndexFunc(c.Applicants, func(a Member) bool { return c.CaughtUp[a.ID] })
-	return append(list, c.Applicants[i]), true
+	i := slices.IndexFunc(conditions.Applicants, func(a Member) bool { return conditions.CaughtUp[a.ID] })
+	return append(voters, conditions.Applicants[i]), true
 }
 
 // CanAdmit tells whether an applicant may get a vote of its own now.
-func CanAdmit(now *View, c Conditions) bool {
-	if slices.ContainsFunc(now.Voters, func(m Member) bool { return c.Suspected[m.ID] }) {
+func CanAdmit(current *View, conditions Conditions) bool {
+	if slices.ContainsFunc(current.Voters, func(m Member) bool { return conditions.Suspected[m.ID] }) {
 		return false
 	}
-	return slices.ContainsFunc(c.Applicants, func(a Member) bool { return c.CaughtUp[a.ID] })
+	return slices.ContainsFunc(conditions.Applicants, func(a Member) bool { return conditions.CaughtUp[a.ID] })
 }
 
 // CanReplace tells whether an applicant may take the vote of another identity now.
-func CanReplace(now *View, c Conditions) bool {
-	for _, a := range c.Applicants {
-		for _, m := range now.Voters {
-			if c.Failed[m.ID] || m.Addr == a.Addr || m.Name == a.Name && !c.Alive[m.ID] {
+func CanReplace(current *View, conditions Conditions) bool {
+	for _, applicant := range conditions.Applicants {
+		for _, voter := range current.Voters {
+			if conditions.Failed[voter.ID] || voter.Addr == applicant.Addr || voter.Name == applicant.Name && !conditions.Alive[voter.ID] {
 				return true
 			}
 		}
@@ -263,13 +265,13 @@
 }
 
 // RemovableVoter is a voter that may lose its vote, empty for none: one that is gone or leaves, while more vote than the losses need.
-func RemovableVoter(now *View, c Conditions) string {
-	if len(now.Voters) <= 2*c.FaultTolerance+1 {
+func RemovableVoter(current *View, conditions Conditions) string {
+	if len(current.Voters) <= 2*conditions.FaultTolerance+1 {
 		return ""
 	}
-	for _, unwanted := range []map[string]bool{c.Failed, c.Leaving} {
-		for i := len(now.Voters) - 1; i >= 0; i-- {
-			if id := now.Voters[i].ID; unwanted[id] {
+	for _, candidates := range []map[string]bool{conditions.Failed, conditions.Leaving} {
+		for i := len(current.Voters) - 1; i >= 0; i-- {
+			if id := current.Voters[i].ID; candidates[id] {
 				return id
 			}
 		}
--- a/internal/tier/view/view_test.go
+++ b/internal/tier/view/view_test.go
@@ -14,7 +14,7 @@
 	return all
 }
 
-func links(since int64, ids ...string) (all []ChainMember) {
+func chainMembers(since int64, ids ...string) (all []ChainMember) {
 	for _, id := range ids {
 		all = append(all, ChainMember{ID: id, JoinedEpoch: since})
 	}
@@ -29,29 +29,29 @@
 	return all
 }
 
-// promised are promises of members that were all activated in one epoch.
-func promised(activated int64, ids ...string) (all []Promise) {
+// promisesAt are promises of members that were all activated in one epoch.
+func promisesAt(activated int64, ids ...string) (all []Promise) {
 	for _, id := range ids {
 		all = append(all, Promise{From: member(id), ActivatedEpoch: activated})
 	}
 	return all
 }
 
-func chainOf(v View) (ids []string) {
+func chainIDs(v View) (ids []string) {
 	for _, l := range v.Chain {
 		ids = append(ids, l.ID)
 	}
 	return ids
 }
 
-func votersOf(v View) (ids []string) {
+func voterIDs(v View) (ids []string) {
 	for _, m := range v.Voters {
 		ids = append(ids, m.ID)
 	}
 	return ids
 }
 
-func want(t *testing.T, what string, got []string, ids ...string) {
+func wantIDs(t *testing.T, what string, got []string, ids ...string) {
 	t.Helper()
 	if !slices.Equal(got, ids) {
 		t.Errorf("%s: got %v, want %v", what, got, ids)
@@ -59,7 +59,7 @@
 }
 
 func TestViewPositions(t *testing.T) {
-	v := View{Epoch: 4, Voters: members("a", "b", "c", "d"), Chain: links(1, "b", "a", "d")}
+	v := View{Epoch: 4, Voters: members("a", "b", "c", "d"), Chain: chainMembers(1, "b", "a", "d")}
 	if v.Majority() != 3 || v.Head() != "b" || v.Tail() != "d" {
 		t.Error("majority, head or tail", v.Majority(), v.Head(), v.Tail())
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestBallotsOrderByRoundThenProposer(t *testing.T) {
+func TestBallotsOrderByNumberThenProposer(t *testing.T) {
 	ordered := []Ballot{{}, {1, "a"}, {1, "b"}, {2, "a"}}
 	for i, x := range ordered {
 		for k, y := range ordered {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestAcceptorPromisesNothingBelowItsPromise(t *testing.T) {
+func TestAcceptorRejectsPrepareBelowPromise(t *testing.T) {
 	a := Acceptor{View: View{Epoch: 3}}
 	if a.HasPromised() {
 		t.Error("sealed at the start")
@@ -111,9 +111,9 @@
 	}
 }
 
-func TestAcceptorAcceptsWhatItMay(t *testing.T) {
+func TestAcceptorAcceptsOnlyAtOrAbovePromise(t *testing.T) {
 	a := Acceptor{View: View{Epoch: 3}}
-	low, high := View{Epoch: 4, Chain: links(4, "a")}, View{Epoch: 4, Chain: links(4, "b")}
+	low, high := View{Epoch: 4, Chain: chainMembers(4, "a")}, View{Epoch: 4, Chain: chainMembers(4, "b")}
 	a.Prepare(4, Ballot{2, "b"})
 	if a.Accept(Ballot{2, "a"}, low) || a.Accepted.Epoch != 0 {
 		t.Error("accepted below its promise")
@@ -149,123 +149,123 @@
 	}
 }
 
-func TestChooseNeedsAMajority(t *testing.T) {
+func TestChooseViewNeedsMajority(t *testing.T) {
 	for voters, majority := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 8: 5} {
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}[:voters]
-		now := View{Epoch: 1, Voters: members(ids...), Chain: links(1, ids...)}
-		if _, ok := ChooseView(&now, promised(1, ids[:majority-1]...), Conditions{}); ok {
+		current := View{Epoch: 1, Voters: members(ids...), Chain: chainMembers(1, ids...)}
+		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority-1]...), Conditions{}); ok {
 			t.Errorf("%d promises of %d sufficed", majority-1, voters)
 		}
-		if _, ok := ChooseView(&now, promised(1, ids[:majority]...), Conditions{}); !ok {
+		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority]...), Conditions{}); !ok {
 			t.Errorf("%d promises of %d did not suffice", majority, voters)
 		}
 	}
 }
 
-func TestChooseTakesTheAcceptedViewOfTheHighestBallot(t *testing.T) {
-	now := View{Epoch: 3, Voters: members("a", "b", "c"), Chain: links(1, "a", "b", "c")}
-	promises := promised(3, "a", "b", "c")
-	older, newer := View{Epoch: 4, Chain: links(4, "older")}, View{Epoch: 4, Chain: links(4, "newer")}
-	past := View{Epoch: 3, Chain: links(3, "past")}
+func TestChooseViewTakesAcceptedViewOfHighestBallot(t *testing.T) {
+	current := View{Epoch: 3, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
+	promises := promisesAt(3, "a", "b", "c")
+	older, newer := View{Epoch: 4, Chain: chainMembers(4, "older")}, View{Epoch: 4, Chain: chainMembers(4, "newer")}
+	past := View{Epoch: 3, Chain: chainMembers(3, "past")}
 	promises[0].Accepted, promises[0].AcceptedAt = newer, Ballot{3, "b"}
 	promises[1].Accepted, promises[1].AcceptedAt = older, Ballot{3, "a"}
 	promises[2].Accepted, promises[2].AcceptedAt = past, Ballot{9, "a"}
-	next, ok := ChooseView(&now, promises, Conditions{FaultTolerance: 1})
+	next, ok := ChooseView(&current, promises, Conditions{FaultTolerance: 1})
 	if !ok || next.Head() != "newer" {
 		t.Error("got", next, ok)
 	}
-	if _, ok := ChooseView(&now, promises[:1], Conditions{}); ok {
+	if _, ok := ChooseView(&current, promises[:1], Conditions{}); ok {
 		t.Error("a view that one has accepted was taken without a majority")
 	}
 }
 
-func TestChooseKeepsHoldersInOrder(t *testing.T) {
-	now := View{Epoch: 6, Voters: members("a", "b", "c", "d", "e"), Chain: []ChainMember{{"d", 2}, {"a", 4}, {"c", 6}, {"b", 1}}}
+func TestChooseViewKeepsCompleteMembersInOrder(t *testing.T) {
+	current := View{Epoch: 6, Voters: members("a", "b", "c", "d", "e"), Chain: []ChainMember{{"d", 2}, {"a", 4}, {"c", 6}, {"b", 1}}}
 	promises := []Promise{
 		{From: member("a"), ActivatedEpoch: 3}, // since 4: it missed the state of 4
 		{From: member("b"), ActivatedEpoch: 1},
 		{From: member("e"), ActivatedEpoch: 6}, // not in the chain
 		{From: member("d"), ActivatedEpoch: 5},
 	}
-	next, ok := ChooseView(&now, promises, Conditions{FaultTolerance: 1, Alive: set("b", "d")})
+	next, ok := ChooseView(&current, promises, Conditions{FaultTolerance: 1, Alive: set("b", "d")})
 	if !ok || next.Epoch != 7 || !slices.Equal(next.Chain, []ChainMember{{"d", 2}, {"b", 1}}) {
 		t.Error("got", next, ok)
 	}
-	if _, ok := ChooseView(&now, append(promises[:1:1], promises[2], Promise{From: member("c"), ActivatedEpoch: 5}), Conditions{}); ok {
+	if _, ok := ChooseView(&current, append(promises[:1:1], promises[2], Promise{From: member("c"), ActivatedEpoch: 5}), Conditions{}); ok {
 		t.Error("made a view without a holder")
 	}
 }
 
-func TestChooseHeadIsAHolderWhoeverHasCaughtUp(t *testing.T) {
-	now := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: links(1, "b")}
-	next, ok := ChooseView(&now, promised(2, "a", "b", "c"), Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("a", "c")})
+func TestChooseViewHeadIsCompleteMember(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "b")}
+	next, ok := ChooseView(&current, promisesAt(2, "a", "b", "c"), Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("a", "c")})
 	if !ok || !slices.Equal(next.Chain, []ChainMember{{"b", 1}, {"a", 3}, {"c", 3}}) {
 		t.Error("got", next, ok)
 	}
 }
 
-func TestChooseLeaversWaitForTheirCopies(t *testing.T) {
-	now := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: links(1, "a", "b", "c")}
-	all := promised(2, "a", "b", "c")
+func TestChooseViewKeepsLeavingMembersUntilReplicated(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
+	all := promisesAt(2, "a", "b", "c")
 	alive := set("a", "b", "c")
-	next, _ := ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a")})
-	want(t, "two others stay", chainOf(next), "b", "c")
-	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a", "b")})
-	want(t, "one other would stay", chainOf(next), "a", "b", "c")
-	next, _ = ChooseView(&now, all[:2], Conditions{FaultTolerance: 1, Alive: set("a", "b"), Leaving: set("a")})
-	want(t, "one of two leaves", chainOf(next), "a", "b")
+	next, _ := ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a")})
+	wantIDs(t, "two others stay", chainIDs(next), "b", "c")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a", "b")})
+	wantIDs(t, "one other would stay", chainIDs(next), "a", "b", "c")
+	next, _ = ChooseView(&current, all[:2], Conditions{FaultTolerance: 1, Alive: set("a", "b"), Leaving: set("a")})
+	wantIDs(t, "one of two leaves", chainIDs(next), "a", "b")
 }
 
-func TestChooseTakesUpMembersThatHaveCaughtUp(t *testing.T) {
-	now := View{Epoch: 2, Voters: members("a", "b", "c", "d"), Chain: links(1, "a", "b")}
-	all := promised(2, "a", "b", "c", "d")
+func TestChooseViewAddsCaughtUpMembers(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c", "d"), Chain: chainMembers(1, "a", "b")}
+	all := promisesAt(2, "a", "b", "c", "d")
 	alive := set("a", "b", "c", "d")
-	next, ok := ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive})
+	next, ok := ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive})
 	if !ok {
 		t.Error("a chain that is long enough")
 	}
-	want(t, "long enough, nobody has caught up", chainOf(next), "a", "b")
-	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("d")})
-	want(t, "one has caught up", chainOf(next), "a", "b", "d")
-	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("c", "d"), Leaving: set("c")})
-	want(t, "one that has caught up leaves", chainOf(next), "a", "b", "d")
-	next, _ = ChooseView(&now, all, Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("c", "d")})
-	want(t, "one that has caught up is silent", chainOf(next), "a", "b", "c")
-	next, ok = ChooseView(&now, promised(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a", "c", "d")})
-	want(t, "too short", chainOf(next), "a", "c")
+	wantIDs(t, "long enough, nobody has caught up", chainIDs(next), "a", "b")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("d")})
+	wantIDs(t, "one has caught up", chainIDs(next), "a", "b", "d")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("c", "d"), Leaving: set("c")})
+	wantIDs(t, "one that has caught up leaves", chainIDs(next), "a", "b", "d")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("c", "d")})
+	wantIDs(t, "one that has caught up is silent", chainIDs(next), "a", "b", "c")
+	next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a", "c", "d")})
+	wantIDs(t, "too short", chainIDs(next), "a", "c")
 	if !ok {
 		t.Error("too short, filled")
 	}
-	if next, ok = ChooseView(&now, promised(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a")}); ok {
+	if next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a")}); ok {
 		t.Error("a chain of one with losses of 1", next)
 	}
 }
 
-func TestChooseLoneVoterMayBeAChainOfOne(t *testing.T) {
-	now := View{Epoch: 1, Voters: members("a"), Chain: links(1, "a")}
-	next, ok := ChooseView(&now, promised(1, "a"), Conditions{FaultTolerance: 1, Alive: set("a")})
-	want(t, "alone", chainOf(next), "a")
+func TestChooseViewAllowsSingleMemberChain(t *testing.T) {
+	current := View{Epoch: 1, Voters: members("a"), Chain: chainMembers(1, "a")}
+	next, ok := ChooseView(&current, promisesAt(1, "a"), Conditions{FaultTolerance: 1, Alive: set("a")})
+	wantIDs(t, "alone", chainIDs(next), "a")
 	if !ok {
 		t.Error("one voter can not have two copies")
 	}
 }
 
-func TestChooseChangesOneVoterAtMost(t *testing.T) {
-	now := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: links(1, "a", "b", "c")}
-	reborn := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
+func TestChooseViewChangesAtMostOneVoter(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
+	replaced := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
 	sameAddr := Member{ID: "c2", Name: "machine-c", Addr: "addr-c"}
-	two := promised(2, "a", "c")
-	three := promised(2, "a", "b", "c")
-	for name, x := range map[string]struct {
+	two := promisesAt(2, "a", "c")
+	three := promisesAt(2, "a", "b", "c")
+	for name, test := range map[string]struct {
 		promises []Promise
 		c        Conditions
 		voters   []string
 	}{
-		"another identity of a machine": {two, Conditions{Applicants: []Member{reborn}}, []string{"a", "b2", "c"}},
-		"the identity before is alive":  {three, Conditions{Applicants: []Member{reborn}, Alive: set("b")}, []string{"a", "b", "c"}},
+		"another identity of a machine": {two, Conditions{Applicants: []Member{replaced}}, []string{"a", "b2", "c"}},
+		"the identity before is alive":  {three, Conditions{Applicants: []Member{replaced}, Alive: set("b")}, []string{"a", "b", "c"}},
 		"another identity at one address, that before seems alive": {
 			three, Conditions{Applicants: []Member{sameAddr}, Alive: set("a", "b", "c")}, []string{"a", "b", "c2"}},
-		"two identities, one at a time": {three, Conditions{Applicants: []Member{reborn, sameAddr}}, []string{"a", "b2", "c"}},
+		"two identities, one at a time": {three, Conditions{Applicants: []Member{replaced, sameAddr}}, []string{"a", "b2", "c"}},
 		"an own identity goes before one that is gone": {
 			three, Conditions{Applicants: []Member{member("d"), sameAddr}, Failed: set("b")}, []string{"a", "b", "c2"}},
 		"the place of one that is gone":   {two, Conditions{Applicants: members("d", "e"), Failed: set("b")}, []string{"a", "d", "c"}},
@@ -276,22 +276,22 @@
 		"caught up, somebody is suspected": {
 			three, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("b")}, []string{"a", "b", "c"}},
 	} {
-		x.c.FaultTolerance = 1
-		next, ok := ChooseView(&now, x.promises, x.c)
+		test.c.FaultTolerance = 1
+		next, ok := ChooseView(&current, test.promises, test.c)
 		if !ok {
 			t.Errorf("%s: no view", name)
 		}
-		want(t, name, votersOf(next), x.voters...)
+		wantIDs(t, name, voterIDs(next), test.voters...)
 	}
-	want(t, "the view before is not changed", votersOf(now), "a", "b", "c")
+	wantIDs(t, "the view before is not changed", voterIDs(current), "a", "b", "c")
 }
 
-func TestChooseRemovesOnlyAboveWhatTheLossesNeed(t *testing.T) {
-	four := View{Epoch: 2, Voters: members("a", "b", "c", "d"), Chain: links(1, "a", "b", "c")}
-	three := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: links(1, "a", "b", "c")}
-	all := promised(2, "a", "b", "c", "d")
-	for name, x := range map[string]struct {
-		now      *View
+func TestChooseViewRemovesVoterOnlyAboveFaultTolerance(t *testing.T) {
+	four := View{Epoch: 2, Voters: members("a", "b", "c", "d"), Chain: chainMembers(1, "a", "b", "c")}
+	three := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
+	all := promisesAt(2, "a", "b", "c", "d")
+	for name, test := range map[string]struct {
+		current  *View
 		promises []Promise
 		c        Conditions
 		voters   []string
@@ -305,30 +305,30 @@
 		"an admission goes before":      {&four, all[:3], Conditions{Failed: set("d"), Applicants: members("e")}, []string{"a", "b", "c", "e"}},
 		"nobody is gone, nobody leaves": {&four, all, Conditions{}, []string{"a", "b", "c", "d"}},
 	} {
-		x.c.FaultTolerance = 1
-		next, ok := ChooseView(x.now, x.promises, x.c)
+		test.c.FaultTolerance = 1
+		next, ok := ChooseView(test.current, test.promises, test.c)
 		if !ok {
 			t.Errorf("%s: no view", name)
 		}
-		want(t, name, votersOf(next), x.voters...)
+		wantIDs(t, name, voterIDs(next), test.voters...)
 	}
 }
 
-func TestAdmissibleAndReplaceable(t *testing.T) {
-	now := View{Epoch: 2, Voters: members("a", "b", "c")}
-	reborn := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
-	if CanReplace(&now, Conditions{Failed: set("a")}) || !CanReplace(&now, Conditions{Failed: set("a"), Applicants: members("d")}) {
+func TestCanAdmitAndCanReplace(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c")}
+	replaced := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
+	if CanReplace(&current, Conditions{Failed: set("a")}) || !CanReplace(&current, Conditions{Failed: set("a"), Applicants: members("d")}) {
 		t.Error("the place of one that is gone")
 	}
-	again := Conditions{Applicants: []Member{reborn}}
-	alive := Conditions{Applicants: []Member{reborn}, Alive: set("b")}
-	if !CanReplace(&now, again) || CanReplace(&now, alive) {
+	dead := Conditions{Applicants: []Member{replaced}}
+	alive := Conditions{Applicants: []Member{replaced}, Alive: set("b")}
+	if !CanReplace(&current, dead) || CanReplace(&current, alive) {
 		t.Error("another identity of one machine")
 	}
-	if CanAdmit(&now, Conditions{Applicants: members("d")}) || !CanAdmit(&now, Conditions{Applicants: members("d"), CaughtUp: set("d")}) {
+	if CanAdmit(&current, Conditions{Applicants: members("d")}) || !CanAdmit(&current, Conditions{Applicants: members("d"), CaughtUp: set("d")}) {
 		t.Error("one that has caught up")
 	}
-	if CanAdmit(&now, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("c")}) {
+	if CanAdmit(&current, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("c")}) {
 		t.Error("admissible while one is silent")
 	}
 }
