--- /dev/null
+++ b/internal/tier/view/proposer_test.go
@@ -0,0 +1,107 @@
+package view
+
+import (
+	"slices"
+	"testing"
+)
+
+func TestChooseViewNeedsMajority(t *testing.T) {
+	for voters, majority := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 5: 3, 8: 5} {
+		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}[:voters]
+		current := View{Epoch: 1, Voters: members(ids...), Chain: chainMembers(1, ids...)}
+		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority-1]...), Conditions{}); ok {
+			t.Errorf("%d promises of %d sufficed", majority-1, voters)
+		}
+		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority]...), Conditions{}); !ok {
+			t.Errorf("%d promises of %d did not suffice", majority, voters)
+		}
+	}
+}
+
+func TestChooseViewTakesAcceptedViewOfHighestBallot(t *testing.T) {
+	current := View{Epoch: 3, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
+	promises := promisesAt(3, "a", "b", "c")
+	older, newer := View{Epoch: 4, Chain: chainMembers(4, "older")}, View{Epoch: 4, Chain: chainMembers(4, "newer")}
+	past := View{Epoch: 3, Chain: chainMembers(3, "past")}
+	promises[0].Accepted, promises[0].AcceptedAt = newer, Ballot{3, "b"}
+	promises[1].Accepted, promises[1].AcceptedAt = older, Ballot{3, "a"}
+	promises[2].Accepted, promises[2].AcceptedAt = past, Ballot{9, "a"}
+	next, ok := ChooseView(&current, promises, Conditions{FaultTolerance: 1})
+	if !ok || next.Head() != "newer" {
+		t.Error("got", next, ok)
+	}
+	if _, ok := ChooseView(&current, promises[:1], Conditions{}); ok {
+		t.Error("a view that one has accepted was taken without a majority")
+	}
+}
+
+func TestChooseViewKeepsCompleteMembersInOrder(t *testing.T) {
+	current := View{Epoch: 6, Voters: members("a", "b", "c", "d", "e"), Chain: []ChainMember{{"d", 2}, {"a", 4}, {"c", 6}, {"b", 1}}}
+	promises := []Promise{
+		{From: member("a"), ActivatedEpoch: 3}, // since 4: it missed the state of 4
+		{From: member("b"), ActivatedEpoch: 1},
+		{From: member("e"), ActivatedEpoch: 6}, // not in the chain
+		{From: member("d"), ActivatedEpoch: 5},
+	}
+	next, ok := ChooseView(&current, promises, Conditions{FaultTolerance: 1, Alive: set("b", "d")})
+	if !ok || next.Epoch != 7 || !slices.Equal(next.Chain, []ChainMember{{"d", 2}, {"b", 1}}) {
+		t.Error("got", next, ok)
+	}
+	if _, ok := ChooseView(&current, append(promises[:1:1], promises[2], Promise{From: member("c"), ActivatedEpoch: 5}), Conditions{}); ok {
+		t.Error("made a view without a holder")
+	}
+}
+
+func TestChooseViewHeadIsCompleteMember(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "b")}
+	next, ok := ChooseView(&current, promisesAt(2, "a", "b", "c"), Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("a", "c")})
+	if !ok || !slices.Equal(next.Chain, []ChainMember{{"b", 1}, {"a", 3}, {"c", 3}}) {
+		t.Error("got", next, ok)
+	}
+}
+
+func TestChooseViewKeepsLeavingMembersUntilReplicated(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
+	all := promisesAt(2, "a", "b", "c")
+	alive := set("a", "b", "c")
+	next, _ := ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a")})
+	wantIDs(t, "two others stay", chainIDs(next), "b", "c")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a", "b")})
+	wantIDs(t, "one other would stay", chainIDs(next), "a", "b", "c")
+	next, _ = ChooseView(&current, all[:2], Conditions{FaultTolerance: 1, Alive: set("a", "b"), Leaving: set("a")})
+	wantIDs(t, "one of two leaves", chainIDs(next), "a", "b")
+}
+
+func TestChooseViewAddsCaughtUpMembers(t *testing.T) {
+	current := View{Epoch: 2, Voters: members("a", "b", "c", "d"), Chain: chainMembers(1, "a", "b")}
+	all := promisesAt(2, "a", "b", "c", "d")
+	alive := set("a", "b", "c", "d")
+	next, ok := ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive})
+	if !ok {
+		t.Error("a chain that is long enough")
+	}
+	wantIDs(t, "long enough, nobody has caught up", chainIDs(next), "a", "b")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("d")})
+	wantIDs(t, "one has caught up", chainIDs(next), "a", "b", "d")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("c", "d"), Leaving: set("c")})
+	wantIDs(t, "one that has caught up leaves", chainIDs(next), "a", "b", "d")
+	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("c", "d")})
+	wantIDs(t, "one that has caught up is silent", chainIDs(next), "a", "b", "c")
+	next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a", "c", "d")})
+	wantIDs(t, "too short", chainIDs(next), "a", "c")
+	if !ok {
+		t.Error("too short, filled")
+	}
+	if next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a")}); ok {
+		t.Error("a chain of one with losses of 1", next)
+	}
+}
+
+func TestChooseViewAllowsSingleMemberChain(t *testing.T) {
+	current := View{Epoch: 1, Voters: members("a"), Chain: chainMembers(1, "a")}
+	next, ok := ChooseView(&current, promisesAt(1, "a"), Conditions{FaultTolerance: 1, Alive: set("a")})
+	wantIDs(t, "alone", chainIDs(next), "a")
+	if !ok {
+		t.Error("one voter can not have two copies")
+	}
+}
