--- a/internal/tier/view/acceptor.go
+++ b/internal/tier/view/acceptor.go
@@ -1,33 +1,34 @@
 package view
 
-// Ballot orders the proposals of one epoch.
+// Ballot is a proposal number. Ballots order the proposals of one epoch; the proposer's identity makes them unique.
 type Ballot struct {
 	Number   int64
-	Proposer string
+	Proposer string // Member.ID
 }
 
-// Less tells whether b comes before o.
+// Less reports whether b is ordered before o.
 func (b Ballot) Less(o Ballot) bool {
 	return b.Number < o.Number || b.Number == o.Number && b.Proposer < o.Proposer
 }
 
-// IsZero tells whether no ballot was made.
+// IsZero reports whether b is the zero value, which stands for no ballot and is lower than all others.
 func (b Ballot) IsZero() bool { return b.Number == 0 }
 
-// Acceptor is what a voter keeps on disk: the newest decided view that it knows, and its vote on the next. Whoever changes
-// it syncs it before anything is answered.
+// Acceptor is the durable state of a voter: the newest decided view that it knows, and its votes on the view of the next
+// epoch. The caller syncs each change before it responds to the request that made it.
 type Acceptor struct {
 	View       View
-	Promised   Ballot // for epoch View.Epoch+1
-	AcceptedAt Ballot
-	Accepted   View // Epoch 0 for none
+	Promised   Ballot // highest ballot promised or accepted for epoch View.Epoch+1; never decreases within an epoch
+	AcceptedAt Ballot // ballot under which Accepted was accepted
+	Accepted   View   // of epoch View.Epoch+1; its Epoch is 0 if none was accepted
 }
 
-// HasPromised tells whether this voter has promised for the epoch after its view: it then takes no entries of its view's
-// epoch and confirms no reads of it any more.
+// HasPromised reports whether the voter has promised or accepted a ballot for the epoch after its view. From then on it must
+// not store entries of its view's epoch, nor confirm reads in it.
 func (a *Acceptor) HasPromised() bool { return !a.Promised.IsZero() }
 
-// Prepare promises to a ballot for an epoch, or tells that it does not.
+// Prepare handles a prepare request (phase 1). It reports whether the acceptor promises to accept nothing below the ballot;
+// it does so again for the ballot that it promised last. The response must carry Accepted and AcceptedAt.
 func (a *Acceptor) Prepare(epoch int64, b Ballot) bool {
 	if epoch != a.View.Epoch+1 || b.Less(a.Promised) {
 		return false
@@ -36,7 +37,8 @@
 	return true
 }
 
-// Accept votes for a view, unless a higher ballot was promised.
+// Accept handles an accept request (phase 2). It reports whether the view was accepted, which it is unless a higher ballot
+// was promised.
 func (a *Acceptor) Accept(b Ballot, v View) bool {
 	if v.Epoch != a.View.Epoch+1 || b.Less(a.Promised) {
 		return false
@@ -45,7 +47,7 @@
 	return true
 }
 
-// Adopt takes a decided view, if it is newer.
+// Adopt takes up a decided view and discards the votes of earlier epochs. It reports whether the view was newer.
 func (a *Acceptor) Adopt(v View) bool {
 	if v.Epoch <= a.View.Epoch {
 		return false
@@ -54,10 +56,10 @@
 	return true
 }
 
-// Promise is what a voter tells with its promise.
+// Promise is a voter's positive response to a prepare request.
 type Promise struct {
 	From           Member
 	AcceptedAt     Ballot
 	Accepted       View
-	ActivatedEpoch int64 // last epoch in which it had the whole state of its chain
+	ActivatedEpoch int64 // last epoch in which it had the complete state of its chain (chain.State.ActivatedEpoch)
 }
--- a/internal/tier/view/acceptor_test.go
+++ b/internal/tier/view/acceptor_test.go
@@ -14,23 +14,23 @@
 		}
 	}
 	if !ordered[0].IsZero() || ordered[1].IsZero() {
-		t.Error("zero")
+		t.Error("IsZero")
 	}
 }
 
 func TestAcceptorRejectsPrepareBelowPromise(t *testing.T) {
 	a := Acceptor{View: View{Epoch: 3}}
 	if a.HasPromised() {
-		t.Error("sealed at the start")
+		t.Error("promised initially")
 	}
 	if a.Prepare(3, Ballot{1, "a"}) || a.Prepare(5, Ballot{1, "a"}) || a.HasPromised() {
 		t.Error("promised for an epoch that is not the next")
 	}
 	if !a.Prepare(4, Ballot{2, "b"}) || !a.HasPromised() {
-		t.Error("no promise, or not sealed by it")
+		t.Error("promise not made or not recorded")
 	}
 	if !a.Prepare(4, Ballot{2, "b"}) {
-		t.Error("a repeated prepare was refused")
+		t.Error("rejected a repeated prepare")
 	}
 	if a.Prepare(4, Ballot{2, "a"}) || a.Promised != (Ballot{2, "b"}) {
 		t.Error("promised below its promise")
@@ -50,14 +50,15 @@
 	if !a.Accept(Ballot{2, "b"}, low) || a.Accepted.Head() != "a" || a.AcceptedAt != (Ballot{2, "b"}) {
 		t.Error("did not accept at its promise")
 	}
-	if !a.Accept(Ballot{3, "c"}, high) || a.Promised != (Ballot{3, "c"}) || a.Accepted.Head() != "b" || a.AcceptedAt != (Ballot{3, "c"}) {
+	if !a.Accept(Ballot{3, "c"}, high) || a.Promised != (Ballot{3, "c"}) ||
+		a.Accepted.Head() != "b" || a.AcceptedAt != (Ballot{3, "c"}) {
 		t.Error("an accept without a prepare binds as a promise does")
 	}
 	if a.Prepare(4, Ballot{2, "z"}) {
 		t.Error("promised below what it accepted")
 	}
 	if !a.Prepare(4, Ballot{4, "a"}) || a.Accepted.Head() != "b" || a.AcceptedAt != (Ballot{3, "c"}) {
-		t.Error("a promise must keep what was accepted")
+		t.Error("a promise discarded the accepted view")
 	}
 }
 
@@ -68,9 +69,9 @@
 		t.Error("adopted an old view")
 	}
 	if !a.Adopt(View{Epoch: 6}) || a.HasPromised() || a.View.Epoch != 6 || a.Accepted.Epoch != 0 || !a.AcceptedAt.IsZero() {
-		t.Error("a newer view begins without votes", a)
+		t.Error("a newer view must begin without votes", a)
 	}
 	if a.Prepare(4, Ballot{9, "z"}) || a.Accept(Ballot{9, "z"}, View{Epoch: 4}) {
-		t.Error("voted for an epoch that is past")
+		t.Error("voted in a past epoch")
 	}
 }
--- a/internal/tier/view/helpers_test.go
+++ b/internal/tier/view/helpers_test.go
@@ -29,7 +29,7 @@
 	return all
 }
 
-// promisesAt are promises of members that were all activated in one epoch.
+// promisesAt returns promises of members that were all activated in one epoch.
 func promisesAt(activated int64, ids ...string) (all []Promise) {
 	for _, id := range ids {
 		all = append(all, Promise{From: member(id), ActivatedEpoch: activated})
--- a/internal/tier/view/model_test.go
+++ b/internal/tier/view/model_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is a model of nodes that agree on views, replicate entries along the chain of the view that each knows, and lose
-// any message. A step draws what arrives; the ghost variables check what must hold.
+// simulation is a model of nodes that decide views and replicate entries along the chain of the view that each knows, while any
+// message may be lost. A step draws which messages arrive. The ghost variables are known to no node; they check the contract.
 type simulation struct {
 	draw           func(n int) int // below n
 	faults         plantedFaults
@@ -22,17 +22,17 @@
 
 	// ghosts
 	decided    map[int64]View
-	acceptedBy map[string]map[string]bool // by epoch and ballot: who accepted
+	acceptedBy map[string]map[string]bool // acceptors by epoch and ballot
 	committed  []int
 	appended   int
 	violation  error
 }
 
-// plantedFaults are seams for planted plantedFaults; the zero value is the program.
+// plantedFaults are hooks that plant faults; the zero value plants none.
 type plantedFaults struct {
 	mutatePromises func([]Promise) []Promise
 	mutateView     func(*View, View, Conditions) View
-	dropPromise    bool // an acceptor does not keep its promise
+	dropPromise    bool // acceptors lose their promise
 }
 
 type node struct {
@@ -47,7 +47,7 @@
 	current  View
 	ballot   Ballot
 	promises map[string]Promise
-	chosen   View // once chosen
+	chosen   View // Epoch 0 until it is chosen
 }
 
 func newSimulation(draw func(int) int, faults plantedFaults) *simulation {
@@ -109,7 +109,7 @@
 	}
 }
 
-// adopt has some nodes hear of a decided view: mostly the newest.
+// adopt delivers a decided view, mostly the newest, to some nodes.
 func (sim *simulation) adopt() {
 	epoch := int64(len(sim.decided)) - int64(sim.draw(5)/4)
 	decided, ok := sim.decided[epoch]
@@ -132,7 +132,7 @@
 	return v.Position(n.ID) >= 0 && n.activatedEpoch == v.Epoch && !n.acceptor.HasPromised()
 }
 
-// replicate appends at a head, and brings the state of a member to its successor.
+// replicate appends at heads, and transfers the state of members to their successors.
 func (sim *simulation) replicate() {
 	for _, current := range sim.nodes {
 		if !sim.isActive(current) || sim.draw(4) == 0 {
@@ -154,14 +154,14 @@
 	}
 }
 
-// commitAtTail commits what a tail has on disk.
+// commitAtTail commits the log of a node if it is the active tail.
 func (sim *simulation) commitAtTail(n *node) {
 	known := &n.acceptor.View
 	if known.Tail() != n.ID || n.activatedEpoch != known.Epoch {
 		return
 	}
 	if len(n.log) < len(sim.committed) && slices.Equal(n.log, sim.committed[:len(n.log)]) {
-		return // it commits nothing new: an older tail that does not know yet
+		return // an older tail, which does not know the new view yet, commits nothing new
 	}
 	if !isPrefix(n.log, sim.committed) {
 		sim.fail("committed %v in epoch %d, after %v", n.log, known.Epoch, sim.committed)
@@ -176,7 +176,7 @@
 
 func (sim *simulation) propose() {
 	proposer := sim.nodes[sim.draw(len(sim.nodes))]
-	for range 8 { // mostly one that knows the newest view
+	for range 8 { // mostly a voter that knows the newest view
 		if proposer.acceptor.View.Epoch == int64(len(sim.decided)) && proposer.acceptor.View.IsVoter(proposer.ID) {
 			break
 		}
@@ -185,9 +185,10 @@
 	if proposer.acceptor.View.Epoch == 0 || !proposer.acceptor.View.IsVoter(proposer.ID) {
 		return
 	}
-	sim.ballotNumber += int64(sim.draw(2)) // two may have one round
-	next := &proposal{proposer: proposer, current: proposer.acceptor.View, ballot: Ballot{sim.ballotNumber + 1, proposer.ID}, promises: map[string]Promise{}}
-	for _, earlier := range sim.proposals { // one proposer never uses a ballot twice
+	sim.ballotNumber += int64(sim.draw(2)) // two proposers may use one number
+	next := &proposal{proposer: proposer, current: proposer.acceptor.View, ballot: Ballot{sim.ballotNumber + 1, proposer.ID},
+		promises: map[string]Promise{}}
+	for _, earlier := range sim.proposals { // a proposer never uses a ballot twice
 		if earlier.proposer == proposer && earlier.ballot == next.ballot {
 			sim.ballotNumber++
 			next.ballot.Number++
@@ -196,7 +197,7 @@
 	sim.proposals = append(sim.proposals, next)
 }
 
-// recentProposal is one of the proposals that were made last.
+// recentProposal returns one of the last three proposals.
 func (sim *simulation) recentProposal() *proposal {
 	if len(sim.proposals) == 0 {
 		return nil
@@ -214,7 +215,8 @@
 		if sim.draw(4) == 0 || !acceptor.Prepare(pending.current.Epoch+1, pending.ballot) {
 			continue
 		}
-		promise := Promise{From: voter, AcceptedAt: acceptor.AcceptedAt, Accepted: acceptor.Accepted, ActivatedEpoch: sim.node(voter.ID).activatedEpoch}
+		promise := Promise{From: voter, AcceptedAt: acceptor.AcceptedAt, Accepted: acceptor.Accepted,
+			ActivatedEpoch: sim.node(voter.ID).activatedEpoch}
 		if sim.faults.dropPromise {
 			acceptor.Promised = Ballot{}
 		}
@@ -246,7 +248,7 @@
 	pending.chosen = next
 }
 
-// conditions are drawn without regard to what is so: what is safe must not rest on them.
+// conditions are drawn independently of the state of the nodes: safety must not depend on them.
 func (sim *simulation) conditions(current *View) Conditions {
 	var ids, voters []string
 	var applicants []Member
@@ -258,7 +260,8 @@
 			applicants = append(applicants, n.Member)
 		}
 	}
-	conditions := Conditions{FaultTolerance: sim.faultTolerance, Applicants: applicants, CaughtUp: sim.subset(ids...), Failed: sim.subset(voters...), Alive: map[string]bool{}}
+	conditions := Conditions{FaultTolerance: sim.faultTolerance, Applicants: applicants, CaughtUp: sim.subset(ids...),
+		Failed: sim.subset(voters...), Alive: map[string]bool{}}
 	for _, id := range ids {
 		conditions.Alive[id] = !conditions.Failed[id]
 	}
@@ -290,7 +293,7 @@
 	}
 }
 
-// decide checks a view that a majority has accepted.
+// decide records a view that a majority has accepted, and checks the contract.
 func (sim *simulation) decide(accepted *proposal) {
 	if other, has := sim.decided[accepted.chosen.Epoch]; has {
 		if !reflect.DeepEqual(other, accepted.chosen) {
@@ -304,15 +307,16 @@
 		return
 	}
 	if !isPrefix(sim.node(accepted.chosen.Head()).log, sim.committed) {
-		sim.fail("head of epoch %d lacks what was committed", accepted.chosen.Epoch)
+		sim.fail("head of epoch %d lacks committed entries", accepted.chosen.Epoch)
 	}
-	added, removed := difference(accepted.chosen.Voters, accepted.current.Voters), difference(accepted.current.Voters, accepted.chosen.Voters)
+	added := difference(accepted.chosen.Voters, accepted.current.Voters)
+	removed := difference(accepted.current.Voters, accepted.chosen.Voters)
 	if added > 1 || removed > 1 {
 		sim.fail("voters changed by more than one: %v to %v", accepted.current.Voters, accepted.chosen.Voters)
 	}
 	for _, member := range accepted.chosen.Chain {
 		if !accepted.chosen.IsVoter(member.ID) {
-			sim.fail("%s is in the chain without a vote", member.ID)
+			sim.fail("%s is in the chain and no voter", member.ID)
 		}
 	}
 }
@@ -328,7 +332,7 @@
 
 const scheduleSteps = 300
 
-// runSchedule runs a world until something does not hold.
+// runSchedule runs a simulation until the contract is violated.
 func runSchedule(sim *simulation) error {
 	for range scheduleSteps {
 		if sim.step(); sim.violation != nil {
@@ -351,7 +355,7 @@
 	})
 }
 
-// TestRandomSchedulesMakeProgress holds the courses to decide views, commit entries and change voters: else they would show nothing.
+// TestRandomSchedulesMakeProgress checks that the schedules decide views, commit entries and change voters.
 func TestRandomSchedulesMakeProgress(t *testing.T) {
 	var views, entries, voters int
 	for seed := range uint64(50) {
@@ -364,8 +368,8 @@
 		last, first := sim.decided[int64(len(sim.decided))], sim.decided[1]
 		voters += difference(last.Voters, first.Voters)
 	}
-	t.Logf("50 courses: %d views, %d committed entries, %d new voters", views, entries, voters)
+	t.Logf("50 schedules: %d views, %d committed entries, %d new voters", views, entries, voters)
 	if views < 100 || entries < 500 || voters < 50 {
-		t.Error("courses do too little")
+		t.Error("too little progress")
 	}
 }
--- a/internal/tier/view/proposer.go
+++ b/internal/tier/view/proposer.go
@@ -2,18 +2,22 @@
 
 import "slices"
 
-// Conditions are what the proposer knows of the members, and would have the next view take up.
+// Conditions describe the members as the proposer observes them. They may be wrong or out of date without harm to safety.
+// The maps are keyed by Member.ID.
 type Conditions struct {
-	Alive          map[string]bool // voters and applicants
-	CaughtUp       map[string]bool // members outside the chain that have what was committed a moment ago
-	Applicants     []Member        // members that want to vote, alive
-	Failed         map[string]bool // voters silent for so long, or after they said that they leave, that they may lose their vote
-	Suspected      map[string]bool // voters that are silent, but not gone yet
+	Alive          map[string]bool // voters and applicants that responded recently
+	CaughtUp       map[string]bool // members outside the chain that lack at most the latest committed entries
+	Applicants     []Member        // live members that ask for a vote, in order of preference
+	Failed         map[string]bool // voters that may lose their vote: unresponsive for long, or since they were leaving
+	Suspected      map[string]bool // voters that are unresponsive, but not failed
 	Leaving        map[string]bool // members that are about to stop
-	FaultTolerance int
+	FaultTolerance int             // replicas that may be lost at once
 }
 
-// ChooseView gives the view to propose once a majority has promised; ok is false where no safe one can be made yet.
+// ChooseView returns the view to propose for the next epoch. It returns false if fewer than a majority of the voters have
+// promised, or if no view is safe: one whose head has all committed entries and which keeps more than FaultTolerance
+// replicas, as far as there are so many voters. If any of the promises reports an accepted view, the one of the highest
+// ballot is returned, since it may have been decided.
 func ChooseView(current *View, promises []Promise, conditions Conditions) (next View, ok bool) {
 	if len(promises) < current.Majority() {
 		return View{}, false
@@ -24,7 +28,7 @@
 			highest, next, ok = p.AcceptedAt, p.Accepted, true
 		}
 	}
-	if ok { // it may have been decided
+	if ok {
 		return next, true
 	}
 	voters, changed := nextVoters(current, conditions)
@@ -39,11 +43,12 @@
 	return next, len(next.Chain) > conditions.FaultTolerance || len(next.Voters) <= conditions.FaultTolerance
 }
 
-// nextChain keeps the members that have promised and hold all that was committed, and adds those that have caught up.
+// nextChain returns the chain of the next view: the complete members in their present order, so that the head is one of
+// them, followed by voters that have caught up. It returns nil if no member is complete.
 func nextChain(current, next *View, promises []Promise, conditions Conditions) []ChainMember {
 	complete := completeMembers(current, next, promises)
 	remaining := slices.DeleteFunc(slices.Clone(complete), func(l ChainMember) bool { return conditions.Leaving[l.ID] })
-	if len(remaining) <= conditions.FaultTolerance { // one that leaves may have one of the last copies: it waits
+	if len(remaining) <= conditions.FaultTolerance { // a leaving member may have one of the last replicas: it stays for now
 		remaining = complete
 	}
 	if len(remaining) == 0 {
@@ -59,11 +64,13 @@
 		}
 	}
 	add(func(id string) bool { return conditions.CaughtUp[id] })
-	add(func(string) bool { return len(members) <= conditions.FaultTolerance }) // a chain that is too short takes nothing
+	// A chain of no more than FaultTolerance members may not be proposed: fill it with members that have to catch up.
+	add(func(string) bool { return len(members) <= conditions.FaultTolerance })
 	return members
 }
 
-// completeMembers are the members of the chain that have promised and have all that was committed.
+// completeMembers returns the chain members that have promised and have every committed entry: those that were activated in
+// the epoch in which they joined the chain, or later.
 func completeMembers(current, next *View, promises []Promise) (members []ChainMember) {
 	activated := map[string]int64{}
 	for _, p := range promises {
--- a/internal/tier/view/proposer_test.go
+++ b/internal/tier/view/proposer_test.go
@@ -10,10 +10,10 @@
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}[:voters]
 		current := View{Epoch: 1, Voters: members(ids...), Chain: chainMembers(1, ids...)}
 		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority-1]...), Conditions{}); ok {
-			t.Errorf("%d promises of %d sufficed", majority-1, voters)
+			t.Errorf("%d promises of %d voters sufficed", majority-1, voters)
 		}
 		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority]...), Conditions{}); !ok {
-			t.Errorf("%d promises of %d did not suffice", majority, voters)
+			t.Errorf("%d promises of %d voters did not suffice", majority, voters)
 		}
 	}
 }
@@ -31,14 +31,14 @@
 		t.Error("got", next, ok)
 	}
 	if _, ok := ChooseView(&current, promises[:1], Conditions{}); ok {
-		t.Error("a view that one has accepted was taken without a majority")
+		t.Error("an accepted view was chosen without a majority")
 	}
 }
 
 func TestChooseViewKeepsCompleteMembersInOrder(t *testing.T) {
 	current := View{Epoch: 6, Voters: members("a", "b", "c", "d", "e"), Chain: []ChainMember{{"d", 2}, {"a", 4}, {"c", 6}, {"b", 1}}}
 	promises := []Promise{
-		{From: member("a"), ActivatedEpoch: 3}, // since 4: it missed the state of 4
+		{From: member("a"), ActivatedEpoch: 3}, // joined in 4: it does not have the state of 4
 		{From: member("b"), ActivatedEpoch: 1},
 		{From: member("e"), ActivatedEpoch: 6}, // not in the chain
 		{From: member("d"), ActivatedEpoch: 5},
@@ -47,14 +47,16 @@
 	if !ok || next.Epoch != 7 || !slices.Equal(next.Chain, []ChainMember{{"d", 2}, {"b", 1}}) {
 		t.Error("got", next, ok)
 	}
-	if _, ok := ChooseView(&current, append(promises[:1:1], promises[2], Promise{From: member("c"), ActivatedEpoch: 5}), Conditions{}); ok {
-		t.Error("made a view without a holder")
+	incomplete := append(promises[:1:1], promises[2], Promise{From: member("c"), ActivatedEpoch: 5})
+	if _, ok := ChooseView(&current, incomplete, Conditions{}); ok {
+		t.Error("chose a view without a complete member")
 	}
 }
 
 func TestChooseViewHeadIsCompleteMember(t *testing.T) {
 	current := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "b")}
-	next, ok := ChooseView(&current, promisesAt(2, "a", "b", "c"), Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("a", "c")})
+	conditions := Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("a", "c")}
+	next, ok := ChooseView(&current, promisesAt(2, "a", "b", "c"), conditions)
 	if !ok || !slices.Equal(next.Chain, []ChainMember{{"b", 1}, {"a", 3}, {"c", 3}}) {
 		t.Error("got", next, ok)
 	}
@@ -65,11 +67,11 @@
 	all := promisesAt(2, "a", "b", "c")
 	alive := set("a", "b", "c")
 	next, _ := ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a")})
-	wantIDs(t, "two others stay", chainIDs(next), "b", "c")
+	wantIDs(t, "two others remain", chainIDs(next), "b", "c")
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a", "b")})
-	wantIDs(t, "one other would stay", chainIDs(next), "a", "b", "c")
+	wantIDs(t, "one other would remain", chainIDs(next), "a", "b", "c")
 	next, _ = ChooseView(&current, all[:2], Conditions{FaultTolerance: 1, Alive: set("a", "b"), Leaving: set("a")})
-	wantIDs(t, "one of two leaves", chainIDs(next), "a", "b")
+	wantIDs(t, "one of two is leaving", chainIDs(next), "a", "b")
 }
 
 func TestChooseViewAddsCaughtUpMembers(t *testing.T) {
@@ -78,30 +80,30 @@
 	alive := set("a", "b", "c", "d")
 	next, ok := ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive})
 	if !ok {
-		t.Error("a chain that is long enough")
+		t.Error("rejected a chain that is long enough")
 	}
-	wantIDs(t, "long enough, nobody has caught up", chainIDs(next), "a", "b")
+	wantIDs(t, "long enough, none has caught up", chainIDs(next), "a", "b")
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("d")})
 	wantIDs(t, "one has caught up", chainIDs(next), "a", "b", "d")
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("c", "d"), Leaving: set("c")})
-	wantIDs(t, "one that has caught up leaves", chainIDs(next), "a", "b", "d")
+	wantIDs(t, "one that has caught up is leaving", chainIDs(next), "a", "b", "d")
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("c", "d")})
-	wantIDs(t, "one that has caught up is silent", chainIDs(next), "a", "b", "c")
+	wantIDs(t, "one that has caught up is not alive", chainIDs(next), "a", "b", "c")
 	next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a", "c", "d")})
 	wantIDs(t, "too short", chainIDs(next), "a", "c")
 	if !ok {
-		t.Error("too short, filled")
+		t.Error("rejected a chain that was filled")
 	}
 	if next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a")}); ok {
-		t.Error("a chain of one with losses of 1", next)
+		t.Error("chose a chain of one with a fault tolerance of 1", next)
 	}
 }
 
 func TestChooseViewAllowsSingleMemberChain(t *testing.T) {
 	current := View{Epoch: 1, Voters: members("a"), Chain: chainMembers(1, "a")}
 	next, ok := ChooseView(&current, promisesAt(1, "a"), Conditions{FaultTolerance: 1, Alive: set("a")})
-	wantIDs(t, "alone", chainIDs(next), "a")
+	wantIDs(t, "the only voter", chainIDs(next), "a")
 	if !ok {
-		t.Error("one voter can not have two copies")
+		t.Error("rejected the only voter")
 	}
 }
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -1,39 +1,36 @@
-// Package view agrees on views: reconfiguration of a replicated chain by one single-decree agreement (Paxos) for each
-// epoch, among the voters of the view before it. Pure: it is told what came and what the time is, and keeps no clock,
-// socket or file.
 package view
 
 import "slices"
 
-// Member is a core node under the identity that its disk gave it.
+// Member is a core node.
 type Member struct {
-	ID   string
-	Name string // of the machine
+	ID   string // identity of its disk
+	Name string // of its machine
 	Addr string // for calls of other nodes
 }
 
-// ChainMember is a member of a chain. Since is the epoch from which on it is in every chain up to this one.
+// ChainMember is a replica in a chain.
 type ChainMember struct {
 	ID          string
-	JoinedEpoch int64
+	JoinedEpoch int64 // it has been in the chain of every view since this epoch
 }
 
-// View is who votes on the next view and who keeps the state, in the order of the chain. It is never changed once made.
+// View is the configuration of one epoch. It is immutable: a copy shares its slices.
 type View struct {
-	Epoch  int64
-	Voters []Member
-	Chain  []ChainMember
+	Epoch  int64         // 0: no view
+	Voters []Member      // vote on the view of the next epoch
+	Chain  []ChainMember // from head to tail; a subset of the voters
 }
 
-// Majority of the voters.
+// Majority returns the number of voters that form a quorum.
 func (v *View) Majority() int { return len(v.Voters)/2 + 1 }
 
-// IsVoter tells whether an id votes in this view.
+// IsVoter reports whether the member votes on the next view.
 func (v *View) IsVoter(id string) bool {
 	return slices.ContainsFunc(v.Voters, func(m Member) bool { return m.ID == id })
 }
 
-// Member finds a voter.
+// Member returns the voter with the given identity.
 func (v *View) Member(id string) (Member, bool) {
 	i := slices.IndexFunc(v.Voters, func(m Member) bool { return m.ID == id })
 	if i < 0 {
@@ -42,12 +39,12 @@
 	return v.Voters[i], true
 }
 
-// Position in the chain, below 0 for none.
+// Position returns the member's index in the chain, or -1 if it is not in the chain.
 func (v *View) Position(id string) int {
 	return slices.IndexFunc(v.Chain, func(l ChainMember) bool { return l.ID == id })
 }
 
-// Head is where writes enter, empty where there is no chain.
+// Head returns the identity of the first chain member, where writes enter, or "" if the chain is empty.
 func (v *View) Head() string {
 	if len(v.Chain) == 0 {
 		return ""
@@ -55,7 +52,8 @@
 	return v.Chain[0].ID
 }
 
-// Tail is where writes commit and reads are answered.
+// Tail returns the identity of the last chain member, where writes commit and reads are linearized, or "" if the chain is
+// empty.
 func (v *View) Tail() string {
 	if len(v.Chain) == 0 {
 		return ""
@@ -63,7 +61,7 @@
 	return v.Chain[len(v.Chain)-1].ID
 }
 
-// Successor is the successor in the chain, empty for none.
+// Successor returns the identity of the next chain member, or "" for the tail and for members outside the chain.
 func (v *View) Successor(id string) string {
 	if i := v.Position(id); i >= 0 && i+1 < len(v.Chain) {
 		return v.Chain[i+1].ID
@@ -71,7 +69,7 @@
 	return ""
 }
 
-// Predecessor is the predecessor in the chain, empty for none.
+// Predecessor returns the identity of the previous chain member, or "" for the head and for members outside the chain.
 func (v *View) Predecessor(id string) string {
 	if i := v.Position(id); i > 0 {
 		return v.Chain[i-1].ID
--- a/internal/tier/view/voters.go
+++ b/internal/tier/view/voters.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// nextVoters changes the list of voters by one applicant at most. In this order: a machine that came back under another
-// identity takes the vote of the one it was; an applicant takes the vote of one that is gone; an applicant that has caught
-// up gets a vote of its own.
+// nextVoters returns the voters of the next view and whether they differ from the current ones. At most one applicant gets a
+// vote. In this order: a machine that came back under another identity replaces its former identity; an applicant replaces a
+// failed voter; an applicant that has caught up is added.
 //
-// The first two put a member that is alive in the place of one that can not vote, so they never cost a majority, and need
-// not wait until the newcomer has the state. A longer list does cost one: it waits for that, and for those that are silent now.
+// The first two replace a voter that cannot vote by a live one. They never reduce the number of voters that can be lost, and
+// so need not wait until the applicant has caught up. Adding a voter may raise the majority, which is why it waits for that,
+// and until no voter is suspected.
 func nextVoters(current *View, conditions Conditions) (voters []Member, changed bool) {
 	voters = slices.Clone(current.Voters)
 	for _, applicant := range conditions.Applicants {
@@ -19,8 +20,9 @@
 			return voters, true
 		}
 	}
-	if i := slices.IndexFunc(voters, func(m Member) bool { return conditions.Failed[m.ID] }); i >= 0 && len(conditions.Applicants) > 0 {
-		voters[i] = conditions.Applicants[0]
+	failed := slices.IndexFunc(voters, func(m Member) bool { return conditions.Failed[m.ID] })
+	if failed >= 0 && len(conditions.Applicants) > 0 {
+		voters[failed] = conditions.Applicants[0]
 		return voters, true
 	}
 	if !CanAdmit(current, conditions) {
@@ -30,7 +32,7 @@
 	return append(voters, conditions.Applicants[i]), true
 }
 
-// CanAdmit tells whether an applicant may get a vote of its own now.
+// CanAdmit reports whether an applicant may be added as a further voter: one has caught up, and no voter is suspected.
 func CanAdmit(current *View, conditions Conditions) bool {
 	if slices.ContainsFunc(current.Voters, func(m Member) bool { return conditions.Suspected[m.ID] }) {
 		return false
@@ -38,11 +40,12 @@
 	return slices.ContainsFunc(conditions.Applicants, func(a Member) bool { return conditions.CaughtUp[a.ID] })
 }
 
-// CanReplace tells whether an applicant may take the vote of another identity now.
+// CanReplace reports whether an applicant may replace a voter: one that failed, or the applicant's own former identity.
 func CanReplace(current *View, conditions Conditions) bool {
 	for _, applicant := range conditions.Applicants {
 		for _, voter := range current.Voters {
-			if conditions.Failed[voter.ID] || voter.Addr == applicant.Addr || voter.Name == applicant.Name && !conditions.Alive[voter.ID] {
+			if conditions.Failed[voter.ID] || voter.Addr == applicant.Addr ||
+				voter.Name == applicant.Name && !conditions.Alive[voter.ID] {
 				return true
 			}
 		}
@@ -50,7 +53,8 @@
 	return false
 }
 
-// RemovableVoter is a voter that may lose its vote, empty for none: one that is gone or leaves, while more vote than the losses need.
+// RemovableVoter returns the identity of a voter that may be removed without replacement, or "". It is one that failed, else
+// one that is leaving, while there are more voters than FaultTolerance requires.
 func RemovableVoter(current *View, conditions Conditions) string {
 	if len(current.Voters) <= 2*conditions.FaultTolerance+1 {
 		return ""
