--- a/internal/tier/view/model_test.go
+++ b/internal/tier/view/model_test.go
@@ -163,14 +163,14 @@
 	if len(n.log) < len(sim.committed) && slices.Equal(n.log, sim.committed[:len(n.log)]) {
 		return // an older tail, which does not know the new view yet, commits nothing new
 	}
-	if !isPrefix(n.log, sim.committed) {
+	if !hasPrefix(n.log, sim.committed) {
 		sim.fail("committed %v in epoch %d, after %v", n.log, known.Epoch, sim.committed)
 		return
 	}
 	sim.committed = n.log
 }
 
-func isPrefix(log, committed []int) bool {
+func hasPrefix(log, committed []int) bool {
 	return len(log) >= len(committed) && slices.Equal(log[:len(committed)], committed)
 }
 
@@ -306,7 +306,7 @@
 		sim.fail("empty chain in epoch %d", accepted.chosen.Epoch)
 		return
 	}
-	if !isPrefix(sim.node(accepted.chosen.Head()).log, sim.committed) {
+	if !hasPrefix(sim.node(accepted.chosen.Head()).log, sim.committed) {
 		sim.fail("head of epoch %d lacks committed entries", accepted.chosen.Epoch)
 	}
 	added := difference(accepted.chosen.Voters, accepted.current.Voters)
@@ -342,8 +342,8 @@
 	return nil
 }
 
-func newSeededSimulation(seed uint64, f plantedFaults) *simulation {
-	return newSimulation(rand.New(rand.NewPCG(seed, 0)).IntN, f)
+func newSeededSimulation(seed uint64, faults plantedFaults) *simulation {
+	return newSimulation(rand.New(rand.NewPCG(seed, 0)).IntN, faults)
 }
 
 func TestViewsAreSafeUnderRandomSchedules(t *testing.T) {
--- a/internal/tier/view/planted_test.go
+++ b/internal/tier/view/planted_test.go
@@ -14,34 +14,34 @@
 		faults    plantedFaults
 		violation string
 	}{
-		"completeness check skipped": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
-			for i := range all {
-				all[i].ActivatedEpoch = math.MaxInt64
+		"completeness check skipped": {plantedFaults{mutatePromises: func(promises []Promise) []Promise {
+			for i := range promises {
+				promises[i].ActivatedEpoch = math.MaxInt64
 			}
-			return all
+			return promises
 		}}, "lacks committed entries"},
-		"accepted view ignored": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
-			for i := range all {
-				all[i].Accepted = View{}
+		"accepted view ignored": {plantedFaults{mutatePromises: func(promises []Promise) []Promise {
+			for i := range promises {
+				promises[i].Accepted = View{}
 			}
-			return all
+			return promises
 		}}, "two views decided"},
-		"highest ballot ignored": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
-			for i := range all {
-				if round := all[i].AcceptedAt.Number; round > 0 {
-					all[i].AcceptedAt = Ballot{math.MaxInt64 - round, all[i].AcceptedAt.Proposer}
+		"highest ballot ignored": {plantedFaults{mutatePromises: func(promises []Promise) []Promise {
+			for i := range promises {
+				if number := promises[i].AcceptedAt.Number; number > 0 {
+					promises[i].AcceptedAt = Ballot{math.MaxInt64 - number, promises[i].AcceptedAt.Proposer}
 				}
 			}
-			return all
+			return promises
 		}}, "two views decided"},
-		"two voters admitted at once": {plantedFaults{mutateView: func(now *View, next View, c Conditions) View {
-			if i := len(c.Applicants) - 1; i > 0 && difference(next.Voters, now.Voters) == 1 && !next.IsVoter(c.Applicants[i].ID) {
-				next.Voters = append(slices.Clip(next.Voters), c.Applicants[i])
+		"two voters admitted at once": {plantedFaults{mutateView: func(current *View, next View, conditions Conditions) View {
+			if i := len(conditions.Applicants) - 1; i > 0 && difference(next.Voters, current.Voters) == 1 && !next.IsVoter(conditions.Applicants[i].ID) {
+				next.Voters = append(slices.Clip(next.Voters), conditions.Applicants[i])
 			}
 			return next
 		}}, "more than one"},
-		"majority of promises not required": {plantedFaults{mutatePromises: func(all []Promise) []Promise {
-			return append(all, Promise{From: Member{ID: "nobody"}}, Promise{From: Member{ID: "nobody"}})
+		"majority of promises not required": {plantedFaults{mutatePromises: func(promises []Promise) []Promise {
+			return append(promises, Promise{From: Member{ID: "nobody"}}, Promise{From: Member{ID: "nobody"}})
 		}}, "two views decided"},
 		"promise lost": {plantedFaults{dropPromise: true}, "two views decided"},
 		"new member counted as complete": {plantedFaults{mutateView: func(_ *View, next View, _ Conditions) View {
--- a/internal/tier/view/voters_test.go
+++ b/internal/tier/view/voters_test.go
@@ -6,20 +6,20 @@
 
 func TestChooseViewChangesAtMostOneVoter(t *testing.T) {
 	current := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
-	replaced := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
+	newIdentity := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
 	sameAddr := Member{ID: "c2", Name: "machine-c", Addr: "addr-c"}
 	two := promisesAt(2, "a", "c")
 	three := promisesAt(2, "a", "b", "c")
 	for name, test := range map[string]struct {
-		promises []Promise
-		c        Conditions
-		voters   []string
+		promises   []Promise
+		conditions Conditions
+		voters     []string
 	}{
-		"another identity of a machine": {two, Conditions{Applicants: []Member{replaced}}, []string{"a", "b2", "c"}},
-		"former identity is alive":      {three, Conditions{Applicants: []Member{replaced}, Alive: set("b")}, []string{"a", "b", "c"}},
+		"another identity of a machine": {two, Conditions{Applicants: []Member{newIdentity}}, []string{"a", "b2", "c"}},
+		"former identity is alive":      {three, Conditions{Applicants: []Member{newIdentity}, Alive: set("b")}, []string{"a", "b", "c"}},
 		"another identity at one address, the former seems alive": {
 			three, Conditions{Applicants: []Member{sameAddr}, Alive: set("a", "b", "c")}, []string{"a", "b", "c2"}},
-		"two identities, one at a time": {three, Conditions{Applicants: []Member{replaced, sameAddr}}, []string{"a", "b2", "c"}},
+		"two identities, one at a time": {three, Conditions{Applicants: []Member{newIdentity, sameAddr}}, []string{"a", "b2", "c"}},
 		"its own former identity before a failed voter": {
 			three, Conditions{Applicants: []Member{member("d"), sameAddr}, Failed: set("b")}, []string{"a", "b", "c2"}},
 		"replacement of a failed voter":   {two, Conditions{Applicants: members("d", "e"), Failed: set("b")}, []string{"a", "d", "c"}},
@@ -30,8 +30,8 @@
 		"caught up, a voter is suspected": {
 			three, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("b")}, []string{"a", "b", "c"}},
 	} {
-		test.c.FaultTolerance = 1
-		next, ok := ChooseView(&current, test.promises, test.c)
+		test.conditions.FaultTolerance = 1
+		next, ok := ChooseView(&current, test.promises, test.conditions)
 		if !ok {
 			t.Errorf("%s: no view", name)
 		}
@@ -45,10 +45,10 @@
 	three := View{Epoch: 2, Voters: members("a", "b", "c"), Chain: chainMembers(1, "a", "b", "c")}
 	all := promisesAt(2, "a", "b", "c", "d")
 	for name, test := range map[string]struct {
-		current  *View
-		promises []Promise
-		c        Conditions
-		voters   []string
+		current    *View
+		promises   []Promise
+		conditions Conditions
+		voters     []string
 	}{
 		"a failed voter":        {&four, all[:3], Conditions{Failed: set("d")}, []string{"a", "b", "c"}},
 		"a leaving voter":       {&four, all, Conditions{Leaving: set("b")}, []string{"a", "c", "d"}},
@@ -61,8 +61,8 @@
 			&four, all[:3], Conditions{Failed: set("d"), Applicants: members("e")}, []string{"a", "b", "c", "e"}},
 		"none failed, none is leaving": {&four, all, Conditions{}, []string{"a", "b", "c", "d"}},
 	} {
-		test.c.FaultTolerance = 1
-		next, ok := ChooseView(test.current, test.promises, test.c)
+		test.conditions.FaultTolerance = 1
+		next, ok := ChooseView(test.current, test.promises, test.conditions)
 		if !ok {
 			t.Errorf("%s: no view", name)
 		}
@@ -72,13 +72,13 @@
 
 func TestCanAdmitAndCanReplace(t *testing.T) {
 	current := View{Epoch: 2, Voters: members("a", "b", "c")}
-	replaced := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
+	newIdentity := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
 	if CanReplace(&current, Conditions{Failed: set("a")}) ||
 		!CanReplace(&current, Conditions{Failed: set("a"), Applicants: members("d")}) {
 		t.Error("replacement of a failed voter")
 	}
-	dead := Conditions{Applicants: []Member{replaced}}
-	alive := Conditions{Applicants: []Member{replaced}, Alive: set("b")}
+	dead := Conditions{Applicants: []Member{newIdentity}}
+	alive := Conditions{Applicants: []Member{newIdentity}, Alive: set("b")}
 	if !CanReplace(&current, dead) || CanReplace(&current, alive) {
 		t.Error("replacement of its own former identity")
 	}
