--- a/internal/tier/view/planted_test.go
+++ b/internal/tier/view/planted_test.go
@@ -35,7 +35,8 @@
 			return promises
 		}}, "two views decided"},
 		"two voters admitted at once": {plantedFaults{mutateView: func(current *View, next View, conditions Conditions) View {
-			if i := len(conditions.Applicants) - 1; i > 0 && difference(next.Voters, current.Voters) == 1 && !next.IsVoter(conditions.Applicants[i].ID) {
+			if i := len(conditions.Applicants) - 1; i > 0 && difference(next.Voters, current.Voters) == 1 &&
+				!next.IsVoter(conditions.Applicants[i].ID) {
 				next.Voters = append(slices.Clip(next.Voters), conditions.Applicants[i])
 			}
 			return next
--- a/internal/tier/view/voters_test.go
+++ b/internal/tier/view/voters_test.go
@@ -16,7 +16,8 @@
 		voters     []string
 	}{
 		"another identity of a machine": {two, Conditions{Applicants: []Member{newIdentity}}, []string{"a", "b2", "c"}},
-		"former identity is alive":      {three, Conditions{Applicants: []Member{newIdentity}, Alive: set("b")}, []string{"a", "b", "c"}},
+		"former identity is alive": {
+			three, Conditions{Applicants: []Member{newIdentity}, Alive: set("b")}, []string{"a", "b", "c"}},
 		"another identity at one address, the former seems alive": {
 			three, Conditions{Applicants: []Member{sameAddr}, Alive: set("a", "b", "c")}, []string{"a", "b", "c2"}},
 		"two identities, one at a time": {three, Conditions{Applicants: []Member{newIdentity, sameAddr}}, []string{"a", "b2", "c"}},
