--- a/internal/tier/chain/chain.go
+++ b/internal/tier/chain/chain.go
@@ -26,19 +26,19 @@
 
 // Chain is one member's part.
 type Chain struct {
-	self      string
-	view      view.View
-	state     State
-	known     bool // Commit is all that was committed when the tail was heard of last, in this life and epoch
-	successor outgoing
-	learners  map[string]*outgoing // of a tail: members outside the chain
-	incoming  incoming             // from the predecessor, or from the tail to a learner
+	self          string
+	view          view.View
+	state         State
+	commitCurrent bool // Commit is all that was committed when the tail was heard of last, in this life and epoch
+	successor     sendStream
+	learners      map[string]*sendStream // of a tail: members outside the chain
+	receiver      receiveStream          // from the predecessor, or from the tail to a learner
 }
 
 // New makes a member's part from what its disk has.
 func New(self string, s State) *Chain {
-	c := &Chain{self: self, state: s, learners: map[string]*outgoing{}}
-	c.expect()
+	c := &Chain{self: self, state: s, learners: map[string]*sendStream{}}
+	c.resetReceiver()
 	return c
 }
 
@@ -47,33 +47,33 @@
 
 // Adopt begins with a view. It tells whether the state was changed and must be on disk before anything is sent.
 func (c *Chain) Adopt(v view.View) (changed bool) {
-	learner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
-	c.view, c.known = v, false
-	c.successor = outgoing{}
-	c.learners = map[string]*outgoing{}
-	if !learner { // what a learner was sent is committed, whoever is the tail
-		c.expect()
+	staysLearner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
+	c.view, c.commitCurrent = v, false
+	c.successor = sendStream{}
+	c.learners = map[string]*sendStream{}
+	if !staysLearner { // what a learner was sent is committed, whoever is the tail
+		c.resetReceiver()
 	}
 	if v.Position(c.self) != 0 || c.state.ActivatedEpoch >= v.Epoch {
-		c.commitAlone() // a tail that has started again
+		c.commitAtTail() // a tail that has started again
 		return false
 	}
 	if c.state.ActivatedEpoch < v.Chain[0].JoinedEpoch {
 		return false // not a holder: the view was not made by the rules, and this member takes no part
 	}
 	c.state.ActivatedEpoch = v.Epoch
-	c.expect()
-	c.commitAlone()
+	c.resetReceiver()
+	c.commitAtTail()
 	return true
 }
 
-// expect begins a stream anew, from what is in the state.
-func (c *Chain) expect() {
+// resetReceiver begins a stream anew, from what is in the state.
+func (c *Chain) resetReceiver() {
 	if c.IsActive() {
-		c.incoming = incoming{done: c.state.LastIndex}
+		c.receiver = receiveStream{lastIndex: c.state.LastIndex}
 		return
 	}
-	c.incoming = incoming{done: c.state.Commit}
+	c.receiver = receiveStream{lastIndex: c.state.Commit}
 }
 
 // IsActive tells whether this member takes part in the chain of its view.
@@ -86,12 +86,12 @@
 
 // CommitIsCurrent tells whether this member has everything committed that was acknowledged: what it kept on disk of Commit may be
 // old, until its successor has told what the tail has.
-func (c *Chain) CommitIsCurrent() bool { return c.IsActive() && c.known }
+func (c *Chain) CommitIsCurrent() bool { return c.IsActive() && c.commitCurrent }
 
-// commitAlone commits what is on disk where there is nobody behind.
-func (c *Chain) commitAlone() {
+// commitAtTail commits what is on disk where there is nobody behind.
+func (c *Chain) commitAtTail() {
 	if c.IsActive() && c.view.Tail() == c.self {
-		c.known = true
+		c.commitCurrent = true
 		c.commit(c.state.LastIndex)
 	}
 }
@@ -101,66 +101,66 @@
 	if !c.IsActive() || c.view.Head() != c.self {
 		return Entry{}, false
 	}
-	e := Entry{Index: c.state.LastIndex + 1, Key: key, Value: value}
-	c.state.Entries = append(slices.Clip(c.state.Entries), e)
-	c.state.LastIndex = e.Index
-	return e, true
+	entry := Entry{Index: c.state.LastIndex + 1, Key: key, Value: value}
+	c.state.Entries = append(slices.Clip(c.state.Entries), entry)
+	c.state.LastIndex = entry.Index
+	return entry, true
 }
 
 // MarkDurable says that all that the state has is on disk.
-func (c *Chain) MarkDurable() { c.commitAlone() }
+func (c *Chain) MarkDurable() { c.commitAtTail() }
 
 // NextUpdate is the next part of what the successor lacks; none where it has all, or as much is under way as may be.
-func (c *Chain) NextUpdate() (to string, u Update, some bool) {
+func (c *Chain) NextUpdate() (to string, u Update, ok bool) {
 	to = c.view.Successor(c.self)
 	if !c.IsActive() || to == "" {
 		return to, Update{}, false
 	}
-	u, some = c.successor.next(c.state.Entries, c.state.LastIndex)
+	u, ok = c.successor.nextUpdate(c.state.Entries, c.state.LastIndex)
 	u.Epoch, u.Commit = c.view.Epoch, c.state.Commit
-	return to, u, some
+	return to, u, ok
 }
 
 // HandleUpdate takes an update of the predecessor. What it changed must be on disk before Ack is sent.
-func (c *Chain) HandleUpdate(from string, u Update) (changed, ok bool) {
-	if u.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Predecessor(c.self) != from {
+func (c *Chain) HandleUpdate(from string, update Update) (changed, ok bool) {
+	if update.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Predecessor(c.self) != from {
 		return false, false
 	}
 	if c.IsActive() {
-		return c.takeEntries(u), true
+		return c.appendReceived(update), true
 	}
-	if u.Base != c.state.Commit || !c.incoming.take(u) {
+	if update.Base != c.state.Commit || !c.receiver.handleUpdate(update) {
 		return false, true // its answer tells from where on
 	}
-	if !u.Complete || c.incoming.part != nil {
+	if !update.Complete || c.receiver.partial != nil {
 		return false, true
 	}
-	c.replaceAfterCommit(u.Through)
+	c.replaceUncommitted(update.Through)
 	c.state.ActivatedEpoch = c.view.Epoch
-	c.commit(min(u.Commit, c.state.LastIndex))
-	c.expect()
+	c.commit(min(update.Commit, c.state.LastIndex))
+	c.resetReceiver()
 	return true, true
 }
 
-// takeEntries takes whole entries of the stream in, as far as they have come.
-func (c *Chain) takeEntries(u Update) (changed bool) {
-	if !c.incoming.take(u) {
+// appendReceived takes whole entries of the stream in, as far as they have come.
+func (c *Chain) appendReceived(update Update) (changed bool) {
+	if !c.receiver.handleUpdate(update) {
 		return false
 	}
-	if added := c.incoming.entries; len(added) > 0 {
+	if added := c.receiver.entries; len(added) > 0 {
 		c.state.Entries = append(slices.Clip(c.state.Entries), added...)
 		c.state.LastIndex = added[len(added)-1].Index
-		c.incoming.entries = nil
+		c.receiver.entries = nil
 		changed = true
 	}
-	c.commit(min(u.Commit, c.state.LastIndex))
+	c.commit(min(update.Commit, c.state.LastIndex))
 	return changed
 }
 
-// replaceAfterCommit puts what has come in the place of all that this member did not know to be committed.
-func (c *Chain) replaceAfterCommit(through int64) {
+// replaceUncommitted puts what has come in the place of all that this member did not know to be committed.
+func (c *Chain) replaceUncommitted(through int64) {
 	kept := slices.DeleteFunc(slices.Clone(c.state.Entries), func(e Entry) bool { return e.Index > c.state.Commit })
-	c.state.Entries = append(kept, c.incoming.entries...)
+	c.state.Entries = append(kept, c.receiver.entries...)
 	c.state.LastIndex = through
 }
 
@@ -169,20 +169,20 @@
 // An update that was made before one that has come is refused: what was compacted away in between is neither in the
 // beginning, which is newer, nor in the end, which is older. What tails have committed never goes back, so that no newer
 // update is refused by this.
-func (c *Chain) HandleLearnerUpdate(u Update) (changed bool) {
-	if !c.IsLearner() || u.Base != c.state.Commit || u.Commit < c.incoming.madeAt {
+func (c *Chain) HandleLearnerUpdate(update Update) (changed bool) {
+	if !c.IsLearner() || update.Base != c.state.Commit || update.Commit < c.receiver.senderCommit {
 		return false
 	}
-	c.incoming.madeAt = u.Commit
-	if !c.incoming.take(u) {
+	c.receiver.senderCommit = update.Commit
+	if !c.receiver.handleUpdate(update) {
 		return false
 	}
-	if !u.Complete || u.Through <= c.state.Commit || c.incoming.part != nil {
+	if !update.Complete || update.Through <= c.state.Commit || c.receiver.partial != nil {
 		return false
 	}
-	c.replaceAfterCommit(u.Through)
-	c.commit(u.Through)
-	c.expect()
+	c.replaceUncommitted(update.Through)
+	c.commit(update.Through)
+	c.resetReceiver()
 	return true
 }
 
@@ -198,7 +198,7 @@
 
 // CurrentAck is the present ack of this member, whoever wants it.
 func (c *Chain) CurrentAck() Ack {
-	return Ack{Epoch: c.view.Epoch, LastIndex: c.state.LastIndex, Commit: c.state.Commit, CommitIsCurrent: c.CommitIsCurrent(), Active: c.IsActive(), Received: c.incoming.position()}
+	return Ack{Epoch: c.view.Epoch, LastIndex: c.state.LastIndex, Commit: c.state.Commit, CommitIsCurrent: c.CommitIsCurrent(), Active: c.IsActive(), Received: c.receiver.position()}
 }
 
 // PredecessorAck of this member for its predecessor.
@@ -208,22 +208,22 @@
 }
 
 // HandleAck takes the successor's ack, said in one of its lives. It tells whether more was committed.
-func (c *Chain) HandleAck(from string, life int64, a Ack) (more bool) {
-	if a.Epoch != c.view.Epoch || c.view.Successor(c.self) != from || c.IsActive() && a.Active && a.LastIndex > c.state.LastIndex {
+func (c *Chain) HandleAck(from string, incarnation int64, ack Ack) (advanced bool) {
+	if ack.Epoch != c.view.Epoch || c.view.Successor(c.self) != from || c.IsActive() && ack.Active && ack.LastIndex > c.state.LastIndex {
 		return false
 	}
-	complete := int64(-1)
-	if a.Active {
-		complete = a.LastIndex
+	completeThrough := int64(-1)
+	if ack.Active {
+		completeThrough = ack.LastIndex
 	}
-	c.successor.acked(life, a, complete)
-	if !a.Active || !c.IsActive() {
+	c.successor.handleAck(incarnation, ack, completeThrough)
+	if !ack.Active || !c.IsActive() {
 		return false
 	}
 	before := c.state.Commit
-	c.commit(min(a.Commit, c.state.LastIndex))
-	if a.CommitIsCurrent && !c.known {
-		c.known = true
+	c.commit(min(ack.Commit, c.state.LastIndex))
+	if ack.CommitIsCurrent && !c.commitCurrent {
+		c.commitCurrent = true
 		return true
 	}
 	return c.state.Commit > before
@@ -236,15 +236,15 @@
 	}
 	c.state.Commit = index
 	last := map[string]int64{}
-	for _, e := range c.state.Entries {
-		if e.Index <= index {
-			last[e.Key] = e.Index
+	for _, entry := range c.state.Entries {
+		if entry.Index <= index {
+			last[entry.Key] = entry.Index
 		}
 	}
 	kept := make([]Entry, 0, len(last)+4)
-	for _, e := range c.state.Entries {
-		if e.Index > index || last[e.Key] == e.Index {
-			kept = append(kept, e)
+	for _, entry := range c.state.Entries {
+		if entry.Index > index || last[entry.Key] == entry.Index {
+			kept = append(kept, entry)
 		}
 	}
 	c.state.Entries = kept
--- a/internal/tier/chain/chain_test.go
+++ b/internal/tier/chain/chain_test.go
@@ -6,8 +6,8 @@
 	"larchrouter/internal/tier/view"
 )
 
-func TestLoneMemberCommitsWhatIsSynced(t *testing.T) {
-	c := started("a", State{}, view.View{Epoch: 1, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 0}}})
+func TestSingleMemberCommitsDurableEntries(t *testing.T) {
+	c := newMember("a", State{}, view.View{Epoch: 1, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 0}}})
 	if !c.IsActive() || !c.CommitIsCurrent() {
 		t.Fatal("a founder alone is head and tail")
 	}
@@ -17,13 +17,13 @@
 	wantState(t, c, "1/1/1 k@1")
 }
 
-func TestAppendOnlyAtAnActiveHead(t *testing.T) {
-	v := founded(2, "a", "b")
-	head, tail := started("a", State{ActivatedEpoch: 1}, v), started("b", State{ActivatedEpoch: 1}, v)
+func TestOnlyActiveHeadAppends(t *testing.T) {
+	v := viewOf(2, "a", "b")
+	head, tail := newMember("a", State{ActivatedEpoch: 1}, v), newMember("b", State{ActivatedEpoch: 1}, v)
 	if _, ok := tail.Append("k", nil); ok {
 		t.Error("a tail appended")
 	}
-	if _, ok := started("c", State{ActivatedEpoch: 2}, v).Append("k", nil); ok {
+	if _, ok := newMember("c", State{ActivatedEpoch: 2}, v).Append("k", nil); ok {
 		t.Error("a member outside the chain appended")
 	}
 	if _, ok := New("a", State{}).Append("k", nil); ok {
@@ -35,29 +35,29 @@
 	wantState(t, head, "2/0/1 k@1")
 }
 
-func TestNothingIsCommittedBeforeTheTailHasIt(t *testing.T) {
-	v := founded(2, "a", "b", "c")
+func TestCommitRequiresTail(t *testing.T) {
+	v := viewOf(2, "a", "b", "c")
 	s := State{ActivatedEpoch: 1}
-	a, b, c := started("a", s, v), started("b", s, v), started("c", s, v)
-	pass(t, a, b)
-	pass(t, b, c)
-	put(t, a, "k", "l", "k")
-	pass(t, a, b)
+	a, b, c := newMember("a", s, v), newMember("b", s, v), newMember("c", s, v)
+	replicate(t, a, b)
+	replicate(t, b, c)
+	appendKeys(t, a, "k", "l", "k")
+	replicate(t, a, b)
 	wantState(t, a, "2/0/3 k@1 l@2 k@3")
 	wantState(t, b, "2/0/3 k@1 l@2 k@3")
-	pass(t, b, c)
+	replicate(t, b, c)
 	wantState(t, c, "2/3/3 l@2 k@3")
 	wantState(t, b, "2/3/3 l@2 k@3")
-	if !ackOf(b, a, 1) {
+	if !deliverAck(b, a, 1) {
 		t.Error("not told that more was committed")
 	}
 	wantState(t, a, "2/3/3 l@2 k@3")
-	if ackOf(b, a, 1) {
+	if deliverAck(b, a, 1) {
 		t.Error("told twice")
 	}
 }
 
-func TestCompactionKeepsTheLastOfEachKeyAndAllThatIsNotCommitted(t *testing.T) {
+func TestCompactionKeepsLastCommittedOfKeyAndUncommitted(t *testing.T) {
 	c := New("a", State{LastIndex: 6, Entries: []Entry{{1, "x", nil}, {2, "y", nil}, {3, "x", nil}, {4, "x", nil}, {5, "y", nil}, {6, "x", nil}}})
 	c.commit(3)
 	wantState(t, c, "0/3/6 y@2 x@3 x@4 y@5 x@6")
@@ -79,45 +79,45 @@
 	}
 }
 
-func TestStateThatWasGivenOutIsNotChanged(t *testing.T) {
-	v := founded(2, "a", "b")
-	a, b := started("a", State{ActivatedEpoch: 1}, v), started("b", State{ActivatedEpoch: 1}, v)
-	pass(t, a, b)
-	put(t, a, "k", "k")
+func TestReturnedStateIsNotModified(t *testing.T) {
+	v := viewOf(2, "a", "b")
+	a, b := newMember("a", State{ActivatedEpoch: 1}, v), newMember("b", State{ActivatedEpoch: 1}, v)
+	replicate(t, a, b)
+	appendKeys(t, a, "k", "k")
 	before := *a.State()
-	put(t, a, "k")
-	pass(t, a, b)
-	if text(&before) != "2/0/2 k@1 k@2" {
-		t.Error("changed in place:", text(&before))
+	appendKeys(t, a, "k")
+	replicate(t, a, b)
+	if stateString(&before) != "2/0/2 k@1 k@2" {
+		t.Error("changed in place:", stateString(&before))
 	}
 }
 
-func TestKnownOnlyOnceTheTailHasBeenHeardOf(t *testing.T) {
-	v := founded(2, "a", "b", "c")
+func TestCommitIsCurrentOnlyAfterAckFromTail(t *testing.T) {
+	v := viewOf(2, "a", "b", "c")
 	s := State{ActivatedEpoch: 1}
-	a, b, c := started("a", s, v), started("b", s, v), started("c", s, v)
-	pass(t, a, b)
+	a, b, c := newMember("a", s, v), newMember("b", s, v), newMember("c", s, v)
+	replicate(t, a, b)
 	if a.CommitIsCurrent() || b.CommitIsCurrent() || c.CommitIsCurrent() {
 		t.Error("known before the tail is active")
 	}
-	pass(t, b, c)
+	replicate(t, b, c)
 	if !b.CommitIsCurrent() || !c.CommitIsCurrent() || a.CommitIsCurrent() {
 		t.Error("the tail and whom it told know")
 	}
-	if !ackOf(b, a, 1) || !a.CommitIsCurrent() {
+	if !deliverAck(b, a, 1) || !a.CommitIsCurrent() {
 		t.Error("it went up the chain")
 	}
-	a = restarted(a)
+	a = restartMember(a)
 	if a.CommitIsCurrent() || !a.IsActive() {
 		t.Error("known after a restart")
 	}
-	if c = restarted(c); !c.CommitIsCurrent() {
+	if c = restartMember(c); !c.CommitIsCurrent() {
 		t.Error("a tail has it on disk")
 	}
-	if !ackOf(b, a, 1) || !a.CommitIsCurrent() {
+	if !deliverAck(b, a, 1) || !a.CommitIsCurrent() {
 		t.Error("told again after its restart")
 	}
-	next := founded(3, "a", "b", "c")
+	next := viewOf(3, "a", "b", "c")
 	a.Adopt(next)
 	c.Adopt(next)
 	if !a.IsActive() || a.CommitIsCurrent() || c.CommitIsCurrent() {
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestHeadMustBeAHolder(t *testing.T) {
+func TestHeadNeedsCompleteStateToActivate(t *testing.T) {
 	v := view.View{Epoch: 5, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 3}, {ID: "b", JoinedEpoch: 1}}}
 	if c := New("a", State{ActivatedEpoch: 2}); c.Adopt(v) || c.IsActive() {
 		t.Error("a head that missed the state of epoch 3")
@@ -142,50 +142,50 @@
 	}
 }
 
-func TestActivationReplacesTheUncommittedAndKeepsTheCommitted(t *testing.T) {
-	v := founded(3, "a", "b")
-	a := started("a", State{ActivatedEpoch: 2, LastIndex: 5, Commit: 2, Entries: []Entry{
+func TestActivationReplacesOnlyUncommittedEntries(t *testing.T) {
+	v := viewOf(3, "a", "b")
+	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 5, Commit: 2, Entries: []Entry{
 		{1, "x", nil}, {2, "y", nil}, {3, "n", nil}, {4, "x", nil}, {5, "m", nil},
 	}}, v)
-	b := started("b", State{ActivatedEpoch: 2, LastIndex: 4, Commit: 2, Entries: []Entry{
+	b := newMember("b", State{ActivatedEpoch: 2, LastIndex: 4, Commit: 2, Entries: []Entry{
 		{1, "x", nil}, {2, "y", nil}, {3, "old", nil}, {4, "old", nil},
 	}}, v)
-	pass(t, a, b)
+	replicate(t, a, b)
 	wantState(t, b, "3/5/5 y@2 n@3 x@4 m@5")
 	wantState(t, a, "3/5/5 y@2 n@3 x@4 m@5")
 }
 
-func TestActivationOfOneThatHasCommittedFurther(t *testing.T) {
-	v := founded(3, "a", "b")
-	a := started("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "x", nil}, {3, "z", nil}}}, v)
-	b := started("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 2, Entries: []Entry{{2, "x", nil}}}, v)
-	ackOf(b, a, 1)
+func TestActivationOfMemberWithHigherCommit(t *testing.T) {
+	v := viewOf(3, "a", "b")
+	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "x", nil}, {3, "z", nil}}}, v)
+	b := newMember("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 2, Entries: []Entry{{2, "x", nil}}}, v)
+	deliverAck(b, a, 1)
 	_, u, _ := a.NextUpdate()
 	if len(u.Fragments) != 1 || u.Fragments[0].Index != 3 {
 		t.Error("sent what it has:", u.Fragments)
 	}
 	a.Resend() // that one is lost
 	a.Resend()
-	pass(t, a, b)
+	replicate(t, a, b)
 	wantState(t, b, "3/3/3 x@2 z@3")
 	wantState(t, a, "3/3/3 x@2 z@3")
 }
 
-func TestActivationWithNothingToTakeOver(t *testing.T) {
-	v := founded(3, "a", "b")
-	a, b := started("a", State{ActivatedEpoch: 2}, v), started("b", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "gone", nil}}}, v)
-	pass(t, a, b)
+func TestActivationWithEmptyState(t *testing.T) {
+	v := viewOf(3, "a", "b")
+	a, b := newMember("a", State{ActivatedEpoch: 2}, v), newMember("b", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "gone", nil}}}, v)
+	replicate(t, a, b)
 	wantState(t, b, "3/0/0")
-	put(t, a, "k")
-	pass(t, a, b)
+	appendKeys(t, a, "k")
+	replicate(t, a, b)
 	wantState(t, b, "3/1/1 k@1")
 }
 
-func TestTransferThatIsNotCompletedChangesNothing(t *testing.T) {
-	v := founded(3, "a", "b")
-	a := started("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "big", large(1, 4)}, {3, "z", nil}}}, v)
-	b := started("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "own", nil}}}, v)
-	ackOf(b, a, 1)
+func TestIncompleteTransferLeavesStateUnchanged(t *testing.T) {
+	v := viewOf(3, "a", "b")
+	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "big", largeValue(1, 4)}, {3, "z", nil}}}, v)
+	b := newMember("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "own", nil}}}, v)
+	deliverAck(b, a, 1)
 	for range 3 {
 		_, u, some := a.NextUpdate()
 		if changed, ok := b.HandleUpdate("a", u); !some || changed || !ok || u.Complete {
@@ -196,20 +196,20 @@
 	if got := b.CurrentAck().Received; got.LastIndex != 1 || got.PartialIndex != 2 || got.PartialBytes == 0 {
 		t.Error("staged:", got)
 	}
-	b.Adopt(founded(4, "b", "a"))
+	b.Adopt(viewOf(4, "b", "a"))
 	wantState(t, b, "4/1/2 x@1 own@2")
 	if got := b.CurrentAck().Received; got != (Position{LastIndex: 2}) {
 		t.Error("staged after another view:", got)
 	}
 }
 
-// TestTransferIsNotCompleteWithAPartUnderWay: an update that says that it is the end, and ends in the middle of an entry.
-func TestTransferIsNotCompleteWithAPartUnderWay(t *testing.T) {
-	v := founded(3, "a", "b")
+// TestTransferEndingInsideEntryIsIncomplete: an update that says that it is the end, and ends in the middle of an entry.
+func TestTransferEndingInsideEntryIsIncomplete(t *testing.T) {
+	v := viewOf(3, "a", "b")
 	value := []byte("value")
-	part := Fragment{Index: 1, Key: "k", ValueSize: 5, Checksum: sum(value), Data: value[:2]}
+	part := Fragment{Index: 1, Key: "k", ValueSize: 5, Checksum: checksum(value), Data: value[:2]}
 	u := Update{Epoch: 3, Fragments: []Fragment{part}, Complete: true, Through: 1, Commit: 1}
-	b, z := started("b", State{ActivatedEpoch: 2}, v), started("z", State{}, v)
+	b, z := newMember("b", State{ActivatedEpoch: 2}, v), newMember("z", State{}, v)
 	if changed, ok := b.HandleUpdate("a", u); changed || !ok || b.IsActive() {
 		t.Error("activated")
 	}
@@ -227,9 +227,9 @@
 	wantState(t, z, "0/1/1 k@1")
 }
 
-func TestActivationOnAnotherBaseIsRefused(t *testing.T) {
-	b := started("b", State{ActivatedEpoch: 2, LastIndex: 4, Commit: 4}, founded(3, "a", "b"))
-	f := Fragment{Index: 5, Key: "k", Checksum: sum(nil)}
+func TestActivationOnOtherBaseIsRejected(t *testing.T) {
+	b := newMember("b", State{ActivatedEpoch: 2, LastIndex: 4, Commit: 4}, viewOf(3, "a", "b"))
+	f := Fragment{Index: 5, Key: "k", Checksum: checksum(nil)}
 	for _, base := range []int64{3, 5} {
 		u := Update{Epoch: 3, Base: base, After: Position{LastIndex: 4}, Fragments: []Fragment{f}, Complete: true, Through: 5}
 		if changed, ok := b.HandleUpdate("a", u); changed || !ok || b.IsActive() {
@@ -239,10 +239,10 @@
 	wantState(t, b, "2/4/4")
 }
 
-func TestTakeOnlyFromThePredecessorInTheEpoch(t *testing.T) {
-	v := founded(2, "a", "b", "c")
-	b := started("b", State{ActivatedEpoch: 2}, v)
-	f := Fragment{Index: 1, Key: "k", Checksum: sum(nil)}
+func TestUpdateOnlyFromPredecessorInEpoch(t *testing.T) {
+	v := viewOf(2, "a", "b", "c")
+	b := newMember("b", State{ActivatedEpoch: 2}, v)
+	f := Fragment{Index: 1, Key: "k", Checksum: checksum(nil)}
 	good := Update{Epoch: 2, Fragments: []Fragment{f}, Complete: true, Through: 1}
 	old := good
 	old.Epoch = 1
@@ -253,8 +253,8 @@
 	}{
 		"of the successor":       {"c", good, b},
 		"of an epoch before":     {"a", old, b},
-		"to a head":              {"a", good, started("a", State{ActivatedEpoch: 2}, v)},
-		"to one outside":         {"a", good, started("d", State{ActivatedEpoch: 2}, v)},
+		"to a head":              {"a", good, newMember("a", State{ActivatedEpoch: 2}, v)},
+		"to one outside":         {"a", good, newMember("d", State{ActivatedEpoch: 2}, v)},
 		"of one that is outside": {"d", good, b},
 	} {
 		if changed, ok := x.to.HandleUpdate(x.from, x.u); changed || ok || x.to.State().LastIndex != 0 {
@@ -269,12 +269,12 @@
 	}
 }
 
-func TestCommitNeverPassesWhatAMemberHas(t *testing.T) {
-	v := founded(2, "a", "b", "c")
-	b := started("b", State{ActivatedEpoch: 2}, v)
-	b.HandleUpdate("a", Update{Epoch: 2, Commit: 9, Fragments: []Fragment{{Index: 1, Key: "k", Checksum: sum(nil)}}})
+func TestCommitNeverExceedsLastIndex(t *testing.T) {
+	v := viewOf(2, "a", "b", "c")
+	b := newMember("b", State{ActivatedEpoch: 2}, v)
+	b.HandleUpdate("a", Update{Epoch: 2, Commit: 9, Fragments: []Fragment{{Index: 1, Key: "k", Checksum: checksum(nil)}}})
 	wantState(t, b, "2/1/1 k@1")
-	a := started("a", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "k", nil}}}, v)
+	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "k", nil}}}, v)
 	if a.HandleAck("b", 1, Ack{Epoch: 2, LastIndex: 4, Commit: 4, Active: true}) || a.State().Commit != 0 {
 		t.Error("an ack of more than there is was taken")
 	}
@@ -283,9 +283,9 @@
 	}
 }
 
-func TestAckOnlyOfTheSuccessorInTheEpoch(t *testing.T) {
-	v := founded(2, "a", "b", "c")
-	a := started("a", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "k", nil}}}, v)
+func TestAckOnlyFromSuccessorInEpoch(t *testing.T) {
+	v := viewOf(2, "a", "b", "c")
+	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "k", nil}}}, v)
 	good := Ack{Epoch: 2, LastIndex: 1, Commit: 1, CommitIsCurrent: true, Active: true}
 	old, waiting := good, good
 	old.Epoch, waiting.Active = 1, false
--- a/internal/tier/chain/fuzz_test.go
+++ b/internal/tier/chain/fuzz_test.go
@@ -8,10 +8,10 @@
 	"larchrouter/internal/tier/view"
 )
 
-// reader cuts small numbers from the input; beyond its end they are 0.
-type reader []byte
+// fuzzInput cuts small numbers from the input; beyond its end they are 0.
+type fuzzInput []byte
 
-func (r *reader) number() int64 {
+func (r *fuzzInput) number() int64 {
 	if len(*r) == 0 {
 		return 0
 	}
@@ -25,7 +25,7 @@
 	return int64(b) - 4 // mostly small ones, a few of them below 0
 }
 
-func (r *reader) bytes() []byte {
+func (r *fuzzInput) bytes() []byte {
 	n := min(max(int(r.number()), 0), len(*r))
 	b := (*r)[:n]
 	*r = (*r)[n:]
@@ -33,7 +33,7 @@
 }
 
 // update reads an update; at times its sums are right and it comes after where the receiver is.
-func (r *reader) update(at Position) Update {
+func (r *fuzzInput) update(at Position) Update {
 	u := Update{Base: r.number(), Through: r.number(), Commit: r.number(), Complete: r.number()%2 == 0}
 	if u.After = at; r.number()%4 == 0 {
 		u.After = Position{LastIndex: r.number(), PartialIndex: r.number(), PartialBytes: r.number()}
@@ -41,7 +41,7 @@
 	for range r.number() % 4 {
 		f := Fragment{Index: r.number(), Key: "k", ValueSize: r.number(), Checksum: r.number(), Offset: r.number(), Data: r.bytes()}
 		if r.number()%2 == 0 {
-			f.ValueSize, f.Checksum, f.Offset = int64(len(f.Data)), sum(f.Data), 0
+			f.ValueSize, f.Checksum, f.Offset = int64(len(f.Data)), checksum(f.Data), 0
 		}
 		u.Fragments = append(u.Fragments, f)
 	}
@@ -56,18 +56,18 @@
 		0xff, 255, 255, 255, 255, 255, 255, 255, 127, 8, 1, 2, 3, 4, 5})
 }
 
-// FuzzIncomingTake holds the receiver of a stream to its bounds whatever comes: no panic, whole entries in their order, none
+// FuzzReceiveStream holds the receiver of a stream to its bounds whatever comes: no panic, whole entries in their order, none
 // of those that have come is touched, and of the one under way never more than its size.
-func FuzzIncomingTake(f *testing.F) {
+func FuzzReceiveStream(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, input []byte) {
-		r := reader(input)
-		in := incoming{done: 2}
+		r := fuzzInput(input)
+		in := receiveStream{lastIndex: 2}
 		for len(r) > 0 {
-			before, done := in.entries, in.done
-			in.take(r.update(in.position()))
-			if in.done < done || len(in.entries) < len(before) || len(before) > 0 && !reflect.DeepEqual(before, in.entries[:len(before)]) {
-				t.Fatalf("went back, or changed what had come: %d to %d", done, in.done)
+			before, done := in.entries, in.lastIndex
+			in.handleUpdate(r.update(in.position()))
+			if in.lastIndex < done || len(in.entries) < len(before) || len(before) > 0 && !reflect.DeepEqual(before, in.entries[:len(before)]) {
+				t.Fatalf("went back, or changed what had come: %d to %d", done, in.lastIndex)
 			}
 			last := done
 			for _, e := range in.entries[len(before):] {
@@ -76,32 +76,32 @@
 				}
 				last = e.Index
 			}
-			if last != in.done {
-				t.Fatalf("done %d, the last entry is %d", in.done, last)
+			if last != in.lastIndex {
+				t.Fatalf("done %d, the last entry is %d", in.lastIndex, last)
 			}
-			if p := in.part; p != nil && (p.ValueSize > maxValue || int64(len(p.Data)) >= max(p.ValueSize, 1) || p.Index <= in.done) {
+			if p := in.partial; p != nil && (p.ValueSize > maxValueSize || int64(len(p.Data)) >= max(p.ValueSize, 1) || p.Index <= in.lastIndex) {
 				t.Fatalf("under way: %d of %d bytes of index %d", len(p.Data), p.ValueSize, p.Index)
 			}
 		}
 	})
 }
 
-// FuzzLearn holds a learner, and a member that is not active yet, to their state until a transfer on their base is complete.
-func FuzzLearn(f *testing.F) {
+// FuzzTransferIsAtomic holds a learner, and a member that is not active yet, to their state until a transfer on their base is complete.
+func FuzzTransferIsAtomic(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, input []byte) {
-		v := founded(3, "a", "b")
+		v := viewOf(3, "a", "b")
 		for _, id := range []string{"z", "b"} {
-			r := reader(input)
-			c := started(id, State{ActivatedEpoch: 1, LastIndex: 4, Commit: 2, Entries: []Entry{{1, "k", nil}, {2, "l", nil}, {4, "own", nil}}}, v)
+			r := fuzzInput(input)
+			c := newMember(id, State{ActivatedEpoch: 1, LastIndex: 4, Commit: 2, Entries: []Entry{{1, "k", nil}, {2, "l", nil}, {4, "own", nil}}}, v)
 			for len(r) > 0 && c.State().Commit == 2 && !c.IsActive() {
-				before := text(c.State())
+				before := stateString(c.State())
 				u := r.update(c.CurrentAck().Received)
 				u.Epoch = 3
 				base := c.State().Commit
-				changed := learnOrTake(c, v, u)
-				if !changed && text(c.State()) != before {
-					t.Fatalf("changed without a word: %s to %s", before, text(c.State()))
+				changed := handleByRole(c, v, u)
+				if !changed && stateString(c.State()) != before {
+					t.Fatalf("changed without a word: %s to %s", before, stateString(c.State()))
 				}
 				if changed && (!u.Complete || u.Base != base) {
 					t.Fatalf("changed by %+v", u)
@@ -111,7 +111,7 @@
 	})
 }
 
-func learnOrTake(c *Chain, v view.View, u Update) bool {
+func handleByRole(c *Chain, v view.View, u Update) bool {
 	if v.Position(c.self) < 0 {
 		return c.HandleLearnerUpdate(u)
 	}
--- a/internal/tier/chain/ghosts_test.go
+++ b/internal/tier/chain/ghosts_test.go
@@ -6,110 +6,110 @@
 	"slices"
 )
 
-// written is an entry with the one that its head had before it. The value begins with its number.
-type written struct {
+// appendedEntry is an entry with the one that its head had before it. The value begins with its number.
+type appendedEntry struct {
 	Entry
-	before *written
+	previous *appendedEntry
 }
 
 const numberSize = 4
 
-// written finds what an entry of a state was written as; nil for one that no head wrote.
-func (w *world) written(e Entry) *written {
+// findAppended finds what an entry of a state was findAppended as; nil for one that no head wrote.
+func (sim *simulation) findAppended(e Entry) *appendedEntry {
 	if len(e.Value) < numberSize {
 		return nil
 	}
 	number := int(binary.BigEndian.Uint32(e.Value))
-	if number >= len(w.entries) || !same(w.entries[number].Entry, e) {
+	if number >= len(sim.appended) || !equalEntries(sim.appended[number].Entry, e) {
 		return nil
 	}
-	return w.entries[number]
+	return sim.appended[number]
 }
 
-func same(a, b Entry) bool {
+func equalEntries(a, b Entry) bool {
 	return a.Index == b.Index && a.Key == b.Key && bytes.Equal(a.Value, b.Value)
 }
 
-// check compares what a member has committed with what was committed, and takes down what is committed first.
-func (w *world) check(i int) {
-	c := w.members[i]
-	s := c.State()
-	if s.Commit > s.LastIndex {
-		w.fail("%s committed %d, has %d", c.self, s.Commit, s.LastIndex)
+// checkCommitted compares what a member has committed with what was committed, and takes down what is committed first.
+func (sim *simulation) checkCommitted(i int) {
+	member := sim.members[i]
+	state := member.State()
+	if state.Commit > state.LastIndex {
+		sim.fail("%s committed %d, has %d", member.self, state.Commit, state.LastIndex)
 	}
-	if s.Commit > int64(len(w.truth)) {
-		w.rise(c)
+	if state.Commit > int64(len(sim.committed)) {
+		sim.checkNewCommit(member)
 	}
-	if w.err == nil && !w.holds(s, s.Commit) {
-		w.fail("%s: committed %s, differs from what was committed", c.self, text(s))
+	if sim.violation == nil && !sim.hasCommitted(state, state.Commit) {
+		sim.fail("%s: committed %s, differs from what was committed", member.self, stateString(state))
 	}
 }
 
-// rise is a commit of more than was committed before: every member of that chain has to have it.
-func (w *world) rise(c *Chain) {
-	s := c.State()
-	w.rises++
-	k := slices.IndexFunc(s.Entries, func(e Entry) bool { return e.Index == s.Commit })
+// checkNewCommit is a commit of more than was committed before: every member of that chain has to have it.
+func (sim *simulation) checkNewCommit(member *Chain) {
+	state := member.State()
+	sim.commits++
+	k := slices.IndexFunc(state.Entries, func(entry Entry) bool { return entry.Index == state.Commit })
 	if k < 0 {
-		w.fail("%s lacks the last that it committed: %s", c.self, text(s))
+		sim.fail("%s lacks the last that it committed: %s", member.self, stateString(state))
 		return
 	}
-	var added []*written
-	e := w.written(s.Entries[k])
-	for ; e != nil && e.Index > int64(len(w.truth)); e = e.before {
+	var added []*appendedEntry
+	e := sim.findAppended(state.Entries[k])
+	for ; e != nil && e.Index > int64(len(sim.committed)); e = e.previous {
 		added = append(added, e)
 	}
-	if len(w.truth) > 0 && e != w.truth[len(w.truth)-1] || len(w.truth)+len(added) != int(s.Commit) {
-		w.fail("%s committed %d entries after another %d", c.self, len(added), len(w.truth))
+	if len(sim.committed) > 0 && e != sim.committed[len(sim.committed)-1] || len(sim.committed)+len(added) != int(state.Commit) {
+		sim.fail("%s committed %d entries after another %d", member.self, len(added), len(sim.committed))
 		return
 	}
 	slices.Reverse(added)
-	w.truth = append(w.truth, added...)
-	for _, l := range c.view.Chain {
-		m := w.member(l.ID).State()
-		if m.ActivatedEpoch < c.view.Epoch || m.LastIndex < s.Commit || !w.holds(m, s.Commit) {
-			w.fail("%s committed %d in epoch %d, %s has %s", c.self, s.Commit, c.view.Epoch, l.ID, text(m))
+	sim.committed = append(sim.committed, added...)
+	for _, chained := range member.view.Chain {
+		replica := sim.member(chained.ID).State()
+		if replica.ActivatedEpoch < member.view.Epoch || replica.LastIndex < state.Commit || !sim.hasCommitted(replica, state.Commit) {
+			sim.fail("%s committed %d in epoch %d, %s has %s", member.self, state.Commit, member.view.Epoch, chained.ID, stateString(replica))
 		}
 	}
 }
 
-// holds tells whether a state has all that was committed up to an index, or what replaced it.
-func (w *world) holds(s *State, commit int64) bool {
+// hasCommitted tells whether a state has all that was committed up to an index, or what replaced it.
+func (sim *simulation) hasCommitted(state *State, commit int64) bool {
 	replaced := map[string]bool{}
-	for i := len(s.Entries) - 1; i >= 0; i-- { // what this member has beyond may have compacted what is asked for
-		if e := s.Entries[i]; e.Index > commit && e.Index <= s.Commit {
-			replaced[e.Key] = true
+	for i := len(state.Entries) - 1; i >= 0; i-- { // what this member has beyond may have compacted what is asked for
+		if entry := state.Entries[i]; entry.Index > commit && entry.Index <= state.Commit {
+			replaced[entry.Key] = true
 		}
 	}
 	seen := map[string]bool{}
 	for index := commit; index > 0; index-- {
-		e := w.truth[index-1]
-		if seen[e.Key] {
+		expected := sim.committed[index-1]
+		if seen[expected.Key] {
 			continue
 		}
-		seen[e.Key] = true
-		k := slices.IndexFunc(s.Entries, func(o Entry) bool { return o.Index == index })
-		if k < 0 && replaced[e.Key] {
+		seen[expected.Key] = true
+		k := slices.IndexFunc(state.Entries, func(o Entry) bool { return o.Index == index })
+		if k < 0 && replaced[expected.Key] {
 			continue
 		}
-		if k < 0 || !same(s.Entries[k], e.Entry) {
+		if k < 0 || !equalEntries(state.Entries[k], expected.Entry) {
 			return false
 		}
 	}
 	return true
 }
 
-// settled checks that all have all after a time without trouble.
-func (w *world) settled() {
-	head := w.member(w.view.Head()).State()
-	for _, c := range w.members {
-		s := c.State()
-		if s.Commit != head.LastIndex || c.view.Position(c.self) >= 0 && !c.CommitIsCurrent() {
-			w.fail("settled: %s has %s, the head %s", c.self, text(s), text(head))
+// checkConverged checks that all have all after a time without trouble.
+func (sim *simulation) checkConverged() {
+	head := sim.member(sim.view.Head()).State()
+	for _, member := range sim.members {
+		state := member.State()
+		if state.Commit != head.LastIndex || member.view.Position(member.self) >= 0 && !member.CommitIsCurrent() {
+			sim.fail("settled: %s has %s, the head %s", member.self, stateString(state), stateString(head))
 		}
-		for _, e := range s.Entries {
-			if last, _ := c.LastEntry(e.Key); s.Commit == s.LastIndex && last.Index != e.Index {
-				w.fail("%s is not compacted: %s", c.self, text(s))
+		for _, entry := range state.Entries {
+			if last, _ := member.LastEntry(entry.Key); state.Commit == state.LastIndex && last.Index != entry.Index {
+				sim.fail("%s is not compacted: %s", member.self, stateString(state))
 			}
 		}
 	}
--- a/internal/tier/chain/learners.go
+++ b/internal/tier/chain/learners.go
@@ -1,22 +1,22 @@
 package chain
 
 // HandleLearnerAck takes what a member outside the chain tells of itself, said in one of its lives: a tail sends it what it lacks.
-func (c *Chain) HandleLearnerAck(from string, life int64, a Ack) {
+func (c *Chain) HandleLearnerAck(from string, incarnation int64, ack Ack) {
 	if !c.CommitIsCurrent() || c.view.Tail() != c.self || c.view.Position(from) >= 0 {
 		return
 	}
-	o := c.learners[from]
-	if o == nil {
-		o = new(outgoing)
-		c.learners[from] = o
+	stream := c.learners[from]
+	if stream == nil {
+		stream = new(sendStream)
+		c.learners[from] = stream
 	}
-	if o.known && life < o.life {
+	if stream.positionKnown && incarnation < stream.incarnation {
 		return // said in an earlier life
 	}
-	if o.base != a.Commit { // it has taken in what it was sent: the next transfer builds on that
-		*o = outgoing{}
+	if stream.base != ack.Commit { // it has taken in what it was sent: the next transfer builds on that
+		*stream = sendStream{}
 	}
-	o.acked(life, a, a.Commit)
+	stream.handleAck(incarnation, ack, ack.Commit)
 }
 
 // RemoveLearner ends what is kept for a learner.
@@ -24,26 +24,26 @@
 
 // LearnerIsBehind tells whether a learner lacks something that is committed.
 func (c *Chain) LearnerIsBehind(id string) bool {
-	o := c.learners[id]
-	return o != nil && o.known && o.complete < c.state.Commit
+	stream := c.learners[id]
+	return stream != nil && stream.positionKnown && stream.completeThrough < c.state.Commit
 }
 
 // NextLearnerUpdate is the next part of what a learner lacks of what is committed.
-func (c *Chain) NextLearnerUpdate(id string) (u Update, some bool) {
-	o := c.learners[id]
-	if o == nil || !c.CommitIsCurrent() || c.view.Tail() != c.self {
+func (c *Chain) NextLearnerUpdate(id string) (u Update, ok bool) {
+	stream := c.learners[id]
+	if stream == nil || !c.CommitIsCurrent() || c.view.Tail() != c.self {
 		return Update{}, false
 	}
-	u, some = o.next(c.state.Entries, c.state.Commit)
+	u, ok = stream.nextUpdate(c.state.Entries, c.state.Commit)
 	u.Epoch, u.Commit = c.view.Epoch, c.state.Commit
-	return u, some
+	return u, ok
 }
 
 // Resend has all that was sent and not answered since the last call sent again.
 func (c *Chain) Resend() {
 	c.successor.resend()
-	for _, o := range c.learners {
-		o.resend()
+	for _, stream := range c.learners {
+		stream.resend()
 	}
 }
 
@@ -56,18 +56,18 @@
 }
 
 // Transfers are those to members that lack something.
-func (c *Chain) Transfers() (all []Transfer) {
-	if to := c.view.Successor(c.self); c.IsActive() && to != "" && c.successor.complete < c.state.LastIndex {
-		all = append(all, c.successor.transfer(to, c.state.LastIndex))
+func (c *Chain) Transfers() (transfers []Transfer) {
+	if successor := c.view.Successor(c.self); c.IsActive() && successor != "" && c.successor.completeThrough < c.state.LastIndex {
+		transfers = append(transfers, c.successor.transfer(successor, c.state.LastIndex))
 	}
-	for id, o := range c.learners {
-		if o.complete < c.state.Commit {
-			all = append(all, o.transfer(id, c.state.Commit))
+	for id, stream := range c.learners {
+		if stream.completeThrough < c.state.Commit {
+			transfers = append(transfers, stream.transfer(id, c.state.Commit))
 		}
 	}
-	return all
+	return transfers
 }
 
-func (o *outgoing) transfer(id string, target int64) Transfer {
-	return Transfer{ID: id, LastIndex: o.told.LastIndex, Target: target, PartialBytes: o.told.PartialBytes}
+func (o *sendStream) transfer(id string, target int64) Transfer {
+	return Transfer{ID: id, LastIndex: o.acknowledged.LastIndex, Target: target, PartialBytes: o.acknowledged.PartialBytes}
 }
--- a/internal/tier/chain/learners_test.go
+++ b/internal/tier/chain/learners_test.go
@@ -7,15 +7,15 @@
 	"larchrouter/internal/tier/view"
 )
 
-func alone(epoch int64, s State) *Chain {
-	return started("a", s, view.View{Epoch: epoch, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 0}}})
+func newSingleMember(epoch int64, s State) *Chain {
+	return newMember("a", s, view.View{Epoch: epoch, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 0}}})
 }
 
-func TestLearnerTakesWhatIsCommittedAtOnce(t *testing.T) {
-	tail := alone(1, State{})
-	tail.Append("large", large(1, 3))
-	put(t, tail, "k", "l", "k")
-	learner := started("z", State{LastIndex: 2, Entries: []Entry{{1, "own", nil}, {2, "own", nil}}}, tail.view)
+func TestLearnerAppliesCompleteTransferAtomically(t *testing.T) {
+	tail := newSingleMember(1, State{})
+	tail.Append("large", largeValue(1, 3))
+	appendKeys(t, tail, "k", "l", "k")
+	learner := newMember("z", State{LastIndex: 2, Entries: []Entry{{1, "own", nil}, {2, "own", nil}}}, tail.view)
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	if !tail.LearnerIsBehind("z") {
 		t.Error("it lacks something")
@@ -41,17 +41,17 @@
 	if tail.LearnerIsBehind("z") || len(tail.Transfers()) != 0 {
 		t.Error("it lacks nothing")
 	}
-	put(t, tail, "m")
-	teach(t, tail, learner)
+	appendKeys(t, tail, "m")
+	replicateToLearner(t, tail, learner)
 	wantState(t, learner, "0/5/5 large@1 l@3 k@4 m@5")
 }
 
-func TestTransfersTellHowFarTheyAre(t *testing.T) {
-	tail := alone(1, State{})
-	put(t, tail, "k")
-	tail.Append("large", large(1, 5))
+func TestTransfersReportProgress(t *testing.T) {
+	tail := newSingleMember(1, State{})
+	appendKeys(t, tail, "k")
+	tail.Append("large", largeValue(1, 5))
 	tail.MarkDurable()
-	learner := started("z", State{}, tail.view)
+	learner := newMember("z", State{}, tail.view)
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	for range 2 {
 		u, _ := tail.NextLearnerUpdate("z")
@@ -70,18 +70,18 @@
 	}
 }
 
-func TestOnlyATailThatKnowsTeachesWhoIsOutside(t *testing.T) {
-	v := founded(2, "a", "b")
-	a, b := started("a", State{ActivatedEpoch: 1}, v), started("b", State{ActivatedEpoch: 1}, v)
+func TestOnlyTailWithCurrentCommitUpdatesLearners(t *testing.T) {
+	v := viewOf(2, "a", "b")
+	a, b := newMember("a", State{ActivatedEpoch: 1}, v), newMember("b", State{ActivatedEpoch: 1}, v)
 	report := Ack{Epoch: 2}
 	for _, c := range []*Chain{a, b} {
 		if c.HandleLearnerAck("z", 1, report); len(c.learners) != 0 {
 			t.Error(c.self, "teaches before it knows")
 		}
 	}
-	pass(t, a, b)
-	put(t, a, "k")
-	pass(t, a, b)
+	replicate(t, a, b)
+	appendKeys(t, a, "k")
+	replicate(t, a, b)
 	a.HandleLearnerAck("z", 1, report)
 	b.HandleLearnerAck("a", 1, report)
 	b.HandleLearnerAck("z", 1, report)
@@ -91,22 +91,22 @@
 	if _, some := b.NextLearnerUpdate("z"); !some {
 		t.Error("the tail sends nothing")
 	}
-	b.Adopt(founded(3, "a", "b"))
+	b.Adopt(viewOf(3, "a", "b"))
 	if _, some := b.NextLearnerUpdate("z"); some {
 		t.Error("sends in an epoch in which it does not know")
 	}
 }
 
-func TestMembersOfTheChainDoNotLearn(t *testing.T) {
-	b := started("b", State{ActivatedEpoch: 2}, founded(2, "a", "b"))
-	if b.HandleLearnerUpdate(Update{Epoch: 2, Fragments: []Fragment{{Index: 1, Key: "k", Checksum: sum(nil)}}, Complete: true, Through: 1}) {
+func TestChainMembersIgnoreLearnerUpdates(t *testing.T) {
+	b := newMember("b", State{ActivatedEpoch: 2}, viewOf(2, "a", "b"))
+	if b.HandleLearnerUpdate(Update{Epoch: 2, Fragments: []Fragment{{Index: 1, Key: "k", Checksum: checksum(nil)}}, Complete: true, Through: 1}) {
 		t.Error("learnt")
 	}
 }
 
-func TestLearnerRefusesATransferOnAnotherBase(t *testing.T) {
-	learner := started("z", State{LastIndex: 4, Commit: 4}, founded(2, "a"))
-	f := []Fragment{{Index: 5, Key: "k", Checksum: sum(nil)}}
+func TestLearnerRejectsTransferOnOtherBase(t *testing.T) {
+	learner := newMember("z", State{LastIndex: 4, Commit: 4}, viewOf(2, "a"))
+	f := []Fragment{{Index: 5, Key: "k", Checksum: checksum(nil)}}
 	at := Position{LastIndex: 4}
 	for name, u := range map[string]Update{
 		"base before":     {Base: 3, After: at, Fragments: f, Complete: true, Through: 5},
@@ -120,17 +120,17 @@
 	wantState(t, learner, "0/4/4")
 }
 
-func TestLearnerGoesOnWithAnotherTailInTheMiddleOfAnEntry(t *testing.T) {
-	s := State{ActivatedEpoch: 1, LastIndex: 2, Commit: 2, Entries: []Entry{{1, "k", nil}, {2, "large", large(1, 4)}}}
-	first, second := founded(2, "a"), founded(3, "b")
-	a, learner := started("a", s, first), started("z", State{}, first)
+func TestLearnerResumesInsideEntryWithNewTail(t *testing.T) {
+	s := State{ActivatedEpoch: 1, LastIndex: 2, Commit: 2, Entries: []Entry{{1, "k", nil}, {2, "large", largeValue(1, 4)}}}
+	first, second := viewOf(2, "a"), viewOf(3, "b")
+	a, learner := newMember("a", s, first), newMember("z", State{}, first)
 	a.HandleLearnerAck("z", 1, learner.CurrentAck())
 	for range 2 {
 		u, _ := a.NextLearnerUpdate("z")
 		learner.HandleLearnerUpdate(u)
 	}
 	at := learner.CurrentAck().Received
-	b := started("b", s, second)
+	b := newMember("b", s, second)
 	learner.Adopt(second)
 	if learner.CurrentAck().Received != at || at.PartialIndex != 2 || at.PartialBytes < ChunkSize {
 		t.Fatal("what was staged is gone", learner.CurrentAck().Received, at)
@@ -141,52 +141,52 @@
 		t.Error("it goes on after", u.After, "with", u.Fragments[0].Offset)
 	}
 	learner.HandleLearnerUpdate(u)
-	teach(t, b, learner)
+	replicateToLearner(t, b, learner)
 	wantState(t, learner, "0/2/2 k@1 large@2")
 	if e, _ := learner.LastEntry("large"); !bytes.Equal(e.Value, s.Entries[1].Value) {
 		t.Error("the value differs")
 	}
 }
 
-func TestLearnerWhoseOtherTailHasTheEntryNoMore(t *testing.T) {
-	first, second := founded(2, "a"), founded(3, "b")
-	a := started("a", State{ActivatedEpoch: 1, LastIndex: 1, Commit: 1, Entries: []Entry{{1, "large", large(1, 4)}}}, first)
-	b := started("b", State{ActivatedEpoch: 1, LastIndex: 2, Commit: 2, Entries: []Entry{{2, "large", large(2, 4)}}}, second)
-	learner := started("z", State{}, first)
+func TestLearnerDropsPartialEntryCompactedAtNewTail(t *testing.T) {
+	first, second := viewOf(2, "a"), viewOf(3, "b")
+	a := newMember("a", State{ActivatedEpoch: 1, LastIndex: 1, Commit: 1, Entries: []Entry{{1, "large", largeValue(1, 4)}}}, first)
+	b := newMember("b", State{ActivatedEpoch: 1, LastIndex: 2, Commit: 2, Entries: []Entry{{2, "large", largeValue(2, 4)}}}, second)
+	learner := newMember("z", State{}, first)
 	a.HandleLearnerAck("z", 1, learner.CurrentAck())
 	u, _ := a.NextLearnerUpdate("z")
 	learner.HandleLearnerUpdate(u)
 	learner.Adopt(second)
-	teach(t, b, learner)
+	replicateToLearner(t, b, learner)
 	wantState(t, learner, "0/2/2 large@2")
 }
 
-func TestLearnerThatJoinsTheChainBeginsAtItsCommit(t *testing.T) {
-	first := founded(2, "a")
-	a, learner := started("a", State{ActivatedEpoch: 1}, first), started("z", State{}, first)
-	a.Append("large", large(1, 4))
-	put(t, a, "k")
+func TestLearnerJoiningChainRestartsAtCommit(t *testing.T) {
+	first := viewOf(2, "a")
+	a, learner := newMember("a", State{ActivatedEpoch: 1}, first), newMember("z", State{}, first)
+	a.Append("large", largeValue(1, 4))
+	appendKeys(t, a, "k")
 	a.HandleLearnerAck("z", 1, learner.CurrentAck())
 	u, _ := a.NextLearnerUpdate("z")
 	learner.HandleLearnerUpdate(u)
-	next := founded(3, "a", "z")
+	next := viewOf(3, "a", "z")
 	a.Adopt(next)
 	learner.Adopt(next)
 	if learner.CurrentAck().Received != (Position{}) {
 		t.Error("staged", learner.CurrentAck().Received)
 	}
-	pass(t, a, learner)
+	replicate(t, a, learner)
 	wantState(t, learner, "3/2/2 large@1 k@2")
 }
 
-func TestLearnerAckOfAnEarlierLifeIsIgnored(t *testing.T) {
-	tail := alone(1, State{})
-	put(t, tail, "k", "l", "m")
+func TestLearnerAckOfEarlierIncarnationIsIgnored(t *testing.T) {
+	tail := newSingleMember(1, State{})
+	appendKeys(t, tail, "k", "l", "m")
 	tail.HandleLearnerAck("z", 7, Ack{Commit: 2, Received: Position{LastIndex: 2}})
 	tail.NextLearnerUpdate("z")
 	tail.HandleLearnerAck("z", 6, Ack{Commit: 1, Received: Position{LastIndex: 1}})
-	if o := tail.learners["z"]; o.life != 7 || o.base != 2 || o.bytes == 0 {
-		t.Error("taken: life", o.life, "base", o.base, "under way", o.bytes)
+	if o := tail.learners["z"]; o.incarnation != 7 || o.base != 2 || o.inFlightBytes == 0 {
+		t.Error("taken: life", o.incarnation, "base", o.base, "under way", o.inFlightBytes)
 	}
 	tail.HandleLearnerAck("z", 8, Ack{Commit: 1, Received: Position{LastIndex: 1}})
 	if u, _ := tail.NextLearnerUpdate("z"); u.Base != 1 {
@@ -194,15 +194,15 @@
 	}
 }
 
-// TestNextTransferBuildsOnTheOneTakenIn: what was sent on the base before is sent again on the new one at once, without a
+// TestNextTransferUsesNewBase: what was sent on the base before is sent again on the new one at once, without a
 // call of Resend.
-func TestNextTransferBuildsOnTheOneTakenIn(t *testing.T) {
-	tail := alone(1, State{})
-	learner := started("z", State{}, tail.view)
-	put(t, tail, "k")
+func TestNextTransferUsesNewBase(t *testing.T) {
+	tail := newSingleMember(1, State{})
+	learner := newMember("z", State{}, tail.view)
+	appendKeys(t, tail, "k")
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	first, _ := tail.NextLearnerUpdate("z")
-	put(t, tail, "l")
+	appendKeys(t, tail, "l")
 	onOldBase, some := tail.NextLearnerUpdate("z")
 	if !some || !learner.HandleLearnerUpdate(first) || learner.HandleLearnerUpdate(onOldBase) {
 		t.Fatal("the first was not taken, or the second was")
@@ -215,27 +215,27 @@
 	wantState(t, learner, "0/2/2 k@1 l@2")
 }
 
-// TestLearnerDoesNotCompleteWithAnOlderEndOfTheStream: the beginning comes of a stream that was made after a key had been
+// TestLearnerRejectsEndOfOlderTransfer: the beginning comes of a stream that was made after a key had been
 // written again, the end, late, of one that was made before. Together they lack that key.
-func TestLearnerDoesNotCompleteWithAnOlderEndOfTheStream(t *testing.T) {
-	tail := alone(1, State{})
-	put(t, tail, "k")
-	learner := started("z", State{}, tail.view)
-	teach(t, tail, learner)
-	put(t, tail, "k", "m", "l")
+func TestLearnerRejectsEndOfOlderTransfer(t *testing.T) {
+	tail := newSingleMember(1, State{})
+	appendKeys(t, tail, "k")
+	learner := newMember("z", State{}, tail.view)
+	replicateToLearner(t, tail, learner)
+	appendKeys(t, tail, "k", "m", "l")
 	whole := func(index int64, key string) Fragment {
-		return Fragment{Index: index, Key: key, ValueSize: 1, Checksum: sum([]byte(key)), Data: []byte(key)}
+		return Fragment{Index: index, Key: key, ValueSize: 1, Checksum: checksum([]byte(key)), Data: []byte(key)}
 	}
 	// Made while the tail had k@2 m@3 l@4: the update before it, of k@2 and m@3, is lost.
 	late := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 3}, Fragments: []Fragment{whole(4, "l")}, Complete: true, Through: 4, Commit: 4}
-	put(t, tail, "k")
+	appendKeys(t, tail, "k")
 	// Made of m@3 l@4 k@5, and small: k@2 is gone.
 	begun := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 1}, Fragments: []Fragment{whole(3, "m")}, Commit: 5}
 	learner.HandleLearnerUpdate(begun)
 	if learner.HandleLearnerUpdate(late) {
-		t.Error("completed: ", text(learner.State()))
+		t.Error("completed: ", stateString(learner.State()))
 	}
 	wantState(t, learner, "0/1/1 k@1")
-	teach(t, tail, learner)
+	replicateToLearner(t, tail, learner)
 	wantState(t, learner, "0/5/5 m@3 l@4 k@5")
 }
--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -16,318 +16,318 @@
 // so reorders messages. Time is counted in rounds. Members stop and begin again from what they had on disk; views change,
 // and members hear of that at different rounds. At last the link is good for a while.
 const (
-	modelMembers  = 4
-	courseRounds  = 120
-	quietRounds   = 120
-	beatRounds    = 4  // between reports, and calls of Resend
-	mostDelay     = 6  // rounds
-	mostEntries   = 40 // of one course
-	longestPieces = 5
+	modelMembers    = 4
+	scheduleRounds  = 120
+	quietRounds     = 120
+	heartbeatRounds = 4  // between reports, and calls of Resend
+	maxDelayRounds  = 6  // rounds
+	maxEntries      = 40 // of one course
+	maxValueChunks  = 5
 )
 
-// modelFaults are seams for planted faults; the zero value is the program.
-type modelFaults struct {
-	update func(w *world, from *Chain, u *Update) // changes what is sent
-	ack    func(w *world, from *Chain, a *Ack)
-	before func(to *Chain) // is done to a member before it sends
-	adopt  func(c *Chain)  // is done to a member that has adopted a view
-	silent bool            // nothing is sent again
+// plantedFaults are seams for planted faults; the zero value is the program.
+type plantedFaults struct {
+	mutateUpdate func(w *simulation, from *Chain, u *Update) // changes what is sent
+	mutateAck    func(w *simulation, from *Chain, a *Ack)
+	beforeSend   func(to *Chain) // is done to a member before it sends
+	afterAdopt   func(c *Chain)  // is done to a member that has adopted a view
+	noResend     bool            // nothing is sent again
 }
 
 type message struct {
-	due    int
-	from   int
-	to     string
-	life   int64
-	update *Update
-	ack    *Ack
-	learn  bool // to or of a member outside the chain
+	due         int
+	from        int
+	to          string
+	incarnation int64
+	update      *Update
+	ack         *Ack
+	learner     bool // to or of a member outside the chain
 }
 
-type world struct {
-	pick    func(n int) int // below n
-	faults  modelFaults
-	random  []byte // values are cut from it
-	round   int
-	calm    bool
-	view    view.View
-	members [modelMembers]*Chain
-	lives   [modelMembers]int64
-	links   []message
+type simulation struct {
+	draw         func(n int) int // below n
+	faults       plantedFaults
+	randomBytes  []byte // values are cut from it
+	round        int
+	quiet        bool
+	view         view.View
+	members      [modelMembers]*Chain
+	incarnations [modelMembers]int64
+	inTransit    []message
 
 	// ghosts
-	truth   []*written // what was committed, by index
-	entries []*written // all that was appended at any head, by its number
-	rises   int
-	resumed int // updates that went on in the middle of an entry
-	err     error
+	committed        []*appendedEntry // what was committed, by index
+	appended         []*appendedEntry // all that was appended at any head, by its number
+	commits          int
+	resumedTransfers int // updates that went on in the middle of an entry
+	violation        error
 }
 
-var noise = func() []byte {
-	b := make([]byte, (longestPieces+2)*ChunkSize)
+var randomData = func() []byte {
+	b := make([]byte, (maxValueChunks+2)*ChunkSize)
 	r := rand.NewChaCha8([32]byte{1})
 	r.Read(b)
 	return b
 }()
 
-func name(i int) string { return string(rune('a' + i)) }
+func memberID(i int) string { return string(rune('a' + i)) }
 
-func newWorld(seed uint64, f modelFaults) *world {
-	w := &world{pick: rand.New(rand.NewPCG(seed, 0)).IntN, faults: f, random: noise}
-	w.view = view.View{Epoch: 1}
+func newSimulation(seed uint64, faults plantedFaults) *simulation {
+	sim := &simulation{draw: rand.New(rand.NewPCG(seed, 0)).IntN, faults: faults, randomBytes: randomData}
+	sim.view = view.View{Epoch: 1}
 	for i := range modelMembers {
-		w.view.Voters = append(w.view.Voters, view.Member{ID: name(i)})
-		if i < 2+w.pick(2) && i < 3 {
-			w.view.Chain = append(w.view.Chain, view.ChainMember{ID: name(i), JoinedEpoch: 1})
+		sim.view.Voters = append(sim.view.Voters, view.Member{ID: memberID(i)})
+		if i < 2+sim.draw(2) && i < 3 {
+			sim.view.Chain = append(sim.view.Chain, view.ChainMember{ID: memberID(i), JoinedEpoch: 1})
 		}
 	}
 	for i := range modelMembers {
-		w.members[i] = New(name(i), State{ActivatedEpoch: 1})
-		w.adopt(i)
+		sim.members[i] = New(memberID(i), State{ActivatedEpoch: 1})
+		sim.adopt(i)
 	}
-	return w
+	return sim
 }
 
-func (w *world) fail(format string, args ...any) {
-	if w.err == nil {
-		w.err = fmt.Errorf("round %d: %s", w.round, fmt.Sprintf(format, args...))
+func (sim *simulation) fail(format string, args ...any) {
+	if sim.violation == nil {
+		sim.violation = fmt.Errorf("round %d: %s", sim.round, fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *world) adopt(i int) {
-	w.members[i].Adopt(w.view)
-	if w.faults.adopt != nil {
-		w.faults.adopt(w.members[i])
+func (sim *simulation) adopt(i int) {
+	sim.members[i].Adopt(sim.view)
+	if sim.faults.afterAdopt != nil {
+		sim.faults.afterAdopt(sim.members[i])
 	}
-	w.check(i)
+	sim.checkCommitted(i)
 }
 
-func (w *world) chance(of int) bool { return !w.calm && w.pick(of) == 0 }
+func (sim *simulation) oneIn(of int) bool { return !sim.quiet && sim.draw(of) == 0 }
 
-func (w *world) step() {
-	w.round++
-	w.trouble()
-	for i, c := range w.members {
-		if c.view.Epoch < w.view.Epoch && (w.calm || w.pick(3) == 0) {
-			w.adopt(i)
+func (sim *simulation) step() {
+	sim.round++
+	sim.injectFaults()
+	for i, member := range sim.members {
+		if member.view.Epoch < sim.view.Epoch && (sim.quiet || sim.draw(3) == 0) {
+			sim.adopt(i)
 		}
-		if !w.calm && len(w.entries) < mostEntries && w.pick(3) == 0 {
-			w.append(i)
+		if !sim.quiet && len(sim.appended) < maxEntries && sim.draw(3) == 0 {
+			sim.append(i)
 		}
-		w.sendUpdates(i)
-		if (w.round+i)%beatRounds == 0 {
-			if !w.faults.silent {
-				c.Resend()
+		sim.sendUpdates(i)
+		if (sim.round+i)%heartbeatRounds == 0 {
+			if !sim.faults.noResend {
+				member.Resend()
 			}
-			w.report(i)
+			sim.sendAck(i)
 		}
 	}
-	w.deliver()
+	sim.deliver()
 }
 
-func (w *world) append(i int) {
-	c := w.members[i]
-	size := w.pick(200)
-	if w.pick(5) == 0 {
-		size = w.pick(longestPieces * ChunkSize)
-	}
-	from := w.pick(ChunkSize)
-	value := append(binary.BigEndian.AppendUint32(nil, uint32(len(w.entries))), w.random[from:from+size]...)
-	var before *written
-	if had := c.State().Entries; len(had) > 0 {
-		before = w.written(had[len(had)-1])
-	}
-	if e, ok := c.Append(fmt.Sprint("k", w.pick(6)), value); ok {
-		w.entries = append(w.entries, &written{Entry: e, before: before})
-		c.MarkDurable()
-		w.check(i)
+func (sim *simulation) append(i int) {
+	member := sim.members[i]
+	size := sim.draw(200)
+	if sim.draw(5) == 0 {
+		size = sim.draw(maxValueChunks * ChunkSize)
+	}
+	from := sim.draw(ChunkSize)
+	value := append(binary.BigEndian.AppendUint32(nil, uint32(len(sim.appended))), sim.randomBytes[from:from+size]...)
+	var previous *appendedEntry
+	if had := member.State().Entries; len(had) > 0 {
+		previous = sim.findAppended(had[len(had)-1])
+	}
+	if entry, ok := member.Append(fmt.Sprint("k", sim.draw(6)), value); ok {
+		sim.appended = append(sim.appended, &appendedEntry{Entry: entry, previous: previous})
+		member.MarkDurable()
+		sim.checkCommitted(i)
 	}
 }
 
-func (w *world) trouble() {
-	if w.chance(25) {
-		i := w.pick(modelMembers)
-		w.members[i] = restarted(w.members[i])
-		w.lives[i]++
-		w.check(i)
+func (sim *simulation) injectFaults() {
+	if sim.oneIn(25) {
+		i := sim.draw(modelMembers)
+		sim.members[i] = restartMember(sim.members[i])
+		sim.incarnations[i]++
+		sim.checkCommitted(i)
 	}
-	if w.chance(30) {
-		w.change()
+	if sim.oneIn(30) {
+		sim.changeView()
 	}
 }
 
-// change decides a view of the members that hold all that was committed, less one at times, and of one that learns.
-func (w *world) change() {
-	next := view.View{Epoch: w.view.Epoch + 1, Voters: w.view.Voters}
-	for _, l := range w.view.Chain {
-		if w.member(l.ID).State().ActivatedEpoch >= l.JoinedEpoch {
-			next.Chain = append(next.Chain, l)
+// changeView decides a view of the members that hold all that was committed, less one at times, and of one that learns.
+func (sim *simulation) changeView() {
+	next := view.View{Epoch: sim.view.Epoch + 1, Voters: sim.view.Voters}
+	for _, member := range sim.view.Chain {
+		if sim.member(member.ID).State().ActivatedEpoch >= member.JoinedEpoch {
+			next.Chain = append(next.Chain, member)
 		}
 	}
-	if len(next.Chain) > 1 && w.pick(2) == 0 {
-		i := w.pick(len(next.Chain))
+	if len(next.Chain) > 1 && sim.draw(2) == 0 {
+		i := sim.draw(len(next.Chain))
 		next.Chain = slices.Delete(next.Chain, i, i+1)
 	}
-	if id := name(w.pick(modelMembers)); len(next.Chain) < 3 && next.Position(id) < 0 && w.view.Position(id) < 0 {
+	if id := memberID(sim.draw(modelMembers)); len(next.Chain) < 3 && next.Position(id) < 0 && sim.view.Position(id) < 0 {
 		next.Chain = append(next.Chain, view.ChainMember{ID: id, JoinedEpoch: next.Epoch})
 	}
 	if len(next.Chain) > 0 {
-		w.view = next
+		sim.view = next
 	}
 }
 
-func (w *world) member(id string) *Chain { return w.members[id[0]-'a'] }
+func (sim *simulation) member(id string) *Chain { return sim.members[id[0]-'a'] }
 
-func (w *world) send(m message) {
-	if w.chance(4) {
+func (sim *simulation) send(m message) {
+	if sim.oneIn(4) {
 		return
 	}
-	m.life = w.lives[m.from]
-	m.due = w.round + 1
-	if !w.calm {
-		m.due += w.pick(mostDelay)
+	m.incarnation = sim.incarnations[m.from]
+	m.due = sim.round + 1
+	if !sim.quiet {
+		m.due += sim.draw(maxDelayRounds)
 	}
-	w.links = append(w.links, m)
-	if w.chance(6) {
-		m.due = w.round + 1 + w.pick(3*mostDelay)
-		w.links = append(w.links, m)
+	sim.inTransit = append(sim.inTransit, m)
+	if sim.oneIn(6) {
+		m.due = sim.round + 1 + sim.draw(3*maxDelayRounds)
+		sim.inTransit = append(sim.inTransit, m)
 	}
 }
 
-func (w *world) sendUpdates(i int) {
-	c := w.members[i]
-	if w.faults.before != nil {
-		w.faults.before(c)
+func (sim *simulation) sendUpdates(i int) {
+	member := sim.members[i]
+	if sim.faults.beforeSend != nil {
+		sim.faults.beforeSend(member)
 	}
 	for {
-		to, u, some := c.NextUpdate()
-		if !some {
+		to, update, ok := member.NextUpdate()
+		if !ok {
 			break
 		}
-		w.sendUpdate(i, to, u, &c.successor, false)
+		sim.sendUpdate(i, to, update, &member.successor, false)
 	}
-	for _, m := range w.view.Voters {
-		for c.view.Position(m.ID) < 0 {
-			u, some := c.NextLearnerUpdate(m.ID)
+	for _, voter := range sim.view.Voters {
+		for member.view.Position(voter.ID) < 0 {
+			update, some := member.NextLearnerUpdate(voter.ID)
 			if !some {
 				break
 			}
-			w.sendUpdate(i, m.ID, u, c.learners[m.ID], true)
+			sim.sendUpdate(i, voter.ID, update, member.learners[voter.ID], true)
 		}
 	}
 }
 
-func (w *world) sendUpdate(i int, to string, u Update, o *outgoing, learn bool) {
+func (sim *simulation) sendUpdate(i int, to string, update Update, stream *sendStream, learner bool) {
 	size := 0
-	for _, f := range u.Fragments {
-		size += len(f.Data)
+	for _, fragment := range update.Fragments {
+		size += len(fragment.Data)
 	}
 	inFlight := 0
-	for _, f := range o.flight {
-		inFlight += f.bytes
+	for _, sent := range stream.inFlight {
+		inFlight += sent.bytes
 	}
 	if size > ChunkSize || inFlight > windowSize+ChunkSize+fragmentCost {
-		w.fail("%d bytes in an update, %d under way", size, inFlight)
+		sim.fail("%d bytes in an update, %d under way", size, inFlight)
 	}
-	if u.After.PartialBytes > 0 {
-		w.resumed++
+	if update.After.PartialBytes > 0 {
+		sim.resumedTransfers++
 	}
-	if w.faults.update != nil {
-		w.faults.update(w, w.members[i], &u)
+	if sim.faults.mutateUpdate != nil {
+		sim.faults.mutateUpdate(sim, sim.members[i], &update)
 	}
-	w.send(message{from: i, to: to, update: &u, learn: learn})
+	sim.send(message{from: i, to: to, update: &update, learner: learner})
 }
 
-// report tells the predecessor, or the tail, where a member is.
-func (w *world) report(i int) {
-	c := w.members[i]
-	to, a, ok := c.PredecessorAck()
-	learn := c.IsLearner()
-	if learn {
-		to, ok = c.view.Tail(), true
+// sendAck tells the predecessor, or the tail, where a member is.
+func (sim *simulation) sendAck(i int) {
+	member := sim.members[i]
+	to, ack, ok := member.PredecessorAck()
+	learner := member.IsLearner()
+	if learner {
+		to, ok = member.view.Tail(), true
 	}
 	if !ok {
 		return
 	}
-	if w.faults.ack != nil {
-		w.faults.ack(w, c, &a)
+	if sim.faults.mutateAck != nil {
+		sim.faults.mutateAck(sim, member, &ack)
 	}
-	w.send(message{from: i, to: to, ack: &a, learn: learn})
+	sim.send(message{from: i, to: to, ack: &ack, learner: learner})
 }
 
-func (w *world) deliver() {
+func (sim *simulation) deliver() {
 	due := []message{}
 	later := []message{}
-	for _, m := range w.links {
-		if m.due <= w.round {
-			due = append(due, m)
+	for _, queued := range sim.inTransit {
+		if queued.due <= sim.round {
+			due = append(due, queued)
 		} else {
-			later = append(later, m)
+			later = append(later, queued)
 		}
 	}
-	w.links = later
-	for _, m := range due {
-		to := int(m.to[0] - 'a')
-		c, from := w.members[to], name(m.from)
+	sim.inTransit = later
+	for _, message := range due {
+		to := int(message.to[0] - 'a')
+		member, from := sim.members[to], memberID(message.from)
 		switch {
-		case m.ack != nil && m.learn:
-			c.HandleLearnerAck(from, m.life, *m.ack)
-		case m.ack != nil:
-			c.HandleAck(from, m.life, *m.ack)
-		case m.learn:
-			c.HandleLearnerUpdate(*m.update)
-			w.report(to)
+		case message.ack != nil && message.learner:
+			member.HandleLearnerAck(from, message.incarnation, *message.ack)
+		case message.ack != nil:
+			member.HandleAck(from, message.incarnation, *message.ack)
+		case message.learner:
+			member.HandleLearnerUpdate(*message.update)
+			sim.sendAck(to)
 		default:
-			if _, ok := c.HandleUpdate(from, *m.update); ok {
-				c.MarkDurable()
-				w.report(to)
+			if _, ok := member.HandleUpdate(from, *message.update); ok {
+				member.MarkDurable()
+				sim.sendAck(to)
 			}
 		}
-		w.check(to)
+		sim.checkCommitted(to)
 	}
 }
 
-func course(w *world) error {
-	for range courseRounds {
-		if w.step(); w.err != nil {
-			return w.err
+func runSchedule(sim *simulation) error {
+	for range scheduleRounds {
+		if sim.step(); sim.violation != nil {
+			return sim.violation
 		}
 	}
-	w.calm = true
+	sim.quiet = true
 	for range quietRounds {
-		if w.step(); w.err != nil {
-			return w.err
+		if sim.step(); sim.violation != nil {
+			return sim.violation
 		}
 	}
-	w.settled()
-	return w.err
+	sim.checkConverged()
+	return sim.violation
 }
 
-func TestChainDeliversWhatIsCommittedUnderDrawnCourses(t *testing.T) {
+func TestCommittedEntriesSurviveRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		if err := course(newWorld(seed, modelFaults{})); err != nil {
+		if err := runSchedule(newSimulation(seed, plantedFaults{})); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestCoursesGoSomewhere holds the courses to commit, to change views and to go on in the middle of entries.
-func TestCoursesGoSomewhere(t *testing.T) {
-	var committed, rises, resumed int
+// TestRandomSchedulesMakeProgress holds the courses to commit, to change views and to go on in the middle of entries.
+func TestRandomSchedulesMakeProgress(t *testing.T) {
+	var committed, commits, resumedTransfers int
 	var epochs int64
 	for seed := range uint64(20) {
-		w := newWorld(seed, modelFaults{})
-		if err := course(w); err != nil {
+		sim := newSimulation(seed, plantedFaults{})
+		if err := runSchedule(sim); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		committed += len(w.truth)
-		rises += w.rises
-		resumed += w.resumed
-		epochs += w.view.Epoch - 1
+		committed += len(sim.committed)
+		commits += sim.commits
+		resumedTransfers += sim.resumedTransfers
+		epochs += sim.view.Epoch - 1
 	}
-	t.Logf("20 courses: %d committed in %d rises, %d views, %d updates in the middle of entries", committed, rises, epochs, resumed)
-	if committed < 200 || rises < 100 || epochs < 40 || resumed < 100 {
+	t.Logf("20 courses: %d committed in %d rises, %d views, %d updates in the middle of entries", committed, commits, epochs, resumedTransfers)
+	if committed < 200 || commits < 100 || epochs < 40 || resumedTransfers < 100 {
 		t.Error("courses do too little")
 	}
 }
--- a/internal/tier/chain/planted_test.go
+++ b/internal/tier/chain/planted_test.go
@@ -6,55 +6,55 @@
 	"testing"
 )
 
-// TestPlantedFaultsOfTheChainAreFound shows that the model finds what it is for.
-func TestPlantedFaultsOfTheChainAreFound(t *testing.T) {
-	const courses = 300
-	for name, x := range map[string]struct {
-		f    modelFaults
-		says string
+// TestModelFindsPlantedFaults shows that the model finds what it is for.
+func TestModelFindsPlantedFaults(t *testing.T) {
+	const schedules = 300
+	for name, test := range map[string]struct {
+		faults    plantedFaults
+		violation string
 	}{
-		"a member tells that all it has is committed": {modelFaults{ack: func(_ *world, _ *Chain, a *Ack) { a.Commit = a.LastIndex }}, "has"},
-		"a part of a transfer said to be all of it": {modelFaults{update: func(_ *world, from *Chain, u *Update) {
+		"a member tells that all it has is committed": {plantedFaults{mutateAck: func(_ *simulation, _ *Chain, a *Ack) { a.Commit = a.LastIndex }}, "has"},
+		"a part of a transfer said to be all of it": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
 			u.Complete, u.Through = true, from.State().Commit
 		}}, ", has "},
-		"values altered on the way": {modelFaults{update: func(w *world, _ *Chain, u *Update) {
-			if f := len(u.Fragments) - 1; f >= 0 && u.Fragments[f].ValueSize == int64(len(u.Fragments[f].Data)) && w.pick(20) == 0 {
+		"values altered on the way": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
+			if f := len(u.Fragments) - 1; f >= 0 && u.Fragments[f].ValueSize == int64(len(u.Fragments[f].Data)) && w.draw(20) == 0 {
 				u.Fragments[f].Data = append(slices.Clone(u.Fragments[f].Data), 1)
 				u.Fragments[f].ValueSize++
-				u.Fragments[f].Checksum = sum(u.Fragments[f].Data)
+				u.Fragments[f].Checksum = checksum(u.Fragments[f].Data)
 			}
 		}}, ""},
-		"entries left out": {modelFaults{update: func(w *world, _ *Chain, u *Update) {
-			if len(u.Fragments) > 1 && w.pick(4) == 0 {
+		"entries left out": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
+			if len(u.Fragments) > 1 && w.draw(4) == 0 {
 				u.Fragments = u.Fragments[1:]
 			}
 		}}, ""},
-		"nothing is sent again": {modelFaults{silent: true}, "settled"},
-		"the window is not minded": {modelFaults{before: func(c *Chain) {
+		"nothing is sent again": {plantedFaults{noResend: true}, "settled"},
+		"the window is not minded": {plantedFaults{beforeSend: func(c *Chain) {
 			for _, o := range c.learners {
-				o.bytes = -windowSize
+				o.inFlightBytes = -windowSize
 			}
-			c.successor.bytes = -windowSize
+			c.successor.inFlightBytes = -windowSize
 		}}, "under way"},
-		"what is not committed is kept at activation": {modelFaults{adopt: func(c *Chain) {
+		"what is not committed is kept at activation": {plantedFaults{afterAdopt: func(c *Chain) {
 			c.state.Commit = c.state.LastIndex
 		}}, ""},
-		"an entry that is gone is gone on with": {modelFaults{update: func(_ *world, from *Chain, u *Update) {
+		"an entry that is gone is gone on with": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
 			for _, o := range from.learners {
-				if u.After.PartialBytes == 0 && o.told.PartialBytes > 0 && o.told.LastIndex == u.After.LastIndex {
-					u.After = o.told
+				if u.After.PartialBytes == 0 && o.acknowledged.PartialBytes > 0 && o.acknowledged.LastIndex == u.After.LastIndex {
+					u.After = o.acknowledged
 				}
 			}
 		}}, "settled"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(courses) {
-				if err := course(newWorld(seed, x.f)); err != nil && strings.Contains(err.Error(), x.says) {
+			for seed := range uint64(schedules) {
+				if err := runSchedule(newSimulation(seed, test.faults)); err != nil && strings.Contains(err.Error(), test.violation) {
 					t.Logf("found by seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not found in %d courses", courses)
+			t.Errorf("not found in %d courses", schedules)
 		})
 	}
 }
--- a/internal/tier/chain/stream.go
+++ b/internal/tier/chain/stream.go
@@ -8,7 +8,7 @@
 	ChunkSize    = 64 << 10  // bytes of values in one update
 	windowSize   = 256 << 10 // bytes under way to one receiver, beyond which no further piece is sent
 	fragmentCost = 64        // what a fragment is counted for beside its bytes
-	maxValue     = 128 << 20 // larger values are not taken: they are garbage
+	maxValueSize = 128 << 20 // larger values are not taken: they are garbage
 )
 
 // Position in a stream of entries: all up to Done has come, and Part bytes of the entry that follows, whose index is Of.
@@ -44,105 +44,107 @@
 	Commit    int64
 }
 
-// outgoing is the sender's side of a stream. The zero value waits until the receiver has told where it is.
-type outgoing struct {
-	known      bool
-	life       int64
-	base       int64
-	told       Position // by the receiver, last
-	sent       Position
-	pinned     *Entry // the one of which a part was sent: it may be compacted away meanwhile
-	pinnedSum  int64
-	through    int64 // the last Through that was sent, below 0 for none
-	complete   int64 // the receiver has all up to here; below 0 while it is not active
-	flight     []flight
-	bytes      int // in flight
-	progressed bool
-	waited     int // calls of resend since there was progress
-	patience   int // how many of them are waited for
+// sendStream is the sender's side of a stream. The zero value waits until the receiver has told where it is.
+type sendStream struct {
+	positionKnown        bool
+	incarnation          int64
+	base                 int64
+	acknowledged         Position // by the receiver, last
+	sent                 Position
+	inTransfer           *Entry // the one of which a part was sent: it may be compacted away meanwhile
+	inTransferChecksum   int64
+	sentThrough          int64 // the last Through that was sent, below 0 for none
+	completeThrough      int64 // the receiver has all up to here; below 0 while it is not active
+	inFlight             []sentUpdate
+	inFlightBytes        int // in flight
+	progressed           bool
+	callsWithoutProgress int // calls of resend since there was progress
+	backoff              int // how many of them are waited for
 }
 
-const mostPatience = 16 // a link on which a piece takes long must not be filled with repeats
+const maxBackoff = 16 // a link on which a piece takes long must not be filled with repeats
 
-type flight struct {
+type sentUpdate struct {
 	after Position
 	bytes int
 }
 
-// acked takes the receiver's report; complete is up to where it has all, below 0 for nothing.
-func (o *outgoing) acked(life int64, a Ack, complete int64) {
-	if o.known && life < o.life {
+// handleAck takes the receiver's report; complete is up to where it has all, below 0 for nothing.
+func (o *sendStream) handleAck(incarnation int64, ack Ack, completeThrough int64) {
+	if o.positionKnown && incarnation < o.incarnation {
 		return // said in an earlier life
 	}
-	if !o.known || life != o.life || o.base != a.Commit && complete < 0 {
-		*o = outgoing{known: true, life: life, base: a.Commit, told: a.Received, sent: a.Received, through: -1, complete: complete, progressed: true, patience: 1}
+	if !o.positionKnown || incarnation != o.incarnation || o.base != ack.Commit && completeThrough < 0 {
+		*o = sendStream{positionKnown: true, incarnation: incarnation, base: ack.Commit, acknowledged: ack.Received, sent: ack.Received, sentThrough: -1, completeThrough: completeThrough, progressed: true, backoff: 1}
 		return
 	}
-	if o.told.Less(a.Received) || o.complete < complete {
+	if o.acknowledged.Less(ack.Received) || o.completeThrough < completeThrough {
 		o.progressed = true
 	}
-	o.base, o.told = a.Commit, a.Received
-	o.complete = max(o.complete, complete)
-	for len(o.flight) > 0 && !o.told.Less(o.flight[0].after) {
-		o.bytes -= o.flight[0].bytes
-		o.flight = o.flight[1:]
+	o.base, o.acknowledged = ack.Commit, ack.Received
+	o.completeThrough = max(o.completeThrough, completeThrough)
+	for len(o.inFlight) > 0 && !o.acknowledged.Less(o.inFlight[0].after) {
+		o.inFlightBytes -= o.inFlight[0].bytes
+		o.inFlight = o.inFlight[1:]
 	}
-	if o.sent.Less(o.told) {
+	if o.sent.Less(o.acknowledged) {
 		o.rewind()
 	}
 }
 
 // resend goes back to what the receiver has told, if nothing has come of what was sent for some calls. Where nothing is under
 // way there is nothing to wait for: what is sent next, and lost, is repeated as soon as on a link that was never idle.
-func (o *outgoing) resend() {
-	if o.progressed || !o.known || o.idle() {
-		o.progressed, o.waited, o.patience = false, 0, 1
+func (o *sendStream) resend() {
+	if o.progressed || !o.positionKnown || o.idle() {
+		o.progressed, o.callsWithoutProgress, o.backoff = false, 0, 1
 		return
 	}
-	if o.waited++; o.waited < o.patience {
+	if o.callsWithoutProgress++; o.callsWithoutProgress < o.backoff {
 		return
 	}
 	o.rewind()
-	o.waited, o.patience = 0, min(2*o.patience, mostPatience)
+	o.callsWithoutProgress, o.backoff = 0, min(2*o.backoff, maxBackoff)
 }
 
 // idle tells whether the receiver has told that it has all that was sent, and has taken it in.
-func (o *outgoing) idle() bool { return o.sent == o.told && o.complete >= max(o.through, 0) }
+func (o *sendStream) idle() bool {
+	return o.sent == o.acknowledged && o.completeThrough >= max(o.sentThrough, 0)
+}
 
-func (o *outgoing) rewind() {
-	o.sent, o.flight, o.bytes, o.through = o.told, nil, 0, -1
+func (o *sendStream) rewind() {
+	o.sent, o.inFlight, o.inFlightBytes, o.sentThrough = o.acknowledged, nil, 0, -1
 }
 
-// next makes the next update from the entries up to a limit.
-func (o *outgoing) next(entries []Entry, limit int64) (u Update, some bool) {
-	if !o.known || o.complete >= limit || o.bytes >= windowSize {
+// nextUpdate makes the nextUpdate update from the entries up to a limit.
+func (o *sendStream) nextUpdate(entries []Entry, limit int64) (update Update, ok bool) {
+	if !o.positionKnown || o.completeThrough >= limit || o.inFlightBytes >= windowSize {
 		return Update{}, false
 	}
-	e := o.entry(entries, limit) // it gives up a part of an entry that is gone: only then o.sent is what to go on after
-	u = Update{Base: o.base, After: o.sent}
-	room := ChunkSize
-	for ; e != nil && room > 0; e = o.entry(entries, limit) {
-		f := o.fragment(e, room)
-		room -= len(f.Data) + fragmentCost
-		u.Fragments = append(u.Fragments, f)
+	entry := o.nextEntry(entries, limit) // it gives up a part of an entry that is gone: only then o.sent is what to go on after
+	update = Update{Base: o.base, After: o.sent}
+	remaining := ChunkSize
+	for ; entry != nil && remaining > 0; entry = o.nextEntry(entries, limit) {
+		fragment := o.nextFragment(entry, remaining)
+		remaining -= len(fragment.Data) + fragmentCost
+		update.Fragments = append(update.Fragments, fragment)
 	}
-	if e == nil && o.through < limit {
-		u.Complete, u.Through, o.through = true, limit, limit
+	if entry == nil && o.sentThrough < limit {
+		update.Complete, update.Through, o.sentThrough = true, limit, limit
 	}
-	if len(u.Fragments) == 0 && !u.Complete {
+	if len(update.Fragments) == 0 && !update.Complete {
 		return Update{}, false
 	}
-	size := ChunkSize - room
-	o.flight = append(o.flight, flight{o.sent, size})
-	o.bytes += size
-	return u, true
+	size := ChunkSize - remaining
+	o.inFlight = append(o.inFlight, sentUpdate{o.sent, size})
+	o.inFlightBytes += size
+	return update, true
 }
 
-// entry is the one that is sent next, nil for none. Where a part of one was sent that is neither pinned nor among the
-// entries any more, the stream goes on with the entry that follows: the receiver then drops its part.
-func (o *outgoing) entry(entries []Entry, limit int64) *Entry {
-	if o.sent.PartialBytes > 0 && o.pin(entries) {
-		return o.pinned
+// nextEntry is the one that is sent next, nil for none. Where a part of one was sent that is neither pinned nor among the
+// entries any more, the stream goes on with the nextEntry that follows: the receiver then drops its part.
+func (o *sendStream) nextEntry(entries []Entry, limit int64) *Entry {
+	if o.sent.PartialBytes > 0 && o.findInTransfer(entries) {
+		return o.inTransfer
 	}
 	o.sent.PartialIndex, o.sent.PartialBytes = 0, 0
 	rest := EntriesAfter(entries, o.sent.LastIndex)
@@ -152,91 +154,91 @@
 	return &rest[0]
 }
 
-// pin finds the entry of which a part was sent, perhaps by another member.
-func (o *outgoing) pin(entries []Entry) bool {
-	if o.pinned == nil || o.pinned.Index != o.sent.PartialIndex {
-		o.pinned = nil
+// findInTransfer finds the entry of which a part was sent, perhaps by another member.
+func (o *sendStream) findInTransfer(entries []Entry) bool {
+	if o.inTransfer == nil || o.inTransfer.Index != o.sent.PartialIndex {
+		o.inTransfer = nil
 		for _, e := range EntriesAfter(entries, o.sent.PartialIndex-1) {
 			if e.Index == o.sent.PartialIndex {
-				o.pinned, o.pinnedSum = &e, sum(e.Value)
+				o.inTransfer, o.inTransferChecksum = &e, checksum(e.Value)
 				break
 			}
 		}
 	}
-	return o.pinned != nil && o.sent.PartialBytes < int64(len(o.pinned.Value))
+	return o.inTransfer != nil && o.sent.PartialBytes < int64(len(o.inTransfer.Value))
 }
 
-// fragment cuts the next part of an entry off.
-func (o *outgoing) fragment(e *Entry, room int) Fragment {
-	if o.pinned != e {
-		pinned := *e
-		o.pinned, o.pinnedSum = &pinned, sum(e.Value)
+// nextFragment cuts the next part of an entry off.
+func (o *sendStream) nextFragment(entry *Entry, remaining int) Fragment {
+	if o.inTransfer != entry {
+		copied := *entry
+		o.inTransfer, o.inTransferChecksum = &copied, checksum(entry.Value)
 	}
-	size := int64(len(e.Value))
-	n := min(int64(room), size-o.sent.PartialBytes)
-	f := Fragment{Index: e.Index, Key: e.Key, ValueSize: size, Checksum: o.pinnedSum, Offset: o.sent.PartialBytes, Data: e.Value[o.sent.PartialBytes : o.sent.PartialBytes+n]}
-	if f.Offset+n < size {
-		o.sent.PartialIndex, o.sent.PartialBytes = e.Index, f.Offset+n
+	size := int64(len(entry.Value))
+	n := min(int64(remaining), size-o.sent.PartialBytes)
+	fragment := Fragment{Index: entry.Index, Key: entry.Key, ValueSize: size, Checksum: o.inTransferChecksum, Offset: o.sent.PartialBytes, Data: entry.Value[o.sent.PartialBytes : o.sent.PartialBytes+n]}
+	if fragment.Offset+n < size {
+		o.sent.PartialIndex, o.sent.PartialBytes = entry.Index, fragment.Offset+n
 	} else {
-		o.pinned, o.sent = nil, Position{LastIndex: e.Index}
+		o.inTransfer, o.sent = nil, Position{LastIndex: entry.Index}
 	}
-	return f
+	return fragment
 }
 
-func sum(value []byte) int64 { return int64(xxhash.Sum64(value)) }
+func checksum(value []byte) int64 { return int64(xxhash.Sum64(value)) }
 
-// incoming is the receiver's side of a stream: whole entries in their order, and the beginning of the next.
-type incoming struct {
-	done    int64
-	part    *Fragment // Data is what has come of it
-	entries []Entry
-	madeAt  int64 // to a learner: the highest commit index that the sender had of what came
+// receiveStream is the receiver's side of a stream: whole entries in their order, and the beginning of the next.
+type receiveStream struct {
+	lastIndex    int64
+	partial      *Fragment // Data is what has come of it
+	entries      []Entry
+	senderCommit int64 // to a learner: the highest commit index that the sender had of what came
 }
 
-func (in *incoming) position() Position {
-	p := Position{LastIndex: in.done}
-	if in.part != nil && len(in.part.Data) > 0 {
-		p.PartialIndex, p.PartialBytes = in.part.Index, int64(len(in.part.Data))
+func (in *receiveStream) position() Position {
+	p := Position{LastIndex: in.lastIndex}
+	if in.partial != nil && len(in.partial.Data) > 0 {
+		p.PartialIndex, p.PartialBytes = in.partial.Index, int64(len(in.partial.Data))
 	}
 	return p
 }
 
-// take takes an update if it is the next of the stream, or begins the entry that is under way again.
-func (in *incoming) take(u Update) bool {
-	if u.After.LastIndex != in.done || u.After.PartialBytes != 0 && u.After != in.position() {
+// handleUpdate takes an update if it is the next of the stream, or begins the entry that is under way again.
+func (in *receiveStream) handleUpdate(u Update) bool {
+	if u.After.LastIndex != in.lastIndex || u.After.PartialBytes != 0 && u.After != in.position() {
 		return false
 	}
 	if u.After.PartialBytes == 0 {
-		in.part = nil
+		in.partial = nil
 	}
 	for i := range u.Fragments {
-		if !in.add(&u.Fragments[i]) {
+		if !in.addFragment(&u.Fragments[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func (in *incoming) add(f *Fragment) bool {
-	if f.Index <= in.done || f.ValueSize > maxValue || f.ValueSize < 0 || f.Offset+int64(len(f.Data)) > f.ValueSize {
+func (in *receiveStream) addFragment(fragment *Fragment) bool {
+	if fragment.Index <= in.lastIndex || fragment.ValueSize > maxValueSize || fragment.ValueSize < 0 || fragment.Offset+int64(len(fragment.Data)) > fragment.ValueSize {
 		return false
 	}
-	if in.part == nil {
-		in.part = &Fragment{Index: f.Index, Key: f.Key, ValueSize: f.ValueSize, Checksum: f.Checksum}
+	if in.partial == nil {
+		in.partial = &Fragment{Index: fragment.Index, Key: fragment.Key, ValueSize: fragment.ValueSize, Checksum: fragment.Checksum}
 	}
-	if f.Index != in.part.Index || f.Checksum != in.part.Checksum || f.ValueSize != in.part.ValueSize || f.Offset != int64(len(in.part.Data)) {
+	if fragment.Index != in.partial.Index || fragment.Checksum != in.partial.Checksum || fragment.ValueSize != in.partial.ValueSize || fragment.Offset != int64(len(in.partial.Data)) {
 		return false
 	}
-	in.part.Data = append(in.part.Data, f.Data...)
-	if int64(len(in.part.Data)) < in.part.ValueSize {
+	in.partial.Data = append(in.partial.Data, fragment.Data...)
+	if int64(len(in.partial.Data)) < in.partial.ValueSize {
 		return true
 	}
-	whole := in.part
-	in.part = nil
-	if sum(whole.Data) != whole.Checksum {
+	complete := in.partial
+	in.partial = nil
+	if checksum(complete.Data) != complete.Checksum {
 		return false
 	}
-	in.entries = append(in.entries, Entry{Index: whole.Index, Key: whole.Key, Value: whole.Data})
-	in.done = whole.Index
+	in.entries = append(in.entries, Entry{Index: complete.Index, Key: complete.Key, Value: complete.Data})
+	in.lastIndex = complete.Index
 	return true
 }
--- a/internal/tier/chain/stream_test.go
+++ b/internal/tier/chain/stream_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-func TestLargeEntryTravelsInPieces(t *testing.T) {
-	entries := []Entry{{1, "small", []byte("v")}, {2, "large", large(1, 3)}, {3, "none", nil}}
-	var in incoming
-	o := sender(Ack{})
-	updates := all(o, entries, 3)
+func TestLargeEntryIsSentInChunks(t *testing.T) {
+	entries := []Entry{{1, "small", []byte("v")}, {2, "large", largeValue(1, 3)}, {3, "none", nil}}
+	var in receiveStream
+	o := newSendStream(Ack{})
+	updates := drain(o, entries, 3)
 	if len(updates) != 4 {
 		t.Fatal(len(updates), "updates")
 	}
@@ -22,12 +22,12 @@
 		if size > ChunkSize || u.Complete != (i == 3) {
 			t.Error("update", i, "of", size, u.Complete)
 		}
-		if !in.take(u) || in.position() != o.flight[i].after {
+		if !in.handleUpdate(u) || in.position() != o.inFlight[i].after {
 			t.Error("update", i, "not taken, or the position differs", in.position())
 		}
 	}
-	if len(in.entries) != 3 || in.done != 3 || in.part != nil {
-		t.Fatal("staged", len(in.entries), in.done)
+	if len(in.entries) != 3 || in.lastIndex != 3 || in.partial != nil {
+		t.Fatal("staged", len(in.entries), in.lastIndex)
 	}
 	for i, e := range in.entries {
 		if e.Index != entries[i].Index || e.Key != entries[i].Key || !bytes.Equal(e.Value, entries[i].Value) {
@@ -36,42 +36,42 @@
 	}
 }
 
-func TestWindowBoundsWhatIsUnderWay(t *testing.T) {
-	entries := []Entry{{1, "large", large(1, 20)}}
-	o := sender(Ack{})
-	updates := all(o, entries, 1)
-	if o.bytes < windowSize || o.bytes > windowSize+ChunkSize+fragmentCost {
-		t.Error("under way:", o.bytes)
-	}
-	var in incoming
-	in.take(updates[0])
-	o.acked(1, Ack{Received: in.position()}, -1)
-	if more := all(o, entries, 1); len(more) != 1 {
+func TestWindowBoundsBytesInFlight(t *testing.T) {
+	entries := []Entry{{1, "large", largeValue(1, 20)}}
+	o := newSendStream(Ack{})
+	updates := drain(o, entries, 1)
+	if o.inFlightBytes < windowSize || o.inFlightBytes > windowSize+ChunkSize+fragmentCost {
+		t.Error("under way:", o.inFlightBytes)
+	}
+	var in receiveStream
+	in.handleUpdate(updates[0])
+	o.handleAck(1, Ack{Received: in.position()}, -1)
+	if more := drain(o, entries, 1); len(more) != 1 {
 		t.Error("one piece came,", len(more), "more were sent")
 	}
 }
 
-func TestManySmallEntriesFillTheWindowToo(t *testing.T) {
+func TestSmallEntriesFillWindow(t *testing.T) {
 	var entries []Entry
 	for index := range int64(20_000) {
 		entries = append(entries, Entry{Index: index + 1, Key: "k"})
 	}
-	o := sender(Ack{})
-	updates := all(o, entries, 20_000)
-	if o.bytes > windowSize+ChunkSize+fragmentCost || len(updates) > 1+windowSize/ChunkSize || updates[0].Complete {
-		t.Error("under way:", o.bytes, len(updates))
+	o := newSendStream(Ack{})
+	updates := drain(o, entries, 20_000)
+	if o.inFlightBytes > windowSize+ChunkSize+fragmentCost || len(updates) > 1+windowSize/ChunkSize || updates[0].Complete {
+		t.Error("under way:", o.inFlightBytes, len(updates))
 	}
 }
 
-func TestResendWaitsLongerEachTime(t *testing.T) {
+func TestResendBacksOffExponentially(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
-	o := sender(Ack{})
-	all(o, entries, 1)
+	o := newSendStream(Ack{})
+	drain(o, entries, 1)
 	o.resend() // there was progress: the first ack
 	var sentAt []int
 	for call := 1; call <= 64; call++ {
 		o.resend()
-		if len(all(o, entries, 1)) > 0 {
+		if len(drain(o, entries, 1)) > 0 {
 			sentAt = append(sentAt, call)
 		}
 	}
@@ -80,139 +80,139 @@
 			t.Fatal("sent again at", sentAt)
 		}
 	}
-	o.acked(1, Ack{Received: Position{LastIndex: 1}}, -1)
+	o.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
 	o.resend()
-	if o.patience != 1 {
+	if o.backoff != 1 {
 		t.Error("progress does not end the patience")
 	}
 }
 
 // Patience is for links on which what was sent takes long. One that was idle is not slow: what is lost on it is sent again at once.
-func TestIdleStreamDoesNotGrowPatient(t *testing.T) {
+func TestIdleStreamDoesNotBackOff(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
-	o := sender(Ack{})
-	all(o, entries, 1)
-	o.acked(1, Ack{Received: Position{LastIndex: 1}}, 1)
+	o := newSendStream(Ack{})
+	drain(o, entries, 1)
+	o.handleAck(1, Ack{Received: Position{LastIndex: 1}}, 1)
 	for range 100 {
 		o.resend()
 	}
 	entries = append(entries, Entry{2, "k", []byte("w")})
-	if n := len(all(o, entries, 2)); n != 1 {
+	if n := len(drain(o, entries, 2)); n != 1 {
 		t.Fatal(n, "updates")
 	}
 	o.resend() // it is lost
-	if n := len(all(o, entries, 2)); n != 1 {
-		t.Errorf("sent again %d times after one call, patience %d", n, o.patience)
+	if n := len(drain(o, entries, 2)); n != 1 {
+		t.Errorf("sent again %d times after one call, patience %d", n, o.backoff)
 	}
 }
 
 // The end of a transfer that is lost, with nothing else under way, is sent again: the receiver has not taken it in.
-func TestLostEndOfATransferIsSentAgain(t *testing.T) {
+func TestLostEndOfTransferIsResent(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
-	o := sender(Ack{})
-	all(o, entries, 1)
-	o.acked(1, Ack{Received: Position{LastIndex: 1}}, -1)
+	o := newSendStream(Ack{})
+	drain(o, entries, 1)
+	o.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
 	sent := 0
 	for range 4 {
 		o.resend()
-		sent += len(all(o, entries, 1))
+		sent += len(drain(o, entries, 1))
 	}
 	if sent == 0 {
 		t.Error("the end is not sent again")
 	}
 }
 
-func TestReceiverThatIsFurtherRewindsForwards(t *testing.T) {
-	entries := []Entry{{1, "k", nil}, {2, "large", large(1, 4)}, {3, "l", nil}}
-	o := sender(Ack{})
-	o.next(entries, 3)
-	o.acked(1, Ack{Received: Position{LastIndex: 2}}, -1) // what was sent before a rewind has come
-	updates := all(o, entries, 3)
+func TestAckAheadOfSentPositionSkipsEntries(t *testing.T) {
+	entries := []Entry{{1, "k", nil}, {2, "large", largeValue(1, 4)}, {3, "l", nil}}
+	o := newSendStream(Ack{})
+	o.nextUpdate(entries, 3)
+	o.handleAck(1, Ack{Received: Position{LastIndex: 2}}, -1) // what was sent before a rewind has come
+	updates := drain(o, entries, 3)
 	if len(updates) != 1 || updates[0].After != (Position{LastIndex: 2}) || updates[0].Fragments[0].Index != 3 {
 		t.Error("sent", updates)
 	}
 }
 
-func TestAckOfAnEarlierLifeIsIgnored(t *testing.T) {
+func TestAckOfEarlierIncarnationIsIgnored(t *testing.T) {
 	entries := []Entry{{1, "k", nil}, {2, "l", nil}}
-	o := new(outgoing)
-	o.acked(7, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
+	o := new(sendStream)
+	o.handleAck(7, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
 	before := *o
-	o.acked(6, Ack{Commit: 0, Received: Position{}}, 2)
-	if o.told != before.told || o.life != 7 || o.complete != -1 {
-		t.Error("taken", o.told, o.complete)
+	o.handleAck(6, Ack{Commit: 0, Received: Position{}}, 2)
+	if o.acknowledged != before.acknowledged || o.incarnation != 7 || o.completeThrough != -1 {
+		t.Error("taken", o.acknowledged, o.completeThrough)
 	}
-	all(o, entries, 2)
-	o.acked(8, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
-	if o.life != 8 || o.bytes != 0 || len(all(o, entries, 2)) == 0 {
+	drain(o, entries, 2)
+	o.handleAck(8, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
+	if o.incarnation != 8 || o.inFlightBytes != 0 || len(drain(o, entries, 2)) == 0 {
 		t.Error("a receiver that has started again is not sent again")
 	}
 }
 
-func TestReceiverOnAnotherBaseIsSentAnewAtOnce(t *testing.T) {
+func TestNewBaseRestartsTransferAtOnce(t *testing.T) {
 	entries := []Entry{{1, "k", nil}, {2, "l", nil}, {3, "m", nil}}
-	o := sender(Ack{})
-	all(o, entries, 3)
-	o.acked(1, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
-	u, some := o.next(entries, 3)
+	o := newSendStream(Ack{})
+	drain(o, entries, 3)
+	o.handleAck(1, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
+	u, some := o.nextUpdate(entries, 3)
 	if !some || u.Base != 1 || u.After != (Position{LastIndex: 1}) || u.Fragments[0].Index != 2 {
 		t.Error("sent", some, u)
 	}
 }
 
-func TestNothingIsSentBeforeTheReceiverHasToldWhereItIs(t *testing.T) {
-	o := new(outgoing)
-	if _, some := o.next([]Entry{{1, "k", nil}}, 1); some {
+func TestNothingIsSentBeforeFirstAck(t *testing.T) {
+	o := new(sendStream)
+	if _, some := o.nextUpdate([]Entry{{1, "k", nil}}, 1); some {
 		t.Error("sent")
 	}
 	o.resend()
 }
 
-func TestReceiverThatRestartsInTheMiddle(t *testing.T) {
-	entries := []Entry{{1, "large", large(1, 4)}}
-	o := sender(Ack{})
-	var in incoming
+func TestReceiverRestartInsideEntry(t *testing.T) {
+	entries := []Entry{{1, "large", largeValue(1, 4)}}
+	o := newSendStream(Ack{})
+	var in receiveStream
 	for range 2 {
-		u, _ := o.next(entries, 1)
-		in.take(u)
-		o.acked(1, Ack{Received: in.position()}, -1)
+		u, _ := o.nextUpdate(entries, 1)
+		in.handleUpdate(u)
+		o.handleAck(1, Ack{Received: in.position()}, -1)
 	}
-	in = incoming{}
-	o.acked(2, Ack{Received: in.position()}, -1)
-	for _, u := range all(o, entries, 1) {
-		in.take(u)
+	in = receiveStream{}
+	o.handleAck(2, Ack{Received: in.position()}, -1)
+	for _, u := range drain(o, entries, 1) {
+		in.handleUpdate(u)
 	}
 	if len(in.entries) != 1 || !bytes.Equal(in.entries[0].Value, entries[0].Value) {
 		t.Error("did not come")
 	}
 }
 
-func TestSenderThatRestartsGoesOnInTheEntry(t *testing.T) {
-	entries := []Entry{{1, "large", large(1, 4)}}
-	var in incoming
-	u, _ := sender(Ack{}).next(entries, 1)
-	in.take(u)
-	updates := all(sender(Ack{Received: in.position()}), entries, 1)
+func TestSenderRestartResumesInsideEntry(t *testing.T) {
+	entries := []Entry{{1, "large", largeValue(1, 4)}}
+	var in receiveStream
+	u, _ := newSendStream(Ack{}).nextUpdate(entries, 1)
+	in.handleUpdate(u)
+	updates := drain(newSendStream(Ack{Received: in.position()}), entries, 1)
 	if updates[0].Fragments[0].Offset != ChunkSize {
 		t.Error("began at", updates[0].Fragments[0].Offset)
 	}
 	for _, u := range updates {
-		in.take(u)
+		in.handleUpdate(u)
 	}
 	if len(in.entries) != 1 || !bytes.Equal(in.entries[0].Value, entries[0].Value) {
 		t.Error("did not come")
 	}
 }
 
-func TestEntryCompactedAwayWhileItIsSentIsSentToItsEnd(t *testing.T) {
-	before := []Entry{{1, "large", large(1, 3)}}
+func TestEntryCompactedDuringTransferIsSentCompletely(t *testing.T) {
+	before := []Entry{{1, "large", largeValue(1, 3)}}
 	after := []Entry{{2, "large", []byte("newer")}}
-	o := sender(Ack{})
-	var in incoming
-	u, _ := o.next(before, 1)
-	in.take(u)
-	for _, u := range all(o, after, 2) {
-		if !in.take(u) {
+	o := newSendStream(Ack{})
+	var in receiveStream
+	u, _ := o.nextUpdate(before, 1)
+	in.handleUpdate(u)
+	for _, u := range drain(o, after, 2) {
+		if !in.handleUpdate(u) {
 			t.Fatal("not taken")
 		}
 	}
@@ -221,29 +221,29 @@
 	}
 }
 
-// TestPartOfAnEntryThatIsGoneIsGivenUp: the receiver has the beginning of an entry, the sender has it no more, since it was
+// TestPartialEntryUnavailableAtSenderIsDropped: the receiver has the beginning of an entry, the sender has it no more, since it was
 // compacted away and either its last piece is lost or the sender is another one.
-func TestPartOfAnEntryThatIsGoneIsGivenUp(t *testing.T) {
-	before := []Entry{{1, "large", large(1, 3)}}
+func TestPartialEntryUnavailableAtSenderIsDropped(t *testing.T) {
+	before := []Entry{{1, "large", largeValue(1, 3)}}
 	for name, after := range map[string][]Entry{
-		"replaced":                    {{2, "large", large(2, 3)}},
+		"replaced":                    {{2, "large", largeValue(2, 3)}},
 		"replaced by one of no bytes": {{2, "large", nil}},
 	} {
 		for _, restarts := range []bool{false, true} {
-			var in incoming
-			o := sender(Ack{})
-			for i, u := range all(o, before, 1) {
+			var in receiveStream
+			o := newSendStream(Ack{})
+			for i, u := range drain(o, before, 1) {
 				if i < 2 {
-					in.take(u)
+					in.handleUpdate(u)
 				}
 			}
 			if restarts {
-				o = sender(Ack{Received: in.position()})
+				o = newSendStream(Ack{Received: in.position()})
 			}
 			for range 40 {
-				o.acked(1, Ack{Received: in.position()}, -1)
-				for _, u := range all(o, after, 2) {
-					in.take(u)
+				o.handleAck(1, Ack{Received: in.position()}, -1)
+				for _, u := range drain(o, after, 2) {
+					in.handleUpdate(u)
 				}
 				o.resend()
 			}
@@ -254,14 +254,14 @@
 	}
 }
 
-func TestGarbageFragmentsAreRefused(t *testing.T) {
+func TestInvalidFragmentsAreRejected(t *testing.T) {
 	value := []byte("value")
-	good := Fragment{Index: 3, Key: "k", ValueSize: 5, Checksum: sum(value), Data: value}
+	good := Fragment{Index: 3, Key: "k", ValueSize: 5, Checksum: checksum(value), Data: value}
 	for name, spoil := range map[string]func(f *Fragment){
 		"place that has come": func(f *Fragment) { f.Index = 2 },
 		"place below 0":       func(f *Fragment) { f.Index = -1 },
 		"size below 0":        func(f *Fragment) { f.ValueSize = -1 },
-		"size beyond all":     func(f *Fragment) { f.ValueSize = maxValue + 1 },
+		"size beyond all":     func(f *Fragment) { f.ValueSize = maxValueSize + 1 },
 		"size too small":      func(f *Fragment) { f.ValueSize = 4 },
 		"offset after a gap":  func(f *Fragment) { f.Offset, f.ValueSize = 5, 10 },
 		"offset below 0":      func(f *Fragment) { f.Offset = -1 },
@@ -269,23 +269,23 @@
 		"wrong sum":           func(f *Fragment) { f.Checksum++ },
 		"wrong data":          func(f *Fragment) { f.Data = []byte("velue") },
 	} {
-		in := incoming{done: 2}
+		in := receiveStream{lastIndex: 2}
 		f := good
-		if spoil(&f); in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{f}}) {
+		if spoil(&f); in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{f}}) {
 			t.Errorf("taken: %s", name)
 		}
-		if in.done != 2 || len(in.entries) != 0 || in.position() != (Position{LastIndex: 2}) {
+		if in.lastIndex != 2 || len(in.entries) != 0 || in.position() != (Position{LastIndex: 2}) {
 			t.Errorf("%s: staged at %v", name, in.position())
 		}
-		if !in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{good}}) || len(in.entries) != 1 {
+		if !in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{good}}) || len(in.entries) != 1 {
 			t.Errorf("after %s the good one is not taken", name)
 		}
 	}
 }
 
-func TestFragmentsOfAnotherEntryAreRefused(t *testing.T) {
-	value := large(1, 2)
-	first := Fragment{Index: 3, Key: "k", ValueSize: int64(len(value)), Checksum: sum(value), Data: value[:ChunkSize]}
+func TestFragmentsOfOtherEntryAreRejected(t *testing.T) {
+	value := largeValue(1, 2)
+	first := Fragment{Index: 3, Key: "k", ValueSize: int64(len(value)), Checksum: checksum(value), Data: value[:ChunkSize]}
 	second := first
 	second.Offset, second.Data = ChunkSize, value[ChunkSize:]
 	for name, spoil := range map[string]func(f *Fragment){
@@ -294,30 +294,30 @@
 		"size":   func(f *Fragment) { f.ValueSize++ },
 		"offset": func(f *Fragment) { f.Offset-- },
 	} {
-		in := incoming{done: 2}
-		in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
+		in := receiveStream{lastIndex: 2}
+		in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
 		at := in.position()
 		f := second
-		if spoil(&f); in.take(Update{After: at, Fragments: []Fragment{f}}) || in.position() != at {
+		if spoil(&f); in.handleUpdate(Update{After: at, Fragments: []Fragment{f}}) || in.position() != at {
 			t.Errorf("taken with another %s", name)
 		}
-		if !in.take(Update{After: at, Fragments: []Fragment{second}}) || !bytes.Equal(in.entries[0].Value, value) {
+		if !in.handleUpdate(Update{After: at, Fragments: []Fragment{second}}) || !bytes.Equal(in.entries[0].Value, value) {
 			t.Errorf("after another %s the good one is not taken", name)
 		}
 	}
 }
 
-func TestUpdateThatIsNotTheNextIsRefused(t *testing.T) {
-	value := large(1, 2)
-	first := Fragment{Index: 3, ValueSize: int64(len(value)), Checksum: sum(value), Data: value[:ChunkSize]}
-	in := incoming{done: 2}
-	in.take(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
+func TestOutOfOrderUpdateIsRejected(t *testing.T) {
+	value := largeValue(1, 2)
+	first := Fragment{Index: 3, ValueSize: int64(len(value)), Checksum: checksum(value), Data: value[:ChunkSize]}
+	in := receiveStream{lastIndex: 2}
+	in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
 	for _, after := range []Position{{LastIndex: 1}, {LastIndex: 3}, {2, 3, 1}, {2, 4, ChunkSize}} {
-		if in.take(Update{After: after}) || in.position() != (Position{2, 3, ChunkSize}) {
+		if in.handleUpdate(Update{After: after}) || in.position() != (Position{2, 3, ChunkSize}) {
 			t.Error("taken after", after)
 		}
 	}
-	if !in.take(Update{After: Position{LastIndex: 2}}) || in.position() != (Position{LastIndex: 2}) {
+	if !in.handleUpdate(Update{After: Position{LastIndex: 2}}) || in.position() != (Position{LastIndex: 2}) {
 		t.Error("the beginning of the entry again")
 	}
 }
