--- a/internal/tier/chain/learners.go
+++ b/internal/tier/chain/learner.go
@@ -1,5 +1,27 @@
 package chain
 
+// HandleLearnerUpdate takes an update of the tail outside the chain. What it changed must be on disk before it is told of.
+//
+// An update that was made before one that has come is refused: what was compacted away in between is neither in the
+// beginning, which is newer, nor in the end, which is older. What tails have committed never goes back, so that no newer
+// update is refused by this.
+func (c *Chain) HandleLearnerUpdate(update Update) (changed bool) {
+	if !c.IsLearner() || update.Base != c.state.Commit || update.Commit < c.receiver.senderCommit {
+		return false
+	}
+	c.receiver.senderCommit = update.Commit
+	if !c.receiver.handleUpdate(update) {
+		return false
+	}
+	if !update.Complete || update.Through <= c.state.Commit || c.receiver.partial != nil {
+		return false
+	}
+	c.replaceUncommitted(update.Through)
+	c.commit(update.Through)
+	c.resetReceiver()
+	return true
+}
+
 // HandleLearnerAck takes what a member outside the chain tells of itself, said in one of its lives: a tail sends it what it lacks.
 func (c *Chain) HandleLearnerAck(from string, incarnation int64, ack Ack) {
 	if !c.CommitIsCurrent() || c.view.Tail() != c.self || c.view.Position(from) >= 0 {
@@ -38,36 +60,3 @@
 	u.Epoch, u.Commit = c.view.Epoch, c.state.Commit
 	return u, ok
 }
-
-// Resend has all that was sent and not answered since the last call sent again.
-func (c *Chain) Resend() {
-	c.successor.resend()
-	for _, stream := range c.learners {
-		stream.resend()
-	}
-}
-
-// Transfer is how far a member has been brought.
-type Transfer struct {
-	ID           string
-	LastIndex    int64 // all up to it has come
-	Target       int64
-	PartialBytes int64 // of the entry that is under way
-}
-
-// Transfers are those to members that lack something.
-func (c *Chain) Transfers() (transfers []Transfer) {
-	if successor := c.view.Successor(c.self); c.IsActive() && successor != "" && c.successor.completeThrough < c.state.LastIndex {
-		transfers = append(transfers, c.successor.transfer(successor, c.state.LastIndex))
-	}
-	for id, stream := range c.learners {
-		if stream.completeThrough < c.state.Commit {
-			transfers = append(transfers, stream.transfer(id, c.state.Commit))
-		}
-	}
-	return transfers
-}
-
-func (o *sendStream) transfer(id string, target int64) Transfer {
-	return Transfer{ID: id, LastIndex: o.acknowledged.LastIndex, Target: target, PartialBytes: o.acknowledged.PartialBytes}
-}
