--- a/internal/tier/chain/ack.go
+++ b/internal/tier/chain/ack.go
@@ -1,29 +1,32 @@
 package chain
 
-// Ack is what a member tells its predecessor once its state is on disk, and a learner the tail.
+// Ack is a member's acknowledgement: its durable state, for its predecessor, or of a learner for the tail.
 type Ack struct {
 	Epoch           int64
 	LastIndex       int64
 	Commit          int64
 	CommitIsCurrent bool
 	Active          bool
-	Received        Position // of the stream of updates
+	Received        Position // in the stream of updates; not durable before it is applied to the state
 }
 
-// CurrentAck is the present ack of this member, whoever wants it.
+// CurrentAck returns this member's acknowledgement. The state must be on disk before it is sent.
 func (c *Chain) CurrentAck() Ack {
-	return Ack{Epoch: c.view.Epoch, LastIndex: c.state.LastIndex, Commit: c.state.Commit, CommitIsCurrent: c.CommitIsCurrent(), Active: c.IsActive(), Received: c.receiver.position()}
+	return Ack{Epoch: c.view.Epoch, LastIndex: c.state.LastIndex, Commit: c.state.Commit, CommitIsCurrent: c.CommitIsCurrent(),
+		Active: c.IsActive(), Received: c.receiver.position()}
 }
 
-// PredecessorAck of this member for its predecessor.
+// PredecessorAck returns this member's acknowledgement and the predecessor that it is for; ok is false without one.
 func (c *Chain) PredecessorAck() (to string, a Ack, ok bool) {
 	to = c.view.Predecessor(c.self)
 	return to, c.CurrentAck(), to != ""
 }
 
-// HandleAck takes the successor's ack, said in one of its lives. It tells whether more was committed.
+// HandleAck handles an acknowledgement of the successor, sent in the given incarnation of its process. It reports whether the
+// commit index advanced or became current.
 func (c *Chain) HandleAck(from string, incarnation int64, ack Ack) (advanced bool) {
-	if ack.Epoch != c.view.Epoch || c.view.Successor(c.self) != from || c.IsActive() && ack.Active && ack.LastIndex > c.state.LastIndex {
+	if ack.Epoch != c.view.Epoch || c.view.Successor(c.self) != from ||
+		c.IsActive() && ack.Active && ack.LastIndex > c.state.LastIndex {
 		return false
 	}
 	completeThrough := int64(-1)
--- a/internal/tier/chain/chain.go
+++ b/internal/tier/chain/chain.go
@@ -1,6 +1,3 @@
-// Package chain is chain replication of a small key-value state: entries enter at the head, each member has them on disk
-// before it passes them on, the tail commits. Members outside the chain learn from the tail what is committed, and join
-// once they have caught up. Pure: what has to be on disk and what has to be sent comes back as values.
 package chain
 
 import (
@@ -11,55 +8,57 @@
 
 // Entry is one numbered change of the state.
 type Entry struct {
-	Index int64
+	Index int64 // from 1, without gaps
 	Key   string
-	Value []byte // empty deletes
+	Value []byte // empty: the key is deleted
 }
 
 // State is what a member keeps on disk.
 type State struct {
-	ActivatedEpoch int64   // the last epoch in which it had the whole state of its predecessor, or was head
-	LastIndex      int64   // of the last entry
-	Commit         int64   // entries up to here are committed for sure
-	Entries        []Entry // by index: the last of each key among the committed, and all others
+	// ActivatedEpoch is the last epoch in which the member had its predecessor's complete state, or was head.
+	ActivatedEpoch int64
+	LastIndex      int64 // index of the last entry, also if that was compacted away
+	Commit         int64 // all entries up to it are committed; at most LastIndex; never decreases
+	// Entries are in order of their indexes: the last committed one of each key, and all after Commit.
+	Entries []Entry
 }
 
-// Chain is one member's part.
+// Chain is one member's part of the chain in the current view.
 type Chain struct {
-	self          string
+	self          string // view.Member.ID
 	view          view.View
 	state         State
-	commitCurrent bool // Commit is all that was committed when the tail was heard of last, in this life and epoch
-	successor     sendStream
-	learners      map[string]*sendStream // of a tail: members outside the chain
+	commitCurrent bool                   // see CommitIsCurrent
+	successor     sendStream             // to the successor
+	learners      map[string]*sendStream // of a tail: to members outside the chain
 	receiver      receiveStream          // from the predecessor, or from the tail to a learner
 }
 
-// New makes a member's part from what its disk has.
+// New returns a member's part, without a view, from the state on its disk.
 func New(self string, s State) *Chain {
 	c := &Chain{self: self, state: s, learners: map[string]*sendStream{}}
 	c.resetReceiver()
 	return c
 }
 
-// State is what is to be kept. The entries are shared: they are never changed in place.
+// State returns the state that has to be kept on disk. Entries are not modified in place: a copy of the State stays valid.
 func (c *Chain) State() *State { return &c.state }
 
-// Adopt begins with a view. It tells whether the state was changed and must be on disk before anything is sent.
+// Adopt takes up a view. It reports whether the state was changed and must be on disk before anything is sent.
 func (c *Chain) Adopt(v view.View) (changed bool) {
 	staysLearner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
 	c.view, c.commitCurrent = v, false
 	c.successor = sendStream{}
 	c.learners = map[string]*sendStream{}
-	if !staysLearner { // what a learner was sent is committed, whoever is the tail
+	if !staysLearner { // what a learner has received is committed, whichever member is the tail
 		c.resetReceiver()
 	}
 	if v.Position(c.self) != 0 || c.state.ActivatedEpoch >= v.Epoch {
-		c.commitAtTail() // a tail that has started again
+		c.commitAtTail() // this may be a tail that was restarted
 		return false
 	}
 	if c.state.ActivatedEpoch < v.Chain[0].JoinedEpoch {
-		return false // not a holder: the view was not made by the rules, and this member takes no part
+		return false // its state is not complete: the view is invalid, and this member stays inactive in it
 	}
 	c.state.ActivatedEpoch = v.Epoch
 	c.resetReceiver()
@@ -67,7 +66,8 @@
 	return true
 }
 
-// resetReceiver begins a stream anew, from what is in the state.
+// resetReceiver begins a new stream after the entries that the member keeps for certain: all if it is active, else the
+// committed ones.
 func (c *Chain) resetReceiver() {
 	if c.IsActive() {
 		c.receiver = receiveStream{lastIndex: c.state.LastIndex}
@@ -76,19 +76,20 @@
 	c.receiver = receiveStream{lastIndex: c.state.Commit}
 }
 
-// IsActive tells whether this member takes part in the chain of its view.
+// IsActive reports whether this member is in the chain of its view and has been activated in it.
 func (c *Chain) IsActive() bool {
 	return c.view.Epoch > 0 && c.view.Position(c.self) >= 0 && c.state.ActivatedEpoch == c.view.Epoch
 }
 
-// IsLearner tells whether this member has no place in the chain of its view.
+// IsLearner reports whether this member is outside the chain of its view.
 func (c *Chain) IsLearner() bool { return c.view.Position(c.self) < 0 }
 
-// CommitIsCurrent tells whether this member has everything committed that was acknowledged: what it kept on disk of Commit may be
-// old, until its successor has told what the tail has.
+// CommitIsCurrent reports whether the commit index is at least what the tail's was at some time in this epoch and incarnation.
+// The one on disk may be older, below that of acknowledged writes; it is current once an acknowledgement has brought the
+// tail's.
 func (c *Chain) CommitIsCurrent() bool { return c.IsActive() && c.commitCurrent }
 
-// commitAtTail commits what is on disk where there is nobody behind.
+// commitAtTail commits all entries if this member is the active tail: then every member of the chain has them on disk.
 func (c *Chain) commitAtTail() {
 	if c.IsActive() && c.view.Tail() == c.self {
 		c.commitCurrent = true
@@ -96,7 +97,7 @@
 	}
 }
 
-// Append takes one entry at the head. It has to be on disk before Next is sent.
+// Append adds an entry at the head. It returns false if this member is not the active head.
 func (c *Chain) Append(key string, value []byte) (Entry, bool) {
 	if !c.IsActive() || c.view.Head() != c.self {
 		return Entry{}, false
@@ -107,10 +108,11 @@
 	return entry, true
 }
 
-// MarkDurable says that all that the state has is on disk.
+// MarkDurable records that the present state is on disk.
 func (c *Chain) MarkDurable() { c.commitAtTail() }
 
-// NextUpdate is the next part of what the successor lacks; none where it has all, or as much is under way as may be.
+// NextUpdate returns the next update for the successor. It returns false if the successor has all entries, if the window is
+// full, or if the successor's position is not known yet.
 func (c *Chain) NextUpdate() (to string, u Update, ok bool) {
 	to = c.view.Successor(c.self)
 	if !c.IsActive() || to == "" {
@@ -121,7 +123,8 @@
 	return to, u, ok
 }
 
-// HandleUpdate takes an update of the predecessor. What it changed must be on disk before Ack is sent.
+// HandleUpdate handles an update of the predecessor. ok is false if it is of another sender or epoch, and then needs no
+// acknowledgement. If changed, the state must be on disk before the acknowledgement is sent.
 func (c *Chain) HandleUpdate(from string, update Update) (changed, ok bool) {
 	if update.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Predecessor(c.self) != from {
 		return false, false
@@ -130,7 +133,7 @@
 		return c.appendReceived(update), true
 	}
 	if update.Base != c.state.Commit || !c.receiver.handleUpdate(update) {
-		return false, true // its answer tells from where on
+		return false, true // the sender continues at the acknowledged position
 	}
 	if !update.Complete || c.receiver.partial != nil {
 		return false, true
@@ -142,7 +145,7 @@
 	return true, true
 }
 
-// appendReceived takes whole entries of the stream in, as far as they have come.
+// appendReceived handles an update at an active member: it appends the entries that are complete.
 func (c *Chain) appendReceived(update Update) (changed bool) {
 	if !c.receiver.handleUpdate(update) {
 		return false
@@ -157,7 +160,7 @@
 	return changed
 }
 
-// replaceUncommitted puts what has come in the place of all that this member did not know to be committed.
+// replaceUncommitted replaces all entries after the commit index by those of a complete transfer.
 func (c *Chain) replaceUncommitted(through int64) {
 	kept := slices.DeleteFunc(slices.Clone(c.state.Entries), func(e Entry) bool { return e.Index > c.state.Commit })
 	c.state.Entries = append(kept, c.receiver.entries...)
--- a/internal/tier/chain/chain_test.go
+++ b/internal/tier/chain/chain_test.go
@@ -9,7 +9,7 @@
 func TestSingleMemberCommitsDurableEntries(t *testing.T) {
 	c := newMember("a", State{}, view.View{Epoch: 1, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 0}}})
 	if !c.IsActive() || !c.CommitIsCurrent() {
-		t.Fatal("a founder alone is head and tail")
+		t.Fatal("a single member must be active head and tail")
 	}
 	c.Append("k", []byte("1"))
 	wantState(t, c, "1/0/1 k@1")
@@ -49,16 +49,18 @@
 	wantState(t, c, "2/3/3 l@2 k@3")
 	wantState(t, b, "2/3/3 l@2 k@3")
 	if !deliverAck(b, a, 1) {
-		t.Error("not told that more was committed")
+		t.Error("the commit did not advance")
 	}
 	wantState(t, a, "2/3/3 l@2 k@3")
 	if deliverAck(b, a, 1) {
-		t.Error("told twice")
+		t.Error("the commit advanced twice")
 	}
 }
 
 func TestCompactionKeepsLastCommittedOfKeyAndUncommitted(t *testing.T) {
-	c := New("a", State{LastIndex: 6, Entries: []Entry{{1, "x", nil}, {2, "y", nil}, {3, "x", nil}, {4, "x", nil}, {5, "y", nil}, {6, "x", nil}}})
+	c := New("a", State{LastIndex: 6, Entries: []Entry{
+		{1, "x", nil}, {2, "y", nil}, {3, "x", nil}, {4, "x", nil}, {5, "y", nil}, {6, "x", nil},
+	}})
 	c.commit(3)
 	wantState(t, c, "0/3/6 y@2 x@3 x@4 y@5 x@6")
 	c.commit(2)
@@ -75,7 +77,7 @@
 		t.Error("last of x:", e)
 	}
 	if _, ok := c.LastEntry("z"); ok {
-		t.Error("last of a key that there is not")
+		t.Error("last entry of an unknown key")
 	}
 }
 
@@ -88,7 +90,7 @@
 	appendKeys(t, a, "k")
 	replicate(t, a, b)
 	if stateString(&before) != "2/0/2 k@1 k@2" {
-		t.Error("changed in place:", stateString(&before))
+		t.Error("modified in place:", stateString(&before))
 	}
 }
 
@@ -98,47 +100,47 @@
 	a, b, c := newMember("a", s, v), newMember("b", s, v), newMember("c", s, v)
 	replicate(t, a, b)
 	if a.CommitIsCurrent() || b.CommitIsCurrent() || c.CommitIsCurrent() {
-		t.Error("known before the tail is active")
+		t.Error("current before the tail is active")
 	}
 	replicate(t, b, c)
 	if !b.CommitIsCurrent() || !c.CommitIsCurrent() || a.CommitIsCurrent() {
-		t.Error("the tail and whom it told know")
+		t.Error("must be current at the tail and at its predecessor only")
 	}
 	if !deliverAck(b, a, 1) || !a.CommitIsCurrent() {
-		t.Error("it went up the chain")
+		t.Error("must be current at the head")
 	}
 	a = restartMember(a)
 	if a.CommitIsCurrent() || !a.IsActive() {
-		t.Error("known after a restart")
+		t.Error("current or inactive after a restart")
 	}
 	if c = restartMember(c); !c.CommitIsCurrent() {
-		t.Error("a tail has it on disk")
+		t.Error("must be current at a restarted tail")
 	}
 	if !deliverAck(b, a, 1) || !a.CommitIsCurrent() {
-		t.Error("told again after its restart")
+		t.Error("must be current again after an acknowledgement")
 	}
 	next := viewOf(3, "a", "b", "c")
 	a.Adopt(next)
 	c.Adopt(next)
 	if !a.IsActive() || a.CommitIsCurrent() || c.CommitIsCurrent() {
-		t.Error("known in a new epoch")
+		t.Error("inactive or current in a new epoch")
 	}
 }
 
 func TestHeadNeedsCompleteStateToActivate(t *testing.T) {
 	v := view.View{Epoch: 5, Chain: []view.ChainMember{{ID: "a", JoinedEpoch: 3}, {ID: "b", JoinedEpoch: 1}}}
 	if c := New("a", State{ActivatedEpoch: 2}); c.Adopt(v) || c.IsActive() {
-		t.Error("a head that missed the state of epoch 3")
+		t.Error("activated a head without the state of epoch 3")
 	}
 	c := New("a", State{ActivatedEpoch: 3})
 	if !c.Adopt(v) || !c.IsActive() || c.State().ActivatedEpoch != 5 {
-		t.Error("a holder is active at once, and has to sync that")
+		t.Error("a complete head must be active at once, and its state must change")
 	}
 	if c.Adopt(v) {
-		t.Error("nothing to sync the second time")
+		t.Error("the state changed the second time")
 	}
 	if c := New("b", State{ActivatedEpoch: 4}); c.Adopt(v) || c.IsActive() {
-		t.Error("a successor waits for the state")
+		t.Error("activated a successor without a transfer")
 	}
 }
 
@@ -157,14 +159,16 @@
 
 func TestActivationOfMemberWithHigherCommit(t *testing.T) {
 	v := viewOf(3, "a", "b")
-	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "x", nil}, {3, "z", nil}}}, v)
+	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{
+		{1, "x", nil}, {2, "x", nil}, {3, "z", nil},
+	}}, v)
 	b := newMember("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 2, Entries: []Entry{{2, "x", nil}}}, v)
 	deliverAck(b, a, 1)
 	_, u, _ := a.NextUpdate()
 	if len(u.Fragments) != 1 || u.Fragments[0].Index != 3 {
-		t.Error("sent what it has:", u.Fragments)
+		t.Error("sent entries that the receiver has:", u.Fragments)
 	}
-	a.Resend() // that one is lost
+	a.Resend() // that update is lost
 	a.Resend()
 	replicate(t, a, b)
 	wantState(t, b, "3/3/3 x@2 z@3")
@@ -173,7 +177,8 @@
 
 func TestActivationWithEmptyState(t *testing.T) {
 	v := viewOf(3, "a", "b")
-	a, b := newMember("a", State{ActivatedEpoch: 2}, v), newMember("b", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "gone", nil}}}, v)
+	a := newMember("a", State{ActivatedEpoch: 2}, v)
+	b := newMember("b", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "old", nil}}}, v)
 	replicate(t, a, b)
 	wantState(t, b, "3/0/0")
 	appendKeys(t, a, "k")
@@ -183,27 +188,29 @@
 
 func TestIncompleteTransferLeavesStateUnchanged(t *testing.T) {
 	v := viewOf(3, "a", "b")
-	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "big", largeValue(1, 4)}, {3, "z", nil}}}, v)
+	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 3, Commit: 1, Entries: []Entry{
+		{1, "x", nil}, {2, "big", largeValue(1, 4)}, {3, "z", nil},
+	}}, v)
 	b := newMember("b", State{ActivatedEpoch: 2, LastIndex: 2, Commit: 1, Entries: []Entry{{1, "x", nil}, {2, "own", nil}}}, v)
 	deliverAck(b, a, 1)
 	for range 3 {
 		_, u, some := a.NextUpdate()
 		if changed, ok := b.HandleUpdate("a", u); !some || changed || !ok || u.Complete {
-			t.Fatal("changed by a part", u.Complete)
+			t.Fatal("state changed by an incomplete transfer", u.Complete)
 		}
 	}
 	wantState(t, b, "2/1/2 x@1 own@2")
 	if got := b.CurrentAck().Received; got.LastIndex != 1 || got.PartialIndex != 2 || got.PartialBytes == 0 {
-		t.Error("staged:", got)
+		t.Error("received:", got)
 	}
 	b.Adopt(viewOf(4, "b", "a"))
 	wantState(t, b, "4/1/2 x@1 own@2")
 	if got := b.CurrentAck().Received; got != (Position{LastIndex: 2}) {
-		t.Error("staged after another view:", got)
+		t.Error("received after another view:", got)
 	}
 }
 
-// TestTransferEndingInsideEntryIsIncomplete: an update that says that it is the end, and ends in the middle of an entry.
+// TestTransferEndingInsideEntryIsIncomplete: an update claims to be the end of a transfer, and ends inside an entry.
 func TestTransferEndingInsideEntryIsIncomplete(t *testing.T) {
 	v := viewOf(3, "a", "b")
 	value := []byte("value")
@@ -211,17 +218,17 @@
 	u := Update{Epoch: 3, Fragments: []Fragment{part}, Complete: true, Through: 1, Commit: 1}
 	b, z := newMember("b", State{ActivatedEpoch: 2}, v), newMember("z", State{}, v)
 	if changed, ok := b.HandleUpdate("a", u); changed || !ok || b.IsActive() {
-		t.Error("activated")
+		t.Error("activated by an incomplete transfer")
 	}
 	if z.HandleLearnerUpdate(u) {
-		t.Error("learnt")
+		t.Error("learner state changed by an incomplete transfer")
 	}
 	wantState(t, b, "2/0/0")
 	wantState(t, z, "0/0/0")
 	part.Offset, part.Data = 2, value[2:]
 	u.After, u.Fragments = Position{PartialIndex: 1, PartialBytes: 2}, []Fragment{part}
 	if changed, _ := b.HandleUpdate("a", u); !changed || !z.HandleLearnerUpdate(u) {
-		t.Error("not taken once it is whole")
+		t.Error("rejected once it is complete")
 	}
 	wantState(t, b, "3/1/1 k@1")
 	wantState(t, z, "0/1/1 k@1")
@@ -251,21 +258,21 @@
 		u    Update
 		to   *Chain
 	}{
-		"of the successor":       {"c", good, b},
-		"of an epoch before":     {"a", old, b},
-		"to a head":              {"a", good, newMember("a", State{ActivatedEpoch: 2}, v)},
-		"to one outside":         {"a", good, newMember("d", State{ActivatedEpoch: 2}, v)},
-		"of one that is outside": {"d", good, b},
+		"from the successor":  {"c", good, b},
+		"of an earlier epoch": {"a", old, b},
+		"to a head":           {"a", good, newMember("a", State{ActivatedEpoch: 2}, v)},
+		"to a learner":        {"a", good, newMember("d", State{ActivatedEpoch: 2}, v)},
+		"from a learner":      {"d", good, b},
 	} {
 		if changed, ok := x.to.HandleUpdate(x.from, x.u); changed || ok || x.to.State().LastIndex != 0 {
-			t.Errorf("taken %s", name)
+			t.Errorf("handled %s", name)
 		}
 	}
 	if changed, ok := b.HandleUpdate("a", good); !changed || !ok {
-		t.Error("not taken of the predecessor")
+		t.Error("rejected from the predecessor")
 	}
 	if changed, ok := b.HandleUpdate("a", good); changed || !ok {
-		t.Error("taken twice")
+		t.Error("applied twice")
 	}
 }
 
@@ -276,7 +283,7 @@
 	wantState(t, b, "2/1/1 k@1")
 	a := newMember("a", State{ActivatedEpoch: 2, LastIndex: 1, Entries: []Entry{{1, "k", nil}}}, v)
 	if a.HandleAck("b", 1, Ack{Epoch: 2, LastIndex: 4, Commit: 4, Active: true}) || a.State().Commit != 0 {
-		t.Error("an ack of more than there is was taken")
+		t.Error("handled an acknowledgement beyond the last index")
 	}
 	if a.HandleAck("b", 1, Ack{Epoch: 2, LastIndex: 1, Commit: 9, Active: true}); a.State().Commit != 1 {
 		t.Error("commit", a.State().Commit)
@@ -289,10 +296,11 @@
 	good := Ack{Epoch: 2, LastIndex: 1, Commit: 1, CommitIsCurrent: true, Active: true}
 	old, waiting := good, good
 	old.Epoch, waiting.Active = 1, false
-	if a.HandleAck("c", 1, good) || a.HandleAck("b", 1, old) || a.HandleAck("b", 1, waiting) || a.State().Commit != 0 || a.CommitIsCurrent() {
-		t.Error("taken")
+	if a.HandleAck("c", 1, good) || a.HandleAck("b", 1, old) || a.HandleAck("b", 1, waiting) ||
+		a.State().Commit != 0 || a.CommitIsCurrent() {
+		t.Error("handled an acknowledgement of another member or epoch, or of an inactive one")
 	}
 	if !a.HandleAck("b", 1, good) || a.State().Commit != 1 || !a.CommitIsCurrent() {
-		t.Error("not taken")
+		t.Error("rejected an acknowledgement of the successor")
 	}
 }
--- a/internal/tier/chain/entries.go
+++ b/internal/tier/chain/entries.go
@@ -1,6 +1,6 @@
 package chain
 
-// commit compacts as it goes: of the committed entries of a key the last one stays.
+// commit advances the commit index and compacts: of the committed entries of a key only the last is kept.
 func (c *Chain) commit(index int64) {
 	if index <= c.state.Commit {
 		return
@@ -21,7 +21,7 @@
 	c.state.Entries = kept
 }
 
-// EntriesAfter are the entries after an index.
+// EntriesAfter returns the entries after an index, of entries in order of their indexes. The result shares their memory.
 func EntriesAfter(entries []Entry, index int64) []Entry {
 	i := len(entries)
 	for i > 0 && entries[i-1].Index > index {
@@ -30,7 +30,7 @@
 	return entries[i:]
 }
 
-// Committed are the committed entries after an index.
+// Committed returns the committed entries after an index. The result must not be modified.
 func (c *Chain) Committed(index int64) []Entry {
 	all := EntriesAfter(c.state.Entries, index)
 	for i, e := range all {
@@ -41,7 +41,7 @@
 	return all
 }
 
-// CommittedBytes are those of the values committed after an index.
+// CommittedBytes returns the size of the values committed after an index.
 func (c *Chain) CommittedBytes(index int64) (bytes int64) {
 	for _, e := range c.Committed(index) {
 		bytes += int64(len(e.Value))
@@ -49,7 +49,7 @@
 	return bytes
 }
 
-// LastEntry is the last entry of a key, committed or not.
+// LastEntry returns the last entry of a key, committed or not.
 func (c *Chain) LastEntry(key string) (Entry, bool) {
 	for i := len(c.state.Entries) - 1; i >= 0; i-- {
 		if c.state.Entries[i].Key == key {
--- a/internal/tier/chain/fuzz_test.go
+++ b/internal/tier/chain/fuzz_test.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/tier/view"
 )
 
-// fuzzInput cuts small numbers from the input; beyond its end they are 0.
+// fuzzInput reads small numbers from the input; beyond its end they are 0.
 type fuzzInput []byte
 
 func (r *fuzzInput) number() int64 {
@@ -17,12 +17,12 @@
 	}
 	b := (*r)[0]
 	*r = (*r)[1:]
-	if b == 0xff && len(*r) >= 8 { // any number at all
+	if b == 0xff && len(*r) >= 8 { // any number
 		n := int64(binary.LittleEndian.Uint64(*r))
 		*r = (*r)[8:]
 		return n
 	}
-	return int64(b) - 4 // mostly small ones, a few of them below 0
+	return int64(b) - 4 // mostly small, some below 0
 }
 
 func (r *fuzzInput) bytes() []byte {
@@ -32,7 +32,7 @@
 	return b
 }
 
-// update reads an update; at times its sums are right and it comes after where the receiver is.
+// update reads an update; at times its checksums are right and it continues at the receiver's position.
 func (r *fuzzInput) update(at Position) Update {
 	u := Update{Base: r.number(), Through: r.number(), Commit: r.number(), Complete: r.number()%2 == 0}
 	if u.After = at; r.number()%4 == 0 {
@@ -56,8 +56,8 @@
 		0xff, 255, 255, 255, 255, 255, 255, 255, 127, 8, 1, 2, 3, 4, 5})
 }
 
-// FuzzReceiveStream holds the receiver of a stream to its bounds whatever comes: no panic, whole entries in their order, none
-// of those that have come is touched, and of the one under way never more than its size.
+// FuzzReceiveStream checks the bounds of a receiver for arbitrary updates: no panic, complete entries in order, those received
+// before unmodified, and of the entry in transfer never more than its size.
 func FuzzReceiveStream(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, input []byte) {
@@ -66,8 +66,9 @@
 		for len(r) > 0 {
 			before, done := in.entries, in.lastIndex
 			in.handleUpdate(r.update(in.position()))
-			if in.lastIndex < done || len(in.entries) < len(before) || len(before) > 0 && !reflect.DeepEqual(before, in.entries[:len(before)]) {
-				t.Fatalf("went back, or changed what had come: %d to %d", done, in.lastIndex)
+			if in.lastIndex < done || len(in.entries) < len(before) ||
+				len(before) > 0 && !reflect.DeepEqual(before, in.entries[:len(before)]) {
+				t.Fatalf("went back, or modified received entries: %d to %d", done, in.lastIndex)
 			}
 			last := done
 			for _, e := range in.entries[len(before):] {
@@ -77,23 +78,27 @@
 				last = e.Index
 			}
 			if last != in.lastIndex {
-				t.Fatalf("done %d, the last entry is %d", in.lastIndex, last)
+				t.Fatalf("position %d, the last entry is %d", in.lastIndex, last)
 			}
-			if p := in.partial; p != nil && (p.ValueSize > maxValueSize || int64(len(p.Data)) >= max(p.ValueSize, 1) || p.Index <= in.lastIndex) {
-				t.Fatalf("under way: %d of %d bytes of index %d", len(p.Data), p.ValueSize, p.Index)
+			if p := in.partial; p != nil && (p.ValueSize > maxValueSize ||
+				int64(len(p.Data)) >= max(p.ValueSize, 1) || p.Index <= in.lastIndex) {
+				t.Fatalf("in transfer: %d of %d bytes of index %d", len(p.Data), p.ValueSize, p.Index)
 			}
 		}
 	})
 }
 
-// FuzzTransferIsAtomic holds a learner, and a member that is not active yet, to their state until a transfer on their base is complete.
+// FuzzTransferIsAtomic checks that the state of a learner, and of a member that is not active yet, changes only when a transfer
+// on its base is complete.
 func FuzzTransferIsAtomic(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, input []byte) {
 		v := viewOf(3, "a", "b")
 		for _, id := range []string{"z", "b"} {
 			r := fuzzInput(input)
-			c := newMember(id, State{ActivatedEpoch: 1, LastIndex: 4, Commit: 2, Entries: []Entry{{1, "k", nil}, {2, "l", nil}, {4, "own", nil}}}, v)
+			c := newMember(id, State{ActivatedEpoch: 1, LastIndex: 4, Commit: 2, Entries: []Entry{
+				{1, "k", nil}, {2, "l", nil}, {4, "own", nil},
+			}}, v)
 			for len(r) > 0 && c.State().Commit == 2 && !c.IsActive() {
 				before := stateString(c.State())
 				u := r.update(c.CurrentAck().Received)
@@ -101,7 +106,7 @@
 				base := c.State().Commit
 				changed := handleByRole(c, v, u)
 				if !changed && stateString(c.State()) != before {
-					t.Fatalf("changed without a word: %s to %s", before, stateString(c.State()))
+					t.Fatalf("changed without report: %s to %s", before, stateString(c.State()))
 				}
 				if changed && (!u.Complete || u.Base != base) {
 					t.Fatalf("changed by %+v", u)
--- a/internal/tier/chain/helpers_test.go
+++ b/internal/tier/chain/helpers_test.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/tier/view"
 )
 
-// viewOf is a view in which all members of the chain have been since the first epoch.
+// viewOf returns a view of the given chain, all of whose members joined in the first epoch.
 func viewOf(epoch int64, ids ...string) view.View {
 	v := view.View{Epoch: epoch}
 	for _, id := range ids {
@@ -19,20 +19,20 @@
 	return v
 }
 
-// newMember is a member that begins with a state and adopts a view.
+// newMember returns a member with a state that has adopted a view.
 func newMember(id string, s State, v view.View) *Chain {
 	c := New(id, s)
 	c.Adopt(v)
 	return c
 }
 
-// restartMember is a member begun again from what it had on disk.
+// restartMember restarts a member from its disk.
 func restartMember(c *Chain) *Chain {
 	s := *c.State()
 	return newMember(c.self, s, c.view)
 }
 
-// stateString writes a state as "activated/commit/index key@index ...".
+// stateString formats a state as "activated/commit/last key@index ...".
 func stateString(s *State) string {
 	words := []string{fmt.Sprintf("%d/%d/%d", s.ActivatedEpoch, s.Commit, s.LastIndex)}
 	for _, e := range s.Entries {
@@ -52,24 +52,24 @@
 	t.Helper()
 	for _, key := range keys {
 		if _, ok := c.Append(key, []byte(key)); !ok {
-			t.Fatal("not taken at the head")
+			t.Fatal("the head did not append")
 		}
 	}
 	c.MarkDurable()
 }
 
-// largeValue is a value of some pieces, another for each number.
+// largeValue returns a value of some chunks, a different one for each number.
 func largeValue(number byte, pieces int) []byte {
 	return bytes.Repeat([]byte{number, 1, number, 3}, pieces*ChunkSize/4)
 }
 
-// deliverAck gives the predecessor what a member reports.
+// deliverAck delivers the acknowledgement of a member to its predecessor.
 func deliverAck(member, predecessor *Chain, life int64) bool {
 	_, a, _ := member.PredecessorAck()
 	return predecessor.HandleAck(member.self, life, a)
 }
 
-// replicate brings all that a member has for its successor there, and the answers back, until there is nothing more.
+// replicate delivers all updates of a member to its successor, and the acknowledgements, until none is left.
 func replicate(t *testing.T, from, to *Chain) {
 	t.Helper()
 	deliverAck(to, from, 1)
@@ -79,15 +79,15 @@
 			return
 		}
 		if _, ok := to.HandleUpdate(from.self, u); !ok {
-			t.Fatal("an update of the predecessor was not for it")
+			t.Fatal("an update of the predecessor was rejected")
 		}
 		to.MarkDurable()
 		deliverAck(to, from, 1)
 	}
-	t.Fatal("it does not end")
+	t.Fatal("the transfer does not end")
 }
 
-// replicateToLearner brings all that a tail has for a learner there.
+// replicateToLearner delivers all updates of a tail to a learner, and the acknowledgements, until none is left.
 func replicateToLearner(t *testing.T, tail, learner *Chain) {
 	t.Helper()
 	tail.HandleLearnerAck(learner.self, 1, learner.CurrentAck())
@@ -99,17 +99,17 @@
 		learner.HandleLearnerUpdate(u)
 		tail.HandleLearnerAck(learner.self, 1, learner.CurrentAck())
 	}
-	t.Fatal("it does not end")
+	t.Fatal("the transfer does not end")
 }
 
-// newSendStream is the side that sends, told where the receiver is.
+// newSendStream returns a stream that has received a first acknowledgement.
 func newSendStream(a Ack) *sendStream {
 	o := new(sendStream)
 	o.handleAck(1, a, -1)
 	return o
 }
 
-// drain are the updates that a sender makes without any answer.
+// drain returns the updates that a stream sends without further acknowledgement.
 func drain(o *sendStream, entries []Entry, limit int64) (updates []Update) {
 	for {
 		u, some := o.nextUpdate(entries, limit)
--- a/internal/tier/chain/learner.go
+++ b/internal/tier/chain/learner.go
@@ -1,10 +1,12 @@
 package chain
 
-// HandleLearnerUpdate takes an update of the tail outside the chain. What it changed must be on disk before it is told of.
+// HandleLearnerUpdate handles an update of the tail at a learner. It reports whether the state was changed, and must be on
+// disk before the acknowledgement is sent.
 //
-// An update that was made before one that has come is refused: what was compacted away in between is neither in the
-// beginning, which is newer, nor in the end, which is older. What tails have committed never goes back, so that no newer
-// update is refused by this.
+// An update that was sent at a lower commit index than one received before is rejected. Together they might have no entry of
+// a key that was written again in between: the beginning of the transfer, which is newer, lacks the former entry, which was
+// compacted away, and the end, which is older, lacks the latter. The commit index of tails never decreases, so that no newer
+// update is rejected for this reason.
 func (c *Chain) HandleLearnerUpdate(update Update) (changed bool) {
 	if !c.IsLearner() || update.Base != c.state.Commit || update.Commit < c.receiver.senderCommit {
 		return false
@@ -22,7 +24,8 @@
 	return true
 }
 
-// HandleLearnerAck takes what a member outside the chain tells of itself, said in one of its lives: a tail sends it what it lacks.
+// HandleLearnerAck handles an acknowledgement of a member outside the chain, sent in the given incarnation of its process. A
+// tail whose commit index is current then updates that learner; other members ignore it.
 func (c *Chain) HandleLearnerAck(from string, incarnation int64, ack Ack) {
 	if !c.CommitIsCurrent() || c.view.Tail() != c.self || c.view.Position(from) >= 0 {
 		return
@@ -33,24 +36,25 @@
 		c.learners[from] = stream
 	}
 	if stream.positionKnown && incarnation < stream.incarnation {
-		return // said in an earlier life
+		return
 	}
-	if stream.base != ack.Commit { // it has taken in what it was sent: the next transfer builds on that
+	if stream.base != ack.Commit { // it has applied the last transfer: the next one builds on that
 		*stream = sendStream{}
 	}
 	stream.handleAck(incarnation, ack, ack.Commit)
 }
 
-// RemoveLearner ends what is kept for a learner.
+// RemoveLearner ends the stream to a learner.
 func (c *Chain) RemoveLearner(id string) { delete(c.learners, id) }
 
-// LearnerIsBehind tells whether a learner lacks something that is committed.
+// LearnerIsBehind reports whether a known learner lacks committed entries.
 func (c *Chain) LearnerIsBehind(id string) bool {
 	stream := c.learners[id]
 	return stream != nil && stream.positionKnown && stream.completeThrough < c.state.Commit
 }
 
-// NextLearnerUpdate is the next part of what a learner lacks of what is committed.
+// NextLearnerUpdate returns the next update for a learner. It returns false if the learner has all committed entries, if the
+// window is full, or if this member does not update it.
 func (c *Chain) NextLearnerUpdate(id string) (u Update, ok bool) {
 	stream := c.learners[id]
 	if stream == nil || !c.CommitIsCurrent() || c.view.Tail() != c.self {
--- a/internal/tier/chain/learner_test.go
+++ b/internal/tier/chain/learner_test.go
@@ -18,28 +18,28 @@
 	learner := newMember("z", State{LastIndex: 2, Entries: []Entry{{1, "own", nil}, {2, "own", nil}}}, tail.view)
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	if !tail.LearnerIsBehind("z") {
-		t.Error("it lacks something")
+		t.Error("not behind before the transfer")
 	}
 	for {
 		u, some := tail.NextLearnerUpdate("z")
 		if !some {
-			t.Fatal("not completed")
+			t.Fatal("transfer not completed")
 		}
 		if learner.HandleLearnerUpdate(u) != u.Complete {
-			t.Error("changed, or not, by an update that is complete:", u.Complete)
+			t.Error("changed by an update although incomplete, or not although complete:", u.Complete)
 		}
 		if u.Complete {
 			break
 		}
 		wantState(t, learner, "0/0/2 own@1 own@2")
 		if got := learner.CurrentAck().Received; got == (Position{}) {
-			t.Error("staged", got)
+			t.Error("received", got)
 		}
 	}
 	wantState(t, learner, "0/4/4 large@1 l@3 k@4")
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	if tail.LearnerIsBehind("z") || len(tail.Transfers()) != 0 {
-		t.Error("it lacks nothing")
+		t.Error("behind after the transfer")
 	}
 	appendKeys(t, tail, "m")
 	replicateToLearner(t, tail, learner)
@@ -59,14 +59,15 @@
 	}
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	got := tail.Transfers()
-	if len(got) != 1 || got[0].ID != "z" || got[0].LastIndex != 1 || got[0].Target != 2 || got[0].PartialBytes < ChunkSize || got[0].PartialBytes > 2*ChunkSize {
+	if len(got) != 1 || got[0].ID != "z" || got[0].LastIndex != 1 || got[0].Target != 2 ||
+		got[0].PartialBytes < ChunkSize || got[0].PartialBytes > 2*ChunkSize {
 		t.Error("transfers", got)
 	}
 	if tail.RemoveLearner("z"); len(tail.Transfers()) != 0 || tail.LearnerIsBehind("z") {
-		t.Error("not forgotten")
+		t.Error("learner not removed")
 	}
 	if _, some := tail.NextLearnerUpdate("z"); some {
-		t.Error("sends to one that is forgotten")
+		t.Error("sends to a removed learner")
 	}
 }
 
@@ -76,7 +77,7 @@
 	report := Ack{Epoch: 2}
 	for _, c := range []*Chain{a, b} {
 		if c.HandleLearnerAck("z", 1, report); len(c.learners) != 0 {
-			t.Error(c.self, "teaches before it knows")
+			t.Error(c.self, "has learners before its commit index is current")
 		}
 	}
 	replicate(t, a, b)
@@ -93,14 +94,15 @@
 	}
 	b.Adopt(viewOf(3, "a", "b"))
 	if _, some := b.NextLearnerUpdate("z"); some {
-		t.Error("sends in an epoch in which it does not know")
+		t.Error("sends in an epoch in which its commit index is not current")
 	}
 }
 
 func TestChainMembersIgnoreLearnerUpdates(t *testing.T) {
 	b := newMember("b", State{ActivatedEpoch: 2}, viewOf(2, "a", "b"))
-	if b.HandleLearnerUpdate(Update{Epoch: 2, Fragments: []Fragment{{Index: 1, Key: "k", Checksum: checksum(nil)}}, Complete: true, Through: 1}) {
-		t.Error("learnt")
+	fragments := []Fragment{{Index: 1, Key: "k", Checksum: checksum(nil)}}
+	if b.HandleLearnerUpdate(Update{Epoch: 2, Fragments: fragments, Complete: true, Through: 1}) {
+		t.Error("handled a learner update")
 	}
 }
 
@@ -109,12 +111,12 @@
 	f := []Fragment{{Index: 5, Key: "k", Checksum: checksum(nil)}}
 	at := Position{LastIndex: 4}
 	for name, u := range map[string]Update{
-		"base before":     {Base: 3, After: at, Fragments: f, Complete: true, Through: 5},
-		"base after":      {Base: 5, After: at, Fragments: f, Complete: true, Through: 5},
-		"through nothing": {Base: 4, After: at, Complete: true, Through: 4},
+		"lower base":     {Base: 3, After: at, Fragments: f, Complete: true, Through: 5},
+		"higher base":    {Base: 5, After: at, Fragments: f, Complete: true, Through: 5},
+		"through commit": {Base: 4, After: at, Complete: true, Through: 4},
 	} {
 		if learner.HandleLearnerUpdate(u) {
-			t.Error("learnt:", name)
+			t.Error("applied:", name)
 		}
 	}
 	wantState(t, learner, "0/4/4")
@@ -133,12 +135,12 @@
 	b := newMember("b", s, second)
 	learner.Adopt(second)
 	if learner.CurrentAck().Received != at || at.PartialIndex != 2 || at.PartialBytes < ChunkSize {
-		t.Fatal("what was staged is gone", learner.CurrentAck().Received, at)
+		t.Fatal("received part lost", learner.CurrentAck().Received, at)
 	}
 	b.HandleLearnerAck("z", 1, learner.CurrentAck())
 	u, _ := b.NextLearnerUpdate("z")
 	if u.After != at || u.Fragments[0].Offset != at.PartialBytes {
-		t.Error("it goes on after", u.After, "with", u.Fragments[0].Offset)
+		t.Error("continues after", u.After, "with", u.Fragments[0].Offset)
 	}
 	learner.HandleLearnerUpdate(u)
 	replicateToLearner(t, b, learner)
@@ -173,7 +175,7 @@
 	a.Adopt(next)
 	learner.Adopt(next)
 	if learner.CurrentAck().Received != (Position{}) {
-		t.Error("staged", learner.CurrentAck().Received)
+		t.Error("received", learner.CurrentAck().Received)
 	}
 	replicate(t, a, learner)
 	wantState(t, learner, "3/2/2 large@1 k@2")
@@ -186,16 +188,16 @@
 	tail.NextLearnerUpdate("z")
 	tail.HandleLearnerAck("z", 6, Ack{Commit: 1, Received: Position{LastIndex: 1}})
 	if o := tail.learners["z"]; o.incarnation != 7 || o.base != 2 || o.inFlightBytes == 0 {
-		t.Error("taken: life", o.incarnation, "base", o.base, "under way", o.inFlightBytes)
+		t.Error("handled: incarnation", o.incarnation, "base", o.base, "in flight", o.inFlightBytes)
 	}
 	tail.HandleLearnerAck("z", 8, Ack{Commit: 1, Received: Position{LastIndex: 1}})
 	if u, _ := tail.NextLearnerUpdate("z"); u.Base != 1 {
-		t.Error("the newest life is not taken", u.Base)
+		t.Error("ignored the newest incarnation", u.Base)
 	}
 }
 
-// TestNextTransferUsesNewBase: what was sent on the base before is sent again on the new one at once, without a
-// call of Resend.
+// TestNextTransferUsesNewBase: what was sent on the former base is sent again on the new one at once, without a call of
+// Resend.
 func TestNextTransferUsesNewBase(t *testing.T) {
 	tail := newSingleMember(1, State{})
 	learner := newMember("z", State{}, tail.view)
@@ -205,7 +207,7 @@
 	appendKeys(t, tail, "l")
 	onOldBase, some := tail.NextLearnerUpdate("z")
 	if !some || !learner.HandleLearnerUpdate(first) || learner.HandleLearnerUpdate(onOldBase) {
-		t.Fatal("the first was not taken, or the second was")
+		t.Fatal("the first was rejected, or the second handled")
 	}
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	u, some := tail.NextLearnerUpdate("z")
@@ -215,8 +217,8 @@
 	wantState(t, learner, "0/2/2 k@1 l@2")
 }
 
-// TestLearnerRejectsEndOfOlderTransfer: the beginning comes of a stream that was made after a key had been
-// written again, the end, late, of one that was made before. Together they lack that key.
+// TestLearnerRejectsEndOfOlderTransfer: the beginning is of a transfer made after a key was written again, the
+// end, which is delayed, of one made before. Together they lack that key.
 func TestLearnerRejectsEndOfOlderTransfer(t *testing.T) {
 	tail := newSingleMember(1, State{})
 	appendKeys(t, tail, "k")
@@ -226,10 +228,11 @@
 	whole := func(index int64, key string) Fragment {
 		return Fragment{Index: index, Key: key, ValueSize: 1, Checksum: checksum([]byte(key)), Data: []byte(key)}
 	}
-	// Made while the tail had k@2 m@3 l@4: the update before it, of k@2 and m@3, is lost.
-	late := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 3}, Fragments: []Fragment{whole(4, "l")}, Complete: true, Through: 4, Commit: 4}
+	// Sent while the tail had k@2 m@3 l@4; the update before it, of k@2 and m@3, is lost.
+	late := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 3}, Fragments: []Fragment{whole(4, "l")},
+		Complete: true, Through: 4, Commit: 4}
 	appendKeys(t, tail, "k")
-	// Made of m@3 l@4 k@5, and small: k@2 is gone.
+	// Sent while the tail had m@3 l@4 k@5; k@2 was compacted away.
 	begun := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 1}, Fragments: []Fragment{whole(3, "m")}, Commit: 5}
 	learner.HandleLearnerUpdate(begun)
 	if learner.HandleLearnerUpdate(late) {
--- a/internal/tier/chain/model_check_test.go
+++ b/internal/tier/chain/model_check_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// appendedEntry is an entry with the one that its head had before it. The value begins with its number.
+// appendedEntry is an entry with the one before it at its head. The value begins with its number.
 type appendedEntry struct {
 	Entry
 	previous *appendedEntry
@@ -14,7 +14,7 @@
 
 const numberSize = 4
 
-// findAppended finds what an entry of a state was findAppended as; nil for one that no head wrote.
+// findAppended returns the appended entry that an entry of a state is, or nil if no head appended it.
 func (sim *simulation) findAppended(e Entry) *appendedEntry {
 	if len(e.Value) < numberSize {
 		return nil
@@ -30,7 +30,7 @@
 	return a.Index == b.Index && a.Key == b.Key && bytes.Equal(a.Value, b.Value)
 }
 
-// checkCommitted compares what a member has committed with what was committed, and takes down what is committed first.
+// checkCommitted compares the committed entries of a member with those that were committed first, and records new ones.
 func (sim *simulation) checkCommitted(i int) {
 	member := sim.members[i]
 	state := member.State()
@@ -41,17 +41,17 @@
 		sim.checkNewCommit(member)
 	}
 	if sim.violation == nil && !sim.hasCommitted(state, state.Commit) {
-		sim.fail("%s: committed %s, differs from what was committed", member.self, stateString(state))
+		sim.fail("%s: %s differs from what was committed", member.self, stateString(state))
 	}
 }
 
-// checkNewCommit is a commit of more than was committed before: every member of that chain has to have it.
+// checkNewCommit records a commit beyond the entries committed so far. Every member of that chain must have them.
 func (sim *simulation) checkNewCommit(member *Chain) {
 	state := member.State()
 	sim.commits++
 	k := slices.IndexFunc(state.Entries, func(entry Entry) bool { return entry.Index == state.Commit })
 	if k < 0 {
-		sim.fail("%s lacks the last that it committed: %s", member.self, stateString(state))
+		sim.fail("%s lacks its last committed entry: %s", member.self, stateString(state))
 		return
 	}
 	var added []*appendedEntry
@@ -68,15 +68,16 @@
 	for _, chained := range member.view.Chain {
 		replica := sim.member(chained.ID).State()
 		if replica.ActivatedEpoch < member.view.Epoch || replica.LastIndex < state.Commit || !sim.hasCommitted(replica, state.Commit) {
-			sim.fail("%s committed %d in epoch %d, %s has %s", member.self, state.Commit, member.view.Epoch, chained.ID, stateString(replica))
+			sim.fail("%s committed %d in epoch %d, %s has %s",
+				member.self, state.Commit, member.view.Epoch, chained.ID, stateString(replica))
 		}
 	}
 }
 
-// hasCommitted tells whether a state has all that was committed up to an index, or what replaced it.
+// hasCommitted reports whether a state has every entry committed up to an index, or a later one of its key.
 func (sim *simulation) hasCommitted(state *State, commit int64) bool {
 	replaced := map[string]bool{}
-	for i := len(state.Entries) - 1; i >= 0; i-- { // what this member has beyond may have compacted what is asked for
+	for i := len(state.Entries) - 1; i >= 0; i-- { // later committed entries may have replaced those up to the index
 		if entry := state.Entries[i]; entry.Index > commit && entry.Index <= state.Commit {
 			replaced[entry.Key] = true
 		}
@@ -99,13 +100,13 @@
 	return true
 }
 
-// checkConverged checks that all have all after a time without trouble.
+// checkConverged checks that all members have all entries after the time without faults.
 func (sim *simulation) checkConverged() {
 	head := sim.member(sim.view.Head()).State()
 	for _, member := range sim.members {
 		state := member.State()
 		if state.Commit != head.LastIndex || member.view.Position(member.self) >= 0 && !member.CommitIsCurrent() {
-			sim.fail("settled: %s has %s, the head %s", member.self, stateString(state), stateString(head))
+			sim.fail("not converged: %s has %s, the head %s", member.self, stateString(state), stateString(head))
 		}
 		for _, entry := range state.Entries {
 			if last, _ := member.LastEntry(entry.Key); state.Commit == state.LastIndex && last.Index != entry.Index {
--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -12,26 +12,26 @@
 	"larchrouter/internal/tier/view"
 )
 
-// The model: four members of whom up to three are the chain and the others learn, on a link that loses, repeats, delays and
-// so reorders messages. Time is counted in rounds. Members stop and begin again from what they had on disk; views change,
-// and members hear of that at different rounds. At last the link is good for a while.
+// The model: four members of which up to three form the chain and the others are learners, on a network that loses,
+// duplicates, delays and so reorders messages. Time is counted in rounds. Members restart from their disks; views change, and
+// members adopt them in different rounds. At the end there are no faults for a while.
 const (
 	modelMembers    = 4
 	scheduleRounds  = 120
 	quietRounds     = 120
-	heartbeatRounds = 4  // between reports, and calls of Resend
+	heartbeatRounds = 4  // between acknowledgements, and calls of Resend
 	maxDelayRounds  = 6  // rounds
-	maxEntries      = 40 // of one course
+	maxEntries      = 40 // of one schedule
 	maxValueChunks  = 5
 )
 
-// plantedFaults are seams for planted faults; the zero value is the program.
+// plantedFaults are hooks that plant faults; the zero value plants none.
 type plantedFaults struct {
-	mutateUpdate func(w *simulation, from *Chain, u *Update) // changes what is sent
+	mutateUpdate func(w *simulation, from *Chain, u *Update) // changes an update that is sent
 	mutateAck    func(w *simulation, from *Chain, a *Ack)
-	beforeSend   func(to *Chain) // is done to a member before it sends
-	afterAdopt   func(c *Chain)  // is done to a member that has adopted a view
-	noResend     bool            // nothing is sent again
+	beforeSend   func(to *Chain) // applied to a member before it sends
+	afterAdopt   func(c *Chain)  // applied to a member that has adopted a view
+	noResend     bool            // nothing is retransmitted
 }
 
 type message struct {
@@ -41,13 +41,13 @@
 	incarnation int64
 	update      *Update
 	ack         *Ack
-	learner     bool // to or of a member outside the chain
+	learner     bool // to or from a member outside the chain
 }
 
 type simulation struct {
 	draw         func(n int) int // below n
 	faults       plantedFaults
-	randomBytes  []byte // values are cut from it
+	randomBytes  []byte // values are parts of it
 	round        int
 	quiet        bool
 	view         view.View
@@ -56,10 +56,10 @@
 	inTransit    []message
 
 	// ghosts
-	committed        []*appendedEntry // what was committed, by index
-	appended         []*appendedEntry // all that was appended at any head, by its number
+	committed        []*appendedEntry // by index - 1
+	appended         []*appendedEntry // appended at any head, by the number in their values
 	commits          int
-	resumedTransfers int // updates that went on in the middle of an entry
+	resumedTransfers int // updates that continued inside an entry
 	violation        error
 }
 
@@ -156,7 +156,7 @@
 	}
 }
 
-// changeView decides a view of the members that hold all that was committed, less one at times, and of one that learns.
+// changeView decides a view of the complete members, at times without one of them, and with a learner.
 func (sim *simulation) changeView() {
 	next := view.View{Epoch: sim.view.Epoch + 1, Voters: sim.view.Voters}
 	for _, member := range sim.view.Chain {
@@ -227,7 +227,7 @@
 		inFlight += sent.bytes
 	}
 	if size > ChunkSize || inFlight > windowSize+ChunkSize+fragmentCost {
-		sim.fail("%d bytes in an update, %d under way", size, inFlight)
+		sim.fail("%d bytes in an update, %d in flight", size, inFlight)
 	}
 	if update.After.PartialBytes > 0 {
 		sim.resumedTransfers++
@@ -238,7 +238,7 @@
 	sim.send(message{from: i, to: to, update: &update, learner: learner})
 }
 
-// sendAck tells the predecessor, or the tail, where a member is.
+// sendAck sends the acknowledgement of a member to its predecessor, or of a learner to the tail.
 func (sim *simulation) sendAck(i int) {
 	member := sim.members[i]
 	to, ack, ok := member.PredecessorAck()
@@ -312,7 +312,7 @@
 	})
 }
 
-// TestRandomSchedulesMakeProgress holds the courses to commit, to change views and to go on in the middle of entries.
+// TestRandomSchedulesMakeProgress checks that the schedules commit entries, change views and resume transfers inside entries.
 func TestRandomSchedulesMakeProgress(t *testing.T) {
 	var committed, commits, resumedTransfers int
 	var epochs int64
@@ -326,8 +326,9 @@
 		resumedTransfers += sim.resumedTransfers
 		epochs += sim.view.Epoch - 1
 	}
-	t.Logf("20 courses: %d committed in %d rises, %d views, %d updates in the middle of entries", committed, commits, epochs, resumedTransfers)
+	t.Logf("20 schedules: %d entries in %d commits, %d views, %d updates resumed inside entries",
+		committed, commits, epochs, resumedTransfers)
 	if committed < 200 || commits < 100 || epochs < 40 || resumedTransfers < 100 {
-		t.Error("courses do too little")
+		t.Error("too little progress")
 	}
 }
--- a/internal/tier/chain/planted_test.go
+++ b/internal/tier/chain/planted_test.go
@@ -6,46 +6,48 @@
 	"testing"
 )
 
-// TestModelFindsPlantedFaults shows that the model finds what it is for.
+// TestModelFindsPlantedFaults checks that the model detects each planted fault by the rule that it violates.
 func TestModelFindsPlantedFaults(t *testing.T) {
 	const schedules = 300
 	for name, test := range map[string]struct {
 		faults    plantedFaults
 		violation string
 	}{
-		"a member tells that all it has is committed": {plantedFaults{mutateAck: func(_ *simulation, _ *Chain, a *Ack) { a.Commit = a.LastIndex }}, "has"},
-		"a part of a transfer said to be all of it": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
+		"all entries acknowledged as committed": {plantedFaults{mutateAck: func(_ *simulation, _ *Chain, a *Ack) {
+			a.Commit = a.LastIndex
+		}}, "has"},
+		"partial transfer marked complete": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
 			u.Complete, u.Through = true, from.State().Commit
 		}}, ", has "},
-		"values altered on the way": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
+		"values altered in transit": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
 			if f := len(u.Fragments) - 1; f >= 0 && u.Fragments[f].ValueSize == int64(len(u.Fragments[f].Data)) && w.draw(20) == 0 {
 				u.Fragments[f].Data = append(slices.Clone(u.Fragments[f].Data), 1)
 				u.Fragments[f].ValueSize++
 				u.Fragments[f].Checksum = checksum(u.Fragments[f].Data)
 			}
 		}}, ""},
-		"entries left out": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
+		"entries omitted": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
 			if len(u.Fragments) > 1 && w.draw(4) == 0 {
 				u.Fragments = u.Fragments[1:]
 			}
 		}}, ""},
-		"nothing is sent again": {plantedFaults{noResend: true}, "settled"},
-		"the window is not minded": {plantedFaults{beforeSend: func(c *Chain) {
+		"nothing retransmitted": {plantedFaults{noResend: true}, "not converged"},
+		"window ignored": {plantedFaults{beforeSend: func(c *Chain) {
 			for _, o := range c.learners {
 				o.inFlightBytes = -windowSize
 			}
 			c.successor.inFlightBytes = -windowSize
-		}}, "under way"},
-		"what is not committed is kept at activation": {plantedFaults{afterAdopt: func(c *Chain) {
+		}}, "in flight"},
+		"uncommitted entries kept at activation": {plantedFaults{afterAdopt: func(c *Chain) {
 			c.state.Commit = c.state.LastIndex
 		}}, ""},
-		"an entry that is gone is gone on with": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
+		"unavailable entry continued": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
 			for _, o := range from.learners {
 				if u.After.PartialBytes == 0 && o.acknowledged.PartialBytes > 0 && o.acknowledged.LastIndex == u.After.LastIndex {
 					u.After = o.acknowledged
 				}
 			}
-		}}, "settled"},
+		}}, "not converged"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(schedules) {
@@ -54,7 +56,7 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d courses", schedules)
+			t.Errorf("not found by %d schedules", schedules)
 		})
 	}
 }
--- a/internal/tier/chain/receive_stream_test.go
+++ b/internal/tier/chain/receive_stream_test.go
@@ -10,27 +10,27 @@
 	value := []byte("value")
 	good := Fragment{Index: 3, Key: "k", ValueSize: 5, Checksum: checksum(value), Data: value}
 	for name, spoil := range map[string]func(f *Fragment){
-		"place that has come": func(f *Fragment) { f.Index = 2 },
-		"place below 0":       func(f *Fragment) { f.Index = -1 },
-		"size below 0":        func(f *Fragment) { f.ValueSize = -1 },
-		"size beyond all":     func(f *Fragment) { f.ValueSize = maxValueSize + 1 },
-		"size too small":      func(f *Fragment) { f.ValueSize = 4 },
-		"offset after a gap":  func(f *Fragment) { f.Offset, f.ValueSize = 5, 10 },
-		"offset below 0":      func(f *Fragment) { f.Offset = -1 },
-		"offset beyond all":   func(f *Fragment) { f.Offset = math.MaxInt64 },
-		"wrong sum":           func(f *Fragment) { f.Checksum++ },
-		"wrong data":          func(f *Fragment) { f.Data = []byte("velue") },
+		"received index":     func(f *Fragment) { f.Index = 2 },
+		"index below 0":      func(f *Fragment) { f.Index = -1 },
+		"size below 0":       func(f *Fragment) { f.ValueSize = -1 },
+		"size above maximum": func(f *Fragment) { f.ValueSize = maxValueSize + 1 },
+		"size too small":     func(f *Fragment) { f.ValueSize = 4 },
+		"offset after a gap": func(f *Fragment) { f.Offset, f.ValueSize = 5, 10 },
+		"offset below 0":     func(f *Fragment) { f.Offset = -1 },
+		"offset overflow":    func(f *Fragment) { f.Offset = math.MaxInt64 },
+		"wrong checksum":     func(f *Fragment) { f.Checksum++ },
+		"wrong data":         func(f *Fragment) { f.Data = []byte("velue") },
 	} {
 		in := receiveStream{lastIndex: 2}
 		f := good
 		if spoil(&f); in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{f}}) {
-			t.Errorf("taken: %s", name)
+			t.Errorf("accepted: %s", name)
 		}
 		if in.lastIndex != 2 || len(in.entries) != 0 || in.position() != (Position{LastIndex: 2}) {
-			t.Errorf("%s: staged at %v", name, in.position())
+			t.Errorf("%s: position %v", name, in.position())
 		}
 		if !in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{good}}) || len(in.entries) != 1 {
-			t.Errorf("after %s the good one is not taken", name)
+			t.Errorf("after %s the valid fragment is rejected", name)
 		}
 	}
 }
@@ -41,20 +41,20 @@
 	second := first
 	second.Offset, second.Data = ChunkSize, value[ChunkSize:]
 	for name, spoil := range map[string]func(f *Fragment){
-		"place":  func(f *Fragment) { f.Index = 4 },
-		"sum":    func(f *Fragment) { f.Checksum++ },
-		"size":   func(f *Fragment) { f.ValueSize++ },
-		"offset": func(f *Fragment) { f.Offset-- },
+		"index":    func(f *Fragment) { f.Index = 4 },
+		"checksum": func(f *Fragment) { f.Checksum++ },
+		"size":     func(f *Fragment) { f.ValueSize++ },
+		"offset":   func(f *Fragment) { f.Offset-- },
 	} {
 		in := receiveStream{lastIndex: 2}
 		in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
 		at := in.position()
 		f := second
 		if spoil(&f); in.handleUpdate(Update{After: at, Fragments: []Fragment{f}}) || in.position() != at {
-			t.Errorf("taken with another %s", name)
+			t.Errorf("accepted with another %s", name)
 		}
 		if !in.handleUpdate(Update{After: at, Fragments: []Fragment{second}}) || !bytes.Equal(in.entries[0].Value, value) {
-			t.Errorf("after another %s the good one is not taken", name)
+			t.Errorf("after another %s the valid fragment is rejected", name)
 		}
 	}
 }
@@ -66,11 +66,11 @@
 	in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
 	for _, after := range []Position{{LastIndex: 1}, {LastIndex: 3}, {2, 3, 1}, {2, 4, ChunkSize}} {
 		if in.handleUpdate(Update{After: after}) || in.position() != (Position{2, 3, ChunkSize}) {
-			t.Error("taken after", after)
+			t.Error("accepted after", after)
 		}
 	}
 	if !in.handleUpdate(Update{After: Position{LastIndex: 2}}) || in.position() != (Position{LastIndex: 2}) {
-		t.Error("the beginning of the entry again")
+		t.Error("rejected the beginning of the entry")
 	}
 }
 
--- a/internal/tier/chain/send_stream.go
+++ b/internal/tier/chain/send_stream.go
@@ -1,37 +1,43 @@
 package chain
 
-// sendStream is the sender's side of a stream. The zero value waits until the receiver has told where it is.
+// sendStream is the sender's side of a stream of updates. The zero value sends nothing before an acknowledgement with the
+// receiver's position.
 type sendStream struct {
-	positionKnown        bool
-	incarnation          int64
-	base                 int64
-	acknowledged         Position // by the receiver, last
-	sent                 Position
-	inTransfer           *Entry // the one of which a part was sent: it may be compacted away meanwhile
-	inTransferChecksum   int64
-	sentThrough          int64 // the last Through that was sent, below 0 for none
-	completeThrough      int64 // the receiver has all up to here; below 0 while it is not active
-	inFlight             []sentUpdate
-	inFlightBytes        int // in flight
-	progressed           bool
-	callsWithoutProgress int // calls of resend since there was progress
-	backoff              int // how many of them are waited for
+	positionKnown      bool
+	incarnation        int64    // of the receiver's process
+	base               int64    // commit index of the receiver
+	acknowledged       Position // of the last acknowledgement; these may be reordered
+	sent               Position // after all that was sent
+	inTransfer         *Entry   // the entry that was sent partially: it may be compacted away before it is sent completely
+	inTransferChecksum int64
+	sentThrough        int64        // Through of the last update that was complete, below 0 for none
+	completeThrough    int64        // the receiver has everything up to it; below 0 while it is not active
+	inFlight           []sentUpdate // not acknowledged yet, in order
+	inFlightBytes      int          // with fragmentCost
+
+	// Retransmission, see resend.
+	progressed           bool // since the last call
+	callsWithoutProgress int
+	backoff              int // calls without progress after which to send again
 }
 
-const maxBackoff = 16 // a link on which a piece takes long must not be filled with repeats
+// maxBackoff bounds the calls of resend between two retransmissions: they must not fill a link that is slow.
+const maxBackoff = 16
 
 type sentUpdate struct {
-	after Position
+	after Position // of the receiver once it has the update
 	bytes int
 }
 
-// handleAck takes the receiver's report; complete is up to where it has all, below 0 for nothing.
+// handleAck handles an acknowledgement of the receiver. completeThrough is the index up to which the receiver has everything,
+// below 0 while it is not active. A receiver that was restarted, or that has applied a transfer, begins a new stream.
 func (o *sendStream) handleAck(incarnation int64, ack Ack, completeThrough int64) {
 	if o.positionKnown && incarnation < o.incarnation {
-		return // said in an earlier life
+		return
 	}
 	if !o.positionKnown || incarnation != o.incarnation || o.base != ack.Commit && completeThrough < 0 {
-		*o = sendStream{positionKnown: true, incarnation: incarnation, base: ack.Commit, acknowledged: ack.Received, sent: ack.Received, sentThrough: -1, completeThrough: completeThrough, progressed: true, backoff: 1}
+		*o = sendStream{positionKnown: true, incarnation: incarnation, base: ack.Commit, acknowledged: ack.Received,
+			sent: ack.Received, sentThrough: -1, completeThrough: completeThrough, progressed: true, backoff: 1}
 		return
 	}
 	if o.acknowledged.Less(ack.Received) || o.completeThrough < completeThrough {
@@ -48,8 +54,8 @@
 	}
 }
 
-// resend goes back to what the receiver has told, if nothing has come of what was sent for some calls. Where nothing is under
-// way there is nothing to wait for: what is sent next, and lost, is repeated as soon as on a link that was never idle.
+// resend goes back to the acknowledged position after backoff calls without progress, and doubles the backoff. An idle
+// stream does not back off: what is sent on it next, and lost, is sent again at the first call.
 func (o *sendStream) resend() {
 	if o.progressed || !o.positionKnown || o.idle() {
 		o.progressed, o.callsWithoutProgress, o.backoff = false, 0, 1
@@ -62,21 +68,22 @@
 	o.callsWithoutProgress, o.backoff = 0, min(2*o.backoff, maxBackoff)
 }
 
-// idle tells whether the receiver has told that it has all that was sent, and has taken it in.
+// idle reports whether the receiver has acknowledged and applied all that was sent.
 func (o *sendStream) idle() bool {
 	return o.sent == o.acknowledged && o.completeThrough >= max(o.sentThrough, 0)
 }
 
+// rewind continues the stream after the acknowledged position, which may also be ahead of what was sent.
 func (o *sendStream) rewind() {
 	o.sent, o.inFlight, o.inFlightBytes, o.sentThrough = o.acknowledged, nil, 0, -1
 }
 
-// nextUpdate makes the nextUpdate update from the entries up to a limit.
+// nextUpdate returns the next update of the entries up to a limit. It returns false if there is none or the window is full.
 func (o *sendStream) nextUpdate(entries []Entry, limit int64) (update Update, ok bool) {
 	if !o.positionKnown || o.completeThrough >= limit || o.inFlightBytes >= windowSize {
 		return Update{}, false
 	}
-	entry := o.nextEntry(entries, limit) // it gives up a part of an entry that is gone: only then o.sent is what to go on after
+	entry := o.nextEntry(entries, limit) // before o.sent is read: it drops a partial entry that cannot be continued
 	update = Update{Base: o.base, After: o.sent}
 	remaining := ChunkSize
 	for ; entry != nil && remaining > 0; entry = o.nextEntry(entries, limit) {
@@ -96,8 +103,8 @@
 	return update, true
 }
 
-// nextEntry is the one that is sent next, nil for none. Where a part of one was sent that is neither pinned nor among the
-// entries any more, the stream goes on with the nextEntry that follows: the receiver then drops its part.
+// nextEntry returns the entry of which the next fragment is sent, or nil. If an entry was sent partially and is not available
+// any more, the stream continues with the entry after it, and the receiver drops its part.
 func (o *sendStream) nextEntry(entries []Entry, limit int64) *Entry {
 	if o.sent.PartialBytes > 0 && o.findInTransfer(entries) {
 		return o.inTransfer
@@ -110,7 +117,8 @@
 	return &rest[0]
 }
 
-// findInTransfer finds the entry of which a part was sent, perhaps by another member.
+// findInTransfer sets inTransfer to the entry that was sent partially, perhaps by another member. It reports whether there is
+// such an entry with bytes that were not sent.
 func (o *sendStream) findInTransfer(entries []Entry) bool {
 	if o.inTransfer == nil || o.inTransfer.Index != o.sent.PartialIndex {
 		o.inTransfer = nil
@@ -124,7 +132,7 @@
 	return o.inTransfer != nil && o.sent.PartialBytes < int64(len(o.inTransfer.Value))
 }
 
-// nextFragment cuts the next part of an entry off.
+// nextFragment returns the next fragment of an entry, of at most remaining bytes, and advances the sent position.
 func (o *sendStream) nextFragment(entry *Entry, remaining int) Fragment {
 	if o.inTransfer != entry {
 		copied := *entry
@@ -132,7 +140,8 @@
 	}
 	size := int64(len(entry.Value))
 	n := min(int64(remaining), size-o.sent.PartialBytes)
-	fragment := Fragment{Index: entry.Index, Key: entry.Key, ValueSize: size, Checksum: o.inTransferChecksum, Offset: o.sent.PartialBytes, Data: entry.Value[o.sent.PartialBytes : o.sent.PartialBytes+n]}
+	fragment := Fragment{Index: entry.Index, Key: entry.Key, ValueSize: size, Checksum: o.inTransferChecksum,
+		Offset: o.sent.PartialBytes, Data: entry.Value[o.sent.PartialBytes : o.sent.PartialBytes+n]}
 	if fragment.Offset+n < size {
 		o.sent.PartialIndex, o.sent.PartialBytes = entry.Index, fragment.Offset+n
 	} else {
--- a/internal/tier/chain/send_stream_test.go
+++ b/internal/tier/chain/send_stream_test.go
@@ -22,11 +22,11 @@
 			t.Error("update", i, "of", size, u.Complete)
 		}
 		if !in.handleUpdate(u) || in.position() != o.inFlight[i].after {
-			t.Error("update", i, "not taken, or the position differs", in.position())
+			t.Error("update", i, "rejected, or the position differs", in.position())
 		}
 	}
 	if len(in.entries) != 3 || in.lastIndex != 3 || in.partial != nil {
-		t.Fatal("staged", len(in.entries), in.lastIndex)
+		t.Fatal("received", len(in.entries), in.lastIndex)
 	}
 	for i, e := range in.entries {
 		if e.Index != entries[i].Index || e.Key != entries[i].Key || !bytes.Equal(e.Value, entries[i].Value) {
@@ -40,13 +40,13 @@
 	o := newSendStream(Ack{})
 	updates := drain(o, entries, 1)
 	if o.inFlightBytes < windowSize || o.inFlightBytes > windowSize+ChunkSize+fragmentCost {
-		t.Error("under way:", o.inFlightBytes)
+		t.Error("in flight:", o.inFlightBytes)
 	}
 	var in receiveStream
 	in.handleUpdate(updates[0])
 	o.handleAck(1, Ack{Received: in.position()}, -1)
 	if more := drain(o, entries, 1); len(more) != 1 {
-		t.Error("one piece came,", len(more), "more were sent")
+		t.Error("one chunk was acknowledged,", len(more), "more were sent")
 	}
 }
 
@@ -58,7 +58,7 @@
 	o := newSendStream(Ack{})
 	updates := drain(o, entries, 20_000)
 	if o.inFlightBytes > windowSize+ChunkSize+fragmentCost || len(updates) > 1+windowSize/ChunkSize || updates[0].Complete {
-		t.Error("under way:", o.inFlightBytes, len(updates))
+		t.Error("in flight:", o.inFlightBytes, len(updates))
 	}
 }
 
@@ -66,7 +66,7 @@
 	entries := []Entry{{1, "k", []byte("v")}}
 	o := newSendStream(Ack{})
 	drain(o, entries, 1)
-	o.resend() // there was progress: the first ack
+	o.resend() // progress: the first acknowledgement
 	var sentAt []int
 	for call := 1; call <= 64; call++ {
 		o.resend()
@@ -82,11 +82,11 @@
 	o.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
 	o.resend()
 	if o.backoff != 1 {
-		t.Error("progress does not end the patience")
+		t.Error("progress does not reset the backoff")
 	}
 }
 
-// Patience is for links on which what was sent takes long. One that was idle is not slow: what is lost on it is sent again at once.
+// TestIdleStreamDoesNotBackOff: backoff is for slow links. An idle link is not slow; what is lost on it is sent again at once.
 func TestIdleStreamDoesNotBackOff(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
 	o := newSendStream(Ack{})
@@ -99,13 +99,13 @@
 	if n := len(drain(o, entries, 2)); n != 1 {
 		t.Fatal(n, "updates")
 	}
-	o.resend() // it is lost
+	o.resend() // the update is lost
 	if n := len(drain(o, entries, 2)); n != 1 {
-		t.Errorf("sent again %d times after one call, patience %d", n, o.backoff)
+		t.Errorf("sent again %d times after one call, backoff %d", n, o.backoff)
 	}
 }
 
-// The end of a transfer that is lost, with nothing else under way, is sent again: the receiver has not taken it in.
+// TestLostEndOfTransferIsResent: nothing else is in flight, but the receiver has not applied the transfer.
 func TestLostEndOfTransferIsResent(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
 	o := newSendStream(Ack{})
@@ -125,7 +125,7 @@
 	entries := []Entry{{1, "k", nil}, {2, "large", largeValue(1, 4)}, {3, "l", nil}}
 	o := newSendStream(Ack{})
 	o.nextUpdate(entries, 3)
-	o.handleAck(1, Ack{Received: Position{LastIndex: 2}}, -1) // what was sent before a rewind has come
+	o.handleAck(1, Ack{Received: Position{LastIndex: 2}}, -1) // an update sent before a rewind was received
 	updates := drain(o, entries, 3)
 	if len(updates) != 1 || updates[0].After != (Position{LastIndex: 2}) || updates[0].Fragments[0].Index != 3 {
 		t.Error("sent", updates)
@@ -139,12 +139,12 @@
 	before := *o
 	o.handleAck(6, Ack{Commit: 0, Received: Position{}}, 2)
 	if o.acknowledged != before.acknowledged || o.incarnation != 7 || o.completeThrough != -1 {
-		t.Error("taken", o.acknowledged, o.completeThrough)
+		t.Error("handled", o.acknowledged, o.completeThrough)
 	}
 	drain(o, entries, 2)
 	o.handleAck(8, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
 	if o.incarnation != 8 || o.inFlightBytes != 0 || len(drain(o, entries, 2)) == 0 {
-		t.Error("a receiver that has started again is not sent again")
+		t.Error("nothing is sent to a restarted receiver")
 	}
 }
 
@@ -182,7 +182,7 @@
 		in.handleUpdate(u)
 	}
 	if len(in.entries) != 1 || !bytes.Equal(in.entries[0].Value, entries[0].Value) {
-		t.Error("did not come")
+		t.Error("entry not received")
 	}
 }
 
@@ -199,7 +199,7 @@
 		in.handleUpdate(u)
 	}
 	if len(in.entries) != 1 || !bytes.Equal(in.entries[0].Value, entries[0].Value) {
-		t.Error("did not come")
+		t.Error("entry not received")
 	}
 }
 
@@ -212,16 +212,16 @@
 	in.handleUpdate(u)
 	for _, u := range drain(o, after, 2) {
 		if !in.handleUpdate(u) {
-			t.Fatal("not taken")
+			t.Fatal("rejected")
 		}
 	}
 	if len(in.entries) != 2 || !bytes.Equal(in.entries[0].Value, before[0].Value) || string(in.entries[1].Value) != "newer" {
-		t.Error("staged", len(in.entries))
+		t.Error("received", len(in.entries))
 	}
 }
 
-// TestPartialEntryUnavailableAtSenderIsDropped: the receiver has the beginning of an entry, the sender has it no more, since it was
-// compacted away and either its last piece is lost or the sender is another one.
+// TestPartialEntryUnavailableAtSenderIsDropped: the receiver has the beginning of an entry that the sender no longer
+// has. It was compacted away, and either its last chunk is lost or the sender was restarted.
 func TestPartialEntryUnavailableAtSenderIsDropped(t *testing.T) {
 	before := []Entry{{1, "large", largeValue(1, 3)}}
 	for name, after := range map[string][]Entry{
@@ -247,7 +247,7 @@
 				o.resend()
 			}
 			if len(in.entries) != 1 || in.entries[0].Index != 2 || !bytes.Equal(in.entries[0].Value, after[0].Value) {
-				t.Errorf("%s, sender restarts %v: staged %d entries, at %v", name, restarts, len(in.entries), in.position())
+				t.Errorf("%s, sender restarts %v: received %d entries, at %v", name, restarts, len(in.entries), in.position())
 			}
 		}
 	}
--- a/internal/tier/chain/transfer.go
+++ b/internal/tier/chain/transfer.go
@@ -1,6 +1,7 @@
 package chain
 
-// Resend has all that was sent and not answered since the last call sent again.
+// Resend makes NextUpdate and NextLearnerUpdate send again what was not acknowledged, for streams that made no progress. The
+// interval doubles with each call that has an effect, up to maxBackoff calls.
 func (c *Chain) Resend() {
 	c.successor.resend()
 	for _, stream := range c.learners {
@@ -8,15 +9,15 @@
 	}
 }
 
-// Transfer is how far a member has been brought.
+// Transfer is the progress of the stream to a member that lacks entries.
 type Transfer struct {
-	ID           string
-	LastIndex    int64 // all up to it has come
-	Target       int64
-	PartialBytes int64 // of the entry that is under way
+	ID           string // view.Member.ID
+	LastIndex    int64  // all entries up to it were received
+	Target       int64  // index up to which the member is brought
+	PartialBytes int64  // received of the entry after LastIndex
 }
 
-// Transfers are those to members that lack something.
+// Transfers returns the streams to members that lack entries.
 func (c *Chain) Transfers() (transfers []Transfer) {
 	if successor := c.view.Successor(c.self); c.IsActive() && successor != "" && c.successor.completeThrough < c.state.LastIndex {
 		transfers = append(transfers, c.successor.transfer(successor, c.state.LastIndex))
--- a/internal/tier/chain/update.go
+++ b/internal/tier/chain/update.go
@@ -2,46 +2,46 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Bounds of a stream of updates. A piece is small enough that a heartbeat behind it is not late on a link of 30 Mbit/s
-// (17 ms); the window keeps such a link busy for a round trip of some ten milliseconds.
+// Bounds of a stream of updates. A chunk is small enough that a heartbeat queued behind it is not late on a link of
+// 30 Mbit/s (17 ms); the window keeps such a link busy for a round-trip time of some ten milliseconds.
 const (
 	ChunkSize    = 64 << 10  // bytes of values in one update
-	windowSize   = 256 << 10 // bytes under way to one receiver, beyond which no further piece is sent
-	fragmentCost = 64        // what a fragment is counted for beside its bytes
-	maxValueSize = 128 << 20 // larger values are not taken: they are garbage
+	windowSize   = 256 << 10 // bytes in flight to one receiver at which no further update is sent
+	fragmentCost = 64        // bytes that a fragment counts for in addition to its data
+	maxValueSize = 128 << 20 // bytes; larger values are rejected as invalid
 )
 
-// Position in a stream of entries: all up to Done has come, and Part bytes of the entry that follows, whose index is Of.
+// Position is a position in a stream of entries.
 type Position struct {
-	LastIndex    int64
-	PartialIndex int64 // 0 while Part is 0
-	PartialBytes int64
+	LastIndex    int64 // all entries up to it have been received
+	PartialIndex int64 // index of the next entry, if a part of it has been received; else 0
+	PartialBytes int64 // received of that entry
 }
 
-// Less tells whether p comes before o.
+// Less reports whether p is before o.
 func (p Position) Less(o Position) bool {
 	return p.LastIndex < o.LastIndex || p.LastIndex == o.LastIndex && p.PartialBytes < o.PartialBytes
 }
 
-// Fragment is a part of an entry.
+// Fragment is a contiguous part of an entry.
 type Fragment struct {
 	Index     int64
 	Key       string
-	ValueSize int64 // of the whole value
-	Checksum  int64 // xxhash of the whole value
-	Offset    int64 // of Data in it
+	ValueSize int64 // bytes of the complete value
+	Checksum  int64 // xxHash64 of the complete value
+	Offset    int64 // of Data in the value
 	Data      []byte
 }
 
-// Update is what a member sends its successor, and the tail a learner: the next fragments of a stream of entries.
+// Update carries the next fragments of a stream of entries to the successor or to a learner.
 type Update struct {
 	Epoch     int64
-	Base      int64    // the receiver's commit index, on which a stream to one that is not active builds
-	After     Position // what the receiver has to have of the stream
+	Base      int64    // commit index of the receiver, on which a transfer to a member that is not active builds
+	After     Position // position of the receiver at which the fragments continue
 	Fragments []Fragment
-	Complete  bool // with these the receiver has all that the sender has up to Through
-	Through   int64
-	Commit    int64
+	Complete  bool  // with them the receiver has everything that the sender has up to Through
+	Through   int64 // set if Complete
+	Commit    int64 // commit index of the sender
 }
 
 func checksum(value []byte) int64 { return int64(xxhash.Sum64(value)) }
