--- a/internal/tier/chain/chain_test.go
+++ b/internal/tier/chain/chain_test.go
@@ -216,22 +216,22 @@
 	value := []byte("value")
 	part := Fragment{Index: 1, Key: "k", ValueSize: 5, Checksum: checksum(value), Data: value[:2]}
 	u := Update{Epoch: 3, Fragments: []Fragment{part}, Complete: true, Through: 1, Commit: 1}
-	b, z := newMember("b", State{ActivatedEpoch: 2}, v), newMember("z", State{}, v)
+	b, learner := newMember("b", State{ActivatedEpoch: 2}, v), newMember("z", State{}, v)
 	if changed, ok := b.HandleUpdate("a", u); changed || !ok || b.IsActive() {
 		t.Error("activated by an incomplete transfer")
 	}
-	if z.HandleLearnerUpdate(u) {
+	if learner.HandleLearnerUpdate(u) {
 		t.Error("learner state changed by an incomplete transfer")
 	}
 	wantState(t, b, "2/0/0")
-	wantState(t, z, "0/0/0")
+	wantState(t, learner, "0/0/0")
 	part.Offset, part.Data = 2, value[2:]
 	u.After, u.Fragments = Position{PartialIndex: 1, PartialBytes: 2}, []Fragment{part}
-	if changed, _ := b.HandleUpdate("a", u); !changed || !z.HandleLearnerUpdate(u) {
+	if changed, _ := b.HandleUpdate("a", u); !changed || !learner.HandleLearnerUpdate(u) {
 		t.Error("rejected once it is complete")
 	}
 	wantState(t, b, "3/1/1 k@1")
-	wantState(t, z, "0/1/1 k@1")
+	wantState(t, learner, "0/1/1 k@1")
 }
 
 func TestActivationOnOtherBaseIsRejected(t *testing.T) {
@@ -253,7 +253,7 @@
 	good := Update{Epoch: 2, Fragments: []Fragment{f}, Complete: true, Through: 1}
 	old := good
 	old.Epoch = 1
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		from string
 		u    Update
 		to   *Chain
@@ -264,7 +264,7 @@
 		"to a learner":        {"a", good, newMember("d", State{ActivatedEpoch: 2}, v)},
 		"from a learner":      {"d", good, b},
 	} {
-		if changed, ok := x.to.HandleUpdate(x.from, x.u); changed || ok || x.to.State().LastIndex != 0 {
+		if changed, ok := test.to.HandleUpdate(test.from, test.u); changed || ok || test.to.State().LastIndex != 0 {
 			t.Errorf("handled %s", name)
 		}
 	}
--- a/internal/tier/chain/fuzz_test.go
+++ b/internal/tier/chain/fuzz_test.go
@@ -64,13 +64,13 @@
 		r := fuzzInput(input)
 		in := receiveStream{lastIndex: 2}
 		for len(r) > 0 {
-			before, done := in.entries, in.lastIndex
+			before, previous := in.entries, in.lastIndex
 			in.handleUpdate(r.update(in.position()))
-			if in.lastIndex < done || len(in.entries) < len(before) ||
+			if in.lastIndex < previous || len(in.entries) < len(before) ||
 				len(before) > 0 && !reflect.DeepEqual(before, in.entries[:len(before)]) {
-				t.Fatalf("went back, or modified received entries: %d to %d", done, in.lastIndex)
+				t.Fatalf("went back, or modified received entries: %d to %d", previous, in.lastIndex)
 			}
-			last := done
+			last := previous
 			for _, e := range in.entries[len(before):] {
 				if e.Index <= last {
 					t.Fatalf("index %d after %d", e.Index, last)
--- a/internal/tier/chain/helpers_test.go
+++ b/internal/tier/chain/helpers_test.go
@@ -59,14 +59,14 @@
 }
 
 // largeValue returns a value of some chunks, a different one for each number.
-func largeValue(number byte, pieces int) []byte {
-	return bytes.Repeat([]byte{number, 1, number, 3}, pieces*ChunkSize/4)
+func largeValue(number byte, chunks int) []byte {
+	return bytes.Repeat([]byte{number, 1, number, 3}, chunks*ChunkSize/4)
 }
 
 // deliverAck delivers the acknowledgement of a member to its predecessor.
-func deliverAck(member, predecessor *Chain, life int64) bool {
+func deliverAck(member, predecessor *Chain, incarnation int64) bool {
 	_, a, _ := member.PredecessorAck()
-	return predecessor.HandleAck(member.self, life, a)
+	return predecessor.HandleAck(member.self, incarnation, a)
 }
 
 // replicate delivers all updates of a member to its successor, and the acknowledgements, until none is left.
@@ -74,11 +74,11 @@
 	t.Helper()
 	deliverAck(to, from, 1)
 	for range 1000 {
-		_, u, some := from.NextUpdate()
-		if !some {
+		_, update, ok := from.NextUpdate()
+		if !ok {
 			return
 		}
-		if _, ok := to.HandleUpdate(from.self, u); !ok {
+		if _, ok := to.HandleUpdate(from.self, update); !ok {
 			t.Fatal("an update of the predecessor was rejected")
 		}
 		to.MarkDurable()
@@ -92,30 +92,30 @@
 	t.Helper()
 	tail.HandleLearnerAck(learner.self, 1, learner.CurrentAck())
 	for range 1000 {
-		u, some := tail.NextLearnerUpdate(learner.self)
-		if !some {
+		update, ok := tail.NextLearnerUpdate(learner.self)
+		if !ok {
 			return
 		}
-		learner.HandleLearnerUpdate(u)
+		learner.HandleLearnerUpdate(update)
 		tail.HandleLearnerAck(learner.self, 1, learner.CurrentAck())
 	}
 	t.Fatal("the transfer does not end")
 }
 
 // newSendStream returns a stream that has received a first acknowledgement.
-func newSendStream(a Ack) *sendStream {
-	o := new(sendStream)
-	o.handleAck(1, a, -1)
-	return o
+func newSendStream(ack Ack) *sendStream {
+	stream := new(sendStream)
+	stream.handleAck(1, ack, -1)
+	return stream
 }
 
 // drain returns the updates that a stream sends without further acknowledgement.
-func drain(o *sendStream, entries []Entry, limit int64) (updates []Update) {
+func drain(stream *sendStream, entries []Entry, limit int64) (updates []Update) {
 	for {
-		u, some := o.nextUpdate(entries, limit)
-		if !some {
+		update, ok := stream.nextUpdate(entries, limit)
+		if !ok {
 			return updates
 		}
-		updates = append(updates, u)
+		updates = append(updates, update)
 	}
 }
--- a/internal/tier/chain/learner_test.go
+++ b/internal/tier/chain/learner_test.go
@@ -21,14 +21,14 @@
 		t.Error("not behind before the transfer")
 	}
 	for {
-		u, some := tail.NextLearnerUpdate("z")
-		if !some {
+		update, ok := tail.NextLearnerUpdate("z")
+		if !ok {
 			t.Fatal("transfer not completed")
 		}
-		if learner.HandleLearnerUpdate(u) != u.Complete {
-			t.Error("changed by an update although incomplete, or not although complete:", u.Complete)
+		if learner.HandleLearnerUpdate(update) != update.Complete {
+			t.Error("changed by an update although incomplete, or not although complete:", update.Complete)
 		}
-		if u.Complete {
+		if update.Complete {
 			break
 		}
 		wantState(t, learner, "0/0/2 own@1 own@2")
@@ -205,14 +205,14 @@
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	first, _ := tail.NextLearnerUpdate("z")
 	appendKeys(t, tail, "l")
-	onOldBase, some := tail.NextLearnerUpdate("z")
-	if !some || !learner.HandleLearnerUpdate(first) || learner.HandleLearnerUpdate(onOldBase) {
+	onOldBase, ok := tail.NextLearnerUpdate("z")
+	if !ok || !learner.HandleLearnerUpdate(first) || learner.HandleLearnerUpdate(onOldBase) {
 		t.Fatal("the first was rejected, or the second handled")
 	}
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
-	u, some := tail.NextLearnerUpdate("z")
-	if !some || u.Base != 1 || !learner.HandleLearnerUpdate(u) {
-		t.Error("not sent again:", some, u.Base)
+	u, ok := tail.NextLearnerUpdate("z")
+	if !ok || u.Base != 1 || !learner.HandleLearnerUpdate(u) {
+		t.Error("not sent again:", ok, u.Base)
 	}
 	wantState(t, learner, "0/2/2 k@1 l@2")
 }
@@ -225,15 +225,15 @@
 	learner := newMember("z", State{}, tail.view)
 	replicateToLearner(t, tail, learner)
 	appendKeys(t, tail, "k", "m", "l")
-	whole := func(index int64, key string) Fragment {
+	completeFragment := func(index int64, key string) Fragment {
 		return Fragment{Index: index, Key: key, ValueSize: 1, Checksum: checksum([]byte(key)), Data: []byte(key)}
 	}
 	// Sent while the tail had k@2 m@3 l@4; the update before it, of k@2 and m@3, is lost.
-	late := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 3}, Fragments: []Fragment{whole(4, "l")},
+	late := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 3}, Fragments: []Fragment{completeFragment(4, "l")},
 		Complete: true, Through: 4, Commit: 4}
 	appendKeys(t, tail, "k")
 	// Sent while the tail had m@3 l@4 k@5; k@2 was compacted away.
-	begun := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 1}, Fragments: []Fragment{whole(3, "m")}, Commit: 5}
+	begun := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 1}, Fragments: []Fragment{completeFragment(3, "m")}, Commit: 5}
 	learner.HandleLearnerUpdate(begun)
 	if learner.HandleLearnerUpdate(late) {
 		t.Error("completed: ", stateString(learner.State()))
--- a/internal/tier/chain/model_check_test.go
+++ b/internal/tier/chain/model_check_test.go
@@ -49,17 +49,17 @@
 func (sim *simulation) checkNewCommit(member *Chain) {
 	state := member.State()
 	sim.commits++
-	k := slices.IndexFunc(state.Entries, func(entry Entry) bool { return entry.Index == state.Commit })
-	if k < 0 {
+	position := slices.IndexFunc(state.Entries, func(entry Entry) bool { return entry.Index == state.Commit })
+	if position < 0 {
 		sim.fail("%s lacks its last committed entry: %s", member.self, stateString(state))
 		return
 	}
 	var added []*appendedEntry
-	e := sim.findAppended(state.Entries[k])
-	for ; e != nil && e.Index > int64(len(sim.committed)); e = e.previous {
-		added = append(added, e)
+	entry := sim.findAppended(state.Entries[position])
+	for ; entry != nil && entry.Index > int64(len(sim.committed)); entry = entry.previous {
+		added = append(added, entry)
 	}
-	if len(sim.committed) > 0 && e != sim.committed[len(sim.committed)-1] || len(sim.committed)+len(added) != int(state.Commit) {
+	if len(sim.committed) > 0 && entry != sim.committed[len(sim.committed)-1] || len(sim.committed)+len(added) != int(state.Commit) {
 		sim.fail("%s committed %d entries after another %d", member.self, len(added), len(sim.committed))
 		return
 	}
--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -134,8 +134,8 @@
 	from := sim.draw(ChunkSize)
 	value := append(binary.BigEndian.AppendUint32(nil, uint32(len(sim.appended))), sim.randomBytes[from:from+size]...)
 	var previous *appendedEntry
-	if had := member.State().Entries; len(had) > 0 {
-		previous = sim.findAppended(had[len(had)-1])
+	if entries := member.State().Entries; len(entries) > 0 {
+		previous = sim.findAppended(entries[len(entries)-1])
 	}
 	if entry, ok := member.Append(fmt.Sprint("k", sim.draw(6)), value); ok {
 		sim.appended = append(sim.appended, &appendedEntry{Entry: entry, previous: previous})
@@ -208,8 +208,8 @@
 	}
 	for _, voter := range sim.view.Voters {
 		for member.view.Position(voter.ID) < 0 {
-			update, some := member.NextLearnerUpdate(voter.ID)
-			if !some {
+			update, ok := member.NextLearnerUpdate(voter.ID)
+			if !ok {
 				break
 			}
 			sim.sendUpdate(i, voter.ID, update, member.learners[voter.ID], true)
--- a/internal/tier/chain/planted_test.go
+++ b/internal/tier/chain/planted_test.go
@@ -19,22 +19,22 @@
 		"partial transfer marked complete": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
 			u.Complete, u.Through = true, from.State().Commit
 		}}, ", has "},
-		"values altered in transit": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
-			if f := len(u.Fragments) - 1; f >= 0 && u.Fragments[f].ValueSize == int64(len(u.Fragments[f].Data)) && w.draw(20) == 0 {
+		"values altered in transit": {plantedFaults{mutateUpdate: func(sim *simulation, _ *Chain, u *Update) {
+			if f := len(u.Fragments) - 1; f >= 0 && u.Fragments[f].ValueSize == int64(len(u.Fragments[f].Data)) && sim.draw(20) == 0 {
 				u.Fragments[f].Data = append(slices.Clone(u.Fragments[f].Data), 1)
 				u.Fragments[f].ValueSize++
 				u.Fragments[f].Checksum = checksum(u.Fragments[f].Data)
 			}
 		}}, ""},
-		"entries omitted": {plantedFaults{mutateUpdate: func(w *simulation, _ *Chain, u *Update) {
-			if len(u.Fragments) > 1 && w.draw(4) == 0 {
+		"entries omitted": {plantedFaults{mutateUpdate: func(sim *simulation, _ *Chain, u *Update) {
+			if len(u.Fragments) > 1 && sim.draw(4) == 0 {
 				u.Fragments = u.Fragments[1:]
 			}
 		}}, ""},
 		"nothing retransmitted": {plantedFaults{noResend: true}, "not converged"},
 		"window ignored": {plantedFaults{beforeSend: func(c *Chain) {
-			for _, o := range c.learners {
-				o.inFlightBytes = -windowSize
+			for _, stream := range c.learners {
+				stream.inFlightBytes = -windowSize
 			}
 			c.successor.inFlightBytes = -windowSize
 		}}, "in flight"},
@@ -42,9 +42,9 @@
 			c.state.Commit = c.state.LastIndex
 		}}, ""},
 		"unavailable entry continued": {plantedFaults{mutateUpdate: func(_ *simulation, from *Chain, u *Update) {
-			for _, o := range from.learners {
-				if u.After.PartialBytes == 0 && o.acknowledged.PartialBytes > 0 && o.acknowledged.LastIndex == u.After.LastIndex {
-					u.After = o.acknowledged
+			for _, stream := range from.learners {
+				if u.After.PartialBytes == 0 && stream.acknowledged.PartialBytes > 0 && stream.acknowledged.LastIndex == u.After.LastIndex {
+					u.After = stream.acknowledged
 				}
 			}
 		}}, "not converged"},
--- a/internal/tier/chain/receive_stream.go
+++ b/internal/tier/chain/receive_stream.go
@@ -10,25 +10,25 @@
 }
 
 // position returns the position up to which the stream was received.
-func (in *receiveStream) position() Position {
-	p := Position{LastIndex: in.lastIndex}
-	if in.partial != nil && len(in.partial.Data) > 0 {
-		p.PartialIndex, p.PartialBytes = in.partial.Index, int64(len(in.partial.Data))
+func (r *receiveStream) position() Position {
+	p := Position{LastIndex: r.lastIndex}
+	if r.partial != nil && len(r.partial.Data) > 0 {
+		p.PartialIndex, p.PartialBytes = r.partial.Index, int64(len(r.partial.Data))
 	}
 	return p
 }
 
 // handleUpdate adds the fragments of an update. It reports whether the update was the next of the stream, or one that begins
 // the entry in transfer again, and all of its fragments are valid.
-func (in *receiveStream) handleUpdate(u Update) bool {
-	if u.After.LastIndex != in.lastIndex || u.After.PartialBytes != 0 && u.After != in.position() {
+func (r *receiveStream) handleUpdate(update Update) bool {
+	if update.After.LastIndex != r.lastIndex || update.After.PartialBytes != 0 && update.After != r.position() {
 		return false
 	}
-	if u.After.PartialBytes == 0 {
-		in.partial = nil
+	if update.After.PartialBytes == 0 {
+		r.partial = nil
 	}
-	for i := range u.Fragments {
-		if !in.addFragment(&u.Fragments[i]) {
+	for i := range update.Fragments {
+		if !r.addFragment(&update.Fragments[i]) {
 			return false
 		}
 	}
@@ -37,28 +37,28 @@
 
 // addFragment adds one fragment. It reports whether the fragment is valid and continues the entry in transfer, if any. The
 // memory of an entry grows with the data received, not with the size that its sender claims.
-func (in *receiveStream) addFragment(fragment *Fragment) bool {
-	if fragment.Index <= in.lastIndex || fragment.ValueSize > maxValueSize || fragment.ValueSize < 0 ||
+func (r *receiveStream) addFragment(fragment *Fragment) bool {
+	if fragment.Index <= r.lastIndex || fragment.ValueSize > maxValueSize || fragment.ValueSize < 0 ||
 		fragment.Offset+int64(len(fragment.Data)) > fragment.ValueSize {
 		return false
 	}
-	if in.partial == nil {
-		in.partial = &Fragment{Index: fragment.Index, Key: fragment.Key, ValueSize: fragment.ValueSize, Checksum: fragment.Checksum}
+	if r.partial == nil {
+		r.partial = &Fragment{Index: fragment.Index, Key: fragment.Key, ValueSize: fragment.ValueSize, Checksum: fragment.Checksum}
 	}
-	if fragment.Index != in.partial.Index || fragment.Checksum != in.partial.Checksum ||
-		fragment.ValueSize != in.partial.ValueSize || fragment.Offset != int64(len(in.partial.Data)) {
+	if fragment.Index != r.partial.Index || fragment.Checksum != r.partial.Checksum ||
+		fragment.ValueSize != r.partial.ValueSize || fragment.Offset != int64(len(r.partial.Data)) {
 		return false
 	}
-	in.partial.Data = append(in.partial.Data, fragment.Data...)
-	if int64(len(in.partial.Data)) < in.partial.ValueSize {
+	r.partial.Data = append(r.partial.Data, fragment.Data...)
+	if int64(len(r.partial.Data)) < r.partial.ValueSize {
 		return true
 	}
-	complete := in.partial
-	in.partial = nil
+	complete := r.partial
+	r.partial = nil
 	if checksum(complete.Data) != complete.Checksum {
 		return false
 	}
-	in.entries = append(in.entries, Entry{Index: complete.Index, Key: complete.Key, Value: complete.Data})
-	in.lastIndex = complete.Index
+	r.entries = append(r.entries, Entry{Index: complete.Index, Key: complete.Key, Value: complete.Data})
+	r.lastIndex = complete.Index
 	return true
 }
--- a/internal/tier/chain/send_stream.go
+++ b/internal/tier/chain/send_stream.go
@@ -31,86 +31,86 @@
 
 // handleAck handles an acknowledgement of the receiver. completeThrough is the index up to which the receiver has everything,
 // below 0 while it is not active. A receiver that was restarted, or that has applied a transfer, begins a new stream.
-func (o *sendStream) handleAck(incarnation int64, ack Ack, completeThrough int64) {
-	if o.positionKnown && incarnation < o.incarnation {
+func (s *sendStream) handleAck(incarnation int64, ack Ack, completeThrough int64) {
+	if s.positionKnown && incarnation < s.incarnation {
 		return
 	}
-	if !o.positionKnown || incarnation != o.incarnation || o.base != ack.Commit && completeThrough < 0 {
-		*o = sendStream{positionKnown: true, incarnation: incarnation, base: ack.Commit, acknowledged: ack.Received,
+	if !s.positionKnown || incarnation != s.incarnation || s.base != ack.Commit && completeThrough < 0 {
+		*s = sendStream{positionKnown: true, incarnation: incarnation, base: ack.Commit, acknowledged: ack.Received,
 			sent: ack.Received, sentThrough: -1, completeThrough: completeThrough, progressed: true, backoff: 1}
 		return
 	}
-	if o.acknowledged.Less(ack.Received) || o.completeThrough < completeThrough {
-		o.progressed = true
+	if s.acknowledged.Less(ack.Received) || s.completeThrough < completeThrough {
+		s.progressed = true
 	}
-	o.base, o.acknowledged = ack.Commit, ack.Received
-	o.completeThrough = max(o.completeThrough, completeThrough)
-	for len(o.inFlight) > 0 && !o.acknowledged.Less(o.inFlight[0].after) {
-		o.inFlightBytes -= o.inFlight[0].bytes
-		o.inFlight = o.inFlight[1:]
+	s.base, s.acknowledged = ack.Commit, ack.Received
+	s.completeThrough = max(s.completeThrough, completeThrough)
+	for len(s.inFlight) > 0 && !s.acknowledged.Less(s.inFlight[0].after) {
+		s.inFlightBytes -= s.inFlight[0].bytes
+		s.inFlight = s.inFlight[1:]
 	}
-	if o.sent.Less(o.acknowledged) {
-		o.rewind()
+	if s.sent.Less(s.acknowledged) {
+		s.rewind()
 	}
 }
 
 // resend goes back to the acknowledged position after backoff calls without progress, and doubles the backoff. An idle
 // stream does not back off: what is sent on it next, and lost, is sent again at the first call.
-func (o *sendStream) resend() {
-	if o.progressed || !o.positionKnown || o.idle() {
-		o.progressed, o.callsWithoutProgress, o.backoff = false, 0, 1
+func (s *sendStream) resend() {
+	if s.progressed || !s.positionKnown || s.idle() {
+		s.progressed, s.callsWithoutProgress, s.backoff = false, 0, 1
 		return
 	}
-	if o.callsWithoutProgress++; o.callsWithoutProgress < o.backoff {
+	if s.callsWithoutProgress++; s.callsWithoutProgress < s.backoff {
 		return
 	}
-	o.rewind()
-	o.callsWithoutProgress, o.backoff = 0, min(2*o.backoff, maxBackoff)
+	s.rewind()
+	s.callsWithoutProgress, s.backoff = 0, min(2*s.backoff, maxBackoff)
 }
 
 // idle reports whether the receiver has acknowledged and applied all that was sent.
-func (o *sendStream) idle() bool {
-	return o.sent == o.acknowledged && o.completeThrough >= max(o.sentThrough, 0)
+func (s *sendStream) idle() bool {
+	return s.sent == s.acknowledged && s.completeThrough >= max(s.sentThrough, 0)
 }
 
 // rewind continues the stream after the acknowledged position, which may also be ahead of what was sent.
-func (o *sendStream) rewind() {
-	o.sent, o.inFlight, o.inFlightBytes, o.sentThrough = o.acknowledged, nil, 0, -1
+func (s *sendStream) rewind() {
+	s.sent, s.inFlight, s.inFlightBytes, s.sentThrough = s.acknowledged, nil, 0, -1
 }
 
 // nextUpdate returns the next update of the entries up to a limit. It returns false if there is none or the window is full.
-func (o *sendStream) nextUpdate(entries []Entry, limit int64) (update Update, ok bool) {
-	if !o.positionKnown || o.completeThrough >= limit || o.inFlightBytes >= windowSize {
+func (s *sendStream) nextUpdate(entries []Entry, limit int64) (update Update, ok bool) {
+	if !s.positionKnown || s.completeThrough >= limit || s.inFlightBytes >= windowSize {
 		return Update{}, false
 	}
-	entry := o.nextEntry(entries, limit) // before o.sent is read: it drops a partial entry that cannot be continued
-	update = Update{Base: o.base, After: o.sent}
+	entry := s.nextEntry(entries, limit) // before o.sent is read: it drops a partial entry that cannot be continued
+	update = Update{Base: s.base, After: s.sent}
 	remaining := ChunkSize
-	for ; entry != nil && remaining > 0; entry = o.nextEntry(entries, limit) {
-		fragment := o.nextFragment(entry, remaining)
+	for ; entry != nil && remaining > 0; entry = s.nextEntry(entries, limit) {
+		fragment := s.nextFragment(entry, remaining)
 		remaining -= len(fragment.Data) + fragmentCost
 		update.Fragments = append(update.Fragments, fragment)
 	}
-	if entry == nil && o.sentThrough < limit {
-		update.Complete, update.Through, o.sentThrough = true, limit, limit
+	if entry == nil && s.sentThrough < limit {
+		update.Complete, update.Through, s.sentThrough = true, limit, limit
 	}
 	if len(update.Fragments) == 0 && !update.Complete {
 		return Update{}, false
 	}
 	size := ChunkSize - remaining
-	o.inFlight = append(o.inFlight, sentUpdate{o.sent, size})
-	o.inFlightBytes += size
+	s.inFlight = append(s.inFlight, sentUpdate{s.sent, size})
+	s.inFlightBytes += size
 	return update, true
 }
 
 // nextEntry returns the entry of which the next fragment is sent, or nil. If an entry was sent partially and is not available
 // any more, the stream continues with the entry after it, and the receiver drops its part.
-func (o *sendStream) nextEntry(entries []Entry, limit int64) *Entry {
-	if o.sent.PartialBytes > 0 && o.findInTransfer(entries) {
-		return o.inTransfer
+func (s *sendStream) nextEntry(entries []Entry, limit int64) *Entry {
+	if s.sent.PartialBytes > 0 && s.findInTransfer(entries) {
+		return s.inTransfer
 	}
-	o.sent.PartialIndex, o.sent.PartialBytes = 0, 0
-	rest := EntriesAfter(entries, o.sent.LastIndex)
+	s.sent.PartialIndex, s.sent.PartialBytes = 0, 0
+	rest := EntriesAfter(entries, s.sent.LastIndex)
 	if len(rest) == 0 || rest[0].Index > limit {
 		return nil
 	}
@@ -119,33 +119,33 @@
 
 // findInTransfer sets inTransfer to the entry that was sent partially, perhaps by another member. It reports whether there is
 // such an entry with bytes that were not sent.
-func (o *sendStream) findInTransfer(entries []Entry) bool {
-	if o.inTransfer == nil || o.inTransfer.Index != o.sent.PartialIndex {
-		o.inTransfer = nil
-		for _, e := range EntriesAfter(entries, o.sent.PartialIndex-1) {
-			if e.Index == o.sent.PartialIndex {
-				o.inTransfer, o.inTransferChecksum = &e, checksum(e.Value)
+func (s *sendStream) findInTransfer(entries []Entry) bool {
+	if s.inTransfer == nil || s.inTransfer.Index != s.sent.PartialIndex {
+		s.inTransfer = nil
+		for _, e := range EntriesAfter(entries, s.sent.PartialIndex-1) {
+			if e.Index == s.sent.PartialIndex {
+				s.inTransfer, s.inTransferChecksum = &e, checksum(e.Value)
 				break
 			}
 		}
 	}
-	return o.inTransfer != nil && o.sent.PartialBytes < int64(len(o.inTransfer.Value))
+	return s.inTransfer != nil && s.sent.PartialBytes < int64(len(s.inTransfer.Value))
 }
 
 // nextFragment returns the next fragment of an entry, of at most remaining bytes, and advances the sent position.
-func (o *sendStream) nextFragment(entry *Entry, remaining int) Fragment {
-	if o.inTransfer != entry {
+func (s *sendStream) nextFragment(entry *Entry, remaining int) Fragment {
+	if s.inTransfer != entry {
 		copied := *entry
-		o.inTransfer, o.inTransferChecksum = &copied, checksum(entry.Value)
+		s.inTransfer, s.inTransferChecksum = &copied, checksum(entry.Value)
 	}
 	size := int64(len(entry.Value))
-	n := min(int64(remaining), size-o.sent.PartialBytes)
-	fragment := Fragment{Index: entry.Index, Key: entry.Key, ValueSize: size, Checksum: o.inTransferChecksum,
-		Offset: o.sent.PartialBytes, Data: entry.Value[o.sent.PartialBytes : o.sent.PartialBytes+n]}
+	n := min(int64(remaining), size-s.sent.PartialBytes)
+	fragment := Fragment{Index: entry.Index, Key: entry.Key, ValueSize: size, Checksum: s.inTransferChecksum,
+		Offset: s.sent.PartialBytes, Data: entry.Value[s.sent.PartialBytes : s.sent.PartialBytes+n]}
 	if fragment.Offset+n < size {
-		o.sent.PartialIndex, o.sent.PartialBytes = entry.Index, fragment.Offset+n
+		s.sent.PartialIndex, s.sent.PartialBytes = entry.Index, fragment.Offset+n
 	} else {
-		o.inTransfer, o.sent = nil, Position{LastIndex: entry.Index}
+		s.inTransfer, s.sent = nil, Position{LastIndex: entry.Index}
 	}
 	return fragment
 }
--- a/internal/tier/chain/send_stream_test.go
+++ b/internal/tier/chain/send_stream_test.go
@@ -8,8 +8,8 @@
 func TestLargeEntryIsSentInChunks(t *testing.T) {
 	entries := []Entry{{1, "small", []byte("v")}, {2, "large", largeValue(1, 3)}, {3, "none", nil}}
 	var in receiveStream
-	o := newSendStream(Ack{})
-	updates := drain(o, entries, 3)
+	stream := newSendStream(Ack{})
+	updates := drain(stream, entries, 3)
 	if len(updates) != 4 {
 		t.Fatal(len(updates), "updates")
 	}
@@ -21,7 +21,7 @@
 		if size > ChunkSize || u.Complete != (i == 3) {
 			t.Error("update", i, "of", size, u.Complete)
 		}
-		if !in.handleUpdate(u) || in.position() != o.inFlight[i].after {
+		if !in.handleUpdate(u) || in.position() != stream.inFlight[i].after {
 			t.Error("update", i, "rejected, or the position differs", in.position())
 		}
 	}
@@ -37,15 +37,15 @@
 
 func TestWindowBoundsBytesInFlight(t *testing.T) {
 	entries := []Entry{{1, "large", largeValue(1, 20)}}
-	o := newSendStream(Ack{})
-	updates := drain(o, entries, 1)
-	if o.inFlightBytes < windowSize || o.inFlightBytes > windowSize+ChunkSize+fragmentCost {
-		t.Error("in flight:", o.inFlightBytes)
+	stream := newSendStream(Ack{})
+	updates := drain(stream, entries, 1)
+	if stream.inFlightBytes < windowSize || stream.inFlightBytes > windowSize+ChunkSize+fragmentCost {
+		t.Error("in flight:", stream.inFlightBytes)
 	}
 	var in receiveStream
 	in.handleUpdate(updates[0])
-	o.handleAck(1, Ack{Received: in.position()}, -1)
-	if more := drain(o, entries, 1); len(more) != 1 {
+	stream.handleAck(1, Ack{Received: in.position()}, -1)
+	if more := drain(stream, entries, 1); len(more) != 1 {
 		t.Error("one chunk was acknowledged,", len(more), "more were sent")
 	}
 }
@@ -55,22 +55,22 @@
 	for index := range int64(20_000) {
 		entries = append(entries, Entry{Index: index + 1, Key: "k"})
 	}
-	o := newSendStream(Ack{})
-	updates := drain(o, entries, 20_000)
-	if o.inFlightBytes > windowSize+ChunkSize+fragmentCost || len(updates) > 1+windowSize/ChunkSize || updates[0].Complete {
-		t.Error("in flight:", o.inFlightBytes, len(updates))
+	stream := newSendStream(Ack{})
+	updates := drain(stream, entries, 20_000)
+	if stream.inFlightBytes > windowSize+ChunkSize+fragmentCost || len(updates) > 1+windowSize/ChunkSize || updates[0].Complete {
+		t.Error("in flight:", stream.inFlightBytes, len(updates))
 	}
 }
 
 func TestResendBacksOffExponentially(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
-	o := newSendStream(Ack{})
-	drain(o, entries, 1)
-	o.resend() // progress: the first acknowledgement
+	stream := newSendStream(Ack{})
+	drain(stream, entries, 1)
+	stream.resend() // progress: the first acknowledgement
 	var sentAt []int
 	for call := 1; call <= 64; call++ {
-		o.resend()
-		if len(drain(o, entries, 1)) > 0 {
+		stream.resend()
+		if len(drain(stream, entries, 1)) > 0 {
 			sentAt = append(sentAt, call)
 		}
 	}
@@ -79,9 +79,9 @@
 			t.Fatal("sent again at", sentAt)
 		}
 	}
-	o.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
-	o.resend()
-	if o.backoff != 1 {
+	stream.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
+	stream.resend()
+	if stream.backoff != 1 {
 		t.Error("progress does not reset the backoff")
 	}
 }
@@ -89,32 +89,32 @@
 // TestIdleStreamDoesNotBackOff: backoff is for slow links. An idle link is not slow; what is lost on it is sent again at once.
 func TestIdleStreamDoesNotBackOff(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
-	o := newSendStream(Ack{})
-	drain(o, entries, 1)
-	o.handleAck(1, Ack{Received: Position{LastIndex: 1}}, 1)
+	stream := newSendStream(Ack{})
+	drain(stream, entries, 1)
+	stream.handleAck(1, Ack{Received: Position{LastIndex: 1}}, 1)
 	for range 100 {
-		o.resend()
+		stream.resend()
 	}
 	entries = append(entries, Entry{2, "k", []byte("w")})
-	if n := len(drain(o, entries, 2)); n != 1 {
+	if n := len(drain(stream, entries, 2)); n != 1 {
 		t.Fatal(n, "updates")
 	}
-	o.resend() // the update is lost
-	if n := len(drain(o, entries, 2)); n != 1 {
-		t.Errorf("sent again %d times after one call, backoff %d", n, o.backoff)
+	stream.resend() // the update is lost
+	if n := len(drain(stream, entries, 2)); n != 1 {
+		t.Errorf("sent again %d times after one call, backoff %d", n, stream.backoff)
 	}
 }
 
 // TestLostEndOfTransferIsResent: nothing else is in flight, but the receiver has not applied the transfer.
 func TestLostEndOfTransferIsResent(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
-	o := newSendStream(Ack{})
-	drain(o, entries, 1)
-	o.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
+	stream := newSendStream(Ack{})
+	drain(stream, entries, 1)
+	stream.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
 	sent := 0
 	for range 4 {
-		o.resend()
-		sent += len(drain(o, entries, 1))
+		stream.resend()
+		sent += len(drain(stream, entries, 1))
 	}
 	if sent == 0 {
 		t.Error("the end is not sent again")
@@ -123,10 +123,10 @@
 
 func TestAckAheadOfSentPositionSkipsEntries(t *testing.T) {
 	entries := []Entry{{1, "k", nil}, {2, "large", largeValue(1, 4)}, {3, "l", nil}}
-	o := newSendStream(Ack{})
-	o.nextUpdate(entries, 3)
-	o.handleAck(1, Ack{Received: Position{LastIndex: 2}}, -1) // an update sent before a rewind was received
-	updates := drain(o, entries, 3)
+	stream := newSendStream(Ack{})
+	stream.nextUpdate(entries, 3)
+	stream.handleAck(1, Ack{Received: Position{LastIndex: 2}}, -1) // an update sent before a rewind was received
+	updates := drain(stream, entries, 3)
 	if len(updates) != 1 || updates[0].After != (Position{LastIndex: 2}) || updates[0].Fragments[0].Index != 3 {
 		t.Error("sent", updates)
 	}
@@ -134,28 +134,28 @@
 
 func TestAckOfEarlierIncarnationIsIgnored(t *testing.T) {
 	entries := []Entry{{1, "k", nil}, {2, "l", nil}}
-	o := new(sendStream)
-	o.handleAck(7, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
-	before := *o
-	o.handleAck(6, Ack{Commit: 0, Received: Position{}}, 2)
-	if o.acknowledged != before.acknowledged || o.incarnation != 7 || o.completeThrough != -1 {
-		t.Error("handled", o.acknowledged, o.completeThrough)
-	}
-	drain(o, entries, 2)
-	o.handleAck(8, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
-	if o.incarnation != 8 || o.inFlightBytes != 0 || len(drain(o, entries, 2)) == 0 {
+	stream := new(sendStream)
+	stream.handleAck(7, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
+	before := *stream
+	stream.handleAck(6, Ack{Commit: 0, Received: Position{}}, 2)
+	if stream.acknowledged != before.acknowledged || stream.incarnation != 7 || stream.completeThrough != -1 {
+		t.Error("handled", stream.acknowledged, stream.completeThrough)
+	}
+	drain(stream, entries, 2)
+	stream.handleAck(8, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
+	if stream.incarnation != 8 || stream.inFlightBytes != 0 || len(drain(stream, entries, 2)) == 0 {
 		t.Error("nothing is sent to a restarted receiver")
 	}
 }
 
 func TestNewBaseRestartsTransferAtOnce(t *testing.T) {
 	entries := []Entry{{1, "k", nil}, {2, "l", nil}, {3, "m", nil}}
-	o := newSendStream(Ack{})
-	drain(o, entries, 3)
-	o.handleAck(1, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
-	u, some := o.nextUpdate(entries, 3)
-	if !some || u.Base != 1 || u.After != (Position{LastIndex: 1}) || u.Fragments[0].Index != 2 {
-		t.Error("sent", some, u)
+	stream := newSendStream(Ack{})
+	drain(stream, entries, 3)
+	stream.handleAck(1, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
+	u, ok := stream.nextUpdate(entries, 3)
+	if !ok || u.Base != 1 || u.After != (Position{LastIndex: 1}) || u.Fragments[0].Index != 2 {
+		t.Error("sent", ok, u)
 	}
 }
 
@@ -169,16 +169,16 @@
 
 func TestReceiverRestartInsideEntry(t *testing.T) {
 	entries := []Entry{{1, "large", largeValue(1, 4)}}
-	o := newSendStream(Ack{})
+	stream := newSendStream(Ack{})
 	var in receiveStream
 	for range 2 {
-		u, _ := o.nextUpdate(entries, 1)
+		u, _ := stream.nextUpdate(entries, 1)
 		in.handleUpdate(u)
-		o.handleAck(1, Ack{Received: in.position()}, -1)
+		stream.handleAck(1, Ack{Received: in.position()}, -1)
 	}
 	in = receiveStream{}
-	o.handleAck(2, Ack{Received: in.position()}, -1)
-	for _, u := range drain(o, entries, 1) {
+	stream.handleAck(2, Ack{Received: in.position()}, -1)
+	for _, u := range drain(stream, entries, 1) {
 		in.handleUpdate(u)
 	}
 	if len(in.entries) != 1 || !bytes.Equal(in.entries[0].Value, entries[0].Value) {
@@ -206,11 +206,11 @@
 func TestEntryCompactedDuringTransferIsSentCompletely(t *testing.T) {
 	before := []Entry{{1, "large", largeValue(1, 3)}}
 	after := []Entry{{2, "large", []byte("newer")}}
-	o := newSendStream(Ack{})
+	stream := newSendStream(Ack{})
 	var in receiveStream
-	u, _ := o.nextUpdate(before, 1)
+	u, _ := stream.nextUpdate(before, 1)
 	in.handleUpdate(u)
-	for _, u := range drain(o, after, 2) {
+	for _, u := range drain(stream, after, 2) {
 		if !in.handleUpdate(u) {
 			t.Fatal("rejected")
 		}
@@ -230,21 +230,21 @@
 	} {
 		for _, restarts := range []bool{false, true} {
 			var in receiveStream
-			o := newSendStream(Ack{})
-			for i, u := range drain(o, before, 1) {
+			stream := newSendStream(Ack{})
+			for i, u := range drain(stream, before, 1) {
 				if i < 2 {
 					in.handleUpdate(u)
 				}
 			}
 			if restarts {
-				o = newSendStream(Ack{Received: in.position()})
+				stream = newSendStream(Ack{Received: in.position()})
 			}
 			for range 40 {
-				o.handleAck(1, Ack{Received: in.position()}, -1)
-				for _, u := range drain(o, after, 2) {
+				stream.handleAck(1, Ack{Received: in.position()}, -1)
+				for _, u := range drain(stream, after, 2) {
 					in.handleUpdate(u)
 				}
-				o.resend()
+				stream.resend()
 			}
 			if len(in.entries) != 1 || in.entries[0].Index != 2 || !bytes.Equal(in.entries[0].Value, after[0].Value) {
 				t.Errorf("%s, sender restarts %v: received %d entries, at %v", name, restarts, len(in.entries), in.position())
--- a/internal/tier/chain/transfer.go
+++ b/internal/tier/chain/transfer.go
@@ -30,6 +30,6 @@
 	return transfers
 }
 
-func (o *sendStream) transfer(id string, target int64) Transfer {
-	return Transfer{ID: id, LastIndex: o.acknowledged.LastIndex, Target: target, PartialBytes: o.acknowledged.PartialBytes}
+func (s *sendStream) transfer(id string, target int64) Transfer {
+	return Transfer{ID: id, LastIndex: s.acknowledged.LastIndex, Target: target, PartialBytes: s.acknowledged.PartialBytes}
 }
