--- a/internal/tier/placement/lacking_test.go
+++ b/internal/tier/placement/lacking_test.go
@@ -9,14 +9,14 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-func TestHowManySilentStoresAreLacking(t *testing.T) {
+func TestStoresRequired(t *testing.T) {
 	list := func(names string) (all []turnstore.Store) {
 		for _, id := range strings.Fields(names) {
 			all = append(all, turnstore.Store{ID: id})
 		}
 		return all
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		old, next, silent string
 		losses, want      int
 	}{
@@ -30,18 +30,18 @@
 		{"a b c d e", "", "b c d e", 2, 2},
 		{"a b c", "", "x y z", 1, 0},
 	} {
-		p := &turnstore.Placement{FaultTolerance: c.losses, Old: list(c.old), New: list(c.next)}
+		placement := &turnstore.Placement{FaultTolerance: test.losses, Old: list(test.old), New: list(test.next)}
 		var silent []UnresponsiveStore
-		for _, id := range strings.Fields(c.silent) {
+		for _, id := range strings.Fields(test.silent) {
 			silent = append(silent, UnresponsiveStore{ID: id, Elapsed: time.Minute})
 		}
-		if got := StoresRequired(p, silent); got != c.want {
-			t.Errorf("%+v: %d", c, got)
+		if got := StoresRequired(placement, silent); got != test.want {
+			t.Errorf("%+v: %d", test, got)
 		}
 	}
 }
 
-func TestWhichSilencesAreLong(t *testing.T) {
+func TestFailedStores(t *testing.T) {
 	timings := DefaultTimings(3 * time.Second)
 	h := Observations{Unresponsive: []UnresponsiveStore{{"a", timings.FailureTimeout}, {"b", 2 * time.Second}, {"c", time.Minute}}}
 	if got := h.FailedStores(timings); !slices.Equal(got, []UnresponsiveStore{{"c", time.Minute}, {"b", 2 * time.Second}}) {
--- a/internal/tier/placement/model_test.go
+++ b/internal/tier/placement/model_test.go
@@ -16,33 +16,33 @@
 // ones. It is small, so that thousands of courses are played in seconds.
 
 const (
-	step              = 50 * time.Millisecond
-	registers         = 400 * time.Millisecond // a store, again and again
-	registersUnplaced = 100 * time.Millisecond // while it is not in the placement
-	silentPull        = 700 * time.Millisecond // what a pull from a machine that says nothing takes
-	staysSilent       = 10 * time.Second
-	sweepsAgain       = 100 * time.Millisecond
-	reportsEvery      = 200 * time.Millisecond // the head, to the other core nodes
-	programsDrawn     = 6
-	never             = time.Duration(1 << 62)
+	step                     = 50 * time.Millisecond
+	registerInterval         = 400 * time.Millisecond // a store, again and again
+	unplacedRegisterInterval = 100 * time.Millisecond // while it is not in the placement
+	pullTimeout              = 700 * time.Millisecond // what a pull from a machine that says nothing takes
+	unresponsiveFor          = 10 * time.Second
+	sweepRetryInterval       = 100 * time.Millisecond
+	reportInterval           = 200 * time.Millisecond // the head, to the other core nodes
+	programCount             = 6
+	never                    = time.Duration(1 << 62)
 )
 
 // fault names a defect that is planted into the model; empty for none.
 type fault string
 
 const (
-	jointSkipped    fault = "the joint step is skipped"
-	stableUnswept   fault = "stable before the newcomers have swept"
-	leaverEarly     fault = "a leaver may go while joint"
-	wipedCounts     fault = "a wiped store counts as the copy that it was"
-	missedAny       fault = "a sweep is done however many stores it missed"
-	pulledUnadopted fault = "a store answers a sweep before it has adopted the gen"
-	foundedAtOne    fault = "a placement founded anew begins at gen 1"
-	allUnswept      fault = "any number of silent stores may be unswept"
-	toldLate        fault = "placements are heard late, which may take long, and loses nothing"
-	slowSilent      fault = "a silent store is replaced only after twice contact"
-	orderForgotten  fault = "a store that lost its disk while it was emptied needs a new order"
-	toldAtOnce      fault = "silence that another head has measured counts before this one has listened"
+	jointPhaseSkipped         fault = "the joint step is skipped"
+	changeEndsUnswept         fault = "stable before the newcomers have swept"
+	retiringRemovedWhileJoint fault = "a leaver may go while joint"
+	wipedStoreKeepsIdentity   fault = "a wiped store counts as the copy that it was"
+	sweepMissesAny            fault = "a sweep is done however many stores it missed"
+	pullBeforeAdoption        fault = "a store answers a sweep before it has adopted the gen"
+	initialGenerationOne      fault = "a placement founded anew begins at gen 1"
+	anyUnresponsiveUnswept    fault = "any number of silent stores may be unswept"
+	slowDelivery              fault = "placements are heard late, which may take long, and loses nothing"
+	lateReplacement           fault = "a silent store is replaced only after twice contact"
+	retirementNotExtended     fault = "a store that lost its disk while it was emptied needs a new order"
+	noTakeoverGrace           fault = "silence that another head has measured counts before this one has listened"
 )
 
 // host is a store machine.
@@ -50,25 +50,25 @@
 	name, addr string
 	id         string
 	up, frozen bool
-	gone       bool          // for good
-	ordered    bool          // to be emptied
-	lost       time.Duration // counts as lost until then; never: while it is down
+	removed    bool          // for good
+	retired    bool          // to be emptied
+	lostUntil  time.Duration // counts as lost until then; never: while it is down
 	started    time.Duration
 
-	adopted, swept int64
-	has            uint64 // writes, a bit for each
-	heard          *turnstore.Placement
-	hears          []delivery
-	registered     time.Duration
-	toldSwept      int64
+	adopted, swept  int64
+	writes          uint64 // writes, a bit for each
+	known           *turnstore.Placement
+	deliveries      []delivery
+	registeredAt    time.Duration
+	registeredSweep int64
 
-	pulled  map[string]bool // peers, under sweeping
-	had     map[string]bool // peers that it has pulled from under any gen
-	under   int64           // the phase of a gen
-	peer    string          // that it pulls from until pulls
-	pulls   time.Duration
-	stalled time.Duration            // it tries again then
-	silent  map[string]time.Duration // peers that said nothing, until then
+	pulled            map[string]bool // peers, under sweeping
+	pulledBefore      map[string]bool // peers that it has pulled from under any gen
+	sweepPhase        int64           // the phase of a gen
+	pullFrom          string          // that it pulls from until pulls
+	pullEnds          time.Duration
+	retryAt           time.Duration            // it tries again then
+	unresponsiveUntil map[string]time.Duration // peers that said nothing, until then
 }
 
 type delivery struct {
@@ -81,61 +81,61 @@
 	r  Registration
 }
 
-type written struct {
+type turnWrite struct {
 	program int
 	acked   bool
 }
 
-type model struct {
-	fault   fault
-	rng     *rand.Rand
-	losses  int
-	catchUp time.Duration
-	timings Timings
-	slowest time.Duration // a pull takes at most so long
-	told    time.Duration // a placement is heard within
-	now     time.Duration
-	hosts   []*host
-	writes  []written
-	of      [programsDrawn]uint64 // the writes of each program
-	place   *turnstore.Placement
-	groups  map[placed][]turnstore.ReplicaSet // computed before
-	before  *turnstore.Placement              // what fronts that lag go by
-	beforeT time.Duration                     // until then
-	since   time.Duration
-	gen     int64
-	genAt   time.Duration // it was seen first
-	stores  map[string]StoreStatus
-	handed  Observations           // what this head was told by the one before it
-	reports *rand.Rand             // which reports of the head are lost
-	aims    *rand.Rand             // whether a loss hits a store that is being emptied
-	report  Observations           // the last that the other core nodes have of the head
-	heard   map[string]StoreStatus // what a head that never changes would have heard
-	retired map[string]bool
-	left    Departures // as this head saw it
-	mail    []message
-	made    int
-	ids     map[string]*host // that are there
-	log     []string
-	broken  string
-	begun   time.Duration // the joint phase that is under way
-	worst   time.Duration // joint phase
-	changes int
-	stuck   time.Duration // longest without a majority
-	stuckAt time.Duration // since then, 0: not
-}
-
-func newModel(seed uint64, f fault, stores, losses int, contact, catchUp, slowest time.Duration) *model {
-	m := &model{fault: f, rng: rand.New(rand.NewPCG(seed, 3)), losses: losses, catchUp: catchUp, slowest: slowest, told: 300 * time.Millisecond,
-		timings: DefaultTimings(contact), stores: map[string]StoreStatus{}, retired: map[string]bool{}, ids: map[string]*host{},
-		reports: rand.New(rand.NewPCG(seed, 7)), aims: rand.New(rand.NewPCG(seed, 11)), left: Departures{}, heard: map[string]StoreStatus{}}
-	if f == pulledUnadopted || f == toldLate {
-		m.told = 3 * time.Second
-	}
-	switch f {
-	case slowSilent:
+type simulation struct {
+	fault             fault
+	rng               *rand.Rand
+	faultTolerance    int
+	catchUp           time.Duration
+	timings           Timings
+	maxPull           time.Duration // a pull takes at most so long
+	maxDelivery       time.Duration // a placement is heard within
+	now               time.Duration
+	hosts             []*host
+	writes            []turnWrite
+	programWrites     [programCount]uint64 // the writes of each program
+	current           *turnstore.Placement
+	replicaSetCache   map[replicaSetKey][]turnstore.ReplicaSet // computed before
+	previous          *turnstore.Placement                     // what fronts that lag go by
+	previousUntil     time.Duration                            // until then
+	tookOverAt        time.Duration
+	generation        int64
+	generationSince   time.Duration // it was seen first
+	stores            map[string]StoreStatus
+	inherited         Observations           // what this head was told by the one before it
+	reportRand        *rand.Rand             // which reports of the head are lost
+	targetRand        *rand.Rand             // whether a loss hits a store that is being emptied
+	lastReport        Observations           // the last that the other core nodes have of the head
+	referenceStores   map[string]StoreStatus // what a head that never changes would have heard
+	retired           map[string]bool
+	departures        Departures // as this head saw it
+	inTransit         []message
+	created           int
+	hostsByID         map[string]*host // that are there
+	events            []string
+	violation         string
+	jointSince        time.Duration // the joint phase that is under way
+	longestJoint      time.Duration // joint phase
+	changes           int
+	longestNoMajority time.Duration // longest without a majority
+	noMajoritySince   time.Duration // since then, 0: not
+}
+
+func newSimulation(seed uint64, fault fault, stores, faultTolerance int, contact, catchUp, maxPull time.Duration) *simulation {
+	m := &simulation{fault: fault, rng: rand.New(rand.NewPCG(seed, 3)), faultTolerance: faultTolerance, catchUp: catchUp, maxPull: maxPull, maxDelivery: 300 * time.Millisecond,
+		timings: DefaultTimings(contact), stores: map[string]StoreStatus{}, retired: map[string]bool{}, hostsByID: map[string]*host{},
+		reportRand: rand.New(rand.NewPCG(seed, 7)), targetRand: rand.New(rand.NewPCG(seed, 11)), departures: Departures{}, referenceStores: map[string]StoreStatus{}}
+	if fault == pullBeforeAdoption || fault == slowDelivery {
+		m.maxDelivery = 3 * time.Second
+	}
+	switch fault {
+	case lateReplacement:
 		m.timings.FailureTimeout = m.timings.RemovalTimeout
-	case toldAtOnce:
+	case noTakeoverGrace:
 		m.timings.TakeoverGrace = 0
 	}
 	for range stores {
@@ -144,86 +144,88 @@
 	return m
 }
 
-func (m *model) span(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(m.rng.Int64N(int64(hi-lo)+1))
+func (m *simulation) duration(low, high time.Duration) time.Duration {
+	return low + time.Duration(m.rng.Int64N(int64(high-low)+1))
 }
 
-func (m *model) note(format string, args ...any) {
-	m.log = append(m.log, fmt.Sprintf("%7d  %s", m.now.Milliseconds(), fmt.Sprintf(format, args...)))
+func (m *simulation) logEvent(format string, args ...any) {
+	m.events = append(m.events, fmt.Sprintf("%7d  %s", m.now.Milliseconds(), fmt.Sprintf(format, args...)))
 }
 
-func (m *model) fail(format string, args ...any) {
-	if m.broken == "" {
-		m.broken = fmt.Sprintf(format, args...)
-		m.note("! %s", m.broken)
+func (m *simulation) fail(format string, args ...any) {
+	if m.violation == "" {
+		m.violation = fmt.Sprintf(format, args...)
+		m.logEvent("! %s", m.violation)
 	}
 }
 
-func (m *model) timeline() string { return strings.Join(m.log[max(0, len(m.log)-60):], "\n") }
+func (m *simulation) timeline() string {
+	return strings.Join(m.events[max(0, len(m.events)-60):], "\n")
+}
 
 // add starts a new machine; it counts as lost for a while only where it succeeds another.
-func (m *model) add(name string) *host {
-	m.made++
-	h := &host{name: name, addr: fmt.Sprintf("a%d:1", m.made)}
+func (m *simulation) add(name string) *host {
+	m.created++
+	h := &host{name: name, addr: fmt.Sprintf("a%d:1", m.created)}
 	if name == "" {
-		h.name = fmt.Sprintf("s%d", m.made)
+		h.name = fmt.Sprintf("s%d", m.created)
 	}
 	m.hosts = append(m.hosts, h)
-	m.empty(h)
+	m.wipe(h)
 	m.start(h)
 	return h
 }
 
-func (m *model) empty(h *host) {
-	m.made++
-	if m.fault != wipedCounts || h.id == "" {
-		delete(m.ids, h.id)
-		h.id = fmt.Sprintf("%s.%d", h.name, m.made)
+func (m *simulation) wipe(h *host) {
+	m.created++
+	if m.fault != wipedStoreKeepsIdentity || h.id == "" {
+		delete(m.hostsByID, h.id)
+		h.id = fmt.Sprintf("%s.%d", h.name, m.created)
 	}
-	m.ids[h.id] = h
-	h.has, h.had, h.silent, h.adopted, h.swept = 0, map[string]bool{}, map[string]time.Duration{}, 0, 0
+	m.hostsByID[h.id] = h
+	h.writes, h.pulledBefore, h.unresponsiveUntil, h.adopted, h.swept = 0, map[string]bool{}, map[string]time.Duration{}, 0, 0
 }
 
-func (m *model) start(h *host) {
-	h.up, h.frozen, h.started, h.heard, h.hears, h.toldSwept = true, false, m.now, nil, nil, -1
-	h.pulled, h.under, h.peer = nil, 0, ""
-	m.note("%s up as %s", h.name, h.id)
-	m.tell(h)
+func (m *simulation) start(h *host) {
+	h.up, h.frozen, h.started, h.known, h.deliveries, h.registeredSweep = true, false, m.now, nil, nil, -1
+	h.pulled, h.sweepPhase, h.pullFrom = nil, 0, ""
+	m.logEvent("%s up as %s", h.name, h.id)
+	m.deliverPlacement(h)
 }
 
 // stop ends a process; a registration may be under way for long.
-func (m *model) stop(h *host) {
+func (m *simulation) stop(h *host) {
 	if h.up && m.rng.IntN(4) == 0 {
-		m.mail = append(m.mail, message{m.now + m.span(step, 8*time.Second), m.registration(h)})
+		m.inTransit = append(m.inTransit, message{m.now + m.duration(step, 8*time.Second), m.registration(h)})
 	}
 	h.up, h.frozen = false, false
 }
 
-// take takes a machine away for good, with its disk.
-func (m *model) take(h *host) {
+// remove takes a machine away for good, with its disk.
+func (m *simulation) remove(h *host) {
 	m.stop(h)
-	h.gone = true
-	delete(m.ids, h.id)
+	h.removed = true
+	delete(m.hostsByID, h.id)
 }
 
-func (m *model) tell(h *host) {
-	if m.place != nil {
-		h.hears = append(h.hears, delivery{m.now + m.span(20*time.Millisecond, m.told), m.place})
+func (m *simulation) deliverPlacement(h *host) {
+	if m.current != nil {
+		h.deliveries = append(h.deliveries, delivery{m.now + m.duration(20*time.Millisecond, m.maxDelivery), m.current})
 	}
 }
 
-func (m *model) registration(h *host) Registration {
+func (m *simulation) registration(h *host) Registration {
 	return Registration{Store: turnstore.Store{ID: h.id, Name: h.name, Addr: h.addr, Zone: "z"}, Generation: max(h.adopted, h.swept), SweptGeneration: h.swept}
 }
 
-func (h *host) lives() bool { return h.up && !h.frozen }
+func (h *host) isUp() bool { return h.up && !h.frozen }
 
-func (m *model) by(id string) *host { return m.ids[id] }
+func (m *simulation) host(id string) *host { return m.hostsByID[id] }
 
-// lostNow counts the machines that are lost.
-func (m *model) lostNow() (n int) {
+// countLost counts the machines that are lost.
+func (m *simulation) countLost() (n int) {
 	for _, h := range m.hosts {
-		if h.lost > m.now {
+		if h.lostUntil > m.now {
 			n++
 		}
 	}
@@ -231,113 +233,113 @@
 }
 
 // run plays until a time.
-func (m *model) run(until time.Duration, each func()) {
-	for ; m.now < until && m.broken == ""; m.now += step {
-		if each != nil {
-			each()
+func (m *simulation) run(until time.Duration, inject func()) {
+	for ; m.now < until && m.violation == ""; m.now += step {
+		if inject != nil {
+			inject()
 		}
 		for _, h := range m.hosts {
-			m.act(h)
+			m.stepHost(h)
 		}
-		m.duty()
+		m.stepHead()
 		m.write()
 		m.check()
 	}
 }
 
-// act is a step of one store.
-func (m *model) act(h *host) {
-	if !h.lives() {
+// stepHost is a step of one store.
+func (m *simulation) stepHost(store *host) {
+	if !store.isUp() {
 		return
 	}
-	for len(h.hears) > 0 && h.hears[0].at <= m.now {
-		p := h.hears[0].p
-		h.hears = h.hears[1:]
-		if h.heard == nil || p.Generation > h.heard.Generation || p.Generation == h.heard.Generation && len(p.New) == 0 {
-			h.heard, h.adopted = p, max(h.adopted, p.Generation)
+	for len(store.deliveries) > 0 && store.deliveries[0].at <= m.now {
+		p := store.deliveries[0].p
+		store.deliveries = store.deliveries[1:]
+		if store.known == nil || p.Generation > store.known.Generation || p.Generation == store.known.Generation && len(p.New) == 0 {
+			store.known, store.adopted = p, max(store.adopted, p.Generation)
 		}
 	}
-	every := registers
-	if h.heard == nil || !in(h.heard.Stores(), h.id) {
-		every = registersUnplaced
+	every := registerInterval
+	if store.known == nil || !containsStore(store.known.Stores(), store.id) {
+		every = unplacedRegisterInterval
 	}
-	if m.now-h.registered >= every || h.swept != h.toldSwept {
-		h.registered, h.toldSwept = m.now, h.swept
-		m.mail = append(m.mail, message{m.now + m.span(5*time.Millisecond, 150*time.Millisecond), m.registration(h)})
+	if m.now-store.registeredAt >= every || store.swept != store.registeredSweep {
+		store.registeredAt, store.registeredSweep = m.now, store.swept
+		m.inTransit = append(m.inTransit, message{m.now + m.duration(5*time.Millisecond, 150*time.Millisecond), m.registration(store)})
 	}
-	m.sweep(h)
+	m.sweep(store)
 }
 
-func in(list []turnstore.Store, id string) bool {
+func containsStore(list []turnstore.Store, id string) bool {
 	return slices.ContainsFunc(list, func(s turnstore.Store) bool { return s.ID == id })
 }
 
 // sweep is as turnstore's: peer after peer; what was pulled under a gen is not pulled again.
-func (m *model) sweep(h *host) {
-	p := h.heard
-	if p == nil || h.swept >= p.Generation || p.Generation == 1 || !in(p.New, h.id) && (len(p.New) > 0 || !in(p.Old, h.id)) {
-		h.peer = ""
+func (m *simulation) sweep(store *host) {
+	placement := store.known
+	if placement == nil || store.swept >= placement.Generation || placement.Generation == 1 || !containsStore(placement.New, store.id) && (len(placement.New) > 0 || !containsStore(placement.Old, store.id)) {
+		store.pullFrom = ""
 		return
 	}
-	if phase := 2*p.Generation + int64(min(1, len(p.New))); h.under != phase {
-		h.under, h.pulled, h.peer, h.stalled = phase, map[string]bool{}, "", 0
+	if phase := 2*placement.Generation + int64(min(1, len(placement.New))); store.sweepPhase != phase {
+		store.sweepPhase, store.pulled, store.pullFrom, store.retryAt = phase, map[string]bool{}, "", 0
 	}
-	if h.peer != "" {
-		if m.now < h.pulls {
+	if store.pullFrom != "" {
+		if m.now < store.pullEnds {
 			return
 		}
-		if m.pull(h, p, h.peer) {
-			h.pulled[h.peer] = true
+		if m.pull(store, placement, store.pullFrom) {
+			store.pulled[store.pullFrom] = true
 		} else {
-			h.pulled[h.peer] = false
-			h.silent[h.peer] = m.now + staysSilent
+			store.pulled[store.pullFrom] = false
+			store.unresponsiveUntil[store.pullFrom] = m.now + unresponsiveFor
 		}
-		h.peer = ""
+		store.pullFrom = ""
 	}
-	if m.now < h.stalled {
+	if m.now < store.retryAt {
 		return
 	}
-	if peer := m.nextPeer(h, p); peer != "" {
-		took := m.span(10*time.Millisecond, m.slowest)
-		if h.had[peer] { // most of it is here
+	if peer := m.nextPeer(store, placement); peer != "" {
+		took := m.duration(10*time.Millisecond, m.maxPull)
+		if store.pulledBefore[peer] { // most of it is here
 			took = min(took, 30*time.Millisecond)
 		}
-		switch at := m.by(peer); {
-		case at != nil && !at.lives(), at == nil && m.rng.IntN(2) == 0:
-			took = silentPull
-		case at == nil:
+		switch peerHost := m.host(peer); {
+		case peerHost != nil && !peerHost.isUp(), peerHost == nil && m.rng.IntN(2) == 0:
+			took = pullTimeout
+		case peerHost == nil:
 			took = 0 // refused
 		}
-		h.peer, h.pulls = peer, m.now+took
+		store.pullFrom, store.pullEnds = peer, m.now+took
 		return
 	}
 	missed := 0
-	for _, peer := range p.Old {
-		if peer.ID != h.id && !h.pulled[peer.ID] {
+	for _, peer := range placement.Old {
+		if peer.ID != store.id && !store.pulled[peer.ID] {
 			missed++
-			delete(h.pulled, peer.ID)
+			delete(store.pulled, peer.ID)
 		}
 	}
-	if missed > m.losses && m.fault != missedAny {
-		h.stalled = m.now + sweepsAgain
+	if missed > m.faultTolerance && m.fault != sweepMissesAny {
+		store.retryAt = m.now + sweepRetryInterval
 		return
 	}
-	h.swept = p.Generation
-	m.note("%s has swept gen %d, missed %d", h.id, p.Generation, missed)
+	store.swept = placement.Generation
+	m.logEvent("%s has swept gen %d, missed %d", store.id, placement.Generation, missed)
 }
 
 // nextPeer gives the one to pull from: those that said nothing a moment ago come last, and not at all where they are
 // not needed.
-func (m *model) nextPeer(h *host, p *turnstore.Placement) string {
-	left := 0
-	for _, peer := range p.Old {
-		if peer.ID != h.id && !h.pulled[peer.ID] {
-			left++
+func (m *simulation) nextPeer(store *host, placement *turnstore.Placement) string {
+	remaining := 0
+	for _, peer := range placement.Old {
+		if peer.ID != store.id && !store.pulled[peer.ID] {
+			remaining++
 		}
 	}
 	for _, silent := range []bool{false, true} {
-		for _, peer := range p.Old {
-			if _, tried := h.pulled[peer.ID]; peer.ID != h.id && !tried && (h.silent[peer.ID] > m.now) == silent && (!silent || left > m.losses) {
+		for _, peer := range placement.Old {
+			if _, tried := store.pulled[peer.ID]; peer.ID != store.id && !tried && (store.unresponsiveUntil[peer.ID] > m.now) == silent && (!silent || remaining > m.faultTolerance) {
 				return peer.ID
 			}
 		}
@@ -345,113 +347,113 @@
 	return ""
 }
 
-func (m *model) pull(h *host, p *turnstore.Placement, from string) bool {
-	at := m.by(from)
-	if at == nil || !at.lives() || at.adopted < p.Generation && m.fault != pulledUnadopted {
+func (m *simulation) pull(store *host, placement *turnstore.Placement, from string) bool {
+	peer := m.host(from)
+	if peer == nil || !peer.isUp() || peer.adopted < placement.Generation && m.fault != pullBeforeAdoption {
 		return false
 	}
-	h.had[from] = true
-	for program := range programsDrawn {
-		for _, g := range m.copiesBy(p, program) {
-			if in(g, h.id) {
-				h.has |= at.has & m.of[program]
+	store.pulledBefore[from] = true
+	for program := range programCount {
+		for _, replicas := range m.replicaSetsUnder(placement, program) {
+			if containsStore(replicas, store.id) {
+				store.writes |= peer.writes & m.programWrites[program]
 			}
 		}
 	}
 	return true
 }
 
-func key(program int) string { return fmt.Sprint("program-", program) }
+func programKey(program int) string { return fmt.Sprint("program-", program) }
 
-// duty hears registrations and plans.
-func (m *model) duty() {
-	sort.SliceStable(m.mail, func(i, j int) bool { return m.mail[i].at < m.mail[j].at })
-	for len(m.mail) > 0 && m.mail[0].at <= m.now {
-		Register(m.stores, m.mail[0].r, m.now, m.timings)
-		Register(m.heard, m.mail[0].r, m.now, m.timings)
-		m.mail = m.mail[1:]
+// stepHead hears registrations and plans.
+func (m *simulation) stepHead() {
+	sort.SliceStable(m.inTransit, func(i, j int) bool { return m.inTransit[i].at < m.inTransit[j].at })
+	for len(m.inTransit) > 0 && m.inTransit[0].at <= m.now {
+		Register(m.stores, m.inTransit[0].r, m.now, m.timings)
+		Register(m.referenceStores, m.inTransit[0].r, m.now, m.timings)
+		m.inTransit = m.inTransit[1:]
 	}
 	if m.now%(100*time.Millisecond) != 0 {
 		return
 	}
-	if m.place != nil && m.place.Generation != m.gen {
-		m.gen, m.genAt = m.place.Generation, m.now
+	if m.current != nil && m.current.Generation != m.generation {
+		m.generation, m.generationSince = m.current.Generation, m.now
 	}
-	s := Input{Now: m.now, TookOverAt: m.since, Inherited: m.handed, GenerationSince: m.handed.GenerationSince(m.gen, max(m.since, m.genAt)), FaultTolerance: m.losses,
-		Current: m.place, Stores: m.stores, Retired: m.retired, Departures: m.left}
-	m.checkSilence(&s)
-	if m.now%reportsEvery == 0 && m.reports.IntN(4) > 0 {
-		m.report = s.Observe(m.timings)
+	in := Input{Now: m.now, TookOverAt: m.tookOverAt, Inherited: m.inherited, GenerationSince: m.inherited.GenerationSince(m.generation, max(m.tookOverAt, m.generationSince)), FaultTolerance: m.faultTolerance,
+		Current: m.current, Stores: m.stores, Retired: m.retired, Departures: m.departures}
+	m.checkNotCountedFailed(&in)
+	if m.now%reportInterval == 0 && m.reportRand.IntN(4) > 0 {
+		m.lastReport = in.Observe(m.timings)
 	}
-	if m.fault != orderForgotten {
-		for _, one := range LostWhileRetiring(s) {
-			m.retired[one.ID] = true
-			m.note("%s is to be emptied as well", one.ID)
+	if m.fault != retirementNotExtended {
+		for _, store := range LostWhileRetiring(in) {
+			m.retired[store.ID] = true
+			m.logEvent("%s is to be emptied as well", store.ID)
 		}
 	}
-	next := m.plan(s)
+	next := m.plan(in)
 	if next == nil {
 		return
 	}
-	if m.fault == jointSkipped && len(next.New) > 0 {
+	if m.fault == jointPhaseSkipped && len(next.New) > 0 {
 		next.Old, next.New = next.New, nil
 	}
 	switch {
-	case m.place == nil:
-	case len(next.New) > 0 && len(m.place.New) == 0:
-		m.begun = m.now
+	case m.current == nil:
+	case len(next.New) > 0 && len(m.current.New) == 0:
+		m.jointSince = m.now
 		m.changes++
 	case len(next.New) == 0:
-		m.worst = max(m.worst, m.now-m.begun)
-	}
-	m.before, m.beforeT = m.place, m.now+m.span(0, m.told+200*time.Millisecond)
-	m.left.Record(m.place, next, m.retired, m.now)
-	m.place = next
-	m.note("gen %d %s > %s", next.Generation, names(next.Old), names(next.New))
-	for _, h := range m.hosts {
-		if h.up {
-			m.tell(h)
+		m.longestJoint = max(m.longestJoint, m.now-m.jointSince)
+	}
+	m.previous, m.previousUntil = m.current, m.now+m.duration(0, m.maxDelivery+200*time.Millisecond)
+	m.departures.Record(m.current, next, m.retired, m.now)
+	m.current = next
+	m.logEvent("gen %d %s > %s", next.Generation, storeIDs(next.Old), storeIDs(next.New))
+	for _, store := range m.hosts {
+		if store.up {
+			m.deliverPlacement(store)
 		}
 	}
 }
 
-// anotherHead takes the duty over, with the last report of the one before it that has come.
-func (m *model) anotherHead() {
-	m.stores, m.since, m.handed, m.left = map[string]StoreStatus{}, m.now, m.report, Departures{}
-	m.note("another head")
+// changeHead takes the duty over, with the last report of the one before it that has come.
+func (m *simulation) changeHead() {
+	m.stores, m.tookOverAt, m.inherited, m.departures = map[string]StoreStatus{}, m.now, m.lastReport, Departures{}
+	m.logEvent("another head")
 }
 
-// checkSilence: no store is counted silent that a head which never changes would just have heard.
-func (m *model) checkSilence(s *Input) {
-	if s.Current == nil {
+// checkNotCountedFailed: no store is counted silent that a head which never changes would just have heard.
+func (m *simulation) checkNotCountedFailed(in *Input) {
+	if in.Current == nil {
 		return
 	}
-	for _, one := range s.Current.Stores() {
-		r, known := m.heard[one.ID]
-		if known && r.ConfirmedAt > 0 && m.now-r.ConfirmedAt <= m.timings.SuspectTimeout && s.silence(one.ID, m.timings) > m.timings.FailureTimeout {
-			m.fail("SILENT: %s, heard %v ago, is counted as silent", one.ID, m.now-r.ConfirmedAt)
+	for _, store := range in.Current.Stores() {
+		status, known := m.referenceStores[store.ID]
+		if known && status.ConfirmedAt > 0 && m.now-status.ConfirmedAt <= m.timings.SuspectTimeout && in.elapsed(store.ID, m.timings) > m.timings.FailureTimeout {
+			m.fail("SILENT: %s, heard %v ago, is counted as silent", store.ID, m.now-status.ConfirmedAt)
 		}
 	}
 }
 
-func (m *model) plan(s Input) *turnstore.Placement {
-	if m.fault == stableUnswept || m.fault == allUnswept {
-		s.Stores = map[string]StoreStatus{}
-		for id, r := range m.stores {
-			if s.Current != nil && (m.fault == stableUnswept || s.Now-r.ConfirmedAt > m.timings.FailureTimeout/4) {
-				r.SweptGeneration = s.Current.Generation
+func (m *simulation) plan(in Input) *turnstore.Placement {
+	if m.fault == changeEndsUnswept || m.fault == anyUnresponsiveUnswept {
+		in.Stores = map[string]StoreStatus{}
+		for id, status := range m.stores {
+			if in.Current != nil && (m.fault == changeEndsUnswept || in.Now-status.ConfirmedAt > m.timings.FailureTimeout/4) {
+				status.SweptGeneration = in.Current.Generation
 			}
-			s.Stores[id] = r
+			in.Stores[id] = status
 		}
 	}
-	next := Plan(s, m.timings)
-	if next != nil && m.place == nil && m.fault == foundedAtOne {
+	next := Plan(in, m.timings)
+	if next != nil && m.current == nil && m.fault == initialGenerationOne {
 		next.Generation = 1
 	}
 	return next
 }
 
-func names(list []turnstore.Store) string {
+func storeIDs(list []turnstore.Store) string {
 	var out []string
 	for _, s := range list {
 		out = append(out, s.ID)
@@ -459,159 +461,161 @@
 	return strings.Join(out, ",")
 }
 
-// copies of a program by the lists in force.
-func (m *model) copies(program int) []turnstore.ReplicaSet { return m.copiesBy(m.place, program) }
+// replicaSets of a program by the lists in force.
+func (m *simulation) replicaSets(program int) []turnstore.ReplicaSet {
+	return m.replicaSetsUnder(m.current, program)
+}
 
-func (m *model) copiesBy(p *turnstore.Placement, program int) []turnstore.ReplicaSet {
-	if m.groups == nil || len(m.groups) > 1000 {
-		m.groups = map[placed][]turnstore.ReplicaSet{}
+func (m *simulation) replicaSetsUnder(p *turnstore.Placement, program int) []turnstore.ReplicaSet {
+	if m.replicaSetCache == nil || len(m.replicaSetCache) > 1000 {
+		m.replicaSetCache = map[replicaSetKey][]turnstore.ReplicaSet{}
 	}
-	k := placed{p, program}
-	if m.groups[k] == nil {
-		m.groups[k] = p.ReplicaSets(key(program))
+	k := replicaSetKey{p, program}
+	if m.replicaSetCache[k] == nil {
+		m.replicaSetCache[k] = p.ReplicaSets(programKey(program))
 	}
-	return m.groups[k]
+	return m.replicaSetCache[k]
 }
 
-type placed struct {
+type replicaSetKey struct {
 	p       *turnstore.Placement
 	program int
 }
 
 // write has a front keep a turn under the placement that it goes by; some copies do not get it.
-func (m *model) write() {
-	p := m.place
-	if m.now < m.beforeT && m.rng.IntN(2) == 0 {
-		p = m.before
+func (m *simulation) write() {
+	known := m.current
+	if m.now < m.previousUntil && m.rng.IntN(2) == 0 {
+		known = m.previous
 	}
-	often := 25
-	if m.now < m.beforeT+500*time.Millisecond { // around a change of the placement
-		often = 2
+	oneIn := 25
+	if m.now < m.previousUntil+500*time.Millisecond { // around a change of the placement
+		oneIn = 2
 	}
-	if p == nil || len(m.writes) >= 60 || m.rng.IntN(often) > 0 {
+	if known == nil || len(m.writes) >= 60 || m.rng.IntN(oneIn) > 0 {
 		return
 	}
-	w := len(m.writes)
-	m.writes = append(m.writes, written{program: m.rng.IntN(programsDrawn)})
-	m.of[m.writes[w].program] |= 1 << w
-	groups := m.copiesBy(p, m.writes[w].program)
-	took := map[string]bool{}
+	number := len(m.writes)
+	m.writes = append(m.writes, turnWrite{program: m.rng.IntN(programCount)})
+	m.programWrites[m.writes[number].program] |= 1 << number
+	groups := m.replicaSetsUnder(known, m.writes[number].program)
+	accepted := map[string]bool{}
 	skip := m.rng.IntN(2) == 0
 	acked := true
-	for _, g := range groups {
-		yes := 0
-		for _, s := range g {
-			if _, asked := took[s.ID]; !asked {
-				h := m.by(s.ID)
-				takes := h != nil && h.lives() && h.adopted <= p.Generation && (!skip || m.rng.IntN(3) > 0)
-				if took[s.ID] = takes; takes {
-					h.has |= 1 << w
+	for _, replicas := range groups {
+		acks := 0
+		for _, store := range replicas {
+			if _, asked := accepted[store.ID]; !asked {
+				host := m.host(store.ID)
+				accepts := host != nil && host.isUp() && host.adopted <= known.Generation && (!skip || m.rng.IntN(3) > 0)
+				if accepted[store.ID] = accepts; accepts {
+					host.writes |= 1 << number
 				}
 			}
-			if took[s.ID] {
-				yes++
+			if accepted[store.ID] {
+				acks++
 			}
 		}
-		acked = acked && len(g) > 0 && yes >= max(g.Majority(), min(p.DurableReplicas, len(g)))
+		acked = acked && len(replicas) > 0 && acks >= max(replicas.Majority(), min(known.DurableReplicas, len(replicas)))
 	}
-	m.writes[w].acked = acked
+	m.writes[number].acked = acked
 }
 
-// valid is as turnstore's: the store may say what there is not.
-func (h *host) valid() bool {
-	return h.heard != nil && (in(h.heard.Old, h.id) || h.swept == h.heard.Generation)
+// canDeny is as turnstore's: the store may say what there is not.
+func (h *host) canDeny() bool {
+	return h.known != nil && (containsStore(h.known.Old, h.id) || h.swept == h.known.Generation)
 }
 
 // check holds the state against the invariant of docs/design/015.
-func (m *model) check() {
-	if m.place == nil || m.lostNow() > m.losses {
-		m.stuckAt = 0
+func (m *simulation) check() {
+	if m.current == nil || m.countLost() > m.faultTolerance {
+		m.noMajoritySince = 0
 		return
 	}
-	m.checkMajority()
-	lists := [][]answerer{m.answerers(m.place.Old), m.answerers(m.place.New)}
-	for w, one := range m.writes {
-		if one.acked {
-			m.checkWrite(w, one, lists)
+	m.checkMajorities()
+	lists := [][]responder{m.responders(m.current.Old), m.responders(m.current.New)}
+	for number, write := range m.writes {
+		if write.acked {
+			m.checkWrite(number, write, lists)
 		}
 	}
 }
 
-// answerer is a store of a list as it may answer now.
-type answerer struct {
+// responder is a store of a list as it may answer now.
+type responder struct {
 	live, valid bool
 	has         uint64
 }
 
-func (m *model) answerers(list []turnstore.Store) (out []answerer) {
-	for _, s := range list {
-		if h := m.by(s.ID); h != nil {
-			out = append(out, answerer{h.lives(), h.valid(), h.has})
+func (m *simulation) responders(list []turnstore.Store) (out []responder) {
+	for _, store := range list {
+		if host := m.host(store.ID); host != nil {
+			out = append(out, responder{host.isUp(), host.canDeny(), host.writes})
 		} else {
-			out = append(out, answerer{})
+			out = append(out, responder{})
 		}
 	}
 	return out
 }
 
-// checkMajority: each program has a live majority of copies by each list in force.
-func (m *model) checkMajority() {
-	for p := range programsDrawn {
-		for _, g := range m.copies(p) {
-			live := 0
-			for _, s := range g {
-				if h := m.by(s.ID); h != nil && h.lives() && h.adopted <= m.place.Generation {
-					live++
+// checkMajorities: each program has a live majority of copies by each list in force.
+func (m *simulation) checkMajorities() {
+	for program := range programCount {
+		for _, replicas := range m.replicaSets(program) {
+			running := 0
+			for _, store := range replicas {
+				if host := m.host(store.ID); host != nil && host.isUp() && host.adopted <= m.current.Generation {
+					running++
 				}
 			}
-			if live < g.Majority() {
-				if m.stuckAt == 0 {
-					m.stuckAt = m.now
+			if running < replicas.Majority() {
+				if m.noMajoritySince == 0 {
+					m.noMajoritySince = m.now
 				}
-				if m.stuck = max(m.stuck, m.now-m.stuckAt); m.stuck > mostStuck {
-					m.fail("STUCK for %v: program %d has %d live copies of %s", m.stuck, p, live, names(g))
+				if m.longestNoMajority = max(m.longestNoMajority, m.now-m.noMajoritySince); m.longestNoMajority > maxNoMajority {
+					m.fail("STUCK for %v: program %d has %d live copies of %s", m.longestNoMajority, program, running, storeIDs(replicas))
 				}
 				return
 			}
 		}
 	}
-	m.stuckAt = 0
+	m.noMajoritySince = 0
 }
 
-// mostStuck bounds how long a program may be without a majority; the invariant says not at all.
-const mostStuck = 0
+// maxNoMajority bounds how long a program may be without a majority; the invariant says not at all.
+const maxNoMajority = 0
 
 // checkWrite: a live store has it, too few can deny it, and no majority misses it.
-func (m *model) checkWrite(w int, one written, lists [][]answerer) {
-	live, denied := false, true
+func (m *simulation) checkWrite(number int, write turnWrite, lists [][]responder) {
+	running, denied := false, true
 	for _, list := range lists {
-		no := 0
-		for _, a := range list {
-			has := a.has>>w&1 == 1
-			live = live || a.live && has
-			if a.live && a.valid && !has {
-				no++
+		denials := 0
+		for _, store := range list {
+			hasWrite := store.has>>number&1 == 1
+			running = running || store.live && hasWrite
+			if store.live && store.valid && !hasWrite {
+				denials++
 			}
 		}
-		denied = denied && (len(list) == 0 || no >= max(1, len(list)-m.losses))
+		denied = denied && (len(list) == 0 || denials >= max(1, len(list)-m.faultTolerance))
 	}
-	if !live {
-		m.fail("LOST: no live store has write %d of program %d", w, one.program)
+	if !running {
+		m.fail("LOST: no live store has write %d of program %d", number, write.program)
 	}
 	if denied {
-		m.fail("LOST: write %d of program %d may be answered 404", w, one.program)
+		m.fail("LOST: write %d of program %d may be answered 404", number, write.program)
 	}
-	missed := true
-	for _, g := range m.copies(one.program) {
+	lacked := true
+	for _, replicas := range m.replicaSets(write.program) {
 		lacking := 0
-		for _, s := range g {
-			if h := m.by(s.ID); h != nil && h.has>>w&1 == 0 {
+		for _, s := range replicas {
+			if h := m.host(s.ID); h != nil && h.writes>>number&1 == 0 {
 				lacking++
 			}
 		}
-		missed = missed && lacking >= g.Majority()
+		lacked = lacked && lacking >= replicas.Majority()
 	}
-	if missed {
-		m.fail("BUDGET: a majority of copies misses write %d of program %d", w, one.program)
+	if lacked {
+		m.fail("BUDGET: a majority of copies misses write %d of program %d", number, write.program)
 	}
 }
--- a/internal/tier/placement/plan.go
+++ b/internal/tier/placement/plan.go
@@ -21,15 +21,15 @@
 	TakeoverGrace   time.Duration // for a new holder of the duty, before silence that it was told counts
 }
 
-// listen is longer than a store that runs takes to register with a new head. One that followed the head before asks another
+// takeoverGrace is longer than a store that runs takes to register with a new head. One that followed the head before asks another
 // node 0.95 s after that one was lost, some 0.2 s after the new head came; a call that it began before then ends within 0.8 s,
 // and the next one takes up to 0.15 s. One that followed another node is heard within 0.65 s.
-const listen = 1200 * time.Millisecond
+const takeoverGrace = 1200 * time.Millisecond
 
 // DefaultTimings, from the time for which a machine that is in trouble may stay away.
 func DefaultTimings(contact time.Duration) Timings {
 	return Timings{InitialWait: 700 * time.Millisecond, ExtendedWait: 4 * time.Second, ConfirmInterval: 80 * time.Millisecond,
-		SuspectTimeout: 600 * time.Millisecond, FailureTimeout: contact / 2, RemovalTimeout: 2 * contact, TakeoverGrace: listen}
+		SuspectTimeout: 600 * time.Millisecond, FailureTimeout: contact / 2, RemovalTimeout: 2 * contact, TakeoverGrace: takeoverGrace}
 }
 
 // Input is what the holder of the duty knows.
@@ -46,201 +46,203 @@
 }
 
 // Plan gives the placement that should replace the present one, nil for none.
-func Plan(s Input, t Timings) *turnstore.Placement {
-	copies := 2*s.FaultTolerance + 1
-	if s.Current == nil {
-		return found(s, t, copies)
+func Plan(in Input, t Timings) *turnstore.Placement {
+	replicas := 2*in.FaultTolerance + 1
+	if in.Current == nil {
+		return initialPlacement(in, t, replicas)
 	}
-	target := s.Current.Old
-	if s.joint() {
-		target = s.Current.New
+	target := in.Current.Old
+	if in.isJoint() {
+		target = in.Current.New
 	}
-	want := s.wanted(target, t, copies)
-	next := *s.Current
+	desired := in.desiredStores(target, t, replicas)
+	next := *in.Current
 	next.SweptIDs = nil
-	switch newest := s.newestGen(); {
-	case newest > s.Current.Generation:
-		next.Generation, next.New = newest+1, want
+	switch newest := in.highestGeneration(); {
+	case newest > in.Current.Generation:
+		next.Generation, next.New = newest+1, desired
 		return &next
-	case s.joint() && s.swept(target, t):
+	case in.isJoint() && in.changeCanEnd(target, t):
 		next.Old, next.New = target, nil
 		return &next
-	case s.joint() && !s.blocked(target, t):
+	case in.isJoint() && !in.changeIsBlocked(target, t):
 		return nil // one change after the other: what this one takes off must not stay in force longer for the next
-	case !slices.Equal(want, target):
-		next.Generation, next.New = next.Generation+1, want
+	case !slices.Equal(desired, target):
+		next.Generation, next.New = next.Generation+1, desired
 		return &next
 	}
 	return nil
 }
 
-// newestGen is the highest gen that any store has adopted, as far as is known. Where the core was founded anew it is
+// highestGeneration is the highest gen that any store has adopted, as far as is known. Where the core was founded anew it is
 // above the placement's, and stores refuse what comes under an older gen.
-func (s *Input) newestGen() (gen int64) {
-	for _, r := range s.Stores {
-		gen = max(gen, r.Generation, r.SweptGeneration)
+func (in *Input) highestGeneration() (generation int64) {
+	for _, status := range in.Stores {
+		generation = max(generation, status.Generation, status.SweptGeneration)
 	}
-	return gen
+	return generation
 }
 
-func found(s Input, t Timings, copies int) *turnstore.Placement {
-	var all []turnstore.Store
-	first := s.Now
-	for _, r := range s.Stores {
-		first = min(first, r.FirstSeen)
-		if !s.Retired[r.Store.ID] && r.ConfirmedAt > 0 && !s.superseded(r) && s.Now-r.ConfirmedAt <= t.FailureTimeout {
-			all = append(all, r.Store)
+func initialPlacement(in Input, t Timings, replicas int) *turnstore.Placement {
+	var stores []turnstore.Store
+	firstSeen := in.Now
+	for _, status := range in.Stores {
+		firstSeen = min(firstSeen, status.FirstSeen)
+		if !in.Retired[status.Store.ID] && status.ConfirmedAt > 0 && !in.isSuperseded(status) && in.Now-status.ConfirmedAt <= t.FailureTimeout {
+			stores = append(stores, status.Store)
 		}
 	}
-	waited, newest := s.Now-first, s.newestGen()
-	patient := len(all) < copies || newest > 0
-	if waited < t.InitialWait || patient && waited < t.ExtendedWait || len(all) <= s.FaultTolerance {
+	elapsed, highest := in.Now-firstSeen, in.highestGeneration()
+	extended := len(stores) < replicas || highest > 0
+	if elapsed < t.InitialWait || extended && elapsed < t.ExtendedWait || len(stores) <= in.FaultTolerance {
 		return nil
 	}
-	slices.SortFunc(all, func(a, b turnstore.Store) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
-	return &turnstore.Placement{Generation: newest + 1, ReplicationFactor: copies, DurableReplicas: s.FaultTolerance + 1, FaultTolerance: s.FaultTolerance, Old: all}
+	slices.SortFunc(stores, func(a, b turnstore.Store) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
+	return &turnstore.Placement{Generation: highest + 1, ReplicationFactor: replicas, DurableReplicas: in.FaultTolerance + 1, FaultTolerance: in.FaultTolerance, Old: stores}
 }
 
-// unclear tells whether a store may be gone or not: it is late with its registration, or this holder of the duty has
+// isSuspect tells whether a store may be gone or not: it is late with its registration, or this holder of the duty has
 // not heard it yet; soon it is heard, or it is silent for long enough and its successor has come. Meanwhile nothing
 // that can wait begins. One at whose address another has come is gone.
-func (s *Input) unclear(one turnstore.Store, t Timings) bool {
-	r, known := s.Stores[one.ID]
+func (in *Input) isSuspect(store turnstore.Store, t Timings) bool {
+	status, known := in.Stores[store.ID]
 	if !known {
-		r.Store = one
+		status.Store = store
 	}
-	silence := s.silence(one.ID, t)
-	return silence <= 2*t.FailureTimeout && (r.ConfirmedAt == 0 || silence > t.SuspectTimeout) && !s.superseded(r)
+	elapsed := in.elapsed(store.ID, t)
+	return elapsed <= 2*t.FailureTimeout && (status.ConfirmedAt == 0 || elapsed > t.SuspectTimeout) && !in.isSuperseded(status)
 }
 
-// superseded tells whether another store has been heard at the same address since: the one before it is gone, however
+// isSuperseded tells whether another store has been heard at the same address since: the one before it is gone, however
 // lately it was heard.
-func (s *Input) superseded(r StoreStatus) bool {
-	for _, o := range s.Stores {
-		if o.Store.Addr == r.Store.Addr && o.Store.ID != r.Store.ID && o.ConfirmedAt > r.ConfirmedAt {
+func (in *Input) isSuperseded(status StoreStatus) bool {
+	for _, other := range in.Stores {
+		if other.Store.Addr == status.Store.Addr && other.Store.ID != status.Store.ID && other.ConfirmedAt > status.ConfirmedAt {
 			return true
 		}
 	}
 	return false
 }
 
-// swept tells whether enough stores of a list have swept under the present gen for the change to end. Those that are
-// silent or take long are not waited for, as long as those that have swept hold losses + 1 copies of each program:
+// changeCanEnd tells whether enough stores of a list have changeCanEnd under the present gen for the change to end. Those that are
+// silent or take long are not waited for, as long as those that have changeCanEnd hold losses + 1 copies of each program:
 // another loss must not find a change half done because of one store. They sweep later.
-func (s *Input) swept(target []turnstore.Store, t Timings) bool {
-	missing, waited := 0, s.Now-s.GenerationSince > t.FailureTimeout
-	for _, one := range target {
-		if s.Stores[one.ID].SweptGeneration >= s.Current.Generation {
+func (in *Input) changeCanEnd(target []turnstore.Store, t Timings) bool {
+	unswept, timedOut := 0, in.Now-in.GenerationSince > t.FailureTimeout
+	for _, store := range target {
+		if in.Stores[store.ID].SweptGeneration >= in.Current.Generation {
 			continue
 		}
-		if missing++; !waited && s.silence(one.ID, t) <= 2*t.SuspectTimeout {
+		if unswept++; !timedOut && in.elapsed(store.ID, t) <= 2*t.SuspectTimeout {
 			return false
 		}
 	}
-	return missing <= s.spare(target)
+	return unswept <= in.unsweptAllowed(target)
 }
 
-// blocked tells whether a change can not end because too many stores of its list are absent.
-func (s *Input) blocked(target []turnstore.Store, t Timings) bool {
-	missing := 0
-	for _, one := range target {
-		if s.Stores[one.ID].SweptGeneration < s.Current.Generation && s.absent(one, t) {
-			missing++
+// changeIsBlocked tells whether a change can not end because too many stores of its list are absent.
+func (in *Input) changeIsBlocked(target []turnstore.Store, t Timings) bool {
+	unswept := 0
+	for _, store := range target {
+		if in.Stores[store.ID].SweptGeneration < in.Current.Generation && in.hasFailed(store, t) {
+			unswept++
 		}
 	}
-	return missing > s.spare(target)
+	return unswept > in.unsweptAllowed(target)
 }
 
-// spare is how many stores of a list may be empty with losses + 1 copies of each program on others.
-func (s *Input) spare(target []turnstore.Store) int {
-	return max(0, min(len(target), s.Current.ReplicationFactor)-s.Current.DurableReplicas)
+// unsweptAllowed is how many stores of a list may be empty with losses + 1 copies of each program on others.
+func (in *Input) unsweptAllowed(target []turnstore.Store) int {
+	return max(0, min(len(target), in.Current.ReplicationFactor)-in.Current.DurableReplicas)
 }
 
-// absent tells whether a store of the list is silent, or gone since another is at its address.
-func (s *Input) absent(one turnstore.Store, t Timings) bool {
-	return s.silence(one.ID, t) > t.FailureTimeout || s.superseded(s.Stores[one.ID])
+// hasFailed tells whether a store of the list is silent, or gone since another is at its address.
+func (in *Input) hasFailed(store turnstore.Store, t Timings) bool {
+	return in.elapsed(store.ID, t) > t.FailureTimeout || in.isSuperseded(in.Stores[store.ID])
 }
 
-// wanted is the list as it should be.
-func (s *Input) wanted(target []turnstore.Store, t Timings, copies int) []turnstore.Store {
-	want := slices.Clone(target)
-	for i, o := range want {
-		if r, known := s.Stores[o.ID]; known {
-			want[i] = r.Store // its address may have changed
+// desiredStores is the list as it should be.
+func (in *Input) desiredStores(target []turnstore.Store, t Timings, replicas int) []turnstore.Store {
+	desired := slices.Clone(target)
+	for i, store := range desired {
+		if status, known := in.Stores[store.ID]; known {
+			desired[i] = status.Store // its address may have changed
 		}
 	}
-	for _, n := range s.newcomers(target, t) {
-		want = s.place(want, n, t)
+	for _, candidate := range in.candidates(target, t) {
+		desired = in.addCandidate(desired, candidate, t)
 	}
-	unclear := slices.ContainsFunc(want, func(o turnstore.Store) bool { return s.unclear(o, t) })
-	for i := len(want) - 1; i >= 0 && len(want) > copies; i-- {
-		id := want[i].ID
-		if s.Retired[id] && !unclear || s.silence(id, t) > t.RemovalTimeout || s.silence(id, t) > t.FailureTimeout && s.succeeded(id, want, t) {
-			want = slices.Delete(want, i, i+1)
+	suspect := slices.ContainsFunc(desired, func(o turnstore.Store) bool { return in.isSuspect(o, t) })
+	for i := len(desired) - 1; i >= 0 && len(desired) > replicas; i-- {
+		id := desired[i].ID
+		if in.Retired[id] && !suspect || in.elapsed(id, t) > t.RemovalTimeout || in.elapsed(id, t) > t.FailureTimeout && in.hasSuccessor(id, desired, t) {
+			desired = slices.Delete(desired, i, i+1)
 		}
 	}
-	return want
+	return desired
 }
 
-// succeeded tells whether a store of the list came about when another was heard last: it was given a place more, as the
+// hasSuccessor tells whether a store of the list came about when another was heard last: it was given a place more, as the
 // other had been heard a moment before, and is its successor.
-func (s *Input) succeeded(id string, list []turnstore.Store, t Timings) bool {
-	left := s.Stores[id].ConfirmedAt - t.SuspectTimeout
-	return slices.ContainsFunc(list, func(o turnstore.Store) bool {
-		r, known := s.Stores[o.ID]
-		return known && o.ID != id && r.ConfirmedAt > 0 && r.FirstSeen > left
+func (in *Input) hasSuccessor(id string, list []turnstore.Store, t Timings) bool {
+	departed := in.Stores[id].ConfirmedAt - t.SuspectTimeout
+	return slices.ContainsFunc(list, func(store turnstore.Store) bool {
+		status, known := in.Stores[store.ID]
+		return known && store.ID != id && status.ConfirmedAt > 0 && status.FirstSeen > departed
 	})
 }
 
-// newcomers are the stores that were heard lately and are not in the list, in a fixed order.
-func (s *Input) newcomers(target []turnstore.Store, t Timings) (all []turnstore.Store) {
-	for id, r := range s.Stores {
+// candidates are the stores that were heard lately and are not in the list, in a fixed order.
+func (in *Input) candidates(target []turnstore.Store, t Timings) (candidates []turnstore.Store) {
+	for id, status := range in.Stores {
 		listed := slices.ContainsFunc(target, func(o turnstore.Store) bool { return o.ID == id })
-		if !listed && !s.Retired[id] && r.ConfirmedAt > 0 && s.Now-r.ConfirmedAt < t.FailureTimeout && !s.superseded(r) && !s.justEmptied(r.Store.Name, t) {
-			all = append(all, r.Store)
+		if !listed && !in.Retired[id] && status.ConfirmedAt > 0 && in.Now-status.ConfirmedAt < t.FailureTimeout && !in.isSuperseded(status) && !in.recentlyRetired(status.Store.Name, t) {
+			candidates = append(candidates, status.Store)
 		}
 	}
-	slices.SortFunc(all, func(a, b turnstore.Store) int { return cmp.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(candidates, func(a, b turnstore.Store) int { return cmp.Compare(a.ID, b.ID) })
+	return candidates
 }
 
-// place gives a newcomer a place: that of the store before it at its address, that of a silent one, or a place more.
-// While some store may be gone or not, no place is added: the newcomer may be its successor, and a list with one that
+// addCandidate gives a newcomer a addCandidate: that of the store before it at its address, that of a silent one, or a addCandidate more.
+// While some store may be gone or not, no addCandidate is added: the newcomer may be its successor, and a list with one that
 // is gone and its successor side by side has one loss less to bear until the first is taken off. One under the name of a
 // store of the list is the successor of that one.
-func (s *Input) place(want []turnstore.Store, n turnstore.Store, t Timings) []turnstore.Store {
-	find := func(f func(turnstore.Store) bool) int { return slices.IndexFunc(want, f) }
-	i := find(func(o turnstore.Store) bool { return o.Addr == n.Addr })
+func (in *Input) addCandidate(stores []turnstore.Store, candidate turnstore.Store, t Timings) []turnstore.Store {
+	find := func(f func(turnstore.Store) bool) int { return slices.IndexFunc(stores, f) }
+	i := find(func(o turnstore.Store) bool { return o.Addr == candidate.Addr })
 	if i < 0 {
-		i = find(func(o turnstore.Store) bool { return o.Name == n.Name && s.silence(o.ID, t) > t.FailureTimeout })
+		i = find(func(o turnstore.Store) bool {
+			return o.Name == candidate.Name && in.elapsed(o.ID, t) > t.FailureTimeout
+		})
 	}
 	if i < 0 {
-		i = find(func(o turnstore.Store) bool { return s.silence(o.ID, t) > t.FailureTimeout })
+		i = find(func(o turnstore.Store) bool { return in.elapsed(o.ID, t) > t.FailureTimeout })
 	}
-	waits := func(o turnstore.Store) bool { return o.Name == n.Name || s.unclear(o, t) }
+	mustWait := func(o turnstore.Store) bool { return o.Name == candidate.Name || in.isSuspect(o, t) }
 	switch {
 	case i >= 0:
-		want[i] = n
-	case find(waits) < 0:
-		want = append(want, n)
+		stores[i] = candidate
+	case find(mustWait) < 0:
+		stores = append(stores, candidate)
 	}
-	return want
+	return stores
 }
 
-// joint tells whether a change is under way.
-func (s *Input) joint() bool { return len(s.Current.New) > 0 }
+// isJoint tells whether a change is under way.
+func (in *Input) isJoint() bool { return len(in.Current.New) > 0 }
 
 // CanRetire tells whether enough stores stay when one is emptied.
-func CanRetire(p *turnstore.Placement, retired map[string]bool, losses int) bool {
-	left := -1
+func CanRetire(p *turnstore.Placement, retired map[string]bool, faultTolerance int) bool {
+	remaining := -1
 	target := p.Old
 	if len(p.New) > 0 {
 		target = p.New
 	}
-	for _, s := range target {
-		if !retired[s.ID] {
-			left++
+	for _, store := range target {
+		if !retired[store.ID] {
+			remaining++
 		}
 	}
-	return left >= 2*losses+1
+	return remaining >= 2*faultTolerance+1
 }
--- a/internal/tier/placement/registration.go
+++ b/internal/tier/placement/registration.go
@@ -27,25 +27,25 @@
 
 // Register notes a registration. One may come late, after its store is gone and another has come at its address: it proves
 // nothing by itself. It counts once a second follows, and none of another store at the address lies between.
-func Register(stores map[string]StoreStatus, r Registration, now time.Duration, t Timings) {
-	was, known := stores[r.Store.ID]
-	confirmed := was.ConfirmedAt > 0 && was.ConfirmedAt == was.LastSeen
-	gap := now - was.LastSeen
-	if !known || gap > t.FailureTimeout || confirmed && gap > t.SuspectTimeout || heardSince(stores, r.Store, was.LastSeen) {
-		was.FirstSeen = now
+func Register(stores map[string]StoreStatus, registration Registration, now time.Duration, t Timings) {
+	status, known := stores[registration.Store.ID]
+	confirmed := status.ConfirmedAt > 0 && status.ConfirmedAt == status.LastSeen
+	gap := now - status.LastSeen
+	if !known || gap > t.FailureTimeout || confirmed && gap > t.SuspectTimeout || registeredSince(stores, registration.Store, status.LastSeen) {
+		status.FirstSeen = now
 	}
-	was.Store, was.Full, was.LastSeen = r.Store, r.Full, now
-	was.Generation, was.SweptGeneration = max(was.Generation, r.Generation), max(was.SweptGeneration, r.SweptGeneration) // they may come out of order
-	if now-was.FirstSeen >= t.ConfirmInterval {
-		was.ConfirmedAt = now
+	status.Store, status.Full, status.LastSeen = registration.Store, registration.Full, now
+	status.Generation, status.SweptGeneration = max(status.Generation, registration.Generation), max(status.SweptGeneration, registration.SweptGeneration) // they may come out of order
+	if now-status.FirstSeen >= t.ConfirmInterval {
+		status.ConfirmedAt = now
 	}
-	stores[r.Store.ID] = was
+	stores[registration.Store.ID] = status
 }
 
-// heardSince tells whether another store was heard at an address since.
-func heardSince(stores map[string]StoreStatus, one turnstore.Store, since time.Duration) bool {
-	for id, o := range stores {
-		if id != one.ID && o.Store.Addr == one.Addr && o.LastSeen >= since {
+// registeredSince tells whether another store was heard at an address since.
+func registeredSince(stores map[string]StoreStatus, store turnstore.Store, since time.Duration) bool {
+	for id, other := range stores {
+		if id != store.ID && other.Store.Addr == store.Addr && other.LastSeen >= since {
 			return true
 		}
 	}
--- a/internal/tier/placement/registration_test.go
+++ b/internal/tier/placement/registration_test.go
@@ -10,32 +10,32 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// hearing plays registrations as lines: a time in ms, and the ids that are heard then, each as id@address or
+// playRegistrations plays registrations as lines: a time in ms, and the ids that are heard then, each as id@address or
 // id@address:swept.
-func hearing(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
+func playRegistrations(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
 	t.Helper()
 	timings := DefaultTimings(3 * time.Second)
-	for _, l := range strings.Split(strings.TrimSpace(lines), "\n") {
-		f := strings.Fields(l)
-		ms, err := strconv.Atoi(f[0])
+	for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
+		fields := strings.Fields(line)
+		ms, err := strconv.Atoi(fields[0])
 		if err != nil {
 			t.Fatal(err)
 		}
 		now = time.Duration(ms) * time.Millisecond
-		for _, one := range f[1:] {
-			who, swept, _ := strings.Cut(one, ":")
+		for _, registration := range fields[1:] {
+			who, swept, _ := strings.Cut(registration, ":")
 			id, addr, _ := strings.Cut(who, "@")
 			gen, _ := strconv.Atoi(swept)
-			r := Registration{Store: turnstore.Store{ID: id, Name: id[:1], Addr: addr}, Generation: int64(gen), SweptGeneration: int64(gen)}
-			Register(stores, r, now, timings)
+			parsed := Registration{Store: turnstore.Store{ID: id, Name: id[:1], Addr: addr}, Generation: int64(gen), SweptGeneration: int64(gen)}
+			Register(stores, parsed, now, timings)
 		}
 	}
 	return now
 }
 
 // A registration of a store whose disk is gone, held up on its way, comes after those of the store that took its place.
-func TestLateRegistrationOfAnEarlierLifeProvesNothing(t *testing.T) {
-	for _, c := range []struct{ name, lines string }{
+func TestDelayedRegistrationOfReplacedStoreIsNotConfirmed(t *testing.T) {
+	for _, test := range []struct{ name, lines string }{
 		{"after its successor is placed", `
 			100   a@1 b@2 c@3
 			500   a@1 b@2 c@3
@@ -62,22 +62,22 @@
 			5100  a@1 b@2 d@3
 			5200  a@1 b@2 d@3`},
 	} {
-		t.Run(strings.ReplaceAll(c.name, " ", "_"), func(t *testing.T) {
+		t.Run(strings.ReplaceAll(test.name, " ", "_"), func(t *testing.T) {
 			stores := map[string]StoreStatus{}
-			now := hearing(t, stores, c.lines)
+			now := playRegistrations(t, stores, test.lines)
 			placed := func(ids ...string) *turnstore.Placement {
-				p := &turnstore.Placement{Generation: 4, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1}
+				placement := &turnstore.Placement{Generation: 4, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1}
 				for i, id := range ids {
-					p.Old = append(p.Old, turnstore.Store{ID: id, Name: id, Addr: strconv.Itoa(i + 1)})
+					placement.Old = append(placement.Old, turnstore.Store{ID: id, Name: id, Addr: strconv.Itoa(i + 1)})
 				}
-				return p
+				return placement
 			}
-			s := Input{Now: now, FaultTolerance: 1, Stores: stores}
-			if s.Current = placed("a", "b", "d"); len(s.newcomers(s.Current.Old, DefaultTimings(3*time.Second))) > 0 {
+			in := Input{Now: now, FaultTolerance: 1, Stores: stores}
+			if in.Current = placed("a", "b", "d"); len(in.candidates(in.Current.Old, DefaultTimings(3*time.Second))) > 0 {
 				t.Errorf("the store that is gone is taken for a newcomer: %+v", stores)
 			}
-			s.Current = placed("a", "b", "c")
-			next := Plan(s, DefaultTimings(3*time.Second))
+			in.Current = placed("a", "b", "c")
+			next := Plan(in, DefaultTimings(3*time.Second))
 			if next == nil || !slices.ContainsFunc(next.New, func(o turnstore.Store) bool { return o.ID == "d" }) {
 				t.Errorf("the successor is not taken for one: %+v", next)
 			}
@@ -85,9 +85,9 @@
 	}
 }
 
-func TestRegistrationsOutOfOrderTakeNothingBack(t *testing.T) {
+func TestReorderedRegistrationsDoNotLowerGenerations(t *testing.T) {
 	stores := map[string]StoreStatus{}
-	hearing(t, stores, `
+	playRegistrations(t, stores, `
 		100  a@1:2
 		200  a@1:5
 		210  a@1:2`)
@@ -97,27 +97,27 @@
 }
 
 // A core that is founded anew knows no placement; stores that kept their disks refuse what comes under an older gen.
-func TestFoundedAnewAboveWhatStoresHaveAdopted(t *testing.T) {
+func TestNewClusterStartsAboveAdoptedGenerations(t *testing.T) {
 	stores := map[string]StoreStatus{}
 	timings := DefaultTimings(3 * time.Second)
-	s := Input{FaultTolerance: 1, Stores: stores}
+	in := Input{FaultTolerance: 1, Stores: stores}
 	for ms := 100; ms <= 4000; ms += 100 {
-		s.Now = hearing(t, stores, strconv.Itoa(ms)+" a@1:7 b@2:9 c@3:9")
-		if next := Plan(s, timings); next != nil {
-			t.Fatalf("founded at %v, before others had the time to come: %+v", s.Now, next)
+		in.Now = playRegistrations(t, stores, strconv.Itoa(ms)+" a@1:7 b@2:9 c@3:9")
+		if next := Plan(in, timings); next != nil {
+			t.Fatalf("founded at %v, before others had the time to come: %+v", in.Now, next)
 		}
 	}
-	s.Now = hearing(t, stores, "4200 a@1:7 b@2:9 c@3:9 d@4:9")
-	s.Now = hearing(t, stores, "4300 a@1:7 b@2:9 c@3:9 d@4:9")
-	next := Plan(s, timings)
+	in.Now = playRegistrations(t, stores, "4200 a@1:7 b@2:9 c@3:9 d@4:9")
+	in.Now = playRegistrations(t, stores, "4300 a@1:7 b@2:9 c@3:9 d@4:9")
+	next := Plan(in, timings)
 	if next == nil || next.Generation != 10 || len(next.Old) != 4 || len(next.New) > 0 {
 		t.Fatalf("%+v", next)
 	}
 	// One that comes later, and has adopted more, moves all above it.
-	s.Current = next
-	hearing(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
-	s.Now = hearing(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
-	if next = Plan(s, timings); next == nil || next.Generation != 13 || len(next.New) != 5 {
+	in.Current = next
+	playRegistrations(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
+	in.Now = playRegistrations(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
+	if next = Plan(in, timings); next == nil || next.Generation != 13 || len(next.New) != 5 {
 		t.Fatalf("%+v", next)
 	}
 }
--- a/internal/tier/placement/retired.go
+++ b/internal/tier/placement/retirement.go
@@ -12,25 +12,25 @@
 // emptied, and came back under a new identity. The order has to be noted for that one too before it is placed. It has nothing
 // that others lack, and is not needed: the order was taken since enough others stay. Once the store that was ordered has left the
 // placement the order is complete, and a store of its name is a new one.
-func LostWhileRetiring(s Input) (all []turnstore.Store) {
-	if s.Current == nil {
+func LostWhileRetiring(in Input) (stores []turnstore.Store) {
+	if in.Current == nil {
 		return nil
 	}
-	placed := s.Current.Stores()
-	for id, r := range s.Stores {
+	placed := in.Current.Stores()
+	for id, status := range in.Stores {
 		listed := slices.ContainsFunc(placed, func(o turnstore.Store) bool { return o.ID == id })
-		if listed || s.Retired[id] || r.ConfirmedAt == 0 {
+		if listed || in.Retired[id] || status.ConfirmedAt == 0 {
 			continue
 		}
-		before := slices.ContainsFunc(placed, func(o turnstore.Store) bool {
-			return s.Retired[o.ID] && o.Name == r.Store.Name && o.Addr == r.Store.Addr
+		predecessorRetired := slices.ContainsFunc(placed, func(o turnstore.Store) bool {
+			return in.Retired[o.ID] && o.Name == status.Store.Name && o.Addr == status.Store.Addr
 		})
-		if before {
-			all = append(all, r.Store)
+		if predecessorRetired {
+			stores = append(stores, status.Store)
 		}
 	}
-	slices.SortFunc(all, func(a, b turnstore.Store) int { return cmp.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(stores, func(a, b turnstore.Store) int { return cmp.Compare(a.ID, b.ID) })
+	return stores
 }
 
 // Departures are the names of the stores that have left the placement by order, with when they were seen to leave it.
@@ -41,17 +41,17 @@
 	if before == nil || after == nil {
 		return
 	}
-	stays := after.Stores()
-	for _, one := range before.Stores() {
-		if retired[one.ID] && !slices.ContainsFunc(stays, func(o turnstore.Store) bool { return o.ID == one.ID }) {
-			d[one.Name] = now
+	remaining := after.Stores()
+	for _, store := range before.Stores() {
+		if retired[store.ID] && !slices.ContainsFunc(remaining, func(o turnstore.Store) bool { return o.ID == store.ID }) {
+			d[store.Name] = now
 		}
 	}
 }
 
-// justEmptied tells whether a store of that name has left by order a moment ago. None of its name is placed for contact: who was
+// recentlyRetired tells whether a store of that name has left by order a moment ago. None of its name is placed for contact: who was
 // told that the order is complete is taking the machine away, and it may have lost its disk just before and register anew.
-func (s *Input) justEmptied(name string, t Timings) bool {
-	left, known := s.Departures[name]
-	return known && s.Now-left < 2*t.FailureTimeout
+func (in *Input) recentlyRetired(name string, t Timings) bool {
+	departedAt, known := in.Departures[name]
+	return known && in.Now-departedAt < 2*t.FailureTimeout
 }
--- /dev/null
+++ b/internal/tier/placement/schedule_test.go
@@ -0,0 +1,340 @@
+package placement
+
+import (
+	"flag"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"larchrouter/internal/tier/turnstore"
+)
+
+var scheduleCount = flag.Int("courses", 400, "drawn courses of the model")
+var faultSchedules = flag.Int("fault-courses", 2000, "courses to find a planted fault in, at most")
+var firstSeed = flag.Uint64("seed", 1, "of the first course")
+
+// siteSizes of the sites, and some between them.
+var siteSizes = []struct {
+	stores, losses   int
+	contact, catchUp time.Duration
+}{
+	{3, 1, 3 * time.Second, 4100 * time.Millisecond},
+	{4, 1, 3 * time.Second, 4100 * time.Millisecond},
+	{5, 1, 3 * time.Second, 4200 * time.Millisecond},
+	{5, 2, 4 * time.Second, 6 * time.Second},
+	{6, 2, 4 * time.Second, 6 * time.Second},
+	{9, 2, 4 * time.Second, 6 * time.Second},
+}
+
+// faultInjector draws what happens: the next loss comes in the moment that the contract permits it, or a little later.
+type faultInjector struct {
+	*simulation
+	rng            *rand.Rand
+	pending        []plannedAction // what is to happen
+	nextLoss       time.Duration
+	nextOrder      time.Duration
+	nextHeadChange time.Duration
+	eager          bool
+}
+
+type plannedAction struct {
+	at time.Duration
+	do func()
+}
+
+func (injector *faultInjector) schedule(d time.Duration, do func()) {
+	injector.pending = append(injector.pending, plannedAction{injector.now + d, do})
+}
+
+func (injector *faultInjector) step() {
+	for i := 0; i < len(injector.pending); i++ {
+		if one := injector.pending[i]; one.at <= injector.now {
+			injector.pending = append(injector.pending[:i], injector.pending[i+1:]...)
+			i--
+			one.do()
+		}
+	}
+	if injector.now >= injector.nextHeadChange {
+		injector.nextHeadChange = injector.now + injector.duration(injector.catchUp, 25*time.Second) // a head that is lost is a loss as well
+		injector.changeHead()
+	}
+	if injector.now >= injector.nextOrder {
+		injector.nextOrder = injector.now + injector.duration(time.Second, 15*time.Second)
+		injector.submitOrder()
+	}
+	if injector.now >= injector.nextLoss && injector.countLost() < injector.faultTolerance {
+		if injector.nextLoss = injector.now + step; !injector.eager {
+			injector.nextLoss += injector.duration(0, 6*time.Second)
+		}
+		injector.injectLoss()
+	}
+}
+
+// randomUpHost live machine.
+func (injector *faultInjector) randomUpHost() *host {
+	var all []*host
+	for _, h := range injector.hosts {
+		if h.isUp() && h.lostUntil <= injector.now {
+			all = append(all, h)
+		}
+	}
+	if len(all) == 0 {
+		return nil
+	}
+	return all[injector.rng.IntN(len(all))]
+}
+
+// retiringHost is a live machine that is being emptied, nil for none.
+func (injector *faultInjector) retiringHost() *host {
+	for _, h := range injector.hosts {
+		if h.retired && h.isUp() && h.lostUntil <= injector.now {
+			return h
+		}
+	}
+	return nil
+}
+
+// recovered: it counts as lost for a while after its return.
+func (injector *faultInjector) recovered(h *host) { h.lostUntil = injector.now + injector.catchUp }
+
+// restart starts a machine, unless it has been emptied and taken away while it was down.
+func (injector *faultInjector) restart(h *host) {
+	if !h.removed {
+		injector.start(h)
+		injector.recovered(h)
+	}
+}
+
+func (injector *faultInjector) injectLoss() {
+	host := injector.randomUpHost()
+	if host == nil {
+		return
+	}
+	if retiring := injector.retiringHost(); retiring != nil && injector.targetRand.IntN(2) == 0 {
+		host = retiring
+	}
+	away := injector.duration(100*time.Millisecond, 4*time.Second)
+	if injector.rng.IntN(4) == 0 {
+		away = injector.duration(4*time.Second, 15*time.Second)
+	}
+	host.lostUntil = never
+	switch injector.rng.IntN(5) {
+	case 0:
+		injector.logEvent("%s killed for %v", host.name, away)
+		injector.stop(host)
+		injector.schedule(away, func() { injector.restart(host) })
+	case 1:
+		injector.logEvent("%s frozen for %v", host.name, away)
+		host.frozen = true
+		injector.schedule(away, func() {
+			if !host.removed {
+				injector.logEvent("%s thaws", host.name)
+				host.frozen = false
+				injector.recovered(host)
+			}
+		})
+	case 2, 3:
+		injector.logEvent("%s wiped, back in %v", host.name, away/4)
+		injector.stop(host)
+		injector.wipe(host)
+		injector.schedule(away/4, func() { injector.restart(host) })
+	case 4:
+		name := ""
+		if injector.rng.IntN(2) == 0 {
+			name = host.name
+		}
+		injector.logEvent("%s gone for good", host.name)
+		injector.remove(host)
+		injector.schedule(time.Second, func() {
+			host.lostUntil = 0
+			injector.recovered(injector.add(name))
+		})
+	}
+}
+
+// submitOrder of an operator: a store more, or one to be emptied.
+func (injector *faultInjector) submitOrder() {
+	if injector.rng.IntN(2) == 0 && len(injector.hosts) < 14 {
+		injector.logEvent("one more")
+		injector.add("")
+		return
+	}
+	host := injector.randomUpHost()
+	if host == nil || injector.current == nil || injector.retired[host.id] || !containsStore(injector.current.Stores(), host.id) || !CanRetire(injector.current, injector.retired, injector.faultTolerance) {
+		return
+	}
+	injector.retired[host.id], host.retired = true, true
+	injector.logEvent("%s to be emptied", host.name)
+	injector.removeOnceRetired(host)
+}
+
+// removeOnceRetired takes an emptied store away at once; it is no loss. One that loses its disk meanwhile is emptied all the same.
+func (injector *faultInjector) removeOnceRetired(host *host) {
+	injector.schedule(step, func() {
+		if host.removed || injector.current == nil { // founded anew: the order is gone with the core's disks
+			return
+		}
+		switch done := isRetired(injector.current, host.name) || injector.fault == retiringRemovedWhileJoint && !containsStore(injector.current.New, host.id); {
+		case !done:
+			injector.removeOnceRetired(host)
+		default:
+			injector.logEvent("%s is emptied and taken away", host.name)
+			injector.remove(host)
+			host.lostUntil = 0
+		}
+	})
+}
+
+// isRetired is as in package orders: no store of the name is in the placement.
+func isRetired(p *turnstore.Placement, name string) bool {
+	return !slices.ContainsFunc(p.Stores(), func(s turnstore.Store) bool { return s.Name == name })
+}
+
+// runSchedule plays one drawn runSchedule.
+func runSchedule(seed uint64, fault fault) *simulation {
+	rng := rand.New(rand.NewPCG(seed, 5))
+	size := siteSizes[rng.IntN(len(siteSizes))]
+	maxPull := []time.Duration{50 * time.Millisecond, 200 * time.Millisecond}[rng.IntN(2)]
+	sim := newSimulation(seed, fault, size.stores, size.losses, size.contact, size.catchUp, maxPull)
+	sim.logEvent("%d stores, %d losses, seed %d", size.stores, size.losses, seed)
+	sim.run(6*time.Second, nil)
+	injector := &faultInjector{simulation: sim, rng: rng, eager: rng.IntN(2) == 0, nextHeadChange: sim.duration(6*time.Second, 30*time.Second), nextOrder: sim.duration(6*time.Second, 20*time.Second)}
+	if rng.IntN(3) == 0 {
+		injector.nextHeadChange = never
+	}
+	end := 26*time.Second + sim.duration(0, 15*time.Second)
+	sim.run(end, injector.step)
+	sim.checkConvergence(injector)
+	return sim
+}
+
+// checkConvergence ends the troubles; all is whole again within a bound, also after the core was founded anew.
+func (m *simulation) checkConvergence(injector *faultInjector) {
+	injector.nextLoss, injector.nextOrder, injector.nextHeadChange = never, never, never
+	m.run(m.now+25*time.Second, injector.step)
+	m.checkConverged()
+	if m.violation != "" || m.rng.IntN(3) > 0 {
+		return
+	}
+	m.logEvent("the core is founded anew")
+	m.current, m.previous, m.tookOverAt, m.stores, m.retired = nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
+	for _, h := range m.hosts {
+		h.retired = false
+	}
+	m.departures = Departures{}
+	m.inherited, m.lastReport, m.referenceStores = Observations{}, Observations{}, map[string]StoreStatus{}
+	m.run(m.now+15*time.Second, injector.step)
+	if m.current == nil {
+		m.fail("STUCK: no placement 15 s after the core was founded anew")
+		return
+	}
+	m.checkConverged()
+}
+
+// checkConverged: the placement is stable, and all copies have all that was acknowledged.
+func (m *simulation) checkConverged() {
+	if m.violation != "" {
+		return
+	}
+	if len(m.current.New) > 0 {
+		m.fail("STUCK: the placement is not stable long after all trouble")
+		return
+	}
+	m.checkRetired()
+	for number, write := range m.writes {
+		for _, s := range m.replicaSets(write.program)[0] {
+			if h := m.host(s.ID); write.acked && (h == nil || h.writes>>number&1 == 0) {
+				lacks := 0
+				for _, s := range m.replicaSets(write.program)[0] {
+					if h := m.host(s.ID); h == nil || h.writes>>number&1 == 0 {
+						lacks++
+					}
+				}
+				if lacks > m.faultTolerance {
+					m.fail("COPIES: %d of program %d lack write %d", lacks, write.program, number)
+				}
+			}
+		}
+	}
+}
+
+// checkRetired: each order to empty a store is complete, where enough others are left. An order may have been taken while the list had
+// a store that was gone beside its successor; it waits for one more then.
+func (m *simulation) checkRetired() {
+	others := 0
+	for _, host := range m.hosts {
+		if host.isUp() && !host.retired {
+			others++
+		}
+	}
+	for _, h := range m.hosts {
+		if h.retired && !h.removed && others >= 2*m.faultTolerance+1 {
+			m.fail("EMPTYING: %s, ordered to be emptied, is still in use long after all trouble, with %d others", h.name, others)
+		}
+	}
+}
+
+func TestRandomSchedules(t *testing.T) {
+	var mu sync.Mutex
+	var longestJoint, longestNoMajority time.Duration
+	changes, acked, failed := 0, 0, 0
+	seeds := make(chan uint64)
+	go func() {
+		for i := range *scheduleCount {
+			seeds <- *firstSeed + uint64(i)
+		}
+		close(seeds)
+	}()
+	var wg sync.WaitGroup
+	for range 2 {
+		wg.Go(func() {
+			for seed := range seeds {
+				sim := runSchedule(seed, "")
+				mu.Lock()
+				if sim.violation != "" {
+					if failed++; failed <= 3 {
+						t.Errorf("%s\n%s", sim.violation, sim.timeline())
+					}
+				}
+				longestJoint, longestNoMajority, changes = max(longestJoint, sim.longestJoint), max(longestNoMajority, sim.longestNoMajority), changes+sim.changes
+				for _, write := range sim.writes {
+					if write.acked {
+						acked++
+					}
+				}
+				mu.Unlock()
+			}
+		})
+	}
+	wg.Wait()
+	t.Logf("%d courses from seed %d, %d broken: %d joint phases, the longest %v; %d writes acknowledged; longest without a majority %v",
+		*scheduleCount, *firstSeed, failed, changes, longestJoint, acked, longestNoMajority)
+	if changes < 2**scheduleCount || acked < 20**scheduleCount {
+		t.Error("the courses prove little")
+	}
+}
+
+// withoutFault gives the world of a planted fault without it: what breaks there as well does not show the fault.
+func withoutFault(f fault) fault {
+	if f == pullBeforeAdoption {
+		return slowDelivery
+	}
+	return ""
+}
+
+func TestModelFindsPlantedFaults(t *testing.T) {
+	for _, fault := range []fault{jointPhaseSkipped, changeEndsUnswept, retiringRemovedWhileJoint, wipedStoreKeepsIdentity, sweepMissesAny, pullBeforeAdoption, initialGenerationOne, anyUnresponsiveUnswept, lateReplacement, noTakeoverGrace, retirementNotExtended} {
+		t.Run(string(fault), func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(*faultSchedules) {
+				if sim := runSchedule(1+seed, fault); sim.violation != "" && runSchedule(1+seed, withoutFault(fault)).violation == "" {
+					t.Logf("found by course %d: %s", 1+seed, sim.violation)
+					return
+				}
+			}
+			t.Errorf("not found by %d courses", *faultSchedules)
+		})
+	}
+}
