--- a/internal/tier/chain/send_stream.go
+++ b/internal/tier/chain/send_stream.go
@@ -30,7 +30,8 @@
 }
 
 // handleAck handles an acknowledgement of the receiver. completeThrough is the index up to which the receiver has everything,
-// below 0 while it is not active. A receiver that was restarted, or that has applied a transfer, begins a new stream.
+// below 0 while it is not active. A receiver that was restarted, or whose commit index changed while it was not active, begins
+// a new stream.
 func (s *sendStream) handleAck(incarnation int64, ack Ack, completeThrough int64) {
 	if s.positionKnown && incarnation < s.incarnation {
 		return
--- a/internal/tier/placement/change.go
+++ b/internal/tier/placement/change.go
@@ -1,12 +1,11 @@
 package placement
 
-import (
-	"larchrouter/internal/tier/turnstore"
-)
+import "larchrouter/internal/tier/turnstore"
 
-// changeCanEnd tells whether enough stores of a list have changeCanEnd under the present gen for the change to end. Those that are
-// silent or take long are not waited for, as long as those that have changeCanEnd hold losses + 1 copies of each program:
-// another loss must not find a change half done because of one store. They sweep later.
+// changeCanEnd reports whether enough stores of the new list have completed their sweep under the current generation for the
+// joint placement to become stable. It does not wait for unresponsive stores, nor for any after FailureTimeout, as long as
+// the others hold FaultTolerance + 1 replicas of each program: a further loss must not find the placement joint because of one
+// store. Stores that are not waited for sweep while the placement is stable.
 func (in *Input) changeCanEnd(target []turnstore.Store, t Timings) bool {
 	unswept, timedOut := 0, in.Now-in.GenerationSince > t.FailureTimeout
 	for _, store := range target {
@@ -20,7 +19,8 @@
 	return unswept <= in.unsweptAllowed(target)
 }
 
-// changeIsBlocked tells whether a change can not end because too many stores of its list are absent.
+// changeIsBlocked reports whether the change cannot end because too many stores of the new list failed before they completed
+// their sweep.
 func (in *Input) changeIsBlocked(target []turnstore.Store, t Timings) bool {
 	unswept := 0
 	for _, store := range target {
@@ -31,7 +31,8 @@
 	return unswept > in.unsweptAllowed(target)
 }
 
-// unsweptAllowed is how many stores of a list may be empty with losses + 1 copies of each program on others.
+// unsweptAllowed returns how many stores of a list may lack data while the others hold FaultTolerance + 1 replicas of each
+// program.
 func (in *Input) unsweptAllowed(target []turnstore.Store) int {
 	return max(0, min(len(target), in.Current.ReplicationFactor)-in.Current.DurableReplicas)
 }
--- a/internal/tier/placement/helpers_test.go
+++ b/internal/tier/placement/helpers_test.go
@@ -23,7 +23,7 @@
 	return strings.Join(out, ",")
 }
 
-// headSequence plays heads that follow each other over the stores of one placement, in steps of planning.
+// headSequence simulates successive heads with the stores of one placement, in steps of planStep.
 type headSequence struct {
 	input   Input
 	timings Timings
@@ -33,7 +33,8 @@
 
 func newHeadSequence(losses int, ids ...string) *headSequence {
 	heads := &headSequence{timings: DefaultTimings(4 * time.Second)}
-	placement := &turnstore.Placement{Generation: 3, ReplicationFactor: 2*losses + 1, DurableReplicas: losses + 1, FaultTolerance: losses}
+	placement := &turnstore.Placement{Generation: 3, ReplicationFactor: 2*losses + 1, DurableReplicas: losses + 1,
+		FaultTolerance: losses}
 	for _, id := range ids {
 		placement.Old = append(placement.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
 	}
@@ -41,8 +42,8 @@
 	return heads
 }
 
-// run goes on until a time or the first change, with the stores that register at each step; one with ~ behind it has not
-// swept under the gen in force.
+// run simulates until a point in time or the first change, and returns that. The given stores register at each step; one with
+// ~ behind its name has not swept under the generation in force.
 func (r *headSequence) run(until time.Duration, ids ...string) *turnstore.Placement {
 	for in := &r.input; in.Now < until; in.Now += planStep {
 		for _, id := range ids {
@@ -65,14 +66,14 @@
 	Register(in.Stores, registration, in.Now, r.timings)
 }
 
-// takeOver has another takeOver take over, with what the one before it told a while ago.
+// takeOver makes another node head, which inherits observations.
 func (r *headSequence) takeOver(inherited Observations) {
 	in := &r.input
 	in.TookOverAt, in.Inherited, in.Stores = in.Now, inherited, map[string]StoreStatus{}
 	in.GenerationSince = inherited.GenerationSince(in.Current.Generation, in.Now)
 }
 
-// newRetirement is a head that knows four stores, with an order to empty d; joint, the change that takes it off is under way.
+// newRetirement returns a head with four stores and an order to retire d. If joint, the change that removes d is in progress.
 func newRetirement(joint bool) *headSequence {
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	heads.run(4*time.Second, "a", "b", "c", "d")
@@ -86,7 +87,7 @@
 	return heads
 }
 
-// registerTwice has a store register twice, as one must to count.
+// registerTwice registers a store twice, which confirms it.
 func (r *headSequence) registerTwice(one turnstore.Store) {
 	for range 2 {
 		Register(r.input.Stores, Registration{Store: one, Generation: r.input.Current.Generation}, r.input.Now, r.timings)
@@ -94,8 +95,8 @@
 	}
 }
 
-// playRegistrations plays registrations as lines: a time in ms, and the ids that are heard then, each as id@address or
-// id@address:swept.
+// playRegistrations registers stores by lines of a time in ms and the stores that register then, each as id@address or
+// id@address:generation. It returns the last time.
 func playRegistrations(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
 	t.Helper()
 	timings := DefaultTimings(3 * time.Second)
@@ -110,86 +111,105 @@
 			who, swept, _ := strings.Cut(registration, ":")
 			id, addr, _ := strings.Cut(who, "@")
 			gen, _ := strconv.Atoi(swept)
-			parsed := Registration{Store: turnstore.Store{ID: id, Name: id[:1], Addr: addr}, Generation: int64(gen), SweptGeneration: int64(gen)}
-			Register(stores, parsed, now, timings)
+			store := turnstore.Store{ID: id, Name: id[:1], Addr: addr}
+			Register(stores, Registration{Store: store, Generation: int64(gen), SweptGeneration: int64(gen)}, now, timings)
 		}
 	}
 	return now
 }
 
-// Timelines have a column for each store. A line is a time in ms, then for each column what is seen of it from then on:
+// playTimeline runs Plan on a timeline with a column for each store, and checks the placement after each line. A line is a
+// time in ms, and for each column what the store does until then:
 //
-//   - it registers, again and again, with all swept
-//     ~    it registers, but has not swept
-//     .    silent
-//     w    it registers under another id (its disk was lost)
-//     R    it registers, and is to be emptied
+//	'+'  it registers, and has swept
+//	'~'  it registers, but has not swept
+//	'.'  it does not register
+//	'w'  it registers under another identity: its disk was lost
+//	'R'  it registers, and is to be retired
 //
-// and behind | what the placement is at the end of the line's time: gen, old, new (names; 'w' behind one with another id).
+// After '|' follows the placement at that time: generation, old and new list, as names, with w for the other identity.
 func playTimeline(t *testing.T, faultTolerance int, timeline string) {
 	t.Helper()
 	var lines [][]string
-	for _, columns := range strings.Split(strings.TrimSpace(timeline), "\n") {
-		lines = append(lines, strings.Fields(columns))
+	for _, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
+		lines = append(lines, strings.Fields(line))
 	}
 	names := lines[0][1:]
 	timings := DefaultTimings(3 * time.Second)
 	in := Input{FaultTolerance: faultTolerance, Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
-	format := func(list []turnstore.Store) string {
-		var out []string
-		for _, store := range list {
-			if store.ID == store.Name {
-				out = append(out, store.Name)
-			} else {
-				out = append(out, store.Name+"w")
-			}
-		}
-		slices.Sort(out)
-		return strings.Join(out, ",")
-	}
 	for _, fields := range lines[1:] {
 		until, err := strconv.Atoi(fields[0])
 		if err != nil {
 			t.Fatal(err)
 		}
 		bar := slices.Index(fields, "|")
-		for ; in.Now <= time.Duration(until)*time.Millisecond; in.Now += 100 * time.Millisecond {
+		for ; in.Now <= time.Duration(until)*time.Millisecond; in.Now += planStep {
 			for i, mark := range fields[1:bar] {
-				id := names[i]
-				if mark == "." {
-					continue
-				}
-				if mark == "w" {
-					id += "w"
-				}
-				if mark == "R" {
-					in.Retired[id] = true
-				}
-				status := in.Stores[id]
-				if status.Store.ID == "" {
-					status = StoreStatus{Store: turnstore.Store{ID: id, Name: names[i], Addr: names[i] + ":1"}, FirstSeen: in.Now}
-				}
-				if status.ConfirmedAt = in.Now; mark != "~" && in.Current != nil {
-					status.SweptGeneration = in.Current.Generation
-				}
-				in.Stores[id] = status
-			}
-			if next := Plan(in, timings); next != nil {
-				if in.Current != nil && next.Generation < in.Current.Generation {
-					t.Fatalf("at %v the gen falls from %d to %d", in.Now, in.Current.Generation, next.Generation)
-				}
-				if in.Current == nil || next.Generation != in.Current.Generation {
-					in.GenerationSince = in.Now
-				}
-				in.Current = next
+				playMark(&in, names[i], mark)
 			}
+			planOnce(t, &in, timings)
 		}
-		got := "none"
-		if in.Current != nil {
-			got = strings.TrimSpace(fmt.Sprintf("%d %s %s", in.Current.Generation, format(in.Current.Old), format(in.Current.New)))
+		if got, want := formatPlacement(in.Current), strings.Join(fields[bar+1:], " "); got != want {
+			t.Fatalf("at %s ms: got %q, want %q", fields[0], got, want)
 		}
-		if want := strings.Join(fields[bar+1:], " "); got != want {
-			t.Fatalf("at %s ms: %q, wanted %q", fields[0], got, want)
+	}
+}
+
+// playMark records what a store does by its mark in a timeline.
+func playMark(in *Input, name, mark string) {
+	id := name
+	if mark == "." {
+		return
+	}
+	if mark == "w" {
+		id += "w"
+	}
+	if mark == "R" {
+		in.Retired[id] = true
+	}
+	status := in.Stores[id]
+	if status.Store.ID == "" {
+		status = StoreStatus{Store: turnstore.Store{ID: id, Name: name, Addr: name + ":1"}, FirstSeen: in.Now}
+	}
+	if status.ConfirmedAt = in.Now; mark != "~" && in.Current != nil {
+		status.SweptGeneration = in.Current.Generation
+	}
+	in.Stores[id] = status
+}
+
+// planOnce plans, and checks that the generation does not decrease.
+func planOnce(t *testing.T, in *Input, timings Timings) {
+	t.Helper()
+	next := Plan(*in, timings)
+	if next == nil {
+		return
+	}
+	if in.Current != nil && next.Generation < in.Current.Generation {
+		t.Fatalf("at %v the generation decreases from %d to %d", in.Now, in.Current.Generation, next.Generation)
+	}
+	if in.Current == nil || next.Generation != in.Current.Generation {
+		in.GenerationSince = in.Now
+	}
+	in.Current = next
+}
+
+// formatPlacement returns a placement as in timelines.
+func formatPlacement(p *turnstore.Placement) string {
+	if p == nil {
+		return "none"
+	}
+	return strings.TrimSpace(fmt.Sprintf("%d %s %s", p.Generation, formatStores(p.Old), formatStores(p.New)))
+}
+
+func formatStores(list []turnstore.Store) string {
+	var out []string
+	for _, store := range list {
+		if store.ID == store.Name {
+			out = append(out, store.Name)
+		} else {
+			out = append(out, store.Name+"w")
 		}
 	}
+	slices.Sort(out)
+	return strings.Join(out, ",")
 }
--- a/internal/tier/placement/liveness.go
+++ b/internal/tier/placement/liveness.go
@@ -6,37 +6,9 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// isSuspect tells whether a store may be gone or not: it is late with its registration, or this holder of the duty has
-// not heard it yet; soon it is heard, or it is silent for long enough and its successor has come. Meanwhile nothing
-// that can wait begins. One at whose address another has come is gone.
-func (in *Input) isSuspect(store turnstore.Store, t Timings) bool {
-	status, known := in.Stores[store.ID]
-	if !known {
-		status.Store = store
-	}
-	elapsed := in.elapsed(store.ID, t)
-	return elapsed <= 2*t.FailureTimeout && (status.ConfirmedAt == 0 || elapsed > t.SuspectTimeout) && !in.isSuperseded(status)
-}
-
-// isSuperseded tells whether another store has been heard at the same address since: the one before it is gone, however
-// lately it was heard.
-func (in *Input) isSuperseded(status StoreStatus) bool {
-	for _, other := range in.Stores {
-		if other.Store.Addr == status.Store.Addr && other.Store.ID != status.Store.ID && other.ConfirmedAt > status.ConfirmedAt {
-			return true
-		}
-	}
-	return false
-}
-
-// hasFailed tells whether a store of the list is silent, or gone since another is at its address.
-func (in *Input) hasFailed(store turnstore.Store, t Timings) bool {
-	return in.elapsed(store.ID, t) > t.FailureTimeout || in.isSuperseded(in.Stores[store.ID])
-}
-
-// elapsed of a store, on which decisions rest. What was told counts only once this holder of the duty has listened for
-// longer than a store that runs takes to register with it: such a store is never counted silent for what another has
-// measured, however old or wrong that is.
+// elapsed returns the time since the store's last confirmed registration on which decisions rest. What was inherited is
+// counted only once this head has listened for TakeoverGrace, longer than a running store takes to register with it: such a
+// store never counts as failed for what another head observed, however old or wrong that is.
 func (in *Input) elapsed(id string, t Timings) time.Duration {
 	if own := in.ownElapsed(id); own < t.TakeoverGrace {
 		return own
@@ -44,8 +16,8 @@
 	return in.measuredElapsed(id)
 }
 
-// measuredElapsed is the silence of a store while somebody listened: that of this holder of the duty, and of the one before it
-// unless the store has registered since. The time between the two, in which nobody may have listened, is not in it.
+// measuredElapsed returns the time without a confirmed registration during which a head listened: this one, and the one
+// before it unless the store has registered since. The time between the two, in which perhaps none listened, is excluded.
 func (in *Input) measuredElapsed(id string) time.Duration {
 	own := in.ownElapsed(id)
 	if _, registered := in.Stores[id]; registered {
@@ -54,7 +26,35 @@
 	return own + in.Inherited.elapsed(id)
 }
 
-// ownElapsed of a store is what this holder of the duty has measured itself.
+// ownElapsed returns the time without a confirmed registration that this head has measured itself.
 func (in *Input) ownElapsed(id string) time.Duration {
 	return in.Now - max(in.TookOverAt, in.Stores[id].ConfirmedAt)
 }
+
+// hasFailed reports whether a store of the placement has failed: it is past FailureTimeout, or superseded.
+func (in *Input) hasFailed(store turnstore.Store, t Timings) bool {
+	return in.elapsed(store.ID, t) > t.FailureTimeout || in.isSuperseded(in.Stores[store.ID])
+}
+
+// isSuspect reports whether a store may have failed: its registration is late, or this head has not confirmed it yet. Either
+// it registers soon, or it fails and its successor registers; meanwhile no change begins that can wait. A store that is
+// superseded has failed, and is not suspect.
+func (in *Input) isSuspect(store turnstore.Store, t Timings) bool {
+	status, known := in.Stores[store.ID]
+	if !known {
+		status.Store = store
+	}
+	elapsed := in.elapsed(store.ID, t)
+	return elapsed <= 2*t.FailureTimeout && (status.ConfirmedAt == 0 || elapsed > t.SuspectTimeout) && !in.isSuperseded(status)
+}
+
+// isSuperseded reports whether another store was confirmed later at the same address. The former one has failed then, however
+// recent its last registration is.
+func (in *Input) isSuperseded(status StoreStatus) bool {
+	for _, other := range in.Stores {
+		if other.Store.Addr == status.Store.Addr && other.Store.ID != status.Store.ID && other.ConfirmedAt > status.ConfirmedAt {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/tier/placement/model_check_test.go
+++ b/internal/tier/placement/model_check_test.go
@@ -6,12 +6,12 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// canDeny is as turnstore's: the store may say what there is not.
+// canDeny reports whether the store may deny that a turn exists, as in package turnstore.
 func (h *host) canDeny() bool {
 	return h.known != nil && (containsStore(h.known.Old, h.id) || h.swept == h.known.Generation)
 }
 
-// check holds the state against the invariant of docs/design/015.
+// check checks the invariant of docs/design/015.
 func (m *simulation) check() {
 	if m.current == nil || m.countLost() > m.faultTolerance {
 		m.noMajoritySince = 0
@@ -26,10 +26,10 @@
 	}
 }
 
-// responder is a store of a list as it may answer now.
+// responder is a store of a list as it responds now.
 type responder struct {
-	live, valid bool
-	has         uint64
+	running, canDeny bool
+	writes           uint64
 }
 
 func (m *simulation) responders(list []turnstore.Store) (out []responder) {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// checkMajorities: each program has a live majority of copies by each list in force.
+// checkMajorities checks that each program has a running majority of replicas by each list in force.
 func (m *simulation) checkMajorities() {
 	for program := range programCount {
 		for _, replicas := range m.replicaSets(program) {
@@ -58,7 +58,7 @@
 					m.noMajoritySince = m.now
 				}
 				if m.longestNoMajority = max(m.longestNoMajority, m.now-m.noMajoritySince); m.longestNoMajority > maxNoMajority {
-					m.fail("STUCK for %v: program %d has %d live copies of %s", m.longestNoMajority, program, running, storeIDs(replicas))
+					m.fail("STUCK for %v: program %d has %d running replicas of %s", m.longestNoMajority, program, running, storeIDs(replicas))
 				}
 				return
 			}
@@ -67,25 +67,25 @@
 	m.noMajoritySince = 0
 }
 
-// maxNoMajority bounds how long a program may be without a majority; the invariant says not at all.
+// maxNoMajority bounds how long a program may be without a majority; the invariant requires 0.
 const maxNoMajority = 0
 
-// checkWrite: a live store has it, too few can deny it, and no majority misses it.
+// checkWrite checks that a running store has the write, that too few can deny it, and that no majority lacks it.
 func (m *simulation) checkWrite(number int, write turnWrite, lists [][]responder) {
 	running, denied := false, true
 	for _, list := range lists {
 		denials := 0
 		for _, store := range list {
-			hasWrite := store.has>>number&1 == 1
-			running = running || store.live && hasWrite
-			if store.live && store.valid && !hasWrite {
+			hasWrite := store.writes>>number&1 == 1
+			running = running || store.running && hasWrite
+			if store.running && store.canDeny && !hasWrite {
 				denials++
 			}
 		}
 		denied = denied && (len(list) == 0 || denials >= max(1, len(list)-m.faultTolerance))
 	}
 	if !running {
-		m.fail("LOST: no live store has write %d of program %d", number, write.program)
+		m.fail("LOST: no running store has write %d of program %d", number, write.program)
 	}
 	if denied {
 		m.fail("LOST: write %d of program %d may be answered 404", number, write.program)
@@ -93,19 +93,19 @@
 	lacked := true
 	for _, replicas := range m.replicaSets(write.program) {
 		lacking := 0
-		for _, s := range replicas {
-			if h := m.host(s.ID); h != nil && h.writes>>number&1 == 0 {
+		for _, store := range replicas {
+			if host := m.host(store.ID); host != nil && host.writes>>number&1 == 0 {
 				lacking++
 			}
 		}
 		lacked = lacked && lacking >= replicas.Majority()
 	}
 	if lacked {
-		m.fail("BUDGET: a majority of copies misses write %d of program %d", number, write.program)
+		m.fail("BUDGET: a majority of replicas lacks write %d of program %d", number, write.program)
 	}
 }
 
-// checkConvergence ends the troubles; all is whole again within a bound, also after the core was founded anew.
+// checkConvergence ends the faults, and checks that all replicas converge within a bound, also with a new control state.
 func (m *simulation) checkConvergence(injector *faultInjector) {
 	injector.nextLoss, injector.nextOrder, injector.nextHeadChange = never, never, never
 	m.run(m.now+25*time.Second, injector.step)
@@ -113,7 +113,7 @@
 	if m.violation != "" || m.rng.IntN(3) > 0 {
 		return
 	}
-	m.logEvent("the core is founded anew")
+	m.logEvent("new control state")
 	m.current, m.previous, m.tookOverAt, m.stores, m.retired = nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
 	for _, h := range m.hosts {
 		h.retired = false
@@ -122,41 +122,40 @@
 	m.inherited, m.lastReport, m.referenceStores = Observations{}, Observations{}, map[string]StoreStatus{}
 	m.run(m.now+15*time.Second, injector.step)
 	if m.current == nil {
-		m.fail("STUCK: no placement 15 s after the core was founded anew")
+		m.fail("STUCK: no placement 15 s after the control state was created anew")
 		return
 	}
 	m.checkConverged()
 }
 
-// checkConverged: the placement is stable, and all copies have all that was acknowledged.
+// checkConverged checks that the placement is stable, and that all replicas have every acknowledged write.
 func (m *simulation) checkConverged() {
 	if m.violation != "" {
 		return
 	}
 	if len(m.current.New) > 0 {
-		m.fail("STUCK: the placement is not stable long after all trouble")
+		m.fail("STUCK: the placement is not stable long after the last fault")
 		return
 	}
 	m.checkRetired()
 	for number, write := range m.writes {
-		for _, s := range m.replicaSets(write.program)[0] {
-			if h := m.host(s.ID); write.acked && (h == nil || h.writes>>number&1 == 0) {
-				lacks := 0
-				for _, s := range m.replicaSets(write.program)[0] {
-					if h := m.host(s.ID); h == nil || h.writes>>number&1 == 0 {
-						lacks++
-					}
-				}
-				if lacks > m.faultTolerance {
-					m.fail("COPIES: %d of program %d lack write %d", lacks, write.program, number)
-				}
+		if !write.acked {
+			continue
+		}
+		lacking := 0
+		for _, store := range m.replicaSets(write.program)[0] {
+			if host := m.host(store.ID); host == nil || host.writes>>number&1 == 0 {
+				lacking++
 			}
 		}
+		if lacking > m.faultTolerance {
+			m.fail("REPLICAS: %d of program %d lack write %d", lacking, write.program, number)
+		}
 	}
 }
 
-// checkRetired: each order to empty a store is complete, where enough others are left. An order may have been taken while the list had
-// a store that was gone beside its successor; it waits for one more then.
+// checkRetired checks that each retirement is complete, if enough others are left. One may have been accepted while the list had
+// both a failed store and its successor; it waits for a further store then.
 func (m *simulation) checkRetired() {
 	others := 0
 	for _, host := range m.hosts {
@@ -166,7 +165,7 @@
 	}
 	for _, h := range m.hosts {
 		if h.retired && !h.removed && others >= 2*m.faultTolerance+1 {
-			m.fail("EMPTYING: %s, ordered to be emptied, is still in use long after all trouble, with %d others", h.name, others)
+			m.fail("RETIREMENT: %s, ordered to retire, is still in use long after the last fault, with %d others", h.name, others)
 		}
 	}
 }
--- a/internal/tier/placement/model_client_test.go
+++ b/internal/tier/placement/model_client_test.go
@@ -14,7 +14,7 @@
 	acked   bool
 }
 
-// replicaSets of a program by the lists in force.
+// replicaSets returns the replica sets of a program by the lists in force.
 func (m *simulation) replicaSets(program int) []turnstore.ReplicaSet {
 	return m.replicaSetsUnder(m.current, program)
 }
@@ -35,7 +35,7 @@
 	program int
 }
 
-// write has a front keep a turn under the placement that it goes by; some copies do not get it.
+// write simulates a front that writes a turn under the placement that it knows; some replicas do not get it.
 func (m *simulation) write() {
 	known := m.current
 	if m.now < m.previousUntil && m.rng.IntN(2) == 0 {
--- a/internal/tier/placement/model_head_test.go
+++ b/internal/tier/placement/model_head_test.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// stepHead hears registrations and plans.
+// stepHead delivers registrations to the head, and plans.
 func (m *simulation) stepHead() {
 	sort.SliceStable(m.inTransit, func(i, j int) bool { return m.inTransit[i].at < m.inTransit[j].at })
 	for len(m.inTransit) > 0 && m.inTransit[0].at <= m.now {
@@ -21,8 +21,7 @@
 	if m.current != nil && m.current.Generation != m.generation {
 		m.generation, m.generationSince = m.current.Generation, m.now
 	}
-	in := Input{Now: m.now, TookOverAt: m.tookOverAt, Inherited: m.inherited, GenerationSince: m.inherited.GenerationSince(m.generation, max(m.tookOverAt, m.generationSince)), FaultTolerance: m.faultTolerance,
-		Current: m.current, Stores: m.stores, Retired: m.retired, Departures: m.departures}
+	in := m.input()
 	m.checkNotCountedFailed(&in)
 	if m.now%reportInterval == 0 && m.reportRand.IntN(4) > 0 {
 		m.lastReport = in.Observe(m.timings)
@@ -30,7 +29,7 @@
 	if m.fault != retirementNotExtended {
 		for _, store := range LostWhileRetiring(in) {
 			m.retired[store.ID] = true
-			m.logEvent("%s is to be emptied as well", store.ID)
+			m.logEvent("%s is to be retired as well", store.ID)
 		}
 	}
 	next := m.plan(in)
@@ -40,6 +39,17 @@
 	if m.fault == jointPhaseSkipped && len(next.New) > 0 {
 		next.Old, next.New = next.New, nil
 	}
+	m.apply(next)
+}
+
+func (m *simulation) input() Input {
+	return Input{Now: m.now, TookOverAt: m.tookOverAt, Inherited: m.inherited,
+		GenerationSince: m.inherited.GenerationSince(m.generation, max(m.tookOverAt, m.generationSince)),
+		FaultTolerance:  m.faultTolerance, Current: m.current, Stores: m.stores, Retired: m.retired, Departures: m.departures}
+}
+
+// apply puts a planned placement in force.
+func (m *simulation) apply(next *turnstore.Placement) {
 	switch {
 	case m.current == nil:
 	case len(next.New) > 0 && len(m.current.New) == 0:
@@ -51,7 +61,7 @@
 	m.previous, m.previousUntil = m.current, m.now+m.duration(0, m.maxDelivery+200*time.Millisecond)
 	m.departures.Record(m.current, next, m.retired, m.now)
 	m.current = next
-	m.logEvent("gen %d %s > %s", next.Generation, storeIDs(next.Old), storeIDs(next.New))
+	m.logEvent("generation %d %s > %s", next.Generation, storeIDs(next.Old), storeIDs(next.New))
 	for _, store := range m.hosts {
 		if store.up {
 			m.deliverPlacement(store)
@@ -59,21 +69,22 @@
 	}
 }
 
-// changeHead takes the duty over, with the last report of the one before it that has come.
+// changeHead makes another node head, with the last observations received from the one before it.
 func (m *simulation) changeHead() {
 	m.stores, m.tookOverAt, m.inherited, m.departures = map[string]StoreStatus{}, m.now, m.lastReport, Departures{}
 	m.logEvent("another head")
 }
 
-// checkNotCountedFailed: no store is counted silent that a head which never changes would just have heard.
+// checkNotCountedFailed checks that no store counts as failed that a head which never changes has confirmed recently.
 func (m *simulation) checkNotCountedFailed(in *Input) {
 	if in.Current == nil {
 		return
 	}
 	for _, store := range in.Current.Stores() {
 		status, known := m.referenceStores[store.ID]
-		if known && status.ConfirmedAt > 0 && m.now-status.ConfirmedAt <= m.timings.SuspectTimeout && in.elapsed(store.ID, m.timings) > m.timings.FailureTimeout {
-			m.fail("SILENT: %s, heard %v ago, is counted as silent", store.ID, m.now-status.ConfirmedAt)
+		if known && status.ConfirmedAt > 0 && m.now-status.ConfirmedAt <= m.timings.SuspectTimeout &&
+			in.elapsed(store.ID, m.timings) > m.timings.FailureTimeout {
+			m.fail("UNRESPONSIVE: %s, confirmed %v ago, counts as failed", store.ID, m.now-status.ConfirmedAt)
 		}
 	}
 }
--- a/internal/tier/placement/model_store_test.go
+++ b/internal/tier/placement/model_store_test.go
@@ -13,24 +13,24 @@
 	id         string
 	up, frozen bool
 	removed    bool          // for good
-	retired    bool          // to be emptied
-	lostUntil  time.Duration // counts as lost until then; never: while it is down
+	retired    bool          // by order
+	lostUntil  time.Duration // counts as lost until then; never while it is down
 	started    time.Duration
 
 	adopted, swept  int64
-	writes          uint64 // writes, a bit for each
+	writes          uint64 // a bit for each write
 	known           *turnstore.Placement
 	deliveries      []delivery
 	registeredAt    time.Duration
 	registeredSweep int64
 
-	pulled            map[string]bool // peers, under sweeping
-	pulledBefore      map[string]bool // peers that it has pulled from under any gen
-	sweepPhase        int64           // the phase of a gen
-	pullFrom          string          // that it pulls from until pulls
+	pulled            map[string]bool // peers tried in the present phase, with success or without
+	pulledBefore      map[string]bool // peers pulled from under any generation
+	sweepPhase        int64           // generation and joint or stable, of the present sweep
+	pullFrom          string          // peer of the pull in progress until pullEnds
 	pullEnds          time.Duration
-	retryAt           time.Duration            // it tries again then
-	unresponsiveUntil map[string]time.Duration // peers that said nothing, until then
+	retryAt           time.Duration
+	unresponsiveUntil map[string]time.Duration // peers that did not respond
 }
 
 type delivery struct {
@@ -48,7 +48,7 @@
 	h.writes, h.pulledBefore, h.unresponsiveUntil, h.adopted, h.swept = 0, map[string]bool{}, map[string]time.Duration{}, 0, 0
 }
 
-// add starts a new machine; it counts as lost for a while only where it succeeds another.
+// add starts a new machine. It does not count as lost unless it succeeds another.
 func (m *simulation) add(name string) *host {
 	m.created++
 	h := &host{name: name, addr: fmt.Sprintf("a%d:1", m.created)}
@@ -68,7 +68,7 @@
 	m.deliverPlacement(h)
 }
 
-// stop ends a process; a registration may be under way for long.
+// stop ends a process; a registration of it may still be in transit for long.
 func (m *simulation) stop(h *host) {
 	if h.up && m.rng.IntN(4) == 0 {
 		m.inTransit = append(m.inTransit, message{m.now + m.duration(step, 8*time.Second), m.registration(h)})
@@ -76,7 +76,7 @@
 	h.up, h.frozen = false, false
 }
 
-// remove takes a machine away for good, with its disk.
+// remove removes a machine for good, with its disk.
 func (m *simulation) remove(h *host) {
 	m.stop(h)
 	h.removed = true
@@ -90,12 +90,13 @@
 }
 
 func (m *simulation) registration(h *host) Registration {
-	return Registration{Store: turnstore.Store{ID: h.id, Name: h.name, Addr: h.addr, Zone: "z"}, Generation: max(h.adopted, h.swept), SweptGeneration: h.swept}
+	return Registration{Store: turnstore.Store{ID: h.id, Name: h.name, Addr: h.addr, Zone: "z"},
+		Generation: max(h.adopted, h.swept), SweptGeneration: h.swept}
 }
 
 func (h *host) isUp() bool { return h.up && !h.frozen }
 
-// stepHost is a step of one store.
+// stepHost simulates a step of one store.
 func (m *simulation) stepHost(store *host) {
 	if !store.isUp() {
 		return
--- a/internal/tier/placement/model_sweep_test.go
+++ b/internal/tier/placement/model_sweep_test.go
@@ -6,10 +6,10 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// sweep is as turnstore's: peer after peer; what was pulled under a gen is not pulled again.
+// sweep simulates the sweep of package turnstore: peer after peer; a peer is pulled from once in each phase.
 func (m *simulation) sweep(store *host) {
 	placement := store.known
-	if placement == nil || store.swept >= placement.Generation || placement.Generation == 1 || !containsStore(placement.New, store.id) && (len(placement.New) > 0 || !containsStore(placement.Old, store.id)) {
+	if !store.mustSweep() {
 		store.pullFrom = ""
 		return
 	}
@@ -20,31 +20,55 @@
 		if m.now < store.pullEnds {
 			return
 		}
-		if m.pull(store, placement, store.pullFrom) {
-			store.pulled[store.pullFrom] = true
-		} else {
-			store.pulled[store.pullFrom] = false
-			store.unresponsiveUntil[store.pullFrom] = m.now + unresponsiveFor
-		}
-		store.pullFrom = ""
+		m.endPull(store, placement)
 	}
 	if m.now < store.retryAt {
 		return
 	}
 	if peer := m.nextPeer(store, placement); peer != "" {
-		took := m.duration(10*time.Millisecond, m.maxPull)
-		if store.pulledBefore[peer] { // most of it is here
-			took = min(took, 30*time.Millisecond)
-		}
-		switch peerHost := m.host(peer); {
-		case peerHost != nil && !peerHost.isUp(), peerHost == nil && m.rng.IntN(2) == 0:
-			took = pullTimeout
-		case peerHost == nil:
-			took = 0 // refused
-		}
-		store.pullFrom, store.pullEnds = peer, m.now+took
+		m.beginPull(store, peer)
 		return
 	}
+	m.endSweep(store, placement)
+}
+
+// mustSweep reports whether the store is in the list that sweeps, and has not swept under its generation.
+func (h *host) mustSweep() bool {
+	p := h.known
+	if p == nil || h.swept >= p.Generation || p.Generation == 1 {
+		return false
+	}
+	return containsStore(p.New, h.id) || len(p.New) == 0 && containsStore(p.Old, h.id)
+}
+
+// beginPull begins to pull from a peer.
+func (m *simulation) beginPull(store *host, peer string) {
+	took := m.duration(10*time.Millisecond, m.maxPull)
+	if store.pulledBefore[peer] { // only what is new
+		took = min(took, 30*time.Millisecond)
+	}
+	switch peerHost := m.host(peer); {
+	case peerHost != nil && !peerHost.isUp(), peerHost == nil && m.rng.IntN(2) == 0:
+		took = pullTimeout
+	case peerHost == nil:
+		took = 0 // connection refused
+	}
+	store.pullFrom, store.pullEnds = peer, m.now+took
+}
+
+// endPull ends the pull in progress.
+func (m *simulation) endPull(store *host, placement *turnstore.Placement) {
+	if m.pull(store, placement, store.pullFrom) {
+		store.pulled[store.pullFrom] = true
+	} else {
+		store.pulled[store.pullFrom] = false
+		store.unresponsiveUntil[store.pullFrom] = m.now + unresponsiveFor
+	}
+	store.pullFrom = ""
+}
+
+// endSweep completes a sweep, unless it missed more peers than may be lost: then these are tried again later.
+func (m *simulation) endSweep(store *host, placement *turnstore.Placement) {
 	missed := 0
 	for _, peer := range placement.Old {
 		if peer.ID != store.id && !store.pulled[peer.ID] {
@@ -57,10 +81,10 @@
 		return
 	}
 	store.swept = placement.Generation
-	m.logEvent("%s has swept gen %d, missed %d", store.id, placement.Generation, missed)
+	m.logEvent("%s has swept generation %d, missed %d", store.id, placement.Generation, missed)
 }
 
-// nextPeer gives the one to pull from: those that said nothing a moment ago come last, and not at all where they are
+// nextPeer returns the peer to pull from next, or "". Those that did not respond recently come last, and not at all if they are
 // not needed.
 func (m *simulation) nextPeer(store *host, placement *turnstore.Placement) string {
 	remaining := 0
@@ -69,9 +93,11 @@
 			remaining++
 		}
 	}
-	for _, silent := range []bool{false, true} {
+	for _, unresponsive := range []bool{false, true} {
 		for _, peer := range placement.Old {
-			if _, tried := store.pulled[peer.ID]; peer.ID != store.id && !tried && (store.unresponsiveUntil[peer.ID] > m.now) == silent && (!silent || remaining > m.faultTolerance) {
+			_, tried := store.pulled[peer.ID]
+			needed := !unresponsive || remaining > m.faultTolerance
+			if peer.ID != store.id && !tried && (store.unresponsiveUntil[peer.ID] > m.now) == unresponsive && needed {
 				return peer.ID
 			}
 		}
--- a/internal/tier/placement/model_test.go
+++ b/internal/tier/placement/model_test.go
@@ -9,18 +9,18 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// The model plays the duty of placement, stores that sweep and clients that write, in steps of virtual time. Stores and
-// writes are the model's (the real ones play in turnstore's courses); Plan, Hear and the groups of copies are the real
-// ones. It is small, so that thousands of courses are played in seconds.
+// The model simulates the head's planning, stores that sweep and clients that write, in steps of virtual time. Stores and
+// writes are the model's (package turnstore tests the real ones); Plan, Register and the replica sets are the real ones. It
+// is small, so that thousands of schedules run in seconds.
 
 const (
 	step                     = 50 * time.Millisecond
-	registerInterval         = 400 * time.Millisecond // a store, again and again
-	unplacedRegisterInterval = 100 * time.Millisecond // while it is not in the placement
-	pullTimeout              = 700 * time.Millisecond // what a pull from a machine that says nothing takes
+	registerInterval         = 400 * time.Millisecond // of a store
+	unplacedRegisterInterval = 100 * time.Millisecond // of a store that is not in the placement
+	pullTimeout              = 700 * time.Millisecond // for a pull from a machine that does not respond
 	unresponsiveFor          = 10 * time.Second
 	sweepRetryInterval       = 100 * time.Millisecond
-	reportInterval           = 200 * time.Millisecond // the head, to the other core nodes
+	reportInterval           = 200 * time.Millisecond // of the head to the other core nodes
 	programCount             = 6
 	never                    = time.Duration(1 << 62)
 )
@@ -36,43 +36,45 @@
 	faultTolerance    int
 	catchUp           time.Duration
 	timings           Timings
-	maxPull           time.Duration // a pull takes at most so long
-	maxDelivery       time.Duration // a placement is heard within
+	maxPull           time.Duration // duration of a pull, at most
+	maxDelivery       time.Duration // delay of a placement, at most
 	now               time.Duration
 	hosts             []*host
 	writes            []turnWrite
-	programWrites     [programCount]uint64 // the writes of each program
+	programWrites     [programCount]uint64 // a bit for each write
 	current           *turnstore.Placement
-	replicaSetCache   map[replicaSetKey][]turnstore.ReplicaSet // computed before
-	previous          *turnstore.Placement                     // what fronts that lag go by
-	previousUntil     time.Duration                            // until then
+	replicaSetCache   map[replicaSetKey][]turnstore.ReplicaSet
+	previous          *turnstore.Placement // that fronts which lag use until previousUntil
+	previousUntil     time.Duration
 	tookOverAt        time.Duration
 	generation        int64
-	generationSince   time.Duration // it was seen first
+	generationSince   time.Duration // when it was first seen
 	stores            map[string]StoreStatus
-	inherited         Observations           // what this head was told by the one before it
-	reportRand        *rand.Rand             // which reports of the head are lost
-	targetRand        *rand.Rand             // whether a loss hits a store that is being emptied
-	lastReport        Observations           // the last that the other core nodes have of the head
-	referenceStores   map[string]StoreStatus // what a head that never changes would have heard
+	inherited         Observations           // by this head from the one before it
+	reportRand        *rand.Rand             // decides which observations are lost
+	targetRand        *rand.Rand             // decides whether a loss hits a retiring store
+	lastReport        Observations           // last observations that the other core nodes have received
+	referenceStores   map[string]StoreStatus // of a head that never changes
 	retired           map[string]bool
-	departures        Departures // as this head saw it
+	departures        Departures // seen by this head
 	inTransit         []message
 	created           int
-	hostsByID         map[string]*host // that are there
+	hostsByID         map[string]*host // that exist
 	events            []string
 	violation         string
-	jointSince        time.Duration // the joint phase that is under way
-	longestJoint      time.Duration // joint phase
+	jointSince        time.Duration // of the joint phase in progress
+	longestJoint      time.Duration
 	changes           int
-	longestNoMajority time.Duration // longest without a majority
-	noMajoritySince   time.Duration // since then, 0: not
+	longestNoMajority time.Duration
+	noMajoritySince   time.Duration // 0 for none
 }
 
 func newSimulation(seed uint64, fault fault, stores, faultTolerance int, contact, catchUp, maxPull time.Duration) *simulation {
-	m := &simulation{fault: fault, rng: rand.New(rand.NewPCG(seed, 3)), faultTolerance: faultTolerance, catchUp: catchUp, maxPull: maxPull, maxDelivery: 300 * time.Millisecond,
-		timings: DefaultTimings(contact), stores: map[string]StoreStatus{}, retired: map[string]bool{}, hostsByID: map[string]*host{},
-		reportRand: rand.New(rand.NewPCG(seed, 7)), targetRand: rand.New(rand.NewPCG(seed, 11)), departures: Departures{}, referenceStores: map[string]StoreStatus{}}
+	m := &simulation{fault: fault, rng: rand.New(rand.NewPCG(seed, 3)), faultTolerance: faultTolerance,
+		catchUp: catchUp, maxPull: maxPull, maxDelivery: 300 * time.Millisecond, timings: DefaultTimings(contact),
+		stores: map[string]StoreStatus{}, retired: map[string]bool{}, hostsByID: map[string]*host{},
+		reportRand: rand.New(rand.NewPCG(seed, 7)), targetRand: rand.New(rand.NewPCG(seed, 11)),
+		departures: Departures{}, referenceStores: map[string]StoreStatus{}}
 	if fault == pullBeforeAdoption || fault == slowDelivery {
 		m.maxDelivery = 3 * time.Second
 	}
@@ -109,7 +111,7 @@
 
 func (m *simulation) host(id string) *host { return m.hostsByID[id] }
 
-// countLost counts the machines that are lost.
+// countLost returns the number of machines that count as lost.
 func (m *simulation) countLost() (n int) {
 	for _, h := range m.hosts {
 		if h.lostUntil > m.now {
@@ -119,7 +121,7 @@
 	return n
 }
 
-// run plays until a time.
+// run simulates until a point in time.
 func (m *simulation) run(until time.Duration, inject func()) {
 	for ; m.now < until && m.violation == ""; m.now += step {
 		if inject != nil {
--- a/internal/tier/placement/observations.go
+++ b/internal/tier/placement/observations.go
@@ -2,26 +2,27 @@
 
 import (
 	"cmp"
-	"larchrouter/internal/tier/turnstore"
 	"slices"
 	"time"
+
+	"larchrouter/internal/tier/turnstore"
 )
 
-// Observations is what the holder of the duty tells the other core nodes, again and again, so that the one that takes the
-// duty over goes on with its counts. It has ages and no times: the clocks of two machines have nothing in common.
+// Observations are what the head publishes periodically to the other core nodes, so that the next head continues with its
+// time-outs. They are ages, not points in time: the clocks of two machines are unrelated.
 type Observations struct {
-	Generation    int64               // of the placement, 0 for none
-	GenerationAge time.Duration       // since the gen was seen first
-	Unresponsive  []UnresponsiveStore // the stores of the placement that are late with their registrations; the others were heard
+	Generation    int64               // of the placement; 0 for none
+	GenerationAge time.Duration       // since the generation was first seen
+	Unresponsive  []UnresponsiveStore // stores of the placement past SuspectTimeout; the others registered in time
 }
 
-// UnresponsiveStore is how long a store has not been heard by those that held the duty.
+// UnresponsiveStore is a store of the placement whose registration is late.
 type UnresponsiveStore struct {
 	ID      string
-	Elapsed time.Duration
+	Elapsed time.Duration // without a confirmed registration, during which heads listened
 }
 
-// Observe gives what the holder of the duty should tell the others now.
+// Observe returns the observations to publish now.
 func (in *Input) Observe(t Timings) Observations {
 	if in.Current == nil {
 		return Observations{}
@@ -35,7 +36,7 @@
 	return observations
 }
 
-// GenerationSince is when the placement's gen began to be in force, for a holder of the duty that has seen it first at a time.
+// GenerationSince returns since when a generation has been in force, on the clock of a head that first saw it at seenAt.
 func (o Observations) GenerationSince(generation int64, seenAt time.Duration) time.Duration {
 	if o.Generation == generation {
 		return seenAt - o.GenerationAge
@@ -43,7 +44,7 @@
 	return seenAt
 }
 
-// elapsed that was told of a store.
+// elapsed returns the observed time without registration, 0 for stores that registered in time.
 func (o Observations) elapsed(id string) time.Duration {
 	if i := slices.IndexFunc(o.Unresponsive, func(s UnresponsiveStore) bool { return s.ID == id }); i >= 0 {
 		return o.Unresponsive[i].Elapsed
@@ -51,15 +52,17 @@
 	return 0
 }
 
-// FailedStores gives the silences after which a store may be replaced, the longest first.
+// FailedStores returns the stores that may be replaced, those unresponsive for longest first.
 func (o Observations) FailedStores(t Timings) []UnresponsiveStore {
-	failed := slices.DeleteFunc(slices.Clone(o.Unresponsive), func(s UnresponsiveStore) bool { return s.Elapsed <= t.FailureTimeout })
+	failed := slices.DeleteFunc(slices.Clone(o.Unresponsive), func(s UnresponsiveStore) bool {
+		return s.Elapsed <= t.FailureTimeout
+	})
 	slices.SortStableFunc(failed, func(a, b UnresponsiveStore) int { return cmp.Compare(b.Elapsed, a.Elapsed) })
 	return failed
 }
 
-// StoresRequired is how many of the silent stores have to come back, with their disks, before a change of the placement can end: a
-// sweep may miss as many of a list as may be lost at once, and no more. It is 0 where it can end without them.
+// StoresRequired returns how many of the failed stores have to return, with their disks, before a change of the placement can
+// end: a sweep may miss FaultTolerance stores of a list, and no more. It is 0 if changes can end without them.
 func StoresRequired(p *turnstore.Placement, failed []UnresponsiveStore) int {
 	maxMissing := 0
 	for _, list := range [][]turnstore.Store{p.Old, p.New} {
--- a/internal/tier/placement/observations_test.go
+++ b/internal/tier/placement/observations_test.go
@@ -13,14 +13,14 @@
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	heads.run(4*time.Second, "a", "b", "c", "d")
 	heads.run(4700*time.Millisecond, "a", "b", "c")
-	heads.run(5900*time.Millisecond, "a", "b", "c", "e") // e is not placed while d may come back
+	heads.run(5900*time.Millisecond, "a", "b", "c", "e") // e is not added while d is suspect
 	heads.takeOver(heads.input.Observe(heads.timings))
 	next := heads.run(10*time.Second, "a", "b", "c", "e")
 	if next == nil || !containsStore(next.New, "e") || containsStore(next.New, "d") {
 		t.Fatalf("%+v", next)
 	}
 	if at := heads.input.Now; at != 7100*time.Millisecond {
-		t.Errorf("the place is given away at %v, not once the new head has listened for long enough", at)
+		t.Errorf("d was replaced at %v, not after the takeover grace of the new head", at)
 	}
 }
 
@@ -31,19 +31,20 @@
 	next := *in.Current
 	next.Generation, next.New = 4, next.Old
 	in.Current, in.GenerationSince = &next, in.Now
-	heads.run(5900*time.Millisecond, "a", "b", "c", "d~") // d takes long: 1.9 s of the 2 s for which it is waited
+	heads.run(5900*time.Millisecond, "a", "b", "c", "d~") // d is slow: 1.9 s of the 2 s until the failure time-out
 	heads.takeOver(in.Observe(heads.timings))
 	ended := heads.run(10*time.Second, "a", "b", "c", "d~")
 	if ended == nil || len(ended.New) > 0 {
 		t.Fatalf("%+v", ended)
 	}
 	if took := in.Now - in.TookOverAt; took > 200*time.Millisecond {
-		t.Errorf("the change ends %v after the new head came", took)
+		t.Errorf("the change ended %v after the new head took over", took)
 	}
 }
 
-// The last report of a head is old: a store that was silent then has registered since. The new head must not count it
-// silent before it had the time to register with it, and not at all for the earlier silence once it has registered.
+// TestStaleObservationsDoNotFailRunningStore: the inherited observations are old, and a store that was unresponsive then has
+// registered since. The new head must not count it as failed before it had the time to register with it, and must not use the
+// inherited time at all once it has registered.
 func TestStaleObservationsDoNotFailRunningStore(t *testing.T) {
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	in := &heads.input
@@ -51,7 +52,7 @@
 	heads.run(5900*time.Millisecond, "a", "b", "c")
 	report := in.Observe(heads.timings)
 	if next := heads.run(6500*time.Millisecond, "a", "b", "c", "d"); next != nil {
-		t.Fatalf("with the head before: %+v", next)
+		t.Fatalf("under the former head: %+v", next)
 	}
 	heads.takeOver(report)
 	if next := heads.run(in.Now+heads.timings.TakeoverGrace-planStep, "a", "b", "c", "e"); next != nil {
@@ -71,16 +72,16 @@
 	heads.takeOver(in.Observe(heads.timings))
 	heads.run(in.Now+300*time.Millisecond, "a", "b", "c")
 	observations := in.Observe(heads.timings)
-	if len(observations.Unresponsive) != 1 || observations.Unresponsive[0] != (UnresponsiveStore{ID: "d", Elapsed: 1400 * time.Millisecond}) {
+	if want := []UnresponsiveStore{{ID: "d", Elapsed: 1400 * time.Millisecond}}; !slices.Equal(observations.Unresponsive, want) {
 		t.Errorf("%+v", observations)
 	}
 }
 
-// A course of losses in which another head takes over just before a change can end.
+// TestScheduleWithHeadChangeAtEndOfChange: another node becomes head just before a change can end.
 func TestScheduleWithHeadChangeAtEndOfChange(t *testing.T) {
 	const seed = 2795
-	if m := runSchedule(seed, ""); m.violation != "" {
-		t.Errorf("seed %d: %s\n%s", seed, m.violation, m.timeline())
+	if sim := runSchedule(seed, ""); sim.violation != "" {
+		t.Errorf("seed %d: %s\n%s", seed, sim.violation, sim.timeline())
 	}
 }
 
@@ -92,7 +93,7 @@
 		return all
 	}
 	for _, test := range []struct {
-		old, next, silent string
+		old, next, failed string
 		losses, want      int
 	}{
 		{"a b c d", "", "", 1, 0},
@@ -106,11 +107,11 @@
 		{"a b c", "", "x y z", 1, 0},
 	} {
 		placement := &turnstore.Placement{FaultTolerance: test.losses, Old: list(test.old), New: list(test.next)}
-		var silent []UnresponsiveStore
-		for _, id := range strings.Fields(test.silent) {
-			silent = append(silent, UnresponsiveStore{ID: id, Elapsed: time.Minute})
+		var failed []UnresponsiveStore
+		for _, id := range strings.Fields(test.failed) {
+			failed = append(failed, UnresponsiveStore{ID: id, Elapsed: time.Minute})
 		}
-		if got := StoresRequired(placement, silent); got != test.want {
+		if got := StoresRequired(placement, failed); got != test.want {
 			t.Errorf("%+v: %d", test, got)
 		}
 	}
@@ -123,6 +124,6 @@
 		t.Errorf("%+v", got)
 	}
 	if len(h.Unresponsive) != 3 {
-		t.Error("what was handed over is changed")
+		t.Error("observations modified")
 	}
 }
--- a/internal/tier/placement/plan.go
+++ b/internal/tier/placement/plan.go
@@ -1,5 +1,3 @@
-// Package placement decides the duty of placement: which stores hold the copies, as they come, go, lose their disks
-// and are emptied. It is the duty of the chain's head, whose epoch fences it. Pure.
 package placement
 
 import (
@@ -10,42 +8,43 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Timings of the duty.
+// Timings are the time-outs of planning.
 type Timings struct {
-	InitialWait     time.Duration // wait for others before the stores are placed for the first time
-	ExtendedWait    time.Duration // as long again, where fewer came than all copies need, or where stores were placed before
-	ConfirmInterval time.Duration // between two registrations that confirm each other
-	SuspectTimeout  time.Duration // silence after which a store may be gone: longer than the pause between its registrations
-	FailureTimeout  time.Duration // silence after which a newcomer may take a store's place
-	RemovalTimeout  time.Duration // silence after which a store is taken off the list
-	TakeoverGrace   time.Duration // for a new holder of the duty, before silence that it was told counts
+	InitialWait     time.Duration // from the first registration to the first placement, for the others to register
+	ExtendedWait    time.Duration // instead of it, if there are fewer stores than replicas, or stores know earlier placements
+	ConfirmInterval time.Duration // at least, between two registrations of which the second confirms the store
+	SuspectTimeout  time.Duration // without registration: the store may have failed; above the interval of registrations
+	FailureTimeout  time.Duration // without registration: the store has failed, and a candidate may replace it
+	RemovalTimeout  time.Duration // without registration: the store is removed also without replacement
+	TakeoverGrace   time.Duration // for which a new head listens before it uses inherited observations
 }
 
-// takeoverGrace is longer than a store that runs takes to register with a new head. One that followed the head before asks another
-// node 0.95 s after that one was lost, some 0.2 s after the new head came; a call that it began before then ends within 0.8 s,
-// and the next one takes up to 0.15 s. One that followed another node is heard within 0.65 s.
+// takeoverGrace is above the time in which a running store registers with a new head. A store that followed the head before
+// asks another node 0.95 s after that head was lost, some 0.2 s after the new head took over; a call that it made just before
+// ends within 0.8 s, and the next one takes up to 0.15 s. A store that followed another node registers within 0.65 s.
 const takeoverGrace = 1200 * time.Millisecond
 
-// DefaultTimings, from the time for which a machine that is in trouble may stay away.
+// DefaultTimings returns the time-outs for a contact time: how long a machine may be unreachable before it is replaced for
+// good (setting contact_ms).
 func DefaultTimings(contact time.Duration) Timings {
 	return Timings{InitialWait: 700 * time.Millisecond, ExtendedWait: 4 * time.Second, ConfirmInterval: 80 * time.Millisecond,
 		SuspectTimeout: 600 * time.Millisecond, FailureTimeout: contact / 2, RemovalTimeout: 2 * contact, TakeoverGrace: takeoverGrace}
 }
 
-// Input is what the holder of the duty knows.
+// Input is what the head knows. Plan does not modify it.
 type Input struct {
 	Now             time.Duration
-	TookOverAt      time.Duration // when it took the duty: the silence that it measures itself counts from there at the earliest
-	Inherited       Observations  // what the holder before it had measured, empty for nothing
-	GenerationSince time.Duration // when it first saw the placement's gen
-	FaultTolerance  int
-	Current         *turnstore.Placement   // nil for none
-	Stores          map[string]StoreStatus // by id
-	Retired         map[string]bool        // ids that are to be emptied, or were
-	Departures      Departures             // of those that were, as this holder of the duty saw it
+	TookOverAt      time.Duration // since when this head has listened to registrations without interruption
+	Inherited       Observations  // of the head before it; zero for none
+	GenerationSince time.Duration // when the generation of Current was first seen, see Observations.GenerationSince
+	FaultTolerance  int           // replicas that may be lost at once
+	Current         *turnstore.Placement
+	Stores          map[string]StoreStatus // by store identity; kept by Register
+	Retired         map[string]bool        // identities of stores that an operator's order retires, or has retired
+	Departures      Departures             // of retired stores, as seen by this head
 }
 
-// Plan gives the placement that should replace the present one, nil for none.
+// Plan returns the placement that should replace the current one, or nil if no change is due.
 func Plan(in Input, t Timings) *turnstore.Placement {
 	replicas := 2*in.FaultTolerance + 1
 	if in.Current == nil {
@@ -66,7 +65,7 @@
 		next.Old, next.New = target, nil
 		return &next
 	case in.isJoint() && !in.changeIsBlocked(target, t):
-		return nil // one change after the other: what this one takes off must not stay in force longer for the next
+		return nil // one change at a time: the stores that this one removes must not stay in force for the next one
 	case !slices.Equal(desired, target):
 		next.Generation, next.New = next.Generation+1, desired
 		return &next
@@ -74,8 +73,11 @@
 	return nil
 }
 
-// highestGeneration is the highest gen that any store has adopted, as far as is known. Where the core was founded anew it is
-// above the placement's, and stores refuse what comes under an older gen.
+// isJoint reports whether a change is in progress.
+func (in *Input) isJoint() bool { return len(in.Current.New) > 0 }
+
+// highestGeneration returns the highest generation that any store is known to have adopted. It is above the placement's
+// after the control state was created anew; stores reject requests of a lower generation.
 func (in *Input) highestGeneration() (generation int64) {
 	for _, status := range in.Stores {
 		generation = max(generation, status.Generation, status.SweptGeneration)
@@ -83,12 +85,14 @@
 	return generation
 }
 
+// initialPlacement returns the first placement of a control state, or nil as long as it waits for more stores to register.
 func initialPlacement(in Input, t Timings, replicas int) *turnstore.Placement {
 	var stores []turnstore.Store
 	firstSeen := in.Now
 	for _, status := range in.Stores {
 		firstSeen = min(firstSeen, status.FirstSeen)
-		if !in.Retired[status.Store.ID] && status.ConfirmedAt > 0 && !in.isSuperseded(status) && in.Now-status.ConfirmedAt <= t.FailureTimeout {
+		if !in.Retired[status.Store.ID] && status.ConfirmedAt > 0 && !in.isSuperseded(status) &&
+			in.Now-status.ConfirmedAt <= t.FailureTimeout {
 			stores = append(stores, status.Store)
 		}
 	}
@@ -98,8 +102,6 @@
 		return nil
 	}
 	slices.SortFunc(stores, func(a, b turnstore.Store) int { return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.ID, b.ID)) })
-	return &turnstore.Placement{Generation: highest + 1, ReplicationFactor: replicas, DurableReplicas: in.FaultTolerance + 1, FaultTolerance: in.FaultTolerance, Old: stores}
+	return &turnstore.Placement{Generation: highest + 1, ReplicationFactor: replicas, DurableReplicas: in.FaultTolerance + 1,
+		FaultTolerance: in.FaultTolerance, Old: stores}
 }
-
-// isJoint tells whether a change is under way.
-func (in *Input) isJoint() bool { return len(in.Current.New) > 0 }
--- a/internal/tier/placement/plan_test.go
+++ b/internal/tier/placement/plan_test.go
@@ -144,13 +144,14 @@
 
 func TestNewHeadWaitsBeforeItFailsStores(t *testing.T) {
 	t.Parallel()
-	in := Input{Now: 100 * time.Second, TookOverAt: 99 * time.Second, FaultTolerance: 1, Stores: map[string]StoreStatus{}, Retired: map[string]bool{},
-		Current: &turnstore.Placement{Generation: 4, Old: []turnstore.Store{{ID: "a", Name: "a"}, {ID: "b", Name: "b"}, {ID: "c", Name: "c"}, {ID: "d", Name: "d"}}}}
+	stores := []turnstore.Store{{ID: "a", Name: "a"}, {ID: "b", Name: "b"}, {ID: "c", Name: "c"}, {ID: "d", Name: "d"}}
+	in := Input{Now: 100 * time.Second, TookOverAt: 99 * time.Second, FaultTolerance: 1, Stores: map[string]StoreStatus{},
+		Retired: map[string]bool{}, Current: &turnstore.Placement{Generation: 4, Old: stores}}
 	if next := Plan(in, DefaultTimings(3*time.Second)); next != nil {
-		t.Fatalf("it moves at once: %+v", next)
+		t.Fatalf("it fails stores at once: %+v", next)
 	}
 	in.Now = 106 * time.Second
 	if next := Plan(in, DefaultTimings(3*time.Second)); next == nil || len(next.New) != 3 {
-		t.Fatalf("%+v: all are silent, and as many stay as all copies need", next)
+		t.Fatalf("%+v: all have failed, and as many must remain as replicas are needed", next)
 	}
 }
--- a/internal/tier/placement/registration.go
+++ b/internal/tier/placement/registration.go
@@ -6,43 +6,47 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Registration is what a store tells of itself, again and again.
+// Registration is what a store sends to the head periodically.
 type Registration struct {
 	Store           turnstore.Store
-	Generation      int64 // the newest gen that it has adopted: it refuses what comes under an older one
-	SweptGeneration int64 // the gen under which it has swept the others
-	Full            bool  // its disk has little room
+	Generation      int64 // highest that the store has adopted: it rejects requests of lower ones
+	SweptGeneration int64 // highest under which it has completed its sweep
+	Full            bool  // its disk has little capacity left
 }
 
-// StoreStatus is what is known of a store that has told of itself.
+// StoreStatus is what the head knows of a store that has registered.
 type StoreStatus struct {
 	Store           turnstore.Store
-	Generation      int64
-	SweptGeneration int64
+	Generation      int64 // never decreases
+	SweptGeneration int64 // never decreases
 	Full            bool
-	FirstSeen       time.Duration // when the registrations began that follow each other without a gap
-	LastSeen        time.Duration // when the last one came
-	ConfirmedAt     time.Duration // when one came last that others confirm; 0: none did yet
+	FirstSeen       time.Duration // first registration of the present sequence of registrations without a gap
+	LastSeen        time.Duration // last registration
+	ConfirmedAt     time.Duration // last registration that an earlier one of its sequence confirms; 0 for none
 }
 
-// Register notes a registration. One may come late, after its store is gone and another has come at its address: it proves
-// nothing by itself. It counts once a second follows, and none of another store at the address lies between.
+// Register records a registration in stores. A delayed registration may arrive when its store has failed and another one is
+// at its address, so that a single one proves nothing. One confirms the store if it continues a sequence that began
+// ConfirmInterval before, with no registration of another store at the address in between.
 func Register(stores map[string]StoreStatus, registration Registration, now time.Duration, t Timings) {
 	status, known := stores[registration.Store.ID]
 	confirmed := status.ConfirmedAt > 0 && status.ConfirmedAt == status.LastSeen
 	gap := now - status.LastSeen
-	if !known || gap > t.FailureTimeout || confirmed && gap > t.SuspectTimeout || registeredSince(stores, registration.Store, status.LastSeen) {
+	if !known || gap > t.FailureTimeout || confirmed && gap > t.SuspectTimeout ||
+		registeredSince(stores, registration.Store, status.LastSeen) {
 		status.FirstSeen = now
 	}
 	status.Store, status.Full, status.LastSeen = registration.Store, registration.Full, now
-	status.Generation, status.SweptGeneration = max(status.Generation, registration.Generation), max(status.SweptGeneration, registration.SweptGeneration) // they may come out of order
+	// Registrations may be reordered.
+	status.Generation = max(status.Generation, registration.Generation)
+	status.SweptGeneration = max(status.SweptGeneration, registration.SweptGeneration)
 	if now-status.FirstSeen >= t.ConfirmInterval {
 		status.ConfirmedAt = now
 	}
 	stores[registration.Store.ID] = status
 }
 
-// registeredSince tells whether another store was heard at an address since.
+// registeredSince reports whether another store has registered from the address of a store since a point in time.
 func registeredSince(stores map[string]StoreStatus, store turnstore.Store, since time.Duration) bool {
 	for id, other := range stores {
 		if id != store.ID && other.Store.Addr == store.Addr && other.LastSeen >= since {
--- a/internal/tier/placement/registration_test.go
+++ b/internal/tier/placement/registration_test.go
@@ -10,10 +10,11 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// A registration of a store whose disk is gone, held up on its way, comes after those of the store that took its place.
+// TestDelayedRegistrationOfReplacedStoreIsNotConfirmed: the registration of a store whose disk is lost arrives after those of
+// its successor.
 func TestDelayedRegistrationOfReplacedStoreIsNotConfirmed(t *testing.T) {
 	for _, test := range []struct{ name, lines string }{
-		{"after its successor is placed", `
+		{"after its successor is confirmed", `
 			100   a@1 b@2 c@3
 			500   a@1 b@2 c@3
 			2000  a@1 b@2 d@3
@@ -28,12 +29,12 @@
 			1000  a@1 b@2 d@3
 			1100  d@3
 			1400  a@1 b@2 d@3`},
-		{"at another head, which has heard its successor once", `
+		{"at a new head, after one of its successor", `
 			5000  a@1 b@2 d@3
 			5010  c@3
 			5100  a@1 b@2 d@3
 			5200  a@1 b@2 d@3`},
-		{"at another head, before its successor", `
+		{"at a new head, before its successor", `
 			5000  a@1 b@2 c@3
 			5010  d@3
 			5100  a@1 b@2 d@3
@@ -51,12 +52,12 @@
 			}
 			in := Input{Now: now, FaultTolerance: 1, Stores: stores}
 			if in.Current = placed("a", "b", "d"); len(in.candidates(in.Current.Old, DefaultTimings(3*time.Second))) > 0 {
-				t.Errorf("the store that is gone is taken for a newcomer: %+v", stores)
+				t.Errorf("the replaced store is a candidate: %+v", stores)
 			}
 			in.Current = placed("a", "b", "c")
 			next := Plan(in, DefaultTimings(3*time.Second))
 			if next == nil || !slices.ContainsFunc(next.New, func(o turnstore.Store) bool { return o.ID == "d" }) {
-				t.Errorf("the successor is not taken for one: %+v", next)
+				t.Errorf("the successor does not replace it: %+v", next)
 			}
 		})
 	}
@@ -73,7 +74,8 @@
 	}
 }
 
-// A core that is founded anew knows no placement; stores that kept their disks refuse what comes under an older gen.
+// TestNewClusterStartsAboveAdoptedGenerations: a new control state has no placement, and stores that kept their disks reject
+// requests of generations below the one that they have adopted.
 func TestNewClusterStartsAboveAdoptedGenerations(t *testing.T) {
 	stores := map[string]StoreStatus{}
 	timings := DefaultTimings(3 * time.Second)
@@ -81,7 +83,7 @@
 	for ms := 100; ms <= 4000; ms += 100 {
 		in.Now = playRegistrations(t, stores, strconv.Itoa(ms)+" a@1:7 b@2:9 c@3:9")
 		if next := Plan(in, timings); next != nil {
-			t.Fatalf("founded at %v, before others had the time to come: %+v", in.Now, next)
+			t.Fatalf("placed at %v, before the others had the time to register: %+v", in.Now, next)
 		}
 	}
 	in.Now = playRegistrations(t, stores, "4200 a@1:7 b@2:9 c@3:9 d@4:9")
@@ -90,7 +92,7 @@
 	if next == nil || next.Generation != 10 || len(next.Old) != 4 || len(next.New) > 0 {
 		t.Fatalf("%+v", next)
 	}
-	// One that comes later, and has adopted more, moves all above it.
+	// A store that registers later with a higher generation moves the placement above it.
 	in.Current = next
 	playRegistrations(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
 	in.Now = playRegistrations(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
--- a/internal/tier/placement/retirement.go
+++ b/internal/tier/placement/retirement.go
@@ -8,10 +8,25 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// LostWhileRetiring gives the stores for which an order to empty another holds as well: the machine lost its disk while it was
-// emptied, and came back under a new identity. The order has to be noted for that one too before it is placed. It has nothing
-// that others lack, and is not needed: the order was taken since enough others stay. Once the store that was ordered has left the
-// placement the order is complete, and a store of its name is a new one.
+// CanRetire reports whether enough stores remain in the placement if one more is retired.
+func CanRetire(p *turnstore.Placement, retired map[string]bool, faultTolerance int) bool {
+	remaining := -1
+	target := p.Old
+	if len(p.New) > 0 {
+		target = p.New
+	}
+	for _, store := range target {
+		if !retired[store.ID] {
+			remaining++
+		}
+	}
+	return remaining >= 2*faultTolerance+1
+}
+
+// LostWhileRetiring returns the stores to which the retirement of another one extends: the machine lost its disk while it was
+// being retired, and registered under a new identity. The caller records their retirement before the next placement. Such a
+// store has no data that others lack, and is not needed, since CanRetire held when the order was accepted. Once the store that
+// was ordered to retire has left the placement the order is complete, and a store of its name is a new one.
 func LostWhileRetiring(in Input) (stores []turnstore.Store) {
 	if in.Current == nil {
 		return nil
@@ -33,10 +48,10 @@
 	return stores
 }
 
-// Departures are the names of the stores that have left the placement by order, with when they were seen to leave it.
+// Departures are the names of the retired stores that have left the placement, with the time when the head saw it.
 type Departures map[string]time.Duration
 
-// Record notes which stores have left by order as one placement followed another.
+// Record adds the retired stores that are in the placement before a change and not in the one after it.
 func (d Departures) Record(before, after *turnstore.Placement, retired map[string]bool, now time.Duration) {
 	if before == nil || after == nil {
 		return
@@ -49,24 +64,10 @@
 	}
 }
 
-// recentlyRetired tells whether a store of that name has left by order a moment ago. None of its name is placed for contact: who was
-// told that the order is complete is taking the machine away, and it may have lost its disk just before and register anew.
+// recentlyRetired reports whether a retired store of the name left the placement less than the contact time ago. No store of
+// the name is a candidate for so long: the operator removes the machine once the order is complete, and the machine may have
+// lost its disk just before and register under a new identity meanwhile.
 func (in *Input) recentlyRetired(name string, t Timings) bool {
 	departedAt, known := in.Departures[name]
 	return known && in.Now-departedAt < 2*t.FailureTimeout
 }
-
-// CanRetire tells whether enough stores stay when one is emptied.
-func CanRetire(p *turnstore.Placement, retired map[string]bool, faultTolerance int) bool {
-	remaining := -1
-	target := p.Old
-	if len(p.New) > 0 {
-		target = p.New
-	}
-	for _, store := range target {
-		if !retired[store.ID] {
-			remaining++
-		}
-	}
-	return remaining >= 2*faultTolerance+1
-}
--- a/internal/tier/placement/retirement_test.go
+++ b/internal/tier/placement/retirement_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestRetirementExtendsToStoreThatLosesItsDisk(t *testing.T) {
-	for name, joint := range map[string]bool{"before the change begins": false, "while joint": true} {
+	for name, joint := range map[string]bool{"before the change": false, "while joint": true} {
 		t.Run(name, func(t *testing.T) {
 			heads := newRetirement(joint)
 			in := &heads.input
@@ -21,7 +21,7 @@
 			}
 			in.Retired["d2"] = true
 			if got := LostWhileRetiring(*in); len(got) > 0 {
-				t.Fatalf("noted already: %+v", got)
+				t.Fatalf("recorded already: %+v", got)
 			}
 			start := in.Now
 			for in.Now < start+10*time.Second {
@@ -30,24 +30,24 @@
 					break
 				}
 				if containsStore(next.New, "d2") || containsStore(next.Old, "d2") {
-					t.Fatalf("the empty store is placed: %+v", next)
+					t.Fatalf("the wiped store is placed: %+v", next)
 				}
 				if len(next.New) == 0 && in.Now-start > 500*time.Millisecond {
-					t.Errorf("the change ends after %v", in.Now-start)
+					t.Errorf("the change ended after %v", in.Now-start)
 				}
 				in.Current = next
 			}
 			if len(in.Current.New) > 0 || len(in.Current.Old) != 3 || containsStore(in.Current.Old, "d") {
-				t.Errorf("not emptied: %+v", in.Current)
+				t.Errorf("not retired: %+v", in.Current)
 			}
 		})
 	}
 }
 
-// The store that lost its disk is gone: its emptying does not wait for contact, as for one that may come back. The next loss
-// may come catch_up_s after the return.
+// TestSupersededRetiredStoreIsRemovedAtOnce: the store that lost its disk has failed. Its retirement does not wait until
+// FailureTimeout as for a suspect store, since the next loss may come catch_up_s after the return of the machine.
 func TestSupersededRetiredStoreIsRemovedAtOnce(t *testing.T) {
-	for name, takeOver := range map[string]bool{"with the head that heard it": false, "with another head": true} {
+	for name, takeOver := range map[string]bool{"same head": false, "new head": true} {
 		t.Run(name, func(t *testing.T) {
 			heads := newHeadSequence(1, "a", "b", "c", "d")
 			in := &heads.input
@@ -67,8 +67,8 @@
 	}
 }
 
-// The machine loses its disk while it is emptied, and registers anew only once the order is complete. Who was told so takes it
-// away: it must not be placed just then.
+// TestNameIsNotPlacedSoonAfterRetirement: the machine loses its disk while it is being retired, and registers again only once
+// the order is complete. The operator removes the machine then, so it must not be placed.
 func TestNameIsNotPlacedSoonAfterRetirement(t *testing.T) {
 	heads := newRetirement(true)
 	in := &heads.input
@@ -80,19 +80,20 @@
 	in.Current = &after
 	complete := in.Now
 	heads.registerTwice(turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"})
-	if next := heads.run(complete+2*heads.timings.FailureTimeout, "a", "b", "c", "e"); next == nil || containsStore(next.New, "d2") || !containsStore(next.New, "e") {
-		t.Errorf("one of another name: %+v", next)
+	next := heads.run(complete+2*heads.timings.FailureTimeout, "a", "b", "c", "e")
+	if next == nil || containsStore(next.New, "d2") || !containsStore(next.New, "e") {
+		t.Errorf("a store of another name is not added: %+v", next)
 	}
 	delete(in.Stores, "e")
 	for in.Now < complete+2*heads.timings.FailureTimeout {
 		heads.registerTwice(turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"})
 		if next := Plan(*in, heads.timings); next != nil && in.Now < complete+2*heads.timings.FailureTimeout {
-			t.Fatalf("placed %v after: %+v", in.Now-complete, next)
+			t.Fatalf("placed %v after the retirement: %+v", in.Now-complete, next)
 		}
 	}
 	heads.registerTwice(turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"})
 	if next := heads.run(in.Now+planStep, "a", "b", "c"); next == nil || !containsStore(next.New, "d2") {
-		t.Errorf("a new one under the name is not placed: %+v", next)
+		t.Errorf("a new store of the name is not placed: %+v", next)
 	}
 }
 
@@ -100,7 +101,7 @@
 	heads := newRetirement(true)
 	in := &heads.input
 	after := *in.Current
-	after.Old, after.New = in.Current.Old[1:3], nil // a goes without an order
+	after.Old, after.New = in.Current.Old[1:3], nil // a leaves without an order
 	departures := Departures{}
 	departures.Record(nil, &after, in.Retired, in.Now)
 	departures.Record(in.Current, nil, in.Retired, in.Now)
@@ -114,8 +115,8 @@
 	}
 }
 
-// A late registration can make a store that is gone seem to live. Its successor under the same name waits for its place: beside
-// it, the list would have one that is gone.
+// TestSuccessorWithSameNameIsNotAddedNextToFailedStore: a delayed registration can make a failed store seem to run. Its
+// successor under the same name waits to replace it, since otherwise the list would have both.
 func TestSuccessorWithSameNameIsNotAddedNextToFailedStore(t *testing.T) {
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	in := &heads.input
@@ -137,13 +138,17 @@
 func TestRetirementExtendsToNoOtherStore(t *testing.T) {
 	for name, test := range map[string]struct {
 		store turnstore.Store
-		setup func(s *Input)
+		setup func(in *Input)
 	}{
-		"another machine under the name":         {turnstore.Store{ID: "d2", Name: "d", Addr: "z:1"}, nil},
-		"another name at the address":            {turnstore.Store{ID: "e", Name: "e", Addr: "d:1"}, nil},
-		"the disk of one that stays":             {turnstore.Store{ID: "c2", Name: "c", Addr: "c:1"}, nil},
-		"a new one after the order was complete": {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(s *Input) { s.Current.Old, s.Current.New = s.Current.New, nil }},
-		"one that is placed already":             {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(s *Input) { s.Current.New = append(slices.Clone(s.Current.New), turnstore.Store{ID: "d2"}) }},
+		"another machine of the name":     {turnstore.Store{ID: "d2", Name: "d", Addr: "z:1"}, nil},
+		"another name at the address":     {turnstore.Store{ID: "e", Name: "e", Addr: "d:1"}, nil},
+		"lost disk of a store that stays": {turnstore.Store{ID: "c2", Name: "c", Addr: "c:1"}, nil},
+		"new store after the order was complete": {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(in *Input) {
+			in.Current.Old, in.Current.New = in.Current.New, nil
+		}},
+		"store that is placed already": {turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}, func(in *Input) {
+			in.Current.New = append(slices.Clone(in.Current.New), turnstore.Store{ID: "d2"})
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			heads := newRetirement(true)
@@ -156,10 +161,11 @@
 			}
 		})
 	}
-	r := newRetirement(true)
-	Register(r.input.Stores, Registration{Store: turnstore.Store{ID: "d0", Name: "d", Addr: "d:1"}}, r.input.Now, r.timings)
-	if got := LostWhileRetiring(r.input); len(got) > 0 {
-		t.Errorf("after one registration, which may be late: %+v", got)
+	heads := newRetirement(true)
+	wiped := turnstore.Store{ID: "d0", Name: "d", Addr: "d:1"}
+	Register(heads.input.Stores, Registration{Store: wiped}, heads.input.Now, heads.timings)
+	if got := LostWhileRetiring(heads.input); len(got) > 0 {
+		t.Errorf("after one registration, which may be delayed: %+v", got)
 	}
 }
 
--- a/internal/tier/placement/schedule_test.go
+++ b/internal/tier/placement/schedule_test.go
@@ -11,11 +11,11 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-var scheduleCount = flag.Int("courses", 400, "drawn courses of the model")
-var faultSchedules = flag.Int("fault-courses", 2000, "courses to find a planted fault in, at most")
-var firstSeed = flag.Uint64("seed", 1, "of the first course")
+var scheduleCount = flag.Int("courses", 400, "random schedules of the model")
+var faultSchedules = flag.Int("fault-courses", 2000, "schedules to find a planted fault in, at most")
+var firstSeed = flag.Uint64("seed", 1, "of the first schedule")
 
-// siteSizes of the sites, and some between them.
+// siteSizes are the sizes of the sites, and some in between.
 var siteSizes = []struct {
 	stores, losses   int
 	contact, catchUp time.Duration
@@ -28,11 +28,12 @@
 	{9, 2, 4 * time.Second, 6 * time.Second},
 }
 
-// faultInjector draws what happens: the next loss comes in the moment that the contract permits it, or a little later.
+// faultInjector injects losses, orders and changes of the head. The next loss comes as soon as the contract permits it,
+// or a little later.
 type faultInjector struct {
 	*simulation
 	rng            *rand.Rand
-	pending        []plannedAction // what is to happen
+	pending        []plannedAction // due later
 	nextLoss       time.Duration
 	nextOrder      time.Duration
 	nextHeadChange time.Duration
@@ -50,14 +51,14 @@
 
 func (injector *faultInjector) step() {
 	for i := 0; i < len(injector.pending); i++ {
-		if one := injector.pending[i]; one.at <= injector.now {
+		if action := injector.pending[i]; action.at <= injector.now {
 			injector.pending = append(injector.pending[:i], injector.pending[i+1:]...)
 			i--
-			one.do()
+			action.do()
 		}
 	}
 	if injector.now >= injector.nextHeadChange {
-		injector.nextHeadChange = injector.now + injector.duration(injector.catchUp, 25*time.Second) // a head that is lost is a loss as well
+		injector.nextHeadChange = injector.now + injector.duration(injector.catchUp, 25*time.Second) // losing a head is a loss as well
 		injector.changeHead()
 	}
 	if injector.now >= injector.nextOrder {
@@ -72,7 +73,7 @@
 	}
 }
 
-// randomUpHost live machine.
+// randomUpHost returns a machine that is up and not lost, or nil.
 func (injector *faultInjector) randomUpHost() *host {
 	var all []*host
 	for _, h := range injector.hosts {
@@ -86,7 +87,7 @@
 	return all[injector.rng.IntN(len(all))]
 }
 
-// retiringHost is a live machine that is being emptied, nil for none.
+// retiringHost returns a machine that is up and being retired, or nil.
 func (injector *faultInjector) retiringHost() *host {
 	for _, h := range injector.hosts {
 		if h.retired && h.isUp() && h.lostUntil <= injector.now {
@@ -96,10 +97,10 @@
 	return nil
 }
 
-// recovered: it counts as lost for a while after its return.
+// recovered: a machine counts as lost for a while after its return.
 func (injector *faultInjector) recovered(h *host) { h.lostUntil = injector.now + injector.catchUp }
 
-// restart starts a machine, unless it has been emptied and taken away while it was down.
+// restart starts a machine, unless it was retired and removed while it was down.
 func (injector *faultInjector) restart(h *host) {
 	if !h.removed {
 		injector.start(h)
@@ -130,7 +131,7 @@
 		host.frozen = true
 		injector.schedule(away, func() {
 			if !host.removed {
-				injector.logEvent("%s thaws", host.name)
+				injector.logEvent("%s resumes", host.name)
 				host.frozen = false
 				injector.recovered(host)
 			}
@@ -145,7 +146,7 @@
 		if injector.rng.IntN(2) == 0 {
 			name = host.name
 		}
-		injector.logEvent("%s gone for good", host.name)
+		injector.logEvent("%s removed for good", host.name)
 		injector.remove(host)
 		injector.schedule(time.Second, func() {
 			host.lostUntil = 0
@@ -154,53 +155,56 @@
 	}
 }
 
-// submitOrder of an operator: a store more, or one to be emptied.
+// submitOrder submits an operator's order: a further store, or the retirement of one.
 func (injector *faultInjector) submitOrder() {
 	if injector.rng.IntN(2) == 0 && len(injector.hosts) < 14 {
-		injector.logEvent("one more")
+		injector.logEvent("store added")
 		injector.add("")
 		return
 	}
 	host := injector.randomUpHost()
-	if host == nil || injector.current == nil || injector.retired[host.id] || !containsStore(injector.current.Stores(), host.id) || !CanRetire(injector.current, injector.retired, injector.faultTolerance) {
+	if host == nil || injector.current == nil || injector.retired[host.id] ||
+		!containsStore(injector.current.Stores(), host.id) || !CanRetire(injector.current, injector.retired, injector.faultTolerance) {
 		return
 	}
 	injector.retired[host.id], host.retired = true, true
-	injector.logEvent("%s to be emptied", host.name)
+	injector.logEvent("%s to be retired", host.name)
 	injector.removeOnceRetired(host)
 }
 
-// removeOnceRetired takes an emptied store away at once; it is no loss. One that loses its disk meanwhile is emptied all the same.
+// removeOnceRetired removes a machine as soon as its retirement is complete, which is no loss. One that loses its disk
+// meanwhile is retired all the same.
 func (injector *faultInjector) removeOnceRetired(host *host) {
 	injector.schedule(step, func() {
-		if host.removed || injector.current == nil { // founded anew: the order is gone with the core's disks
+		if host.removed || injector.current == nil { // new control state: the order was lost with the core's disks
 			return
 		}
-		switch done := isRetired(injector.current, host.name) || injector.fault == retiringRemovedWhileJoint && !containsStore(injector.current.New, host.id); {
-		case !done:
+		early := injector.fault == retiringRemovedWhileJoint && !containsStore(injector.current.New, host.id)
+		if !isRetired(injector.current, host.name) && !early {
 			injector.removeOnceRetired(host)
-		default:
-			injector.logEvent("%s is emptied and taken away", host.name)
-			injector.remove(host)
-			host.lostUntil = 0
+			return
 		}
+		injector.logEvent("%s is retired and removed", host.name)
+		injector.remove(host)
+		host.lostUntil = 0
 	})
 }
 
-// isRetired is as in package orders: no store of the name is in the placement.
+// isRetired reports whether a retirement is complete, as in package orders: no store of the name is in the placement.
 func isRetired(p *turnstore.Placement, name string) bool {
 	return !slices.ContainsFunc(p.Stores(), func(s turnstore.Store) bool { return s.Name == name })
 }
 
-// runSchedule plays one drawn runSchedule.
+// runSchedule runs one random schedule.
 func runSchedule(seed uint64, fault fault) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	size := siteSizes[rng.IntN(len(siteSizes))]
 	maxPull := []time.Duration{50 * time.Millisecond, 200 * time.Millisecond}[rng.IntN(2)]
 	sim := newSimulation(seed, fault, size.stores, size.losses, size.contact, size.catchUp, maxPull)
-	sim.logEvent("%d stores, %d losses, seed %d", size.stores, size.losses, seed)
+	sim.logEvent("%d stores, fault tolerance %d, seed %d", size.stores, size.losses, seed)
 	sim.run(6*time.Second, nil)
-	injector := &faultInjector{simulation: sim, rng: rng, eager: rng.IntN(2) == 0, nextHeadChange: sim.duration(6*time.Second, 30*time.Second), nextOrder: sim.duration(6*time.Second, 20*time.Second)}
+	injector := &faultInjector{simulation: sim, rng: rng, eager: rng.IntN(2) == 0,
+		nextHeadChange: sim.duration(6*time.Second, 30*time.Second), nextOrder: sim.duration(6*time.Second, 20*time.Second)}
 	if rng.IntN(3) == 0 {
 		injector.nextHeadChange = never
 	}
@@ -232,7 +236,8 @@
 						t.Errorf("%s\n%s", sim.violation, sim.timeline())
 					}
 				}
-				longestJoint, longestNoMajority, changes = max(longestJoint, sim.longestJoint), max(longestNoMajority, sim.longestNoMajority), changes+sim.changes
+				longestJoint, longestNoMajority = max(longestJoint, sim.longestJoint), max(longestNoMajority, sim.longestNoMajority)
+				changes += sim.changes
 				for _, write := range sim.writes {
 					if write.acked {
 						acked++
@@ -243,9 +248,10 @@
 		})
 	}
 	wg.Wait()
-	t.Logf("%d courses from seed %d, %d broken: %d joint phases, the longest %v; %d writes acknowledged; longest without a majority %v",
+	t.Logf("%d schedules from seed %d, %d violations: %d joint phases, the longest %v; "+
+		"%d writes acknowledged; longest without a majority %v",
 		*scheduleCount, *firstSeed, failed, changes, longestJoint, acked, longestNoMajority)
 	if changes < 2**scheduleCount || acked < 20**scheduleCount {
-		t.Error("the courses prove little")
+		t.Error("too little progress")
 	}
 }
--- a/internal/tier/placement/stores.go
+++ b/internal/tier/placement/stores.go
@@ -7,7 +7,8 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// desiredStores is the list as it should be.
+// desiredStores returns the target list with candidates added, or instead of failed stores, and without the stores that are to
+// be removed.
 func (in *Input) desiredStores(target []turnstore.Store, t Timings, replicas int) []turnstore.Store {
 	desired := slices.Clone(target)
 	for i, store := range desired {
@@ -21,15 +22,16 @@
 	suspect := slices.ContainsFunc(desired, func(o turnstore.Store) bool { return in.isSuspect(o, t) })
 	for i := len(desired) - 1; i >= 0 && len(desired) > replicas; i-- {
 		id := desired[i].ID
-		if in.Retired[id] && !suspect || in.elapsed(id, t) > t.RemovalTimeout || in.elapsed(id, t) > t.FailureTimeout && in.hasSuccessor(id, desired, t) {
+		if in.Retired[id] && !suspect || in.elapsed(id, t) > t.RemovalTimeout ||
+			in.elapsed(id, t) > t.FailureTimeout && in.hasSuccessor(id, desired, t) {
 			desired = slices.Delete(desired, i, i+1)
 		}
 	}
 	return desired
 }
 
-// hasSuccessor tells whether a store of the list came about when another was heard last: it was given a place more, as the
-// other had been heard a moment before, and is its successor.
+// hasSuccessor reports whether a store of the list first registered when the given one stopped registering, or later. It is
+// assumed to be the successor, which was added and did not replace the other since that one was not late yet.
 func (in *Input) hasSuccessor(id string, list []turnstore.Store, t Timings) bool {
 	departed := in.Stores[id].ConfirmedAt - t.SuspectTimeout
 	return slices.ContainsFunc(list, func(store turnstore.Store) bool {
@@ -38,11 +40,12 @@
 	})
 }
 
-// candidates are the stores that were heard lately and are not in the list, in a fixed order.
+// candidates returns the live stores that are not in the list and may be added to it, in order of their identities.
 func (in *Input) candidates(target []turnstore.Store, t Timings) (candidates []turnstore.Store) {
 	for id, status := range in.Stores {
 		listed := slices.ContainsFunc(target, func(o turnstore.Store) bool { return o.ID == id })
-		if !listed && !in.Retired[id] && status.ConfirmedAt > 0 && in.Now-status.ConfirmedAt < t.FailureTimeout && !in.isSuperseded(status) && !in.recentlyRetired(status.Store.Name, t) {
+		if !listed && !in.Retired[id] && status.ConfirmedAt > 0 && in.Now-status.ConfirmedAt < t.FailureTimeout &&
+			!in.isSuperseded(status) && !in.recentlyRetired(status.Store.Name, t) {
 			candidates = append(candidates, status.Store)
 		}
 	}
@@ -50,10 +53,10 @@
 	return candidates
 }
 
-// addCandidate gives a newcomer a addCandidate: that of the store before it at its address, that of a silent one, or a addCandidate more.
-// While some store may be gone or not, no addCandidate is added: the newcomer may be its successor, and a list with one that
-// is gone and its successor side by side has one loss less to bear until the first is taken off. One under the name of a
-// store of the list is the successor of that one.
+// addCandidate replaces the store formerly at the candidate's address, else a failed store, preferably one of its name; else
+// it adds the candidate to the list. It does not add one while a store of the list is suspect: the candidate may be the
+// successor of that store, and a list with both a failed store and its successor tolerates one loss less until the failed one
+// is removed. Nor does it add one while the list has a store of its name, whose successor it is.
 func (in *Input) addCandidate(stores []turnstore.Store, candidate turnstore.Store, t Timings) []turnstore.Store {
 	find := func(f func(turnstore.Store) bool) int { return slices.IndexFunc(stores, f) }
 	i := find(func(o turnstore.Store) bool { return o.Addr == candidate.Addr })
