--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -178,19 +178,19 @@
 
 func (sim *simulation) member(id string) *Chain { return sim.members[id[0]-'a'] }
 
-func (sim *simulation) send(m message) {
+func (sim *simulation) send(message message) {
 	if sim.oneIn(4) {
 		return
 	}
-	m.incarnation = sim.incarnations[m.from]
-	m.due = sim.round + 1
+	message.incarnation = sim.incarnations[message.from]
+	message.due = sim.round + 1
 	if !sim.quiet {
-		m.due += sim.draw(maxDelayRounds)
+		message.due += sim.draw(maxDelayRounds)
 	}
-	sim.inTransit = append(sim.inTransit, m)
+	sim.inTransit = append(sim.inTransit, message)
 	if sim.oneIn(6) {
-		m.due = sim.round + 1 + sim.draw(3*maxDelayRounds)
-		sim.inTransit = append(sim.inTransit, m)
+		message.due = sim.round + 1 + sim.draw(3*maxDelayRounds)
+		sim.inTransit = append(sim.inTransit, message)
 	}
 }
 
--- a/internal/tier/placement/helpers_test.go
+++ b/internal/tier/placement/helpers_test.go
@@ -31,14 +31,14 @@
 
 const planStep = 100 * time.Millisecond
 
-func newHeadSequence(losses int, ids ...string) *headSequence {
+func newHeadSequence(faultTolerance int, ids ...string) *headSequence {
 	heads := &headSequence{timings: DefaultTimings(4 * time.Second)}
-	placement := &turnstore.Placement{Generation: 3, ReplicationFactor: 2*losses + 1, DurableReplicas: losses + 1,
-		FaultTolerance: losses}
+	placement := &turnstore.Placement{Generation: 3, ReplicationFactor: 2*faultTolerance + 1, DurableReplicas: faultTolerance + 1,
+		FaultTolerance: faultTolerance}
 	for _, id := range ids {
 		placement.Old = append(placement.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
 	}
-	heads.input = Input{FaultTolerance: losses, Current: placement, Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
+	heads.input = Input{FaultTolerance: faultTolerance, Current: placement, Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
 	return heads
 }
 
@@ -88,9 +88,9 @@
 }
 
 // registerTwice registers a store twice, which confirms it.
-func (r *headSequence) registerTwice(one turnstore.Store) {
+func (r *headSequence) registerTwice(store turnstore.Store) {
 	for range 2 {
-		Register(r.input.Stores, Registration{Store: one, Generation: r.input.Current.Generation}, r.input.Now, r.timings)
+		Register(r.input.Stores, Registration{Store: store, Generation: r.input.Current.Generation}, r.input.Now, r.timings)
 		r.input.Now += planStep
 	}
 }
@@ -110,9 +110,9 @@
 		for _, registration := range fields[1:] {
 			who, swept, _ := strings.Cut(registration, ":")
 			id, addr, _ := strings.Cut(who, "@")
-			gen, _ := strconv.Atoi(swept)
+			generation, _ := strconv.Atoi(swept)
 			store := turnstore.Store{ID: id, Name: id[:1], Addr: addr}
-			Register(stores, Registration{Store: store, Generation: int64(gen), SweptGeneration: int64(gen)}, now, timings)
+			Register(stores, Registration{Store: store, Generation: int64(generation), SweptGeneration: int64(generation)}, now, timings)
 		}
 	}
 	return now
--- a/internal/tier/placement/model_check_test.go
+++ b/internal/tier/placement/model_check_test.go
@@ -32,15 +32,15 @@
 	writes           uint64
 }
 
-func (m *simulation) responders(list []turnstore.Store) (out []responder) {
+func (m *simulation) responders(list []turnstore.Store) (responders []responder) {
 	for _, store := range list {
 		if host := m.host(store.ID); host != nil {
-			out = append(out, responder{host.isUp(), host.canDeny(), host.writes})
+			responders = append(responders, responder{host.isUp(), host.canDeny(), host.writes})
 		} else {
-			out = append(out, responder{})
+			responders = append(responders, responder{})
 		}
 	}
-	return out
+	return responders
 }
 
 // checkMajorities checks that each program has a running majority of replicas by each list in force.
--- a/internal/tier/placement/model_client_test.go
+++ b/internal/tier/placement/model_client_test.go
@@ -19,20 +19,20 @@
 	return m.replicaSetsUnder(m.current, program)
 }
 
-func (m *simulation) replicaSetsUnder(p *turnstore.Placement, program int) []turnstore.ReplicaSet {
+func (m *simulation) replicaSetsUnder(placement *turnstore.Placement, program int) []turnstore.ReplicaSet {
 	if m.replicaSetCache == nil || len(m.replicaSetCache) > 1000 {
 		m.replicaSetCache = map[replicaSetKey][]turnstore.ReplicaSet{}
 	}
-	k := replicaSetKey{p, program}
-	if m.replicaSetCache[k] == nil {
-		m.replicaSetCache[k] = p.ReplicaSets(programKey(program))
+	key := replicaSetKey{placement, program}
+	if m.replicaSetCache[key] == nil {
+		m.replicaSetCache[key] = placement.ReplicaSets(programKey(program))
 	}
-	return m.replicaSetCache[k]
+	return m.replicaSetCache[key]
 }
 
 type replicaSetKey struct {
-	p       *turnstore.Placement
-	program int
+	placement *turnstore.Placement
+	program   int
 }
 
 // write simulates a front that writes a turn under the placement that it knows; some replicas do not get it.
@@ -51,11 +51,11 @@
 	number := len(m.writes)
 	m.writes = append(m.writes, turnWrite{program: m.rng.IntN(programCount)})
 	m.programWrites[m.writes[number].program] |= 1 << number
-	groups := m.replicaSetsUnder(known, m.writes[number].program)
+	replicaSets := m.replicaSetsUnder(known, m.writes[number].program)
 	accepted := map[string]bool{}
 	skip := m.rng.IntN(2) == 0
 	acked := true
-	for _, replicas := range groups {
+	for _, replicas := range replicaSets {
 		acks := 0
 		for _, store := range replicas {
 			if _, asked := accepted[store.ID]; !asked {
--- a/internal/tier/placement/model_faults_test.go
+++ b/internal/tier/placement/model_faults_test.go
@@ -21,8 +21,8 @@
 )
 
 // withoutFault returns the conditions of a planted fault without the fault: a violation under them, too, does not show it.
-func withoutFault(f fault) fault {
-	if f == pullBeforeAdoption {
+func withoutFault(planted fault) fault {
+	if planted == pullBeforeAdoption {
 		return slowDelivery
 	}
 	return ""
--- a/internal/tier/placement/model_head_test.go
+++ b/internal/tier/placement/model_head_test.go
@@ -11,8 +11,8 @@
 func (m *simulation) stepHead() {
 	sort.SliceStable(m.inTransit, func(i, j int) bool { return m.inTransit[i].at < m.inTransit[j].at })
 	for len(m.inTransit) > 0 && m.inTransit[0].at <= m.now {
-		Register(m.stores, m.inTransit[0].r, m.now, m.timings)
-		Register(m.referenceStores, m.inTransit[0].r, m.now, m.timings)
+		Register(m.stores, m.inTransit[0].registration, m.now, m.timings)
+		Register(m.referenceStores, m.inTransit[0].registration, m.now, m.timings)
 		m.inTransit = m.inTransit[1:]
 	}
 	if m.now%(100*time.Millisecond) != 0 {
--- a/internal/tier/placement/model_store_test.go
+++ b/internal/tier/placement/model_store_test.go
@@ -34,8 +34,8 @@
 }
 
 type delivery struct {
-	at time.Duration
-	p  *turnstore.Placement
+	at        time.Duration
+	placement *turnstore.Placement
 }
 
 func (m *simulation) wipe(h *host) {
@@ -102,10 +102,10 @@
 		return
 	}
 	for len(store.deliveries) > 0 && store.deliveries[0].at <= m.now {
-		p := store.deliveries[0].p
+		delivered := store.deliveries[0].placement
 		store.deliveries = store.deliveries[1:]
-		if store.known == nil || p.Generation > store.known.Generation || p.Generation == store.known.Generation && len(p.New) == 0 {
-			store.known, store.adopted = p, max(store.adopted, p.Generation)
+		if store.known == nil || delivered.Generation > store.known.Generation || delivered.Generation == store.known.Generation && len(delivered.New) == 0 {
+			store.known, store.adopted = delivered, max(store.adopted, delivered.Generation)
 		}
 	}
 	every := registerInterval
--- a/internal/tier/placement/model_test.go
+++ b/internal/tier/placement/model_test.go
@@ -26,8 +26,8 @@
 )
 
 type message struct {
-	at time.Duration
-	r  Registration
+	at           time.Duration
+	registration Registration
 }
 
 type simulation struct {
--- a/internal/tier/placement/observations_test.go
+++ b/internal/tier/placement/observations_test.go
@@ -50,11 +50,11 @@
 	in := &heads.input
 	heads.run(4*time.Second, "a", "b", "c", "d")
 	heads.run(5900*time.Millisecond, "a", "b", "c")
-	report := in.Observe(heads.timings)
+	stale := in.Observe(heads.timings)
 	if next := heads.run(6500*time.Millisecond, "a", "b", "c", "d"); next != nil {
 		t.Fatalf("under the former head: %+v", next)
 	}
-	heads.takeOver(report)
+	heads.takeOver(stale)
 	if next := heads.run(in.Now+heads.timings.TakeoverGrace-planStep, "a", "b", "c", "e"); next != nil {
 		t.Fatalf("before d could register: %+v", next)
 	}
@@ -93,8 +93,8 @@
 		return all
 	}
 	for _, test := range []struct {
-		old, next, failed string
-		losses, want      int
+		old, next, failed    string
+		faultTolerance, want int
 	}{
 		{"a b c d", "", "", 1, 0},
 		{"a b c d", "", "d", 1, 0},
@@ -106,7 +106,7 @@
 		{"a b c d e", "", "b c d e", 2, 2},
 		{"a b c", "", "x y z", 1, 0},
 	} {
-		placement := &turnstore.Placement{FaultTolerance: test.losses, Old: list(test.old), New: list(test.next)}
+		placement := &turnstore.Placement{FaultTolerance: test.faultTolerance, Old: list(test.old), New: list(test.next)}
 		var failed []UnresponsiveStore
 		for _, id := range strings.Fields(test.failed) {
 			failed = append(failed, UnresponsiveStore{ID: id, Elapsed: time.Minute})
@@ -119,11 +119,11 @@
 
 func TestFailedStores(t *testing.T) {
 	timings := DefaultTimings(3 * time.Second)
-	h := Observations{Unresponsive: []UnresponsiveStore{{"a", timings.FailureTimeout}, {"b", 2 * time.Second}, {"c", time.Minute}}}
-	if got := h.FailedStores(timings); !slices.Equal(got, []UnresponsiveStore{{"c", time.Minute}, {"b", 2 * time.Second}}) {
+	observations := Observations{Unresponsive: []UnresponsiveStore{{"a", timings.FailureTimeout}, {"b", 2 * time.Second}, {"c", time.Minute}}}
+	if got := observations.FailedStores(timings); !slices.Equal(got, []UnresponsiveStore{{"c", time.Minute}, {"b", 2 * time.Second}}) {
 		t.Errorf("%+v", got)
 	}
-	if len(h.Unresponsive) != 3 {
+	if len(observations.Unresponsive) != 3 {
 		t.Error("observations modified")
 	}
 }
--- a/internal/tier/placement/plan.go
+++ b/internal/tier/placement/plan.go
@@ -12,7 +12,7 @@
 type Timings struct {
 	InitialWait     time.Duration // from the first registration to the first placement, for the others to register
 	ExtendedWait    time.Duration // instead of it, if there are fewer stores than replicas, or stores know earlier placements
-	ConfirmInterval time.Duration // at least, between two registrations of which the second confirms the store
+	ConfirmInterval time.Duration // after the first registration of a sequence, before one confirms the store
 	SuspectTimeout  time.Duration // without registration: the store may have failed; above the interval of registrations
 	FailureTimeout  time.Duration // without registration: the store has failed, and a candidate may replace it
 	RemovalTimeout  time.Duration // without registration: the store is removed also without replacement
@@ -34,11 +34,11 @@
 // Input is what the head knows. Plan does not modify it.
 type Input struct {
 	Now             time.Duration
-	TookOverAt      time.Duration // since when this head has listened to registrations without interruption
-	Inherited       Observations  // of the head before it; zero for none
-	GenerationSince time.Duration // when the generation of Current was first seen, see Observations.GenerationSince
-	FaultTolerance  int           // replicas that may be lost at once
-	Current         *turnstore.Placement
+	TookOverAt      time.Duration          // since when this head has listened to registrations without interruption
+	Inherited       Observations           // of the head before it; zero for none
+	GenerationSince time.Duration          // when the generation of Current was first seen, see Observations.GenerationSince
+	FaultTolerance  int                    // replicas that may be lost at once
+	Current         *turnstore.Placement   // newest that was written, committed or not; nil for none
 	Stores          map[string]StoreStatus // by store identity; kept by Register
 	Retired         map[string]bool        // identities of stores that an operator's order retires, or has retired
 	Departures      Departures             // of retired stores, as seen by this head
--- a/internal/tier/placement/retirement_test.go
+++ b/internal/tier/placement/retirement_test.go
@@ -178,15 +178,15 @@
 		return placement
 	}
 	for _, test := range []struct {
-		stores, losses, retired int
-		want                    bool
+		stores, faultTolerance, retired int
+		want                            bool
 	}{{4, 1, 0, true}, {3, 1, 0, false}, {5, 1, 1, true}, {4, 1, 1, false}, {2, 0, 0, true}, {1, 0, 0, false}, {9, 2, 0, true}} {
 		p := stores(test.stores)
 		retired := map[string]bool{}
 		for i := range test.retired {
 			retired[fmt.Sprint(i)] = true
 		}
-		if got := CanRetire(&p, retired, test.losses); got != test.want {
+		if got := CanRetire(&p, retired, test.faultTolerance); got != test.want {
 			t.Errorf("%+v: %v", test, got)
 		}
 	}
--- a/internal/tier/placement/schedule_test.go
+++ b/internal/tier/placement/schedule_test.go
@@ -17,8 +17,8 @@
 
 // siteSizes are the sizes of the sites, and some in between.
 var siteSizes = []struct {
-	stores, losses   int
-	contact, catchUp time.Duration
+	stores, faultTolerance int
+	contact, catchUp       time.Duration
 }{
 	{3, 1, 3 * time.Second, 4100 * time.Millisecond},
 	{4, 1, 3 * time.Second, 4100 * time.Millisecond},
@@ -45,8 +45,8 @@
 	do func()
 }
 
-func (injector *faultInjector) schedule(d time.Duration, do func()) {
-	injector.pending = append(injector.pending, plannedAction{injector.now + d, do})
+func (injector *faultInjector) schedule(after time.Duration, do func()) {
+	injector.pending = append(injector.pending, plannedAction{injector.now + after, do})
 }
 
 func (injector *faultInjector) step() {
@@ -200,8 +200,8 @@
 	rng := rand.New(rand.NewPCG(seed, 5))
 	size := siteSizes[rng.IntN(len(siteSizes))]
 	maxPull := []time.Duration{50 * time.Millisecond, 200 * time.Millisecond}[rng.IntN(2)]
-	sim := newSimulation(seed, fault, size.stores, size.losses, size.contact, size.catchUp, maxPull)
-	sim.logEvent("%d stores, fault tolerance %d, seed %d", size.stores, size.losses, seed)
+	sim := newSimulation(seed, fault, size.stores, size.faultTolerance, size.contact, size.catchUp, maxPull)
+	sim.logEvent("%d stores, fault tolerance %d, seed %d", size.stores, size.faultTolerance, seed)
 	sim.run(6*time.Second, nil)
 	injector := &faultInjector{simulation: sim, rng: rng, eager: rng.IntN(2) == 0,
 		nextHeadChange: sim.duration(6*time.Second, 30*time.Second), nextOrder: sim.duration(6*time.Second, 20*time.Second)}
