--- a/internal/tier/placement/helpers_test.go
+++ b/internal/tier/placement/helpers_test.go
@@ -38,7 +38,8 @@
 	for _, id := range ids {
 		placement.Old = append(placement.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
 	}
-	heads.input = Input{FaultTolerance: faultTolerance, Current: placement, Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
+	heads.input = Input{FaultTolerance: faultTolerance, Current: placement,
+		Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
 	return heads
 }
 
--- a/internal/tier/placement/model_store_test.go
+++ b/internal/tier/placement/model_store_test.go
@@ -104,7 +104,8 @@
 	for len(store.deliveries) > 0 && store.deliveries[0].at <= m.now {
 		delivered := store.deliveries[0].placement
 		store.deliveries = store.deliveries[1:]
-		if store.known == nil || delivered.Generation > store.known.Generation || delivered.Generation == store.known.Generation && len(delivered.New) == 0 {
+		if store.known == nil || delivered.Generation > store.known.Generation ||
+			delivered.Generation == store.known.Generation && len(delivered.New) == 0 {
 			store.known, store.adopted = delivered, max(store.adopted, delivered.Generation)
 		}
 	}
--- a/internal/tier/placement/observations_test.go
+++ b/internal/tier/placement/observations_test.go
@@ -119,8 +119,11 @@
 
 func TestFailedStores(t *testing.T) {
 	timings := DefaultTimings(3 * time.Second)
-	observations := Observations{Unresponsive: []UnresponsiveStore{{"a", timings.FailureTimeout}, {"b", 2 * time.Second}, {"c", time.Minute}}}
-	if got := observations.FailedStores(timings); !slices.Equal(got, []UnresponsiveStore{{"c", time.Minute}, {"b", 2 * time.Second}}) {
+	observations := Observations{Unresponsive: []UnresponsiveStore{
+		{"a", timings.FailureTimeout}, {"b", 2 * time.Second}, {"c", time.Minute},
+	}}
+	want := []UnresponsiveStore{{"c", time.Minute}, {"b", 2 * time.Second}}
+	if got := observations.FailedStores(timings); !slices.Equal(got, want) {
 		t.Errorf("%+v", got)
 	}
 	if len(observations.Unresponsive) != 3 {
--- a/internal/tier/placement/plan.go
+++ b/internal/tier/placement/plan.go
@@ -24,8 +24,7 @@
 // ends within 0.8 s, and the next one takes up to 0.15 s. A store that followed another node registers within 0.65 s.
 const takeoverGrace = 1200 * time.Millisecond
 
-// DefaultTimings returns the time-outs for a contact time: how long a machine may be unreachable before it is replaced for
-// good (setting contact_ms).
+// DefaultTimings returns the time-outs for a contact time: how long a machine with a fault may be away (setting contact_ms).
 func DefaultTimings(contact time.Duration) Timings {
 	return Timings{InitialWait: 700 * time.Millisecond, ExtendedWait: 4 * time.Second, ConfirmInterval: 80 * time.Millisecond,
 		SuspectTimeout: 600 * time.Millisecond, FailureTimeout: contact / 2, RemovalTimeout: 2 * contact, TakeoverGrace: takeoverGrace}
