--- /dev/null
+++ b/internal/tier/view/proposer.go
@@ -0,0 +1,85 @@
+package view
+
+import "slices"
+
+// Conditions describe the members as the proposer observes them. They may be wrong or out of date without harm to safety.
+// The maps are keyed by Member.ID.
+type Conditions struct {
+	Alive          map[string]bool // voters and applicants that responded recently
+	CaughtUp       map[string]bool // members outside the chain that lack at most the latest committed entries
+	Applicants     []Member        // live members that ask for a vote, in order of preference
+	Failed         map[string]bool // voters that may lose their vote: unresponsive for long, or since they were leaving
+	Suspected      map[string]bool // voters that are unresponsive, but not failed
+	Leaving        map[string]bool // members that are about to stop
+	FaultTolerance int             // replicas that may be lost at once
+}
+
+// ChooseView returns the view to propose for the next epoch. It returns false if fewer than a majority of the voters have
+// promised, or if no view is safe: one whose head has all committed entries and which keeps more than FaultTolerance
+// replicas, as far as there are so many voters. If any of the promises reports an accepted view, the one of the highest
+// ballot is returned, since it may have been decided.
+func ChooseView(current *View, promises []Promise, conditions Conditions) (next View, ok bool) {
+	if len(promises) < current.Majority() {
+		return View{}, false
+	}
+	var highest Ballot
+	for _, p := range promises {
+		if p.Accepted.Epoch == current.Epoch+1 && highest.Less(p.AcceptedAt) {
+			highest, next, ok = p.AcceptedAt, p.Accepted, true
+		}
+	}
+	if ok {
+		return next, true
+	}
+	voters, changed := nextVoters(current, conditions)
+	next = View{Epoch: current.Epoch + 1, Voters: voters}
+	next.Chain = nextChain(current, &next, promises, conditions)
+	if len(next.Chain) == 0 {
+		return View{}, false
+	}
+	if id := RemovableVoter(current, conditions); !changed && id != "" && next.Position(id) < 0 {
+		next.Voters = slices.DeleteFunc(voters, func(m Member) bool { return m.ID == id })
+	}
+	return next, len(next.Chain) > conditions.FaultTolerance || len(next.Voters) <= conditions.FaultTolerance
+}
+
+// nextChain returns the chain of the next view: the complete members in their present order, so that the head is one of
+// them, followed by voters that have caught up. It returns nil if no member is complete.
+func nextChain(current, next *View, promises []Promise, conditions Conditions) []ChainMember {
+	complete := completeMembers(current, next, promises)
+	remaining := slices.DeleteFunc(slices.Clone(complete), func(l ChainMember) bool { return conditions.Leaving[l.ID] })
+	if len(remaining) <= conditions.FaultTolerance { // a leaving member may have one of the last replicas: it stays for now
+		remaining = complete
+	}
+	if len(remaining) == 0 {
+		return nil
+	}
+	members := remaining
+	add := func(eligible func(id string) bool) {
+		for _, m := range next.Voters {
+			present := slices.ContainsFunc(members, func(l ChainMember) bool { return l.ID == m.ID })
+			if !present && conditions.Alive[m.ID] && !conditions.Leaving[m.ID] && eligible(m.ID) {
+				members = append(members, ChainMember{ID: m.ID, JoinedEpoch: next.Epoch})
+			}
+		}
+	}
+	add(func(id string) bool { return conditions.CaughtUp[id] })
+	// A chain of no more than FaultTolerance members may not be proposed: fill it with members that have to catch up.
+	add(func(string) bool { return len(members) <= conditions.FaultTolerance })
+	return members
+}
+
+// completeMembers returns the chain members that have promised and have every committed entry: those that were activated in
+// the epoch in which they joined the chain, or later.
+func completeMembers(current, next *View, promises []Promise) (members []ChainMember) {
+	activated := map[string]int64{}
+	for _, p := range promises {
+		activated[p.From.ID] = p.ActivatedEpoch
+	}
+	for _, member := range current.Chain {
+		if epoch, promised := activated[member.ID]; promised && epoch >= member.JoinedEpoch && next.IsVoter(member.ID) {
+			members = append(members, member)
+		}
+	}
+	return members
+}
