--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -14,7 +14,7 @@
 
 const reloadable = "node_name: n\nip_addr: 127.0.0.1\nport_range: [7000, 7010]\nseed_nodes: ['127.0.0.1:%']\n"
 
-func TestSettingsAreReadAgain(t *testing.T) {
+func TestWatchAppliesChangedSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	write := func(text string) {
 		t.Helper()
@@ -24,42 +24,42 @@
 	}
 	with := func(port string) string { return strings.Replace(reloadable, "%", port, 1) }
 	write(with("1"))
-	told, look := make(chan os.Signal), make(chan time.Time)
+	signals, polls := make(chan os.Signal), make(chan time.Time)
 	got := make(chan string, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	begun := make(chan bool)
 	wg.Go(func() {
 		close(begun)
-		follow(ctx, NewLogger(io.Discard), path, told, look, func(s *Settings) { got <- s.Seeds[0] })
+		watch(ctx, NewLogger(io.Discard), path, signals, polls, func(s *Settings) { got <- s.Seeds[0] })
 	})
 	<-begun
 	defer wg.Wait()
 	defer stop()
-	told <- syscall.SIGHUP // unchanged, but asked for
+	signals <- syscall.SIGHUP // unchanged, but asked for
 	if seed := <-got; seed != "127.0.0.1:1" {
 		t.Fatal(seed)
 	}
-	look <- time.Time{} // unchanged: nothing is applied
+	polls <- time.Time{} // unchanged: nothing is applied
 	write(with("2"))
-	look <- time.Time{}
+	polls <- time.Time{}
 	if seed := <-got; seed != "127.0.0.1:2" {
 		t.Fatalf("%s: a file that changes without a signal is not read", seed)
 	}
 	write("node_name: [")
-	told <- syscall.SIGHUP // wrong: what runs stays
+	signals <- syscall.SIGHUP // wrong: what runs stays
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	told <- syscall.SIGHUP
+	signals <- syscall.SIGHUP
 	write(with("3"))
-	told <- syscall.SIGHUP
+	signals <- syscall.SIGHUP
 	if seed := <-got; seed != "127.0.0.1:3" {
 		t.Fatalf("%s: after wrong settings the right ones are not read", seed)
 	}
 }
 
-func TestSIGHUPEndsNoProcess(t *testing.T) {
+func TestSIGHUPReloadsAndDoesNotTerminate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(path, []byte(strings.Replace(reloadable, "%", "1", 1)), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/process/log.go
+++ b/internal/process/ring.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	ringLines = 256
-	dumpEvery = 2 * time.Second // between two dumps that errors cause
+	ringLines    = 256
+	dumpInterval = 2 * time.Second // between two dumps that errors cause
 )
 
 // RingHandler is a slog.Handler that keeps the last 256 lines in memory and writes out few of them:
@@ -75,7 +75,7 @@
 	r.add(text)
 	switch {
 	case record.Level < slog.LevelInfo:
-	case record.Level < slog.LevelError, !r.last.IsZero() && r.now().Sub(r.last) < dumpEvery:
+	case record.Level < slog.LevelError, !r.last.IsZero() && r.now().Sub(r.last) < dumpInterval:
 		r.write(r.next - 1)
 	default:
 		r.dump()
--- a/internal/process/log_test.go
+++ b/internal/process/ring_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestRingKeepsTheLast(t *testing.T) {
+func TestRingKeepsLastLines(t *testing.T) {
 	var out bytes.Buffer
 	handler := NewRingHandler(&out)
 	log := slog.New(handler)
@@ -52,7 +52,7 @@
 
 var levels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
 
-func TestTroubleThatRepeats(t *testing.T) {
+func TestRepeatedErrorsDoNotDumpAgain(t *testing.T) {
 	var out bytes.Buffer
 	handler := NewRingHandler(&out)
 	log := slog.New(handler)
@@ -68,12 +68,12 @@
 		{0, "debug a", nil},
 		{0, "error b", []string{"event=a", "trouble=1 event=b"}},
 		{0, "debug c", nil},
-		{dumpEvery - 1, "error d", []string{"trouble=1 event=d"}},
-		{dumpEvery - 1, "info e", []string{"event=e"}},
-		{dumpEvery - 1, "debug f", nil},
-		{dumpEvery, "warn w", []string{"trouble=1 event=w"}},
-		{dumpEvery, "error g", []string{"event=c", "event=f", "trouble=1 event=g"}},
-		{dumpEvery + 1, "error h", []string{"trouble=1 event=h"}},
+		{dumpInterval - 1, "error d", []string{"trouble=1 event=d"}},
+		{dumpInterval - 1, "info e", []string{"event=e"}},
+		{dumpInterval - 1, "debug f", nil},
+		{dumpInterval, "warn w", []string{"trouble=1 event=w"}},
+		{dumpInterval, "error g", []string{"event=c", "event=f", "trouble=1 event=g"}},
+		{dumpInterval + 1, "error h", []string{"trouble=1 event=h"}},
 	} {
 		now = begin.Add(step.at)
 		level, event, _ := strings.Cut(step.do, " ")
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestLineBearsTheTime(t *testing.T) {
+func TestLineBeginsWithElapsedSeconds(t *testing.T) {
 	var out bytes.Buffer
 	handler := NewRingHandler(&out)
 	handler.ring.now = func() time.Time { return handler.ring.begin.Add(1234567 * time.Microsecond) }
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestNamesThatCannotBeWritten(t *testing.T) {
+func TestInvalidAttributeNames(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLogger(&out)
 	log.Info("", slog.Any("", "value"))
@@ -105,21 +105,21 @@
 	}
 }
 
-type talker struct{ log *slog.Logger }
+type loggingValue struct{ log *slog.Logger }
 
-func (v talker) String() string {
+func (v loggingValue) String() string {
 	v.log.Debug("", "event", "inner")
 	return "outer"
 }
 
-func TestAValueThatLogs(t *testing.T) {
+func TestValueLogsWhileFormatted(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLogger(&out)
-	log.Error("", "event", talker{log})
+	log.Error("", "event", loggingValue{log})
 	sameLines(t, "error", written(&out), "event=inner", "trouble=1 event=outer")
 }
 
-func TestRingFromManyGoroutines(t *testing.T) {
+func TestConcurrentLogging(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	var out bytes.Buffer
 	log := NewLogger(&out)
--- a/internal/process/settings_test.go
+++ b/internal/process/settings_test.go
@@ -66,7 +66,7 @@
   max_lag_ms: 800
 `
 
-func TestSettings(t *testing.T) {
+func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestWrongSettings(t *testing.T) {
+func TestParseInvalidSettings(t *testing.T) {
 	for _, c := range []struct{ name, old, new, field, value, remedy string }{
 		{"no name", `node_name: "front-1"`, ``, "node_name", `""`, "name the node"},
 		{"no address", `ip_addr: "10.7.0.3"`, ``, "ip_addr", `""`, "IPv4"},
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestNoSettings(t *testing.T) {
+func TestLoadMissingSettings(t *testing.T) {
 	if _, err := process.Parse(nil); !errors.Is(err, process.ErrSettings) || !strings.Contains(err.Error(), "node_name") {
 		t.Errorf("an empty file: %v", err)
 	}
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestNeed(t *testing.T) {
+func TestRequireSetting(t *testing.T) {
 	if err := process.RequireSetting("data_dir", "/data", "give a folder"); err != nil {
 		t.Error(err)
 	}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -12,27 +12,27 @@
 
 // Client makes calls to one address, over one connection that it keeps.
 type Client struct {
-	addr   string
-	open   DialFunc
-	mu     sync.Mutex
-	link   *link
-	next   time.Time // no dial before it
-	dial   chan struct{}
-	closed context.Context
-	close  context.CancelFunc
-	wg     sync.WaitGroup
+	addr     string
+	dialFunc DialFunc
+	mu       sync.Mutex
+	conn     *clientConn
+	nextDial time.Time // no dial before it
+	dialing  chan struct{}
+	ctx      context.Context
+	cancel   context.CancelFunc
+	wg       sync.WaitGroup
 }
 
-type link struct {
-	c      net.Conn
-	writes chan struct{} // held by the one that writes
-	mu     sync.Mutex
-	calls  map[uint64]chan result
-	number uint64
-	err    error
+type clientConn struct {
+	socket     net.Conn
+	writing    chan struct{} // held by the one that writes
+	mu         sync.Mutex
+	pending    map[uint64]chan reply
+	lastNumber uint64
+	err        error
 }
 
-type result struct {
+type reply struct {
 	body []byte
 	err  error
 }
@@ -50,34 +50,34 @@
 func NewClient(addr string) *Client { return newClient(addr, dialTCP) }
 
 func newClient(addr string, open DialFunc) *Client {
-	c := &Client{addr: addr, open: open, dial: make(chan struct{}, 1)}
-	c.closed, c.close = context.WithCancel(context.Background())
+	c := &Client{addr: addr, dialFunc: open, dialing: make(chan struct{}, 1)}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
 // Close ends the connection for good; calls under way end in ErrLost, later ones in ErrUnsent.
 func (c *Client) Close() {
 	c.mu.Lock()
-	c.close()
-	if c.link != nil {
-		c.link.c.Close()
+	c.cancel()
+	if c.conn != nil {
+		c.conn.socket.Close()
 	}
 	c.mu.Unlock()
 	c.wg.Wait()
 }
 
-func (c *Client) get(ctx context.Context) (*link, error) {
+func (c *Client) connection(ctx context.Context) (*clientConn, error) {
 	if ctx.Err() != nil {
 		return nil, errors.Mark(ctx.Err(), ErrUnsent)
 	}
 	select { // one dials, the others wait
-	case c.dial <- struct{}{}:
-		defer func() { <-c.dial }()
+	case c.dialing <- struct{}{}:
+		defer func() { <-c.dialing }()
 	case <-ctx.Done():
 		return nil, errors.Mark(ctx.Err(), ErrUnsent)
 	}
 	c.mu.Lock()
-	l, next := c.link, c.next
+	l, next := c.conn, c.nextDial
 	c.mu.Unlock()
 	if l != nil {
 		l.mu.Lock()
@@ -88,33 +88,33 @@
 		}
 	}
 	if time.Now().Before(next) {
-		return nil, errors.Mark(errors.Newf("%s did not answer a moment ago: try again in %v", c.addr, redialPause), ErrUnsent)
+		return nil, errors.Mark(errors.Newf("%s did not answer a moment ago: try again in %v", c.addr, redialBackoff), ErrUnsent)
 	}
-	ctx, cancel := context.WithTimeout(ctx, dialTime)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	defer context.AfterFunc(c.closed, cancel)()
-	nc, err := c.open(ctx, c.addr)
+	defer context.AfterFunc(c.ctx, cancel)()
+	nc, err := c.dialFunc(ctx, c.addr)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed.Err() != nil {
+	if c.ctx.Err() != nil {
 		if err == nil {
 			nc.Close()
 		}
 		return nil, errors.Mark(errors.Newf("the client of %s is closed: make another one", c.addr), ErrUnsent)
 	}
 	if err != nil {
-		c.next = time.Now().Add(redialPause)
+		c.nextDial = time.Now().Add(redialBackoff)
 		return nil, errors.Mark(errors.Wrap(err, "connect"), ErrUnsent)
 	}
-	tune(nc)
-	l = &link{c: nc, writes: make(chan struct{}, 1), calls: map[uint64]chan result{}}
-	c.link = l
-	c.wg.Go(l.read)
+	setSocketOptions(nc)
+	l = &clientConn{socket: nc, writing: make(chan struct{}, 1), pending: map[uint64]chan reply{}}
+	c.conn = l
+	c.wg.Go(l.readReplies)
 	return l, nil
 }
 
-func (l *link) read() {
-	r := bufio.NewReaderSize(l.c, 16<<10)
+func (l *clientConn) readReplies() {
+	r := bufio.NewReaderSize(l.socket, 16<<10)
 	for {
 		kind, _, number, body, err := readFrame(r)
 		if err != nil {
@@ -122,50 +122,50 @@
 			return
 		}
 		l.mu.Lock()
-		ch := l.calls[number]
-		delete(l.calls, number)
+		ch := l.pending[number]
+		delete(l.pending, number)
 		l.mu.Unlock()
 		if ch == nil {
 			continue // its caller has gone
 		}
 		if kind == kindError {
-			ch <- result{err: errors.Mark(errors.New(string(body)), ErrRemote)}
+			ch <- reply{err: errors.Mark(errors.New(string(body)), ErrRemote)}
 		} else {
-			ch <- result{body: body}
+			ch <- reply{body: body}
 		}
 	}
 }
 
-func (l *link) fail(err error) {
-	l.c.Close()
+func (l *clientConn) fail(err error) {
+	l.socket.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.err == nil {
 		l.err = err
 	}
-	for n, ch := range l.calls {
-		delete(l.calls, n)
-		ch <- result{err: errors.Mark(l.err, ErrLost)}
+	for n, ch := range l.pending {
+		delete(l.pending, n)
+		ch <- reply{err: errors.Mark(l.err, ErrLost)}
 	}
 }
 
 // write sends one frame. Its error is ErrUnsent if nothing of it has gone, else ErrLost.
-func (l *link) write(ctx context.Context, kind byte, m Method, number uint64, body []byte) error {
+func (l *clientConn) write(ctx context.Context, kind byte, m Method, number uint64, body []byte) error {
 	if len(body) > MaxFrame {
 		return errors.Mark(errors.Newf("a call of %d bytes: send at most %d", len(body), MaxFrame), ErrUnsent)
 	}
 	select {
-	case l.writes <- struct{}{}:
-		defer func() { <-l.writes }()
+	case l.writing <- struct{}{}:
+		defer func() { <-l.writing }()
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), ErrUnsent)
 	}
-	until := time.Now().Add(writeTime)
+	until := time.Now().Add(writeTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(until) {
 		until = d.Add(writeGrace)
 	}
-	_ = l.c.SetWriteDeadline(until)
-	n, err := l.c.Write(frame(kind, m, number, body))
+	_ = l.socket.SetWriteDeadline(until)
+	n, err := l.socket.Write(frame(kind, m, number, body))
 	if err == nil {
 		return nil
 	}
@@ -178,22 +178,22 @@
 
 // Call makes one call and reads its answer into answer (a pointer to a struct, or nil).
 func (c *Client) Call(ctx context.Context, m Method, body, answer any) error {
-	l, err := c.get(ctx)
+	l, err := c.connection(ctx)
 	if err != nil {
 		return err
 	}
-	ch := make(chan result, 1)
+	ch := make(chan reply, 1)
 	l.mu.Lock()
 	if l.err != nil {
 		l.mu.Unlock()
 		return errors.Mark(l.err, ErrUnsent)
 	}
-	l.number++
-	number := l.number
-	l.calls[number] = ch
+	l.lastNumber++
+	number := l.lastNumber
+	l.pending[number] = ch
 	l.mu.Unlock()
 	if err := l.write(ctx, kindCall, m, number, Encode(body)); err != nil {
-		l.forget(number)
+		l.remove(number)
 		return err
 	}
 	select {
@@ -206,22 +206,22 @@
 		}
 		return nil
 	case <-ctx.Done():
-		l.forget(number)
+		l.remove(number)
 		return errors.Mark(ctx.Err(), ErrLost)
 	}
 }
 
-func (l *link) forget(number uint64) {
+func (l *clientConn) remove(number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.calls, number)
+	delete(l.pending, number)
 }
 
 // Notify sends a notice. It may be lost; notices that arrive are handled in their order.
 func (c *Client) Notify(ctx context.Context, m Method, body any) error {
-	l, err := c.get(ctx)
+	l, err := c.connection(ctx)
 	if err != nil {
 		return err
 	}
-	return l.write(ctx, kindNotice, m, 0, Encode(body))
+	return l.write(ctx, kindNotification, m, 0, Encode(body))
 }
--- a/internal/rpc/clients.go
+++ b/internal/rpc/clients.go
@@ -8,29 +8,29 @@
 type Clients struct {
 	Dial DialFunc // opens connections; nil for TCP. It is set before the first call
 
-	mu     sync.Mutex
-	all    map[string]*Client
-	closed bool
+	mu      sync.Mutex
+	clients map[string]*Client
+	closed  bool
 }
 
 // To gives the client of an address.
 func (c *Clients) To(addr string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.all == nil {
-		c.all = map[string]*Client{}
+	if c.clients == nil {
+		c.clients = map[string]*Client{}
 	}
-	if c.all[addr] == nil {
+	if c.clients[addr] == nil {
 		open := c.Dial
 		if open == nil {
 			open = dialTCP
 		}
-		c.all[addr] = newClient(addr, open)
+		c.clients[addr] = newClient(addr, open)
 		if c.closed {
-			c.all[addr].Close()
+			c.clients[addr].Close()
 		}
 	}
-	return c.all[addr]
+	return c.clients[addr]
 }
 
 // Close ends all connections for good.
@@ -38,7 +38,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, one := range c.all {
+	for _, one := range c.clients {
 		one.Close()
 	}
 }
--- a/internal/rpc/codec.go
+++ b/internal/rpc/codec.go
@@ -21,7 +21,7 @@
 		return s.(avro.Schema)
 	}
 	var b strings.Builder
-	describe(&b, t, map[reflect.Type]bool{})
+	writeSchema(&b, t, map[reflect.Type]bool{})
 	s, err := avro.ParseWithCache(b.String(), "", new(avro.SchemaCache))
 	if err != nil {
 		panic(fmt.Sprintf("rpc: no Avro schema for %s: %v", t, err))
@@ -30,7 +30,7 @@
 	return s
 }
 
-func describe(b *strings.Builder, t reflect.Type, seen map[reflect.Type]bool) {
+func writeSchema(b *strings.Builder, t reflect.Type, seen map[reflect.Type]bool) {
 	switch t.Kind() {
 	case reflect.Bool:
 		b.WriteString(`"boolean"`)
@@ -48,14 +48,14 @@
 			return
 		}
 		b.WriteString(`{"type":"array","items":`)
-		describe(b, t.Elem(), seen)
+		writeSchema(b, t.Elem(), seen)
 		b.WriteString(`}`)
 	case reflect.Map:
 		if t.Key().Kind() != reflect.String {
 			panic("rpc: no Avro schema for the keys of " + t.String())
 		}
 		b.WriteString(`{"type":"map","values":`)
-		describe(b, t.Elem(), seen)
+		writeSchema(b, t.Elem(), seen)
 		b.WriteString(`}`)
 	case reflect.Struct:
 		name := strings.ReplaceAll(t.PkgPath(), "/", "_") + "_" + t.Name()
@@ -71,7 +71,7 @@
 				b.WriteString(",")
 			}
 			fmt.Fprintf(b, `{"name":%q,"type":`, f.Name)
-			describe(b, f.Type, seen)
+			writeSchema(b, f.Type, seen)
 			b.WriteString(`}`)
 		}
 		b.WriteString(`]}`)
@@ -80,8 +80,8 @@
 	}
 }
 
-// wire has Avro's own bounds out of the way: a frame's is the one that counts.
-var wire = avro.Config{MaxByteSliceSize: MaxFrame, MaxSliceAllocSize: MaxFrame}.Freeze()
+// avroAPI has Avro's own bounds out of the way: a frame's is the one that counts.
+var avroAPI = avro.Config{MaxByteSliceSize: MaxFrame, MaxSliceAllocSize: MaxFrame}.Freeze()
 
 // Encode gives the Avro form of a struct with exported fields: booleans, strings, numbers but uint, uint64 and float32,
 // slices, maps from strings, and structs of these. The form of nil is empty.
@@ -93,14 +93,14 @@
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
-	b, err := wire.Marshal(schemaOf(t), v)
+	b, err := avroAPI.Marshal(schemaOf(t), v)
 	if err != nil {
 		panic(fmt.Sprintf("rpc: %s: %v", t, err)) // a type that schemaOf took and Avro does not: found by any test
 	}
 	return b
 }
 
-var readers = sync.Pool{New: func() any { return avro.NewReader(nil, 0, avro.WithReaderConfig(wire)) }}
+var readers = sync.Pool{New: func() any { return avro.NewReader(nil, 0, avro.WithReaderConfig(avroAPI)) }}
 
 // Decode reads the whole Avro form into the struct that v points to. The struct shares nothing with the form.
 func Decode(b []byte, v any) error {
@@ -119,11 +119,11 @@
 	if err != nil {
 		return errors.Wrapf(err, "%s cannot be read, the two sides differ in version", t)
 	}
-	clip(reflect.ValueOf(v).Elem())
+	clipBytes(reflect.ValueOf(v).Elem())
 	return nil
 }
 
-var bytesIn sync.Map // reflect.Type to whether it has byte slices
+var typesWithBytes sync.Map // reflect.Type to whether it has byte slices
 
 func hasBytes(t reflect.Type, seen map[reflect.Type]bool) bool {
 	if seen[t] {
@@ -145,9 +145,9 @@
 	return false
 }
 
-// clip ends the capacity of byte slices with their length: Avro's reader cuts short ones from a common buffer, and an
+// clipBytes ends the capacity of byte slices with their length: Avro's reader cuts short ones from a common buffer, and an
 // append to one would write over the next.
-func clip(v reflect.Value) {
+func clipBytes(v reflect.Value) {
 	t := v.Type()
 	switch t.Kind() {
 	case reflect.Slice:
@@ -159,10 +159,10 @@
 	default:
 		return
 	}
-	has, known := bytesIn.Load(t)
+	has, known := typesWithBytes.Load(t)
 	if !known {
 		has = hasBytes(t, map[reflect.Type]bool{})
-		bytesIn.Store(t, has)
+		typesWithBytes.Store(t, has)
 	}
 	if !has.(bool) {
 		return
@@ -170,18 +170,18 @@
 	switch t.Kind() {
 	case reflect.Slice:
 		for i := range v.Len() {
-			clip(v.Index(i))
+			clipBytes(v.Index(i))
 		}
 	case reflect.Map:
 		for _, k := range v.MapKeys() {
 			one := reflect.New(t.Elem()).Elem()
 			one.Set(v.MapIndex(k))
-			clip(one)
+			clipBytes(one)
 			v.SetMapIndex(k, one)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			clip(v.Field(i))
+			clipBytes(v.Field(i))
 		}
 	}
 }
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-func TestWhatIsEncodedIsDecoded(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawTree(2).Draw(t, "value")
 		for _, form := range [][]byte{Encode(want), Encode(&want)} {
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestEnds(t *testing.T) {
+func TestEncodeExtremeValues(t *testing.T) {
 	want := tree{I: math.MinInt, I8: math.MinInt8, I16: math.MinInt16, I32: math.MinInt32, I64: math.MaxInt64, U8: math.MaxUint8,
 		U16: math.MaxUint16, U32: math.MaxUint32, F: math.Inf(-1), One: leaf{Wait: math.MaxInt64}}
 	var got tree
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestNothingIsSharedWithTheForm(t *testing.T) {
+func TestDecodedStructDoesNotAliasInput(t *testing.T) {
 	form := Encode(leaf{Name: "name", Data: []byte("data")})
 	var got leaf
 	if err := Decode(form, &got); err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestAppendsStayApart(t *testing.T) {
+func TestAppendToDecodedBytesOverwritesNothing(t *testing.T) {
 	type bearer struct {
 		A, B   []byte
 		List   []leaf
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestLargeBytes(t *testing.T) {
+func TestEncodeLargeFields(t *testing.T) {
 	want := leaf{Name: strings.Repeat("n", 3<<20), Data: bytes.Repeat([]byte{7}, 9<<20)}
 	var got leaf
 	if err := Decode(Encode(want), &got); err != nil {
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestEmptyRecord(t *testing.T) {
+func TestEncodeEmptyStruct(t *testing.T) {
 	type ack struct{}
 	var got ack
 	if err := Decode(Encode(ack{}), &got); err != nil {
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestFormsThatCannotBeRead(t *testing.T) {
+func TestDecodeInvalidBytes(t *testing.T) {
 	whole := Encode(leaf{Name: "name", Data: []byte("data"), Wait: 5, Phase: "p"})
 	for i := range whole {
 		if err := Decode(whole[:i], new(leaf)); err == nil || !strings.Contains(err.Error(), "version") {
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestSameNamesInTwoFunctions(t *testing.T) {
+func TestEncodeLocalTypesOfEqualName(t *testing.T) {
 	one := func() {
 		type local struct{ A string }
 		var got local
@@ -208,7 +208,7 @@
 	one()
 }
 
-func TestFirstUseByMany(t *testing.T) {
+func TestConcurrentFirstEncode(t *testing.T) {
 	type fresh struct{ L []leaf }
 	var all sync.WaitGroup
 	for range 16 {
@@ -222,7 +222,7 @@
 	all.Wait()
 }
 
-func TestTypesWithoutASchema(t *testing.T) {
+func TestEncodeUnsupportedTypes(t *testing.T) {
 	for _, v := range []any{struct{ U uint64 }{}, struct{ U uint }{}, struct{ F float32 }{}, struct{ M map[int]string }{},
 		struct{ P *leaf }{}, struct{ A any }{}, struct{ E [2]int }{}, struct{ hidden int }{}} {
 		func() {
--- a/internal/rpc/conn_test.go
+++ b/internal/rpc/conn_test.go
@@ -36,8 +36,8 @@
 	Text string
 }
 
-// bound ends a test that hangs; no test comes near it.
-func bound(t *testing.T) context.Context {
+// testContext ends a test that hangs; no test comes near it.
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
@@ -62,14 +62,14 @@
 	return s, c
 }
 
-func echoing(_ context.Context, body []byte) (any, error) {
+func echoHandler(_ context.Context, body []byte) (any, error) {
 	var l line
 	err := Decode(body, &l)
 	return l, err
 }
 
-// raw takes one connection, reads one frame and hands both over.
-func raw(t *testing.T, l net.Listener, then func(c net.Conn, number uint64)) <-chan struct{} {
+// serveRaw takes one connection, reads one frame and hands both over.
+func serveRaw(t *testing.T, l net.Listener, then func(c net.Conn, number uint64)) <-chan struct{} {
 	done := make(chan struct{})
 	t.Cleanup(func() { l.Close(); <-done })
 	go func() {
@@ -87,7 +87,7 @@
 	return done
 }
 
-func wantKind(t *testing.T, err, kind error, text string) {
+func wantErrorClass(t *testing.T, err, kind error, text string) {
 	t.Helper()
 	for _, k := range []error{ErrUnsent, ErrLost, ErrRemote} {
 		if errors.Is(err, k) != (k == kind) {
@@ -99,43 +99,43 @@
 	}
 }
 
-func TestCallsEnd(t *testing.T) {
+func TestCallOutcomes(t *testing.T) {
 	_, c := serve(t, map[Method]Handler{
-		echo:    echoing,
+		echo:    echoHandler,
 		refuse:  func(context.Context, []byte) (any, error) { return nil, errors.New("not today: come tomorrow") },
 		nothing: func(context.Context, []byte) (any, error) { return nil, nil },
 		large:   func(context.Context, []byte) (any, error) { return struct{ B []byte }{make([]byte, MaxFrame)}, nil },
 	})
-	ctx := bound(t)
+	ctx := testContext(t)
 	for i := range 3 {
 		var got line
 		if err := c.Call(ctx, echo, &line{i, "ü"}, &got); err != nil || got != (line{i, "ü"}) {
 			t.Fatal(got, err)
 		}
 	}
-	wantKind(t, c.Call(ctx, refuse, line{}, new(line)), ErrRemote, "not today: come tomorrow")
-	wantKind(t, c.Call(ctx, Method(200), line{}, nil), ErrRemote, "unknown call")
+	wantErrorClass(t, c.Call(ctx, refuse, line{}, new(line)), ErrRemote, "not today: come tomorrow")
+	wantErrorClass(t, c.Call(ctx, Method(200), line{}, nil), ErrRemote, "unknown call")
 	if err := c.Call(ctx, nothing, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	wantKind(t, c.Call(ctx, nothing, nil, new(line)), ErrLost, "version")
-	wantKind(t, c.Call(ctx, echo, nil, new(line)), ErrRemote, "version")
-	wantKind(t, c.Call(ctx, large, nil, nil), ErrRemote, "ask for less")
-	wantKind(t, c.Call(ctx, echo, struct{ B []byte }{make([]byte, MaxFrame)}, nil), ErrUnsent, "send at most")
-	wantKind(t, c.Notify(ctx, echo, struct{ B []byte }{make([]byte, MaxFrame)}), ErrUnsent, "send at most")
+	wantErrorClass(t, c.Call(ctx, nothing, nil, new(line)), ErrLost, "version")
+	wantErrorClass(t, c.Call(ctx, echo, nil, new(line)), ErrRemote, "version")
+	wantErrorClass(t, c.Call(ctx, large, nil, nil), ErrRemote, "ask for less")
+	wantErrorClass(t, c.Call(ctx, echo, struct{ B []byte }{make([]byte, MaxFrame)}, nil), ErrUnsent, "send at most")
+	wantErrorClass(t, c.Notify(ctx, echo, struct{ B []byte }{make([]byte, MaxFrame)}), ErrUnsent, "send at most")
 	if err := c.Call(ctx, echo, line{7, ""}, new(line)); err != nil {
 		t.Fatal("after all that:", err)
 	}
 }
 
-func TestAnswersComeInAnyOrder(t *testing.T) {
+func TestResponsesOutOfOrder(t *testing.T) {
 	first, entered := make(chan struct{}), make(chan struct{})
-	_, c := serve(t, map[Method]Handler{echo: echoing, wait: func(ctx context.Context, body []byte) (any, error) {
+	_, c := serve(t, map[Method]Handler{echo: echoHandler, wait: func(ctx context.Context, body []byte) (any, error) {
 		close(entered)
 		<-first
-		return echoing(ctx, body)
+		return echoHandler(ctx, body)
 	}})
-	ctx := bound(t)
+	ctx := testContext(t)
 	done := make(chan error, 1)
 	var slow, quick line
 	go func() { done <- c.Call(ctx, wait, line{1, "slow"}, &slow) }()
@@ -149,14 +149,14 @@
 	}
 }
 
-func TestEachCallerGetsItsAnswer(t *testing.T) {
+func TestConcurrentCallsShareOneConnection(t *testing.T) {
 	var conns atomic.Int32
-	s, l := NewServer(map[Method]Handler{echo: echoing}), listen(t)
+	s, l := NewServer(map[Method]Handler{echo: echoHandler}), listen(t)
 	counted := countingListener{l, &conns}
 	var serving sync.WaitGroup
 	serving.Go(func() { s.Serve(counted) })
 	c := NewClient(l.Addr().String())
-	ctx := bound(t)
+	ctx := testContext(t)
 	var all sync.WaitGroup
 	for g := range 16 {
 		all.Go(func() {
@@ -191,7 +191,7 @@
 	return c, err
 }
 
-func TestNoticesKeepTheirOrder(t *testing.T) {
+func TestNotificationsKeepTheirOrder(t *testing.T) {
 	var told []int
 	_, c := serve(t, map[Method]Handler{
 		note: func(_ context.Context, body []byte) (any, error) {
@@ -202,7 +202,7 @@
 		},
 		read: func(context.Context, []byte) (any, error) { return line{len(told), fmt.Sprint(told)}, nil },
 	})
-	ctx := bound(t)
+	ctx := testContext(t)
 	var want []int
 	for i := range 300 {
 		want = append(want, i)
@@ -219,15 +219,15 @@
 	}
 }
 
-func TestAServerThatCloses(t *testing.T) {
+func TestServerClosesConnection(t *testing.T) {
 	l := listen(t)
 	c := NewClient(l.Addr().String())
 	defer c.Close()
-	ctx := bound(t)
-	gone := raw(t, l, func(nc net.Conn, _ uint64) { nc.Close() })
-	wantKind(t, c.Call(ctx, echo, line{}, nil), ErrLost, "EOF")
+	ctx := testContext(t)
+	gone := serveRaw(t, l, func(nc net.Conn, _ uint64) { nc.Close() })
+	wantErrorClass(t, c.Call(ctx, echo, line{}, nil), ErrLost, "EOF")
 	<-gone
-	s := NewServer(map[Method]Handler{echo: echoing}) // the next one at the address
+	s := NewServer(map[Method]Handler{echo: echoHandler}) // the next one at the address
 	var serving sync.WaitGroup
 	serving.Go(func() { s.Serve(l) })
 	var got line
@@ -238,37 +238,37 @@
 	serving.Wait()
 }
 
-func TestASilentServer(t *testing.T) {
+func TestServerDoesNotRespond(t *testing.T) {
 	l := listen(t)
 	c := NewClient(l.Addr().String())
-	ctx, cancel := context.WithCancel(bound(t))
-	raw(t, l, func(nc net.Conn, number uint64) {
+	ctx, cancel := context.WithCancel(testContext(t))
+	serveRaw(t, l, func(nc net.Conn, number uint64) {
 		cancel()
 		_, _, _, _, err := readFrame(bufio.NewReader(nc)) // the next call
 		if err != nil {
 			t.Error(err)
 		}
-		_, _ = nc.Write(frame(kindAnswer, echo, number, nil)) // too late, and nobody waits for it
-		_, _ = nc.Write(frame(kindAnswer, echo, number+1, Encode(line{N: 5})))
+		_, _ = nc.Write(frame(kindResponse, echo, number, nil)) // too late, and nobody waits for it
+		_, _ = nc.Write(frame(kindResponse, echo, number+1, Encode(line{N: 5})))
 		_, _, _, _, _ = readFrame(bufio.NewReader(nc))
 		nc.Close()
 	})
 	err := c.Call(ctx, echo, line{}, new(line))
-	wantKind(t, err, ErrLost, "canceled")
+	wantErrorClass(t, err, ErrLost, "canceled")
 	if !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
 	var got line
-	if err := c.Call(bound(t), echo, line{}, &got); err != nil || got.N != 5 {
+	if err := c.Call(testContext(t), echo, line{}, &got); err != nil || got.N != 5 {
 		t.Fatal(got, err)
 	}
 	c.Close()
 }
 
-func TestAServerThatDoesNotRead(t *testing.T) {
+func TestServerDoesNotRead(t *testing.T) {
 	l := listen(t)
 	c := NewClient(l.Addr().String())
-	ctx := bound(t)
+	ctx := testContext(t)
 	blocked := make(chan error, 1)
 	go func() { blocked <- c.Call(ctx, echo, struct{ B []byte }{make([]byte, MaxFrame/2)}, nil) }()
 	nc, err := l.Accept()
@@ -284,26 +284,26 @@
 	go func() { done <- c.Call(short, echo, line{}, nil) }()
 	for n := 0; n == 0 && ctx.Err() == nil; { // until the second is on the books
 		c.mu.Lock()
-		c.link.mu.Lock()
-		if len(c.link.calls) == 2 {
+		c.conn.mu.Lock()
+		if len(c.conn.pending) == 2 {
 			n = 2
 		}
-		c.link.mu.Unlock()
+		c.conn.mu.Unlock()
 		c.mu.Unlock()
 		runtime.Gosched()
 	}
 	cancel()
-	wantKind(t, <-done, ErrUnsent, "canceled")
+	wantErrorClass(t, <-done, ErrUnsent, "canceled")
 	select {
 	case err := <-blocked:
 		t.Fatal("the first gave up with the second:", err)
 	default:
 	}
 	c.Close()
-	wantKind(t, <-blocked, ErrLost, "")
+	wantErrorClass(t, <-blocked, ErrLost, "")
 }
 
-func TestADeadPort(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	port, err := reservedport.Reserve() // nobody listens there, and nobody comes to
 	if err != nil {
 		t.Fatal(err)
@@ -312,29 +312,29 @@
 	c := NewClient(port.Addr())
 	defer c.Close()
 	for range 3 { // by a refusal, or remembering one
-		wantKind(t, c.Call(bound(t), echo, line{}, nil), ErrUnsent, "")
-		wantKind(t, c.Notify(bound(t), echo, line{}), ErrUnsent, "")
+		wantErrorClass(t, c.Call(testContext(t), echo, line{}, nil), ErrUnsent, "")
+		wantErrorClass(t, c.Notify(testContext(t), echo, line{}), ErrUnsent, "")
 	}
 }
 
-func TestACallWhoseTimeIsUp(t *testing.T) {
+func TestCallWithEndedContextIsNotSent(t *testing.T) {
 	var handled atomic.Int32
 	_, c := serve(t, map[Method]Handler{echo: func(ctx context.Context, body []byte) (any, error) {
 		handled.Add(1)
-		return echoing(ctx, body)
+		return echoHandler(ctx, body)
 	}})
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 20 {
-		wantKind(t, c.Call(over, echo, line{}, nil), ErrUnsent, "canceled")
-		wantKind(t, c.Notify(over, echo, line{}), ErrUnsent, "canceled")
+		wantErrorClass(t, c.Call(over, echo, line{}, nil), ErrUnsent, "canceled")
+		wantErrorClass(t, c.Notify(over, echo, line{}), ErrUnsent, "canceled")
 	}
-	if err := c.Call(bound(t), echo, line{}, new(line)); err != nil || handled.Load() != 1 {
+	if err := c.Call(testContext(t), echo, line{}, new(line)); err != nil || handled.Load() != 1 {
 		t.Fatal(handled.Load(), err)
 	}
 }
 
-func TestClientThatIsClosed(t *testing.T) {
+func TestClientClose(t *testing.T) {
 	entered := make(chan struct{})
 	gone := make(chan struct{})
 	_, c := serve(t, map[Method]Handler{wait: func(ctx context.Context, _ []byte) (any, error) {
@@ -344,13 +344,13 @@
 		return nil, ctx.Err()
 	}})
 	done := make(chan error, 1)
-	go func() { done <- c.Call(bound(t), wait, nil, nil) }()
+	go func() { done <- c.Call(testContext(t), wait, nil, nil) }()
 	<-entered
 	c.Close()
-	wantKind(t, <-done, ErrLost, "")
+	wantErrorClass(t, <-done, ErrLost, "")
 	<-gone
-	wantKind(t, c.Call(bound(t), echo, line{}, nil), ErrUnsent, "closed")
-	wantKind(t, c.Notify(bound(t), echo, line{}), ErrUnsent, "closed")
+	wantErrorClass(t, c.Call(testContext(t), echo, line{}, nil), ErrUnsent, "closed")
+	wantErrorClass(t, c.Notify(testContext(t), echo, line{}), ErrUnsent, "closed")
 }
 
 func TestServerCloseWaitsForHandlers(t *testing.T) {
@@ -363,13 +363,13 @@
 		return nil, nil
 	}})
 	done := make(chan error, 1)
-	go func() { done <- c.Call(bound(t), wait, nil, nil) }()
+	go func() { done <- c.Call(testContext(t), wait, nil, nil) }()
 	<-entered
 	s.Close()
 	if !ended {
 		t.Fatal("Close came back before the handler ended")
 	}
-	wantKind(t, <-done, ErrLost, "")
+	wantErrorClass(t, <-done, ErrLost, "")
 	l := listen(t)
 	s.Serve(l) // comes back at once
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
@@ -377,7 +377,7 @@
 	}
 }
 
-func TestFramesOfOtherPrograms(t *testing.T) {
+func TestInvalidFrames(t *testing.T) {
 	huge := frame(kindCall, echo, 1, nil)
 	copy(huge, []byte{4, 0, 0, 11}) // one byte more than MaxFrame allows
 	short := frame(kindCall, echo, 1, nil)
@@ -409,29 +409,29 @@
 			other := listen(t)
 			client := NewClient(other.Addr().String())
 			defer client.Close()
-			raw(t, other, func(nc net.Conn, _ uint64) {
+			serveRaw(t, other, func(nc net.Conn, _ uint64) {
 				_, _ = nc.Write(c.sent)
 				_, _ = nc.Read(make([]byte, 1)) // until the client closes
 				nc.Close()
 			})
-			wantKind(t, client.Call(bound(t), echo, line{}, nil), ErrLost, "speaks as this program does")
+			wantErrorClass(t, client.Call(testContext(t), echo, line{}, nil), ErrLost, "speaks as this program does")
 		})
 	}
 }
 
-func TestAFrameCutOff(t *testing.T) {
+func TestTruncatedFrame(t *testing.T) {
 	l := listen(t)
 	c := NewClient(l.Addr().String())
 	defer c.Close()
-	raw(t, l, func(nc net.Conn, number uint64) {
-		whole := frame(kindAnswer, echo, number, Encode(line{1, "text"}))
+	serveRaw(t, l, func(nc net.Conn, number uint64) {
+		whole := frame(kindResponse, echo, number, Encode(line{1, "text"}))
 		_, _ = nc.Write(whole[:len(whole)-1])
 		nc.Close()
 	})
-	wantKind(t, c.Call(bound(t), echo, line{}, new(line)), ErrLost, "unexpected EOF")
+	wantErrorClass(t, c.Call(testContext(t), echo, line{}, new(line)), ErrLost, "unexpected EOF")
 }
 
-func TestFrames(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	body := []byte("body")
 	kind, m, number, got, err := readFrame(bufio.NewReader(bytes.NewReader(frame(kindError, refuse, 1<<40+3, body))))
 	if kind != kindError || m != refuse || number != 1<<40+3 || !bytes.Equal(got, body) || err != nil {
@@ -439,26 +439,26 @@
 	}
 }
 
-// tired fails to accept at first, as it does when descriptors run out.
-type tired struct {
+// failingListener fails to accept at first, as it does when descriptors run out.
+type failingListener struct {
 	net.Listener
 	fails int
 }
 
-func (l *tired) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.fails--; l.fails >= 0 {
 		return nil, errors.New("too many open files")
 	}
 	return l.Listener.Accept()
 }
 
-func TestAcceptThatFailsForAMoment(t *testing.T) {
+func TestAcceptRetriesAfterError(t *testing.T) {
 	l := listen(t)
-	s := NewServer(map[Method]Handler{echo: echoing})
+	s := NewServer(map[Method]Handler{echo: echoHandler})
 	var serving sync.WaitGroup
-	serving.Go(func() { s.Serve(&tired{l, 3}) })
+	serving.Go(func() { s.Serve(&failingListener{l, 3}) })
 	c := NewClient(l.Addr().String())
-	if err := c.Call(bound(t), echo, line{}, new(line)); err != nil {
+	if err := c.Call(testContext(t), echo, line{}, new(line)); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
@@ -467,25 +467,25 @@
 	s.Close()
 }
 
-func TestClients(t *testing.T) {
-	_, c := serve(t, map[Method]Handler{echo: echoing})
+func TestClientsKeepOneClientPerAddress(t *testing.T) {
+	_, c := serve(t, map[Method]Handler{echo: echoHandler})
 	var all Clients
 	one := all.To(c.addr)
 	if all.To(c.addr) != one || all.To("127.0.0.1:1") == one {
 		t.Fatal("not one client for each address")
 	}
-	if err := one.Call(bound(t), echo, line{}, new(line)); err != nil {
+	if err := one.Call(testContext(t), echo, line{}, new(line)); err != nil {
 		t.Fatal(err)
 	}
 	all.Close()
-	wantKind(t, one.Call(bound(t), echo, line{}, nil), ErrUnsent, "closed")
-	wantKind(t, all.To("127.0.0.1:2").Call(bound(t), echo, line{}, nil), ErrUnsent, "closed")
+	wantErrorClass(t, one.Call(testContext(t), echo, line{}, nil), ErrUnsent, "closed")
+	wantErrorClass(t, all.To("127.0.0.1:2").Call(testContext(t), echo, line{}, nil), ErrUnsent, "closed")
 }
 
 func TestCloseUnderLoad(t *testing.T) {
 	for range 20 {
-		s, c := serve(t, map[Method]Handler{echo: echoing, note: echoing})
-		ctx := bound(t)
+		s, c := serve(t, map[Method]Handler{echo: echoHandler, note: echoHandler})
+		ctx := testContext(t)
 		var all sync.WaitGroup
 		answered := make(chan struct{}, 1)
 		for g := range 8 {
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-func TestClientsOpenConnectionsByTheirDialFunction(t *testing.T) {
+func TestClientsUseDialFunc(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestDialFunctionThatNeverEndsIsGivenUp(t *testing.T) {
+func TestDialTimeout(t *testing.T) {
 	calls := Clients{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -25,19 +25,19 @@
 
 const (
 	kindCall = iota
-	kindAnswer
+	kindResponse
 	kindError
-	kindNotice // a call without an answer
+	kindNotification // a call without an answer
 )
 
 const (
-	headerSize  = 4 + 1 + 1 + 8 // length of the rest, kind, method, number
-	dialTime    = 600 * time.Millisecond
-	deadAfter   = 1500 * time.Millisecond // unacknowledged bytes
-	writeTime   = 2 * time.Second
-	writeGrace  = 100 * time.Millisecond // past the deadline of the call that writes: it ends the connection for all
-	redialPause = 50 * time.Millisecond
-	acceptPause = 10 * time.Millisecond
+	headerSize     = 4 + 1 + 1 + 8 // length of the rest, kind, method, number
+	dialTimeout    = 600 * time.Millisecond
+	unackedTimeout = 1500 * time.Millisecond // unacknowledged bytes
+	writeTimeout   = 2 * time.Second
+	writeGrace     = 100 * time.Millisecond // past the deadline of the call that writes: it ends the connection for all
+	redialBackoff  = 50 * time.Millisecond
+	acceptBackoff  = 10 * time.Millisecond
 )
 
 // Method numbers a call.
@@ -71,8 +71,8 @@
 	return h[4], Method(h[5]), binary.BigEndian.Uint64(h[6:]), body, err
 }
 
-// tune has a connection to a machine that says nothing any more end in bounded time.
-func tune(c net.Conn) {
+// setSocketOptions has a connection to a machine that says nothing any more end in bounded time.
+func setSocketOptions(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return
@@ -80,7 +80,7 @@
 	_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2})
 	if raw, err := t.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadAfter.Milliseconds()))
+			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 		})
 	}
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -15,24 +15,24 @@
 type Server struct {
 	handlers map[Method]Handler
 	mu       sync.Mutex
-	open     map[net.Conn]bool
+	conns    map[net.Conn]bool
 	closed   bool
 	wg       sync.WaitGroup
 	ctx      context.Context
-	stop     context.CancelFunc
+	cancel   context.CancelFunc
 }
 
 // NewServer serves the given calls.
 func NewServer(handlers map[Method]Handler) *Server {
-	s := &Server{handlers: handlers, open: map[net.Conn]bool{}}
-	s.ctx, s.stop = context.WithCancel(context.Background())
+	s := &Server{handlers: handlers, conns: map[net.Conn]bool{}}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
 // Serve takes connections until Close, or until the listener is closed.
 func (s *Server) Serve(l net.Listener) {
 	defer l.Close()
-	if !s.begin(func() { <-s.ctx.Done(); l.Close() }, nil) {
+	if !s.start(func() { <-s.ctx.Done(); l.Close() }, nil) {
 		return
 	}
 	for {
@@ -42,28 +42,28 @@
 		}
 		if err != nil { // descriptors ran out for a moment
 			select {
-			case <-time.After(acceptPause):
+			case <-time.After(acceptBackoff):
 				continue
 			case <-s.ctx.Done():
 				return
 			}
 		}
-		if !s.begin(func() { s.serve(c) }, c) {
+		if !s.start(func() { s.serveConn(c) }, c) {
 			c.Close()
 			return
 		}
 	}
 }
 
-// begin runs a goroutine that Close waits for, for a connection or none; false once Close was called.
-func (s *Server) begin(run func(), c net.Conn) bool {
+// start runs a goroutine that Close waits for, for a connection or none; false once Close was called.
+func (s *Server) start(run func(), c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return false
 	}
 	if c != nil {
-		s.open[c] = true
+		s.conns[c] = true
 	}
 	s.wg.Go(run)
 	return true
@@ -71,25 +71,25 @@
 
 // Close ends all connections and waits for the handlers.
 func (s *Server) Close() {
-	s.stop()
+	s.cancel()
 	s.mu.Lock()
 	s.closed = true
-	for c := range s.open {
+	for c := range s.conns {
 		c.Close()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
 }
 
-func (s *Server) serve(c net.Conn) {
-	tune(c)
+func (s *Server) serveConn(c net.Conn) {
+	setSocketOptions(c)
 	ctx, stop := context.WithCancel(s.ctx)
 	var writes sync.Mutex
 	defer func() {
 		stop()
 		c.Close()
 		s.mu.Lock()
-		delete(s.open, c)
+		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
 	r := bufio.NewReaderSize(c, 16<<10)
@@ -99,7 +99,7 @@
 			return
 		}
 		h := s.handlers[m]
-		if kind == kindNotice {
+		if kind == kindNotification {
 			if h != nil {
 				_, _ = h(ctx, body) // in the order of their coming
 			}
@@ -114,11 +114,11 @@
 			} else if body := Encode(answer); len(body) > MaxFrame {
 				out = frame(kindError, m, number, fmt.Appendf(nil, "answer of %d bytes: ask for less than %d", len(body), MaxFrame))
 			} else {
-				out = frame(kindAnswer, m, number, body)
+				out = frame(kindResponse, m, number, body)
 			}
 			writes.Lock()
 			defer writes.Unlock()
-			_ = c.SetWriteDeadline(time.Now().Add(writeTime))
+			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.Write(out); err != nil {
 				c.Close()
 			}
