--- a/internal/rpc/clients.go
+++ b/internal/rpc/clients.go
@@ -1,19 +1,17 @@
 package rpc
 
-import (
-	"sync"
-)
+import "sync"
 
-// Clients keeps one Client for each address. Its zero value is ready for use.
+// Clients keeps one Client for each address. Its zero value is ready for use, by many goroutines.
 type Clients struct {
-	Dial DialFunc // opens connections; nil for TCP. It is set before the first call
+	Dial DialFunc // opens connections; nil for TCP. It must be set before the first call
 
 	mu      sync.Mutex
-	clients map[string]*Client
+	clients map[string]*Client // by address
 	closed  bool
 }
 
-// To gives the client of an address.
+// To returns the client of an address HOST:PORT. Clients are kept until Close. After Close their calls end in ErrUnsent.
 func (c *Clients) To(addr string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -21,11 +19,11 @@
 		c.clients = map[string]*Client{}
 	}
 	if c.clients[addr] == nil {
-		open := c.Dial
-		if open == nil {
-			open = dialTCP
+		dial := c.Dial
+		if dial == nil {
+			dial = dialTCP
 		}
-		c.clients[addr] = newClient(addr, open)
+		c.clients[addr] = newClient(addr, dial)
 		if c.closed {
 			c.clients[addr].Close()
 		}
@@ -33,12 +31,12 @@
 	return c.clients[addr]
 }
 
-// Close ends all connections for good.
+// Close closes all clients for good.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, one := range c.clients {
-		one.Close()
+	for _, client := range c.clients {
+		client.Close()
 	}
 }
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -53,7 +53,8 @@
 			rapid.Int32().Draw(t, "i32"), rapid.Int64().Draw(t, "i64"), rapid.Uint8().Draw(t, "u8"), rapid.Uint16().Draw(t, "u16"),
 			rapid.Uint32().Draw(t, "u32"), rapid.Float64().Draw(t, "f"), drawLeaf(t), drawLeaf(t),
 			rapid.SliceOfN(leaves, 1, 5).Draw(t, "many"), rapid.MapOf(rapid.String(), leaves).Draw(t, "by name"),
-			rapid.MapOf(rapid.Map(rapid.String(), func(s string) phase { return phase(s) }), rapid.SliceOfN(rapid.String(), 1, 3)).Draw(t, "lists"),
+			rapid.MapOf(rapid.Map(rapid.String(), func(s string) phase { return phase(s) }),
+				rapid.SliceOfN(rapid.String(), 1, 3)).Draw(t, "lists"),
 			[]map[string][]tree{},
 		}
 		if depth > 0 {
@@ -72,7 +73,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("%+v came as %+v", want, got)
+				t.Fatalf("%+v was decoded as %+v", want, got)
 			}
 		}
 	})
@@ -113,16 +114,16 @@
 }
 
 func TestAppendToDecodedBytesOverwritesNothing(t *testing.T) {
-	type bearer struct {
+	type record struct {
 		A, B   []byte
 		List   []leaf
 		ByName map[string]leaf
 		Deep   []map[string][][]byte
 	}
 	one := func(b byte) leaf { return leaf{Data: []byte{b}} }
-	form := Encode(bearer{[]byte{1}, []byte{2}, []leaf{one(3), one(4)}, map[string]leaf{"x": one(5), "y": one(6)},
+	form := Encode(record{[]byte{1}, []byte{2}, []leaf{one(3), one(4)}, map[string]leaf{"x": one(5), "y": one(6)},
 		[]map[string][][]byte{{"z": {{7}, {8}}}}})
-	var got bearer
+	var got record
 	if err := Decode(form, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +135,7 @@
 	for _, b := range all() {
 		_ = append(b, 99)
 	}
-	if err := Decode(Encode(one(9)), &next); err != nil { // by the same reader, as a rule
+	if err := Decode(Encode(one(9)), &next); err != nil { // by the same reader, usually
 		t.Fatal(err)
 	}
 	for i, b := range append(all(), next.Data) {
@@ -151,7 +152,7 @@
 		t.Fatal(err)
 	}
 	if got.Name != want.Name || !bytes.Equal(got.Data, want.Data) {
-		t.Fatalf("%d and %d bytes came", len(got.Name), len(got.Data))
+		t.Fatalf("%d and %d bytes were decoded", len(got.Name), len(got.Data))
 	}
 }
 
@@ -167,21 +168,21 @@
 }
 
 func TestDecodeInvalidBytes(t *testing.T) {
-	whole := Encode(leaf{Name: "name", Data: []byte("data"), Wait: 5, Phase: "p"})
-	for i := range whole {
-		if err := Decode(whole[:i], new(leaf)); err == nil || !strings.Contains(err.Error(), "version") {
-			t.Errorf("the first %d of %d bytes: %v", i, len(whole), err)
+	form := Encode(leaf{Name: "name", Data: []byte("data"), Wait: 5, Phase: "p"})
+	for i := range form {
+		if err := Decode(form[:i], new(leaf)); err == nil || !strings.Contains(err.Error(), "version") {
+			t.Errorf("the first %d of %d bytes: %v", i, len(form), err)
 		}
 	}
-	if err := Decode(append(whole, 0), new(leaf)); err == nil || !strings.Contains(err.Error(), "left over") {
+	if err := Decode(append(form, 0), new(leaf)); err == nil || !strings.Contains(err.Error(), "left over") {
 		t.Errorf("one byte more: %v", err)
 	}
 	if err := Decode(nil, new(leaf)); err == nil {
 		t.Error("nothing was read as a record")
 	}
 	var got leaf
-	if err := Decode(whole, &got); err != nil || got.Name != "name" {
-		t.Error("after forms that cannot be read:", got, err)
+	if err := Decode(form, &got); err != nil || got.Name != "name" {
+		t.Error("after invalid forms:", got, err)
 	}
 	if err := Decode([]byte{0xfe, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}, new(leaf)); err == nil {
 		t.Error("a string of petabytes was read")
@@ -227,8 +228,8 @@
 		struct{ P *leaf }{}, struct{ A any }{}, struct{ E [2]int }{}, struct{ hidden int }{}} {
 		func() {
 			defer func() {
-				if told, _ := recover().(string); !strings.HasPrefix(told, "rpc: ") {
-					t.Errorf("%T: %q", v, told)
+				if message, _ := recover().(string); !strings.HasPrefix(message, "rpc: ") {
+					t.Errorf("%T: %q", v, message)
 				}
 			}()
 			t.Errorf("%T was encoded as %x", v, Encode(v))
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -9,23 +9,19 @@
 )
 
 func TestClientsUseDialFunc(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := NewServer(map[Method]Handler{1: func(context.Context, []byte) (any, error) { return &struct{ Text string }{"here"}, nil }})
-	done := make(chan struct{})
-	go func() { defer close(done); server.Serve(l) }()
-	defer func() { server.Close(); <-done }()
+	_, c := serve(t, map[Method]Handler{echo: func(context.Context, []byte) (any, error) {
+		return &struct{ Text string }{"here"}, nil
+	}})
 	asked := ""
-	calls := Clients{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	clients := Clients{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		asked = addr
-		return dialTCP(ctx, l.Addr().String())
+		return dialTCP(ctx, c.addr)
 	}}
-	defer calls.Close()
-	var answer struct{ Text string }
-	if err := calls.To("127.9.9.9:1").Call(t.Context(), 1, &struct{ Text string }{"q"}, &answer); err != nil || answer.Text != "here" {
-		t.Fatal(answer, err)
+	defer clients.Close()
+	var response struct{ Text string }
+	err := clients.To("127.9.9.9:1").Call(t.Context(), echo, &struct{ Text string }{"q"}, &response)
+	if err != nil || response.Text != "here" {
+		t.Fatal(response, err)
 	}
 	if asked != "127.9.9.9:1" {
 		t.Errorf("dialled for %q", asked)
@@ -33,12 +29,13 @@
 }
 
 func TestDialTimeout(t *testing.T) {
-	calls := Clients{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+	clients := Clients{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}}
-	defer calls.Close()
-	if err := calls.To("127.9.9.9:1").Call(context.Background(), 1, &struct{ Unused bool }{}, nil); !errors.Is(err, ErrUnsent) {
+	defer clients.Close()
+	err := clients.To("127.9.9.9:1").Call(context.Background(), echo, &struct{ Unused bool }{}, nil)
+	if !errors.Is(err, ErrUnsent) {
 		t.Fatal(err)
 	}
 }
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -2,85 +2,63 @@
 
 import (
 	"bufio"
-	"context"
 	"encoding/binary"
 	"io"
-	"net"
-	"syscall"
-	"time"
 
 	"github.com/cockroachdb/errors"
-	"golang.org/x/sys/unix"
 )
 
-// The kinds of errors that a call ends in. ErrUnsent proves that the other side has not had the call.
-var (
-	ErrUnsent = errors.New("call not sent")
-	ErrLost   = errors.New("no answer to the call")
-	ErrRemote = errors.New("call refused by the other side")
-)
-
-// MaxFrame bounds one message: the largest configuration, or one turn with its history, with room to spare.
+// MaxFrame is the largest size of a body in bytes: the largest configuration, or one turn with its history, with room
+// to spare.
 const MaxFrame = 64 << 20
 
+// Method identifies a procedure. Its number is part of the protocol between the processes of the tier.
+type Method uint8
+
+// kind is what a frame is. Its number is part of the protocol.
+type kind byte
+
 const (
-	kindCall = iota
+	kindCall kind = iota
 	kindResponse
-	kindError
-	kindNotification // a call without an answer
+	kindError        // a response that has an error's text
+	kindNotification // a call without a response
 )
 
 const (
-	headerSize     = 4 + 1 + 1 + 8 // length of the rest, kind, method, number
-	dialTimeout    = 600 * time.Millisecond
-	unackedTimeout = 1500 * time.Millisecond // unacknowledged bytes
-	writeTimeout   = 2 * time.Second
-	writeGrace     = 100 * time.Millisecond // past the deadline of the call that writes: it ends the connection for all
-	redialBackoff  = 50 * time.Millisecond
-	acceptBackoff  = 10 * time.Millisecond
+	lengthSize = 4
+	headerSize = lengthSize + 1 + 1 + 8 // length of the rest, kind, method, number
 )
 
-// Method numbers a call.
-type Method uint8
-
-// Handler answers a call; an error's text goes back to the caller as ErrRemote. It runs on a goroutine of its own.
-// For a notice the answer is dropped.
-type Handler func(ctx context.Context, body []byte) (answer any, err error)
+// frame is one message on a connection.
+type frame struct {
+	kind   kind
+	method Method
+	number uint64 // of the call on its connection; 0 in a notification
+	body   []byte // at most MaxFrame bytes
+}
 
-func frame(kind byte, m Method, number uint64, body []byte) []byte {
-	b := make([]byte, headerSize+len(body))
-	binary.BigEndian.PutUint32(b, uint32(headerSize-4+len(body)))
-	b[4], b[5] = kind, byte(m)
-	binary.BigEndian.PutUint64(b[6:], number)
-	copy(b[headerSize:], body)
+// encode returns the bytes of the frame.
+func (f frame) encode() []byte {
+	b := make([]byte, headerSize+len(f.body))
+	binary.BigEndian.PutUint32(b, uint32(headerSize-lengthSize+len(f.body)))
+	b[4], b[5] = byte(f.kind), byte(f.method)
+	binary.BigEndian.PutUint64(b[6:], f.number)
+	copy(b[headerSize:], f.body)
 	return b
 }
 
-func readFrame(r *bufio.Reader) (kind byte, m Method, number uint64, body []byte, err error) {
-	var h [headerSize]byte
-	if _, err = io.ReadFull(r, h[:]); err != nil {
-		return
+// readFrame reads one frame. It does not allocate more than MaxFrame bytes for a body.
+func readFrame(r *bufio.Reader) (frame, error) {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return frame{}, err
 	}
-	n := int(binary.BigEndian.Uint32(h[:])) - (headerSize - 4)
+	n := int(binary.BigEndian.Uint32(header[:])) - (headerSize - lengthSize)
 	if n < 0 || n > MaxFrame {
-		err = errors.Newf("a frame of %d bytes: call an address that speaks as this program does", n)
-		return
-	}
-	body = make([]byte, n)
-	_, err = io.ReadFull(r, body)
-	return h[4], Method(h[5]), binary.BigEndian.Uint64(h[6:]), body, err
-}
-
-// setSocketOptions has a connection to a machine that says nothing any more end in bounded time.
-func setSocketOptions(c net.Conn) {
-	t, ok := c.(*net.TCPConn)
-	if !ok {
-		return
-	}
-	_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2})
-	if raw, err := t.SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
-		})
+		return frame{}, errors.Newf("a frame of %d bytes: call an address that speaks as this program does", n)
 	}
+	f := frame{kind(header[4]), Method(header[5]), binary.BigEndian.Uint64(header[6:]), make([]byte, n)}
+	_, err := io.ReadFull(r, f.body)
+	return f, err
 }
--- /dev/null
+++ b/internal/rpc/frame_test.go
@@ -0,0 +1,103 @@
+package rpc
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/hex"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+func TestInvalidFrames(t *testing.T) {
+	huge := frame{kindCall, echo, 1, nil}.encode()
+	copy(huge, []byte{4, 0, 0, 11}) // one byte more than MaxFrame allows
+	short := frame{kindCall, echo, 1, nil}.encode()
+	copy(short, []byte{0, 0, 0, 9})
+	for _, c := range []struct {
+		name string
+		sent []byte
+	}{{"oversize", huge}, {"shorter than a header", short}, {"of HTTP", []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")}} {
+		t.Run(c.name+" to a server", func(t *testing.T) { checkServerCloses(t, c.sent) })
+		t.Run(c.name+" to a client", func(t *testing.T) { checkCallIsLost(t, c.sent) })
+	}
+}
+
+// checkServerCloses reports an error if a server keeps a connection on which it gets some bytes.
+func checkServerCloses(t *testing.T, sent []byte) {
+	t.Helper()
+	l := listen(t)
+	s := NewServer(nil)
+	var serving sync.WaitGroup
+	serving.Go(func() { s.Serve(l) })
+	nc, err := net.Dial("tcp4", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := nc.Write(sent); err != nil {
+		t.Fatal(err)
+	}
+	_ = nc.SetReadDeadline(time.Now().Add(20 * time.Second))
+	if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil || errors.Is(err, context.DeadlineExceeded) {
+		t.Fatal("the server kept the connection:", n, err)
+	}
+	nc.Close()
+	s.Close()
+	serving.Wait()
+}
+
+// checkCallIsLost reports an error if a call to which some bytes are the response does not end in ErrLost.
+func checkCallIsLost(t *testing.T, sent []byte) {
+	t.Helper()
+	l := listen(t)
+	client := NewClient(l.Addr().String())
+	defer client.Close()
+	serveRaw(t, l, func(nc net.Conn, _ uint64) {
+		_, _ = nc.Write(sent)
+		_, _ = nc.Read(make([]byte, 1)) // until the client closes
+		nc.Close()
+	})
+	wantErrorClass(t, client.Call(testContext(t), echo, line{}, nil), ErrLost, "speaks as this program does")
+}
+
+func TestTruncatedFrame(t *testing.T) {
+	l := listen(t)
+	c := NewClient(l.Addr().String())
+	defer c.Close()
+	serveRaw(t, l, func(nc net.Conn, number uint64) {
+		response := frame{kindResponse, echo, number, Encode(line{1, "text"})}.encode()
+		_, _ = nc.Write(response[:len(response)-1])
+		nc.Close()
+	})
+	wantErrorClass(t, c.Call(testContext(t), echo, line{}, new(line)), ErrLost, "unexpected EOF")
+}
+
+func TestFrameRoundTrip(t *testing.T) {
+	body := []byte("body")
+	got, err := readFrame(bufio.NewReader(bytes.NewReader(frame{kindError, refuse, 1<<40 + 3, body}.encode())))
+	if got.kind != kindError || got.method != refuse || got.number != 1<<40+3 || !bytes.Equal(got.body, body) || err != nil {
+		t.Fatal(got, err)
+	}
+}
+
+// TestFrameBytes fixes the form on the wire, which processes of other versions read.
+func TestFrameBytes(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		f    frame
+		want string
+	}{
+		{"call", frame{kindCall, 7, 0x0102, []byte("ab")}, "0000000c000700000000000001026162"},
+		{"response", frame{kindResponse, 255, 1 << 63, nil}, "0000000a01ff8000000000000000"},
+		{"error", frame{kindError, 1, 1, []byte("x")}, "0000000b0201000000000000000178"},
+		{"notification", frame{kindNotification, 1, 0, nil}, "0000000a03010000000000000000"},
+	} {
+		if got := hex.EncodeToString(c.f.encode()); got != c.want {
+			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+		}
+	}
+}
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -11,25 +11,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Server takes calls.
+// acceptBackoff follows an Accept that failed, as it does while the process has no file descriptors left.
+const acceptBackoff = 10 * time.Millisecond
+
+// Handler executes a call and returns its response, a struct or nil; the caller gets an error's text as ErrRemote. Each
+// call has a goroutine of its own. Notifications of a connection are handled in its reader, one after the other, and what
+// is returned for them is dropped. ctx ends when the connection or the server is closed. The handler owns body.
+type Handler func(ctx context.Context, body []byte) (response any, err error)
+
+// Server takes connections and passes their calls to handlers. It is safe for concurrent use.
 type Server struct {
 	handlers map[Method]Handler
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	closed   bool
-	wg       sync.WaitGroup
-	ctx      context.Context
+	ctx      context.Context // ends with Close
 	cancel   context.CancelFunc
+	wg       sync.WaitGroup // connections, calls, and one for each Serve
+
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
 }
 
-// NewServer serves the given calls.
+// NewServer returns a server for the methods that have a handler; calls of others end in ErrRemote. The map must not
+// be changed any more.
 func NewServer(handlers map[Method]Handler) *Server {
 	s := &Server{handlers: handlers, conns: map[net.Conn]bool{}}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Serve takes connections until Close, or until the listener is closed.
+// Serve takes connections until Close is called or the listener is closed, and closes the listener.
 func (s *Server) Serve(l net.Listener) {
 	defer l.Close()
 	if !s.start(func() { <-s.ctx.Done(); l.Close() }, nil) {
@@ -40,7 +50,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // descriptors ran out for a moment
+		if err != nil {
 			select {
 			case <-time.After(acceptBackoff):
 				continue
@@ -55,7 +65,8 @@
 	}
 }
 
-// start runs a goroutine that Close waits for, for a connection or none; false once Close was called.
+// start runs a goroutine that Close waits for, and registers the connection that it serves, if any. It reports whether
+// it did so: not after Close.
 func (s *Server) start(run func(), c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +80,7 @@
 	return true
 }
 
-// Close ends all connections and waits for the handlers.
+// Close closes all connections and listeners and waits for the handlers, whose contexts end.
 func (s *Server) Close() {
 	s.cancel()
 	s.mu.Lock()
@@ -81,10 +92,11 @@
 	s.wg.Wait()
 }
 
+// serveConn reads frames until the connection fails.
 func (s *Server) serveConn(c net.Conn) {
 	setSocketOptions(c)
 	ctx, stop := context.WithCancel(s.ctx)
-	var writes sync.Mutex
+	var writing sync.Mutex
 	defer func() {
 		stop()
 		c.Close()
@@ -92,36 +104,48 @@
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	r := bufio.NewReaderSize(c, 16<<10)
+	r := bufio.NewReaderSize(c, readBuffer)
 	for {
-		kind, m, number, body, err := readFrame(r)
+		f, err := readFrame(r)
 		if err != nil {
 			return
 		}
-		h := s.handlers[m]
-		if kind == kindNotification {
-			if h != nil {
-				_, _ = h(ctx, body) // in the order of their coming
+		if f.kind == kindNotification {
+			if handler := s.handlers[f.method]; handler != nil {
+				_, _ = handler(ctx, f.body) // here, so that notifications keep their order
 			}
 			continue
 		}
 		s.wg.Go(func() {
-			var out []byte
-			if h == nil {
-				out = frame(kindError, m, number, []byte("unknown call: the two sides differ in version"))
-			} else if answer, err := h(ctx, body); err != nil {
-				out = frame(kindError, m, number, []byte(err.Error()))
-			} else if body := Encode(answer); len(body) > MaxFrame {
-				out = frame(kindError, m, number, fmt.Appendf(nil, "answer of %d bytes: ask for less than %d", len(body), MaxFrame))
-			} else {
-				out = frame(kindResponse, m, number, body)
-			}
-			writes.Lock()
-			defer writes.Unlock()
+			response := s.respond(ctx, f).encode()
+			writing.Lock()
+			defer writing.Unlock()
 			_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := c.Write(out); err != nil {
+			if _, err := c.Write(response); err != nil {
 				c.Close()
 			}
 		})
 	}
 }
+
+// respond executes a call and returns the frame that answers it.
+func (s *Server) respond(ctx context.Context, call frame) frame {
+	response := frame{kindError, call.method, call.number, nil}
+	handler := s.handlers[call.method]
+	if handler == nil {
+		response.body = []byte("unknown call: the two sides differ in version")
+		return response
+	}
+	result, err := handler(ctx, call.body)
+	if err != nil {
+		response.body = []byte(err.Error())
+		return response
+	}
+	body := Encode(result)
+	if len(body) > MaxFrame {
+		response.body = fmt.Appendf(nil, "answer of %d bytes: ask for less than %d", len(body), MaxFrame)
+		return response
+	}
+	response.kind, response.body = kindResponse, body
+	return response
+}
