--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -10,22 +10,25 @@
 	"time"
 )
 
-const pollInterval = 5 * time.Second // for a file that changes without a signal
+// pollInterval is the time between two looks at the file, for changes that no signal announces.
+const pollInterval = 5 * time.Second
 
-// reloadSignals are caught from the first moment on: a SIGHUP during the start must not end the process.
+// reloadSignals gets SIGHUP from the program's initialization on: a SIGHUP during the start must not end the process.
 var reloadSignals = make(chan os.Signal, 1)
 
 func init() { signal.Notify(reloadSignals, syscall.SIGHUP) }
 
-// WatchSettings has apply get the settings anew after each SIGHUP, and when the file changes without one. Settings that cannot
-// be read or are wrong are told of, and what runs stays. It returns when ctx ends.
+// WatchSettings calls apply with new settings after each SIGHUP, and within five seconds after the contents of the file
+// changed. Settings that cannot be read or used are logged, and apply is not called. It returns when ctx ends. A process
+// has one WatchSettings at a time.
 func WatchSettings(ctx context.Context, log *slog.Logger, apply func(*Settings)) {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	watch(ctx, log, os.Getenv(SettingsVariable), reloadSignals, tick.C, apply)
 }
 
-func watch(ctx context.Context, log *slog.Logger, path string, signals <-chan os.Signal, polls <-chan time.Time, apply func(*Settings)) {
+func watch(ctx context.Context, log *slog.Logger, path string, signals <-chan os.Signal, polls <-chan time.Time,
+	apply func(*Settings)) {
 	last, _ := os.ReadFile(path)
 	for {
 		forced := false
@@ -38,7 +41,7 @@
 		}
 		b, err := os.ReadFile(path)
 		if err != nil {
-			log.Error("the settings file cannot be read; what runs stays", "err", err)
+			log.Error("the settings file cannot be read; the running settings stay in force", "err", err)
 			continue
 		}
 		if !forced && bytes.Equal(b, last) {
@@ -47,7 +50,7 @@
 		last = b
 		s, err := Parse(b)
 		if err != nil {
-			log.Error("the settings file is wrong; what runs stays", "err", err)
+			log.Error("the settings file is invalid; the running settings stay in force", "err", err)
 			continue
 		}
 		log.Debug("settings read again", "seeds", len(s.Seeds))
--- a/internal/process/reload_test.go
+++ b/internal/process/reload_test.go
@@ -5,70 +5,70 @@
 	"io"
 	"os"
 	"path/filepath"
-	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
 )
 
-const reloadable = "node_name: n\nip_addr: 127.0.0.1\nport_range: [7000, 7010]\nseed_nodes: ['127.0.0.1:%']\n"
+// withSeed returns valid settings with one seed, at a port of 127.0.0.1.
+func withSeed(port string) string {
+	return "node_name: n\nip_addr: 127.0.0.1\nport_range: [7000, 7010]\nseed_nodes: ['127.0.0.1:" + port + "']\n"
+}
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
 
 func TestWatchAppliesChangedSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
-	write := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	with := func(port string) string { return strings.Replace(reloadable, "%", port, 1) }
-	write(with("1"))
+	writeFile(t, path, withSeed("1"))
 	signals, polls := make(chan os.Signal), make(chan time.Time)
 	got := make(chan string, 1)
 	ctx, stop := context.WithCancel(context.Background())
-	var wg sync.WaitGroup
+	var watching sync.WaitGroup
 	begun := make(chan bool)
-	wg.Go(func() {
+	watching.Go(func() {
 		close(begun)
 		watch(ctx, NewLogger(io.Discard), path, signals, polls, func(s *Settings) { got <- s.Seeds[0] })
 	})
 	<-begun
-	defer wg.Wait()
+	defer watching.Wait()
 	defer stop()
-	signals <- syscall.SIGHUP // unchanged, but asked for
+	signals <- syscall.SIGHUP // unchanged, but forced
 	if seed := <-got; seed != "127.0.0.1:1" {
 		t.Fatal(seed)
 	}
 	polls <- time.Time{} // unchanged: nothing is applied
-	write(with("2"))
+	writeFile(t, path, withSeed("2"))
 	polls <- time.Time{}
 	if seed := <-got; seed != "127.0.0.1:2" {
 		t.Fatalf("%s: a file that changes without a signal is not read", seed)
 	}
-	write("node_name: [")
-	signals <- syscall.SIGHUP // wrong: what runs stays
+	writeFile(t, path, "node_name: [")
+	signals <- syscall.SIGHUP // invalid: nothing is applied
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	signals <- syscall.SIGHUP
-	write(with("3"))
+	writeFile(t, path, withSeed("3"))
 	signals <- syscall.SIGHUP
 	if seed := <-got; seed != "127.0.0.1:3" {
-		t.Fatalf("%s: after wrong settings the right ones are not read", seed)
+		t.Fatalf("%s: valid settings after invalid ones are not read", seed)
 	}
 }
 
 func TestSIGHUPReloadsAndDoesNotTerminate(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.yaml")
-	if err := os.WriteFile(path, []byte(strings.Replace(reloadable, "%", "1", 1)), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, path, withSeed("1"))
 	t.Setenv(SettingsVariable, path)
 	ctx, stop := context.WithCancel(context.Background())
 	got := make(chan string, 1)
-	var wg sync.WaitGroup
-	wg.Go(func() {
+	var watching sync.WaitGroup
+	watching.Go(func() {
 		WatchSettings(ctx, NewLogger(io.Discard), func(s *Settings) {
 			select {
 			case got <- s.Seeds[0]:
@@ -76,9 +76,9 @@
 			}
 		})
 	})
-	defer wg.Wait()
+	defer watching.Wait()
 	defer stop()
-	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil { // perhaps before Follow listens
+	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil { // possibly before WatchSettings runs
 		t.Fatal(err)
 	}
 	select {
@@ -87,6 +87,6 @@
 			t.Fatal(seed)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("SIGHUP had nothing read")
+		t.Fatal("no settings were applied")
 	}
 }
--- a/internal/process/ring_format_test.go
+++ b/internal/process/ring_format_test.go
@@ -25,7 +25,7 @@
 func (lazy) LogValue() slog.Value               { return slog.StringValue("computed late") }
 func (h *host) String() string                  { return h.name }
 
-// lineForms has lines as they were written before log/slog was used (the names then began with msg), and as they are now.
+// lineForms are log calls and the lines that they write. Operators and tests read these lines: the form must not change.
 var lineForms = []struct {
 	name string
 	log  func(*slog.Logger)
@@ -35,9 +35,9 @@
 	{"message of several words", func(l *slog.Logger) { l.Info("acts on", "version", 7) }, `msg="acts on" version=7`},
 	{"no message", func(l *slog.Logger) { l.Info("", "event", "start") }, `event=start`},
 	{"no keys", func(l *slog.Logger) { l.Info("stopped") }, `msg=stopped`},
-	{"neither", func(l *slog.Logger) { l.Info("") }, ``},
+	{"no message, no keys", func(l *slog.Logger) { l.Info("") }, ``},
 	{"error", func(l *slog.Logger) { l.Error("sync", "err", errors.New("disk gone")) }, `trouble=1 msg=sync err="disk gone"`},
-	{"error of one word", func(l *slog.Logger) { l.Error("sync", "err", errors.New("EOF")) }, `trouble=1 msg=sync err=EOF`},
+	{"error without a space", func(l *slog.Logger) { l.Error("sync", "err", errors.New("EOF")) }, `trouble=1 msg=sync err=EOF`},
 	{"warning", func(l *slog.Logger) { l.Warn("nearly full", "store", "a") }, `trouble=1 msg="nearly full" store=a`},
 	{"quote", func(l *slog.Logger) { l.Info(`says "no"`, "k", `"`) }, `msg="says \"no\"" k="\""`},
 	{"backslash", func(l *slog.Logger) { l.Info("m", "bare", `a\b`, "quoted", `a \b`) }, `msg=m bare=a\b quoted="a \\b"`},
@@ -46,8 +46,8 @@
 	{"one line only", func(l *slog.Logger) { l.Info("two\nlines") }, `msg="two\nlines"`},
 	{"empty value", func(l *slog.Logger) { l.Info("m", "k", "", "l", 1) }, `msg=m k= l=1`},
 	{"other scripts", func(l *slog.Logger) { l.Info("m", "k", "Zürich", "l", "山 川") }, `msg=m k=Zürich l="山 川"`},
-	{"no UTF-8", func(l *slog.Logger) { l.Info("m", "k", "a\xffb") }, `msg=m k="a\ufffdb"`},
-	{"name with a space", func(l *slog.Logger) { l.Info("m", "two words", 1) }, `msg=m twowords=1`},
+	{"invalid UTF-8", func(l *slog.Logger) { l.Info("m", "k", "a\xffb") }, `msg=m k="a\ufffdb"`},
+	{"key with a space", func(l *slog.Logger) { l.Info("m", "two words", 1) }, `msg=m twowords=1`},
 	{"nil", func(l *slog.Logger) { l.Info("m", "k", nil) }, `msg=m k=null`},
 	{"the text null", func(l *slog.Logger) { l.Info("m", "k", "null") }, `msg=m k="null"`},
 	{"nil error", func(l *slog.Logger) { l.Info("m", "err", error(nil)) }, `msg=m err=null`},
@@ -67,10 +67,11 @@
 	{"integers", func(l *slog.Logger) {
 		l.Info("m", "a", math.MinInt64, "b", uint64(math.MaxUint64), "c", int8(-1), "d", uint16(9))
 	}, `msg=m a=-9223372036854775808 b=18446744073709551615 c=-1 d=9`},
-	{"floats", func(l *slog.Logger) { l.Info("m", "a", 0.1, "b", 1e21, "c", math.Inf(1), "d", 2.0) }, `msg=m a=0.1 b=1e+21 c=+Inf d=2`},
+	{"floats", func(l *slog.Logger) { l.Info("m", "a", 0.1, "b", 1e21, "c", math.Inf(1), "d", 2.0) },
+		`msg=m a=0.1 b=1e+21 c=+Inf d=2`},
 	{"named types", func(l *slog.Logger) { l.Info("m", "a", namedString("x y"), "b", namedInt(3)) }, `msg=m a="x y" b=3`},
 	{"bytes", func(l *slog.Logger) { l.Info("m", "k", []byte("a b")) }, `msg=m k="a b"`},
-	{"empty name", func(l *slog.Logger) { l.Error("m", "", 7) },
+	{"empty key", func(l *slog.Logger) { l.Error("m", "", 7) },
 		`unreadable="trouble1msgm7" remedy="log names that are not empty"`},
 }
 
@@ -92,7 +93,7 @@
 	return slog.New(handler)
 }
 
-// TestLineFormsOfDerivedLoggers covers what slog adds: attributes of a logger, groups, and values that are computed late.
+// TestLineFormsOfDerivedLoggers covers what slog adds: attributes of a logger, groups, and LogValuers.
 func TestLineFormsOfDerivedLoggers(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -109,11 +110,12 @@
 		}, `msg=m a=1 c=3`},
 		{"group", func(l *slog.Logger) { l.With("a", 1).WithGroup("g").With("b", 2).Info("m", "c", 3) }, `msg=m a=1 g.b=2 g.c=3`},
 		{"group without a name", func(l *slog.Logger) { l.WithGroup("").Info("m", "c", 3) }, `msg=m c=3`},
-		{"group value", func(l *slog.Logger) { l.Info("m", slog.Group("g", "a", 1, slog.Group("", "b", 2)), "c", 3) }, `msg=m g.a=1 g.b=2 c=3`},
+		{"group value", func(l *slog.Logger) { l.Info("m", slog.Group("g", "a", 1, slog.Group("", "b", 2)), "c", 3) },
+			`msg=m g.a=1 g.b=2 c=3`},
 		{"empty group value", func(l *slog.Logger) { l.Info("m", slog.Group("g"), "c", 3) }, `msg=m c=3`},
 		{"empty attribute", func(l *slog.Logger) { l.Info("m", slog.Attr{}, "c", 3) }, `msg=m c=3`},
-		{"value that is computed late", func(l *slog.Logger) { l.Info("m", "k", lazy{}) }, `msg=m k="computed late"`},
-		{"name without a value", func(l *slog.Logger) { l.Info("m", []any{"k"}...) }, `msg=m !BADKEY=k`},
+		{"LogValuer", func(l *slog.Logger) { l.Info("m", "k", lazy{}) }, `msg=m k="computed late"`},
+		{"key without a value", func(l *slog.Logger) { l.Info("m", []any{"k"}...) }, `msg=m !BADKEY=k`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/internal/process/ring_test.go
+++ b/internal/process/ring_test.go
@@ -4,23 +4,26 @@
 	"bytes"
 	"fmt"
 	"log/slog"
+	"os"
 	"regexp"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
 	"go.uber.org/goleak"
 )
 
-// written is what a ring wrote, without times, by line.
-func written(b *bytes.Buffer) []string {
+// takeLines empties a buffer and returns the lines that a handler wrote to it, without their times.
+func takeLines(b *bytes.Buffer) []string {
 	text := regexp.MustCompile(`(?m)^t=\d+\.\d{3} `).ReplaceAllString(b.String(), "")
 	b.Reset()
 	return strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 }
 
-func sameLines(t *testing.T, what string, got []string, want ...string) {
+// wantLines fails the test unless a step wrote these lines.
+func wantLines(t *testing.T, what string, got []string, want ...string) {
 	t.Helper()
 	if strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Fatalf("%s: wrote %d lines\n%s\nwant %d\n%s", what, len(got), strings.Join(got, "\n"), len(want), strings.Join(want, "\n"))
@@ -35,22 +38,24 @@
 		log.Debug("", "event", i, "text", "two words")
 	}
 	if out.Len() > 0 {
-		t.Fatalf("written without need: %s", out.String())
+		t.Fatalf("debug lines were written: %s", out.String())
 	}
 	handler.Dump()
 	var want []string
 	for i := 1000 - 256; i < 1000; i++ {
 		want = append(want, fmt.Sprintf(`event=%d text="two words"`, i))
 	}
-	sameLines(t, "dump", written(&out), want...)
+	wantLines(t, "dump", takeLines(&out), want...)
 	handler.Dump()
-	sameLines(t, "dump once more", written(&out), "")
+	wantLines(t, "second dump", takeLines(&out), "")
 	log.Debug("", "event", "after")
 	handler.Dump()
-	sameLines(t, "dump of what came since", written(&out), "event=after")
+	wantLines(t, "dump after one more line", takeLines(&out), "event=after")
 }
 
-var levels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
+var levels = map[string]slog.Level{
+	"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError,
+}
 
 func TestRepeatedErrorsDoNotDumpAgain(t *testing.T) {
 	var out bytes.Buffer
@@ -81,7 +86,7 @@
 		if step.want == nil {
 			step.want = []string{""}
 		}
-		sameLines(t, step.do, written(&out), step.want...)
+		wantLines(t, step.do, takeLines(&out), step.want...)
 	}
 }
 
@@ -100,11 +105,12 @@
 	log := NewLogger(&out)
 	log.Info("", slog.Any("", "value"))
 	log.Error("", "", 7)
-	if got := written(&out); len(got) != 2 || !strings.Contains(got[0], "value") || !strings.Contains(got[1], "7") {
+	if got := takeLines(&out); len(got) != 2 || !strings.Contains(got[0], "value") || !strings.Contains(got[1], "7") {
 		t.Fatalf("%q", got)
 	}
 }
 
+// loggingValue logs while it is formatted.
 type loggingValue struct{ log *slog.Logger }
 
 func (v loggingValue) String() string {
@@ -116,7 +122,7 @@
 	var out bytes.Buffer
 	log := NewLogger(&out)
 	log.Error("", "event", loggingValue{log})
-	sameLines(t, "error", written(&out), "event=inner", "trouble=1 event=outer")
+	wantLines(t, "error", takeLines(&out), "event=inner", "trouble=1 event=outer")
 }
 
 func TestConcurrentLogging(t *testing.T) {
@@ -124,30 +130,59 @@
 	var out bytes.Buffer
 	log := NewLogger(&out)
 	var all sync.WaitGroup
-	for g := range 8 {
+	for worker := range 8 {
 		all.Go(func() {
 			for i := range 20 {
-				log.Debug("", "kind", "debug", "g", g, "i", i)
-				log.Info("", "kind", "info", "g", g, "i", i)
-				log.Error("", "kind", "error", "g", g, "i", i)
+				log.Debug("", "kind", "debug", "worker", worker, "i", i)
+				log.Info("", "kind", "info", "worker", worker, "i", i)
+				log.Error("", "kind", "error", "worker", worker, "i", i)
 			}
 		})
 	}
 	all.Wait()
 	seen := map[string]int{}
-	for _, l := range written(&out) {
-		seen[l]++
+	for _, line := range takeLines(&out) {
+		seen[line]++
 	}
-	for g := range 8 {
+	for worker := range 8 {
 		for i := range 20 {
-			for _, l := range []string{fmt.Sprintf("kind=info g=%d i=%d", g, i), fmt.Sprintf("trouble=1 kind=error g=%d i=%d", g, i)} {
-				if seen[l] != 1 {
-					t.Errorf("%q was written %d times", l, seen[l])
+			from := fmt.Sprintf("worker=%d i=%d", worker, i)
+			for _, line := range []string{"kind=info " + from, "trouble=1 kind=error " + from} {
+				if seen[line] != 1 {
+					t.Errorf("%q was written %d times", line, seen[line])
 				}
 			}
-			if l := fmt.Sprintf("kind=debug g=%d i=%d", g, i); seen[l] > 1 {
-				t.Errorf("%q was written %d times", l, seen[l])
+			if line := "kind=debug " + from; seen[line] > 1 {
+				t.Errorf("%q was written %d times", line, seen[line])
 			}
 		}
 	}
 }
+
+// notifyingWriter passes on what is written.
+type notifyingWriter chan string
+
+func (w notifyingWriter) Write(p []byte) (int, error) {
+	w <- string(p)
+	return len(p), nil
+}
+
+func TestDumpOnSignal(t *testing.T) {
+	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	lines := make(notifyingWriter, 1)
+	handler := NewRingHandler(lines)
+	stop := handler.DumpOn(syscall.SIGUSR2)
+	defer stop()
+	slog.New(handler).Debug("kept")
+	if err := syscall.Kill(os.Getpid(), syscall.SIGUSR2); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case line := <-lines:
+		if !strings.HasSuffix(line, " msg=kept\n") {
+			t.Errorf("wrote %q", line)
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatal("nothing was written")
+	}
+}
