--- a/internal/trial/check.go
+++ b/internal/relay/chaostest/check.go
@@ -1,4 +1,4 @@
-package trial
+package chaostest
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"time"
 
 	"larchrouter/choice"
-	"larchrouter/internal/scenario"
+	"larchrouter/internal/relay/scenario"
 )
 
 // The slack of the platform's rules on sockets (PROTOCOL, "The rules on sockets").
@@ -25,6 +25,7 @@
 	Text string `json:"text"`
 }
 
+// String gives the rule, and what was seen.
 func (f Finding) String() string { return f.Rule + ": " + f.Text }
 
 // Share is what was seen over a span. All but the counts are shares of what hosts took, or would have taken.
--- a/internal/verdict/verdict.go
+++ b/internal/relay/override/store.go
@@ -1,4 +1,4 @@
-// Package verdict holds what operators have said of things that a whole fleet deals with, and spreads it: that an endpoint or
+// Package override holds what operators have said of things that a whole fleet deals with, and spreads it: that an endpoint or
 // a partner is drained at every relay, or that a relay is gone for good. Word and release are facts that win over one another
 // by rule, whatever way they come and however often, so all relays that some chain of links joins hold the same in the end.
 //
@@ -8,7 +8,7 @@
 //
 // Words are last-writer-wins registers (Shapiro and others 2011) ordered by Lamport clocks (1978), spread by pushing and
 // anti-entropy (Demers and others 1987) with digests by bucket. No wall clock orders anything.
-package verdict
+package override
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"larchrouter/internal/protofields"
+	"larchrouter/internal/relay/protofields"
 )
 
 // The bounds of a word: three at least fit into a note.
--- a/internal/rpc/frame_test.go
+++ b/internal/rpc/frame_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"context"
-	"encoding/hex"
 	"net"
 	"sync"
 	"testing"
@@ -83,21 +82,3 @@
 		t.Fatal(got, err)
 	}
 }
-
-// TestFrameBytes fixes the form on the wire, which processes of other versions read.
-func TestFrameBytes(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		f    frame
-		want string
-	}{
-		{"call", frame{kindCall, 7, 0x0102, []byte("ab")}, "0000000c000700000000000001026162"},
-		{"response", frame{kindResponse, 255, 1 << 63, nil}, "0000000a01ff8000000000000000"},
-		{"error", frame{kindError, 1, 1, []byte("x")}, "0000000b0201000000000000000178"},
-		{"notification", frame{kindNotification, 1, 0, nil}, "0000000a03010000000000000000"},
-	} {
-		if got := hex.EncodeToString(c.f.encode()); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
-		}
-	}
-}
--- a/internal/rpc/helpers_test.go
+++ b/internal/rpc/helpers_test.go
@@ -92,7 +92,7 @@
 func wantErrorClass(t *testing.T, err, class error, text string) {
 	t.Helper()
 	for _, other := range []error{ErrUnsent, ErrLost, ErrRemote} {
-		if errors.Is(err, other) != (other == class) {
+		if errors.Is(err, other) != (other == class) { //nolint:errorlint // which of the classes it is, no error of a call
 			t.Fatalf("%v, want of class %q only", err, class)
 		}
 	}
--- /dev/null
+++ b/internal/tier/feed/poll.go
@@ -0,0 +1,145 @@
+package feed
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// hedgeDelay is how late the source's response may be, after the poll's wait, before other core nodes are polled too.
+	hedgeDelay = 300 * time.Millisecond
+
+	// hedgeInterval is the time between the polls of one core node and the next. A follower that knows eight and can
+	// reach one finds it 1.4 s after its source was partitioned, within config_apply_ms. Followers that lose one source
+	// together go to different ones, each to the first of its own order that responds.
+	hedgeInterval = 100 * time.Millisecond
+
+	// searchDuration is the time over which a poll spreads its calls to all core nodes if the poll before had no confirmed
+	// response. Calls overlap no more than needed for that: at the end of a partition the response to each one in
+	// flight has all changes.
+	searchDuration = 1400 * time.Millisecond
+
+	// failbackInterval is the least time between two attempts to return to the first core node of the follower's order; a
+	// random time up to the same is added. Without failback all followers stay where the last partition drove them.
+	failbackInterval = 8 * time.Second
+
+	// maxPollBackoff bounds the pause after a failed poll: a follower that knows three core nodes makes three calls a
+	// second.
+	maxPollBackoff = 1200 * time.Millisecond
+
+	// firstPollBackoffStep is the step of backoff after the first failed poll: 0.2 to 0.4 s.
+	firstPollBackoffStep = 3
+)
+
+// pollResult is the outcome of one call to a core node.
+type pollResult struct {
+	core     string
+	sent     time.Time // when the call was made; the response shows the state at this time or later
+	request  *ChangesRequest
+	response *ChangesResponse // not nil; empty if err is not nil
+	err      error
+}
+
+// hedgedPoll polls the source and, if that is late or not confirmed, the other core nodes one after the other, until the
+// first confirmed response.
+type hedgedPoll struct {
+	follower  *Follower
+	remaining []string      // core nodes that are not polled yet
+	interval  time.Duration // between two calls
+	inFlight  int
+	results   chan pollResult // with space for all calls, so that no call blocks
+}
+
+// poll makes one hedged poll, in which the source may delay its response by wait if there is no change. It reports
+// whether a response was applied.
+func (f *Follower) poll(ctx context.Context, wait time.Duration) bool {
+	pollCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	f.mu.Lock()
+	cores := f.sources.fromCurrentOn()
+	f.mu.Unlock()
+	poll := &hedgedPoll{follower: f, remaining: cores, interval: pollInterval(wait, len(cores)),
+		results: make(chan pollResult, len(cores))}
+	hedgeTimer := time.NewTimer(poll.sendFirst(pollCtx, wait))
+	defer hedgeTimer.Stop()
+	for poll.inFlight+len(poll.remaining) > 0 && ctx.Err() == nil {
+		select {
+		case result := <-poll.results:
+			poll.inFlight--
+			if f.acceptResult(ctx, result) {
+				return true
+			}
+			if result.core == cores[0] || poll.inFlight == 0 {
+				hedgeTimer.Reset(0)
+			}
+		case <-hedgeTimer.C:
+			poll.sendNext(pollCtx, f.newRequest(0))
+			hedgeTimer.Reset(poll.interval)
+		}
+	}
+	return false
+}
+
+// pollInterval returns the time between two calls of a poll: short if the source was confirmed until now.
+func pollInterval(wait time.Duration, cores int) time.Duration {
+	if wait > 0 {
+		return hedgeInterval
+	}
+	return max(hedgeInterval, min(pollGrace, searchDuration/time.Duration(cores)))
+}
+
+// sendFirst polls the source and returns the time after which its response is late.
+func (p *hedgedPoll) sendFirst(ctx context.Context, wait time.Duration) time.Duration {
+	request := p.follower.newRequest(wait)
+	if request.ReceivedIndex == 0 {
+		request.WaitMs = 0
+	}
+	p.sendNext(ctx, request)
+	if wait == 0 {
+		return p.interval
+	}
+	return wait + hedgeDelay
+}
+
+// sendNext polls the next core node, if one is left.
+func (p *hedgedPoll) sendNext(ctx context.Context, request *ChangesRequest) {
+	if len(p.remaining) == 0 {
+		return
+	}
+	core := p.remaining[0]
+	p.remaining = p.remaining[1:]
+	p.inFlight++
+	p.follower.wg.Go(func() { p.results <- p.follower.sendPoll(ctx, core, request) })
+}
+
+// acceptResult applies a response and reports whether its core node is the source now.
+func (f *Follower) acceptResult(ctx context.Context, result pollResult) bool {
+	if result.err != nil {
+		if ctx.Err() == nil {
+			f.log.Debug("core node does not answer", "node", result.core, "err", result.err)
+		}
+		return false
+	}
+	if !f.handleResponse(ctx, result) {
+		return false
+	}
+	empty := result.response.Index == 0 && len(result.response.Entries) == 0
+	if empty && result.request.ReceivedIndex == 0 { // there is no control state yet
+		sleep(ctx, initialBackoff)
+	}
+	return true
+}
+
+// failback polls the first core node of the follower's order, if another one is the source and the time has come, and
+// returns to it if its response is confirmed.
+func (f *Follower) failback(ctx context.Context) {
+	f.mu.Lock()
+	preferred, elsewhere := f.sources.preferred(), f.sources.current() != f.sources.preferred()
+	f.mu.Unlock()
+	if !elsewhere || time.Now().Before(f.nextFailback) {
+		return
+	}
+	f.nextFailback = time.Now().Add(failbackInterval + rand.N(failbackInterval))
+	f.acceptResult(ctx, f.sendPoll(ctx, preferred, f.newRequest(0)))
+}
--- a/internal/tier/orders/state.go
+++ b/internal/tier/orders/state.go
@@ -11,90 +11,100 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Retirement is an order to empty a store that was taken.
+// Retirement is an accepted order to retire a store: the store's name and its identity at that time.
 type Retirement struct{ Name, ID string }
 
-// State is what the head of the chain knows, as far as orders rest on it.
+// State is the part of the control state on which orders depend.
 type State struct {
 	FaultTolerance int
-	Config         *feed.ConfigEntry    // nil for none
-	Placement      *turnstore.Placement // nil for none
-	Retirements    []Retirement
+	Config         *feed.ConfigEntry    // current configuration, nil if there is none
+	Placement      *turnstore.Placement // nil if there is none
+	Retirements    []Retirement         // all that were accepted, in no particular order
 
-	history     history
-	configRests int64 // index of the last entry on which decisions about configurations rest
-	storesRests int64
+	history         history
+	configDependsOn int64 // index of the last entry on which decisions about configurations depend
+	storesDependsOn int64 // index of the last entry on which decisions about stores depend
 }
 
-// ReadState reads the state from the entries of the chain, which may hold several entries of a key: the last counts.
-func ReadState(entries []chain.Entry, losses int) (*State, error) {
-	s := &State{FaultTolerance: losses}
+// ReadState decodes the state from the chain's entries. Of several entries of a key the last one counts.
+func ReadState(entries []chain.Entry, faultTolerance int) (*State, error) {
+	s := &State{FaultTolerance: faultTolerance}
 	last := map[string]chain.Entry{}
 	for _, e := range entries {
 		last[e.Key] = e
 	}
 	for key, e := range last {
-		if err := s.take(key, e); err != nil {
-			return nil, errors.Wrapf(err, "entry %q at %d: the node that wrote it has another version of the program", key, e.Index)
+		if err := s.readEntry(key, e); err != nil {
+			return nil, wrapDecodeError(err, e)
 		}
 	}
-	s.settle()
+	s.linkHistory()
 	return s, nil
 }
 
-func (s *State) take(key string, e chain.Entry) error {
+func wrapDecodeError(err error, e chain.Entry) error {
+	return errors.Wrapf(err, "entry %q at %d: the node that wrote it has another version of the program", e.Key, e.Index)
+}
+
+// readEntry decodes one entry into the state. Pages of the history are kept encoded until a decision needs them.
+func (s *State) readEntry(key string, e chain.Entry) error {
 	switch {
 	case key == feed.ConfigKey:
-		s.configRests = max(s.configRests, e.Index)
+		s.configDependsOn = max(s.configDependsOn, e.Index)
 		s.Config = new(feed.ConfigEntry)
 		return rpc.Decode(e.Value, s.Config)
-	case key == earlierKey:
-		s.configRests = max(s.configRests, e.Index)
-		s.history.earlier = new(LegacyHistory)
-		return rpc.Decode(e.Value, s.history.earlier)
+	case key == legacyKey:
+		s.configDependsOn = max(s.configDependsOn, e.Index)
+		s.history.legacy = new(LegacyHistory)
+		return rpc.Decode(e.Value, s.history.legacy)
 	case strings.HasPrefix(key, keyPrefix):
-		s.configRests = max(s.configRests, e.Index)
-		s.history.pages = append(s.history.pages, e)
+		s.configDependsOn = max(s.configDependsOn, e.Index)
+		s.history.unreadPages = append(s.history.unreadPages, e)
 		return nil
 	case key == feed.PlacementKey:
-		s.storesRests = max(s.storesRests, e.Index)
+		s.storesDependsOn = max(s.storesDependsOn, e.Index)
 		s.Placement = new(turnstore.Placement)
 		return rpc.Decode(e.Value, s.Placement)
 	}
 	if name, id, ok := ParseRetireKey(key); ok {
-		s.storesRests = max(s.storesRests, e.Index)
-		var r feed.RetireEntry
-		err := rpc.Decode(e.Value, &r)
-		if id != "" && id != r.ID {
-			return errors.Newf("the key names store %s, its value %s", id, r.ID)
-		}
-		s.Retirements = append(s.Retirements, Retirement{Name: name, ID: r.ID})
-		return err
+		s.storesDependsOn = max(s.storesDependsOn, e.Index)
+		return s.readRetirement(name, id, e.Value)
 	}
 	return nil
 }
 
-// settle joins what was read to a history.
-func (s *State) settle() {
+func (s *State) readRetirement(name, id string, value []byte) error {
+	var r feed.RetireEntry
+	err := rpc.Decode(value, &r)
+	if id != "" && id != r.ID {
+		return errors.Newf("the key names store %s, its value %s", id, r.ID)
+	}
+	s.Retirements = append(s.Retirements, Retirement{Name: name, ID: r.ID})
+	return err
+}
+
+// linkHistory links the history to the current configuration. If that has no record, it was written by a program of the
+// legacy format, and its own digests are the legacy history.
+func (s *State) linkHistory() {
 	h := &s.history
-	pages := len(h.pages)
+	pages := len(h.unreadPages)
 	if s.Config == nil {
-		h.begin(0, nil)
+		h.linkCurrent(0, nil)
 		return
 	}
 	var digest []byte
 	if n := len(s.Config.RecentDigests); n > 0 {
 		digest = s.Config.RecentDigests[n-1]
 	}
-	h.begin(s.Config.Version, digest)
-	if h.linked() || h.earlier != nil && h.earlier.Version == s.Config.Version {
-		return // written with a record, or the first record since came to nothing
+	h.linkCurrent(s.Config.Version, digest)
+	if h.hasCurrent() || h.legacy != nil && h.legacy.Version == s.Config.Version {
+		return // written with a record, or the put that wrote the first record was not committed
 	}
-	h.earlier = &LegacyHistory{Version: s.Config.Version, Digests: s.Config.RecentDigests,
-		Complete: len(s.Config.RecentDigests) < earlierMost && pages == 0 && h.earlier == nil}
+	h.legacy = &LegacyHistory{Version: s.Config.Version, Digests: s.Config.RecentDigests,
+		Complete: len(s.Config.RecentDigests) < legacyDigestLimit && pages == 0 && h.legacy == nil}
 }
 
-// Version in place, 0 for none.
+// Version returns the current configuration's version, 0 if there is none.
 func (s *State) Version() int64 {
 	if s.Config == nil {
 		return 0
@@ -102,11 +112,11 @@
 	return s.Config.Version
 }
 
-// RetireKey is the key of the order to empty one store. It names the store's identity too: a new machine under an old
-// name must not undo what was ordered of the one before it.
+// RetireKey returns the key of the order to retire a store. It contains the store's identity too: the order for a new
+// machine under an old name must not replace the order for the machine before it.
 func RetireKey(name, id string) string { return feed.RetirePrefix + name + "/" + id }
 
-// ParseRetireKey reads a key of RetireKey; id is empty in keys of the format before, which had the name alone.
+// ParseRetireKey parses a key made by RetireKey. The id is empty in keys of the legacy format, which have the name only.
 func ParseRetireKey(key string) (name, id string, ok bool) {
 	rest, ok := strings.CutPrefix(key, feed.RetirePrefix)
 	if !ok {
