--- a/internal/tier/budget/ledger.go
+++ b/internal/tier/budget/ledger.go
@@ -17,24 +17,24 @@
 }
 
 // Join gives what two copies of one turn's entry say together: settled wins over open, of two alike the larger.
-func (e Entry) Join(o Entry) Entry {
-	if e.Settled != o.Settled {
-		if o.Settled {
-			return o
+func (entry Entry) Join(other Entry) Entry {
+	if entry.Settled != other.Settled {
+		if other.Settled {
+			return other
 		}
-		return e
+		return entry
 	}
-	e.Tokens = max(e.Tokens, o.Tokens)
-	return e
+	entry.Tokens = max(entry.Tokens, other.Tokens)
+	return entry
 }
 
-func (e Entry) hash() uint64 {
-	n := uint64(e.Tokens) << 1
-	if e.Settled {
+func (entry Entry) hash() uint64 {
+	n := uint64(entry.Tokens) << 1
+	if entry.Settled {
 		n |= 1
 	}
 	// Mixed, so that exclusive or over entries tells ledgers apart.
-	h := xxhash.Sum64String(e.Turn) + n*0x9e3779b97f4a7c15
+	h := xxhash.Sum64String(entry.Turn) + n*0x9e3779b97f4a7c15
 	h ^= h >> 32
 	h *= 0xd6e8feb86659fd93
 	return h ^ h>>32
@@ -44,7 +44,7 @@
 type Ledger struct {
 	entries []Entry // by turn
 	sum     int
-	open    int
+	unsettled    int
 	digest  uint64
 }
 
@@ -53,24 +53,24 @@
 	i, found := slices.BinarySearchFunc(l.entries, e.Turn, func(a Entry, t string) int { return cmp.Compare(a.Turn, t) })
 	if !found {
 		l.entries = slices.Insert(l.entries, i, e)
-		l.count(e, 1)
+		l.account(e, 1)
 		return e, true
 	}
-	was := l.entries[i]
-	now = was.Join(e)
-	if now == was {
+	previous := l.entries[i]
+	now = previous.Join(e)
+	if now == previous {
 		return now, false
 	}
-	l.count(was, -1)
-	l.count(now, 1)
+	l.account(previous, -1)
+	l.account(now, 1)
 	l.entries[i] = now
 	return now, true
 }
 
-func (l *Ledger) count(e Entry, sign int) {
+func (l *Ledger) account(e Entry, sign int) {
 	l.sum += sign * e.Tokens
 	if !e.Settled {
-		l.open += sign
+		l.unsettled += sign
 	}
 	l.digest ^= e.hash()
 }
@@ -106,7 +106,7 @@
 	merged = append(merged, l.entries[i:]...)
 	*l = Ledger{entries: merged}
 	for _, e := range merged {
-		l.count(e, 1)
+		l.account(e, 1)
 	}
 }
 
@@ -126,7 +126,7 @@
 func (l *Ledger) Len() int { return len(l.entries) }
 
 // Open is how many turns are not settled.
-func (l *Ledger) Open() int { return l.open }
+func (l *Ledger) Open() int { return l.unsettled }
 
 // Sum is what is spent at most: settled turns at what they used, open ones at their most.
 func (l *Ledger) Sum() int { return l.sum }
--- a/internal/tier/budget/ledger_test.go
+++ b/internal/tier/budget/ledger_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-func entries(t *rapid.T, label string) []Entry {
+func drawEntries(t *rapid.T, label string) []Entry {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
 		return Entry{Turn: rapid.SampledFrom([]string{"a", "b", "c", "dd", ""}).Draw(t, "turn"),
 			Tokens: rapid.IntRange(0, 5).Draw(t, "tokens"), Settled: rapid.Bool().Draw(t, "settled")}
 	}), 0, 12).Draw(t, label)
 }
 
-func of(lists ...[]Entry) *Ledger {
+func ledgerOf(lists ...[]Entry) *Ledger {
 	l := new(Ledger)
 	for _, list := range lists {
 		for _, e := range list {
@@ -24,32 +24,32 @@
 	return l
 }
 
-func same(t *rapid.T, what string, a, b *Ledger) {
+func requireEqual(t *rapid.T, what string, a, b *Ledger) {
 	if !slices.Equal(a.Entries(), b.Entries()) || a.Sum() != b.Sum() || a.Open() != b.Open() || a.Digest() != b.Digest() {
 		t.Fatalf("%s: %+v and %+v", what, a, b)
 	}
 }
 
 // Merging is commutative, associative and idempotent, whatever way the entries come.
-func TestMergeJoins(t *testing.T) {
+func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := entries(t, "a"), entries(t, "b"), entries(t, "c")
+		a, b, c := drawEntries(t, "a"), drawEntries(t, "b"), drawEntries(t, "c")
 		merge := func(to *Ledger, from *Ledger) *Ledger { to.Merge(from.Entries()); return to }
-		same(t, "commutative", merge(of(a), of(b)), merge(of(b), of(a)))
-		same(t, "associative", merge(merge(of(a), of(b)), of(c)), merge(of(a), merge(of(b), of(c))))
-		same(t, "idempotent", merge(of(a), of(a)), of(a))
-		same(t, "again", merge(merge(of(a), of(b)), of(b)), merge(of(a), of(b)))
-		same(t, "one by one", merge(of(a), of(b)), of(a, b))
-		loose := of(a)
+		requireEqual(t, "commutative", merge(ledgerOf(a), ledgerOf(b)), merge(ledgerOf(b), ledgerOf(a)))
+		requireEqual(t, "associative", merge(merge(ledgerOf(a), ledgerOf(b)), ledgerOf(c)), merge(ledgerOf(a), merge(ledgerOf(b), ledgerOf(c))))
+		requireEqual(t, "idempotent", merge(ledgerOf(a), ledgerOf(a)), ledgerOf(a))
+		requireEqual(t, "again", merge(merge(ledgerOf(a), ledgerOf(b)), ledgerOf(b)), merge(ledgerOf(a), ledgerOf(b)))
+		requireEqual(t, "one by one", merge(ledgerOf(a), ledgerOf(b)), ledgerOf(a, b))
+		loose := ledgerOf(a)
 		loose.Merge(b) // in no order and with a turn more than once
-		same(t, "loose", loose, of(a, b))
+		requireEqual(t, "loose", loose, ledgerOf(a, b))
 	})
 }
 
-func TestSumIsSettledAtUsedAndOpenAtNeed(t *testing.T) {
+func TestSumCountsSettledTurnsAtUsageAndOpenTurnsAtReservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := entries(t, "entries")
-		l := of(list)
+		list := drawEntries(t, "entries")
+		l := ledgerOf(list)
 		want := 0
 		for _, id := range []string{"a", "b", "c", "dd", ""} {
 			most, used, settled := 0, 0, false
@@ -76,9 +76,9 @@
 	})
 }
 
-func TestDigestTellsLedgersApart(t *testing.T) {
+func TestDigestsDifferExactlyWhereLedgersDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := of(entries(t, "a")), of(entries(t, "b"))
+		a, b := ledgerOf(drawEntries(t, "a")), ledgerOf(drawEntries(t, "b"))
 		if alike := slices.Equal(a.Entries(), b.Entries()); alike != (a.Digest() == b.Digest()) {
 			t.Fatalf("%+v and %+v: alike %v", a, b, alike)
 		}
--- a/internal/tier/turnstore/anti_entropy_pull.go
+++ b/internal/tier/turnstore/anti_entropy_pull.go
@@ -10,10 +10,10 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-func (s *Server) call(ctx context.Context, peer Store, m rpc.Method, call, reply any, status *int) error {
-	limit := sweepCall
+func (s *Server) callPeer(ctx context.Context, peer Store, m rpc.Method, call, reply any, status *int) error {
+	limit := sweepCallTimeout
 	if m == MethodBodies || m == MethodStates {
-		limit = bodiesCallIn
+		limit = bodiesCallTimeout
 	}
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
@@ -23,23 +23,23 @@
 	return statusError(*status)
 }
 
-// pull brings in what another store has, in the given buckets (nil: all).
-func (s *Server) pull(ctx context.Context, p *Placement, peer Store, in []int, sweep bool) error {
-	c := &keysCall{To: RequestHeader{peer.ID, p.Generation}, Asker: s.id, Sweep: sweep, Buckets: in}
+// pullKeys brings in what another store has, in the given buckets (nil: all).
+func (s *Server) pullKeys(ctx context.Context, p *Placement, peer Store, in []int, sweep bool) error {
+	c := &listKeysCall{To: RequestHeader{peer.ID, p.Generation}, Requester: s.id, Sweep: sweep, Buckets: in}
 	for {
-		var r keysReply
-		if err := s.call(ctx, peer, MethodListKeys, c, &r, &r.Status); err != nil {
+		var r listKeysReply
+		if err := s.callPeer(ctx, peer, MethodListKeys, c, &r, &r.Status); err != nil {
 			return err
 		}
 		var want []string
 		s.mu.Lock()
 		for _, d := range r.Keys {
-			if s.index.differs(d) {
+			if s.index.needsFetch(d) {
 				want = append(want, d.Key)
 			}
 		}
 		s.mu.Unlock()
-		if err := s.fetch(ctx, p, peer, want); err != nil {
+		if err := s.fetchPrograms(ctx, p, peer, want); err != nil {
 			return err
 		}
 		if !r.More {
@@ -49,28 +49,28 @@
 	}
 }
 
-// fetch brings in what another store has of some programs.
-func (s *Server) fetch(ctx context.Context, p *Placement, peer Store, keys []string) error {
+// fetchPrograms brings in what another store has of some programs.
+func (s *Server) fetchPrograms(ctx context.Context, p *Placement, peer Store, keys []string) error {
 	for len(keys) > 0 {
 		var r statesReply
-		c := &statesCall{To: RequestHeader{peer.ID, p.Generation}, Keys: keys[:min(len(keys), statesMost)]}
-		if err := s.call(ctx, peer, MethodStates, c, &r, &r.Status); err != nil {
+		c := &statesCall{To: RequestHeader{peer.ID, p.Generation}, Keys: keys[:min(len(keys), maxStatesPerCall)]}
+		if err := s.callPeer(ctx, peer, MethodStates, c, &r, &r.Status); err != nil {
 			return err
 		}
 		if len(r.States) == 0 || len(r.States) > len(keys) {
 			return errors.Newf("%d states for %d keys: the two sides differ in version", len(r.States), len(keys))
 		}
 		keys = keys[len(r.States):]
-		turns, err := s.takeStates(ctx, r.States)
+		turns, err := s.applyStates(ctx, r.States)
 		if err != nil {
 			return err
 		}
 		left := map[string]time.Duration{}
 		for _, state := range r.States {
-			left[state.Key] = time.Duration(state.LeftMs) * time.Millisecond
+			left[state.Key] = time.Duration(state.RemainingMs) * time.Millisecond
 		}
 		for len(turns) > 0 {
-			n, err := s.fetchTurns(ctx, p, peer, turns[:min(len(turns), bodiesMost)], left)
+			n, err := s.fetchTurns(ctx, p, peer, turns[:min(len(turns), maxBodiesPerCall)], left)
 			if err != nil {
 				return err
 			}
@@ -80,34 +80,34 @@
 	return nil
 }
 
-// takeStates joins in the ledgers of programs, writes what is new in them, and gives the turns that are lacking here.
-func (s *Server) takeStates(ctx context.Context, states []keyState) (lacking []string, err error) {
+// applyStates joins in the ledgers of programs, writes what is new in them, and gives the turns that are lacking here.
+func (s *Server) applyStates(ctx context.Context, states []keyState) (lacking []string, err error) {
 	var rows entryRows
 	s.mu.Lock()
 	now := s.Now()
 	for _, state := range states {
 		for _, e := range state.Ledger {
-			if !s.index.room() {
+			if !s.index.hasCapacity() {
 				break
 			}
-			if e, changed := s.index.join(state.Key, e, now); changed {
+			if e, changed := s.index.joinEntry(state.Key, e, now); changed {
 				rows.add(state.Key, e)
 			}
 		}
-		if s.index.expired(state.Key, time.Duration(state.StaysMs)*time.Millisecond, digestOf(state.Turns)) {
+		if s.index.rejectsRefetch(state.Key, time.Duration(state.ConfirmedMs)*time.Millisecond, digestOfTurns(state.Turns)) {
 			continue
 		}
 		for _, id := range state.Turns {
-			if s.index.find("", id) == nil {
+			if s.index.findTurn("", id) == nil {
 				lacking = append(lacking, id)
 			}
 		}
 	}
-	full := !s.index.room()
+	full := !s.index.hasCapacity()
 	wrote := s.submit(rows)
 	s.mu.Unlock()
 	if err := wrote.Wait(ctx); err != nil {
-		s.noteWrite(err)
+		s.noteWriteError(err)
 		return nil, err
 	}
 	if full {
@@ -119,24 +119,24 @@
 // fetchTurns brings in turns, and tells with how many of them it is done.
 func (s *Server) fetchTurns(ctx context.Context, p *Placement, peer Store, turns []string, left map[string]time.Duration) (int, error) {
 	var r bodiesReply
-	if err := s.call(ctx, peer, MethodBodies, &bodiesCall{To: RequestHeader{peer.ID, p.Generation}, Turns: turns}, &r, &r.Status); err != nil {
+	if err := s.callPeer(ctx, peer, MethodBodies, &bodiesCall{To: RequestHeader{peer.ID, p.Generation}, Turns: turns}, &r, &r.Status); err != nil {
 		return 0, err
 	}
-	if r.Done <= 0 || r.Done > len(turns) {
-		return 0, errors.Newf("%d of %d turns done: the two sides differ in version", r.Done, len(turns))
+	if r.Processed <= 0 || r.Processed > len(turns) {
+		return 0, errors.Newf("%d of %d turns done: the two sides differ in version", r.Processed, len(turns))
 	}
 	var writes []sqlitelog.Write
 	for i := range r.Turns {
-		writes = append(writes, turnWrites(&r.Turns[i])...)
+		writes = append(writes, encodeTurn(&r.Turns[i])...)
 	}
 	if err := s.disk.Commit(ctx, writes); err != nil {
-		s.noteWrite(err)
+		s.noteWriteError(err)
 		return 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range r.Turns {
-		s.index.add(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, Retain: t.RetainSeconds}, left[t.Key], s.Now())
+		s.index.addTurn(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, RetainSeconds: t.RetainSeconds}, left[t.Key], s.Now())
 	}
-	return r.Done, nil
+	return r.Processed, nil
 }
--- a/internal/tier/turnstore/bench_test.go
+++ b/internal/tier/turnstore/bench_test.go
@@ -78,7 +78,7 @@
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					r := &Record{Key: "program", ID: fmt.Sprint(n.Add(1)), Root: true, RetainSeconds: 30, Increment: make([]byte, 2600)}
-					writes := append(turnWrites(r), entryWrite(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}))
+					writes := append(encodeTurn(r), encodeEntry(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}))
 					if one {
 						turn.Lock()
 					}
@@ -111,9 +111,9 @@
 				if t > 0 {
 					r.Previous = fmt.Sprintf("p%d-t%d", p, t-1)
 				}
-				e, _ := n.store.index.join(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}, now)
-				writes = append(append(writes, turnWrites(r)...), entryWrite(r.Key, e))
-				n.store.index.add(r.Key, r.ID, indexRow{Previous: r.Previous, Root: r.Root, Retain: r.RetainSeconds}, -1, now)
+				e, _ := n.store.index.joinEntry(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}, now)
+				writes = append(append(writes, encodeTurn(r)...), encodeEntry(r.Key, e))
+				n.store.index.addTurn(r.Key, r.ID, indexRow{Previous: r.Previous, Root: r.Root, RetainSeconds: r.RetainSeconds}, -1, now)
 			}
 			n.store.mu.Unlock()
 			if err := n.db.Commit(context.Background(), writes); err != nil {
--- a/internal/tier/turnstore/capacity_test.go
+++ b/internal/tier/turnstore/capacity_test.go
@@ -28,7 +28,7 @@
 	}
 	full := func() bool {
 		for _, n := range tr.nodes {
-			n.store.lookForRoom(t.Context())
+			n.store.checkCapacity(t.Context())
 		}
 		return tr.nodes[0].store.Full() && tr.nodes[1].store.Full() && tr.nodes[2].store.Full()
 	}
--- a/internal/tier/turnstore/client_broadcast.go
+++ b/internal/tier/turnstore/client_broadcast.go
@@ -10,65 +10,65 @@
 	"larchrouter/internal/rpc"
 )
 
-func (c *Client) suspected(store string) bool {
+func (c *Client) isSuspect(store string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until, ok := c.suspect[store]
+	until, ok := c.suspects[store]
 	return ok && time.Now().Before(until)
 }
 
-func (c *Client) heard(store string, ok bool) {
+func (c *Client) setReachable(store string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch _, known := c.suspect[store]; {
+	switch _, known := c.suspects[store]; {
 	case !ok:
-		if len(c.suspect) > 1000 {
-			clear(c.suspect)
+		if len(c.suspects) > 1000 {
+			clear(c.suspects)
 		}
-		c.suspect[store] = time.Now().Add(suspectFor)
+		c.suspects[store] = time.Now().Add(suspectDuration)
 	case known:
-		delete(c.suspect, store)
+		delete(c.suspects, store)
 	}
 }
 
-// answer is what one store said.
-type answer[R any] struct {
+// replicaResponse is what one store said.
+type replicaResponse[R any] struct {
 	store Store
 	reply *R
 	err   error
 }
 
-// ask makes a call to each of some stores at once, tries again what failed at once, and gives the answers as they
+// broadcast makes a call to each of some stores at once, tries again what failed at once, and gives the answers as they
 // come. The calls go on when the one who asked has left; they end within limit.
-func ask[R any](c *Client, stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any), status func(*R) int) <-chan answer[R] {
-	out := make(chan answer[R], len(stores))
-	askInto(c, out, stores, limit, call, status)
+func broadcast[R any](c *Client, stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any), status func(*R) int) <-chan replicaResponse[R] {
+	out := make(chan replicaResponse[R], len(stores))
+	broadcastInto(c, out, stores, limit, call, status)
 	return out
 }
 
-// askInto is ask with a channel that has room for the answers.
-func askInto[R any](c *Client, out chan<- answer[R], stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any), status func(*R) int) {
+// broadcastInto is ask with a channel that has room for the answers.
+func broadcastInto[R any](c *Client, out chan<- replicaResponse[R], stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any), status func(*R) int) {
 	for _, s := range stores {
-		if !c.call(s.ID) {
-			out <- answer[R]{store: s, err: errors.Mark(errors.New("too much is under way"), ErrUnavailable)}
+		if !c.beginCall(s.ID) {
+			out <- replicaResponse[R]{store: s, err: errors.Mark(errors.New("too much is under way"), ErrUnavailable)}
 			continue
 		}
 		go func() {
-			defer c.called(s.ID)
+			defer c.endCall(s.ID)
 			ctx, stop := context.WithTimeout(c.ctx, limit)
 			defer stop()
 			m, body := call(s)
-			for pause := tryPause; ; pause *= 2 {
+			for pause := retryBackoff; ; pause *= 2 {
 				r := new(R)
-				err := c.calls.Call(ctx, s.Addr, m, body, r)
+				err := c.transport.Call(ctx, s.Addr, m, body, r)
 				if err == nil {
-					c.heard(s.ID, true)
-					out <- answer[R]{store: s, reply: r, err: statusError(status(r))}
+					c.setReachable(s.ID, true)
+					out <- replicaResponse[R]{store: s, reply: r, err: statusError(status(r))}
 					return
 				}
 				if ctx.Err() != nil || errors.Is(err, rpc.ErrRemote) {
-					c.heard(s.ID, false)
-					out <- answer[R]{store: s, err: err}
+					c.setReachable(s.ID, false)
+					out <- replicaResponse[R]{store: s, err: err}
 					return
 				}
 				c.sleep(ctx, pause) // refused or reset: it may have come back
@@ -91,8 +91,8 @@
 	}
 }
 
-// storesOf lists the copies in all groups once.
-func storesOf(groups []ReplicaSet) []Store {
+// distinctStores lists the copies in all groups once.
+func distinctStores(groups []ReplicaSet) []Store {
 	if len(groups) == 1 {
 		return groups[0]
 	}
@@ -107,14 +107,14 @@
 	return all
 }
 
-// prefer orders stores by how soon they should answer: those in the own zone first, those that said nothing last.
-func (c *Client) prefer(stores []Store) []Store {
+// byPreference orders stores by how soon they should answer: those in the own zone first, those that said nothing last.
+func (c *Client) byPreference(stores []Store) []Store {
 	rank := func(s Store) int {
 		n := 0
 		if s.Zone != c.zone {
 			n = 1
 		}
-		if c.suspected(s.ID) {
+		if c.isSuspect(s.ID) {
 			n += 2
 		}
 		return n
@@ -124,27 +124,27 @@
 	return out
 }
 
-// newer waits a little for a placement after a generation.
-func (c *Client) newer(ctx context.Context, gen int64) *Placement {
-	for waited := time.Duration(0); ; waited += newerLook {
+// awaitNewerPlacement waits a little for a placement after a generation.
+func (c *Client) awaitNewerPlacement(ctx context.Context, gen int64) *Placement {
+	for waited := time.Duration(0); ; waited += newerPlacementPoll {
 		if p := c.placement(); p != nil && p.Generation > gen {
 			return p
 		}
-		if waited >= newerWait || !c.sleep(ctx, newerLook) {
+		if waited >= newerPlacementTimeout || !c.sleep(ctx, newerPlacementPoll) {
 			return nil
 		}
 	}
 }
 
-func unsure(err error, what string) error {
+func unavailable(err error, what string) error {
 	if err == nil {
 		err = errors.New("no answer")
 	}
 	return errors.Mark(errors.Wrapf(err, "%s: try again once the stores answer", what), ErrUnavailable)
 }
 
-// worse prefers what decides how to go on: an old placement before all.
-func worse(a, b error) error {
+// dominantError prefers what decides how to go on: an old placement before all.
+func dominantError(a, b error) error {
 	if a == nil || errors.Is(b, ErrOldPlacement) {
 		return b
 	}
--- a/internal/tier/turnstore/client_history.go
+++ b/internal/tier/turnstore/client_history.go
@@ -10,46 +10,46 @@
 	"larchrouter/internal/rpc"
 )
 
-// look gathers what stores say of the previous turn.
-type look struct {
-	quorum  *quorum // of those that say that they do not have it, and may
-	knows   []Store
-	lacks   []Store
-	heard   []string
+// previousTurnLookup gathers what stores say of the previous turn.
+type previousTurnLookup struct {
+	absence  *quorum // of those that say that they do not have it, and may
+	known   []Store
+	lacking   []Store
+	responded   []string
 	history []byte
-	part    bool // history is the end of it, from behind missing on
-	whole   bool
+	partial    bool // history is the end of it, from behind missing on
+	complete   bool
 	missing string
-	left    time.Duration
+	remaining    time.Duration
 }
 
-func (l *look) take(s Store, r *openReply) {
-	l.heard = append(l.heard, s.ID)
+func (l *previousTurnLookup) add(s Store, r *openReply) {
+	l.responded = append(l.responded, s.ID)
 	switch {
-	case r.Known:
-		l.knows = append(l.knows, s)
-		l.quorum.set(s.ID, false)
-		if r.Got && !l.whole {
-			l.history, l.missing, l.whole, l.part = r.History, r.Missing, r.Missing == "", true
-			l.left = time.Duration(r.LeftMs) * time.Millisecond
+	case r.Found:
+		l.known = append(l.known, s)
+		l.absence.record(s.ID, false)
+		if r.HasHistory && !l.complete {
+			l.history, l.missing, l.complete, l.partial = r.History, r.Missing, r.Missing == "", true
+			l.remaining = time.Duration(r.RemainingMs) * time.Millisecond
 		}
-		if r.Got && r.Missing != "" {
-			l.lacks = append(l.lacks, s)
+		if r.HasHistory && r.Missing != "" {
+			l.lacking = append(l.lacking, s)
 		}
 	default:
-		l.quorum.set(s.ID, r.Valid)
-		if r.Valid {
-			l.lacks = append(l.lacks, s)
+		l.absence.record(s.ID, r.Authoritative)
+		if r.Authoritative {
+			l.lacking = append(l.lacking, s)
 		}
 	}
 }
 
-// find asks all stores for a turn: its key and those that know it.
-func (c *Client) find(ctx context.Context, p *Placement, id string) (string, []Store, error) {
+// findTurn asks all stores for a turn: its key and those that know it.
+func (c *Client) findTurn(ctx context.Context, p *Placement, id string) (string, []Store, error) {
 	stores := p.Stores()
-	answers := ask(c, stores, c.callTime, func(s Store) (rpc.Method, any) {
-		return MethodFindTurn, &findCall{To: RequestHeader{s.ID, p.Generation}, Turn: id}
-	}, func(r *findReply) int { return r.Status })
+	answers := broadcast(c, stores, c.callTimeout, func(s Store) (rpc.Method, any) {
+		return MethodFindTurn, &findTurnCall{To: RequestHeader{s.ID, p.Generation}, Turn: id}
+	}, func(r *findTurnReply) int { return r.Status })
 	// A turn is on more stores than may be lost: if all but as many say no, there is none.
 	lists := []ReplicaSet{p.Old}
 	if len(p.New) > 0 {
@@ -62,12 +62,12 @@
 		case a := <-answers:
 			switch {
 			case a.err != nil:
-				failed = worse(failed, a.err)
-				no.set(a.store.ID, false)
-			case a.reply.Known:
+				failed = dominantError(failed, a.err)
+				no.record(a.store.ID, false)
+			case a.reply.Found:
 				return a.reply.Key, []Store{a.store}, nil
 			default:
-				no.set(a.store.ID, a.reply.Valid)
+				no.record(a.store.ID, a.reply.Authoritative)
 			}
 		case <-ctx.Done():
 			return "", nil, ctx.Err()
@@ -79,21 +79,21 @@
 	if failed == nil {
 		failed = errors.New("stores that have not caught up cannot tell")
 	}
-	return "", nil, unsure(failed, "look for the previous turn")
+	return "", nil, unavailable(failed, "look for the previous turn")
 }
 
-// history reads a turn's history, put together from several stores where none has all of the chain.
-func (c *Client) history(ctx context.Context, p *Placement, key, id string, l *look) ([]byte, time.Duration, error) {
-	stores := storesOf(p.ReplicaSets(key))
-	for _, s := range l.knows {
+// readHistory reads a turn's readHistory, put together from several stores where none has all of the chain.
+func (c *Client) readHistory(ctx context.Context, p *Placement, key, id string, l *previousTurnLookup) ([]byte, time.Duration, error) {
+	stores := distinctStores(p.ReplicaSets(key))
+	for _, s := range l.known {
 		if !slices.ContainsFunc(stores, func(o Store) bool { return o.ID == s.ID }) {
 			stores = append(slices.Clone(stores), s)
 		}
 	}
-	stores = c.prefer(stores)
-	if len(l.knows) > 0 && !l.part { // those that are known to have it go first
+	stores = c.byPreference(stores)
+	if len(l.known) > 0 && !l.partial { // those that are known to have it go first
 		knows := func(s Store) int {
-			if slices.ContainsFunc(l.knows, func(o Store) bool { return o.ID == s.ID }) {
+			if slices.ContainsFunc(l.known, func(o Store) bool { return o.ID == s.ID }) {
 				return 0
 			}
 			return 1
@@ -101,17 +101,17 @@
 		slices.SortStableFunc(stores, func(a, b Store) int { return knows(a) - knows(b) })
 	}
 	var end []byte
-	left := l.left
-	if l.part {
+	left := l.remaining
+	if l.partial {
 		end, id = l.history, l.missing
 	}
-	for range chainHops {
-		r, err := c.part(ctx, p, key, id, stores)
+	for range maxHistorySegments {
+		r, err := c.readSegment(ctx, p, key, id, stores)
 		if err != nil {
 			return nil, 0, err
 		}
-		if !l.part && len(end) == 0 {
-			left = time.Duration(r.LeftMs) * time.Millisecond
+		if !l.partial && len(end) == 0 {
+			left = time.Duration(r.RemainingMs) * time.Millisecond
 		}
 		end = append(r.History[:len(r.History):len(r.History)], end...)
 		if r.Missing == "" {
@@ -119,26 +119,26 @@
 		}
 		id = r.Missing
 	}
-	return nil, 0, unsure(errors.Newf("the chain of turn %q is in too many parts", id), "read the history")
+	return nil, 0, unavailable(errors.Newf("the chain of turn %q is in too many parts", id), "read the history")
 }
 
-// part reads the history of a turn as far as one store has it; stores are asked one after the other, sooner than the
+// readSegment reads the history of a turn as far as one store has it; stores are asked one after the other, sooner than the
 // one before has failed.
-func (c *Client) part(ctx context.Context, p *Placement, key, id string, stores []Store) (*historyReply, error) {
-	answers := make(chan answer[historyReply], len(stores))
+func (c *Client) readSegment(ctx context.Context, p *Placement, key, id string, stores []Store) (*historyReply, error) {
+	answers := make(chan replicaResponse[historyReply], len(stores))
 	asked, waiting := 0, 0
 	next := func() {
 		if asked == len(stores) {
 			return
 		}
-		askInto(c, answers, stores[asked:asked+1], c.callTime, func(s Store) (rpc.Method, any) {
+		broadcastInto(c, answers, stores[asked:asked+1], c.callTimeout, func(s Store) (rpc.Method, any) {
 			return MethodHistory, &historyCall{To: RequestHeader{s.ID, p.Generation}, Key: key, Turn: id}
 		}, func(r *historyReply) int { return r.Status })
 		asked++
 		waiting++
 	}
 	next()
-	hedge := time.NewTicker(hedgeAfter)
+	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
 	var failed error
 	var part *historyReply
@@ -148,10 +148,10 @@
 			waiting--
 			switch {
 			case a.err != nil:
-				failed = worse(failed, a.err)
-			case a.reply.Known && a.reply.Missing == "":
+				failed = dominantError(failed, a.err)
+			case a.reply.Found && a.reply.Missing == "":
 				return a.reply, nil
-			case a.reply.Known && a.reply.Missing != id && (part == nil || len(part.History) < len(a.reply.History)):
+			case a.reply.Found && a.reply.Missing != id && (part == nil || len(part.History) < len(a.reply.History)):
 				part = a.reply
 			}
 			next()
@@ -164,23 +164,23 @@
 	if part != nil {
 		return part, nil
 	}
-	return nil, unsure(failed, "read the history")
+	return nil, unavailable(failed, "read the history")
 }
 
-// keep caches the whole history of a turn that stores keep for a while yet.
-func (c *Client) keep(key, id string, history []byte, left time.Duration) {
-	if left -= keepMargin; left > 0 {
-		c.pieces.put(&piece{key: key, id: id, bytes: history, until: time.Now().Add(left)})
+// cacheHistory caches the whole history of a turn that stores cacheHistory for a while yet.
+func (c *Client) cacheHistory(key, id string, history []byte, left time.Duration) {
+	if left -= retainMargin; left > 0 {
+		c.cache.put(&cachedIncrement{key: key, id: id, bytes: history, until: time.Now().Add(left)})
 	}
 }
 
-// mend tells stores that they lack turns of a program.
-func (c *Client) mend(p *Placement, key string, stores []Store) {
+// sendRepairNotices tells stores that they lack turns of a program.
+func (c *Client) sendRepairNotices(p *Placement, key string, stores []Store) {
 	for _, s := range stores {
 		c.mu.Lock()
-		ok := c.repairs < repairMost
+		ok := c.repairNotices < maxRepairNotices
 		if ok {
-			c.repairs++
+			c.repairNotices++
 		}
 		c.mu.Unlock()
 		if !ok {
@@ -188,19 +188,19 @@
 		}
 		done := func() {
 			c.mu.Lock()
-			c.repairs--
+			c.repairNotices--
 			c.mu.Unlock()
 		}
-		if !c.begin(laterMost) {
+		if !c.beginBackground(maxBackground) {
 			done()
 			return
 		}
 		go func() {
-			defer c.end()
+			defer c.endBackground()
 			defer done()
-			ctx, stop := context.WithTimeout(c.ctx, c.callTime)
+			ctx, stop := context.WithTimeout(c.ctx, c.callTimeout)
 			defer stop()
-			_ = c.calls.Notify(ctx, s.Addr, MethodRepair, &repairNotice{To: RequestHeader{s.ID, p.Generation}, Key: key})
+			_ = c.transport.Notify(ctx, s.Addr, MethodRepair, &repairNotice{To: RequestHeader{s.ID, p.Generation}, Key: key})
 		}()
 	}
 }
--- a/internal/tier/turnstore/client_limits_test.go
+++ b/internal/tier/turnstore/client_limits_test.go
@@ -27,7 +27,7 @@
 		return rpc.ErrLost
 	}
 	if r, ok := answer.(*openReply); ok {
-		r.Valid = true
+		r.Authoritative = true
 	}
 	return nil
 }
@@ -41,7 +41,7 @@
 		p := &Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: stores}
 		network := &scriptedStores{stalled: "b"}
 		c := newClient(func() *Placement { return p }, network, "zone", process.NewRing(io.Discard))
-		const turns = 2 * laterMost // within the time that a call to the stalled store takes
+		const turns = 2 * maxBackground // within the time that a call to the stalled store takes
 		var refused atomic.Int64
 		var group sync.WaitGroup
 		for i := range turns {
@@ -64,12 +64,12 @@
 		if n := refused.Load(); n > 0 {
 			t.Errorf("%d of %d turns are refused for the sake of one store that stands still", n, turns)
 		}
-		if n := network.asked.Load(); n == 0 || n > storeMost {
+		if n := network.asked.Load(); n == 0 || n > maxCallsPerStore {
 			t.Errorf("%d calls wait for the stalled store", n)
 		}
 		c.Shutdown(t.Context())
-		if len(c.calling) > 0 {
-			t.Errorf("places of calls that were not given back: %v", c.calling)
+		if len(c.inFlight) > 0 {
+			t.Errorf("places of calls that were not given back: %v", c.inFlight)
 		}
 	})
 }
--- a/internal/tier/turnstore/client_open.go
+++ b/internal/tier/turnstore/client_open.go
@@ -44,7 +44,7 @@
 	}
 	p := c.placement()
 	if p == nil {
-		return nil, unsure(errors.New("no placement of stores was heard of yet"), "open")
+		return nil, unavailable(errors.New("no placement of stores was heard of yet"), "open")
 	}
 	for range 3 {
 		opened, err := c.newOpenAttempt(p, o).run(ctx)
@@ -52,16 +52,16 @@
 		case err == nil:
 			return opened, nil
 		case errors.Is(err, ErrOldPlacement):
-			if p = c.newer(ctx, p.Generation); p != nil {
+			if p = c.awaitNewerPlacement(ctx, p.Generation); p != nil {
 				continue
 			}
-			err = unsure(err, "open")
+			err = unavailable(err, "open")
 		case !errors.Is(err, ErrBudget) && !errors.Is(err, ErrNoTurn):
-			err = unsure(err, "open")
+			err = unavailable(err, "open")
 		}
 		c.Settle(o.Program, o.Turn, 0)
 		return nil, err
 	}
 	c.Settle(o.Program, o.Turn, 0)
-	return nil, unsure(ErrOldPlacement, "open")
+	return nil, unavailable(ErrOldPlacement, "open")
 }
--- a/internal/tier/turnstore/client_test.go
+++ b/internal/tier/turnstore/client_test.go
@@ -355,7 +355,7 @@
 	tr := newTier(t, 3)
 	n := tr.nodes[0]
 	call := func(store string, gen int64) error {
-		var r plainReply
+		var r statusReply
 		c := &closeCall{To: RequestHeader{store, gen}, Turn: Record{Key: "p", ID: fmt.Sprint("t", gen, store), Root: true, RetainSeconds: 30}}
 		if err := tr.calls.To(n.addr).Call(t.Context(), MethodClose, c, &r); err != nil {
 			t.Fatal(err)
@@ -424,7 +424,7 @@
 	tr.nodes[0].end()
 	tr.nodes[0].placed.Store(was)
 	tr.nodes[0].start() // hears of the older one for a moment
-	var r plainReply
+	var r statusReply
 	until(t, "the store that started again is reached", func() bool { // the connection of before ends
 		c := &settleCall{To: RequestHeader{tr.nodes[0].store.ID(), 1}, Program: "p", Turn: "z"}
 		return tr.calls.To(tr.nodes[0].addr).Call(t.Context(), MethodSettle, c, &r) == nil
@@ -448,13 +448,13 @@
 	}
 	for what, call := range map[string]func(RequestHeader) int{
 		"open": func(h RequestHeader) int {
-			return n.store.open(t.Context(), &openCall{To: h, Program: "p", Turn: "a", Need: 1}).Status
+			return n.store.handleOpen(t.Context(), &openCall{To: h, Program: "p", Turn: "a", MaxTokens: 1}).Status
 		},
 		"close": func(h RequestHeader) int {
-			return n.store.close(t.Context(), &closeCall{To: h, Turn: Record{Key: "p", ID: "b", Root: true, RetainSeconds: 30}}).Status
+			return n.store.handleClose(t.Context(), &closeCall{To: h, Turn: Record{Key: "p", ID: "b", Root: true, RetainSeconds: 30}}).Status
 		},
 		"settle": func(h RequestHeader) int {
-			return n.store.settle(t.Context(), &settleCall{To: h, Program: "p", Turn: "c"}).Status
+			return n.store.handleSettle(t.Context(), &settleCall{To: h, Program: "p", Turn: "c"}).Status
 		},
 	} {
 		looks = 0
@@ -477,7 +477,7 @@
 			if i%3 == j {
 				continue
 			}
-			if r := n.store.close(t.Context(), &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: record}); r.Status != statusOK {
+			if r := n.store.handleClose(t.Context(), &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: record}); r.Status != statusOK {
 				t.Fatal(r.Status)
 			}
 		}
@@ -493,10 +493,10 @@
 	}
 	// Those that lack turns were told: a copy on its own is whole after it has mended.
 	for _, n := range tr.nodes {
-		n.store.mend(t.Context(), "p")
+		n.store.repair(t.Context(), "p")
 	}
 	for _, n := range tr.nodes {
-		r := n.store.history(t.Context(), &historyCall{To: RequestHeader{n.store.ID(), 1}, Key: "p", Turn: previous})
+		r := n.store.handleHistory(t.Context(), &historyCall{To: RequestHeader{n.store.ID(), 1}, Key: "p", Turn: previous})
 		if string(r.History) != want || r.Missing != "" {
 			t.Fatalf("%s: %q, from behind %q", n.name, r.History, r.Missing)
 		}
@@ -508,7 +508,7 @@
 	lacks := tr.nodes[0] // in the zone of the front: it is asked for the history
 	for _, n := range tr.nodes[1:] {
 		c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: "p", ID: "a", Root: true, RetainSeconds: 30, Increment: []byte("piece")}}
-		if r := n.store.close(t.Context(), c); r.Status != statusOK {
+		if r := n.store.handleClose(t.Context(), c); r.Status != statusOK {
 			t.Fatal(r.Status)
 		}
 	}
@@ -516,8 +516,8 @@
 	if err != nil || string(opened.History) != "piece" {
 		t.Fatalf("%+v %v", opened, err)
 	}
-	until(t, "the copy is told", func() bool { return len(lacks.store.repair) == 1 })
-	lacks.store.mend(t.Context(), <-lacks.store.repair)
+	until(t, "the copy is told", func() bool { return len(lacks.store.repairs) == 1 })
+	lacks.store.repair(t.Context(), <-lacks.store.repairs)
 	if !lacks.has("a") {
 		t.Fatal("the copy is not mended")
 	}
@@ -530,8 +530,8 @@
 		key := fmt.Sprint("p", i)
 		in, _ := tr.copiesOf(key)
 		for j, n := range in { // each has a turn and an entry that the others lack
-			c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: key, ID: fmt.Sprint(key, "-", j), Root: true, RetainSeconds: 30, Increment: []byte(key)}, Used: j}
-			if r := n.store.close(t.Context(), c); r.Status != statusOK {
+			c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: key, ID: fmt.Sprint(key, "-", j), Root: true, RetainSeconds: 30, Increment: []byte(key)}, UsedTokens: j}
+			if r := n.store.handleClose(t.Context(), c); r.Status != statusOK {
 				t.Fatal(r.Status)
 			}
 		}
@@ -552,7 +552,7 @@
 			if l := n.ledger(key); !n.has(key+"-0") || !n.has(key+"-1") || !n.has(key+"-2") || l.Sum() != 3 {
 				t.Fatalf("%s of %s is not whole", key, n.name)
 			}
-			r := n.store.history(t.Context(), &historyCall{To: RequestHeader{n.store.ID(), 1}, Key: key, Turn: key + "-1"})
+			r := n.store.handleHistory(t.Context(), &historyCall{To: RequestHeader{n.store.ID(), 1}, Key: key, Turn: key + "-1"})
 			if string(r.History) != key {
 				t.Fatalf("%s of %s: %q", key, n.name, r.History)
 			}
@@ -569,10 +569,10 @@
 				continue
 			}
 			n.store.mu.Lock()
-			mine := n.store.index.sums(p, n.store.id, peer.store.id)
+			mine := n.store.index.bucketDigests(p, n.store.id, peer.store.id)
 			n.store.mu.Unlock()
 			peer.store.mu.Lock()
-			theirs := peer.store.index.sums(p, peer.store.id, n.store.id)
+			theirs := peer.store.index.bucketDigests(p, peer.store.id, n.store.id)
 			peer.store.mu.Unlock()
 			if mine != theirs {
 				t.Fatalf("%s and %s differ still", n.name, peer.name)
@@ -597,7 +597,7 @@
 	for _, n := range tr.nodes {
 		until(t, "all copies have it", func() bool { return n.has("y") })
 	}
-	tr.ahead.Store(int64(30*time.Second + keepMargin + time.Second))
+	tr.ahead.Store(int64(30*time.Second + retainMargin + time.Second))
 	for _, n := range tr.nodes[:2] {
 		n.store.expire(t.Context())
 		if n.has("a") || !n.has("z") {
@@ -618,7 +618,7 @@
 				t.Fatal(err)
 			}
 		}
-		n.store.mend(t.Context(), "p")
+		n.store.repair(t.Context(), "p")
 		if n.has("a") {
 			t.Fatalf("%s: the expired turn came back", n.name)
 		}
@@ -635,7 +635,7 @@
 	if !n.has("z") {
 		t.Fatal("dropped at the start")
 	}
-	tr.ahead.Add(int64(ledgerKeeps) + int64(time.Minute))
+	tr.ahead.Add(int64(ledgerRetention) + int64(time.Minute))
 	for range 4 {
 		n.store.expire(t.Context())
 	}
@@ -749,7 +749,7 @@
 	if got := turnOf(t, tr.client(), opening("p", "b", "a"), "x", ""); got != "inout\nx" {
 		t.Fatal(got)
 	}
-	if d := time.Since(began); d > callTime {
+	if d := time.Since(began); d > callTimeout {
 		t.Fatalf("a turn took %v", d)
 	}
 }
@@ -784,7 +784,7 @@
 		until(t, "all copies have all turns", func() bool { return n.has("a") && n.has("b") && n.has("c") })
 		var w []sqlitelog.Write
 		for _, id := range []string{"a", "b", "c"} {
-			n.store.pieces.remove(id)
+			n.store.cache.remove(id)
 			w = append(w, sqlitelog.Write{Table: tableBodies, Key: rowKey("p", id)})
 		}
 		if err := n.db.Commit(t.Context(), w); err != nil {
@@ -800,7 +800,7 @@
 	}
 	_, err := tr.hasty().Open(t.Context(), opening("p", "other", "b"))
 	wantError(t, err, ErrUnavailable) // a turn that there is, and whose history cannot be had, is no 404
-	if _, _, ok := writer.pieces.history("b", time.Now().Add(31*time.Second)); ok {
+	if _, _, ok := writer.cache.history("b", time.Now().Add(31*time.Second)); ok {
 		t.Fatal("a cached turn outlives the time for which the stores keep it")
 	}
 }
@@ -808,11 +808,11 @@
 func TestPiecesKeepWithinTheirBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 4000
-		c := newPieces(most)
+		c := newIncrementCache(most)
 		model := map[string]string{} // whole histories
 		for i := range rapid.IntRange(1, 60).Draw(t, "turns") {
 			id := fmt.Sprint("t", i)
-			p := &piece{key: "p", id: id, bytes: []byte(strings.Repeat(fmt.Sprint(i%10), rapid.IntRange(0, 400).Draw(t, "size")))}
+			p := &cachedIncrement{key: "p", id: id, bytes: []byte(strings.Repeat(fmt.Sprint(i%10), rapid.IntRange(0, 400).Draw(t, "size")))}
 			if i > 0 && rapid.Bool().Draw(t, "continues") {
 				p.previous = fmt.Sprint("t", rapid.IntRange(0, i-1).Draw(t, "previous"))
 			}
@@ -820,14 +820,14 @@
 			c.put(p)
 			if _, history, ok := c.history(id, time.Now()); ok && string(history) != model[id] {
 				t.Fatalf("%s: %q, want %q", id, history, model[id])
-			} else if _, had := c.get(p.previous); !ok && (p.previous == "" && c.cost(p) <= most/4) {
+			} else if _, had := c.get(p.previous); !ok && (p.previous == "" && c.sizeOf(p) <= most/4) {
 				t.Fatalf("%s is not there: %v", id, had)
 			}
 			sum := 0
-			for _, e := range c.all {
-				sum += c.cost(e.Value.(*piece))
+			for _, e := range c.byID {
+				sum += c.sizeOf(e.Value.(*cachedIncrement))
 			}
-			if sum != c.bytes || sum > most || c.order.Len() != len(c.all) {
+			if sum != c.bytes || sum > most || c.recency.Len() != len(c.byID) {
 				t.Fatalf("%d bytes of %d, counted as %d", sum, most, c.bytes)
 			}
 		}
@@ -836,13 +836,13 @@
 
 func TestRowsNameProgramAndTurn(t *testing.T) {
 	for _, c := range [][2]string{{"", ""}, {"p", "t"}, {strings.Repeat("p", 300), "t\x00u"}, {"p", ""}} {
-		program, turn, err := splitKey(rowKey(c[0], c[1]))
+		program, turn, err := parseRowKey(rowKey(c[0], c[1]))
 		if err != nil || program != c[0] || turn != c[1] {
 			t.Errorf("%q: %q %q %v", c, program, turn, err)
 		}
 	}
 	for _, bad := range [][]byte{nil, {5, 'a'}, {0xff}} {
-		if _, _, err := splitKey(bad); err == nil {
+		if _, _, err := parseRowKey(bad); err == nil {
 			t.Errorf("%x is taken for a row's key", bad)
 		}
 	}
--- a/internal/tier/turnstore/disk_fault_test.go
+++ b/internal/tier/turnstore/disk_fault_test.go
@@ -45,7 +45,7 @@
 	return d.submits
 }
 
-func (d *faultyDisk) Submit(writes []sqlitelog.Write) pending {
+func (d *faultyDisk) Submit(writes []sqlitelog.Write) pendingWrite {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.submits++
@@ -68,14 +68,14 @@
 func (w failedWrite) Wait(context.Context) error { return w.err }
 
 type heldWrite struct {
-	pending
+	pendingWrite
 	hold chan struct{}
 }
 
 func (w heldWrite) Wait(ctx context.Context) error {
 	select {
 	case <-w.hold:
-		return w.pending.Wait(ctx)
+		return w.pendingWrite.Wait(ctx)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -91,10 +91,10 @@
 		t.Fatal(err)
 	}
 	n.db = db
-	d := &faultyDisk{disk: file{db}}
+	d := &faultyDisk{disk: sqliteDisk{db}}
 	var log bytes.Buffer
 	c := ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(&log)}
-	if n.store, err = newStore(c, d, connections{c.Calls}); err != nil {
+	if n.store, err = newServer(c, d, rpcTransport{c.Calls}); err != nil {
 		t.Fatal(err)
 	}
 	n.serve()
@@ -106,12 +106,12 @@
 }
 
 func (n *node) open(t *testing.T, program, turn string) error {
-	return statusError(n.store.open(t.Context(), &openCall{To: n.head(), Program: program, Turn: turn, Need: 10}).Status)
+	return statusError(n.store.handleOpen(t.Context(), &openCall{To: n.head(), Program: program, Turn: turn, MaxTokens: 10}).Status)
 }
 
 func (n *node) close(t *testing.T, program, turn, text string) error {
 	record := Record{Key: program, ID: turn, Root: true, RetainSeconds: 30, Increment: []byte(text)}
-	return statusError(n.store.close(t.Context(), &closeCall{To: n.head(), Turn: record, Used: 5}).Status)
+	return statusError(n.store.handleClose(t.Context(), &closeCall{To: n.head(), Turn: record, UsedTokens: 5}).Status)
 }
 
 func must(t *testing.T, err error) {
@@ -149,18 +149,18 @@
 		if d.count() == before {
 			t.Errorf("spell %d: a full store does not try to end a turn", spell)
 		}
-		r := n.store.history(t.Context(), &historyCall{To: n.head(), Key: "p", Turn: "a"})
+		r := n.store.handleHistory(t.Context(), &historyCall{To: n.head(), Key: "p", Turn: "a"})
 		if r.Status != statusOK || string(r.History) != "text" {
 			t.Errorf("spell %d: a full store serves %+v", spell, r)
 		}
-		swept := n.store.keys(t.Context(), &keysCall{To: n.head(), Asker: "another", Sweep: true}) // has to write what it adopted
+		swept := n.store.handleListKeys(t.Context(), &listKeysCall{To: n.head(), Requester: "another", Sweep: true}) // has to write what it adopted
 		wantError(t, statusError(swept.Status), ErrFull)
-		n.store.lookForRoom(t.Context())
+		n.store.checkCapacity(t.Context())
 		if !n.store.Full() {
 			t.Errorf("spell %d: turns are opened before the disk takes writes", spell)
 		}
 		d.set(nil)
-		n.store.lookForRoom(t.Context())
+		n.store.checkCapacity(t.Context())
 		if n.store.Full() || !strings.Contains(log.String()[told:], "disk has room again") {
 			t.Errorf("spell %d: the disk is well, and the store does not say so: %s", spell, log.String()[told:])
 		}
@@ -179,14 +179,14 @@
 		defer n.store.mu.Unlock()
 		n.store.index.entries += more
 	}
-	entries(maxEntries)
+	entries(maxLedgerEntries)
 	wantError(t, n.open(t, "p", "a"), ErrFull)
-	n.store.lookForRoom(t.Context())
+	n.store.checkCapacity(t.Context())
 	if !n.store.Full() || !strings.Contains(log.String(), "ledgers are full") {
 		t.Errorf("not told: %s", log)
 	}
-	entries(-maxEntries)
-	n.store.lookForRoom(t.Context())
+	entries(-maxLedgerEntries)
+	n.store.checkCapacity(t.Context())
 	if n.store.Full() {
 		t.Error("full with room for entries")
 	}
@@ -195,22 +195,22 @@
 
 func TestRoomDecidesWhetherTurnsAreOpened(t *testing.T) {
 	const most = 8000
-	var r room
+	var r capacity
 	for i, step := range []struct {
 		left    int64
 		refused bool
 		full    bool
 	}{
-		{most, false, false}, {most / closesAt, false, false}, {most/closesAt - 1, false, true}, {most/opensAt - 1, false, true},
-		{most / opensAt, false, false}, {most, true, true}, {most, false, false}, {0, true, true}, {most, false, false},
+		{most, false, false}, {most / lowDivisor, false, false}, {most/lowDivisor - 1, false, true}, {most/reopenDivisor - 1, false, true},
+		{most / reopenDivisor, false, false}, {most, true, true}, {most, false, false}, {0, true, true}, {most, false, false},
 	} {
-		r.measured(step.left, most)
-		r.refused = step.refused
+		r.measure(step.left, most)
+		r.writeRefused = step.refused
 		if r.full() != step.full {
 			t.Errorf("step %d: full %v, with %d left, refused %v", i, r.full(), step.left, step.refused)
 		}
 	}
-	r.measured(0, 0)
+	r.measure(0, 0)
 	if r.full() {
 		t.Error("a disk without a limit is taken for full")
 	}
@@ -229,7 +229,7 @@
 		}
 		return all
 	}
-	tr.ahead.Store(int64(ledgerKeeps + time.Minute))
+	tr.ahead.Store(int64(ledgerRetention + time.Minute))
 	d.set(sqlitelog.ErrFull)
 	for range 3 {
 		if n.store.expire(t.Context()) {
@@ -323,13 +323,13 @@
 		d.set(c.fault)
 		wantError(t, n.open(t, "p", c.turn), c.want)
 		d.set(nil)
-		n.store.lookForRoom(t.Context())
+		n.store.checkCapacity(t.Context())
 	}
-	if more, err := n.store.rewriteEntries(t.Context()); more || err != nil {
+	if more, err := n.store.rewriteFailedEntries(t.Context()); more || err != nil {
 		t.Errorf("more %v, %v", more, err)
 	}
 	before := d.count()
-	if _, err := n.store.rewriteEntries(t.Context()); err != nil || d.count() != before {
+	if _, err := n.store.rewriteFailedEntries(t.Context()); err != nil || d.count() != before {
 		t.Errorf("entries that are synced are written again: %v", err)
 	}
 	ledger := n.restarted("p")
@@ -347,7 +347,7 @@
 	link := tr.calls.To(n.addr)
 	ask := func(ctx context.Context, program string) (*openReply, error) {
 		r := new(openReply)
-		return r, link.Call(ctx, MethodOpen, &openCall{To: n.head(), Program: program, Turn: "turn of " + program, Need: 10}, r)
+		return r, link.Call(ctx, MethodOpen, &openCall{To: n.head(), Program: program, Turn: "turn of " + program, MaxTokens: 10}, r)
 	}
 	submitted := func(most int) { until(t, "the store writes", func() bool { return d.count() >= most }) }
 
@@ -379,8 +379,8 @@
 		_, waits := n.store.unsynced.entries[entryID{"p", "turn of p"}]
 		return !waits
 	})
-	peek := new(peekReply) // another call goes past the one that waits
-	must(t, link.Call(t.Context(), MethodReadLedger, &peekCall{To: n.head(), Program: "p"}, peek))
+	peek := new(readLedgerReply) // another call goes past the one that waits
+	must(t, link.Call(t.Context(), MethodReadLedger, &readLedgerCall{To: n.head(), Program: "p"}, peek))
 	if len(peek.Ledger) != 1 || peek.Ledger[0].Turn != "turn of p" {
 		t.Errorf("ledger of the first opening's program: %+v", peek.Ledger)
 	}
--- a/internal/tier/turnstore/export_test.go
+++ b/internal/tier/turnstore/export_test.go
@@ -12,8 +12,8 @@
 // What the model in package turnstore_test sees: it needs package placement, which needs this one.
 
 type (
-	Network     = network
-	Pending     = pending
+	Network     = transport
+	Pending     = pendingWrite
 	OpenCall    = openCall
 	OpenReply   = openReply
 	CloseCall   = closeCall
@@ -26,18 +26,18 @@
 )
 
 const (
-	KeepMargin  = keepMargin
-	OpenKeeps   = openKeeps
-	WholeEvery  = wholeEvery
-	RepairAfter = repairAfter
+	KeepMargin  = retainMargin
+	OpenKeeps   = openTurnRetention
+	WholeEvery  = antiEntropyInterval
+	RepairAfter = repairDelay
 	Bodies      = tableBodies
 	Entries     = tableEntries
 	Facts       = tableFacts
 )
 
-// NewStoreOn makes a store of which the model has disk and network.
-func NewStoreOn(d Disk, n Network, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
-	return newStore(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, n)
+// NewServerOn makes a store of which the model has disk and network.
+func NewServerOn(d Disk, n Network, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
+	return newServer(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, n)
 }
 
 // NewClientOn makes a client of which the model has the network.
@@ -80,7 +80,7 @@
 	for _, bucket := range s.index.programs {
 		for _, p := range bucket {
 			for _, e := range p.ledger.Entries() {
-				w := entryWrite(p.key, e)
+				w := encodeEntry(p.key, e)
 				if !bytes.Equal(rows[string(w.Key)], w.Value) {
 					lacking = append(lacking, p.key+"/"+e.Turn)
 				}
@@ -94,8 +94,8 @@
 func (s *Server) ForgetGone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.index.gone[0])
-	clear(s.index.gone[1])
+	clear(s.index.expiredDigests[0])
+	clear(s.index.expiredDigests[1])
 }
 
 // Expire drops what is over now, as Run does now and then.
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -172,7 +172,7 @@
 // client makes a front's client that waits long for a busy machine's disk.
 func (tr *tier) client() *Client {
 	c := tr.hasty()
-	c.callTime, c.closeTime = 8*time.Second, 8*time.Second
+	c.callTimeout, c.closeTimeout = 8*time.Second, 8*time.Second
 	return c
 }
 
--- a/internal/tier/turnstore/increment_cache.go
+++ b/internal/tier/turnstore/increment_cache.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// pieces is a cache of what turns add to a history, bounded in bytes; the least recently used go first.
-type pieces struct {
+// incrementCache is a cache of what turns add to a history, bounded in bytes; the least recently used go first.
+type incrementCache struct {
 	mu    sync.Mutex
-	most  int
+	maxBytes  int
 	bytes int
-	all   map[string]*list.Element
-	order list.List // newest first
+	byID   map[string]*list.Element
+	recency list.List // newest first
 }
 
-type piece struct {
+type cachedIncrement struct {
 	key      string // program
 	id       string
 	previous string // empty: the bytes are the whole history
@@ -24,69 +24,69 @@
 	until    time.Time // zero: no bound
 }
 
-const pieceCost = 200 // of one in the cache, beside its bytes
+const incrementOverhead = 200 // of one in the cache, beside its bytes
 
-func newPieces(most int) *pieces { return &pieces{most: most, all: map[string]*list.Element{}} }
+func newIncrementCache(most int) *incrementCache { return &incrementCache{maxBytes: most, byID: map[string]*list.Element{}} }
 
-func (c *pieces) cost(p *piece) int {
-	return len(p.bytes) + len(p.id) + len(p.key) + len(p.previous) + pieceCost
+func (c *incrementCache) sizeOf(p *cachedIncrement) int {
+	return len(p.bytes) + len(p.id) + len(p.key) + len(p.previous) + incrementOverhead
 }
 
-func (c *pieces) put(p *piece) {
+func (c *incrementCache) put(p *cachedIncrement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.all[p.id]; e != nil {
-		c.drop(e)
+	if e := c.byID[p.id]; e != nil {
+		c.evict(e)
 	}
-	if c.cost(p) > c.most/4 {
+	if c.sizeOf(p) > c.maxBytes/4 {
 		return
 	}
-	c.all[p.id] = c.order.PushFront(p)
-	for c.bytes += c.cost(p); c.bytes > c.most; {
-		c.drop(c.order.Back())
+	c.byID[p.id] = c.recency.PushFront(p)
+	for c.bytes += c.sizeOf(p); c.bytes > c.maxBytes; {
+		c.evict(c.recency.Back())
 	}
 }
 
-func (c *pieces) drop(e *list.Element) {
-	p := c.order.Remove(e).(*piece)
-	delete(c.all, p.id)
-	c.bytes -= c.cost(p)
+func (c *incrementCache) evict(e *list.Element) {
+	p := c.recency.Remove(e).(*cachedIncrement)
+	delete(c.byID, p.id)
+	c.bytes -= c.sizeOf(p)
 }
 
-func (c *pieces) remove(id string) {
+func (c *incrementCache) remove(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.all[id]; e != nil {
-		c.drop(e)
+	if e := c.byID[id]; e != nil {
+		c.evict(e)
 	}
 }
 
 // get gives one piece's bytes.
-func (c *pieces) get(id string) ([]byte, bool) {
+func (c *incrementCache) get(id string) ([]byte, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.all[id]
+	e := c.byID[id]
 	if e == nil {
 		return nil, false
 	}
-	c.order.MoveToFront(e)
-	return e.Value.(*piece).bytes, true
+	c.recency.MoveToFront(e)
+	return e.Value.(*cachedIncrement).bytes, true
 }
 
 // history gives the whole history of a turn if every piece of it is here and the turn is known to be kept.
-func (c *pieces) history(id string, now time.Time) (key string, history []byte, ok bool) {
+func (c *incrementCache) history(id string, now time.Time) (key string, history []byte, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var chain []*piece
+	var chain []*cachedIncrement
 	size := 0
 	for next := id; ; {
-		e := c.all[next]
-		if e == nil || len(chain) > len(c.all) {
+		e := c.byID[next]
+		if e == nil || len(chain) > len(c.byID) {
 			return "", nil, false
 		}
-		p := e.Value.(*piece)
+		p := e.Value.(*cachedIncrement)
 		if len(chain) == 0 && !p.until.IsZero() && !now.Before(p.until) {
-			c.drop(e)
+			c.evict(e)
 			return "", nil, false
 		}
 		chain = append(chain, p)
@@ -99,7 +99,7 @@
 	history = make([]byte, 0, size)
 	for _, p := range slices.Backward(chain) {
 		history = append(history, p.bytes...)
-		c.order.MoveToFront(c.all[p.id])
+		c.recency.MoveToFront(c.byID[p.id])
 	}
 	return chain[0].key, history, true
 }
--- a/internal/tier/turnstore/interfaces.go
+++ b/internal/tier/turnstore/interfaces.go
@@ -13,32 +13,32 @@
 	Get(table string, key []byte) ([]byte, error)
 	GetMany(table string, keys [][]byte, most int) ([][]byte, error)
 	Range(table string, from, to []byte, f func(key, value []byte) error) error
-	Submit(writes []sqlitelog.Write) pending
+	Submit(writes []sqlitelog.Write) pendingWrite
 	Commit(ctx context.Context, writes []sqlitelog.Write) error
 	Room() (left, most int64, err error) // 0, 0: without a limit
 }
 
-// pending is a write that was taken and may not be synced yet.
-type pending interface {
+// pendingWrite is a write that was taken and may not be synced yet.
+type pendingWrite interface {
 	Wait(ctx context.Context) error
 }
 
-type file struct{ *sqlitelog.DB }
+type sqliteDisk struct{ *sqlitelog.DB }
 
-func (f file) Submit(writes []sqlitelog.Write) pending { return f.DB.Submit(writes) }
+func (f sqliteDisk) Submit(writes []sqlitelog.Write) pendingWrite { return f.DB.Submit(writes) }
 
-// network carries calls to stores.
-type network interface {
+// transport carries calls to stores.
+type transport interface {
 	Call(ctx context.Context, addr string, m rpc.Method, body, answer any) error
 	Notify(ctx context.Context, addr string, m rpc.Method, body any) error
 }
 
-type connections struct{ *rpc.Clients }
+type rpcTransport struct{ *rpc.Clients }
 
-func (c connections) Call(ctx context.Context, addr string, m rpc.Method, body, answer any) error {
+func (c rpcTransport) Call(ctx context.Context, addr string, m rpc.Method, body, answer any) error {
 	return c.To(addr).Call(ctx, m, body, answer)
 }
 
-func (c connections) Notify(ctx context.Context, addr string, m rpc.Method, body any) error {
+func (c rpcTransport) Notify(ctx context.Context, addr string, m rpc.Method, body any) error {
 	return c.To(addr).Notify(ctx, m, body)
 }
--- a/internal/tier/turnstore/messages.go
+++ b/internal/tier/turnstore/messages.go
@@ -109,7 +109,7 @@
 type indexRow struct {
 	Previous string
 	Root     bool
-	Retain   int
+	RetainSeconds   int
 }
 
 // entryRow is an entry of a ledger on disk.
@@ -125,7 +125,7 @@
 	return append(append(b, program...), turn...)
 }
 
-func splitKey(b []byte) (program, turn string, err error) {
+func parseRowKey(b []byte) (program, turn string, err error) {
 	n, w := binary.Uvarint(b)
 	if w <= 0 || n > uint64(len(b)-w) {
 		return "", "", errors.Newf("row key %x is of no known shape", b)
@@ -144,46 +144,46 @@
 	Program  string
 	Turn     string
 	Previous string
-	Need     int
-	History  bool // wanted with the answer
+	MaxTokens     int
+	WantHistory  bool // wanted with the answer
 }
 
 type openReply struct {
 	Status  int
 	Ledger  []budget.Entry
-	Valid   bool // it may say that there is no such turn
-	Known   bool
+	Authoritative   bool // it may say that there is no such turn
+	Found   bool
 	History []byte
-	Got     bool   // History was read
+	HasHistory     bool   // History was read
 	Missing string // a turn of the chain that this store lacks: History begins after it
-	LeftMs  int    // how long the store keeps the turn at least
-	Home    string // of the previous turn, as far as this store remembers: it is not kept on disk
-	Context int
+	RemainingMs  int    // how long the store keeps the turn at least
+	CacheHost    string // of the previous turn, as far as this store remembers: it is not kept on disk
+	ContextTokens int
 }
 
 type closeCall struct {
 	To   RequestHeader
 	Turn Record
-	Used int
+	UsedTokens int
 }
 
 type settleCall struct {
 	To      RequestHeader
 	Program string
 	Turn    string
-	Used    int
+	UsedTokens    int
 }
 
-type plainReply struct {
+type statusReply struct {
 	Status int
 }
 
-type peekCall struct {
+type readLedgerCall struct {
 	To      RequestHeader
 	Program string
 }
 
-type peekReply struct {
+type readLedgerReply struct {
 	Status int
 	Ledger []budget.Entry
 }
@@ -196,38 +196,38 @@
 
 type historyReply struct {
 	Status  int
-	Valid   bool
-	Known   bool
+	Authoritative   bool
+	Found   bool
 	History []byte
 	Missing string
-	LeftMs  int
+	RemainingMs  int
 }
 
-type findCall struct {
+type findTurnCall struct {
 	To   RequestHeader
 	Turn string
 }
 
-type findReply struct {
+type findTurnReply struct {
 	Status int
-	Valid  bool
-	Known  bool
+	Authoritative  bool
+	Found  bool
 	Key    string
 }
 
 type digestCall struct {
 	To    RequestHeader
-	Asker string // identity of the store that asks
+	Requester string // identity of the store that asks
 }
 
 type digestReply struct {
 	Status int
-	Sums   []byte // one of 8 bytes for each bucket
+	Digests   []byte // one of 8 bytes for each bucket
 }
 
-type keysCall struct {
+type listKeysCall struct {
 	To      RequestHeader
-	Asker   string
+	Requester   string
 	Sweep   bool  // all that the asker should hold; else only what both should
 	Buckets []int // empty: all
 	Bucket  int   // the page begins in this bucket
@@ -236,12 +236,12 @@
 
 type keyDigest struct {
 	Key     string
-	Turns   int64
-	Ledger  int64
-	StaysMs int // the turns stay for so long for sure
+	TurnsDigest   int64
+	LedgerDigest  int64
+	ConfirmedMs int // the turns stay for so long for sure
 }
 
-type keysReply struct {
+type listKeysReply struct {
 	Status int
 	Keys   []keyDigest
 	More   bool
@@ -256,8 +256,8 @@
 
 type keyState struct {
 	Key     string
-	LeftMs  int
-	StaysMs int // as LeftMs, 0 where that is a guess
+	RemainingMs  int
+	ConfirmedMs int // as LeftMs, 0 where that is a guess
 	Ledger  []budget.Entry
 	Turns   []string
 }
@@ -274,7 +274,7 @@
 
 type bodiesReply struct {
 	Status int
-	Done   int // how many of the turns that were asked for are dealt with
+	Processed   int // how many of the turns that were asked for are dealt with
 	Turns  []Record
 }
 
--- a/internal/tier/turnstore/model_test.go
+++ b/internal/tier/turnstore/model_test.go
@@ -399,7 +399,7 @@
 	case w.fault == noReservation && m == turnstore.MethodOpen:
 		var c turnstore.OpenCall
 		_ = rpc.Decode(raw, &c)
-		c.Need = 0
+		c.MaxTokens = 0
 		return rpc.Encode(&c)
 	}
 	return raw
@@ -609,15 +609,15 @@
 	}
 }
 
-// handle is the disk as one life of its process has it.
-type handle struct {
+// decodeCall is the disk as one life of its process has it.
+type decodeCall struct {
 	d    *memDisk
 	life int
 }
 
-func (h handle) Identity() (string, bool) { return h.d.id, false }
+func (h decodeCall) Identity() (string, bool) { return h.d.id, false }
 
-func (h handle) Submit(writes []sqlitelog.Write) turnstore.Pending {
+func (h decodeCall) Submit(writes []sqlitelog.Write) turnstore.Pending {
 	g := &write{writes: writes, done: make(chan error, 1)}
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
@@ -645,20 +645,20 @@
 	}
 }
 
-func (h handle) Commit(ctx context.Context, writes []sqlitelog.Write) error {
+func (h decodeCall) Commit(ctx context.Context, writes []sqlitelog.Write) error {
 	return h.Submit(writes).Wait(ctx)
 }
 
-func (h handle) Room() (left, most int64, err error) { return 0, 0, nil }
+func (h decodeCall) Room() (left, most int64, err error) { return 0, 0, nil }
 
-func (h handle) Get(table string, key []byte) ([]byte, error) {
+func (h decodeCall) Get(table string, key []byte) ([]byte, error) {
 	h.d.readable(h.life)
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
 	return h.d.tables[table][string(key)], nil
 }
 
-func (h handle) GetMany(table string, keys [][]byte, most int) (out [][]byte, err error) {
+func (h decodeCall) GetMany(table string, keys [][]byte, most int) (out [][]byte, err error) {
 	h.d.readable(h.life)
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
@@ -670,7 +670,7 @@
 	return out, nil
 }
 
-func (h handle) Range(table string, _, _ []byte, f func(k, v []byte) error) error {
+func (h decodeCall) Range(table string, _, _ []byte, f func(k, v []byte) error) error {
 	h.d.readable(h.life)
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
@@ -738,9 +738,9 @@
 	var mending atomic.Int64
 	p := port{n: &m.node, ctx: l.ctx, mending: func() bool { return mending.Load() > 0 }}
 	m.disk().mu.Lock()
-	h := handle{m.disk(), m.disk().life}
+	h := decodeCall{m.disk(), m.disk().life}
 	m.disk().mu.Unlock()
-	store, err := turnstore.NewStoreOn(h, p, m.placement, func() <-chan struct{} { return *m.changed.Load() })
+	store, err := turnstore.NewServerOn(h, p, m.placement, func() <-chan struct{} { return *m.changed.Load() })
 	if err != nil {
 		w.fail("%s does not start: %v", m.name, err)
 		l.stop()
--- a/internal/tier/turnstore/placement.go
+++ b/internal/tier/turnstore/placement.go
@@ -37,9 +37,9 @@
 
 // ReplicaSets gives the copies of a key by each list in force: one group where stable, two where joint.
 func (p *Placement) ReplicaSets(key string) []ReplicaSet {
-	groups := []ReplicaSet{place(p.Old, p.ReplicationFactor, key)}
+	groups := []ReplicaSet{selectReplicas(p.Old, p.ReplicationFactor, key)}
 	if len(p.New) > 0 {
-		groups = append(groups, place(p.New, p.ReplicationFactor, key))
+		groups = append(groups, selectReplicas(p.New, p.ReplicationFactor, key))
 	}
 	return groups
 }
@@ -55,7 +55,7 @@
 	return all
 }
 
-func place(stores []Store, copies int, key string) ReplicaSet {
+func selectReplicas(stores []Store, copies int, key string) ReplicaSet {
 	type ranked struct {
 		Store
 		rank uint64
--- a/internal/tier/turnstore/reservation_test.go
+++ b/internal/tier/turnstore/reservation_test.go
@@ -90,10 +90,10 @@
 	}
 	over := false
 	var ask func(round int)
-	end := func(v Verdict) {
+	end := func(v reservationState) {
 		over = true
-		if v != Granted {
-			if v == Spent {
+		if v != reservationGranted {
+			if v == reservationExceeded {
 				m.spent++
 			}
 			m.settle(turn, 0)
@@ -118,12 +118,12 @@
 		if over {
 			return
 		}
-		switch v := r.verdict(); {
-		case v == ReadAgain && m.fault == "no second read":
-			end(Granted)
-		case v == ReadAgain:
+		switch v := r.decide(); {
+		case v == reservationReread && m.fault == "no second read":
+			end(reservationGranted)
+		case v == reservationReread:
 			ask(2)
-		case v != Waiting:
+		case v != reservationPending:
 			end(v)
 		}
 	}
@@ -136,7 +136,7 @@
 				}
 				seen = append(seen, l.Entries()...)
 			}, func() {
-				r.answer(round, group[i].ID, true, seen)
+				r.addResponse(round, group[i].ID, true, seen)
 				take()
 			})
 		}
@@ -144,7 +144,7 @@
 	ask(1)
 	m.after(200, func() {
 		if !over {
-			end(Unsure)
+			end(reservationUndecidable)
 		}
 	})
 }
@@ -215,10 +215,10 @@
 	} {
 		q := newQuorum(groups, majority)
 		for _, s := range c.yes {
-			q.set(string(s), true)
+			q.record(string(s), true)
 		}
 		for _, s := range c.no {
-			q.set(string(s), false)
+			q.record(string(s), false)
 		}
 		if reached, lost := q.state(); reached != c.reached || lost != c.lost {
 			t.Errorf("yes %q no %q: %v %v", c.yes, c.no, reached, lost)
--- a/internal/tier/turnstore/server.go
+++ b/internal/tier/turnstore/server.go
@@ -24,11 +24,11 @@
 	factAdopted  = "adopted"
 	factSwept    = "swept"
 
-	storePieces = 24 << 20
-	expireEvery = 2 * time.Second
-	expireMost  = 200     // turns dropped with one transaction
-	rewriteMost = 1000    // entries written again with one transaction
-	readBytes   = 1 << 20 // bodies read at once, about
+	serverCacheBytes = 24 << 20
+	expireInterval = 2 * time.Second
+	maxExpiredPerCommit  = 200     // turns dropped with one transaction
+	maxRewriteEntries = 1000    // entries written again with one transaction
+	maxReadBytes   = 1 << 20 // bodies read at once, about
 )
 
 // ServerOptions is what a store is made of.
@@ -45,48 +45,48 @@
 type Server struct {
 	ServerOptions
 	disk     disk
-	peers    network
+	peers    transport
 	id       string
-	pieces   *pieces
-	repair   chan string
-	troubled atomic.Bool
-	sweeping sync.Mutex  // one sweep at a time
-	rounds   sweepRounds // under sweeping
+	cache   *incrementCache
+	repairs   chan string
+	faultLogged atomic.Bool
+	sweepMu sync.Mutex  // one sweep at a time
+	progress   sweepProgress // under sweeping
 	full     atomic.Bool // as room says, for those who do not hold the mutex
 
 	mu       sync.Mutex
 	index    *index
-	unsynced *unsynced
-	room     room
-	adopted  int64 // the newest placement that it went by
-	kept     int64 // adopted, on disk
-	swept    int64
+	unsynced *unsyncedEntries
+	capacity     capacity
+	adoptedGeneration  int64 // the newest placement that it went by
+	persistedGeneration     int64 // adopted, on disk
+	sweptGeneration    int64
 }
 
 // NewServer reads what the file has.
 func NewServer(c ServerOptions) (*Server, error) {
-	return newStore(c, file{c.DB}, connections{c.Calls})
+	return newServer(c, sqliteDisk{c.DB}, rpcTransport{c.Calls})
 }
 
-func newStore(c ServerOptions, d disk, peers network) (*Server, error) {
+func newServer(c ServerOptions, d disk, peers transport) (*Server, error) {
 	if c.Now == nil {
 		c.Now = time.Now
 	}
-	s := &Server{ServerOptions: c, disk: d, peers: peers, pieces: newPieces(storePieces), repair: make(chan string, 256), index: newIndex(),
-		unsynced: newUnsynced()}
+	s := &Server{ServerOptions: c, disk: d, peers: peers, cache: newIncrementCache(serverCacheBytes), repairs: make(chan string, 256), index: newIndex(),
+		unsynced: newUnsyncedEntries()}
 	s.id, _ = d.Identity()
 	now := c.Now()
-	s.index.turned = now
-	if err := s.readLedgers(now); err != nil {
+	s.index.expiredRotatedAt = now
+	if err := s.loadLedgers(now); err != nil {
 		return nil, errors.Wrap(err, "ledgers on disk")
 	}
-	if err := s.readTurns(now); err != nil {
+	if err := s.loadTurns(now); err != nil {
 		return nil, errors.Wrap(err, "turns on disk")
 	}
-	if err := s.readFacts(); err != nil {
+	if err := s.loadFacts(); err != nil {
 		return nil, errors.Wrap(err, "facts on disk")
 	}
-	s.adopted = s.kept
+	s.adoptedGeneration = s.persistedGeneration
 	return s, nil
 }
 
@@ -97,14 +97,14 @@
 func (s *Server) SweptGeneration() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.swept
+	return s.sweptGeneration
 }
 
 // AdoptedGeneration is the newest gen that the store goes by: it refuses what comes under an older one.
 func (s *Server) AdoptedGeneration() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.adopted, s.swept)
+	return max(s.adoptedGeneration, s.sweptGeneration)
 }
 
 // Counts tells how many programs and turns the store has.
@@ -121,7 +121,7 @@
 func (s *Server) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		tick := time.NewTicker(expireEvery)
+		tick := time.NewTicker(expireInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -134,14 +134,14 @@
 					break
 				}
 			}
-			s.lookForRoom(ctx)
+			s.checkCapacity(ctx)
 			for more := true; more; {
 				var err error
-				more, err = s.rewriteEntries(ctx)
-				s.noteWrite(err)
+				more, err = s.rewriteFailedEntries(ctx)
+				s.noteWriteError(err)
 			}
 		}
 	})
-	wg.Go(func() { s.keepWhole(ctx) })
+	wg.Go(func() { s.runAntiEntropy(ctx) })
 	wg.Wait()
 }
--- a/internal/tier/turnstore/server_expire.go
+++ b/internal/tier/turnstore/server_expire.go
@@ -12,14 +12,14 @@
 func (s *Server) expire(ctx context.Context) (more bool) {
 	s.mu.Lock()
 	now := s.Now()
-	turns := s.index.expire(now, expireMost)
-	programs := s.index.forget(now, expireMost)
+	turns := s.index.expireTurns(now, maxExpiredPerCommit)
+	programs := s.index.dropLedgers(now, maxExpiredPerCommit)
 	s.mu.Unlock()
 	var writes []sqlitelog.Write
 	for _, t := range turns {
 		key := rowKey(t.program.key, t.id)
 		writes = append(writes, sqlitelog.Write{Table: tableTurns, Key: key}, sqlitelog.Write{Table: tableBodies, Key: key})
-		s.pieces.remove(t.id)
+		s.cache.remove(t.id)
 	}
 	for _, p := range programs {
 		for _, e := range p.ledger.Entries() {
@@ -31,13 +31,13 @@
 	}
 	if err := s.disk.Commit(ctx, writes); err != nil {
 		s.mu.Lock()
-		s.index.takeBack(turns, programs, now)
+		s.index.restore(turns, programs, now)
 		s.mu.Unlock()
-		s.noteWrite(err)
+		s.noteWriteError(err)
 		if ctx.Err() == nil && !errors.Is(err, sqlitelog.ErrFull) {
-			s.trouble("expire", err)
+			s.logFault("expire", err)
 		}
 		return false
 	}
-	return len(turns) >= expireMost/2 || len(programs) >= expireMost/2
+	return len(turns) >= maxExpiredPerCommit/2 || len(programs) >= maxExpiredPerCommit/2
 }
--- a/internal/tier/turnstore/server_load.go
+++ b/internal/tier/turnstore/server_load.go
@@ -10,10 +10,10 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// readLedgers fills the index with the ledgers on disk.
-func (s *Server) readLedgers(now time.Time) error {
+// loadLedgers fills the index with the ledgers on disk.
+func (s *Server) loadLedgers(now time.Time) error {
 	return s.disk.Range(tableEntries, nil, nil, func(k, v []byte) error {
-		program, turn, err := splitKey(k)
+		program, turn, err := parseRowKey(k)
 		if err != nil {
 			return err
 		}
@@ -21,16 +21,16 @@
 		if err := rpc.Decode(v, &row); err != nil {
 			return err
 		}
-		s.index.join(program, budget.Entry{Turn: turn, Tokens: row.Tokens, Settled: row.Settled}, now)
+		s.index.joinEntry(program, budget.Entry{Turn: turn, Tokens: row.Tokens, Settled: row.Settled}, now)
 		return nil
 	})
 }
 
-// readTurns fills the index with the turns on disk. How long ago they ended is not known for sure: their time counts from
+// loadTurns fills the index with the turns on disk. How long ago they ended is not known for sure: their time counts from
 // now on.
-func (s *Server) readTurns(now time.Time) error {
+func (s *Server) loadTurns(now time.Time) error {
 	return s.disk.Range(tableTurns, nil, nil, func(k, v []byte) error {
-		program, turn, err := splitKey(k)
+		program, turn, err := parseRowKey(k)
 		if err != nil {
 			return err
 		}
@@ -38,15 +38,15 @@
 		if err := rpc.Decode(v, &row); err != nil {
 			return err
 		}
-		s.index.add(program, turn, row, -1, now)
-		s.index.get(program).sure = time.Time{}
+		s.index.addTurn(program, turn, row, -1, now)
+		s.index.get(program).confirmedUntil = time.Time{}
 		return nil
 	})
 }
 
-// readFacts reads which placements the store has adopted and swept under.
-func (s *Server) readFacts() error {
-	for name, to := range map[string]*int64{factAdopted: &s.kept, factSwept: &s.swept} {
+// loadFacts reads which placements the store has adopted and swept under.
+func (s *Server) loadFacts() error {
+	for name, to := range map[string]*int64{factAdopted: &s.persistedGeneration, factSwept: &s.sweptGeneration} {
 		v, err := s.disk.Get(tableFacts, []byte(name))
 		if err != nil {
 			return err
--- a/internal/tier/turnstore/server_read.go
+++ b/internal/tier/turnstore/server_read.go
@@ -1,8 +1,8 @@
 package turnstore
 
-// read gives the history that turns make, from behind the last whose body is not there.
-func (s *Server) read(program string, ids []string, missing string) (history []byte, lacks string, got bool) {
-	parts := s.readBodies(program, ids)
+// readHistory gives the history that turns make, from behind the last whose body is not there.
+func (s *Server) readHistory(program string, ids []string, missing string) (history []byte, lacks string, got bool) {
+	parts := s.readIncrements(program, ids)
 	size, from := 0, 0
 	for i := len(ids) - 1; i >= 0; i-- {
 		if parts[i] == nil {
@@ -18,27 +18,27 @@
 	return history, missing, true
 }
 
-// readBodies gives the bytes of turns, nil for those that are gone, and keeps them at hand.
-func (s *Server) readBodies(program string, ids []string) [][]byte {
+// readIncrements gives the bytes of turns, nil for those that are gone, and keeps them at hand.
+func (s *Server) readIncrements(program string, ids []string) [][]byte {
 	parts := make([][]byte, len(ids))
 	var keys [][]byte
 	var at []int
 	for i, id := range ids {
-		if b, ok := s.pieces.get(id); ok {
+		if b, ok := s.cache.get(id); ok {
 			parts[i] = b
 		} else {
 			keys, at = append(keys, rowKey(program, id)), append(at, i)
 		}
 	}
 	for len(keys) > 0 {
-		values, err := s.disk.GetMany(tableBodies, keys, readBytes)
+		values, err := s.disk.GetMany(tableBodies, keys, maxReadBytes)
 		if err != nil {
-			s.trouble("read", err)
+			s.logFault("read", err)
 			break
 		}
 		for i, v := range values {
 			if parts[at[i]] = v; v != nil {
-				s.pieces.put(&piece{key: program, id: ids[at[i]], bytes: v})
+				s.cache.put(&cachedIncrement{key: program, id: ids[at[i]], bytes: v})
 			}
 		}
 		keys, at = keys[len(values):], at[len(values):]
--- a/internal/tier/turnstore/server_write.go
+++ b/internal/tier/turnstore/server_write.go
@@ -10,13 +10,13 @@
 	"larchrouter/internal/tier/budget"
 )
 
-func entryWrite(program string, e budget.Entry) sqlitelog.Write {
+func encodeEntry(program string, e budget.Entry) sqlitelog.Write {
 	return sqlitelog.Write{Table: tableEntries, Key: rowKey(program, e.Turn), Value: rpc.Encode(&entryRow{Tokens: e.Tokens, Settled: e.Settled})}
 }
 
-// wait returns after the sync, also where the caller has left meanwhile: the write is made all the same, and the index has to
+// awaitSync returns after the sync, also where the caller has left meanwhile: the write is made all the same, and the index has to
 // know of it.
-func (s *Server) wait(ctx context.Context, p pending) int {
+func (s *Server) awaitSync(ctx context.Context, p pendingWrite) int {
 	return s.writeStatus(ctx, p.Wait(context.WithoutCancel(ctx)))
 }
 
@@ -24,25 +24,25 @@
 func (s *Server) writeStatus(ctx context.Context, err error) int {
 	switch {
 	case err == nil:
-		s.troubled.Store(false)
+		s.faultLogged.Store(false)
 		return statusOK
 	case errors.Is(err, sqlitelog.ErrFull):
-		s.noteWrite(err)
+		s.noteWriteError(err)
 		return statusFull
 	case errors.Is(err, sqlitelog.ErrBusy):
-		s.trouble("write", err)
+		s.logFault("write", err)
 		return statusBusy
 	default:
 		if ctx.Err() == nil {
-			s.trouble("write", err)
+			s.logFault("write", err)
 		}
 		return statusFailed
 	}
 }
 
-// trouble tells of a disk that failed, once.
-func (s *Server) trouble(what string, err error) {
-	if !s.troubled.Swap(true) {
+// logFault tells of a disk that failed, once.
+func (s *Server) logFault(what string, err error) {
+	if !s.faultLogged.Swap(true) {
 		s.Log.Trouble("store", what, "err", err)
 	}
 }
@@ -54,10 +54,10 @@
 	return b
 }
 
-func turnWrites(t *Record) []sqlitelog.Write {
+func encodeTurn(t *Record) []sqlitelog.Write {
 	key := rowKey(t.Key, t.ID)
 	return []sqlitelog.Write{
-		{Table: tableTurns, Key: key, Value: rpc.Encode(&indexRow{Previous: t.Previous, Root: t.Root, Retain: t.RetainSeconds})},
+		{Table: tableTurns, Key: key, Value: rpc.Encode(&indexRow{Previous: t.Previous, Root: t.Root, RetainSeconds: t.RetainSeconds})},
 		{Table: tableBodies, Key: key, Value: nonNil(t.Increment)},
 	}
 }
--- a/internal/tier/turnstore/sweep_progress_test.go
+++ b/internal/tier/turnstore/sweep_progress_test.go
@@ -16,20 +16,20 @@
 	}
 	joint := &Placement{Generation: 3, FaultTolerance: 1, Old: list("abcd"), New: list("abce")}
 	now := time.Unix(100, 0)
-	var r sweepRounds
+	var r sweepProgress
 	// round pulls from each peer that is given; failing names those that do not answer.
 	round := func(p *Placement, self, failing string) (asked []string, missed int) {
 		r.begin(p)
 		for {
-			peer, more := r.next(p, self, now)
+			peer, more := r.nextPeer(p, self, now)
 			if !more {
 				break
 			}
 			asked = append(asked, peer.ID)
-			r.pulled(peer.ID, !strings.Contains(failing, peer.ID), now)
+			r.record(peer.ID, !strings.Contains(failing, peer.ID), now)
 		}
 		missed = r.missed(p, self)
-		r.again()
+		r.retryFailed()
 		return asked, missed
 	}
 	expect := func(what string, asked []string, missed int, want string, misses int) {
@@ -44,7 +44,7 @@
 	expect("only those that failed are tried again, until no more than a loss is left", asked, missed, "b", 1)
 	asked, missed = round(joint, "e", "d")
 	expect("one that said nothing a moment ago is not needed", asked, missed, "", 1)
-	now = now.Add(staysSilent)
+	now = now.Add(peerFailureBackoff)
 	asked, missed = round(joint, "e", "d")
 	expect("later it is tried again", asked, missed, "d", 1)
 	stable := &Placement{Generation: 3, FaultTolerance: 1, Old: list("abce")}
--- a/internal/tier/turnstore/unsynced_entries.go
+++ b/internal/tier/turnstore/unsynced_entries.go
@@ -16,18 +16,18 @@
 	failed bool // its row may not be on disk
 }
 
-// unsynced are the entries that the index holds and that the disk may lack: their write is under way, or it failed. The
+// unsyncedEntries are the entries that the index holds and that the disk may lack: their write is under way, or it failed. The
 // index joins an entry before its write, so that without this record a later copy of the same entry would look known and
 // never reach the disk. It is pure.
-type unsynced struct {
+type unsyncedEntries struct {
 	entries map[entryID]submission
 	last    uint64
 }
 
-func newUnsynced() *unsynced { return &unsynced{entries: map[entryID]submission{}} }
+func newUnsyncedEntries() *unsyncedEntries { return &unsyncedEntries{entries: map[entryID]submission{}} }
 
-// submitted notes that rows of entries were given to the disk, and numbers the submission.
-func (u *unsynced) submitted(ids []entryID) (number uint64) {
+// markSubmitted notes that rows of entries were given to the disk, and numbers the submission.
+func (u *unsyncedEntries) markSubmitted(ids []entryID) (number uint64) {
 	u.last++
 	for _, id := range ids {
 		u.entries[id] = submission{number: u.last}
@@ -35,8 +35,8 @@
 	return u.last
 }
 
-// synced notes that a submission is on disk. The disk takes submissions in order, so those before it do not matter.
-func (u *unsynced) synced(ids []entryID, number uint64) {
+// markSynced notes that a submission is on disk. The disk takes submissions in order, so those before it do not matter.
+func (u *unsyncedEntries) markSynced(ids []entryID, number uint64) {
 	for _, id := range ids {
 		if u.entries[id].number <= number {
 			delete(u.entries, id)
@@ -44,8 +44,8 @@
 	}
 }
 
-// failed notes that a submission may not be on disk.
-func (u *unsynced) failed(ids []entryID, number uint64) {
+// markFailed notes that a submission may not be on disk.
+func (u *unsyncedEntries) markFailed(ids []entryID, number uint64) {
 	for _, id := range ids {
 		if u.entries[id].number == number {
 			u.entries[id] = submission{number: number, failed: true}
@@ -54,7 +54,7 @@
 }
 
 // list gives some of the entries: all kinds, or those alone whose write failed.
-func (u *unsynced) list(onlyFailed bool, most int) (ids []entryID) {
+func (u *unsyncedEntries) list(onlyFailed bool, most int) (ids []entryID) {
 	for id, s := range u.entries {
 		if len(ids) == most {
 			break
@@ -66,8 +66,8 @@
 	return ids
 }
 
-// forget drops an entry that the index does not hold any more.
-func (u *unsynced) forget(id entryID) { delete(u.entries, id) }
+// remove drops an entry that the index does not hold any more.
+func (u *unsyncedEntries) remove(id entryID) { delete(u.entries, id) }
 
 // entryRows are rows of ledgers, and what else goes to disk in the same transaction.
 type entryRows struct {
@@ -77,31 +77,31 @@
 
 func (r *entryRows) add(program string, e budget.Entry) {
 	r.ids = append(r.ids, entryID{program, e.Turn})
-	r.writes = append(r.writes, entryWrite(program, e))
+	r.writes = append(r.writes, encodeEntry(program, e))
 }
 
-// entrySync is a pending write of entries that keeps the record of what is not synced.
-type entrySync struct {
+// pendingEntries is a pending write of entries that keeps the record of what is not synced.
+type pendingEntries struct {
 	store  *Server
 	ids    []entryID
 	number uint64
-	write  pending
+	write  pendingWrite
 }
 
 // submit gives rows to the disk; the mutex is held, so that rows are written in the order of the index.
-func (s *Server) submit(rows entryRows) *entrySync {
-	return &entrySync{store: s, ids: rows.ids, number: s.unsynced.submitted(rows.ids), write: s.disk.Submit(rows.writes)}
+func (s *Server) submit(rows entryRows) *pendingEntries {
+	return &pendingEntries{store: s, ids: rows.ids, number: s.unsynced.markSubmitted(rows.ids), write: s.disk.Submit(rows.writes)}
 }
 
 // Wait returns after the sync; the mutex must not be held.
-func (w *entrySync) Wait(ctx context.Context) error {
+func (w *pendingEntries) Wait(ctx context.Context) error {
 	err := w.write.Wait(ctx)
 	w.store.mu.Lock()
 	defer w.store.mu.Unlock()
 	if err == nil {
-		w.store.unsynced.synced(w.ids, w.number)
+		w.store.unsynced.markSynced(w.ids, w.number)
 	} else {
-		w.store.unsynced.failed(w.ids, w.number)
+		w.store.unsynced.markFailed(w.ids, w.number)
 	}
 	return err
 }
@@ -111,7 +111,7 @@
 	for _, id := range s.unsynced.list(onlyFailed, most) {
 		e, ok := s.index.entry(id)
 		if !ok {
-			s.unsynced.forget(id)
+			s.unsynced.remove(id)
 			continue
 		}
 		rows.add(id.program, e)
@@ -119,10 +119,10 @@
 	return rows
 }
 
-// rewriteEntries writes entries again whose write failed, a bounded part at a time; more tells that there may be more.
-func (s *Server) rewriteEntries(ctx context.Context) (more bool, err error) {
+// rewriteFailedEntries writes entries again whose write failed, a bounded part at a time; more tells that there may be more.
+func (s *Server) rewriteFailedEntries(ctx context.Context) (more bool, err error) {
 	s.mu.Lock()
-	rows := s.unsyncedRows(true, rewriteMost)
+	rows := s.unsyncedRows(true, maxRewriteEntries)
 	if len(rows.ids) == 0 {
 		s.mu.Unlock()
 		return false, nil
@@ -132,20 +132,20 @@
 	if err := wrote.Wait(ctx); err != nil {
 		return false, err
 	}
-	return len(rows.ids) == rewriteMost, nil
+	return len(rows.ids) == maxRewriteEntries, nil
 }
 
-// commitSwept puts on disk that the store has all that it should hold under a placement, in one transaction with each
+// commitSweep puts on disk that the store has all that it should hold under a placement, in one transaction with each
 // entry that the disk may still lack.
-func (s *Server) commitSwept(ctx context.Context, gen int64) error {
+func (s *Server) commitSweep(ctx context.Context, gen int64) error {
 	for more := true; more; {
 		var err error
-		if more, err = s.rewriteEntries(ctx); err != nil {
+		if more, err = s.rewriteFailedEntries(ctx); err != nil {
 			return err
 		}
 	}
 	s.mu.Lock()
-	rows := s.unsyncedRows(false, maxEntries)
+	rows := s.unsyncedRows(false, maxLedgerEntries)
 	rows.writes = append(rows.writes, fact(factSwept, gen))
 	wrote := s.submit(rows)
 	s.mu.Unlock()
