--- a/internal/sqlitelog/capacity.go
+++ b/internal/sqlitelog/capacity.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// vacuum gives back pages that are free once they are a quarter of the file.
+// vacuum returns free pages to the file system, once they are a quarter of the file.
 func (d *DB) vacuum() error {
-	free, err := d.number("PRAGMA freelist_count")
+	free, err := d.queryInt("PRAGMA freelist_count")
 	if err != nil || free < vacuumPages {
 		return err
 	}
-	pages, err := d.number("PRAGMA page_count")
+	pages, err := d.queryInt("PRAGMA page_count")
 	if err != nil || free*4 < pages {
 		return err
 	}
-	rows, err := d.conn.Query(fmt.Sprintf("PRAGMA incremental_vacuum(%d)", min(free/2, vacuumMost)), nil)
+	rows, err := d.conn.Query(fmt.Sprintf("PRAGMA incremental_vacuum(%d)", min(free/2, maxVacuumPages)), nil)
 	if err != nil {
 		return err
 	}
@@ -27,8 +27,8 @@
 	}
 }
 
-// Room is how many bytes the file may still take up, and how many at most in all; 0 for both where it has no limit. What its
-// file system has free counts as well: another's files may have filled the disk before the limit is reached.
+// Room returns how many bytes may still be written and the limit of the file, both 0 where it has no limit. Free space of the
+// file system bounds left as well, since other files may fill the disk before the limit is reached.
 func (d *DB) Room() (left, most int64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 	var n [3]int64
 	for i, q := range []string{"PRAGMA max_page_count", "PRAGMA page_count", "PRAGMA freelist_count"} {
-		if n[i], err = d.number(q); err != nil {
+		if n[i], err = d.queryInt(q); err != nil {
 			return 0, 0, err
 		}
 	}
@@ -47,6 +47,6 @@
 	unused := n[2] * pageSize
 	most = n[0] * pageSize
 	left = most - n[1]*pageSize + unused
-	grows := min(d.diskFree(), most)
+	grows := min(d.freeBytes(), most)
 	return min(left, grows+unused), most, nil
 }
--- a/internal/sqlitelog/commit.go
+++ b/internal/sqlitelog/commit.go
@@ -7,15 +7,16 @@
 	"github.com/cockroachdb/errors"
 )
 
+// request is the writes of one call; they are committed together or not at all.
 type request struct {
 	writes []Write
-	bytes  int
-	err    chan error
+	bytes  int        // of keys and values
+	err    chan error // buffered; receives the outcome once
 }
 
-// Pending is a write that was taken and may not be synced yet.
+// Pending is the outcome of Submit: writes that may not be synced yet.
 type Pending struct {
-	d   *DB
+	db  *DB
 	err chan error
 }
 
@@ -27,8 +28,8 @@
 	return r
 }
 
-// Submit takes writes, all or nothing, in the order of its calls. It never waits for the disk: where very many writes wait
-// already, it takes none and the outcome is ErrBusy.
+// Submit queues writes that are committed atomically, in the order of the calls. It never blocks: where the queue is full,
+// the outcome is ErrBusy and nothing is written.
 func (d *DB) Submit(writes []Write) *Pending {
 	r := newRequest(writes)
 	if len(writes) == 0 {
@@ -49,14 +50,14 @@
 	return &Pending{d, r.err}
 }
 
-// Wait returns after the sync. Should ctx end first, the writes may still be made.
+// Wait returns the outcome after the sync; it must be called once at most. If ctx ends first, the writes may still be made.
 func (p *Pending) Wait(ctx context.Context) error {
 	select {
 	case err := <-p.err:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-p.d.done:
+	case <-p.db.done:
 		select {
 		case err := <-p.err:
 			return err
@@ -66,8 +67,8 @@
 	}
 }
 
-// Commit makes writes, all or nothing, and returns after their sync; it waits where very many writes wait already. Should
-// ctx end first, the writes may still be made.
+// Commit makes writes atomically and returns after their sync. Where the queue is full it blocks. If ctx ends first, the
+// writes may still be made.
 func (d *DB) Commit(ctx context.Context, writes []Write) error {
 	if len(writes) == 0 {
 		return nil
@@ -83,47 +84,55 @@
 	return (&Pending{d, r.err}).Wait(ctx)
 }
 
-func (d *DB) run() {
+// runWriter commits queued requests in groups until the file is closed.
+func (d *DB) runWriter() {
 	defer close(d.done)
-	var next *request
+	var next *request // the first of the next group, if it did not fit into the last
 	for {
-		group := make([]*request, 0, 8)
+		var first *request
 		if next != nil {
-			group, next = append(group, next), nil
+			first, next = next, nil
 		} else {
 			select {
-			case r := <-d.requests:
-				group = append(group, r)
+			case first = <-d.requests:
 			case <-d.stop:
 				return
 			}
 		}
-		size := group[0].bytes
-	gather:
-		for len(group) < groupRequests {
-			select {
-			case r := <-d.requests:
-				if size += r.bytes; size > groupBytes {
-					next = r
-					break gather
-				}
-				group = append(group, r)
-			default:
-				break gather
+		var group []*request
+		group, next = d.gatherGroup(first)
+		d.commitGroup(group)
+	}
+}
+
+// gatherGroup returns the requests that are queued, after a first one, up to the limits of a group. overflow is one that
+// was taken from the queue and exceeds maxGroupBytes.
+func (d *DB) gatherGroup(first *request) (group []*request, overflow *request) {
+	group = append(make([]*request, 0, 8), first)
+	size := first.bytes
+	for len(group) < maxGroupRequests {
+		select {
+		case r := <-d.requests:
+			if size += r.bytes; size > maxGroupBytes {
+				return group, r
 			}
+			group = append(group, r)
+		default:
+			return group, nil
 		}
-		d.write(group)
 	}
+	return group, nil
 }
 
-// write makes one transaction of a group; one that is refused for the sake of some is made again one by one.
-func (d *DB) write(group []*request) {
+// commitGroup commits a group in one transaction. If that fails without breaking the file, each request is committed alone,
+// so that one that cannot be made does not fail the others.
+func (d *DB) commitGroup(group []*request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	err := d.transact(group)
+	err := d.runTransaction(group)
 	if err != nil && len(group) > 1 && !errors.Is(err, ErrBroken) {
 		for _, r := range group {
-			r.err <- d.transact([]*request{r})
+			r.err <- d.runTransaction([]*request{r})
 		}
 		return
 	}
@@ -132,42 +141,43 @@
 	}
 }
 
-func (d *DB) transact(group []*request) error {
-	if b := d.broken.Load(); b != nil {
+// runTransaction commits a group in one transaction; nothing of it is made if it returns an error. d.mu is held.
+func (d *DB) runTransaction(group []*request) error {
+	if b := d.fault.Load(); b != nil {
 		return *b
 	}
-	if _, err := d.begin.Exec(nil); err != nil {
-		return d.failed(err)
+	if _, err := d.beginStmt.Exec(nil); err != nil {
+		return d.handleError(err)
 	}
 	if err := d.apply(group); err != nil {
-		return d.back(err)
+		return d.rollback(err)
 	}
-	if _, err := d.commit.Exec(nil); err != nil {
-		return d.back(err)
+	if _, err := d.commitStmt.Exec(nil); err != nil {
+		return d.rollback(err)
 	}
 	d.commits.Add(1)
-	if d.freed >= vacuumPages {
-		d.freed = 0
+	if d.deletedRows >= vacuumPages {
+		d.deletedRows = 0
 		if err := d.vacuum(); err != nil {
-			return nil // what was asked for is synced
+			return nil // the group is synced; the next vacuum is tried later
 		}
 	}
 	return nil
 }
 
+// apply executes the writes of a group in the open transaction.
 func (d *DB) apply(group []*request) error {
 	args := make([]driver.Value, 2)
 	for _, r := range group {
 		for _, w := range r.writes {
-			t := d.tables[w.Table]
-			if t == nil {
-				return errors.Mark(errors.Newf("table %q was not named when the file was opened", w.Table), ErrWrite)
+			t, err := d.table(w.Table)
+			if err != nil {
+				return err
 			}
-			var err error
 			args[0] = w.Key
 			if w.Value == nil {
 				_, err = t.del.Exec(args[:1])
-				d.freed++
+				d.deletedRows++
 			} else {
 				args[1] = w.Value
 				_, err = t.put.Exec(args)
@@ -180,8 +190,9 @@
 	return nil
 }
 
-func (d *DB) back(err error) error {
-	// A full disk has SQLite undo the transaction by itself; then there is none to undo.
-	_, _ = d.undo.Exec(nil)
-	return d.failed(err)
+// rollback ends the open transaction after an error and returns the error as handleError does.
+func (d *DB) rollback(err error) error {
+	// On a full disk SQLite has rolled back by itself; the statement then fails, which changes nothing.
+	_, _ = d.rollbackStmt.Exec(nil)
+	return d.handleError(err)
 }
--- a/internal/sqlitelog/disk_fault_test.go
+++ b/internal/sqlitelog/disk_fault_test.go
@@ -11,68 +11,68 @@
 	"github.com/cockroachdb/errors"
 )
 
-// giveUp bounds what would otherwise hang a test that fails.
-const giveUp = 20 * time.Second
+// hangTimeout bounds waits that would otherwise hang a failing test.
+const hangTimeout = 20 * time.Second
 
-// stall has the next commit of the file stop just before it goes to disk; begun tells that it stands there, goOn lets it and
-// all after it go on.
-func stall(t *testing.T, d *DB) (begun <-chan struct{}, goOn func()) {
+// stall blocks the next commit of the file just before it goes to disk. begun is closed once it is blocked; resume lets it and
+// all later ones proceed.
+func stall(t *testing.T, d *DB) (begun <-chan struct{}, resume func()) {
 	t.Helper()
-	stands, gate := make(chan struct{}), make(chan struct{})
+	blocked, gate := make(chan struct{}), make(chan struct{})
 	first := true
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.conn.RegisterCommitHook(func() int {
 		if first {
 			first = false
-			close(stands)
+			close(blocked)
 		}
 		<-gate
 		return 0
 	})
 	var opened bool
-	goOn = func() {
+	resume = func() {
 		if !opened {
 			opened = true
 			close(gate)
 		}
 	}
-	t.Cleanup(goOn) // before the file is closed
-	return stands, goOn
+	t.Cleanup(resume) // before the file is closed
+	return blocked, resume
 }
 
 func waitFor(t *testing.T, what string, c <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(giveUp):
-		t.Fatalf("not within %v: %s", giveUp, what)
+	case <-time.After(hangTimeout):
+		t.Fatalf("not within %v: %s", hangTimeout, what)
 	}
 }
 
-func unanswered(t *testing.T, p *Pending) {
+func requirePending(t *testing.T, p *Pending) {
 	t.Helper()
 	select {
 	case err := <-p.err:
-		t.Fatalf("answered while its commit stands: %v", err)
+		t.Fatalf("acknowledged while its commit is blocked: %v", err)
 	default:
 	}
 }
 
-// What waits for a disk that stands still is not acknowledged, and a kill at that moment leaves nothing of it; once the disk
-// goes on, all of it is.
-func TestNothingIsAcknowledgedWhileTheDiskStandsStill(t *testing.T) {
+// Writes that wait for a stalled disk are not acknowledged, and a kill at that moment leaves nothing of them; once the disk
+// resumes, all of them are made.
+func TestNoAcknowledgementWhileDiskIsStalled(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, 0)
 	must(t, d.Commit(context.Background(), put("a", "0", "v")))
-	begun, goOn := stall(t, d)
+	begun, resume := stall(t, d)
 	first := d.Submit(put("a", "1", "v"))
 	waitFor(t, "the commit begins", begun)
 	second := d.Submit(put("a", "2", "v"))
-	unanswered(t, first)
-	unanswered(t, second)
+	requirePending(t, first)
+	requirePending(t, second)
 	killed := copyFiles(t, dir, -1)
-	goOn()
+	resume()
 	must(t, first.Wait(context.Background()))
 	must(t, second.Wait(context.Background()))
 
@@ -81,52 +81,52 @@
 	defer again.Close()
 	for key, there := range map[string]bool{"0": true, "1": false, "2": false} {
 		if v, err := again.Get("a", []byte(key)); err != nil || (v != nil) != there {
-			t.Errorf("row %s after a kill while the disk stood still: %q %v", key, v, err)
+			t.Errorf("row %s after a kill while the disk was stalled: %q %v", key, v, err)
 		}
 	}
 }
 
-// Writes that find very many before them are refused at once: who submits holds a lock, and must not wait for the disk.
-func TestSubmitDoesNotWaitForADiskThatStandsStill(t *testing.T) {
+// Submit rejects writes at once where the queue is full: its caller holds a lock and must not wait for the disk.
+func TestSubmitDoesNotBlockOnStalledDisk(t *testing.T) {
 	d := open(t, t.TempDir(), 0)
-	begun, goOn := stall(t, d)
+	begun, resume := stall(t, d)
 	pending := []*Pending{d.Submit(put("a", "first", "v"))}
 	waitFor(t, "the commit begins", begun)
 	const more = 500
 	submitted := make(chan struct{})
 	go func() {
 		defer close(submitted)
-		for i := range groupRequests + more {
+		for i := range maxGroupRequests + more {
 			pending = append(pending, d.Submit(put("a", fmt.Sprint(i), "v")))
 		}
 	}()
-	waitFor(t, "writes are submitted while the disk stands still", submitted)
+	waitFor(t, "writes are submitted while the disk is stalled", submitted)
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	if err := d.Commit(ctx, put("a", "last", "v")); !errors.Is(err, context.Canceled) {
-		t.Errorf("a commit whose caller has left: %v", err)
+		t.Errorf("a commit whose context has ended: %v", err)
 	}
-	goOn()
-	taken, busy := 0, 0
+	resume()
+	committed, busy := 0, 0
 	for _, p := range pending {
 		switch err := p.Wait(context.Background()); {
 		case err == nil:
-			taken++
+			committed++
 		case errors.Is(err, ErrBusy):
 			busy++
 		default:
 			t.Fatal(err)
 		}
 	}
-	if taken != groupRequests+1 || busy != more {
-		t.Errorf("%d taken, %d refused as too many", taken, busy)
+	if committed != maxGroupRequests+1 || busy != more {
+		t.Errorf("%d committed, %d rejected as the queue was full", committed, busy)
 	}
 	must(t, d.Commit(context.Background(), put("a", "after", "v")))
 }
 
-// A file that takes no more pages refuses in a typed error and serves what it has; with room again it takes writes without
-// being opened anew.
-func TestFullFileGoesOnByItself(t *testing.T) {
+// A file that has reached its limit rejects writes with ErrFull and serves reads; with free space it takes writes again
+// without being reopened.
+func TestFullFileRecoversWithoutReopening(t *testing.T) {
 	ctx := context.Background()
 	d := open(t, t.TempDir(), 0)
 	must(t, d.Commit(ctx, put("a", "1", "one")))
@@ -138,21 +138,21 @@
 	pages(1) // as many as the file has
 	large := string(make([]byte, 100*pageSize))
 	if err := d.Commit(ctx, put("a", "2", large)); !errors.Is(err, ErrFull) {
-		t.Fatalf("a write beyond the room: %v", err)
+		t.Fatalf("a write beyond the limit: %v", err)
 	}
 	if v, err := d.Get("a", []byte("1")); err != nil || string(v) != "one" {
 		t.Errorf("read from a full file: %q %v", v, err)
 	}
 	if v, err := d.Get("a", []byte("2")); err != nil || v != nil {
-		t.Errorf("part of a refused write is there: %d bytes, %v", len(v), err)
+		t.Errorf("part of a rejected write is there: %d bytes, %v", len(v), err)
 	}
 	pages(unlimitedPages)
 	must(t, d.Commit(ctx, put("a", "2", large)))
 	must(t, d.Err())
 }
 
-// A file that has its tables is opened without a write, so that a process that was killed on a full disk starts and serves.
-func TestOpeningAgainWritesNothing(t *testing.T) {
+// A file that has its tables is opened without a write, so that a process that was killed on a full disk can start.
+func TestReopeningWritesNothing(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, 0)
 	must(t, d.Commit(context.Background(), put("a", "1", "v")))
@@ -160,7 +160,7 @@
 	killed := copyFiles(t, dir, -1)
 	d.mu.Unlock()
 	must(t, d.Close())
-	for what, dir := range map[string]string{"closed": dir, "killed": killed} {
+	for name, dir := range map[string]string{"closed": dir, "killed": killed} {
 		sizes := func() (all [2]int64) {
 			for i, name := range []string{"data.db", "data.db-wal"} {
 				if st, err := os.Stat(filepath.Join(dir, name)); err == nil {
@@ -170,26 +170,26 @@
 			return all
 		}
 		before := sizes()
-		again := open(t, dir, 0)
+		reopened := open(t, dir, 0)
 		if after := sizes(); after != before {
-			t.Errorf("%s: %d bytes of file and log before it was opened again, %d after", what, before, after)
+			t.Errorf("%s: %d bytes of file and log before it was reopened, %d after", name, before, after)
 		}
-		if v, err := again.Get("a", []byte("1")); err != nil || string(v) != "v" {
-			t.Errorf("%s: %q %v", what, v, err)
+		if v, err := reopened.Get("a", []byte("1")); err != nil || string(v) != "v" {
+			t.Errorf("%s: %q %v", name, v, err)
 		}
 	}
 }
 
-// The room that is left is what the file system has, where that is less than the limit leaves.
-func TestRoomIsBoundedByTheDisk(t *testing.T) {
+// The capacity left is what the file system has free, where that is less than the limit leaves.
+func TestCapacityIsBoundedByFreeDiskSpace(t *testing.T) {
 	d := open(t, t.TempDir(), 40<<20)
-	d.diskFree = func() int64 { return 1 << 40 }
+	d.freeBytes = func() int64 { return 1 << 40 }
 	left, most, err := d.Room()
 	must(t, err)
-	if most != 40<<20-reserve || left > most || left < most-100*pageSize {
+	if most != 40<<20-walReserve || left > most || left < most-100*pageSize {
 		t.Errorf("%d of %d left of an empty file", left, most)
 	}
-	d.diskFree = func() int64 { return 3 << 20 }
+	d.freeBytes = func() int64 { return 3 << 20 }
 	if left, _, err := d.Room(); err != nil || left < 3<<20 || left > 4<<20 {
 		t.Errorf("%d left on a disk with 3 MB: %v", left, err)
 	}
--- a/internal/sqlitelog/failure.go
+++ b/internal/sqlitelog/failure.go
@@ -7,39 +7,42 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-func (d *DB) failed(err error) error {
+// handleError marks an error of SQLite with its kind. Any that is neither ErrWrite nor ErrFull breaks the file for good: after
+// a failed sync it is not known what the disk has.
+func (d *DB) handleError(err error) error {
 	var s sqlite3.Error
 	switch {
 	case errors.Is(err, ErrWrite):
 		return err
-	case errors.As(err, &s) && noRoom(s):
+	case errors.As(err, &s) && isOutOfSpace(s):
 		return errors.Mark(errors.Wrap(err, "give the node more disk, or wait until old records expire"), ErrFull)
 	case errors.As(err, &s) && (s.Code == sqlite3.ErrTooBig || s.Code == sqlite3.ErrConstraint || s.Code == sqlite3.ErrMisuse):
 		return errors.Mark(err, ErrWrite)
 	}
 	err = errors.Mark(errors.Wrap(err, "disk failed: start the process again"), ErrBroken)
-	if d.broken.CompareAndSwap(nil, &err) {
-		close(d.failure)
+	if d.fault.CompareAndSwap(nil, &err) {
+		close(d.faulted)
 	}
 	return err
 }
 
-// noRoom tells whether a write was refused for want of room. SQLite says so itself of the end of the disk alone; a quota and a
-// limit on the size of files come as failed writes, which (unlike failed syncs) leave nothing in doubt.
-func noRoom(err sqlite3.Error) bool {
+// isOutOfSpace reports whether a write was refused for lack of space. SQLite has a code for the end of the disk only; a quota
+// and a limit on the size of files are failed writes, which unlike failed syncs leave nothing in doubt.
+func isOutOfSpace(err sqlite3.Error) bool {
 	if err.Code == sqlite3.ErrFull {
 		return true
 	}
 	return err.ExtendedCode == sqlite3.ErrIoErrWrite && (err.SystemErrno == syscall.EDQUOT || err.SystemErrno == syscall.EFBIG)
 }
 
-// Err tells why the file takes no writes any more: nil while it does.
+// Err returns the fault after which the file takes no writes any more, nil while it does.
 func (d *DB) Err() error {
-	if b := d.broken.Load(); b != nil {
+	if b := d.fault.Load(); b != nil {
 		return *b
 	}
 	return nil
 }
 
-// Failed is closed once Err has a cause: the process should end, as only a new start can tell what the disk holds.
-func (d *DB) Failed() <-chan struct{} { return d.failure }
+// Failed returns a channel that is closed once Err is not nil. The process should then end: only opening the file again
+// establishes what is on the disk.
+func (d *DB) Failed() <-chan struct{} { return d.faulted }
--- a/internal/sqlitelog/open.go
+++ b/internal/sqlitelog/open.go
@@ -16,10 +16,10 @@
 	"larchrouter/internal/files"
 )
 
-var nameShape = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
+var tableName = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
 
-// Open opens or makes a file in a folder, with the named tables (lower case). The file and its log take at most limit
-// bytes together (0: as many as the disk has); a write beyond it ends in ErrFull.
+// Open opens or creates a file in a folder, with the named tables (lower-case letters, digits and _). The file and its
+// write-ahead log take at most limit bytes together (0: no limit); a write beyond it fails with ErrFull.
 func Open(dir, file string, limit int64, tables ...string) (*DB, error) {
 	path, err := filepath.Abs(filepath.Join(dir, file))
 	if err != nil {
@@ -28,32 +28,32 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errors.Wrap(err, "data folder: make it writable")
 	}
-	// unix-excl keeps the index of the log in the process' own memory: there is no shared mapping.
+	// unix-excl keeps the index of the write-ahead log in the heap instead of a shared mapping.
 	dsn := (&url.URL{Scheme: "file", Path: path, RawQuery: "vfs=unix-excl"}).String()
 	c, err := (&sqlite3.SQLiteDriver{}).Open(dsn)
 	if err != nil {
 		return nil, errors.Wrapf(err, "open %s", file)
 	}
 	d := &DB{
-		conn:     c.(*sqlite3.SQLiteConn),
-		requests: make(chan *request, groupRequests),
-		stop:     make(chan struct{}),
-		done:     make(chan struct{}),
-		failure:  make(chan struct{}),
-		tables:   map[string]*table{},
-		diskFree: files.Dir(dir).Room,
+		conn:      c.(*sqlite3.SQLiteConn),
+		requests:  make(chan *request, maxGroupRequests),
+		stop:      make(chan struct{}),
+		done:      make(chan struct{}),
+		faulted:   make(chan struct{}),
+		tables:    map[string]*table{},
+		freeBytes: files.Dir(dir).Room,
 	}
 	if err := d.prepare(limit, tables); err != nil {
 		_ = d.conn.Close()
 		return nil, errors.Wrapf(err, "open %s", file)
 	}
-	go d.run()
+	go d.runWriter()
 	return d, nil
 }
 
 func (d *DB) prepare(limit int64, tables []string) error {
 	for _, t := range tables {
-		if !nameShape.MatchString(t) {
+		if !tableName.MatchString(t) {
 			return errors.Newf("table name %q: use lower-case letters, digits and _", t)
 		}
 	}
@@ -64,7 +64,7 @@
 		return err
 	}
 	if limit > 0 {
-		if err := d.exec(fmt.Sprintf("PRAGMA max_page_count=%d", (max(limit, least)-reserve)/pageSize)); err != nil {
+		if err := d.exec(fmt.Sprintf("PRAGMA max_page_count=%d", (max(limit, minLimit)-walReserve)/pageSize)); err != nil {
 			return err
 		}
 	}
@@ -74,13 +74,13 @@
 	return d.prepareStatements(tables)
 }
 
-// configure sets how the file is held and synced. What a file has already is not set again: that writes, which a full disk
-// refuses.
+// configure sets how the file is locked and synced. Properties that the file has already are not set again, as that writes,
+// which fails on a full disk.
 func (d *DB) configure() error {
 	if err := d.exec("PRAGMA locking_mode=EXCLUSIVE"); err != nil {
 		return err
 	}
-	vacuum, err := d.number("PRAGMA auto_vacuum")
+	vacuum, err := d.queryInt("PRAGMA auto_vacuum")
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		"PRAGMA journal_mode=WAL",
 		"PRAGMA synchronous=FULL",
 		fmt.Sprintf("PRAGMA wal_autocheckpoint=%d", walPages),
-		fmt.Sprintf("PRAGMA journal_size_limit=%d", reserve),
+		fmt.Sprintf("PRAGMA journal_size_limit=%d", walReserve),
 		"PRAGMA cache_size=-1024",
 		"PRAGMA temp_store=MEMORY",
 	} {
@@ -104,22 +104,24 @@
 	return nil
 }
 
-// createTables makes what the file lacks, its identity included, in one transaction that is synced.
+// createTables creates the missing tables, and the identity of a new file, in one transaction.
 func (d *DB) createTables(tables []string) error {
-	version, err := d.number("PRAGMA user_version")
+	version, err := d.queryInt("PRAGMA user_version")
 	if err != nil {
 		return err
 	}
 	if version > schemaVersion {
-		return errors.Mark(errors.Newf("its schema has version %d, this build knows %d: run the build that wrote it, or a newer one", version, schemaVersion), ErrNewer)
+		return errors.Mark(errors.Newf("its schema has version %d, this build knows %d: run the build that wrote it, or a newer one",
+			version, schemaVersion), ErrNewer)
 	}
 	statements := []string{"BEGIN IMMEDIATE"}
 	if version != schemaVersion {
 		statements = append(statements, fmt.Sprintf("PRAGMA user_version=%d", schemaVersion))
 	}
-	statements = append(statements, "CREATE TABLE IF NOT EXISTS datalogger_facts (k BLOB PRIMARY KEY NOT NULL, v BLOB NOT NULL) WITHOUT ROWID")
+	const columns = " (k BLOB PRIMARY KEY NOT NULL, v BLOB NOT NULL) WITHOUT ROWID"
+	statements = append(statements, "CREATE TABLE IF NOT EXISTS datalogger_facts"+columns)
 	for _, t := range tables {
-		statements = append(statements, "CREATE TABLE IF NOT EXISTS t_"+t+" (k BLOB PRIMARY KEY NOT NULL, v BLOB NOT NULL) WITHOUT ROWID")
+		statements = append(statements, "CREATE TABLE IF NOT EXISTS t_"+t+columns)
 	}
 	for _, q := range statements {
 		if err := d.exec(q); err != nil {
@@ -132,13 +134,14 @@
 	return d.exec("COMMIT")
 }
 
-// insertIdentity gives the file a random identity, unless it has one.
+// insertIdentity gives the file a random identity, unless it has one, and reports whether it did.
 func (d *DB) insertIdentity() (inserted bool, err error) {
 	id := make([]byte, 16)
 	if _, err := rand.Read(id); err != nil {
 		return false, err
 	}
-	r, err := d.conn.Exec("INSERT OR IGNORE INTO datalogger_facts(k,v) VALUES(?,?)", []driver.Value{[]byte(identityKey), []byte(hex.EncodeToString(id))})
+	row := []driver.Value{[]byte(identityKey), []byte(hex.EncodeToString(id))}
+	r, err := d.conn.Exec("INSERT OR IGNORE INTO datalogger_facts(k,v) VALUES(?,?)", row)
 	if err != nil {
 		return false, err
 	}
@@ -147,12 +150,12 @@
 }
 
 func (d *DB) readIdentity() error {
-	known, err := d.prepared("SELECT v FROM datalogger_facts WHERE k=?")
+	known, err := d.prepareStmt("SELECT v FROM datalogger_facts WHERE k=?")
 	if err != nil {
 		return err
 	}
 	defer known.Close()
-	v, err := first(known, []byte(identityKey))
+	v, err := getFirst(known, []byte(identityKey))
 	if err != nil {
 		return err
 	}
@@ -163,11 +166,11 @@
 func (d *DB) prepareStatements(tables []string) (err error) {
 	statement := func(q string) (s *sqlite3.SQLiteStmt) {
 		if err == nil {
-			s, err = d.prepared(q)
+			s, err = d.prepareStmt(q)
 		}
 		return s
 	}
-	d.begin, d.commit, d.undo = statement("BEGIN IMMEDIATE"), statement("COMMIT"), statement("ROLLBACK")
+	d.beginStmt, d.commitStmt, d.rollbackStmt = statement("BEGIN IMMEDIATE"), statement("COMMIT"), statement("ROLLBACK")
 	for _, t := range tables {
 		d.tables[t] = &table{
 			put:  statement("INSERT INTO t_" + t + "(k,v) VALUES(?,?) ON CONFLICT(k) DO UPDATE SET v=excluded.v"),
@@ -180,7 +183,7 @@
 	return err
 }
 
-func (d *DB) prepared(q string) (*sqlite3.SQLiteStmt, error) {
+func (d *DB) prepareStmt(q string) (*sqlite3.SQLiteStmt, error) {
 	s, err := d.conn.Prepare(q)
 	if err != nil {
 		return nil, err
@@ -190,7 +193,7 @@
 
 func (d *DB) exec(q string) error { _, err := d.conn.Exec(q, nil); return err }
 
-func (d *DB) number(q string) (int64, error) {
+func (d *DB) queryInt(q string) (int64, error) {
 	rows, err := d.conn.Query(q, nil)
 	if err != nil {
 		return 0, err
--- a/internal/sqlitelog/read.go
+++ b/internal/sqlitelog/read.go
@@ -8,8 +8,17 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// first gives the first column of the first row, nil if there is none.
-func first(s *sqlite3.SQLiteStmt, key []byte) ([]byte, error) {
+// table returns a table's statements.
+func (d *DB) table(name string) (*table, error) {
+	t := d.tables[name]
+	if t == nil {
+		return nil, errors.Mark(errors.Newf("table %q was not named when the file was opened", name), ErrWrite)
+	}
+	return t, nil
+}
+
+// getFirst returns the first column of the first row of a query by key, nil if there is no row.
+func getFirst(s *sqlite3.SQLiteStmt, key []byte) ([]byte, error) {
 	rows, err := s.Query([]driver.Value{key})
 	if err != nil {
 		return nil, err
@@ -29,21 +38,21 @@
 	return v, nil
 }
 
-// GetMany gives the values of some keys, nil for one that has none, under one hold of the file: of the first keys only
-// where their values are more than most bytes together.
+// GetMany returns the values of keys, nil for a key that has none, under one lock of the connection. It stops once the values
+// have more than most bytes together, so that it may return fewer values than keys, but at least one.
 func (d *DB) GetMany(table string, keys [][]byte, most int) ([][]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return nil, ErrClosed
 	}
-	t := d.tables[table]
-	if t == nil {
-		return nil, errors.Mark(errors.Newf("table %q was not named when the file was opened", table), ErrWrite)
+	t, err := d.table(table)
+	if err != nil {
+		return nil, err
 	}
 	values := make([][]byte, 0, len(keys))
 	for size := 0; len(values) < len(keys) && size <= most; {
-		v, err := first(t.get, keys[len(values)])
+		v, err := getFirst(t.get, keys[len(values)])
 		if err != nil {
 			return nil, err
 		}
@@ -53,28 +62,28 @@
 	return values, nil
 }
 
-// Get gives the value of a key, nil if it has none. A stored empty value is not nil.
+// Get returns the value of a key, nil if it has none. A stored empty value is not nil.
 func (d *DB) Get(table string, key []byte) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return nil, ErrClosed
 	}
-	t := d.tables[table]
-	if t == nil {
-		return nil, errors.Mark(errors.Newf("table %q was not named when the file was opened", table), ErrWrite)
+	t, err := d.table(table)
+	if err != nil {
+		return nil, err
 	}
-	return first(t.get, key)
+	return getFirst(t.get, key)
 }
 
-// Range calls f for each row from the key from on and before the key to (nil: to the end), in order. f may keep what it
-// is given and may call the DB. Writes made meanwhile may be seen or not.
+// Range calls f for each row of a table with from <= key < to, in the order of the keys; a nil from or to is no bound. f may
+// keep the slices and may call the DB: no lock is held. Rows that are written concurrently may be included or not.
 func (d *DB) Range(table string, from, to []byte, f func(key, value []byte) error) error {
 	if from == nil {
 		from = []byte{}
 	}
 	for {
-		keys, values, err := d.page(table, from, to)
+		keys, values, err := d.readPage(table, from, to)
 		if err != nil {
 			return err
 		}
@@ -91,15 +100,16 @@
 	}
 }
 
-func (d *DB) page(table string, from, to []byte) (keys, values [][]byte, err error) {
+// readPage returns the next rows of a range, about pageBytes of them at most.
+func (d *DB) readPage(table string, from, to []byte) (keys, values [][]byte, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		return nil, nil, ErrClosed
 	}
-	t := d.tables[table]
-	if t == nil {
-		return nil, nil, errors.Mark(errors.Newf("table %q was not named when the file was opened", table), ErrWrite)
+	t, err := d.table(table)
+	if err != nil {
+		return nil, nil, err
 	}
 	s, args := t.tail, []driver.Value{from}
 	if to != nil {
@@ -111,7 +121,7 @@
 	}
 	defer rows.Close()
 	row := make([]driver.Value, 2)
-	for size := 0; len(keys) < rangeRows && size < rangeBytes; {
+	for size := 0; len(keys) < pageRows && size < pageBytes; {
 		if err := rows.Next(row); err == io.EOF {
 			break
 		} else if err != nil {
--- a/internal/sqlitelog/sqlitelog_test.go
+++ b/internal/sqlitelog/sqlitelog_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestReadsBackWhatWasCommitted(t *testing.T) {
+func TestReadsReturnCommittedWrites(t *testing.T) {
 	dir := t.TempDir()
 	ctx := context.Background()
 	d := open(t, dir, 0)
@@ -52,7 +52,7 @@
 	must(t, d.Commit(ctx, append(put("a", "2", "two"), put("a", "3", "")...)))
 	must(t, d.Commit(ctx, append(put("a", "1", "ONE"), Write{Table: "a", Key: []byte("2")})))
 	must(t, d.Close())
-	if err := d.Commit(ctx, put("a", "1", "late")); !errors.Is(err, ErrClosed) {
+	if err := d.Commit(ctx, put("a", "1", "after close")); !errors.Is(err, ErrClosed) {
 		t.Fatalf("commit after close: %v", err)
 	}
 	d = open(t, dir, 0)
@@ -68,16 +68,18 @@
 		t.Fatalf("deleted key: %q %v", v, err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "data.db-shm")); !os.IsNotExist(err) {
-		t.Fatalf("a file of shared memory is there: %v", err)
+		t.Fatalf("a shared-memory file is there: %v", err)
 	}
 }
 
-func TestFileIsSyncedAndOurs(t *testing.T) {
+func TestFileIsSyncedAndLockedExclusively(t *testing.T) {
 	d := open(t, t.TempDir(), 0)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for q, want := range map[string]int64{"PRAGMA synchronous": 2, "PRAGMA auto_vacuum": 2, "PRAGMA wal_autocheckpoint": walPages, "PRAGMA user_version": schemaVersion} {
-		if n, err := d.number(q); err != nil || n != want {
+	for q, want := range map[string]int64{
+		"PRAGMA synchronous": 2, "PRAGMA auto_vacuum": 2, "PRAGMA wal_autocheckpoint": walPages, "PRAGMA user_version": schemaVersion,
+	} {
+		if n, err := d.queryInt(q); err != nil || n != want {
 			t.Errorf("%s: %d %v", q, n, err)
 		}
 	}
@@ -109,7 +111,7 @@
 				t.Fatalf("row %q %q, want %d", k, v, next)
 			}
 			next, n = next+1, n+1
-			_, err := d.Get("a", k) // may be called from within
+			_, err := d.Get("a", k) // may be called from f
 			return err
 		}))
 		if n != c.many {
@@ -139,11 +141,11 @@
 	}
 }
 
-func TestManyWritersShareSyncs(t *testing.T) {
+func TestConcurrentWritesShareSyncs(t *testing.T) {
 	d := open(t, t.TempDir(), 0)
 	before := d.Commits()
 	var pending []*Pending
-	d.mu.Lock() // the writer waits, as it does on a slow disk
+	d.mu.Lock() // the writer is blocked, as on a slow disk
 	for i := range 400 {
 		pending = append(pending, d.Submit(put("a", fmt.Sprint(i), "v")))
 	}
@@ -161,7 +163,7 @@
 	}
 }
 
-func TestOneBadWriteFailsAlone(t *testing.T) {
+func TestInvalidWriteFailsAlone(t *testing.T) {
 	d := open(t, t.TempDir(), 0)
 	d.mu.Lock()
 	good := d.Submit(put("a", "1", "v"))
@@ -171,15 +173,15 @@
 	must(t, good.Wait(context.Background()))
 	must(t, also.Wait(context.Background()))
 	if err := bad.Wait(context.Background()); !errors.Is(err, ErrWrite) {
-		t.Fatalf("bad write: %v", err)
+		t.Fatalf("invalid write: %v", err)
 	}
 	if v, err := d.Get("a", []byte("2")); v != nil || err != nil {
-		t.Fatalf("half of a bad write is there: %q %v", v, err)
+		t.Fatalf("part of an invalid write is there: %q %v", v, err)
 	}
 	must(t, d.Err())
 }
 
-func TestFullFileRefusesPlainlyAndGivesSpaceBack(t *testing.T) {
+func TestFullFileRejectsWritesAndReturnsSpace(t *testing.T) {
 	dir := t.TempDir()
 	ctx := context.Background()
 	d := open(t, dir, 12<<20)
@@ -216,7 +218,7 @@
 		w = append(w, Write{Table: "a", Key: fmt.Append(nil, 1000+i)})
 	}
 	must(t, d.Commit(ctx, w)) // deleting needs no room
-	for range 12 {            // what is free goes back as others come and go
+	for range 12 {            // free pages are returned as rows are added and deleted
 		var in, out []Write
 		for i := range vacuumPages {
 			in, out = append(in, put("b", fmt.Sprint(i), "v")...), append(out, Write{Table: "b", Key: fmt.Append(nil, i)})
@@ -228,11 +230,11 @@
 	st, err := os.Stat(filepath.Join(dir, "data.db"))
 	must(t, err)
 	if st.Size() > 1<<20 {
-		t.Fatalf("%d bytes are kept of an empty file", st.Size())
+		t.Fatalf("%d bytes are left of an empty file", st.Size())
 	}
 }
 
-func TestNewerSchemaIsRefused(t *testing.T) {
+func TestNewerSchemaIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, 0)
 	must(t, d.exec(fmt.Sprintf("PRAGMA user_version=%d", schemaVersion+1)))
@@ -242,19 +244,19 @@
 	}
 }
 
-func TestFailedDiskIsNotTrusted(t *testing.T) {
+func TestFileIsBrokenAfterFailedSync(t *testing.T) {
 	d := open(t, t.TempDir(), 0)
 	must(t, d.Commit(context.Background(), put("a", "1", "v")))
 	d.mu.Lock()
 	broken := errors.New("sync failed")
-	_ = d.failed(broken)
+	_ = d.handleError(broken)
 	d.mu.Unlock()
 	if err := d.Commit(context.Background(), put("a", "2", "v")); !errors.Is(err, ErrBroken) || d.Err() == nil {
 		t.Fatalf("after a failed sync: %v", err)
 	}
 }
 
-// copyFiles copies a folder's files as they stand, the log only up to a length (below 0: whole).
+// copyFiles copies a folder's files, the write-ahead log only up to a length (below 0: completely).
 func copyFiles(t *testing.T, from string, wal int64) string {
 	t.Helper()
 	to := t.TempDir()
@@ -269,21 +271,21 @@
 	return to
 }
 
-func has(t *testing.T, dir string, rows int) {
+func requireRows(t *testing.T, dir string, rows int) {
 	t.Helper()
 	d, err := Open(dir, "data.db", 0, "a", "b")
 	must(t, err)
 	defer d.Close()
 	for i := range rows {
 		if v, err := d.Get("a", fmt.Append(nil, i)); err != nil || len(v) == 0 {
-			t.Fatalf("row %d of %d that were acknowledged: %q %v", i, rows, v, err)
+			t.Fatalf("acknowledged row %d of %d: %q %v", i, rows, v, err)
 		}
 	}
 }
 
-// A process that is killed after any commit has all that it acknowledged; bytes that were written after that sync may
-// be there, torn, or not.
-func TestKilledAtAnyCommitKeepsWhatWasAcknowledged(t *testing.T) {
+// After a kill following any commit, the file has all acknowledged writes; bytes that were written after that sync may be
+// there, torn, or missing.
+func TestKillAtAnyCommitKeepsAcknowledgedWrites(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -307,23 +309,23 @@
 		after, err := os.ReadFile(filepath.Join(dir, "data.db"))
 		must(t, err)
 		var cut string
-		if grew > 0 && bytes.Equal(before, after) { // no checkpoint between: the tail is what the last commit wrote
+		if grew > 0 && bytes.Equal(before, after) { // no checkpoint in between: the tail is what the last commit wrote
 			cut = copyFiles(t, dir, synced+rng.Int64N(grew))
 			torn++
 		}
 		d.mu.Unlock()
-		has(t, killed, i+1)
+		requireRows(t, killed, i+1)
 		if cut != "" {
-			has(t, cut, i)
+			requireRows(t, cut, i)
 		}
 	}
 	if torn == 0 {
-		t.Fatal("no log was torn")
+		t.Fatal("no write-ahead log was torn")
 	}
 }
 
-// The file behaves as maps do, across any number of openings.
-func TestBehavesAsAMap(t *testing.T) {
+// A table behaves like a map, across any number of openings.
+func TestBehavesLikeMap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
 		must(t, err)
--- a/internal/sqlitelog/write_error_test.go
+++ b/internal/sqlitelog/write_error_test.go
@@ -25,10 +25,10 @@
 	must(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &l))
 }
 
-// A write that the system refuses for a bound on space which is not the disk's end (a quota, a limit on files) is a refusal for
-// want of room: nothing of it is there, reads are served, and writes go on once there is room, without another start. The
-// process limits the size of its own files, and so runs alone.
-func TestWriteRefusedForABoundOnSpace(t *testing.T) {
+// A write that the system rejects for a limit other than the end of the disk (a quota, a limit on the size of files) is
+// ErrFull: nothing of it is made, reads are served, and writes succeed once there is space, without reopening. The test
+// limits the size of all files of its process, so it runs in a child process.
+func TestWriteBeyondFileSizeLimitIsErrFull(t *testing.T) {
 	if os.Getenv(limitedProcess) == "" {
 		child := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
 		child.Env = append(os.Environ(), limitedProcess+"=1")
@@ -52,7 +52,7 @@
 		}
 	}
 	if v, err := d.Get("a", []byte("1")); err != nil || string(v) != "one" {
-		t.Errorf("read while writes are refused: %q %v", v, err)
+		t.Errorf("read while writes are rejected: %q %v", v, err)
 	}
 	limitFiles(t, unix.RLIM_INFINITY)
 	must(t, d.Commit(ctx, put("a", "2", large)))
@@ -61,7 +61,7 @@
 	again := open(t, dir, 0)
 	for key, want := range map[string]string{"1": "one", "2": large} {
 		if v, err := again.Get("a", []byte(key)); err != nil || string(v) != want {
-			t.Errorf("row %s after another start: %d bytes, %v", key, len(v), err)
+			t.Errorf("row %s after reopening: %d bytes, %v", key, len(v), err)
 		}
 	}
 }
--- a/internal/tier/budget/ledger.go
+++ b/internal/tier/budget/ledger.go
@@ -1,5 +1,8 @@
-// Package budget is a grow-only ledger of token budgets: a state-based replicated set (CRDT) of the turns of one program, each
-// reserved at its most and later settled at what was handed out. It is pure; copies in any order join to the same ledger.
+// Package budget implements the grow-only ledger of a program's token budget: a state-based CRDT that maps each turn
+// of one program to its reservation or, once the turn has ended, to its settlement.
+//
+// Merging is commutative, associative and idempotent, so that replicas which receive the same entries in any order,
+// and more than once, converge to the same ledger. The package is pure: no I/O, no clock, no goroutines.
 package budget
 
 import (
@@ -9,48 +12,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is one turn: open at its most, or settled at what was used.
+// Entry is the budget entry of one turn.
 type Entry struct {
-	Turn    string
-	Tokens  int
-	Settled bool
+	Turn    string // identifier of the turn
+	Tokens  int    // reserved at most while open, used once settled
+	Settled bool   // whether the turn has ended and Tokens is final
 }
 
-// Join gives what two copies of one turn's entry say together: settled wins over open, of two alike the larger.
-func (entry Entry) Join(other Entry) Entry {
-	if entry.Settled != other.Settled {
+// Join returns the least upper bound of two entries of the same turn: a settled entry supersedes an open one, and of
+// two entries in the same state the one with more tokens wins.
+func (e Entry) Join(other Entry) Entry {
+	if e.Settled != other.Settled {
 		if other.Settled {
 			return other
 		}
-		return entry
+		return e
 	}
-	entry.Tokens = max(entry.Tokens, other.Tokens)
-	return entry
+	e.Tokens = max(e.Tokens, other.Tokens)
+	return e
 }
 
-func (entry Entry) hash() uint64 {
-	n := uint64(entry.Tokens) << 1
-	if entry.Settled {
+func (e Entry) hash() uint64 {
+	n := uint64(e.Tokens) << 1
+	if e.Settled {
 		n |= 1
 	}
-	// Mixed, so that exclusive or over entries tells ledgers apart.
-	h := xxhash.Sum64String(entry.Turn) + n*0x9e3779b97f4a7c15
+	// The mixing makes the exclusive or over all entries depend on each of them.
+	h := xxhash.Sum64String(e.Turn) + n*0x9e3779b97f4a7c15
 	h ^= h >> 32
 	h *= 0xd6e8feb86659fd93
 	return h ^ h>>32
 }
 
-// Ledger is that of one program. The zero value is empty. It is not safe for concurrent use.
+// Ledger is the set of entries of one program. The zero value is empty. It is not safe for concurrent use.
 type Ledger struct {
-	entries []Entry // by turn
-	sum     int
-	unsettled    int
-	digest  uint64
+	entries   []Entry // ordered by turn, one entry a turn
+	sum       int     // of the entries' tokens
+	unsettled int     // entries that are not settled
+	digest    uint64  // exclusive or of the entries' hashes
 }
 
-// Add joins one entry in and gives what the turn's entry is then.
+// Add joins an entry into the ledger. It returns the resulting entry of the turn and whether the ledger changed.
 func (l *Ledger) Add(e Entry) (now Entry, changed bool) {
-	i, found := slices.BinarySearchFunc(l.entries, e.Turn, func(a Entry, t string) int { return cmp.Compare(a.Turn, t) })
+	i, found := l.search(e.Turn)
 	if !found {
 		l.entries = slices.Insert(l.entries, i, e)
 		l.account(e, 1)
@@ -67,6 +71,12 @@
 	return now, true
 }
 
+// search returns the index of a turn's entry, or the index at which it would be inserted.
+func (l *Ledger) search(turn string) (i int, found bool) {
+	return slices.BinarySearchFunc(l.entries, turn, func(e Entry, turn string) int { return cmp.Compare(e.Turn, turn) })
+}
+
+// account adds an entry to the derived fields (sign 1) or removes it from them (sign -1).
 func (l *Ledger) account(e Entry, sign int) {
 	l.sum += sign * e.Tokens
 	if !e.Settled {
@@ -75,7 +85,8 @@
 	l.digest ^= e.hash()
 }
 
-// Merge joins entries in that are ordered by turn, as Entries gives them.
+// Merge joins a list of entries into the ledger. A list in the order of Entries is merged in linear time; any other
+// order is correct as well.
 func (l *Ledger) Merge(other []Entry) {
 	if len(other) == 0 || slices.Equal(l.entries, other) {
 		return
@@ -86,15 +97,24 @@
 		}
 		return
 	}
-	merged := make([]Entry, 0, len(l.entries)+len(other))
+	merged := mergeSorted(l.entries, other)
+	*l = Ledger{entries: merged}
+	for _, e := range merged {
+		l.account(e, 1)
+	}
+}
+
+// mergeSorted joins two lists that are ordered by turn; other may have several entries of a turn.
+func mergeSorted(entries, other []Entry) []Entry {
+	merged := make([]Entry, 0, len(entries)+len(other))
 	i := 0
 	for _, e := range other {
-		for i < len(l.entries) && l.entries[i].Turn < e.Turn {
-			merged = append(merged, l.entries[i])
+		for i < len(entries) && entries[i].Turn < e.Turn {
+			merged = append(merged, entries[i])
 			i++
 		}
-		if i < len(l.entries) && l.entries[i].Turn == e.Turn {
-			e = l.entries[i].Join(e)
+		if i < len(entries) && entries[i].Turn == e.Turn {
+			e = entries[i].Join(e)
 			i++
 		}
 		if n := len(merged); n > 0 && merged[n-1].Turn == e.Turn {
@@ -103,36 +123,33 @@
 		}
 		merged = append(merged, e)
 	}
-	merged = append(merged, l.entries[i:]...)
-	*l = Ledger{entries: merged}
-	for _, e := range merged {
-		l.account(e, 1)
-	}
+	return append(merged, entries[i:]...)
 }
 
-// Entries are all entries ordered by turn; the slice stays the ledger's.
+// Entries returns all entries, ordered by turn. The slice belongs to the ledger: callers must not modify it, and it is
+// valid until the next Add or Merge.
 func (l *Ledger) Entries() []Entry { return l.entries }
 
-// Get gives the entry of a turn.
+// Get returns the entry of a turn.
 func (l *Ledger) Get(turn string) (Entry, bool) {
-	i, found := slices.BinarySearchFunc(l.entries, turn, func(a Entry, t string) int { return cmp.Compare(a.Turn, t) })
+	i, found := l.search(turn)
 	if !found {
 		return Entry{}, false
 	}
 	return l.entries[i], true
 }
 
-// Len is how many turns the ledger has.
+// Len returns the number of turns in the ledger.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// Open is how many turns are not settled.
+// Open returns the number of turns that are not settled.
 func (l *Ledger) Open() int { return l.unsettled }
 
-// Sum is what is spent at most: settled turns at what they used, open ones at their most.
+// Sum returns an upper bound of the tokens spent: settled turns count what they used, open turns what they reserved.
 func (l *Ledger) Sum() int { return l.sum }
 
-// Fits tells whether all turns together keep within a budget.
+// Fits reports whether Sum is within a budget.
 func (l *Ledger) Fits(budget int) bool { return l.sum <= budget }
 
-// Digest tells ledgers apart that differ; equal ledgers have the same.
+// Digest returns a hash of the entries: equal ledgers have equal digests, different ledgers differ with high probability.
 func (l *Ledger) Digest() uint64 { return l.digest }
--- a/internal/tier/budget/ledger_test.go
+++ b/internal/tier/budget/ledger_test.go
@@ -30,19 +30,20 @@
 	}
 }
 
-// Merging is commutative, associative and idempotent, whatever way the entries come.
+// Merging is a join, whether entries are merged in order, one by one, or unordered with duplicates.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawEntries(t, "a"), drawEntries(t, "b"), drawEntries(t, "c")
 		merge := func(to *Ledger, from *Ledger) *Ledger { to.Merge(from.Entries()); return to }
 		requireEqual(t, "commutative", merge(ledgerOf(a), ledgerOf(b)), merge(ledgerOf(b), ledgerOf(a)))
-		requireEqual(t, "associative", merge(merge(ledgerOf(a), ledgerOf(b)), ledgerOf(c)), merge(ledgerOf(a), merge(ledgerOf(b), ledgerOf(c))))
+		requireEqual(t, "associative",
+			merge(merge(ledgerOf(a), ledgerOf(b)), ledgerOf(c)), merge(ledgerOf(a), merge(ledgerOf(b), ledgerOf(c))))
 		requireEqual(t, "idempotent", merge(ledgerOf(a), ledgerOf(a)), ledgerOf(a))
-		requireEqual(t, "again", merge(merge(ledgerOf(a), ledgerOf(b)), ledgerOf(b)), merge(ledgerOf(a), ledgerOf(b)))
+		requireEqual(t, "repeated merge", merge(merge(ledgerOf(a), ledgerOf(b)), ledgerOf(b)), merge(ledgerOf(a), ledgerOf(b)))
 		requireEqual(t, "one by one", merge(ledgerOf(a), ledgerOf(b)), ledgerOf(a, b))
-		loose := ledgerOf(a)
-		loose.Merge(b) // in no order and with a turn more than once
-		requireEqual(t, "loose", loose, ledgerOf(a, b))
+		unordered := ledgerOf(a)
+		unordered.Merge(b) // unordered, with several entries of a turn
+		requireEqual(t, "unordered", unordered, ledgerOf(a, b))
 	})
 }
 
@@ -52,22 +53,23 @@
 		l := ledgerOf(list)
 		want := 0
 		for _, id := range []string{"a", "b", "c", "dd", ""} {
-			most, used, settled := 0, 0, false
+			reserved, used, settled := 0, 0, false
 			for _, e := range list {
 				switch {
 				case e.Turn != id:
 				case e.Settled:
 					settled, used = true, max(used, e.Tokens)
 				default:
-					most = max(most, e.Tokens)
+					reserved = max(reserved, e.Tokens)
 				}
 			}
+			tokens := reserved
 			if settled {
-				most = used
+				tokens = used
 			}
-			want += most
-			if e, ok := l.Get(id); ok && (e.Tokens != most || e.Settled != settled) {
-				t.Fatalf("turn %q: %+v, want %d %v", id, e, most, settled)
+			want += tokens
+			if e, ok := l.Get(id); ok && (e.Tokens != tokens || e.Settled != settled) {
+				t.Fatalf("turn %q: %+v, want %d %v", id, e, tokens, settled)
 			}
 		}
 		if l.Sum() != want || !l.Fits(want) || l.Fits(want-1) {
@@ -79,8 +81,8 @@
 func TestDigestsDifferExactlyWhereLedgersDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := ledgerOf(drawEntries(t, "a")), ledgerOf(drawEntries(t, "b"))
-		if alike := slices.Equal(a.Entries(), b.Entries()); alike != (a.Digest() == b.Digest()) {
-			t.Fatalf("%+v and %+v: alike %v", a, b, alike)
+		if equal := slices.Equal(a.Entries(), b.Entries()); equal != (a.Digest() == b.Digest()) {
+			t.Fatalf("%+v and %+v: equal %v", a, b, equal)
 		}
 	})
 }
--- a/internal/tier/turnstore/anti_entropy.go
+++ b/internal/tier/turnstore/anti_entropy.go
@@ -11,57 +11,42 @@
 )
 
 const (
-	maxKeysPerPage     = 2000    // of one page
-	maxStatesPerCall   = 200     // keys asked for at once
-	maxStateBytes   = 1 << 20 // of one answer, about
-	maxBodiesPerCall   = 1000    // turns asked for at once
-	maxBodyBytes    = 1 << 20 // of one answer, about
-	sweepCallTimeout    = 700 * time.Millisecond
-	bodiesCallTimeout = 3 * time.Second
-	peerFailureBackoff  = 10 * time.Second       // a peer that failed is asked last for so long
-	sweepRetryDelay   = 100 * time.Millisecond // after a round in which a store did not answer
-	catchUpRetryDelay = 400 * time.Millisecond // after a start, while too few answer
-	maxCatchUpAttempts = 20
-	placementPollInterval    = 100 * time.Millisecond // at the placement, where its changes are not told
-	antiEntropyInterval   = 10 * time.Second       // anti-entropy with one other store
-	repairDelay  = 250 * time.Millisecond // a write may be on its way
+	maxKeysPerPage        = 2000                   // digests in one reply
+	maxStatesPerCall      = 200                    // keys in one call
+	maxStateBytes         = 1 << 20                // in one reply, about
+	maxBodiesPerCall      = 1000                   // turns in one call
+	maxBodyBytes          = 1 << 20                // in one reply, about
+	sweepCallTimeout      = 700 * time.Millisecond // of calls for digests
+	bodiesCallTimeout     = 3 * time.Second        // of calls for states and bodies
+	peerFailureBackoff    = 10 * time.Second       // for which a sweep avoids a peer that failed
+	sweepRetryDelay       = 100 * time.Millisecond // after an incomplete sweep
+	catchUpRetryDelay     = 400 * time.Millisecond // after a start, while too few peers respond
+	maxCatchUpAttempts    = 20
+	placementPollInterval = 100 * time.Millisecond // where ServerOptions.Changed is nil
+	antiEntropyInterval   = 10 * time.Second       // between comparisons with one random peer, jittered
+	repairDelay           = 250 * time.Millisecond // after a repair notice: the write that was missed may be in flight
 )
 
-// runAntiEntropy brings the copies together: a whole sweep for each new placement, repairs, and a look at one other store
-// now and then.
+// antiEntropySchedule is when a store compares itself with its peers.
+type antiEntropySchedule struct {
+	caughtUp    bool // with what happened before the start
+	attempts    int  // to catch up
+	nextCompare time.Time
+}
+
+// runAntiEntropy brings the replicas together until ctx ends: a sweep under each new generation, a comparison with all
+// peers after a start, periodic comparisons with one random peer, and repairs.
 func (s *Server) runAntiEntropy(ctx context.Context) {
 	var changed <-chan struct{}
-	caught, tries := false, 0 // up with what happened before the start
-	next := s.Now()
+	schedule := antiEntropySchedule{nextCompare: s.Now()}
 	for ctx.Err() == nil {
-		if s.Changed != nil {
-			changed = s.Changed()
-		}
-		p := s.Placement()
 		pause := placementPollInterval
 		if s.Changed != nil {
+			changed = s.Changed()
 			pause = antiEntropyInterval
 		}
-		switch {
-		case !s.isPlaced(p):
-		case s.needsSweep(p):
-			if s.sweep(ctx, p) {
-				caught, next = true, s.Now().Add(jitter(antiEntropyInterval))
-			} else {
-				pause = sweepRetryDelay
-			}
-		case !caught:
-			if tries++; s.compareWithAll(ctx, p) > p.FaultTolerance && tries < maxCatchUpAttempts {
-				pause = catchUpRetryDelay
-				break
-			}
-			caught, next = true, s.Now().Add(jitter(antiEntropyInterval))
-		default:
-			if all := p.Stores(); !s.Now().Before(next) {
-				_ = s.compare(ctx, p, all[rand.IntN(len(all))])
-				next = s.Now().Add(jitter(antiEntropyInterval))
-			}
-			pause = min(pause, max(next.Sub(s.Now()), time.Millisecond))
+		if p := s.Placement(); s.isPlaced(p) {
+			pause = s.synchronize(ctx, p, &schedule, pause)
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -75,25 +60,52 @@
 	}
 }
 
-// isPlaced tells whether a placement names this store.
+// synchronize does what is due under a placement. It returns the pause until the next call: the given one, or a shorter one
+// where an attempt failed or the next comparison is due before.
+func (s *Server) synchronize(ctx context.Context, p *Placement, schedule *antiEntropySchedule,
+	pause time.Duration) time.Duration {
+	switch {
+	case s.needsSweep(p):
+		if !s.sweep(ctx, p) {
+			return sweepRetryDelay
+		}
+		schedule.caughtUp, schedule.nextCompare = true, s.Now().Add(jitter(antiEntropyInterval))
+	case !schedule.caughtUp:
+		schedule.attempts++
+		if s.compareWithAll(ctx, p) > p.FaultTolerance && schedule.attempts < maxCatchUpAttempts {
+			return catchUpRetryDelay
+		}
+		schedule.caughtUp, schedule.nextCompare = true, s.Now().Add(jitter(antiEntropyInterval))
+	default:
+		if all := p.Stores(); !s.Now().Before(schedule.nextCompare) {
+			_ = s.compare(ctx, p, all[rand.IntN(len(all))])
+			schedule.nextCompare = s.Now().Add(jitter(antiEntropyInterval))
+		}
+		return min(pause, max(schedule.nextCompare.Sub(s.Now()), time.Millisecond))
+	}
+	return pause
+}
+
+// isPlaced reports whether a placement lists this store.
 func (s *Server) isPlaced(p *Placement) bool {
 	return p != nil && slices.ContainsFunc(p.Stores(), func(o Store) bool { return o.ID == s.id })
 }
 
-// compareWithAll brings in what all other stores have, and tells how many could not be asked.
-func (s *Server) compareWithAll(ctx context.Context, p *Placement) (silent int) {
+// compareWithAll compares with all peers and returns how many failed.
+func (s *Server) compareWithAll(ctx context.Context, p *Placement) (failed int) {
 	for _, peer := range p.Stores() {
 		if s.compare(ctx, p, peer) != nil {
-			silent++
+			failed++
 		}
 	}
-	return silent
+	return failed
 }
 
+// jitter returns a random duration of three to five quarters of d.
 func jitter(d time.Duration) time.Duration { return d*3/4 + rand.N(d/2) }
 
-// needsSweep tells whether the store is to sweep: while joint all of the new list; then those that the change did not wait
-// for, or whose placement was founded above theirs.
+// needsSweep reports whether the store must sweep: while joint, all stores of the new list must; while stable, those
+// that the change did not wait for, and those whose placement was founded above their generation.
 func (s *Server) needsSweep(p *Placement) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,26 +116,27 @@
 	return s.sweptGeneration < p.Generation && slices.ContainsFunc(list, func(o Store) bool { return o.ID == s.id })
 }
 
-// sweep takes over from the stores of the old list what this store should hold by the new one; it tells whether that
-// is complete. What was pulled in a round before is not pulled again.
+// sweep fetches from the stores of the old list all that this store must have as a replica by the new one. It reports
+// whether that is complete: all but FaultTolerance peers were pulled from, after they adopted the generation, and all is
+// on disk. Peers that were pulled from in an earlier attempt of the same phase are not pulled from again.
 func (s *Server) sweep(ctx context.Context, p *Placement) bool {
 	s.sweepMu.Lock()
 	defer s.sweepMu.Unlock()
-	r := &s.progress
-	r.begin(p)
+	progress := &s.progress
+	progress.begin(p)
 	for ctx.Err() == nil {
-		peer, more := r.nextPeer(p, s.id, s.Now())
+		peer, more := progress.nextPeer(p, s.id, s.Now())
 		if !more {
 			break
 		}
 		err := s.pullKeys(ctx, p, peer, nil, true)
-		r.record(peer.ID, err == nil, s.Now())
+		progress.record(peer.ID, err == nil, s.Now())
 		if err != nil && !errors.Is(err, ErrPlacementBehind) {
 			_ = s.Log.Log("sweep", peer.Name, "gen", p.Generation, "err", err)
 		}
 	}
-	missed := r.missed(p, s.id)
-	r.retryFailed()
+	missed := progress.missed(p, s.id)
+	progress.retryFailed()
 	if missed > p.FaultTolerance || ctx.Err() != nil {
 		return false
 	}
@@ -138,38 +151,39 @@
 	return true
 }
 
-// compare brings in what another store has of the programs that both should hold.
+// compare compares digests with a peer and fetches what differs of the programs that have both stores as replicas.
 func (s *Server) compare(ctx context.Context, p *Placement, peer Store) error {
 	if peer.ID == s.id {
 		return nil
 	}
 	var r digestReply
-	if err := s.callPeer(ctx, peer, MethodDigest, &digestCall{To: RequestHeader{peer.ID, p.Generation}, Requester: s.id}, &r, &r.Status); err != nil {
+	c := &digestCall{To: RequestHeader{peer.ID, p.Generation}, Requester: s.id}
+	if err := s.callPeer(ctx, peer, MethodDigest, c, &r, &r.Status); err != nil {
 		return err
 	}
 	if len(r.Digests) != 8*bucketCount {
 		return errors.Newf("sums of %d bytes: the two sides differ in version", len(r.Digests))
 	}
 	s.mu.Lock()
-	mine := s.index.bucketDigests(p, s.id, peer.ID)
+	own := s.index.bucketDigests(p, s.id, peer.ID)
 	s.mu.Unlock()
-	var in []int
-	for b, sum := range mine {
-		if binary.BigEndian.Uint64(r.Digests[8*b:]) != sum {
-			in = append(in, b)
+	var differing []int
+	for bucket, digest := range own {
+		if binary.BigEndian.Uint64(r.Digests[8*bucket:]) != digest {
+			differing = append(differing, bucket)
 		}
 	}
-	if len(in) == 0 {
+	if len(differing) == 0 {
 		return nil
 	}
-	err := s.pullKeys(ctx, p, peer, in, false)
+	err := s.pullKeys(ctx, p, peer, differing, false)
 	if err != nil {
 		_ = s.Log.Log("compare", peer.Name, "err", err)
 	}
 	return err
 }
 
-// repair brings in programs that a front found not to be whole here.
+// repair fetches a program, and others for which notices arrive within repairDelay, from their other replicas.
 func (s *Server) repair(ctx context.Context, key string) {
 	timer := time.NewTimer(repairDelay)
 	defer timer.Stop()
@@ -190,6 +204,18 @@
 	if p == nil {
 		return
 	}
+	byPeer := s.keysByPeer(p, keys)
+	for _, peer := range p.Stores() {
+		if keys := byPeer[peer.ID]; len(keys) > 0 {
+			if err := s.fetchPrograms(ctx, p, peer, keys); err != nil {
+				_ = s.Log.Log("mend", peer.Name, "err", err)
+			}
+		}
+	}
+}
+
+// keysByPeer returns the keys of which each peer is a replica, by the peer's ID.
+func (s *Server) keysByPeer(p *Placement, keys []string) map[string][]string {
 	byPeer := map[string][]string{}
 	for _, key := range keys {
 		for _, g := range p.ReplicaSets(key) {
@@ -200,11 +226,5 @@
 			}
 		}
 	}
-	for _, peer := range p.Stores() {
-		if keys := byPeer[peer.ID]; len(keys) > 0 {
-			if err := s.fetchPrograms(ctx, p, peer, keys); err != nil {
-				_ = s.Log.Log("mend", peer.Name, "err", err)
-			}
-		}
-	}
+	return byPeer
 }
--- a/internal/tier/turnstore/anti_entropy_pull.go
+++ b/internal/tier/turnstore/anti_entropy_pull.go
@@ -10,6 +10,7 @@
 	"larchrouter/internal/sqlitelog"
 )
 
+// callPeer calls a peer and returns the error of the call or of the reply's status, which status points to.
 func (s *Server) callPeer(ctx context.Context, peer Store, m rpc.Method, call, reply any, status *int) error {
 	limit := sweepCallTimeout
 	if m == MethodBodies || m == MethodStates {
@@ -23,9 +24,11 @@
 	return statusError(*status)
 }
 
-// pullKeys brings in what another store has, in the given buckets (nil: all).
-func (s *Server) pullKeys(ctx context.Context, p *Placement, peer Store, in []int, sweep bool) error {
-	c := &listKeysCall{To: RequestHeader{peer.ID, p.Generation}, Requester: s.id, Sweep: sweep, Buckets: in}
+// pullKeys fetches from a peer the programs whose digests differ, in the given buckets (nil: all). With sweep these are all
+// programs that have this store as a replica, and the peer adopts the generation durably before it replies; else those that
+// have both stores.
+func (s *Server) pullKeys(ctx context.Context, p *Placement, peer Store, buckets []int, sweep bool) error {
+	c := &listKeysCall{To: RequestHeader{peer.ID, p.Generation}, Requester: s.id, Sweep: sweep, Buckets: buckets}
 	for {
 		var r listKeysReply
 		if err := s.callPeer(ctx, peer, MethodListKeys, c, &r, &r.Status); err != nil {
@@ -49,7 +52,7 @@
 	}
 }
 
-// fetchPrograms brings in what another store has of some programs.
+// fetchPrograms joins a peer's ledgers of some programs and fetches the turns that this store lacks.
 func (s *Server) fetchPrograms(ctx context.Context, p *Placement, peer Store, keys []string) error {
 	for len(keys) > 0 {
 		var r statesReply
@@ -65,12 +68,12 @@
 		if err != nil {
 			return err
 		}
-		left := map[string]time.Duration{}
+		remaining := map[string]time.Duration{}
 		for _, state := range r.States {
-			left[state.Key] = time.Duration(state.RemainingMs) * time.Millisecond
+			remaining[state.Key] = time.Duration(state.RemainingMs) * time.Millisecond
 		}
 		for len(turns) > 0 {
-			n, err := s.fetchTurns(ctx, p, peer, turns[:min(len(turns), maxBodiesPerCall)], left)
+			n, err := s.fetchTurns(ctx, p, peer, turns[:min(len(turns), maxBodiesPerCall)], remaining)
 			if err != nil {
 				return err
 			}
@@ -80,7 +83,8 @@
 	return nil
 }
 
-// applyStates joins in the ledgers of programs, writes what is new in them, and gives the turns that are lacking here.
+// applyStates joins the ledgers of programs and returns the turns that this store lacks, once the entries that changed are
+// synced.
 func (s *Server) applyStates(ctx context.Context, states []keyState) (lacking []string, err error) {
 	var rows entryRows
 	s.mu.Lock()
@@ -116,10 +120,13 @@
 	return lacking, nil
 }
 
-// fetchTurns brings in turns, and tells with how many of them it is done.
-func (s *Server) fetchTurns(ctx context.Context, p *Placement, peer Store, turns []string, left map[string]time.Duration) (int, error) {
+// fetchTurns fetches turns from a peer and returns how many of them, from the first on, it has processed. remaining is for how
+// long the peer retains them, by program.
+func (s *Server) fetchTurns(ctx context.Context, p *Placement, peer Store, turns []string,
+	remaining map[string]time.Duration) (processed int, err error) {
 	var r bodiesReply
-	if err := s.callPeer(ctx, peer, MethodBodies, &bodiesCall{To: RequestHeader{peer.ID, p.Generation}, Turns: turns}, &r, &r.Status); err != nil {
+	c := &bodiesCall{To: RequestHeader{peer.ID, p.Generation}, Turns: turns}
+	if err := s.callPeer(ctx, peer, MethodBodies, c, &r, &r.Status); err != nil {
 		return 0, err
 	}
 	if r.Processed <= 0 || r.Processed > len(turns) {
@@ -136,7 +143,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range r.Turns {
-		s.index.addTurn(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, RetainSeconds: t.RetainSeconds}, left[t.Key], s.Now())
+		row := indexRow{Previous: t.Previous, Root: t.Root, RetainSeconds: t.RetainSeconds}
+		s.index.addTurn(t.Key, t.ID, row, remaining[t.Key], s.Now())
 	}
 	return r.Processed, nil
 }
--- a/internal/tier/turnstore/anti_entropy_serve.go
+++ b/internal/tier/turnstore/anti_entropy_serve.go
@@ -10,6 +10,9 @@
 	"larchrouter/internal/sqlitelog"
 )
 
+const stateItemBytes = 40 // of a ledger entry or a turn ID in a reply, estimated
+
+// handleDigest returns the digests of all buckets over the programs that have both stores as replicas.
 func (s *Server) handleDigest(_ context.Context, c *digestCall) *digestReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,14 +23,15 @@
 	if p == nil || p.Generation < c.To.Generation {
 		return &digestReply{Status: statusBehind}
 	}
-	sums := s.index.bucketDigests(p, s.id, c.Requester)
+	digests := s.index.bucketDigests(p, s.id, c.Requester)
 	r := &digestReply{Digests: make([]byte, 0, 8*bucketCount)}
-	for _, sum := range sums {
-		r.Digests = binary.BigEndian.AppendUint64(r.Digests, sum)
+	for _, digest := range digests {
+		r.Digests = binary.BigEndian.AppendUint64(r.Digests, digest)
 	}
 	return r
 }
 
+// handleListKeys returns a page of digests. For a sweep it first persists the generation that it has adopted.
 func (s *Server) handleListKeys(ctx context.Context, c *listKeysCall) *listKeysReply {
 	s.mu.Lock()
 	if st := s.admit(c.To); st != statusOK {
@@ -39,10 +43,10 @@
 		s.mu.Unlock()
 		return &listKeysReply{Status: statusBehind}
 	}
-	adopted, kept := s.adoptedGeneration, s.persistedGeneration
+	adopted, persisted := s.adoptedGeneration, s.persistedGeneration
 	s.mu.Unlock()
-	if c.Sweep && kept < adopted {
-		// After a restart too it must take nothing by an older placement: what was swept would not hold it.
+	if c.Sweep && persisted < adopted {
+		// After a restart too the store must reject writes under an older placement: the sweep would have missed them.
 		err := s.disk.Commit(ctx, []sqlitelog.Write{fact(factAdopted, adopted)})
 		if st := s.writeStatus(ctx, err); st != statusOK {
 			return &listKeysReply{Status: st}
@@ -54,8 +58,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := &listKeysReply{}
-	r.Keys, r.More = s.index.digestPage(c.Buckets, c.Bucket, c.After, maxKeysPerPage, s.Now(), func(one *program) bool {
-		return one.isReplica(p, c.Requester) && (c.Sweep || one.isReplica(p, s.id))
+	r.Keys, r.More = s.index.digestPage(c.Buckets, c.Bucket, c.After, maxKeysPerPage, s.Now(), func(candidate *program) bool {
+		return candidate.isReplica(p, c.Requester) && (c.Sweep || candidate.isReplica(p, s.id))
 	})
 	if r.More {
 		r.After = r.Keys[len(r.Keys)-1].Key
@@ -64,10 +68,12 @@
 	return r
 }
 
+// fact returns the write of a number in the table of facts.
 func fact(name string, n int64) sqlitelog.Write {
 	return sqlitelog.Write{Table: tableFacts, Key: []byte(name), Value: strconv.AppendInt(nil, n, 10)}
 }
 
+// handleStates returns the ledgers and turn IDs of the first of the requested programs, up to about maxStateBytes.
 func (s *Server) handleStates(_ context.Context, c *statesCall) *statesReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,13 +93,14 @@
 			}
 		}
 		r.States = append(r.States, state)
-		if size += 40 * (len(state.Ledger) + len(state.Turns) + 1); size > maxStateBytes {
+		if size += stateItemBytes * (len(state.Ledger) + len(state.Turns) + 1); size > maxStateBytes {
 			break
 		}
 	}
 	return r
 }
 
+// handleBodies returns the records of the first of the requested turns, up to about maxBodyBytes.
 func (s *Server) handleBodies(_ context.Context, c *bodiesCall) *bodiesReply {
 	s.mu.Lock()
 	if st := s.admit(c.To); st != statusOK {
@@ -103,7 +110,8 @@
 	r := &bodiesReply{}
 	for _, id := range c.Turns {
 		if t := s.index.findTurn("", id); t != nil {
-			r.Turns = append(r.Turns, Record{Key: t.program.key, ID: id, Previous: t.previous, Root: t.root, RetainSeconds: int(t.program.retain / time.Second)})
+			r.Turns = append(r.Turns, Record{Key: t.program.key, ID: id, Previous: t.previous, Root: t.root,
+				RetainSeconds: int(t.program.retain / time.Second)})
 		}
 	}
 	s.mu.Unlock()
@@ -111,7 +119,7 @@
 	for i, t := range r.Turns {
 		rows[i] = rowKey(t.Key, t.ID)
 	}
-	values, err := s.disk.GetMany(tableBodies, rows, maxBodyBytes) // past the cache: that is for turns that go on
+	values, err := s.disk.GetMany(tableBodies, rows, maxBodyBytes) // not through the cache: that is for turns that are continued
 	if err != nil {
 		s.logFault("read", err)
 		return &bodiesReply{Status: statusFailed}
@@ -120,17 +128,18 @@
 	if len(values) < len(rows) {
 		r.Processed = slices.Index(c.Turns, r.Turns[len(values)].ID)
 	}
-	whole := r.Turns[:0]
+	complete := r.Turns[:0]
 	for i, v := range values {
-		if t := r.Turns[i]; v != nil { // else expired a moment ago
+		if t := r.Turns[i]; v != nil { // nil: expired since the index was read
 			t.Increment = v
-			whole = append(whole, t)
+			complete = append(complete, t)
 		}
 	}
-	r.Turns = whole
+	r.Turns = complete
 	return r
 }
 
+// handleRepair queues a program for repair. Where the queue is full, the notice is dropped.
 func (s *Server) handleRepair(_ context.Context, c *repairNotice) *statusReply {
 	s.mu.Lock()
 	st := s.admit(c.To)
@@ -138,7 +147,7 @@
 	if st == statusOK {
 		select {
 		case s.repairs <- c.Key:
-		default: // the next anti-entropy finds it
+		default: // the next comparison with a peer finds the difference
 		}
 	}
 	return &statusReply{st}
--- a/internal/tier/turnstore/capacity.go
+++ b/internal/tier/turnstore/capacity.go
@@ -8,38 +8,39 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// Of the disk's limit, a store opens no turns once less than a tenth is left, so that those that are open can end; it
-// opens turns again once an eighth is left.
+// A store stops opening turns once less than a tenth of its disk limit is left, so that open ones can end, and opens turns
+// again once an eighth is left.
 const (
-	lowDivisor = 10
-	reopenDivisor  = 8
+	lowDivisor    = 10
+	reopenDivisor = 8
 )
 
 const (
 	factProbe  = "probe"
-	probeBytes = 256 << 10 // a disk that refused a write has room again once it takes so much
+	probeBytes = 256 << 10 // that a disk which refused a write must take before turns are opened again
 )
 
-// capacity decides whether a store opens turns, by what its disk can still take. It is pure.
+// capacity decides whether a store opens turns. It is pure.
 type capacity struct {
-	low     bool // little is left
-	writeRefused bool // the disk refused a write for want of room, and has taken no probe since
-	ledgersFull bool // the index holds as many entries of ledgers as it may
+	low          bool // the disk is nearly full
+	writeRefused bool // the disk refused a write as it was full, and no probe has succeeded since
+	ledgersFull  bool // the index has maxLedgerEntries
 }
 
+// measure takes the bytes left and the limit of the disk, 0 for none.
 func (r *capacity) measure(left, most int64) {
 	r.low = most > 0 && (left < most/lowDivisor || r.low && left < most/reopenDivisor)
 }
 
 func (r *capacity) full() bool { return r.low || r.writeRefused || r.ledgersFull }
 
-// Full tells whether the store opens no turns because its disk, or its memory of ledgers, has little room.
+// Full reports whether the store opens no turns because its disk, or its memory of ledgers, is nearly full.
 func (s *Server) Full() bool { return s.full.Load() }
 
-// updateCapacity takes what was learnt of the room, under the mutex, and tells of a change.
-func (s *Server) updateCapacity(learn func(*capacity)) {
+// updateCapacity applies an update to the capacity, under the mutex, and logs a change of Full.
+func (s *Server) updateCapacity(update func(*capacity)) {
 	s.mu.Lock()
-	learn(&s.capacity)
+	update(&s.capacity)
 	now := s.capacity.full()
 	changed := s.full.Swap(now) != now
 	is := s.capacity
@@ -57,18 +58,18 @@
 	}
 }
 
-// noteWriteError learns of the room from how a write ended.
+// noteWriteError updates the capacity by the outcome of a write.
 func (s *Server) noteWriteError(err error) {
 	if errors.Is(err, sqlitelog.ErrFull) {
 		s.updateCapacity(func(r *capacity) { r.writeRefused = true })
 	}
 }
 
-// checkCapacity looks at what the disk can still take; Run does it now and then.
+// checkCapacity measures what the disk can still take, and probes it after it refused a write.
 func (s *Server) checkCapacity(ctx context.Context) {
 	left, most, err := s.disk.Room()
 	if err != nil {
-		return // a disk that fails is told of by what writes
+		return // writes report the fault
 	}
 	s.mu.Lock()
 	refused := s.capacity.writeRefused
@@ -83,7 +84,7 @@
 	})
 }
 
-// probe writes something large, and deletes it.
+// probe writes probeBytes to the disk and deletes them.
 func (s *Server) probe(ctx context.Context) error {
 	key := []byte(factProbe)
 	if err := s.disk.Commit(ctx, []sqlitelog.Write{{Table: tableFacts, Key: key, Value: make([]byte, probeBytes)}}); err != nil {
--- a/internal/tier/turnstore/client.go
+++ b/internal/tier/turnstore/client.go
@@ -9,59 +9,65 @@
 	"larchrouter/internal/rpc"
 )
 
-// Bounds of a client.
+// Limits and time-outs of a client.
 const (
-	callTimeout     = 700 * time.Millisecond // a store that is cut off says nothing
-	closeTimeout    = 1200 * time.Millisecond
-	retryBackoff     = 50 * time.Millisecond  // after a call that failed at once; it doubles
-	newerPlacementTimeout    = 300 * time.Millisecond // for a newer placement
+	callTimeout           = 700 * time.Millisecond  // of a call to one store; a partitioned one does not respond
+	closeTimeout          = 1200 * time.Millisecond // of a call that stores a turn
+	retryBackoff          = 50 * time.Millisecond   // before the first retry of a call that failed at once; doubles
+	newerPlacementTimeout = 300 * time.Millisecond  // to receive a placement that a store has adopted already
 	newerPlacementPoll    = 10 * time.Millisecond
-	hedgeDelay   = 40 * time.Millisecond // a second store is asked for the history
-	suspectDuration   = 1500 * time.Millisecond
-	maxHistorySegments    = 64 // stores' parts that one history is put together from
-	clientCacheBytes = 16 << 20
-	maxBackground    = 4096 // things done in the background at once
-	maxCallsPerStore    = 1024 // calls of one store under way at once: one that stands still leaves room for the others
-	maxRepairNotices   = 16
+	hedgeDelay            = 40 * time.Millisecond   // until a second store is asked for a history
+	suspectDuration       = 1500 * time.Millisecond // for which a store that did not respond is asked last
+	maxHistorySegments    = 64                      // segments from different stores in one history
+	clientCacheBytes      = 16 << 20
+	maxBackground         = 4096 // calls and background operations at a time
+	maxCallsPerStore      = 1024 // calls in flight to one store, so that a stalled one does not use up maxBackground
+	maxRepairNotices      = 16   // in flight
+	maxSuspects           = 1000 // remembered at a time
 )
 
-// settleBackoff lie between the tries to settle in the background.
+// settleBackoff are the delays before each attempt to settle a turn in the background.
 var settleBackoff = []time.Duration{0, 150 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second, 5 * time.Second}
 
-// Client is a front's side of the turn store. It is safe for concurrent use.
+// Client is the coordinator of reads and writes: it runs in a front and talks to the replicas of each program. It is
+// safe for concurrent use.
 type Client struct {
-	placement func() *Placement
-	transport     transport
-	zone      string
-	log       *process.Ring
-	cache    *incrementCache
+	placement    func() *Placement
+	transport    transport
+	zone         string
+	log          *process.Ring
+	cache        *incrementCache
 	callTimeout  time.Duration
 	closeTimeout time.Duration
 
-	ctx     context.Context // of all that outlives an operation
-	cancel    context.CancelFunc
-	mu      sync.Mutex
-	closed  bool           // no operation begins any more
-	background   int            // calls and operations in the background
-	inFlight map[string]int // of these, the calls to each store
-	idle    chan struct{}  // closed once there is none and closed is set
-	repairNotices int
-	suspects map[string]time.Time // stores that said nothing, until then
+	ctx    context.Context // of all calls and background operations: they outlive the operation that began them
+	cancel context.CancelFunc
+
+	mu            sync.Mutex
+	closed        bool                 // Shutdown was called: no operation begins any more
+	background    int                  // calls in flight and background operations
+	inFlight      map[string]int       // calls in flight by store ID; included in background
+	idle          chan struct{}        // closed once closed is set and background is 0
+	repairNotices int                  // in flight; included in background
+	suspects      map[string]time.Time // store ID to the end of its suspicion
 }
 
-// NewClient makes a client by the placement in force, which is nil before it was heard of.
+// NewClient returns a client. placement returns the placement in force, nil before the first was received; zone is the
+// client's own, whose stores it prefers for reads.
 func NewClient(placement func() *Placement, calls *rpc.Clients, zone string, log *process.Ring) *Client {
 	return newClient(placement, rpcTransport{calls}, zone, log)
 }
 
 func newClient(placement func() *Placement, calls transport, zone string, log *process.Ring) *Client {
 	c := &Client{placement: placement, transport: calls, zone: zone, log: log, cache: newIncrementCache(clientCacheBytes),
-		callTimeout: callTimeout, closeTimeout: closeTimeout, inFlight: map[string]int{}, suspects: map[string]time.Time{}, idle: make(chan struct{})}
+		callTimeout: callTimeout, closeTimeout: closeTimeout, inFlight: map[string]int{}, suspects: map[string]time.Time{},
+		idle: make(chan struct{})}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// Shutdown takes no operations any more, gives what is done in the background until ctx ends, then ends it.
+// Shutdown stops the client gracefully: it begins no further operations, waits for background operations until ctx
+// ends, then cancels them. It returns once all goroutines of the client have ended.
 func (c *Client) Shutdown(ctx context.Context) {
 	c.mu.Lock()
 	if !c.closed {
@@ -79,18 +85,20 @@
 	<-c.idle
 }
 
-// beginBackground takes a place for an operation in the background.
-func (c *Client) beginBackground(most int) bool {
+// beginBackground counts a background operation, if fewer than limit calls and operations are in flight. The caller
+// must call endBackground if it returns true.
+func (c *Client) beginBackground(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.background >= most {
+	if c.closed || c.background >= limit {
 		return false
 	}
 	c.background++
 	return true
 }
 
-// beginCall takes a place for one beginCall to a store; what goes on in the background may make calls until it ends.
+// beginCall counts a call to a store. Operations that began before Shutdown may make calls until they end. The caller
+// must call endCall if it returns true.
 func (c *Client) beginCall(store string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,7 +110,6 @@
 	return true
 }
 
-// endCall gives the place of a call back.
 func (c *Client) endCall(store string) {
 	c.mu.Lock()
 	if c.inFlight[store]--; c.inFlight[store] == 0 {
--- a/internal/tier/turnstore/client_broadcast.go
+++ b/internal/tier/turnstore/client_broadcast.go
@@ -10,6 +10,7 @@
 	"larchrouter/internal/rpc"
 )
 
+// isSuspect reports whether a store failed to respond within suspectDuration.
 func (c *Client) isSuspect(store string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -17,12 +18,13 @@
 	return ok && time.Now().Before(until)
 }
 
+// setReachable records whether a store responded to a call.
 func (c *Client) setReachable(store string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch _, known := c.suspects[store]; {
 	case !ok:
-		if len(c.suspects) > 1000 {
+		if len(c.suspects) > maxSuspects {
 			clear(c.suspects)
 		}
 		c.suspects[store] = time.Now().Add(suspectDuration)
@@ -31,23 +33,25 @@
 	}
 }
 
-// replicaResponse is what one store said.
+// replicaResponse is the outcome of a call to one store: its reply, or the error of the call or of the reply's status.
 type replicaResponse[R any] struct {
 	store Store
 	reply *R
 	err   error
 }
 
-// broadcast makes a call to each of some stores at once, tries again what failed at once, and gives the answers as they
-// come. The calls go on when the one who asked has left; they end within limit.
-func broadcast[R any](c *Client, stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any), status func(*R) int) <-chan replicaResponse[R] {
+// broadcast makes a call to each of some stores concurrently and returns a channel that delivers one response for each
+// store, in the order of arrival. The calls are independent of the caller's context; each ends within limit.
+func broadcast[R any](c *Client, stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any),
+	status func(*R) int) <-chan replicaResponse[R] {
 	out := make(chan replicaResponse[R], len(stores))
 	broadcastInto(c, out, stores, limit, call, status)
 	return out
 }
 
-// broadcastInto is ask with a channel that has room for the answers.
-func broadcastInto[R any](c *Client, out chan<- replicaResponse[R], stores []Store, limit time.Duration, call func(Store) (m rpc.Method, body any), status func(*R) int) {
+// broadcastInto is broadcast with a channel of the caller, whose buffer must have room for one response of each store.
+func broadcastInto[R any](c *Client, out chan<- replicaResponse[R], stores []Store, limit time.Duration,
+	call func(Store) (m rpc.Method, body any), status func(*R) int) {
 	for _, s := range stores {
 		if !c.beginCall(s.ID) {
 			out <- replicaResponse[R]{store: s, err: errors.Mark(errors.New("too much is under way"), ErrUnavailable)}
@@ -71,12 +75,13 @@
 					out <- replicaResponse[R]{store: s, err: err}
 					return
 				}
-				c.sleep(ctx, pause) // refused or reset: it may have come back
+				c.sleep(ctx, pause) // the connection was refused or reset: the store may be restarting
 			}
 		}()
 	}
 }
 
+// sleep waits for d and reports whether it did so before ctx ended.
 func (c *Client) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -91,7 +96,7 @@
 	}
 }
 
-// distinctStores lists the copies in all groups once.
+// distinctStores returns the stores of all replica sets without duplicates.
 func distinctStores(groups []ReplicaSet) []Store {
 	if len(groups) == 1 {
 		return groups[0]
@@ -107,7 +112,7 @@
 	return all
 }
 
-// byPreference orders stores by how soon they should answer: those in the own zone first, those that said nothing last.
+// byPreference returns the stores in the order in which they should be read: the client's own zone first, suspects last.
 func (c *Client) byPreference(stores []Store) []Store {
 	rank := func(s Store) int {
 		n := 0
@@ -124,10 +129,10 @@
 	return out
 }
 
-// awaitNewerPlacement waits a little for a placement after a generation.
-func (c *Client) awaitNewerPlacement(ctx context.Context, gen int64) *Placement {
+// awaitNewerPlacement waits up to newerPlacementTimeout for a placement above a generation; it returns nil if none came.
+func (c *Client) awaitNewerPlacement(ctx context.Context, generation int64) *Placement {
 	for waited := time.Duration(0); ; waited += newerPlacementPoll {
-		if p := c.placement(); p != nil && p.Generation > gen {
+		if p := c.placement(); p != nil && p.Generation > generation {
 			return p
 		}
 		if waited >= newerPlacementTimeout || !c.sleep(ctx, newerPlacementPoll) {
@@ -136,6 +141,7 @@
 	}
 }
 
+// unavailable marks an error as ErrUnavailable; what names the operation that failed.
 func unavailable(err error, what string) error {
 	if err == nil {
 		err = errors.New("no answer")
@@ -143,10 +149,10 @@
 	return errors.Mark(errors.Wrapf(err, "%s: try again once the stores answer", what), ErrUnavailable)
 }
 
-// dominantError prefers what decides how to go on: an old placement before all.
-func dominantError(a, b error) error {
-	if a == nil || errors.Is(b, ErrOldPlacement) {
-		return b
+// dominantError returns the error that decides how an operation goes on: ErrOldPlacement before any other, else the first.
+func dominantError(first, next error) error {
+	if first == nil || errors.Is(next, ErrOldPlacement) {
+		return next
 	}
-	return a
+	return first
 }
--- a/internal/tier/turnstore/client_close.go
+++ b/internal/tier/turnstore/client_close.go
@@ -9,22 +9,21 @@
 	"larchrouter/internal/rpc"
 )
 
-// Close keeps a turn that ended whole: nil once enough disks have it, so that its end may be passed on. After an error
-// the turn may be kept or not, and its end must not be passed on.
+const closeAttempts = 4
+
+// Close stores a turn that ended completely. It returns nil once enough replicas have synced it, so that the end of the
+// turn may be sent to its client. After an error, which is an ErrUnavailable, the turn may be stored or not, and its end
+// must not be sent.
 func (c *Client) Close(ctx context.Context, t *Turn) error {
 	record := t.record()
 	p := c.placement()
 	if p == nil {
-		return unavailable(errors.New("no placement of stores was heard of yet"), "keep a turn")
+		return unavailable(errors.New("no placement of stores was received yet"), "keep a turn")
 	}
 	var err error
-	for range 4 {
+	for range closeAttempts {
 		if err = c.closeUnderPlacement(ctx, p, &record, t.UsedTokens); err == nil {
-			previous := t.Previous
-			if record.Root {
-				previous = ""
-			}
-			c.cache.put(&cachedIncrement{key: t.Key, id: t.ID, previous: previous, bytes: record.Increment, until: time.Now().Add(time.Duration(t.RetainSeconds) * time.Second)})
+			c.cacheClosed(t, &record)
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -46,67 +45,85 @@
 	return unavailable(err, "keep a turn")
 }
 
-func (c *Client) closeUnderPlacement(ctx context.Context, p *Placement, t *Record, used int) error {
+// cacheClosed caches the increment of a turn that was stored.
+func (c *Client) cacheClosed(t *Turn, record *Record) {
+	previous := t.Previous
+	if record.Root {
+		previous = ""
+	}
+	c.cache.put(&cachedIncrement{key: t.Key, id: t.ID, previous: previous, bytes: record.Increment,
+		until: time.Now().Add(time.Duration(t.RetainSeconds) * time.Second)})
+}
+
+// closeUnderPlacement is one attempt to store a turn. It returns nil once, in each replica set in force, a majority and
+// at least DurableReplicas have synced it.
+func (c *Client) closeUnderPlacement(ctx context.Context, p *Placement, t *Record, usedTokens int) error {
 	groups := p.ReplicaSets(t.Key)
 	stores := distinctStores(groups)
 	q := newQuorum(groups, func(g ReplicaSet) int { return max(g.Majority(), min(p.DurableReplicas, len(g))) })
-	answers := broadcast(c, stores, c.closeTimeout, func(s Store) (rpc.Method, any) {
-		return MethodClose, &closeCall{To: RequestHeader{s.ID, p.Generation}, Turn: *t, UsedTokens: used}
+	responses := broadcast(c, stores, c.closeTimeout, func(s Store) (rpc.Method, any) {
+		return MethodClose, &closeCall{To: RequestHeader{s.ID, p.Generation}, Turn: *t, UsedTokens: usedTokens}
 	}, func(r *statusReply) int { return r.Status })
-	var failed error
+	var failure error
 	for range stores {
 		select {
-		case a := <-answers:
-			if a.err != nil {
-				failed = dominantError(failed, a.err)
+		case response := <-responses:
+			if response.err != nil {
+				failure = dominantError(failure, response.err)
 			}
-			q.record(a.store.ID, a.err == nil)
+			q.record(response.store.ID, response.err == nil)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		switch reached, lost := q.state(); {
+		switch reached, impossible := q.state(); {
 		case reached:
 			return nil
-		case lost:
-			return dominantError(failed, ErrUnavailable)
+		case impossible:
+			return dominantError(failure, ErrUnavailable)
 		}
 	}
-	return dominantError(failed, ErrUnavailable)
+	return dominantError(failure, ErrUnavailable)
 }
 
-// Settle tells the stores in the background what a turn handed out that was opened and is not kept: 0 if it did not run.
-func (c *Client) Settle(program, turn string, used int) {
+// Settle records in the background what a turn used that was opened and is not stored with Close: 0 if it did not run.
+// It is best effort: where it fails, the turn's reservation counts in full until the ledger expires.
+func (c *Client) Settle(program, turn string, usedTokens int) {
 	if !c.beginBackground(maxBackground / 2) {
-		return // the reservation stays at its most
+		return
 	}
 	go func() {
 		defer c.endBackground()
-		told := map[string]bool{}
-		for _, pause := range settleBackoff {
-			if !c.sleep(c.ctx, pause) {
-				return
-			}
-			p := c.placement()
-			if p == nil {
-				continue
-			}
-			var stores []Store
-			for _, s := range distinctStores(p.ReplicaSets(program)) {
-				if !told[s.ID] {
-					stores = append(stores, s)
-				}
-			}
-			if len(stores) == 0 {
-				return
+		c.settle(program, turn, usedTokens)
+	}()
+}
+
+// settle sends a settlement to all replicas, and again to those that have not acknowledged it.
+func (c *Client) settle(program, turn string, usedTokens int) {
+	acknowledged := map[string]bool{}
+	for _, pause := range settleBackoff {
+		if !c.sleep(c.ctx, pause) {
+			return
+		}
+		p := c.placement()
+		if p == nil {
+			continue
+		}
+		var stores []Store
+		for _, s := range distinctStores(p.ReplicaSets(program)) {
+			if !acknowledged[s.ID] {
+				stores = append(stores, s)
 			}
-			answers := broadcast(c, stores, c.callTimeout, func(s Store) (rpc.Method, any) {
-				return MethodSettle, &settleCall{To: RequestHeader{s.ID, p.Generation}, Program: program, Turn: turn, UsedTokens: used}
-			}, func(r *statusReply) int { return r.Status })
-			for range stores {
-				if a := <-answers; a.err == nil {
-					told[a.store.ID] = true
-				}
+		}
+		if len(stores) == 0 {
+			return
+		}
+		responses := broadcast(c, stores, c.callTimeout, func(s Store) (rpc.Method, any) {
+			return MethodSettle, &settleCall{To: RequestHeader{s.ID, p.Generation}, Program: program, Turn: turn, UsedTokens: usedTokens}
+		}, func(r *statusReply) int { return r.Status })
+		for range stores {
+			if response := <-responses; response.err == nil {
+				acknowledged[response.store.ID] = true
 			}
 		}
-	}()
+	}
 }
--- a/internal/tier/turnstore/client_history.go
+++ b/internal/tier/turnstore/client_history.go
@@ -10,80 +10,35 @@
 	"larchrouter/internal/rpc"
 )
 
-// previousTurnLookup gathers what stores say of the previous turn.
-type previousTurnLookup struct {
-	absence  *quorum // of those that say that they do not have it, and may
-	known   []Store
-	lacking   []Store
-	responded   []string
-	history []byte
-	partial    bool // history is the end of it, from behind missing on
-	complete   bool
-	missing string
-	remaining    time.Duration
-}
-
-func (l *previousTurnLookup) add(s Store, r *openReply) {
-	l.responded = append(l.responded, s.ID)
-	switch {
-	case r.Found:
-		l.known = append(l.known, s)
-		l.absence.record(s.ID, false)
-		if r.HasHistory && !l.complete {
-			l.history, l.missing, l.complete, l.partial = r.History, r.Missing, r.Missing == "", true
-			l.remaining = time.Duration(r.RemainingMs) * time.Millisecond
-		}
-		if r.HasHistory && r.Missing != "" {
-			l.lacking = append(l.lacking, s)
-		}
-	default:
-		l.absence.record(s.ID, r.Authoritative)
-		if r.Authoritative {
-			l.lacking = append(l.lacking, s)
-		}
-	}
-}
-
-// findTurn asks all stores for a turn: its key and those that know it.
-func (c *Client) findTurn(ctx context.Context, p *Placement, id string) (string, []Store, error) {
-	stores := p.Stores()
-	answers := broadcast(c, stores, c.callTimeout, func(s Store) (rpc.Method, any) {
-		return MethodFindTurn, &findTurnCall{To: RequestHeader{s.ID, p.Generation}, Turn: id}
-	}, func(r *findTurnReply) int { return r.Status })
-	// A turn is on more stores than may be lost: if all but as many say no, there is none.
-	lists := []ReplicaSet{p.Old}
-	if len(p.New) > 0 {
-		lists = append(lists, p.New)
+// readHistory reads the history of a turn, assembled from segments of several stores where none has the whole chain. It
+// returns for how long the turn is retained at least.
+func (c *Client) readHistory(ctx context.Context, p *Placement, key, id string,
+	l *previousTurnLookup) (history []byte, remaining time.Duration, err error) {
+	stores := c.historyStores(p, key, l)
+	remaining = l.remaining
+	if l.partial {
+		history, id = l.history, l.missing
 	}
-	no := newQuorum(lists, func(list ReplicaSet) int { return max(1, len(list)-p.FaultTolerance) })
-	var failed error
-	for range stores {
-		select {
-		case a := <-answers:
-			switch {
-			case a.err != nil:
-				failed = dominantError(failed, a.err)
-				no.record(a.store.ID, false)
-			case a.reply.Found:
-				return a.reply.Key, []Store{a.store}, nil
-			default:
-				no.record(a.store.ID, a.reply.Authoritative)
-			}
-		case <-ctx.Done():
-			return "", nil, ctx.Err()
+	for range maxHistorySegments {
+		r, err := c.readSegment(ctx, p, key, id, stores)
+		if err != nil {
+			return nil, 0, err
 		}
-		if reached, _ := no.state(); reached {
-			return "", nil, errors.Mark(errors.Newf("no store has the turn %q", id), ErrNoTurn)
+		if !l.partial && len(history) == 0 {
+			remaining = time.Duration(r.RemainingMs) * time.Millisecond
 		}
+		history = append(r.History[:len(r.History):len(r.History)], history...)
+		if r.Missing == "" {
+			return history, remaining, nil
+		}
+		id = r.Missing
 	}
-	if failed == nil {
-		failed = errors.New("stores that have not caught up cannot tell")
-	}
-	return "", nil, unavailable(failed, "look for the previous turn")
+	return nil, 0, unavailable(errors.Newf("the chain of turn %q is in too many parts", id), "read the history")
 }
 
-// readHistory reads a turn's readHistory, put together from several stores where none has all of the chain.
-func (c *Client) readHistory(ctx context.Context, p *Placement, key, id string, l *previousTurnLookup) ([]byte, time.Duration, error) {
+// historyStores returns the stores to read a history from, in the order of preference: the replicas of the key and the
+// stores that are known to have the turn, which go first unless one of them has returned its part already.
+func (c *Client) historyStores(p *Placement, key string, l *previousTurnLookup) []Store {
 	stores := distinctStores(p.ReplicaSets(key))
 	for _, s := range l.known {
 		if !slices.ContainsFunc(stores, func(o Store) bool { return o.ID == s.ID }) {
@@ -91,90 +46,74 @@
 		}
 	}
 	stores = c.byPreference(stores)
-	if len(l.known) > 0 && !l.partial { // those that are known to have it go first
-		knows := func(s Store) int {
+	if len(l.known) > 0 && !l.partial {
+		rank := func(s Store) int {
 			if slices.ContainsFunc(l.known, func(o Store) bool { return o.ID == s.ID }) {
 				return 0
 			}
 			return 1
 		}
-		slices.SortStableFunc(stores, func(a, b Store) int { return knows(a) - knows(b) })
+		slices.SortStableFunc(stores, func(a, b Store) int { return rank(a) - rank(b) })
 	}
-	var end []byte
-	left := l.remaining
-	if l.partial {
-		end, id = l.history, l.missing
-	}
-	for range maxHistorySegments {
-		r, err := c.readSegment(ctx, p, key, id, stores)
-		if err != nil {
-			return nil, 0, err
-		}
-		if !l.partial && len(end) == 0 {
-			left = time.Duration(r.RemainingMs) * time.Millisecond
-		}
-		end = append(r.History[:len(r.History):len(r.History)], end...)
-		if r.Missing == "" {
-			return end, left, nil
-		}
-		id = r.Missing
-	}
-	return nil, 0, unavailable(errors.Newf("the chain of turn %q is in too many parts", id), "read the history")
+	return stores
 }
 
-// readSegment reads the history of a turn as far as one store has it; stores are asked one after the other, sooner than the
-// one before has failed.
+// readSegment reads the history of a turn as far as one store has it. It asks one store after the other: the next one
+// when a response is not sufficient, or after hedgeDelay. If no store has the whole chain, the longest segment is returned.
 func (c *Client) readSegment(ctx context.Context, p *Placement, key, id string, stores []Store) (*historyReply, error) {
-	answers := make(chan replicaResponse[historyReply], len(stores))
-	asked, waiting := 0, 0
-	next := func() {
+	responses := make(chan replicaResponse[historyReply], len(stores))
+	asked, pending := 0, 0
+	askNext := func() {
 		if asked == len(stores) {
 			return
 		}
-		broadcastInto(c, answers, stores[asked:asked+1], c.callTimeout, func(s Store) (rpc.Method, any) {
+		broadcastInto(c, responses, stores[asked:asked+1], c.callTimeout, func(s Store) (rpc.Method, any) {
 			return MethodHistory, &historyCall{To: RequestHeader{s.ID, p.Generation}, Key: key, Turn: id}
 		}, func(r *historyReply) int { return r.Status })
 		asked++
-		waiting++
+		pending++
 	}
-	next()
+	askNext()
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
-	var failed error
-	var part *historyReply
-	for waiting > 0 {
+	var failure error
+	var longest *historyReply
+	for pending > 0 {
 		select {
-		case a := <-answers:
-			waiting--
+		case response := <-responses:
+			pending--
+			reply := response.reply
 			switch {
-			case a.err != nil:
-				failed = dominantError(failed, a.err)
-			case a.reply.Found && a.reply.Missing == "":
-				return a.reply, nil
-			case a.reply.Found && a.reply.Missing != id && (part == nil || len(part.History) < len(a.reply.History)):
-				part = a.reply
+			case response.err != nil:
+				failure = dominantError(failure, response.err)
+			case reply.Found && reply.Missing == "":
+				return reply, nil
+			case reply.Found && reply.Missing != id && (longest == nil || len(longest.History) < len(reply.History)):
+				longest = reply
 			}
-			next()
+			askNext()
 		case <-hedge.C:
-			next()
+			askNext()
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	if part != nil {
-		return part, nil
+	if longest != nil {
+		return longest, nil
 	}
-	return nil, unavailable(failed, "read the history")
+	return nil, unavailable(failure, "read the history")
 }
 
-// cacheHistory caches the whole history of a turn that stores cacheHistory for a while yet.
-func (c *Client) cacheHistory(key, id string, history []byte, left time.Duration) {
-	if left -= retainMargin; left > 0 {
-		c.cache.put(&cachedIncrement{key: key, id: id, bytes: history, until: time.Now().Add(left)})
+// cacheHistory caches the complete history of a turn that stores retain for the given time at least. The entry expires
+// retainMargin earlier, so that a cached turn is never older than its replicas.
+func (c *Client) cacheHistory(key, id string, history []byte, remaining time.Duration) {
+	if remaining -= retainMargin; remaining > 0 {
+		c.cache.put(&cachedIncrement{key: key, id: id, bytes: history, until: time.Now().Add(remaining)})
 	}
 }
 
-// sendRepairNotices tells stores that they lack turns of a program.
+// sendRepairNotices starts a read repair: it notifies stores that they lack turns of a program, in the background and
+// without acknowledgement. At most maxRepairNotices are in flight; others are dropped, as anti-entropy finds them later.
 func (c *Client) sendRepairNotices(p *Placement, key string, stores []Store) {
 	for _, s := range stores {
 		c.mu.Lock()
--- a/internal/tier/turnstore/client_open_attempt.go
+++ b/internal/tier/turnstore/client_open_attempt.go
@@ -10,22 +10,22 @@
 	"larchrouter/internal/rpc"
 )
 
-// openAttempt is one try to open a turn, under one placement. It asks all copies at once, and needs their majority for the
-// reservation and one of them for the history.
+// openAttempt is one attempt to open a turn under one placement. It sends the reservation to all replicas at once and
+// needs a majority's responses for the reservation, and one replica's for the history.
 type openAttempt struct {
-	client      *Client
-	placement   *Placement
-	stores      []Store // the copies, those that should answer first before the others
-	historyReplica string  // the store that is asked for the history with the reservation; empty for none
-	startedAt       time.Time
-	responses     <-chan replicaResponse[openReply]
-	pending     int // answers that have not come
+	client         *Client
+	placement      *Placement
+	stores         []Store // the replicas, in the client's order of preference
+	historyReplica string  // store that is asked for the history along with the reservation; empty for none
+	startedAt      time.Time
+	responses      <-chan replicaResponse[openReply]
+	pending        int // responses that have not arrived
 
 	reservation *reservation
-	lookup        *previousTurnLookup // what the answers say of the previous turn
-	failure      error
+	lookup      *previousTurnLookup
+	failure     error // dominant error of the responses
 	opened      *OpenedTurn
-	hasHistory  bool // it was at hand, or there is none
+	hasHistory  bool // opened.History is complete
 }
 
 func (c *Client) newOpenAttempt(p *Placement, o OpenRequest) *openAttempt {
@@ -39,7 +39,7 @@
 	return a
 }
 
-// useCachedHistory takes the history that the client has at hand.
+// useCachedHistory takes the history from the client's cache, if it is there.
 func (a *openAttempt) useCachedHistory() {
 	o := a.opened
 	if o.Previous == "" {
@@ -73,49 +73,51 @@
 	return a.opened, nil
 }
 
-// broadcastOpen sends the reservation to all copies.
+// broadcastOpen sends the reservation to all replicas.
 func (a *openAttempt) broadcastOpen() {
 	o := &a.opened.OpenRequest
 	a.startedAt, a.pending = time.Now(), len(a.stores)
 	a.responses = broadcast(a.client, a.stores, a.client.callTimeout, func(s Store) (rpc.Method, any) {
-		return MethodOpen, &openCall{To: RequestHeader{s.ID, a.placement.Generation}, Program: o.Program, Turn: o.Turn, Previous: o.Previous, MaxTokens: o.MaxTokens, WantHistory: s.ID == a.historyReplica}
+		return MethodOpen, &openCall{To: RequestHeader{s.ID, a.placement.Generation}, Program: o.Program, Turn: o.Turn,
+			Previous: o.Previous, MaxTokens: o.MaxTokens, WantHistory: s.ID == a.historyReplica}
 	}, func(r *openReply) int { return r.Status })
 }
 
-func (a *openAttempt) handleResponse(one replicaResponse[openReply]) {
+func (a *openAttempt) handleResponse(response replicaResponse[openReply]) {
 	a.pending--
-	if one.err != nil {
-		a.failure = dominantError(a.failure, one.err)
-		a.reservation.addResponse(1, one.store.ID, false, nil)
-		a.lookup.absence.record(one.store.ID, false)
-		a.lookup.responded = append(a.lookup.responded, one.store.ID)
+	if response.err != nil {
+		a.failure = dominantError(a.failure, response.err)
+		a.reservation.addResponse(phaseReserve, response.store.ID, false, nil)
+		a.lookup.absence.record(response.store.ID, false)
+		a.lookup.responded = append(a.lookup.responded, response.store.ID)
 		return
 	}
-	a.lookup.add(one.store, one.reply)
-	if one.reply.CacheHost != "" {
-		a.opened.CacheHost, a.opened.ContextTokens = one.reply.CacheHost, one.reply.ContextTokens
+	a.lookup.add(response.store, response.reply)
+	if response.reply.CacheHost != "" {
+		a.opened.CacheHost, a.opened.ContextTokens = response.reply.CacheHost, response.reply.ContextTokens
 	}
-	a.reservation.addResponse(1, one.store.ID, true, one.reply.Ledger)
+	a.reservation.addResponse(phaseReserve, response.store.ID, true, response.reply.Ledger)
 }
 
-// reserve waits until a majority has decided on the reservation; nil: it is granted.
+// reserve handles responses until a majority has decided about the reservation. It returns nil if it was granted.
 func (a *openAttempt) reserve(ctx context.Context) error {
-	verdict := reservationPending
-	for verdict = a.reservation.decide(); verdict == reservationPending && a.pending > 0; verdict = a.reservation.decide() {
+	state := a.reservation.decide()
+	for ; state == reservationPending && a.pending > 0; state = a.reservation.decide() {
 		select {
-		case one := <-a.responses:
-			a.handleResponse(one)
+		case response := <-a.responses:
+			a.handleResponse(response)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	if verdict == reservationReread {
+	if state == reservationReread {
 		var err error
-		if verdict, err = a.client.confirmReservation(ctx, a.placement, a.opened.Program, a.stores, a.reservation); err != nil {
+		state, err = a.client.confirmReservation(ctx, a.placement, a.opened.Program, a.stores, a.reservation)
+		if err != nil {
 			a.failure = dominantError(a.failure, err)
 		}
 	}
-	switch verdict {
+	switch state {
 	case reservationExceeded:
 		return errors.Mark(errors.Newf("%d tokens of a budget of %d", a.reservation.ledger.Sum(), a.opened.Budget), ErrBudget)
 	case reservationGranted:
@@ -125,18 +127,18 @@
 	}
 }
 
-// awaitHistory waits for the whole history from the store that was asked for it, for a short while; then for any that knows
-// the turn, or for a majority that does not.
+// awaitHistory handles responses until the history is complete or must be read elsewhere. The replica that was asked
+// for it has hedgeDelay; from then on any replica that has the turn, or a majority that does not, ends the wait.
 func (a *openAttempt) awaitHistory(ctx context.Context) error {
 	hedge := time.NewTimer(max(time.Millisecond, hedgeDelay-time.Since(a.startedAt)))
 	defer hedge.Stop()
-	late := false
-	for !a.lookup.complete && a.pending > 0 && !a.lookupDecided(late) {
+	hedged := false
+	for !a.lookup.complete && a.pending > 0 && !a.lookupDecided(hedged) {
 		select {
-		case one := <-a.responses:
-			a.handleResponse(one)
+		case response := <-a.responses:
+			a.handleResponse(response)
 		case <-hedge.C:
-			late = true
+			hedged = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -144,17 +146,17 @@
 	return nil
 }
 
-// lookupDecided tells whether to look elsewhere for the history; late: the store that was asked for it has had its time.
-func (a *openAttempt) lookupDecided(late bool) bool {
+// lookupDecided reports whether the history must be read elsewhere; hedged: the hedge delay is over.
+func (a *openAttempt) lookupDecided(hedged bool) bool {
 	if len(a.lookup.known) > 0 {
-		return late || slices.Contains(a.lookup.responded, a.historyReplica)
+		return hedged || slices.Contains(a.lookup.responded, a.historyReplica)
 	}
-	reached, lost := a.lookup.absence.state()
-	return reached || lost && late
+	reached, impossible := a.lookup.absence.state()
+	return reached || impossible && hedged
 }
 
-// readHistory reads the history from those that know the previous turn, under its own program's key where none of the copies
-// does.
+// readHistory reads the history from the stores that have the previous turn. Where no replica of this program has it,
+// it looks for the turn at all stores and reads it under its own program's key.
 func (a *openAttempt) readHistory(ctx context.Context) error {
 	o, key := a.opened, a.opened.Program
 	if len(a.lookup.known) == 0 {
@@ -167,36 +169,37 @@
 		}
 	}
 	a.client.sendRepairNotices(a.placement, key, a.lookup.lacking)
-	history, left, err := a.client.readHistory(ctx, a.placement, key, o.Previous, a.lookup)
+	history, remaining, err := a.client.readHistory(ctx, a.placement, key, o.Previous, a.lookup)
 	if err != nil {
 		return err
 	}
-	a.client.cacheHistory(key, o.Previous, history, left)
+	a.client.cacheHistory(key, o.Previous, history, remaining)
 	o.History, o.ForeignBase = history, key != o.Program
 	return nil
 }
 
-// confirmReservation reads the ledgers of a majority once more, past half of the budget.
-func (c *Client) confirmReservation(ctx context.Context, p *Placement, program string, stores []Store, r *reservation) (reservationState, error) {
-	answers := broadcast(c, stores, c.callTimeout, func(s Store) (rpc.Method, any) {
+// confirmReservation reads the ledgers of a majority again, as is required past half of the budget.
+func (c *Client) confirmReservation(ctx context.Context, p *Placement, program string, stores []Store,
+	r *reservation) (reservationState, error) {
+	responses := broadcast(c, stores, c.callTimeout, func(s Store) (rpc.Method, any) {
 		return MethodReadLedger, &readLedgerCall{To: RequestHeader{s.ID, p.Generation}, Program: program}
 	}, func(r *readLedgerReply) int { return r.Status })
-	var failed error
+	var failure error
 	for range stores {
 		select {
-		case a := <-answers:
-			if a.err != nil {
-				failed = dominantError(failed, a.err)
-				r.addResponse(2, a.store.ID, false, nil)
+		case response := <-responses:
+			if response.err != nil {
+				failure = dominantError(failure, response.err)
+				r.addResponse(phaseReread, response.store.ID, false, nil)
 			} else {
-				r.addResponse(2, a.store.ID, true, a.reply.Ledger)
+				r.addResponse(phaseReread, response.store.ID, true, response.reply.Ledger)
 			}
 		case <-ctx.Done():
 			return reservationUndecidable, ctx.Err()
 		}
-		if v := r.decide(); v != reservationPending {
-			return v, failed
+		if state := r.decide(); state != reservationPending {
+			return state, failure
 		}
 	}
-	return reservationUndecidable, failed
+	return reservationUndecidable, failure
 }
--- a/internal/tier/turnstore/increment_cache.go
+++ b/internal/tier/turnstore/increment_cache.go
@@ -7,31 +7,35 @@
 	"time"
 )
 
-// incrementCache is a cache of what turns add to a history, bounded in bytes; the least recently used go first.
+// incrementCache is an LRU cache of what turns add to a history, bounded in bytes. It is safe for concurrent use.
 type incrementCache struct {
-	mu    sync.Mutex
-	maxBytes  int
-	bytes int
-	byID   map[string]*list.Element
-	recency list.List // newest first
+	mu       sync.Mutex
+	maxBytes int
+	bytes    int                      // sum of sizeOf of all elements
+	byID     map[string]*list.Element // by turn ID; values are *cachedIncrement
+	recency  list.List                // most recently used first
 }
 
+// cachedIncrement is the increment of one turn, or a complete history.
 type cachedIncrement struct {
 	key      string // program
-	id       string
-	previous string // empty: the bytes are the whole history
+	id       string // turn
+	previous string // turn that the bytes follow; empty: they are the complete history
 	bytes    []byte
-	until    time.Time // zero: no bound
+	until    time.Time // the turn may not be continued from afterwards; zero: no bound
 }
 
-const incrementOverhead = 200 // of one in the cache, beside its bytes
+const incrementOverhead = 200 // bytes of an element besides its strings and contents, estimated
 
-func newIncrementCache(most int) *incrementCache { return &incrementCache{maxBytes: most, byID: map[string]*list.Element{}} }
+func newIncrementCache(maxBytes int) *incrementCache {
+	return &incrementCache{maxBytes: maxBytes, byID: map[string]*list.Element{}}
+}
 
 func (c *incrementCache) sizeOf(p *cachedIncrement) int {
 	return len(p.bytes) + len(p.id) + len(p.key) + len(p.previous) + incrementOverhead
 }
 
+// put adds an increment in place of an earlier one of the turn. One of more than a quarter of the bound is not cached.
 func (c *incrementCache) put(p *cachedIncrement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +65,7 @@
 	}
 }
 
-// get gives one piece's bytes.
+// get returns the increment of a turn.
 func (c *incrementCache) get(id string) ([]byte, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +77,8 @@
 	return e.Value.(*cachedIncrement).bytes, true
 }
 
-// history gives the whole history of a turn if every piece of it is here and the turn is known to be kept.
+// history returns the complete history of a turn and its program, if every increment of the chain is cached and the
+// turn's time has not passed.
 func (c *incrementCache) history(id string, now time.Time) (key string, history []byte, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/turnstore/interfaces.go
+++ b/internal/tier/turnstore/interfaces.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// disk is where a store keeps its rows: a file of sqlitelog's.
+// disk is the durable storage of a store. Its methods are those of sqlitelog.DB, where their contracts are documented.
 type disk interface {
 	Identity() (id string, fresh bool)
 	Get(table string, key []byte) ([]byte, error)
@@ -15,11 +15,12 @@
 	Range(table string, from, to []byte, f func(key, value []byte) error) error
 	Submit(writes []sqlitelog.Write) pendingWrite
 	Commit(ctx context.Context, writes []sqlitelog.Write) error
-	Room() (left, most int64, err error) // 0, 0: without a limit
+	Room() (left, most int64, err error)
 }
 
-// pendingWrite is a write that was taken and may not be synced yet.
+// pendingWrite is a write that was submitted and may not be synced yet.
 type pendingWrite interface {
+	// Wait returns once the write is synced or has failed.
 	Wait(ctx context.Context) error
 }
 
@@ -27,7 +28,7 @@
 
 func (f sqliteDisk) Submit(writes []sqlitelog.Write) pendingWrite { return f.DB.Submit(writes) }
 
-// transport carries calls to stores.
+// transport carries calls and notices to stores.
 type transport interface {
 	Call(ctx context.Context, addr string, m rpc.Method, body, answer any) error
 	Notify(ctx context.Context, addr string, m rpc.Method, body any) error
--- a/internal/tier/turnstore/messages.go
+++ b/internal/tier/turnstore/messages.go
@@ -1,177 +1,68 @@
 package turnstore
 
 import (
-	"encoding/binary"
-
-	"github.com/cockroachdb/errors"
-
 	"larchrouter/internal/rpc"
 	"larchrouter/internal/tier/budget"
 )
 
-// The calls that a store takes.
+// The RPC methods of a store.
 const (
-	MethodOpen       rpc.Method = 20 + iota // reserve, and look for the previous turn
-	MethodClose                             // keep a turn and settle its entry
+	MethodOpen       rpc.Method = 20 + iota // reserve tokens, and look for the previous turn
+	MethodClose                             // store a turn and settle its entry
 	MethodSettle                            // settle an entry
-	MethodReadLedger                        // read a ledger
+	MethodReadLedger                        // read the ledger of a program
 	MethodHistory                           // read the history of a turn
-	MethodFindTurn                          // look for a turn under all keys
-	MethodDigest                            // sums over buckets of keys
-	MethodListKeys                          // digests of keys, by pages
-	MethodStates                            // ledgers and turns of some keys
-	MethodBodies                            // records of some turns
-	MethodRepair                            // notice: a key is not whole there
-)
-
-// The kinds of errors of a store's answer and of a client's operation.
-var (
-	// ErrBudget: the turn does not fit into what is left of its program's budget.
-	ErrBudget = errors.New("budget is spent")
-	// ErrNoTurn: the previous turn does not exist, which enough stores have said to be sure.
-	ErrNoTurn = errors.New("no such turn")
-	// ErrUnavailable: too few stores answered to know.
-	ErrUnavailable = errors.New("too few stores answered")
-	// ErrWrongStore: a store of another identity answers at that address.
-	ErrWrongStore = errors.New("store has another identity")
-	// ErrOldPlacement: the store has adopted a newer placement than the caller's.
-	ErrOldPlacement = errors.New("placement is older than the store's")
-	// ErrPlacementBehind: the store has not adopted the caller's placement yet.
-	ErrPlacementBehind = errors.New("store has not adopted the placement yet")
-	// ErrFull: the store's disk or memory bound has no room.
-	ErrFull = errors.New("store is full: give it more disk, or add stores")
-	// ErrBusy: too many writes wait for the store's disk.
-	ErrBusy = errors.New("store waits for its disk: look at the disk where it goes on")
-)
-
-const (
-	statusOK = iota
-	statusWrongStore
-	statusOldPlacement
-	statusBehind
-	statusFull
-	statusFailed
-	statusBusy
+	MethodFindTurn                          // look for a turn of any program
+	MethodDigest                            // read the digests of all buckets
+	MethodListKeys                          // read the digests of programs, page by page
+	MethodStates                            // read the ledgers and turn IDs of programs
+	MethodBodies                            // read the records of turns
+	MethodRepair                            // notice, not acknowledged: the store lacks turns of a program
 )
 
-func statusError(status int) error {
-	switch status {
-	case statusOK:
-		return nil
-	case statusWrongStore:
-		return ErrWrongStore
-	case statusOldPlacement:
-		return ErrOldPlacement
-	case statusBehind:
-		return ErrPlacementBehind
-	case statusFull:
-		return ErrFull
-	case statusBusy:
-		return ErrBusy
-	default:
-		return errors.Newf("store failed with status %d: its log names the cause", status)
-	}
-}
-
-// Turn is a turn that ended whole, as the front hands it over.
-type Turn struct {
-	Key           string // its program
-	ID            string
-	Previous      string
-	Base          []byte // the whole history before it, where Previous is another key's turn
-	Input         []byte
-	Output        []byte // the data of each event, each followed by a line feed
-	UsedTokens    int    // tokens handed out
-	RetainSeconds int    // seconds
-	CacheHost     string // the host that ran it, and has its prompt in its cache
-	ContextTokens int    // tokens of its prompt and what it generated
-}
-
-// Record is a turn as stores keep it: what it adds to the history is all that is ever read of it.
-type Record struct {
-	Key           string
-	ID            string
-	Previous      string
-	Root          bool // the piece is the whole history: first turn, or one with the base in it
-	RetainSeconds int
-	Increment     []byte
-	CacheHost     string
-	ContextTokens int
-}
-
-func (t *Turn) record() Record {
-	piece := make([]byte, 0, len(t.Base)+len(t.Input)+len(t.Output))
-	piece = append(append(append(piece, t.Base...), t.Input...), t.Output...)
-	return Record{Key: t.Key, ID: t.ID, Previous: t.Previous, Root: t.Previous == "" || t.Base != nil, RetainSeconds: t.RetainSeconds, Increment: piece, CacheHost: t.CacheHost, ContextTokens: t.ContextTokens}
-}
-
-// indexRow is what the index needs of a turn, in a table of its own so that a start reads no bodies.
-type indexRow struct {
-	Previous string
-	Root     bool
-	RetainSeconds   int
-}
-
-// entryRow is an entry of a ledger on disk.
-type entryRow struct {
-	Tokens  int
-	Settled bool
-}
-
-// rowKey orders rows by program; splitKey undoes it.
-func rowKey(program, turn string) []byte {
-	b := make([]byte, 0, 2+len(program)+len(turn))
-	b = binary.AppendUvarint(b, uint64(len(program)))
-	return append(append(b, program...), turn...)
-}
-
-func parseRowKey(b []byte) (program, turn string, err error) {
-	n, w := binary.Uvarint(b)
-	if w <= 0 || n > uint64(len(b)-w) {
-		return "", "", errors.Newf("row key %x is of no known shape", b)
-	}
-	return string(b[w : w+int(n)]), string(b[w+int(n):]), nil
-}
-
-// head names the store that a call is meant for and the placement that it goes by.
+// RequestHeader is the target of a call: the store that it is meant for, and the generation of the placement that the
+// caller acts under.
 type RequestHeader struct {
 	Store      string
 	Generation int64
 }
 
+// The messages below are encoded by rpc.Encode, without field names: the order and the types of the fields are the
+// protocol. In every reply, Status comes first; the other fields are set only if it is statusOK.
+
 type openCall struct {
-	To       RequestHeader
-	Program  string
-	Turn     string
-	Previous string
-	MaxTokens     int
-	WantHistory  bool // wanted with the answer
+	To          RequestHeader
+	Program     string
+	Turn        string
+	Previous    string
+	MaxTokens   int
+	WantHistory bool // return the history of Previous as well
 }
 
 type openReply struct {
-	Status  int
-	Ledger  []budget.Entry
-	Authoritative   bool // it may say that there is no such turn
-	Found   bool
-	History []byte
-	HasHistory     bool   // History was read
-	Missing string // a turn of the chain that this store lacks: History begins after it
-	RemainingMs  int    // how long the store keeps the turn at least
-	CacheHost    string // of the previous turn, as far as this store remembers: it is not kept on disk
+	Status        int
+	Ledger        []budget.Entry
+	Authoritative bool // if Found is false, the store was not to have the turn: it counts towards its absence
+	Found         bool
+	History       []byte
+	HasHistory    bool   // History was read
+	Missing       string // turn of the chain that this store lacks: History begins after it; empty: History is complete
+	RemainingMs   int    // for which the store retains the turn at least
+	CacheHost     string // of the previous turn, as far as this store remembers: it is not persisted
 	ContextTokens int
 }
 
 type closeCall struct {
-	To   RequestHeader
-	Turn Record
+	To         RequestHeader
+	Turn       Record
 	UsedTokens int
 }
 
 type settleCall struct {
-	To      RequestHeader
-	Program string
-	Turn    string
-	UsedTokens    int
+	To         RequestHeader
+	Program    string
+	Turn       string
+	UsedTokens int
 }
 
 type statusReply struct {
@@ -195,12 +86,12 @@
 }
 
 type historyReply struct {
-	Status  int
-	Authoritative   bool
-	Found   bool
-	History []byte
-	Missing string
-	RemainingMs  int
+	Status        int
+	Authoritative bool
+	Found         bool
+	History       []byte
+	Missing       string // as in openReply
+	RemainingMs   int
 }
 
 type findTurnCall struct {
@@ -209,44 +100,45 @@
 }
 
 type findTurnReply struct {
-	Status int
-	Authoritative  bool
-	Found  bool
-	Key    string
+	Status        int
+	Authoritative bool
+	Found         bool
+	Key           string // program of the turn
 }
 
 type digestCall struct {
-	To    RequestHeader
-	Requester string // identity of the store that asks
+	To        RequestHeader
+	Requester string // ID of the calling store
 }
 
 type digestReply struct {
-	Status int
-	Digests   []byte // one of 8 bytes for each bucket
+	Status  int
+	Digests []byte // 8 bytes, big endian, for each bucket
 }
 
 type listKeysCall struct {
-	To      RequestHeader
-	Requester   string
-	Sweep   bool  // all that the asker should hold; else only what both should
-	Buckets []int // empty: all
-	Bucket  int   // the page begins in this bucket
-	After   string
+	To        RequestHeader
+	Requester string
+	Sweep     bool  // all programs that have the requester as a replica; else those that have both stores
+	Buckets   []int // restricts the programs; empty: all buckets
+	Bucket    int   // bucket of After
+	After     string
 }
 
+// keyDigest is the digests of one program.
 type keyDigest struct {
-	Key     string
-	TurnsDigest   int64
-	LedgerDigest  int64
-	ConfirmedMs int // the turns stay for so long for sure
+	Key          string
+	TurnsDigest  int64
+	LedgerDigest int64
+	ConfirmedMs  int // for which its turns are retained for certain
 }
 
 type listKeysReply struct {
 	Status int
 	Keys   []keyDigest
-	More   bool
-	Bucket int
-	After  string
+	More   bool   // there is a next page, after the position of Bucket and After
+	Bucket int    // of the last key
+	After  string // the last key
 }
 
 type statesCall struct {
@@ -254,17 +146,18 @@
 	Keys []string
 }
 
+// keyState is the ledger and the turns of one program.
 type keyState struct {
-	Key     string
-	RemainingMs  int
-	ConfirmedMs int // as LeftMs, 0 where that is a guess
-	Ledger  []budget.Entry
-	Turns   []string
+	Key         string
+	RemainingMs int // for which its turns are retained at least
+	ConfirmedMs int // as RemainingMs, 0 where that is an estimate
+	Ledger      []budget.Entry
+	Turns       []string
 }
 
 type statesReply struct {
 	Status int
-	States []keyState // of the first keys that were asked for
+	States []keyState // of the first of the requested keys, at least one
 }
 
 type bodiesCall struct {
@@ -273,9 +166,9 @@
 }
 
 type bodiesReply struct {
-	Status int
-	Processed   int // how many of the turns that were asked for are dealt with
-	Turns  []Record
+	Status    int
+	Processed int      // how many of the requested turns, from the first on, this reply covers
+	Turns     []Record // of those, as far as the store has them
 }
 
 type repairNotice struct {
--- a/internal/tier/turnstore/placement.go
+++ b/internal/tier/turnstore/placement.go
@@ -1,5 +1,3 @@
-// Package turnstore is the replicated store of turns and ledgers: which stores hold what (placement by rendezvous
-// hashing), what a majority of copies is, and how copies are brought together (read repair, anti-entropy).
 package turnstore
 
 import (
@@ -9,33 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Store is a store machine under the identity that its disk gave it.
+// Store is a store process, under the identity of its disk.
 type Store struct {
-	ID   string // random, made with an empty disk: a machine whose disk was lost comes back under another
-	Name string // of the machine: copies are placed by it, so that a machine that comes back empty has its old part
-	Addr string // for calls of the tier
-	Zone string
+	ID   string // random, created with an empty disk: a machine whose disk was lost returns under another ID
+	Name string // of the machine; replicas are placed by it, so that a machine with a new disk has the same programs
+	Addr string // of its RPC server
+	Zone string // failure domain
 }
 
-// Placement says which stores hold the copies. Stable, New is empty; joint, every operation needs a majority of
-// copies by both lists. A placement is never changed once it is shared.
+// Placement determines which stores are replicas of which program. It is stable while New is empty, and joint
+// otherwise: every operation then needs a quorum of the replicas by Old and of those by New. A placement is immutable
+// once it is shared.
 type Placement struct {
-	Generation        int64 // rises with each change of the lists, not when joint becomes stable
-	ReplicationFactor int
-	DurableReplicas   int // copies that must be on disk before a turn's end is passed on
-	FaultTolerance    int
+	Generation        int64 // rises with each change of the lists, not when a joint placement becomes stable
+	ReplicationFactor int   // replicas of a program
+	DurableReplicas   int   // replicas that must have synced a turn before its end is sent to the client
+	FaultTolerance    int   // stores that may be lost at once
 	Old               []Store
 	New               []Store
-	SweptIDs          []string // ids of those in New that have swept under Gen
+	SweptIDs          []string // IDs of stores in New that completed the sweep of Generation
 }
 
-// ReplicaSet by one list of stores.
+// ReplicaSet is the replicas of a program by one list of stores, in the order of their rank.
 type ReplicaSet []Store
 
-// Majority of the copies.
+// Majority returns how many replicas are a majority of the set.
 func (c ReplicaSet) Majority() int { return len(c)/2 + 1 }
 
-// ReplicaSets gives the copies of a key by each list in force: one group where stable, two where joint.
+// ReplicaSets returns the replicas of a program by each list in force: one set where stable, two where joint.
 func (p *Placement) ReplicaSets(key string) []ReplicaSet {
 	groups := []ReplicaSet{selectReplicas(p.Old, p.ReplicationFactor, key)}
 	if len(p.New) > 0 {
@@ -44,7 +43,7 @@
 	return groups
 }
 
-// Stores are all that either list names.
+// Stores returns the stores of both lists without duplicates.
 func (p *Placement) Stores() []Store {
 	all := slices.Clone(p.Old)
 	for _, s := range p.New {
@@ -55,7 +54,9 @@
 	return all
 }
 
-func selectReplicas(stores []Store, copies int, key string) ReplicaSet {
+// selectReplicas selects the replicas of a program by rendezvous hashing over the stores' names. It prefers one store of
+// each zone, so that the loss of a zone loses as few replicas as possible, and fills up with the next by rank.
+func selectReplicas(stores []Store, replicas int, key string) ReplicaSet {
 	type ranked struct {
 		Store
 		rank uint64
@@ -69,14 +70,14 @@
 		all[i] = ranked{s, h.Sum64()}
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.ID, b.ID)) })
-	out := make(ReplicaSet, 0, min(copies, len(all)))
+	out := make(ReplicaSet, 0, min(replicas, len(all)))
 	zones := map[string]bool{}
-	for again := range 2 { // one for each zone, so that a zone that is lost takes one copy along; then whoever comes next
+	for _, anyZone := range []bool{false, true} {
 		for i, s := range all {
-			if len(out) < cap(out) && s.ID != "" && (again == 1 || !zones[s.Zone]) {
+			if len(out) < cap(out) && s.ID != "" && (anyZone || !zones[s.Zone]) {
 				zones[s.Zone] = true
 				out = append(out, s.Store)
-				all[i].ID = ""
+				all[i].ID = "" // selected
 			}
 		}
 	}
--- a/internal/tier/turnstore/reservation.go
+++ b/internal/tier/turnstore/reservation.go
@@ -2,97 +2,63 @@
 
 import "larchrouter/internal/tier/budget"
 
-// quorum counts the answers of copies, in each group of a key's copies. It is pure.
-type quorum struct {
-	groups []ReplicaSet
-	required   func(ReplicaSet) int
-	responses   map[string]bool // by store: answered as wanted, or failed
-}
-
-func majority(c ReplicaSet) int { return c.Majority() }
-
-func newQuorum(groups []ReplicaSet, need func(ReplicaSet) int) *quorum {
-	return &quorum{groups: groups, required: need, responses: map[string]bool{}}
-}
-
-func (q *quorum) record(store string, ok bool) {
-	if !q.responses[store] {
-		q.responses[store] = ok
-	}
-}
-
-// state tells whether enough have answered, or can not any more.
-func (q *quorum) state() (reached, lost bool) {
-	reached = true
-	for _, g := range q.groups {
-		yes, open := 0, 0
-		for _, s := range g {
-			switch ok, heard := q.responses[s.ID]; {
-			case ok:
-				yes++
-			case !heard:
-				open++
-			}
-		}
-		n := q.required(g)
-		if n == 0 || yes < n {
-			reached = false
-		}
-		if yes+open < n || n == 0 {
-			lost = true
-		}
-	}
-	return reached, lost
-}
-
-// reservationState on the opening of a turn.
+// reservationState is the state of a reservation as decided by the responses so far.
 type reservationState int
 
-// Verdicts.
 const (
-	reservationPending   reservationState = iota // for more answers
-	reservationReread                // a majority must be read once more
-	reservationGranted
-	reservationExceeded
-	reservationUndecidable // a majority can not be had
+	reservationPending     reservationState = iota // more responses are needed
+	reservationReread                              // a majority must be read again
+	reservationGranted                             // the turn fits into the budget
+	reservationExceeded                            // the budget is exceeded
+	reservationUndecidable                         // no majority can be reached
+)
+
+// The phases of a reservation.
+const (
+	phaseReserve = 1 // the entry is written to a majority, which returns its ledgers
+	phaseReread  = 2 // the ledgers of a majority are read again
 )
 
-// reservation decides whether a turn fits into its program's budget, by what the copies answer: to the reservation
-// first, then, past half of the budget, to a second read. It is pure.
+// reservation decides whether a turn fits into its program's budget. In the first phase the entry is written to a
+// majority of replicas, whose ledgers are joined. Openings that run concurrently may miss each other's entries there;
+// where the sum is over half of the budget, so that they could exceed it together, each reads a majority again once its
+// own entry is at a majority: the last of them to have written sees all. The proof is in docs/design/011-tier.md. It is
+// pure.
 type reservation struct {
 	budget int
 	groups []ReplicaSet
-	ledger budget.Ledger
+	ledger budget.Ledger // join of all ledgers received, in both phases
 	phase  int
-	quorum *quorum
+	quorum *quorum // of the current phase
 }
 
 func newReservation(groups []ReplicaSet, budget int) *reservation {
-	return &reservation{budget: budget, groups: groups, phase: 1, quorum: newQuorum(groups, majority)}
+	return &reservation{budget: budget, groups: groups, phase: phaseReserve, quorum: newQuorum(groups, majority)}
 }
 
-// addResponse takes what a store said to the given round; nil entries with ok false mean that it failed.
-func (r *reservation) addResponse(round int, store string, ok bool, ledger []budget.Entry) {
+// addResponse takes a store's response of a phase; ok is false if the call failed. A late response of the first phase
+// still contributes its ledger, not to the quorum of the second.
+func (r *reservation) addResponse(phase int, store string, ok bool, ledger []budget.Entry) {
 	if ok {
 		r.ledger.Merge(ledger)
 	}
-	if round == r.phase {
+	if phase == r.phase {
 		r.quorum.record(store, ok)
 	}
 }
 
-// decide on what was said so far; after ReadAgain the second round counts.
+// decide returns the state by the responses so far. With reservationReread the reservation enters the second phase.
 func (r *reservation) decide() reservationState {
-	reached, lost := r.quorum.state()
+	reached, impossible := r.quorum.state()
 	switch {
-	case !reached && lost:
+	case !reached && impossible:
 		return reservationUndecidable
 	case !reached:
 		return reservationPending
 	case !r.ledger.Fits(r.budget):
 		return reservationExceeded
-	case r.phase == 1 && r.ledger.Sum() > r.budget/2:
-		r.phase = 2
+	case r.phase == phaseReserve && r.ledger.Sum() > r.budget/2:
+		r.phase = phaseReread
 		r.quorum = newQuorum(r.groups, majority)
 		return reservationReread
 	}
--- a/internal/tier/turnstore/server.go
+++ b/internal/tier/turnstore/server.go
@@ -13,7 +13,7 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// StoreTables are the tables that a store's file is opened with.
+// StoreTables are the tables with which a store's database must be opened.
 var StoreTables = []string{tableEntries, tableTurns, tableBodies, tableFacts}
 
 const (
@@ -24,46 +24,49 @@
 	factAdopted  = "adopted"
 	factSwept    = "swept"
 
-	serverCacheBytes = 24 << 20
-	expireInterval = 2 * time.Second
-	maxExpiredPerCommit  = 200     // turns dropped with one transaction
-	maxRewriteEntries = 1000    // entries written again with one transaction
-	maxReadBytes   = 1 << 20 // bodies read at once, about
+	maxQueuedRepairs    = 256
+	serverCacheBytes    = 24 << 20
+	expireInterval      = 2 * time.Second
+	maxExpiredPerCommit = 200     // turns and ledger entries deleted in one transaction, about
+	maxExpireRounds     = 50      // transactions at a time, so that other periodic work goes on
+	maxRewriteEntries   = 1000    // entries rewritten in one transaction
+	maxReadBytes        = 1 << 20 // of bodies read under one lock of the file, about
 )
 
-// ServerOptions is what a store is made of.
+// ServerOptions are the dependencies of a server.
 type ServerOptions struct {
 	DB        *sqlitelog.DB          // opened with StoreTables; its identity is the store's
-	Placement func() *Placement      // in force as far as this node knows; nil before it was heard of
-	Changed   func() <-chan struct{} // closed with the next change of the placement; nil: it is looked at often
+	Placement func() *Placement      // the placement in force as far as this node knows; nil before it was received
+	Changed   func() <-chan struct{} // closed with the next change of the placement; nil: the placement is polled
 	Calls     *rpc.Clients           // to the other stores
-	Now       func() time.Time       // the steady clock; nil: time.Now
+	Now       func() time.Time       // monotonic clock; nil: time.Now
 	Log       *process.Ring
 }
 
-// Server is the server side: one node's copies. Its answers are what its disk has synced.
+// Server is one store: a replica of many programs. It acknowledges only what its disk has synced. It is safe for
+// concurrent use; mu is not held while a call waits for the disk or for a peer.
 type Server struct {
 	ServerOptions
-	disk     disk
-	peers    transport
-	id       string
-	cache   *incrementCache
-	repairs   chan string
-	faultLogged atomic.Bool
-	sweepMu sync.Mutex  // one sweep at a time
-	progress   sweepProgress // under sweeping
-	full     atomic.Bool // as room says, for those who do not hold the mutex
-
-	mu       sync.Mutex
-	index    *index
-	unsynced *unsyncedEntries
-	capacity     capacity
-	adoptedGeneration  int64 // the newest placement that it went by
-	persistedGeneration     int64 // adopted, on disk
-	sweptGeneration    int64
+	disk        disk
+	peers       transport
+	id          string
+	cache       *incrementCache
+	repairs     chan string // keys of programs to repair
+	faultLogged atomic.Bool // the current fault of the disk is in the log
+	sweepMu     sync.Mutex  // one sweep at a time; before mu
+	progress    sweepProgress
+	full        atomic.Bool // capacity.full, for readers without mu
+
+	mu                  sync.Mutex
+	index               *index
+	unsynced            *unsyncedEntries
+	capacity            capacity
+	adoptedGeneration   int64 // newest generation that it acted under; calls under an older one are rejected
+	persistedGeneration int64 // adoptedGeneration on disk, which may be behind; never below a generation that a sweep relied on
+	sweptGeneration     int64 // newest generation whose sweep is complete, on disk
 }
 
-// NewServer reads what the file has.
+// NewServer loads the state on disk and returns a server. The caller must register Handlers and call Run.
 func NewServer(c ServerOptions) (*Server, error) {
 	return newServer(c, sqliteDisk{c.DB}, rpcTransport{c.Calls})
 }
@@ -72,8 +75,8 @@
 	if c.Now == nil {
 		c.Now = time.Now
 	}
-	s := &Server{ServerOptions: c, disk: d, peers: peers, cache: newIncrementCache(serverCacheBytes), repairs: make(chan string, 256), index: newIndex(),
-		unsynced: newUnsyncedEntries()}
+	s := &Server{ServerOptions: c, disk: d, peers: peers, cache: newIncrementCache(serverCacheBytes),
+		repairs: make(chan string, maxQueuedRepairs), index: newIndex(), unsynced: newUnsyncedEntries()}
 	s.id, _ = d.Identity()
 	now := c.Now()
 	s.index.expiredRotatedAt = now
@@ -90,24 +93,24 @@
 	return s, nil
 }
 
-// ID is the identity under which the store is placed.
+// ID returns the identity under which the store is placed.
 func (s *Server) ID() string { return s.id }
 
-// SweptGeneration is the newest placement under which the store has all that it should hold.
+// SweptGeneration returns the newest generation whose sweep is complete: the store has all that it must have under it.
 func (s *Server) SweptGeneration() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sweptGeneration
 }
 
-// AdoptedGeneration is the newest gen that the store goes by: it refuses what comes under an older one.
+// AdoptedGeneration returns the newest generation that the store acted under: it rejects calls under an older one.
 func (s *Server) AdoptedGeneration() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.adoptedGeneration, s.sweptGeneration)
 }
 
-// Counts tells how many programs and turns the store has.
+// Counts returns the number of programs and of turns in the store.
 func (s *Server) Counts() (programs, turns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,31 +120,34 @@
 	return programs, len(s.index.turns)
 }
 
-// Run expires, sweeps and repairs until ctx ends.
+// Run does the store's periodic work until ctx ends: expiry, checks of capacity, rewrites of failed entries, sweeps and
+// anti-entropy.
 func (s *Server) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() {
-		tick := time.NewTicker(expireInterval)
-		defer tick.Stop()
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-tick.C:
-			}
-			for range 50 {
-				if !s.expire(ctx) {
-					break
-				}
-			}
-			s.checkCapacity(ctx)
-			for more := true; more; {
-				var err error
-				more, err = s.rewriteFailedEntries(ctx)
-				s.noteWriteError(err)
-			}
-		}
-	})
+	wg.Go(func() { s.runExpiry(ctx) })
 	wg.Go(func() { s.runAntiEntropy(ctx) })
 	wg.Wait()
 }
+
+func (s *Server) runExpiry(ctx context.Context) {
+	tick := time.NewTicker(expireInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		for range maxExpireRounds {
+			if !s.expire(ctx) {
+				break
+			}
+		}
+		s.checkCapacity(ctx)
+		for more := true; more; {
+			var err error
+			more, err = s.rewriteFailedEntries(ctx)
+			s.noteWriteError(err)
+		}
+	}
+}
--- a/internal/tier/turnstore/server_expire.go
+++ b/internal/tier/turnstore/server_expire.go
@@ -8,7 +8,8 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// expire drops what no one may ask for any more, a bounded part at a time; more tells that there is more.
+// expire deletes turns and ledgers whose retention time is over, a bounded part in one transaction. It reports whether there
+// may be more. What cannot be deleted on disk stays in the index for the next attempt.
 func (s *Server) expire(ctx context.Context) (more bool) {
 	s.mu.Lock()
 	now := s.Now()
--- a/internal/tier/turnstore/server_handlers.go
+++ b/internal/tier/turnstore/server_handlers.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// Handlers are the calls that the store takes.
+// Handlers returns the RPC handlers of the store by method.
 func (s *Server) Handlers() map[rpc.Method]rpc.Handler {
 	return map[rpc.Method]rpc.Handler{
 		MethodOpen:       handle(s.handleOpen),
@@ -25,6 +25,7 @@
 	}
 }
 
+// handle adapts a typed handler to rpc.Handler.
 func handle[C, R any](f func(context.Context, *C) R) rpc.Handler {
 	return func(ctx context.Context, body []byte) (any, error) {
 		var c C
@@ -35,7 +36,8 @@
 	}
 }
 
-// admit tells why a call is not for this store under its placement; the mutex is held.
+// admit adopts the placement in force and returns the status with which a call must be rejected: for another store, or under
+// an older placement. s.mu is held.
 func (s *Server) admit(h RequestHeader) int {
 	if h.Store != s.id {
 		return statusWrongStore
@@ -49,8 +51,8 @@
 	return statusOK
 }
 
-// authoritative tells whether the store has all that was promised under a placement, so that it may say what does not exist.
-// The mutex is held.
+// authoritative reports whether the store has all that was acknowledged under the placement in force and before, so that it
+// may deny that a turn exists. s.mu is held.
 func (s *Server) authoritative() bool {
 	p := s.Placement()
 	if p == nil {
@@ -64,7 +66,7 @@
 	return s.sweptGeneration == p.Generation && p.Generation > 0
 }
 
-// handleOpen reserves a turn and answers once the reservation is synced.
+// handleOpen adds a reservation to the ledger and replies once it is synced.
 func (s *Server) handleOpen(ctx context.Context, c *openCall) *openReply {
 	s.mu.Lock()
 	now := s.Now()
@@ -76,7 +78,7 @@
 		s.mu.Unlock()
 		return &openReply{Status: statusFull}
 	}
-	// The ledger in memory may be ahead of the disk for a moment: it never says less than what was promised.
+	// The ledger in memory is ahead of the disk until the sync; it never has less than what was acknowledged.
 	e, _ := s.index.joinEntry(c.Program, budget.Entry{Turn: c.Turn, Tokens: c.MaxTokens}, now)
 	var rows entryRows
 	rows.add(c.Program, e)
@@ -86,7 +88,7 @@
 		return &openReply{Status: st}
 	}
 	s.mu.Lock()
-	if st := s.admit(c.To); st != statusOK { // adopted meanwhile: a sweep may have missed the entry
+	if st := s.admit(c.To); st != statusOK { // adopted during the sync: a sweep may have missed the entry
 		s.mu.Unlock()
 		return &openReply{Status: st}
 	}
@@ -98,8 +100,8 @@
 	return r
 }
 
-// openReply tells of a program's ledger and of the previous turn; ids are the turns that make the history, if it is wanted.
-// The mutex is held.
+// openReply returns the program's ledger and what the store knows of the previous turn. If the history is wanted, ids are the
+// turns whose increments make it up. s.mu is held.
 func (s *Server) openReply(c *openCall, now time.Time) (r *openReply, ids []string) {
 	r = &openReply{Authoritative: s.authoritative()}
 	if p := s.index.get(c.Program); p != nil {
@@ -121,10 +123,12 @@
 	return r, ids
 }
 
-// remainingMs is for how long the turns of a program are kept at least, in ms; the mutex is held.
-func (s *Server) remainingMs(p *program) int { return int(max(0, p.retainedUntil.Sub(s.Now()).Milliseconds())) }
+// remainingMs returns for how many milliseconds the turns of a program are retained at least. s.mu is held.
+func (s *Server) remainingMs(p *program) int {
+	return int(max(0, p.retainedUntil.Sub(s.Now()).Milliseconds()))
+}
 
-// handleClose keeps a turn, settles its entry, and answers once both are synced.
+// handleClose stores a turn, settles its entry, and replies once both are synced.
 func (s *Server) handleClose(ctx context.Context, c *closeCall) *statusReply {
 	t := &c.Turn
 	s.mu.Lock()
@@ -133,7 +137,7 @@
 		return &statusReply{st}
 	}
 	e, _ := s.index.joinEntry(t.Key, budget.Entry{Turn: t.ID, Tokens: c.UsedTokens, Settled: true}, s.Now())
-	s.index.extendRetention(t.Key, s.Now()) // its chain is kept from here on
+	s.index.extendRetention(t.Key, s.Now()) // its chain is retained from now on
 	rows := entryRows{writes: encodeTurn(t)}
 	rows.add(t.Key, e)
 	wrote := s.submit(rows)
@@ -143,13 +147,15 @@
 	}
 	s.cache.put(&cachedIncrement{key: t.Key, id: t.ID, bytes: nonNil(t.Increment)})
 	s.mu.Lock()
-	s.index.addTurn(t.Key, t.ID, indexRow{Previous: t.Previous, Root: t.Root, RetainSeconds: t.RetainSeconds}, -1, s.Now())
+	row := indexRow{Previous: t.Previous, Root: t.Root, RetainSeconds: t.RetainSeconds}
+	s.index.addTurn(t.Key, t.ID, row, -1, s.Now())
 	s.index.setCacheHost(t.ID, t.CacheHost, t.ContextTokens)
-	st := s.admit(c.To) // adopted meanwhile: a sweep may have missed the turn
+	st := s.admit(c.To) // adopted during the sync: a sweep may have missed the turn
 	s.mu.Unlock()
 	return &statusReply{st}
 }
 
+// handleSettle settles an entry, and replies once it is synced.
 func (s *Server) handleSettle(ctx context.Context, c *settleCall) *statusReply {
 	s.mu.Lock()
 	if st := s.admit(c.To); st != statusOK {
@@ -169,6 +175,7 @@
 	return &statusReply{s.admit(c.To)}
 }
 
+// handleReadLedger returns a program's ledger. It may include entries whose sync is pending.
 func (s *Server) handleReadLedger(_ context.Context, c *readLedgerCall) *readLedgerReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,6 +189,7 @@
 	return r
 }
 
+// handleHistory returns the history of a turn as far as this store has its chain.
 func (s *Server) handleHistory(_ context.Context, c *historyCall) *historyReply {
 	s.mu.Lock()
 	if st := s.admit(c.To); st != statusOK {
@@ -202,6 +210,7 @@
 	return r
 }
 
+// handleFindTurn returns the program of a turn.
 func (s *Server) handleFindTurn(_ context.Context, c *findTurnCall) *findTurnReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/tier/turnstore/server_load.go
+++ b/internal/tier/turnstore/server_load.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// loadLedgers fills the index with the ledgers on disk.
+// loadLedgers adds the ledgers on disk to the index.
 func (s *Server) loadLedgers(now time.Time) error {
 	return s.disk.Range(tableEntries, nil, nil, func(k, v []byte) error {
 		program, turn, err := parseRowKey(k)
@@ -26,8 +26,8 @@
 	})
 }
 
-// loadTurns fills the index with the turns on disk. How long ago they ended is not known for sure: their time counts from
-// now on.
+// loadTurns adds the turns on disk to the index. When they ended is not persisted: their retention time starts anew, and is
+// not confirmed to peers.
 func (s *Server) loadTurns(now time.Time) error {
 	return s.disk.Range(tableTurns, nil, nil, func(k, v []byte) error {
 		program, turn, err := parseRowKey(k)
@@ -44,7 +44,7 @@
 	})
 }
 
-// loadFacts reads which placements the store has adopted and swept under.
+// loadFacts reads the generations that the store has adopted and swept.
 func (s *Server) loadFacts() error {
 	for name, to := range map[string]*int64{factAdopted: &s.persistedGeneration, factSwept: &s.sweptGeneration} {
 		v, err := s.disk.Get(tableFacts, []byte(name))
--- a/internal/tier/turnstore/server_read.go
+++ b/internal/tier/turnstore/server_read.go
@@ -1,33 +1,34 @@
 package turnstore
 
-// readHistory gives the history that turns make, from behind the last whose body is not there.
-func (s *Server) readHistory(program string, ids []string, missing string) (history []byte, lacks string, got bool) {
-	parts := s.readIncrements(program, ids)
+// readHistory returns the history made up by the increments of turns, oldest first. Where the body of a turn is missing, it
+// begins after the last such turn, which is returned as missing; else the given one is.
+func (s *Server) readHistory(program string, ids []string, missing string) (history []byte, missingTurn string, ok bool) {
+	increments := s.readIncrements(program, ids)
 	size, from := 0, 0
 	for i := len(ids) - 1; i >= 0; i-- {
-		if parts[i] == nil {
+		if increments[i] == nil {
 			missing, from = ids[i], i+1
 			break
 		}
-		size += len(parts[i])
+		size += len(increments[i])
 	}
 	history = make([]byte, 0, size)
-	for _, p := range parts[from:] {
-		history = append(history, p...)
+	for _, increment := range increments[from:] {
+		history = append(history, increment...)
 	}
 	return history, missing, true
 }
 
-// readIncrements gives the bytes of turns, nil for those that are gone, and keeps them at hand.
+// readIncrements returns the increments of turns, nil for those that have none on disk, and caches them.
 func (s *Server) readIncrements(program string, ids []string) [][]byte {
-	parts := make([][]byte, len(ids))
-	var keys [][]byte
-	var at []int
+	increments := make([][]byte, len(ids))
+	var keys [][]byte   // of rows to read from disk
+	var positions []int // of the keys in ids
 	for i, id := range ids {
 		if b, ok := s.cache.get(id); ok {
-			parts[i] = b
+			increments[i] = b
 		} else {
-			keys, at = append(keys, rowKey(program, id)), append(at, i)
+			keys, positions = append(keys, rowKey(program, id)), append(positions, i)
 		}
 	}
 	for len(keys) > 0 {
@@ -37,11 +38,11 @@
 			break
 		}
 		for i, v := range values {
-			if parts[at[i]] = v; v != nil {
-				s.cache.put(&cachedIncrement{key: program, id: ids[at[i]], bytes: v})
+			if increments[positions[i]] = v; v != nil {
+				s.cache.put(&cachedIncrement{key: program, id: ids[positions[i]], bytes: v})
 			}
 		}
-		keys, at = keys[len(values):], at[len(values):]
+		keys, positions = keys[len(values):], positions[len(values):]
 	}
-	return parts
+	return increments
 }
--- a/internal/tier/turnstore/server_write.go
+++ b/internal/tier/turnstore/server_write.go
@@ -5,22 +5,16 @@
 
 	"github.com/cockroachdb/errors"
 
-	"larchrouter/internal/rpc"
 	"larchrouter/internal/sqlitelog"
-	"larchrouter/internal/tier/budget"
 )
 
-func encodeEntry(program string, e budget.Entry) sqlitelog.Write {
-	return sqlitelog.Write{Table: tableEntries, Key: rowKey(program, e.Turn), Value: rpc.Encode(&entryRow{Tokens: e.Tokens, Settled: e.Settled})}
-}
-
-// awaitSync returns after the sync, also where the caller has left meanwhile: the write is made all the same, and the index has to
-// know of it.
+// awaitSync waits for a write and returns the status of its outcome. It does not end with ctx: the write is made in any
+// case, and the index must reflect it.
 func (s *Server) awaitSync(ctx context.Context, p pendingWrite) int {
 	return s.writeStatus(ctx, p.Wait(context.WithoutCancel(ctx)))
 }
 
-// writeStatus is what a caller is told of how a write ended.
+// writeStatus returns the status that a caller receives for the outcome of a write, and logs a fault of the disk.
 func (s *Server) writeStatus(ctx context.Context, err error) int {
 	switch {
 	case err == nil:
@@ -40,24 +34,9 @@
 	}
 }
 
-// logFault tells of a disk that failed, once.
+// logFault logs a fault of the disk, once until a write succeeds.
 func (s *Server) logFault(what string, err error) {
 	if !s.faultLogged.Swap(true) {
 		s.Log.Trouble("store", what, "err", err)
 	}
 }
-
-func nonNil(b []byte) []byte {
-	if b == nil {
-		return []byte{}
-	}
-	return b
-}
-
-func encodeTurn(t *Record) []sqlitelog.Write {
-	key := rowKey(t.Key, t.ID)
-	return []sqlitelog.Write{
-		{Table: tableTurns, Key: key, Value: rpc.Encode(&indexRow{Previous: t.Previous, Root: t.Root, RetainSeconds: t.RetainSeconds})},
-		{Table: tableBodies, Key: key, Value: nonNil(t.Increment)},
-	}
-}
--- a/internal/tier/turnstore/sweep_progress.go
+++ b/internal/tier/turnstore/sweep_progress.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// sweepProgress is how far a store has come with the sweep of one phase of a placement. It is pure.
+const maxAvoidedPeers = 100
+
+// sweepProgress is the progress of a store's sweep in one phase, joint or stable, of one generation. It is pure.
 type sweepProgress struct {
-	generation    int64
-	joint  bool
-	attempted  map[string]bool      // peers by id, in this round: whether all was pulled from them
-	avoidUntil map[string]time.Time // peers that failed a moment ago, until then
+	generation int64
+	joint      bool
+	attempted  map[string]bool      // peer ID, in this round: whether everything was pulled from it
+	avoidUntil map[string]time.Time // peer ID, of those that failed: they are not needed until then
 }
 
-// begin starts anew with each phase: what was pulled while joint does not count for the stable placement, where fewer
-// stores than before may have had a turn then.
+// begin starts or continues a round. What was pulled while joint does not count for the stable placement, where a turn
+// may be at fewer of the other stores.
 func (r *sweepProgress) begin(p *Placement) {
 	if joint := len(p.New) > 0; r.attempted == nil || r.generation != p.Generation || r.joint != joint {
 		r.generation, r.joint, r.attempted = p.Generation, joint, map[string]bool{}
 	}
 }
 
-// nextPeer gives the peer to pull from. Those that failed a moment ago come last, and not at all where they are not needed.
+// nextPeer returns the peer to pull from next. Peers that failed recently come last, and only if the sweep is not
+// complete without them.
 func (r *sweepProgress) nextPeer(p *Placement, self string, now time.Time) (Store, bool) {
 	needed := r.missed(p, self) > p.FaultTolerance
-	for _, silent := range []bool{false, true} {
+	for _, avoided := range []bool{false, true} {
 		i := slices.IndexFunc(p.Old, func(o Store) bool {
-			_, tried := r.attempted[o.ID]
-			return o.ID != self && !tried && now.Before(r.avoidUntil[o.ID]) == silent && (!silent || needed)
+			_, attempted := r.attempted[o.ID]
+			return o.ID != self && !attempted && now.Before(r.avoidUntil[o.ID]) == avoided && (!avoided || needed)
 		})
 		if i >= 0 {
 			return p.Old[i], true
@@ -36,18 +39,18 @@
 	return Store{}, false
 }
 
-// record notes how a pull ended.
+// record takes the outcome of a pull.
 func (r *sweepProgress) record(peer string, ok bool, now time.Time) {
 	if r.attempted[peer] = ok; ok {
 		return
 	}
-	if r.avoidUntil == nil || len(r.avoidUntil) > 100 {
+	if r.avoidUntil == nil || len(r.avoidUntil) > maxAvoidedPeers {
 		r.avoidUntil = map[string]time.Time{}
 	}
 	r.avoidUntil[peer] = now.Add(peerFailureBackoff)
 }
 
-// missed is from how many stores nothing was pulled.
+// missed returns how many peers of the old list were not pulled from.
 func (r *sweepProgress) missed(p *Placement, self string) (n int) {
 	for _, o := range p.Old {
 		if o.ID != self && !r.attempted[o.ID] {
@@ -57,7 +60,7 @@
 	return n
 }
 
-// retryFailed begins another round, in which those that failed are tried once more.
+// retryFailed begins another round, in which peers that failed are attempted again.
 func (r *sweepProgress) retryFailed() {
 	for id, ok := range r.attempted {
 		if !ok {
--- a/internal/tier/turnstore/unsynced_entries.go
+++ b/internal/tier/turnstore/unsynced_entries.go
@@ -10,23 +10,25 @@
 // entryID names the entry of one turn in the ledger of its program.
 type entryID struct{ program, turn string }
 
-// submission is the newest write of an entry.
+// submission is the latest write of an entry.
 type submission struct {
 	number uint64
 	failed bool // its row may not be on disk
 }
 
-// unsyncedEntries are the entries that the index holds and that the disk may lack: their write is under way, or it failed. The
-// index joins an entry before its write, so that without this record a later copy of the same entry would look known and
-// never reach the disk. It is pure.
+// unsyncedEntries tracks the entries that are in the index and may not be on disk: their write is pending or failed. The index
+// joins an entry before its write; without this record, the same entry from another source would appear known and never reach
+// the disk. It is pure.
 type unsyncedEntries struct {
 	entries map[entryID]submission
 	last    uint64
 }
 
-func newUnsyncedEntries() *unsyncedEntries { return &unsyncedEntries{entries: map[entryID]submission{}} }
+func newUnsyncedEntries() *unsyncedEntries {
+	return &unsyncedEntries{entries: map[entryID]submission{}}
+}
 
-// markSubmitted notes that rows of entries were given to the disk, and numbers the submission.
+// markSubmitted records that rows of entries were submitted to the disk, and returns the number of the submission.
 func (u *unsyncedEntries) markSubmitted(ids []entryID) (number uint64) {
 	u.last++
 	for _, id := range ids {
@@ -35,7 +37,8 @@
 	return u.last
 }
 
-// markSynced notes that a submission is on disk. The disk takes submissions in order, so those before it do not matter.
+// markSynced records that a submission is on disk. The disk commits submissions in order, so that earlier ones of the same
+// entries are superseded.
 func (u *unsyncedEntries) markSynced(ids []entryID, number uint64) {
 	for _, id := range ids {
 		if u.entries[id].number <= number {
@@ -44,7 +47,7 @@
 	}
 }
 
-// markFailed notes that a submission may not be on disk.
+// markFailed records that a submission may not be on disk.
 func (u *unsyncedEntries) markFailed(ids []entryID, number uint64) {
 	for _, id := range ids {
 		if u.entries[id].number == number {
@@ -53,10 +56,10 @@
 	}
 }
 
-// list gives some of the entries: all kinds, or those alone whose write failed.
-func (u *unsyncedEntries) list(onlyFailed bool, most int) (ids []entryID) {
+// list returns up to limit entries: all, or only those whose write failed.
+func (u *unsyncedEntries) list(onlyFailed bool, limit int) (ids []entryID) {
 	for id, s := range u.entries {
-		if len(ids) == most {
+		if len(ids) == limit {
 			break
 		}
 		if s.failed || !onlyFailed {
@@ -66,10 +69,10 @@
 	return ids
 }
 
-// remove drops an entry that the index does not hold any more.
+// remove drops an entry that is not in the index any more.
 func (u *unsyncedEntries) remove(id entryID) { delete(u.entries, id) }
 
-// entryRows are rows of ledgers, and what else goes to disk in the same transaction.
+// entryRows are the writes of ledger entries, and others that are committed in the same transaction.
 type entryRows struct {
 	ids    []entryID
 	writes []sqlitelog.Write
@@ -80,7 +83,7 @@
 	r.writes = append(r.writes, encodeEntry(program, e))
 }
 
-// pendingEntries is a pending write of entries that keeps the record of what is not synced.
+// pendingEntries is a pending write of entries whose Wait updates unsyncedEntries.
 type pendingEntries struct {
 	store  *Server
 	ids    []entryID
@@ -88,12 +91,12 @@
 	write  pendingWrite
 }
 
-// submit gives rows to the disk; the mutex is held, so that rows are written in the order of the index.
+// submit submits rows to the disk. s.mu is held, so that rows are written in the order in which the index changed.
 func (s *Server) submit(rows entryRows) *pendingEntries {
 	return &pendingEntries{store: s, ids: rows.ids, number: s.unsynced.markSubmitted(rows.ids), write: s.disk.Submit(rows.writes)}
 }
 
-// Wait returns after the sync; the mutex must not be held.
+// Wait returns after the sync. s.mu must not be held.
 func (w *pendingEntries) Wait(ctx context.Context) error {
 	err := w.write.Wait(ctx)
 	w.store.mu.Lock()
@@ -106,9 +109,9 @@
 	return err
 }
 
-// unsyncedRows gives the rows of entries that the disk may lack, as the index has them now; the mutex is held.
-func (s *Server) unsyncedRows(onlyFailed bool, most int) (rows entryRows) {
-	for _, id := range s.unsynced.list(onlyFailed, most) {
+// unsyncedRows returns the rows of entries that may not be on disk, with their current values. s.mu is held.
+func (s *Server) unsyncedRows(onlyFailed bool, limit int) (rows entryRows) {
+	for _, id := range s.unsynced.list(onlyFailed, limit) {
 		e, ok := s.index.entry(id)
 		if !ok {
 			s.unsynced.remove(id)
@@ -119,7 +122,7 @@
 	return rows
 }
 
-// rewriteFailedEntries writes entries again whose write failed, a bounded part at a time; more tells that there may be more.
+// rewriteFailedEntries writes entries whose write failed again, a bounded part at a time. It reports whether there may be more.
 func (s *Server) rewriteFailedEntries(ctx context.Context) (more bool, err error) {
 	s.mu.Lock()
 	rows := s.unsyncedRows(true, maxRewriteEntries)
@@ -135,9 +138,9 @@
 	return len(rows.ids) == maxRewriteEntries, nil
 }
 
-// commitSweep puts on disk that the store has all that it should hold under a placement, in one transaction with each
-// entry that the disk may still lack.
-func (s *Server) commitSweep(ctx context.Context, gen int64) error {
+// commitSweep records on disk that the sweep of a generation is complete, in one transaction with every entry that may not be
+// on disk yet.
+func (s *Server) commitSweep(ctx context.Context, generation int64) error {
 	for more := true; more; {
 		var err error
 		if more, err = s.rewriteFailedEntries(ctx); err != nil {
@@ -146,7 +149,7 @@
 	}
 	s.mu.Lock()
 	rows := s.unsyncedRows(false, maxLedgerEntries)
-	rows.writes = append(rows.writes, fact(factSwept, gen))
+	rows.writes = append(rows.writes, fact(factSwept, generation))
 	wrote := s.submit(rows)
 	s.mu.Unlock()
 	return wrote.Wait(ctx)
