--- a/internal/sqlitelog/capacity.go
+++ b/internal/sqlitelog/capacity.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// Room returns how many bytes may still be written and the limit of the file, both 0 where it has no limit. Free space of the
+// Capacity returns how many bytes may still be written and the limit of the file, both 0 where it has no limit. Free space of the
 // file system bounds left as well, since other files may fill the disk before the limit is reached.
-func (d *DB) Room() (left, most int64, err error) {
+func (d *DB) Capacity() (left, most int64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
--- a/internal/sqlitelog/disk_fault_test.go
+++ b/internal/sqlitelog/disk_fault_test.go
@@ -184,13 +184,13 @@
 func TestCapacityIsBoundedByFreeDiskSpace(t *testing.T) {
 	d := open(t, t.TempDir(), 40<<20)
 	d.freeBytes = func() int64 { return 1 << 40 }
-	left, most, err := d.Room()
+	left, most, err := d.Capacity()
 	must(t, err)
 	if most != 40<<20-walReserve || left > most || left < most-100*pageSize {
 		t.Errorf("%d of %d left of an empty file", left, most)
 	}
 	d.freeBytes = func() int64 { return 3 << 20 }
-	if left, _, err := d.Room(); err != nil || left < 3<<20 || left > 4<<20 {
+	if left, _, err := d.Capacity(); err != nil || left < 3<<20 || left > 4<<20 {
 		t.Errorf("%d left on a disk with 3 MB: %v", left, err)
 	}
 }
--- a/internal/tier/turnstore/bench_test.go
+++ b/internal/tier/turnstore/bench_test.go
@@ -15,14 +15,14 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// processorTime is what this process has used.
+// processorTime returns the CPU time of this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkTurn is one turn on three stores and one front, all in this process; its history is 20 turns.
+// BenchmarkTurn measures a turn on three stores and one client, all in this process; histories have up to 20 turns.
 func BenchmarkTurn(b *testing.B) {
 	tr := tierOf(b, 3, true)
 	c := tr.client()
@@ -59,8 +59,8 @@
 	b.ReportMetric(float64(syncs()-before)/float64(b.N), "syncs/op")
 }
 
-// BenchmarkCommits is one turn's rows on one file, by eighty callers at once: with group commit, and with one sync a
-// turn as each waits until the one before is through.
+// BenchmarkCommits measures the rows of a turn on one file, from eighty concurrent callers: with group commit, and with one sync
+// a turn, where each caller waits for the one before.
 func BenchmarkCommits(b *testing.B) {
 	for _, one := range []bool{false, true} {
 		b.Run(map[bool]string{false: "group", true: "one sync a turn"}[one], func(b *testing.B) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// BenchmarkRebuild brings 100 MB of turns into a store whose disk was lost: three other stores have them.
+// BenchmarkRebuild measures the sweep of 100 MB of turns into a store whose disk was lost.
 func BenchmarkRebuild(b *testing.B) {
 	const programs, turns, size = 500, 40, 5000 // 100 MB
 	tr := tierOf(b, 3, true)
--- a/internal/tier/turnstore/capacity.go
+++ b/internal/tier/turnstore/capacity.go
@@ -67,7 +67,7 @@
 
 // checkCapacity measures what the disk can still take, and probes it after it refused a write.
 func (s *Server) checkCapacity(ctx context.Context) {
-	left, most, err := s.disk.Room()
+	left, most, err := s.disk.Capacity()
 	if err != nil {
 		return // writes report the fault
 	}
--- a/internal/tier/turnstore/capacity_test.go
+++ b/internal/tier/turnstore/capacity_test.go
@@ -1,19 +1,23 @@
 package turnstore
 
 import (
+	"context"
 	"fmt"
 	"strings"
+	"sync"
 	"testing"
 	"time"
+
+	"github.com/cockroachdb/errors"
 )
 
-// A store with little room opens no turns; those that were open before end, and once old ones have expired it opens
-// turns again.
-func TestStoreWithLittleRoomEndsWhatIsOpen(t *testing.T) {
+// A nearly full store opens no turns; turns that were open before can be closed, and once old ones have expired it opens turns
+// again.
+func TestNearlyFullStoreClosesOpenTurns(t *testing.T) {
 	tr := quiet(t, 3)
 	for _, n := range tr.nodes {
 		n.end()
-		n.limit = 1 // raised to the least that a file may have
+		n.limit = 1 // raised to the minimum of sqlitelog
 		n.start()
 	}
 	tr.place(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
@@ -32,22 +36,22 @@
 		}
 		return tr.nodes[0].store.Full() && tr.nodes[1].store.Full() && tr.nodes[2].store.Full()
 	}
-	piece := []byte(strings.Repeat("token\n", 1000))
+	increment := []byte(strings.Repeat("token\n", 1000))
 	kept := 0
 	for ; !full(); kept++ {
 		if kept > 1000 {
-			t.Fatal("no store takes its disk for nearly full")
+			t.Fatal("no store reports its disk as nearly full")
 		}
-		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: piece, RetainSeconds: 30}); err != nil {
-			t.Fatalf("turn %d does not end, before any store said that it is nearly full: %v", kept, err)
+		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: increment, RetainSeconds: 30}); err != nil {
+			t.Fatalf("turn %d cannot be closed, before any store reported that it is nearly full: %v", kept, err)
 		}
 	}
 	_, err := c.Open(t.Context(), opening("another", "a", ""))
 	wantError(t, err, ErrUnavailable)
 	wantError(t, err, ErrFull)
 	for _, o := range open {
-		if err := c.Close(t.Context(), o.Record([]byte("x"), piece, 5, 30*time.Second)); err != nil {
-			t.Errorf("turn %s, open before, does not end: %v", o.Turn, err)
+		if err := c.Close(t.Context(), o.Record([]byte("x"), increment, 5, 30*time.Second)); err != nil {
+			t.Errorf("turn %s, opened before, cannot be closed: %v", o.Turn, err)
 		}
 	}
 	tr.ahead.Store(int64(2 * time.Minute))
@@ -61,5 +65,74 @@
 	if _, err := c.Open(t.Context(), opening("another", "b", "")); err != nil {
 		t.Error(err)
 	}
-	t.Logf("nearly full with %d turns of %d bytes", kept, len(piece))
+	t.Logf("nearly full with %d turns of %d bytes", kept, len(increment))
+}
+
+func TestFullStoresRejectWritesAndServeReads(t *testing.T) {
+	tr := newTier(t, 3)
+	for _, n := range tr.nodes {
+		n.end()
+		n.limit = 1 // raised to the minimum of sqlitelog
+		n.start()
+	}
+	tr.place(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
+	c := tr.hasty()
+	output := []byte(strings.Repeat("token\n", 20_000))
+	kept := 0
+	var err error
+	for ; kept < 200; kept++ {
+		ctx, stop := context.WithTimeout(t.Context(), 2*time.Second)
+		err = c.Close(ctx, &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: output, RetainSeconds: 30})
+		stop()
+		if err != nil {
+			break
+		}
+	}
+	wantError(t, err, ErrUnavailable)
+	if kept < 5 {
+		t.Fatalf("full after %d turns", kept)
+	}
+	for i := range kept {
+		opened, err := tr.client().Open(t.Context(), opening(fmt.Sprint("p", i), fmt.Sprint("next", i), fmt.Sprint("t", i)))
+		if errors.Is(err, ErrUnavailable) {
+			continue // no capacity for its reservation
+		}
+		if err != nil || string(opened.History) != string(output) {
+			t.Fatalf("turn %d: %v", i, err)
+		}
+	}
+	for _, n := range tr.nodes {
+		if err := n.db.Err(); err != nil {
+			t.Fatalf("a full file is reported as broken: %v", err)
+		}
+	}
+}
+
+func TestConcurrentTurnsShareSyncs(t *testing.T) {
+	tr := newTier(t, 3)
+	c := tr.client()
+	var before int64
+	for _, n := range tr.nodes {
+		before += n.db.Commits()
+	}
+	const turns = 200
+	var wg sync.WaitGroup
+	for i := range turns {
+		wg.Go(func() {
+			p := fmt.Sprint("p", i)
+			if err := c.Close(t.Context(), &Turn{Key: p, ID: p, Output: []byte("x\n"), RetainSeconds: 30}); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	wg.Wait()
+	var after int64
+	for _, n := range tr.nodes {
+		after += n.db.Commits()
+	}
+	if n := after - before; n >= 3*turns {
+		t.Fatalf("%d syncs for %d turns on 3 stores", n, turns)
+	} else {
+		t.Logf("%d syncs for %d turns on 3 stores", n, turns)
+	}
 }
--- a/internal/tier/turnstore/disk_fault_test.go
+++ b/internal/tier/turnstore/disk_fault_test.go
@@ -15,13 +15,13 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// faultyDisk is a file with faults in its writes. Nothing of a write that fails is made.
+// faultyDisk injects faults into writes. Nothing of a failed write is made.
 type faultyDisk struct {
 	disk
 	mu      sync.Mutex
-	fault   error         // of each write from now on, nil: none
-	hold    chan struct{} // writes are acknowledged once it is closed, nil: at once
-	submits int
+	fault   error         // of each write; nil: none
+	gate    chan struct{} // writes are acknowledged once it is closed; nil: at once
+	submits int           // number of writes so far
 }
 
 func (d *faultyDisk) set(fault error) {
@@ -30,13 +30,13 @@
 	d.fault = fault
 }
 
-// held has all writes from now on wait until the given function is called.
-func (d *faultyDisk) held() (release func()) {
+// delayWrites delays the acknowledgement of all writes from now on until release is called.
+func (d *faultyDisk) delayWrites() (release func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	hold := make(chan struct{})
-	d.hold = hold
-	return func() { close(hold) }
+	gate := make(chan struct{})
+	d.gate = gate
+	return func() { close(gate) }
 }
 
 func (d *faultyDisk) count() int {
@@ -53,8 +53,8 @@
 		return failedWrite{d.fault}
 	}
 	p := d.disk.Submit(writes)
-	if d.hold != nil {
-		return heldWrite{p, d.hold}
+	if d.gate != nil {
+		return delayedWrite{p, d.gate}
 	}
 	return p
 }
@@ -67,21 +67,21 @@
 
 func (w failedWrite) Wait(context.Context) error { return w.err }
 
-type heldWrite struct {
+type delayedWrite struct {
 	pendingWrite
-	hold chan struct{}
+	gate chan struct{}
 }
 
-func (w heldWrite) Wait(ctx context.Context) error {
+func (w delayedWrite) Wait(ctx context.Context) error {
 	select {
-	case <-w.hold:
+	case <-w.gate:
 		return w.pendingWrite.Wait(ctx)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// withFaults starts a node again, on a disk with faults; what it logs goes into the buffer.
+// withFaults restarts a node on a faultyDisk; its log goes into the buffer.
 func (n *node) withFaults() (*faultyDisk, *bytes.Buffer) {
 	t := n.tier.t
 	t.Helper()
@@ -121,24 +121,24 @@
 	}
 }
 
-// A store whose disk takes no more bytes says so in its log and to the core, opens no turns, but tries to end those that are
-// open, and serves what it has. Once the disk is well it goes on by itself.
-func TestFullDiskIsToldAndTheStoreGoesOnByItself(t *testing.T) {
+// A store whose disk is full reports it in its log and to the control plane, opens no turns, still tries to close open ones, and
+// serves reads. Once the disk accepts writes it recovers by itself.
+func TestFullDiskIsReportedAndStoreRecovers(t *testing.T) {
 	tr := quiet(t, 3)
 	n := tr.nodes[0]
 	d, log := n.withFaults()
 	must(t, n.close(t, "p", "a", "text"))
 	must(t, n.open(t, "p", "open before"))
-	for spell := range 2 { // each is told
-		told := log.Len()
+	for spell := range 2 { // each is reported
+		logged := log.Len()
 		d.set(sqlitelog.ErrFull)
 		err := n.open(t, "p", "b")
 		wantError(t, err, ErrFull)
-		if remedy := "give it more disk, or add stores"; !strings.Contains(err.Error(), remedy) || !strings.Contains(log.String()[told:], remedy) {
-			t.Errorf("spell %d: the remedy is not told: %v\n%s", spell, err, log.String()[told:])
+		if remedy := "give it more disk, or add stores"; !strings.Contains(err.Error(), remedy) || !strings.Contains(log.String()[logged:], remedy) {
+			t.Errorf("spell %d: the remedy is not named: %v\n%s", spell, err, log.String()[logged:])
 		}
 		if !n.store.Full() {
-			t.Fatalf("spell %d: the core is not told", spell)
+			t.Fatalf("spell %d: Full is not reported", spell)
 		}
 		before := d.count()
 		wantError(t, n.open(t, "p", "c"), ErrFull)
@@ -147,30 +147,30 @@
 		}
 		wantError(t, n.close(t, "p", "open before", "x"), ErrFull)
 		if d.count() == before {
-			t.Errorf("spell %d: a full store does not try to end a turn", spell)
+			t.Errorf("spell %d: a full store does not try to close a turn", spell)
 		}
 		r := n.store.handleHistory(t.Context(), &historyCall{To: n.head(), Key: "p", Turn: "a"})
 		if r.Status != statusOK || string(r.History) != "text" {
 			t.Errorf("spell %d: a full store serves %+v", spell, r)
 		}
-		swept := n.store.handleListKeys(t.Context(), &listKeysCall{To: n.head(), Requester: "another", Sweep: true}) // has to write what it adopted
+		swept := n.store.handleListKeys(t.Context(), &listKeysCall{To: n.head(), Requester: "another", Sweep: true}) // must persist the generation it adopted
 		wantError(t, statusError(swept.Status), ErrFull)
 		n.store.checkCapacity(t.Context())
 		if !n.store.Full() {
-			t.Errorf("spell %d: turns are opened before the disk takes writes", spell)
+			t.Errorf("spell %d: turns are opened before the disk accepts writes", spell)
 		}
 		d.set(nil)
 		n.store.checkCapacity(t.Context())
-		if n.store.Full() || !strings.Contains(log.String()[told:], "disk has room again") {
-			t.Errorf("spell %d: the disk is well, and the store does not say so: %s", spell, log.String()[told:])
+		if n.store.Full() || !strings.Contains(log.String()[logged:], "disk has room again") {
+			t.Errorf("spell %d: the disk has recovered, and the store does not report it: %s", spell, log.String()[logged:])
 		}
 		must(t, n.open(t, "p", fmt.Sprint("after ", spell)))
 	}
 	must(t, n.close(t, "p", "open before", "x"))
 }
 
-// A store that holds as many entries of ledgers as it may says so, too.
-func TestFullLedgersAreTold(t *testing.T) {
+// A store that has maxLedgerEntries reports that it is full as well.
+func TestFullLedgersAreReported(t *testing.T) {
 	tr := quiet(t, 3)
 	n := tr.nodes[0]
 	_, log := n.withFaults()
@@ -183,17 +183,17 @@
 	wantError(t, n.open(t, "p", "a"), ErrFull)
 	n.store.checkCapacity(t.Context())
 	if !n.store.Full() || !strings.Contains(log.String(), "ledgers are full") {
-		t.Errorf("not told: %s", log)
+		t.Errorf("not reported: %s", log)
 	}
 	entries(-maxLedgerEntries)
 	n.store.checkCapacity(t.Context())
 	if n.store.Full() {
-		t.Error("full with room for entries")
+		t.Error("full with capacity for entries")
 	}
 	must(t, n.open(t, "p", "a"))
 }
 
-func TestRoomDecidesWhetherTurnsAreOpened(t *testing.T) {
+func TestCapacityHysteresis(t *testing.T) {
 	const most = 8000
 	var r capacity
 	for i, step := range []struct {
@@ -212,12 +212,12 @@
 	}
 	r.measure(0, 0)
 	if r.full() {
-		t.Error("a disk without a limit is taken for full")
+		t.Error("a disk without a limit is reported as full")
 	}
 }
 
-// What has expired while the disk refused writes is deleted once it takes them: space comes back without a restart.
-func TestWhatExpiresOnAFullDiskGoesLater(t *testing.T) {
+// What expired while the disk rejected writes is deleted once it accepts them: space is reclaimed without a restart.
+func TestExpiryOnFullDiskIsRetried(t *testing.T) {
 	tr := quiet(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
@@ -233,26 +233,26 @@
 	d.set(sqlitelog.ErrFull)
 	for range 3 {
 		if n.store.expire(t.Context()) {
-			t.Error("a disk that refuses is asked again at once")
+			t.Error("a delete that failed is retried at once")
 		}
 	}
 	if rows() != 6 {
-		t.Fatalf("%d rows while the disk refuses", rows())
+		t.Fatalf("%d rows while the disk rejects writes", rows())
 	}
 	d.set(nil)
 	for n.store.expire(t.Context()) {
 	}
 	n.store.expire(t.Context()) // turns first, then their ledger
 	if n := rows(); n != 0 {
-		t.Errorf("%d rows of what has expired are left on a disk that takes writes", n)
+		t.Errorf("%d expired rows are left on a disk that accepts writes", n)
 	}
 	if programs, turns := n.store.Counts(); programs != 0 || turns != 0 {
-		t.Errorf("%d programs and %d turns are held", programs, turns)
+		t.Errorf("%d programs and %d turns are left", programs, turns)
 	}
 }
 
-// A program that is used again while its turns could not be deleted keeps what was written since.
-func TestWhatComesBackOnAFullDiskStays(t *testing.T) {
+// A program that is used again after its turns could not be deleted retains what was written since.
+func TestTurnClosedAfterFailedExpiryStays(t *testing.T) {
 	tr := quiet(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
@@ -267,27 +267,26 @@
 	n.end()
 	n.start()
 	if !n.has("b") {
-		t.Error("a turn that was acknowledged is not there after a kill")
+		t.Error("an acknowledged turn is lost after a kill")
 	}
 }
 
-// restarted ends a node and reads its ledger of a program from disk.
+// restarted restarts a node and returns its ledger of a program, as read from disk.
 func (n *node) restarted(program string) budget.Ledger {
 	n.end()
 	n.start()
 	return n.ledger(program)
 }
 
-// A store counts as a copy under a new placement only with each entry on its disk, also those that it took into memory when
-// the disk refused them.
-func TestSweepIsNotCompleteWithoutItsEntriesOnDisk(t *testing.T) {
-	for what, fault := range map[string]error{"full": sqlitelog.ErrFull, "busy": sqlitelog.ErrBusy} {
-		t.Run(what, func(t *testing.T) {
+// A sweep is complete only with every entry on disk, including those that joined the index while the disk rejected writes.
+func TestSweepIsIncompleteUntilEntriesAreSynced(t *testing.T) {
+	for name, fault := range map[string]error{"full": sqlitelog.ErrFull, "busy": sqlitelog.ErrBusy} {
+		t.Run(name, func(t *testing.T) {
 			tr := quiet(t, 4)
 			old, fresh := tr.nodes[:3], tr.nodes[3]
 			tr.place(&Placement{Generation: 1, Old: tr.stores(old...)})
 			for _, n := range old {
-				must(t, n.open(t, "p", "promised"))
+				must(t, n.open(t, "p", "acknowledged"))
 			}
 			d, _ := fresh.withFaults()
 			next := &Placement{Generation: 2, Old: tr.stores(old...), New: tr.stores(old[0], old[1], fresh)}
@@ -295,23 +294,23 @@
 			d.set(fault)
 			for range 3 {
 				if fresh.store.sweep(t.Context(), next) || fresh.store.SweptGeneration() != 0 {
-					t.Fatal("a sweep ends on a disk that takes no writes")
+					t.Fatal("a sweep is complete on a disk that rejects writes")
 				}
 			}
 			d.set(nil)
 			if !fresh.store.sweep(t.Context(), next) {
-				t.Fatal("the sweep does not end on a disk that is well again")
+				t.Fatal("the sweep is not complete on a disk that has recovered")
 			}
 			ledger := fresh.restarted("p")
 			if fresh.store.SweptGeneration() != 2 || ledger.Sum() != 10 {
-				t.Errorf("after a kill it has swept %d, and %d tokens of 10 that were promised", fresh.store.SweptGeneration(), ledger.Sum())
+				t.Errorf("after a kill it has swept generation %d and has %d tokens of 10 that were acknowledged", fresh.store.SweptGeneration(), ledger.Sum())
 			}
 		})
 	}
 }
 
-// An entry whose write was refused is written once the disk takes it: a peer's copy of it looks known, and is not taken again.
-func TestEntryThatTheDiskRefusedIsWrittenLater(t *testing.T) {
+// An entry whose write was rejected is rewritten once the disk accepts writes: the same entry of a peer would appear known.
+func TestEntryOfFailedWriteIsRewritten(t *testing.T) {
 	tr := quiet(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
@@ -330,7 +329,7 @@
 	}
 	before := d.count()
 	if _, err := n.store.rewriteFailedEntries(t.Context()); err != nil || d.count() != before {
-		t.Errorf("entries that are synced are written again: %v", err)
+		t.Errorf("synced entries are written again: %v", err)
 	}
 	ledger := n.restarted("p")
 	if ledger.Len() != 2 {
@@ -338,55 +337,55 @@
 	}
 }
 
-// The answer to an opening whose caller has left, from a store that stood still, is taken for no other opening.
-func TestLateAnswerIsNotTakenForAnotherOpening(t *testing.T) {
+// A late reply to a cancelled open, from a store that was stalled, is not matched to another open.
+func TestLateReplyIsNotMatchedToAnotherOpen(t *testing.T) {
 	tr := quiet(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
-	release := d.held()
+	release := d.delayWrites()
 	link := tr.calls.To(n.addr)
-	ask := func(ctx context.Context, program string) (*openReply, error) {
+	call := func(ctx context.Context, program string) (*openReply, error) {
 		r := new(openReply)
 		return r, link.Call(ctx, MethodOpen, &openCall{To: n.head(), Program: program, Turn: "turn of " + program, MaxTokens: 10}, r)
 	}
 	submitted := func(most int) { until(t, "the store writes", func() bool { return d.count() >= most }) }
 
-	ctx, leave := context.WithCancel(t.Context())
-	left := make(chan error, 1)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancelled := make(chan error, 1)
 	go func() {
-		_, err := ask(ctx, "p")
-		left <- err
+		_, err := call(ctx, "p")
+		cancelled <- err
 	}()
 	submitted(1)
-	leave()
-	wantError(t, <-left, rpc.ErrLost)
+	cancel()
+	wantError(t, <-cancelled, rpc.ErrLost)
 
-	releaseSecond := d.held()
+	releaseSecond := d.delayWrites()
 	type outcome struct {
 		reply *openReply
 		err   error
 	}
 	second := make(chan outcome, 1)
 	go func() {
-		r, err := ask(t.Context(), "q")
+		r, err := call(t.Context(), "q")
 		second <- outcome{r, err}
 	}()
 	submitted(2)
-	release() // the first answer comes while the second opening waits
+	release() // the first reply arrives while the second open is pending
 	until(t, "the first is synced", func() bool {
 		n.store.mu.Lock()
 		defer n.store.mu.Unlock()
-		_, waits := n.store.unsynced.entries[entryID{"p", "turn of p"}]
-		return !waits
+		_, unsynced := n.store.unsynced.entries[entryID{"p", "turn of p"}]
+		return !unsynced
 	})
-	peek := new(readLedgerReply) // another call goes past the one that waits
-	must(t, link.Call(t.Context(), MethodReadLedger, &readLedgerCall{To: n.head(), Program: "p"}, peek))
-	if len(peek.Ledger) != 1 || peek.Ledger[0].Turn != "turn of p" {
-		t.Errorf("ledger of the first opening's program: %+v", peek.Ledger)
+	ledger := new(readLedgerReply) // another call overtakes the pending one
+	must(t, link.Call(t.Context(), MethodReadLedger, &readLedgerCall{To: n.head(), Program: "p"}, ledger))
+	if len(ledger.Ledger) != 1 || ledger.Ledger[0].Turn != "turn of p" {
+		t.Errorf("ledger of the first open's program: %+v", ledger.Ledger)
 	}
 	select {
 	case o := <-second:
-		t.Fatalf("answered before its own sync: %+v %v", o.reply, o.err)
+		t.Fatalf("acknowledged before its own sync: %+v %v", o.reply, o.err)
 	default:
 	}
 	releaseSecond()
--- a/internal/tier/turnstore/export_test.go
+++ b/internal/tier/turnstore/export_test.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// What the model in package turnstore_test sees: it needs package placement, which needs this one.
+// Exports for the model in package turnstore_test, which cannot be in this package as it imports package placement.
 
 type (
 	Network     = transport
@@ -35,17 +35,17 @@
 	Facts       = tableFacts
 )
 
-// NewServerOn makes a store of which the model has disk and network.
+// NewServerOn returns a server on a disk and a transport of the model.
 func NewServerOn(d Disk, n Network, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
 	return newServer(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, n)
 }
 
-// NewClientOn makes a client of which the model has the network.
+// NewClientOn returns a client on a transport of the model.
 func NewClientOn(n Network, placement func() *Placement, zone string) *Client {
 	return newClient(placement, n, zone, process.NewRing(io.Discard))
 }
 
-// Turns are the ids of the turns that the store has, by program.
+// Turns returns the IDs of the store's turns by program.
 func (s *Server) Turns() map[string][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,14 +56,14 @@
 	return out
 }
 
-// Has tells whether the store has a turn.
+// Has reports whether the store has a turn.
 func (s *Server) Has(turn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index.turns[turn] != nil
 }
 
-// Ledger of a program at the store.
+// Ledger returns the store's ledger of a program.
 func (s *Server) Ledger(program string) (l budget.Ledger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	return l
 }
 
-// EntriesLacking are the entries of ledgers that the store holds and for which a table of rows has none.
+// EntriesLacking returns the ledger entries of the store that are not among the rows of a disk.
 func (s *Server) EntriesLacking(rows map[string][]byte) (lacking []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,21 +90,21 @@
 	return lacking
 }
 
-// ForgetGone plants a fault: what has expired is not remembered.
-func (s *Server) ForgetGone() {
+// ForgetExpired plants a fault: expired turns are not remembered.
+func (s *Server) ForgetExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.index.expiredDigests[0])
 	clear(s.index.expiredDigests[1])
 }
 
-// Expire drops what is over now, as Run does now and then.
+// Expire deletes what has expired, as Run does periodically.
 func (s *Server) Expire(ctx context.Context) {
 	for s.expire(ctx) {
 	}
 }
 
-// Compare brings in what all others have, as Run does now and then with one.
+// Compare compares the store with all peers, as Run does periodically with one.
 func (s *Server) Compare(ctx context.Context) error {
 	p := s.Placement()
 	for _, o := range p.Stores() {
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -12,27 +12,29 @@
 	"testing"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"go.uber.org/goleak"
 
 	"larchrouter/internal/process"
 	"larchrouter/internal/rpc"
 	"larchrouter/internal/sqlitelog"
 	"larchrouter/internal/standin/reservedport"
+	"larchrouter/internal/tier/budget"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// tier is some stores and clients on loopback.
+// tier is several stores and clients on loopback.
 type tier struct {
 	t      testing.TB
 	dir    string
 	placed atomic.Pointer[Placement]
 	calls  rpc.Clients
 	nodes  []*node
-	ahead  atomic.Int64 // nanoseconds that the stores' clocks were moved
+	ahead  atomic.Int64 // nanoseconds by which the stores' clocks are ahead
 }
 
-// node is one store machine.
+// node is one store process with its disk and address.
 type node struct {
 	tier   *tier
 	name   string
@@ -45,14 +47,15 @@
 	server *rpc.Server
 	stop   context.CancelFunc
 	wg     sync.WaitGroup
-	placed atomic.Pointer[Placement] // what it has heard of, if not the tier's
-	hear   func() *Placement         // in place of both
-	alone  bool                      // does not sweep, repair or expire by itself
+	placed atomic.Pointer[Placement] // the placement it received; nil: the tier's
+	hear   func() *Placement         // overrides both
+	alone  bool                      // Run is not called: it does not sweep, repair or expire by itself
 }
 
+// newTier returns a tier of stores that run as in production.
 func newTier(t *testing.T, stores int) *tier { t.Helper(); return tierOf(t, stores, false) }
 
-// quiet makes stores that do nothing by themselves.
+// quiet returns a tier of stores without background work.
 func quiet(t *testing.T, stores int) *tier { t.Helper(); return tierOf(t, stores, true) }
 
 func tierOf(t testing.TB, stores int, alone bool) *tier {
@@ -74,7 +77,7 @@
 }
 
 func (tr *tier) add(name, zone string) *node {
-	port, err := reservedport.Reserve() // a node that starts again must find its address free
+	port, err := reservedport.Reserve() // the address must be free when a node is restarted
 	if err != nil {
 		tr.t.Fatal(err)
 	}
@@ -84,7 +87,7 @@
 	return n
 }
 
-// place puts a placement in force for all that hear of the tier's; its figures are those of one loss.
+// place puts a placement in force for all nodes that follow the tier's, with a fault tolerance of 1.
 func (tr *tier) place(p *Placement) {
 	p.ReplicationFactor, p.DurableReplicas, p.FaultTolerance = 3, 2, 1
 	tr.placed.Store(p)
@@ -109,7 +112,7 @@
 	return n.tier.placed.Load()
 }
 
-// start opens the node's files and serves at its address.
+// start opens the node's database and serves at its address.
 func (n *node) start() {
 	t := n.tier.t
 	t.Helper()
@@ -140,7 +143,7 @@
 	}
 }
 
-// cut ends the node's server: it answers no more; its files stay open.
+// cut stops the node's server and its background work; its database stays open.
 func (n *node) cut() {
 	if n.server != nil {
 		n.server.Close()
@@ -153,6 +156,7 @@
 	n.wg.Wait()
 }
 
+// end stops the node and closes its database.
 func (n *node) end() {
 	n.cut()
 	if n.db != nil {
@@ -161,7 +165,7 @@
 	}
 }
 
-// wipe ends the node and removes its disk.
+// wipe stops the node and deletes its disk.
 func (n *node) wipe() {
 	n.end()
 	if err := os.RemoveAll(n.dir); err != nil {
@@ -169,14 +173,14 @@
 	}
 }
 
-// client makes a front's client that waits long for a busy machine's disk.
+// client returns a client with long time-outs, for the disk of a busy test machine.
 func (tr *tier) client() *Client {
 	c := tr.hasty()
 	c.callTimeout, c.closeTimeout = 8*time.Second, 8*time.Second
 	return c
 }
 
-// hasty makes a client with the time limits of a front.
+// hasty returns a client with the time-outs of production.
 func (tr *tier) hasty() *Client {
 	c := NewClient(tr.placed.Load, &tr.calls, "zone-0", process.NewRing(io.Discard))
 	tr.t.Cleanup(func() {
@@ -187,7 +191,7 @@
 	return c
 }
 
-// turn opens and closes one turn and gives what the host was sent.
+// turnOf opens and closes a turn and returns the input that the host is sent: the history and the turn's own.
 func turnOf(t *testing.T, c *Client, o OpenRequest, input, output string) string {
 	t.Helper()
 	opened, err := c.Open(t.Context(), o)
@@ -200,7 +204,7 @@
 	return string(opened.History) + input
 }
 
-// until polls, with a bound, for something that happens in the background.
+// until polls for a condition that background work brings about, and fails the test after 10 s.
 func until(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !f(); {
@@ -210,3 +214,63 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 }
+
+func opening(program, turn, previous string) OpenRequest {
+	return OpenRequest{Program: program, Turn: turn, Previous: previous, MaxTokens: 10, Budget: 10_000}
+}
+
+func wantError(t *testing.T, err, kind error) {
+	t.Helper()
+	if !errors.Is(err, kind) {
+		t.Fatalf("got %v, want %v", err, kind)
+	}
+}
+
+// copiesOf returns the nodes that are replicas of a program and the others.
+func (tr *tier) copiesOf(program string) (in, out []*node) {
+	for _, n := range tr.nodes {
+		replica := false
+		for _, s := range tr.placed.Load().ReplicaSets(program)[0] {
+			replica = replica || s.ID == n.store.ID()
+		}
+		if replica {
+			in = append(in, n)
+		} else {
+			out = append(out, n)
+		}
+	}
+	return in, out
+}
+
+func (n *node) has(turn string) bool {
+	n.store.mu.Lock()
+	defer n.store.mu.Unlock()
+	return n.store.index.turns[turn] != nil
+}
+
+func (n *node) ledger(program string) budget.Ledger {
+	n.store.mu.Lock()
+	defer n.store.mu.Unlock()
+	var l budget.Ledger
+	if p := n.store.index.get(program); p != nil {
+		l.Merge(p.ledger.Entries())
+	}
+	return l
+}
+
+// joint changes the placement to the given stores: a joint placement until all of them have swept, then a stable one.
+func (tr *tier) joint(nodes ...*node) {
+	tr.t.Helper()
+	was := tr.placed.Load()
+	p := &Placement{Generation: was.Generation + 1, Old: was.Old, New: tr.stores(nodes...)}
+	tr.place(p)
+	until(tr.t, "all stores of the new list have swept", func() bool {
+		for _, n := range nodes {
+			if n.store.SweptGeneration() != p.Generation {
+				return false
+			}
+		}
+		return true
+	})
+	tr.place(&Placement{Generation: p.Generation, Old: p.New})
+}
--- a/internal/tier/turnstore/interfaces.go
+++ b/internal/tier/turnstore/interfaces.go
@@ -15,7 +15,7 @@
 	Range(table string, from, to []byte, f func(key, value []byte) error) error
 	Submit(writes []sqlitelog.Write) pendingWrite
 	Commit(ctx context.Context, writes []sqlitelog.Write) error
-	Room() (left, most int64, err error)
+	Capacity() (left, most int64, err error)
 }
 
 // pendingWrite is a write that was submitted and may not be synced yet.
--- a/internal/tier/turnstore/model_disk_fault_test.go
+++ b/internal/tier/turnstore/model_disk_fault_test.go
@@ -14,43 +14,43 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-var diskCourses = flag.Int("diskcourses", 40, "drawn courses with bad disks of stores")
+var diskScenarios = flag.Int("diskcourses", 40, "drawn courses with bad disks of stores")
 
 const slowFactor = 30 // syncs of a slow disk take so many times as long
 
-// diskTrouble is what a disk has for a while.
-type diskTrouble struct {
+// diskFault is what a disk has for a while.
+type diskFault struct {
 	name  string
 	begin func(*machine)
 	end   func(*machine)
 }
 
-var diskTroubles = []diskTrouble{
-	{"slow", func(m *machine) { m.slow(slowFactor * usualSync) }, func(m *machine) { m.slow(0) }},
-	{"stall", func(m *machine) { m.disk().stall() }, func(m *machine) { m.disk().goOn() }},
-	{"full", func(m *machine) { m.disk().fill(true) }, func(m *machine) { m.disk().fill(false) }},
+var diskFaults = []diskFault{
+	{"slow", func(m *machine) { m.setSyncTime(slowFactor * usualSync) }, func(m *machine) { m.setSyncTime(0) }},
+	{"stall", func(m *machine) { m.disk().stall() }, func(m *machine) { m.disk().resume() }},
+	{"full", func(m *machine) { m.disk().setFull(true) }, func(m *machine) { m.disk().setFull(false) }},
 }
 
 const usualSync = 5 * time.Millisecond
 
 // A store whose disk is slow, stands still or is full is not waited for: turns open, also past half of their budget, where a
 // majority is read again; they end; and another front reads their history.
-func TestStoreWithABadDiskIsNotWaitedFor(t *testing.T) {
+func TestStoreWithFaultyDiskDoesNotDelayTurns(t *testing.T) {
 	const (
 		turnTakes    = 30 * time.Millisecond // messages of 1 ms, syncs well below
 		historyTakes = 60 * time.Millisecond // another store is asked after 40 ms
 	)
-	for _, trouble := range diskTroubles {
+	for _, trouble := range diskFaults {
 		for store := range 3 {
 			t.Run(fmt.Sprint(trouble.name, store), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := still(3, true)
-					p := w.program(60)
-					var last *told
+					w := healthySimulation(3, true)
+					p := w.newProgram(60)
+					var last *turnRecord
 					turn := func(f *front, most time.Duration) {
 						began := w.now()
-						last = w.turn(ask{front: f, program: p, previous: last, need: 10, used: 10, ending: whole, retain: time.Minute})
-						if took := w.now() - began; last.how != whole || took > most {
+						last = w.runTurn(turnScript{front: f, program: p, previous: last, need: 10, used: 10, ending: completed, retain: time.Minute})
+						if took := w.now() - began; last.outcome != completed || took > most {
 							t.Errorf("turn %s of 10 tokens is %s after %v", last.id, last, took)
 						}
 					}
@@ -67,8 +67,8 @@
 					trouble.end(bad)
 					w.sleep(time.Second)
 					w.close()
-					if len(w.broken) > 0 {
-						t.Errorf("%s\n%s", w.broken[0], w.timeline(30))
+					if len(w.violations) > 0 {
+						t.Errorf("%s\n%s", w.violations[0], w.timeline(30))
 					}
 				})
 			})
@@ -77,18 +77,18 @@
 }
 
 // A store with a disk that stood still or was full serves again by itself, with what others took meanwhile.
-func TestStoreGoesOnWhenItsDiskIsWell(t *testing.T) {
-	for _, trouble := range diskTroubles {
+func TestStoreRecoversAfterDiskFault(t *testing.T) {
+	for _, trouble := range diskFaults {
 		t.Run(trouble.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := still(3, true)
+				w := healthySimulation(3, true)
 				bad, other := w.stores[0], w.stores[1]
-				life := bad.life.Load()
-				p := w.program(10_000)
-				var last *told
+				life := bad.incarnation.Load()
+				p := w.newProgram(10_000)
+				var last *turnRecord
 				turn := func() {
-					last = w.turn(ask{front: w.fronts[0], program: p, previous: last, need: 10, used: 10, ending: whole, retain: time.Minute})
-					if last.how != whole {
+					last = w.runTurn(turnScript{front: w.fronts[0], program: p, previous: last, need: 10, used: 10, ending: completed, retain: time.Minute})
+					if last.outcome != completed {
 						t.Errorf("turn %s is %s", last.id, last)
 					}
 				}
@@ -113,12 +113,12 @@
 				bad.disk().mu.Lock()
 				lacking := life.store.EntriesLacking(bad.disk().tables[turnstore.Entries])
 				bad.disk().mu.Unlock()
-				if len(lacking) > 0 || !life.store.Has(last.id) || bad.life.Load() != life {
+				if len(lacking) > 0 || !life.store.Has(last.id) || bad.incarnation.Load() != life {
 					t.Errorf("its disk lacks %v, it has the last turn: %v", lacking, life.store.Has(last.id))
 				}
 				w.close()
-				if len(w.broken) > 0 {
-					t.Errorf("%s\n%s", w.broken[0], w.timeline(30))
+				if len(w.violations) > 0 {
+					t.Errorf("%s\n%s", w.violations[0], w.timeline(30))
 				}
 			})
 		})
@@ -126,11 +126,11 @@
 }
 
 // A turn whose caller leaves while the disk stands still is written all the same: the store knows of it, so that it expires.
-func TestTurnWhoseCallerHasLeftIsNotForgotten(t *testing.T) {
+func TestTurnOfCancelledCallIsIndexed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := still(3, true)
+		w := healthySimulation(3, true)
 		bad := w.stores[0]
-		life := bad.life.Load()
+		life := bad.incarnation.Load()
 		bad.disk().stall()
 		ctx, leave := context.WithCancel(t.Context())
 		call := turnstore.CloseCall{To: turnstore.RequestHeader{Store: bad.disk().id, Generation: bad.placement().Generation},
@@ -143,7 +143,7 @@
 		if life.store.Has("turn") {
 			t.Error("a turn is there before its sync")
 		}
-		bad.disk().goOn()
+		bad.disk().resume()
 		w.sleep(time.Second)
 		calls.Wait()
 		if !life.store.Has("turn") {
@@ -161,19 +161,19 @@
 
 // Bad disks at two of three copies, and kills while they are bad: nothing is answered whole that a loss of power takes away,
 // and nothing is answered before its sync.
-func TestTimelinesOfBadDisks(t *testing.T) {
+func TestTimelinesOfDiskFaults(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		fig      figures
+		fig      timelineConfig
 		timeline string
 	}{
-		{"no majority syncs, so no turn opens", figures{stores: 3}, `
+		{"no majority syncs, so no turn opens", timelineConfig{stores: 3}, `
 			ms    s0    s1    s2 f0         f1
 			0     .     .     .  a=whole    .
 			100   stall stall .  a>b=503    .
 			1000  goes  goes  .  .          .
 			1100  .     .     .  a>c=whole  a>d=whole`},
-		{"a turn ends while two disks stand still", figures{stores: 3}, `
+		{"a turn ends while two disks stand still", timelineConfig{stores: 3}, `
 			ms    s0    s1    s2 f0         f1
 			0     .     .     .  a~=whole   b~=broken
 			100   stall stall .  .          .
@@ -184,7 +184,7 @@
 			1520  stall .     .  .          .
 			9000  goes  goes  goes .        .
 			9500  .     .     .  a>c=whole  a>d=whole`},
-		{"all lose their power while all disks stand still", figures{stores: 3}, `
+		{"all lose their power while all disks stand still", timelineConfig{stores: 3}, `
 			ms    s0       s1       s2       f0        f1
 			0     .        .        .        a=whole   q:k~=whole
 			100   stall    stall    stall    a>b=503   .
@@ -193,7 +193,7 @@
 			800   up       up       up       .         .
 			900   goes     goes     goes     .         .
 			8000  .        .        .        a>c=whole a>d=whole,q:k>l=whole`},
-		{"a store is killed while its disk is full and comes back on it", figures{stores: 3}, `
+		{"a store is killed while its disk is full and comes back on it", timelineConfig{stores: 3}, `
 			ms    s0        s1 s2    f0        f1
 			0     .         .  .     a=whole   .
 			100   full      .  .     a>b=whole .
@@ -203,7 +203,7 @@
 			4000  room      .  .     .         .
 			26000 .         .  power .         .
 			27000 .         .  .     e>f=whole d>g=whole`},
-		{"a store stands still, then another is lost and wiped", figures{stores: 4}, `
+		{"a store stands still, then another is lost and wiped", timelineConfig{stores: 4}, `
 			ms    s0    s1       s2 s3 f0        f1
 			0     .     .        .  .  a=whole   q:k=whole
 			100   stall .        .  .  a>b=whole q:k>l=whole
@@ -212,7 +212,7 @@
 			6500  .     up       .  .  .         .
 			11000 .     .        .  wipe b>c=whole q:l>m=whole
 			11100 .     .        .  .  c>d=whole r:m>n=whole`},
-		{"an answer that is late for its opening counts for no other", figures{stores: 3}, `
+		{"an answer that is late for its opening counts for no other", timelineConfig{stores: 3}, `
 			ms    s0    s1   s2 f0       f1
 			0     .     .    .  a=whole  .
 			100   stall kill .  .        .
@@ -223,12 +223,12 @@
 			1000  hears .    .  .        .
 			3000  .     .    .  q:k>l=whole r:v=whole`},
 	} {
-		t.Run(c.name, func(t *testing.T) { drawTimeline(t, c.fig, c.timeline) })
+		t.Run(c.name, func(t *testing.T) { playTimeline(t, c.fig, c.timeline) })
 	}
 }
 
-// badDisks gives one store after the other a bad disk, and kills some of them meanwhile.
-func (w *world) badDisks(rng *rand.Rand, until time.Duration) {
+// diskFaultsOfStores gives one store after the other a bad disk, and kills some of them meanwhile.
+func (w *simulation) diskFaultsOfStores(rng *rand.Rand, until time.Duration) {
 	span := func(lo, hi time.Duration) time.Duration { return lo + time.Duration(rng.Int64N(int64(hi-lo))) }
 	for w.now() < until {
 		if !w.sleep(span(200*time.Millisecond, 5*time.Second)) {
@@ -237,22 +237,22 @@
 		w.mu.Lock()
 		m := w.stores[rng.IntN(len(w.stores))]
 		w.mu.Unlock()
-		if m.life.Load() == nil {
+		if m.incarnation.Load() == nil {
 			continue
 		}
-		w.alone <- struct{}{}
-		w.badDisk(rng, m, span)
-		<-w.alone
+		w.storeFaultSlot <- struct{}{}
+		w.diskFaultOfStore(rng, m, span)
+		<-w.storeFaultSlot
 	}
 }
 
-// badDisk plays one trouble, or two in one, and the time to catch up after it.
-func (w *world) badDisk(rng *rand.Rand, m *machine, span func(lo, hi time.Duration) time.Duration) {
+// diskFaultOfStore plays one trouble, or two in one, and the time to catch up after it.
+func (w *simulation) diskFaultOfStore(rng *rand.Rand, m *machine, span func(lo, hi time.Duration) time.Duration) {
 	lasts := span(50*time.Millisecond, 9*time.Second)
-	w.troubled(w.now() + 2*lasts + catchUp)
-	troubles := []diskTrouble{diskTroubles[rng.IntN(len(diskTroubles))]}
+	w.faultUntil(w.now() + 2*lasts + catchUp)
+	troubles := []diskFault{diskFaults[rng.IntN(len(diskFaults))]}
 	if rng.IntN(3) == 0 {
-		troubles = append(troubles, diskTroubles[rng.IntN(len(diskTroubles))])
+		troubles = append(troubles, diskFaults[rng.IntN(len(diskFaults))])
 	}
 	kills, power, startsWell := rng.IntN(3) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 	for _, one := range troubles {
@@ -279,13 +279,13 @@
 	w.sleep(catchUp)
 }
 
-// lackingOnDisk fails the course where a store holds entries that its disk lacks, a while after all trouble.
-func (w *world) lackingOnDisk() {
+// checkEntriesOnDisk fails the course where a store holds entries that its disk lacks, a while after all trouble.
+func (w *simulation) checkEntriesOnDisk() {
 	if w.over() || !w.sleep(10*time.Second) {
 		return
 	}
 	for _, m := range w.stores {
-		l := m.life.Load()
+		l := m.incarnation.Load()
 		if l == nil {
 			continue
 		}
@@ -293,16 +293,16 @@
 		lacking := l.store.EntriesLacking(m.disk().tables[turnstore.Entries])
 		m.disk().mu.Unlock()
 		if len(lacking) > 0 {
-			w.fail("DISK: %s holds entries that its disk lacks: %v", m.name, lacking)
+			w.violation("DISK: %s holds entries that its disk lacks: %v", m.name, lacking)
 		}
 		if l.store.Full() {
-			w.fail("DISK: %s is full still", m.name)
+			w.violation("DISK: %s is full still", m.name)
 		}
 	}
 }
 
-func TestDrawnCoursesWithBadDisks(t *testing.T) {
-	drawn, workers := *diskCourses, 4
+func TestRandomScenariosWithDiskFaults(t *testing.T) {
+	drawn, workers := *diskScenarios, 4
 	if raceDetector {
 		drawn, workers = min(drawn, 8), 1
 	}
@@ -320,12 +320,12 @@
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds {
-					w := courseWith(t, seed, "", (*world).badDisks)
-					if len(w.broken) > 0 {
-						t.Errorf("%s\n%s", w.broken[0], w.timeline(80))
+					w := runScenarioWith(t, seed, "", (*simulation).diskFaultsOfStores)
+					if len(w.violations) > 0 {
+						t.Errorf("%s\n%s", w.violations[0], w.timeline(80))
 					}
 					mu.Lock()
-					turns += w.oracle.whole
+					turns += w.oracle.completed
 					mu.Unlock()
 				}
 			})
--- a/internal/tier/turnstore/model_test.go
+++ b/internal/tier/turnstore/model_test.go
@@ -24,54 +24,54 @@
 // clients are the real ones; disks, network, machines and the chain's head are the model's.
 
 const (
-	contact      = 3 * time.Second
-	messageLives = 20 * time.Second        // at a cut
-	catchUp      = 4200 * time.Millisecond // a store counts as lost for so long after its return
+	contact         = 3 * time.Second
+	messageLifetime = 20 * time.Second        // at a cut
+	catchUp         = 4200 * time.Millisecond // a store counts as lost for so long after its return
 )
 
 // fault names a defect that is planted into the model; empty for none.
 type fault string
 
 const (
-	noSync         fault = "a sync left out"
-	majorityOfOne  fault = "a majority of one"
-	noFence        fault = "the fence by gen left out"
-	sweepNoLedgers fault = "a sweep that skips ledgers"
-	settleBefore   fault = "settled before the turn has ended"
-	noMargin       fault = "expiry without margin"
-	onlyNew        fault = "a joint phase that needs only the new list"
-	oldIdentity    fault = "a wiped store under its old identity, with what it had swept"
-	mendNoLedger   fault = "a read repair that drops the ledger"
-	sweptEarly     fault = "a rebuilt store that says no too early"
-	goneForgotten  fault = "what has expired is not remembered"
-	endBeforeSync  fault = "the end passed on before the sync"
-	partIsWhole    fault = "a part of a history taken for the whole"
-	genUntold      fault = "stores do not tell which gen they have adopted"
-	noReservation  fault = "a reservation that is not written"
+	noSync                fault = "a sync left out"
+	majorityOfOne         fault = "a majority of one"
+	noGenerationFence     fault = "the fence by gen left out"
+	sweepWithoutLedgers   fault = "a sweep that skips ledgers"
+	settleBeforeEnd       fault = "settled before the turn has ended"
+	noRetainMargin        fault = "expiry without margin"
+	quorumOfNewListOnly   fault = "a joint phase that needs only the new list"
+	reusedIdentity        fault = "a wiped store under its old identity, with what it had swept"
+	repairWithoutLedger   fault = "a read repair that drops the ledger"
+	sweptTooSoon          fault = "a rebuilt store that says no too early"
+	expiredForgotten      fault = "what has expired is not remembered"
+	endBeforeSync         fault = "the end passed on before the sync"
+	partialHistory        fault = "a part of a history taken for the whole"
+	generationNotReported fault = "stores do not tell which gen they have adopted"
+	noReservation         fault = "a reservation that is not written"
 )
 
-type world struct {
+type simulation struct {
 	seed  uint64
 	fault fault
 	began time.Time
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	counts map[message]uint64 // messages, by what sends which to whom
-	cuts   map[[2]string]chan struct{}
-	lines  []line
-	broken []string
-	ends   chan struct{} // closed when something is broken, or at the end
-	ended  bool
-	wg     sync.WaitGroup // all that the model runs
-
-	core     core
-	stores   []*machine
-	fronts   []*front
-	oracle   oracle
-	alone    chan struct{} // holds a store's trouble and its catching up
-	even     bool          // all messages take as long
-	noDigest bool          // no anti-entropy: read repair is alone
+	mu         sync.Mutex
+	rng        *rand.Rand
+	counts     map[message]uint64 // messages, by what sends which to whom
+	partitions map[[2]string]chan struct{}
+	log        []logLine
+	violations []string
+	done       chan struct{} // closed when something is broken, or at the end
+	ended      bool
+	wg         sync.WaitGroup // all that the model runs
+
+	controller     controller
+	stores         []*machine
+	fronts         []*front
+	oracle         oracle
+	storeFaultSlot chan struct{} // holds a store's trouble and its catching up
+	uniformDelays  bool          // all messages take as long
+	noDigest       bool          // no anti-entropy: read repair is alone
 }
 
 type message struct {
@@ -79,73 +79,73 @@
 	m        rpc.Method
 }
 
-type line struct {
+type logLine struct {
 	at           time.Duration
 	column, text string
 }
 
-func newWorld(seed uint64, f fault) *world {
-	return &world{seed: seed, fault: f, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), counts: map[message]uint64{},
-		cuts: map[[2]string]chan struct{}{}, ends: make(chan struct{}), alone: make(chan struct{}, 1),
-		oracle: oracle{turns: map[string]*told{}, programs: map[string]*budget{}, used: map[string]time.Duration{}},
-		core:   core{stores: map[string]placement.StoreStatus{}, retired: map[string]bool{}}}
+func newWorld(seed uint64, f fault) *simulation {
+	return &simulation{seed: seed, fault: f, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), counts: map[message]uint64{},
+		partitions: map[[2]string]chan struct{}{}, done: make(chan struct{}), storeFaultSlot: make(chan struct{}, 1),
+		oracle:     oracle{turns: map[string]*turnRecord{}, programs: map[string]*programBudget{}, used: map[string]time.Duration{}},
+		controller: controller{stores: map[string]placement.StoreStatus{}, retired: map[string]bool{}}}
 }
 
-func (w *world) now() time.Duration { return time.Since(w.began) }
+func (w *simulation) now() time.Duration { return time.Since(w.began) }
 
-func (w *world) draw(lo, hi int) int {
+func (w *simulation) draw(lo, hi int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return lo + w.rng.IntN(hi-lo+1)
 }
 
-func (w *world) oneIn(n int) bool { return w.draw(1, n) == 1 }
+func (w *simulation) oneIn(n int) bool { return w.draw(1, n) == 1 }
 
-func (w *world) span(lo, hi time.Duration) time.Duration {
+func (w *simulation) span(lo, hi time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
 }
 
-func (w *world) note(column, format string, args ...any) {
+func (w *simulation) note(column, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lines = append(w.lines, line{w.now(), column, fmt.Sprintf(format, args...)})
+	w.log = append(w.log, logLine{w.now(), column, fmt.Sprintf(format, args...)})
 }
 
-// fail notes that a rule is broken and ends the course.
-func (w *world) fail(format string, args ...any) {
+// violation notes that a rule is broken and ends the course.
+func (w *simulation) violation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lines = append(w.lines, line{w.now(), "!", text})
-	w.broken = append(w.broken, text)
+	w.log = append(w.log, logLine{w.now(), "!", text})
+	w.violations = append(w.violations, text)
 	if !w.ended {
 		w.ended = true
-		close(w.ends)
+		close(w.done)
 	}
 }
 
-func (w *world) over() bool {
+func (w *simulation) over() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ended
 }
 
 // sleep tells whether the course goes on.
-func (w *world) sleep(d time.Duration) bool {
+func (w *simulation) sleep(d time.Duration) bool {
 	t := time.NewTimer(max(d, time.Nanosecond)) // under the race detector one of 0 in a bubble can end the process
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return !w.over()
-	case <-w.ends:
+	case <-w.done:
 		return false
 	}
 }
 
 // timeline gives the last lines, with a column for the core, each store and each front.
-func (w *world) timeline(most int) string {
+func (w *simulation) timeline(most int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	columns := []string{"core"}
@@ -161,9 +161,9 @@
 		fmt.Fprintf(&b, " %-22s", c)
 	}
 	b.WriteByte('\n')
-	lines := slices.DeleteFunc(slices.Clone(w.lines), func(l line) bool { // of what is dropped only that which came back
+	lines := slices.DeleteFunc(slices.Clone(w.log), func(l logLine) bool { // of what is dropped only that which came back
 		id, drops := strings.CutPrefix(l.text, "drops ")
-		return drops && !strings.Contains(strings.Join(w.broken, " "), " "+id+" ")
+		return drops && !strings.Contains(strings.Join(w.violations, " "), " "+id+" ")
 	})
 	for _, l := range lines[max(0, len(lines)-most):] {
 		fmt.Fprintf(&b, "%9.1f", float64(l.at.Microseconds())/1000)
@@ -177,9 +177,9 @@
 
 // Network.
 
-// lag of a message: by what it is, so that a course plays the same however goroutines are scheduled.
-func (w *world) lag(from, to string, m rpc.Method) time.Duration {
-	if w.even {
+// delay of a message: by what it is, so that a course plays the same however goroutines are scheduled.
+func (w *simulation) delay(from, to string, m rpc.Method) time.Duration {
+	if w.uniformDelays {
 		return time.Millisecond
 	}
 	key := message{from, to, m}
@@ -199,31 +199,31 @@
 	return 20*time.Millisecond + span(280*time.Millisecond)
 }
 
-func (w *world) cut(from, to string) {
+func (w *simulation) partition(from, to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if k := [2]string{from, to}; w.cuts[k] == nil {
-		w.cuts[k] = make(chan struct{})
+	if k := [2]string{from, to}; w.partitions[k] == nil {
+		w.partitions[k] = make(chan struct{})
 	}
 }
 
-func (w *world) join(from, to string) {
+func (w *simulation) heal(from, to string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	k := [2]string{from, to}
-	if c := w.cuts[k]; c != nil {
+	if c := w.partitions[k]; c != nil {
 		close(c)
-		delete(w.cuts, k)
+		delete(w.partitions, k)
 	}
 }
 
-// pass waits until a path is there; what waits for too long is lost.
-func (w *world) pass(from, to string) bool {
-	give := time.NewTimer(messageLives)
+// awaitPath waits until a path is there; what waits for too long is lost.
+func (w *simulation) awaitPath(from, to string) bool {
+	give := time.NewTimer(messageLifetime)
 	defer give.Stop()
 	for {
 		w.mu.Lock()
-		c := w.cuts[[2]string{from, to}]
+		c := w.partitions[[2]string{from, to}]
 		w.mu.Unlock()
 		if c == nil {
 			return true
@@ -238,16 +238,16 @@
 
 // node is what machines and fronts have in common.
 type node struct {
-	w       *world
-	name    string
-	zone    string
-	frozen  atomic.Pointer[chan struct{}]
-	heard   atomic.Pointer[turnstore.Placement]
-	changed atomic.Pointer[chan struct{}]
+	w        *simulation
+	name     string
+	zone     string
+	frozen   atomic.Pointer[chan struct{}]
+	received atomic.Pointer[turnstore.Placement]
+	changed  atomic.Pointer[chan struct{}]
 }
 
-// thawed waits while the machine is frozen.
-func (n *node) thawed() {
+// awaitThaw waits while the machine is frozen.
+func (n *node) awaitThaw() {
 	for c := n.frozen.Load(); c != nil; c = n.frozen.Load() {
 		<-*c
 	}
@@ -267,13 +267,13 @@
 	}
 }
 
-func (n *node) hear(p *turnstore.Placement) {
+func (n *node) receivePlacement(p *turnstore.Placement) {
 	for {
-		was := n.heard.Load()
+		was := n.received.Load()
 		if was != nil && (was.Generation > p.Generation || was.Generation == p.Generation && len(p.New) > 0) {
 			return
 		}
-		if n.heard.CompareAndSwap(was, p) {
+		if n.received.CompareAndSwap(was, p) {
 			c := make(chan struct{})
 			if old := n.changed.Swap(&c); old != nil {
 				close(*old)
@@ -283,28 +283,28 @@
 	}
 }
 
-func (n *node) placement() *turnstore.Placement { return n.heard.Load() }
+func (n *node) placement() *turnstore.Placement { return n.received.Load() }
 
-// port is a process' side of the network.
-type port struct {
-	n       *node
-	ctx     context.Context // of the process
-	mending func() bool     // nil for none
+// endpoint is a process' side of the network.
+type endpoint struct {
+	n         *node
+	ctx       context.Context // of the process
+	repairing func() bool     // nil for none
 }
 
 var errReset = errors.Mark(errors.New("connection reset"), rpc.ErrLost)
 
-type heard struct {
+type callResult struct {
 	body []byte
 	err  error
 }
 
-func (p port) Call(ctx context.Context, addr string, m rpc.Method, body, answer any) error {
+func (p endpoint) Call(ctx context.Context, addr string, m rpc.Method, body, answer any) error {
 	raw := rpc.Encode(body)
-	ch := make(chan heard, 1)
+	ch := make(chan callResult, 1)
 	p.n.w.wg.Go(func() {
-		b, err := p.n.w.carry(p, addr, m, raw)
-		ch <- heard{b, err}
+		b, err := p.n.w.deliver(p, addr, m, raw)
+		ch <- callResult{b, err}
 	})
 	select {
 	case h := <-ch:
@@ -317,28 +317,28 @@
 	}
 }
 
-func (p port) Notify(_ context.Context, addr string, m rpc.Method, body any) error {
+func (p endpoint) Notify(_ context.Context, addr string, m rpc.Method, body any) error {
 	raw := rpc.Encode(body)
-	p.n.w.wg.Go(func() { _, _ = p.n.w.carry(p, addr, m, raw) })
+	p.n.w.wg.Go(func() { _, _ = p.n.w.deliver(p, addr, m, raw) })
 	return nil
 }
 
-// carry takes a call to a store and its answer back. A call goes on when its caller has given up.
-func (w *world) carry(p port, addr string, m rpc.Method, raw []byte) ([]byte, error) {
-	p.n.thawed()
+// deliver takes a call to a store and its answer back. A call goes on when its caller has given up.
+func (w *simulation) deliver(p endpoint, addr string, m rpc.Method, raw []byte) ([]byte, error) {
+	p.n.awaitThaw()
 	if p.ctx.Err() != nil {
 		return nil, errReset
 	}
-	to := w.at(addr)
+	to := w.storeAt(addr)
 	if to == nil {
 		return nil, errors.Mark(errors.New("no route"), rpc.ErrUnsent)
 	}
-	time.Sleep(w.lag(p.n.name, to.name, m))
-	if !w.pass(p.n.name, to.name) {
+	time.Sleep(w.delay(p.n.name, to.name, m))
+	if !w.awaitPath(p.n.name, to.name) {
 		return nil, errReset
 	}
-	to.thawed()
-	life := to.life.Load()
+	to.awaitThaw()
+	life := to.incarnation.Load()
 	if life == nil {
 		return nil, errors.Mark(errors.New("connection refused"), rpc.ErrUnsent)
 	}
@@ -347,26 +347,26 @@
 		return nil, errors.Mark(errors.New("left out"), rpc.ErrRemote)
 	}
 	if m == turnstore.MethodRepair {
-		w.expectRepair(to, life, raw)
+		w.checkRepair(to, life, raw)
 	}
-	answer, err := h(life.ctx, w.spoilCall(p, m, raw))
-	to.thawed()
+	answer, err := h(life.ctx, w.injectIntoCall(p, m, raw))
+	to.awaitThaw()
 	if life.ctx.Err() != nil {
 		return nil, errReset
 	}
 	if err != nil {
 		return nil, errors.Mark(err, rpc.ErrRemote)
 	}
-	out := rpc.Encode(w.spoilAnswer(p, to, answer))
-	time.Sleep(w.lag(to.name, p.n.name, m))
-	if !w.pass(to.name, p.n.name) {
+	out := rpc.Encode(w.injectIntoReply(p, to, answer))
+	time.Sleep(w.delay(to.name, p.n.name, m))
+	if !w.awaitPath(to.name, p.n.name) {
 		return nil, errReset
 	}
-	p.n.thawed()
+	p.n.awaitThaw()
 	return out, nil
 }
 
-func (w *world) at(addr string) *machine {
+func (w *simulation) storeAt(addr string) *machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.stores {
@@ -377,21 +377,21 @@
 	return nil
 }
 
-// spoilCall plants faults in what is asked.
-func (w *world) spoilCall(p port, m rpc.Method, raw []byte) []byte {
+// injectIntoCall plants faults in what is asked.
+func (w *simulation) injectIntoCall(p endpoint, m rpc.Method, raw []byte) []byte {
 	front := strings.HasPrefix(p.n.name, "f")
 	switch {
-	case w.fault == noMargin && m == turnstore.MethodClose:
+	case w.fault == noRetainMargin && m == turnstore.MethodClose:
 		var c turnstore.CloseCall
 		_ = rpc.Decode(raw, &c)
 		c.Turn.RetainSeconds = max(1, c.Turn.RetainSeconds-int(turnstore.KeepMargin/time.Second))
 		return rpc.Encode(&c)
-	case w.fault == noFence && front && m == turnstore.MethodOpen:
+	case w.fault == noGenerationFence && front && m == turnstore.MethodOpen:
 		var c turnstore.OpenCall
 		_ = rpc.Decode(raw, &c)
 		c.To.Generation = 1 << 40
 		return rpc.Encode(&c)
-	case w.fault == noFence && front && m == turnstore.MethodClose:
+	case w.fault == noGenerationFence && front && m == turnstore.MethodClose:
 		var c turnstore.CloseCall
 		_ = rpc.Decode(raw, &c)
 		c.To.Generation = 1 << 40
@@ -405,19 +405,19 @@
 	return raw
 }
 
-// spoilAnswer plants faults in what is answered.
-func (w *world) spoilAnswer(p port, to *machine, answer any) any {
+// injectIntoReply plants faults in what is answered.
+func (w *simulation) injectIntoReply(p endpoint, to *machine, answer any) any {
 	switch r := answer.(type) {
 	case *turnstore.OpenReply:
-		if w.fault == partIsWhole {
+		if w.fault == partialHistory {
 			r.Missing = ""
 		}
 	case *turnstore.PastReply:
-		if w.fault == partIsWhole {
+		if w.fault == partialHistory {
 			r.Missing = ""
 		}
 	case *turnstore.StatesReply:
-		if w.fault == sweepNoLedgers || w.fault == mendNoLedger && p.mending != nil && p.mending() {
+		if w.fault == sweepWithoutLedgers || w.fault == repairWithoutLedger && p.repairing != nil && p.repairing() {
 			for i := range r.States {
 				r.States[i].Ledger = nil
 			}
@@ -429,21 +429,21 @@
 // Disk.
 
 type memDisk struct {
-	w     *world
+	w     *simulation
 	owner *machine
 	id    string
 
-	mu     sync.Mutex
-	tables map[string]map[string][]byte // what reads see
-	life   int
-	queue  []*write
-	busy   bool
-	flight []*write // in a commit that is under way
-	undo   []func() // what only the fault of no sync can lose
-	slow   time.Duration
-	stands chan struct{} // nil while the disk goes; else closed once it goes on
-	full   bool          // it takes no more bytes
-	syncs  int
+	mu          sync.Mutex
+	tables      map[string]map[string][]byte // what reads see
+	incarnation int
+	queue       []*write
+	busy        bool
+	inFlight    []*write // in a commit that is under way
+	undo        []func() // what only the fault of no sync can lose
+	slow        time.Duration
+	stalled     chan struct{} // nil while the disk goes; else closed once it goes on
+	full        bool          // it takes no more bytes
+	syncs       int
 }
 
 type write struct {
@@ -451,7 +451,7 @@
 	done   chan error
 }
 
-func (w *world) disk(owner *machine, id string) *memDisk {
+func (w *simulation) disk(owner *machine, id string) *memDisk {
 	return &memDisk{w: w, owner: owner, id: id, tables: map[string]map[string][]byte{}}
 }
 
@@ -477,7 +477,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if keep {
-		d.apply(d.flight)
+		d.apply(d.inFlight)
 	}
 	if power {
 		for _, u := range slices.Backward(d.undo) {
@@ -485,14 +485,14 @@
 		}
 	}
 	d.undo = nil
-	for _, g := range append(d.flight, d.queue...) {
+	for _, g := range append(d.inFlight, d.queue...) {
 		g.done <- sqlitelog.ErrClosed
 	}
-	d.life++
-	d.queue, d.flight, d.busy = nil, nil, false
-	if d.stands != nil { // the disk stands still for the next life as well
-		close(d.stands)
-		d.stands = make(chan struct{})
+	d.incarnation++
+	d.queue, d.inFlight, d.busy = nil, nil, false
+	if d.stalled != nil { // the disk stands still for the next life as well
+		close(d.stalled)
+		d.stalled = make(chan struct{})
 	}
 }
 
@@ -500,34 +500,34 @@
 func (d *memDisk) stall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stands == nil {
-		d.stands = make(chan struct{})
+	if d.stalled == nil {
+		d.stalled = make(chan struct{})
 	}
 }
 
-// goOn ends a stall.
-func (d *memDisk) goOn() {
+// resume ends a stall.
+func (d *memDisk) resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.stands != nil {
-		close(d.stands)
-		d.stands = nil
+	if d.stalled != nil {
+		close(d.stalled)
+		d.stalled = nil
 	}
 }
 
-// fill has the disk take no more bytes, or take them again.
-func (d *memDisk) fill(full bool) {
+// setFull has the disk take no more bytes, or take them again.
+func (d *memDisk) setFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
 }
 
-// goes waits, in the given life, while the disk stands still; a life that is over waits no more.
-func (d *memDisk) goes(life int) {
+// awaitResume waits, in the given life, while the disk stands still; a life that is over waits no more.
+func (d *memDisk) awaitResume(life int) {
 	for {
 		d.mu.Lock()
-		c := d.stands
-		over := d.life != life
+		c := d.stalled
+		over := d.incarnation != life
 		d.mu.Unlock()
 		if c == nil || over {
 			return
@@ -536,13 +536,13 @@
 	}
 }
 
-// readable waits as goes does, where a commit is under way: a file is read under the same hold as it is written.
-func (d *memDisk) readable(life int) {
+// awaitReadable waits as goes does, where a commit is under way: a file is read under the same hold as it is written.
+func (d *memDisk) awaitReadable(life int) {
 	d.mu.Lock()
 	busy := d.busy
 	d.mu.Unlock()
 	if busy {
-		d.goes(life)
+		d.awaitResume(life)
 	}
 }
 
@@ -550,35 +550,35 @@
 	if d.slow > 0 {
 		return d.slow
 	}
-	return d.w.lag("disk", d.owner.name, 0)/4 + 300*time.Microsecond
+	return d.w.delay("disk", d.owner.name, 0)/4 + 300*time.Microsecond
 }
 
 // run makes commits of groups until nothing waits.
 func (d *memDisk) run(life int) {
 	for {
 		d.mu.Lock()
-		if d.life != life || len(d.queue) == 0 {
-			if d.life == life {
+		if d.incarnation != life || len(d.queue) == 0 {
+			if d.incarnation == life {
 				d.busy = false
 			}
 			d.mu.Unlock()
 			return
 		}
-		d.flight, d.queue = d.queue, nil
+		d.inFlight, d.queue = d.queue, nil
 		took := d.syncTime()
 		d.mu.Unlock()
 		if d.w.fault != noSync {
 			time.Sleep(took)
-			d.goes(life)
-			d.owner.thawed()
+			d.awaitResume(life)
+			d.owner.awaitThaw()
 		}
 		d.mu.Lock()
-		if d.life != life {
+		if d.incarnation != life {
 			d.mu.Unlock()
 			return
 		}
 		if d.w.fault == noSync {
-			for _, g := range d.flight {
+			for _, g := range d.inFlight {
 				for _, one := range g.writes {
 					was, had := d.tables[one.Table][string(one.Key)]
 					d.undo = append(d.undo, func() {
@@ -598,39 +598,39 @@
 		if d.full {
 			outcome = sqlitelog.ErrFull
 		} else {
-			d.apply(d.flight)
+			d.apply(d.inFlight)
 			d.syncs++
 		}
-		for _, g := range d.flight {
+		for _, g := range d.inFlight {
 			g.done <- outcome
 		}
-		d.flight = nil
+		d.inFlight = nil
 		d.mu.Unlock()
 	}
 }
 
-// decodeCall is the disk as one life of its process has it.
-type decodeCall struct {
-	d    *memDisk
-	life int
+// diskHandle is the disk as one life of its process has it.
+type diskHandle struct {
+	disk        *memDisk
+	incarnation int
 }
 
-func (h decodeCall) Identity() (string, bool) { return h.d.id, false }
+func (h diskHandle) Identity() (string, bool) { return h.disk.id, false }
 
-func (h decodeCall) Submit(writes []sqlitelog.Write) turnstore.Pending {
+func (h diskHandle) Submit(writes []sqlitelog.Write) turnstore.Pending {
 	g := &write{writes: writes, done: make(chan error, 1)}
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
 	switch {
-	case h.d.life != h.life:
+	case h.disk.incarnation != h.incarnation:
 		g.done <- sqlitelog.ErrClosed
 	case len(writes) == 0:
 		g.done <- nil
 	default:
-		h.d.queue = append(h.d.queue, g)
-		if !h.d.busy {
-			h.d.busy = true
-			h.d.w.wg.Go(func() { h.d.run(h.life) })
+		h.disk.queue = append(h.disk.queue, g)
+		if !h.disk.busy {
+			h.disk.busy = true
+			h.disk.w.wg.Go(func() { h.disk.run(h.incarnation) })
 		}
 	}
 	return g
@@ -645,42 +645,42 @@
 	}
 }
 
-func (h decodeCall) Commit(ctx context.Context, writes []sqlitelog.Write) error {
+func (h diskHandle) Commit(ctx context.Context, writes []sqlitelog.Write) error {
 	return h.Submit(writes).Wait(ctx)
 }
 
-func (h decodeCall) Room() (left, most int64, err error) { return 0, 0, nil }
+func (h diskHandle) Capacity() (left, most int64, err error) { return 0, 0, nil }
 
-func (h decodeCall) Get(table string, key []byte) ([]byte, error) {
-	h.d.readable(h.life)
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	return h.d.tables[table][string(key)], nil
+func (h diskHandle) Get(table string, key []byte) ([]byte, error) {
+	h.disk.awaitReadable(h.incarnation)
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	return h.disk.tables[table][string(key)], nil
 }
 
-func (h decodeCall) GetMany(table string, keys [][]byte, most int) (out [][]byte, err error) {
-	h.d.readable(h.life)
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
+func (h diskHandle) GetMany(table string, keys [][]byte, most int) (out [][]byte, err error) {
+	h.disk.awaitReadable(h.incarnation)
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
 	for size := 0; len(out) < len(keys) && size <= most; {
-		v := h.d.tables[table][string(keys[len(out)])]
+		v := h.disk.tables[table][string(keys[len(out)])]
 		out = append(out, v)
 		size += len(v)
 	}
 	return out, nil
 }
 
-func (h decodeCall) Range(table string, _, _ []byte, f func(k, v []byte) error) error {
-	h.d.readable(h.life)
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
+func (h diskHandle) Range(table string, _, _ []byte, f func(k, v []byte) error) error {
+	h.disk.awaitReadable(h.incarnation)
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
 	var keys []string
-	for k := range h.d.tables[table] {
+	for k := range h.disk.tables[table] {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		if err := f([]byte(k), h.d.tables[table][k]); err != nil {
+		if err := f([]byte(k), h.disk.tables[table][k]); err != nil {
 			return err
 		}
 	}
@@ -691,20 +691,20 @@
 
 type machine struct {
 	node
-	addr string
-	file atomic.Pointer[memDisk]
-	life atomic.Pointer[life]
+	addr        string
+	file        atomic.Pointer[memDisk]
+	incarnation atomic.Pointer[incarnation]
 }
 
-type life struct {
+type incarnation struct {
 	ctx      context.Context
 	stop     context.CancelFunc
 	store    *turnstore.Server
 	handlers map[rpc.Method]rpc.Handler
-	had      map[string]bool // turns it had; false: dropped
+	seen     map[string]bool // turns it had; false: dropped
 }
 
-func (w *world) addStore(name, zone string) *machine {
+func (w *simulation) addStore(name, zone string) *machine {
 	m := &machine{addr: name + ":1"}
 	m.w, m.name, m.zone = w, name, zone
 	m.file.Store(w.disk(m, name))
@@ -717,8 +717,8 @@
 
 func (m *machine) disk() *memDisk { return m.file.Load() }
 
-// slow has each sync take so long; 0: as usual.
-func (m *machine) slow(d time.Duration) {
+// setSyncTime has each sync take so long; 0: as usual.
+func (m *machine) setSyncTime(d time.Duration) {
 	disk := m.disk()
 	disk.mu.Lock()
 	defer disk.mu.Unlock()
@@ -726,28 +726,28 @@
 }
 
 func (m *machine) start() {
-	if m.life.Load() != nil {
+	if m.incarnation.Load() != nil {
 		return
 	}
 	w := m.w
-	l := &life{had: map[string]bool{}}
+	l := &incarnation{seen: map[string]bool{}}
 	l.ctx, l.stop = context.WithCancel(context.Background())
-	m.heard.Store(nil)
+	m.received.Store(nil)
 	c := make(chan struct{})
 	m.changed.Store(&c)
 	var mending atomic.Int64
-	p := port{n: &m.node, ctx: l.ctx, mending: func() bool { return mending.Load() > 0 }}
+	p := endpoint{n: &m.node, ctx: l.ctx, repairing: func() bool { return mending.Load() > 0 }}
 	m.disk().mu.Lock()
-	h := decodeCall{m.disk(), m.disk().life}
+	h := diskHandle{m.disk(), m.disk().incarnation}
 	m.disk().mu.Unlock()
 	store, err := turnstore.NewServerOn(h, p, m.placement, func() <-chan struct{} { return *m.changed.Load() })
 	if err != nil {
-		w.fail("%s does not start: %v", m.name, err)
+		w.violation("%s does not start: %v", m.name, err)
 		l.stop()
 		return
 	}
 	l.store, l.handlers = store, store.Handlers()
-	if w.fault == mendNoLedger {
+	if w.fault == repairWithoutLedger {
 		take := l.handlers[turnstore.MethodRepair]
 		l.handlers[turnstore.MethodRepair] = func(ctx context.Context, b []byte) (any, error) {
 			mending.Add(1)
@@ -755,39 +755,39 @@
 			return take(ctx, b)
 		}
 	}
-	m.life.Store(l)
+	m.incarnation.Store(l)
 	w.note(m.name, "up as %s", m.disk().id)
 	w.wg.Go(func() { store.Run(l.ctx) })
 	w.wg.Go(func() { m.register(l) })
-	w.core.tell(w, &m.node)
+	w.controller.sendPlacement(w, &m.node)
 }
 
 // register tells the core of the store, again and again.
-func (m *machine) register(l *life) {
+func (m *machine) register(l *incarnation) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	var told int64 = -1
 	var at time.Time
 	for {
 		swept, gen := l.store.SweptGeneration(), l.store.AdoptedGeneration()
-		if m.w.fault == genUntold {
+		if m.w.fault == generationNotReported {
 			swept, gen = 0, 0
 		}
 		every := 400 * time.Millisecond
 		if p := m.placement(); p == nil || !slices.ContainsFunc(p.Stores(), func(s turnstore.Store) bool { return s.ID == m.disk().id }) {
 			every = 90 * time.Millisecond
 		}
-		if p := m.placement(); m.w.fault == sweptEarly && p != nil {
+		if p := m.placement(); m.w.fault == sweptTooSoon && p != nil {
 			swept = p.Generation
 		}
 		if swept != told || time.Since(at) > every {
 			told, at = swept, time.Now()
 			self := turnstore.Store{ID: m.disk().id, Name: m.name, Addr: m.addr, Zone: m.zone}
 			m.w.wg.Go(func() {
-				time.Sleep(m.w.lag(m.name, "core", 99))
-				m.thawed()
-				if m.w.pass(m.name, "core") && l.ctx.Err() == nil {
-					m.w.core.register(m.w, self, gen, swept)
+				time.Sleep(m.w.delay(m.name, "core", 99))
+				m.awaitThaw()
+				if m.w.awaitPath(m.name, "core") && l.ctx.Err() == nil {
+					m.w.controller.register(m.w, self, gen, swept)
 				}
 			})
 		}
@@ -800,7 +800,7 @@
 }
 
 func (m *machine) kill(power bool) {
-	l := m.life.Swap(nil)
+	l := m.incarnation.Swap(nil)
 	if l == nil {
 		return
 	}
@@ -816,15 +816,15 @@
 
 // wipe gives the machine an empty disk; it must be down.
 func (m *machine) wipe() {
-	m.w.core.mu.Lock()
-	m.w.core.wiped++
-	id := fmt.Sprintf("%s.%d", m.name, m.w.core.wiped)
-	m.w.core.mu.Unlock()
-	if m.w.fault == oldIdentity {
+	m.w.controller.mu.Lock()
+	m.w.controller.wiped++
+	id := fmt.Sprintf("%s.%d", m.name, m.w.controller.wiped)
+	m.w.controller.mu.Unlock()
+	if m.w.fault == reusedIdentity {
 		id = m.disk().id
 	}
 	empty := m.w.disk(m, id)
-	if m.w.fault == oldIdentity {
+	if m.w.fault == reusedIdentity {
 		empty.tables[turnstore.Facts] = m.disk().tables[turnstore.Facts]
 	}
 	m.file.Store(empty)
@@ -833,39 +833,39 @@
 
 // Core: the holder of the duty of placement.
 
-type core struct {
-	mu      sync.Mutex
-	place   *turnstore.Placement
-	since   time.Duration
-	gen     int64
-	began   time.Duration // when the gen was seen first
-	stores  map[string]placement.StoreStatus
-	retired map[string]bool
-	wiped   int
+type controller struct {
+	mu              sync.Mutex
+	placement       *turnstore.Placement
+	tookOverAt      time.Duration
+	generation      int64
+	generationSince time.Duration // when the gen was seen first
+	stores          map[string]placement.StoreStatus
+	retired         map[string]bool
+	wiped           int
 }
 
-func (c *core) register(w *world, s turnstore.Store, gen, swept int64) {
+func (c *controller) register(w *simulation, s turnstore.Store, gen, swept int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	placement.Register(c.stores, placement.Registration{Store: s, Generation: gen, SweptGeneration: swept}, w.now(), placement.DefaultTimings(contact))
 }
 
 // run plans the placement; now and then the duty moves to another node.
-func (c *core) run(w *world) {
+func (c *controller) run(w *simulation) {
 	timings := placement.DefaultTimings(contact)
 	move := w.span(10*time.Second, 60*time.Second)
 	for w.sleep(100 * time.Millisecond) {
 		c.mu.Lock()
 		if w.now() > move {
 			move += 40 * time.Second
-			c.stores, c.since = map[string]placement.StoreStatus{}, w.now()
+			c.stores, c.tookOverAt = map[string]placement.StoreStatus{}, w.now()
 		}
-		if c.place != nil && c.place.Generation != c.gen {
-			c.gen, c.began = c.place.Generation, w.now()
+		if c.placement != nil && c.placement.Generation != c.generation {
+			c.generation, c.generationSince = c.placement.Generation, w.now()
 		}
-		next := placement.Plan(placement.Input{Now: w.now(), TookOverAt: c.since, GenerationSince: max(c.since, c.began), FaultTolerance: 1, Current: c.place, Stores: c.stores, Retired: c.retired}, timings)
+		next := placement.Plan(placement.Input{Now: w.now(), TookOverAt: c.tookOverAt, GenerationSince: max(c.tookOverAt, c.generationSince), FaultTolerance: 1, Current: c.placement, Stores: c.stores, Retired: c.retired}, timings)
 		if next != nil {
-			c.place = next
+			c.placement = next
 		}
 		c.mu.Unlock()
 		if next == nil {
@@ -873,7 +873,7 @@
 		}
 		w.note("core", "%s", show(next))
 		for _, n := range w.nodes() {
-			c.tell(w, n)
+			c.sendPlacement(w, n)
 		}
 	}
 }
@@ -888,7 +888,7 @@
 	return strings.TrimSpace(fmt.Sprintf("gen %d %s > %s", p.Generation, strings.Join(list(p.Old), ","), strings.Join(list(p.New), ",")))
 }
 
-func (w *world) nodes() (out []*node) {
+func (w *simulation) nodes() (out []*node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.stores {
@@ -900,61 +900,61 @@
 	return out
 }
 
-// tell has a node hear the placement after a while.
-func (c *core) tell(w *world, n *node) {
+// sendPlacement has a node hear the placement after a while.
+func (c *controller) sendPlacement(w *simulation, n *node) {
 	c.mu.Lock()
-	p := c.place
+	p := c.placement
 	c.mu.Unlock()
 	if p == nil {
 		return
 	}
 	w.wg.Go(func() {
-		time.Sleep(5*time.Millisecond + 3*w.lag("core", n.name, 98))
-		for !w.pass("core", n.name) {
+		time.Sleep(5*time.Millisecond + 3*w.delay("core", n.name, 98))
+		for !w.awaitPath("core", n.name) {
 		}
-		n.thawed()
+		n.awaitThaw()
 		switch {
 		case !strings.HasPrefix(n.name, "f"):
 		case w.fault == majorityOfOne:
 			one := *p
 			one.ReplicationFactor, one.DurableReplicas = 1, 1
 			p = &one
-		case w.fault == onlyNew && len(p.New) > 0:
+		case w.fault == quorumOfNewListOnly && len(p.New) > 0:
 			one := *p
 			one.Old, one.New = p.New, nil
 			p = &one
 		}
-		n.hear(p)
+		n.receivePlacement(p)
 	})
 }
 
-// anew has the core know nothing any more, as after the loss of all its disks.
-func (c *core) anew(w *world) {
+// reset has the core know nothing any more, as after the loss of all its disks.
+func (c *controller) reset(w *simulation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.place, c.stores, c.retired, c.since = nil, map[string]placement.StoreStatus{}, map[string]bool{}, w.now()
-	w.lines = append(w.lines, line{w.now(), "core", "founded anew"})
+	c.placement, c.stores, c.retired, c.tookOverAt = nil, map[string]placement.StoreStatus{}, map[string]bool{}, w.now()
+	w.log = append(w.log, logLine{w.now(), "core", "founded anew"})
 }
 
-// complete tells whether a store may go, as the operator is told.
-func (c *core) complete(id string) bool {
+// retirementComplete tells whether a store may go, as the operator is told.
+func (c *controller) retirementComplete(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.place != nil && len(c.place.New) == 0 && !slices.ContainsFunc(c.place.Old, func(s turnstore.Store) bool { return s.ID == id })
+	return c.placement != nil && len(c.placement.New) == 0 && !slices.ContainsFunc(c.placement.Old, func(s turnstore.Store) bool { return s.ID == id })
 }
 
-func (c *core) retire(id string) bool {
+func (c *controller) retire(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.place == nil || !placement.CanRetire(c.place, c.retired, 1) {
+	if c.placement == nil || !placement.CanRetire(c.placement, c.retired, 1) {
 		return false
 	}
 	c.retired[id] = true
 	return true
 }
 
-// expectRepair: a store that was told that it is not whole has, a while later, the ledger that the others have now.
-func (w *world) expectRepair(to *machine, l *life, raw []byte) {
+// checkRepair: a store that was told that it is not whole has, a while later, the ledger that the others have now.
+func (w *simulation) checkRepair(to *machine, l *incarnation, raw []byte) {
 	var n turnstore.Notice
 	if rpc.Decode(raw, &n) != nil || !w.noDigest {
 		return
@@ -964,29 +964,29 @@
 		return
 	}
 	w.oracle.mu.Lock()
-	stormy := w.now() < w.oracle.stormy
+	stormy := w.now() < w.oracle.faultsUntil
 	w.oracle.mu.Unlock()
 	if stormy {
 		return
 	}
 	want := l.store.Ledger(n.Key)
 	for _, c := range p.ReplicaSets(n.Key)[0] {
-		m := w.at(c.Addr)
-		if m == nil || m.life.Load() == nil || m.disk().id != c.ID || m.frozen.Load() != nil {
+		m := w.storeAt(c.Addr)
+		if m == nil || m.incarnation.Load() == nil || m.disk().id != c.ID || m.frozen.Load() != nil {
 			return
 		}
-		other := m.life.Load().store.Ledger(n.Key)
+		other := m.incarnation.Load().store.Ledger(n.Key)
 		want.Merge(other.Entries())
 	}
-	quiet := w.oracle.troubles.Load()
+	quiet := w.oracle.faults.Load()
 	w.wg.Go(func() {
-		if !w.sleep(4*time.Second) || quiet != w.oracle.troubles.Load() || l.ctx.Err() != nil || to.placement() != p {
+		if !w.sleep(4*time.Second) || quiet != w.oracle.faults.Load() || l.ctx.Err() != nil || to.placement() != p {
 			return // what a change of the placement interrupts is a sweep's
 		}
 		got := l.store.Ledger(n.Key)
 		for _, e := range want.Entries() {
 			if have, ok := got.Get(e.Turn); !ok || have.Join(e) != have {
-				w.fail("%s was told that %s is not whole there, and lacks %+v of its ledger 4 s later", to.name, n.Key, e)
+				w.violation("%s was told that %s is not whole there, and lacks %+v of its ledger 4 s later", to.name, n.Key, e)
 				return
 			}
 		}
--- a/internal/tier/turnstore/model_timeline_test.go
+++ b/internal/tier/turnstore/model_timeline_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// drawn is a course that is drawn as a timeline: a line is a time in ms, then a cell for each store and front, with what
+// timelineRun is a course that is timelineRun as a timeline: a line is a time in ms, then a cell for each store and front, with what
 // happens there from then on; several, with commas between. Stores are s.., fronts f...
 //
 //	up kill power wipe     its process and disk (a store has lost its power when it is wiped; kill: fronts too)
@@ -34,11 +34,11 @@
 //	a=whole                what must become of it: whole 402 404 503 broken
 //
 // All the rules of the courses are checked, too.
-type drawn struct {
+type timelineRun struct {
 	t      *testing.T
-	w      *world
+	w      *simulation
 	ends   map[string]chan struct{}
-	turns  map[string]*told
+	turns  map[string]*turnRecord
 	names  map[string]string // of programs
 	work   sync.WaitGroup
 	budget map[string]int
@@ -48,23 +48,23 @@
 
 var cell = regexp.MustCompile(`^(?:(\w+):)?(?:(\w+)>)?(\w+)([~!]?)(?:=(\w+))?$`)
 
-var rule = regexp.MustCompile(`^[A-Z]+: `) // one that is broken, and not what a cell expects
+var violationPattern = regexp.MustCompile(`^[A-Z]+: `) // one that is broken, and not what a cell expects
 
-// figures of a drawn course: turns take 10 tokens at most and use 5.
-type figures struct {
+// timelineConfig of a drawn course: turns take 10 tokens at most and use 5.
+type timelineConfig struct {
 	stores int // placed at the start
 	budget map[string]int
 	retain time.Duration
 	fault  fault
 }
 
-// drawTimeline plays a timeline and gives what is broken.
-func drawTimeline(t *testing.T, fig figures, timeline string) (broken []string, lines string) {
+// playTimeline plays a timeline and gives what is broken.
+func playTimeline(t *testing.T, fig timelineConfig, timeline string) (broken []string, lines string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(1, fig.fault)
-		w.even = true
-		d := &drawn{t: t, w: w, ends: map[string]chan struct{}{}, turns: map[string]*told{}, names: map[string]string{}, budget: fig.budget, retain: fig.retain}
+		w.uniformDelays = true
+		d := &timelineRun{t: t, w: w, ends: map[string]chan struct{}{}, turns: map[string]*turnRecord{}, names: map[string]string{}, budget: fig.budget, retain: fig.retain}
 		if d.retain == 0 {
 			d.retain = 60 * time.Second
 		}
@@ -85,8 +85,8 @@
 				w.addFront(n, "z0")
 			}
 		}
-		w.wg.Go(func() { w.core.run(w) })
-		w.wg.Go(w.watch)
+		w.wg.Go(func() { w.controller.run(w) })
+		w.wg.Go(w.watchExpiry)
 		w.sleep(2 * time.Second)
 		for _, l := range rows[1:] {
 			ms, err := strconv.ParseFloat(l[0], 64)
@@ -116,14 +116,14 @@
 		}
 		d.work.Wait()
 		w.close()
-		if broken, lines = w.broken, w.timeline(60); len(broken) > 0 && fig.fault == "" {
+		if broken, lines = w.violations, w.timeline(60); len(broken) > 0 && fig.fault == "" {
 			t.Errorf("%s\n%s", strings.Join(broken, "\n"), lines)
 		}
 	})
 	return broken, lines
 }
 
-func (d *drawn) node(name string) (*node, *machine, *front) {
+func (d *timelineRun) node(name string) (*node, *machine, *front) {
 	for _, m := range d.w.stores {
 		if m.name == name {
 			return &m.node, m, nil
@@ -138,7 +138,7 @@
 	return nil, nil, nil
 }
 
-func (d *drawn) do(name, what string) {
+func (d *timelineRun) do(name, what string) {
 	w := d.w
 	n, m, f := d.node(name)
 	others := append(w.nodes(), &node{name: "core"})
@@ -168,80 +168,80 @@
 	case "deaf", "hears":
 		for _, f := range w.fronts {
 			if what == "deaf" {
-				w.cut(f.name, name)
+				w.partition(f.name, name)
 			} else {
-				w.join(f.name, name)
+				w.heal(f.name, name)
 			}
 		}
 	case "away", "back":
 		for _, o := range others {
 			if o.name != name && what == "away" {
-				w.cut(o.name, name)
-				w.cut(name, o.name)
+				w.partition(o.name, name)
+				w.partition(name, o.name)
 			} else if o.name != name {
-				w.join(o.name, name)
-				w.join(name, o.name)
+				w.heal(o.name, name)
+				w.heal(name, o.name)
 			}
 		}
 	case "apart", "joins":
 		for _, o := range w.stores {
 			if o.name != name && what == "apart" {
-				w.cut(o.name, name)
-				w.cut(name, o.name)
+				w.partition(o.name, name)
+				w.partition(name, o.name)
 			} else if o.name != name {
-				w.join(o.name, name)
-				w.join(name, o.name)
+				w.heal(o.name, name)
+				w.heal(name, o.name)
 			}
 		}
 	case "mute", "tell":
 		for _, o := range w.stores {
 			if what == "mute" {
-				w.cut(o.name, name)
+				w.partition(o.name, name)
 			} else {
-				w.join(o.name, name)
+				w.heal(o.name, name)
 			}
 		}
 	case "dispose":
-		if w.core.complete(m.disk().id) {
+		if w.controller.retirementComplete(m.disk().id) {
 			m.kill(true)
 			m.wipe()
 		}
 	case "anew":
-		w.core.anew(w)
+		w.controller.reset(w)
 	case "stale":
-		w.cut("core", name)
+		w.partition("core", name)
 	case "told":
-		w.join("core", name)
+		w.heal("core", name)
 	case "slow", "well":
-		m.slow(map[string]time.Duration{"slow": 200 * time.Millisecond}[what])
+		m.setSyncTime(map[string]time.Duration{"slow": 200 * time.Millisecond}[what])
 	case "stall":
 		m.disk().stall()
 	case "goes":
-		m.disk().goOn()
+		m.disk().resume()
 	case "full", "room":
-		m.disk().fill(what == "full")
+		m.disk().setFull(what == "full")
 	case "empty":
-		if !w.core.retire(m.disk().id) {
-			w.fail("%s may not be emptied", name)
+		if !w.controller.retire(m.disk().id) {
+			w.violation("%s may not be emptied", name)
 		}
 	case "gone":
-		if !w.core.complete(m.disk().id) {
-			w.fail("%s is not empty by now", name)
+		if !w.controller.retirementComplete(m.disk().id) {
+			w.violation("%s is not empty by now", name)
 		}
 	default:
 		d.turn(f, what)
 	}
 }
 
-var ways = map[string]func(*told) bool{
-	"whole":  func(t *told) bool { return t.how == whole },
-	"402":    func(t *told) bool { return t.spent },
-	"404":    func(t *told) bool { return t.none },
-	"503":    func(t *told) bool { return t.how == refused && !t.spent && !t.none },
-	"broken": func(t *told) bool { return t.how == broken },
+var outcomes = map[string]func(*turnRecord) bool{
+	"whole":  func(t *turnRecord) bool { return t.outcome == completed },
+	"402":    func(t *turnRecord) bool { return t.budgetExceeded },
+	"404":    func(t *turnRecord) bool { return t.notFound },
+	"503":    func(t *turnRecord) bool { return t.outcome == rejected && !t.budgetExceeded && !t.notFound },
+	"broken": func(t *turnRecord) bool { return t.outcome == aborted },
 }
 
-func (d *drawn) turn(f *front, what string) {
+func (d *timelineRun) turn(f *front, what string) {
 	c := cell.FindStringSubmatch(what)
 	if c == nil || f == nil {
 		d.t.Errorf("cell %q", what)
@@ -260,15 +260,15 @@
 		if all == 0 {
 			all = 1 << 30
 		}
-		d.names[program] = d.w.program(all)
+		d.names[program] = d.w.newProgram(all)
 	}
-	a := ask{front: f, program: d.names[program], need: 10, used: 5, ending: whole, retain: d.retain, runs: time.Millisecond}
+	a := turnScript{front: f, program: d.names[program], need: 10, used: 5, ending: completed, retain: d.retain, runs: time.Millisecond}
 	if previous != "" {
 		d.mu.Lock()
 		a.previous = d.turns[previous]
 		d.mu.Unlock()
 		if a.previous == nil {
-			a.previous = &told{id: previous}
+			a.previous = &turnRecord{id: previous}
 		}
 	}
 	var gate chan struct{}
@@ -277,16 +277,16 @@
 		d.ends[id] = gate
 	}
 	a.gate = gate
-	a.started = func(t *told) {
+	a.started = func(t *turnRecord) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.turns[id] = t
 	}
 	d.work.Go(func() {
-		t := d.w.turn(a)
+		t := d.w.runTurn(a)
 		d.w.note(f.name, "%s is %s: %s", id, t.id, t)
-		if must != "" && !ways[must](t) && !d.w.over() {
-			d.w.fail("%s at %s is not %s: %s", id, f.name, must, t)
+		if must != "" && !outcomes[must](t) && !d.w.over() {
+			d.w.violation("%s at %s is not %s: %s", id, f.name, must, t)
 		}
 	})
 }
@@ -294,10 +294,10 @@
 func TestTimelines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		fig      figures
+		fig      timelineConfig
 		timeline string
 	}{
-		{"a front frozen between its reservation and what it reads of it", figures{stores: 3, budget: map[string]int{"p": 24}}, `
+		{"a front frozen between its reservation and what it reads of it", timelineConfig{stores: 3, budget: map[string]int{"p": 24}}, `
 			ms    s0 s1 s2 f0     f1
 			0     .  .  .  a~     .
 			2     .  .  .  freeze .
@@ -306,7 +306,7 @@
 			6000  .  .  .  thaw   .
 			6100  .  .  .  a!     .
 			6500  .  .  .  .      d=whole`},
-		{"a front killed with a turn half streamed", figures{stores: 3, budget: map[string]int{"p": 30}}, `
+		{"a front killed with a turn half streamed", timelineConfig{stores: 3, budget: map[string]int{"p": 30}}, `
 			ms    s0 s1 s2 f0     f1
 			0     .  .  .  a      .
 			200   .  .  .  a>b~   .
@@ -314,7 +314,7 @@
 			900   .  .  .  .      a>c=whole
 			1200  .  .  .  .      c>d=whole
 			2500  .  .  .  up     c>e=402`},
-		{"the end lost on the way while the turn is stored, sent again from its start", figures{stores: 3}, `
+		{"the end lost on the way while the turn is stored, sent again from its start", timelineConfig{stores: 3}, `
 			ms    s0 s1 s2 f0       f1
 			0     .  .  .  a=whole  .
 			100   .  .  .  a>b      .
@@ -322,13 +322,13 @@
 			106   .  .  .  kill     .
 			400   .  .  .  .        a>c=whole
 			600   .  .  .  up       c>d=whole`},
-		{"two sub-agents at the last tokens of a budget through two fronts", figures{stores: 3, budget: map[string]int{"p": 15}}, `
+		{"two sub-agents at the last tokens of a budget through two fronts", timelineConfig{stores: 3, budget: map[string]int{"p": 15}}, `
 			ms    s0 s1 s2 f0      f1
 			0     .  .  .  a=whole .
 			1000  .  .  .  b~      c~
 			1100  .  .  .  b!      c!
 			3000  .  .  .  d       .`},
-		{"a fork of a chain during a move", figures{stores: 4}, `
+		{"a fork of a chain during a move", timelineConfig{stores: 4}, `
 			ms    s0 s1 s2    s3    f0        f1
 			0     .  .  .     .     a=whole   .
 			100   .  .  empty .     a>b=whole .
@@ -338,7 +338,7 @@
 			5000  .  .  gone  .     .         .
 			5001  .  .  wipe  wipe  .         .
 			5200  .  .  .     .     d>i=whole e>j=whole`},
-		{"asked for in the moment its turn ends", figures{stores: 3}, `
+		{"asked for in the moment its turn ends", timelineConfig{stores: 3}, `
 			ms    s0 s1   s2 f0        f1
 			0     .  .    .  a         .
 			5.9   .  .    .  .         a>x
@@ -346,7 +346,7 @@
 			6.5   .  slow .  .         a>c
 			7     .  .    .  .         a>d
 			9     .  .    .  a>e=whole a>g=whole`},
-		{"a store wiped and asked at once", figures{stores: 4}, `
+		{"a store wiped and asked at once", timelineConfig{stores: 4}, `
 			ms    s0 s1      s2 s3 f0        f1
 			0     .  .       .  .  a=whole   q:k=whole
 			200   .  .       .  .  a>b=whole q:k>l=whole
@@ -354,7 +354,7 @@
 			410   .  .       .  .  r:b>n     r:l>o
 			450   .  .       .  .  r:b>u     r:m>v
 			4600  .  .       .  .  c>d=whole q:m>w=whole`},
-		{"two stores lost one after the other with time to catch up between", figures{stores: 4}, `
+		{"two stores lost one after the other with time to catch up between", timelineConfig{stores: 4}, `
 			ms     s0      s1      s2 s3 f0        f1
 			0      .       .       .  .  a=whole   q:k=whole
 			200    .       .       .  .  a>b=whole q:k>l=whole
@@ -364,7 +364,7 @@
 			6600   .       up      .  .  .         .
 			10800  .       .       .  wipe,up  c>d=whole q:m>n=whole
 			15000  .       .       wipe  .  d>e=whole q:n>o=whole`},
-		{"answers that come late, for an opening that was given up", figures{stores: 3, budget: map[string]int{"p": 25}}, `
+		{"answers that come late, for an opening that was given up", timelineConfig{stores: 3, budget: map[string]int{"p": 25}}, `
 			ms    s0 s1 s2 f0             f1
 			0     .  .  .  a=whole        .
 			1000  .  .  .  mute           .
@@ -375,7 +375,7 @@
 			4000  .  .  .  c>d=whole      .
 			4100  .  .  .  .              d>e=whole
 			4300  .  .  .  .              e>g=402`},
-		{"a turn sent again through another front while its first try still ends", figures{stores: 3, budget: map[string]int{"p": 25}}, `
+		{"a turn sent again through another front while its first try still ends", timelineConfig{stores: 3, budget: map[string]int{"p": 25}}, `
 			ms    s0   s1   s2   f0        f1
 			0     .    .    .    a=whole   .
 			1000  .    .    .    a>b~      .
@@ -384,7 +384,7 @@
 			1102  .    .    .    .         a>c
 			1500  well well well .         .
 			3000  .    .    .    .         c>d=whole`},
-		{"a core founded anew after a change, and a store that was away meanwhile", figures{stores: 4}, `
+		{"a core founded anew after a change, and a store that was away meanwhile", timelineConfig{stores: 4}, `
 			ms     s0      s1 s2   s3 f0        f1
 			0      .       .  .    .  a=whole   q:k=whole
 			500    wipe,up .  .    .  .         .
@@ -394,7 +394,7 @@
 			13000  .       .  .    .  a>b=whole q:k>l=whole
 			14000  .       .  up   .  .         .
 			20000  .       .  .    .  b>c=whole q:l>m=whole`},
-		{"a store gone for good, its successor elsewhere, and another loss when its time is over", figures{stores: 4}, `
+		{"a store gone for good, its successor elsewhere, and another loss when its time is over", timelineConfig{stores: 4}, `
 			ms    s0      s1   s2      s3 s4 f0        f1
 			0     .       .    deaf    .  .  a=whole   q:k=whole
 			200   .       .    hears   .  .  a>b=whole q:k>l=whole
@@ -404,7 +404,7 @@
 			9601  wipe    .    .       .  .  .         .
 			9650  .       .    .       .  .  c>d=whole q:m>n=whole
 			9700  .       .    .       .  .  r:b>u=whole r:l>v=whole`},
-		{"a store frozen while another is added, and lost when it counts again", figures{stores: 4}, `
+		{"a store frozen while another is added, and lost when it counts again", timelineConfig{stores: 4}, `
 			ms    s0   s1     s2 s3 s4 f0        f1
 			0     .    .      .  .  .  a=whole   q:k=whole
 			100   .    freeze .  .  .  .         .
@@ -413,20 +413,20 @@
 			6000  .    thaw   .  .  .  .         .
 			10200 wipe .      .  .  .  b>c=whole q:l>m=whole
 			10300 .    .      .  .  .  r:b>u=whole r:l>v=whole`},
-		{"a slow disk on one of three copies", figures{stores: 3}, `
+		{"a slow disk on one of three copies", timelineConfig{stores: 3}, `
 			ms    s0 s1   s2 f0        f1
 			0     .  slow .  a=whole   .
 			20    .  .    .  a>b=whole .
 			40    .  .    .  b>c=whole .
 			60    .  .    .  .         c>d=whole`},
-		{"the sweep against expiry", figures{stores: 3, retain: 20 * time.Second}, `
+		{"the sweep against expiry", timelineConfig{stores: 3, retain: 20 * time.Second}, `
 			ms     s0 s1    s2 f0        f1
 			0      .  .     .  a=whole   .
 			500    .  power .  a>b=whole .
 			60000  .  up    .  .         .
 			96500  .  .     .  b>d=404   .
 			97000  .  .     .  .         a>e=404`},
-		{"emptied, and lost together with one other", figures{stores: 4}, `
+		{"emptied, and lost together with one other", timelineConfig{stores: 4}, `
 			ms    s0 s1    s2   s3   f0        f1
 			0     .  .     deaf .    a=whole   q:k=whole
 			100   .  .     .    .    a>b=whole q:k>l=whole
@@ -434,7 +434,7 @@
 			210   .  empty .    .    .         .
 			4000  .  gone  .    .    .         .
 			4010  wipe wipe .   .    b>c=whole q:l>m=whole`},
-		{"a store that was away for longer than a program's first turns are kept", figures{stores: 4, retain: 20 * time.Second}, `
+		{"a store that was away for longer than a program's first turns are kept", timelineConfig{stores: 4, retain: 20 * time.Second}, `
 			ms     s0     s1 s2 s3 f0        f1
 			0      .      .  .  .  a=whole   q:k=whole
 			1000   away   .  .  .  .         .
@@ -449,15 +449,15 @@
 			60900  .      .  .  wipe  d>e=whole q:n>o=whole`},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "_"), func(t *testing.T) {
-			drawTimeline(t, c.fig, c.timeline)
+			playTimeline(t, c.fig, c.timeline)
 		})
 	}
 }
 
 // What stores that kept their disks have adopted is above gen 1: they refuse all that comes under it, so that a core
 // that is not told of it founds a placement that serves nothing.
-func TestTimelineFindsStoresThatDoNotTellWhatTheyHaveAdopted(t *testing.T) {
-	broken, lines := drawTimeline(t, figures{stores: 4, fault: genUntold}, `
+func TestTimelineFindsUnreportedGeneration(t *testing.T) {
+	broken, lines := playTimeline(t, timelineConfig{stores: 4, fault: generationNotReported}, `
 		ms     s0      s1 s2 s3 f0      f1
 		0      .       .  .  .  a=whole .
 		500    wipe,up .  .  .  .       .
@@ -470,9 +470,9 @@
 }
 
 // Power is lost at all copies at each moment of a turn's group commits: what was answered whole is there.
-func TestPowerLostAtAnyMomentOfACommit(t *testing.T) {
+func TestPowerLossAtAnyMomentOfCommit(t *testing.T) {
 	for us := 0; us < 12000; us += 250 {
-		drawTimeline(t, figures{stores: 3}, fmt.Sprintf(`
+		playTimeline(t, timelineConfig{stores: 3}, fmt.Sprintf(`
 			ms    s0 s1 s2 f0 f1
 			0     .  .  .  a,q:k  b
 			%v    power power power . .
@@ -483,14 +483,14 @@
 }
 
 // A slow disk on one of three copies is not waited for.
-func TestSlowDiskOfOneCopyIsNotWaitedFor(t *testing.T) {
+func TestSlowDiskOfOneReplicaDoesNotDelayTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := still(3, true)
-		w.stores[1].slow(200 * time.Millisecond)
-		p := w.program(1000)
+		w := healthySimulation(3, true)
+		w.stores[1].setSyncTime(200 * time.Millisecond)
+		p := w.newProgram(1000)
 		began := w.now()
-		one := w.turn(ask{front: w.fronts[0], program: p, need: 5, used: 5, ending: whole, retain: time.Minute})
-		w.turn(ask{front: w.fronts[0], program: p, previous: one, need: 5, used: 5, ending: whole, retain: time.Minute})
+		one := w.runTurn(turnScript{front: w.fronts[0], program: p, need: 5, used: 5, ending: completed, retain: time.Minute})
+		w.runTurn(turnScript{front: w.fronts[0], program: p, previous: one, need: 5, used: 5, ending: completed, retain: time.Minute})
 		if took := w.now() - began; took > 30*time.Millisecond {
 			t.Errorf("two turns took %v", took)
 		}
@@ -498,35 +498,35 @@
 	})
 }
 
-// still is a world without trouble.
-func still(stores int, even bool) *world {
+// healthySimulation is a world without trouble.
+func healthySimulation(stores int, even bool) *simulation {
 	w := newWorld(1, "")
-	w.even = even
+	w.uniformDelays = even
 	for i := range stores {
 		w.addStore(fmt.Sprintf("s%d", i), fmt.Sprintf("z%d", i))
 	}
 	for i := range 2 {
 		w.addFront(fmt.Sprintf("f%d", i), "z0")
 	}
-	w.wg.Go(func() { w.core.run(w) })
+	w.wg.Go(func() { w.controller.run(w) })
 	w.sleep(2 * time.Second)
 	return w
 }
 
-func TestProgramThatRunsAwayWithEightySubAgents(t *testing.T) {
+func TestBudgetOfProgramWithEightySubAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := still(4, false)
+		w := healthySimulation(4, false)
 		const all = 1500
-		p := w.program(all)
-		first := w.turn(ask{front: w.fronts[0], program: p, need: 10, used: 10, ending: whole, retain: time.Minute})
+		p := w.newProgram(all)
+		first := w.runTurn(turnScript{front: w.fronts[0], program: p, need: 10, used: 10, ending: completed, retain: time.Minute})
 		var agents sync.WaitGroup
 		for i := range 80 {
 			agents.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(i), 5))
 				last := first
 				for refusals := 0; refusals < 3; {
-					one := w.turn(ask{front: w.front(rng), program: p, previous: last, need: 10, used: 1 + rng.IntN(10), runs: 50 * time.Millisecond, ending: whole, retain: time.Minute})
-					if one.how == whole {
+					one := w.runTurn(turnScript{front: w.randomFront(rng), program: p, previous: last, need: 10, used: 1 + rng.IntN(10), runs: 50 * time.Millisecond, ending: completed, retain: time.Minute})
+					if one.outcome == completed {
 						last = one
 					} else {
 						refusals++
@@ -538,30 +538,30 @@
 		agents.Wait()
 		used, held := 0, 0
 		for _, o := range w.oracle.programs[p].turns {
-			if used += o.used; o.how == whole {
+			if used += o.used; o.outcome == completed {
 				held++
 			}
 		}
 		w.close()
-		if len(w.broken) > 0 {
-			t.Errorf("%s\n%s", w.broken[0], w.timeline(20))
+		if len(w.violations) > 0 {
+			t.Errorf("%s\n%s", w.violations[0], w.timeline(20))
 		}
 		if used > all || used < all-80*10 || held < 100 {
 			t.Errorf("%d turns used %d of %d", held, used, all)
 		}
-		t.Logf("%d turns used %d of %d, %d answers of 402", held, used, all, w.oracle.spent)
+		t.Logf("%d turns used %d of %d, %d answers of 402", held, used, all, w.oracle.budgetExceeded)
 	})
 }
 
 func TestLongChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := still(4, true)
-		p := w.program(110_000)
-		var last *told
+		w := healthySimulation(4, true)
+		p := w.newProgram(110_000)
+		var last *turnRecord
 		for i := range 560 {
-			last = w.turn(ask{front: w.fronts[i%2], program: p, previous: last, need: 196, used: 196, ending: whole, retain: time.Minute})
-			if last.how != whole {
-				w.fail("turn %d is not whole: %+v", i, last.how)
+			last = w.runTurn(turnScript{front: w.fronts[i%2], program: p, previous: last, need: 196, used: 196, ending: completed, retain: time.Minute})
+			if last.outcome != completed {
+				w.violation("turn %d is not whole: %+v", i, last.outcome)
 				break
 			}
 			if i == 200 || i == 400 { // a store is lost and comes back while it goes on
@@ -578,38 +578,38 @@
 		w.stores[3].wipe()
 		fresh := w.addFront("fresh", "z1")
 		w.sleep(time.Second)
-		if one := w.turn(ask{front: fresh, program: w.program(100), previous: last, need: 1, used: 1, ending: whole, retain: time.Minute}); one.how != whole {
-			w.fail("the chain is not read whole")
+		if one := w.runTurn(turnScript{front: fresh, program: w.newProgram(100), previous: last, need: 1, used: 1, ending: completed, retain: time.Minute}); one.outcome != completed {
+			w.violation("the chain is not read whole")
 		}
 		w.close()
-		if len(w.broken) > 0 {
-			t.Errorf("%s\n%s", w.broken[0], w.timeline(20))
+		if len(w.violations) > 0 {
+			t.Errorf("%s\n%s", w.violations[0], w.timeline(20))
 		}
 	})
 }
 
 // A change does not wait long for a store that no other store reaches; that one sweeps once it can, though the placement
 // is stable.
-func TestStoreThatAChangeDidNotWaitForSweepsLater(t *testing.T) {
+func TestStoreMissedByChangeSweepsWhileStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := still(4, true)
+		w := healthySimulation(4, true)
 		apart := w.stores[1]
 		others := []*machine{w.stores[0], w.stores[2], w.stores[3], w.addStore("s4", "z4")}
 		for _, o := range others {
-			w.cut(o.name, apart.name)
-			w.cut(apart.name, o.name)
+			w.partition(o.name, apart.name)
+			w.partition(apart.name, o.name)
 		}
 		w.sleep(6 * time.Second)
-		w.core.mu.Lock()
-		p := w.core.place
-		w.core.mu.Unlock()
-		store := apart.life.Load().store
+		w.controller.mu.Lock()
+		p := w.controller.placement
+		w.controller.mu.Unlock()
+		store := apart.incarnation.Load().store
 		if len(p.New) > 0 || len(p.Old) != 5 || store.SweptGeneration() >= p.Generation {
 			t.Errorf("with a store that has not swept: %s, and it has swept gen %d", show(p), store.SweptGeneration())
 		}
 		for _, o := range others {
-			w.join(o.name, apart.name)
-			w.join(apart.name, o.name)
+			w.heal(o.name, apart.name)
+			w.heal(apart.name, o.name)
 		}
 		w.sleep(2 * time.Second)
 		if store.SweptGeneration() != p.Generation {
@@ -619,8 +619,8 @@
 	})
 }
 
-// programs gives a cell with something for each of many programs.
-func programs(format string) string {
+// forEachProgram gives a cell with something for each of many forEachProgram.
+func forEachProgram(format string) string {
 	var all []string
 	for c := 'A'; c <= 'U'; c++ {
 		all = append(all, fmt.Sprintf(format, string(c)))
@@ -636,18 +636,18 @@
 func TestTimelinesFindPlantedFaults(t *testing.T) {
 	for _, c := range []struct {
 		fault    fault
-		fig      figures
+		fig      timelineConfig
 		timeline string
 	}{
-		{sweptEarly, figures{stores: 4}, `
+		{sweptTooSoon, timelineConfig{stores: 4}, `
 			ms    s0              s1      s2   s3   s4       f0           f1
 			0     kill            .       .    .    .        .            .
-			1     .               .       .    .    .        ` + programs("%s:a%[1]s") + ` .
+			1     .               .       .    .    .        ` + forEachProgram("%s:a%[1]s") + ` .
 			1400  up,apart        .       .    .    .        .            .
 			1410  .               empty   .    .    up,apart .            .
 			5000  .               dispose wipe .    .        .            .
-			5500  .               .       .    .    .        .            ` + programs("v:a%s>b%[1]s")},
-		{noFence, figures{stores: 3, budget: map[string]int{"p": 20, "q": 20, "r": 20}}, `
+			5500  .               .       .    .    .        .            ` + forEachProgram("v:a%s>b%[1]s")},
+		{noGenerationFence, timelineConfig{stores: 3, budget: map[string]int{"p": 20, "q": 20, "r": 20}}, `
 			ms     s0    s1    s2    s3 s4 f0        f1
 			0      .     .     .     .  .  stale     .
 			100    .     .     .     up .  .         .
@@ -657,7 +657,7 @@
 			14400  .     away  .     .  .  .         .
 			14500  .     .     .     .  .  b~,q:l~,r:v~ c~,q:m~,r:w~
 			15000  .     .     .     .  .  .         .`},
-		{onlyNew, figures{stores: 3, budget: map[string]int{"p": 10, "q": 10}}, `
+		{quorumOfNewListOnly, timelineConfig{stores: 3, budget: map[string]int{"p": 10, "q": 10}}, `
 			ms     s0   s1   s2       f0     f1
 			0      .    .    kill     .      .
 			1      .    .    .        a~,q:b~ .
@@ -666,14 +666,14 @@
 			2100   up   .    .        .      .
 			3000   .    .    .        .      c~,q:d~
 			3500   .    .    .        .      .`},
-		{noMargin, figures{stores: 3, retain: 30 * time.Second}, `
+		{noRetainMargin, timelineConfig{stores: 3, retain: 30 * time.Second}, `
 			ms     s0 s1 s2 f0     f1
 			0      .  .  .  a~     .
 			1600   .  .  .  a!     .
 			1601.5 .  .  .  mute   .
 			2600   .  .  .  tell   .
 			32400  .  .  .  .      a>b=whole`},
-		{goneForgotten, figures{stores: 3, retain: 20 * time.Second}, `
+		{expiredForgotten, timelineConfig{stores: 3, retain: 20 * time.Second}, `
 			ms     s0 s1    s2 f0      f1
 			0      .  .     .  a=whole .
 			500    .  power .  .       .
@@ -683,12 +683,12 @@
 		t.Run(string(c.fault), func(t *testing.T) {
 			lines := ""
 			for play := range plantedPlays { // which store a sweep asks first is drawn: the fault need not show in each play
-				drawTimeline(t, c.fig, c.timeline)
+				playTimeline(t, c.fig, c.timeline)
 				with := c.fig
 				with.fault = c.fault
 				var broken []string
-				broken, lines = drawTimeline(t, with, c.timeline)
-				broken = slices.DeleteFunc(broken, func(s string) bool { return !rule.MatchString(s) })
+				broken, lines = playTimeline(t, with, c.timeline)
+				broken = slices.DeleteFunc(broken, func(s string) bool { return !violationPattern.MatchString(s) })
 				if len(broken) > 0 {
 					t.Logf("play %d: %s", play+1, broken[0])
 					return
@@ -701,40 +701,40 @@
 
 // A store that was cut off until it dropped a program's turns takes them back from stores that keep them still, as the
 // program went on there; what no one keeps any more stays away (the timelines of expiry).
-func TestDroppedTurnsAreTakenBackWhereTheirProgramWentOn(t *testing.T) {
+func TestExpiredTurnsAreRefetchedWhereProgramContinued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := still(3, true)
-		p := w.program(1000)
-		var last *told
-		var all []*told
+		w := healthySimulation(3, true)
+		p := w.newProgram(1000)
+		var last *turnRecord
+		var all []*turnRecord
 		turn := func() {
-			last = w.turn(ask{front: w.fronts[0], program: p, previous: last, need: 5, used: 5, ending: whole, retain: 20 * time.Second})
+			last = w.runTurn(turnScript{front: w.fronts[0], program: p, previous: last, need: 5, used: 5, ending: completed, retain: 20 * time.Second})
 			all = append(all, last)
 		}
 		turn()
 		away := w.stores[0]
 		for _, n := range append(w.nodes(), &node{name: "core"}) {
-			w.cut(n.name, away.name)
-			w.cut(away.name, n.name)
+			w.partition(n.name, away.name)
+			w.partition(away.name, n.name)
 		}
 		for range 4 {
 			w.sleep(12 * time.Second)
 			turn()
 		}
-		w.sleep(messageLives + time.Second) // what was under way to it is lost
-		if l := away.life.Load(); l.store.Has(all[0].id) {
+		w.sleep(messageLifetime + time.Second) // what was under way to it is lost
+		if l := away.incarnation.Load(); l.store.Has(all[0].id) {
 			t.Error("the first turn is not dropped at the store that was cut off")
 		}
 		for _, n := range append(w.nodes(), &node{name: "core"}) {
-			w.join(n.name, away.name)
-			w.join(away.name, n.name)
+			w.heal(n.name, away.name)
+			w.heal(away.name, n.name)
 		}
 		w.sleep(time.Second)
-		if err := away.life.Load().store.Compare(t.Context()); err != nil {
+		if err := away.incarnation.Load().store.Compare(t.Context()); err != nil {
 			t.Error(err)
 		}
 		for _, one := range all {
-			if one.how != whole || !away.life.Load().store.Has(one.id) {
+			if one.outcome != completed || !away.incarnation.Load().store.Has(one.id) {
 				t.Errorf("%s is %s, and not taken back", one.id, one)
 			}
 		}
--- a/internal/tier/turnstore/reservation_test.go
+++ b/internal/tier/turnstore/reservation_test.go
@@ -11,22 +11,21 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// model plays the reservation protocol in virtual time: fronts open turns at three copies, messages take drawn times,
-// one copy is away for a while. draw gives a number from lo to hi.
-type model struct {
-	draw   func(what string, lo, hi int) int
-	fault  string
-	now    int
-	events eventHeap
-	copies [3]budget.Ledger
-	away   int // the copy that is away, from and to
-	from   int
-	to     int
-	budget int
-	held   map[string]budget.Entry // granted turns
-	worst  int                     // most that granted turns held together
-	grants int
-	spent  int
+// reservationModel simulates the reservation protocol in virtual time: clients open turns at three replicas, messages have random
+// delays, one replica is partitioned for a while. draw returns a number from lo to hi.
+type reservationModel struct {
+	draw        func(what string, lo, hi int) int
+	fault       string
+	now         int
+	events      eventHeap
+	replicas    [3]budget.Ledger
+	partitioned int // index of a replica, 3 for none
+	from, to    int // time of the partition
+	budget      int
+	reserved    map[string]budget.Entry // granted turns
+	maxReserved int                     // highest sum of reserved
+	grants      int
+	rejections  int
 }
 
 type event struct {
@@ -51,106 +50,107 @@
 
 var eventNumber int
 
-func (m *model) after(d int, do func()) {
+func (m *reservationModel) after(d int, do func()) {
 	eventNumber++
 	heap.Push(&m.events, event{m.now + d, eventNumber, do})
 }
 
-// send has a copy do something and carries its answer back; nothing comes of it while the copy is away.
-func (m *model) send(copy int, at func(*budget.Ledger), back func()) {
+// send delivers a message to a replica and its reply, if reply is not nil; both are lost while the replica is partitioned.
+func (m *reservationModel) send(replica int, handle func(*budget.Ledger), reply func()) {
 	m.after(m.delay(), func() {
-		if copy == m.away && m.now >= m.from && m.now < m.to {
+		if replica == m.partitioned && m.now >= m.from && m.now < m.to {
 			return
 		}
-		at(&m.copies[copy])
-		if back != nil {
-			m.after(m.delay(), back)
+		handle(&m.replicas[replica])
+		if reply != nil {
+			m.after(m.delay(), reply)
 		}
 	})
 }
 
-func (m *model) delay() int {
-	if m.draw("late", 0, 3) == 0 {
+func (m *reservationModel) delay() int {
+	if m.draw("slow", 0, 3) == 0 {
 		return m.draw("delay", 1, 60)
 	}
 	return m.draw("delay", 1, 4)
 }
 
-func (m *model) settle(turn string, used int) {
-	for i := range m.copies {
+func (m *reservationModel) settle(turn string, used int) {
+	for i := range m.replicas {
 		m.send(i, func(l *budget.Ledger) { l.Add(budget.Entry{Turn: turn, Tokens: used, Settled: true}) }, nil)
 	}
 }
 
-func (m *model) open(turn string, need int) {
+func (m *reservationModel) open(turn string, need int) {
 	group := ReplicaSet{{ID: "0"}, {ID: "1"}, {ID: "2"}}
 	r := newReservation([]ReplicaSet{group}, m.budget)
-	if m.fault == "one copy is enough" {
+	if m.fault == "quorum of one" {
 		r.quorum = newQuorum(r.groups, func(ReplicaSet) int { return 1 })
 	}
-	over := false
-	var ask func(round int)
-	end := func(v reservationState) {
-		over = true
-		if v != reservationGranted {
-			if v == reservationExceeded {
-				m.spent++
+	ended := false
+	var send func(phase int)
+	end := func(state reservationState) {
+		ended = true
+		if state != reservationGranted {
+			if state == reservationExceeded {
+				m.rejections++
 			}
 			m.settle(turn, 0)
 			return
 		}
 		m.grants++
-		m.held[turn] = budget.Entry{Turn: turn, Tokens: need}
+		m.reserved[turn] = budget.Entry{Turn: turn, Tokens: need}
 		sum := 0
-		for _, e := range m.held {
+		for _, e := range m.reserved {
 			sum += e.Tokens
 		}
-		m.worst = max(m.worst, sum)
-		if m.draw("dies", 0, 5) > 0 { // a front that dies settles nothing
+		m.maxReserved = max(m.maxReserved, sum)
+		if m.draw("crashes", 0, 5) > 0 { // a client that crashes settles nothing
 			m.after(m.draw("runs", 1, 80), func() {
 				used := m.draw("used", 0, need)
-				m.held[turn] = budget.Entry{Turn: turn, Tokens: used, Settled: true}
+				m.reserved[turn] = budget.Entry{Turn: turn, Tokens: used, Settled: true}
 				m.settle(turn, used)
 			})
 		}
 	}
 	take := func() {
-		if over {
+		if ended {
 			return
 		}
-		switch v := r.decide(); {
-		case v == reservationReread && m.fault == "no second read":
+		switch state := r.decide(); {
+		case state == reservationReread && m.fault == "no reread":
 			end(reservationGranted)
-		case v == reservationReread:
-			ask(2)
-		case v != reservationPending:
-			end(v)
+		case state == reservationReread:
+			send(phaseReread)
+		case state != reservationPending:
+			end(state)
 		}
 	}
-	ask = func(round int) {
-		for i := range m.copies {
-			var seen []budget.Entry
+	send = func(phase int) {
+		for i := range m.replicas {
+			var ledger []budget.Entry
 			m.send(i, func(l *budget.Ledger) {
-				if round == 1 {
+				if phase == phaseReserve {
 					l.Add(budget.Entry{Turn: turn, Tokens: need})
 				}
-				seen = append(seen, l.Entries()...)
+				ledger = append(ledger, l.Entries()...)
 			}, func() {
-				r.addResponse(round, group[i].ID, true, seen)
+				r.addResponse(phase, group[i].ID, true, ledger)
 				take()
 			})
 		}
 	}
-	ask(1)
+	send(phaseReserve)
 	m.after(200, func() {
-		if !over {
+		if !ended {
 			end(reservationUndecidable)
 		}
 	})
 }
 
-func play(draw func(string, int, int) int, fault string) *model {
-	m := &model{draw: draw, fault: fault, held: map[string]budget.Entry{}, away: draw("away", 0, 3)}
+// runReservationModel draws and runs one simulation, with a fault planted unless it is empty.
+func runReservationModel(draw func(string, int, int) int, fault string) *reservationModel {
+	m := &reservationModel{draw: draw, fault: fault, reserved: map[string]budget.Entry{}, partitioned: draw("partitioned", 0, 3)}
 	m.from = draw("from", 0, 60)
 	m.to = m.from + draw("for", 0, 100)
 	need := draw("need", 1, 4)
@@ -166,34 +166,34 @@
 	return m
 }
 
-func TestConcurrentOpensNeverReserveMoreThanTheBudget(t *testing.T) {
+func TestConcurrentReservationsStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := play(func(what string, lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, what) }, "")
-		if m.worst > m.budget {
-			t.Fatalf("granted turns held %d of a budget of %d", m.worst, m.budget)
+		m := runReservationModel(func(what string, lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, what) }, "")
+		if m.maxReserved > m.budget {
+			t.Fatalf("granted turns reserved %d of a budget of %d", m.maxReserved, m.budget)
 		}
 	})
-	grants, spent := 0, 0
+	grants, rejections := 0, 0
 	for seed := range uint64(20_000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m := play(func(_ string, lo, hi int) int { return lo + rng.IntN(hi-lo+1) }, "")
-		if m.worst > m.budget {
-			t.Fatalf("seed %d: granted turns held %d of a budget of %d", seed, m.worst, m.budget)
+		m := runReservationModel(func(_ string, lo, hi int) int { return lo + rng.IntN(hi-lo+1) }, "")
+		if m.maxReserved > m.budget {
+			t.Fatalf("seed %d: granted turns reserved %d of a budget of %d", seed, m.maxReserved, m.budget)
 		}
-		grants, spent = grants+m.grants, spent+m.spent
+		grants, rejections = grants+m.grants, rejections+m.rejections
 	}
-	if grants < 20_000 || spent < 1000 {
-		t.Fatalf("the runs prove little: %d granted, %d refused", grants, spent)
+	if grants < 20_000 || rejections < 1000 {
+		t.Fatalf("the runs prove little: %d granted, %d rejected", grants, rejections)
 	}
 }
 
-// The model finds what the protocol's parts are for.
-func TestModelFindsPlantedFaults(t *testing.T) {
-	for _, fault := range []string{"no second read", "one copy is enough"} {
+// Each part of the protocol is necessary: the model finds a violation without it.
+func TestReservationModelFindsPlantedFaults(t *testing.T) {
+	for _, fault := range []string{"no reread", "quorum of one"} {
 		found, seed := 0, uint64(0)
 		for ; found < 3 && seed < 50_000; seed++ {
 			rng := rand.New(rand.NewPCG(seed, 2))
-			if m := play(func(_ string, lo, hi int) int { return lo + rng.IntN(hi-lo+1) }, fault); m.worst > m.budget {
+			if m := runReservationModel(func(_ string, lo, hi int) int { return lo + rng.IntN(hi-lo+1) }, fault); m.maxReserved > m.budget {
 				found++
 			}
 		}
@@ -207,8 +207,8 @@
 func TestQuorumByGroups(t *testing.T) {
 	groups := []ReplicaSet{{{ID: "a"}, {ID: "b"}, {ID: "c"}}, {{ID: "b"}, {ID: "c"}, {ID: "d"}}}
 	for _, c := range []struct {
-		yes, no       string
-		reached, lost bool
+		yes, no             string
+		reached, impossible bool
 	}{
 		{"", "", false, false}, {"ab", "", false, false}, {"bc", "", true, false}, {"abd", "", true, false},
 		{"ad", "", false, false}, {"b", "cd", false, true}, {"a", "b", false, false}, {"ac", "bd", false, true}, {"c", "ab", false, true},
@@ -220,11 +220,11 @@
 		for _, s := range c.no {
 			q.record(string(s), false)
 		}
-		if reached, lost := q.state(); reached != c.reached || lost != c.lost {
-			t.Errorf("yes %q no %q: %v %v", c.yes, c.no, reached, lost)
+		if reached, impossible := q.state(); reached != c.reached || impossible != c.impossible {
+			t.Errorf("yes %q no %q: %v %v", c.yes, c.no, reached, impossible)
 		}
 	}
-	if reached, lost := newQuorum([]ReplicaSet{{}}, majority).state(); reached || !lost {
-		t.Errorf("without stores: %v %v", reached, lost)
+	if reached, impossible := newQuorum([]ReplicaSet{{}}, majority).state(); reached || !impossible {
+		t.Errorf("without stores: %v %v", reached, impossible)
 	}
 }
--- a/internal/tier/turnstore/sweep_progress_test.go
+++ b/internal/tier/turnstore/sweep_progress_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSweepRounds(t *testing.T) {
+func TestSweepProgress(t *testing.T) {
 	list := func(ids string) (out []Store) {
 		for _, id := range strings.Split(ids, "") {
 			out = append(out, Store{ID: id})
@@ -17,7 +17,7 @@
 	joint := &Placement{Generation: 3, FaultTolerance: 1, Old: list("abcd"), New: list("abce")}
 	now := time.Unix(100, 0)
 	var r sweepProgress
-	// round pulls from each peer that is given; failing names those that do not answer.
+	// round makes one attempt of a sweep; failing names the peers that do not respond.
 	round := func(p *Placement, self, failing string) (asked []string, missed int) {
 		r.begin(p)
 		for {
@@ -41,16 +41,16 @@
 	asked, missed := round(joint, "e", "bd")
 	expect("the first round", asked, missed, "abcd", 2)
 	asked, missed = round(joint, "e", "d")
-	expect("only those that failed are tried again, until no more than a loss is left", asked, missed, "b", 1)
+	expect("failed peers are retried until no more than FaultTolerance are missed", asked, missed, "b", 1)
 	asked, missed = round(joint, "e", "d")
-	expect("one that said nothing a moment ago is not needed", asked, missed, "", 1)
+	expect("a peer that failed recently is not needed", asked, missed, "", 1)
 	now = now.Add(peerFailureBackoff)
 	asked, missed = round(joint, "e", "d")
-	expect("later it is tried again", asked, missed, "d", 1)
+	expect("it is retried after the backoff", asked, missed, "d", 1)
 	stable := &Placement{Generation: 3, FaultTolerance: 1, Old: list("abce")}
 	asked, missed = round(stable, "e", "")
 	expect("what was pulled while joint does not count once stable", asked, missed, "abc", 0)
 	next := &Placement{Generation: 4, FaultTolerance: 1, Old: list("abce"), New: list("abcef")}
 	asked, missed = round(next, "e", "")
-	expect("another gen begins anew", asked, missed, "abc", 0)
+	expect("another generation starts anew", asked, missed, "abc", 0)
 }
