--- a/internal/tier/turnstore/bench_test.go
+++ b/internal/tier/turnstore/bench_test.go
@@ -45,7 +45,8 @@
 				program, previous = fmt.Sprintf("%p-%d", pb, n), ""
 			}
 			id := fmt.Sprintf("%s-%d", program, n)
-			opened, err := c.Open(context.Background(), OpenRequest{Program: program, Turn: id, Previous: previous, MaxTokens: 10, Budget: 10_000})
+			opened, err := c.Open(context.Background(), OpenRequest{Program: program, Turn: id, Previous: previous,
+				MaxTokens: 10, Budget: 10_000})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -107,7 +108,8 @@
 			now := time.Now()
 			n.store.mu.Lock()
 			for t := range turns {
-				r := &Record{Key: fmt.Sprintf("p%d", p), ID: fmt.Sprintf("p%d-t%d", p, t), Root: t == 0, RetainSeconds: 3600, Increment: make([]byte, size)}
+				r := &Record{Key: fmt.Sprintf("p%d", p), ID: fmt.Sprintf("p%d-t%d", p, t), Root: t == 0,
+					RetainSeconds: 3600, Increment: make([]byte, size)}
 				if t > 0 {
 					r.Previous = fmt.Sprintf("p%d-t%d", p, t-1)
 				}
--- a/internal/tier/turnstore/capacity_test.go
+++ b/internal/tier/turnstore/capacity_test.go
@@ -42,7 +42,8 @@
 		if kept > 1000 {
 			t.Fatal("no store reports its disk as nearly full")
 		}
-		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: increment, RetainSeconds: 30}); err != nil {
+		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: increment,
+			RetainSeconds: 30}); err != nil {
 			t.Fatalf("turn %d cannot be closed, before any store reported that it is nearly full: %v", kept, err)
 		}
 	}
--- a/internal/tier/turnstore/client_test.go
+++ b/internal/tier/turnstore/client_test.go
@@ -185,7 +185,8 @@
 func TestAcknowledgedWritesSurviveRestartOfAllStores(t *testing.T) {
 	tr := newTier(t, 4)
 	turnOf(t, tr.client(), opening("p", "a", ""), "in", "out\n")
-	if _, err := tr.client().Open(t.Context(), OpenRequest{Program: "p", Turn: "b", Previous: "a", MaxTokens: 50, Budget: 100}); err != nil {
+	if _, err := tr.client().Open(t.Context(), OpenRequest{Program: "p", Turn: "b", Previous: "a", MaxTokens: 50,
+		Budget: 100}); err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range tr.nodes {
@@ -205,7 +206,8 @@
 		}
 		return true
 	})
-	if got := turnOf(t, tr.client(), OpenRequest{Program: "p", Turn: "d", Previous: "a", MaxTokens: 45, Budget: 100}, "x", ""); got != "inout\nx" {
+	if got := turnOf(t, tr.client(), OpenRequest{Program: "p", Turn: "d", Previous: "a", MaxTokens: 45,
+		Budget: 100}, "x", ""); got != "inout\nx" {
 		t.Fatal(got)
 	}
 }
--- a/internal/tier/turnstore/disk_fault_test.go
+++ b/internal/tier/turnstore/disk_fault_test.go
@@ -106,7 +106,8 @@
 }
 
 func (n *node) open(t *testing.T, program, turn string) error {
-	return statusError(n.store.handleOpen(t.Context(), &openCall{To: n.head(), Program: program, Turn: turn, MaxTokens: 10}).Status)
+	return statusError(n.store.handleOpen(t.Context(), &openCall{To: n.head(), Program: program, Turn: turn,
+		MaxTokens: 10}).Status)
 }
 
 func (n *node) close(t *testing.T, program, turn, text string) error {
@@ -134,7 +135,8 @@
 		d.set(sqlitelog.ErrFull)
 		err := n.open(t, "p", "b")
 		wantError(t, err, ErrFull)
-		if remedy := "give it more disk, or add stores"; !strings.Contains(err.Error(), remedy) || !strings.Contains(log.String()[logged:], remedy) {
+		if remedy := "give it more disk, or add stores"; !strings.Contains(err.Error(),
+			remedy) || !strings.Contains(log.String()[logged:], remedy) {
 			t.Errorf("spell %d: the remedy is not named: %v\n%s", spell, err, log.String()[logged:])
 		}
 		if !n.store.Full() {
@@ -153,7 +155,8 @@
 		if r.Status != statusOK || string(r.History) != "text" {
 			t.Errorf("spell %d: a full store serves %+v", spell, r)
 		}
-		swept := n.store.handleListKeys(t.Context(), &listKeysCall{To: n.head(), Requester: "another", Sweep: true}) // must persist the generation it adopted
+		swept := n.store.handleListKeys(t.Context(), &listKeysCall{To: n.head(), Requester: "another",
+			Sweep: true}) // must persist the generation it adopted
 		wantError(t, statusError(swept.Status), ErrFull)
 		n.store.checkCapacity(t.Context())
 		if !n.store.Full() {
@@ -201,7 +204,8 @@
 		refused bool
 		full    bool
 	}{
-		{most, false, false}, {most / lowDivisor, false, false}, {most/lowDivisor - 1, false, true}, {most/reopenDivisor - 1, false, true},
+		{most, false, false}, {most / lowDivisor, false, false}, {most/lowDivisor - 1, false,
+			true}, {most/reopenDivisor - 1, false, true},
 		{most / reopenDivisor, false, false}, {most, true, true}, {most, false, false}, {0, true, true}, {most, false, false},
 	} {
 		r.measure(step.left, most)
@@ -303,7 +307,8 @@
 			}
 			ledger := fresh.restarted("p")
 			if fresh.store.SweptGeneration() != 2 || ledger.Sum() != 10 {
-				t.Errorf("after a kill it has swept generation %d and has %d tokens of 10 that were acknowledged", fresh.store.SweptGeneration(), ledger.Sum())
+				t.Errorf("after a kill it has swept generation %d and has %d tokens of 10 that were acknowledged",
+					fresh.store.SweptGeneration(), ledger.Sum())
 			}
 		})
 	}
--- a/internal/tier/turnstore/expiry_test.go
+++ b/internal/tier/turnstore/expiry_test.go
@@ -69,7 +69,10 @@
 		t.Fatalf("after hours it has %d programs and %d turns", programs, turns)
 	}
 	for _, table := range []string{tableEntries, tableTurns, tableBodies} {
-		if err := n.db.Range(table, nil, nil, func(k, _ []byte) error { return errors.Newf("row %q is left in %s", k, table) }); err != nil {
+		if err := n.db.Range(table, nil, nil, func(k, _ []byte) error {
+			return errors.Newf("row %q is left in %s", k,
+				table)
+		}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/tier/turnstore/export_test.go
+++ b/internal/tier/turnstore/export_test.go
@@ -12,37 +12,37 @@
 // Exports for the model in package turnstore_test, which cannot be in this package as it imports package placement.
 
 type (
-	Network     = transport
-	Pending     = pendingWrite
-	OpenCall    = openCall
-	OpenReply   = openReply
-	CloseCall   = closeCall
-	PastReply   = historyReply
-	StatesReply = statesReply
-	Notice      = repairNotice
-	Disk        interface {
+	Transport    = transport
+	Pending      = pendingWrite
+	OpenCall     = openCall
+	OpenReply    = openReply
+	CloseCall    = closeCall
+	HistoryReply = historyReply
+	StatesReply  = statesReply
+	RepairNotice = repairNotice
+	Disk         interface {
 		disk
 	}
 )
 
 const (
-	KeepMargin  = retainMargin
-	OpenKeeps   = openTurnRetention
-	WholeEvery  = antiEntropyInterval
-	RepairAfter = repairDelay
-	Bodies      = tableBodies
-	Entries     = tableEntries
-	Facts       = tableFacts
+	RetainMargin        = retainMargin
+	OpenTurnRetention   = openTurnRetention
+	AntiEntropyInterval = antiEntropyInterval
+	RepairDelay         = repairDelay
+	Bodies              = tableBodies
+	Entries             = tableEntries
+	Facts               = tableFacts
 )
 
 // NewServerOn returns a server on a disk and a transport of the model.
-func NewServerOn(d Disk, n Network, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
-	return newServer(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, n)
+func NewServerOn(d Disk, peers Transport, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
+	return newServer(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, peers)
 }
 
 // NewClientOn returns a client on a transport of the model.
-func NewClientOn(n Network, placement func() *Placement, zone string) *Client {
-	return newClient(placement, n, zone, process.NewRing(io.Discard))
+func NewClientOn(stores Transport, placement func() *Placement, zone string) *Client {
+	return newClient(placement, stores, zone, process.NewRing(io.Discard))
 }
 
 // Turns returns the IDs of the store's turns by program.
--- a/internal/tier/turnstore/frames_test.go
+++ b/internal/tier/turnstore/frames_test.go
@@ -22,8 +22,9 @@
 
 // writeFixtures has tests write the fixtures under testdata that are missing. A fixture holds the bytes of a format as they
 // were when it was first used: it is written once and never rewritten, least of all for a rename. Whoever changes a format on
-// purpose adds a new fixture beside the old one.
-var writeFixtures = flag.Bool("fixtures.write", false, "write the fixtures under testdata that are missing; those that are there stay as they are")
+// purpose adds a new fixture and keeps the old one.
+var writeFixtures = flag.Bool("fixtures.write", false,
+	"write the fixtures under testdata that are missing; those that are there stay as they are")
 
 const (
 	request = "request"
@@ -45,35 +46,45 @@
 
 // messages are all that stores and their clients send each other. Numbers are literals on purpose: they are on the wire.
 var messages = []message{
-	{20, "open", request, &openCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program", Turn: "turn", Previous: "previous", MaxTokens: big + 2, WantHistory: true}},
-	{20, "open", reply, &openReply{Status: big + 1, Ledger: []budget.Entry{{Turn: "turn", Tokens: big + 2, Settled: true}}, Authoritative: true, Found: true,
-		History: []byte("history"), HasHistory: true, Missing: "missing", RemainingMs: big + 3, CacheHost: "home", ContextTokens: big + 4}},
+	{20, "open", request, &openCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program",
+		Turn: "turn", Previous: "previous", MaxTokens: big + 2, WantHistory: true}},
+	{20, "open", reply, &openReply{Status: big + 1, Ledger: []budget.Entry{{Turn: "turn", Tokens: big + 2,
+		Settled: true}}, Authoritative: true, Found: true,
+		History: []byte("history"), HasHistory: true, Missing: "missing", RemainingMs: big + 3,
+		CacheHost: "home", ContextTokens: big + 4}},
 	{21, "close", request, &closeCall{To: RequestHeader{Store: "store", Generation: big + 1},
-		Turn: Record{Key: "key", ID: "id", Previous: "previous", Root: true, RetainSeconds: big + 2, Increment: []byte("piece"), CacheHost: "home", ContextTokens: big + 3}, UsedTokens: big + 4}},
+		Turn: Record{Key: "key", ID: "id", Previous: "previous", Root: true, RetainSeconds: big + 2,
+			Increment: []byte("piece"), CacheHost: "home", ContextTokens: big + 3}, UsedTokens: big + 4}},
 	{21, "close", reply, &statusReply{Status: big + 1}},
-	{22, "settle", request, &settleCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program", Turn: "turn", UsedTokens: big + 2}},
+	{22, "settle", request, &settleCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program",
+		Turn: "turn", UsedTokens: big + 2}},
 	{22, "settle", reply, &statusReply{Status: big + 1}},
 	{23, "peek", request, &readLedgerCall{To: RequestHeader{Store: "store", Generation: big + 1}, Program: "program"}},
 	{23, "peek", reply, &readLedgerReply{Status: big + 1, Ledger: []budget.Entry{{Turn: "turn", Tokens: big + 2, Settled: true}}}},
 	{24, "history", request, &historyCall{To: RequestHeader{Store: "store", Generation: big + 1}, Key: "key", Turn: "turn"}},
-	{24, "history", reply, &historyReply{Status: big + 1, Authoritative: true, Found: true, History: []byte("history"), Missing: "missing", RemainingMs: big + 2}},
+	{24, "history", reply, &historyReply{Status: big + 1, Authoritative: true, Found: true,
+		History: []byte("history"), Missing: "missing", RemainingMs: big + 2}},
 	{25, "find", request, &findTurnCall{To: RequestHeader{Store: "store", Generation: big + 1}, Turn: "turn"}},
 	{25, "find", reply, &findTurnReply{Status: big + 1, Authoritative: true, Found: true, Key: "key"}},
 	{26, "digest", request, &digestCall{To: RequestHeader{Store: "store", Generation: big + 1}, Requester: "asker"}},
 	{26, "digest", reply, &digestReply{Status: big + 1, Digests: []byte("8 bytes.")}},
-	{27, "keys", request, &listKeysCall{To: RequestHeader{Store: "store", Generation: big + 1}, Requester: "asker", Sweep: true, Buckets: []int{big + 2, big + 3}, Bucket: big + 4, After: "after"}},
-	{27, "keys", reply, &listKeysReply{Status: big + 1, Keys: []keyDigest{{Key: "key", TurnsDigest: big + 2, LedgerDigest: big + 3, ConfirmedMs: big + 4}}, More: true, Bucket: big + 5, After: "after"}},
+	{27, "keys", request, &listKeysCall{To: RequestHeader{Store: "store", Generation: big + 1}, Requester: "asker",
+		Sweep: true, Buckets: []int{big + 2, big + 3}, Bucket: big + 4, After: "after"}},
+	{27, "keys", reply, &listKeysReply{Status: big + 1, Keys: []keyDigest{{Key: "key", TurnsDigest: big + 2,
+		LedgerDigest: big + 3, ConfirmedMs: big + 4}}, More: true, Bucket: big + 5, After: "after"}},
 	{28, "states", request, &statesCall{To: RequestHeader{Store: "store", Generation: big + 1}, Keys: []string{"key-1", "key-2"}}},
 	{28, "states", reply, &statesReply{Status: big + 1, States: []keyState{{Key: "key", RemainingMs: big + 2, ConfirmedMs: big + 3,
 		Ledger: []budget.Entry{{Turn: "turn", Tokens: big + 4, Settled: true}}, Turns: []string{"turn-1", "turn-2"}}}}},
-	{29, "bodies", request, &bodiesCall{To: RequestHeader{Store: "store", Generation: big + 1}, Turns: []string{"turn-1", "turn-2"}}},
+	{29, "bodies", request, &bodiesCall{To: RequestHeader{Store: "store", Generation: big + 1},
+		Turns: []string{"turn-1", "turn-2"}}},
 	{29, "bodies", reply, &bodiesReply{Status: big + 1, Processed: big + 2,
-		Turns: []Record{{Key: "key", ID: "id", Previous: "previous", Root: true, RetainSeconds: big + 3, Increment: []byte("piece"), CacheHost: "home", ContextTokens: big + 4}}}},
+		Turns: []Record{{Key: "key", ID: "id", Previous: "previous", Root: true, RetainSeconds: big + 3,
+			Increment: []byte("piece"), CacheHost: "home", ContextTokens: big + 4}}}},
 	{30, "repair", request, &repairNotice{To: RequestHeader{Store: "store", Generation: big + 1}, Key: "key"}},
 	{30, "repair", reply, &statusReply{Status: big + 1}},
 }
 
-// boolMessages tell booleans of one struct apart, each of which is true in messages.
+// boolMessages distinguish the booleans of one struct, each of which is true in messages.
 var boolMessages = []message{
 	{20, "open, valid", reply, &openReply{Authoritative: true}},
 	{20, "open, known", reply, &openReply{Found: true}},
@@ -119,7 +130,7 @@
 		}
 	}
 	for key := range fixtures {
-		t.Errorf("nothing is held against the fixture %q", key)
+		t.Errorf("no message is compared with the fixture %q", key)
 	}
 }
 
@@ -130,7 +141,8 @@
 		t.Fatal(err)
 	}
 	defer db.Close()
-	s, err := NewServer(ServerOptions{DB: db, Placement: func() *Placement { return nil }, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard)})
+	s, err := NewServer(ServerOptions{DB: db, Placement: func() *Placement { return nil }, Calls: &rpc.Clients{},
+		Log: process.NewRing(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +177,8 @@
 
 // The numbers of methods and statuses are on the wire.
 func TestNumbersOnTheWire(t *testing.T) {
-	methods := []rpc.Method{MethodOpen, MethodClose, MethodSettle, MethodReadLedger, MethodHistory, MethodFindTurn, MethodDigest, MethodListKeys, MethodStates, MethodBodies, MethodRepair}
+	methods := []rpc.Method{MethodOpen, MethodClose, MethodSettle, MethodReadLedger, MethodHistory, MethodFindTurn,
+		MethodDigest, MethodListKeys, MethodStates, MethodBodies, MethodRepair}
 	if want := []rpc.Method{20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30}; !reflect.DeepEqual(methods, want) {
 		t.Errorf("methods are %v, want %v", methods, want)
 	}
@@ -226,7 +239,7 @@
 }
 
 // requireAllSet makes sure that no field of a fixture is zero, and that no two numbers or strings of it are the same: else a
-// field that was dropped, or two that changed places, might not show.
+// field that was dropped, or two that were swapped, might not show.
 func requireAllSet(t *testing.T, what string, value any) {
 	t.Helper()
 	seen := map[any]bool{}
@@ -269,7 +282,7 @@
 	look("", reflect.ValueOf(value))
 }
 
-// requireBoolsApart makes sure that two booleans of a struct that changed places would show: wherever a struct has several,
+// requireBoolsApart makes sure that two booleans of a struct that were swapped would show: wherever a struct has several,
 // there is a message for each in which it alone is true.
 func requireBoolsApart(t *testing.T, full, alone []any) {
 	t.Helper()
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -121,7 +121,8 @@
 		t.Fatal(err)
 	}
 	n.db = db
-	n.store, err = NewServer(ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now, Log: process.NewRing(io.Discard)})
+	n.store, err = NewServer(ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now,
+		Log: process.NewRing(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/turnstore/increment_cache_test.go
+++ b/internal/tier/turnstore/increment_cache_test.go
@@ -16,7 +16,8 @@
 		model := map[string]string{} // complete histories
 		for i := range rapid.IntRange(1, 60).Draw(t, "turns") {
 			id := fmt.Sprint("t", i)
-			p := &cachedIncrement{key: "p", id: id, bytes: []byte(strings.Repeat(fmt.Sprint(i%10), rapid.IntRange(0, 400).Draw(t, "size")))}
+			p := &cachedIncrement{key: "p", id: id, bytes: []byte(strings.Repeat(fmt.Sprint(i%10), rapid.IntRange(0,
+				400).Draw(t, "size")))}
 			if i > 0 && rapid.Bool().Draw(t, "continues") {
 				p.previous = fmt.Sprint("t", rapid.IntRange(0, i-1).Draw(t, "previous"))
 			}
--- a/internal/tier/turnstore/index_test.go
+++ b/internal/tier/turnstore/index_test.go
@@ -21,12 +21,22 @@
 	}{
 		{"ended at 0", func(*index) {}, 29 + margin},
 		{"another turn at 20", func(ix *index) { ix.addTurn("p", "b", row, -1, at(20)) }, 49 + margin},
-		{"fetched at 1 from a peer that retains it for 5 s", func(ix *index) { ix.addTurn("p", "b", row, 5*time.Second, at(1)) }, 29 + margin},
-		{"fetched at 1 from a peer that retains it for 90 s", func(ix *index) { ix.addTurn("p", "b", row, 90*time.Second, at(1)) }, 90},
+		{"fetched at 1 from a peer that retains it for 5 s", func(ix *index) {
+			ix.addTurn("p", "b", row,
+				5*time.Second, at(1))
+		}, 29 + margin},
+		{"fetched at 1 from a peer that retains it for 90 s", func(ix *index) {
+			ix.addTurn("p", "b", row,
+				90*time.Second, at(1))
+		}, 90},
 		{"continued from at 40", func(ix *index) { ix.extendRetention("p", at(40)) }, 69 + margin},
-		{"a turn with a longer retention time at 1", func(ix *index) { ix.addTurn("p", "b", indexRow{Root: true, RetainSeconds: 60}, -1, at(1)) }, 60 + margin},
+		{"a turn with a longer retention time at 1", func(ix *index) {
+			ix.addTurn("p", "b", indexRow{Root: true,
+				RetainSeconds: 60}, -1, at(1))
+		}, 60 + margin},
 		{"another program's turn at 20", func(ix *index) { ix.addTurn("q", "b", row, -1, at(20)) }, 29 + margin},
-		{"a turn open since 10", func(ix *index) { ix.joinEntry("p", budget.Entry{Turn: "b", Tokens: 1}, at(10)) }, 9 + int(openTurnRetention/time.Second)},
+		{"a turn open since 10", func(ix *index) { ix.joinEntry("p", budget.Entry{Turn: "b", Tokens: 1}, at(10)) },
+			9 + int(openTurnRetention/time.Second)},
 		{"a turn settled without a record", func(ix *index) {
 			ix.joinEntry("p", budget.Entry{Turn: "b", Tokens: 1}, at(10))
 			ix.joinEntry("p", budget.Entry{Turn: "b", Settled: true}, at(11))
@@ -49,14 +59,16 @@
 
 func TestChainEndsAtRootOrMissingTurn(t *testing.T) {
 	ix := newIndex()
-	for _, r := range []struct{ key, id, previous string }{{"p", "a", ""}, {"p", "b", "a"}, {"p", "c", "b"}, {"p", "f", "b"}, {"p", "y", "x"}, {"p", "z", "y"}, {"q", "o", "c"}} {
+	for _, r := range []struct{ key, id, previous string }{{"p", "a", ""}, {"p", "b", "a"}, {"p", "c", "b"}, {"p",
+		"f", "b"}, {"p", "y", "x"}, {"p", "z", "y"}, {"q", "o", "c"}} {
 		ix.addTurn(r.key, r.id, indexRow{Previous: r.previous, Root: r.previous == "", RetainSeconds: 30}, -1, at(0))
 	}
 	for _, c := range []struct {
 		key, id string
 		want    []string
 		missing string
-	}{{"p", "c", []string{"a", "b", "c"}, ""}, {"p", "f", []string{"a", "b", "f"}, ""}, {"p", "z", []string{"y", "z"}, "x"}, {"q", "o", []string{"o"}, "c"}} {
+	}{{"p", "c", []string{"a", "b", "c"}, ""}, {"p", "f", []string{"a", "b", "f"}, ""}, {"p", "z", []string{"y",
+		"z"}, "x"}, {"q", "o", []string{"o"}, "c"}} {
 		if ids, missing := ix.chain(ix.findTurn(c.key, c.id)); !slices.Equal(ids, c.want) || missing != c.missing {
 			t.Errorf("%s: %v, missing %q", c.id, ids, missing)
 		}
--- a/internal/tier/turnstore/model_checks_test.go
+++ b/internal/tier/turnstore/model_checks_test.go
@@ -8,169 +8,170 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// watchExpiry looks at what stores hold: what one has dropped does not come back there.
-func (w *simulation) watchExpiry() {
-	for w.sleep(500 * time.Millisecond) {
-		w.mu.Lock()
-		stores := slices.Clone(w.stores)
-		w.mu.Unlock()
+// watchExpiry checks periodically that turns which a store has expired do not reappear there.
+func (sim *simulation) watchExpiry() {
+	for sim.sleep(500 * time.Millisecond) {
+		sim.mu.Lock()
+		stores := slices.Clone(sim.stores)
+		sim.mu.Unlock()
 		for _, m := range stores {
-			l := m.incarnation.Load()
-			if l == nil {
+			running := m.incarnation.Load()
+			if running == nil {
 				continue
 			}
-			if w.fault == expiredForgotten {
-				l.store.ForgetExpired()
+			if sim.fault == expiredForgotten {
+				running.store.ForgetExpired()
 			}
 			now := map[string]bool{}
-			for _, ids := range l.store.Turns() {
+			for _, ids := range running.store.Turns() {
 				for _, id := range ids {
 					now[id] = true
-					if has, had := l.seen[id]; had && !has {
-						w.oracle.mu.Lock()
-						t := w.oracle.turns[id]
-						// A program's turns are kept together, from its last use on; what is under way may come for a while.
-						late := w.now() > w.oracle.used[t.program]+t.retain+turnstore.KeepMargin+messageLifetime
-						w.oracle.mu.Unlock()
-						if late {
-							w.violation("EXPIRED: %s has %s of %s again, which ended at %v and was to be kept for %v", m.name, id, t.program, t.ended, t.retain)
+					if has, had := running.seen[id]; had && !has {
+						sim.oracle.mu.Lock()
+						t := sim.oracle.turns[id]
+						// A program's turns are retained together since its last use; messages in flight may still arrive.
+						latest := sim.oracle.used[t.program] + t.retain + turnstore.RetainMargin + messageLifetime
+						sim.oracle.mu.Unlock()
+						if sim.now() > latest {
+							sim.violation("EXPIRED: %s has %s of %s again, which ended at %v and was retained for %v",
+								m.name, id, t.program, t.ended, t.retain)
 						}
 					}
-					l.seen[id] = true
+					running.seen[id] = true
 				}
 			}
-			for id := range l.seen {
-				if !now[id] && l.seen[id] {
-					l.seen[id] = false
-					w.note(m.name, "drops %s", id)
+			for id := range running.seen {
+				if !now[id] && running.seen[id] {
+					running.seen[id] = false
+					sim.note(m.name, "expires %s", id)
 				}
 			}
 		}
 	}
 }
 
-// checkFinalState ends all trouble and checks that all is as it should be.
-func (w *simulation) checkFinalState(rng *rand.Rand) {
-	for _, n := range w.nodes() {
+// checkFinalState ends all faults and checks that the stores converge, survive one more loss, and expire everything.
+func (sim *simulation) checkFinalState(rng *rand.Rand) {
+	for _, n := range sim.nodes() {
 		n.thaw()
 	}
-	w.mu.Lock()
-	var cuts [][2]string
-	for k := range w.partitions {
-		cuts = append(cuts, k)
+	sim.mu.Lock()
+	var partitions [][2]string
+	for k := range sim.partitions {
+		partitions = append(partitions, k)
 	}
-	w.mu.Unlock()
-	for _, k := range cuts {
-		w.heal(k[0], k[1])
+	sim.mu.Unlock()
+	for _, k := range partitions {
+		sim.heal(k[0], k[1])
 	}
-	for _, f := range w.fronts {
+	for _, f := range sim.fronts {
 		f.start()
 	}
-	for _, m := range w.stores {
-		if m.incarnation.Load() == nil && !w.controller.isRetired(m.disk().id) {
+	for _, m := range sim.stores {
+		if m.incarnation.Load() == nil && !sim.controller.isRetired(m.disk().id) {
 			m.start()
 		}
 	}
-	if w.over() || !w.sleep(25*time.Second) {
+	if sim.over() || !sim.sleep(25*time.Second) {
 		return
 	}
-	w.controller.mu.Lock()
-	p := w.controller.placement
-	w.controller.mu.Unlock()
+	sim.controller.mu.Lock()
+	p := sim.controller.placement
+	sim.controller.mu.Unlock()
 	if len(p.New) > 0 {
-		w.violation("the placement is not stable 25 s after all trouble: %s", show(p))
+		sim.violation("the placement is not stable 25 s after all faults: %s", show(p))
 		return
 	}
-	if !w.noDigest {
-		for _, m := range w.stores { // each with each other, as time would do
-			if l := m.incarnation.Load(); l != nil && m.placement() == p {
-				if err := l.store.Compare(l.ctx); err != nil {
-					w.violation("%s compares: %v", m.name, err)
+	if !sim.noDigest {
+		for _, m := range sim.stores { // each with all peers, as would happen in time
+			if running := m.incarnation.Load(); running != nil && m.placement() == p {
+				if err := running.store.Compare(running.ctx); err != nil {
+					sim.violation("%s compares: %v", m.name, err)
 				}
 			}
 		}
 	}
-	w.oracle.mu.Lock()
-	var kept []*turnRecord
+	sim.oracle.mu.Lock()
+	var retained []*turnRecord
 	programs := map[string]bool{}
-	for _, b := range w.oracle.programs {
+	for _, b := range sim.oracle.programs {
 		for _, t := range b.turns {
-			if t.outcome == completed && w.now() < t.ended+t.retain-2*time.Second {
-				kept = append(kept, t)
+			if t.outcome == completed && sim.now() < t.ended+t.retain-2*time.Second {
+				retained = append(retained, t)
 				programs[t.program] = true
 			}
 		}
 	}
-	w.oracle.mu.Unlock()
-	slices.SortFunc(kept, func(a, b *turnRecord) int { return int(a.ended - b.ended) })
-	copies := 0
-	for _, t := range kept {
+	sim.oracle.mu.Unlock()
+	slices.SortFunc(retained, func(a, b *turnRecord) int { return int(a.ended - b.ended) })
+	for _, t := range retained {
 		for _, s := range p.ReplicaSets(t.program)[0] {
-			if l := w.storeAt(s.Addr).incarnation.Load(); l != nil && l.store.Has(t.id) {
-				copies++
-			} else if !w.noDigest {
-				w.violation("COPIES: %s of %s lacks %s, kept until %v", s.ID, t.program, t.id, t.ended+t.retain)
+			if running := sim.storeAt(s.Addr).incarnation.Load(); running != nil && running.store.Has(t.id) {
+				continue
+			}
+			if !sim.noDigest {
+				sim.violation("REPLICAS: %s of %s lacks %s, retained until %v", s.ID, t.program, t.id, t.ended+t.retain)
 				return
 			}
 		}
 	}
-	if !w.noDigest {
+	if !sim.noDigest {
 		for program := range programs {
 			var first uint64
 			for i, s := range p.ReplicaSets(program)[0] {
-				l := w.storeAt(s.Addr).incarnation.Load().store.Ledger(program)
+				running := sim.storeAt(s.Addr).incarnation.Load().store.Ledger(program)
 				if i == 0 {
-					first = l.Digest()
-				} else if l.Digest() != first {
-					w.violation("COPIES: ledgers of %s differ", program)
+					first = running.Digest()
+				} else if running.Digest() != first {
+					sim.violation("REPLICAS: ledgers of %s differ", program)
 					return
 				}
 			}
 		}
 	}
-	// One store's disk is lost without a warning, and what is kept is read from another program at fresh fronts.
-	lost := w.storeAt(p.Old[rng.IntN(len(p.Old))].Addr)
+	// One store's disk is lost, and retained turns are continued from another program at a new front.
+	lost := sim.storeAt(p.Old[rng.IntN(len(p.Old))].Addr)
 	lost.kill(true)
 	lost.wipe()
-	f := w.addFront("fresh", "z0")
-	if !w.sleep(500 * time.Millisecond) {
+	f := sim.addFront("fresh", "z0")
+	if !sim.sleep(500 * time.Millisecond) {
 		return
 	}
-	reader := w.newProgram(1 << 40)
-	rng.Shuffle(len(kept), func(i, j int) { kept[i], kept[j] = kept[j], kept[i] })
-	for _, t := range kept[:min(len(kept), 40)] {
-		if w.now() > t.ended+t.retain-time.Second {
+	reader := sim.newProgram(1 << 40)
+	rng.Shuffle(len(retained), func(i, j int) { retained[i], retained[j] = retained[j], retained[i] })
+	for _, t := range retained[:min(len(retained), 40)] {
+		if sim.now() > t.ended+t.retain-time.Second {
 			continue
 		}
-		how := rejected
-		for try := 0; how == rejected && try < 3; try++ {
-			how = w.runTurn(turnScript{front: f, program: reader, previous: t, need: 1, ending: aborted}).outcome
-			w.sleep(time.Duration(1+try) * 300 * time.Millisecond)
+		outcome := rejected
+		for attempt := 0; outcome == rejected && attempt < 3; attempt++ {
+			outcome = sim.runTurn(turnScript{front: f, program: reader, previous: t, need: 1, ending: aborted}).outcome
+			sim.sleep(time.Duration(1+attempt) * 300 * time.Millisecond)
 		}
-		if how == rejected && !w.over() {
-			w.violation("LOST: %s is not read with %s lost", t.id, lost.name)
+		if outcome == rejected && !sim.over() {
+			sim.violation("LOST: %s cannot be continued from with %s lost", t.id, lost.name)
 			return
 		}
 	}
-	if w.over() {
+	if sim.over() {
 		return
 	}
 	lost.start()
-	// Once nothing is asked for, all turns go.
-	if w.seed%16 != 0 {
+	// Without requests all turns expire.
+	if sim.seed%16 != 0 {
 		return
 	}
-	if !w.sleep(6*time.Minute + turnstore.OpenKeeps + 3*turnstore.KeepMargin) {
+	if !sim.sleep(6*time.Minute + turnstore.OpenTurnRetention + 3*turnstore.RetainMargin) {
 		return
 	}
-	for _, m := range w.stores {
-		if l := m.incarnation.Load(); l != nil {
-			if _, n := l.store.Counts(); n > 0 {
-				w.violation("EXPIRED: %s has %d turns still", m.name, n)
+	for _, m := range sim.stores {
+		if running := m.incarnation.Load(); running != nil {
+			if _, n := running.store.Counts(); n > 0 {
+				sim.violation("EXPIRED: %s still has %d turns", m.name, n)
 			}
 			m.disk().mu.Lock()
 			if n := len(m.disk().tables[turnstore.Bodies]); n > 0 {
-				w.violation("EXPIRED: the disk of %s has %d turns still", m.name, n)
+				sim.violation("EXPIRED: the disk of %s still has %d turns", m.name, n)
 			}
 			m.disk().mu.Unlock()
 		}
--- a/internal/tier/turnstore/model_controller_test.go
+++ b/internal/tier/turnstore/model_controller_test.go
@@ -11,37 +11,41 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
+// controller is the control plane's planner of the placement.
 type controller struct {
 	mu              sync.Mutex
-	placement       *turnstore.Placement
-	tookOverAt      time.Duration
+	placement       *turnstore.Placement // nil before the founding
+	tookOverAt      time.Duration        // by the node that plans
 	generation      int64
-	generationSince time.Duration // when the gen was seen first
+	generationSince time.Duration // when the generation was first seen
 	stores          map[string]placement.StoreStatus
 	retired         map[string]bool
-	wiped           int
+	wiped           int // disks, for new identities
 }
 
-func (c *controller) register(w *simulation, s turnstore.Store, gen, swept int64) {
+func (c *controller) register(sim *simulation, s turnstore.Store, generation, swept int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	placement.Register(c.stores, placement.Registration{Store: s, Generation: gen, SweptGeneration: swept}, w.now(), placement.DefaultTimings(contact))
+	registration := placement.Registration{Store: s, Generation: generation, SweptGeneration: swept}
+	placement.Register(c.stores, registration, sim.now(), placement.DefaultTimings(contact))
 }
 
-// run plans the placement; now and then the duty moves to another node.
-func (c *controller) run(w *simulation) {
+// run plans the placement; the role moves to another node, without its state, after a random time and every 40 s from then on.
+func (c *controller) run(sim *simulation) {
 	timings := placement.DefaultTimings(contact)
-	move := w.span(10*time.Second, 60*time.Second)
-	for w.sleep(100 * time.Millisecond) {
+	move := sim.span(10*time.Second, 60*time.Second)
+	for sim.sleep(100 * time.Millisecond) {
 		c.mu.Lock()
-		if w.now() > move {
+		if sim.now() > move {
 			move += 40 * time.Second
-			c.stores, c.tookOverAt = map[string]placement.StoreStatus{}, w.now()
+			c.stores, c.tookOverAt = map[string]placement.StoreStatus{}, sim.now()
 		}
 		if c.placement != nil && c.placement.Generation != c.generation {
-			c.generation, c.generationSince = c.placement.Generation, w.now()
+			c.generation, c.generationSince = c.placement.Generation, sim.now()
 		}
-		next := placement.Plan(placement.Input{Now: w.now(), TookOverAt: c.tookOverAt, GenerationSince: max(c.tookOverAt, c.generationSince), FaultTolerance: 1, Current: c.placement, Stores: c.stores, Retired: c.retired}, timings)
+		next := placement.Plan(placement.Input{Now: sim.now(), TookOverAt: c.tookOverAt,
+			GenerationSince: max(c.tookOverAt, c.generationSince), FaultTolerance: 1, Current: c.placement,
+			Stores: c.stores, Retired: c.retired}, timings)
 		if next != nil {
 			c.placement = next
 		}
@@ -49,13 +53,14 @@
 		if next == nil {
 			continue
 		}
-		w.note("core", "%s", show(next))
-		for _, n := range w.nodes() {
-			c.sendPlacement(w, n)
+		sim.note("core", "%s", show(next))
+		for _, n := range sim.nodes() {
+			c.sendPlacement(sim, n)
 		}
 	}
 }
 
+// show formats a placement.
 func show(p *turnstore.Placement) string {
 	list := func(l []turnstore.Store) (out []string) {
 		for _, s := range l {
@@ -63,52 +68,57 @@
 		}
 		return out
 	}
-	return strings.TrimSpace(fmt.Sprintf("gen %d %s > %s", p.Generation, strings.Join(list(p.Old), ","), strings.Join(list(p.New), ",")))
+	return strings.TrimSpace(fmt.Sprintf("generation %d: %s > %s", p.Generation, strings.Join(list(p.Old), ","),
+		strings.Join(list(p.New), ",")))
 }
 
-// sendPlacement has a node hear the placement after a while.
-func (c *controller) sendPlacement(w *simulation, n *node) {
+// sendPlacement sends the placement to a node.
+func (c *controller) sendPlacement(sim *simulation, n *node) {
 	c.mu.Lock()
 	p := c.placement
 	c.mu.Unlock()
 	if p == nil {
 		return
 	}
-	w.wg.Go(func() {
-		time.Sleep(5*time.Millisecond + 3*w.delay("core", n.name, 98))
-		for !w.awaitPath("core", n.name) {
+	sim.wg.Go(func() {
+		time.Sleep(5*time.Millisecond + 3*sim.delay("core", n.name, 98))
+		for !sim.awaitPath("core", n.name) {
 		}
 		n.awaitThaw()
 		switch {
 		case !strings.HasPrefix(n.name, "f"):
-		case w.fault == majorityOfOne:
-			one := *p
-			one.ReplicationFactor, one.DurableReplicas = 1, 1
-			p = &one
-		case w.fault == quorumOfNewListOnly && len(p.New) > 0:
-			one := *p
-			one.Old, one.New = p.New, nil
-			p = &one
+		case sim.fault == majorityOfOne:
+			changed := *p
+			changed.ReplicationFactor, changed.DurableReplicas = 1, 1
+			p = &changed
+		case sim.fault == quorumOfNewListOnly && len(p.New) > 0:
+			changed := *p
+			changed.Old, changed.New = p.New, nil
+			p = &changed
 		}
 		n.receivePlacement(p)
 	})
 }
 
-// reset has the core know nothing any more, as after the loss of all its disks.
-func (c *controller) reset(w *simulation) {
+// reset clears the controller's state, as after the loss of all disks of the control plane.
+func (c *controller) reset(sim *simulation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.placement, c.stores, c.retired, c.tookOverAt = nil, map[string]placement.StoreStatus{}, map[string]bool{}, w.now()
-	w.log = append(w.log, logLine{w.now(), "core", "founded anew"})
+	c.placement, c.stores, c.retired, c.tookOverAt = nil, map[string]placement.StoreStatus{}, map[string]bool{}, sim.now()
+	sim.log = append(sim.log, logLine{sim.now(), "core", "reset"})
 }
 
-// retirementComplete tells whether a store may go, as the operator is told.
+// retirementComplete reports whether a store may be removed, as the operator sees it.
 func (c *controller) retirementComplete(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.placement != nil && len(c.placement.New) == 0 && !slices.ContainsFunc(c.placement.Old, func(s turnstore.Store) bool { return s.ID == id })
+	if c.placement == nil || len(c.placement.New) > 0 {
+		return false
+	}
+	return !slices.ContainsFunc(c.placement.Old, func(s turnstore.Store) bool { return s.ID == id })
 }
 
+// retire orders the retirement of a store, unless too few others are left.
 func (c *controller) retire(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/tier/turnstore/model_disk_fault_test.go
+++ b/internal/tier/turnstore/model_disk_fault_test.go
@@ -14,11 +14,11 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-var diskScenarios = flag.Int("diskcourses", 40, "drawn courses with bad disks of stores")
+var diskScenarios = flag.Int("diskcourses", 40, "random scenarios with disk faults of stores")
 
-const slowFactor = 30 // syncs of a slow disk take so many times as long
+const slowFactor = 30 // of the duration of syncs on a slow disk
 
-// diskFault is what a disk has for a while.
+// diskFault is a fault of a disk that ends.
 type diskFault struct {
 	name  string
 	begin func(*machine)
@@ -33,42 +33,43 @@
 
 const usualSync = 5 * time.Millisecond
 
-// A store whose disk is slow, stands still or is full is not waited for: turns open, also past half of their budget, where a
-// majority is read again; they end; and another front reads their history.
+// A store whose disk is slow, stalled or full delays nothing: turns are opened, also past half of their budget, where a
+// majority is read again; they are closed; and another front reads their history.
 func TestStoreWithFaultyDiskDoesNotDelayTurns(t *testing.T) {
 	const (
-		turnTakes    = 30 * time.Millisecond // messages of 1 ms, syncs well below
-		historyTakes = 60 * time.Millisecond // another store is asked after 40 ms
+		maxTurn    = 30 * time.Millisecond // messages take 1 ms, syncs less
+		maxHistory = 60 * time.Millisecond // another store is asked after hedgeDelay
 	)
-	for _, trouble := range diskFaults {
+	for _, fault := range diskFaults {
 		for store := range 3 {
-			t.Run(fmt.Sprint(trouble.name, store), func(t *testing.T) {
+			t.Run(fmt.Sprint(fault.name, store), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := healthySimulation(3, true)
-					p := w.newProgram(60)
+					sim := healthySimulation(3, true)
+					p := sim.newProgram(60)
 					var last *turnRecord
-					turn := func(f *front, most time.Duration) {
-						began := w.now()
-						last = w.runTurn(turnScript{front: f, program: p, previous: last, need: 10, used: 10, ending: completed, retain: time.Minute})
-						if took := w.now() - began; last.outcome != completed || took > most {
+					turn := func(f *front, limit time.Duration) {
+						began := sim.now()
+						last = sim.runTurn(turnScript{front: f, program: p, previous: last, need: 10, used: 10, ending: completed,
+							retain: time.Minute})
+						if took := sim.now() - began; last.outcome != completed || took > limit {
 							t.Errorf("turn %s of 10 tokens is %s after %v", last.id, last, took)
 						}
 					}
-					turn(w.fronts[0], turnTakes)
-					bad := w.stores[store]
-					trouble.begin(bad)
-					turn(w.fronts[0], turnTakes) // it has the history
+					turn(sim.fronts[0], maxTurn)
+					faulty := sim.stores[store]
+					fault.begin(faulty)
+					turn(sim.fronts[0], maxTurn) // the front has the history cached
 					for i := range 3 {
-						turn(w.fronts[1-i%2], historyTakes)
+						turn(sim.fronts[1-i%2], maxHistory)
 					}
-					fresh := w.addFront("fresh", "z1")
-					w.sleep(time.Second) // it has to hear of the placement
-					turn(fresh, historyTakes)
-					trouble.end(bad)
-					w.sleep(time.Second)
-					w.close()
-					if len(w.violations) > 0 {
-						t.Errorf("%s\n%s", w.violations[0], w.timeline(30))
+					fresh := sim.addFront("fresh", "z1")
+					sim.sleep(time.Second) // it must receive the placement
+					turn(fresh, maxHistory)
+					fault.end(faulty)
+					sim.sleep(time.Second)
+					sim.close()
+					if len(sim.violations) > 0 {
+						t.Errorf("%s\n%s", sim.violations[0], sim.timeline(30))
 					}
 				})
 			})
@@ -76,263 +77,264 @@
 	}
 }
 
-// A store with a disk that stood still or was full serves again by itself, with what others took meanwhile.
+// After a disk fault a store serves again by itself, with what its peers stored meanwhile.
 func TestStoreRecoversAfterDiskFault(t *testing.T) {
-	for _, trouble := range diskFaults {
-		t.Run(trouble.name, func(t *testing.T) {
+	for _, fault := range diskFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := healthySimulation(3, true)
-				bad, other := w.stores[0], w.stores[1]
-				life := bad.incarnation.Load()
-				p := w.newProgram(10_000)
+				sim := healthySimulation(3, true)
+				faulty, other := sim.stores[0], sim.stores[1]
+				running := faulty.incarnation.Load()
+				p := sim.newProgram(10_000)
 				var last *turnRecord
 				turn := func() {
-					last = w.runTurn(turnScript{front: w.fronts[0], program: p, previous: last, need: 10, used: 10, ending: completed, retain: time.Minute})
+					last = sim.runTurn(turnScript{front: sim.fronts[0], program: p, previous: last, need: 10, used: 10,
+						ending: completed, retain: time.Minute})
 					if last.outcome != completed {
 						t.Errorf("turn %s is %s", last.id, last)
 					}
 				}
 				turn()
-				trouble.begin(bad)
+				fault.begin(faulty)
 				for range 5 {
 					turn()
-					w.sleep(time.Second)
+					sim.sleep(time.Second)
 				}
-				if full := life.store.Full(); full != (trouble.name == "full") {
-					t.Errorf("the core is told that it is full: %v", full)
+				if full := running.store.Full(); full != (fault.name == "full") {
+					t.Errorf("Full is %v", full)
 				}
-				trouble.end(bad)
-				w.sleep(catchUp)
-				if life.store.Full() {
-					t.Errorf("full %v after its disk is well", catchUp)
+				fault.end(faulty)
+				sim.sleep(catchUp)
+				if running.store.Full() {
+					t.Errorf("full %v after its disk has recovered", catchUp)
 				}
-				w.sleep(turnstore.WholeEvery * 5) // each looks at one other now and then
+				sim.sleep(turnstore.AntiEntropyInterval * 5) // each compares with a random peer periodically
 				other.kill(true)
-				turn() // needs both others
-				w.sleep(time.Second)
-				bad.disk().mu.Lock()
-				lacking := life.store.EntriesLacking(bad.disk().tables[turnstore.Entries])
-				bad.disk().mu.Unlock()
-				if len(lacking) > 0 || !life.store.Has(last.id) || bad.incarnation.Load() != life {
-					t.Errorf("its disk lacks %v, it has the last turn: %v", lacking, life.store.Has(last.id))
+				turn() // needs both other stores
+				sim.sleep(time.Second)
+				faulty.disk().mu.Lock()
+				lacking := running.store.EntriesLacking(faulty.disk().tables[turnstore.Entries])
+				faulty.disk().mu.Unlock()
+				if len(lacking) > 0 || !running.store.Has(last.id) || faulty.incarnation.Load() != running {
+					t.Errorf("its disk lacks %v; it has the last turn: %v", lacking, running.store.Has(last.id))
 				}
-				w.close()
-				if len(w.violations) > 0 {
-					t.Errorf("%s\n%s", w.violations[0], w.timeline(30))
+				sim.close()
+				if len(sim.violations) > 0 {
+					t.Errorf("%s\n%s", sim.violations[0], sim.timeline(30))
 				}
 			})
 		})
 	}
 }
 
-// A turn whose caller leaves while the disk stands still is written all the same: the store knows of it, so that it expires.
+// A turn whose call is cancelled while the disk is stalled is written nevertheless: the store indexes it, so that it expires.
 func TestTurnOfCancelledCallIsIndexed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := healthySimulation(3, true)
-		bad := w.stores[0]
-		life := bad.incarnation.Load()
-		bad.disk().stall()
-		ctx, leave := context.WithCancel(t.Context())
-		call := turnstore.CloseCall{To: turnstore.RequestHeader{Store: bad.disk().id, Generation: bad.placement().Generation},
+		sim := healthySimulation(3, true)
+		faulty := sim.stores[0]
+		running := faulty.incarnation.Load()
+		faulty.disk().stall()
+		ctx, cancel := context.WithCancel(t.Context())
+		call := turnstore.CloseCall{To: turnstore.RequestHeader{Store: faulty.disk().id, Generation: faulty.placement().Generation},
 			Turn: turnstore.Record{Key: "p", ID: "turn", Root: true, RetainSeconds: 10, Increment: []byte("text")}}
 		var calls sync.WaitGroup
-		calls.Go(func() { _, _ = life.handlers[turnstore.MethodClose](ctx, rpc.Encode(&call)) })
-		w.sleep(time.Second)
-		leave()
-		w.sleep(time.Second)
-		if life.store.Has("turn") {
-			t.Error("a turn is there before its sync")
+		calls.Go(func() { _, _ = running.handlers[turnstore.MethodClose](ctx, rpc.Encode(&call)) })
+		sim.sleep(time.Second)
+		cancel()
+		sim.sleep(time.Second)
+		if running.store.Has("turn") {
+			t.Error("a turn is indexed before its sync")
 		}
-		bad.disk().resume()
-		w.sleep(time.Second)
+		faulty.disk().resume()
+		sim.sleep(time.Second)
 		calls.Wait()
-		if !life.store.Has("turn") {
-			t.Error("a turn is on disk, and not known")
+		if !running.store.Has("turn") {
+			t.Error("a turn is on disk and not indexed")
 		}
-		w.sleep(time.Minute)
-		bad.disk().mu.Lock()
-		if n := len(bad.disk().tables[turnstore.Bodies]); n > 0 {
-			t.Errorf("%d turns of which none is kept any more are on disk", n)
+		sim.sleep(time.Minute)
+		faulty.disk().mu.Lock()
+		if n := len(faulty.disk().tables[turnstore.Bodies]); n > 0 {
+			t.Errorf("%d expired turns are on disk", n)
 		}
-		bad.disk().mu.Unlock()
-		w.close()
+		faulty.disk().mu.Unlock()
+		sim.close()
 	})
 }
 
-// Bad disks at two of three copies, and kills while they are bad: nothing is answered whole that a loss of power takes away,
-// and nothing is answered before its sync.
+// With disk faults at two of three replicas, and kills during them, no acknowledged turn is lost with the power, and nothing is
+// acknowledged before its sync.
 func TestTimelinesOfDiskFaults(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		fig      timelineConfig
 		timeline string
 	}{
-		{"no majority syncs, so no turn opens", timelineConfig{stores: 3}, `
-			ms    s0    s1    s2 f0         f1
-			0     .     .     .  a=whole    .
-			100   stall stall .  a>b=503    .
-			1000  goes  goes  .  .          .
-			1100  .     .     .  a>c=whole  a>d=whole`},
-		{"a turn ends while two disks stand still", timelineConfig{stores: 3}, `
-			ms    s0    s1    s2 f0         f1
-			0     .     .     .  a~=whole   b~=broken
-			100   stall stall .  .          .
-			200   .     .     .  a!         .
-			300   .     .     .  .          b!
-			1500  goes  .     .  .          .
-			1510  .     stall stall .       .
-			1520  stall .     .  .          .
-			9000  goes  goes  goes .        .
-			9500  .     .     .  a>c=whole  a>d=whole`},
-		{"all lose their power while all disks stand still", timelineConfig{stores: 3}, `
-			ms    s0       s1       s2       f0        f1
-			0     .        .        .        a=whole   q:k~=whole
-			100   stall    stall    stall    a>b=503   .
-			150   .        .        .        .         k!
-			400   power    power    power    .         .
-			800   up       up       up       .         .
-			900   goes     goes     goes     .         .
-			8000  .        .        .        a>c=whole a>d=whole,q:k>l=whole`},
-		{"a store is killed while its disk is full and comes back on it", timelineConfig{stores: 3}, `
-			ms    s0        s1 s2    f0        f1
-			0     .         .  .     a=whole   .
-			100   full      .  .     a>b=whole .
-			300   kill      .  .     b>c=whole .
-			600   up        .  .     .         b>d=whole
-			3000  .         .  .     c>e=whole .
-			4000  room      .  .     .         .
-			26000 .         .  power .         .
-			27000 .         .  .     e>f=whole d>g=whole`},
-		{"a store stands still, then another is lost and wiped", timelineConfig{stores: 4}, `
-			ms    s0    s1       s2 s3 f0        f1
-			0     .     .        .  .  a=whole   q:k=whole
-			100   stall .        .  .  a>b=whole q:k>l=whole
-			2100  goes  .        .  .  .         .
-			6400  .     wipe     .  .  .         .
-			6500  .     up       .  .  .         .
-			11000 .     .        .  wipe b>c=whole q:l>m=whole
-			11100 .     .        .  .  c>d=whole r:m>n=whole`},
-		{"an answer that is late for its opening counts for no other", timelineConfig{stores: 3}, `
-			ms    s0    s1   s2 f0       f1
-			0     .     .    .  a=whole  .
-			100   stall kill .  .        .
-			200   .     .    .  q:k=whole .
-			210   deaf  .    .  .        .
-			220   .     .    .  r:u=503  .
-			300   goes  .    .  .        .
-			1000  hears .    .  .        .
-			3000  .     .    .  q:k>l=whole r:v=whole`},
+		{"no majority syncs, so no turn is opened", timelineConfig{stores: 3}, `
+			ms   s0     s1     s2 f0      f1
+			0    .      .      .  a=ok    .
+			100  stall  stall  .  a>b=503 .
+			1000 resume resume .  .       .
+			1100 .      .      .  a>c=ok  a>d=ok`},
+		{"a turn ends while two disks are stalled", timelineConfig{stores: 3}, `
+			ms   s0     s1     s2     f0     f1
+			0    .      .      .      a~=ok  b~=aborted
+			100  stall  stall  .      .      .
+			200  .      .      .      a!     .
+			300  .      .      .      .      b!
+			1500 resume .      .      .      .
+			1510 .      stall  stall  .      .
+			1520 stall  .      .      .      .
+			9000 resume resume resume .      .
+			9500 .      .      .      a>c=ok a>d=ok`},
+		{"power loss at all stores while all disks are stalled", timelineConfig{stores: 3}, `
+			ms   s0     s1     s2     f0      f1
+			0    .      .      .      a=ok    q:k~=ok
+			100  stall  stall  stall  a>b=503 .
+			150  .      .      .      .       k!
+			400  power  power  power  .       .
+			800  up     up     up     .       .
+			900  resume resume resume .       .
+			8000 .      .      .      a>c=ok  a>d=ok,q:k>l=ok`},
+		{"a store is killed while its disk is full and restarts on it", timelineConfig{stores: 3}, `
+			ms    s0    s1 s2    f0     f1
+			0     .     .  .     a=ok   .
+			100   full  .  .     a>b=ok .
+			300   kill  .  .     b>c=ok .
+			600   up    .  .     .      b>d=ok
+			3000  .     .  .     c>e=ok .
+			4000  space .  .     .      .
+			26000 .     .  power .      .
+			27000 .     .  .     e>f=ok d>g=ok`},
+		{"a store's disk is stalled, then another store is lost and wiped", timelineConfig{stores: 4}, `
+			ms    s0     s1   s2 s3   f0     f1
+			0     .      .    .  .    a=ok   q:k=ok
+			100   stall  .    .  .    a>b=ok q:k>l=ok
+			2100  resume .    .  .    .      .
+			6400  .      wipe .  .    .      .
+			6500  .      up   .  .    .      .
+			11000 .      .    .  wipe b>c=ok q:l>m=ok
+			11100 .      .    .  .    c>d=ok r:m>n=ok`},
+		{"a late reply counts for no other open", timelineConfig{stores: 3}, `
+			ms   s0        s1   s2 f0       f1
+			0    .         .    .  a=ok     .
+			100  stall     kill .  .        .
+			200  .         .    .  q:k=ok   .
+			210  unreached .    .  .        .
+			220  .         .    .  r:u=503  .
+			300  resume    .    .  .        .
+			1000 reached   .    .  .        .
+			3000 .         .    .  q:k>l=ok r:v=ok`},
 	} {
 		t.Run(c.name, func(t *testing.T) { playTimeline(t, c.fig, c.timeline) })
 	}
 }
 
-// diskFaultsOfStores gives one store after the other a bad disk, and kills some of them meanwhile.
-func (w *simulation) diskFaultsOfStores(rng *rand.Rand, until time.Duration) {
+// diskFaultsOfStores injects disk faults into one store after the other, and kills some of them meanwhile.
+func (sim *simulation) diskFaultsOfStores(rng *rand.Rand, until time.Duration) {
 	span := func(lo, hi time.Duration) time.Duration { return lo + time.Duration(rng.Int64N(int64(hi-lo))) }
-	for w.now() < until {
-		if !w.sleep(span(200*time.Millisecond, 5*time.Second)) {
+	for sim.now() < until {
+		if !sim.sleep(span(200*time.Millisecond, 5*time.Second)) {
 			return
 		}
-		w.mu.Lock()
-		m := w.stores[rng.IntN(len(w.stores))]
-		w.mu.Unlock()
+		sim.mu.Lock()
+		m := sim.stores[rng.IntN(len(sim.stores))]
+		sim.mu.Unlock()
 		if m.incarnation.Load() == nil {
 			continue
 		}
-		w.storeFaultSlot <- struct{}{}
-		w.diskFaultOfStore(rng, m, span)
-		<-w.storeFaultSlot
+		sim.storeFaultSlot <- struct{}{}
+		sim.diskFaultOfStore(rng, m, span)
+		<-sim.storeFaultSlot
 	}
 }
 
-// diskFaultOfStore plays one trouble, or two in one, and the time to catch up after it.
-func (w *simulation) diskFaultOfStore(rng *rand.Rand, m *machine, span func(lo, hi time.Duration) time.Duration) {
-	lasts := span(50*time.Millisecond, 9*time.Second)
-	w.faultUntil(w.now() + 2*lasts + catchUp)
-	troubles := []diskFault{diskFaults[rng.IntN(len(diskFaults))]}
+// diskFaultOfStore injects one or two disk faults and waits for the store to catch up.
+func (sim *simulation) diskFaultOfStore(rng *rand.Rand, m *machine, span func(lo, hi time.Duration) time.Duration) {
+	duration := span(50*time.Millisecond, 9*time.Second)
+	sim.faultUntil(sim.now() + 2*duration + catchUp)
+	faults := []diskFault{diskFaults[rng.IntN(len(diskFaults))]}
 	if rng.IntN(3) == 0 {
-		troubles = append(troubles, diskFaults[rng.IntN(len(diskFaults))])
+		faults = append(faults, diskFaults[rng.IntN(len(diskFaults))])
 	}
-	kills, power, startsWell := rng.IntN(3) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-	for _, one := range troubles {
-		w.note(m.name, "disk %s", one.name)
+	kill, power, startAfterwards := rng.IntN(3) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+	for _, one := range faults {
+		sim.note(m.name, "disk %s", one.name)
 		one.begin(m)
 	}
-	goesOn := w.sleep(lasts)
-	if kills && goesOn {
+	goesOn := sim.sleep(duration)
+	if kill && goesOn {
 		m.kill(power)
-		goesOn = w.sleep(span(10*time.Millisecond, time.Second))
-		if goesOn && !startsWell {
+		goesOn = sim.sleep(span(10*time.Millisecond, time.Second))
+		if goesOn && !startAfterwards {
 			m.start()
-			goesOn = w.sleep(lasts / 2)
+			goesOn = sim.sleep(duration / 2)
 		}
 	}
-	for _, one := range troubles {
+	for _, one := range faults {
 		one.end(m)
 	}
-	w.note(m.name, "disk well")
+	sim.note(m.name, "disk recovered")
 	if !goesOn {
 		return
 	}
 	m.start()
-	w.sleep(catchUp)
+	sim.sleep(catchUp)
 }
 
-// checkEntriesOnDisk fails the course where a store holds entries that its disk lacks, a while after all trouble.
-func (w *simulation) checkEntriesOnDisk() {
-	if w.over() || !w.sleep(10*time.Second) {
+// checkEntriesOnDisk checks that, 10 s after all faults, the entries of each store are on its disk and none is full.
+func (sim *simulation) checkEntriesOnDisk() {
+	if sim.over() || !sim.sleep(10*time.Second) {
 		return
 	}
-	for _, m := range w.stores {
-		l := m.incarnation.Load()
-		if l == nil {
+	for _, m := range sim.stores {
+		running := m.incarnation.Load()
+		if running == nil {
 			continue
 		}
 		m.disk().mu.Lock()
-		lacking := l.store.EntriesLacking(m.disk().tables[turnstore.Entries])
+		lacking := running.store.EntriesLacking(m.disk().tables[turnstore.Entries])
 		m.disk().mu.Unlock()
 		if len(lacking) > 0 {
-			w.violation("DISK: %s holds entries that its disk lacks: %v", m.name, lacking)
+			sim.violation("DISK: %s has entries that its disk lacks: %v", m.name, lacking)
 		}
-		if l.store.Full() {
-			w.violation("DISK: %s is full still", m.name)
+		if running.store.Full() {
+			sim.violation("DISK: %s is still full", m.name)
 		}
 	}
 }
 
 func TestRandomScenariosWithDiskFaults(t *testing.T) {
-	drawn, workers := *diskScenarios, 4
+	count, workers := *diskScenarios, 4
 	if raceDetector {
-		drawn, workers = min(drawn, 8), 1
+		count, workers = min(count, 8), 1
 	}
 	seeds := make(chan uint64)
 	go func() {
-		for i := range drawn {
+		for i := range count {
 			seeds <- *firstSeed + uint64(i)
 		}
 		close(seeds)
 	}()
 	var mu sync.Mutex
 	turns := 0
-	t.Run("courses", func(t *testing.T) {
+	t.Run("scenarios", func(t *testing.T) {
 		for i := range workers {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds {
-					w := runScenarioWith(t, seed, "", (*simulation).diskFaultsOfStores)
-					if len(w.violations) > 0 {
-						t.Errorf("%s\n%s", w.violations[0], w.timeline(80))
+					sim := runScenarioWith(t, seed, "", (*simulation).diskFaultsOfStores)
+					if len(sim.violations) > 0 {
+						t.Errorf("%s\n%s", sim.violations[0], sim.timeline(80))
 					}
 					mu.Lock()
-					turns += w.oracle.completed
+					turns += sim.oracle.completed
 					mu.Unlock()
 				}
 			})
 		}
 	})
-	t.Logf("%d courses from seed %d: %d turns whole", drawn, *firstSeed, turns)
-	if turns < 20*drawn {
-		t.Error("the courses prove little")
+	t.Logf("%d scenarios from seed %d: %d turns completed", count, *firstSeed, turns)
+	if turns < 20*count {
+		t.Error("the scenarios prove little")
 	}
 }
--- a/internal/tier/turnstore/model_disk_test.go
+++ b/internal/tier/turnstore/model_disk_test.go
@@ -11,31 +11,32 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
+// memDisk is the disk of a store, with group commit and faults. It survives its process.
 type memDisk struct {
-	w     *simulation
+	sim   *simulation
 	owner *machine
 	id    string
 
 	mu          sync.Mutex
-	tables      map[string]map[string][]byte // what reads see
-	incarnation int
+	tables      map[string]map[string][]byte // committed
+	incarnation int                          // of the process that has the disk open
 	queue       []*write
-	busy        bool
-	inFlight    []*write // in a commit that is under way
-	undo        []func() // what only the fault of no sync can lose
-	slow        time.Duration
-	stalled     chan struct{} // nil while the disk goes; else closed once it goes on
-	full        bool          // it takes no more bytes
-	syncs       int
+	busy        bool          // run is active
+	inFlight    []*write      // in the current commit
+	undo        []func()      // undoes commits; used by the fault noSync only
+	slow        time.Duration // of a sync; 0: drawn
+	stalled     chan struct{} // closed when the stall ends; nil: not stalled
+	full        bool          // rejects writes
 }
 
+// write is the writes of one call and their outcome.
 type write struct {
 	writes []sqlitelog.Write
 	done   chan error
 }
 
-func (w *simulation) disk(owner *machine, id string) *memDisk {
-	return &memDisk{w: w, owner: owner, id: id, tables: map[string]map[string][]byte{}}
+func (sim *simulation) disk(owner *machine, id string) *memDisk {
+	return &memDisk{sim: sim, owner: owner, id: id, tables: map[string]map[string][]byte{}}
 }
 
 func (d *memDisk) apply(group []*write) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// crash ends a life: a commit under way is there whole or not at all, what waited is not.
+// crash ends an incarnation: the current commit is made if keep is set, the queue is lost. power: without syncs, so are commits.
 func (d *memDisk) crash(keep, power bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,13 +74,13 @@
 	}
 	d.incarnation++
 	d.queue, d.inFlight, d.busy = nil, nil, false
-	if d.stalled != nil { // the disk stands still for the next life as well
+	if d.stalled != nil { // the disk stays stalled for the next incarnation
 		close(d.stalled)
 		d.stalled = make(chan struct{})
 	}
 }
 
-// stall has syncs, and reads behind one, wait until the disk goes on.
+// stall blocks syncs, and reads during one, until resume.
 func (d *memDisk) stall() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,19 +99,19 @@
 	}
 }
 
-// setFull has the disk take no more bytes, or take them again.
+// setFull sets whether the disk rejects writes.
 func (d *memDisk) setFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
 }
 
-// awaitResume waits, in the given life, while the disk stands still; a life that is over waits no more.
-func (d *memDisk) awaitResume(life int) {
+// awaitResume waits while the disk is stalled, or until the incarnation has ended.
+func (d *memDisk) awaitResume(incarnation int) {
 	for {
 		d.mu.Lock()
 		c := d.stalled
-		over := d.incarnation != life
+		over := d.incarnation != incarnation
 		d.mu.Unlock()
 		if c == nil || over {
 			return
@@ -119,13 +120,13 @@
 	}
 }
 
-// awaitReadable waits as goes does, where a commit is under way: a file is read under the same hold as it is written.
-func (d *memDisk) awaitReadable(life int) {
+// awaitReadable waits like awaitResume during a commit: reads and writes of a file share one connection.
+func (d *memDisk) awaitReadable(incarnation int) {
 	d.mu.Lock()
 	busy := d.busy
 	d.mu.Unlock()
 	if busy {
-		d.awaitResume(life)
+		d.awaitResume(incarnation)
 	}
 }
 
@@ -133,56 +134,41 @@
 	if d.slow > 0 {
 		return d.slow
 	}
-	return d.w.delay("disk", d.owner.name, 0)/4 + 300*time.Microsecond
+	return d.sim.delay("disk", d.owner.name, 0)/4 + 300*time.Microsecond
 }
 
-// run makes commits of groups until nothing waits.
-func (d *memDisk) run(life int) {
+// run commits groups until the queue is empty.
+func (d *memDisk) run(incarnation int) {
 	for {
 		d.mu.Lock()
-		if d.incarnation != life || len(d.queue) == 0 {
-			if d.incarnation == life {
+		if d.incarnation != incarnation || len(d.queue) == 0 {
+			if d.incarnation == incarnation {
 				d.busy = false
 			}
 			d.mu.Unlock()
 			return
 		}
 		d.inFlight, d.queue = d.queue, nil
-		took := d.syncTime()
+		duration := d.syncTime()
 		d.mu.Unlock()
-		if d.w.fault != noSync {
-			time.Sleep(took)
-			d.awaitResume(life)
+		if d.sim.fault != noSync {
+			time.Sleep(duration)
+			d.awaitResume(incarnation)
 			d.owner.awaitThaw()
 		}
 		d.mu.Lock()
-		if d.incarnation != life {
+		if d.incarnation != incarnation {
 			d.mu.Unlock()
 			return
 		}
-		if d.w.fault == noSync {
-			for _, g := range d.inFlight {
-				for _, one := range g.writes {
-					was, had := d.tables[one.Table][string(one.Key)]
-					d.undo = append(d.undo, func() {
-						if had {
-							d.tables[one.Table][string(one.Key)] = was
-						} else {
-							delete(d.tables[one.Table], string(one.Key))
-						}
-					})
-				}
-			}
-			if len(d.undo) > 40 {
-				d.undo = d.undo[len(d.undo)-40:]
-			}
+		if d.sim.fault == noSync {
+			d.recordUndo()
 		}
 		var outcome error
 		if d.full {
 			outcome = sqlitelog.ErrFull
 		} else {
 			d.apply(d.inFlight)
-			d.syncs++
 		}
 		for _, g := range d.inFlight {
 			g.done <- outcome
@@ -192,7 +178,26 @@
 	}
 }
 
-// diskHandle is the disk as one life of its process has it.
+// recordUndo records how to undo the last 40 writes, including those in flight. d.mu is held.
+func (d *memDisk) recordUndo() {
+	for _, g := range d.inFlight {
+		for _, one := range g.writes {
+			value, existed := d.tables[one.Table][string(one.Key)]
+			d.undo = append(d.undo, func() {
+				if existed {
+					d.tables[one.Table][string(one.Key)] = value
+				} else {
+					delete(d.tables[one.Table], string(one.Key))
+				}
+			})
+		}
+	}
+	if len(d.undo) > 40 {
+		d.undo = d.undo[len(d.undo)-40:]
+	}
+}
+
+// diskHandle is the disk as opened by one incarnation.
 type diskHandle struct {
 	disk        *memDisk
 	incarnation int
@@ -213,7 +218,7 @@
 		h.disk.queue = append(h.disk.queue, g)
 		if !h.disk.busy {
 			h.disk.busy = true
-			h.disk.w.wg.Go(func() { h.disk.run(h.incarnation) })
+			h.disk.sim.wg.Go(func() { h.disk.run(h.incarnation) })
 		}
 	}
 	return g
--- a/internal/tier/turnstore/model_faults_test.go
+++ b/internal/tier/turnstore/model_faults_test.go
@@ -9,153 +9,154 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// storeFaults plays troubles at one store at a time, with the time to catch up between them.
-func (w *simulation) storeFaults(rng *rand.Rand, until time.Duration) {
+// storeFaults injects faults into one store at a time, with the time to catch up between them.
+func (sim *simulation) storeFaults(rng *rand.Rand, until time.Duration) {
 	span := func(lo, hi time.Duration) time.Duration { return lo + time.Duration(rng.Int64N(int64(hi-lo))) }
-	for w.now() < until {
-		if !w.sleep(span(200*time.Millisecond, 8*time.Second)) {
+	for sim.now() < until {
+		if !sim.sleep(span(200*time.Millisecond, 8*time.Second)) {
 			return
 		}
-		w.mu.Lock()
-		m := w.stores[rng.IntN(len(w.stores))]
-		w.mu.Unlock()
+		sim.mu.Lock()
+		m := sim.stores[rng.IntN(len(sim.stores))]
+		sim.mu.Unlock()
 		if m.incarnation.Load() == nil {
 			continue
 		}
-		w.storeFaultSlot <- struct{}{} // of the stores no more than one is in trouble
-		w.storeFault(rng, m, span)
-		<-w.storeFaultSlot
+		sim.storeFaultSlot <- struct{}{} // at most one store has a fault
+		sim.storeFault(rng, m, span)
+		<-sim.storeFaultSlot
 	}
 }
 
-// storeFault plays one, and the time to catch up after it.
-func (w *simulation) storeFault(rng *rand.Rand, m *machine, span func(lo, hi time.Duration) time.Duration) {
-	away := span(50*time.Millisecond, 9*time.Second)
+// storeFault injects one fault and waits for the store to catch up.
+func (sim *simulation) storeFault(rng *rand.Rand, m *machine, span func(lo, hi time.Duration) time.Duration) {
+	duration := span(50*time.Millisecond, 9*time.Second)
 	if rng.IntN(6) == 0 {
-		away = span(20*time.Second, 50*time.Second)
+		duration = span(20*time.Second, 50*time.Second)
 	}
-	w.faultUntil(w.now() + away + catchUp)
+	sim.faultUntil(sim.now() + duration + catchUp)
 	lost := false
 	switch rng.IntN(9) {
-	case 7: // power is lost everywhere
-		w.mu.Lock()
+	case 7: // power loss at all stores
+		sim.mu.Lock()
 		var all []*machine
-		for _, m := range w.stores {
+		for _, m := range sim.stores {
 			if m.incarnation.Load() != nil {
 				all = append(all, m)
 			}
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		for _, m := range all {
 			m.kill(true)
 		}
-		if !w.sleep(away / 4) {
+		if !sim.sleep(duration / 4) {
 			return
 		}
 		for _, m := range all {
 			m.start()
 		}
-	case 8: // a copy gets nothing for a while, then another is lost
-		w.mu.Lock()
-		other := w.stores[rng.IntN(len(w.stores))]
-		w.mu.Unlock()
+	case 8: // a replica misses writes for a while, then another is lost
+		sim.mu.Lock()
+		other := sim.stores[rng.IntN(len(sim.stores))]
+		sim.mu.Unlock()
 		if other == m {
 			return
 		}
-		w.note(other.name, "not reached by fronts")
-		for _, f := range w.fronts {
-			w.partition(f.name, other.name)
+		sim.note(other.name, "unreachable for fronts")
+		for _, f := range sim.fronts {
+			sim.partition(f.name, other.name)
 		}
-		if !w.sleep(span(200*time.Millisecond, 2*time.Second)) {
+		if !sim.sleep(span(200*time.Millisecond, 2*time.Second)) {
 			return
 		}
 		m.kill(true)
 		m.wipe()
-		for _, f := range w.fronts {
-			w.heal(f.name, other.name)
+		for _, f := range sim.fronts {
+			sim.heal(f.name, other.name)
 		}
-		if !w.sleep(away / 20) {
+		if !sim.sleep(duration / 20) {
 			return
 		}
 		m.start()
 		lost = true
 	case 0:
 		m.kill(false)
-		if !w.sleep(away) {
+		if !sim.sleep(duration) {
 			return
 		}
 		m.start()
 	case 1:
 		m.kill(true)
-		if !w.sleep(away) {
+		if !sim.sleep(duration) {
 			return
 		}
 		m.start()
 	case 2, 3:
 		m.kill(true)
 		m.wipe()
-		if !w.sleep(away / 4) {
+		if !sim.sleep(duration / 4) {
 			return
 		}
 		m.start()
 		lost = true
 	case 4:
 		m.freeze()
-		if !w.sleep(away) {
+		if !sim.sleep(duration) {
 			return
 		}
 		m.thaw()
 	case 5:
 		oneWay := rng.IntN(2) == 0
-		w.note(m.name, "cut off, one way %v", oneWay)
-		for _, n := range append(w.nodes(), &node{name: "core"}) {
+		sim.note(m.name, "partitioned, one way %v", oneWay)
+		for _, n := range append(sim.nodes(), &node{name: "core"}) {
 			if n != &m.node {
-				w.partition(n.name, m.name)
+				sim.partition(n.name, m.name)
 				if !oneWay {
-					w.partition(m.name, n.name)
+					sim.partition(m.name, n.name)
 				}
 			}
 		}
-		if !w.sleep(away) {
+		if !sim.sleep(duration) {
 			return
 		}
-		for _, n := range append(w.nodes(), &node{name: "core"}) {
-			w.heal(n.name, m.name)
-			w.heal(m.name, n.name)
+		for _, n := range append(sim.nodes(), &node{name: "core"}) {
+			sim.heal(n.name, m.name)
+			sim.heal(m.name, n.name)
 		}
-		w.note(m.name, "joined")
+		sim.note(m.name, "partition healed")
 	case 6:
-		w.note(m.name, "slow disk")
+		sim.note(m.name, "slow disk")
 		m.setSyncTime(200 * time.Millisecond)
-		if !w.sleep(away) {
+		if !sim.sleep(duration) {
 			return
 		}
 		m.setSyncTime(0)
-		w.note(m.name, "disk well")
+		sim.note(m.name, "disk recovered")
 	}
-	if !w.sleep(catchUp) {
+	if !sim.sleep(catchUp) {
 		return
 	}
 	if lost {
-		w.checkCaughtUp(m)
+		sim.checkCaughtUp(m)
 	}
 }
 
-// checkCaughtUp: a store whose disk was lost has all that it should hold once the time to catch up is over.
-func (w *simulation) checkCaughtUp(m *machine) {
-	w.controller.mu.Lock()
-	p := w.controller.placement
-	w.controller.mu.Unlock()
+// checkCaughtUp checks that a store whose disk was lost has completed its sweep once the time to catch up is over.
+func (sim *simulation) checkCaughtUp(m *machine) {
+	sim.controller.mu.Lock()
+	p := sim.controller.placement
+	sim.controller.mu.Unlock()
 	if p == nil || m.incarnation.Load() == nil {
 		return
 	}
-	for range 2 { // an order of the operator may have begun another change meanwhile
-		if slices.ContainsFunc(p.Old, func(s turnstore.Store) bool { return s.ID == m.disk().id }) || w.controller.isRetired(m.disk().id) || w.fault != "" {
+	for range 2 { // an operator's order may have begun another change
+		placed := slices.ContainsFunc(p.Old, func(s turnstore.Store) bool { return s.ID == m.disk().id })
+		if placed || sim.controller.isRetired(m.disk().id) || sim.fault != "" {
 			return
 		}
 	}
 	if m.incarnation.Load().store.SweptGeneration() < p.Generation {
-		w.violation("%s has not caught up %v after it came back without its disk: %s", m.name, catchUp, show(p))
+		sim.violation("%s has not caught up %v after it returned with an empty disk: %s", m.name, catchUp, show(p))
 	}
 }
 
@@ -165,29 +166,29 @@
 	return c.retired[id]
 }
 
-// frontFaults kills, freezes and cuts fronts; the rules about turns and budgets hold all the same.
-func (w *simulation) frontFaults(rng *rand.Rand, until time.Duration) {
+// frontFaults kills, freezes and partitions fronts; the invariants of turns and budgets hold nevertheless.
+func (sim *simulation) frontFaults(rng *rand.Rand, until time.Duration) {
 	span := func(lo, hi time.Duration) time.Duration { return lo + time.Duration(rng.Int64N(int64(hi-lo))) }
-	for w.now() < until {
-		if !w.sleep(span(200*time.Millisecond, 6*time.Second)) {
+	for sim.now() < until {
+		if !sim.sleep(span(200*time.Millisecond, 6*time.Second)) {
 			return
 		}
-		f := w.randomFront(rng)
-		w.mu.Lock()
-		m := w.stores[rng.IntN(len(w.stores))]
-		w.mu.Unlock()
-		away := span(20*time.Millisecond, 5*time.Second)
-		w.faultUntil(w.now() + away + 10*time.Second)
+		f := sim.randomFront(rng)
+		sim.mu.Lock()
+		m := sim.stores[rng.IntN(len(sim.stores))]
+		sim.mu.Unlock()
+		duration := span(20*time.Millisecond, 5*time.Second)
+		sim.faultUntil(sim.now() + duration + 10*time.Second)
 		switch rng.IntN(4) {
 		case 0:
 			f.kill()
-			if !w.sleep(away) {
+			if !sim.sleep(duration) {
 				return
 			}
 			f.start()
 		case 1:
 			f.freeze()
-			if !w.sleep(away) {
+			if !sim.sleep(duration) {
 				return
 			}
 			f.thaw()
@@ -197,81 +198,82 @@
 				a, b = b, a
 			}
 			both := rng.IntN(2) == 0
-			w.note(f.name, "cut %s>%s both %v", a, b, both)
-			w.partition(a, b)
+			sim.note(f.name, "partitioned %s>%s both %v", a, b, both)
+			sim.partition(a, b)
 			if both {
-				w.partition(b, a)
+				sim.partition(b, a)
 			}
-			if !w.sleep(away) {
+			if !sim.sleep(duration) {
 				return
 			}
-			w.heal(a, b)
-			w.heal(b, a)
+			sim.heal(a, b)
+			sim.heal(b, a)
 		case 3:
-			w.note(f.name, "cut from the core")
-			w.partition("core", f.name)
-			if !w.sleep(away * time.Duration(1+3*rng.IntN(2))) {
+			sim.note(f.name, "partitioned from the controller")
+			sim.partition("core", f.name)
+			if !sim.sleep(duration * time.Duration(1+3*rng.IntN(2))) {
 				return
 			}
-			w.heal("core", f.name)
+			sim.heal("core", f.name)
 		}
 	}
 }
 
-// operatorOrders adds stores, and retires them; one that is complete loses its disk at once.
-func (w *simulation) operatorOrders(rng *rand.Rand, until time.Duration) {
-	most, pause := 4, 20*time.Second
-	if rng.IntN(3) == 0 { // machines are replaced one after the other
-		most, pause = 12, 3*time.Second
+// operatorOrders adds and retires stores; one whose retirement is complete loses its disk at once.
+func (sim *simulation) operatorOrders(rng *rand.Rand, until time.Duration) {
+	limit, pause := 4, 20*time.Second
+	if rng.IntN(3) == 0 { // machines are replaced in sequence
+		limit, pause = 12, 3*time.Second
 	}
-	for n := 0; w.now() < until && n < most; n++ {
-		if !w.sleep(time.Duration(rng.Int64N(int64(pause)))) {
+	for n := 0; sim.now() < until && n < limit; n++ {
+		if !sim.sleep(time.Duration(rng.Int64N(int64(pause)))) {
 			return
 		}
 		if rng.IntN(2) == 0 {
-			m := w.addStore(fmt.Sprintf("s%d", len(w.stores)), fmt.Sprintf("z%d", rng.IntN(2)))
-			w.note(m.name, "added")
+			m := sim.addStore(fmt.Sprintf("s%d", len(sim.stores)), fmt.Sprintf("z%d", rng.IntN(2)))
+			sim.note(m.name, "added")
 			continue
 		}
-		w.mu.Lock()
-		m := w.stores[rng.IntN(len(w.stores))]
-		w.mu.Unlock()
+		sim.mu.Lock()
+		m := sim.stores[rng.IntN(len(sim.stores))]
+		sim.mu.Unlock()
 		id := m.disk().id
-		if m.incarnation.Load() == nil || !w.controller.retire(id) {
+		if m.incarnation.Load() == nil || !sim.controller.retire(id) {
 			continue
 		}
-		w.note(m.name, "to be emptied")
+		sim.note(m.name, "retires")
 		for range 600 {
-			if !w.sleep(100 * time.Millisecond) {
+			if !sim.sleep(100 * time.Millisecond) {
 				return
 			}
-			if w.controller.retirementComplete(id) {
+			if sim.controller.retirementComplete(id) {
 				break
 			}
 		}
-		if m.disk().id == id && w.controller.retirementComplete(id) {
-			w.note(m.name, "complete")
-			w.storeFaultSlot <- struct{}{}
-			if w.faultUntil(w.now() + catchUp); rng.IntN(2) == 0 && !w.sleep(time.Duration(rng.Int64N(int64(3*time.Second)))) {
-				<-w.storeFaultSlot
+		if m.disk().id == id && sim.controller.retirementComplete(id) {
+			sim.note(m.name, "retired")
+			sim.storeFaultSlot <- struct{}{}
+			sim.faultUntil(sim.now() + catchUp)
+			if rng.IntN(2) == 0 && !sim.sleep(time.Duration(rng.Int64N(int64(3*time.Second)))) {
+				<-sim.storeFaultSlot
 				return
 			}
-			if m.disk().id != id { // it has come back as a new store meanwhile
-				<-w.storeFaultSlot
+			if m.disk().id != id { // it has returned as a new store
+				<-sim.storeFaultSlot
 				continue
 			}
 			m.kill(true)
 			m.wipe()
-			w.mu.Lock()
-			other := w.stores[rng.IntN(len(w.stores))]
-			w.mu.Unlock()
-			if other.incarnation.Load() != nil { // which may go together with one more
+			sim.mu.Lock()
+			other := sim.stores[rng.IntN(len(sim.stores))]
+			sim.mu.Unlock()
+			if other.incarnation.Load() != nil { // another one may be lost at the same time
 				other.kill(true)
 				other.wipe()
 				other.start()
-				w.sleep(catchUp)
+				sim.sleep(catchUp)
 			}
-			<-w.storeFaultSlot
+			<-sim.storeFaultSlot
 		}
 	}
 }
--- a/internal/tier/turnstore/model_front_test.go
+++ b/internal/tier/turnstore/model_front_test.go
@@ -13,25 +13,27 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
+// front is a front process and its machine.
 type front struct {
 	node
 	incarnation atomic.Pointer[frontIncarnation]
 }
 
+// frontIncarnation is one run of a front process.
 type frontIncarnation struct {
 	ctx    context.Context
 	stop   context.CancelFunc
 	client *turnstore.Client
 }
 
-func (w *simulation) addFront(name, zone string) *front {
+func (sim *simulation) addFront(name, zone string) *front {
 	f := &front{}
-	f.w, f.name, f.zone = w, name, zone
+	f.sim, f.name, f.zone = sim, name, zone
 	c := make(chan struct{})
 	f.changed.Store(&c)
-	w.mu.Lock()
-	w.fronts = append(w.fronts, f)
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.fronts = append(sim.fronts, f)
+	sim.mu.Unlock()
 	f.start()
 	return f
 }
@@ -40,167 +42,171 @@
 	if f.incarnation.Load() != nil {
 		return
 	}
-	l := &frontIncarnation{}
-	l.ctx, l.stop = context.WithCancel(context.Background())
+	started := &frontIncarnation{}
+	started.ctx, started.stop = context.WithCancel(context.Background())
 	f.received.Store(nil)
-	l.client = turnstore.NewClientOn(endpoint{n: &f.node, ctx: l.ctx}, f.placement, f.zone)
-	f.incarnation.Store(l)
-	f.w.controller.sendPlacement(f.w, &f.node)
+	started.client = turnstore.NewClientOn(endpoint{n: &f.node, ctx: started.ctx}, f.placement, f.zone)
+	f.incarnation.Store(started)
+	f.sim.controller.sendPlacement(f.sim, &f.node)
 }
 
 func (f *front) kill() {
-	l := f.incarnation.Swap(nil)
-	if l == nil {
+	running := f.incarnation.Swap(nil)
+	if running == nil {
 		return
 	}
-	f.w.note(f.name, "killed")
-	l.stop()
+	f.sim.note(f.name, "killed")
+	running.stop()
 	f.thaw()
-	l.client.Shutdown(l.ctx)
+	running.client.Shutdown(running.ctx)
 }
 
-// turn asks one front for a turn and plays it. ending: how it goes, if it may run.
+// turnScript is a turn to run through a front.
 type turnScript struct {
 	front    *front
 	program  string
 	previous *turnRecord // nil at the start
 	need     int
-	runs     time.Duration
+	duration time.Duration
 	used     int
-	ending   outcome // whole, or broken
+	ending   outcome // if it is granted: completed or aborted
 	retain   time.Duration
-	gate     chan struct{} // it runs until then, nil: for runs
-	started  func(t *turnRecord)
+	gate     chan struct{}       // it ends when this is closed; nil: after duration
+	started  func(t *turnRecord) // called before Open, unless nil
 }
 
-// runTurn gives what became of it; the history that it was given is checked.
-func (w *simulation) runTurn(a turnScript) *turnRecord {
-	l := a.front.incarnation.Load()
-	w.oracle.mu.Lock()
-	w.oracle.ids++
-	t := &turnRecord{id: fmt.Sprintf("t%d", w.oracle.ids), program: a.program, need: a.need, began: w.now(), retain: a.retain}
-	b := w.oracle.programs[a.program]
+// runTurn runs a turn, checks the errors and the history that it gets, and returns its record.
+func (sim *simulation) runTurn(script turnScript) *turnRecord {
+	running := script.front.incarnation.Load()
+	sim.oracle.mu.Lock()
+	sim.oracle.ids++
+	t := &turnRecord{id: fmt.Sprintf("t%d", sim.oracle.ids), program: script.program, need: script.need,
+		began: sim.now(), retain: script.retain}
+	b := sim.oracle.programs[script.program]
 	b.turns = append(b.turns, t)
-	w.oracle.turns[t.id] = t
-	w.oracle.used[a.program] = w.now()
-	if a.previous != nil {
-		w.oracle.used[a.previous.program] = w.now()
-	}
-	o := turnstore.OpenRequest{Program: a.program, Turn: t.id, MaxTokens: a.need, Budget: b.all}
-	var must bool
-	if a.previous != nil {
-		t.previous, o.Previous = a.previous.id, a.previous.id
-		must = a.previous.outcome == completed && w.now() < a.previous.ended+a.previous.retain
-	}
-	w.oracle.mu.Unlock()
-	if a.started != nil {
-		a.started(t)
-	}
-	finish := func(how outcome, used int) {
-		w.oracle.mu.Lock()
-		defer w.oracle.mu.Unlock()
-		t.outcome, t.used, t.ended = how, used, w.now()
-		w.oracle.used[a.program] = w.now()
-		switch how {
-		case completed:
-			w.oracle.completed++
+	sim.oracle.turns[t.id] = t
+	sim.oracle.used[script.program] = sim.now()
+	if script.previous != nil {
+		sim.oracle.used[script.previous.program] = sim.now()
+	}
+	request := turnstore.OpenRequest{Program: script.program, Turn: t.id, MaxTokens: script.need, Budget: b.limit}
+	var retained bool // the previous turn must exist
+	if script.previous != nil {
+		t.previous, request.Previous = script.previous.id, script.previous.id
+		retained = script.previous.outcome == completed && sim.now() < script.previous.ended+script.previous.retain
+	}
+	sim.oracle.mu.Unlock()
+	if script.started != nil {
+		script.started(t)
+	}
+	finish := func(outcome outcome, used int) {
+		sim.oracle.mu.Lock()
+		defer sim.oracle.mu.Unlock()
+		t.outcome, t.used, t.ended = outcome, used, sim.now()
+		sim.oracle.used[script.program] = sim.now()
+		if outcome == completed {
+			sim.oracle.completed++
 		}
 	}
-	if l == nil {
+	if running == nil {
 		finish(rejected, 0)
 		return t
 	}
-	ctx, stop := context.WithTimeout(l.ctx, 5*time.Second)
-	opened, err := l.client.Open(ctx, o)
+	ctx, stop := context.WithTimeout(running.ctx, 5*time.Second)
+	opened, err := running.client.Open(ctx, request)
 	stop()
-	a.front.awaitThaw()
-	if l.ctx.Err() != nil { // the front is gone, and the client hears nothing
+	script.front.awaitThaw()
+	if running.ctx.Err() != nil { // the front was killed: its client gets no response
 		finish(aborted, 0)
 		return t
 	}
 	switch {
 	case errors.Is(err, turnstore.ErrBudget):
-		w.checkBudgetRejection(t)
-		w.oracle.mu.Lock()
-		w.oracle.budgetExceeded++
+		sim.checkBudgetRejection(t)
+		sim.oracle.mu.Lock()
+		sim.oracle.budgetExceeded++
 		t.budgetExceeded = true
-		w.oracle.mu.Unlock()
+		sim.oracle.mu.Unlock()
 		finish(rejected, 0)
 		return t
 	case errors.Is(err, turnstore.ErrNoTurn):
-		if must {
-			w.violation("LOST: 404 at %s for %s, which ended whole at %v and is to be kept for %v", a.front.name, o.Previous, a.previous.ended, a.previous.retain)
+		if retained {
+			sim.violation("LOST: 404 at %s for %s, which completed at %v and is retained for %v",
+				script.front.name, request.Previous, script.previous.ended, script.previous.retain)
 		}
-		w.oracle.mu.Lock()
-		w.oracle.notFound++
+		sim.oracle.mu.Lock()
+		sim.oracle.notFound++
 		t.notFound = true
-		w.oracle.mu.Unlock()
+		sim.oracle.mu.Unlock()
 		finish(rejected, 0)
 		return t
 	case err != nil:
-		w.oracle.mu.Lock()
-		w.oracle.unavailable++
-		w.oracle.mu.Unlock()
+		sim.oracle.mu.Lock()
+		sim.oracle.unavailable++
+		sim.oracle.mu.Unlock()
 		finish(rejected, 0)
 		return t
 	}
-	if a.previous != nil && !bytes.Equal(opened.History, a.previous.bytes) {
-		w.violation("UNASKED: %s of %s at %s continues from %s with %d bytes %.60q.., of which %d were told: %.60q..", t.id, t.program, a.front.name, o.Previous,
-			len(opened.History), opened.History, len(a.previous.bytes), a.previous.bytes)
+	if script.previous != nil && !bytes.Equal(opened.History, script.previous.bytes) {
+		sim.violation("HISTORY: %s of %s at %s continues from %s with %d bytes %.60q.., want %d: %.60q..",
+			t.id, t.program, script.front.name, request.Previous,
+			len(opened.History), opened.History, len(script.previous.bytes), script.previous.bytes)
 		return t
 	}
-	if a.previous == nil && len(opened.History) > 0 {
-		w.violation("UNASKED: %s begins with a history", t.id)
+	if script.previous == nil && len(opened.History) > 0 {
+		sim.violation("HISTORY: %s has no previous turn and begins with script history", t.id)
 	}
-	w.reserve(a.program, t.id, a.need)
-	if w.fault == settleBeforeEnd {
-		l.client.Settle(a.program, t.id, a.used/2)
+	sim.reserve(script.program, t.id, script.need)
+	if sim.fault == settleBeforeEnd {
+		running.client.Settle(script.program, t.id, script.used/2)
 	}
-	gate := a.gate
+	gate := script.gate
 	if gate == nil {
 		gate = make(chan struct{})
-		time.AfterFunc(a.runs, func() { close(gate) })
+		time.AfterFunc(script.duration, func() { close(gate) })
 	}
 	select {
 	case <-gate:
-	case <-l.ctx.Done():
-		finish(aborted, a.used) // half streamed
+	case <-running.ctx.Done():
+		finish(aborted, script.used) // in the middle of its stream
 		return t
 	}
-	a.front.awaitThaw()
-	if l.ctx.Err() != nil {
-		finish(aborted, a.used)
+	script.front.awaitThaw()
+	if running.ctx.Err() != nil {
+		finish(aborted, script.used)
 		return t
 	}
-	if a.ending == aborted {
-		w.reserve(a.program, t.id, a.used)
-		l.client.Settle(a.program, t.id, a.used)
-		finish(aborted, a.used)
+	if script.ending == aborted {
+		sim.reserve(script.program, t.id, script.used)
+		running.client.Settle(script.program, t.id, script.used)
+		finish(aborted, script.used)
 		return t
 	}
 	input, output := []byte("<"+t.id+" asks>\n"), []byte("<"+t.id+" says>\n")
-	w.oracle.mu.Lock()
+	sim.oracle.mu.Lock()
 	t.bytes = append(append(append([]byte{}, opened.History...), input...), output...)
-	w.oracle.mu.Unlock()
-	w.reserve(a.program, t.id, a.used)
-	record := opened.Record(input, output, a.used, a.retain)
-	if w.fault == endBeforeSync {
-		finish(completed, a.used)
-		ctx, stop := context.WithTimeout(l.ctx, time.Millisecond)
-		_ = l.client.Close(ctx, record)
+	sim.oracle.mu.Unlock()
+	sim.reserve(script.program, t.id, script.used)
+	record := opened.Record(input, output, script.used, script.retain)
+	if sim.fault == endBeforeSync {
+		finish(completed, script.used)
+		ctx, stop := context.WithTimeout(running.ctx, time.Millisecond)
+		_ = running.client.Close(ctx, record)
 		stop()
 		return t
 	}
-	ctx, stop = context.WithTimeout(l.ctx, 6*time.Second)
-	err = l.client.Close(ctx, record)
+	ctx, stop = context.WithTimeout(running.ctx, 6*time.Second)
+	err = running.client.Close(ctx, record)
 	stop()
-	a.front.awaitThaw()
-	if err != nil || l.ctx.Err() != nil {
-		finish(aborted, a.used)
+	script.front.awaitThaw()
+	if err != nil || running.ctx.Err() != nil {
+		finish(aborted, script.used)
 		return t
 	}
-	finish(completed, a.used)
+	finish(completed, script.used)
 	return t
 }
 
-func (w *simulation) randomFront(rng *rand.Rand) *front { return w.fronts[rng.IntN(len(w.fronts))] }
+func (sim *simulation) randomFront(rng *rand.Rand) *front {
+	return sim.fronts[rng.IntN(len(sim.fronts))]
+}
--- a/internal/tier/turnstore/model_network_test.go
+++ b/internal/tier/turnstore/model_network_test.go
@@ -14,23 +14,25 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
+// message identifies messages of one kind.
 type message struct {
 	from, to string
-	m        rpc.Method
+	method   rpc.Method
 }
 
-// delay of a message: by what it is, so that a course plays the same however goroutines are scheduled.
-func (w *simulation) delay(from, to string, m rpc.Method) time.Duration {
-	if w.uniformDelays {
+// delay returns the delay of a message. It is drawn by the kind and the number of the message, so that a scenario does not depend
+// on the scheduling of goroutines.
+func (sim *simulation) delay(from, to string, m rpc.Method) time.Duration {
+	if sim.uniformDelays {
 		return time.Millisecond
 	}
 	key := message{from, to, m}
-	w.mu.Lock()
-	w.counts[key]++
-	n := w.counts[key]
-	w.mu.Unlock()
+	sim.mu.Lock()
+	sim.counts[key]++
+	n := sim.counts[key]
+	sim.mu.Unlock()
 	h := xxhash.Sum64String(from)*31 + xxhash.Sum64String(to)
-	rng := rand.NewPCG(w.seed^uint64(m)<<40, h^n*0x9e3779b97f4a7c15)
+	rng := rand.NewPCG(sim.seed^uint64(m)<<40, h^n*0x9e3779b97f4a7c15)
 	span := func(d time.Duration) time.Duration { return time.Duration(rng.Uint64() % uint64(d)) }
 	switch k := rng.Uint64() % 100; {
 	case k < 80:
@@ -41,54 +43,55 @@
 	return 20*time.Millisecond + span(280*time.Millisecond)
 }
 
-func (w *simulation) partition(from, to string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if k := [2]string{from, to}; w.partitions[k] == nil {
-		w.partitions[k] = make(chan struct{})
+// partition blocks the path from one node to another.
+func (sim *simulation) partition(from, to string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if k := [2]string{from, to}; sim.partitions[k] == nil {
+		sim.partitions[k] = make(chan struct{})
 	}
 }
 
-func (w *simulation) heal(from, to string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) heal(from, to string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	k := [2]string{from, to}
-	if c := w.partitions[k]; c != nil {
+	if c := sim.partitions[k]; c != nil {
 		close(c)
-		delete(w.partitions, k)
+		delete(sim.partitions, k)
 	}
 }
 
-// awaitPath waits until a path is there; what waits for too long is lost.
-func (w *simulation) awaitPath(from, to string) bool {
-	give := time.NewTimer(messageLifetime)
-	defer give.Stop()
+// awaitPath waits until a path is not partitioned. It reports false if the message is lost, after messageLifetime.
+func (sim *simulation) awaitPath(from, to string) bool {
+	lost := time.NewTimer(messageLifetime)
+	defer lost.Stop()
 	for {
-		w.mu.Lock()
-		c := w.partitions[[2]string{from, to}]
-		w.mu.Unlock()
+		sim.mu.Lock()
+		c := sim.partitions[[2]string{from, to}]
+		sim.mu.Unlock()
 		if c == nil {
 			return true
 		}
 		select {
 		case <-c:
-		case <-give.C:
+		case <-lost.C:
 			return false
 		}
 	}
 }
 
-// node is what machines and fronts have in common.
+// node is the common part of stores and fronts.
 type node struct {
-	w        *simulation
+	sim      *simulation
 	name     string
 	zone     string
-	frozen   atomic.Pointer[chan struct{}]
-	received atomic.Pointer[turnstore.Placement]
-	changed  atomic.Pointer[chan struct{}]
+	frozen   atomic.Pointer[chan struct{}]       // closed at the thaw; nil: not frozen
+	received atomic.Pointer[turnstore.Placement] // newest placement
+	changed  atomic.Pointer[chan struct{}]       // closed with the next placement
 }
 
-// awaitThaw waits while the machine is frozen.
+// awaitThaw waits while the node is frozen.
 func (n *node) awaitThaw() {
 	for c := n.frozen.Load(); c != nil; c = n.frozen.Load() {
 		<-*c
@@ -98,24 +101,25 @@
 func (n *node) freeze() {
 	c := make(chan struct{})
 	if n.frozen.CompareAndSwap(nil, &c) {
-		n.w.note(n.name, "frozen")
+		n.sim.note(n.name, "frozen")
 	}
 }
 
 func (n *node) thaw() {
 	if c := n.frozen.Swap(nil); c != nil {
-		n.w.note(n.name, "thawed")
+		n.sim.note(n.name, "thawed")
 		close(*c)
 	}
 }
 
+// receivePlacement takes a placement, unless it is not newer than the current one.
 func (n *node) receivePlacement(p *turnstore.Placement) {
 	for {
-		was := n.received.Load()
-		if was != nil && (was.Generation > p.Generation || was.Generation == p.Generation && len(p.New) > 0) {
+		current := n.received.Load()
+		if current != nil && (current.Generation > p.Generation || current.Generation == p.Generation && len(p.New) > 0) {
 			return
 		}
-		if n.received.CompareAndSwap(was, p) {
+		if n.received.CompareAndSwap(current, p) {
 			c := make(chan struct{})
 			if old := n.changed.Swap(&c); old != nil {
 				close(*old)
@@ -127,15 +131,16 @@
 
 func (n *node) placement() *turnstore.Placement { return n.received.Load() }
 
-// endpoint is a process' side of the network.
+// endpoint is the transport of one process.
 type endpoint struct {
 	n         *node
 	ctx       context.Context // of the process
-	repairing func() bool     // nil for none
+	repairing func() bool     // whether it handles a repair notice; nil: never
 }
 
 var errReset = errors.Mark(errors.New("connection reset"), rpc.ErrLost)
 
+// callResult is the encoded reply of a call, or its error.
 type callResult struct {
 	body []byte
 	err  error
@@ -143,17 +148,17 @@
 
 func (p endpoint) Call(ctx context.Context, addr string, m rpc.Method, body, answer any) error {
 	raw := rpc.Encode(body)
-	ch := make(chan callResult, 1)
-	p.n.w.wg.Go(func() {
-		b, err := p.n.w.deliver(p, addr, m, raw)
-		ch <- callResult{b, err}
+	results := make(chan callResult, 1)
+	p.n.sim.wg.Go(func() {
+		reply, err := p.n.sim.deliver(p, addr, m, raw)
+		results <- callResult{reply, err}
 	})
 	select {
-	case h := <-ch:
-		if h.err != nil || answer == nil {
-			return h.err
+	case result := <-results:
+		if result.err != nil || answer == nil {
+			return result.err
 		}
-		return rpc.Decode(h.body, answer)
+		return rpc.Decode(result.body, answer)
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), rpc.ErrLost)
 	}
@@ -161,57 +166,57 @@
 
 func (p endpoint) Notify(_ context.Context, addr string, m rpc.Method, body any) error {
 	raw := rpc.Encode(body)
-	p.n.w.wg.Go(func() { _, _ = p.n.w.deliver(p, addr, m, raw) })
+	p.n.sim.wg.Go(func() { _, _ = p.n.sim.deliver(p, addr, m, raw) })
 	return nil
 }
 
-// deliver takes a call to a store and its answer back. A call goes on when its caller has given up.
-func (w *simulation) deliver(p endpoint, addr string, m rpc.Method, raw []byte) ([]byte, error) {
+// deliver carries a call to a store and its reply back. It goes on after its caller has timed out.
+func (sim *simulation) deliver(p endpoint, addr string, m rpc.Method, raw []byte) ([]byte, error) {
 	p.n.awaitThaw()
 	if p.ctx.Err() != nil {
 		return nil, errReset
 	}
-	to := w.storeAt(addr)
+	to := sim.storeAt(addr)
 	if to == nil {
 		return nil, errors.Mark(errors.New("no route"), rpc.ErrUnsent)
 	}
-	time.Sleep(w.delay(p.n.name, to.name, m))
-	if !w.awaitPath(p.n.name, to.name) {
+	time.Sleep(sim.delay(p.n.name, to.name, m))
+	if !sim.awaitPath(p.n.name, to.name) {
 		return nil, errReset
 	}
 	to.awaitThaw()
-	life := to.incarnation.Load()
-	if life == nil {
+	running := to.incarnation.Load()
+	if running == nil {
 		return nil, errors.Mark(errors.New("connection refused"), rpc.ErrUnsent)
 	}
-	h := life.handlers[m]
-	if w.noDigest && m == turnstore.MethodDigest {
-		return nil, errors.Mark(errors.New("left out"), rpc.ErrRemote)
+	handler := running.handlers[m]
+	if sim.noDigest && m == turnstore.MethodDigest {
+		return nil, errors.Mark(errors.New("disabled"), rpc.ErrRemote)
 	}
 	if m == turnstore.MethodRepair {
-		w.checkRepair(to, life, raw)
+		sim.checkRepair(to, running, raw)
 	}
-	answer, err := h(life.ctx, w.injectIntoCall(p, m, raw))
+	reply, err := handler(running.ctx, sim.injectIntoCall(p, m, raw))
 	to.awaitThaw()
-	if life.ctx.Err() != nil {
+	if running.ctx.Err() != nil {
 		return nil, errReset
 	}
 	if err != nil {
 		return nil, errors.Mark(err, rpc.ErrRemote)
 	}
-	out := rpc.Encode(w.injectIntoReply(p, to, answer))
-	time.Sleep(w.delay(to.name, p.n.name, m))
-	if !w.awaitPath(to.name, p.n.name) {
+	out := rpc.Encode(sim.injectIntoReply(p, reply))
+	time.Sleep(sim.delay(to.name, p.n.name, m))
+	if !sim.awaitPath(to.name, p.n.name) {
 		return nil, errReset
 	}
 	p.n.awaitThaw()
 	return out, nil
 }
 
-func (w *simulation) storeAt(addr string) *machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.stores {
+func (sim *simulation) storeAt(addr string) *machine {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, s := range sim.stores {
 		if s.addr == addr {
 			return s
 		}
@@ -219,26 +224,26 @@
 	return nil
 }
 
-// injectIntoCall plants faults in what is asked.
-func (w *simulation) injectIntoCall(p endpoint, m rpc.Method, raw []byte) []byte {
+// injectIntoCall plants faults into a call.
+func (sim *simulation) injectIntoCall(p endpoint, m rpc.Method, raw []byte) []byte {
 	front := strings.HasPrefix(p.n.name, "f")
 	switch {
-	case w.fault == noRetainMargin && m == turnstore.MethodClose:
+	case sim.fault == noRetainMargin && m == turnstore.MethodClose:
 		var c turnstore.CloseCall
 		_ = rpc.Decode(raw, &c)
-		c.Turn.RetainSeconds = max(1, c.Turn.RetainSeconds-int(turnstore.KeepMargin/time.Second))
+		c.Turn.RetainSeconds = max(1, c.Turn.RetainSeconds-int(turnstore.RetainMargin/time.Second))
 		return rpc.Encode(&c)
-	case w.fault == noGenerationFence && front && m == turnstore.MethodOpen:
+	case sim.fault == noGenerationFence && front && m == turnstore.MethodOpen:
 		var c turnstore.OpenCall
 		_ = rpc.Decode(raw, &c)
 		c.To.Generation = 1 << 40
 		return rpc.Encode(&c)
-	case w.fault == noGenerationFence && front && m == turnstore.MethodClose:
+	case sim.fault == noGenerationFence && front && m == turnstore.MethodClose:
 		var c turnstore.CloseCall
 		_ = rpc.Decode(raw, &c)
 		c.To.Generation = 1 << 40
 		return rpc.Encode(&c)
-	case w.fault == noReservation && m == turnstore.MethodOpen:
+	case sim.fault == noReservation && m == turnstore.MethodOpen:
 		var c turnstore.OpenCall
 		_ = rpc.Decode(raw, &c)
 		c.MaxTokens = 0
@@ -247,23 +252,23 @@
 	return raw
 }
 
-// injectIntoReply plants faults in what is answered.
-func (w *simulation) injectIntoReply(p endpoint, to *machine, answer any) any {
-	switch r := answer.(type) {
+// injectIntoReply plants faults into a reply.
+func (sim *simulation) injectIntoReply(p endpoint, reply any) any {
+	switch r := reply.(type) {
 	case *turnstore.OpenReply:
-		if w.fault == partialHistory {
+		if sim.fault == partialHistory {
 			r.Missing = ""
 		}
-	case *turnstore.PastReply:
-		if w.fault == partialHistory {
+	case *turnstore.HistoryReply:
+		if sim.fault == partialHistory {
 			r.Missing = ""
 		}
 	case *turnstore.StatesReply:
-		if w.fault == sweepWithoutLedgers || w.fault == repairWithoutLedger && p.repairing != nil && p.repairing() {
+		if sim.fault == sweepWithoutLedgers || sim.fault == repairWithoutLedger && p.repairing != nil && p.repairing() {
 			for i := range r.States {
 				r.States[i].Ledger = nil
 			}
 		}
 	}
-	return answer
+	return reply
 }
--- a/internal/tier/turnstore/model_oracle_test.go
+++ b/internal/tier/turnstore/model_oracle_test.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-const settledAfter = time.Second // as long ago a turn must have ended for what it used to count
+const settledAfter = time.Second // after its end a turn counts what it used
 
-// turnRecord is what clients were turnRecord of a turn.
+// turnRecord is a turn as its client has seen it.
 type turnRecord struct {
 	id, program, previous    string
-	bytes                    []byte // the whole history that continues from it; nil before its Close was tried
+	bytes                    []byte // history of a turn that continues from it; nil before Close was called
 	need, used               int
 	began, ended             time.Duration
 	outcome                  outcome
-	budgetExceeded, notFound bool // refused with 402, 404
+	budgetExceeded, notFound bool // rejected with 402, 404
 	retain                   time.Duration
 }
 
+// outcome is what became of a turn.
 type outcome int
 
 const (
 	inProgress outcome = iota
-	completed          // answered whole: its Close was acknowledged
+	completed          // Close was acknowledged
 	rejected           // 402, 404 or 503
-	aborted            // broke off
+	aborted            // ended early
 )
 
 func (t *turnRecord) String() string {
@@ -38,92 +39,93 @@
 	case t.notFound:
 		return "404"
 	}
-	return [...]string{"under way", "whole", "503", "broken"}[t.outcome]
+	return [...]string{"in progress", "ok", "503", "aborted"}[t.outcome]
 }
 
+// programBudget is the budget of a program and what its turns reserved.
 type programBudget struct {
-	all      int
+	limit    int // tokens
 	turns    []*turnRecord
-	reserved map[string]int // granted turns: at their most, then what they used
+	reserved map[string]int // by granted turn: its reservation, then what it used
 }
 
-// oracle knows what must hold.
+// oracle records what clients have seen, from which the invariants follow.
 type oracle struct {
-	faults         atomic.Int64
+	faults         atomic.Int64 // number of faults so far
 	mu             sync.Mutex
 	turns          map[string]*turnRecord
 	programs       map[string]*programBudget
 	used           map[string]time.Duration // last use of a program
 	ids            int
-	faultsUntil    time.Duration // the last trouble's end, at least
+	faultsUntil    time.Duration // end of the last fault, at least
 	completed      int
 	budgetExceeded int
 	unavailable    int
 	notFound       int
 }
 
-// faultUntil notes that something is in trouble until then.
-func (w *simulation) faultUntil(until time.Duration) {
-	w.oracle.faults.Add(1)
-	w.oracle.mu.Lock()
-	defer w.oracle.mu.Unlock()
-	w.oracle.faultsUntil = max(w.oracle.faultsUntil, until)
+// faultUntil records a fault that ends at a time.
+func (sim *simulation) faultUntil(until time.Duration) {
+	sim.oracle.faults.Add(1)
+	sim.oracle.mu.Lock()
+	defer sim.oracle.mu.Unlock()
+	sim.oracle.faultsUntil = max(sim.oracle.faultsUntil, until)
 }
 
-// reserve notes what a granted turn holds; all of a program together must keep within its budget.
-func (w *simulation) reserve(program, turn string, tokens int) {
-	w.oracle.mu.Lock()
-	b := w.oracle.programs[program]
+// reserve records the tokens of a granted turn and checks that those of its program are within the budget.
+func (sim *simulation) reserve(program, turn string, tokens int) {
+	sim.oracle.mu.Lock()
+	b := sim.oracle.programs[program]
 	b.reserved[turn] = tokens
 	sum := 0
 	for _, n := range b.reserved {
 		sum += n
 	}
-	w.oracle.mu.Unlock()
-	if sum > b.all {
-		w.violation("BUDGET: turns of %s hold %d of %d", program, sum, b.all)
+	sim.oracle.mu.Unlock()
+	if sum > b.limit {
+		sim.violation("BUDGET: turns of %s reserve %d of %d", program, sum, b.limit)
 	}
 }
 
-// checkBudgetRejection checks a 402.
-func (w *simulation) checkBudgetRejection(t *turnRecord) {
-	w.oracle.mu.Lock()
-	b := w.oracle.programs[t.program]
+// checkBudgetRejection checks that a turn which was rejected with 402 did not fit.
+func (sim *simulation) checkBudgetRejection(t *turnRecord) {
+	sim.oracle.mu.Lock()
+	b := sim.oracle.programs[t.program]
 	sum := t.need
 	for _, o := range b.turns {
 		switch {
 		case o == t:
-		case o.outcome == completed && w.now()-o.ended >= settledAfter:
+		case o.outcome == completed && sim.now()-o.ended >= settledAfter:
 			sum += o.used
-		case o.outcome == rejected && w.now()-o.ended >= settledAfter && o.began > w.oracle.faultsUntil:
-			// In trouble a front can not take a reservation back for a while.
+		case o.outcome == rejected && sim.now()-o.ended >= settledAfter && o.began > sim.oracle.faultsUntil:
+			// During a fault a front may not be able to settle a reservation.
 		default:
 			sum += o.need
 		}
 	}
-	w.oracle.mu.Unlock()
-	if sum <= b.all {
-		w.violation("REFUSED: 402 for %s of %s, yet %d of %d fit", t.id, t.program, sum, b.all)
+	sim.oracle.mu.Unlock()
+	if sum <= b.limit {
+		sim.violation("REJECTED: 402 for %s of %s, yet %d of %d fit", t.id, t.program, sum, b.limit)
 	}
 }
 
-// newProgram gives a new newProgram.
-func (w *simulation) newProgram(all int) string {
-	w.oracle.mu.Lock()
-	defer w.oracle.mu.Unlock()
-	name := fmt.Sprintf("p%d", len(w.oracle.programs))
-	w.oracle.programs[name] = &programBudget{all: all, reserved: map[string]int{}}
+// newProgram returns a new program with a budget.
+func (sim *simulation) newProgram(limit int) string {
+	sim.oracle.mu.Lock()
+	defer sim.oracle.mu.Unlock()
+	name := fmt.Sprintf("p%d", len(sim.oracle.programs))
+	sim.oracle.programs[name] = &programBudget{limit: limit, reserved: map[string]int{}}
 	return name
 }
 
-// randomTurn gives a turn that ended whole and is still kept, at random; nil if there is none.
-func (w *simulation) randomTurn(rng *rand.Rand) *turnRecord {
-	w.oracle.mu.Lock()
-	defer w.oracle.mu.Unlock()
+// randomTurn returns a random completed turn that is still retained, nil if there is none.
+func (sim *simulation) randomTurn(rng *rand.Rand) *turnRecord {
+	sim.oracle.mu.Lock()
+	defer sim.oracle.mu.Unlock()
 	var all []*turnRecord
-	for _, b := range w.oracle.programs {
+	for _, b := range sim.oracle.programs {
 		for _, t := range b.turns {
-			if t.outcome == completed && w.now() < t.ended+t.retain {
+			if t.outcome == completed && sim.now() < t.ended+t.retain {
 				all = append(all, t)
 			}
 		}
--- a/internal/tier/turnstore/model_scenario_test.go
+++ b/internal/tier/turnstore/model_scenario_test.go
@@ -10,62 +10,63 @@
 	"time"
 )
 
-var scenarios = flag.Int("courses", 100, "drawn courses of the model")
+var scenarios = flag.Int("courses", 100, "random scenarios of the model")
 
-var faultScenarios = flag.Int("fault-courses", 300, "courses to find a planted fault in, at most")
+var faultScenarios = flag.Int("fault-courses", 300, "scenarios to find a planted fault in, at most")
 
-var firstSeed = flag.Uint64("seed", 1, "of the first course")
+var firstSeed = flag.Uint64("seed", 1, "of the first scenario")
 
-// close ends all that the course runs.
-func (w *simulation) close() {
-	w.mu.Lock()
-	if !w.ended {
-		w.ended = true
-		close(w.done)
+// close ends all nodes and goroutines of the simulation.
+func (sim *simulation) close() {
+	sim.mu.Lock()
+	if !sim.ended {
+		sim.ended = true
+		close(sim.done)
 	}
-	w.mu.Unlock()
-	for _, n := range w.nodes() {
+	sim.mu.Unlock()
+	for _, n := range sim.nodes() {
 		n.thaw()
 	}
-	w.mu.Lock()
-	for k, c := range w.partitions {
+	sim.mu.Lock()
+	for k, c := range sim.partitions {
 		close(c)
-		delete(w.partitions, k)
+		delete(sim.partitions, k)
 	}
-	w.mu.Unlock()
-	for _, f := range w.fronts {
+	sim.mu.Unlock()
+	for _, f := range sim.fronts {
 		f.kill()
 	}
-	for _, m := range w.stores {
+	for _, m := range sim.stores {
 		m.disk().resume()
 		m.kill(false)
 	}
-	w.wg.Wait()
+	sim.wg.Wait()
 }
 
-// runScenario plays one drawn runScenario.
+// runScenario runs one random scenario.
 func runScenario(t *testing.T, seed uint64, f fault) *simulation {
 	return runScenarioWith(t, seed, f, (*simulation).storeFaults)
 }
 
-// runScenarioWith plays one drawn course with the given troubles of stores.
-func runScenarioWith(t *testing.T, seed uint64, f fault, storeTroubles func(*simulation, *rand.Rand, time.Duration)) (w *simulation) {
+// runScenarioWith runs one random scenario with the given faults of stores.
+func runScenarioWith(t *testing.T, seed uint64, f fault,
+	storeFaults func(*simulation, *rand.Rand, time.Duration)) (sim *simulation) {
 	synctest.Test(t, func(t *testing.T) {
-		w = newWorld(seed, f)
+		sim = newSimulation(seed, f)
 		rng := rand.New(rand.NewPCG(seed, 11))
-		w.noDigest = seed%8 == 5
+		sim.noDigest = seed%8 == 5
 		for i := range 3 + rng.IntN(3) {
-			w.addStore(fmt.Sprintf("s%d", i), fmt.Sprintf("z%d", i%2))
+			sim.addStore(fmt.Sprintf("s%d", i), fmt.Sprintf("z%d", i%2))
 		}
-		w.wg.Go(func() { w.controller.run(w) })
+		sim.wg.Go(func() { sim.controller.run(sim) })
 		for i := range 2 + rng.IntN(2) {
-			w.addFront(fmt.Sprintf("f%d", i), fmt.Sprintf("z%d", i%2))
+			sim.addFront(fmt.Sprintf("f%d", i), fmt.Sprintf("z%d", i%2))
 		}
 		until := time.Duration(25+rng.IntN(40)) * time.Second
 		var traffic sync.WaitGroup
-		traffic.Go(func() { w.watchUntil(until) })
-		w.wg.Go(w.watchExpiry)
-		w.sleep(6 * time.Second)
+		traffic.Go(func() { sim.watchUntil(until) })
+		sim.wg.Go(sim.watchExpiry)
+		sim.sleep(6 * time.Second)
 		n := 0
 		for range 2 + rng.IntN(3) {
 			need := 1 + rng.IntN(6)
@@ -73,50 +74,52 @@
 			if rng.IntN(3) == 0 {
 				retain = 300 * time.Second
 			}
-			program := w.newProgram(need * (1 + rng.IntN(40)))
-			hurry := rng.IntN(5) == 0 // a program that runs away
-			lines := 1 + rng.IntN(3)
-			if hurry {
-				lines = 8
+			program := sim.newProgram(need * (1 + rng.IntN(40)))
+			runaway := rng.IntN(5) == 0
+			agents := 1 + rng.IntN(3)
+			if runaway {
+				agents = 8
 			}
-			for range lines {
+			for range agents {
 				n++
 				number := n
-				traffic.Go(func() { w.runAgent(number, program, need, retain, until, hurry) })
+				traffic.Go(func() { sim.runAgent(number, program, need, retain, until, runaway) })
 			}
 		}
 		for i := range 2 {
-			traffic.Go(func() { w.runReader(i, until) })
+			traffic.Go(func() { sim.runReader(i, until) })
 		}
-		traffic.Go(func() { w.runBursts(until) })
-		for i, play := range []func(*simulation, *rand.Rand, time.Duration){storeTroubles, (*simulation).frontFaults, (*simulation).operatorOrders} {
+		traffic.Go(func() { sim.runBursts(until) })
+		for i, inject := range []func(*simulation, *rand.Rand, time.Duration){
+			storeFaults, (*simulation).frontFaults, (*simulation).operatorOrders,
+		} {
 			if rng.IntN(4) > 0 {
-				traffic.Go(func() { play(w, rand.New(rand.NewPCG(seed, uint64(20+i))), until-10*time.Second) })
+				traffic.Go(func() { inject(sim, rand.New(rand.NewPCG(seed, uint64(20+i))), until-10*time.Second) })
 			}
 		}
 		traffic.Wait()
-		if !w.over() {
-			w.checkFinalState(rng)
+		if !sim.over() {
+			sim.checkFinalState(rng)
 		}
-		w.checkEntriesOnDisk()
-		w.close()
+		sim.checkEntriesOnDisk()
+		sim.close()
 	})
-	return w
+	return sim
 }
 
-func (w *simulation) watchUntil(until time.Duration) { w.sleep(until - w.now()) }
+func (sim *simulation) watchUntil(until time.Duration) { sim.sleep(until - sim.now()) }
 
 func TestRandomScenariosHoldInvariants(t *testing.T) {
 	var mu sync.Mutex
 	var sum oracle
 	seeds := make(chan uint64)
-	drawn, workers := *scenarios, 4
+	count, workers := *scenarios, 4
 	if raceDetector {
-		drawn, workers = min(drawn, 12), 1
+		count, workers = min(count, 12), 1
 	}
-	t.Run("courses", func(t *testing.T) {
+	t.Run("scenarios", func(t *testing.T) {
 		go func() {
-			for i := range drawn {
+			for i := range count {
 				seeds <- *firstSeed + uint64(i)
 			}
 			close(seeds)
@@ -125,49 +128,51 @@
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds {
-					w := runScenario(t, seed, "")
-					if len(w.violations) > 0 {
-						t.Errorf("%s\n%s", w.violations[0], w.timeline(80))
+					sim := runScenario(t, seed, "")
+					if len(sim.violations) > 0 {
+						t.Errorf("%s\n%s", sim.violations[0], sim.timeline(80))
 					}
 					mu.Lock()
-					sum.completed += w.oracle.completed
-					sum.budgetExceeded += w.oracle.budgetExceeded
-					sum.unavailable += w.oracle.unavailable
-					sum.notFound += w.oracle.notFound
+					sum.completed += sim.oracle.completed
+					sum.budgetExceeded += sim.oracle.budgetExceeded
+					sum.unavailable += sim.oracle.unavailable
+					sum.notFound += sim.oracle.notFound
 					mu.Unlock()
 				}
 			})
 		}
 	})
-	t.Logf("%d courses: %d turns whole, %d with 402, %d with 404, %d with 503", drawn, sum.completed, sum.budgetExceeded, sum.notFound, sum.unavailable)
-	if sum.completed < 20*drawn || sum.budgetExceeded < drawn || sum.notFound < drawn {
-		t.Error("the courses prove little")
+	t.Logf("%d scenarios: %d turns completed, %d with 402, %d with 404, %d with 503",
+		count, sum.completed, sum.budgetExceeded, sum.notFound, sum.unavailable)
+	if sum.completed < 20*count || sum.budgetExceeded < count || sum.notFound < count {
+		t.Error("the scenarios prove little")
 	}
 }
 
-// faultSeeds is how many courses are drawn to find a planted fault in; they are played again and again, since the order in which
-// goroutines run differs from play to play, and a course shows a fault in nearly all of its plays, not in each.
+// faultSeeds is the number of scenarios that search for a planted fault. They are repeated, since the order in which goroutines
+// run differs between repetitions, and a scenario shows a fault in nearly all of them, not in each.
 const faultSeeds = 60
 
-// The courses find what each part is for: a defect is planted, and courses are played until one shows it.
+// Each part that a fault removes is necessary: scenarios are run until one shows a violation.
 func TestRandomScenariosFindPlantedFaults(t *testing.T) {
-	faults := []fault{majorityOfOne, sweepWithoutLedgers, settleBeforeEnd, noReservation, noSync, reusedIdentity, repairWithoutLedger, endBeforeSync, partialHistory}
+	faults := []fault{majorityOfOne, sweepWithoutLedgers, settleBeforeEnd, noReservation, noSync, reusedIdentity,
+		repairWithoutLedger, endBeforeSync, partialHistory}
 	if raceDetector {
-		faults = faults[:4] // found by the first courses
+		faults = faults[:4] // found by the first scenarios
 	}
 	for _, f := range faults {
 		t.Run(string(f), func(t *testing.T) {
 			if !raceDetector {
 				t.Parallel()
 			}
-			for play := range uint64(*faultScenarios) {
-				seed := play % faultSeeds
-				if w := runScenario(t, 1+seed, f); len(w.violations) > 0 {
-					t.Logf("found by course %d: %s", 1+seed, w.violations[0])
+			for run := range uint64(*faultScenarios) {
+				seed := run % faultSeeds
+				if sim := runScenario(t, 1+seed, f); len(sim.violations) > 0 {
+					t.Logf("found by scenario %d: %s", 1+seed, sim.violations[0])
 					return
 				}
 			}
-			t.Errorf("not found by %d courses", *faultScenarios)
+			t.Errorf("not found by %d scenarios", *faultScenarios)
 		})
 	}
 }
--- a/internal/tier/turnstore/model_test.go
+++ b/internal/tier/turnstore/model_test.go
@@ -11,33 +11,37 @@
 	"larchrouter/internal/tier/placement"
 )
 
+// The model simulates stores, fronts and the control plane's placement in virtual time, inside a synctest bubble. Stores and
+// clients are the real ones; disks, the network, machines and the controller are the model's.
+
 const (
 	contact         = 3 * time.Second
-	messageLifetime = 20 * time.Second        // at a cut
-	catchUp         = 4200 * time.Millisecond // a store counts as lost for so long after its return
+	messageLifetime = 20 * time.Second        // in a partition
+	catchUp         = 4200 * time.Millisecond // for which a store counts as lost after its return
 )
 
-// fault names a defect that is planted into the model; empty for none.
+// fault names a defect that is planted into a simulation; empty for none.
 type fault string
 
 const (
-	noSync                fault = "a sync left out"
+	noSync                fault = "no sync"
 	majorityOfOne         fault = "a majority of one"
-	noGenerationFence     fault = "the fence by gen left out"
+	noGenerationFence     fault = "no fence by generation"
 	sweepWithoutLedgers   fault = "a sweep that skips ledgers"
-	settleBeforeEnd       fault = "settled before the turn has ended"
-	noRetainMargin        fault = "expiry without margin"
-	quorumOfNewListOnly   fault = "a joint phase that needs only the new list"
-	reusedIdentity        fault = "a wiped store under its old identity, with what it had swept"
+	settleBeforeEnd       fault = "settled before the turn ended"
+	noRetainMargin        fault = "expiry without retain margin"
+	quorumOfNewListOnly   fault = "a quorum of the new list only while joint"
+	reusedIdentity        fault = "a wiped store under its old identity and swept generation"
 	repairWithoutLedger   fault = "a read repair that drops the ledger"
-	sweptTooSoon          fault = "a rebuilt store that says no too early"
-	expiredForgotten      fault = "what has expired is not remembered"
-	endBeforeSync         fault = "the end passed on before the sync"
-	partialHistory        fault = "a part of a history taken for the whole"
-	generationNotReported fault = "stores do not tell which gen they have adopted"
-	noReservation         fault = "a reservation that is not written"
+	sweptTooSoon          fault = "a rebuilt store that is authoritative before its sweep"
+	expiredForgotten      fault = "expired turns are not remembered"
+	endBeforeSync         fault = "the end sent before the sync"
+	partialHistory        fault = "a partial history taken as complete"
+	generationNotReported fault = "stores do not report the generation they have adopted"
+	noReservation         fault = "a reservation without tokens"
 )
 
+// simulation is one run of the model.
 type simulation struct {
 	seed  uint64
 	fault fault
@@ -45,110 +49,113 @@
 
 	mu         sync.Mutex
 	rng        *rand.Rand
-	counts     map[message]uint64 // messages, by what sends which to whom
-	partitions map[[2]string]chan struct{}
+	counts     map[message]uint64          // of messages by sender, receiver and method
+	partitions map[[2]string]chan struct{} // by sender and receiver; closed when healed
 	log        []logLine
-	violations []string
-	done       chan struct{} // closed when something is broken, or at the end
+	violations []string      // invariants that were violated
+	done       chan struct{} // closed at the first violation, or at the end
 	ended      bool
-	wg         sync.WaitGroup // all that the model runs
+	wg         sync.WaitGroup // all goroutines of the model
 
 	controller     controller
 	stores         []*machine
 	fronts         []*front
 	oracle         oracle
-	storeFaultSlot chan struct{} // holds a store's trouble and its catching up
-	uniformDelays  bool          // all messages take as long
-	noDigest       bool          // no anti-entropy: read repair is alone
+	storeFaultSlot chan struct{} // held for the time of a store's fault and its catch-up
+	uniformDelays  bool          // all messages have the same delay
+	noDigest       bool          // without anti-entropy: read repair is the only repair
 }
 
+// logLine is an event of the simulation, at a node.
 type logLine struct {
 	at           time.Duration
 	column, text string
 }
 
-func newWorld(seed uint64, f fault) *simulation {
+func newSimulation(seed uint64, f fault) *simulation {
 	return &simulation{seed: seed, fault: f, began: time.Now(), rng: rand.New(rand.NewPCG(seed, 7)), counts: map[message]uint64{},
 		partitions: map[[2]string]chan struct{}{}, done: make(chan struct{}), storeFaultSlot: make(chan struct{}, 1),
 		oracle:     oracle{turns: map[string]*turnRecord{}, programs: map[string]*programBudget{}, used: map[string]time.Duration{}},
 		controller: controller{stores: map[string]placement.StoreStatus{}, retired: map[string]bool{}}}
 }
 
-func (w *simulation) now() time.Duration { return time.Since(w.began) }
+func (sim *simulation) now() time.Duration { return time.Since(sim.began) }
 
-func (w *simulation) draw(lo, hi int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return lo + w.rng.IntN(hi-lo+1)
+func (sim *simulation) draw(lo, hi int) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return lo + sim.rng.IntN(hi-lo+1)
 }
 
-func (w *simulation) oneIn(n int) bool { return w.draw(1, n) == 1 }
+func (sim *simulation) oneIn(n int) bool { return sim.draw(1, n) == 1 }
 
-func (w *simulation) span(lo, hi time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
+func (sim *simulation) span(lo, hi time.Duration) time.Duration {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return lo + time.Duration(sim.rng.Int64N(int64(hi-lo)+1))
 }
 
-func (w *simulation) note(column, format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.log = append(w.log, logLine{w.now(), column, fmt.Sprintf(format, args...)})
+// note logs an event of a node.
+func (sim *simulation) note(column, format string, args ...any) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.log = append(sim.log, logLine{sim.now(), column, fmt.Sprintf(format, args...)})
 }
 
-// violation notes that a rule is broken and ends the course.
-func (w *simulation) violation(format string, args ...any) {
+// violation records that an invariant is violated and ends the scenario.
+func (sim *simulation) violation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.log = append(w.log, logLine{w.now(), "!", text})
-	w.violations = append(w.violations, text)
-	if !w.ended {
-		w.ended = true
-		close(w.done)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.log = append(sim.log, logLine{sim.now(), "!", text})
+	sim.violations = append(sim.violations, text)
+	if !sim.ended {
+		sim.ended = true
+		close(sim.done)
 	}
 }
 
-func (w *simulation) over() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.ended
+// over reports whether the scenario has ended.
+func (sim *simulation) over() bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.ended
 }
 
-// sleep tells whether the course goes on.
-func (w *simulation) sleep(d time.Duration) bool {
-	t := time.NewTimer(max(d, time.Nanosecond)) // under the race detector one of 0 in a bubble can end the process
+// sleep waits in virtual time and reports whether the scenario goes on.
+func (sim *simulation) sleep(d time.Duration) bool {
+	t := time.NewTimer(max(d, time.Nanosecond)) // under the race detector a timer of 0 in a bubble can end the process
 	defer t.Stop()
 	select {
 	case <-t.C:
-		return !w.over()
-	case <-w.done:
+		return !sim.over()
+	case <-sim.done:
 		return false
 	}
 }
 
-// timeline gives the last lines, with a column for the core, each store and each front.
-func (w *simulation) timeline(most int) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// timeline returns the last events, with a column for the controller, each store and each front.
+func (sim *simulation) timeline(limit int) string {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	columns := []string{"core"}
-	for _, s := range w.stores {
+	for _, s := range sim.stores {
 		columns = append(columns, s.name)
 	}
-	for _, f := range w.fronts {
+	for _, f := range sim.fronts {
 		columns = append(columns, f.name)
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d %s\n%9s", w.seed, w.fault, "ms")
+	fmt.Fprintf(&b, "seed %d %s\n%9s", sim.seed, sim.fault, "ms")
 	for _, c := range columns {
 		fmt.Fprintf(&b, " %-22s", c)
 	}
 	b.WriteByte('\n')
-	lines := slices.DeleteFunc(slices.Clone(w.log), func(l logLine) bool { // of what is dropped only that which came back
-		id, drops := strings.CutPrefix(l.text, "drops ")
-		return drops && !strings.Contains(strings.Join(w.violations, " "), " "+id+" ")
+	lines := slices.DeleteFunc(slices.Clone(sim.log), func(l logLine) bool { // of expiries only those that a violation names
+		id, expiry := strings.CutPrefix(l.text, "expires ")
+		return expiry && !strings.Contains(strings.Join(sim.violations, " "), " "+id+" ")
 	})
-	for _, l := range lines[max(0, len(lines)-most):] {
+	for _, l := range lines[max(0, len(lines)-limit):] {
 		fmt.Fprintf(&b, "%9.1f", float64(l.at.Microseconds())/1000)
 		if i := slices.Index(columns, l.column); i >= 0 {
 			b.WriteString(strings.Repeat(" ", 23*i))
@@ -158,13 +165,13 @@
 	return b.String()
 }
 
-func (w *simulation) nodes() (out []*node) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.stores {
+func (sim *simulation) nodes() (out []*node) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, s := range sim.stores {
 		out = append(out, &s.node)
 	}
-	for _, f := range w.fronts {
+	for _, f := range sim.fronts {
 		out = append(out, &f.node)
 	}
 	return out
--- a/internal/tier/turnstore/model_timeline_test.go
+++ b/internal/tier/turnstore/model_timeline_test.go
@@ -10,136 +10,139 @@
 	"time"
 )
 
-// timelineRun is a course that is timelineRun as a timeline: a line is a time in ms, then a cell for each store and front, with what
-// happens there from then on; several, with commas between. Stores are s.., fronts f...
+// timelineRun is a run of a scenario that is written as a table: a row is a time in ms, then a cell for each store and front with
+// the events there, separated by commas. Stores are s.., fronts f...
 //
-//	up kill power wipe     its process and disk (a store has lost its power when it is wiped; kill: fronts too)
+//	up kill power wipe     start or kill the process; power: of a store, and cut its power; wipe: the same, with an empty disk
 //	freeze thaw
-//	deaf hears             no call of fronts reaches the store, or it does again
-//	away back              nothing at all reaches the store or front, or leaves it
-//	apart joins            no other store reaches it, nor it them
-//	mute tell              no store's answer reaches the front, or they all do
-//	stale told             no new placement reaches it
-//	slow well              syncs of 200 ms
-//	stall goes             syncs, and reads behind them, wait; they go on
-//	full room              the disk takes no more bytes; it takes them again
-//	empty gone             it is to be emptied; it must be emptied by now
-//	dispose                it is wiped if it is emptied by now
-//	anew                   the core is founded anew, and knows no placement (in any column)
+//	unreached reached      no call of a front reaches the store, until reached
+//	isolated rejoined      the store or front is partitioned from all others
+//	split joined           the store is partitioned from all other stores
+//	noreplies replies      no message of a store reaches the front
+//	stale current          no new placement reaches the node
+//	slow fast              syncs take 200 ms
+//	stall resume           syncs, and reads during one, are blocked
+//	full space             the disk rejects writes
+//	retire retired         the store is to be retired; its retirement must be complete
+//	dispose                wipe, if its retirement is complete
+//	reset                  the controller loses its state (in any column)
 //	a  a>b  p:a>b          turn a of program p begins; turn b continues from a
-//	b~ b!                  it runs until then; it ends
-//	a=whole                what must become of it: whole 402 404 503 broken
+//	b~ b!                  the turn runs until b!
+//	a=ok                   what must become of it: ok 402 404 503 aborted
 //
-// All the rules of the courses are checked, too.
+// The invariants of the random scenarios are checked as well.
 type timelineRun struct {
 	t      *testing.T
-	w      *simulation
-	ends   map[string]chan struct{}
-	turns  map[string]*turnRecord
-	names  map[string]string // of programs
-	work   sync.WaitGroup
-	budget map[string]int
+	sim    *simulation
+	ends   map[string]chan struct{} // by turn; closed at its end
+	names  map[string]string        // of programs in the simulation
+	work   sync.WaitGroup           // turns
+	budget map[string]int           // by program
 	retain time.Duration
 	mu     sync.Mutex
+	turns  map[string]*turnRecord // by name in the table
 }
 
 var cell = regexp.MustCompile(`^(?:(\w+):)?(?:(\w+)>)?(\w+)([~!]?)(?:=(\w+))?$`)
 
-var violationPattern = regexp.MustCompile(`^[A-Z]+: `) // one that is broken, and not what a cell expects
+var violationPattern = regexp.MustCompile(`^[A-Z]+: `) // of an invariant, not of what a cell expects
 
-// timelineConfig of a drawn course: turns take 10 tokens at most and use 5.
+// timelineConfig configures a timeline. Turns reserve 10 tokens and use 5.
 type timelineConfig struct {
-	stores int // placed at the start
-	budget map[string]int
-	retain time.Duration
+	stores int            // that run at the start
+	budget map[string]int // by program; missing: not limited
+	retain time.Duration  // 0: a minute
 	fault  fault
 }
 
-// playTimeline plays a timeline and gives what is broken.
-func playTimeline(t *testing.T, fig timelineConfig, timeline string) (broken []string, lines string) {
+// playTimeline runs a timeline and returns the violations and the log.
+func playTimeline(t *testing.T, config timelineConfig, timeline string) (violations []string, log string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(1, fig.fault)
-		w.uniformDelays = true
-		d := &timelineRun{t: t, w: w, ends: map[string]chan struct{}{}, turns: map[string]*turnRecord{}, names: map[string]string{}, budget: fig.budget, retain: fig.retain}
-		if d.retain == 0 {
-			d.retain = 60 * time.Second
+		sim := newSimulation(1, config.fault)
+		sim.uniformDelays = true
+		run := &timelineRun{t: t, sim: sim, ends: map[string]chan struct{}{}, turns: map[string]*turnRecord{},
+			names: map[string]string{}, budget: config.budget, retain: config.retain}
+		if run.retain == 0 {
+			run.retain = 60 * time.Second
 		}
 		var rows [][]string
-		for _, l := range strings.Split(strings.TrimSpace(timeline), "\n") {
-			rows = append(rows, strings.Fields(l))
+		for _, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
+			rows = append(rows, strings.Fields(line))
 		}
 		names := rows[0][1:]
 		for _, n := range names {
-			if n[0] == 's' && len(w.stores) < fig.stores {
-				w.addStore(n, "z"+n[len(n)-1:])
+			if n[0] == 's' && len(sim.stores) < config.stores {
+				sim.addStore(n, "z"+n[len(n)-1:])
 			} else if n[0] == 's' {
 				m := &machine{addr: n + ":1"}
-				m.w, m.name, m.zone = w, n, "z"+n[len(n)-1:]
-				m.file.Store(w.disk(m, n))
-				w.stores = append(w.stores, m)
+				m.sim, m.name, m.zone = sim, n, "z"+n[len(n)-1:]
+				m.file.Store(sim.disk(m, n))
+				sim.stores = append(sim.stores, m)
 			} else {
-				w.addFront(n, "z0")
+				sim.addFront(n, "z0")
 			}
 		}
-		w.wg.Go(func() { w.controller.run(w) })
-		w.wg.Go(w.watchExpiry)
-		w.sleep(2 * time.Second)
-		for _, l := range rows[1:] {
-			ms, err := strconv.ParseFloat(l[0], 64)
-			if err != nil || len(l) != len(names)+1 {
-				t.Errorf("line %q", l)
+		sim.wg.Go(func() { sim.controller.run(sim) })
+		sim.wg.Go(sim.watchExpiry)
+		sim.sleep(2 * time.Second)
+		for _, row := range rows[1:] {
+			ms, err := strconv.ParseFloat(row[0], 64)
+			if err != nil || len(row) != len(names)+1 {
+				t.Errorf("row %q", row)
 				break
 			}
-			if !w.sleep(2*time.Second + time.Duration(ms*1e6) - w.now()) {
+			if !sim.sleep(2*time.Second + time.Duration(ms*1e6) - sim.now()) {
 				break
 			}
-			for i, c := range l[1:] {
-				for _, one := range strings.Split(c, ",") {
-					d.do(names[i], one)
+			for i, cell := range row[1:] {
+				for _, event := range strings.Split(cell, ",") {
+					run.do(names[i], event)
 				}
 			}
 			synctest.Wait()
 		}
-		for _, c := range d.ends {
+		for _, c := range run.ends {
 			select {
 			case <-c:
 			default:
 				close(c)
 			}
 		}
-		for _, n := range w.nodes() {
+		for _, n := range sim.nodes() {
 			n.thaw()
 		}
-		d.work.Wait()
-		w.close()
-		if broken, lines = w.violations, w.timeline(60); len(broken) > 0 && fig.fault == "" {
-			t.Errorf("%s\n%s", strings.Join(broken, "\n"), lines)
+		run.work.Wait()
+		sim.close()
+		if violations, log = sim.violations, sim.timeline(60); len(violations) > 0 && config.fault == "" {
+			t.Errorf("%s\n%s", strings.Join(violations, "\n"), log)
 		}
 	})
-	return broken, lines
+	return violations, log
 }
 
-func (d *timelineRun) node(name string) (*node, *machine, *front) {
-	for _, m := range d.w.stores {
+// node returns a node by name, and it as a store or a front.
+func (run *timelineRun) node(name string) (*node, *machine, *front) {
+	for _, m := range run.sim.stores {
 		if m.name == name {
 			return &m.node, m, nil
 		}
 	}
-	for _, f := range d.w.fronts {
+	for _, f := range run.sim.fronts {
 		if f.name == name {
 			return &f.node, nil, f
 		}
 	}
-	d.t.Fatalf("nothing is named %q", name)
+	run.t.Fatalf("no node is named %q", name)
 	return nil, nil, nil
 }
 
-func (d *timelineRun) do(name, what string) {
-	w := d.w
-	n, m, f := d.node(name)
-	others := append(w.nodes(), &node{name: "core"})
-	switch what {
+// do executes one event of a cell.
+func (run *timelineRun) do(name, event string) {
+	sim := run.sim
+	n, m, f := run.node(name)
+	others := append(sim.nodes(), &node{name: "core"})
+	switch event {
 	case ".":
 	case "up":
 		if m != nil {
@@ -162,128 +165,131 @@
 		n.freeze()
 	case "thaw":
 		n.thaw()
-	case "deaf", "hears":
-		for _, f := range w.fronts {
-			if what == "deaf" {
-				w.partition(f.name, name)
+	case "unreached", "reached":
+		for _, f := range sim.fronts {
+			if event == "unreached" {
+				sim.partition(f.name, name)
 			} else {
-				w.heal(f.name, name)
+				sim.heal(f.name, name)
 			}
 		}
-	case "away", "back":
+	case "isolated", "rejoined":
 		for _, o := range others {
-			if o.name != name && what == "away" {
-				w.partition(o.name, name)
-				w.partition(name, o.name)
+			if o.name != name && event == "isolated" {
+				sim.partition(o.name, name)
+				sim.partition(name, o.name)
 			} else if o.name != name {
-				w.heal(o.name, name)
-				w.heal(name, o.name)
+				sim.heal(o.name, name)
+				sim.heal(name, o.name)
 			}
 		}
-	case "apart", "joins":
-		for _, o := range w.stores {
-			if o.name != name && what == "apart" {
-				w.partition(o.name, name)
-				w.partition(name, o.name)
+	case "split", "joined":
+		for _, o := range sim.stores {
+			if o.name != name && event == "split" {
+				sim.partition(o.name, name)
+				sim.partition(name, o.name)
 			} else if o.name != name {
-				w.heal(o.name, name)
-				w.heal(name, o.name)
+				sim.heal(o.name, name)
+				sim.heal(name, o.name)
 			}
 		}
-	case "mute", "tell":
-		for _, o := range w.stores {
-			if what == "mute" {
-				w.partition(o.name, name)
+	case "noreplies", "replies":
+		for _, o := range sim.stores {
+			if event == "noreplies" {
+				sim.partition(o.name, name)
 			} else {
-				w.heal(o.name, name)
+				sim.heal(o.name, name)
 			}
 		}
 	case "dispose":
-		if w.controller.retirementComplete(m.disk().id) {
+		if sim.controller.retirementComplete(m.disk().id) {
 			m.kill(true)
 			m.wipe()
 		}
-	case "anew":
-		w.controller.reset(w)
+	case "reset":
+		sim.controller.reset(sim)
 	case "stale":
-		w.partition("core", name)
-	case "told":
-		w.heal("core", name)
-	case "slow", "well":
-		m.setSyncTime(map[string]time.Duration{"slow": 200 * time.Millisecond}[what])
+		sim.partition("core", name)
+	case "current":
+		sim.heal("core", name)
+	case "slow", "fast":
+		m.setSyncTime(map[string]time.Duration{"slow": 200 * time.Millisecond}[event])
 	case "stall":
 		m.disk().stall()
-	case "goes":
+	case "resume":
 		m.disk().resume()
-	case "full", "room":
-		m.disk().setFull(what == "full")
-	case "empty":
-		if !w.controller.retire(m.disk().id) {
-			w.violation("%s may not be emptied", name)
+	case "full", "space":
+		m.disk().setFull(event == "full")
+	case "retire":
+		if !sim.controller.retire(m.disk().id) {
+			sim.violation("%s cannot be retired", name)
 		}
-	case "gone":
-		if !w.controller.retirementComplete(m.disk().id) {
-			w.violation("%s is not empty by now", name)
+	case "retired":
+		if !sim.controller.retirementComplete(m.disk().id) {
+			sim.violation("the retirement of %s is not complete", name)
 		}
 	default:
-		d.turn(f, what)
+		run.turn(f, event)
 	}
 }
 
+// outcomes checks what became of a turn, by its name in a cell.
 var outcomes = map[string]func(*turnRecord) bool{
-	"whole":  func(t *turnRecord) bool { return t.outcome == completed },
-	"402":    func(t *turnRecord) bool { return t.budgetExceeded },
-	"404":    func(t *turnRecord) bool { return t.notFound },
-	"503":    func(t *turnRecord) bool { return t.outcome == rejected && !t.budgetExceeded && !t.notFound },
-	"broken": func(t *turnRecord) bool { return t.outcome == aborted },
+	"ok":      func(t *turnRecord) bool { return t.outcome == completed },
+	"402":     func(t *turnRecord) bool { return t.budgetExceeded },
+	"404":     func(t *turnRecord) bool { return t.notFound },
+	"503":     func(t *turnRecord) bool { return t.outcome == rejected && !t.budgetExceeded && !t.notFound },
+	"aborted": func(t *turnRecord) bool { return t.outcome == aborted },
 }
 
-func (d *timelineRun) turn(f *front, what string) {
-	c := cell.FindStringSubmatch(what)
-	if c == nil || f == nil {
-		d.t.Errorf("cell %q", what)
+// turn begins or ends a turn.
+func (run *timelineRun) turn(f *front, event string) {
+	fields := cell.FindStringSubmatch(event)
+	if fields == nil || f == nil {
+		run.t.Errorf("cell %q", event)
 		return
 	}
-	program, previous, id, held, must := c[1], c[2], c[3], c[4], c[5]
+	program, previous, id, gated, want := fields[1], fields[2], fields[3], fields[4], fields[5]
 	if program == "" {
 		program = "p"
 	}
-	if held == "!" {
-		close(d.ends[id])
+	if gated == "!" {
+		close(run.ends[id])
 		return
 	}
-	if d.names[program] == "" {
-		all := d.budget[program]
-		if all == 0 {
-			all = 1 << 30
+	if run.names[program] == "" {
+		budget := run.budget[program]
+		if budget == 0 {
+			budget = 1 << 30
 		}
-		d.names[program] = d.w.newProgram(all)
+		run.names[program] = run.sim.newProgram(budget)
 	}
-	a := turnScript{front: f, program: d.names[program], need: 10, used: 5, ending: completed, retain: d.retain, runs: time.Millisecond}
+	script := turnScript{front: f, program: run.names[program], need: 10, used: 5, ending: completed, retain: run.retain,
+		duration: time.Millisecond}
 	if previous != "" {
-		d.mu.Lock()
-		a.previous = d.turns[previous]
-		d.mu.Unlock()
-		if a.previous == nil {
-			a.previous = &turnRecord{id: previous}
+		run.mu.Lock()
+		script.previous = run.turns[previous]
+		run.mu.Unlock()
+		if script.previous == nil {
+			script.previous = &turnRecord{id: previous}
 		}
 	}
 	var gate chan struct{}
-	if held == "~" {
+	if gated == "~" {
 		gate = make(chan struct{})
-		d.ends[id] = gate
+		run.ends[id] = gate
 	}
-	a.gate = gate
-	a.started = func(t *turnRecord) {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.turns[id] = t
+	script.gate = gate
+	script.started = func(t *turnRecord) {
+		run.mu.Lock()
+		defer run.mu.Unlock()
+		run.turns[id] = t
 	}
-	d.work.Go(func() {
-		t := d.w.runTurn(a)
-		d.w.note(f.name, "%s is %s: %s", id, t.id, t)
-		if must != "" && !outcomes[must](t) && !d.w.over() {
-			d.w.violation("%s at %s is not %s: %s", id, f.name, must, t)
+	run.work.Go(func() {
+		t := run.sim.runTurn(script)
+		run.sim.note(f.name, "%s is %s: %s", id, t.id, t)
+		if want != "" && !outcomes[want](t) && !run.sim.over() {
+			run.sim.violation("%s at %s is not %s: %s", id, f.name, want, t)
 		}
 	})
 }
--- a/internal/tier/turnstore/model_traffic_test.go
+++ b/internal/tier/turnstore/model_traffic_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// runAgent plays one line of turns of a program until the course's traffic ends.
-func (w *simulation) runAgent(n int, program string, need int, retain time.Duration, until time.Duration, hurry bool) {
-	rng := rand.New(rand.NewPCG(w.seed, uint64(1000+n)))
+// runAgent runs a sequence of turns of a program until a time. runaway: without pauses, whatever is left of the budget.
+func (sim *simulation) runAgent(n int, program string, need int, retain time.Duration, until time.Duration, runaway bool) {
+	rng := rand.New(rand.NewPCG(sim.seed, uint64(1000+n)))
 	var last *turnRecord
-	spent := 0
-	for w.now() < until {
+	rejections := 0 // with 402
+	for sim.now() < until {
 		pause := time.Duration(rng.Int64N(int64(3 * time.Second)))
-		runs := time.Duration(rng.Int64N(int64(2*time.Second))) + 20*time.Millisecond
-		if hurry {
-			pause, runs = pause/10, runs/10
+		duration := time.Duration(rng.Int64N(int64(2*time.Second))) + 20*time.Millisecond
+		if runaway {
+			pause, duration = pause/10, duration/10
 		}
-		if rng.IntN(25) == 0 && !hurry {
-			pause += time.Duration(rng.Int64N(int64(retain))) // close to its end
+		if rng.IntN(25) == 0 && !runaway {
+			pause += time.Duration(rng.Int64N(int64(retain))) // up to the end of its retention time
 		}
-		if !w.sleep(pause) {
+		if !sim.sleep(pause) {
 			return
 		}
 		from := last
 		switch rng.IntN(12) {
 		case 0:
-			from = w.randomTurn(rng) // a fork, or another program's turn
+			from = sim.randomTurn(rng) // a fork, or another program's turn
 		case 1:
 			if rng.IntN(3) == 0 {
 				from = nil
 			}
 		}
-		if from != nil && w.now() > from.ended+from.retain {
+		if from != nil && sim.now() > from.ended+from.retain {
 			from = nil
 		}
 		ending := completed
@@ -40,46 +40,48 @@
 			ending = aborted
 		}
 		take := 1 + rng.IntN(need)
-		for range 3 { // a turn that failed is sent again from its start
-			t := w.runTurn(turnScript{front: w.randomFront(rng), program: program, previous: from, need: take, runs: runs, used: rng.IntN(take + 1), ending: ending, retain: retain})
+		for range 3 { // a failed turn is retried from its start
+			t := sim.runTurn(turnScript{front: sim.randomFront(rng), program: program, previous: from, need: take, duration: duration,
+				used: rng.IntN(take + 1), ending: ending, retain: retain})
 			if t.outcome == completed {
 				last = t
 				break
 			}
 			if t.budgetExceeded {
-				spent++
-				if hurry && !w.sleep(time.Duration(rng.Int64N(int64(4*time.Second)))) {
+				rejections++
+				if runaway && !sim.sleep(time.Duration(rng.Int64N(int64(4*time.Second)))) {
 					return
 				}
 				break
 			}
-			if !w.sleep(100*time.Millisecond + time.Duration(rng.Int64N(int64(300*time.Millisecond)))) {
+			if !sim.sleep(100*time.Millisecond + time.Duration(rng.Int64N(int64(300*time.Millisecond)))) {
 				return
 			}
 		}
-		if spent > 2 && !hurry { // the budget is spent: another program
-			w.oracle.mu.Lock()
-			all := w.oracle.programs[program].all
-			w.oracle.mu.Unlock()
-			program, spent = w.newProgram(all), 0
+		if rejections > 2 && !runaway { // the budget is exhausted: another program
+			sim.oracle.mu.Lock()
+			limit := sim.oracle.programs[program].limit
+			sim.oracle.mu.Unlock()
+			program, rejections = sim.newProgram(limit), 0
 		}
 	}
 }
 
-// runBursts has sub-agents of new programs open turns at once, through all fronts, where the budget has room for a few.
-func (w *simulation) runBursts(until time.Duration) {
-	rng := rand.New(rand.NewPCG(w.seed, 3000))
-	for w.now() < until && w.sleep(time.Duration(rng.Int64N(int64(4*time.Second)))) {
+// runBursts has sub-agents of new programs open turns concurrently, through all fronts, where the budget suffices for a few.
+func (sim *simulation) runBursts(until time.Duration) {
+	rng := rand.New(rand.NewPCG(sim.seed, 3000))
+	for sim.now() < until && sim.sleep(time.Duration(rng.Int64N(int64(4*time.Second)))) {
 		need := 2 + rng.IntN(4)
-		program := w.newProgram(need * (1 + rng.IntN(4)))
+		program := sim.newProgram(need * (1 + rng.IntN(4)))
 		var agents sync.WaitGroup
 		for range 3 + rng.IntN(8) {
 			after := time.Duration(rng.Int64N(int64(8 * time.Millisecond)))
-			f, take, used := w.randomFront(rng), need-rng.IntN(2), rng.IntN(need)
-			runs := time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
+			f, take, used := sim.randomFront(rng), need-rng.IntN(2), rng.IntN(need)
+			duration := time.Duration(rng.Int64N(int64(200 * time.Millisecond)))
 			agents.Go(func() {
-				if w.sleep(after) {
-					w.runTurn(turnScript{front: f, program: program, need: take, runs: runs, used: min(used, take), ending: completed, retain: 25 * time.Second})
+				if sim.sleep(after) {
+					sim.runTurn(turnScript{front: f, program: program, need: take, duration: duration, used: min(used, take),
+						ending: completed, retain: 25 * time.Second})
 				}
 			})
 		}
@@ -87,15 +89,15 @@
 	}
 }
 
-// runReader asks for turns that are kept, now and then just before their time is over, and for some that never were.
-func (w *simulation) runReader(n int, until time.Duration) {
-	rng := rand.New(rand.NewPCG(w.seed, uint64(2000+n)))
-	program := w.newProgram(1 << 40)
-	for w.now() < until {
-		if !w.sleep(time.Duration(rng.Int64N(int64(400 * time.Millisecond)))) {
+// runReader continues from retained turns, some just before they expire, and from turns that never existed.
+func (sim *simulation) runReader(n int, until time.Duration) {
+	rng := rand.New(rand.NewPCG(sim.seed, uint64(2000+n)))
+	program := sim.newProgram(1 << 40)
+	for sim.now() < until {
+		if !sim.sleep(time.Duration(rng.Int64N(int64(400 * time.Millisecond)))) {
 			return
 		}
-		t := w.randomTurn(rng)
+		t := sim.randomTurn(rng)
 		if t == nil {
 			continue
 		}
@@ -103,10 +105,11 @@
 		case 0:
 			t = &turnRecord{id: "never"}
 		case 1, 2, 3:
-			if wait := t.ended + t.retain - w.now() - time.Duration(1+rng.IntN(30))*time.Millisecond; wait > 0 && wait < 20*time.Second && !w.sleep(wait) {
+			wait := t.ended + t.retain - sim.now() - time.Duration(1+rng.IntN(30))*time.Millisecond
+			if wait > 0 && wait < 20*time.Second && !sim.sleep(wait) {
 				return
 			}
 		}
-		w.runTurn(turnScript{front: w.randomFront(rng), program: program, previous: t, need: 1, ending: aborted})
+		sim.runTurn(turnScript{front: sim.randomFront(rng), program: program, previous: t, need: 1, ending: aborted})
 	}
 }
--- a/internal/tier/turnstore/placement_change_test.go
+++ b/internal/tier/turnstore/placement_change_test.go
@@ -92,7 +92,8 @@
 	n := tr.nodes[0]
 	call := func(store string, gen int64) error {
 		var r statusReply
-		c := &closeCall{To: RequestHeader{store, gen}, Turn: Record{Key: "p", ID: fmt.Sprint("t", gen, store), Root: true, RetainSeconds: 30}}
+		c := &closeCall{To: RequestHeader{store, gen}, Turn: Record{Key: "p", ID: fmt.Sprint("t", gen, store),
+			Root: true, RetainSeconds: 30}}
 		if err := tr.calls.To(n.addr).Call(t.Context(), MethodClose, c, &r); err != nil {
 			t.Fatal(err)
 		}
@@ -133,7 +134,8 @@
 	}
 	added := tr.add("store-9", "zone-0")
 	added.start()
-	next := &Placement{Generation: 2, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: was.Old, New: tr.stores(tr.nodes[1], tr.nodes[2], added)}
+	next := &Placement{Generation: 2, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: was.Old,
+		New: tr.stores(tr.nodes[1], tr.nodes[2], added)}
 	added.placed.Store(next)
 	if added.store.sweep(t.Context(), next) {
 		t.Fatal("the sweep is complete though peers may accept writes under the older placement")
@@ -187,7 +189,8 @@
 			return n.store.handleOpen(t.Context(), &openCall{To: h, Program: "p", Turn: "a", MaxTokens: 1}).Status
 		},
 		"close": func(h RequestHeader) int {
-			return n.store.handleClose(t.Context(), &closeCall{To: h, Turn: Record{Key: "p", ID: "b", Root: true, RetainSeconds: 30}}).Status
+			return n.store.handleClose(t.Context(), &closeCall{To: h, Turn: Record{Key: "p", ID: "b", Root: true,
+				RetainSeconds: 30}}).Status
 		},
 		"settle": func(h RequestHeader) int {
 			return n.store.handleSettle(t.Context(), &settleCall{To: h, Program: "p", Turn: "c"}).Status
--- a/internal/tier/turnstore/replication_test.go
+++ b/internal/tier/turnstore/replication_test.go
@@ -12,12 +12,14 @@
 	want := ""
 	for i := range 9 {
 		id := fmt.Sprint("t", i)
-		record := Record{Key: "p", ID: id, Previous: previous, Root: i == 0, RetainSeconds: 30, Increment: fmt.Append(nil, "piece", i, "\n")}
+		record := Record{Key: "p", ID: id, Previous: previous, Root: i == 0, RetainSeconds: 30,
+			Increment: fmt.Append(nil, "piece", i, "\n")}
 		for j, n := range tr.nodes {
 			if i%3 == j {
 				continue
 			}
-			if r := n.store.handleClose(t.Context(), &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: record}); r.Status != statusOK {
+			if r := n.store.handleClose(t.Context(), &closeCall{To: RequestHeader{n.store.ID(), 1},
+				Turn: record}); r.Status != statusOK {
 				t.Fatal(r.Status)
 			}
 		}
@@ -47,7 +49,8 @@
 	tr := quiet(t, 3)
 	lacking := tr.nodes[0] // in the client's zone: it is asked for the history
 	for _, n := range tr.nodes[1:] {
-		c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: "p", ID: "a", Root: true, RetainSeconds: 30, Increment: []byte("piece")}}
+		c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: "p", ID: "a", Root: true,
+			RetainSeconds: 30, Increment: []byte("piece")}}
 		if r := n.store.handleClose(t.Context(), c); r.Status != statusOK {
 			t.Fatal(r.Status)
 		}
@@ -70,7 +73,8 @@
 		key := fmt.Sprint("p", i)
 		in, _ := tr.copiesOf(key)
 		for j, n := range in { // each replica has a turn and an entry that the others lack
-			c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: key, ID: fmt.Sprint(key, "-", j), Root: true, RetainSeconds: 30, Increment: []byte(key)}, UsedTokens: j}
+			c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: key, ID: fmt.Sprint(key, "-", j),
+				Root: true, RetainSeconds: 30, Increment: []byte(key)}, UsedTokens: j}
 			if r := n.store.handleClose(t.Context(), c); r.Status != statusOK {
 				t.Fatal(r.Status)
 			}
--- a/internal/tier/turnstore/reservation_test.go
+++ b/internal/tier/turnstore/reservation_test.go
@@ -193,7 +193,8 @@
 		found, seed := 0, uint64(0)
 		for ; found < 3 && seed < 50_000; seed++ {
 			rng := rand.New(rand.NewPCG(seed, 2))
-			if m := runReservationModel(func(_ string, lo, hi int) int { return lo + rng.IntN(hi-lo+1) }, fault); m.maxReserved > m.budget {
+			if m := runReservationModel(func(_ string, lo, hi int) int { return lo + rng.IntN(hi-lo+1) },
+				fault); m.maxReserved > m.budget {
 				found++
 			}
 		}
@@ -211,7 +212,8 @@
 		reached, impossible bool
 	}{
 		{"", "", false, false}, {"ab", "", false, false}, {"bc", "", true, false}, {"abd", "", true, false},
-		{"ad", "", false, false}, {"b", "cd", false, true}, {"a", "b", false, false}, {"ac", "bd", false, true}, {"c", "ab", false, true},
+		{"ad", "", false, false}, {"b", "cd", false, true}, {"a", "b", false, false}, {"ac", "bd", false, true}, {"c",
+			"ab", false, true},
 	} {
 		q := newQuorum(groups, majority)
 		for _, s := range c.yes {
--- a/internal/tier/turnstore/simulation_test.go
+++ b/internal/tier/turnstore/simulation_test.go
@@ -9,182 +9,188 @@
 	"time"
 )
 
-// A slow disk on one of three copies is not waited for.
+// A slow disk at one of three replicas delays nothing.
 func TestSlowDiskOfOneReplicaDoesNotDelayTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := healthySimulation(3, true)
-		w.stores[1].setSyncTime(200 * time.Millisecond)
-		p := w.newProgram(1000)
-		began := w.now()
-		one := w.runTurn(turnScript{front: w.fronts[0], program: p, need: 5, used: 5, ending: completed, retain: time.Minute})
-		w.runTurn(turnScript{front: w.fronts[0], program: p, previous: one, need: 5, used: 5, ending: completed, retain: time.Minute})
-		if took := w.now() - began; took > 30*time.Millisecond {
+		sim := healthySimulation(3, true)
+		sim.stores[1].setSyncTime(200 * time.Millisecond)
+		p := sim.newProgram(1000)
+		began := sim.now()
+		first := sim.runTurn(turnScript{front: sim.fronts[0], program: p, need: 5, used: 5, ending: completed, retain: time.Minute})
+		sim.runTurn(turnScript{front: sim.fronts[0], program: p, previous: first, need: 5, used: 5, ending: completed,
+			retain: time.Minute})
+		if took := sim.now() - began; took > 30*time.Millisecond {
 			t.Errorf("two turns took %v", took)
 		}
-		w.close()
+		sim.close()
 	})
 }
 
-// healthySimulation is a world without trouble.
-func healthySimulation(stores int, even bool) *simulation {
-	w := newWorld(1, "")
-	w.uniformDelays = even
+// healthySimulation returns a simulation without faults, with two fronts and a founded placement.
+func healthySimulation(stores int, uniformDelays bool) *simulation {
+	sim := newSimulation(1, "")
+	sim.uniformDelays = uniformDelays
 	for i := range stores {
-		w.addStore(fmt.Sprintf("s%d", i), fmt.Sprintf("z%d", i))
+		sim.addStore(fmt.Sprintf("s%d", i), fmt.Sprintf("z%d", i))
 	}
 	for i := range 2 {
-		w.addFront(fmt.Sprintf("f%d", i), "z0")
+		sim.addFront(fmt.Sprintf("f%d", i), "z0")
 	}
-	w.wg.Go(func() { w.controller.run(w) })
-	w.sleep(2 * time.Second)
-	return w
+	sim.wg.Go(func() { sim.controller.run(sim) })
+	sim.sleep(2 * time.Second)
+	return sim
 }
 
 func TestBudgetOfProgramWithEightySubAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := healthySimulation(4, false)
-		const all = 1500
-		p := w.newProgram(all)
-		first := w.runTurn(turnScript{front: w.fronts[0], program: p, need: 10, used: 10, ending: completed, retain: time.Minute})
+		sim := healthySimulation(4, false)
+		const budget = 1500
+		p := sim.newProgram(budget)
+		first := sim.runTurn(turnScript{front: sim.fronts[0], program: p, need: 10, used: 10, ending: completed, retain: time.Minute})
 		var agents sync.WaitGroup
 		for i := range 80 {
 			agents.Go(func() {
 				rng := rand.New(rand.NewPCG(uint64(i), 5))
 				last := first
-				for refusals := 0; refusals < 3; {
-					one := w.runTurn(turnScript{front: w.randomFront(rng), program: p, previous: last, need: 10, used: 1 + rng.IntN(10), runs: 50 * time.Millisecond, ending: completed, retain: time.Minute})
-					if one.outcome == completed {
-						last = one
+				for rejections := 0; rejections < 3; {
+					turn := sim.runTurn(turnScript{front: sim.randomFront(rng), program: p, previous: last, need: 10,
+						used: 1 + rng.IntN(10), duration: 50 * time.Millisecond, ending: completed, retain: time.Minute})
+					if turn.outcome == completed {
+						last = turn
 					} else {
-						refusals++
+						rejections++
 					}
-					w.sleep(time.Duration(rng.Int64N(int64(300 * time.Millisecond))))
+					sim.sleep(time.Duration(rng.Int64N(int64(300 * time.Millisecond))))
 				}
 			})
 		}
 		agents.Wait()
-		used, held := 0, 0
-		for _, o := range w.oracle.programs[p].turns {
+		used, granted := 0, 0
+		for _, o := range sim.oracle.programs[p].turns {
 			if used += o.used; o.outcome == completed {
-				held++
+				granted++
 			}
 		}
-		w.close()
-		if len(w.violations) > 0 {
-			t.Errorf("%s\n%s", w.violations[0], w.timeline(20))
+		sim.close()
+		if len(sim.violations) > 0 {
+			t.Errorf("%s\n%s", sim.violations[0], sim.timeline(20))
 		}
-		if used > all || used < all-80*10 || held < 100 {
-			t.Errorf("%d turns used %d of %d", held, used, all)
+		if used > budget || used < budget-80*10 || granted < 100 {
+			t.Errorf("%d turns used %d of %d", granted, used, budget)
 		}
-		t.Logf("%d turns used %d of %d, %d answers of 402", held, used, all, w.oracle.budgetExceeded)
+		t.Logf("%d turns used %d of %d, %d with 402", granted, used, budget, sim.oracle.budgetExceeded)
 	})
 }
 
 func TestLongChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := healthySimulation(4, true)
-		p := w.newProgram(110_000)
+		sim := healthySimulation(4, true)
+		p := sim.newProgram(110_000)
 		var last *turnRecord
 		for i := range 560 {
-			last = w.runTurn(turnScript{front: w.fronts[i%2], program: p, previous: last, need: 196, used: 196, ending: completed, retain: time.Minute})
+			last = sim.runTurn(turnScript{front: sim.fronts[i%2], program: p, previous: last, need: 196, used: 196,
+				ending: completed, retain: time.Minute})
 			if last.outcome != completed {
-				w.violation("turn %d is not whole: %+v", i, last.outcome)
+				sim.violation("turn %d is not completed: %+v", i, last.outcome)
 				break
 			}
-			if i == 200 || i == 400 { // a store is lost and comes back while it goes on
-				m := w.stores[i/200]
+			if i == 200 || i == 400 { // a store is lost and returns with an empty disk
+				m := sim.stores[i/200]
 				m.kill(true)
 				m.wipe()
 				m.start()
 			}
 			if i > 200 && i%40 == 0 {
-				w.sleep(time.Second)
+				sim.sleep(time.Second)
 			}
 		}
-		w.stores[3].kill(true)
-		w.stores[3].wipe()
-		fresh := w.addFront("fresh", "z1")
-		w.sleep(time.Second)
-		if one := w.runTurn(turnScript{front: fresh, program: w.newProgram(100), previous: last, need: 1, used: 1, ending: completed, retain: time.Minute}); one.outcome != completed {
-			w.violation("the chain is not read whole")
+		sim.stores[3].kill(true)
+		sim.stores[3].wipe()
+		fresh := sim.addFront("fresh", "z1")
+		sim.sleep(time.Second)
+		turn := sim.runTurn(turnScript{front: fresh, program: sim.newProgram(100), previous: last, need: 1, used: 1,
+			ending: completed, retain: time.Minute})
+		if turn.outcome != completed {
+			sim.violation("the chain is not read completely")
 		}
-		w.close()
-		if len(w.violations) > 0 {
-			t.Errorf("%s\n%s", w.violations[0], w.timeline(20))
+		sim.close()
+		if len(sim.violations) > 0 {
+			t.Errorf("%s\n%s", sim.violations[0], sim.timeline(20))
 		}
 	})
 }
 
-// A change does not wait long for a store that no other store reaches; that one sweeps once it can, though the placement
-// is stable.
+// A change does not wait long for a store that no other store reaches; that one sweeps once it can, while the placement is
+// stable.
 func TestStoreMissedByChangeSweepsWhileStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := healthySimulation(4, true)
-		apart := w.stores[1]
-		others := []*machine{w.stores[0], w.stores[2], w.stores[3], w.addStore("s4", "z4")}
+		sim := healthySimulation(4, true)
+		split := sim.stores[1]
+		others := []*machine{sim.stores[0], sim.stores[2], sim.stores[3], sim.addStore("s4", "z4")}
 		for _, o := range others {
-			w.partition(o.name, apart.name)
-			w.partition(apart.name, o.name)
-		}
-		w.sleep(6 * time.Second)
-		w.controller.mu.Lock()
-		p := w.controller.placement
-		w.controller.mu.Unlock()
-		store := apart.incarnation.Load().store
+			sim.partition(o.name, split.name)
+			sim.partition(split.name, o.name)
+		}
+		sim.sleep(6 * time.Second)
+		sim.controller.mu.Lock()
+		p := sim.controller.placement
+		sim.controller.mu.Unlock()
+		store := split.incarnation.Load().store
 		if len(p.New) > 0 || len(p.Old) != 5 || store.SweptGeneration() >= p.Generation {
-			t.Errorf("with a store that has not swept: %s, and it has swept gen %d", show(p), store.SweptGeneration())
+			t.Errorf("with a store that has not swept: %s, and it has swept generation %d", show(p), store.SweptGeneration())
 		}
 		for _, o := range others {
-			w.heal(o.name, apart.name)
-			w.heal(apart.name, o.name)
+			sim.heal(o.name, split.name)
+			sim.heal(split.name, o.name)
 		}
-		w.sleep(2 * time.Second)
+		sim.sleep(2 * time.Second)
 		if store.SweptGeneration() != p.Generation {
-			t.Errorf("it has swept gen %d, 2 s after it is back: %s", store.SweptGeneration(), show(p))
+			t.Errorf("it has swept generation %d, 2 s after the partition: %s", store.SweptGeneration(), show(p))
 		}
-		w.close()
+		sim.close()
 	})
 }
 
-// A store that was cut off until it dropped a program's turns takes them back from stores that keep them still, as the
-// program went on there; what no one keeps any more stays away (the timelines of expiry).
+// A store that was partitioned until a program's turns expired there fetches them again from stores that retain them, as the
+// program continued there; turns that no store retains are not fetched (see the timelines of expiry).
 func TestExpiredTurnsAreRefetchedWhereProgramContinued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := healthySimulation(3, true)
-		p := w.newProgram(1000)
+		sim := healthySimulation(3, true)
+		p := sim.newProgram(1000)
 		var last *turnRecord
 		var all []*turnRecord
 		turn := func() {
-			last = w.runTurn(turnScript{front: w.fronts[0], program: p, previous: last, need: 5, used: 5, ending: completed, retain: 20 * time.Second})
+			last = sim.runTurn(turnScript{front: sim.fronts[0], program: p, previous: last, need: 5, used: 5,
+				ending: completed, retain: 20 * time.Second})
 			all = append(all, last)
 		}
 		turn()
-		away := w.stores[0]
-		for _, n := range append(w.nodes(), &node{name: "core"}) {
-			w.partition(n.name, away.name)
-			w.partition(away.name, n.name)
+		isolated := sim.stores[0]
+		for _, n := range append(sim.nodes(), &node{name: "core"}) {
+			sim.partition(n.name, isolated.name)
+			sim.partition(isolated.name, n.name)
 		}
 		for range 4 {
-			w.sleep(12 * time.Second)
+			sim.sleep(12 * time.Second)
 			turn()
 		}
-		w.sleep(messageLifetime + time.Second) // what was under way to it is lost
-		if l := away.incarnation.Load(); l.store.Has(all[0].id) {
-			t.Error("the first turn is not dropped at the store that was cut off")
+		sim.sleep(messageLifetime + time.Second) // messages in flight to it are lost
+		if isolated.incarnation.Load().store.Has(all[0].id) {
+			t.Error("the first turn has not expired at the partitioned store")
 		}
-		for _, n := range append(w.nodes(), &node{name: "core"}) {
-			w.heal(n.name, away.name)
-			w.heal(away.name, n.name)
+		for _, n := range append(sim.nodes(), &node{name: "core"}) {
+			sim.heal(n.name, isolated.name)
+			sim.heal(isolated.name, n.name)
 		}
-		w.sleep(time.Second)
-		if err := away.incarnation.Load().store.Compare(t.Context()); err != nil {
+		sim.sleep(time.Second)
+		if err := isolated.incarnation.Load().store.Compare(t.Context()); err != nil {
 			t.Error(err)
 		}
-		for _, one := range all {
-			if one.outcome != completed || !away.incarnation.Load().store.Has(one.id) {
-				t.Errorf("%s is %s, and not taken back", one.id, one)
+		for _, record := range all {
+			if record.outcome != completed || !isolated.incarnation.Load().store.Has(record.id) {
+				t.Errorf("%s is %s, and not fetched again", record.id, record)
 			}
 		}
-		w.close()
+		sim.close()
 	})
 }
--- a/internal/tier/turnstore/stored_test.go
+++ b/internal/tier/turnstore/stored_test.go
@@ -19,7 +19,7 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// storedFolder is the folder of a store as the code wrote it before it was renamed. See writeFixtures: it is never rewritten.
+// storedFolder is the folder of a store as an earlier version of the code wrote it. See writeFixtures: it is never rewritten.
 var storedFolder = filepath.Join("testdata", "store-v1")
 
 // storedID is the identity that the fixture's file got when it was made.
@@ -115,7 +115,8 @@
 // begin opens a turn with what it needs at most.
 func (f *folder) begin(program, turn, previous string, need int) *openReply {
 	f.t.Helper()
-	r := f.store.handleOpen(f.t.Context(), &openCall{To: f.head(), Program: program, Turn: turn, Previous: previous, MaxTokens: need, WantHistory: true})
+	r := f.store.handleOpen(f.t.Context(), &openCall{To: f.head(), Program: program, Turn: turn,
+		Previous: previous, MaxTokens: need, WantHistory: true})
 	f.status("open of "+turn, r.Status)
 	return r
 }
@@ -128,7 +129,7 @@
 }
 
 // writeStoreFolder makes the fixture by the calls that a store takes, so that each kind of row is in it. The row of the probe,
-// which a store leaves behind if it is killed while it looks for room, is put there with fewer bytes than a real one has.
+// which a store leaves behind if it is killed while it checks its capacity, is put there with fewer bytes than a real one has.
 func writeStoreFolder(t *testing.T, dir string) {
 	t.Helper()
 	ctx := t.Context()
@@ -136,23 +137,27 @@
 	f.gen = 4
 	f.turn(Record{Key: "program-expired", ID: "turn-old", Root: true, RetainSeconds: 1, Increment: []byte("expired")}, 55)
 	f.ahead = time.Minute
-	f.turn(Record{Key: "program-1", ID: "turn-1", Root: true, RetainSeconds: 3601, Increment: []byte("input-1 output-1\n"), CacheHost: "host-1", ContextTokens: 9}, 120)
-	f.turn(Record{Key: "program-1", ID: "turn-2", Previous: "turn-1", RetainSeconds: 3602, Increment: []byte("input-2 output-2\n")}, big+7)
-	whole := &Turn{Key: "program-2", ID: "turn-based", Previous: "turn-2", Base: []byte("input-1 output-1\ninput-2 output-2\n"),
+	f.turn(Record{Key: "program-1", ID: "turn-1", Root: true, RetainSeconds: 3601,
+		Increment: []byte("input-1 output-1\n"), CacheHost: "host-1", ContextTokens: 9}, 120)
+	f.turn(Record{Key: "program-1", ID: "turn-2", Previous: "turn-1", RetainSeconds: 3602,
+		Increment: []byte("input-2 output-2\n")}, big+7)
+	based := &Turn{Key: "program-2", ID: "turn-based", Previous: "turn-2", Base: []byte("input-1 output-1\ninput-2 output-2\n"),
 		Input: []byte("input-3 "), Output: []byte("output-3\n"), RetainSeconds: 3603}
-	f.turn(whole.record(), 44)
+	f.turn(based.record(), 44)
 	f.turn(Record{Key: "program-3", ID: "turn-empty", Root: true, RetainSeconds: 3604}, 0)
 	f.turn(Record{Key: longProgram, ID: "turn-long", Root: true, RetainSeconds: 3605, Increment: []byte("\x00\xff input-4")}, 66)
 	f.begin("program-1", "turn-open", "", 900)
 	f.begin("program-1", "turn-failed", "", 901)
-	f.status("settle", f.store.handleSettle(ctx, &settleCall{To: f.head(), Program: "program-1", Turn: "turn-failed", UsedTokens: 33}).Status)
+	f.status("settle", f.store.handleSettle(ctx, &settleCall{To: f.head(), Program: "program-1",
+		Turn: "turn-failed", UsedTokens: 33}).Status)
 	f.store.expire(ctx)
 	if err := f.store.commitSweep(ctx, 4); err != nil {
 		t.Fatal(err)
 	}
 	f.gen = 5
 	f.status("keys", f.store.handleListKeys(ctx, &listKeysCall{To: f.head(), Requester: "store-2", Sweep: true}).Status)
-	if err := f.store.disk.Commit(ctx, []sqlitelog.Write{{Table: tableFacts, Key: []byte(factProbe), Value: make([]byte, 16)}}); err != nil {
+	if err := f.store.disk.Commit(ctx, []sqlitelog.Write{{Table: tableFacts, Key: []byte(factProbe),
+		Value: make([]byte, 16)}}); err != nil {
 		t.Fatal(err)
 	}
 	f.close()
@@ -201,7 +206,8 @@
 	for _, one := range []struct {
 		table     string
 		got, want any
-	}{{"entries", got.entries, want.entries}, {"turns", got.turns, want.turns}, {"bodies", got.bodies, want.bodies}, {"facts", got.facts, want.facts}} {
+	}{{"entries", got.entries, want.entries}, {"turns", got.turns, want.turns}, {"bodies", got.bodies,
+		want.bodies}, {"facts", got.facts, want.facts}} {
 		if !reflect.DeepEqual(one.got, one.want) {
 			f.t.Errorf("%s: table %s has\n%v, want\n%v", what, one.table, one.got, one.want)
 		}
@@ -216,9 +222,11 @@
 		f.t.Errorf("%s: the store's identity is %s, want %s", what, s.ID(), storedID)
 	}
 	if s.AdoptedGeneration() != 5 || s.persistedGeneration != 5 || s.SweptGeneration() != 4 {
-		f.t.Errorf("%s: adopted %d (on disk %d), swept %d; want 5, 5, 4", what, s.AdoptedGeneration(), s.persistedGeneration, s.SweptGeneration())
+		f.t.Errorf("%s: adopted %d (on disk %d), swept %d; want 5, 5, 4", what, s.AdoptedGeneration(),
+			s.persistedGeneration, s.SweptGeneration())
 	}
-	if st := s.handleReadLedger(ctx, &readLedgerCall{To: RequestHeader{Store: storedID, Generation: 4}, Program: "program-1"}).Status; st != statusOldPlacement {
+	if st := s.handleReadLedger(ctx, &readLedgerCall{To: RequestHeader{Store: storedID, Generation: 4},
+		Program: "program-1"}).Status; st != statusOldPlacement {
 		f.t.Errorf("%s: a call under the placement before ended in status %d", what, st)
 	}
 	served := map[entryID]entryRow{}
@@ -243,7 +251,8 @@
 	}
 	for id, row := range want.turns {
 		r := s.handleBodies(ctx, &bodiesCall{To: f.head(), Turns: []string{id.turn}})
-		record := Record{Key: id.program, ID: id.turn, Previous: row.Previous, Root: row.Root, RetainSeconds: retain[id.program], Increment: []byte(want.bodies[id])}
+		record := Record{Key: id.program, ID: id.turn, Previous: row.Previous, Root: row.Root,
+			RetainSeconds: retain[id.program], Increment: []byte(want.bodies[id])}
 		if len(r.Turns) != 1 || !reflect.DeepEqual(r.Turns[0], record) {
 			f.t.Errorf("%s: turn %s is served as %+v, want %+v", what, id.turn, r.Turns, record)
 		}
@@ -272,7 +281,7 @@
 // storedSums are those of the buckets of keys, 8 bytes each.
 const storedSums = "0000000000000000840a81cb9a29c37100000000000000000000000000000000000000000000000000000000000000002758fb6fb5b4eda100000000000000000000000000000000000000000000000000000000000000000000000000000000998903cf4a907d5f000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000062fdaf29e4b4f5c3000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000036e9cbd146852ca5"
 
-// A folder that the code wrote before it was renamed is read whole, row by row, and the store goes on from it.
+// A folder that an earlier version of the code wrote is read completely, row by row, and the store continues from it.
 func TestStoredFolderOfEarlierVersionIsServed(t *testing.T) {
 	if _, err := os.Stat(storedFolder); *writeFixtures && os.IsNotExist(err) {
 		writeStoreFolder(t, storedFolder)
@@ -286,7 +295,8 @@
 		t.Errorf("identity %s, fresh %v; want %s", id, fresh, storedID)
 	}
 	f.requireRows("as it was", storedRows)
-	if got := f.store.handleListKeys(t.Context(), &listKeysCall{To: f.head(), Requester: storedID}).Keys; !reflect.DeepEqual(got, storedDigests) {
+	if got := f.store.handleListKeys(t.Context(), &listKeysCall{To: f.head(),
+		Requester: storedID}).Keys; !reflect.DeepEqual(got, storedDigests) {
 		t.Errorf("digests are\n%#v, want\n%#v", got, storedDigests)
 	}
 	sums := f.store.handleDigest(t.Context(), &digestCall{To: f.head(), Requester: storedID}).Digests
@@ -299,9 +309,11 @@
 	if !opened.Found || !bytes.Equal(opened.History, []byte("input-1 output-1\ninput-2 output-2\n")) || len(opened.Ledger) != 5 {
 		t.Errorf("a new turn is opened with %+v", opened)
 	}
-	settled := f.store.handleSettle(t.Context(), &settleCall{To: f.head(), Program: "program-1", Turn: "turn-open", UsedTokens: 88})
+	settled := f.store.handleSettle(t.Context(), &settleCall{To: f.head(), Program: "program-1", Turn: "turn-open",
+		UsedTokens: 88})
 	f.status("settle", settled.Status)
-	f.turn(Record{Key: "program-1", ID: "turn-new", Previous: "turn-2", RetainSeconds: 3606, Increment: []byte("input-5 output-5\n")}, 77)
+	f.turn(Record{Key: "program-1", ID: "turn-new", Previous: "turn-2", RetainSeconds: 3606,
+		Increment: []byte("input-5 output-5\n")}, 77)
 	f.close()
 
 	want := rows{maps.Clone(storedRows.entries), maps.Clone(storedRows.turns), maps.Clone(storedRows.bodies), storedRows.facts}
