--- a/internal/tier/turnstore/model_checks_test.go
+++ b/internal/tier/turnstore/model_checks_test.go
@@ -52,6 +52,36 @@
 
 // checkFinalState ends all faults and checks that the stores converge, survive one more loss, and expire everything.
 func (sim *simulation) checkFinalState(rng *rand.Rand) {
+	sim.endFaults()
+	if sim.over() || !sim.sleep(25*time.Second) {
+		return
+	}
+	sim.controller.mu.Lock()
+	p := sim.controller.placement
+	sim.controller.mu.Unlock()
+	if len(p.New) > 0 {
+		sim.violation("the placement is not stable 25 s after all faults: %s", show(p))
+		return
+	}
+	if !sim.noDigest {
+		sim.compareAll(p)
+	}
+	retained := sim.retainedTurns()
+	if !sim.noDigest && !sim.checkReplicas(p, retained) {
+		return
+	}
+	lost := sim.storeAt(p.Old[rng.IntN(len(p.Old))].Addr)
+	if !sim.checkTurnsWithLoss(rng, lost, retained) {
+		return
+	}
+	lost.start()
+	if sim.seed%16 == 0 { // it takes long
+		sim.checkAllExpire()
+	}
+}
+
+// endFaults thaws all nodes, heals all partitions and starts all processes.
+func (sim *simulation) endFaults() {
 	for _, n := range sim.nodes() {
 		n.thaw()
 	}
@@ -72,70 +102,69 @@
 			m.start()
 		}
 	}
-	if sim.over() || !sim.sleep(25*time.Second) {
-		return
-	}
-	sim.controller.mu.Lock()
-	p := sim.controller.placement
-	sim.controller.mu.Unlock()
-	if len(p.New) > 0 {
-		sim.violation("the placement is not stable 25 s after all faults: %s", show(p))
-		return
-	}
-	if !sim.noDigest {
-		for _, m := range sim.stores { // each with all peers, as would happen in time
-			if running := m.incarnation.Load(); running != nil && m.placement() == p {
-				if err := running.store.Compare(running.ctx); err != nil {
-					sim.violation("%s compares: %v", m.name, err)
-				}
+}
+
+// compareAll has each store compare with all peers, as would happen in time.
+func (sim *simulation) compareAll(p *turnstore.Placement) {
+	for _, m := range sim.stores {
+		if running := m.incarnation.Load(); running != nil && m.placement() == p {
+			if err := running.store.Compare(running.ctx); err != nil {
+				sim.violation("%s compares: %v", m.name, err)
 			}
 		}
 	}
+}
+
+// retainedTurns returns the completed turns that are retained for 2 s at least, by their end.
+func (sim *simulation) retainedTurns() (retained []*turnRecord) {
 	sim.oracle.mu.Lock()
-	var retained []*turnRecord
-	programs := map[string]bool{}
 	for _, b := range sim.oracle.programs {
 		for _, t := range b.turns {
 			if t.outcome == completed && sim.now() < t.ended+t.retain-2*time.Second {
 				retained = append(retained, t)
-				programs[t.program] = true
 			}
 		}
 	}
 	sim.oracle.mu.Unlock()
 	slices.SortFunc(retained, func(a, b *turnRecord) int { return int(a.ended - b.ended) })
-	for _, t := range retained {
+	return retained
+}
+
+// checkReplicas checks that all replicas have the given turns, and equal ledgers of their programs.
+func (sim *simulation) checkReplicas(p *turnstore.Placement, turns []*turnRecord) bool {
+	programs := map[string]bool{}
+	for _, t := range turns {
+		programs[t.program] = true
 		for _, s := range p.ReplicaSets(t.program)[0] {
-			if running := sim.storeAt(s.Addr).incarnation.Load(); running != nil && running.store.Has(t.id) {
-				continue
-			}
-			if !sim.noDigest {
+			if running := sim.storeAt(s.Addr).incarnation.Load(); running == nil || !running.store.Has(t.id) {
 				sim.violation("REPLICAS: %s of %s lacks %s, retained until %v", s.ID, t.program, t.id, t.ended+t.retain)
-				return
+				return false
 			}
 		}
 	}
-	if !sim.noDigest {
-		for program := range programs {
-			var first uint64
-			for i, s := range p.ReplicaSets(program)[0] {
-				running := sim.storeAt(s.Addr).incarnation.Load().store.Ledger(program)
-				if i == 0 {
-					first = running.Digest()
-				} else if running.Digest() != first {
-					sim.violation("REPLICAS: ledgers of %s differ", program)
-					return
-				}
+	for program := range programs {
+		var first uint64
+		for i, s := range p.ReplicaSets(program)[0] {
+			ledger := sim.storeAt(s.Addr).incarnation.Load().store.Ledger(program)
+			if i == 0 {
+				first = ledger.Digest()
+			} else if ledger.Digest() != first {
+				sim.violation("REPLICAS: ledgers of %s differ", program)
+				return false
 			}
 		}
 	}
-	// One store's disk is lost, and retained turns are continued from another program at a new front.
-	lost := sim.storeAt(p.Old[rng.IntN(len(p.Old))].Addr)
+	return true
+}
+
+// checkTurnsWithLoss wipes one store's disk and checks that retained turns can be continued from, by another program at a new
+// front.
+func (sim *simulation) checkTurnsWithLoss(rng *rand.Rand, lost *machine, retained []*turnRecord) bool {
 	lost.kill(true)
 	lost.wipe()
 	f := sim.addFront("fresh", "z0")
 	if !sim.sleep(500 * time.Millisecond) {
-		return
+		return false
 	}
 	reader := sim.newProgram(1 << 40)
 	rng.Shuffle(len(retained), func(i, j int) { retained[i], retained[j] = retained[j], retained[i] })
@@ -145,22 +174,20 @@
 		}
 		outcome := rejected
 		for attempt := 0; outcome == rejected && attempt < 3; attempt++ {
-			outcome = sim.runTurn(turnScript{front: f, program: reader, previous: t, need: 1, ending: aborted}).outcome
+			script := turnScript{front: f, program: reader, previous: t, need: 1, ending: aborted}
+			outcome = sim.runTurn(script).outcome
 			sim.sleep(time.Duration(1+attempt) * 300 * time.Millisecond)
 		}
 		if outcome == rejected && !sim.over() {
 			sim.violation("LOST: %s cannot be continued from with %s lost", t.id, lost.name)
-			return
+			return false
 		}
 	}
-	if sim.over() {
-		return
-	}
-	lost.start()
-	// Without requests all turns expire.
-	if sim.seed%16 != 0 {
-		return
-	}
+	return !sim.over()
+}
+
+// checkAllExpire checks that without requests all turns expire, in memory and on disk.
+func (sim *simulation) checkAllExpire() {
 	if !sim.sleep(6*time.Minute + turnstore.OpenTurnRetention + 3*turnstore.RetainMargin) {
 		return
 	}
--- a/internal/tier/turnstore/model_faults_test.go
+++ b/internal/tier/turnstore/model_faults_test.go
@@ -35,112 +35,127 @@
 		duration = span(20*time.Second, 50*time.Second)
 	}
 	sim.faultUntil(sim.now() + duration + catchUp)
-	lost := false
+	wiped, goesOn := false, false
 	switch rng.IntN(9) {
-	case 7: // power loss at all stores
-		sim.mu.Lock()
-		var all []*machine
-		for _, m := range sim.stores {
-			if m.incarnation.Load() != nil {
-				all = append(all, m)
-			}
-		}
-		sim.mu.Unlock()
-		for _, m := range all {
-			m.kill(true)
-		}
-		if !sim.sleep(duration / 4) {
-			return
-		}
-		for _, m := range all {
-			m.start()
-		}
-	case 8: // a replica misses writes for a while, then another is lost
-		sim.mu.Lock()
-		other := sim.stores[rng.IntN(len(sim.stores))]
-		sim.mu.Unlock()
-		if other == m {
-			return
-		}
-		sim.note(other.name, "unreachable for fronts")
-		for _, f := range sim.fronts {
-			sim.partition(f.name, other.name)
-		}
-		if !sim.sleep(span(200*time.Millisecond, 2*time.Second)) {
-			return
-		}
-		m.kill(true)
-		m.wipe()
-		for _, f := range sim.fronts {
-			sim.heal(f.name, other.name)
-		}
-		if !sim.sleep(duration / 20) {
-			return
-		}
-		m.start()
-		lost = true
 	case 0:
-		m.kill(false)
-		if !sim.sleep(duration) {
-			return
-		}
-		m.start()
+		goesOn = sim.restartAfterKill(m, false, duration)
 	case 1:
-		m.kill(true)
-		if !sim.sleep(duration) {
-			return
-		}
-		m.start()
+		goesOn = sim.restartAfterKill(m, true, duration)
 	case 2, 3:
 		m.kill(true)
 		m.wipe()
-		if !sim.sleep(duration / 4) {
-			return
+		goesOn, wiped = sim.sleep(duration/4), true
+		if goesOn {
+			m.start()
 		}
-		m.start()
-		lost = true
 	case 4:
 		m.freeze()
-		if !sim.sleep(duration) {
-			return
+		if goesOn = sim.sleep(duration); goesOn {
+			m.thaw()
 		}
-		m.thaw()
 	case 5:
-		oneWay := rng.IntN(2) == 0
-		sim.note(m.name, "partitioned, one way %v", oneWay)
-		for _, n := range append(sim.nodes(), &node{name: "core"}) {
-			if n != &m.node {
-				sim.partition(n.name, m.name)
-				if !oneWay {
-					sim.partition(m.name, n.name)
-				}
-			}
-		}
-		if !sim.sleep(duration) {
-			return
-		}
-		for _, n := range append(sim.nodes(), &node{name: "core"}) {
-			sim.heal(n.name, m.name)
-			sim.heal(m.name, n.name)
-		}
-		sim.note(m.name, "partition healed")
+		goesOn = sim.isolate(m, rng.IntN(2) == 0, duration)
 	case 6:
 		sim.note(m.name, "slow disk")
 		m.setSyncTime(200 * time.Millisecond)
-		if !sim.sleep(duration) {
-			return
+		if goesOn = sim.sleep(duration); goesOn {
+			m.setSyncTime(0)
+			sim.note(m.name, "disk recovered")
 		}
-		m.setSyncTime(0)
-		sim.note(m.name, "disk recovered")
+	case 7:
+		goesOn = sim.powerLoss(duration / 4)
+	case 8:
+		goesOn, wiped = sim.lossAfterMissedWrites(rng, m, span, duration/20), true
 	}
-	if !sim.sleep(catchUp) {
+	if !goesOn || !sim.sleep(catchUp) {
 		return
 	}
-	if lost {
+	if wiped {
 		sim.checkCaughtUp(m)
 	}
 }
 
+func (sim *simulation) restartAfterKill(m *machine, power bool, duration time.Duration) bool {
+	m.kill(power)
+	if !sim.sleep(duration) {
+		return false
+	}
+	m.start()
+	return true
+}
+
+// powerLoss cuts the power of all stores for a time.
+func (sim *simulation) powerLoss(duration time.Duration) bool {
+	sim.mu.Lock()
+	var all []*machine
+	for _, m := range sim.stores {
+		if m.incarnation.Load() != nil {
+			all = append(all, m)
+		}
+	}
+	sim.mu.Unlock()
+	for _, m := range all {
+		m.kill(true)
+	}
+	if !sim.sleep(duration) {
+		return false
+	}
+	for _, m := range all {
+		m.start()
+	}
+	return true
+}
+
+// lossAfterMissedWrites has another replica miss the writes of fronts for a while, then wipes a store.
+func (sim *simulation) lossAfterMissedWrites(rng *rand.Rand, m *machine, span func(lo, hi time.Duration) time.Duration,
+	duration time.Duration) bool {
+	sim.mu.Lock()
+	other := sim.stores[rng.IntN(len(sim.stores))]
+	sim.mu.Unlock()
+	if other == m {
+		return false
+	}
+	sim.note(other.name, "unreachable for fronts")
+	for _, f := range sim.fronts {
+		sim.partition(f.name, other.name)
+	}
+	if !sim.sleep(span(200*time.Millisecond, 2*time.Second)) {
+		return false
+	}
+	m.kill(true)
+	m.wipe()
+	for _, f := range sim.fronts {
+		sim.heal(f.name, other.name)
+	}
+	if !sim.sleep(duration) {
+		return false
+	}
+	m.start()
+	return true
+}
+
+// isolate partitions a store from all other nodes for a time; one way: only messages to it are lost.
+func (sim *simulation) isolate(m *machine, oneWay bool, duration time.Duration) bool {
+	sim.note(m.name, "partitioned, one way %v", oneWay)
+	for _, n := range append(sim.nodes(), &node{name: "core"}) {
+		if n != &m.node {
+			sim.partition(n.name, m.name)
+			if !oneWay {
+				sim.partition(m.name, n.name)
+			}
+		}
+	}
+	if !sim.sleep(duration) {
+		return false
+	}
+	for _, n := range append(sim.nodes(), &node{name: "core"}) {
+		sim.heal(n.name, m.name)
+		sim.heal(m.name, n.name)
+	}
+	sim.note(m.name, "partition healed")
+	return true
+}
+
 // checkCaughtUp checks that a store whose disk was lost has completed its sweep once the time to catch up is over.
 func (sim *simulation) checkCaughtUp(m *machine) {
 	sim.controller.mu.Lock()
--- a/internal/tier/turnstore/model_front_test.go
+++ b/internal/tier/turnstore/model_front_test.go
@@ -75,136 +75,173 @@
 	started  func(t *turnRecord) // called before Open, unless nil
 }
 
+// turnRun is the run of a turn.
+type turnRun struct {
+	turnScript
+	sim      *simulation
+	running  *frontIncarnation
+	record   *turnRecord
+	request  turnstore.OpenRequest
+	retained bool // the previous turn must exist
+}
+
 // runTurn runs a turn, checks the errors and the history that it gets, and returns its record.
 func (sim *simulation) runTurn(script turnScript) *turnRecord {
-	running := script.front.incarnation.Load()
-	sim.oracle.mu.Lock()
-	sim.oracle.ids++
-	t := &turnRecord{id: fmt.Sprintf("t%d", sim.oracle.ids), program: script.program, need: script.need,
-		began: sim.now(), retain: script.retain}
-	b := sim.oracle.programs[script.program]
-	b.turns = append(b.turns, t)
-	sim.oracle.turns[t.id] = t
-	sim.oracle.used[script.program] = sim.now()
-	if script.previous != nil {
-		sim.oracle.used[script.previous.program] = sim.now()
-	}
-	request := turnstore.OpenRequest{Program: script.program, Turn: t.id, MaxTokens: script.need, Budget: b.limit}
-	var retained bool // the previous turn must exist
-	if script.previous != nil {
-		t.previous, request.Previous = script.previous.id, script.previous.id
-		retained = script.previous.outcome == completed && sim.now() < script.previous.ended+script.previous.retain
-	}
-	sim.oracle.mu.Unlock()
-	if script.started != nil {
-		script.started(t)
-	}
-	finish := func(outcome outcome, used int) {
-		sim.oracle.mu.Lock()
-		defer sim.oracle.mu.Unlock()
-		t.outcome, t.used, t.ended = outcome, used, sim.now()
-		sim.oracle.used[script.program] = sim.now()
-		if outcome == completed {
-			sim.oracle.completed++
-		}
+	run := &turnRun{turnScript: script, sim: sim, running: script.front.incarnation.Load()}
+	run.begin()
+	if run.started != nil {
+		run.started(run.record)
 	}
-	if running == nil {
-		finish(rejected, 0)
-		return t
+	if run.running == nil {
+		run.finish(rejected, 0)
+		return run.record
 	}
-	ctx, stop := context.WithTimeout(running.ctx, 5*time.Second)
-	opened, err := running.client.Open(ctx, request)
+	ctx, stop := context.WithTimeout(run.running.ctx, 5*time.Second)
+	opened, err := run.running.client.Open(ctx, run.request)
 	stop()
-	script.front.awaitThaw()
-	if running.ctx.Err() != nil { // the front was killed: its client gets no response
-		finish(aborted, 0)
-		return t
+	run.front.awaitThaw()
+	switch {
+	case run.running.ctx.Err() != nil: // the front was killed: its client gets no response
+		run.finish(aborted, 0)
+	case err != nil:
+		run.reject(err)
+	case run.checkHistory(opened):
+		sim.reserve(run.program, run.record.id, run.need)
+		if sim.fault == settleBeforeEnd {
+			run.running.client.Settle(run.program, run.record.id, run.used/2)
+		}
+		if run.stream() {
+			run.end(opened)
+		}
+	}
+	return run.record
+}
+
+// begin creates the record of the turn.
+func (run *turnRun) begin() {
+	oracle := &run.sim.oracle
+	oracle.mu.Lock()
+	defer oracle.mu.Unlock()
+	oracle.ids++
+	run.record = &turnRecord{id: fmt.Sprintf("t%d", oracle.ids), program: run.program, need: run.need,
+		began: run.sim.now(), retain: run.retain}
+	b := oracle.programs[run.program]
+	b.turns = append(b.turns, run.record)
+	oracle.turns[run.record.id] = run.record
+	oracle.used[run.program] = run.sim.now()
+	run.request = turnstore.OpenRequest{Program: run.program, Turn: run.record.id, MaxTokens: run.need, Budget: b.limit}
+	if previous := run.previous; previous != nil {
+		oracle.used[previous.program] = run.sim.now()
+		run.record.previous, run.request.Previous = previous.id, previous.id
+		run.retained = previous.outcome == completed && run.sim.now() < previous.ended+previous.retain
+	}
+}
+
+// finish records the outcome.
+func (run *turnRun) finish(outcome outcome, used int) {
+	oracle := &run.sim.oracle
+	oracle.mu.Lock()
+	defer oracle.mu.Unlock()
+	run.record.outcome, run.record.used, run.record.ended = outcome, used, run.sim.now()
+	oracle.used[run.program] = run.sim.now()
+	if outcome == completed {
+		oracle.completed++
 	}
+}
+
+// reject checks and records an error of Open.
+func (run *turnRun) reject(err error) {
+	oracle := &run.sim.oracle
 	switch {
 	case errors.Is(err, turnstore.ErrBudget):
-		sim.checkBudgetRejection(t)
-		sim.oracle.mu.Lock()
-		sim.oracle.budgetExceeded++
-		t.budgetExceeded = true
-		sim.oracle.mu.Unlock()
-		finish(rejected, 0)
-		return t
+		run.sim.checkBudgetRejection(run.record)
+		oracle.mu.Lock()
+		oracle.budgetExceeded++
+		run.record.budgetExceeded = true
+		oracle.mu.Unlock()
 	case errors.Is(err, turnstore.ErrNoTurn):
-		if retained {
-			sim.violation("LOST: 404 at %s for %s, which completed at %v and is retained for %v",
-				script.front.name, request.Previous, script.previous.ended, script.previous.retain)
+		if run.retained {
+			run.sim.violation("LOST: 404 at %s for %s, which completed at %v and is retained for %v",
+				run.front.name, run.request.Previous, run.previous.ended, run.previous.retain)
 		}
-		sim.oracle.mu.Lock()
-		sim.oracle.notFound++
-		t.notFound = true
-		sim.oracle.mu.Unlock()
-		finish(rejected, 0)
-		return t
-	case err != nil:
-		sim.oracle.mu.Lock()
-		sim.oracle.unavailable++
-		sim.oracle.mu.Unlock()
-		finish(rejected, 0)
-		return t
-	}
-	if script.previous != nil && !bytes.Equal(opened.History, script.previous.bytes) {
-		sim.violation("HISTORY: %s of %s at %s continues from %s with %d bytes %.60q.., want %d: %.60q..",
-			t.id, t.program, script.front.name, request.Previous,
-			len(opened.History), opened.History, len(script.previous.bytes), script.previous.bytes)
-		return t
-	}
-	if script.previous == nil && len(opened.History) > 0 {
-		sim.violation("HISTORY: %s has no previous turn and begins with script history", t.id)
-	}
-	sim.reserve(script.program, t.id, script.need)
-	if sim.fault == settleBeforeEnd {
-		running.client.Settle(script.program, t.id, script.used/2)
-	}
-	gate := script.gate
+		oracle.mu.Lock()
+		oracle.notFound++
+		run.record.notFound = true
+		oracle.mu.Unlock()
+	default:
+		oracle.mu.Lock()
+		oracle.unavailable++
+		oracle.mu.Unlock()
+	}
+	run.finish(rejected, 0)
+}
+
+// checkHistory checks the history of an opened turn, and reports whether the turn goes on.
+func (run *turnRun) checkHistory(opened *turnstore.OpenedTurn) bool {
+	if run.previous != nil && !bytes.Equal(opened.History, run.previous.bytes) {
+		run.sim.violation("HISTORY: %s of %s at %s continues from %s with %d bytes %.60q.., want %d: %.60q..",
+			run.record.id, run.program, run.front.name, run.request.Previous,
+			len(opened.History), opened.History, len(run.previous.bytes), run.previous.bytes)
+		return false
+	}
+	if run.previous == nil && len(opened.History) > 0 {
+		run.sim.violation("HISTORY: %s has no previous turn and begins with a history", run.record.id)
+	}
+	return true
+}
+
+// stream waits for the end of the turn, and reports whether it is to be closed.
+func (run *turnRun) stream() bool {
+	gate := run.gate
 	if gate == nil {
 		gate = make(chan struct{})
-		time.AfterFunc(script.duration, func() { close(gate) })
+		time.AfterFunc(run.duration, func() { close(gate) })
 	}
 	select {
 	case <-gate:
-	case <-running.ctx.Done():
-		finish(aborted, script.used) // in the middle of its stream
-		return t
-	}
-	script.front.awaitThaw()
-	if running.ctx.Err() != nil {
-		finish(aborted, script.used)
-		return t
-	}
-	if script.ending == aborted {
-		sim.reserve(script.program, t.id, script.used)
-		running.client.Settle(script.program, t.id, script.used)
-		finish(aborted, script.used)
-		return t
-	}
-	input, output := []byte("<"+t.id+" asks>\n"), []byte("<"+t.id+" says>\n")
-	sim.oracle.mu.Lock()
-	t.bytes = append(append(append([]byte{}, opened.History...), input...), output...)
-	sim.oracle.mu.Unlock()
-	sim.reserve(script.program, t.id, script.used)
-	record := opened.Record(input, output, script.used, script.retain)
-	if sim.fault == endBeforeSync {
-		finish(completed, script.used)
-		ctx, stop := context.WithTimeout(running.ctx, time.Millisecond)
-		_ = running.client.Close(ctx, record)
-		stop()
-		return t
-	}
-	ctx, stop = context.WithTimeout(running.ctx, 6*time.Second)
-	err = running.client.Close(ctx, record)
+	case <-run.running.ctx.Done():
+		run.finish(aborted, run.used) // in the middle of its stream
+		return false
+	}
+	run.front.awaitThaw()
+	if run.running.ctx.Err() != nil {
+		run.finish(aborted, run.used)
+		return false
+	}
+	if run.ending == aborted {
+		run.sim.reserve(run.program, run.record.id, run.used)
+		run.running.client.Settle(run.program, run.record.id, run.used)
+		run.finish(aborted, run.used)
+		return false
+	}
+	return true
+}
+
+// end closes the turn.
+func (run *turnRun) end(opened *turnstore.OpenedTurn) {
+	input, output := []byte("<"+run.record.id+" asks>\n"), []byte("<"+run.record.id+" says>\n")
+	run.sim.oracle.mu.Lock()
+	run.record.bytes = append(append(append([]byte{}, opened.History...), input...), output...)
+	run.sim.oracle.mu.Unlock()
+	run.sim.reserve(run.program, run.record.id, run.used)
+	turn := opened.Record(input, output, run.used, run.retain)
+	timeout := 6 * time.Second
+	if run.sim.fault == endBeforeSync {
+		run.finish(completed, run.used)
+		timeout = time.Millisecond
+	}
+	ctx, stop := context.WithTimeout(run.running.ctx, timeout)
+	err := run.running.client.Close(ctx, turn)
 	stop()
-	script.front.awaitThaw()
-	if err != nil || running.ctx.Err() != nil {
-		finish(aborted, script.used)
-		return t
+	if run.sim.fault == endBeforeSync {
+		return
+	}
+	run.front.awaitThaw()
+	if err != nil || run.running.ctx.Err() != nil {
+		run.finish(aborted, run.used)
+		return
 	}
-	finish(completed, script.used)
-	return t
+	run.finish(completed, run.used)
 }
 
 func (sim *simulation) randomFront(rng *rand.Rand) *front {
