--- a/internal/sqlitelog/disk_fault_test.go
+++ b/internal/sqlitelog/disk_fault_test.go
@@ -64,7 +64,7 @@
 func TestNoAcknowledgementWhileDiskIsStalled(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, 0)
-	must(t, d.Commit(context.Background(), put("a", "0", "v")))
+	requireNoError(t, d.Commit(context.Background(), put("a", "0", "v")))
 	begun, resume := stall(t, d)
 	first := d.Submit(put("a", "1", "v"))
 	waitFor(t, "the commit begins", begun)
@@ -73,11 +73,11 @@
 	requirePending(t, second)
 	killed := copyFiles(t, dir, -1)
 	resume()
-	must(t, first.Wait(context.Background()))
-	must(t, second.Wait(context.Background()))
+	requireNoError(t, first.Wait(context.Background()))
+	requireNoError(t, second.Wait(context.Background()))
 
 	again, err := Open(killed, "data.db", 0, "a", "b")
-	must(t, err)
+	requireNoError(t, err)
 	defer again.Close()
 	for key, there := range map[string]bool{"0": true, "1": false, "2": false} {
 		if v, err := again.Get("a", []byte(key)); err != nil || (v != nil) != there {
@@ -121,7 +121,7 @@
 	if committed != maxGroupRequests+1 || busy != more {
 		t.Errorf("%d committed, %d rejected as the queue was full", committed, busy)
 	}
-	must(t, d.Commit(context.Background(), put("a", "after", "v")))
+	requireNoError(t, d.Commit(context.Background(), put("a", "after", "v")))
 }
 
 // A file that has reached its limit rejects writes with ErrFull and serves reads; with free space it takes writes again
@@ -129,11 +129,11 @@
 func TestFullFileRecoversWithoutReopening(t *testing.T) {
 	ctx := context.Background()
 	d := open(t, t.TempDir(), 0)
-	must(t, d.Commit(ctx, put("a", "1", "one")))
+	requireNoError(t, d.Commit(ctx, put("a", "1", "one")))
 	pages := func(n int64) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		must(t, d.exec(fmt.Sprintf("PRAGMA max_page_count=%d", n)))
+		requireNoError(t, d.exec(fmt.Sprintf("PRAGMA max_page_count=%d", n)))
 	}
 	pages(1) // as many as the file has
 	large := string(make([]byte, 100*pageSize))
@@ -147,19 +147,19 @@
 		t.Errorf("part of a rejected write is there: %d bytes, %v", len(v), err)
 	}
 	pages(unlimitedPages)
-	must(t, d.Commit(ctx, put("a", "2", large)))
-	must(t, d.Err())
+	requireNoError(t, d.Commit(ctx, put("a", "2", large)))
+	requireNoError(t, d.Err())
 }
 
 // A file that has its tables is opened without a write, so that a process that was killed on a full disk can start.
 func TestReopeningWritesNothing(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, 0)
-	must(t, d.Commit(context.Background(), put("a", "1", "v")))
+	requireNoError(t, d.Commit(context.Background(), put("a", "1", "v")))
 	d.mu.Lock()
 	killed := copyFiles(t, dir, -1)
 	d.mu.Unlock()
-	must(t, d.Close())
+	requireNoError(t, d.Close())
 	for name, dir := range map[string]string{"closed": dir, "killed": killed} {
 		sizes := func() (all [2]int64) {
 			for i, name := range []string{"data.db", "data.db-wal"} {
@@ -185,7 +185,7 @@
 	d := open(t, t.TempDir(), 40<<20)
 	d.freeBytes = func() int64 { return 1 << 40 }
 	left, most, err := d.Capacity()
-	must(t, err)
+	requireNoError(t, err)
 	if most != 40<<20-walReserve || left > most || left < most-100*pageSize {
 		t.Errorf("%d of %d left of an empty file", left, most)
 	}
--- a/internal/sqlitelog/sqlitelog_test.go
+++ b/internal/sqlitelog/sqlitelog_test.go
@@ -33,7 +33,7 @@
 	return []Write{{Table: table, Key: []byte(key), Value: []byte(value)}}
 }
 
-func must(t *testing.T, err error) {
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -48,10 +48,10 @@
 	if !fresh || len(id) != 32 {
 		t.Fatalf("identity %q fresh %v", id, fresh)
 	}
-	must(t, d.Commit(ctx, append(put("a", "1", "one"), put("b", "1", "other")...)))
-	must(t, d.Commit(ctx, append(put("a", "2", "two"), put("a", "3", "")...)))
-	must(t, d.Commit(ctx, append(put("a", "1", "ONE"), Write{Table: "a", Key: []byte("2")})))
-	must(t, d.Close())
+	requireNoError(t, d.Commit(ctx, append(put("a", "1", "one"), put("b", "1", "other")...)))
+	requireNoError(t, d.Commit(ctx, append(put("a", "2", "two"), put("a", "3", "")...)))
+	requireNoError(t, d.Commit(ctx, append(put("a", "1", "ONE"), Write{Table: "a", Key: []byte("2")})))
+	requireNoError(t, d.Close())
 	if err := d.Commit(ctx, put("a", "1", "after close")); !errors.Is(err, ErrClosed) {
 		t.Fatalf("commit after close: %v", err)
 	}
@@ -85,12 +85,12 @@
 	}
 	for q, want := range map[string]string{"PRAGMA journal_mode": "wal", "PRAGMA locking_mode": "exclusive"} {
 		rows, err := d.conn.Query(q, nil)
-		must(t, err)
+		requireNoError(t, err)
 		one := make([]driver.Value, 1)
 		if err := rows.Next(one); err != nil || fmt.Sprint(one[0]) != want {
 			t.Errorf("%s: %v %v", q, one, err)
 		}
-		must(t, rows.Close())
+		requireNoError(t, rows.Close())
 	}
 }
 
@@ -100,13 +100,13 @@
 	for i := range 1000 {
 		w = append(w, put("a", fmt.Sprintf("%04d", i), fmt.Sprint(i))...)
 	}
-	must(t, d.Commit(context.Background(), w))
+	requireNoError(t, d.Commit(context.Background(), w))
 	for _, c := range []struct {
 		from, to    []byte
 		first, many int
 	}{{nil, nil, 0, 1000}, {[]byte("0990"), nil, 990, 10}, {[]byte("0100"), []byte("0700"), 100, 600}, {[]byte("2"), nil, 0, 0}} {
 		next, n := c.first, 0
-		must(t, d.Range("a", c.from, c.to, func(k, v []byte) error {
+		requireNoError(t, d.Range("a", c.from, c.to, func(k, v []byte) error {
 			if string(k) != fmt.Sprintf("%04d", next) || string(v) != fmt.Sprint(next) {
 				t.Fatalf("row %q %q, want %d", k, v, next)
 			}
@@ -122,11 +122,11 @@
 
 func TestGetMany(t *testing.T) {
 	d := open(t, t.TempDir(), 0)
-	must(t, d.Commit(context.Background(), append(put("a", "1", "one"), append(put("a", "2", ""), put("a", "4", "four")...)...)))
+	requireNoError(t, d.Commit(context.Background(), append(put("a", "1", "one"), append(put("a", "2", ""), put("a", "4", "four")...)...)))
 	keys := [][]byte{[]byte("1"), []byte("2"), []byte("3"), []byte("4")}
 	for most, want := range map[int]string{100: `["one" "" <nil> "four"]`, 2: `["one"]`, 3: `["one" "" <nil> "four"]`} {
 		values, err := d.GetMany("a", keys, most)
-		must(t, err)
+		requireNoError(t, err)
 		var got []string
 		for _, v := range values {
 			if v == nil {
@@ -151,13 +151,13 @@
 	}
 	d.mu.Unlock()
 	for _, p := range pending {
-		must(t, p.Wait(context.Background()))
+		requireNoError(t, p.Wait(context.Background()))
 	}
 	if n := d.Commits() - before; n > 2 {
 		t.Fatalf("%d syncs for 400 writes", n)
 	}
 	n := 0
-	must(t, d.Range("a", nil, nil, func(_, _ []byte) error { n++; return nil }))
+	requireNoError(t, d.Range("a", nil, nil, func(_, _ []byte) error { n++; return nil }))
 	if n != 400 {
 		t.Fatalf("%d rows of 400", n)
 	}
@@ -170,15 +170,15 @@
 	bad := d.Submit(append(put("a", "2", "v"), put("unknown", "2", "v")...))
 	also := d.Submit(put("a", "3", "v"))
 	d.mu.Unlock()
-	must(t, good.Wait(context.Background()))
-	must(t, also.Wait(context.Background()))
+	requireNoError(t, good.Wait(context.Background()))
+	requireNoError(t, also.Wait(context.Background()))
 	if err := bad.Wait(context.Background()); !errors.Is(err, ErrWrite) {
 		t.Fatalf("invalid write: %v", err)
 	}
 	if v, err := d.Get("a", []byte("2")); v != nil || err != nil {
 		t.Fatalf("part of an invalid write is there: %q %v", v, err)
 	}
-	must(t, d.Err())
+	requireNoError(t, d.Err())
 }
 
 func TestFullFileRejectsWritesAndReturnsSpace(t *testing.T) {
@@ -189,7 +189,7 @@
 		var sum int64
 		for _, f := range []string{"data.db", "data.db-wal"} {
 			st, err := os.Stat(filepath.Join(dir, f))
-			must(t, err)
+			requireNoError(t, err)
 			sum += st.Size()
 		}
 		return sum
@@ -209,7 +209,7 @@
 		t.Fatalf("%d bytes of a limit of %d", n, 12<<20)
 	}
 	n := 0
-	must(t, d.Range("a", nil, nil, func(_, v []byte) error { n++; return nil }))
+	requireNoError(t, d.Range("a", nil, nil, func(_, v []byte) error { n++; return nil }))
 	if n != kept {
 		t.Fatalf("%d rows of %d", n, kept)
 	}
@@ -217,18 +217,18 @@
 	for i := range kept {
 		w = append(w, Write{Table: "a", Key: fmt.Append(nil, 1000+i)})
 	}
-	must(t, d.Commit(ctx, w)) // deleting needs no room
+	requireNoError(t, d.Commit(ctx, w)) // deleting needs no room
 	for range 12 {            // free pages are returned as rows are added and deleted
 		var in, out []Write
 		for i := range vacuumPages {
 			in, out = append(in, put("b", fmt.Sprint(i), "v")...), append(out, Write{Table: "b", Key: fmt.Append(nil, i)})
 		}
-		must(t, d.Commit(ctx, in))
-		must(t, d.Commit(ctx, out))
+		requireNoError(t, d.Commit(ctx, in))
+		requireNoError(t, d.Commit(ctx, out))
 	}
-	must(t, d.Close())
+	requireNoError(t, d.Close())
 	st, err := os.Stat(filepath.Join(dir, "data.db"))
-	must(t, err)
+	requireNoError(t, err)
 	if st.Size() > 1<<20 {
 		t.Fatalf("%d bytes are left of an empty file", st.Size())
 	}
@@ -237,8 +237,8 @@
 func TestNewerSchemaIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	d := open(t, dir, 0)
-	must(t, d.exec(fmt.Sprintf("PRAGMA user_version=%d", schemaVersion+1)))
-	must(t, d.Close())
+	requireNoError(t, d.exec(fmt.Sprintf("PRAGMA user_version=%d", schemaVersion+1)))
+	requireNoError(t, d.Close())
 	if _, err := Open(dir, "data.db", 0, "a"); !errors.Is(err, ErrNewer) {
 		t.Fatalf("open: %v", err)
 	}
@@ -246,7 +246,7 @@
 
 func TestFileIsBrokenAfterFailedSync(t *testing.T) {
 	d := open(t, t.TempDir(), 0)
-	must(t, d.Commit(context.Background(), put("a", "1", "v")))
+	requireNoError(t, d.Commit(context.Background(), put("a", "1", "v")))
 	d.mu.Lock()
 	broken := errors.New("sync failed")
 	_ = d.handleError(broken)
@@ -262,11 +262,11 @@
 	to := t.TempDir()
 	for _, f := range []string{"data.db", "data.db-wal"} {
 		b, err := os.ReadFile(filepath.Join(from, f))
-		must(t, err)
+		requireNoError(t, err)
 		if f == "data.db-wal" && wal >= 0 && wal < int64(len(b)) {
 			b = b[:wal]
 		}
-		must(t, os.WriteFile(filepath.Join(to, f), b, 0o644))
+		requireNoError(t, os.WriteFile(filepath.Join(to, f), b, 0o644))
 	}
 	return to
 }
@@ -274,7 +274,7 @@
 func requireRows(t *testing.T, dir string, rows int) {
 	t.Helper()
 	d, err := Open(dir, "data.db", 0, "a", "b")
-	must(t, err)
+	requireNoError(t, err)
 	defer d.Close()
 	for i := range rows {
 		if v, err := d.Get("a", fmt.Append(nil, i)); err != nil || len(v) == 0 {
@@ -291,15 +291,15 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	logSize := func() int64 {
 		st, err := os.Stat(filepath.Join(dir, "data.db-wal"))
-		must(t, err)
+		requireNoError(t, err)
 		return st.Size()
 	}
 	torn := 0
 	for i := range 300 {
 		synced := logSize()
 		before, err := os.ReadFile(filepath.Join(dir, "data.db"))
-		must(t, err)
-		must(t, d.Commit(context.Background(), put("a", fmt.Sprint(i), strings.Repeat("v", 1+rng.IntN(20_000)))))
+		requireNoError(t, err)
+		requireNoError(t, d.Commit(context.Background(), put("a", fmt.Sprint(i), strings.Repeat("v", 1+rng.IntN(20_000)))))
 		if i%10 != 0 {
 			continue
 		}
@@ -307,7 +307,7 @@
 		killed := copyFiles(t, dir, -1)
 		grew := logSize() - synced
 		after, err := os.ReadFile(filepath.Join(dir, "data.db"))
-		must(t, err)
+		requireNoError(t, err)
 		var cut string
 		if grew > 0 && bytes.Equal(before, after) { // no checkpoint in between: the tail is what the last commit wrote
 			cut = copyFiles(t, dir, synced+rng.Int64N(grew))
@@ -328,17 +328,17 @@
 func TestBehavesLikeMap(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
-		must(t, err)
+		requireNoError(t, err)
 		d, err := Open(dir, "data.db", 0, "a", "b")
-		must(t, err)
+		requireNoError(t, err)
 		defer func() { _ = d.Close() }()
 		model := map[string]string{}
 		key := rapid.StringMatching("[a-d]{0,3}")
 		for range rapid.IntRange(1, 12).Draw(r, "steps") {
 			if rapid.IntRange(0, 9).Draw(r, "again") == 0 {
-				must(t, d.Close())
+				requireNoError(t, d.Close())
 				d, err = Open(dir, "data.db", 0, "a", "b")
-				must(t, err)
+				requireNoError(t, err)
 			}
 			var w []Write
 			for range rapid.IntRange(1, 5).Draw(r, "writes") {
@@ -351,12 +351,12 @@
 				}
 				w = append(w, one)
 			}
-			must(t, d.Commit(context.Background(), w))
+			requireNoError(t, d.Commit(context.Background(), w))
 		}
 		seen := map[string]string{}
 		for _, table := range []string{"a", "b"} {
 			last := ""
-			must(t, d.Range(table, nil, nil, func(k, v []byte) error {
+			requireNoError(t, d.Range(table, nil, nil, func(k, v []byte) error {
 				if len(seen) > 0 && last > string(k) {
 					r.Fatalf("%q after %q", k, last)
 				}
--- a/internal/sqlitelog/write_error_test.go
+++ b/internal/sqlitelog/write_error_test.go
@@ -20,9 +20,9 @@
 func limitFiles(t *testing.T, size uint64) {
 	t.Helper()
 	var l unix.Rlimit
-	must(t, unix.Getrlimit(unix.RLIMIT_FSIZE, &l))
+	requireNoError(t, unix.Getrlimit(unix.RLIMIT_FSIZE, &l))
 	l.Cur = min(size, l.Max)
-	must(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &l))
+	requireNoError(t, unix.Setrlimit(unix.RLIMIT_FSIZE, &l))
 }
 
 // A write that the system rejects for a limit other than the end of the disk (a quota, a limit on the size of files) is
@@ -41,9 +41,9 @@
 	ctx := context.Background()
 	dir := t.TempDir()
 	d := open(t, dir, 0)
-	must(t, d.Commit(ctx, put("a", "1", "one")))
+	requireNoError(t, d.Commit(ctx, put("a", "1", "one")))
 	st, err := os.Stat(filepath.Join(dir, "data.db-wal"))
-	must(t, err)
+	requireNoError(t, err)
 	large := strings.Repeat("x", 50*pageSize)
 	limitFiles(t, uint64(st.Size())+2*pageSize) // in the middle of the transaction's log
 	for range 3 {
@@ -55,9 +55,9 @@
 		t.Errorf("read while writes are rejected: %q %v", v, err)
 	}
 	limitFiles(t, unix.RLIM_INFINITY)
-	must(t, d.Commit(ctx, put("a", "2", large)))
-	must(t, d.Err())
-	must(t, d.Close())
+	requireNoError(t, d.Commit(ctx, put("a", "2", large)))
+	requireNoError(t, d.Err())
+	requireNoError(t, d.Close())
 	again := open(t, dir, 0)
 	for key, want := range map[string]string{"1": "one", "2": large} {
 		if v, err := again.Get("a", []byte(key)); err != nil || string(v) != want {
--- a/internal/tier/turnstore/bench_test.go
+++ b/internal/tier/turnstore/bench_test.go
@@ -24,7 +24,7 @@
 
 // BenchmarkTurn measures a turn on three stores and one client, all in this process; histories have up to 20 turns.
 func BenchmarkTurn(b *testing.B) {
-	tr := tierOf(b, 3, true)
+	tr := startTier(b, 3, true)
 	c := tr.client()
 	input, output := bytes.Repeat([]byte("i"), 2000), bytes.Repeat([]byte("token\n"), 100)
 	syncs := func() (n int64) {
@@ -101,7 +101,7 @@
 // BenchmarkRebuild measures the sweep of 100 MB of turns into a store whose disk was lost.
 func BenchmarkRebuild(b *testing.B) {
 	const programs, turns, size = 500, 40, 5000 // 100 MB
-	tr := tierOf(b, 3, true)
+	tr := startTier(b, 3, true)
 	for _, n := range tr.nodes {
 		for p := range programs {
 			var writes []sqlitelog.Write
@@ -130,7 +130,7 @@
 		lost.wipe()
 		lost.start()
 		was := tr.stores(tr.nodes[1:]...)
-		tr.place(&Placement{Generation: gen, Old: append([]Store{old[0]}, was...), New: append(tr.stores(lost), was...)})
+		tr.setPlacement(&Placement{Generation: gen, Old: append([]Store{old[0]}, was...), New: append(tr.stores(lost), was...)})
 		b.StartTimer()
 		if !lost.store.sweep(context.Background(), tr.placed.Load()) {
 			b.Fatal("the sweep is not complete")
--- a/internal/tier/turnstore/capacity_test.go
+++ b/internal/tier/turnstore/capacity_test.go
@@ -14,17 +14,17 @@
 // A nearly full store opens no turns; turns that were open before can be closed, and once old ones have expired it opens turns
 // again.
 func TestNearlyFullStoreClosesOpenTurns(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	for _, n := range tr.nodes {
-		n.end()
+		n.shutdown()
 		n.limit = 1 // raised to the minimum of sqlitelog
 		n.start()
 	}
-	tr.place(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
+	tr.setPlacement(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
 	c := tr.client()
 	var open []*OpenedTurn
 	for i := range 5 {
-		o, err := c.Open(t.Context(), opening(fmt.Sprint("open", i), fmt.Sprint("o", i), ""))
+		o, err := c.Open(t.Context(), openRequest(fmt.Sprint("open", i), fmt.Sprint("o", i), ""))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,9 +47,9 @@
 			t.Fatalf("turn %d cannot be closed, before any store reported that it is nearly full: %v", kept, err)
 		}
 	}
-	_, err := c.Open(t.Context(), opening("another", "a", ""))
-	wantError(t, err, ErrUnavailable)
-	wantError(t, err, ErrFull)
+	_, err := c.Open(t.Context(), openRequest("another", "a", ""))
+	requireErrorIs(t, err, ErrUnavailable)
+	requireErrorIs(t, err, ErrFull)
 	for _, o := range open {
 		if err := c.Close(t.Context(), o.Record([]byte("x"), increment, 5, 30*time.Second)); err != nil {
 			t.Errorf("turn %s, opened before, cannot be closed: %v", o.Turn, err)
@@ -63,7 +63,7 @@
 	if full() {
 		t.Error("nearly full, with all turns expired")
 	}
-	if _, err := c.Open(t.Context(), opening("another", "b", "")); err != nil {
+	if _, err := c.Open(t.Context(), openRequest("another", "b", "")); err != nil {
 		t.Error(err)
 	}
 	t.Logf("nearly full with %d turns of %d bytes", kept, len(increment))
@@ -72,12 +72,12 @@
 func TestFullStoresRejectWritesAndServeReads(t *testing.T) {
 	tr := newTier(t, 3)
 	for _, n := range tr.nodes {
-		n.end()
+		n.shutdown()
 		n.limit = 1 // raised to the minimum of sqlitelog
 		n.start()
 	}
-	tr.place(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
-	c := tr.hasty()
+	tr.setPlacement(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
+	c := tr.productionClient()
 	output := []byte(strings.Repeat("token\n", 20_000))
 	kept := 0
 	var err error
@@ -89,12 +89,12 @@
 			break
 		}
 	}
-	wantError(t, err, ErrUnavailable)
+	requireErrorIs(t, err, ErrUnavailable)
 	if kept < 5 {
 		t.Fatalf("full after %d turns", kept)
 	}
 	for i := range kept {
-		opened, err := tr.client().Open(t.Context(), opening(fmt.Sprint("p", i), fmt.Sprint("next", i), fmt.Sprint("t", i)))
+		opened, err := tr.client().Open(t.Context(), openRequest(fmt.Sprint("p", i), fmt.Sprint("next", i), fmt.Sprint("t", i)))
 		if errors.Is(err, ErrUnavailable) {
 			continue // no capacity for its reservation
 		}
--- a/internal/tier/turnstore/client_test.go
+++ b/internal/tier/turnstore/client_test.go
@@ -24,14 +24,14 @@
 		if i > 0 {
 			previous = fmt.Sprint("t", i-1)
 		}
-		got := turnOf(t, c, opening("p", fmt.Sprint("t", i), previous), fmt.Sprint("in", i+1), outputs[i])
+		got := runTurn(t, c, openRequest("p", fmt.Sprint("t", i), previous), fmt.Sprint("in", i+1), outputs[i])
 		if got != want {
 			t.Fatalf("turn %d: the input is %q, want %q", i, got, want)
 		}
 	}
 	// Other clients have nothing cached; two turns may continue from the same one.
 	for i, other := range []*Client{tr.client(), tr.client()} {
-		if got := turnOf(t, other, opening("p", fmt.Sprint("fork", i), "t1"), "X", ""); got != "in1a\nb\nin2c\nX" {
+		if got := runTurn(t, other, openRequest("p", fmt.Sprint("fork", i), "t1"), "X", ""); got != "in1a\nb\nin2c\nX" {
 			t.Fatalf("fork %d: %q", i, got)
 		}
 	}
@@ -40,14 +40,14 @@
 func TestTurnSurvivesLossOfAnyStore(t *testing.T) {
 	tr := newTier(t, 4)
 	for i := range 6 {
-		turnOf(t, tr.client(), opening(fmt.Sprint("p", i), fmt.Sprint("a", i), ""), "in", "out\n")
+		runTurn(t, tr.client(), openRequest(fmt.Sprint("p", i), fmt.Sprint("a", i), ""), "in", "out\n")
 	}
 	for _, lost := range tr.nodes {
-		lost.end()
+		lost.shutdown()
 		c := tr.client()
 		for i := range 6 {
-			o := opening(fmt.Sprint("p", i), fmt.Sprint("b", i, lost.name), fmt.Sprint("a", i))
-			if got := turnOf(t, c, o, "x", "y\n"); got != "inout\nx" {
+			o := openRequest(fmt.Sprint("p", i), fmt.Sprint("b", i, lost.name), fmt.Sprint("a", i))
+			if got := runTurn(t, c, o, "x", "y\n"); got != "inout\nx" {
 				t.Fatalf("without %s: %q", lost.name, got)
 			}
 		}
@@ -59,7 +59,7 @@
 func TestAddressOfStoppedStoreStaysReserved(t *testing.T) {
 	tr := newTier(t, 4)
 	stopped := tr.nodes[0]
-	stopped.end()
+	stopped.shutdown()
 	local, err := net.ResolveTCPAddr("tcp4", stopped.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -76,10 +76,10 @@
 	tr := newTier(t, 5)
 	for i := range 5 { // over several replica sets
 		old, fresh := fmt.Sprint("old", i), fmt.Sprint("fresh", i)
-		turnOf(t, tr.client(), opening(old, old+"-1", ""), "one", "1\n")
-		turnOf(t, tr.client(), opening(old, old+"-2", old+"-1"), "two", "2\n")
+		runTurn(t, tr.client(), openRequest(old, old+"-1", ""), "one", "1\n")
+		runTurn(t, tr.client(), openRequest(old, old+"-2", old+"-1"), "two", "2\n")
 		c := tr.client()
-		opened, err := c.Open(t.Context(), opening(fresh, fresh+"-1", old+"-2"))
+		opened, err := c.Open(t.Context(), openRequest(fresh, fresh+"-1", old+"-2"))
 		if err != nil || !opened.ForeignBase || string(opened.History) != "one1\ntwo2\n" {
 			t.Fatalf("%+v %v", opened, err)
 		}
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 		for _, front := range []*Client{c, tr.client()} { // from the cache, and from the stores
-			opened, err := front.Open(t.Context(), opening(fresh, fmt.Sprintf("%s-%p", fresh, front), fresh+"-1"))
+			opened, err := front.Open(t.Context(), openRequest(fresh, fmt.Sprintf("%s-%p", fresh, front), fresh+"-1"))
 			if err != nil || opened.ForeignBase || string(opened.History) != "one1\ntwo2\nthree3\n" {
 				t.Fatalf("%+v %v", opened, err)
 			}
@@ -97,11 +97,11 @@
 
 func TestErrNoTurnNeedsDenialByAllButFaultTolerance(t *testing.T) {
 	tr := newTier(t, 4)
-	turnOf(t, tr.client(), opening("p", "a", ""), "in", "")
+	runTurn(t, tr.client(), openRequest("p", "a", ""), "in", "")
 	c := tr.client()
-	_, err := c.Open(t.Context(), opening("p", "b", "nothing"))
-	wantError(t, err, ErrNoTurn)
-	until(t, "the reservation of a rejected turn is settled at 0", func() bool {
+	_, err := c.Open(t.Context(), openRequest("p", "b", "nothing"))
+	requireErrorIs(t, err, ErrNoTurn)
+	eventually(t, "the reservation of a rejected turn is settled at 0", func() bool {
 		for _, n := range tr.nodes {
 			l := n.ledger("p")
 			if e, ok := l.Get("b"); ok && (e != budget.Entry{Turn: "b", Settled: true}) {
@@ -110,28 +110,28 @@
 		}
 		return true
 	})
-	tr.nodes[0].end()
-	_, err = tr.client().Open(t.Context(), opening("p", "c", "nothing"))
-	wantError(t, err, ErrNoTurn) // denied by all but FaultTolerance stores
-	tr.nodes[1].end()
-	_, err = tr.hasty().Open(t.Context(), opening("p", "d", "nothing"))
-	wantError(t, err, ErrUnavailable)
+	tr.nodes[0].shutdown()
+	_, err = tr.client().Open(t.Context(), openRequest("p", "c", "nothing"))
+	requireErrorIs(t, err, ErrNoTurn) // denied by all but FaultTolerance stores
+	tr.nodes[1].shutdown()
+	_, err = tr.productionClient().Open(t.Context(), openRequest("p", "d", "nothing"))
+	requireErrorIs(t, err, ErrUnavailable)
 }
 
 func TestLossBeyondFaultToleranceIsErrUnavailable(t *testing.T) {
 	tr := newTier(t, 4)
-	turnOf(t, tr.client(), opening("p", "a", ""), "in", "")
-	in, _ := tr.copiesOf("p")
-	in[0].end()
-	in[1].end()
-	c := tr.hasty()
-	_, err := c.Open(t.Context(), opening("p", "b", "a"))
-	wantError(t, err, ErrUnavailable)
+	runTurn(t, tr.client(), openRequest("p", "a", ""), "in", "")
+	in, _ := tr.replicasOf("p")
+	in[0].shutdown()
+	in[1].shutdown()
+	c := tr.productionClient()
+	_, err := c.Open(t.Context(), openRequest("p", "b", "a"))
+	requireErrorIs(t, err, ErrUnavailable)
 	ctx, stop := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer stop()
-	wantError(t, c.Close(ctx, &Turn{Key: "p", ID: "b", Previous: "a", RetainSeconds: 30}), ErrUnavailable)
+	requireErrorIs(t, c.Close(ctx, &Turn{Key: "p", ID: "b", Previous: "a", RetainSeconds: 30}), ErrUnavailable)
 	in[0].start()
-	if got := turnOf(t, tr.client(), opening("p", "e", "a"), "x", ""); got != "inx" {
+	if got := runTurn(t, tr.client(), openRequest("p", "e", "a"), "x", ""); got != "inx" {
 		t.Fatalf("with one restarted: %q", got)
 	}
 }
@@ -161,15 +161,15 @@
 	}
 	// Tokens that were reserved and not used are available again; used ones are not; all of the rest may be granted.
 	c := tr.client()
-	turnOf(t, c, OpenRequest{Program: "q", Turn: "a", MaxTokens: 60, Budget: budget}, "", "") // uses 30
+	runTurn(t, c, OpenRequest{Program: "q", Turn: "a", MaxTokens: 60, Budget: budget}, "", "") // uses 30
 	if _, err := c.Open(t.Context(), OpenRequest{Program: "q", Turn: "b", MaxTokens: 70, Budget: budget}); err != nil {
 		t.Fatal(err)
 	}
 	_, err := c.Open(t.Context(), OpenRequest{Program: "q", Turn: "c", MaxTokens: 1, Budget: budget})
-	wantError(t, err, ErrBudget)
+	requireErrorIs(t, err, ErrBudget)
 	c.Settle("q", "b", 0)
-	until(t, "the reservation is settled", func() bool {
-		in, _ := tr.copiesOf("q")
+	eventually(t, "the reservation is settled", func() bool {
+		in, _ := tr.replicasOf("q")
 		for _, n := range in {
 			if l := n.ledger("q"); l.Sum() != 30 {
 				return false
@@ -184,21 +184,21 @@
 
 func TestAcknowledgedWritesSurviveRestartOfAllStores(t *testing.T) {
 	tr := newTier(t, 4)
-	turnOf(t, tr.client(), opening("p", "a", ""), "in", "out\n")
+	runTurn(t, tr.client(), openRequest("p", "a", ""), "in", "out\n")
 	if _, err := tr.client().Open(t.Context(), OpenRequest{Program: "p", Turn: "b", Previous: "a", MaxTokens: 50,
 		Budget: 100}); err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range tr.nodes {
-		n.end()
+		n.shutdown()
 	}
 	for _, n := range tr.nodes {
 		n.start()
 	}
 	_, err := tr.client().Open(t.Context(), OpenRequest{Program: "p", Turn: "c", Previous: "a", MaxTokens: 50, Budget: 100})
-	wantError(t, err, ErrBudget) // 5 used and 50 reserved
-	until(t, "the rejected turn is settled everywhere", func() bool {
-		in, _ := tr.copiesOf("p")
+	requireErrorIs(t, err, ErrBudget) // 5 used and 50 reserved
+	eventually(t, "the rejected turn is settled everywhere", func() bool {
+		in, _ := tr.replicasOf("p")
 		for _, n := range in {
 			if l := n.ledger("p"); l.Sum() != 55 || l.Len() != 3 {
 				return false
@@ -206,7 +206,7 @@
 		}
 		return true
 	})
-	if got := turnOf(t, tr.client(), OpenRequest{Program: "p", Turn: "d", Previous: "a", MaxTokens: 45,
+	if got := runTurn(t, tr.client(), OpenRequest{Program: "p", Turn: "d", Previous: "a", MaxTokens: 45,
 		Budget: 100}, "x", ""); got != "inout\nx" {
 		t.Fatal(got)
 	}
@@ -214,12 +214,12 @@
 
 func TestUnresponsiveStoreDoesNotDelayTurns(t *testing.T) {
 	tr := newTier(t, 3)
-	turnOf(t, tr.client(), opening("p", "a", ""), "in", "out\n")
+	runTurn(t, tr.client(), openRequest("p", "a", ""), "in", "out\n")
 	unresponsive := tr.nodes[0] // in the client's zone: it is asked for the history first
 	unresponsive.store.mu.Lock()
 	defer unresponsive.store.mu.Unlock()
 	began := time.Now()
-	if got := turnOf(t, tr.client(), opening("p", "b", "a"), "x", ""); got != "inout\nx" {
+	if got := runTurn(t, tr.client(), openRequest("p", "b", "a"), "x", ""); got != "inout\nx" {
 		t.Fatal(got)
 	}
 	if d := time.Since(began); d > callTimeout {
@@ -230,7 +230,7 @@
 func TestShutdownCancelsBackgroundOperations(t *testing.T) {
 	tr := newTier(t, 3)
 	for _, n := range tr.nodes {
-		n.end()
+		n.shutdown()
 	}
 	c := tr.client()
 	for i := range 100 {
@@ -248,13 +248,13 @@
 
 // A client serves from its cache the history of turns that it closed or read, until their retention time is over.
 func TestClientServesHistoryFromCache(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	writer, reader := tr.client(), tr.client()
-	turnOf(t, writer, opening("p", "a", ""), "one", "1\n")
-	turnOf(t, writer, opening("p", "b", "a"), "two", "2\n")
-	turnOf(t, reader, opening("p", "c", "b"), "three", "3\n")
+	runTurn(t, writer, openRequest("p", "a", ""), "one", "1\n")
+	runTurn(t, writer, openRequest("p", "b", "a"), "two", "2\n")
+	runTurn(t, reader, openRequest("p", "c", "b"), "three", "3\n")
 	for _, n := range tr.nodes { // delete the bodies from the stores' disks and caches
-		until(t, "all replicas have all turns", func() bool { return n.has("a") && n.has("b") && n.has("c") })
+		eventually(t, "all replicas have all turns", func() bool { return n.has("a") && n.has("b") && n.has("c") })
 		var w []sqlitelog.Write
 		for _, id := range []string{"a", "b", "c"} {
 			n.store.cache.remove(id)
@@ -266,13 +266,13 @@
 	}
 	for c, previous := range map[*Client]string{writer: "b", reader: "c"} {
 		want := map[string]string{"b": "one1\ntwo2\n", "c": "one1\ntwo2\nthree3\n"}[previous]
-		opened, err := c.Open(t.Context(), opening("p", "after-"+previous, previous))
+		opened, err := c.Open(t.Context(), openRequest("p", "after-"+previous, previous))
 		if err != nil || string(opened.History) != want {
 			t.Fatalf("after %s: %+v %v", previous, opened, err)
 		}
 	}
-	_, err := tr.hasty().Open(t.Context(), opening("p", "other", "b"))
-	wantError(t, err, ErrUnavailable) // a turn that exists and whose history cannot be read is not ErrNoTurn
+	_, err := tr.productionClient().Open(t.Context(), openRequest("p", "other", "b"))
+	requireErrorIs(t, err, ErrUnavailable) // a turn that exists and whose history cannot be read is not ErrNoTurn
 	if _, _, ok := writer.cache.history("b", time.Now().Add(31*time.Second)); ok {
 		t.Fatal("a cached turn outlives the retention at the stores")
 	}
--- a/internal/tier/turnstore/disk_fault_test.go
+++ b/internal/tier/turnstore/disk_fault_test.go
@@ -85,7 +85,7 @@
 func (n *node) withFaults() (*faultyDisk, *bytes.Buffer) {
 	t := n.tier.t
 	t.Helper()
-	n.end()
+	n.shutdown()
 	db, err := sqlitelog.Open(n.dir, "store.db", n.limit, StoreTables...)
 	if err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	return statusError(n.store.handleClose(t.Context(), &closeCall{To: n.head(), Turn: record, UsedTokens: 5}).Status)
 }
 
-func must(t *testing.T, err error) {
+func requireNoError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -125,16 +125,16 @@
 // A store whose disk is full reports it in its log and to the control plane, opens no turns, still tries to close open ones, and
 // serves reads. Once the disk accepts writes it recovers by itself.
 func TestFullDiskIsReportedAndStoreRecovers(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	n := tr.nodes[0]
 	d, log := n.withFaults()
-	must(t, n.close(t, "p", "a", "text"))
-	must(t, n.open(t, "p", "open before"))
+	requireNoError(t, n.close(t, "p", "a", "text"))
+	requireNoError(t, n.open(t, "p", "open before"))
 	for spell := range 2 { // each is reported
 		logged := log.Len()
 		d.set(sqlitelog.ErrFull)
 		err := n.open(t, "p", "b")
-		wantError(t, err, ErrFull)
+		requireErrorIs(t, err, ErrFull)
 		if remedy := "give it more disk, or add stores"; !strings.Contains(err.Error(),
 			remedy) || !strings.Contains(log.String()[logged:], remedy) {
 			t.Errorf("spell %d: the remedy is not named: %v\n%s", spell, err, log.String()[logged:])
@@ -143,11 +143,11 @@
 			t.Fatalf("spell %d: Full is not reported", spell)
 		}
 		before := d.count()
-		wantError(t, n.open(t, "p", "c"), ErrFull)
+		requireErrorIs(t, n.open(t, "p", "c"), ErrFull)
 		if d.count() != before {
 			t.Errorf("spell %d: a full store writes to open a turn", spell)
 		}
-		wantError(t, n.close(t, "p", "open before", "x"), ErrFull)
+		requireErrorIs(t, n.close(t, "p", "open before", "x"), ErrFull)
 		if d.count() == before {
 			t.Errorf("spell %d: a full store does not try to close a turn", spell)
 		}
@@ -157,7 +157,7 @@
 		}
 		swept := n.store.handleListKeys(t.Context(), &listKeysCall{To: n.head(), Requester: "another",
 			Sweep: true}) // must persist the generation it adopted
-		wantError(t, statusError(swept.Status), ErrFull)
+		requireErrorIs(t, statusError(swept.Status), ErrFull)
 		n.store.checkCapacity(t.Context())
 		if !n.store.Full() {
 			t.Errorf("spell %d: turns are opened before the disk accepts writes", spell)
@@ -167,14 +167,14 @@
 		if n.store.Full() || !strings.Contains(log.String()[logged:], "disk has room again") {
 			t.Errorf("spell %d: the disk has recovered, and the store does not report it: %s", spell, log.String()[logged:])
 		}
-		must(t, n.open(t, "p", fmt.Sprint("after ", spell)))
+		requireNoError(t, n.open(t, "p", fmt.Sprint("after ", spell)))
 	}
-	must(t, n.close(t, "p", "open before", "x"))
+	requireNoError(t, n.close(t, "p", "open before", "x"))
 }
 
 // A store that has maxLedgerEntries reports that it is full as well.
 func TestFullLedgersAreReported(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	n := tr.nodes[0]
 	_, log := n.withFaults()
 	entries := func(more int) {
@@ -183,7 +183,7 @@
 		n.store.index.entries += more
 	}
 	entries(maxLedgerEntries)
-	wantError(t, n.open(t, "p", "a"), ErrFull)
+	requireErrorIs(t, n.open(t, "p", "a"), ErrFull)
 	n.store.checkCapacity(t.Context())
 	if !n.store.Full() || !strings.Contains(log.String(), "ledgers are full") {
 		t.Errorf("not reported: %s", log)
@@ -193,7 +193,7 @@
 	if n.store.Full() {
 		t.Error("full with capacity for entries")
 	}
-	must(t, n.open(t, "p", "a"))
+	requireNoError(t, n.open(t, "p", "a"))
 }
 
 func TestCapacityHysteresis(t *testing.T) {
@@ -222,14 +222,14 @@
 
 // What expired while the disk rejected writes is deleted once it accepts them: space is reclaimed without a restart.
 func TestExpiryOnFullDiskIsRetried(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
-	must(t, n.close(t, "p", "a", "text"))
-	must(t, n.close(t, "q", "b", "text"))
+	requireNoError(t, n.close(t, "p", "a", "text"))
+	requireNoError(t, n.close(t, "q", "b", "text"))
 	rows := func() (all int) {
 		for _, table := range []string{tableTurns, tableBodies, tableEntries} {
-			must(t, n.db.Range(table, nil, nil, func(_, _ []byte) error { all++; return nil }))
+			requireNoError(t, n.db.Range(table, nil, nil, func(_, _ []byte) error { all++; return nil }))
 		}
 		return all
 	}
@@ -257,18 +257,18 @@
 
 // A program that is used again after its turns could not be deleted retains what was written since.
 func TestTurnClosedAfterFailedExpiryStays(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
-	must(t, n.close(t, "p", "a", "text"))
+	requireNoError(t, n.close(t, "p", "a", "text"))
 	tr.ahead.Store(int64(2 * time.Minute))
 	d.set(sqlitelog.ErrFull)
 	n.store.expire(t.Context())
 	d.set(nil)
-	must(t, n.close(t, "p", "b", "more"))
+	requireNoError(t, n.close(t, "p", "b", "more"))
 	for n.store.expire(t.Context()) {
 	}
-	n.end()
+	n.shutdown()
 	n.start()
 	if !n.has("b") {
 		t.Error("an acknowledged turn is lost after a kill")
@@ -277,7 +277,7 @@
 
 // restarted restarts a node and returns its ledger of a program, as read from disk.
 func (n *node) restarted(program string) budget.Ledger {
-	n.end()
+	n.shutdown()
 	n.start()
 	return n.ledger(program)
 }
@@ -286,15 +286,15 @@
 func TestSweepIsIncompleteUntilEntriesAreSynced(t *testing.T) {
 	for name, fault := range map[string]error{"full": sqlitelog.ErrFull, "busy": sqlitelog.ErrBusy} {
 		t.Run(name, func(t *testing.T) {
-			tr := quiet(t, 4)
+			tr := newPassiveTier(t, 4)
 			old, fresh := tr.nodes[:3], tr.nodes[3]
-			tr.place(&Placement{Generation: 1, Old: tr.stores(old...)})
+			tr.setPlacement(&Placement{Generation: 1, Old: tr.stores(old...)})
 			for _, n := range old {
-				must(t, n.open(t, "p", "acknowledged"))
+				requireNoError(t, n.open(t, "p", "acknowledged"))
 			}
 			d, _ := fresh.withFaults()
 			next := &Placement{Generation: 2, Old: tr.stores(old...), New: tr.stores(old[0], old[1], fresh)}
-			tr.place(next)
+			tr.setPlacement(next)
 			d.set(fault)
 			for range 3 {
 				if fresh.store.sweep(t.Context(), next) || fresh.store.SweptGeneration() != 0 {
@@ -316,7 +316,7 @@
 
 // An entry whose write was rejected is rewritten once the disk accepts writes: the same entry of a peer would appear known.
 func TestEntryOfFailedWriteIsRewritten(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
 	for _, c := range []struct {
@@ -325,7 +325,7 @@
 		want  error
 	}{{"a", sqlitelog.ErrFull, ErrFull}, {"b", sqlitelog.ErrBusy, ErrBusy}} {
 		d.set(c.fault)
-		wantError(t, n.open(t, "p", c.turn), c.want)
+		requireErrorIs(t, n.open(t, "p", c.turn), c.want)
 		d.set(nil)
 		n.store.checkCapacity(t.Context())
 	}
@@ -344,7 +344,7 @@
 
 // A late reply to a cancelled open, from a store that was stalled, is not matched to another open.
 func TestLateReplyIsNotMatchedToAnotherOpen(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	n := tr.nodes[0]
 	d, _ := n.withFaults()
 	release := d.delayWrites()
@@ -353,7 +353,7 @@
 		r := new(openReply)
 		return r, link.Call(ctx, MethodOpen, &openCall{To: n.head(), Program: program, Turn: "turn of " + program, MaxTokens: 10}, r)
 	}
-	submitted := func(most int) { until(t, "the store writes", func() bool { return d.count() >= most }) }
+	submitted := func(most int) { eventually(t, "the store writes", func() bool { return d.count() >= most }) }
 
 	ctx, cancel := context.WithCancel(t.Context())
 	cancelled := make(chan error, 1)
@@ -363,7 +363,7 @@
 	}()
 	submitted(1)
 	cancel()
-	wantError(t, <-cancelled, rpc.ErrLost)
+	requireErrorIs(t, <-cancelled, rpc.ErrLost)
 
 	releaseSecond := d.delayWrites()
 	type outcome struct {
@@ -377,14 +377,14 @@
 	}()
 	submitted(2)
 	release() // the first reply arrives while the second open is pending
-	until(t, "the first is synced", func() bool {
+	eventually(t, "the first is synced", func() bool {
 		n.store.mu.Lock()
 		defer n.store.mu.Unlock()
 		_, unsynced := n.store.unsynced.entries[entryID{"p", "turn of p"}]
 		return !unsynced
 	})
 	ledger := new(readLedgerReply) // another call overtakes the pending one
-	must(t, link.Call(t.Context(), MethodReadLedger, &readLedgerCall{To: n.head(), Program: "p"}, ledger))
+	requireNoError(t, link.Call(t.Context(), MethodReadLedger, &readLedgerCall{To: n.head(), Program: "p"}, ledger))
 	if len(ledger.Ledger) != 1 || ledger.Ledger[0].Turn != "turn of p" {
 		t.Errorf("ledger of the first open's program: %+v", ledger.Ledger)
 	}
--- a/internal/tier/turnstore/expiry_test.go
+++ b/internal/tier/turnstore/expiry_test.go
@@ -8,20 +8,20 @@
 )
 
 func TestExpiredTurnsAreDeletedAndNotRefetched(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	c := tr.client()
-	turnOf(t, c, opening("p", "a", ""), "in", "out\n")
-	turnOf(t, c, opening("q", "z", ""), "in", "out\n")
+	runTurn(t, c, openRequest("p", "a", ""), "in", "out\n")
+	runTurn(t, c, openRequest("q", "z", ""), "in", "out\n")
 	for _, n := range tr.nodes {
-		until(t, "all replicas have it", func() bool { return n.has("a") && n.has("z") })
+		eventually(t, "all replicas have it", func() bool { return n.has("a") && n.has("z") })
 	}
 	tr.ahead.Store(int64(29 * time.Second))
 	for _, n := range tr.nodes {
 		n.store.expire(t.Context())
 	}
-	turnOf(t, tr.client(), opening("q", "y", "z"), "in", "out\n") // extends the retention of its chain
+	runTurn(t, tr.client(), openRequest("q", "y", "z"), "in", "out\n") // extends the retention of its chain
 	for _, n := range tr.nodes {
-		until(t, "all replicas have it", func() bool { return n.has("y") })
+		eventually(t, "all replicas have it", func() bool { return n.has("y") })
 	}
 	tr.ahead.Store(int64(30*time.Second + retainMargin + time.Second))
 	for _, n := range tr.nodes[:2] {
@@ -49,13 +49,13 @@
 			t.Fatalf("%s: the expired turn was fetched again", n.name)
 		}
 	}
-	_, err := tr.client().Open(t.Context(), opening("p", "b", "a"))
+	_, err := tr.client().Open(t.Context(), openRequest("p", "b", "a"))
 	if err != nil && !errors.Is(err, ErrNoTurn) { // either is allowed after its retention time
 		t.Fatal(err)
 	}
 	// After a restart the retention time starts anew: turns never expire early.
 	n := tr.nodes[0]
-	n.end()
+	n.shutdown()
 	n.start()
 	n.store.expire(t.Context())
 	if !n.has("z") {
@@ -80,10 +80,10 @@
 
 // An open turn retains its chain for longer than the retention time.
 func TestOpenTurnRetainsItsChain(t *testing.T) {
-	tr := quiet(t, 3)
-	turnOf(t, tr.client(), opening("p", "a", ""), "in", "out\n")
+	tr := newPassiveTier(t, 3)
+	runTurn(t, tr.client(), openRequest("p", "a", ""), "in", "out\n")
 	c := tr.client()
-	opened, err := c.Open(t.Context(), opening("p", "b", "a"))
+	opened, err := c.Open(t.Context(), openRequest("p", "b", "a"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	if err := c.Close(t.Context(), opened.Record([]byte("x"), []byte("y\n"), 5, 30*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if got := turnOf(t, tr.client(), opening("p", "c", "b"), "z", ""); got != "inout\nxy\nz" {
+	if got := runTurn(t, tr.client(), openRequest("p", "c", "b"), "z", ""); got != "inout\nxy\nz" {
 		t.Fatal(got)
 	}
 }
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -36,43 +36,43 @@
 
 // node is one store process with its disk and address.
 type node struct {
-	tier   *tier
-	name   string
-	addr   string
-	zone   string
-	dir    string
-	limit  int64
-	db     *sqlitelog.DB
-	store  *Server
-	server *rpc.Server
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
-	placed atomic.Pointer[Placement] // the placement it received; nil: the tier's
-	hear   func() *Placement         // overrides both
-	alone  bool                      // Run is not called: it does not sweep, repair or expire by itself
+	tier              *tier
+	name              string
+	addr              string
+	zone              string
+	dir               string
+	limit             int64
+	db                *sqlitelog.DB
+	store             *Server
+	server            *rpc.Server
+	stop              context.CancelFunc
+	wg                sync.WaitGroup
+	placed            atomic.Pointer[Placement] // the placement it received; nil: the tier's
+	placementOverride func() *Placement         // overrides both
+	passive           bool                      // Run is not called: it does not sweep, repair or expire by itself
 }
 
 // newTier returns a tier of stores that run as in production.
-func newTier(t *testing.T, stores int) *tier { t.Helper(); return tierOf(t, stores, false) }
+func newTier(t *testing.T, stores int) *tier { t.Helper(); return startTier(t, stores, false) }
 
-// quiet returns a tier of stores without background work.
-func quiet(t *testing.T, stores int) *tier { t.Helper(); return tierOf(t, stores, true) }
+// newPassiveTier returns a tier of stores without background work.
+func newPassiveTier(t *testing.T, stores int) *tier { t.Helper(); return startTier(t, stores, true) }
 
-func tierOf(t testing.TB, stores int, alone bool) *tier {
+func startTier(t testing.TB, stores int, alone bool) *tier {
 	t.Helper()
 	tr := &tier{t: t, dir: t.TempDir()}
 	for i := range stores {
 		n := tr.add(fmt.Sprintf("store-%d", i), fmt.Sprintf("zone-%d", i%2))
-		n.alone = alone
+		n.passive = alone
 		n.start()
 	}
 	t.Cleanup(func() {
 		for _, n := range tr.nodes {
-			n.end()
+			n.shutdown()
 		}
 		tr.calls.Close()
 	})
-	tr.place(&Placement{Generation: 1, Old: tr.stores(tr.nodes...)})
+	tr.setPlacement(&Placement{Generation: 1, Old: tr.stores(tr.nodes...)})
 	return tr
 }
 
@@ -87,8 +87,8 @@
 	return n
 }
 
-// place puts a placement in force for all nodes that follow the tier's, with a fault tolerance of 1.
-func (tr *tier) place(p *Placement) {
+// setPlacement puts a placement in force for all nodes that follow the tier's, with a fault tolerance of 1.
+func (tr *tier) setPlacement(p *Placement) {
 	p.ReplicationFactor, p.DurableReplicas, p.FaultTolerance = 3, 2, 1
 	tr.placed.Store(p)
 }
@@ -103,8 +103,8 @@
 func (tr *tier) now() time.Time { return time.Now().Add(time.Duration(tr.ahead.Load())) }
 
 func (n *node) placement() *Placement {
-	if n.hear != nil {
-		return n.hear()
+	if n.placementOverride != nil {
+		return n.placementOverride()
 	}
 	if p := n.placed.Load(); p != nil {
 		return p
@@ -137,15 +137,15 @@
 	n.server = rpc.NewServer(n.store.Handlers())
 	server := n.server
 	n.wg.Go(func() { server.Serve(l) })
-	if !n.alone {
+	if !n.passive {
 		ctx, stop := context.WithCancel(context.Background())
 		n.stop = stop
 		n.wg.Go(func() { n.store.Run(ctx) })
 	}
 }
 
-// cut stops the node's server and its background work; its database stays open.
-func (n *node) cut() {
+// stopServing stops the node's server and its background work; its database stays open.
+func (n *node) stopServing() {
 	if n.server != nil {
 		n.server.Close()
 		n.server = nil
@@ -157,9 +157,9 @@
 	n.wg.Wait()
 }
 
-// end stops the node and closes its database.
-func (n *node) end() {
-	n.cut()
+// shutdown stops the node and closes its database.
+func (n *node) shutdown() {
+	n.stopServing()
 	if n.db != nil {
 		_ = n.db.Close()
 		n.db = nil
@@ -168,7 +168,7 @@
 
 // wipe stops the node and deletes its disk.
 func (n *node) wipe() {
-	n.end()
+	n.shutdown()
 	if err := os.RemoveAll(n.dir); err != nil {
 		n.tier.t.Fatal(err)
 	}
@@ -176,13 +176,13 @@
 
 // client returns a client with long time-outs, for the disk of a busy test machine.
 func (tr *tier) client() *Client {
-	c := tr.hasty()
+	c := tr.productionClient()
 	c.callTimeout, c.closeTimeout = 8*time.Second, 8*time.Second
 	return c
 }
 
-// hasty returns a client with the time-outs of production.
-func (tr *tier) hasty() *Client {
+// productionClient returns a client with the time-outs of production.
+func (tr *tier) productionClient() *Client {
 	c := NewClient(tr.placed.Load, &tr.calls, "zone-0", process.NewRing(io.Discard))
 	tr.t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), time.Millisecond)
@@ -192,8 +192,8 @@
 	return c
 }
 
-// turnOf opens and closes a turn and returns the input that the host is sent: the history and the turn's own.
-func turnOf(t *testing.T, c *Client, o OpenRequest, input, output string) string {
+// runTurn opens and closes a turn and returns the input that the host is sent: the history and the turn's own.
+func runTurn(t *testing.T, c *Client, o OpenRequest, input, output string) string {
 	t.Helper()
 	opened, err := c.Open(t.Context(), o)
 	if err != nil {
@@ -205,8 +205,8 @@
 	return string(opened.History) + input
 }
 
-// until polls for a condition that background work brings about, and fails the test after 10 s.
-func until(t testing.TB, what string, f func() bool) {
+// eventually polls for a condition that background work brings about, and fails the test after 10 s.
+func eventually(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !f(); {
 		if time.Now().After(end) {
@@ -216,19 +216,19 @@
 	}
 }
 
-func opening(program, turn, previous string) OpenRequest {
+func openRequest(program, turn, previous string) OpenRequest {
 	return OpenRequest{Program: program, Turn: turn, Previous: previous, MaxTokens: 10, Budget: 10_000}
 }
 
-func wantError(t *testing.T, err, kind error) {
+func requireErrorIs(t *testing.T, err, kind error) {
 	t.Helper()
 	if !errors.Is(err, kind) {
 		t.Fatalf("got %v, want %v", err, kind)
 	}
 }
 
-// copiesOf returns the nodes that are replicas of a program and the others.
-func (tr *tier) copiesOf(program string) (in, out []*node) {
+// replicasOf returns the nodes that are replicas of a program and the others.
+func (tr *tier) replicasOf(program string) (in, out []*node) {
 	for _, n := range tr.nodes {
 		replica := false
 		for _, s := range tr.placed.Load().ReplicaSets(program)[0] {
@@ -259,13 +259,13 @@
 	return l
 }
 
-// joint changes the placement to the given stores: a joint placement until all of them have swept, then a stable one.
-func (tr *tier) joint(nodes ...*node) {
+// changePlacement changes the placement to the given stores: a changePlacement placement until all of them have swept, then a stable one.
+func (tr *tier) changePlacement(nodes ...*node) {
 	tr.t.Helper()
 	was := tr.placed.Load()
 	p := &Placement{Generation: was.Generation + 1, Old: was.Old, New: tr.stores(nodes...)}
-	tr.place(p)
-	until(tr.t, "all stores of the new list have swept", func() bool {
+	tr.setPlacement(p)
+	eventually(tr.t, "all stores of the new list have swept", func() bool {
 		for _, n := range nodes {
 			if n.store.SweptGeneration() != p.Generation {
 				return false
@@ -273,5 +273,5 @@
 		}
 		return true
 	})
-	tr.place(&Placement{Generation: p.Generation, Old: p.New})
+	tr.setPlacement(&Placement{Generation: p.Generation, Old: p.New})
 }
--- a/internal/tier/turnstore/placement_change_test.go
+++ b/internal/tier/turnstore/placement_change_test.go
@@ -14,8 +14,8 @@
 	const programs = 12
 	for i := range programs {
 		p := fmt.Sprint("p", i)
-		turnOf(t, tr.client(), opening(p, p+"a", ""), "in", "out\n")
-		turnOf(t, tr.client(), opening(p, p+"b", p+"a"), "in", "out\n")
+		runTurn(t, tr.client(), openRequest(p, p+"a", ""), "in", "out\n")
+		runTurn(t, tr.client(), openRequest(p, p+"b", p+"a"), "in", "out\n")
 	}
 	lost := tr.nodes[2]
 	before := lost.store.ID()
@@ -25,16 +25,16 @@
 		t.Fatal("an empty disk has the identity of the one before")
 	}
 	// It is not a replica by the old list: calls to the old identity are rejected.
-	turnOf(t, tr.client(), opening("p0", "p0c", "p0b"), "x", "")
+	runTurn(t, tr.client(), openRequest("p0", "p0c", "p0b"), "x", "")
 	if n, _ := lost.store.Counts(); n != 0 {
 		t.Fatalf("a store that is not placed has %d programs", n)
 	}
-	tr.joint(tr.nodes...)
+	tr.changePlacement(tr.nodes...)
 	// The next loss is within the fault tolerance now.
-	tr.nodes[0].end()
+	tr.nodes[0].shutdown()
 	for i := range programs {
 		p := fmt.Sprint("p", i)
-		if got := turnOf(t, tr.client(), opening(p, p+"d", p+"b"), "x", ""); got != "inout\ninout\nx" {
+		if got := runTurn(t, tr.client(), openRequest(p, p+"d", p+"b"), "x", ""); got != "inout\ninout\nx" {
 			t.Fatalf("%s: %q", p, got)
 		}
 	}
@@ -50,18 +50,18 @@
 
 func TestStoreWithoutSweepIsNotAuthoritative(t *testing.T) {
 	tr := newTier(t, 3)
-	turnOf(t, tr.client(), opening("p", "a", ""), "in", "")
+	runTurn(t, tr.client(), openRequest("p", "a", ""), "in", "")
 	was := tr.placed.Load()
 	added := tr.add("store-9", "zone-0")
-	added.alone = true // does not sweep
+	added.passive = true // does not sweep
 	added.start()
 	others := tr.nodes[:2]
-	tr.place(&Placement{Generation: 2, Old: was.Old, New: tr.stores(others[0], added, tr.nodes[2])})
-	tr.nodes[2].end()
+	tr.setPlacement(&Placement{Generation: 2, Old: was.Old, New: tr.stores(others[0], added, tr.nodes[2])})
+	tr.nodes[2].shutdown()
 	// By the new list one store is down and one not authoritative: the turn cannot be denied.
-	_, err := tr.hasty().Open(t.Context(), opening("p", "b", "nothing"))
-	wantError(t, err, ErrUnavailable)
-	if got := turnOf(t, tr.client(), opening("p", "c", "a"), "x", ""); got != "inx" {
+	_, err := tr.productionClient().Open(t.Context(), openRequest("p", "b", "nothing"))
+	requireErrorIs(t, err, ErrUnavailable)
+	if got := runTurn(t, tr.client(), openRequest("p", "c", "a"), "x", ""); got != "inx" {
 		t.Fatalf("an existing turn: %q", got)
 	}
 	if !added.has("c") {
@@ -74,14 +74,14 @@
 	const programs = 12
 	for i := range programs {
 		p := fmt.Sprint("p", i)
-		turnOf(t, tr.client(), opening(p, p+"a", ""), "in", "out\n")
+		runTurn(t, tr.client(), openRequest(p, p+"a", ""), "in", "out\n")
 	}
-	tr.joint(tr.nodes[1:]...)
-	tr.nodes[0].end()
-	tr.nodes[1].end() // one loss is tolerated in addition to the retired store
+	tr.changePlacement(tr.nodes[1:]...)
+	tr.nodes[0].shutdown()
+	tr.nodes[1].shutdown() // one loss is tolerated in addition to the retired store
 	for i := range programs {
 		p := fmt.Sprint("p", i)
-		if got := turnOf(t, tr.client(), opening(p, p+"b", p+"a"), "x", ""); got != "inout\nx" {
+		if got := runTurn(t, tr.client(), openRequest(p, p+"b", p+"a"), "x", ""); got != "inout\nx" {
 			t.Fatalf("%s: %q", p, got)
 		}
 	}
@@ -99,12 +99,12 @@
 		}
 		return statusError(r.Status)
 	}
-	wantError(t, call("another", 1), ErrWrongStore)
+	requireErrorIs(t, call("another", 1), ErrWrongStore)
 	if err := call(n.store.ID(), 1); err != nil {
 		t.Fatal(err)
 	}
-	tr.place(&Placement{Generation: 2, Old: tr.placed.Load().Old})
-	wantError(t, call(n.store.ID(), 1), ErrOldPlacement)
+	tr.setPlacement(&Placement{Generation: 2, Old: tr.placed.Load().Old})
+	requireErrorIs(t, call(n.store.ID(), 1), ErrOldPlacement)
 	if err := call(n.store.ID(), 3); err != nil { // a client may receive a placement before the store
 		t.Fatal(err)
 	}
@@ -113,10 +113,10 @@
 	placed.Store(&Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: tr.placed.Load().Old})
 	c := NewClient(placed.Load, &tr.calls, "zone-0", n.store.Log)
 	defer c.Shutdown(t.Context())
-	_, err := c.Open(t.Context(), opening("p", "x", ""))
-	wantError(t, err, ErrUnavailable)
+	_, err := c.Open(t.Context(), openRequest("p", "x", ""))
+	requireErrorIs(t, err, ErrUnavailable)
 	done := make(chan error)
-	go func() { _, err := c.Open(t.Context(), opening("p", "y", "")); done <- err }()
+	go func() { _, err := c.Open(t.Context(), openRequest("p", "y", "")); done <- err }()
 	placed.Store(tr.placed.Load())
 	if err := <-done; err != nil {
 		t.Fatal(err)
@@ -127,7 +127,7 @@
 // older one.
 func TestSweepWaitsForPeersToAdoptGeneration(t *testing.T) {
 	tr := newTier(t, 3)
-	turnOf(t, tr.client(), opening("p", "a", ""), "in", "")
+	runTurn(t, tr.client(), openRequest("p", "a", ""), "in", "")
 	was := tr.placed.Load()
 	for _, n := range tr.nodes {
 		n.placed.Store(was) // they receive nothing newer
@@ -147,7 +147,7 @@
 	// A client with the older placement may still write to those two.
 	c := NewClient(func() *Placement { return was }, &tr.calls, "zone-0", added.store.Log)
 	defer c.Shutdown(t.Context())
-	opened, err := c.Open(t.Context(), opening("p", "b", "a"))
+	opened, err := c.Open(t.Context(), openRequest("p", "b", "a"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,28 +155,28 @@
 		t.Fatal(err)
 	}
 	tr.nodes[1].placed.Store(next)
-	until(t, "the store has swept all but one peer", func() bool { return added.store.SweptGeneration() == 2 })
+	eventually(t, "the store has swept all but one peer", func() bool { return added.store.SweptGeneration() == 2 })
 	if !added.has("a") || !added.has("b") {
 		t.Fatal("what was written under the older placement was not swept")
 	}
-	tr.nodes[0].end()
+	tr.nodes[0].shutdown()
 	tr.nodes[0].placed.Store(was)
 	tr.nodes[0].start() // receives the older one first
 	var r statusReply
-	until(t, "the restarted store is reached", func() bool { // the connection of before the restart ends
+	eventually(t, "the restarted store is reached", func() bool { // the connection of before the restart ends
 		c := &settleCall{To: RequestHeader{tr.nodes[0].store.ID(), 1}, Program: "p", Turn: "z"}
 		return tr.calls.To(tr.nodes[0].addr).Call(t.Context(), MethodSettle, c, &r) == nil
 	})
-	wantError(t, statusError(r.Status), ErrOldPlacement)
+	requireErrorIs(t, statusError(r.Status), ErrOldPlacement)
 }
 
 // A sweep may already have run under a generation that the store adopts during a sync: the write is not acknowledged.
 func TestPlacementAdoptedDuringSyncRejectsWrite(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	n := tr.nodes[0]
 	gen := int64(1)
 	calls := 0
-	n.hear = func() *Placement {
+	n.placementOverride = func() *Placement {
 		p := *tr.placed.Load()
 		p.Generation = gen
 		if calls++; calls > 1 {
--- a/internal/tier/turnstore/replication_test.go
+++ b/internal/tier/turnstore/replication_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestHistoryIsAssembledFromSeveralStores(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	// Each turn of the chain is missing on one replica, in rotation.
 	previous := ""
 	want := ""
@@ -26,7 +26,7 @@
 		want += string(record.Increment)
 		previous = id
 	}
-	opened, err := tr.client().Open(t.Context(), opening("p", "x", previous))
+	opened, err := tr.client().Open(t.Context(), openRequest("p", "x", previous))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 }
 
 func TestReadRepairOfReplicaThatLacksTurn(t *testing.T) {
-	tr := quiet(t, 3)
+	tr := newPassiveTier(t, 3)
 	lacking := tr.nodes[0] // in the client's zone: it is asked for the history
 	for _, n := range tr.nodes[1:] {
 		c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: "p", ID: "a", Root: true,
@@ -55,11 +55,11 @@
 			t.Fatal(r.Status)
 		}
 	}
-	opened, err := tr.client().Open(t.Context(), opening("p", "b", "a"))
+	opened, err := tr.client().Open(t.Context(), openRequest("p", "b", "a"))
 	if err != nil || string(opened.History) != "piece" {
 		t.Fatalf("%+v %v", opened, err)
 	}
-	until(t, "the replica is notified", func() bool { return len(lacking.store.repairs) == 1 })
+	eventually(t, "the replica is notified", func() bool { return len(lacking.store.repairs) == 1 })
 	lacking.store.repair(t.Context(), <-lacking.store.repairs)
 	if !lacking.has("a") {
 		t.Fatal("the replica is not repaired")
@@ -67,11 +67,11 @@
 }
 
 func TestAntiEntropyConverges(t *testing.T) {
-	tr := quiet(t, 4)
+	tr := newPassiveTier(t, 4)
 	p := tr.placed.Load()
 	for i := range 60 {
 		key := fmt.Sprint("p", i)
-		in, _ := tr.copiesOf(key)
+		in, _ := tr.replicasOf(key)
 		for j, n := range in { // each replica has a turn and an entry that the others lack
 			c := &closeCall{To: RequestHeader{n.store.ID(), 1}, Turn: Record{Key: key, ID: fmt.Sprint(key, "-", j),
 				Root: true, RetainSeconds: 30, Increment: []byte(key)}, UsedTokens: j}
@@ -91,7 +91,7 @@
 	}
 	for i := range 60 {
 		key := fmt.Sprint("p", i)
-		in, out := tr.copiesOf(key)
+		in, out := tr.replicasOf(key)
 		for _, n := range in {
 			if l := n.ledger(key); !n.has(key+"-0") || !n.has(key+"-1") || !n.has(key+"-2") || l.Sum() != 3 {
 				t.Fatalf("%s of %s is incomplete", key, n.name)
