--- a/internal/membership/membership.go
+++ b/internal/relay/discoverypoll/discoverypoll.go
@@ -1,4 +1,4 @@
-// Package membership decides when a relay asks discovery, and for what. It does no I/O and reads no clock.
+// Package discoverypoll decides when a relay asks discovery, and for what. It does no I/O and reads no clock.
 //
 // There are two questions. A look takes the whole list as the agent on the relay's own machine has it: that is answered
 // at once and costs discovery nothing. A watch waits for changes: that is how discovery tells of them soonest, a watch
@@ -12,7 +12,7 @@
 // had them all by then; in a larger one they are for watches alone. There a relay without a watch looks all the time, and
 // between two questions to an agent that answers at all there is never more than Blind. Not every agent answers looks at no
 // cost: one that turns them away is asked more and more seldom.
-package membership
+package discoverypoll
 
 import (
 	"math/rand/v2"
--- a/internal/notes/notes.go
+++ b/internal/relay/gossip/frame.go
@@ -1,6 +1,4 @@
-// Package notes is the frame of all notes between relays: a byte that tells kinds and versions apart, what they say, and the
-// low half of a CRC-32C over both. A note has 256 bytes at most.
-package notes
+package gossip
 
 import (
 	"encoding/binary"
@@ -8,6 +6,9 @@
 	"hash/crc32"
 )
 
+// The sizes of notes between relays, which go in one datagram each.
+// Every message between relays has one frame: a byte for its kind and version, the body, and the low half of a
+// CRC-32C over both. It has 256 bytes at most.
 const (
 	Most     = 256             // bytes of a note
 	Room     = Most - sumBytes // of them, for all but the sum
--- a/internal/sqlitelog/read.go
+++ b/internal/sqlitelog/read.go
@@ -26,7 +26,7 @@
 	defer rows.Close()
 	one := make([]driver.Value, 1)
 	switch err := rows.Next(one); {
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		return nil, nil
 	case err != nil:
 		return nil, err
@@ -122,7 +122,7 @@
 	defer rows.Close()
 	row := make([]driver.Value, 2)
 	for size := 0; len(keys) < pageRows && size < pageBytes; {
-		if err := rows.Next(row); err == io.EOF {
+		if err := rows.Next(row); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			return nil, nil, err
--- a/internal/sqlitelog/sqlitelog_test.go
+++ b/internal/sqlitelog/sqlitelog_test.go
@@ -218,7 +218,7 @@
 		w = append(w, Write{Table: "a", Key: fmt.Append(nil, 1000+i)})
 	}
 	requireNoError(t, d.Commit(ctx, w)) // deleting needs no room
-	for range 12 {            // free pages are returned as rows are added and deleted
+	for range 12 {                      // free pages are returned as rows are added and deleted
 		var in, out []Write
 		for i := range vacuumPages {
 			in, out = append(in, put("b", fmt.Sprint(i), "v")...), append(out, Write{Table: "b", Key: fmt.Append(nil, i)})
--- a/internal/tier/chain/chain.go
+++ b/internal/tier/chain/chain.go
@@ -1,6 +1,3 @@
-// Package chain is chain replication of a small key-value state: entries enter at the head, each member has them on disk
-// before it passes them on, the tail commits. Members outside the chain learn from the tail what is committed, and join
-// once they have caught up. Pure: what has to be on disk and what has to be sent comes back as values.
 package chain
 
 import (
@@ -11,279 +8,161 @@
 
 // Entry is one numbered change of the state.
 type Entry struct {
-	Index int64
+	Index int64 // from 1, without gaps
 	Key   string
-	Value []byte // empty deletes
+	Value []byte // empty: the key is deleted
 }
 
 // State is what a member keeps on disk.
 type State struct {
-	ActivatedEpoch int64   // the last epoch in which it had the whole state of its predecessor, or was head
-	LastIndex      int64   // of the last entry
-	Commit         int64   // entries up to here are committed for sure
-	Entries        []Entry // by index: the last of each key among the committed, and all others
+	// ActivatedEpoch is the last epoch in which the member had its predecessor's complete state, or was head.
+	ActivatedEpoch int64
+	LastIndex      int64 // index of the last entry, also if that was compacted away
+	Commit         int64 // all entries up to it are committed; at most LastIndex; never decreases
+	// Entries are in order of their indexes: the last committed one of each key, and all after Commit.
+	Entries []Entry
 }
 
-// Chain is one member's part.
+// Chain is one member's part of the chain in the current view.
 type Chain struct {
-	self      string
-	view      view.View
-	state     State
-	known     bool // Commit is all that was committed when the tail was heard of last, in this life and epoch
-	successor outgoing
-	learners  map[string]*outgoing // of a tail: members outside the chain
-	incoming  incoming             // from the predecessor, or from the tail to a learner
+	self          string // view.Member.ID
+	view          view.View
+	state         State
+	commitCurrent bool                   // see CommitIsCurrent
+	successor     sendStream             // to the successor
+	learners      map[string]*sendStream // of a tail: to members outside the chain
+	receiver      receiveStream          // from the predecessor, or from the tail to a learner
 }
 
-// New makes a member's part from what its disk has.
+// New returns a member's part, without a view, from the state on its disk.
 func New(self string, s State) *Chain {
-	c := &Chain{self: self, state: s, learners: map[string]*outgoing{}}
-	c.expect()
+	c := &Chain{self: self, state: s, learners: map[string]*sendStream{}}
+	c.resetReceiver()
 	return c
 }
 
-// State is what is to be kept. The entries are shared: they are never changed in place.
+// State returns the state that has to be kept on disk. Entries are not modified in place: a copy of the State stays valid.
 func (c *Chain) State() *State { return &c.state }
 
-// Adopt begins with a view. It tells whether the state was changed and must be on disk before anything is sent.
+// Adopt takes up a view. It reports whether the state was changed and must be on disk before anything is sent.
 func (c *Chain) Adopt(v view.View) (changed bool) {
-	learner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
-	c.view, c.known = v, false
-	c.successor = outgoing{}
-	c.learners = map[string]*outgoing{}
-	if !learner { // what a learner was sent is committed, whoever is the tail
-		c.expect()
+	staysLearner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
+	c.view, c.commitCurrent = v, false
+	c.successor = sendStream{}
+	c.learners = map[string]*sendStream{}
+	if !staysLearner { // what a learner has received is committed, whichever member is the tail
+		c.resetReceiver()
 	}
 	if v.Position(c.self) != 0 || c.state.ActivatedEpoch >= v.Epoch {
-		c.commitAlone() // a tail that has started again
+		c.commitAtTail() // this may be a tail that was restarted
 		return false
 	}
 	if c.state.ActivatedEpoch < v.Chain[0].JoinedEpoch {
-		return false // not a holder: the view was not made by the rules, and this member takes no part
+		return false // its state is not complete: the view is invalid, and this member stays inactive in it
 	}
 	c.state.ActivatedEpoch = v.Epoch
-	c.expect()
-	c.commitAlone()
+	c.resetReceiver()
+	c.commitAtTail()
 	return true
 }
 
-// expect begins a stream anew, from what is in the state.
-func (c *Chain) expect() {
+// resetReceiver begins a new stream after the entries that the member keeps for certain: all if it is active, else the
+// committed ones.
+func (c *Chain) resetReceiver() {
 	if c.IsActive() {
-		c.incoming = incoming{done: c.state.LastIndex}
+		c.receiver = receiveStream{lastIndex: c.state.LastIndex}
 		return
 	}
-	c.incoming = incoming{done: c.state.Commit}
+	c.receiver = receiveStream{lastIndex: c.state.Commit}
 }
 
-// IsActive tells whether this member takes part in the chain of its view.
+// IsActive reports whether this member is in the chain of its view and has been activated in it.
 func (c *Chain) IsActive() bool {
 	return c.view.Epoch > 0 && c.view.Position(c.self) >= 0 && c.state.ActivatedEpoch == c.view.Epoch
 }
 
-// IsLearner tells whether this member has no place in the chain of its view.
+// IsLearner reports whether this member is outside the chain of its view.
 func (c *Chain) IsLearner() bool { return c.view.Position(c.self) < 0 }
 
-// CommitIsCurrent tells whether this member has everything committed that was acknowledged: what it kept on disk of Commit may be
-// old, until its successor has told what the tail has.
-func (c *Chain) CommitIsCurrent() bool { return c.IsActive() && c.known }
+// CommitIsCurrent reports whether the commit index is at least what the tail's was at some time in this epoch and incarnation.
+// The one on disk may be older, below that of acknowledged writes; it is current once an acknowledgement has brought the
+// tail's.
+func (c *Chain) CommitIsCurrent() bool { return c.IsActive() && c.commitCurrent }
 
-// commitAlone commits what is on disk where there is nobody behind.
-func (c *Chain) commitAlone() {
+// commitAtTail commits all entries if this member is the active tail: then every member of the chain has them on disk.
+func (c *Chain) commitAtTail() {
 	if c.IsActive() && c.view.Tail() == c.self {
-		c.known = true
+		c.commitCurrent = true
 		c.commit(c.state.LastIndex)
 	}
 }
 
-// Append takes one entry at the head. It has to be on disk before Next is sent.
+// Append adds an entry at the head. It returns false if this member is not the active head.
 func (c *Chain) Append(key string, value []byte) (Entry, bool) {
 	if !c.IsActive() || c.view.Head() != c.self {
 		return Entry{}, false
 	}
-	e := Entry{Index: c.state.LastIndex + 1, Key: key, Value: value}
-	c.state.Entries = append(slices.Clip(c.state.Entries), e)
-	c.state.LastIndex = e.Index
-	return e, true
+	entry := Entry{Index: c.state.LastIndex + 1, Key: key, Value: value}
+	c.state.Entries = append(slices.Clip(c.state.Entries), entry)
+	c.state.LastIndex = entry.Index
+	return entry, true
 }
 
-// MarkDurable says that all that the state has is on disk.
-func (c *Chain) MarkDurable() { c.commitAlone() }
+// MarkDurable records that the present state is on disk.
+func (c *Chain) MarkDurable() { c.commitAtTail() }
 
-// NextUpdate is the next part of what the successor lacks; none where it has all, or as much is under way as may be.
-func (c *Chain) NextUpdate() (to string, u Update, some bool) {
+// NextUpdate returns the next update for the successor. It returns false if the successor has all entries, if the window is
+// full, or if the successor's position is not known yet.
+func (c *Chain) NextUpdate() (to string, u Update, ok bool) {
 	to = c.view.Successor(c.self)
 	if !c.IsActive() || to == "" {
 		return to, Update{}, false
 	}
-	u, some = c.successor.next(c.state.Entries, c.state.LastIndex)
+	u, ok = c.successor.nextUpdate(c.state.Entries, c.state.LastIndex)
 	u.Epoch, u.Commit = c.view.Epoch, c.state.Commit
-	return to, u, some
+	return to, u, ok
 }
 
-// HandleUpdate takes an update of the predecessor. What it changed must be on disk before Ack is sent.
-func (c *Chain) HandleUpdate(from string, u Update) (changed, ok bool) {
-	if u.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Predecessor(c.self) != from {
+// HandleUpdate handles an update of the predecessor. ok is false if it is of another sender or epoch, and then needs no
+// acknowledgement. If changed, the state must be on disk before the acknowledgement is sent.
+func (c *Chain) HandleUpdate(from string, update Update) (changed, ok bool) {
+	if update.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Predecessor(c.self) != from {
 		return false, false
 	}
 	if c.IsActive() {
-		return c.takeEntries(u), true
+		return c.appendReceived(update), true
 	}
-	if u.Base != c.state.Commit || !c.incoming.take(u) {
-		return false, true // its answer tells from where on
+	if update.Base != c.state.Commit || !c.receiver.handleUpdate(update) {
+		return false, true // the sender continues at the acknowledged position
 	}
-	if !u.Complete || c.incoming.part != nil {
+	if !update.Complete || c.receiver.partial != nil {
 		return false, true
 	}
-	c.replaceAfterCommit(u.Through)
+	c.replaceUncommitted(update.Through)
 	c.state.ActivatedEpoch = c.view.Epoch
-	c.commit(min(u.Commit, c.state.LastIndex))
-	c.expect()
+	c.commit(min(update.Commit, c.state.LastIndex))
+	c.resetReceiver()
 	return true, true
 }
 
-// takeEntries takes whole entries of the stream in, as far as they have come.
-func (c *Chain) takeEntries(u Update) (changed bool) {
-	if !c.incoming.take(u) {
+// appendReceived handles an update at an active member: it appends the entries that are complete.
+func (c *Chain) appendReceived(update Update) (changed bool) {
+	if !c.receiver.handleUpdate(update) {
 		return false
 	}
-	if added := c.incoming.entries; len(added) > 0 {
+	if added := c.receiver.entries; len(added) > 0 {
 		c.state.Entries = append(slices.Clip(c.state.Entries), added...)
 		c.state.LastIndex = added[len(added)-1].Index
-		c.incoming.entries = nil
+		c.receiver.entries = nil
 		changed = true
 	}
-	c.commit(min(u.Commit, c.state.LastIndex))
+	c.commit(min(update.Commit, c.state.LastIndex))
 	return changed
 }
 
-// replaceAfterCommit puts what has come in the place of all that this member did not know to be committed.
-func (c *Chain) replaceAfterCommit(through int64) {
+// replaceUncommitted replaces all entries after the commit index by those of a complete transfer.
+func (c *Chain) replaceUncommitted(through int64) {
 	kept := slices.DeleteFunc(slices.Clone(c.state.Entries), func(e Entry) bool { return e.Index > c.state.Commit })
-	c.state.Entries = append(kept, c.incoming.entries...)
+	c.state.Entries = append(kept, c.receiver.entries...)
 	c.state.LastIndex = through
 }
-
-// HandleLearnerUpdate takes an update of the tail outside the chain. What it changed must be on disk before it is told of.
-//
-// An update that was made before one that has come is refused: what was compacted away in between is neither in the
-// beginning, which is newer, nor in the end, which is older. What tails have committed never goes back, so that no newer
-// update is refused by this.
-func (c *Chain) HandleLearnerUpdate(u Update) (changed bool) {
-	if !c.IsLearner() || u.Base != c.state.Commit || u.Commit < c.incoming.madeAt {
-		return false
-	}
-	c.incoming.madeAt = u.Commit
-	if !c.incoming.take(u) {
-		return false
-	}
-	if !u.Complete || u.Through <= c.state.Commit || c.incoming.part != nil {
-		return false
-	}
-	c.replaceAfterCommit(u.Through)
-	c.commit(u.Through)
-	c.expect()
-	return true
-}
-
-// Ack is what a member tells its predecessor once its state is on disk, and a learner the tail.
-type Ack struct {
-	Epoch           int64
-	LastIndex       int64
-	Commit          int64
-	CommitIsCurrent bool
-	Active          bool
-	Received        Position // of the stream of updates
-}
-
-// CurrentAck is the present ack of this member, whoever wants it.
-func (c *Chain) CurrentAck() Ack {
-	return Ack{Epoch: c.view.Epoch, LastIndex: c.state.LastIndex, Commit: c.state.Commit, CommitIsCurrent: c.CommitIsCurrent(), Active: c.IsActive(), Received: c.incoming.position()}
-}
-
-// PredecessorAck of this member for its predecessor.
-func (c *Chain) PredecessorAck() (to string, a Ack, ok bool) {
-	to = c.view.Predecessor(c.self)
-	return to, c.CurrentAck(), to != ""
-}
-
-// HandleAck takes the successor's ack, said in one of its lives. It tells whether more was committed.
-func (c *Chain) HandleAck(from string, life int64, a Ack) (more bool) {
-	if a.Epoch != c.view.Epoch || c.view.Successor(c.self) != from || c.IsActive() && a.Active && a.LastIndex > c.state.LastIndex {
-		return false
-	}
-	complete := int64(-1)
-	if a.Active {
-		complete = a.LastIndex
-	}
-	c.successor.acked(life, a, complete)
-	if !a.Active || !c.IsActive() {
-		return false
-	}
-	before := c.state.Commit
-	c.commit(min(a.Commit, c.state.LastIndex))
-	if a.CommitIsCurrent && !c.known {
-		c.known = true
-		return true
-	}
-	return c.state.Commit > before
-}
-
-// commit compacts as it goes: of the committed entries of a key the last one stays.
-func (c *Chain) commit(index int64) {
-	if index <= c.state.Commit {
-		return
-	}
-	c.state.Commit = index
-	last := map[string]int64{}
-	for _, e := range c.state.Entries {
-		if e.Index <= index {
-			last[e.Key] = e.Index
-		}
-	}
-	kept := make([]Entry, 0, len(last)+4)
-	for _, e := range c.state.Entries {
-		if e.Index > index || last[e.Key] == e.Index {
-			kept = append(kept, e)
-		}
-	}
-	c.state.Entries = kept
-}
-
-// EntriesAfter are the entries after an index.
-func EntriesAfter(entries []Entry, index int64) []Entry {
-	i := len(entries)
-	for i > 0 && entries[i-1].Index > index {
-		i--
-	}
-	return entries[i:]
-}
-
-// Committed are the committed entries after an index.
-func (c *Chain) Committed(index int64) []Entry {
-	all := EntriesAfter(c.state.Entries, index)
-	for i, e := range all {
-		if e.Index > c.state.Commit {
-			return all[:i]
-		}
-	}
-	return all
-}
-
-// CommittedBytes are those of the values committed after an index.
-func (c *Chain) CommittedBytes(index int64) (bytes int64) {
-	for _, e := range c.Committed(index) {
-		bytes += int64(len(e.Value))
-	}
-	return bytes
-}
-
-// LastEntry is the last entry of a key, committed or not.
-func (c *Chain) LastEntry(key string) (Entry, bool) {
-	for i := len(c.state.Entries) - 1; i >= 0; i-- {
-		if c.state.Entries[i].Key == key {
-			return c.state.Entries[i], true
-		}
-	}
-	return Entry{}, false
-}
--- /dev/null
+++ b/internal/tier/orders/chain_model_test.go
@@ -0,0 +1,217 @@
+package orders
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"larchrouter/internal/tier/chain"
+)
+
+const (
+	simulationStep  = 10 * time.Millisecond
+	callTimeout     = 900 * time.Millisecond // a pending reply is dropped after it
+	readConfirmTime = 20 * time.Millisecond  // for a read, until the epoch is confirmed
+)
+
+// replica is a member of the modelled chain.
+type replica struct {
+	name        string
+	epoch       int64
+	chain       []*replica // the members of its epoch, head first
+	entries     []chain.Entry
+	lastIndex   int64
+	commitIndex int64
+	active      bool // it has its predecessor's complete state, or is head, in this epoch
+	pending     []pendingReply
+}
+
+// pendingReply is a decision that must not be reported yet.
+type pendingReply struct {
+	dependsOn   int64         // index that must be committed first
+	confirmedAt time.Duration // when the epoch's confirmation ends; 0 if none is needed
+	deadline    time.Duration // the operator gets no answer after it
+	reply       func(ok bool) // ok is false if the outcome is unknown
+}
+
+func (r *replica) head() bool { return r.active && r.chain[0] == r }
+func (r *replica) tail() bool { return r.active && r.chain[len(r.chain)-1] == r }
+
+func (r *replica) append(w Write) {
+	r.lastIndex++
+	r.entries = append(slices.Clip(r.entries), chain.Entry{Index: r.lastIndex, Key: w.Key, Value: w.Value})
+}
+
+// committed returns the committed entries.
+func (r *replica) committed() []chain.Entry {
+	for i, e := range r.entries {
+		if e.Index > r.commitIndex {
+			return r.entries[:i]
+		}
+	}
+	return r.entries
+}
+
+// advanceCommit raises the commit index and drops all but the last committed entry of each key.
+func (r *replica) advanceCommit(index int64) {
+	if index <= r.commitIndex {
+		return
+	}
+	r.commitIndex = index
+	last := make(map[string]int64, len(r.entries))
+	for _, e := range r.committed() {
+		last[e.Key] = e.Index
+	}
+	var kept []chain.Entry
+	for _, e := range r.entries {
+		if e.Index > index || last[e.Key] == e.Index {
+			kept = append(kept, e)
+		}
+	}
+	r.entries = kept
+}
+
+// chainModel models, in virtual time, what the control plane guarantees of the replication chain, and no more. An entry
+// is committed once every member of its epoch's chain has it. The next epoch starts with the state of one active member.
+// Uncommitted entries may be kept or lost. A member that does not learn of the next epoch stays in the old one and
+// commits nothing there.
+type chainModel struct {
+	rng            *rand.Rand
+	now            time.Duration
+	epoch          int64
+	replicas       []*replica
+	scheduled      []event
+	committedIndex int64                 // all entries up to it are committed
+	onCommit       func(chain.Entry)     // called for each committed entry, in order
+	partialUpdate  bool                  // an update of this step ended between two entries
+	onHeadStep     func(r *replica)      // called for each head in each step
+	logf           func(string, ...any)  // adds a line to the simulation's event log
+	epochConfirmed func(r *replica) bool // reports whether a majority would confirm the replica's epoch
+}
+
+// event is a function to run at a time.
+type event struct {
+	due time.Duration
+	run func()
+}
+
+func newChainModel(rng *rand.Rand, n int, start []chain.Entry) *chainModel {
+	w := &chainModel{rng: rng, onCommit: func(chain.Entry) {}, onHeadStep: func(*replica) {}}
+	w.epochConfirmed = func(r *replica) bool { return r.epoch == w.epoch && r.active }
+	for i := range n {
+		r := &replica{name: string(rune('A' + i)), entries: start}
+		if len(start) > 0 {
+			r.lastIndex = start[len(start)-1].Index
+			r.commitIndex = r.lastIndex
+		}
+		w.replicas = append(w.replicas, r)
+	}
+	w.committedIndex = w.replicas[0].lastIndex
+	w.beginEpoch(slices.Clone(w.replicas))
+	return w
+}
+
+func (w *chainModel) schedule(d time.Duration, run func()) {
+	w.scheduled = append(w.scheduled, event{w.now + d, run})
+}
+
+// beginEpoch starts an epoch with a chain; its head keeps its state. All pending replies of the members fail.
+func (w *chainModel) beginEpoch(members []*replica) {
+	w.epoch++
+	for i, r := range members {
+		r.epoch, r.chain, r.active = w.epoch, members, i == 0
+		for _, reply := range r.pending {
+			reply.reply(false)
+		}
+		r.pending = nil
+	}
+}
+
+// changeView starts the next epoch with some of the replicas, or all; the others don't learn of it. The head is an
+// active member of the current epoch: as it leaves that epoch, nothing is committed there any more.
+func (w *chainModel) changeView(all bool) *replica {
+	var candidates []*replica
+	for _, r := range w.replicas {
+		if r.epoch == w.epoch && r.active {
+			candidates = append(candidates, r)
+		}
+	}
+	head := candidates[w.rng.IntN(len(candidates))]
+	members := []*replica{head}
+	for _, i := range w.rng.Perm(len(w.replicas)) {
+		if r := w.replicas[i]; r != head && (all || len(members) < 2 || w.rng.IntN(2) == 0) {
+			members = append(members, r)
+		}
+	}
+	w.beginEpoch(members)
+	w.logf("epoch %d: head %s of %d", w.epoch, head.name, len(members))
+	return head
+}
+
+// replicate sends the entries that successor b lacks, or the first of them.
+func (w *chainModel) replicate(from, to *replica) {
+	if from.epoch != to.epoch || !from.active {
+		return
+	}
+	if !to.active { // the complete state; entries that b has beyond it were never committed
+		to.entries, to.lastIndex, to.active = from.entries, from.lastIndex, true
+		to.commitIndex = min(from.lastIndex, max(from.commitIndex, to.commitIndex))
+	} else if i := slices.IndexFunc(from.entries, func(e chain.Entry) bool { return e.Index > to.lastIndex }); i >= 0 {
+		more := from.entries[i:]
+		if len(more) > 1 && w.rng.IntN(4) == 0 {
+			more = more[:1+w.rng.IntN(len(more)-1)]
+			w.partialUpdate = true
+		}
+		to.entries = append(slices.Clip(to.entries), more...)
+		to.lastIndex = more[len(more)-1].Index
+	}
+	if to.tail() {
+		for _, e := range to.entries {
+			if e.Index > w.committedIndex {
+				w.committedIndex = e.Index
+				w.onCommit(e)
+			}
+		}
+		to.advanceCommit(to.lastIndex)
+	}
+	from.advanceCommit(min(to.commitIndex, from.lastIndex))
+}
+
+// step advances the time by one step: due events, heads, one update on each link, pending replies.
+func (w *chainModel) step() {
+	w.now += simulationStep
+	w.partialUpdate = false
+	due := w.scheduled
+	w.scheduled = nil
+	var later []event
+	for _, e := range due {
+		if e.due <= w.now {
+			e.run()
+		} else {
+			later = append(later, e)
+		}
+	}
+	w.scheduled = append(later, w.scheduled...)
+	for _, r := range w.replicas {
+		if r.head() {
+			w.onHeadStep(r)
+		}
+		if i := slices.Index(r.chain, r); i+1 < len(r.chain) && w.rng.IntN(3) > 0 {
+			w.replicate(r, r.chain[i+1])
+		}
+	}
+	for _, r := range w.replicas {
+		pending := r.pending
+		r.pending = nil
+		for _, reply := range pending {
+			switch {
+			case reply.dependsOn <= r.commitIndex && (reply.confirmedAt == 0 || reply.confirmedAt <= w.now && w.epochConfirmed(r)):
+				reply.reply(true)
+			case w.now >= reply.deadline:
+				reply.reply(false)
+			default:
+				r.pending = append(r.pending, reply)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/tier/orders/config_faults_test.go
@@ -0,0 +1,156 @@
+package orders
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"larchrouter/internal/rpc"
+	"larchrouter/internal/tier/feed"
+)
+
+// configFault is a planted fault in the decisions, or in the caller's duties. The simulation must find each.
+type configFault struct {
+	decide           func(d Decision, s *State, o PutConfig) Decision // changes the real decision
+	noConfirm        bool                                             // replies don't wait for the epoch's confirmation
+	trustRecord      bool                                             // a record counts without its configuration
+	ignoreDependency bool                                             // replies don't wait for the commit of DependsOn
+}
+
+func (f configFault) put(r *replica, o PutConfig) (Decision, error) {
+	d, err := Decide(r.entries, 1, o)
+	if f.trustRecord && d.Kind == Accept && hasRecord(r, o) {
+		d.Kind, d.Append = AlreadyApplied, nil
+	}
+	if f.decide == nil || err != nil {
+		return d, err
+	}
+	s, err := ReadState(r.entries, 1)
+	if err != nil {
+		return d, err
+	}
+	return f.decide(d, s, o), nil
+}
+
+// hasRecord reports whether there is a record of an order, reachable or not.
+func hasRecord(r *replica, o PutConfig) bool {
+	for _, e := range r.entries {
+		var p Page
+		if !strings.HasPrefix(e.Key, keyPrefix) || e.Key == legacyKey || rpc.Decode(e.Value, &p) != nil {
+			continue
+		}
+		for _, record := range p.Records {
+			if record.Version == o.Version && bytes.Equal(record.Digest, o.Digest) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+func rejection(s *State, d Decision) Decision {
+	return Decision{Kind: VersionMismatch, DependsOn: d.DependsOn, Reason: "planted"}
+}
+
+func TestConfigSimulationFindsPlantedFaults(t *testing.T) {
+	t.Parallel()
+	for name, f := range map[string]configFault{
+		"rejected after 64 others": {decide: func(d Decision, s *State, o PutConfig) Decision {
+			if d.Kind == AlreadyApplied && o.Version < s.Version()-128 {
+				return rejection(s, d)
+			}
+			return d
+		}},
+		"rejected where the history does not go back": {decide: func(d Decision, s *State, _ PutConfig) Decision {
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "older than what is known") {
+				return rejection(s, d)
+			}
+			return d
+		}},
+		"version mismatch before the digest is compared": {decide: func(d Decision, s *State, o PutConfig) Decision {
+			if o.IfMatch != s.Version() {
+				return rejection(s, d)
+			}
+			return d
+		}},
+		"invalid before the digest is compared": {decide: func(d Decision, s *State, o PutConfig) Decision {
+			if d.Kind == AlreadyApplied && o.Version <= s.Version() {
+				return Decision{Kind: Invalid, DependsOn: d.DependsOn}
+			}
+			return d
+		}},
+		"base version ignored in the history": {decide: func(d Decision, _ *State, _ PutConfig) Decision {
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "this very configuration") {
+				d.Kind = AlreadyApplied
+			}
+			return d
+		}},
+		"same configuration on another base version rejected": {decide: func(d Decision, s *State, _ PutConfig) Decision {
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "this very configuration") {
+				return rejection(s, d)
+			}
+			return d
+		}},
+		"base version above the current one rejected": {decide: func(d Decision, s *State, _ PutConfig) Decision {
+			if d.Kind == Unavailable && strings.Contains(d.Reason, "on which it builds") {
+				return rejection(s, d)
+			}
+			return d
+		}},
+		"only the version is compared": {decide: func(d Decision, s *State, o PutConfig) Decision {
+			s.history.linkDownTo(0)
+			for _, r := range s.history.applied {
+				if r.Version == o.Version && o.Invalid == "" {
+					d.Kind = AlreadyApplied
+				}
+			}
+			return d
+		}},
+		"record counts without its configuration": {trustRecord: true},
+		"configuration written before its record": {decide: func(d Decision, _ *State, _ PutConfig) Decision {
+			if n := len(d.Append); n > 1 {
+				d.Append = append([]Write{d.Append[n-1]}, d.Append[:n-1]...)
+			}
+			return d
+		}},
+		"no record written": {decide: func(d Decision, _ *State, _ PutConfig) Decision {
+			if n := len(d.Append); n > 0 {
+				d.Append = d.Append[n-1:]
+			}
+			return d
+		}},
+		"legacy history ignored": {decide: func(d Decision, s *State, o PutConfig) Decision {
+			if s.history.inLegacy(o.Digest) && d.Kind == AlreadyApplied {
+				return rejection(s, d)
+			}
+			return d
+		}},
+		"base version ignored": {decide: func(d Decision, s *State, o PutConfig) Decision {
+			if d.Kind == VersionMismatch && o.Version > s.Version() {
+				return Decision{Kind: Accept, DependsOn: d.DependsOn, Append: o.writes(s, s.Version())}
+			}
+			return d
+		}},
+		"versions may go down": {decide: func(d Decision, s *State, o PutConfig) Decision {
+			if d.Kind == Invalid && o.Invalid == "" {
+				entry := feed.ConfigEntry{Version: o.Version, Body: o.Body, RecentDigests: [][]byte{o.Digest}}
+				return Decision{Kind: Accept, DependsOn: d.DependsOn, Append: []Write{{Key: feed.ConfigKey, Value: rpc.Encode(&entry)}}}
+			}
+			return d
+		}},
+		"replies without confirmation of the epoch": {noConfirm: true},
+		"replies before the commit of DependsOn":    {ignoreDependency: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(300) {
+				c := newConfigSimulation(seed+1, f)
+				if c.run(); c.failure != "" {
+					t.Logf("seed %d: %s", c.seed, c.failure)
+					return
+				}
+			}
+			t.Fatal("not found in 300 simulations")
+		})
+	}
+}
--- a/internal/tier/turnstore/anti_entropy.go
+++ b/internal/tier/turnstore/anti_entropy.go
@@ -132,7 +132,7 @@
 		err := s.pullKeys(ctx, p, peer, nil, true)
 		progress.record(peer.ID, err == nil, s.Now())
 		if err != nil && !errors.Is(err, ErrPlacementBehind) {
-			_ = s.Log.Log("sweep", peer.Name, "gen", p.Generation, "err", err)
+			s.Log.Debug("sweep of a store failed", "store", peer.Name, "gen", p.Generation, "err", err)
 		}
 	}
 	missed := progress.missed(p, s.id)
@@ -147,7 +147,7 @@
 	s.mu.Lock()
 	s.sweptGeneration = max(s.sweptGeneration, p.Generation)
 	s.mu.Unlock()
-	_ = s.Log.Log("swept", p.Generation, "missed", missed)
+	s.Log.Debug("sweep complete", "gen", p.Generation, "missed", missed)
 	return true
 }
 
@@ -162,7 +162,7 @@
 		return err
 	}
 	if len(r.Digests) != 8*bucketCount {
-		return errors.Newf("sums of %d bytes: the two sides differ in version", len(r.Digests))
+		return errors.Newf("digests of %d bytes: the two sides differ in version", len(r.Digests))
 	}
 	s.mu.Lock()
 	own := s.index.bucketDigests(p, s.id, peer.ID)
@@ -178,7 +178,7 @@
 	}
 	err := s.pullKeys(ctx, p, peer, differing, false)
 	if err != nil {
-		_ = s.Log.Log("compare", peer.Name, "err", err)
+		s.Log.Debug("comparison failed", "store", peer.Name, "err", err)
 	}
 	return err
 }
@@ -208,7 +208,7 @@
 	for _, peer := range p.Stores() {
 		if keys := byPeer[peer.ID]; len(keys) > 0 {
 			if err := s.fetchPrograms(ctx, p, peer, keys); err != nil {
-				_ = s.Log.Log("mend", peer.Name, "err", err)
+				s.Log.Debug("repair failed", "store", peer.Name, "err", err)
 			}
 		}
 	}
--- a/internal/tier/turnstore/capacity.go
+++ b/internal/tier/turnstore/capacity.go
@@ -48,13 +48,13 @@
 	switch {
 	case !changed:
 	case is.writeRefused:
-		s.Log.Trouble("store", "disk is full: no turns are opened until it takes writes again; give it more disk, or add stores")
+		s.Log.Error("disk is full: no turns are opened until it takes writes again; give it more disk, or add stores")
 	case is.ledgersFull:
-		s.Log.Trouble("store", "ledgers are full: no turns are opened until old ones are dropped; add stores")
+		s.Log.Error("ledgers are full: no turns are opened until old ones are dropped; add stores")
 	case now:
-		s.Log.Trouble("store", "disk is nearly full: no turns are opened until old ones expire; give it more disk, or add stores")
+		s.Log.Error("disk is nearly full: no turns are opened until old ones expire; give it more disk, or add stores")
 	default:
-		s.Log.Say("store", "disk has room again: turns are opened")
+		s.Log.Info("disk has room again: turns are opened")
 	}
 }
 
--- a/internal/tier/turnstore/capacity_test.go
+++ b/internal/tier/turnstore/capacity_test.go
@@ -37,14 +37,14 @@
 		return tr.nodes[0].store.Full() && tr.nodes[1].store.Full() && tr.nodes[2].store.Full()
 	}
 	increment := []byte(strings.Repeat("token\n", 1000))
-	kept := 0
-	for ; !full(); kept++ {
-		if kept > 1000 {
+	closed := 0
+	for ; !full(); closed++ {
+		if closed > 1000 {
 			t.Fatal("no store reports its disk as nearly full")
 		}
-		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: increment,
+		if err := c.Close(t.Context(), &Turn{Key: fmt.Sprint("p", closed), ID: fmt.Sprint("t", closed), Output: increment,
 			RetainSeconds: 30}); err != nil {
-			t.Fatalf("turn %d cannot be closed, before any store reported that it is nearly full: %v", kept, err)
+			t.Fatalf("turn %d cannot be closed, before any store reported that it is nearly full: %v", closed, err)
 		}
 	}
 	_, err := c.Open(t.Context(), openRequest("another", "a", ""))
@@ -66,7 +66,7 @@
 	if _, err := c.Open(t.Context(), openRequest("another", "b", "")); err != nil {
 		t.Error(err)
 	}
-	t.Logf("nearly full with %d turns of %d bytes", kept, len(increment))
+	t.Logf("nearly full with %d turns of %d bytes", closed, len(increment))
 }
 
 func TestFullStoresRejectWritesAndServeReads(t *testing.T) {
@@ -79,21 +79,21 @@
 	tr.setPlacement(&Placement{Generation: 2, Old: tr.stores(tr.nodes...)})
 	c := tr.productionClient()
 	output := []byte(strings.Repeat("token\n", 20_000))
-	kept := 0
+	closed := 0
 	var err error
-	for ; kept < 200; kept++ {
+	for ; closed < 200; closed++ {
 		ctx, stop := context.WithTimeout(t.Context(), 2*time.Second)
-		err = c.Close(ctx, &Turn{Key: fmt.Sprint("p", kept), ID: fmt.Sprint("t", kept), Output: output, RetainSeconds: 30})
+		err = c.Close(ctx, &Turn{Key: fmt.Sprint("p", closed), ID: fmt.Sprint("t", closed), Output: output, RetainSeconds: 30})
 		stop()
 		if err != nil {
 			break
 		}
 	}
 	requireErrorIs(t, err, ErrUnavailable)
-	if kept < 5 {
-		t.Fatalf("full after %d turns", kept)
+	if closed < 5 {
+		t.Fatalf("full after %d turns", closed)
 	}
-	for i := range kept {
+	for i := range closed {
 		opened, err := tr.client().Open(t.Context(), openRequest(fmt.Sprint("p", i), fmt.Sprint("next", i), fmt.Sprint("t", i)))
 		if errors.Is(err, ErrUnavailable) {
 			continue // no capacity for its reservation
--- a/internal/tier/turnstore/client.go
+++ b/internal/tier/turnstore/client.go
@@ -2,10 +2,10 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"time"
 
-	"larchrouter/internal/process"
 	"larchrouter/internal/rpc"
 )
 
@@ -35,7 +35,7 @@
 	placement    func() *Placement
 	transport    transport
 	zone         string
-	log          *process.Ring
+	log          *slog.Logger
 	cache        *incrementCache
 	callTimeout  time.Duration
 	closeTimeout time.Duration
@@ -54,11 +54,11 @@
 
 // NewClient returns a client. placement returns the placement in force, nil before the first was received; zone is the
 // client's own, whose stores it prefers for reads.
-func NewClient(placement func() *Placement, calls *rpc.Clients, zone string, log *process.Ring) *Client {
+func NewClient(placement func() *Placement, calls *rpc.Clients, zone string, log *slog.Logger) *Client {
 	return newClient(placement, rpcTransport{calls}, zone, log)
 }
 
-func newClient(placement func() *Placement, calls transport, zone string, log *process.Ring) *Client {
+func newClient(placement func() *Placement, calls transport, zone string, log *slog.Logger) *Client {
 	c := &Client{placement: placement, transport: calls, zone: zone, log: log, cache: newIncrementCache(clientCacheBytes),
 		callTimeout: callTimeout, closeTimeout: closeTimeout, inFlight: map[string]int{}, suspects: map[string]time.Time{},
 		idle: make(chan struct{})}
--- a/internal/tier/turnstore/client_broadcast.go
+++ b/internal/tier/turnstore/client_broadcast.go
@@ -54,7 +54,7 @@
 	call func(Store) (m rpc.Method, body any), status func(*R) int) {
 	for _, s := range stores {
 		if !c.beginCall(s.ID) {
-			out <- replicaResponse[R]{store: s, err: errors.Mark(errors.New("too much is under way"), ErrUnavailable)}
+			out <- replicaResponse[R]{store: s, err: errors.Mark(errors.New("too many calls are in flight"), ErrUnavailable)}
 			continue
 		}
 		go func() {
--- a/internal/tier/turnstore/client_history.go
+++ b/internal/tier/turnstore/client_history.go
@@ -33,7 +33,7 @@
 		}
 		id = r.Missing
 	}
-	return nil, 0, unavailable(errors.Newf("the chain of turn %q is in too many parts", id), "read the history")
+	return nil, 0, unavailable(errors.Newf("the chain of turn %q is in too many segments", id), "read the history")
 }
 
 // historyStores returns the stores to read a history from, in the order of preference: the replicas of the key and the
--- a/internal/tier/turnstore/client_limits_test.go
+++ b/internal/tier/turnstore/client_limits_test.go
@@ -40,7 +40,7 @@
 		stores := []Store{{ID: "a", Name: "a", Addr: "a"}, {ID: "b", Name: "b", Addr: "b"}, {ID: "c", Name: "c", Addr: "c"}}
 		p := &Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1, Old: stores}
 		network := &scriptedStores{stalled: "b"}
-		c := newClient(func() *Placement { return p }, network, "zone", process.NewRing(io.Discard))
+		c := newClient(func() *Placement { return p }, network, "zone", process.NewLogger(io.Discard))
 		const turns = 2 * maxBackground // within the time-out of a call to the stalled store
 		var failed atomic.Int64
 		var group sync.WaitGroup
--- a/internal/tier/turnstore/client_lookup.go
+++ b/internal/tier/turnstore/client_lookup.go
@@ -77,7 +77,7 @@
 		}
 	}
 	if failure == nil {
-		failure = errors.New("stores that have not caught up cannot tell")
+		failure = errors.New("some stores have not completed their sweep")
 	}
 	return "", nil, unavailable(failure, "look for the previous turn")
 }
--- a/internal/tier/turnstore/export_test.go
+++ b/internal/tier/turnstore/export_test.go
@@ -37,12 +37,12 @@
 
 // NewServerOn returns a server on a disk and a transport of the model.
 func NewServerOn(d Disk, peers Transport, placement func() *Placement, changed func() <-chan struct{}) (*Server, error) {
-	return newServer(ServerOptions{Placement: placement, Changed: changed, Log: process.NewRing(io.Discard)}, d, peers)
+	return newServer(ServerOptions{Placement: placement, Changed: changed, Log: process.NewLogger(io.Discard)}, d, peers)
 }
 
 // NewClientOn returns a client on a transport of the model.
 func NewClientOn(stores Transport, placement func() *Placement, zone string) *Client {
-	return newClient(placement, stores, zone, process.NewRing(io.Discard))
+	return newClient(placement, stores, zone, process.NewLogger(io.Discard))
 }
 
 // Turns returns the IDs of the store's turns by program.
--- a/internal/tier/turnstore/frames_test.go
+++ b/internal/tier/turnstore/frames_test.go
@@ -142,7 +142,7 @@
 	}
 	defer db.Close()
 	s, err := NewServer(ServerOptions{DB: db, Placement: func() *Placement { return nil }, Calls: &rpc.Clients{},
-		Log: process.NewRing(io.Discard)})
+		Log: process.NewLogger(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/turnstore/harness_test.go
+++ b/internal/tier/turnstore/harness_test.go
@@ -122,7 +122,7 @@
 	}
 	n.db = db
 	n.store, err = NewServer(ServerOptions{DB: db, Placement: n.placement, Calls: &n.tier.calls, Now: n.tier.now,
-		Log: process.NewRing(io.Discard)})
+		Log: process.NewLogger(io.Discard)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 
 // productionClient returns a client with the time-outs of production.
 func (tr *tier) productionClient() *Client {
-	c := NewClient(tr.placed.Load, &tr.calls, "zone-0", process.NewRing(io.Discard))
+	c := NewClient(tr.placed.Load, &tr.calls, "zone-0", process.NewLogger(io.Discard))
 	tr.t.Cleanup(func() {
 		ctx, stop := context.WithTimeout(context.Background(), time.Millisecond)
 		defer stop()
--- a/internal/tier/turnstore/placement_test.go
+++ b/internal/tier/turnstore/placement_test.go
@@ -11,7 +11,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 5).Draw(t, "zones")
 		n := rapid.IntRange(1, 12).Draw(t, "stores")
-		replicas := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "copies")
+		replicas := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "replicas")
 		var p Placement
 		p.ReplicationFactor = replicas
 		zonesOfStores := map[string]bool{}
--- a/internal/tier/turnstore/server.go
+++ b/internal/tier/turnstore/server.go
@@ -2,13 +2,13 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
-	"larchrouter/internal/process"
 	"larchrouter/internal/rpc"
 	"larchrouter/internal/sqlitelog"
 )
@@ -40,7 +40,7 @@
 	Changed   func() <-chan struct{} // closed with the next change of the placement; nil: the placement is polled
 	Calls     *rpc.Clients           // to the other stores
 	Now       func() time.Time       // monotonic clock; nil: time.Now
-	Log       *process.Ring
+	Log       *slog.Logger           // nil: nothing is logged
 }
 
 // Server is one store: a replica of many programs. It acknowledges only what its disk has synced. It is safe for
@@ -75,6 +75,9 @@
 	if c.Now == nil {
 		c.Now = time.Now
 	}
+	if c.Log == nil {
+		c.Log = slog.New(slog.DiscardHandler)
+	}
 	s := &Server{ServerOptions: c, disk: d, peers: peers, cache: newIncrementCache(serverCacheBytes),
 		repairs: make(chan string, maxQueuedRepairs), index: newIndex(), unsynced: newUnsyncedEntries()}
 	s.id, _ = d.Identity()
--- a/internal/tier/turnstore/server_write.go
+++ b/internal/tier/turnstore/server_write.go
@@ -37,6 +37,6 @@
 // logFault logs a fault of the disk, once until a write succeeds.
 func (s *Server) logFault(what string, err error) {
 	if !s.faultLogged.Swap(true) {
-		s.Log.Trouble("store", what, "err", err)
+		s.Log.Error("the disk failed", "operation", what, "err", err)
 	}
 }
--- a/internal/tier/turnstore/stored_test.go
+++ b/internal/tier/turnstore/stored_test.go
@@ -83,7 +83,7 @@
 	}
 	f.db = db
 	begin := time.Now()
-	f.store, err = NewServer(ServerOptions{DB: db, Placement: f.placement, Calls: &rpc.Clients{}, Log: process.NewRing(io.Discard),
+	f.store, err = NewServer(ServerOptions{DB: db, Placement: f.placement, Calls: &rpc.Clients{}, Log: process.NewLogger(io.Discard),
 		Now: func() time.Time { return begin.Add(f.ahead) }})
 	if err != nil {
 		t.Fatal(err)
@@ -245,7 +245,7 @@
 	if _, turns := s.Counts(); turns != len(want.turns) {
 		f.t.Errorf("%s: %d turns, want %d", what, turns, len(want.turns))
 	}
-	retain := map[string]int{} // a program's turns are all kept for as long as the one that is kept longest
+	retain := map[string]int{} // all turns of a program are retained for as long as the one with the longest time
 	for id, row := range want.turns {
 		retain[id.program] = max(retain[id.program], row.RetainSeconds)
 	}
@@ -269,7 +269,7 @@
 	}
 }
 
-// storedDigests are what the fixture's programs are compared by with the copies of other stores.
+// storedDigests are the digests by which the fixture's programs are compared with those of other replicas.
 var storedDigests = []keyDigest{
 	{Key: "program-2", TurnsDigest: -8647077482338865650, LedgerDigest: 2374201539769701554},
 	{Key: "program-expired", TurnsDigest: 0, LedgerDigest: 3115061449597111805},
@@ -278,7 +278,7 @@
 	{Key: "program-1", TurnsDigest: -5308528377006233588, LedgerDigest: -6050771306405996926},
 }
 
-// storedSums are those of the buckets of keys, 8 bytes each.
+// storedSums are the digests of the buckets, 8 bytes each.
 const storedSums = "0000000000000000840a81cb9a29c37100000000000000000000000000000000000000000000000000000000000000002758fb6fb5b4eda100000000000000000000000000000000000000000000000000000000000000000000000000000000998903cf4a907d5f000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000062fdaf29e4b4f5c3000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000036e9cbd146852ca5"
 
 // A folder that an earlier version of the code wrote is read completely, row by row, and the store continues from it.
