--- a/internal/tier/tiertest/loadbalancer.go
+++ b/internal/tier/tiertest/loadbalancer.go
@@ -9,79 +9,88 @@
 	"github.com/cockroachdb/errors"
 )
 
-// LoadBalancer stands in for the platform's address of clients: it asks each front whether it is ready, and passes clients on to
-// those that are.
+// LoadBalancer stands in for the platform's load balancer in front of the tier. It checks the health of each front
+// periodically and sends clients to the healthy ones. It is safe for concurrent use.
 type LoadBalancer struct {
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 
 	mu           sync.Mutex
 	fronts       []*Machine
-	failedChecks []int
+	failedChecks []int // in a row, by index of the front
 }
 
-const unhealthyThreshold = 2 // answers in a row that take a front out
+const (
+	unhealthyThreshold         = 2 // failed checks in a row after which a front counts as unhealthy
+	defaultHealthCheckInterval = time.Second
+)
 
-func newLoadBalancer(t *Tier, every time.Duration) *LoadBalancer {
-	if every <= 0 {
-		every = time.Second
+// newLoadBalancer starts a load balancer; all fronts are unhealthy until their first check.
+func newLoadBalancer(t *Tier, interval time.Duration) *LoadBalancer {
+	if interval <= 0 {
+		interval = defaultHealthCheckInterval
 	}
-	e := &LoadBalancer{fronts: t.Class(Front)}
-	e.failedChecks = make([]int, len(e.fronts))
-	for i := range e.failedChecks {
-		e.failedChecks[i] = unhealthyThreshold
+	b := &LoadBalancer{fronts: t.Class(Front)}
+	b.failedChecks = make([]int, len(b.fronts))
+	for i := range b.failedChecks {
+		b.failedChecks[i] = unhealthyThreshold
 	}
 	var ctx context.Context
-	ctx, e.stop = context.WithCancel(context.Background())
-	for i, m := range e.fronts {
-		e.wg.Go(func() {
-			tick := time.NewTicker(every)
-			defer tick.Stop()
-			for {
-				ready := m.Ready(ctx)
-				e.mu.Lock()
-				if e.failedChecks[i]++; ready {
-					e.failedChecks[i] = 0
-				}
-				e.mu.Unlock()
-				select {
-				case <-tick.C:
-				case <-ctx.Done():
-					return
-				}
-			}
-		})
+	ctx, b.stop = context.WithCancel(context.Background())
+	for i := range b.fronts {
+		b.wg.Go(func() { b.checkHealth(ctx, i, interval) })
+	}
+	return b
+}
+
+// checkHealth checks the health of a front until the context ends.
+func (b *LoadBalancer) checkHealth(ctx context.Context, i int, interval time.Duration) {
+	tick := time.NewTicker(interval)
+	defer tick.Stop()
+	for {
+		ready := b.fronts[i].Ready(ctx)
+		b.mu.Lock()
+		if b.failedChecks[i]++; ready {
+			b.failedChecks[i] = 0
+		}
+		b.mu.Unlock()
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+			return
+		}
 	}
-	return e
 }
 
-func (e *LoadBalancer) close() {
-	e.stop()
-	e.wg.Wait()
+// close stops the health checks and waits for them.
+func (b *LoadBalancer) close() {
+	b.stop()
+	b.wg.Wait()
 }
 
-// Pick gives the front to which a new connection of a client goes; with avoid, another one than the client had, as a
-// retry reaches.
-func (e *LoadBalancer) Pick(client string, avoid *Machine) (*Machine, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var in []*Machine
-	for i, m := range e.fronts {
-		if e.failedChecks[i] < unhealthyThreshold {
-			in = append(in, m)
+// Pick returns the front for a new connection of a client, by a hash of the client's name. A retry passes the front of
+// the attempt before as avoid and gets another one if there is one. If less than half of the fronts are healthy, all count
+// as healthy.
+func (b *LoadBalancer) Pick(client string, avoid *Machine) (*Machine, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var healthy []*Machine
+	for i, front := range b.fronts {
+		if b.failedChecks[i] < unhealthyThreshold {
+			healthy = append(healthy, front)
 		}
 	}
-	if 2*len(in) < len(e.fronts) {
-		in = e.fronts
+	if 2*len(healthy) < len(b.fronts) {
+		healthy = b.fronts
 	}
-	if len(in) == 0 {
+	if len(healthy) == 0 {
 		return nil, errors.New("the tier has no front: start it with one")
 	}
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(client))
-	at := int(h.Sum32()>>1) % len(in)
-	if in[at] == avoid {
-		at = (at + 1) % len(in)
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(client))
+	i := int(hash.Sum32()>>1) % len(healthy)
+	if healthy[i] == avoid {
+		i = (i + 1) % len(healthy)
 	}
-	return in[at], nil
+	return healthy[i], nil
 }
--- /dev/null
+++ b/internal/tier/tiertest/machine.go
@@ -0,0 +1,150 @@
+package tiertest
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"larchrouter/internal/tier/controlnode"
+)
+
+// stopMargin is the time beyond the grace period after which a process that was to stop is killed.
+const stopMargin = 2 * time.Second
+
+// Machine is a machine of the tier with one process. The process may be down, and the disk empty. Its methods are safe for
+// concurrent use.
+type Machine struct {
+	Name, Class, IP string
+	Log             *Log // of all incarnations of the process
+
+	tier *Tier
+	role string
+	path string // of the executable
+	args []string
+
+	mu          sync.Mutex
+	bootstrap   bool          // the next incarnation may found the tier
+	process     *childProcess // the last incarnation; nil before the first
+	incarnation int           // number of starts
+}
+
+// ControlAddr returns the address of a core machine's API for operators.
+func (m *Machine) ControlAddr() string { return m.tier.block.addr(m.IP, controlPort) }
+
+// FrontAddr returns the address of a front for clients.
+func (m *Machine) FrontAddr() string { return m.tier.block.addr(m.IP, frontPort) }
+
+func (m *Machine) readyAddr() string { return m.tier.block.addr(m.IP, readyPort) }
+func (m *Machine) dir() string       { return filepath.Join(m.tier.dir, m.Name) }
+func (m *Machine) dataDir() string   { return filepath.Join(m.dir(), "data") }
+
+// Status returns the status that a core node reports.
+func (m *Machine) Status(ctx context.Context) (*controlnode.Status, error) {
+	resp, err := m.tier.get(ctx, "http://"+m.ControlAddr()+"/api/status")
+	if err != nil {
+		return nil, err
+	}
+	defer resp.Body.Close()
+	status := new(controlnode.Status)
+	return status, json.NewDecoder(resp.Body).Decode(status)
+}
+
+// Ready reports whether a front answers that it is ready.
+func (m *Machine) Ready(ctx context.Context) bool {
+	resp, err := m.tier.get(ctx, "http://"+m.readyAddr()+"/api/readiness")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// Running reports whether its process runs; a stopped (SIGSTOP) process does.
+func (m *Machine) Running() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.process.running()
+}
+
+// Incarnation returns the number of starts of its process.
+func (m *Machine) Incarnation() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.incarnation
+}
+
+// Start starts its process, which must not run, with current settings.
+func (m *Machine) Start() error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.process.running() {
+		return errors.Newf("%s runs already", m.Name)
+	}
+	if err := os.MkdirAll(m.dataDir(), 0o700); err != nil {
+		return err
+	}
+	file := filepath.Join(m.dir(), "node.yaml")
+	if err := os.WriteFile(file, []byte(m.tier.settings(m)), 0o600); err != nil {
+		return err
+	}
+	process, err := startProcess(m.path, m.args, file, m.Log)
+	if err != nil {
+		return err
+	}
+	m.process = process
+	m.incarnation++
+	return nil
+}
+
+// Kill kills its process and waits for its end.
+func (m *Machine) Kill() { _, _ = m.stop(syscall.SIGKILL) }
+
+// Terminate asks its process to shut down gracefully, waits for its end, and returns its exit code.
+func (m *Machine) Terminate() (exitCode int, err error) { return m.stop(syscall.SIGTERM) }
+
+// Signal sends a signal to its process, which must run.
+func (m *Machine) Signal(signal syscall.Signal) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.process.running() {
+		return errors.Newf("%s does not run", m.Name)
+	}
+	return m.process.cmd.Process.Signal(signal)
+}
+
+func (m *Machine) stop(signal syscall.Signal) (exitCode int, err error) {
+	m.mu.Lock()
+	process := m.process
+	m.mu.Unlock()
+	if process == nil {
+		return 0, nil
+	}
+	if err := process.cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		return 0, err
+	}
+	timeout := time.NewTimer(gracePeriod + stopMargin)
+	defer timeout.Stop()
+	select {
+	case <-process.done:
+		return process.exitCode(), nil
+	case <-timeout.C:
+		_ = process.cmd.Process.Kill()
+		<-process.done
+		return process.exitCode(), errors.Newf("%s did not end within %v", m.Name, gracePeriod)
+	}
+}
+
+// Wipe empties its disk. Its process must not run.
+func (m *Machine) Wipe() error {
+	if m.Running() {
+		return errors.Newf("%s runs: end it first", m.Name)
+	}
+	return os.RemoveAll(m.dataDir())
+}
