--- a/internal/standin/cloudapi/operator.go
+++ b/internal/standin/cloudapi/operator.go
@@ -15,21 +15,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRejected marks an order that the tier has refused for good; the message has the status.
+// ErrRejected marks the error of a request that the tier has rejected by a final answer. The message has the status.
 var ErrRejected = errors.New("order refused")
 
-// The bounds of an operator.
+// The limits of an operator.
 const (
-	maxRedirects       = 2
-	maxClientErrors    = 3 // answers of another 4xx that end an order
-	requestTimeout     = time.Second
-	timeoutPerMegabyte = time.Second // longer for large bodies
+	maxRedirects       = 2           // of an attempt
+	maxClientErrors    = 3           // answers 4xx that are not final by themselves, after which a request counts as rejected
+	requestTimeout     = time.Second // of an attempt
+	timeoutPerMegabyte = time.Second // added for each full megabyte of the body
 	initialBackoff     = 20 * time.Millisecond
 	maxBackoff         = 500 * time.Millisecond
 )
 
-// Operator sends orders to the relays that serve control, one after the other until there is a clear answer. It is
-// safe for concurrent use.
+// Operator sends requests to the control addresses of the tier, in rotation and with exponential backoff, until there is
+// a clear answer. It is safe for concurrent use.
 type Operator struct {
 	client  http.Client
 	timeout time.Duration
@@ -37,18 +37,24 @@
 
 	mu    sync.Mutex
 	addrs []string
-	next  int
+	next  int // counts picks
 }
 
-// NewOperator is one who knows these control addresses.
+// NewOperator returns an operator who knows some control addresses.
 func NewOperator(addrs ...string) *Operator {
-	return &Operator{addrs: addrs, timeout: requestTimeout, sleep: sleep, client: http.Client{Transport: &http.Transport{DisableKeepAlives: true},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
+	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: noRedirect}
+	return &Operator{addrs: addrs, timeout: requestTimeout, sleep: sleep, client: client}
 }
 
-// SetAddrs changes the list of control addresses.
-func (o *Operator) SetAddrs(addrs ...string) { o.mu.Lock(); defer o.mu.Unlock(); o.addrs = addrs }
+// SetAddrs replaces the list of control addresses.
+func (o *Operator) SetAddrs(addrs ...string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.addrs = addrs
+}
 
+// pick returns the next control address.
 func (o *Operator) pick() (string, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,17 +66,17 @@
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// request is what an operator may ask for; all are declared here.
+// request is a request of the operators' API. The functions below return all that an operator may send.
 type request struct {
 	method, path string
 	header       http.Header
@@ -78,7 +84,8 @@
 }
 
 func putConfigRequest(config []byte, base int64) request {
-	return request{http.MethodPut, "/api/config", http.Header{"If-Match": {strconv.FormatInt(base, 10)}, "Content-Type": {"application/json"}}, config}
+	header := http.Header{"If-Match": {strconv.FormatInt(base, 10)}, "Content-Type": {"application/json"}}
+	return request{http.MethodPut, "/api/config", header, config}
 }
 
 func getConfigRequest() request { return request{method: http.MethodGet, path: "/api/config"} }
@@ -92,42 +99,42 @@
 	return request{method: http.MethodGet, path: "/api/retire/" + url.PathEscape(node)}
 }
 
-// Put sends a configuration that builds on a version, until it is taken or refused.
+// Put sends a configuration that replaces the version base, until it is acknowledged or rejected.
 func (o *Operator) Put(ctx context.Context, config []byte, base int64) error {
 	_, err := o.do(ctx, putConfigRequest(config, base))
 	return err
 }
 
-// Config reads the newest configuration back.
+// Config returns the newest configuration.
 func (o *Operator) Config(ctx context.Context) ([]byte, error) { return o.do(ctx, getConfigRequest()) }
 
-// Retire asks for a store to be emptied.
+// Retire asks the tier to move the contents of a store elsewhere within a time.
 func (o *Operator) Retire(ctx context.Context, node string, within time.Duration) error {
 	_, err := o.do(ctx, retireRequest(node, within))
 	return err
 }
 
-// Phase tells how far that is.
+// Phase returns the phase of a store's retirement.
 func (o *Operator) Phase(ctx context.Context, node string) (string, error) {
 	b, err := o.do(ctx, phaseRequest(node))
 	if err != nil {
 		return "", err
 	}
-	var a struct {
+	var answer struct {
 		Phase string `json:"phase"`
 	}
-	return a.Phase, errors.Wrap(json.Unmarshal(b, &a), "phase of a store")
+	return answer.Phase, errors.Wrap(json.Unmarshal(b, &answer), "phase of a store")
 }
 
-// do sends an order until there is a clear answer: 200, or a refusal.
-func (o *Operator) do(ctx context.Context, what request) ([]byte, error) {
-	struck := 0
-	for wait := initialBackoff; ; wait = min(2*wait, maxBackoff) {
+// do sends a request until there is a clear answer, 200 or a rejection, and returns the body.
+func (o *Operator) do(ctx context.Context, req request) ([]byte, error) {
+	clientErrors := 0
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		addr, err := o.pick()
 		if err != nil {
 			return nil, err
 		}
-		status, body, err := o.send(ctx, "http://"+addr+what.path, what)
+		status, body, err := o.send(ctx, "http://"+addr+req.path, req)
 		if err == nil && status == http.StatusOK {
 			return body, nil
 		}
@@ -135,34 +142,43 @@
 			err = errors.Newf("status %d: %s", status, bytes.TrimSpace(body))
 		}
 		if status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
-			struck++
-			switch status {
-			case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
-				struck = maxClientErrors
+			clientErrors++
+			if isFinal(status) {
+				clientErrors = maxClientErrors
 			}
-			if struck >= maxClientErrors {
-				return nil, errors.Mark(errors.Wrapf(err, "%s %s", what.method, what.path), ErrRejected)
+			if clientErrors >= maxClientErrors {
+				return nil, errors.Mark(errors.Wrapf(err, "%s %s", req.method, req.path), ErrRejected)
 			}
 		}
-		if stop := o.sleep(ctx, wait); stop != nil {
-			return nil, errors.Wrapf(stop, "%s %s has no clear answer, last %v", what.method, what.path, err)
+		if ended := o.sleep(ctx, backoff); ended != nil {
+			return nil, errors.Wrapf(ended, "%s %s has no clear answer, last %v", req.method, req.path, err)
 		}
 	}
 }
 
-// send makes one try, and follows where it is sent on to.
-func (o *Operator) send(ctx context.Context, to string, what request) (status int, body []byte, err error) {
-	ctx, stop := context.WithTimeout(ctx, o.timeout+timeoutPerMegabyte*time.Duration(len(what.body)>>20))
+// isFinal reports whether a status rejects a request for good.
+func isFinal(status int) bool {
+	switch status {
+	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
+		http.StatusUnprocessableEntity:
+		return true
+	}
+	return false
+}
+
+// send makes one attempt of a request at a URL, and follows redirects.
+func (o *Operator) send(ctx context.Context, to string, req request) (status int, body []byte, err error) {
+	ctx, stop := context.WithTimeout(ctx, o.timeout+timeoutPerMegabyte*time.Duration(len(req.body)>>20))
 	defer stop()
 	for hops := 0; ; hops++ {
-		req, err := http.NewRequestWithContext(ctx, what.method, to, bytes.NewReader(what.body))
+		httpReq, err := http.NewRequestWithContext(ctx, req.method, to, bytes.NewReader(req.body))
 		if err != nil {
 			return 0, nil, err
 		}
-		for name, values := range what.header {
-			req.Header[name] = values
+		for name, values := range req.header {
+			httpReq.Header[name] = values
 		}
-		resp, err := o.client.Do(req)
+		resp, err := o.client.Do(httpReq)
 		if err != nil {
 			return 0, nil, err
 		}
--- a/internal/standin/cutproxy/gate.go
+++ b/internal/standin/cutproxy/gate.go
@@ -4,27 +4,27 @@
 	"io"
 	"net"
 	"sync"
-	"time"
 )
 
-// chunk is how many bytes pass at once: small beside what a slow link carries in a tick of the tests.
-const chunk = 16 << 10
+// chunkBytes is the most that is relayed at once: little compared with what a slow link carries in a tick of the tests.
+const chunkBytes = 16 << 10
 
-// gate lets the bytes of one direction pass or holds them back.
+// gate blocks or relays the bytes of one direction, within the rate of its buckets.
 type gate struct {
 	buckets []*Bucket
 
 	mu   sync.Mutex
-	open chan struct{} // closed while bytes may pass
+	open chan struct{} // closed while the gate is open
 }
 
+// newGate returns an open gate.
 func newGate(buckets []*Bucket) *gate {
 	g := &gate{buckets: buckets, open: make(chan struct{})}
 	close(g.open)
 	return g
 }
 
-func (g *gate) hold() {
+func (g *gate) block() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -34,7 +34,7 @@
 	}
 }
 
-func (g *gate) release() {
+func (g *gate) unblock() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -44,7 +44,7 @@
 	}
 }
 
-// wait returns true once bytes may pass, false if end comes before.
+// wait waits until the gate is open. It returns false if end is closed before.
 func (g *gate) wait(end <-chan struct{}) bool {
 	g.mu.Lock()
 	open := g.open
@@ -62,12 +62,12 @@
 	}
 }
 
-// pump passes bytes on until one side ends. A half that was closed in order closes the other in order as well.
-func pump(g *gate, p *pair, from, to net.Conn) {
-	buf := make([]byte, chunk)
+// relayBytes relays bytes until one side ends. An orderly close of one half (FIN) is passed on to the other.
+func relayBytes(g *gate, p *pair, from, to net.Conn) {
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !take(g.buckets, n, p.end) {
+		if n > 0 && !waitForRate(g.buckets, n, p.end) {
 			return
 		}
 		if !g.wait(p.end) {
@@ -89,56 +89,3 @@
 		}
 	}
 }
-
-// Bucket bounds the bytes a second of all that shares it: the link of a machine.
-type Bucket struct {
-	mu   sync.Mutex
-	rate float64   // bytes a second, 0 for no bound
-	free time.Time // when what was taken has passed
-}
-
-// NewBucket makes a bucket of a rate in bytes a second; 0 is no bound.
-func NewBucket(rate float64) *Bucket { return &Bucket{rate: rate} }
-
-// SetRate bounds the bytes a second from now on; 0 is no bound.
-func (b *Bucket) SetRate(rate float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.rate = rate
-}
-
-// reserve takes the time in which n more bytes pass, and gives its end.
-func (b *Bucket) reserve(now time.Time, n int) time.Time {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.rate <= 0 {
-		return now
-	}
-	if b.free.Before(now) {
-		b.free = now
-	}
-	b.free = b.free.Add(time.Duration(float64(n) / b.rate * float64(time.Second)))
-	return b.free
-}
-
-// take waits until n more bytes have passed all the buckets, which they do at one time; false if end comes before.
-func take(buckets []*Bucket, n int, end <-chan struct{}) bool {
-	now := time.Now()
-	until := now
-	for _, b := range buckets {
-		if at := b.reserve(now, n); at.After(until) {
-			until = at
-		}
-	}
-	if !until.After(now) {
-		return true
-	}
-	t := time.NewTimer(until.Sub(now))
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-end:
-		return false
-	}
-}
--- a/internal/standin/cutproxy/relay.go
+++ b/internal/standin/cutproxy/relay.go
@@ -1,10 +1,10 @@
-// Package cutproxy is a TCP relay for tests that cuts the connections it carries: bytes held up in one direction or in
-// both, connections reset, new ones refused, links of a given rate. It changes no byte and puts none in.
+// Package cutproxy is a TCP relay for tests that simulates network partitions: it blocks bytes in one direction or in both,
+// resets connections, refuses new ones, and limits the rate of links. It neither changes nor adds bytes.
 //
-// A relay stands between one caller and one address, so that a test with a relay for each ordered pair of nodes can cut
-// any link of theirs. What differs from a real cut: the kernel of the machine goes on acknowledging bytes, so a caller
-// learns of silence by its own time limits alone, never by those of TCP; and a new connection is accepted while the relay
-// holds bytes up, but nothing that it carries goes on.
+// A relay connects callers with one address, so that a test with a relay for each ordered pair of nodes can partition any
+// link between them. It differs from a real partition in two ways: the kernel still acknowledges bytes, so that a caller
+// detects the partition by its own time-outs, never by those of TCP; and a new connection is accepted while bytes are
+// blocked, but nothing is relayed on it.
 package cutproxy
 
 import (
@@ -17,36 +17,37 @@
 // Direction of bytes through a relay.
 type Direction int
 
-// The directions: from the caller to the address behind the relay, and back.
+// The directions: from the caller to the target address, and back.
 const (
 	Forward Direction = iota
 	Backward
 )
 
-// readBuffer bounds what the kernel keeps of a connection, in bytes, so that a relay that does not read holds its writer up.
-const readBuffer = 64 << 10
+// readBufferBytes limits what the kernel buffers of a connection, so that a writer blocks soon after the relay stops reading.
+const readBufferBytes = 64 << 10
 
-// Relay passes connections on to one address. It is safe for concurrent use.
+// Relay relays connections to one address. It is safe for concurrent use.
 type Relay struct {
 	listener net.Listener
 	target   string
-	gates    [2]*gate
+	gates    [2]*gate // by Direction
 	wg       sync.WaitGroup
 
-	mu      sync.Mutex
-	open    map[*pair]bool
-	refuses bool
-	closed  bool
+	mu       sync.Mutex
+	open     map[*pair]bool
+	refusing bool
+	closed   bool
 }
 
-// pair is a connection taken and the one that carries it on.
+// pair is an accepted connection and the one that it is relayed to.
 type pair struct {
-	near, far net.Conn // far is nil until the relay may dial
-	end       chan struct{}
+	near, far net.Conn      // far is nil until the relay has dialled; the relay's lock guards it
+	end       chan struct{} // closed with the pair
 	once      sync.Once
 }
 
-// New makes a relay on a free loopback port; the buckets of a direction bound its bytes a second.
+// New starts a relay to a target address on a free loopback port. The buckets of a direction limit its rate. The caller
+// closes the relay.
 func New(target string, forward, backward []*Bucket) (*Relay, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -58,16 +59,16 @@
 	return r, nil
 }
 
-// Addr is where the relay takes connections.
+// Addr returns the address on which the relay accepts connections.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Hold keeps the bytes of a direction back from now on. Connections stay as they are.
-func (r *Relay) Hold(d Direction) { r.gates[d].hold() }
+// Hold blocks the bytes of a direction. Connections stay open.
+func (r *Relay) Hold(d Direction) { r.gates[d].block() }
 
-// Release delivers what was held back in a direction, and passes bytes on from now on.
-func (r *Relay) Release(d Direction) { r.gates[d].release() }
+// Release unblocks a direction: blocked bytes are delivered first.
+func (r *Relay) Release(d Direction) { r.gates[d].unblock() }
 
-// Reset breaks all connections that were taken off with a reset; bytes held back are lost.
+// Reset closes all connections with a TCP reset. Blocked bytes are lost.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,14 +77,14 @@
 	}
 }
 
-// Refuse sets whether new connections are reset at once.
+// Refuse sets whether new connections are reset as soon as they are accepted.
 func (r *Relay) Refuse(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refuses = on
+	r.refusing = on
 }
 
-// Close ends the relay and its connections, and waits for its goroutines.
+// Close closes the relay and its connections, and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -101,22 +102,22 @@
 		if err != nil {
 			return
 		}
-		_ = near.(*net.TCPConn).SetReadBuffer(readBuffer)
+		_ = near.(*net.TCPConn).SetReadBuffer(readBufferBytes)
 		p := &pair{near: near, end: make(chan struct{})}
 		r.mu.Lock()
-		if r.closed || r.refuses {
+		if r.closed || r.refusing {
 			p.reset()
 			r.mu.Unlock()
 			continue
 		}
 		r.open[p] = true
-		r.wg.Go(func() { r.carry(p) })
+		r.wg.Go(func() { r.relay(p) })
 		r.mu.Unlock()
 	}
 }
 
-// carry dials once bytes may go forward, and passes bytes on until either side ends.
-func (r *Relay) carry(p *pair) {
+// relay dials the target once the forward direction is open, and relays bytes until both directions have ended.
+func (r *Relay) relay(p *pair) {
 	defer func() {
 		p.close(false)
 		r.mu.Lock()
@@ -130,17 +131,17 @@
 	if err != nil {
 		return
 	}
-	_ = far.(*net.TCPConn).SetReadBuffer(readBuffer)
+	_ = far.(*net.TCPConn).SetReadBuffer(readBufferBytes)
 	if !r.attach(p, far) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { pump(r.gates[Forward], p, p.near, far) })
-	both.Go(func() { pump(r.gates[Backward], p, far, p.near) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { relayBytes(r.gates[Forward], p, p.near, far) })
+	directions.Go(func() { relayBytes(r.gates[Backward], p, far, p.near) })
+	directions.Wait()
 }
 
-// attach notes the far connection, unless the pair has ended meanwhile.
+// attach sets the far connection. It closes the connection and returns false if the pair has ended in the meantime.
 func (r *Relay) attach(p *pair, far net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,16 +157,17 @@
 
 func (p *pair) reset() { p.close(true) }
 
-// close ends both connections, with a reset or in order. Its caller holds the relay's lock, or is the last that uses the pair.
+// close closes both connections, with a TCP reset or in order. The caller has locked the relay or is the last to use the
+// pair.
 func (p *pair) close(reset bool) {
 	p.once.Do(func() {
 		close(p.end)
 		for _, c := range []net.Conn{p.near, p.far} {
-			if t, ok := c.(*net.TCPConn); ok && t != nil {
+			if tcp, ok := c.(*net.TCPConn); ok && tcp != nil {
 				if reset {
-					_ = t.SetLinger(0)
+					_ = tcp.SetLinger(0)
 				}
-				t.Close()
+				tcp.Close()
 			}
 		}
 	})
--- a/internal/standin/cutproxy/relay_test.go
+++ b/internal/standin/cutproxy/relay_test.go
@@ -17,8 +17,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	silence  = 60 * time.Millisecond // in which nothing may come
-	patience = 10 * time.Second
+	quietTime = 60 * time.Millisecond // in which nothing may be received
+	timeout   = 10 * time.Second
 )
 
 // echo answers each line with the same line.
@@ -47,10 +47,10 @@
 type caller struct {
 	t *testing.T
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func relayed(t *testing.T, forward, backward []*Bucket) (*Relay, *caller) {
+func newRelay(t *testing.T, forward, backward []*Bucket) (*Relay, *caller) {
 	t.Helper()
 	r, err := New(echo(t), forward, backward)
 	if err != nil {
@@ -70,64 +70,64 @@
 	return &caller{t, c, bufio.NewReader(c)}
 }
 
-func (c *caller) say(text string) {
+func (c *caller) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text+"\n"); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *caller) hears(want string) {
+func (c *caller) expect(want string) {
 	c.t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
-	if got, err := c.r.ReadString('\n'); err != nil || got != want+"\n" {
-		c.t.Fatalf("heard %q, %v; wanted %q", got, err, want)
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
+	if got, err := c.reader.ReadString('\n'); err != nil || got != want+"\n" {
+		c.t.Fatalf("received %q, %v; want %q", got, err, want)
 	}
 }
 
-func (c *caller) hearsNothing() {
+func (c *caller) expectNothing() {
 	c.t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(silence))
-	if got, err := c.r.ReadString('\n'); err == nil || got != "" {
-		c.t.Fatalf("heard %q through a cut", got)
+	_ = c.SetReadDeadline(time.Now().Add(quietTime))
+	if got, err := c.reader.ReadString('\n'); err == nil || got != "" {
+		c.t.Fatalf("received %q through a partition", got)
 	}
 }
 
-// broken waits for the end of the connection.
-func (c *caller) broken() {
+// expectBroken waits for the end of the connection.
+func (c *caller) expectBroken() {
 	c.t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
-	got, err := c.r.ReadString('\n')
-	if timeout, is := err.(net.Error); got != "" || err == nil || is && timeout.Timeout() {
-		c.t.Fatalf("heard %q, %v; wanted the connection to break", got, err)
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
+	got, err := c.reader.ReadString('\n')
+	if netErr, ok := err.(net.Error); got != "" || err == nil || ok && netErr.Timeout() {
+		c.t.Fatalf("received %q, %v; want a broken connection", got, err)
 	}
 }
 
-func TestRelayPassesBytesBothWays(t *testing.T) {
-	_, c := relayed(t, nil, nil)
+func TestRelayBothDirections(t *testing.T) {
+	_, c := newRelay(t, nil, nil)
 	for _, text := range []string{"one", "two", "three"} {
-		c.say(text)
-		c.hears(text)
+		c.send(text)
+		c.expect(text)
 	}
 }
 
-func TestRelayHoldsEachDirectionAndDeliversLater(t *testing.T) {
-	for name, d := range map[string]Direction{"to the address": Forward, "from the address": Backward} {
+func TestBlockedBytesAreDeliveredLater(t *testing.T) {
+	for name, d := range map[string]Direction{"forward": Forward, "backward": Backward} {
 		t.Run(name, func(t *testing.T) {
-			r, c := relayed(t, nil, nil)
-			c.say("before")
-			c.hears("before")
+			r, c := newRelay(t, nil, nil)
+			c.send("before")
+			c.expect("before")
 			r.Hold(d)
-			c.say("held")
-			c.hearsNothing()
+			c.send("blocked")
+			c.expectNothing()
 			r.Release(d)
-			c.hears("held")
+			c.expect("blocked")
 		})
 	}
 }
 
-func TestRelayHoldsOneDirectionAlone(t *testing.T) {
-	heard := make(chan string, 1)
+func TestOneDirectionIsBlocked(t *testing.T) {
+	received := make(chan string, 1)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 		}
 		defer c.Close()
 		text, _ := bufio.NewReader(c).ReadString('\n')
-		heard <- text
+		received <- text
 		_, _ = io.WriteString(c, "answer\n")
 	}()
 	r, err := New(l.Addr().String(), nil, nil)
@@ -150,53 +150,53 @@
 	defer r.Close()
 	c := dial(t, r)
 	r.Hold(Backward)
-	c.say("question")
-	if got := <-heard; got != "question\n" {
+	c.send("question")
+	if got := <-received; got != "question\n" {
 		t.Fatal(got)
 	}
-	c.hearsNothing()
+	c.expectNothing()
 	r.Release(Backward)
-	c.hears("answer")
+	c.expect("answer")
 }
 
-func TestConnectionMadeDuringACutCarriesOnLater(t *testing.T) {
-	r, _ := relayed(t, nil, nil)
+func TestConnectionMadeDuringPartition(t *testing.T) {
+	r, _ := newRelay(t, nil, nil)
 	r.Hold(Forward)
 	c := dial(t, r)
-	c.say("hello")
-	c.hearsNothing()
+	c.send("hello")
+	c.expectNothing()
 	r.Release(Forward)
-	c.hears("hello")
+	c.expect("hello")
 }
 
-func TestResetLosesWhatWasHeld(t *testing.T) {
-	r, c := relayed(t, nil, nil)
-	c.say("before")
-	c.hears("before") // so that the relay has taken the connection
+func TestResetDropsBlockedBytes(t *testing.T) {
+	r, c := newRelay(t, nil, nil)
+	c.send("before")
+	c.expect("before") // so that the relay has accepted the connection
 	r.Hold(Forward)
-	c.say("held")
+	c.send("blocked")
 	r.Reset()
-	c.broken()
+	c.expectBroken()
 	r.Release(Forward)
 	after := dial(t, r)
-	after.say("after")
-	after.hears("after")
+	after.send("after")
+	after.expect("after")
 }
 
-func TestRelayRefusesNewConnectionsAlone(t *testing.T) {
-	r, c := relayed(t, nil, nil)
-	c.say("before")
-	c.hears("before")
+func TestRefuseAffectsNewConnectionsOnly(t *testing.T) {
+	r, c := newRelay(t, nil, nil)
+	c.send("before")
+	c.expect("before")
 	r.Refuse(true)
-	if err := resetAtOnce(func() (net.Conn, error) { return net.Dial("tcp4", r.Addr()) }, patience); err != nil {
+	if err := resetAtOnce(func() (net.Conn, error) { return net.Dial("tcp4", r.Addr()) }, timeout); err != nil {
 		t.Fatal(err)
 	}
-	c.say("kept")
-	c.hears("kept")
+	c.send("still open")
+	c.expect("still open")
 	r.Refuse(false)
 	after := dial(t, r)
-	after.say("after")
-	after.hears("after")
+	after.send("after")
+	after.expect("after")
 }
 
 // resetAtOnce dials, and returns nil only if the other end resets the connection: while it is being made, which the dial
@@ -213,19 +213,19 @@
 	_ = connection.SetReadDeadline(time.Now().Add(limit))
 	count, err := connection.Read(make([]byte, 1))
 	if count != 0 || !errors.Is(err, syscall.ECONNRESET) {
-		return fmt.Errorf("read %d bytes, %v; wanted a reset", count, err)
+		return fmt.Errorf("read %d bytes, %v; want a reset", count, err)
 	}
 	return nil
 }
 
-// The judgement of a reset takes one during the dial and one after it, and nothing else.
-func TestResetAtOnceTakesResetsAlone(t *testing.T) {
+// resetAtOnce accepts a reset during the dial and one after it, and nothing else.
+func TestResetAtOnceAcceptsResetsOnly(t *testing.T) {
 	failed := func(cause error) func() (net.Conn, error) {
 		return func() (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: "tcp4", Err: cause}
 		}
 	}
-	accepted := func(treat func(taken *net.TCPConn)) func() (net.Conn, error) {
+	accepted := func(then func(peer *net.TCPConn)) func() (net.Conn, error) {
 		return func() (net.Conn, error) {
 			listener, err := net.Listen("tcp4", "127.0.0.1:0")
 			if err != nil {
@@ -236,13 +236,13 @@
 			if err != nil {
 				return nil, err
 			}
-			taken, err := listener.Accept()
+			peer, err := listener.Accept()
 			if err != nil {
 				connection.Close()
 				return nil, err
 			}
-			t.Cleanup(func() { taken.Close() })
-			treat(taken.(*net.TCPConn))
+			t.Cleanup(func() { peer.Close() })
+			then(peer.(*net.TCPConn))
 			return connection, nil
 		}
 	}
@@ -253,49 +253,49 @@
 	}{
 		{"reset during the dial", failed(os.NewSyscallError("connect", syscall.ECONNRESET)), true},
 		{"refused dial", failed(os.NewSyscallError("connect", syscall.ECONNREFUSED)), false},
-		{"dial out of time", failed(os.ErrDeadlineExceeded), false},
-		{"reset after the dial", accepted(func(taken *net.TCPConn) { _ = taken.SetLinger(0); taken.Close() }), true},
-		{"closed in order", accepted(func(taken *net.TCPConn) { taken.Close() }), false},
-		{"bytes before a reset", accepted(func(taken *net.TCPConn) { _, _ = taken.Write([]byte("x")) }), false},
+		{"dial timed out", failed(os.ErrDeadlineExceeded), false},
+		{"reset after the dial", accepted(func(peer *net.TCPConn) { _ = peer.SetLinger(0); peer.Close() }), true},
+		{"closed in order", accepted(func(peer *net.TCPConn) { peer.Close() }), false},
+		{"bytes before a reset", accepted(func(peer *net.TCPConn) { _, _ = peer.Write([]byte("x")) }), false},
 		{"left open", accepted(func(*net.TCPConn) {}), false},
 	} {
 		t.Run(one.name, func(t *testing.T) {
-			if err := resetAtOnce(one.dial, silence); (err == nil) != one.want {
-				t.Errorf("taken as a reset: %v, wanted %v (%v)", err == nil, one.want, err)
+			if err := resetAtOnce(one.dial, quietTime); (err == nil) != one.want {
+				t.Errorf("counts as a reset: %v, want %v (%v)", err == nil, one.want, err)
 			}
 		})
 	}
 }
 
-func TestBucketHoldsConnectionsToItsRate(t *testing.T) {
+func TestBucketLimitsRate(t *testing.T) {
 	const size, rate = 100 << 10, 400 << 10
 	link, other := NewBucket(rate), NewBucket(rate)
-	r, c := relayed(t, []*Bucket{link, other}, nil)
+	r, c := newRelay(t, []*Bucket{link, other}, nil)
 	began := time.Now()
 	go func() { _, _ = c.Write(make([]byte, size)) }()
-	_ = c.SetReadDeadline(time.Now().Add(patience))
-	if _, err := io.CopyN(io.Discard, c.r, size); err != nil {
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
+	if _, err := io.CopyN(io.Discard, c.reader, size); err != nil {
 		t.Fatal(err)
 	}
-	if took, least := time.Since(began), time.Duration(size-chunk)*time.Second/rate; took < least {
+	if took, least := time.Since(began), time.Duration(size-chunkBytes)*time.Second/rate; took < least {
 		t.Errorf("%d bytes took %v, at least %v at this rate", size, took, least)
 	}
 	link.SetRate(0)
 	other.SetRate(0)
 	after := dial(t, r)
-	after.say("free")
-	after.hears("free")
+	after.send("free")
+	after.expect("free")
 }
 
-func TestBucketsOfOneWayPassBytesAtOneTime(t *testing.T) {
+func TestBucketsOfOnePathDoNotAddUp(t *testing.T) {
 	const rate, n = 1 << 20, 1 << 19
 	a, b := NewBucket(rate), NewBucket(rate)
 	now := time.Now()
 	for k := range 4 {
 		want := now.Add(time.Duration(k+1) * time.Second / 2)
-		for _, one := range []*Bucket{a, b} {
-			if got := one.reserve(now, n); !got.Equal(want) {
-				t.Errorf("piece %d has passed at %v, wanted %v", k, got.Sub(now), want.Sub(now))
+		for _, bucket := range []*Bucket{a, b} {
+			if got := bucket.reserve(now, n); !got.Equal(want) {
+				t.Errorf("chunk %d has passed at %v, want %v", k, got.Sub(now), want.Sub(now))
 			}
 		}
 	}
--- a/internal/standin/modelhost/execution.go
+++ b/internal/standin/modelhost/execution.go
@@ -12,10 +12,10 @@
 
 var errClientClosed = errors.New("the caller closed the connection")
 
-// Event is the data of the event with an id, from 1, of an attempt's stream.
+// Event returns the data of an event of an attempt's stream. Ids count from 1.
 func Event(attempt string, id int) string { return fmt.Sprintf("%s says %d", attempt, id) }
 
-// ToolBody is the answer of a tool to an attempt, of so many bytes at least.
+// ToolBody returns a tool's answer to an attempt, of at least size bytes.
 func ToolBody(attempt string, size int) []byte {
 	b := []byte("done for " + attempt + "\n")
 	return append(b, strings.Repeat(".", max(0, size-len(b)))...)
@@ -23,7 +23,7 @@
 
 const garbage = "\x00\x01 no answer at all\r\n\r\n"
 
-// execution is one run.
+// execution is a run in progress.
 type execution struct {
 	host         *Host
 	conn         *conn
@@ -31,15 +31,15 @@
 	run          *Run
 	fault        Fault
 	faultChanged <-chan struct{}
-	header       string
-	release      func() // gives the slot back; nil once that is done
-	keepAlive    bool   // the connection
+	header       string // of the answer
+	release      func() // releases the slot; nil after that
+	keepAlive    bool   // the connection stays open
 }
 
-// execute works on a request, if it gets a slot.
+// execute executes a request if it gets a slot, and answers it. It reports whether the connection stays open.
 func (h *Host) execute(c *conn, req *http.Request, body []byte, id string) bool {
-	f, changed := h.nextFault()
-	if f.Kind == Overloaded || h.opts.CacheTokens > 0 && requestTokens(req) > h.opts.CacheTokens {
+	fault, faultChanged := h.nextFault()
+	if fault.Kind == Overloaded || h.opts.CacheTokens > 0 && requestTokens(req) > h.opts.CacheTokens {
 		return h.reject(c, id, http.StatusServiceUnavailable)
 	}
 	ctx, stop := h.requestContext(c, req)
@@ -51,94 +51,95 @@
 	h.mu.Lock()
 	h.runCount++
 	seal := fmt.Sprintf("%s.%d", h.opts.ID, h.runCount)
-	fresh := 0
+	prefillTokens := 0
 	if h.opts.Model != "" {
-		if all := parsePrompt(req.Header.Get("X-Prompt-Prefix")); len(all) > 0 {
-			fresh = h.cache.prefill(h.opts.Model, all)
+		if prompt := parsePrompt(req.Header.Get("X-Prompt-Prefix")); len(prompt) > 0 {
+			prefillTokens = h.cache.prefill(h.opts.Model, prompt)
 		} else {
-			fresh, _ = parseTokenUsage(req.Header.Get("X-Token-Usage"))
+			prefillTokens, _ = parseTokenUsage(req.Header.Get("X-Token-Usage"))
 		}
 		h.cache.reserve(requestTokens(req))
 	}
 	h.mu.Unlock()
-	r := h.runLog.add(Run{Host: h.opts.ID, Service: h.opts.Service, Attempt: id, Method: req.Method, URI: req.RequestURI,
-		Header: req.Header, Body: body, PrefillTokens: fresh})
-	w := &execution{host: h, conn: c, request: req, run: r, fault: f, faultChanged: changed, release: release,
+	run := h.runLog.add(Run{Host: h.opts.ID, Service: h.opts.Service, Attempt: id, Method: req.Method, URI: req.RequestURI,
+		Header: req.Header, Body: body, PrefillTokens: prefillTokens})
+	e := &execution{host: h, conn: c, request: req, run: run, fault: fault, faultChanged: faultChanged, release: release,
 		header: attemptHeader(id) + "X-Host-Seal: " + seal + "\r\n"}
-	if f.Kind == DuplicateResponse {
+	if fault.Kind == DuplicateResponse {
 		c.recorded = new(bytes.Buffer)
 	}
-	w.do(ctx)
-	if c.recorded != nil && r.Outcome == Completed {
+	e.do(ctx)
+	if c.recorded != nil && run.Outcome == Completed {
 		c.duplicate = c.recorded.Bytes()
 	}
 	c.recorded = nil
-	return w.keepAlive
+	return e.keepAlive
 }
 
-// finish notes how the run ended and gives its slot back: before the last bytes are written, so that who has them finds
-// both done.
-func (w *execution) finish(e Outcome) {
-	w.host.runLog.update(func() { w.run.Outcome = e })
-	if w.release == nil {
+// finish records the outcome and releases the slot and the memory. It is called before the last bytes are written, so that
+// a caller who has received them finds both done.
+func (e *execution) finish(outcome Outcome) {
+	e.host.runLog.update(func() { e.run.Outcome = outcome })
+	if e.release == nil {
 		return
 	}
-	w.release()
-	w.release = nil
-	if w.host.opts.Model != "" {
-		w.host.mu.Lock()
-		w.host.cache.reserve(-requestTokens(w.request))
-		w.host.mu.Unlock()
+	e.release()
+	e.release = nil
+	if e.host.opts.Model != "" {
+		e.host.mu.Lock()
+		e.host.cache.reserve(-requestTokens(e.request))
+		e.host.mu.Unlock()
 	}
 }
 
-func (w *execution) do(ctx context.Context) {
+func (e *execution) do(ctx context.Context) {
 	switch {
-	case w.fault.Kind == DropConnection:
-		w.finish(Aborted)
-	case w.fault.Kind == Garbage:
-		w.finish(Aborted)
-		w.conn.write([]byte(garbage))
-	case w.fault.Kind == InternalError:
-		w.finish(Failed)
-		w.keepAlive = w.host.respond(w.conn, http.StatusInternalServerError, w.header, nil)
-	case w.host.opts.Model != "":
-		w.stream(ctx)
+	case e.fault.Kind == DropConnection:
+		e.finish(Aborted)
+	case e.fault.Kind == Garbage:
+		e.finish(Aborted)
+		e.conn.write([]byte(garbage))
+	case e.fault.Kind == InternalError:
+		e.finish(Failed)
+		e.keepAlive = e.host.respond(e.conn, http.StatusInternalServerError, e.header, nil)
+	case e.host.opts.Model != "":
+		e.stream(ctx)
 	default:
-		w.call(ctx)
+		e.call(ctx)
 	}
 }
 
-// interrupt ends a run whose context has ended; begun if something of the answer was written.
-func (w *execution) interrupt(ctx context.Context, begun bool) {
+// interrupt ends a run whose context has ended. started: some of the answer was written.
+func (e *execution) interrupt(ctx context.Context, started bool) {
 	switch {
 	case context.Cause(ctx) == errClientClosed:
-		w.finish(Canceled)
-	case errors.Is(ctx.Err(), context.DeadlineExceeded) && !begun:
-		w.finish(Failed)
-		w.keepAlive = w.host.respond(w.conn, http.StatusGatewayTimeout, w.header, nil)
+		e.finish(Canceled)
+	case errors.Is(ctx.Err(), context.DeadlineExceeded) && !started:
+		e.finish(Failed)
+		e.keepAlive = e.host.respond(e.conn, http.StatusGatewayTimeout, e.header, nil)
 	default:
-		w.finish(Aborted)
+		e.finish(Aborted)
 	}
 }
 
 // complete ends a run with the last bytes of its answer.
-func (w *execution) complete(last []byte, keep bool) {
-	w.finish(Completed)
-	w.conn.write(last)
-	if w.keepAlive = keep; w.fault.Kind == TrailingBytes {
-		w.conn.write([]byte(garbage))
+func (e *execution) complete(last []byte, keepAlive bool) {
+	e.finish(Completed)
+	e.conn.write(last)
+	if e.keepAlive = keepAlive; e.fault.Kind == TrailingBytes {
+		e.conn.write([]byte(garbage))
 	}
-	if w.conn.err != nil {
-		w.finish(Canceled)
+	if e.conn.err != nil {
+		e.finish(Canceled)
 	}
 }
 
-// stall waits where the fault says so, after so many events.
-func (w *execution) stall(ctx context.Context, events int) bool {
-	if w.fault.Kind == Stall && w.fault.After == events {
+// stall waits, if the fault is to stall after this many events, until the fault is changed. It returns false if the
+// context ends before.
+func (e *execution) stall(ctx context.Context, events int) bool {
+	if e.fault.Kind == Stall && e.fault.After == events {
 		select {
-		case <-w.faultChanged:
+		case <-e.faultChanged:
 		case <-ctx.Done():
 			return false
 		}
@@ -146,69 +147,79 @@
 	return true
 }
 
-func (w *execution) call(ctx context.Context) {
-	if !sleep(ctx, w.host.opts.CallDuration) || !w.stall(ctx, w.fault.After) {
-		w.interrupt(ctx, false)
+// call executes a call of a tool.
+func (e *execution) call(ctx context.Context) {
+	if !sleep(ctx, e.host.opts.CallDuration) || !e.stall(ctx, e.fault.After) {
+		e.interrupt(ctx, false)
 		return
 	}
-	body := ToolBody(w.run.Attempt, w.host.opts.ResponseBytes)
-	head, keep := w.host.responseHead(http.StatusOK, w.header, len(body), w.fault.Kind == CloseConnection)
-	if w.fault.Kind == Abort {
-		w.finish(Aborted)
-		w.conn.write(append(head, body[:min(w.fault.After, len(body)-1)]...))
+	body := ToolBody(e.run.Attempt, e.host.opts.ResponseBytes)
+	head, keepAlive := e.host.responseHead(http.StatusOK, e.header, len(body), e.fault.Kind == CloseConnection)
+	if e.fault.Kind == Abort {
+		e.finish(Aborted)
+		e.conn.write(append(head, body[:min(e.fault.After, len(body)-1)]...))
 		return
 	}
-	w.complete(append(head, body...), keep)
+	e.complete(append(head, body...), keepAlive)
 }
 
-func (w *execution) stream(ctx context.Context) {
-	o := w.host.opts
-	_, most := parseTokenUsage(w.request.Header.Get("X-Token-Usage"))
-	count := (most + o.EventTokens - 1) / o.EventTokens
+// eventCount returns the number of events of the stream.
+func (e *execution) eventCount() int {
+	o := e.host.opts
+	_, maxTokens := parseTokenUsage(e.request.Header.Get("X-Token-Usage"))
+	count := (maxTokens + o.EventTokens - 1) / o.EventTokens
 	if o.Events > 0 && (o.Events < count || count == 0) {
 		count = o.Events
 	}
-	count = max(1, count)
-	version, keep := 0, true
+	return max(1, count)
+}
+
+// stream executes a turn: a stream of events in chunks. An event has the version of the weights if that has changed
+// since the event before.
+func (e *execution) stream(ctx context.Context) {
+	o := e.host.opts
+	count := e.eventCount()
+	version, keepAlive := 0, true
 	for id := 1; id <= count; id++ {
-		wait := o.EventInterval
+		delay := o.EventInterval
 		if id == 1 {
-			wait = o.FirstEventDelay + o.PrefillPerToken*time.Duration(w.run.PrefillTokens)
+			delay = o.FirstEventDelay + o.PrefillPerToken*time.Duration(e.run.PrefillTokens)
 		}
-		if !sleep(ctx, wait) || !w.stall(ctx, id-1) {
-			w.interrupt(ctx, id > 1)
+		if !sleep(ctx, delay) || !e.stall(ctx, id-1) {
+			e.interrupt(ctx, id > 1)
 			return
 		}
-		if w.fault.Kind == Abort && w.fault.After == id-1 {
-			w.finish(Aborted)
+		if e.fault.Kind == Abort && e.fault.After == id-1 {
+			e.finish(Aborted)
 			return
 		}
-		w.host.mu.Lock()
-		now := w.host.version
-		w.host.mu.Unlock()
-		data := Event(w.run.Attempt, id)
+		e.host.mu.Lock()
+		current := e.host.version
+		e.host.mu.Unlock()
+		data := Event(e.run.Attempt, id)
 		event := fmt.Sprintf("id: %d\ndata: %s\n\n", id, data)
 		var b []byte
 		if id == 1 {
-			b, keep = w.host.responseHead(http.StatusOK, w.header+"Content-Type: text/event-stream\r\n", -1, w.fault.Kind == CloseConnection)
-		} else if now != version {
-			event = fmt.Sprintf("versions:%d\n%s", now, event)
+			header := e.header + "Content-Type: text/event-stream\r\n"
+			b, keepAlive = e.host.responseHead(http.StatusOK, header, chunkedLength, e.fault.Kind == CloseConnection)
+		} else if current != version {
+			event = fmt.Sprintf("versions:%d\n%s", current, event)
 		}
-		version = now
-		w.host.runLog.update(func() { w.run.Events = append(w.run.Events, data) })
-		w.conn.write(fmt.Appendf(b, "%x\r\n%s\r\n", len(event), event))
-		if w.conn.err != nil {
-			w.finish(Canceled)
+		version = current
+		e.host.runLog.update(func() { e.run.Events = append(e.run.Events, data) })
+		e.conn.write(fmt.Appendf(b, "%x\r\n%s\r\n", len(event), event))
+		if e.conn.err != nil {
+			e.finish(Canceled)
 			return
 		}
 	}
-	if w.fault.Kind == Abort { // just ahead of its end
-		w.finish(Aborted)
+	if e.fault.Kind == Abort { // after the last event, before the end of the stream
+		e.finish(Aborted)
 		return
 	}
-	if !w.stall(ctx, count) {
-		w.interrupt(ctx, true)
+	if !e.stall(ctx, count) {
+		e.interrupt(ctx, true)
 		return
 	}
-	w.complete([]byte("0\r\n\r\n"), keep)
+	e.complete([]byte("0\r\n\r\n"), keepAlive)
 }
--- a/internal/standin/modelhost/host.go
+++ b/internal/standin/modelhost/host.go
@@ -1,6 +1,3 @@
-// Package modelhost has stand-ins for the hosts behind the serving tier, written from the protocol: inference servers that
-// stream events, and servers of plain calls (tools). They serve tests and the demo. All work is waiting; what comes out
-// depends on the attempt's id alone, so that a test knows it beforehand. A ledger that hosts share has every run.
 package modelhost
 
 import (
@@ -8,82 +5,28 @@
 	"bytes"
 	"cmp"
 	"context"
-	"encoding/json"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"slices"
 	"strconv"
 	"sync"
 	"time"
 )
 
-// Options of a host.
-type Options struct {
-	ID          string // of this incarnation
-	Service     string
-	Zone        string
-	Addr        string // to listen at; "" for a port of its own
-	Capacity    int    // requests at a time; 0 for one
-	QueueLimit  int    // requests that wait
-	ConnLimit   int    // connections from all callers; 0 for no bound
-	HealthPath  string // "" for /health
-	ReportsLoad bool
-	IdleTimeout time.Duration // of a connection until it is closed; 0 for never
-	RunLog      *RunLog       // nil for one of its own
-
-	CallDuration  time.Duration // of a tool's call
-	ResponseBytes int           // of a tool's answer, in bytes at least
-
-	Model           string        // "" for a tool
-	Version         int           // of the weights
-	Events          int           // of a stream; 0 for as many as the request allows
-	EventTokens     int           // in each event; 0 for one
-	CacheTokens     int           // memory; 0 for no bound
-	FirstEventDelay time.Duration // to the first event of an idle host
-	PrefillPerToken time.Duration // of the prompt that is not kept
-	EventInterval   time.Duration // between events
-}
-
-// FaultKind of a fault.
-type FaultKind int
-
-// The faults. All but Overloaded let the request run.
-const (
-	NoFault           FaultKind = iota
-	Abort                       // the answer is broken off after so many events, or bytes of a tool's answer
-	Stall                       // nothing comes after so many events, until the fault is changed; then it goes on
-	DropConnection              // the connection is closed without an answer
-	InternalError               // 500
-	Garbage                     // bytes that are no answer, then a close
-	TrailingBytes               // bytes behind the whole answer
-	DuplicateResponse           // the whole answer, and once more where the next one on the connection is due
-	CloseConnection             // the whole answer with Connection: close
-	Overloaded                  // rejected as though the host were full
-)
-
-// Fault is what goes wrong with requests.
-type Fault struct {
-	Kind  FaultKind
-	After int // events, or bytes of a tool's answer
-	Times int // for so many requests; 0 for all until it is changed
-}
-
-// Host is one incarnation. Its methods are safe for concurrent use.
+// Host is one incarnation of a host. Its methods are safe for concurrent use.
 type Host struct {
 	opts     Options
 	runLog   *RunLog
 	listener net.Listener
-	ctx      context.Context
+	ctx      context.Context // ends with the host
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
 
 	mu           sync.Mutex
 	conns        map[net.Conn]bool
-	running      int
+	running      int       // requests that have a slot
 	waiting      []*waiter // in the order in which they get a slot
-	runCount     int       // of runs
+	runCount     int
 	version      int
 	draining     bool
 	fault        Fault
@@ -92,53 +35,56 @@
 	rejected     int
 }
 
-type waiter struct {
-	priority int
-	admitted chan struct{}
-}
-
-// New starts a host.
+// New starts a host. The caller closes it.
 func New(o Options) (*Host, error) {
 	o.Capacity, o.EventTokens = max(1, o.Capacity), max(1, o.EventTokens)
 	o.HealthPath, o.Addr = cmp.Or(o.HealthPath, "/health"), cmp.Or(o.Addr, "127.0.0.1:0")
-	l, err := net.Listen("tcp4", o.Addr)
+	listener, err := net.Listen("tcp4", o.Addr)
 	if err != nil {
 		return nil, err
 	}
-	o.Addr = l.Addr().String()
+	o.Addr = listener.Addr().String()
 	if o.RunLog == nil {
 		o.RunLog = new(RunLog)
 	}
-	h := &Host{opts: o, runLog: o.RunLog, listener: l, conns: map[net.Conn]bool{}, version: o.Version, faultChanged: make(chan struct{}),
-		cache: prefixCache{capacity: o.CacheTokens}}
+	h := &Host{opts: o, runLog: o.RunLog, listener: listener, conns: map[net.Conn]bool{}, version: o.Version,
+		faultChanged: make(chan struct{}), cache: prefixCache{capacity: o.CacheTokens}}
 	h.ctx, h.stop = context.WithCancel(context.Background())
 	h.wg.Go(h.accept)
 	return h, nil
 }
 
-// Options are those that it was started with; Addr is where it listens.
+// Options returns the options that it was started with, with defaults filled in; Addr is the address that it listens on.
 func (h *Host) Options() Options { return h.opts }
 
-// Addr is where it listens.
+// Addr returns the address that it listens on.
 func (h *Host) Addr() string { return h.opts.Addr }
 
-// RunLog has its runs.
+// RunLog returns the log of its runs.
 func (h *Host) RunLog() *RunLog { return h.runLog }
 
-// Rejected counts the requests that it rejected without running them.
-func (h *Host) Rejected() int { h.mu.Lock(); defer h.mu.Unlock(); return h.rejected }
+// Rejected returns the number of requests that it rejected without executing them.
+func (h *Host) Rejected() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.rejected
+}
 
-// Conns counts the open connections.
-func (h *Host) Conns() int { h.mu.Lock(); defer h.mu.Unlock(); return len(h.conns) }
+// Conns returns the number of open connections.
+func (h *Host) Conns() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.conns)
+}
 
-// Load tells how many requests run and how many wait.
+// Load returns the number of requests that run and that wait.
 func (h *Host) Load() (running, waiting int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.running, len(h.waiting)
 }
 
-// SetFault changes what goes wrong from now on. Requests that are silent go on.
+// SetFault sets the fault of the requests that get a slot from now on. Stalled requests continue.
 func (h *Host) SetFault(f Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -147,13 +93,34 @@
 	h.faultChanged = make(chan struct{})
 }
 
-// SetVersion changes the weights, also amid streams.
-func (h *Host) SetVersion(v int) { h.mu.Lock(); defer h.mu.Unlock(); h.version = v }
+// nextFault returns the fault of one more request and a channel that is closed when the fault changes.
+func (h *Host) nextFault() (Fault, <-chan struct{}) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	fault := h.fault
+	if fault.Times > 0 {
+		if h.fault.Times--; h.fault.Times == 0 {
+			h.fault = Fault{}
+		}
+	}
+	return fault, h.faultChanged
+}
 
-// Drain has it leave: it serves on, but says in each answer that the connection closes, and is not healthy any more.
-func (h *Host) Drain() { h.mu.Lock(); defer h.mu.Unlock(); h.draining = true }
+// SetVersion sets the version of the weights, also for streams in progress.
+func (h *Host) SetVersion(version int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.version = version
+}
+
+// Drain makes it drain: it executes requests, but closes the connection after each answer, and its health checks fail.
+func (h *Host) Drain() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.draining = true
+}
 
-// Close ends it at once, as a crash does, and waits for that.
+// Close ends it at once, as a crash would, and waits for its goroutines.
 func (h *Host) Close() {
 	h.stop()
 	h.listener.Close()
@@ -167,36 +134,37 @@
 
 func (h *Host) accept() {
 	for {
-		nc, err := h.listener.Accept()
+		netConn, err := h.listener.Accept()
 		if err != nil {
 			return
 		}
 		h.mu.Lock()
 		if h.ctx.Err() != nil {
-			nc.Close()
+			netConn.Close()
 		} else if h.opts.ConnLimit > 0 && len(h.conns) >= h.opts.ConnLimit {
-			reset(nc)
+			reset(netConn)
 		} else {
-			h.conns[nc] = true
-			h.wg.Go(func() { h.serve(nc) })
+			h.conns[netConn] = true
+			h.wg.Go(func() { h.serve(netConn) })
 		}
 		h.mu.Unlock()
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+	if tcp, ok := c.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
 	c.Close()
 }
 
-// conn is a connection of a caller, on which one request is served at a time.
+// conn is a connection of a caller. Its requests are served one after the other.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
-	recorded  *bytes.Buffer // the answer that is written, if it is to be sent once more
-	duplicate []byte        // is sent ahead of the next answer
+	recorded  *bytes.Buffer // the answer that is being written, if it is to be sent again; else nil
+	duplicate []byte        // an earlier answer to send before the next one
 	err       error         // of the first write that failed
 }
 
@@ -209,20 +177,21 @@
 	}
 }
 
-func (h *Host) serve(nc net.Conn) {
+// serve serves the requests of a connection.
+func (h *Host) serve(netConn net.Conn) {
 	defer func() {
-		nc.Close()
+		netConn.Close()
 		h.mu.Lock()
-		delete(h.conns, nc)
+		delete(h.conns, netConn)
 		h.mu.Unlock()
 	}()
-	c := &conn{Conn: nc, reader: bufio.NewReader(nc)}
-	for keep := true; keep && c.err == nil; {
-		idle := time.Time{}
+	c := &conn{Conn: netConn, reader: bufio.NewReader(netConn)}
+	for keepAlive := true; keepAlive && c.err == nil; {
+		idleDeadline := time.Time{}
 		if h.opts.IdleTimeout > 0 {
-			idle = time.Now().Add(h.opts.IdleTimeout)
+			idleDeadline = time.Now().Add(h.opts.IdleTimeout)
 		}
-		_ = c.SetReadDeadline(idle)
+		_ = c.SetReadDeadline(idleDeadline)
 		if _, err := c.reader.Peek(1); err != nil {
 			return
 		}
@@ -239,15 +208,15 @@
 			c.write(c.duplicate)
 			c.duplicate = nil
 		}
-		keep = h.handle(c, req, body) && !req.Close
+		keepAlive = h.handle(c, req, body) && !req.Close
 	}
 }
 
-// handle answers one request and tells whether the connection stays.
+// handle answers one request. It reports whether the connection stays open.
 func (h *Host) handle(c *conn, req *http.Request, body []byte) bool {
 	id := req.Header.Get("X-Attempt-Id")
 	target := req.Header.Get("X-Target-Instance")
-	expect := req.Header.Get("Expect-Version")
+	expectedVersion := req.Header.Get("Expect-Version")
 	h.mu.Lock()
 	version := strconv.Itoa(h.version)
 	h.mu.Unlock()
@@ -258,16 +227,17 @@
 		return h.health(c, req)
 	case id == "":
 		return h.reject(c, id, http.StatusBadRequest)
-	case target != "" && target != h.opts.ID, h.opts.Model != "" && expect != "" && expect != version:
+	case target != "" && target != h.opts.ID, h.opts.Model != "" && expectedVersion != "" && expectedVersion != version:
 		return h.reject(c, id, http.StatusMisdirectedRequest)
 	}
 	return h.execute(c, req, body, id)
 }
 
+// health answers a health check, which needs a slot as other requests do.
 func (h *Host) health(c *conn, req *http.Request) bool {
 	ctx, stop := h.requestContext(c, req)
 	defer stop()
-	end, ok := h.admit(ctx, req)
+	release, ok := h.admit(ctx, req)
 	if !ok {
 		return h.reject(c, "", http.StatusServiceUnavailable)
 	}
@@ -277,180 +247,6 @@
 		status = http.StatusServiceUnavailable
 	}
 	h.mu.Unlock()
-	end()
+	release()
 	return h.respond(c, status, "X-Instance-Id: "+h.opts.ID+"\r\n", nil)
 }
-
-// reject answers without running a request.
-func (h *Host) reject(c *conn, id string, status int) bool {
-	h.mu.Lock()
-	h.rejected++
-	h.mu.Unlock()
-	return h.respond(c, status, attemptHeader(id)+"X-Not-Executed: 1\r\n", nil)
-}
-
-func attemptHeader(id string) string {
-	if id == "" {
-		return ""
-	}
-	return "X-Attempt-Id: " + id + "\r\n"
-}
-
-// responseHead of an answer, with the blank line behind it; whether the connection stays open is told in it.
-func (h *Host) responseHead(status int, header string, length int, leave bool) ([]byte, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%s", status, http.StatusText(status), header)
-	if h.opts.ReportsLoad {
-		fmt.Fprintf(&b, "X-Host-Load: %d,%d,%d\r\n", h.running, len(h.waiting), h.opts.Capacity)
-	}
-	if h.opts.Model != "" {
-		fmt.Fprintf(&b, "Versions: %d\r\n", h.version)
-	}
-	leave = leave || h.draining
-	if leave {
-		b.WriteString("Connection: close\r\n")
-	} else if s := int(h.opts.IdleTimeout / time.Second); s > 0 {
-		fmt.Fprintf(&b, "Keep-Alive: timeout=%d\r\n", s)
-	}
-	if length < 0 {
-		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-	} else {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n", length)
-	}
-	return b.Bytes(), !leave
-}
-
-func (h *Host) respond(c *conn, status int, header string, body []byte) bool {
-	b, keep := h.responseHead(status, header, len(body), false)
-	c.write(append(b, body...))
-	return keep
-}
-
-func (h *Host) report() []byte {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	b, _ := json.Marshal(map[string]any{
-		"pipeline_stage": "both", "model_list": ModelList(h.opts.Model, h.version), "utilization": false, "call_seq": 0,
-		"queued": len(h.waiting), "active": h.running, "cache_used": h.cache.reserved, "cache_capacity": h.opts.CacheTokens, "open_handles": 0,
-	})
-	return b
-}
-
-// ModelList is what a host holds, as hosts and the platform tell it.
-func ModelList(model string, version int) []any {
-	if model == "" {
-		return []any{}
-	}
-	return []any{map[string]any{"name": model, "config_version": version, "adapter_list": []any{}}}
-}
-
-// nextFault gives the fault for one more request, and what is closed once faults change.
-func (h *Host) nextFault() (Fault, <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	f := h.fault
-	if f.Times > 0 {
-		if h.fault.Times--; h.fault.Times == 0 {
-			h.fault = Fault{}
-		}
-	}
-	return f, h.faultChanged
-}
-
-// admit waits for a slot, and gives what gives it back; false if the host is full, the caller has gone or its time is up.
-func (h *Host) admit(ctx context.Context, req *http.Request) (end func(), ok bool) {
-	w := &waiter{priority: 5, admitted: make(chan struct{})}
-	if p, err := strconv.Atoi(req.Header.Get("Priority")); err == nil {
-		w.priority = p
-	}
-	h.mu.Lock()
-	if h.running < h.opts.Capacity {
-		h.running++
-		close(w.admitted)
-	} else if len(h.waiting) < h.opts.QueueLimit {
-		i, _ := slices.BinarySearchFunc(h.waiting, w, func(a, b *waiter) int { return cmp.Or(cmp.Compare(a.priority, b.priority), -1) })
-		h.waiting = slices.Insert(h.waiting, i, w)
-	} else {
-		h.mu.Unlock()
-		return nil, false
-	}
-	h.mu.Unlock()
-	select {
-	case <-w.admitted:
-		return h.release, true
-	case <-ctx.Done():
-	}
-	h.mu.Lock()
-	i := slices.Index(h.waiting, w)
-	if i >= 0 {
-		h.waiting = slices.Delete(h.waiting, i, i+1)
-	}
-	h.mu.Unlock()
-	if i < 0 { // admitted just now
-		h.release()
-	}
-	return nil, false
-}
-
-func (h *Host) release() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.waiting) > 0 {
-		close(h.waiting[0].admitted)
-		h.waiting = slices.Delete(h.waiting, 0, 1)
-		return
-	}
-	h.running--
-}
-
-// requestContext gives a context that ends with the request's time, the connection or the host. Nothing else may read from the
-// connection until stop.
-func (h *Host) requestContext(c *conn, req *http.Request) (ctx context.Context, stop func()) {
-	ctx, cancel := context.WithCancelCause(h.ctx)
-	end := func() {}
-	if ms, err := strconv.Atoi(req.Header.Get("X-Time-Left-Ms")); err == nil {
-		ctx, end = context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
-	}
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		if _, err := c.reader.Peek(1); err != nil && !isTimeout(err) {
-			cancel(errClientClosed)
-		}
-	}()
-	return ctx, func() {
-		_ = c.SetReadDeadline(time.Unix(1, 0))
-		<-done
-		_ = c.SetReadDeadline(time.Time{})
-		end()
-		cancel(nil)
-	}
-}
-
-func isTimeout(err error) bool {
-	t, ok := err.(net.Error)
-	return ok && t.Timeout()
-}
-
-// sleep waits; false if the context ends before.
-func sleep(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
-		return ctx.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
-// requestTokens of the memory that a request takes while it runs.
-func requestTokens(req *http.Request) int {
-	in, out := parseTokenUsage(req.Header.Get("X-Token-Usage"))
-	return in + out
-}
--- a/internal/standin/modelhost/prefixcache.go
+++ b/internal/standin/modelhost/prefixcache.go
@@ -5,27 +5,28 @@
 	"strings"
 )
 
-// promptPart is a promptPart of a prompt: shared between requests, and kept as long as there is room.
+// promptPart is one part of a prompt. Requests share parts, and the host caches them as long as it has capacity.
 type promptPart struct {
 	id     string
 	tokens int
 }
 
-// parsePrompt reads X-Prompt-Prefix; what it cannot read ends them.
+// parsePrompt parses the header X-Prompt-Prefix, "ID:TOKENS,ID:TOKENS,...". The first malformed part ends the list.
 func parsePrompt(header string) []promptPart {
-	var all []promptPart
-	for one := range strings.SplitSeq(header, ",") {
-		id, count, ok := strings.Cut(strings.TrimSpace(one), ":")
+	var parts []promptPart
+	for field := range strings.SplitSeq(header, ",") {
+		id, count, ok := strings.Cut(strings.TrimSpace(field), ":")
 		tokens, err := strconv.Atoi(count)
 		if !ok || err != nil || tokens < 0 {
 			break
 		}
-		all = append(all, promptPart{id, tokens})
+		parts = append(parts, promptPart{id, tokens})
 	}
-	return all
+	return parts
 }
 
-// parseTokenUsage reads X-Token-Usage: those of the prompt, and the most to be sent out.
+// parseTokenUsage parses the header X-Token-Usage, "IN,OUT": the tokens of the prompt and the most to be generated.
+// Malformed and negative numbers count as 0.
 func parseTokenUsage(header string) (in, out int) {
 	first, second, _ := strings.Cut(header, ",")
 	in, _ = strconv.Atoi(strings.TrimSpace(first))
@@ -33,58 +34,61 @@
 	return max(in, 0), max(out, 0)
 }
 
-// prefixCache is the memory of a model host, in tokens.
+// prefixCache is the memory of a model host, counted in tokens: reservations of running requests, and cached prefixes of
+// prompts, which are evicted to make room. The host's lock guards it.
 type prefixCache struct {
-	capacity int // 0 for no bound
-	reserved int // by requests that run: it does not give way
-	cached   int
-	prefixes map[string]*cachedPrefix // by the ids on the way to them
-	clock    int
+	capacity int                      // 0 for unbounded
+	reserved int                      // by running requests; never evicted
+	cached   int                      // in prefixes
+	prefixes map[string]*cachedPrefix // by model and the ids of all parts up to this one, joined by "/"
+	clock    int                      // counts prefills
 }
 
+// cachedPrefix is the last part of a cached prefix.
 type cachedPrefix struct {
 	tokens  int
-	lastUse int // the turn of its last use
+	lastUse int // value of the cache's clock
 }
 
-// prefill has a prompt prefill for a model, and tells how many tokens no kept part covered.
-func (c *prefixCache) prefill(model string, all []promptPart) (fresh int) {
+// prefill processes a prompt for a model, caches its prefixes, and returns the number of tokens that were not cached.
+func (c *prefixCache) prefill(model string, parts []promptPart) (computed int) {
 	if c.prefixes == nil {
 		c.prefixes = map[string]*cachedPrefix{}
 	}
 	c.clock++
-	way, whole := model, true
-	for _, p := range all {
-		way += "/" + p.id
-		k := c.prefixes[way]
-		if whole = whole && k != nil; !whole {
-			fresh += p.tokens
-			if k == nil {
-				k = &cachedPrefix{tokens: p.tokens}
-				c.prefixes[way] = k
-				c.cached += p.tokens
+	key, hit := model, true
+	for _, part := range parts {
+		key += "/" + part.id
+		prefix := c.prefixes[key]
+		if hit = hit && prefix != nil; !hit {
+			computed += part.tokens
+			if prefix == nil {
+				prefix = &cachedPrefix{tokens: part.tokens}
+				c.prefixes[key] = prefix
+				c.cached += part.tokens
 			}
 		}
-		k.lastUse = c.clock
+		prefix.lastUse = c.clock
 	}
 	c.evict()
-	return fresh
+	return computed
 }
 
-// reserve has a request take room while it runs, or give it back.
+// reserve reserves tokens for a running request; a negative number returns them.
 func (c *prefixCache) reserve(tokens int) { c.reserved += tokens; c.evict() }
 
-// evict has the parts that were unused the longest give way; of those used last together, the later ones first.
+// evict evicts the least recently used prefixes until the rest fits; of those with the same last use, the longest first.
 func (c *prefixCache) evict() {
 	for c.capacity > 0 && c.reserved+c.cached > c.capacity && len(c.prefixes) > 0 {
-		oldest := ""
-		for way, k := range c.prefixes {
-			o := c.prefixes[oldest]
-			if o == nil || k.lastUse < o.lastUse || k.lastUse == o.lastUse && (len(way) > len(oldest) || len(way) == len(oldest) && way > oldest) {
-				oldest = way
+		victim := ""
+		for key, prefix := range c.prefixes {
+			oldest := c.prefixes[victim]
+			if oldest == nil || prefix.lastUse < oldest.lastUse ||
+				prefix.lastUse == oldest.lastUse && (len(key) > len(victim) || len(key) == len(victim) && key > victim) {
+				victim = key
 			}
 		}
-		c.cached -= c.prefixes[oldest].tokens
-		delete(c.prefixes, oldest)
+		c.cached -= c.prefixes[victim].tokens
+		delete(c.prefixes, victim)
 	}
 }
--- a/internal/standin/modelhost/runlog.go
+++ b/internal/standin/modelhost/runlog.go
@@ -9,39 +9,40 @@
 	"sync"
 )
 
-// Outcome is how a run ended, as its host saw it.
+// Outcome is how a run ended, as its host observed it.
 type Outcome int
 
-// The ends of a run.
+// The outcomes of a run.
 const (
-	Running   Outcome = iota
-	Completed         // the whole answer was written
-	Failed            // 500, or 504 at its deadline
-	Aborted           // the host broke off, lost its answer, sent noise, or was closed
-	Canceled          // the caller closed the connection
+	Running   Outcome = iota // in progress
+	Completed                // the complete answer was written
+	Failed                   // status 500, or 504 at its deadline
+	Aborted                  // the host broke off or dropped its answer, sent garbage, or was closed
+	Canceled                 // the caller closed the connection
 )
 
-// Run is one request that a host began to work on.
+// Run is one request that a host began to execute.
 type Run struct {
 	Host          string // its id
 	Service       string
-	Attempt       string
+	Attempt       string // X-Attempt-Id
 	Method        string
 	URI           string
 	Header        http.Header
 	Body          []byte
-	Events        []string // the data of those that were written
-	PrefillTokens int      // tokens of the prompt that no kept part covered
+	Events        []string // the data of the events that were written
+	PrefillTokens int      // tokens of the prompt that were not cached
 	Outcome       Outcome
 }
 
-// RunLog has all runs of all hosts that share it. It is safe for concurrent use; its zero value is ready.
+// RunLog records the runs of all hosts that share it. It is safe for concurrent use; its zero value is ready.
 type RunLog struct {
 	mu      sync.Mutex
-	runs    []*Run
-	changed chan struct{}
+	runs    []*Run        // in the order of their beginning
+	changed chan struct{} // closed by the next change; nil if nobody waits
 }
 
+// add records the beginning of a run. The run may be changed in update alone.
 func (l *RunLog) add(r Run) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +51,7 @@
 	return &r
 }
 
-// update changes a run.
+// update calls a function that changes a run.
 func (l *RunLog) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,6 +59,7 @@
 	l.notify()
 }
 
+// notify wakes those in Wait. The caller has locked mu.
 func (l *RunLog) notify() {
 	if l.changed != nil {
 		close(l.changed)
@@ -65,34 +67,35 @@
 	}
 }
 
-func (l *RunLog) clone(of func(r *Run) bool) []Run {
-	var all []Run
+// clone returns copies of the runs that match. The caller has locked mu.
+func (l *RunLog) clone(match func(r *Run) bool) []Run {
+	var runs []Run
 	for _, r := range l.runs {
-		if of(r) {
-			one := *r
-			one.Events = slices.Clone(r.Events)
-			all = append(all, one)
+		if match(r) {
+			run := *r
+			run.Events = slices.Clone(r.Events)
+			runs = append(runs, run)
 		}
 	}
-	return all
+	return runs
 }
 
-// Runs are all runs in the order of their beginning.
+// Runs returns all runs in the order of their beginning.
 func (l *RunLog) Runs() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.clone(func(*Run) bool { return true })
 }
 
-// ForAttempt are the runs of one attempt.
+// ForAttempt returns the runs of one attempt.
 func (l *RunLog) ForAttempt(attempt string) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.clone(func(r *Run) bool { return r.Attempt == attempt })
 }
 
-// Wait comes back once the runs are as asked for.
-func (l *RunLog) Wait(ctx context.Context, ok func(runs []Run) bool) error {
+// Wait waits until the runs meet a condition or the context ends.
+func (l *RunLog) Wait(ctx context.Context, met func(runs []Run) bool) error {
 	for {
 		l.mu.Lock()
 		if l.changed == nil {
@@ -100,7 +103,7 @@
 		}
 		changed, runs := l.changed, l.clone(func(*Run) bool { return true })
 		l.mu.Unlock()
-		if ok(runs) {
+		if met(runs) {
 			return nil
 		}
 		select {
@@ -111,22 +114,23 @@
 	}
 }
 
-// DuplicateRuns names the attempts that ran more than once and may not: those for which idempotent is false.
+// DuplicateRuns returns the ids of attempts that ran more than once although they are not idempotent.
 func (l *RunLog) DuplicateRuns(idempotent func(r Run) bool) []string {
-	var out []string
+	var attempts []string
 	count := map[string]int{}
 	for _, r := range l.Runs() {
 		if count[r.Attempt]++; count[r.Attempt] == 2 && !idempotent(r) {
-			out = append(out, r.Attempt)
+			attempts = append(attempts, r.Attempt)
 		}
 	}
-	return out
+	return attempts
 }
 
-// HistoryMismatches tells of the turns whose body is not what their chain says: the body of the turn that Previous names and
-// the data of each of its events, each with a line feed after it, and then the new input, which input gives by attempt.
+// HistoryMismatches describes the turns whose body is not the history that their chain requires: the body of the turn that
+// the header Previous names, the data of each of its events with a line feed, and then the new input, which input returns
+// by attempt.
 func (l *RunLog) HistoryMismatches(input func(attempt string) []byte) []string {
-	var out []string
+	var mismatches []string
 	runs := l.Runs()
 	for _, r := range runs {
 		want, found := []byte(nil), true
@@ -137,18 +141,18 @@
 			}
 		}
 		if !found {
-			out = append(out, fmt.Sprintf("%s continues %s, which did not run whole", r.Attempt, r.Header.Get("Previous")))
+			mismatches = append(mismatches, fmt.Sprintf("%s continues %s, which was not completed", r.Attempt, r.Header.Get("Previous")))
 		} else if want = append(want, input(r.Attempt)...); !bytes.Equal(r.Body, want) {
-			out = append(out, fmt.Sprintf("%s got %q, want %q", r.Attempt, r.Body, want))
+			mismatches = append(mismatches, fmt.Sprintf("%s got %q, want %q", r.Attempt, r.Body, want))
 		}
 	}
-	return out
+	return mismatches
 }
 
-// AppendOutput appends the data of events as they stand in a history.
+// AppendOutput appends the data of events to a history, each with a line feed.
 func AppendOutput(history []byte, events []string) []byte {
-	for _, e := range events {
-		history = append(append(history, e...), '\n')
+	for _, event := range events {
+		history = append(append(history, event...), '\n')
 	}
 	return history
 }
--- a/internal/standin/reservedport/reservedport.go
+++ b/internal/standin/reservedport/reservedport.go
@@ -1,9 +1,9 @@
-// Package reservedport keeps a loopback TCP port for a test whose listener ends and comes back at the same address.
+// Package reservedport reserves a loopback TCP port for a test whose listener is closed and opened again at the same address.
 //
-// A port that is let go between two listeners may be given meanwhile to anybody who asks for any port, an outgoing
-// connection included, and the second listener then fails with "address already in use". A reservation is a socket that is
-// bound and never listens: the kernel gives its port to nobody who asks for any, refuses connections to it while nobody
-// listens, and lets a listener in beside it, as both set SO_REUSEADDR.
+// A port that is free between two listeners may be assigned as an ephemeral port in the meantime, also to an outgoing
+// connection, and the second listener then fails with "address already in use". A reservation is a socket that is bound
+// and never listens: the kernel does not assign its port, refuses connections to it while nothing listens, and allows a
+// listener on the same port, as both sockets set SO_REUSEADDR.
 package reservedport
 
 import (
@@ -21,7 +21,7 @@
 	once    sync.Once
 }
 
-// Reserve takes a free port. Close gives it back.
+// Reserve reserves a free port. The caller closes it.
 func Reserve() (*Port, error) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -55,10 +55,10 @@
 	return nil
 }
 
-// Addr is the address to listen on, as often as wanted but once at a time.
+// Addr returns the address to listen on, any number of times but with one listener at a time.
 func (p *Port) Addr() string { return p.address.String() }
 
-// Close gives the port back. A listener at its address stays.
+// Close ends the reservation. A listener at its address stays open.
 func (p *Port) Close() {
 	p.once.Do(func() { _ = unix.Close(p.socket) })
 }
--- a/internal/standin/reservedport/reservedport_test.go
+++ b/internal/standin/reservedport/reservedport_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func reserved(t *testing.T) *Port {
+func reserve(t *testing.T) *Port {
 	t.Helper()
 	port, err := Reserve()
 	if err != nil {
@@ -21,7 +21,7 @@
 	return port
 }
 
-// connectFrom makes a connection whose own address is the port's.
+// connectFrom makes an outgoing connection with a local address.
 func connectFrom(t *testing.T, address string) error {
 	t.Helper()
 	other, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -40,11 +40,11 @@
 	return err
 }
 
-func TestListenersComeAndGoAtAReservedPort(t *testing.T) {
-	port := reserved(t)
+func TestListenersAtReservedPort(t *testing.T) {
+	port := reserve(t)
 	for range 3 {
 		if connection, err := net.Dial("tcp4", port.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("%v, %v; wanted a refused connection while nobody listens", connection, err)
+			t.Fatalf("%v, %v; want a refused connection while nothing listens", connection, err)
 		}
 		listener, err := net.Listen("tcp4", port.Addr())
 		if err != nil {
@@ -59,35 +59,35 @@
 	}
 }
 
-// Forces what happens by chance to a port that was let go: an outgoing connection gets it.
-func TestReservedPortIsTakenByNoConnection(t *testing.T) {
-	port := reserved(t)
+// An outgoing connection is given the port on purpose, as it may be by chance after the reservation ended.
+func TestReservedPortIsNotAssignedToConnection(t *testing.T) {
+	port := reserve(t)
 	if err := connectFrom(t, port.Addr()); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Fatalf("%v; wanted the address to be in use", err)
+		t.Fatalf("%v; want the address to be in use", err)
 	}
 	port.Close()
 	if err := connectFrom(t, port.Addr()); err != nil {
-		t.Fatalf("the port was given back, but %v", err)
+		t.Fatalf("after the end of the reservation: %v", err)
 	}
 }
 
 func TestReservedPortsDiffer(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
-		port := reserved(t)
+		port := reserve(t)
 		if seen[port.Addr()] {
-			t.Fatalf("%s was given twice", port.Addr())
+			t.Fatalf("%s was reserved twice", port.Addr())
 		}
 		seen[port.Addr()] = true
 	}
 }
 
-func TestClosedTwice(t *testing.T) {
-	first := reserved(t)
+func TestCloseTwice(t *testing.T) {
+	first := reserve(t)
 	first.Close()
-	second := reserved(t) // may have the first's descriptor
+	second := reserve(t) // may reuse the first's file descriptor
 	first.Close()
 	if err := connectFrom(t, second.Addr()); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Fatalf("%v; the second reservation is gone", err)
+		t.Fatalf("%v; the second reservation has ended", err)
 	}
 }
--- a/internal/starvation/starvation.go
+++ b/internal/starvation/starvation.go
@@ -1,5 +1,5 @@
-// Package starvation measures how long the threads of processes waited for a processor, by the kernel's accounts. A test
-// whose bound is of time judges by it whether it was the machine that kept its processes back.
+// Package starvation measures how long the threads of processes waited for a processor, from the kernel's scheduler
+// statistics. A test with a time limit uses it to find out whether the machine starved its processes of CPU time.
 package starvation
 
 import (
@@ -13,17 +13,17 @@
 )
 
 const (
-	// Interval is how often a watch looks.
+	// Interval is the time between two samples of a watch.
 	Interval = 250 * time.Millisecond
 
-	// Limit is what a thread may wait for a processor in one interval before the machine counts as having no room.
+	// Limit is the time that a thread may wait for a processor in one interval before the machine counts as overloaded.
 	Limit = 250 * time.Millisecond
 )
 
-// Account is how long each thread has waited for a processor in all, by the path of the kernel's account of it.
+// Account is the total time that each thread has waited for a processor, by the path of its schedstat file.
 type Account map[string]time.Duration
 
-// Read gives the account of all threads of some processes. Where the kernel keeps no accounts it is empty.
+// Read returns the account of all threads of some processes. It is empty if the kernel keeps no statistics.
 func Read(processes ...int) Account {
 	account := Account{}
 	for _, process := range processes {
@@ -41,7 +41,8 @@
 	return account
 }
 
-// parse reads a schedstat: nanoseconds on a processor, nanoseconds on run queues, and the number of turns.
+// parse parses a schedstat file: nanoseconds on a processor, nanoseconds on run queues, and the number of time slices. It
+// returns the second.
 func parse(text string) (waited time.Duration, err error) {
 	fields := strings.Fields(text)
 	if len(fields) != 3 {
@@ -51,7 +52,8 @@
 	return time.Duration(nanoseconds), err
 }
 
-// Longest is what one thread waited most from an earlier account to this one. A thread that began since counts from nothing.
+// Longest returns the longest time that one thread waited between an earlier account and this one. A thread that started
+// in between counts from zero.
 func (a Account) Longest(earlier Account) (longest time.Duration) {
 	for path, waited := range a {
 		longest = max(longest, waited-earlier[path])
@@ -59,7 +61,7 @@
 	return longest
 }
 
-// Watch looks at processes every Interval until it is stopped.
+// Watch samples the accounts of processes every Interval until it is stopped.
 type Watch struct {
 	processes func() []int
 	stop      chan struct{}
@@ -67,14 +69,15 @@
 	longest   time.Duration // of one interval
 }
 
-// Start begins to watch processes; those that there are at a look count.
+// Start starts a watch. processes is called for each sample and returns the ids of the processes to sample.
 func Start(processes func() []int) *Watch {
 	w := &Watch{processes: processes, stop: make(chan struct{})}
 	w.done.Go(w.run)
 	return w
 }
 
-// Stop ends the watch and gives the longest that one thread waited in one interval.
+// Stop takes a last sample, ends the watch, and returns the longest time that one thread waited in one interval. It must be
+// called once.
 func (w *Watch) Stop() time.Duration {
 	close(w.stop)
 	w.done.Wait()
--- a/internal/starvation/starvation_test.go
+++ b/internal/starvation/starvation_test.go
@@ -44,14 +44,14 @@
 	}
 }
 
-// A watch counts what was waited between its looks, the last one at its stop, and not what was waited before.
+// A watch counts the time waited between its samples, the last one taken by Stop, and not the time before.
 func TestWatch(t *testing.T) {
-	looks := 0
-	w := Start(func() []int { looks++; return []int{os.Getpid()} })
+	samples := 0
+	w := Start(func() []int { samples++; return []int{os.Getpid()} })
 	if got := w.Stop(); got < 0 || got > time.Minute {
 		t.Errorf("waited %v", got)
 	}
-	if looks != 2 {
-		t.Errorf("%d looks, want one at the start and one at the stop", looks)
+	if samples != 2 {
+		t.Errorf("%d samples, want one at the start and one at the stop", samples)
 	}
 }
