--- a/internal/tier/tiertest/check_test.go
+++ b/internal/tier/tiertest/check_test.go
@@ -12,176 +12,216 @@
 	"larchrouter/internal/standin/modelhost"
 )
 
-var dayBegin = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
+// historyStart is the time 0 ms of the test's history.
+var historyStart = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return dayBegin.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return historyStart.Add(time.Duration(ms) * time.Millisecond) }
 
-// record is a course in which every rule was kept, for tests to spoil.
-type record struct{ *History }
+// testHistory is a history without violations, into which tests plant faults.
+type testHistory struct{ *History }
 
-func (r record) try(attempt string) *Attempt {
-	return &r.Attempts[slices.IndexFunc(r.Attempts, func(t Attempt) bool { return t.ID == attempt })]
+func (h testHistory) attempt(id string) *Attempt {
+	return &h.Attempts[slices.IndexFunc(h.Attempts, func(a Attempt) bool { return a.ID == id })]
 }
 
-func (r record) run(attempt string) *modelhost.Run {
-	return &r.Runs[slices.IndexFunc(r.Runs, func(o modelhost.Run) bool { return o.Attempt == attempt })]
+func (h testHistory) run(attempt string) *modelhost.Run {
+	return &h.Runs[slices.IndexFunc(h.Runs, func(run modelhost.Run) bool { return run.Attempt == attempt })]
 }
 
-func (r record) drop(attempt string) {
-	r.Runs = slices.DeleteFunc(r.Runs, func(o modelhost.Run) bool { return o.Attempt == attempt })
+func (h testHistory) dropRuns(attempt string) {
+	h.Runs = slices.DeleteFunc(h.Runs, func(run modelhost.Run) bool { return run.Attempt == attempt })
 }
 
-// answered adds a try that a host ran and answered whole, sent at a time and ended 20 ms later.
-func (r record) answered(attempt, kind, service string, sent int, previous string) {
+// addCompleted adds an attempt that a host ran and answered completely, sent at a time in ms and ended 20 ms later.
+func (h testHistory) addCompleted(attempt, kind, service string, sent int, previous string) {
 	path := map[string]string{Streaming: TurnPath, Idempotent: ReadPath, NonIdempotent: WritePath}[kind]
-	t := Attempt{ID: attempt, Program: strings.Split(attempt, "-")[0], Session: "s", Previous: previous, Method: http.MethodPost, Path: path, Kind: kind,
-		Input: []byte("input of " + attempt + "\n"), Budget: 20, Front: "front-1", Incarnation: 1, Sent: at(sent), Ended: at(sent + 20),
-		Status: 200, Complete: true, ResponseID: attempt, Seal: "seal", Body: modelhost.ToolBody(attempt, ToolResponseBytes)}
-	run := modelhost.Run{Host: "i-1", Service: service, Attempt: attempt, Method: t.Method, URI: path, Body: t.Input, Outcome: modelhost.Completed}
+	a := Attempt{ID: attempt, Program: strings.Split(attempt, "-")[0], Session: "s", Previous: previous,
+		Method: http.MethodPost, Path: path, Kind: kind, Input: []byte("input of " + attempt + "\n"), Budget: 20,
+		Front: "front-1", Incarnation: 1, Sent: at(sent), Ended: at(sent + 20), Status: http.StatusOK, Complete: true,
+		ResponseID: attempt, Seal: "seal", Body: modelhost.ToolBody(attempt, ToolResponseBytes)}
+	run := modelhost.Run{Host: "i-1", Service: service, Attempt: attempt, Method: a.Method, URI: path,
+		Body: a.Input, Outcome: modelhost.Completed}
 	if kind == Streaming {
-		t.MaxTokens = 4
+		a.MaxTokens = 4
 		for id := 1; id <= 2; id++ {
-			t.Events = append(t.Events, Event{id, modelhost.Event(attempt, id)})
+			a.Events = append(a.Events, Event{id, modelhost.Event(attempt, id)})
 			run.Events = append(run.Events, modelhost.Event(attempt, id))
 		}
 		if previous != "" {
-			before := r.run(previous)
-			run.Body = append(modelhost.AppendOutput(slices.Clone(before.Body), before.Events), t.Input...)
+			previousRun := h.run(previous)
+			run.Body = append(modelhost.AppendOutput(slices.Clone(previousRun.Body), previousRun.Events), a.Input...)
 		}
 	}
-	r.Attempts, r.Runs = append(r.Attempts, t), append(r.Runs, run)
+	h.Attempts, h.Runs = append(h.Attempts, a), append(h.Runs, run)
 }
 
-// own adds a try that the tier answered by itself.
-func (r record) own(attempt, path, kind string, sent, status int) {
-	r.Attempts = append(r.Attempts, Attempt{ID: attempt, Program: strings.Split(attempt, "-")[0], Method: http.MethodPost, Path: path, Kind: kind, Budget: 20, MaxTokens: 4,
-		Front: "front-1", Incarnation: 1, Sent: at(sent), Ended: at(sent + 1), Status: status, Complete: true, ResponseID: attempt})
+// addUnexecuted adds an attempt that the tier answered by itself, sent at a time in ms and ended 1 ms later.
+func (h testHistory) addUnexecuted(attempt, path, kind string, sent, status int) {
+	h.Attempts = append(h.Attempts, Attempt{ID: attempt, Program: strings.Split(attempt, "-")[0], Method: http.MethodPost,
+		Path: path, Kind: kind, Budget: 20, MaxTokens: 4, Front: "front-1", Incarnation: 1, Sent: at(sent), Ended: at(sent + 1),
+		Status: status, Complete: true, ResponseID: attempt})
 }
 
-// keptRecord is
+// newTestHistory returns this history:
 //
 //	0 ms     version 3 is acknowledged: turns go to draft, no route is added
-//	100-700  program a: two turns, a tool of each kind, a third turn that was refused first
+//	100-700  program a: two turns, a tool of each kind, a third turn that was rejected first
 //	800      a path without a route, 404
 //	1000     version 5 is acknowledged: turns go to review, with a route added
-//	1100     program a goes on at review, and uses the route
-//	5000     program b has spent what it may: 402
-func keptRecord(t *testing.T) record {
-	r := record{&History{EventTokens: EventTokens, ToolResponseBytes: ToolResponseBytes, Retention: Retention}}
+//	1100     program a continues at review, and uses the route
+//	5000     program b has exhausted its budget: 402
+func newTestHistory(t *testing.T) testHistory {
+	h := testHistory{&History{EventTokens: EventTokens, ToolResponseBytes: ToolResponseBytes, Retention: Retention}}
 	for i, c := range []Config{NewConfig(3, DraftService, false), NewConfig(5, ReviewService, true)} {
 		body, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Orders = append(r.Orders, Order{Config: c, BaseVersion: int64(3 * i), Body: body, Sent: at(1000*i - 10), Acknowledged: at(1000 * i)})
-		r.ReadBack = body
+		order := Order{Config: c, BaseVersion: int64(3 * i), Body: body, Sent: at(1000*i - 10), Acknowledged: at(1000 * i)}
+		h.Orders = append(h.Orders, order)
+		h.ReadBack = body
 	}
-	r.answered("a-1", Streaming, DraftService, 100, "")
-	r.answered("a-2", Idempotent, ToolService, 200, "")
-	r.answered("a-3", NonIdempotent, ToolService, 300, "")
-	r.answered("a-4", Streaming, DraftService, 400, "a-1")
-	r.own("a-5", TurnPath, Streaming, 500, http.StatusServiceUnavailable)
-	r.answered("a-6", Streaming, DraftService, 700, "a-4")
-	r.own("a-7", AddedPath, Idempotent, 800, http.StatusNotFound)
-	r.answered("a-8", Streaming, ReviewService, 1100, "a-6")
-	r.answered("a-9", Idempotent, ToolService, 1200, "")
-	r.try("a-9").Path, r.run("a-9").URI = AddedPath, AddedPath
+	h.addCompleted("a-1", Streaming, DraftService, 100, "")
+	h.addCompleted("a-2", Idempotent, ToolService, 200, "")
+	h.addCompleted("a-3", NonIdempotent, ToolService, 300, "")
+	h.addCompleted("a-4", Streaming, DraftService, 400, "a-1")
+	h.addUnexecuted("a-5", TurnPath, Streaming, 500, http.StatusServiceUnavailable)
+	h.addCompleted("a-6", Streaming, DraftService, 700, "a-4")
+	h.addUnexecuted("a-7", AddedPath, Idempotent, 800, http.StatusNotFound)
+	h.addCompleted("a-8", Streaming, ReviewService, 1100, "a-6")
+	h.addCompleted("a-9", Idempotent, ToolService, 1200, "")
+	h.attempt("a-9").Path, h.run("a-9").URI = AddedPath, AddedPath
 	for n := range 5 {
-		r.answered(fmt.Sprintf("b-%d", n), Streaming, ReviewService, 1300+100*n, "")
+		h.addCompleted(fmt.Sprintf("b-%d", n), Streaming, ReviewService, 1300+100*n, "")
 	}
-	r.own("b-5", TurnPath, Streaming, 5000, http.StatusPaymentRequired)
-	r.Results = []Result{{Program: "a"}, {Program: "b", Outcome: BudgetExhausted, Endless: true}}
-	return r
+	h.addUnexecuted("b-5", TurnPath, Streaming, 5000, http.StatusPaymentRequired)
+	h.Results = []Result{{Program: "a"}, {Program: "b", Outcome: BudgetExhausted, Endless: true}}
+	return h
 }
 
-func TestChecksFindNothingInAKeptRecord(t *testing.T) {
-	for _, b := range Check(keptRecord(t).History) {
-		t.Error(b)
+func TestNoViolationInCorrectHistory(t *testing.T) {
+	for _, violation := range Check(newTestHistory(t).History) {
+		t.Error(violation)
 	}
 }
 
-func TestChecksFindEachPlantedFault(t *testing.T) {
+func TestChecksFindPlantedFaults(t *testing.T) {
 	plants := []struct {
 		name, rule string
-		plant      func(r record)
+		plant      func(h testHistory)
 	}{
-		{"an answer without the host's seal", "MIXED", func(r record) { r.try("a-3").Seal = "" }},
-		{"the answer of another request", "MIXED", func(r record) { r.try("a-3").ResponseID = "a-2" }},
-		{"another request's body", "MIXED", func(r record) { r.try("a-3").Body = r.try("a-2").Body }},
-		{"a body that looks whole and is not", "MIXED", func(r record) { b := &r.try("a-3").Body; *b = (*b)[:ToolResponseBytes-1] }},
-		{"a success where the host failed", "MIXED", func(r record) { r.run("a-3").Outcome = modelhost.Failed }},
-		{"a success that no host ran", "MIXED", func(r record) { r.drop("a-9") }},
-		{"an event that is missing", "ORDER", func(r record) { e := &r.try("a-6").Events; *e = (*e)[1:] }},
-		{"an event that came twice", "ORDER", func(r record) { e := &r.try("a-8").Events; *e = append((*e)[:1:1], *e...) }},
-		{"an event of another stream", "ORDER", func(r record) { r.try("a-8").Events[1].Data = modelhost.Event("a-6", 2) }},
-		{"a stream that ends as complete before its last event", "ORDER", func(r record) { e := &r.try("a-8").Events; *e = (*e)[:1] }},
-		{"a stream that ends as complete though its host broke off", "ORDER", func(r record) { r.run("a-8").Outcome = modelhost.Aborted }},
-		{"a run that no client sent", "UNASKED", func(r record) { r.run("a-3").Attempt = "x-1" }},
-		{"a changed path", "UNASKED", func(r record) { r.run("a-3").URI = WritePath + "more" }},
-		{"a changed body", "UNASKED", func(r record) { r.run("a-3").Body = []byte("other") }},
-		{"a history that lacks a turn", "UNASKED", func(r record) { r.run("a-6").Body = r.try("a-6").Input }},
-		{"a history with an event twice", "UNASKED", func(r record) {
-			b := &r.run("a-4").Body
+		{"an answer without a host's seal", "MIXED", func(h testHistory) { h.attempt("a-3").Seal = "" }},
+		{"the answer of another request", "MIXED", func(h testHistory) { h.attempt("a-3").ResponseID = "a-2" }},
+		{"another request's body", "MIXED", func(h testHistory) { h.attempt("a-3").Body = h.attempt("a-2").Body }},
+		{"a truncated body that looks complete", "MIXED", func(h testHistory) {
+			b := &h.attempt("a-3").Body
+			*b = (*b)[:ToolResponseBytes-1]
+		}},
+		{"a success where the host failed", "MIXED", func(h testHistory) { h.run("a-3").Outcome = modelhost.Failed }},
+		{"a success that no host ran", "MIXED", func(h testHistory) { h.dropRuns("a-9") }},
+		{"a missing event", "ORDER", func(h testHistory) { e := &h.attempt("a-6").Events; *e = (*e)[1:] }},
+		{"a duplicate event", "ORDER", func(h testHistory) {
+			e := &h.attempt("a-8").Events
+			*e = append((*e)[:1:1], *e...)
+		}},
+		{"an event of another stream", "ORDER", func(h testHistory) {
+			h.attempt("a-8").Events[1].Data = modelhost.Event("a-6", 2)
+		}},
+		{"a stream that ends as complete before its last event", "ORDER", func(h testHistory) {
+			e := &h.attempt("a-8").Events
+			*e = (*e)[:1]
+		}},
+		{"a stream that ends as complete though its host aborted", "ORDER", func(h testHistory) {
+			h.run("a-8").Outcome = modelhost.Aborted
+		}},
+		{"a run that no client sent", "UNASKED", func(h testHistory) { h.run("a-3").Attempt = "x-1" }},
+		{"a changed path", "UNASKED", func(h testHistory) { h.run("a-3").URI = WritePath + "more" }},
+		{"a changed body", "UNASKED", func(h testHistory) { h.run("a-3").Body = []byte("other") }},
+		{"a history without a turn", "UNASKED", func(h testHistory) { h.run("a-6").Body = h.attempt("a-6").Input }},
+		{"a history with a duplicate event", "UNASKED", func(h testHistory) {
+			b := &h.run("a-4").Body
 			*b = append([]byte(modelhost.Event("a-1", 1)+"\n"), *b...)
 		}},
-		{"a turn that continues one that was not answered whole", "UNASKED", func(r record) { r.try("a-6").Previous = "a-5" }},
-		{"a call that ran twice", "TWICE", func(r record) { r.Runs = append(r.Runs, *r.run("a-3")) }},
-		{"a turn that ran twice", "TWICE", func(r record) { r.Runs = append(r.Runs, *r.run("a-8")) }},
-		{"a refused turn that ran", "REFUSED", func(r record) { r.try("a-8").Status = http.StatusServiceUnavailable }},
-		{"a 402 for a turn that ran", "REFUSED", func(r record) { r.try("b-4").Status = http.StatusPaymentRequired }},
-		{"a 404 for a turn that continues one that is kept", "LOST", func(r record) {
-			r.own("a-10", TurnPath, Streaming, 2000, http.StatusNotFound)
-			r.try("a-10").Previous = "a-8"
-		}},
-		{"a request of a route that is answered 400", "DENIED", func(r record) { r.own("a-10", ReadPath, Idempotent, 2000, http.StatusBadRequest) }},
-		{"a request that is sent elsewhere", "DENIED", func(r record) { r.own("a-10", ReadPath, Idempotent, 2000, http.StatusTemporaryRedirect) }},
-		{"a 404 where each version has the route", "DENIED", func(r record) { r.own("a-10", ReadPath, Idempotent, 2000, http.StatusNotFound) }},
-		{"more than the budget", "BUDGET", func(r record) {
+		{"a turn that continues an incomplete one", "UNASKED", func(h testHistory) { h.attempt("a-6").Previous = "a-5" }},
+		{"a call that ran twice", "TWICE", func(h testHistory) { h.Runs = append(h.Runs, *h.run("a-3")) }},
+		{"a turn that ran twice", "TWICE", func(h testHistory) { h.Runs = append(h.Runs, *h.run("a-8")) }},
+		{"a rejected turn that ran", "REFUSED", func(h testHistory) {
+			h.attempt("a-8").Status = http.StatusServiceUnavailable
+		}},
+		{"a 402 for a turn that ran", "REFUSED", func(h testHistory) {
+			h.attempt("b-4").Status = http.StatusPaymentRequired
+		}},
+		{"a 404 for a turn that continues a retained one", "LOST", func(h testHistory) {
+			h.addUnexecuted("a-10", TurnPath, Streaming, 2000, http.StatusNotFound)
+			h.attempt("a-10").Previous = "a-8"
+		}},
+		{"a 400 for a valid request", "DENIED", func(h testHistory) {
+			h.addUnexecuted("a-10", ReadPath, Idempotent, 2000, http.StatusBadRequest)
+		}},
+		{"a redirect", "DENIED", func(h testHistory) {
+			h.addUnexecuted("a-10", ReadPath, Idempotent, 2000, http.StatusTemporaryRedirect)
+		}},
+		{"a 404 where each version has the route", "DENIED", func(h testHistory) {
+			h.addUnexecuted("a-10", ReadPath, Idempotent, 2000, http.StatusNotFound)
+		}},
+		{"more than the budget", "BUDGET", func(h testHistory) {
 			for n := 6; n < 9; n++ {
-				r.answered(fmt.Sprintf("b-%d", n), Streaming, ReviewService, 2000+100*n, "")
+				h.addCompleted(fmt.Sprintf("b-%d", n), Streaming, ReviewService, 2000+100*n, "")
 			}
 		}},
-		{"more than the budget, in tries that broke off", "BUDGET", func(r record) {
+		{"more than the budget, in incomplete attempts", "BUDGET", func(h testHistory) {
 			for n := 6; n < 9; n++ {
 				id := fmt.Sprintf("b-%d", n)
-				r.answered(id, Streaming, ReviewService, 2000+100*n, "")
-				r.try(id).Complete, r.run(id).Outcome = false, modelhost.Canceled
+				h.addCompleted(id, Streaming, ReviewService, 2000+100*n, "")
+				h.attempt(id).Complete, h.run(id).Outcome = false, modelhost.Canceled
 			}
 		}},
-		{"a 402 while one more turn fits", "402", func(r record) { r.try("b-5").Budget = 24 }},
-		{"a 402 by a turn that was refused long before", "402", func(r record) {
-			r.drop("b-4")
-			b := r.try("b-4")
+		{"a 402 while the budget allows a turn", "402", func(h testHistory) { h.attempt("b-5").Budget = 24 }},
+		{"a 402 because of a turn that was rejected long before", "402", func(h testHistory) {
+			h.dropRuns("b-4")
+			b := h.attempt("b-4")
 			b.Status, b.Events = http.StatusServiceUnavailable, nil
 		}},
-		{"a service that no configuration has", "ROUTE", func(r record) { r.run("a-3").Service = DraftService }},
-		{"a service that only a later configuration has", "ROUTE", func(r record) { r.run("a-1").Service = ReviewService }},
-		{"an old service, long after the change", "CONFIG", func(r record) { r.answered("c-1", Streaming, DraftService, 1001+int(ApplyTimeout.Milliseconds()), "") }},
-		{"a 404 for a route that was added long before", "CONFIG", func(r record) {
-			r.own("c-1", AddedPath, Idempotent, 1001+int(ApplyTimeout.Milliseconds()), http.StatusNotFound)
-		}},
-		{"a process that goes back", "CONFIG", func(r record) { r.answered("c-1", Streaming, DraftService, 1150, "") }},
-		{"a process that goes back to where there is no route", "CONFIG", func(r record) { r.own("c-1", AddedPath, Idempotent, 1250, http.StatusNotFound) }},
-		{"an older configuration read back", "CONFIG", func(r record) { r.ReadBack = r.Orders[0].Body }},
-		{"a configuration read back that nobody sent", "CONFIG", func(r record) { r.ReadBack = append(slices.Clone(r.ReadBack), ' ') }},
-		{"a refused configuration read back", "CONFIG", func(r record) { r.Orders[1].Acknowledged, r.Orders[1].Rejected = time.Time{}, true }},
-		{"a refused configuration that is acted on", "ROUTE", func(r record) { r.Orders[1].Acknowledged, r.Orders[1].Rejected = time.Time{}, true }},
-		{"an invalid configuration that is acknowledged", "CONFIG", func(r record) { r.Orders[1].Invalid = true }},
-		{"two configurations on the same version", "CONFIG", func(r record) { r.Orders[1].BaseVersion = 0 }},
-		{"a program that failed", "SERVED", func(r record) { r.Results[0].Outcome = Failed }},
-		{"a program without an end that has one", "SERVED", func(r record) { r.Results[1].Outcome = Completed }},
+		{"a service of no configuration", "ROUTE", func(h testHistory) { h.run("a-3").Service = DraftService }},
+		{"a service of a later configuration only", "ROUTE", func(h testHistory) { h.run("a-1").Service = ReviewService }},
+		{"an old service after the time to apply", "CONFIG", func(h testHistory) {
+			h.addCompleted("c-1", Streaming, DraftService, 1001+int(ApplyTimeout.Milliseconds()), "")
+		}},
+		{"a 404 for an added route after the time to apply", "CONFIG", func(h testHistory) {
+			h.addUnexecuted("c-1", AddedPath, Idempotent, 1001+int(ApplyTimeout.Milliseconds()), http.StatusNotFound)
+		}},
+		{"a process that goes back", "CONFIG", func(h testHistory) {
+			h.addCompleted("c-1", Streaming, DraftService, 1150, "")
+		}},
+		{"a process that goes back to a version without a route", "CONFIG", func(h testHistory) {
+			h.addUnexecuted("c-1", AddedPath, Idempotent, 1250, http.StatusNotFound)
+		}},
+		{"an older configuration read back", "CONFIG", func(h testHistory) { h.ReadBack = h.Orders[0].Body }},
+		{"a configuration read back that was not sent", "CONFIG", func(h testHistory) {
+			h.ReadBack = append(slices.Clone(h.ReadBack), ' ')
+		}},
+		{"a rejected configuration read back", "CONFIG", func(h testHistory) {
+			h.Orders[1].Acknowledged, h.Orders[1].Rejected = time.Time{}, true
+		}},
+		{"a rejected configuration that is in force", "ROUTE", func(h testHistory) {
+			h.Orders[1].Acknowledged, h.Orders[1].Rejected = time.Time{}, true
+		}},
+		{"an invalid configuration that is acknowledged", "CONFIG", func(h testHistory) { h.Orders[1].Invalid = true }},
+		{"two configurations that replace the same version", "CONFIG", func(h testHistory) { h.Orders[1].BaseVersion = 0 }},
+		{"a program that failed", "SERVED", func(h testHistory) { h.Results[0].Outcome = Failed }},
+		{"an endless program that completes", "SERVED", func(h testHistory) { h.Results[1].Outcome = Completed }},
 	}
 	planted := map[string]bool{}
 	for _, p := range plants {
 		planted[p.rule] = true
 		t.Run(p.name, func(t *testing.T) {
-			r := keptRecord(t)
-			p.plant(r)
-			found := Check(r.History)
+			h := newTestHistory(t)
+			p.plant(h)
+			found := Check(h.History)
 			if len(found) == 0 {
 				t.Fatal("nothing was found")
 			}
-			if !slices.ContainsFunc(found, func(b Violation) bool { return b.Rule == p.rule }) {
+			if !slices.ContainsFunc(found, func(v Violation) bool { return v.Rule == p.rule }) {
 				t.Errorf("found %v, want %s", found, p.rule)
 			}
 		})
@@ -193,35 +233,42 @@
 	}
 }
 
-func TestWhatMayBeIsNoFault(t *testing.T) {
-	for name, change := range map[string]func(r record){
-		"the old service for a moment after the change": func(r record) { r.answered("c-1", Streaming, DraftService, 1050, "") },
-		"the old service at another front, while one has changed": func(r record) {
-			r.answered("c-1", Streaming, DraftService, 1150, "")
-			r.try("c-1").Front = "front-2"
+func TestAllowedBehaviorIsNoViolation(t *testing.T) {
+	for name, change := range map[string]func(h testHistory){
+		"the old service within the time to apply": func(h testHistory) {
+			h.addCompleted("c-1", Streaming, DraftService, 1050, "")
+		},
+		"the old service at another front": func(h testHistory) {
+			h.addCompleted("c-1", Streaming, DraftService, 1150, "")
+			h.attempt("c-1").Front = "front-2"
+		},
+		"a new incarnation with an older version": func(h testHistory) {
+			h.addCompleted("c-1", Streaming, DraftService, 1150, "")
+			h.attempt("c-1").Incarnation = 2
+		},
+		"an aborted stream": func(h testHistory) {
+			h.attempt("a-8").Complete, h.run("a-8").Outcome = false, modelhost.Aborted
 		},
-		"a life that begins with an older version": func(r record) { r.answered("c-1", Streaming, DraftService, 1150, ""); r.try("c-1").Incarnation = 2 },
-		"a stream that broke off":                  func(r record) { r.try("a-8").Complete, r.run("a-8").Outcome = false, modelhost.Aborted },
-		"an idempotent call that ran twice":        func(r record) { r.Runs = append(r.Runs, *r.run("a-2")) },
-		"a 402 while another turn of the program may run": func(r record) {
-			r.try("b-5").Sent, r.try("b-5").Ended = at(1725), at(1726)
-			r.try("b-4").Complete = false
+		"an idempotent call that ran twice": func(h testHistory) { h.Runs = append(h.Runs, *h.run("a-2")) },
+		"a 402 while another turn may use the rest of the budget": func(h testHistory) {
+			h.attempt("b-5").Sent, h.attempt("b-5").Ended = at(1725), at(1726)
+			h.attempt("b-4").Complete = false
 		},
-		"a 404 after the turn was kept for as long as asked": func(r record) {
-			r.own("a-10", TurnPath, Streaming, 2000+int(Retention.Milliseconds()), http.StatusNotFound)
-			r.try("a-10").Previous = "a-8"
+		"a 404 after the retention time": func(h testHistory) {
+			h.addUnexecuted("a-10", TurnPath, Streaming, 2000+int(Retention.Milliseconds()), http.StatusNotFound)
+			h.attempt("a-10").Previous = "a-8"
 		},
-		"a program that failed as a host broke off a call that cannot be repeated": func(r record) {
-			r.Results[0].Outcome = Failed
-			r.try("a-3").Status, r.try("a-3").Seal, r.run("a-3").Outcome = http.StatusBadGateway, "", modelhost.Aborted
+		"a program that failed because a host aborted a call that is not idempotent": func(h testHistory) {
+			h.Results[0].Outcome = Failed
+			h.attempt("a-3").Status, h.attempt("a-3").Seal, h.run("a-3").Outcome = http.StatusBadGateway, "", modelhost.Aborted
 		},
-		"an order without an acknowledgement": func(r record) { r.Orders[1].Acknowledged = time.Time{} },
+		"an order that was not acknowledged": func(h testHistory) { h.Orders[1].Acknowledged = time.Time{} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := keptRecord(t)
-			change(r)
-			for _, b := range Check(r.History) {
-				t.Error(b)
+			h := newTestHistory(t)
+			change(h)
+			for _, violation := range Check(h.History) {
+				t.Error(violation)
 			}
 		})
 	}
--- a/internal/tier/tiertest/settings_test.go
+++ b/internal/tier/tiertest/settings_test.go
@@ -8,30 +8,30 @@
 	"time"
 
 	"larchrouter/internal/standin/cloudapi"
-	"larchrouter/internal/tier/controlnode"
 )
 
-// TestAProcessNamesWhatItsSettingsLack starts real processes with settings that they cannot use.
-func TestAProcessNamesWhatItsSettingsLack(t *testing.T) {
-	bin, err := programs()
+// TestProcessReportsMissingSetting starts real processes with settings that lack something.
+func TestProcessReportsMissingSetting(t *testing.T) {
+	programs, err := buildPrograms()
 	must(t, err)
 	platform, err := cloudapi.New(cloudapi.Options{})
 	must(t, err)
 	defer platform.Close()
-	b, err := claimAddressBlock()
+	block, err := claimAddressBlock()
 	must(t, err)
-	defer b.release()
-	tier := &Tier{Platform: platform, block: b, dir: t.TempDir()}
-	for i, one := range []struct{ class, path, arg string }{{Core, bin.Control, "core"}, {Core, "", ""}, {Core, "", ""}, {Store, bin.Control, "store"}, {Front, bin.Proxy, ""}} {
-		m := &Machine{Name: one.class + "-1", Class: one.class, IP: b.ip(i + 1), tier: tier, role: one.class, path: one.path, bootstrap: true}
-		if one.arg != "" {
-			m.args = []string{one.arg}
-		}
+	defer block.release()
+	tier := &Tier{Platform: platform, block: block, dir: t.TempDir()}
+	for i, c := range []struct {
+		class string
+		args  []string
+	}{{Core, []string{"core"}}, {Core, nil}, {Core, nil}, {Store, []string{"store"}}, {Front, nil}} {
+		m := &Machine{Name: c.class + "-1", Class: c.class, IP: block.ip(i + 1), tier: tier, role: c.class,
+			path: programs.forClass(c.class), args: c.args, bootstrap: true}
 		tier.Machines = append(tier.Machines, m)
 	}
 	for _, c := range []struct {
-		class, without string // lines that begin so are left out
-		says           []string
+		class, without string // prefix of the lines that are left out; "" for no file
+		output         []string
 	}{
 		{Core, "node_name", []string{"node_name", `""`, "name the node"}},
 		{Core, "ip_addr", []string{"ip_addr", `""`, "IPv4"}},
@@ -48,55 +48,35 @@
 			m := tier.Class(c.class)[0]
 			path := filepath.Join(t.TempDir(), "absent.yaml")
 			if c.without != "" {
-				var kept []string
+				var lines []string
 				for line := range strings.Lines(tier.settings(m)) {
 					if !strings.HasPrefix(line, c.without) {
-						kept = append(kept, line)
+						lines = append(lines, line)
 					}
 				}
 				path = filepath.Join(t.TempDir(), "node.yaml")
-				must(t, os.WriteFile(path, []byte(strings.Join(kept, "")), 0o600))
+				must(t, os.WriteFile(path, []byte(strings.Join(lines, "")), 0o600))
 			}
 			log := new(Log)
 			p, err := startProcess(m.path, m.args, path, log)
 			must(t, err)
-			late := time.NewTimer(stepBound)
-			defer late.Stop()
+			timeout := time.NewTimer(stepTimeout)
+			defer timeout.Stop()
 			select {
 			case <-p.done:
-			case <-late.C:
+			case <-timeout.C:
 				_ = p.cmd.Process.Kill()
 				<-p.done
-				t.Fatalf("it did not end; it said %s", log)
+				t.Fatalf("it did not end; its output is %s", log)
 			}
 			if p.exitCode() != 1 {
 				t.Errorf("exit code %d, want 1", p.exitCode())
 			}
-			for _, part := range c.says {
+			for _, part := range c.output {
 				if !strings.Contains(log.String(), part) {
-					t.Errorf("it does not say %s:\n%s", part, log)
+					t.Errorf("%s is not in its output:\n%s", part, log)
 				}
 			}
 		})
 	}
 }
-
-// TestOneLossOfPowerLosesNothing kills all processes at once, right after a configuration was acknowledged.
-func TestOneLossOfPowerLosesNothing(t *testing.T) {
-	p := newPlay(t, 3, 3, 2)
-	p.serves("in calm")
-	must(t, p.Configure(within(t), NewConfig(4, ReviewService, true)))
-	for _, m := range p.Machines {
-		m.Kill()
-	}
-	must(t, p.Machine("store-1").Wipe()) // as many disks as may be lost
-	for _, m := range p.Machines {
-		must(t, m.Start())
-	}
-	p.stable(3)
-	must(t, p.AwaitReady(within(t), p.Class(Front)...))
-	must(t, p.AwaitStatus(within(t), "version 4 is there", func(s *controlnode.Status) bool { return s.Version == 4 }))
-	p.goOn("-again")
-	p.serves("after the loss")
-	p.judge()
-}
