--- a/cmd/larch-control/main.go
+++ b/cmd/larch-control/main.go
@@ -1,5 +1,5 @@
-// Command larch-control is the control plane of the serving tier: core nodes, which keep the control state, stores, which
-// keep turns and budgets, and the operators' client.
+// Command larch-control is the control plane of the serving tier: core nodes, which replicate the control state, stores,
+// which keep turns and budgets, and the operators' client.
 package main
 
 import (
@@ -15,12 +15,14 @@
 	"larchrouter/internal/tier/controlnode"
 )
 
+// program is the command line.
 type program struct {
 	Core  coreCommand  `cmd:"" help:"Run a core node: control state, operators' API, the platform's list."`
 	Store storeCommand `cmd:"" help:"Run a store: turns with their histories, budgets of programs."`
 	clientCommands
 }
 
+// coreCommand runs a core node.
 type coreCommand struct{}
 
 func (coreCommand) Run() error {
@@ -35,7 +37,7 @@
 	return untilTold(log, c.UpdateSeeds, c.Run)
 }
 
-// start reads the settings that every node has.
+// start loads the settings of a node and applies those of the Go runtime.
 func start() (*process.Settings, *process.Ring, error) {
 	s, err := process.Load()
 	if err != nil {
--- a/cmd/larch-control/store.go
+++ b/cmd/larch-control/store.go
@@ -16,9 +16,16 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
+// storeCommand runs a store.
 type storeCommand struct{}
 
-const registerTime = 800 * time.Millisecond
+// The times of registrations. The owner of the placement role does not rely on a store before its second registration.
+const (
+	registerTick             = 100 * time.Millisecond // between two checks whether a registration is due
+	registerInterval         = 400 * time.Millisecond
+	registerIntervalUnplaced = 90 * time.Millisecond // less than a tick: at each of them
+	registerTimeout          = 800 * time.Millisecond
+)
 
 func (storeCommand) Run() error {
 	s, log, err := start()
@@ -68,29 +75,30 @@
 	return err
 }
 
-// register tells the core of this store, again and again, and at once when a sweep has ended.
+// register registers the store at the core periodically, and at the next tick after its registration has changed, such as
+// at the end of a sweep, until the context ends.
 func register(ctx context.Context, follower *feed.Follower, calls *rpc.Clients, store *turnstore.Server, self turnstore.Store) {
-	tick := time.NewTicker(100 * time.Millisecond)
+	tick := time.NewTicker(registerTick)
 	defer tick.Stop()
-	var told feed.Registration
-	var at time.Time
+	var acknowledged feed.Registration
+	var answeredAt time.Time
 	for {
-		now := feed.Registration{Store: self, SweptGeneration: store.SweptGeneration(), Generation: store.AdoptedGeneration(), Full: store.Full()}
-		every := registerUnplaced
+		current := feed.Registration{Store: self, SweptGeneration: store.SweptGeneration(), Generation: store.AdoptedGeneration(), Full: store.Full()}
+		interval := registerIntervalUnplaced
 		if p := follower.Placement(); p != nil {
-			now.Generation = max(now.Generation, p.Generation)
-			if slices.ContainsFunc(p.Stores(), func(o turnstore.Store) bool { return o.ID == self.ID }) {
-				every = registerEvery
+			current.Generation = max(current.Generation, p.Generation)
+			if slices.ContainsFunc(p.Stores(), func(other turnstore.Store) bool { return other.ID == self.ID }) {
+				interval = registerInterval
 			}
 		}
-		if now != told || time.Since(at) > every {
-			one, done := context.WithTimeout(ctx, registerTime)
-			err := calls.To(follower.Core()).Call(one, feed.RegisterCall, &now, nil)
-			done()
-			if at = time.Now(); err == nil {
-				told = now
+		if current != acknowledged || time.Since(answeredAt) > interval {
+			callCtx, stop := context.WithTimeout(ctx, registerTimeout)
+			err := calls.To(follower.Core()).Call(callCtx, feed.RegisterCall, &current, nil)
+			stop()
+			if answeredAt = time.Now(); err == nil {
+				acknowledged = current
 			} else {
-				told = feed.Registration{}
+				acknowledged = feed.Registration{}
 			}
 		}
 		select {
@@ -100,9 +108,3 @@
 		}
 	}
 }
-
-// Pauses between registrations. One proves nothing to the holder of the duty before another follows.
-const (
-	registerEvery    = 400 * time.Millisecond
-	registerUnplaced = 90 * time.Millisecond // at each tick
-)
