--- a/cmd/larch-control/main.go
+++ b/cmd/larch-control/main.go
@@ -59,7 +59,8 @@
 
 func main() {
 	var p program
-	k := kong.Must(&p, kong.Name("larch-control"), kong.Description("The control plane of the serving tier, and its operators' client."), kong.UsageOnError())
+	const description = "The control plane of the serving tier, and its operators' client."
+	k := kong.Must(&p, kong.Name("larch-control"), kong.Description(description), kong.UsageOnError())
 	ctx, err := k.Parse(os.Args[1:])
 	k.FatalIfErrorf(err)
 	if err := ctx.Run(); err != nil {
--- a/cmd/larch-control/status.go
+++ b/cmd/larch-control/status.go
@@ -48,7 +48,8 @@
 		fmt.Fprintf(w, "role\t%s\n", s.Role)
 	}
 	for _, transfer := range s.Transfers {
-		fmt.Fprintf(w, "brings up to date\t%s: %d of %d, and %d bytes of the next\n", transfer.To, transfer.Place, transfer.Target, transfer.Bytes)
+		fmt.Fprintf(w, "brings up to date\t%s: %d of %d, and %d bytes of the next\n",
+			transfer.To, transfer.Place, transfer.Target, transfer.Bytes)
 	}
 }
 
--- a/cmd/larch-control/store.go
+++ b/cmd/larch-control/store.go
@@ -83,7 +83,8 @@
 	var acknowledged feed.Registration
 	var answeredAt time.Time
 	for {
-		current := feed.Registration{Store: self, SweptGeneration: store.SweptGeneration(), Generation: store.AdoptedGeneration(), Full: store.Full()}
+		current := feed.Registration{Store: self, SweptGeneration: store.SweptGeneration(),
+			Generation: store.AdoptedGeneration(), Full: store.Full()}
 		interval := registerIntervalUnplaced
 		if p := follower.Placement(); p != nil {
 			current.Generation = max(current.Generation, p.Generation)
--- a/cmd/larch-demo/main_test.go
+++ b/cmd/larch-demo/main_test.go
@@ -17,25 +17,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// screen is what is shown; it calls seen with each line.
-type screen struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	seen func(line string)
+// output records the output of the demo, and calls onLine with each line if that is not nil.
+type output struct {
+	mu     sync.Mutex
+	text   bytes.Buffer
+	onLine func(line string)
 }
 
-func (s *screen) Write(b []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.seen != nil {
-		s.seen(string(b))
+func (o *output) Write(b []byte) (int, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.onLine != nil {
+		o.onLine(string(b))
 	}
-	return s.text.Write(b)
+	return o.text.Write(b)
 }
 
-// disks makes the folder of a tier's disks, in memory where the system has that: what other programs write and sync on
-// this machine must not decide what is shown.
-func disks(t *testing.T) string {
+// disksDir makes the folder of a tier's disks, in memory where the system has that: what other programs write and sync on
+// this machine must not affect the demo.
+func disksDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "larch-demo")
 	if err != nil {
@@ -45,14 +45,14 @@
 	return dir
 }
 
-func TestItShowsATierAtWorkAndEndsWhenTold(t *testing.T) {
-	bin, err := tiertest.BuildPrograms(t.Context(), t.TempDir())
+func TestDemoRunsToItsEndAndUntilCanceled(t *testing.T) {
+	programs, err := tiertest.BuildPrograms(t.Context(), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Run("to the end", func(t *testing.T) {
-		var out screen
-		if err := show(t.Context(), &out, bin, disks(t), 6*time.Second); err != nil {
+		var out output
+		if err := runDemo(t.Context(), &out, programs, disksDir(t), 6*time.Second); err != nil {
 			t.Fatalf("%v\n%s", err, out.text.String())
 		}
 		text := out.text.String()
@@ -66,23 +66,23 @@
 			`programs have ended`, `every rule was kept`,
 		} {
 			if !regexp.MustCompile(want).MatchString(text) {
-				t.Errorf("it does not show %s:\n%s", want, text)
+				t.Errorf("%s is not in the output:\n%s", want, text)
 			}
 		}
 	})
-	t.Run("told to end", func(t *testing.T) {
+	t.Run("canceled", func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		out := screen{seen: func(line string) {
+		out := output{onLine: func(line string) {
 			if strings.Contains(line, "store-2 is killed") {
 				stop()
 			}
 		}}
-		if err := show(ctx, &out, bin, disks(t), 3*time.Second); err != nil {
+		if err := runDemo(ctx, &out, programs, disksDir(t), 3*time.Second); err != nil {
 			t.Fatalf("%v\n%s", err, out.text.String())
 		}
 		if text := out.text.String(); !strings.Contains(text, "every rule was kept") || strings.Contains(text, "store-2 comes back") {
-			t.Errorf("it does not end when told to:\n%s", text)
+			t.Errorf("it does not end when canceled:\n%s", text)
 		}
 	})
 }
--- a/cmd/larch-proxy/main.go
+++ b/cmd/larch-proxy/main.go
@@ -1,5 +1,4 @@
-// Command larch-proxy is the data plane of the serving tier: it takes requests of agent programs and carries them to
-// hosts.
+// Command larch-proxy is the data plane of the serving tier: a reverse proxy between agent programs and hosts.
 package main
 
 import (
@@ -26,9 +25,10 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
+// program is the command line, which has no flags: the settings file is named by a variable.
 type program struct{}
 
-// shutdownMargin of the grace period is left for what the store is still told after the last answer.
+// shutdownMargin is the end of the grace period that is reserved for calls to the stores after the last answer.
 const shutdownMargin = 500 * time.Millisecond
 
 func (program) Run() error {
