--- a/internal/standin/modelhost/execution.go
+++ b/internal/standin/modelhost/execution.go
@@ -34,6 +34,10 @@
 	header       string // of the answer
 	release      func() // releases the slot; nil after that
 	keepAlive    bool   // the connection stays open
+
+	// Of a stream, set by writeEvent.
+	version         int  // of the weights at the last event
+	streamKeepAlive bool // as the head of the answer says
 }
 
 // execute executes a request if it gets a slot, and answers it. It reports whether the connection stays open.
@@ -174,12 +178,10 @@
 	return max(1, count)
 }
 
-// stream executes a turn: a stream of events in chunks. An event has the version of the weights if that has changed
-// since the event before.
+// stream executes a turn: a stream of events in chunks.
 func (e *execution) stream(ctx context.Context) {
 	o := e.host.opts
 	count := e.eventCount()
-	version, keepAlive := 0, true
 	for id := 1; id <= count; id++ {
 		delay := o.EventInterval
 		if id == 1 {
@@ -193,21 +195,7 @@
 			e.finish(Aborted)
 			return
 		}
-		e.host.mu.Lock()
-		current := e.host.version
-		e.host.mu.Unlock()
-		data := Event(e.run.Attempt, id)
-		event := fmt.Sprintf("id: %d\ndata: %s\n\n", id, data)
-		var b []byte
-		if id == 1 {
-			header := e.header + "Content-Type: text/event-stream\r\n"
-			b, keepAlive = e.host.responseHead(http.StatusOK, header, chunkedLength, e.fault.Kind == CloseConnection)
-		} else if current != version {
-			event = fmt.Sprintf("versions:%d\n%s", current, event)
-		}
-		version = current
-		e.host.runLog.update(func() { e.run.Events = append(e.run.Events, data) })
-		e.conn.write(fmt.Appendf(b, "%x\r\n%s\r\n", len(event), event))
+		e.writeEvent(id)
 		if e.conn.err != nil {
 			e.finish(Canceled)
 			return
@@ -221,5 +209,25 @@
 		e.interrupt(ctx, true)
 		return
 	}
-	e.complete([]byte("0\r\n\r\n"), keepAlive)
+	e.complete([]byte("0\r\n\r\n"), e.streamKeepAlive)
+}
+
+// writeEvent records and writes one event, the first with the head of the answer. A later one has the version of the
+// weights if that has changed since the event before.
+func (e *execution) writeEvent(id int) {
+	e.host.mu.Lock()
+	version := e.host.version
+	e.host.mu.Unlock()
+	data := Event(e.run.Attempt, id)
+	event := fmt.Sprintf("id: %d\ndata: %s\n\n", id, data)
+	var b []byte
+	if id == 1 {
+		header := e.header + "Content-Type: text/event-stream\r\n"
+		b, e.streamKeepAlive = e.host.responseHead(http.StatusOK, header, chunkedLength, e.fault.Kind == CloseConnection)
+	} else if version != e.version {
+		event = fmt.Sprintf("versions:%d\n%s", version, event)
+	}
+	e.version = version
+	e.host.runLog.update(func() { e.run.Events = append(e.run.Events, data) })
+	e.conn.write(fmt.Appendf(b, "%x\r\n%s\r\n", len(event), event))
 }
--- a/internal/tier/tiertest/settings_test.go
+++ b/internal/tier/tiertest/settings_test.go
@@ -10,16 +10,17 @@
 	"larchrouter/internal/standin/cloudapi"
 )
 
-// TestProcessReportsMissingSetting starts real processes with settings that lack something.
-func TestProcessReportsMissingSetting(t *testing.T) {
+// newSettingsTier returns a tier with a machine of each class, none of which runs, to write settings files for.
+func newSettingsTier(t *testing.T) *Tier {
+	t.Helper()
 	programs, err := buildPrograms()
 	must(t, err)
 	platform, err := cloudapi.New(cloudapi.Options{})
 	must(t, err)
-	defer platform.Close()
+	t.Cleanup(platform.Close)
 	block, err := claimAddressBlock()
 	must(t, err)
-	defer block.release()
+	t.Cleanup(block.release)
 	tier := &Tier{Platform: platform, block: block, dir: t.TempDir()}
 	for i, c := range []struct {
 		class string
@@ -29,6 +30,30 @@
 			path: programs.forClass(c.class), args: c.args, bootstrap: true}
 		tier.Machines = append(tier.Machines, m)
 	}
+	return tier
+}
+
+// writeSettings writes the settings of a machine without the lines with a prefix, and returns the path. For the prefix ""
+// it writes no file.
+func writeSettings(t *testing.T, m *Machine, without string) (path string) {
+	t.Helper()
+	if without == "" {
+		return filepath.Join(t.TempDir(), "absent.yaml")
+	}
+	var lines []string
+	for line := range strings.Lines(m.tier.settings(m)) {
+		if !strings.HasPrefix(line, without) {
+			lines = append(lines, line)
+		}
+	}
+	path = filepath.Join(t.TempDir(), "node.yaml")
+	must(t, os.WriteFile(path, []byte(strings.Join(lines, "")), 0o600))
+	return path
+}
+
+// TestProcessReportsMissingSetting starts real processes with settings that lack something.
+func TestProcessReportsMissingSetting(t *testing.T) {
+	tier := newSettingsTier(t)
 	for _, c := range []struct {
 		class, without string // prefix of the lines that are left out; "" for no file
 		output         []string
@@ -46,19 +71,8 @@
 	} {
 		t.Run(c.class+" without "+strings.TrimSpace(c.without), func(t *testing.T) {
 			m := tier.Class(c.class)[0]
-			path := filepath.Join(t.TempDir(), "absent.yaml")
-			if c.without != "" {
-				var lines []string
-				for line := range strings.Lines(tier.settings(m)) {
-					if !strings.HasPrefix(line, c.without) {
-						lines = append(lines, line)
-					}
-				}
-				path = filepath.Join(t.TempDir(), "node.yaml")
-				must(t, os.WriteFile(path, []byte(strings.Join(lines, "")), 0o600))
-			}
 			log := new(Log)
-			p, err := startProcess(m.path, m.args, path, log)
+			p, err := startProcess(m.path, m.args, writeSettings(t, m, c.without), log)
 			must(t, err)
 			timeout := time.NewTimer(stepTimeout)
 			defer timeout.Stop()
