--- a/internal/tier/tiertest/check_test.go
+++ b/internal/tier/tiertest/check_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -108,112 +109,125 @@
 func TestChecksFindPlantedFaults(t *testing.T) {
 	plants := []struct {
 		name, rule string
+		find       func(h *indexedHistory, report reportFunc) // the check of the rule that finds it
 		plant      func(h testHistory)
 	}{
-		{"an answer without a host's seal", "MIXED", func(h testHistory) { h.attempt("a-3").Seal = "" }},
-		{"the answer of another request", "MIXED", func(h testHistory) { h.attempt("a-3").ResponseID = "a-2" }},
-		{"another request's body", "MIXED", func(h testHistory) { h.attempt("a-3").Body = h.attempt("a-2").Body }},
-		{"a truncated body that looks complete", "MIXED", func(h testHistory) {
+		{"an answer without a host's seal", "MIXED", checkMixed, func(h testHistory) { h.attempt("a-3").Seal = "" }},
+		{"the answer of another request", "MIXED", checkMixed, func(h testHistory) { h.attempt("a-3").ResponseID = "a-2" }},
+		{"another request's body", "MIXED", checkMixed, func(h testHistory) { h.attempt("a-3").Body = h.attempt("a-2").Body }},
+		{"a truncated body that looks complete", "MIXED", checkMixed, func(h testHistory) {
 			b := &h.attempt("a-3").Body
 			*b = (*b)[:ToolResponseBytes-1]
 		}},
-		{"a success where the host failed", "MIXED", func(h testHistory) { h.run("a-3").Outcome = modelhost.Failed }},
-		{"a success that no host ran", "MIXED", func(h testHistory) { h.dropRuns("a-9") }},
-		{"a missing event", "ORDER", func(h testHistory) { e := &h.attempt("a-6").Events; *e = (*e)[1:] }},
-		{"a duplicate event", "ORDER", func(h testHistory) {
+		{"a success where the host failed", "MIXED", checkMixed, func(h testHistory) { h.run("a-3").Outcome = modelhost.Failed }},
+		{"a success that no host ran", "MIXED", checkMixed, func(h testHistory) { h.dropRuns("a-9") }},
+		{"a missing event", "ORDER", checkOrder, func(h testHistory) { e := &h.attempt("a-6").Events; *e = (*e)[1:] }},
+		{"a duplicate event", "ORDER", checkOrder, func(h testHistory) {
 			e := &h.attempt("a-8").Events
 			*e = append((*e)[:1:1], *e...)
 		}},
-		{"an event of another stream", "ORDER", func(h testHistory) {
+		{"an event of another stream", "ORDER", checkOrder, func(h testHistory) {
 			h.attempt("a-8").Events[1].Data = modelhost.Event("a-6", 2)
 		}},
-		{"a stream that ends as complete before its last event", "ORDER", func(h testHistory) {
+		{"a stream that ends as complete before its last event", "ORDER", checkOrder, func(h testHistory) {
 			e := &h.attempt("a-8").Events
 			*e = (*e)[:1]
 		}},
-		{"a stream that ends as complete though its host aborted", "ORDER", func(h testHistory) {
+		{"a stream that ends as complete though its host aborted", "ORDER", checkOrder, func(h testHistory) {
 			h.run("a-8").Outcome = modelhost.Aborted
 		}},
-		{"a run that no client sent", "UNASKED", func(h testHistory) { h.run("a-3").Attempt = "x-1" }},
-		{"a changed path", "UNASKED", func(h testHistory) { h.run("a-3").URI = WritePath + "more" }},
-		{"a changed body", "UNASKED", func(h testHistory) { h.run("a-3").Body = []byte("other") }},
-		{"a history without a turn", "UNASKED", func(h testHistory) { h.run("a-6").Body = h.attempt("a-6").Input }},
-		{"a history with a duplicate event", "UNASKED", func(h testHistory) {
+		{"a run that no client sent", "UNASKED", checkUnasked, func(h testHistory) { h.run("a-3").Attempt = "x-1" }},
+		{"a changed path", "UNASKED", checkUnasked, func(h testHistory) { h.run("a-3").URI = WritePath + "more" }},
+		{"a changed body", "UNASKED", checkUnasked, func(h testHistory) { h.run("a-3").Body = []byte("other") }},
+		{"a history without a turn", "UNASKED", checkUnasked, func(h testHistory) { h.run("a-6").Body = h.attempt("a-6").Input }},
+		{"a history with a duplicate event", "UNASKED", checkUnasked, func(h testHistory) {
 			b := &h.run("a-4").Body
 			*b = append([]byte(modelhost.Event("a-1", 1)+"\n"), *b...)
 		}},
-		{"a turn that continues an incomplete one", "UNASKED", func(h testHistory) { h.attempt("a-6").Previous = "a-5" }},
-		{"a call that ran twice", "TWICE", func(h testHistory) { h.Runs = append(h.Runs, *h.run("a-3")) }},
-		{"a turn that ran twice", "TWICE", func(h testHistory) { h.Runs = append(h.Runs, *h.run("a-8")) }},
-		{"a rejected turn that ran", "REFUSED", func(h testHistory) {
+		{"a turn that continues an incomplete one", "UNASKED", checkUnasked, func(h testHistory) {
+			h.attempt("a-6").Previous = "a-5"
+		}},
+		{"a call that ran twice", "TWICE", checkTwice, func(h testHistory) { h.Runs = append(h.Runs, *h.run("a-3")) }},
+		{"a turn that ran twice", "TWICE", checkTwice, func(h testHistory) { h.Runs = append(h.Runs, *h.run("a-8")) }},
+		{"a rejected turn that ran", "REFUSED", checkRefused, func(h testHistory) {
 			h.attempt("a-8").Status = http.StatusServiceUnavailable
 		}},
-		{"a 402 for a turn that ran", "REFUSED", func(h testHistory) {
+		{"a 402 for a turn that ran", "REFUSED", checkRefused, func(h testHistory) {
 			h.attempt("b-4").Status = http.StatusPaymentRequired
 		}},
-		{"a 404 for a turn that continues a retained one", "LOST", func(h testHistory) {
+		{"a 404 for a turn that continues a retained one", "LOST", checkLost, func(h testHistory) {
 			h.addUnexecuted("a-10", TurnPath, Streaming, 2000, http.StatusNotFound)
 			h.attempt("a-10").Previous = "a-8"
 		}},
-		{"a 400 for a valid request", "DENIED", func(h testHistory) {
+		{"a 400 for a valid request", "DENIED", checkDenied, func(h testHistory) {
 			h.addUnexecuted("a-10", ReadPath, Idempotent, 2000, http.StatusBadRequest)
 		}},
-		{"a redirect", "DENIED", func(h testHistory) {
+		{"a redirect", "DENIED", checkDenied, func(h testHistory) {
 			h.addUnexecuted("a-10", ReadPath, Idempotent, 2000, http.StatusTemporaryRedirect)
 		}},
-		{"a 404 where each version has the route", "DENIED", func(h testHistory) {
+		{"a 404 where each version has the route", "DENIED", checkDenied, func(h testHistory) {
 			h.addUnexecuted("a-10", ReadPath, Idempotent, 2000, http.StatusNotFound)
 		}},
-		{"more than the budget", "BUDGET", func(h testHistory) {
+		{"more than the budget", "BUDGET", checkBudget, func(h testHistory) {
 			for n := 6; n < 9; n++ {
 				h.addCompleted(fmt.Sprintf("b-%d", n), Streaming, ReviewService, 2000+100*n, "")
 			}
 		}},
-		{"more than the budget, in incomplete attempts", "BUDGET", func(h testHistory) {
+		{"more than the budget, in incomplete attempts", "BUDGET", checkBudget, func(h testHistory) {
 			for n := 6; n < 9; n++ {
 				id := fmt.Sprintf("b-%d", n)
 				h.addCompleted(id, Streaming, ReviewService, 2000+100*n, "")
 				h.attempt(id).Complete, h.run(id).Outcome = false, modelhost.Canceled
 			}
 		}},
-		{"a 402 while the budget allows a turn", "402", func(h testHistory) { h.attempt("b-5").Budget = 24 }},
-		{"a 402 because of a turn that was rejected long before", "402", func(h testHistory) {
+		{"a 402 while the budget allows a turn", "402", checkPrematureExhaustion, func(h testHistory) {
+			h.attempt("b-5").Budget = 24
+		}},
+		{"a 402 because of a turn that was rejected long before", "402", checkPrematureExhaustion, func(h testHistory) {
 			h.dropRuns("b-4")
 			b := h.attempt("b-4")
 			b.Status, b.Events = http.StatusServiceUnavailable, nil
 		}},
-		{"a service of no configuration", "ROUTE", func(h testHistory) { h.run("a-3").Service = DraftService }},
-		{"a service of a later configuration only", "ROUTE", func(h testHistory) { h.run("a-1").Service = ReviewService }},
-		{"an old service after the time to apply", "CONFIG", func(h testHistory) {
+		{"a service of no configuration", "ROUTE", checkRoute, func(h testHistory) { h.run("a-3").Service = DraftService }},
+		{"a service of a later configuration only", "ROUTE", checkRoute, func(h testHistory) {
+			h.run("a-1").Service = ReviewService
+		}},
+		{"an old service after the time to apply", "CONFIG", checkConfigApplied, func(h testHistory) {
 			h.addCompleted("c-1", Streaming, DraftService, 1001+int(ApplyTimeout.Milliseconds()), "")
 		}},
-		{"a 404 for an added route after the time to apply", "CONFIG", func(h testHistory) {
+		{"a 404 for an added route after the time to apply", "CONFIG", checkConfigApplied, func(h testHistory) {
 			h.addUnexecuted("c-1", AddedPath, Idempotent, 1001+int(ApplyTimeout.Milliseconds()), http.StatusNotFound)
 		}},
-		{"a process that goes back", "CONFIG", func(h testHistory) {
+		{"a process that goes back", "CONFIG", checkConfigMonotonic, func(h testHistory) {
 			h.addCompleted("c-1", Streaming, DraftService, 1150, "")
 		}},
-		{"a process that goes back to a version without a route", "CONFIG", func(h testHistory) {
+		{"a process that goes back to a version without a route", "CONFIG", checkConfigMonotonic, func(h testHistory) {
 			h.addUnexecuted("c-1", AddedPath, Idempotent, 1250, http.StatusNotFound)
 		}},
-		{"an older configuration read back", "CONFIG", func(h testHistory) { h.ReadBack = h.Orders[0].Body }},
-		{"a configuration read back that was not sent", "CONFIG", func(h testHistory) {
+		{"an older configuration read back", "CONFIG", checkConfigReadBack, func(h testHistory) {
+			h.ReadBack = h.Orders[0].Body
+		}},
+		{"a configuration read back that was not sent", "CONFIG", checkConfigReadBack, func(h testHistory) {
 			h.ReadBack = append(slices.Clone(h.ReadBack), ' ')
 		}},
-		{"a rejected configuration read back", "CONFIG", func(h testHistory) {
+		{"a rejected configuration read back", "CONFIG", checkConfigReadBack, func(h testHistory) {
 			h.Orders[1].Acknowledged, h.Orders[1].Rejected = time.Time{}, true
 		}},
-		{"a rejected configuration that is in force", "ROUTE", func(h testHistory) {
+		{"a rejected configuration that is in force", "ROUTE", checkRoute, func(h testHistory) {
 			h.Orders[1].Acknowledged, h.Orders[1].Rejected = time.Time{}, true
 		}},
-		{"an invalid configuration that is acknowledged", "CONFIG", func(h testHistory) { h.Orders[1].Invalid = true }},
-		{"two configurations that replace the same version", "CONFIG", func(h testHistory) { h.Orders[1].BaseVersion = 0 }},
-		{"a program that failed", "SERVED", func(h testHistory) { h.Results[0].Outcome = Failed }},
-		{"an endless program that completes", "SERVED", func(h testHistory) { h.Results[1].Outcome = Completed }},
+		{"an invalid configuration that is acknowledged", "CONFIG", checkConfigAcknowledged, func(h testHistory) {
+			h.Orders[1].Invalid = true
+		}},
+		{"two configurations that replace the same version", "CONFIG", checkConfigAcknowledged, func(h testHistory) {
+			h.Orders[1].BaseVersion = 0
+		}},
+		{"a program that failed", "SERVED", checkServed, func(h testHistory) { h.Results[0].Outcome = Failed }},
+		{"an endless program that completes", "SERVED", checkServed, func(h testHistory) { h.Results[1].Outcome = Completed }},
 	}
-	planted := map[string]bool{}
+	planted := map[uintptr]bool{} // by check
 	for _, p := range plants {
-		planted[p.rule] = true
+		planted[reflect.ValueOf(p.find).Pointer()] = true
 		t.Run(p.name, func(t *testing.T) {
 			h := newTestHistory(t)
 			p.plant(h)
@@ -224,11 +238,16 @@
 			if !slices.ContainsFunc(found, func(v Violation) bool { return v.Rule == p.rule }) {
 				t.Errorf("found %v, want %s", found, p.rule)
 			}
+			reports := 0
+			p.find(indexHistory(h.History), func(string, ...any) { reports++ })
+			if reports == 0 {
+				t.Errorf("found %v, but not by the check that should find it", found)
+			}
 		})
 	}
 	for _, c := range checks {
-		if !planted[c.rule] {
-			t.Errorf("no fault is planted for %s", c.rule)
+		if !planted[reflect.ValueOf(c.find).Pointer()] {
+			t.Errorf("no fault is planted for a check of %s", c.rule)
 		}
 	}
 }
