--- a/cmd/larch-control/main.go
+++ b/cmd/larch-control/main.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	return untilTold(ring, log, c.UpdateSeeds, c.Run)
+	return runUntilSignal(ring, log, c.UpdateSeeds, c.Run)
 }
 
 // start loads the settings of a node and applies those of the Go runtime.
@@ -49,8 +49,10 @@
 	return s, process.NewRingHandler(os.Stderr), nil
 }
 
-// untilTold runs a node until SIGTERM or SIGINT; settings that change are given to reload.
-func untilTold(ring *process.RingHandler, log *slog.Logger, reload func(*process.Settings), run func(context.Context) error) error {
+// runUntilSignal runs a node until SIGTERM or SIGINT; settings that change are given to reload.
+func runUntilSignal(
+	ring *process.RingHandler, log *slog.Logger, reload func(*process.Settings), run func(context.Context) error,
+) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
--- a/cmd/larch-control/store.go
+++ b/cmd/larch-control/store.go
@@ -39,16 +39,21 @@
 	log := slog.New(ring)
 	calls := &rpc.Clients{}
 	follower := feed.NewFollower(s, calls, log)
-	return untilTold(ring, log, follower.UpdateSeeds, func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) })
+	run := func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) }
+	return runUntilSignal(ring, log, follower.UpdateSeeds, run)
 }
 
-func runStore(ctx context.Context, s *process.Settings, log *slog.Logger, follower *feed.Follower, calls *rpc.Clients) (err error) {
+// runStore runs a store until the context ends or its disk fails.
+func runStore(ctx context.Context, s *process.Settings, log *slog.Logger, follower *feed.Follower, calls *rpc.Clients) (
+	err error,
+) {
 	db, err := sqlitelog.Open(s.DataDir, "store.db", int64(s.Limits.DiskMB*0.9)<<20, turnstore.StoreTables...)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.CombineErrors(err, db.Close()) }()
-	store, err := turnstore.NewServer(turnstore.ServerOptions{DB: db, Placement: follower.Placement, Changed: follower.Changed, Calls: calls, Log: log})
+	store, err := turnstore.NewServer(turnstore.ServerOptions{DB: db, Placement: follower.Placement, Changed: follower.Changed,
+		Calls: calls, Log: log})
 	if err != nil {
 		return err
 	}
