--- a/cmd/larch-control/main.go
+++ b/cmd/larch-control/main.go
@@ -1,5 +1,5 @@
-// Command larch-control is the control plane of the serving tier: core nodes, which keep the control state, stores, which
-// keep turns and budgets, and the operators' client.
+// Command larch-control is the control plane of the serving tier: core nodes, which replicate the control state, stores,
+// which keep turns and budgets, and the operators' client.
 package main
 
 import (
@@ -16,12 +16,14 @@
 	"larchrouter/internal/tier/controlnode"
 )
 
+// program is the command line.
 type program struct {
 	Core  coreCommand  `cmd:"" help:"Run a core node: control state, operators' API, the platform's list."`
 	Store storeCommand `cmd:"" help:"Run a store: turns with their histories, budgets of programs."`
 	clientCommands
 }
 
+// coreCommand runs a core node.
 type coreCommand struct{}
 
 func (coreCommand) Run() error {
@@ -34,10 +36,10 @@
 	if err != nil {
 		return err
 	}
-	return untilTold(ring, log, c.UpdateSeeds, c.Run)
+	return runUntilSignal(ring, log, c.UpdateSeeds, c.Run)
 }
 
-// start reads the settings that every node has.
+// start loads the settings of a node and applies those of the Go runtime.
 func start() (*process.Settings, *process.RingHandler, error) {
 	s, err := process.Load()
 	if err != nil {
@@ -47,8 +49,10 @@
 	return s, process.NewRingHandler(os.Stderr), nil
 }
 
-// untilTold runs a node until SIGTERM or SIGINT; settings that change are given to reload.
-func untilTold(ring *process.RingHandler, log *slog.Logger, reload func(*process.Settings), run func(context.Context) error) error {
+// runUntilSignal runs a node until SIGTERM or SIGINT; settings that change are given to reload.
+func runUntilSignal(
+	ring *process.RingHandler, log *slog.Logger, reload func(*process.Settings), run func(context.Context) error,
+) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	signal.Ignore(syscall.SIGPIPE)
@@ -59,7 +63,8 @@
 
 func main() {
 	var p program
-	k := kong.Must(&p, kong.Name("larch-control"), kong.Description("The control plane of the serving tier, and its operators' client."), kong.UsageOnError())
+	const description = "The control plane of the serving tier, and its operators' client."
+	k := kong.Must(&p, kong.Name("larch-control"), kong.Description(description), kong.UsageOnError())
 	ctx, err := k.Parse(os.Args[1:])
 	k.FatalIfErrorf(err)
 	if err := ctx.Run(); err != nil {
