--- a/internal/relay/chaostest/appliance.go
+++ b/internal/relay/chaostest/appliance.go
@@ -47,7 +47,7 @@
 	for dest, partner := range s.Partners {
 		line("partner %q {", partner.Name)
 		if l := partner.Limit; l != nil {
-			line(" limit {\n  rate = %g\n  burst = %g\n  at_once = %d\n }", l.Rate, l.Burst, l.AtOnce)
+			line(" limit {\n  rate = %g\n  burst = %g\n  at_once = %d\n }", l.Rate, l.Burst, l.MaxConcurrent)
 		}
 		n := 0
 		for _, v := range servers {
--- a/internal/relay/company.go
+++ b/internal/relay/company.go
@@ -321,7 +321,7 @@
 			l.Steward = "this relay"
 		}
 		if p.Told != nil {
-			l.Rate, l.Burst, l.AtOnce = p.Told.Rate, p.Told.Burst, p.Told.AtOnce
+			l.Rate, l.Burst, l.AtOnce = p.Told.Rate, p.Told.Burst, p.Told.MaxConcurrent
 		}
 		for _, route := range routes {
 			if route.Dest == p.Dest {
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -301,7 +301,7 @@
 	}
 	l.Need("rate", "calls a second that all relays together may make, such as rate = 50")
 	rate := l.Number("rate", 1, leastRate, 1e5)
-	return &quota.Limit{Rate: rate, Burst: l.Number("burst", max(1, rate/4), 1, 1e5), AtOnce: l.Whole("at_once", 0, 0, 1e5)}
+	return &quota.Limit{Rate: rate, Burst: l.Number("burst", max(1, rate/4), 1, 1e5), MaxConcurrent: l.Whole("at_once", 0, 0, 1e5)}
 }
 
 func (f *File) classes(top hclfile.Block) {
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -27,7 +27,7 @@
 var (
 	frozenPartner = Partner{Name: "acme", Number: 7, Kind: "bank", Classes: []string{"payment"},
 		Endpoints: []Endpoint{{ID: "acme-1", Address: "127.0.0.1:1", Zone: "north"}, {ID: "acme-2", Address: "127.0.0.1:2", Zone: "south"}},
-		Limit:     &quota.Limit{Rate: 3.5, Burst: 4.5, AtOnce: 5}}
+		Limit:     &quota.Limit{Rate: 3.5, Burst: 4.5, MaxConcurrent: 5}}
 	frozenClass = choice.Class{Name: "payment", Aim: time.Second, Deadline: 2 * time.Second, Worth: 3.5, LateShare: 0.25, Effect: choice.Unsafe,
 		SameZone: true, Window: 4 * time.Second, Ordered: true}
 	frozenKind  = choice.Kind{Apart: true, PerCall: 6}
--- a/internal/relay/fleetlimit/fixtures_test.go
+++ b/internal/relay/fleetlimit/fixtures_test.go
@@ -34,11 +34,11 @@
 	{"moved", []byte{5}, []record{{kind: movedKind, dest: 0x05060708, steward: 0x1920}}},
 	{"hello", []byte{6}, []record{{kind: helloKind}}},
 	{"hello that answers", []byte{6}, []record{{kind: helloKind, answer: true}}},
-	{"call", []byte{7}, []record{{kind: callKind, dest: 0x06070809, answer: true, stamp: quota.Stamp{Life: 0xa1a2a3a4, At: 0x0102030405 * time.Millisecond}}}},
-	{"pledge", []byte{8}, []record{{kind: pledgeKind, dest: 0x0708090a, units: 0x000fedcb, stamp: quota.Stamp{Life: 0xb1b2b3b4, At: 0x0203040506 * time.Millisecond}}}},
-	{"release", []byte{9}, []record{{kind: releaseKind, dest: 0x08090a0b, stamp: quota.Stamp{Life: 0xc1c2c3c4, At: 0x0304050607 * time.Millisecond}}}},
+	{"call", []byte{7}, []record{{kind: callKind, dest: 0x06070809, answer: true, stamp: quota.Stamp{Incarnation: 0xa1a2a3a4, At: 0x0102030405 * time.Millisecond}}}},
+	{"pledge", []byte{8}, []record{{kind: pledgeKind, dest: 0x0708090a, units: 0x000fedcb, stamp: quota.Stamp{Incarnation: 0xb1b2b3b4, At: 0x0203040506 * time.Millisecond}}}},
+	{"release", []byte{9}, []record{{kind: releaseKind, dest: 0x08090a0b, stamp: quota.Stamp{Incarnation: 0xc1c2c3c4, At: 0x0304050607 * time.Millisecond}}}},
 	{"several", []byte{7, 4, 6}, []record{
-		{kind: callKind, dest: 1, stamp: quota.Stamp{Life: 2, At: 3 * time.Millisecond}},
+		{kind: callKind, dest: 1, stamp: quota.Stamp{Incarnation: 2, At: 3 * time.Millisecond}},
 		{kind: spentKind, dest: 4, routes: []rumour{{route: 5}}, grant: 6, outcome: choice.Spoilt, took: 8 * time.Millisecond, wait: 16 * time.Millisecond},
 		{kind: helloKind, answer: true}}},
 }
@@ -99,7 +99,7 @@
 func TestNumbersOfNotesAreAsFrozen(t *testing.T) {
 	for name, tc := range map[string]struct{ got, want uint64 }{
 		"a route's number":             {uint64(routeOf("10.0.0.1:80")), 1170886113},
-		"the whole of a limit":         {quota.Whole, 1048576},
+		"the whole of a limit":         {quota.TotalUnits, 1048576},
 		"most bytes of a note":         {gossip.Most, 256},
 		"a time step":                  {uint64(step), 8_000_000},
 		"state open":                   {uint64(open), 0},
--- a/internal/relay/fleetlimit/fleet.go
+++ b/internal/relay/fleetlimit/fleet.go
@@ -385,7 +385,7 @@
 		f.pledged(from, r)
 	case releaseKind:
 		if own := f.rights[r.dest]; own != nil {
-			own.holder.Released(f.now, from, r.stamp)
+			own.holder.Release(f.now, from, r.stamp)
 		}
 	case helloKind:
 		if !r.answer {
@@ -517,7 +517,7 @@
 	}
 	f.sweepAt = f.now + sweepEvery
 	for dest, k := range f.desks {
-		k.pool.Sweep(f.now)
+		k.pool.Expire(f.now)
 		if k.forget(f.now); len(k.order) == 0 && !k.listed {
 			delete(f.desks, dest)
 		}
--- a/internal/relay/fleetlimit/note.go
+++ b/internal/relay/fleetlimit/note.go
@@ -120,7 +120,7 @@
 	case helloKind:
 		b = append(b, bit(r.answer))
 	case callKind, pledgeKind, releaseKind:
-		b = be.AppendUint64(be.AppendUint32(b, r.stamp.Life), uint64(r.stamp.At/time.Millisecond))
+		b = be.AppendUint64(be.AppendUint32(b, r.stamp.Incarnation), uint64(r.stamp.At/time.Millisecond))
 		if r.kind == callKind {
 			b = append(b, bit(r.answer))
 		} else if r.kind == pledgeKind {
@@ -209,7 +209,7 @@
 		case helloKind:
 			r.answer = c.byte() == 1
 		case callKind, pledgeKind, releaseKind:
-			r.stamp = quota.Stamp{Life: c.long(), At: c.stamp()}
+			r.stamp = quota.Stamp{Incarnation: c.long(), At: c.stamp()}
 			if r.kind == callKind {
 				r.answer = c.byte() == 1
 			} else if r.kind == pledgeKind {
--- a/internal/relay/fleetlimit/rights.go
+++ b/internal/relay/fleetlimit/rights.go
@@ -106,7 +106,7 @@
 	}
 	own := f.right(r.dest)
 	c := own.calls[from]
-	if c.stamp.Life == r.stamp.Life && r.stamp.At < c.stamp.At {
+	if c.stamp.Incarnation == r.stamp.Incarnation && r.stamp.At < c.stamp.At {
 		return // an old one
 	}
 	own.calls[from] = caller{r.stamp, f.now, r.answer}
@@ -123,7 +123,7 @@
 
 // choose is whom to pledge to of those that call.
 func (f *Fleet) choose(dest int) (steward int) {
-	ranked, steward, best := f.errand(dest).ranked, quota.Nobody, math.MaxInt
+	ranked, steward, best := f.errand(dest).ranked, quota.NoCoordinator, math.MaxInt
 	for i, c := range f.right(dest).calls {
 		if f.now-c.at > callFresh || !c.hears {
 			continue
@@ -142,7 +142,7 @@
 // pledged takes in a pledge.
 func (f *Fleet) pledged(from int, r record) {
 	if k := f.desks[r.dest]; k != nil && f.set.Rights {
-		k.pool.Take(f.now, from, min(r.units, f.partOf(from)), r.stamp)
+		k.pool.Accept(f.now, from, min(r.units, f.partOf(from)), r.stamp)
 	}
 }
 
@@ -202,7 +202,7 @@
 			at = 0
 		}
 		each := 1 / float64(f.parts)
-		part = min(1, float64(k.pool.Units(at))/float64(quota.Part(f.parts))*each)
+		part = min(1, float64(k.pool.Units(at))/float64(quota.Share(f.parts))*each)
 		if k.told == nil && part >= claimFrom(f.relays()) {
 			part = min(1, part+each*float64(f.gone()))
 		}
@@ -278,7 +278,7 @@
 	if f.lost[i] {
 		return 0
 	}
-	return min(quota.Whole, uint32(f.weight(i))*quota.Part(f.parts))
+	return min(quota.TotalUnits, uint32(f.weight(i))*quota.Share(f.parts))
 }
 
 // own is this relay's part.
--- a/internal/relay/fleetlimit/rights_test.go
+++ b/internal/relay/fleetlimit/rights_test.go
@@ -254,7 +254,7 @@
 // A limit that was told holds whatever becomes of links and relays: in any span the calls are at most what it gives in it and
 // in the time that a grant may be under way, and one burst, or a call for each relay.
 func TestToldLimitHolds(t *testing.T) {
-	told := quota.Limit{Rate: 50, Burst: 10, AtOnce: 40}
+	told := quota.Limit{Rate: 50, Burst: 10, MaxConcurrent: 40}
 	for seed := range uint64(*courses) {
 		n := 1 + int(seed%6)
 		w := newToldRelays(t, n, seed, map[int]quota.Limit{5: told})
@@ -363,7 +363,7 @@
 			x := record{kind: kind(1 + r.IntN(int(releaseKind))), dest: 5, calls: r.IntN(300), value: r.ExpFloat64() * 1e6, grant: r.Uint32N(50),
 				routes: []rumour{{route: routeOf("a"), rate: r.ExpFloat64() * 1e5, found: true, state: state(r.IntN(3)), saw: r.IntN(2) == 0}}, life: grantLife,
 				mark: markOf(w.now), outcome: choice.Outcome(r.IntN(8)), wait: time.Duration(r.Int64N(int64(time.Hour))), steward: r.IntN(200), answer: r.IntN(2) == 0,
-				units: r.Uint32(), stamp: quota.Stamp{Life: uint32(1 + r.IntN(2*n)), At: w.now + time.Duration(r.Int64N(int64(2*time.Second))) - time.Second}}
+				units: r.Uint32(), stamp: quota.Stamp{Incarnation: uint32(1 + r.IntN(2*n)), At: w.now + time.Duration(r.Int64N(int64(2*time.Second))) - time.Second}}
 			return x
 		}
 		for range 300 {
--- a/internal/relay/fleetlimit/told.go
+++ b/internal/relay/fleetlimit/told.go
@@ -57,11 +57,11 @@
 
 // most is how many calls may be under way by what is granted here. A part of less than one call is one call: a relay that is
 // alone would otherwise starve.
-func (b *contract) most() int { return max(1, int(float64(b.limit.AtOnce)*b.part)) }
+func (b *contract) most() int { return max(1, int(float64(b.limit.MaxConcurrent)*b.part)) }
 
 // take takes leave for one call, if there is any, while so many are under way.
 func (b *contract) take(out int) bool {
-	if b.tokens < 1-1e-9 || b.part == 0 || b.limit.AtOnce > 0 && out >= b.most() {
+	if b.tokens < 1-1e-9 || b.part == 0 || b.limit.MaxConcurrent > 0 && out >= b.most() {
 		return false
 	}
 	b.tokens--
@@ -70,7 +70,7 @@
 
 // again is when there may be leave, after settle. What frees a place is told, and needs no waking.
 func (b *contract) again(now time.Duration, part float64, out int) time.Duration {
-	if part <= 0 || b.limit.AtOnce > 0 && out >= b.most() {
+	if part <= 0 || b.limit.MaxConcurrent > 0 && out >= b.most() {
 		return never
 	}
 	return now + max(time.Millisecond, time.Duration((1-b.tokens)/(b.limit.Rate*part)*float64(time.Second)))
--- a/internal/relay/fleetlimit/view.go
+++ b/internal/relay/fleetlimit/view.go
@@ -55,12 +55,12 @@
 // PartViews are the destinations that this relay has wanted calls to of late, or is steward of.
 func (f *Fleet) PartViews() (all []PartView) {
 	for _, dest := range slices.Sorted(maps.Keys(f.errands)) {
-		v := PartView{Dest: dest, Steward: quota.Nobody, Own: float64(f.own()) / float64(quota.Part(f.parts)) / float64(f.parts), Over: Over(f.relays())}
+		v := PartView{Dest: dest, Steward: quota.NoCoordinator, Own: float64(f.own()) / float64(quota.Share(f.parts)) / float64(f.parts), Over: Over(f.relays())}
 		if l, ok := f.set.Limits[dest]; ok {
 			v.Told, v.Over = &l, 1
 		}
 		if r := f.rights[dest]; r != nil {
-			if v.Steward = r.holder.To(f.now); v.Steward != quota.Nobody {
+			if v.Steward = r.holder.Coordinator(f.now); v.Steward != quota.NoCoordinator {
 				v.For = r.holder.FreeAt() - f.now
 			}
 		}
--- a/internal/relay/quota/quota.go
+++ b/internal/relay/quota/quota.go
@@ -14,8 +14,8 @@
 
 import "time"
 
-// Whole is all of a limit, in units that parts are counted in.
-const Whole = 1 << 20
+// TotalUnits is all of a limit, in units that parts are counted in.
+const TotalUnits = 1 << 20
 
 // Terms of a lease.
 type Terms struct {
@@ -23,43 +23,43 @@
 	Drift float64       // by which clocks of relays may differ in speed, as a share
 }
 
-// over is when a relay may pledge anew what it pledged at a time: its clock may be fast, and the steward's slow.
-func (t Terms) over(at time.Duration) time.Duration {
+// expiry is when a relay may pledge anew what it pledged at a time: its clock may be fast, and the steward's slow.
+func (t Terms) expiry(at time.Duration) time.Duration {
 	return at + t.Lease + time.Duration(float64(t.Lease)*t.Drift)
 }
 
-// Part is what each relay of a fleet has of a limit. Parts sum to Whole at most.
-func Part(relays int) uint32 { return uint32(Whole / max(1, relays)) }
+// Share is what each relay of a fleet has of a limit. Parts sum to Whole at most.
+func Share(relays int) uint32 { return uint32(TotalUnits / max(1, relays)) }
 
 // Stamp is an instant by a steward's clock, in one of its lives: a clock begins anew with each.
 type Stamp struct {
-	Life uint32
-	At   time.Duration
+	Incarnation uint32
+	At          time.Duration
 }
 
 // Limit is what a partner takes by its contract, of all relays together.
 type Limit struct {
-	Rate   float64 // calls a second
-	Burst  float64 // calls at once after a rest, 1 at least
-	AtOnce int     // calls under way; 0 for any number
+	Rate          float64 // calls a second
+	Burst         float64 // calls at once after a rest, 1 at least
+	MaxConcurrent int     `json:"AtOnce"` // calls in flight; 0 for any number. The tag keeps the bytes that digests of configuration hash.
 }
 
-// Nobody is whom a part is pledged to that is free.
-const Nobody = -1
+// NoCoordinator is whom a part is pledged to that is free.
+const NoCoordinator = -1
 
 // Holder is a relay's book of its own part.
 type Holder struct {
-	terms Terms
-	units uint32
-	to    int
-	until time.Duration // by this relay's clock, then the pledge is over wherever its notes may be
-	last  Stamp         // the newest that it was pledged on to that one
-	lives bool          // it was pledged to more than one life of that one: their stamps have no order
+	terms               Terms
+	units               uint32
+	coordinator         int
+	expiresAt           time.Duration // by this relay's clock, then the pledge is over wherever its notes may be
+	lastStamp           Stamp         // the newest that it was pledged on to that one
+	severalIncarnations bool          // it was pledged to more than one life of that one: their stamps have no order
 }
 
 // NewHolder returns the book of a relay that starts now: what it had pledged before is unknown.
 func NewHolder(t Terms, units uint32, now time.Duration) *Holder {
-	return &Holder{terms: t, units: units, to: Nobody, until: t.over(now)}
+	return &Holder{terms: t, units: units, coordinator: NoCoordinator, expiresAt: t.expiry(now)}
 }
 
 // Resize says how large the part is from now on. What is pledged stays as it was until it is renewed or lapses.
@@ -68,85 +68,87 @@
 // Pledge pledges the part to a steward that called with a stamp, or renews that. It is refused while the part is, or may
 // be, pledged to another.
 func (h *Holder) Pledge(now time.Duration, to int, on Stamp) (units uint32, ok bool) {
-	if to != h.to {
-		if now < h.until {
+	if to != h.coordinator {
+		if now < h.expiresAt {
 			return 0, false
 		}
-		h.to, h.last, h.lives = to, on, false
+		h.coordinator, h.lastStamp, h.severalIncarnations = to, on, false
 	}
-	h.lives = h.lives || on.Life != h.last.Life
-	if on.At > h.last.At {
-		h.last.At = on.At
+	h.severalIncarnations = h.severalIncarnations || on.Incarnation != h.lastStamp.Incarnation
+	if on.At > h.lastStamp.At {
+		h.lastStamp.At = on.At
 	}
-	h.until = max(h.until, h.terms.over(now))
+	h.expiresAt = max(h.expiresAt, h.terms.expiry(now))
 	return h.units, true
 }
 
-// Released takes in that a steward lets go of the part, and of what answers calls up to a stamp. That is heeded only if
+// Release takes in that a steward lets go of the part, and of what answers calls up to a stamp. That is heeded only if
 // nothing was pledged to it on a newer one: the word may be late.
-func (h *Holder) Released(now time.Duration, by int, upTo Stamp) {
-	if by == h.to && !h.lives && upTo.Life == h.last.Life && upTo.At >= h.last.At {
-		h.until, h.to = min(h.until, now), Nobody
+func (h *Holder) Release(now time.Duration, by int, upTo Stamp) {
+	if by == h.coordinator && !h.severalIncarnations && upTo.Incarnation == h.lastStamp.Incarnation && upTo.At >= h.lastStamp.At {
+		h.expiresAt, h.coordinator = min(h.expiresAt, now), NoCoordinator
 	}
 }
 
-// To is whom the part is pledged to; Nobody if it is free.
-func (h *Holder) To(now time.Duration) (steward int) {
-	if now >= h.until {
-		return Nobody
+// Coordinator is whom the part is pledged to; Nobody if it is free.
+func (h *Holder) Coordinator(now time.Duration) (steward int) {
+	if now >= h.expiresAt {
+		return NoCoordinator
 	}
-	return h.to
+	return h.coordinator
 }
 
 // FreeAt is when the part may be pledged to another.
-func (h *Holder) FreeAt() time.Duration { return h.until }
+func (h *Holder) FreeAt() time.Duration { return h.expiresAt }
 
 // Pool is a steward's book of what was pledged to it.
 type Pool struct {
-	terms Terms
-	life  uint32
-	by    map[int]pledge
+	terms       Terms
+	incarnation uint32
+	pledges     map[int]pledge
 }
 
 type pledge struct {
-	units uint32
-	stamp time.Duration // the newest that counts
-	until time.Duration // by the steward's clock
+	units     uint32
+	stamp     time.Duration // the newest that counts
+	expiresAt time.Duration // by the steward's clock
 }
 
 // NewPool returns the book of a steward in one of its lives.
-func NewPool(t Terms, life uint32) *Pool { return &Pool{terms: t, life: life, by: map[int]pledge{}} }
+func NewPool(t Terms, life uint32) *Pool {
+	return &Pool{terms: t, incarnation: life, pledges: map[int]pledge{}}
+}
 
 // Stamp is what a call says.
-func (p *Pool) Stamp(now time.Duration) Stamp { return Stamp{p.life, now} }
+func (p *Pool) Stamp(now time.Duration) Stamp { return Stamp{p.incarnation, now} }
 
-// Take takes in a pledge that answers a call with a stamp. One that is of another life, that comes too late or after a
+// Accept takes in a pledge that answers a call with a stamp. One that is of another life, that comes too late or after a
 // newer one, or that answers a call which is yet to be made, changes nothing.
-func (p *Pool) Take(now time.Duration, from int, units uint32, on Stamp) {
-	old, known := p.by[from]
+func (p *Pool) Accept(now time.Duration, from int, units uint32, on Stamp) {
+	old, known := p.pledges[from]
 	until := on.At + p.terms.Lease
-	if on.Life != p.life || on.At > now || until <= now || known && on.At <= old.stamp {
+	if on.Incarnation != p.incarnation || on.At > now || until <= now || known && on.At <= old.stamp {
 		return
 	}
-	p.by[from] = pledge{min(units, Whole), on.At, until}
+	p.pledges[from] = pledge{min(units, TotalUnits), on.At, until}
 }
 
 // Release lets go of a relay's part, and returns the stamp up to which its pledges count no more.
 func (p *Pool) Release(now time.Duration, from int) Stamp {
-	p.by[from] = pledge{stamp: now}
-	return Stamp{p.life, now}
+	p.pledges[from] = pledge{stamp: now}
+	return Stamp{p.incarnation, now}
 }
 
 // Age is how long ago the call was made that a relay's pledge answers, and whether that is in force.
 func (p *Pool) Age(now time.Duration, from int) (age time.Duration, ok bool) {
-	x := p.by[from]
-	return now - x.stamp, now < x.until
+	x := p.pledges[from]
+	return now - x.stamp, now < x.expiresAt
 }
 
 // Holders are the relays whose pledges are in force, in no order.
 func (p *Pool) Holders(now time.Duration) (all []int) {
-	for from, x := range p.by {
-		if now < x.until {
+	for from, x := range p.pledges {
+		if now < x.expiresAt {
 			all = append(all, from)
 		}
 	}
@@ -156,19 +158,19 @@
 // Units are those in force, at most Whole whatever relays say.
 func (p *Pool) Units(now time.Duration) uint32 {
 	sum := uint64(0)
-	for _, x := range p.by {
-		if now < x.until {
+	for _, x := range p.pledges {
+		if now < x.expiresAt {
 			sum += uint64(x.units)
 		}
 	}
-	return uint32(min(sum, Whole))
+	return uint32(min(sum, TotalUnits))
 }
 
-// Sweep forgets what has lapsed, and releases that no pledge can be late for any more.
-func (p *Pool) Sweep(now time.Duration) {
-	for from, x := range p.by {
-		if now >= max(x.until, x.stamp+p.terms.Lease) {
-			delete(p.by, from)
+// Expire forgets what has lapsed, and releases that no pledge can be late for any more.
+func (p *Pool) Expire(now time.Duration) {
+	for from, x := range p.pledges {
+		if now >= max(x.expiresAt, x.stamp+p.terms.Lease) {
+			delete(p.pledges, from)
 		}
 	}
 }
--- a/internal/relay/quota/quota_test.go
+++ b/internal/relay/quota/quota_test.go
@@ -69,9 +69,9 @@
 	start := func(x *node, real time.Duration) {
 		x.offset = time.Duration(r.Int64N(int64(10 * time.Second)))
 		now := clock(x, real)
-		x.holder, x.pool, x.life, x.still, x.seen = NewHolder(terms, Part(n), now), NewPool(terms, uint32(x.life+1)), x.life+1, -1, now
+		x.holder, x.pool, x.life, x.still, x.seen = NewHolder(terms, Share(n), now), NewPool(terms, uint32(x.life+1)), x.life+1, -1, now
 		if p == startsAtOnce {
-			x.holder.until = 0
+			x.holder.expiresAt = 0
 		}
 	}
 	for i := range all {
@@ -122,27 +122,27 @@
 				switch m.kind {
 				case call:
 					if p == leaseIgnored {
-						x.holder.until = 0
+						x.holder.expiresAt = 0
 					}
 					if units, ok := x.holder.Pledge(now, m.from, m.on); ok {
 						send(real, note{from: i, to: m.from, kind: pledged, on: m.on, units: units})
 					}
 				case pledged:
 					if p == stampsOfOthers {
-						m.on.Life = x.pool.life
+						m.on.Incarnation = x.pool.incarnation
 					}
 					if p == countedLate {
 						m.on.At = now
 					}
 					if _, holds := x.pool.Age(now, m.from); p == keepsOld && !holds {
-						delete(x.pool.by, m.from)
+						delete(x.pool.pledges, m.from)
 					}
-					x.pool.Take(now, m.from, m.units, m.on)
+					x.pool.Accept(now, m.from, m.units, m.on)
 				case released:
 					if p == lateWord {
 						m.on.At += time.Hour
 					}
-					x.holder.Released(now, m.from, m.on)
+					x.holder.Release(now, m.from, m.on)
 				}
 				return true
 			})
@@ -152,7 +152,7 @@
 				}
 			}
 			if r.Float64() < 0.05 {
-				x.pool.Sweep(now)
+				x.pool.Expire(now)
 			}
 			x.seen = now
 		}
@@ -175,10 +175,10 @@
 	used := 0
 	for i := range *histories {
 		most := history(*firstSeed+uint64(i), none)
-		if most > Whole {
-			t.Fatalf("seed %d: %.3f of the limit in force at once", *firstSeed+uint64(i), float64(most)/Whole)
+		if most > TotalUnits {
+			t.Fatalf("seed %d: %.3f of the limit in force at once", *firstSeed+uint64(i), float64(most)/TotalUnits)
 		}
-		if most > Whole/2 {
+		if most > TotalUnits/2 {
 			used++
 		}
 	}
@@ -194,7 +194,7 @@
 		"a late release that is heeded": lateWord, "a pledge from before a release that is taken": keepsOld} {
 		found := false
 		for seed := range uint64(3000) {
-			if found = history(seed+1, p) > Whole; found {
+			if found = history(seed+1, p) > TotalUnits; found {
 				t.Logf("%s: seed %d", name, seed+1)
 				break
 			}
@@ -219,26 +219,26 @@
 			t.Errorf("at %v to %d: %v", c.at, c.to, ok)
 		}
 	}
-	if to := h.To(1500 * ms); to != 2 {
+	if to := h.Coordinator(1500 * ms); to != 2 {
 		t.Errorf("pledged to %d", to)
 	}
-	if to := h.To(h.FreeAt()); to != Nobody {
+	if to := h.Coordinator(h.FreeAt()); to != NoCoordinator {
 		t.Errorf("pledged to %d when it is free", to)
 	}
 	p := NewPool(terms, 4)
-	p.Take(100*ms, 1, 5, Stamp{4, 50 * ms})
-	p.Take(200*ms, 1, 9, Stamp{4, 20 * ms})  // older than what is there
-	p.Take(200*ms, 2, 3, Stamp{4, 300 * ms}) // answers a call that is yet to be made
-	p.Take(700*ms, 3, 3, Stamp{4, 100 * ms}) // too late
-	p.Take(200*ms, 4, 3, Stamp{3, 100 * ms}) // of another life
+	p.Accept(100*ms, 1, 5, Stamp{4, 50 * ms})
+	p.Accept(200*ms, 1, 9, Stamp{4, 20 * ms})  // older than what is there
+	p.Accept(200*ms, 2, 3, Stamp{4, 300 * ms}) // answers a call that is yet to be made
+	p.Accept(700*ms, 3, 3, Stamp{4, 100 * ms}) // too late
+	p.Accept(200*ms, 4, 3, Stamp{3, 100 * ms}) // of another life
 	if age, ok := p.Age(549*ms, 1); age != 499*ms || !ok {
 		t.Errorf("a pledge of age %v, in force %v", age, ok)
 	}
 	if _, ok := p.Age(550*ms, 1); ok || p.Units(200*ms) != 5 || p.Units(550*ms) != 0 || len(p.Holders(200*ms)) != 1 {
 		t.Errorf("%d units, %+v", p.Units(200*ms), p)
 	}
-	p.Take(600*ms, 2, 3<<24, Stamp{4, 600 * ms}) // a liar
-	if p.Units(600*ms) != Whole {
+	p.Accept(600*ms, 2, 3<<24, Stamp{4, 600 * ms}) // a liar
+	if p.Units(600*ms) != TotalUnits {
 		t.Errorf("%d units", p.Units(600*ms))
 	}
 	h.Pledge(3*time.Second, 5, Stamp{9, 70 * ms})
@@ -247,8 +247,8 @@
 		on   Stamp
 		free bool
 	}{{4, Stamp{9, 80 * ms}, false}, {5, Stamp{9, 60 * ms}, false}, {5, Stamp{8, 80 * ms}, false}, {5, Stamp{9, 70 * ms}, true}} {
-		h.Released(3001*ms, c.by, c.on)
-		if to := h.To(3001 * ms); (to == Nobody) != c.free {
+		h.Release(3001*ms, c.by, c.on)
+		if to := h.Coordinator(3001 * ms); (to == NoCoordinator) != c.free {
 			t.Errorf("released by %d up to %v: pledged to %d", c.by, c.on, to)
 		}
 	}
