--- a/internal/relay/quota/quota.go
+++ b/internal/relay/quota/quota.go
@@ -1,176 +1,53 @@
-// Package quota holds a limit as rights that are conserved. Each relay of a fleet has a part of a limit; whoever grants calls
-// on it, a steward, may grant on the parts that were pledged to it, each for a lease, and a part is pledged to one steward
-// at a time. So whoever hears whom, all stewards of a limit together grant no more than the limit: a fleet that is cut
-// in two grants on each side as much as that side has, and a steward that stood still grants nothing on what has lapsed.
+// Package quota divides a limit into conserved quota shares. Every relay of a fleet owns a share of a limit. A coordinator
+// may grant calls on the shares that are pledged to it, each under a lease, and a share is pledged to one coordinator at a
+// time. Therefore all coordinators of a limit together never grant more than the limit, whichever relays can reach each
+// other: each side of a network partition grants at most the sum of the shares on that side, and a coordinator whose process
+// was stalled grants nothing on leases that expired meanwhile.
 //
-// No clock is shared. A steward calls for pledges with a stamp of its own clock, and a pledge brings back the stamp that it
-// answers. The steward counts the lease from its stamp, the relay from the sending of the pledge, which came later: so the
-// lease is over for the steward before the relay pledges anew, however late or often notes come. Clocks may run at
-// different speeds, by Drift at most. A relay that starts does not know what it had pledged, and waits for a lease.
+// Clocks are not shared. A coordinator requests pledges with a stamp of its own clock, and a pledge carries the stamp that
+// it answers. The coordinator counts the lease from its stamp; the relay counts it from the sending of the pledge, which is
+// later. So the lease has expired at the coordinator before the relay pledges to another one, however late or often messages
+// arrive. The speeds of clocks may differ by Terms.Drift at most. A relay that starts does not know what it pledged before,
+// and waits for one lease.
 //
-// These are leases (Gray and Cheriton 1989) on the parts of an escrow (O'Neil 1986; Barbará and Garcia-Molina 1994), with the
-// parts fixed. The package decides and does nothing else: no clock, no note, no goroutine.
+// These are leases (Gray and Cheriton 1989) on the shares of an escrow (O'Neil 1986; Barbará and Garcia-Molina 1994), with
+// fixed shares. The package is a pure state machine: it reads no clock, sends no message and starts no goroutine. Its types
+// are not safe for concurrent use; the caller passes the present time by its own monotonic clock, and carries stamps, units
+// and releases between Pool and Holder.
 package quota
 
 import "time"
 
-// TotalUnits is all of a limit, in units that parts are counted in.
+// TotalUnits is all of a limit, in the units in which shares are counted.
 const TotalUnits = 1 << 20
 
-// Terms of a lease.
+// NoCoordinator is the coordinator of a share that is not pledged.
+const NoCoordinator = -1
+
+// Terms are the terms of a lease. All relays of a fleet must use the same.
 type Terms struct {
-	Lease time.Duration // a pledge holds so long
-	Drift float64       // by which clocks of relays may differ in speed, as a share
+	Lease time.Duration // validity of a pledge
+	Drift float64       // largest relative difference between the speeds of two clocks
 }
 
-// expiry is when a relay may pledge anew what it pledged at a time: its clock may be fast, and the steward's slow.
-func (t Terms) expiry(at time.Duration) time.Duration {
-	return at + t.Lease + time.Duration(float64(t.Lease)*t.Drift)
+// expiry returns when a relay may pledge its share to another coordinator, if it pledged it at the given time. The relay's
+// clock may be fast and the coordinator's slow.
+func (t Terms) expiry(pledgedAt time.Duration) time.Duration {
+	return pledgedAt + t.Lease + time.Duration(float64(t.Lease)*t.Drift)
 }
 
-// Share is what each relay of a fleet has of a limit. Parts sum to Whole at most.
+// Share returns the units of one relay in a fleet of that many. All shares sum to TotalUnits at most.
 func Share(relays int) uint32 { return uint32(TotalUnits / max(1, relays)) }
 
-// Stamp is an instant by a steward's clock, in one of its lives: a clock begins anew with each.
+// Stamp is an instant by a coordinator's clock in one of its incarnations. Stamps of different incarnations have no order.
 type Stamp struct {
 	Incarnation uint32
 	At          time.Duration
 }
 
-// Limit is what a partner takes by its contract, of all relays together.
+// Limit is what a destination accepts by contract, from all relays together.
 type Limit struct {
 	Rate          float64 // calls a second
-	Burst         float64 // calls at once after a rest, 1 at least
-	MaxConcurrent int     `json:"AtOnce"` // calls in flight; 0 for any number. The tag keeps the bytes that digests of configuration hash.
-}
-
-// NoCoordinator is whom a part is pledged to that is free.
-const NoCoordinator = -1
-
-// Holder is a relay's book of its own part.
-type Holder struct {
-	terms               Terms
-	units               uint32
-	coordinator         int
-	expiresAt           time.Duration // by this relay's clock, then the pledge is over wherever its notes may be
-	lastStamp           Stamp         // the newest that it was pledged on to that one
-	severalIncarnations bool          // it was pledged to more than one life of that one: their stamps have no order
-}
-
-// NewHolder returns the book of a relay that starts now: what it had pledged before is unknown.
-func NewHolder(t Terms, units uint32, now time.Duration) *Holder {
-	return &Holder{terms: t, units: units, coordinator: NoCoordinator, expiresAt: t.expiry(now)}
-}
-
-// Resize says how large the part is from now on. What is pledged stays as it was until it is renewed or lapses.
-func (h *Holder) Resize(units uint32) { h.units = units }
-
-// Pledge pledges the part to a steward that called with a stamp, or renews that. It is refused while the part is, or may
-// be, pledged to another.
-func (h *Holder) Pledge(now time.Duration, to int, on Stamp) (units uint32, ok bool) {
-	if to != h.coordinator {
-		if now < h.expiresAt {
-			return 0, false
-		}
-		h.coordinator, h.lastStamp, h.severalIncarnations = to, on, false
-	}
-	h.severalIncarnations = h.severalIncarnations || on.Incarnation != h.lastStamp.Incarnation
-	if on.At > h.lastStamp.At {
-		h.lastStamp.At = on.At
-	}
-	h.expiresAt = max(h.expiresAt, h.terms.expiry(now))
-	return h.units, true
-}
-
-// Release takes in that a steward lets go of the part, and of what answers calls up to a stamp. That is heeded only if
-// nothing was pledged to it on a newer one: the word may be late.
-func (h *Holder) Release(now time.Duration, by int, upTo Stamp) {
-	if by == h.coordinator && !h.severalIncarnations && upTo.Incarnation == h.lastStamp.Incarnation && upTo.At >= h.lastStamp.At {
-		h.expiresAt, h.coordinator = min(h.expiresAt, now), NoCoordinator
-	}
-}
-
-// Coordinator is whom the part is pledged to; Nobody if it is free.
-func (h *Holder) Coordinator(now time.Duration) (steward int) {
-	if now >= h.expiresAt {
-		return NoCoordinator
-	}
-	return h.coordinator
-}
-
-// FreeAt is when the part may be pledged to another.
-func (h *Holder) FreeAt() time.Duration { return h.expiresAt }
-
-// Pool is a steward's book of what was pledged to it.
-type Pool struct {
-	terms       Terms
-	incarnation uint32
-	pledges     map[int]pledge
-}
-
-type pledge struct {
-	units     uint32
-	stamp     time.Duration // the newest that counts
-	expiresAt time.Duration // by the steward's clock
-}
-
-// NewPool returns the book of a steward in one of its lives.
-func NewPool(t Terms, life uint32) *Pool {
-	return &Pool{terms: t, incarnation: life, pledges: map[int]pledge{}}
-}
-
-// Stamp is what a call says.
-func (p *Pool) Stamp(now time.Duration) Stamp { return Stamp{p.incarnation, now} }
-
-// Accept takes in a pledge that answers a call with a stamp. One that is of another life, that comes too late or after a
-// newer one, or that answers a call which is yet to be made, changes nothing.
-func (p *Pool) Accept(now time.Duration, from int, units uint32, on Stamp) {
-	old, known := p.pledges[from]
-	until := on.At + p.terms.Lease
-	if on.Incarnation != p.incarnation || on.At > now || until <= now || known && on.At <= old.stamp {
-		return
-	}
-	p.pledges[from] = pledge{min(units, TotalUnits), on.At, until}
-}
-
-// Release lets go of a relay's part, and returns the stamp up to which its pledges count no more.
-func (p *Pool) Release(now time.Duration, from int) Stamp {
-	p.pledges[from] = pledge{stamp: now}
-	return Stamp{p.incarnation, now}
-}
-
-// Age is how long ago the call was made that a relay's pledge answers, and whether that is in force.
-func (p *Pool) Age(now time.Duration, from int) (age time.Duration, ok bool) {
-	x := p.pledges[from]
-	return now - x.stamp, now < x.expiresAt
-}
-
-// Holders are the relays whose pledges are in force, in no order.
-func (p *Pool) Holders(now time.Duration) (all []int) {
-	for from, x := range p.pledges {
-		if now < x.expiresAt {
-			all = append(all, from)
-		}
-	}
-	return all
-}
-
-// Units are those in force, at most Whole whatever relays say.
-func (p *Pool) Units(now time.Duration) uint32 {
-	sum := uint64(0)
-	for _, x := range p.pledges {
-		if now < x.expiresAt {
-			sum += uint64(x.units)
-		}
-	}
-	return uint32(min(sum, TotalUnits))
-}
-
-// Expire forgets what has lapsed, and releases that no pledge can be late for any more.
-func (p *Pool) Expire(now time.Duration) {
-	for from, x := range p.pledges {
-		if now >= max(x.expiresAt, x.stamp+p.terms.Lease) {
-			delete(p.pledges, from)
-		}
-	}
+	Burst         float64 // calls at once after a rest; at least 1
+	MaxConcurrent int     `json:"AtOnce"` // calls in flight; 0 for any number. The tag keeps the bytes that digests hash.
 }
