--- a/internal/relay/batching/batching.go
+++ b/internal/relay/batching/batching.go
@@ -1,77 +1,77 @@
-// Package batching decides when work that falls due in heaps has to begin, so that it is done in pieces that hold up
-// nothing else and still in time. It does no I/O and reads no clock.
+// Package batching decides when work that falls due in bursts has to begin, so that it is done in batches that delay
+// nothing else for long, and still in time. It does no I/O and reads no clock.
 //
-// Time is cut into slots, and a piece is what may be done in one. As long as no more than a piece falls due in any
-// slot, each thing is done at its own time. Where more does, work begins sooner: k things due until the end of a slot
-// are begun k pieces before it. That is the latest start of the rule "earliest deadline first" (Liu and Layland, 1973),
-// which meets all deadlines if any order does.
+// Time is divided into slots, and a batch is what may be done in one slot. As long as no more than a batch falls due in any
+// slot, each item is done at its own time. Where more does, work begins earlier: k batches of items due until the end of a
+// slot are begun k slots before it. That is the latest start of earliest deadline first (Liu and Layland, 1973), which meets
+// all deadlines if any order does.
 package batching
 
 import "time"
 
-// Schedule counts what falls due by slots. It is not safe for concurrent use.
+// Schedule counts due items by slots. It is not safe for concurrent use.
 type Schedule struct {
-	slot  time.Duration
-	piece int
-	ahead int64
-	count map[int64]int // by slot; none is 0
-	total int
+	slotLength  time.Duration
+	batchSize   int
+	lookAhead   int64         // slots
+	countBySlot map[int64]int // by number of the slot since time 0; empty slots have no entry
+	total       int
 }
 
-// New returns an empty schedule with slots of a length, pieces of so many things, and a look ahead over so many slots.
-// More than half as many pieces due at one instant may be begun too late for all of them. All must be above 0.
-func New(slot time.Duration, piece, ahead int) *Schedule {
-	return &Schedule{slot: max(slot, 1), piece: max(piece, 1), ahead: int64(max(ahead, 1)), count: map[int64]int{}}
+// New returns an empty schedule with slots of a length, batches of that many items, and a look-ahead of that many slots.
+// All must be above 0. If more than lookAhead/2 batches are due at one instant, they may be begun too late for all of them.
+func New(slotLength time.Duration, batchSize, lookAhead int) *Schedule {
+	return &Schedule{slotLength: max(slotLength, 1), batchSize: max(batchSize, 1), lookAhead: int64(max(lookAhead, 1)), countBySlot: map[int64]int{}}
 }
 
-// Piece is how many things may be done in a slot.
-func (s *Schedule) Piece() int { return s.piece }
+// Piece returns the size of a batch: how many items may be done in a slot.
+func (s *Schedule) Piece() int { return s.batchSize }
 
-// Slot is the length of one.
-func (s *Schedule) Slot() time.Duration { return s.slot }
+// Slot returns the length of a slot.
+func (s *Schedule) Slot() time.Duration { return s.slotLength }
 
-// Len is how many things there are.
+// Len returns the number of items.
 func (s *Schedule) Len() int { return s.total }
 
-// Add counts one thing that is due at a time.
+// Add counts one item that is due at a time.
 func (s *Schedule) Add(at time.Duration) {
-	s.count[int64(at/s.slot)]++
+	s.countBySlot[int64(at/s.slotLength)]++
 	s.total++
 }
 
-// Remove takes one thing out that was added with this time.
+// Remove removes one item that was added with this time.
 func (s *Schedule) Remove(at time.Duration) {
-	i := int64(at / s.slot)
-	if s.total--; s.count[i] == 1 {
-		delete(s.count, i)
+	i := int64(at / s.slotLength)
+	if s.total--; s.countBySlot[i] == 1 {
+		delete(s.countBySlot, i)
 		return
 	}
-	s.count[i]--
+	s.countBySlot[i]--
 }
 
-// Look tells how many of the things that are due first have to be done in the present slot, at most a piece, so that
-// the rest can be done a piece in each later slot, and when that has to be asked again if nothing is added before.
-// What is due in the present slot or before is the caller's to do when its time comes, and counts as done in it. The
-// cost grows with the slots ahead, not with what is due.
+// Look returns how many of the items that are due first have to be done in the present slot, at most a batch, so that the
+// rest can be done a batch in each later slot, and when to call it again if nothing is added before. Items due in the present
+// slot or earlier are the caller's to do when they are due, and count as done in it. The cost grows with the look-ahead,
+// not with the number of items.
 func (s *Schedule) Look(now time.Duration) (must int, again time.Duration) {
-	first := int64(now / s.slot)
-	last := first + s.ahead
-	if s.total <= s.piece { // one piece, whatever it is due with
-		return 0, time.Duration(first+s.ahead/2+1) * s.slot
+	first := int64(now / s.slotLength)
+	last := first + s.lookAhead
+	if s.total <= s.batchSize { // one batch, whenever its items are due
+		return 0, time.Duration(first+s.lookAhead/2+1) * s.slotLength
 	}
-	due, seen, start := 0, 0, first+s.ahead/2+1 // what is beyond last by now is in sight in time then
+	due, seen, start := 0, 0, first+s.lookAhead/2+1 // by then the slots beyond last are within the look-ahead, in time
 	for i := first; i <= last && seen < s.total; i++ {
-		n := s.count[i]
+		n := s.countBySlot[i]
 		if n == 0 {
 			continue
 		}
 		due, seen = due+n, seen+n
 		if i > first {
-			must = max(must, due-int(i-first)*s.piece)
+			must = max(must, due-int(i-first)*s.batchSize)
 		}
-		if due > s.piece { // it fills slots before this one: the first of them
-			start = min(start, i-int64((due-1)/s.piece))
+		if due > s.batchSize { // it fills earlier slots, too: start is the first of them
+			start = min(start, i-int64((due-1)/s.batchSize))
 		}
 	}
-	return min(must, s.piece), time.Duration(max(start, first+1)) * s.slot
+	return min(must, s.batchSize), time.Duration(max(start, first+1)) * s.slotLength
 }
--- a/internal/relay/outcome/outcome.go
+++ b/internal/relay/outcome/outcome.go
@@ -1,4 +1,5 @@
-// Package outcome remembers how messages ended, bounded by number and age. It does no I/O and is told the time.
+// Package outcome keeps the outcomes of messages that have ended, bounded by number and age. It does no I/O and reads no
+// clock: the caller passes the present time, and makes durable what it adds.
 package outcome
 
 import (
@@ -8,72 +9,73 @@
 	"larchrouter/internal/relay/journal"
 )
 
-// Store holds ended messages in the order in which they ended. It is not safe for concurrent use.
+// Store keeps ended messages in the order in which they ended. It is not safe for concurrent use.
 type Store struct {
-	keep int
-	age  time.Duration
-	byID map[string]*journal.Entry
-	list []item // oldest first, from first on
-	next uint64 // number of the next
+	maxEntries int
+	maxAge     time.Duration
+	byID       map[string]*journal.Entry
+	entries    []storedEntry // oldest first
+	nextNumber uint64        // of the next entry that is added
 }
 
-type item struct {
+// storedEntry is an entry with its number. Numbers rise by one with each entry, so that a scan can be continued.
+type storedEntry struct {
 	number uint64
 	*journal.Entry
 }
 
-// New returns a store of so many ends at most, none older than age. With keep 0 it holds none.
-func New(keep int, age time.Duration) *Store {
-	return &Store{keep: keep, age: age, byID: map[string]*journal.Entry{}, next: 1}
+// New returns an empty store of at most maxEntries outcomes, none older than maxAge. With maxEntries 0 it keeps none.
+func New(maxEntries int, maxAge time.Duration) *Store {
+	return &Store{maxEntries: maxEntries, maxAge: maxAge, byID: map[string]*journal.Entry{}, nextNumber: 1}
 }
 
-// Add takes in a message that has ended; its EndAt counts. It returns the ids that are held no longer,
-// perhaps its own. An id that is held already is not taken in again.
-func (s *Store) Add(e *journal.Entry, now time.Time) (gone []string) {
+// Add adds a message that has ended; its age counts from EndAt. It returns the ids that are dropped for it, possibly
+// its own. An id that is in the store already is not added again.
+func (s *Store) Add(e *journal.Entry, now time.Time) (dropped []string) {
 	if s.byID[e.ID] != nil {
 		return nil
 	}
 	s.byID[e.ID] = e
-	s.list = append(s.list, item{s.next, e})
-	s.next++
+	s.entries = append(s.entries, storedEntry{s.nextNumber, e})
+	s.nextNumber++
 	return s.Expire(now)
 }
 
-// Expire drops what is too old or too many, and returns its ids.
-func (s *Store) Expire(now time.Time) (gone []string) {
-	oldest := now.Add(-s.age).UnixMilli()
+// Expire drops the entries that are too old or exceed the number, and returns their ids.
+func (s *Store) Expire(now time.Time) (dropped []string) {
+	oldest := now.Add(-s.maxAge).UnixMilli()
 	n := 0
-	for n < len(s.list) && (len(s.list)-n > s.keep || s.list[n].EndAt < oldest) {
-		gone = append(gone, s.list[n].ID)
-		delete(s.byID, s.list[n].ID)
-		s.list[n].Entry = nil // the array below the slice holds on to it
+	for n < len(s.entries) && (len(s.entries)-n > s.maxEntries || s.entries[n].EndAt < oldest) {
+		dropped = append(dropped, s.entries[n].ID)
+		delete(s.byID, s.entries[n].ID)
+		s.entries[n].Entry = nil // the array below the slice keeps a reference otherwise
 		n++
 	}
-	s.list = s.list[n:]
-	return gone
+	s.entries = s.entries[n:]
+	return dropped
 }
 
-// Get returns the end of a message, nil if it is not held.
+// Get returns the outcome of a message, nil if it is not in the store.
 func (s *Store) Get(id string) *journal.Entry { return s.byID[id] }
 
-// Len is how many are held.
-func (s *Store) Len() int { return len(s.list) }
+// Len returns the number of entries.
+func (s *Store) Len() int { return len(s.entries) }
 
-// Scan hands out ends, newest first, from the one with the given number on (0 for the newest), until f
-// says no more or so many were looked at. It returns the number to go on from, 0 when there are no more.
-func (s *Store) Scan(from uint64, most int, f func(*journal.Entry) bool) uint64 {
-	i := len(s.list)
+// Scan calls f with entries, newest first, beginning with the one of number from (0 for the newest), until f returns false
+// or limit entries were passed. It returns the number at which to continue, 0 if there are no more.
+func (s *Store) Scan(from uint64, limit int, f func(*journal.Entry) bool) uint64 {
+	i := len(s.entries)
 	if from > 0 {
-		i = sort.Search(len(s.list), func(i int) bool { return s.list[i].number > from })
+		i = sort.Search(len(s.entries), func(i int) bool { return s.entries[i].number > from })
 	}
-	for ; i > 0 && most > 0; most-- {
+	for ; i > 0 && limit > 0; limit-- {
 		i--
-		if !f(s.list[i].Entry) {
+		if !f(s.entries[i].Entry) {
 			break
 		}
 	}
 	if i == 0 {
 		return 0
 	}
-	return s.list[i-1].number
+	return s.entries[i-1].number
 }
