--- a/internal/relay/alone.go
+++ b/internal/relay/alone.go
@@ -134,7 +134,7 @@
 	r.post(func() {
 		defer close(done)
 		r.alone.dir.Store(newDirectory(partners))
-		r.chooser.Tell(Limits(partners))
+		r.chooser.SetLimits(Limits(partners))
 		if r.company != nil {
 			r.act()
 		}
--- a/internal/relay/chaostest/chaostest.go
+++ b/internal/relay/chaostest/chaostest.go
@@ -55,7 +55,7 @@
 		if s.Appliances {
 			dest = config.Number(s.Partners[dest].Name)
 		}
-		return fleetlimit.Stewards(dest, o.Relays)[0]
+		return fleetlimit.Coordinators(dest, o.Relays)[0]
 	})
 	t := &trial{plan: plan, options: o, books: newLedger(plan)}
 	defer t.close()
--- a/internal/relay/company.go
+++ b/internal/relay/company.go
@@ -23,14 +23,14 @@
 
 // company is a relay's part in its fleet.
 type company struct {
-	talk   *override.Talk
+	talk   *override.Gossiper
 	names  []string
 	self   int
 	timer  *time.Timer
 	parts  int
 	lost   []int
 	took   map[string]time.Duration // when a subject's word was taken in, by this process
-	ledger *versionaudit.Ledger
+	ledger *versionaudit.Auditor
 	warned map[straggler]bool
 	lookAt time.Duration // for who is behind
 	full   bool          // words that come are not taken in, which was logged
@@ -56,11 +56,11 @@
 	if len(names) == 0 {
 		return nil
 	}
-	var kept []override.Word
+	var kept []override.Override
 	for _, rec := range r.journal.Words {
-		kept = append(kept, override.Word{Subject: rec.ID, On: rec.Ran, Count: uint64(rec.Again), Origin: rec.Host, By: rec.Status, AtMs: rec.At})
+		kept = append(kept, override.Override{Subject: rec.ID, Active: rec.Ran, Counter: uint64(rec.Again), Origin: rec.Host, Author: rec.Status, AtMs: rec.At})
 	}
-	talk, err := override.New(override.Settings{Names: names, Self: r.set.Index, Life: r.set.Life, Weights: r.set.Weights}, r.now(), kept)
+	talk, err := override.New(override.Settings{Names: names, Self: r.set.Index, Incarnation: r.set.Life, Weights: r.set.Weights}, r.now(), kept)
 	if err != nil {
 		return err
 	}
@@ -76,12 +76,12 @@
 	f := r.company
 	var marks []drain.Mark
 	f.lost = nil
-	for _, w := range f.talk.Book().All() {
-		if !w.On || plant.Is(plant.Word) {
+	for _, w := range f.talk.Store().All() {
+		if !w.Active || plant.Is(plant.Word) {
 			continue
 		}
 		if t, err := drain.ParseTarget(w.Subject); err == nil && t.Scope != drain.Relay {
-			marks = append(marks, drain.Mark{Target: t, Since: time.UnixMilli(w.AtMs), By: w.By + " at " + w.Origin})
+			marks = append(marks, drain.Mark{Target: t, Since: time.UnixMilli(w.AtMs), By: w.Author + " at " + w.Origin})
 		}
 		if name, ok := strings.CutPrefix(w.Subject, goneSubject("")); ok {
 			if i := slices.Index(f.names, name); i >= 0 {
@@ -90,8 +90,8 @@
 		}
 	}
 	r.alone.book.Fleet(marks)
-	f.talk.Lose(f.lost)
-	r.divide(f.talk.Parts(r.now()))
+	f.talk.SetRemoved(f.lost)
+	r.divide(f.talk.TotalWeight(r.now()))
 }
 
 // divide has limits divided into so many parts.
@@ -102,21 +102,21 @@
 
 // heed records words, carries them out, and only then has them count. Words that cannot be recorded are asked for again by
 // the digest.
-func (r *Relay) heed(words []override.Word) error {
+func (r *Relay) heed(words []override.Override) error {
 	f := r.company
 	var recs []journal.Record
 	for _, w := range words {
-		recs = append(recs, journal.Record{Op: journal.OpWord, ID: w.Subject, Ran: w.On, Again: int64(w.Count), Host: w.Origin, Status: w.By, At: w.AtMs})
+		recs = append(recs, journal.Record{Op: journal.OpWord, ID: w.Subject, Ran: w.Active, Again: int64(w.Counter), Host: w.Origin, Status: w.Author, At: w.AtMs})
 	}
 	if err := r.journal.Append(recs...); err != nil {
 		return err
 	}
-	f.talk.Take(r.now(), words...)
+	f.talk.Apply(r.now(), words...)
 	for _, w := range words {
 		f.took[w.Subject] = r.now()
-		slog.Info("the fleet was told", "subject", w.Subject, "holds", w.On, "by", w.By, "at", w.Origin)
-		if w.Subject == goneSubject(f.names[f.self]) && w.On {
-			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back", "by", w.By, "at", w.Origin)
+		slog.Info("the fleet was told", "subject", w.Subject, "holds", w.Active, "by", w.Author, "at", w.Origin)
+		if w.Subject == goneSubject(f.names[f.self]) && w.Active {
+			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back", "by", w.Author, "at", w.Origin)
 		}
 	}
 	r.abide()
@@ -128,7 +128,7 @@
 // hearTalk takes in a note of another relay that carries words.
 func (r *Relay) hearTalk(from int, note []byte) {
 	f := r.company
-	news := f.talk.Hear(r.now(), from, note)
+	news := f.talk.Receive(r.now(), from, note)
 	r.heardActs(from)
 	r.warnBehind()
 	if len(news) > 0 {
@@ -152,7 +152,7 @@
 	for _, n := range notes {
 		r.peers.Send(n.To, n.Data)
 	}
-	if n := f.talk.Parts(now); n != f.parts {
+	if n := f.talk.TotalWeight(now); n != f.parts {
 		r.divide(n)
 		slog.Info("limits are divided anew", "parts", n)
 	}
@@ -166,7 +166,7 @@
 // tellSight tells the fleet how this relay sees an endpoint.
 func (r *Relay) tellSight(endpoint string, out bool) {
 	if r.company != nil {
-		r.company.talk.See(r.now(), "endpoint:"+endpoint, out)
+		r.company.talk.Observe(r.now(), "endpoint:"+endpoint, out)
 		r.talk()
 	}
 }
@@ -182,14 +182,14 @@
 // tellFleet has the whole fleet heed something, from this relay on.
 func (r *Relay) tellFleet(subject string, on bool, by string) (already bool, err error) {
 	f := r.company
-	w, err := f.talk.Book().Next(subject, on, f.names[f.self], by, time.Now().UnixMilli())
+	w, err := f.talk.Store().Next(subject, on, f.names[f.self], by, time.Now().UnixMilli())
 	switch {
-	case errors.Is(err, override.ErrSame):
+	case errors.Is(err, override.ErrUnchanged):
 		return true, nil
 	case err != nil:
 		return false, adminapi.Errorf(adminapi.Conflict, "%v", err)
 	}
-	if err := r.heed([]override.Word{w}); err != nil {
+	if err := r.heed([]override.Override{w}); err != nil {
 		return false, err
 	}
 	r.talk()
@@ -205,7 +205,7 @@
 		return a, adminapi.Errorf(adminapi.Invalid, "a drain of the relay is of one relay: leave out fleet")
 	}
 	b := r.alone.book
-	if _, holds := r.company.talk.Book().Holds(t.String()); !holds || on {
+	if _, holds := r.company.talk.Store().Get(t.String()); !holds || on {
 		if err := b.Known(t); err != nil {
 			return a, err
 		}
@@ -253,7 +253,7 @@
 			return v, adminapi.Errorf(adminapi.NotFound, "relay %q is not in the fleet block; it has: %s", q.Relay, strings.Join(f.names, ", "))
 		case i == f.self && !q.Back:
 			return v, adminapi.Errorf(adminapi.Conflict, "%s is this relay, which is there", q.Relay)
-		case i >= 0 && !q.Back && f.talk.Views(r.now())[i].There:
+		case i >= 0 && !q.Back && f.talk.PeerViews(r.now())[i].Reachable:
 			return v, adminapi.Errorf(adminapi.Conflict, "%s is heard: stop it first", q.Relay)
 		}
 		if _, err := r.tellFleet(goneSubject(q.Relay), !q.Back, q.By); err != nil {
@@ -270,29 +270,29 @@
 
 // showFleet describes the fleet as this relay sees it, and the limits that it has a part of.
 func (r *Relay) showFleet() (v adminapi.Fleet) {
-	v = adminapi.Fleet{Parts: 1, Relays: []adminapi.FleetRelay{}, Limits: r.showLimits(), Words: []adminapi.FleetWord{}, Sights: []adminapi.FleetSight{}, Versions: []adminapi.FleetVersion{}, HeedMs: override.StatedHeed.Milliseconds(), HeedLossyMs: override.StatedLossy.Milliseconds(), LostAfterMs: override.LostAfter.Milliseconds()}
+	v = adminapi.Fleet{Parts: 1, Relays: []adminapi.FleetRelay{}, Limits: r.showLimits(), Words: []adminapi.FleetWord{}, Sights: []adminapi.FleetSight{}, Versions: []adminapi.FleetVersion{}, HeedMs: override.StatedConvergence.Milliseconds(), HeedLossyMs: override.StatedLossyConvergence.Milliseconds(), LostAfterMs: override.UnreachableAfter.Milliseconds()}
 	f, now := r.company, r.now()
 	if f == nil {
 		return v
 	}
 	v.Versions = r.showVersions()
-	v.Name, v.Parts, v.Over = f.names[f.self], f.parts, fleetlimit.Over(max(1, len(f.names)-len(f.lost)))
+	v.Name, v.Parts, v.Over = f.names[f.self], f.parts, fleetlimit.OvergrantBound(max(1, len(f.names)-len(f.lost)))
 	ms := func(d time.Duration) int64 {
 		if d < 0 {
 			return -1
 		}
 		return d.Milliseconds()
 	}
-	views := f.talk.Views(now)
+	views := f.talk.PeerViews(now)
 	for i, p := range views {
-		v.Relays = append(v.Relays, adminapi.FleetRelay{Name: p.Name, Address: r.conf.Peers[i], Self: p.Self, There: p.There, HeardMs: ms(p.Heard), MetMs: ms(p.Met),
-			Agrees: p.Agrees, Gone: slices.Contains(f.lost, i), OtherList: p.Other})
+		v.Relays = append(v.Relays, adminapi.FleetRelay{Name: p.Name, Address: r.conf.Peers[i], Self: p.Self, There: p.Reachable, HeardMs: ms(p.SinceHeartbeat), MetMs: ms(p.SinceMessage),
+			Agrees: p.InSync, Gone: slices.Contains(f.lost, i), OtherList: p.ListDiffers})
 	}
-	for _, w := range f.talk.Book().All() {
-		fw := adminapi.FleetWord{Subject: w.Subject, Holds: w.On, Count: w.Count, By: w.By, Origin: w.Origin, AtMs: w.AtMs, Heeded: []string{}, Missing: []string{}}
+	for _, w := range f.talk.Store().All() {
+		fw := adminapi.FleetWord{Subject: w.Subject, Holds: w.Active, Count: w.Counter, By: w.Author, Origin: w.Origin, AtMs: w.AtMs, Heeded: []string{}, Missing: []string{}}
 		since := now - f.took[w.Subject]
 		for _, p := range views {
-			if p.Agrees || p.Agreed >= 0 && p.Agreed <= since {
+			if p.InSync || p.SinceInSync >= 0 && p.SinceInSync <= since {
 				fw.Heeded = append(fw.Heeded, p.Name)
 			} else {
 				fw.Missing = append(fw.Missing, p.Name)
@@ -300,8 +300,8 @@
 		}
 		v.Words = append(v.Words, fw)
 	}
-	for _, s := range f.talk.Sights(now) {
-		v.Sights = append(v.Sights, adminapi.FleetSight{Subject: s.Subject, Out: s.Bad, Relay: f.names[s.Origin], ForMs: ms(s.Since), SaidMs: ms(s.Said)})
+	for _, s := range f.talk.Observations(now) {
+		v.Sights = append(v.Sights, adminapi.FleetSight{Subject: s.Subject, Out: s.Unhealthy, Relay: f.names[s.Origin], ForMs: ms(s.Since), SaidMs: ms(s.Renewed)})
 	}
 	return v
 }
@@ -310,22 +310,22 @@
 func (r *Relay) showLimits() []adminapi.FleetLimit {
 	all := []adminapi.FleetLimit{}
 	routes := r.chooser.Routes()
-	for _, p := range r.chooser.Parts() {
-		l := adminapi.FleetLimit{LeftMs: p.For.Milliseconds(), Own: p.Own, Granted: p.Granted, Asks: p.Asks, Over: p.Over, Routes: []adminapi.FleetRoute{}}
+	for _, p := range r.chooser.Shares() {
+		l := adminapi.FleetLimit{LeftMs: p.ExpiresIn.Milliseconds(), Own: p.OwnShare, Granted: p.GrantableShare, Asks: p.PendingRequests, Over: p.OvergrantBound, Routes: []adminapi.FleetRoute{}}
 		if partner := r.alone.dir.Load().byNumber[p.Dest]; partner != nil {
 			l.Partner = partner.Name
 		}
-		if f := r.company; f != nil && p.Steward >= 0 {
-			l.Steward = f.names[p.Steward]
-		} else if p.Steward >= 0 {
+		if f := r.company; f != nil && p.Coordinator >= 0 {
+			l.Steward = f.names[p.Coordinator]
+		} else if p.Coordinator >= 0 {
 			l.Steward = "this relay"
 		}
-		if p.Told != nil {
-			l.Rate, l.Burst, l.AtOnce = p.Told.Rate, p.Told.Burst, p.Told.MaxConcurrent
+		if p.ConfiguredLimit != nil {
+			l.Rate, l.Burst, l.AtOnce = p.ConfiguredLimit.Rate, p.ConfiguredLimit.Burst, p.ConfiguredLimit.MaxConcurrent
 		}
 		for _, route := range routes {
 			if route.Dest == p.Dest {
-				l.Routes = append(l.Routes, adminapi.FleetRoute{Route: route.Route, State: route.State, ForMs: route.For.Milliseconds(), Rate: route.Rate, Used: route.Used, Out: route.Out})
+				l.Routes = append(l.Routes, adminapi.FleetRoute{Route: route.Route, State: route.State, ForMs: route.InState.Milliseconds(), Rate: route.Rate, Used: route.UsedRate, Out: route.InFlight})
 			}
 		}
 		all = append(all, l)
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -143,7 +143,7 @@
 	maxSocket  = 107     // bytes of a Unix socket's path, after unix(7)
 	maxHeld    = 1_000_000
 	maxSlots   = 10_000
-	maxRelays  = fleetlimit.MostRights
+	maxRelays  = fleetlimit.MaxQuotaRelays
 	perHeld    = 1 << 10 // bytes on disk that a held message with a small body takes, half of them for compaction
 	perEnd     = 512     // bytes on disk of an end, likewise
 	keptBack   = 16      // descriptors for neither clients nor partners
@@ -492,8 +492,8 @@
 	seen, addrs := map[string]hcl.Range{}, map[string]string{}
 	for _, c := range b.Blocks {
 		n, _ := b.Label("relay", c, seen)
-		if len(n) > override.MostBy {
-			b.Fault(c.LabelRanges[0], "relay %q: a name has at most %d bytes", n, override.MostBy)
+		if len(n) > override.MaxNameBytes {
+			b.Fault(c.LabelRanges[0], "relay %q: a name has at most %d bytes", n, override.MaxNameBytes)
 		}
 		m := b.Open(c.Body, c.DefRange, []string{"address", "weight"}, nil)
 		m.Need("address", `where the others send notes for it, such as address = "10.0.0.1:7946"`)
@@ -503,7 +503,7 @@
 				m.Fault(m.Where("address"), "address %s is that of relay %q already", addr, other)
 			}
 			addrs[addr] = n
-			fleet.Relays = append(fleet.Relays, Member{n, addr, m.Whole("weight", 1, 1, override.MostWeight)})
+			fleet.Relays = append(fleet.Relays, Member{n, addr, m.Whole("weight", 1, 1, override.MaxWeight)})
 		}
 	}
 	slices.SortFunc(fleet.Relays, func(x, y Member) int { return strings.Compare(x.Name, y.Name) })
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -70,7 +70,7 @@
 
 func (r *Relay) newAgent(addrs []string) *agent {
 	a := &agent{addrs: addrs, client: &http.Client{Transport: &http.Transport{DisableCompression: true,
-		MaxResponseHeaderBytes: maxHead, MaxConnsPerHost: 4, IdleConnTimeout: 5 * discoverypoll.WatchFor}}}
+		MaxResponseHeaderBytes: maxHead, MaxConnsPerHost: 4, IdleConnTimeout: 5 * discoverypoll.WatchTimeout}}}
 	a.life, a.leave = context.WithCancel(r.life)
 	return a
 }
@@ -107,7 +107,7 @@
 	for ctx.Err() == nil {
 		if now := r.agent.Load(); now != a {
 			a = now
-			f.Moved(r.now())
+			f.SourceChanged(r.now())
 		}
 		q := f.Next()
 		if pause := q.At - r.now(); pause > 0 {
@@ -135,12 +135,12 @@
 	}
 }
 
-func (r *Relay) ask(a *agent, q discoverypoll.Question) (l list, err error) {
+func (r *Relay) ask(a *agent, q discoverypoll.Request) (l list, err error) {
 	url := "http://" + a.addrs[0] + "/discovery/hosts"
-	if !q.Whole {
-		url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", url, q.Since, discoverypoll.WatchFor.Milliseconds())
+	if !q.FullList {
+		url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", url, q.Since, discoverypoll.WatchTimeout.Milliseconds())
 	}
-	ctx, cancel := context.WithTimeout(a.life, q.Within)
+	ctx, cancel := context.WithTimeout(a.life, q.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/relay/discoverypoll/discoverypoll.go
+++ b/internal/relay/discoverypoll/discoverypoll.go
@@ -20,129 +20,129 @@
 )
 
 const (
-	// Large is the number of relays from which they take turns.
-	Large = 16
-	// turn is what each relay leaves to discovery for the one before it. 30 ms were just too few, 100 ms enough, for a
+	// LargeFleet is the number of relays from which they take turns.
+	LargeFleet = 16
+	// turnTime is what each relay leaves to discovery for the one before it. 30 ms were just too few, 100 ms enough, for a
 	// discovery that 80 relays in step keep down for good.
-	turn         = 50 * time.Millisecond
-	firstPause   = 50 * time.Millisecond
-	longestPause = time.Second
-	largeLongest = 5 * time.Second
+	turnTime            = 50 * time.Millisecond
+	firstBackoff        = 50 * time.Millisecond
+	longestBackoff      = time.Second
+	longestFleetBackoff = 5 * time.Second
 
-	// told is the time after which all that discovery has to tell counts as told.
-	told = 6 * time.Second
-	// WatchFor is how long a watch waits: a silent agent is noticed soon after, well within the time of told.
-	WatchFor = 2 * time.Second
-	// listFor is how long a relay that does not look waits for a whole list, and a watch's answer may be late.
-	listFor = 500 * time.Millisecond
-	// A look is answered within lookFor or not at all, and the next begins lookEvery later.
-	lookEvery = 100 * time.Millisecond
-	lookFor   = 100 * time.Millisecond
-	// Blind is the longest that a relay that looks goes on what an earlier look told: of the 250 ms that a drain allows,
+	// fullUpdateTime is the time after which all that discovery has to tell counts as fullUpdateTime.
+	fullUpdateTime = 6 * time.Second
+	// WatchTimeout is how long a watch waits: a silent agent is noticed soon after, well within the time of told.
+	WatchTimeout = 2 * time.Second
+	// listTimeout is how long a relay that does not look waits for a whole list, and a watch's answer may be late.
+	listTimeout = 500 * time.Millisecond
+	// A look is answered within lookFor or not at all, and the next begins pollInterval later.
+	pollInterval = 100 * time.Millisecond
+	pollTimeout  = 100 * time.Millisecond
+	// MaxStaleness is the longest that a relay that looks goes on what an earlier look told: of the 250 ms that a drain allows,
 	// without the 50 ms more that sockets are given, it leaves a fifth to the relay's own work.
-	Blind = lookEvery + lookFor
+	MaxStaleness = pollInterval + pollTimeout
 )
 
 // Settings of a relay.
 type Settings struct {
-	Index, Fleet int
-	Seed         uint64
-	Version      int64 // of the list that it was started with
-	Listed       bool  // that list names hosts
+	Index, FleetSize int
+	Seed             uint64
+	Version          int64 // of the list that it was started with
+	Listed           bool  // that list names hosts
 }
 
-// Question is what to ask, and when.
-type Question struct {
-	Whole  bool  // a look; else a watch
-	Since  int64 // where Whole is not set
-	At     time.Duration
-	Within time.Duration // later answers count as none
+// Request is what to ask, and when.
+type Request struct {
+	FullList bool  // a look; else a watch
+	Since    int64 // where Whole is not set
+	At       time.Duration
+	Timeout  time.Duration // later answers count as none
 }
 
-// Follower follows the list. It is not safe for concurrent use.
-type Follower struct {
-	set     Settings
-	rand    *rand.Rand
-	version int64 // of the list that the relay goes by
-	strange bool  // the next list is taken whatever its version says: it may be of another history
-	lookAt  time.Duration
-	watchAt time.Duration
-	pause   time.Duration // after the next watch that fails, drawn about this
-	rest    time.Duration // after the next look
+// Poller follows the list. It is not safe for concurrent use.
+type Poller struct {
+	settings     Settings
+	rand         *rand.Rand
+	version      int64 // of the list that the relay goes by
+	otherHistory bool  // the next list is taken whatever its version says: it may be of another history
+	pollAt       time.Duration
+	watchAt      time.Duration
+	watchBackoff time.Duration // after the next watch that fails, drawn about this
+	pollBackoff  time.Duration // after the next look
 }
 
 // New begins to follow at a time.
-func New(s Settings, now time.Duration) *Follower {
-	f := &Follower{set: s, rand: rand.New(rand.NewPCG(s.Seed, 3)), version: s.Version}
-	f.Moved(now)
-	if s.Fleet >= Large && !f.looks() {
-		f.strange = !s.Listed
-		f.lookAt, f.watchAt = now+f.mine(), now+f.mine()
+func New(s Settings, now time.Duration) *Poller {
+	f := &Poller{settings: s, rand: rand.New(rand.NewPCG(s.Seed, 3)), version: s.Version}
+	f.SourceChanged(now)
+	if s.FleetSize >= LargeFleet && !f.polls() {
+		f.otherHistory = !s.Listed
+		f.pollAt, f.watchAt = now+f.turnOffset(), now+f.turnOffset()
 	}
 	return f
 }
 
-// looks tells whether turns alone would come too late.
-func (f *Follower) looks() bool { return time.Duration(f.set.Fleet)*turn > told }
+// polls tells whether turns alone would come too late.
+func (f *Poller) polls() bool { return time.Duration(f.settings.FleetSize)*turnTime > fullUpdateTime }
 
-// mine is when this relay's turn comes.
-func (f *Follower) mine() time.Duration { return time.Duration(f.set.Index) * turn }
+// turnOffset is when this relay's turn comes.
+func (f *Poller) turnOffset() time.Duration { return time.Duration(f.settings.Index) * turnTime }
 
-// Moved begins anew with another discovery, which may have another history.
-func (f *Follower) Moved(now time.Duration) {
-	f.strange, f.pause, f.rest = true, f.first(), lookEvery
-	f.lookAt, f.watchAt = now, now
-	if f.looks() { // all relays are moved within moments, or started
-		f.watchAt += f.mine()
+// SourceChanged begins anew with another discovery, which may have another history.
+func (f *Poller) SourceChanged(now time.Duration) {
+	f.otherHistory, f.watchBackoff, f.pollBackoff = true, f.initialBackoff(), pollInterval
+	f.pollAt, f.watchAt = now, now
+	if f.polls() { // all relays are moved within moments, or started
+		f.watchAt += f.turnOffset()
 	}
 }
 
-func (f *Follower) first() time.Duration {
-	if f.set.Fleet < Large {
-		return firstPause
+func (f *Poller) initialBackoff() time.Duration {
+	if f.settings.FleetSize < LargeFleet {
+		return firstBackoff
 	}
-	return f.longest() / 4
+	return f.maxBackoff() / 4
 }
 
-// longest pause: then all relays together begin watches as often as each in its turn.
-func (f *Follower) longest() time.Duration {
-	if f.set.Fleet < Large {
-		return longestPause
+// maxBackoff pause: then all relays together begin watches as often as each in its turn.
+func (f *Poller) maxBackoff() time.Duration {
+	if f.settings.FleetSize < LargeFleet {
+		return longestBackoff
 	}
-	all := time.Duration(f.set.Fleet) * turn
-	if f.strange && !f.looks() { // a whole list costs it several times as much, and there is nothing to keep to
-		return min(4*all, 4*largeLongest)
+	all := time.Duration(f.settings.FleetSize) * turnTime
+	if f.otherHistory && !f.polls() { // a whole list costs it several times as much, and there is nothing to keep to
+		return min(4*all, 4*longestFleetBackoff)
 	}
-	return min(all, largeLongest)
+	return min(all, longestFleetBackoff)
 }
 
 // Next is the next question. A watch that goes on is due at once, and so before any look; a first look goes before any
 // watch, which then has the least to tell.
-func (f *Follower) Next() Question {
+func (f *Poller) Next() Request {
 	switch {
-	case !f.strange && (!f.looks() || f.watchAt <= f.lookAt):
-		return Question{Since: f.version, At: f.watchAt, Within: WatchFor + listFor}
-	case f.looks():
-		return Question{Whole: true, At: f.lookAt, Within: lookFor}
+	case !f.otherHistory && (!f.polls() || f.watchAt <= f.pollAt):
+		return Request{Since: f.version, At: f.watchAt, Timeout: WatchTimeout + listTimeout}
+	case f.polls():
+		return Request{FullList: true, At: f.pollAt, Timeout: pollTimeout}
 	}
-	return Question{Whole: true, At: f.lookAt, Within: listFor}
+	return Request{FullList: true, At: f.pollAt, Timeout: listTimeout}
 }
 
 // Answered takes in an answer to the last question with a version, and tells whether the relay is to go by it. Changes
 // that run backwards are of another history and cannot be built on; the list that it has already is no news.
-func (f *Follower) Answered(now time.Duration, q Question, version int64, whole bool) (counts bool) {
-	f.lookAt, f.rest = now+lookEvery, lookEvery
-	if !q.Whole {
-		f.watchAt, f.pause = now, f.first()
+func (f *Poller) Answered(now time.Duration, q Request, version int64, whole bool) (counts bool) {
+	f.pollAt, f.pollBackoff = now+pollInterval, pollInterval
+	if !q.FullList {
+		f.watchAt, f.watchBackoff = now, f.initialBackoff()
 		if !whole && version < f.version {
-			f.strange, f.lookAt = true, now
+			f.otherHistory, f.pollAt = true, now
 			return false
 		}
 	}
-	counts = f.strange || !q.Whole || version != f.version
-	if whole && f.strange {
-		f.strange, f.pause = false, f.first()
-		if !f.looks() {
+	counts = f.otherHistory || !q.FullList || version != f.version
+	if whole && f.otherHistory {
+		f.otherHistory, f.watchBackoff = false, f.initialBackoff()
+		if !f.polls() {
 			f.watchAt = now
 		}
 	}
@@ -153,22 +153,22 @@
 // Failed notes that a question was not answered, or turned away: answered, but not with a list. A watch pauses for a time
 // that is drawn by chance and doubles, as one that is begun anew costs discovery as much as the first; until then the relay
 // looks. Looks go on at their pace while the agent is silent, and more and more seldom while it turns them away.
-func (f *Follower) Failed(now time.Duration, q Question, away bool) {
-	if q.Whole && f.looks() {
-		if f.lookAt = now + f.rest; away {
-			f.rest = min(2*f.rest, f.longest())
+func (f *Poller) Failed(now time.Duration, q Request, away bool) {
+	if q.FullList && f.polls() {
+		if f.pollAt = now + f.pollBackoff; away {
+			f.pollBackoff = min(2*f.pollBackoff, f.maxBackoff())
 		}
 		return
 	}
-	if !away && f.set.Fleet < Large {
-		f.pause = f.first() // silence took its time already, and what the agent gets as it returns counts at once
+	if !away && f.settings.FleetSize < LargeFleet {
+		f.watchBackoff = f.initialBackoff() // silence took its time already, and what the agent gets as it returns counts at once
 	}
-	at := now + f.pause/2 + time.Duration(f.rand.Float64()*float64(f.pause))
-	f.pause = min(2*f.pause, f.longest())
-	if q.Whole {
-		f.lookAt = at
+	at := now + f.watchBackoff/2 + time.Duration(f.rand.Float64()*float64(f.watchBackoff))
+	f.watchBackoff = min(2*f.watchBackoff, f.maxBackoff())
+	if q.FullList {
+		f.pollAt = at
 		return
 	}
 	f.watchAt = at
-	f.lookAt = now + f.rest - lookEvery // at once, unless looks are turned away
+	f.pollAt = now + f.pollBackoff - pollInterval // at once, unless looks are turned away
 }
--- a/internal/relay/discoverypoll/discoverypoll_test.go
+++ b/internal/relay/discoverypoll/discoverypoll_test.go
@@ -29,16 +29,16 @@
 // played is how many of a fleet have a watch after a while, and how many were begun.
 func played(fleet int, rate float64, span time.Duration) (watching, begun int) {
 	d := &discovery{rate: rate, most: rate / 4, left: rate / 4}
-	all := make([]*Follower, fleet)
+	all := make([]*Poller, fleet)
 	done := make([]bool, fleet)
 	for i := range all {
-		all[i] = New(Settings{Index: i, Fleet: fleet, Seed: uint64(i), Version: 5, Listed: true}, 0)
+		all[i] = New(Settings{Index: i, FleetSize: fleet, Seed: uint64(i), Version: 5, Listed: true}, 0)
 	}
 	for now := time.Duration(0); now < span; now += ms {
 		for i, f := range all {
 			switch q := f.Next(); {
 			case done[i] || q.At > now:
-			case q.Whole:
+			case q.FullList:
 				f.Answered(now, q, 5, true)
 			case d.watch(now):
 				begun++
@@ -77,12 +77,12 @@
 // its watches, however many relays there are, and wherever discovery moves, an agent that answers is never left
 // unasked for longer than Blind.
 func TestNeverBlind(t *testing.T) {
-	if Blind > 200*ms {
-		t.Errorf("%v without asking leave nothing of 250 ms for the relay's own work", Blind)
+	if MaxStaleness > 200*ms {
+		t.Errorf("%v without asking leave nothing of 250 ms for the relay's own work", MaxStaleness)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.SampledFrom([]int{121, 200, 300, 1000}).Draw(t, "fleet")
-		f := New(Settings{Index: rapid.IntRange(0, fleet-1).Draw(t, "index"), Fleet: fleet, Seed: rapid.Uint64().Draw(t, "seed"),
+		f := New(Settings{Index: rapid.IntRange(0, fleet-1).Draw(t, "index"), FleetSize: fleet, Seed: rapid.Uint64().Draw(t, "seed"),
 			Version: 5}, 0)
 		a := &agent{version: int64(rapid.IntRange(1, 9).Draw(t, "version"))}
 		now, asked := time.Duration(0), time.Duration(0) // asked: the agent could last have told what it has
@@ -93,25 +93,25 @@
 			case 1:
 				a.silent = !a.silent
 			case 2:
-				f.Moved(now)
+				f.SourceChanged(now)
 				a.version = int64(rapid.IntRange(1, 9).Draw(t, "history"))
 			case 3:
 				a.version++
 			}
 			q := f.Next()
-			if now = max(now, q.At); !a.silent && now-asked > Blind {
+			if now = max(now, q.At); !a.silent && now-asked > MaxStaleness {
 				t.Fatalf("at %v nothing asked since %v; next is %+v", now, asked, q)
 			}
 			switch {
-			case a.silent && q.Whole:
-				now += lookFor
+			case a.silent && q.FullList:
+				now += pollTimeout
 				asked = now // it may answer again from now on only
 				f.Failed(now, q, false)
 			case a.silent:
 				now += time.Duration(rapid.IntRange(0, 2500).Draw(t, "hung")) * ms
 				asked = now
 				f.Failed(now, q, true)
-			case q.Whole:
+			case q.FullList:
 				asked = now
 				now += time.Duration(rapid.IntRange(0, 90).Draw(t, "look")) * ms
 				f.Answered(now, q, a.version, true)
@@ -133,10 +133,10 @@
 	const fleet = 300
 	begun := 0
 	for i := range fleet {
-		f := New(Settings{Index: i, Fleet: fleet, Seed: uint64(i)}, 0)
+		f := New(Settings{Index: i, FleetSize: fleet, Seed: uint64(i)}, 0)
 		for now := time.Duration(0); now < time.Minute; {
 			q := f.Next()
-			if now = q.At; q.Whole {
+			if now = q.At; q.FullList {
 				f.Answered(now, q, 1, true)
 			} else if now < time.Minute {
 				begun++
@@ -153,35 +153,35 @@
 // when discovery returns counts as told whether or not a watch is open. One that turns it away is asked more seldom.
 func TestSmallFleetStaysWithASilentAgent(t *testing.T) {
 	for _, away := range []bool{false, true} {
-		f := New(Settings{Index: 2, Fleet: Large - 1, Version: 7, Listed: true, Seed: 9}, 0)
+		f := New(Settings{Index: 2, FleetSize: LargeFleet - 1, Version: 7, Listed: true, Seed: 9}, 0)
 		f.Answered(0, f.Next(), 7, true)
 		longest := time.Duration(0)
 		for now, n := time.Duration(0), 0; n < 20; n++ {
 			q := f.Next()
 			longest = max(longest, q.At-now)
 			if now = max(now, q.At); !away {
-				now += q.Within
+				now += q.Timeout
 			}
 			f.Failed(now, q, away)
 		}
-		if silent := longest <= 3*firstPause/2; silent == away {
+		if silent := longest <= 3*firstBackoff/2; silent == away {
 			t.Errorf("turned away %v: the longest pause is %v", away, longest)
 		}
 	}
 }
 
 func TestSmallFleetAsksAtOnce(t *testing.T) {
-	f := New(Settings{Index: 2, Fleet: 3, Version: 7}, time.Second)
+	f := New(Settings{Index: 2, FleetSize: 3, Version: 7}, time.Second)
 	q := f.Next()
-	if q != (Question{Whole: true, At: time.Second, Within: listFor}) {
+	if q != (Request{FullList: true, At: time.Second, Timeout: listTimeout}) {
 		t.Errorf("first question is %+v", q)
 	}
 	f.Answered(1001*ms, q, 7, true)
-	if q = f.Next(); q.Whole || q.Since != 7 || q.At > 1001*ms {
+	if q = f.Next(); q.FullList || q.Since != 7 || q.At > 1001*ms {
 		t.Errorf("then %+v", q)
 	}
 	for range 20 {
-		f.Failed(2*time.Second, Question{}, true)
+		f.Failed(2*time.Second, Request{}, true)
 	}
 	if at := f.watchAt; at > 3500*ms {
 		t.Errorf("after many failures a watch at %v", at)
@@ -205,18 +205,18 @@
 		"the same":        {41, []answer{{41, true, true}, {41, false, true}, {42, false, true}}},
 		"a step back":     {41, []answer{{41, true, true}, {40, false, false}, {40, true, true}, {40, false, true}}},
 	} {
-		f := New(Settings{Fleet: 300, Version: c.known}, 0)
+		f := New(Settings{FleetSize: 300, Version: c.known}, 0)
 		for i, a := range c.answers {
 			q := f.Next()
-			if q.Whole != a.whole {
+			if q.FullList != a.whole {
 				t.Errorf("%s: question %d is %+v", name, i, q)
 			}
-			if counts := f.Answered(0, q, a.version, q.Whole); counts != a.counts {
+			if counts := f.Answered(0, q, a.version, q.FullList); counts != a.counts {
 				t.Errorf("%s: answer %d counts: %v", name, i, counts)
 			}
 		}
-		f.Moved(time.Second)
-		if q := f.Next(); !q.Whole || q.At != time.Second {
+		f.SourceChanged(time.Second)
+		if q := f.Next(); !q.FullList || q.At != time.Second {
 			t.Errorf("%s: after a move %+v", name, q)
 		}
 	}
@@ -224,20 +224,20 @@
 
 // A list that the relay has already is no news, and one that was told by a look makes the watch after it cheap.
 func TestLooks(t *testing.T) {
-	f := New(Settings{Index: 40, Fleet: 300, Version: 5}, 0)
+	f := New(Settings{Index: 40, FleetSize: 300, Version: 5}, 0)
 	for i, version := range []int64{5, 5, 6, 6} {
 		q := f.Next()
-		if !q.Whole || q.At != time.Duration(i)*lookEvery {
+		if !q.FullList || q.At != time.Duration(i)*pollInterval {
 			t.Fatalf("question %d is %+v", i, q)
 		}
 		if counts := f.Answered(q.At, q, version, true); counts != (i == 0 || i == 2) {
 			t.Errorf("answer %d counts: %v", i, counts)
 		}
 	}
-	for f.Next().Whole {
+	for f.Next().FullList {
 		f.Answered(f.Next().At, f.Next(), 6, true)
 	}
-	if q := f.Next(); q.Since != 6 || q.At != 40*turn {
+	if q := f.Next(); q.Since != 6 || q.At != 40*turnTime {
 		t.Errorf("the watch is %+v", q)
 	}
 }
@@ -245,16 +245,16 @@
 // A fleet whose turns are over in time does without looks: there are agents that do not answer them at no cost.
 func TestTurnsAlone(t *testing.T) {
 	for _, fleet := range []int{16, 80, 120} {
-		f := New(Settings{Index: 10, Fleet: fleet, Version: 5, Listed: true}, 0)
+		f := New(Settings{Index: 10, FleetSize: fleet, Version: 5, Listed: true}, 0)
 		for i := range 20 {
 			q := f.Next()
-			if q.Whole || i == 0 && q.At != 10*turn {
+			if q.FullList || i == 0 && q.At != 10*turnTime {
 				t.Fatalf("%d relays: question %d is %+v", fleet, i, q)
 			}
 			f.Failed(q.At, q, true)
 		}
-		f.Moved(time.Minute)
-		if q := f.Next(); !q.Whole || q.At != time.Minute {
+		f.SourceChanged(time.Minute)
+		if q := f.Next(); !q.FullList || q.At != time.Minute {
 			t.Errorf("%d relays: after a move %+v", fleet, q)
 		}
 	}
@@ -262,7 +262,7 @@
 
 // An agent that turns looks away is asked more and more seldom, and as often as ever once it answers.
 func TestLooksTurnedAway(t *testing.T) {
-	f := New(Settings{Index: 299, Fleet: 300, Version: 5, Listed: true}, 0)
+	f := New(Settings{Index: 299, FleetSize: 300, Version: 5, Listed: true}, 0)
 	n := 0
 	for ; f.Next().At < 10*time.Second; n++ {
 		f.Failed(f.Next().At, f.Next(), true)
@@ -271,7 +271,7 @@
 		t.Errorf("%d looks in 10 s at an agent that turns them away", n)
 	}
 	f.Answered(10*time.Second, f.Next(), 6, true)
-	if q := f.Next(); !q.Whole || q.At != 10*time.Second+lookEvery {
+	if q := f.Next(); !q.FullList || q.At != 10*time.Second+pollInterval {
 		t.Errorf("then %+v", q)
 	}
 }
--- a/internal/relay/engine/engine.go
+++ b/internal/relay/engine/engine.go
@@ -11,28 +11,28 @@
 	"larchrouter/internal/relay/settings"
 )
 
-// large is the number of relays from which a fleet works on grants.
-const large = 16
+// minGrantFleet is the number of relays from which a fleet works on grants.
+const minGrantFleet = 16
 
-// rounds is how often the two are led through one instant; what is left then waits for the next.
-const rounds = 8
+// maxRounds is how often the two are led through one instant; what is left then waits for the next.
+const maxRounds = 8
 
 // Core decides for one relay. It is not safe for concurrent use.
 type Core struct {
 	*choice.Chooser
-	fleet *fleetlimit.Fleet // nil where the relay goes by what it sees itself
-	given []choice.Event    // not handed in yet
+	limiter *fleetlimit.Limiter // nil where the relay goes by what it sees itself
+	pending []choice.Event      // not handed in yet
 	// When each of the two wants to be woken, and when both are next; 0 for never. There is one timer.
-	chooserAt, fleetAt, wakeAt time.Duration
+	chooserAt, limiterAt, wakeAt time.Duration
 }
 
 // New returns the decisions for one relay.
 func New(s settings.Settings, seed uint64) (c *Core, err error) {
 	c = new(Core)
-	s.Granted = s.Peers && s.Fleet >= large || s.Shares
+	s.Granted = s.Peers && s.Fleet >= minGrantFleet || s.Shares
 	if s.Granted {
-		if c.fleet, err = fleetlimit.New(fleetlimit.Settings{Index: s.Index, Fleet: s.Fleet, Seed: seed, Rules: s.Rules,
-			Rights: s.Fleet <= fleetlimit.MostRights, Life: s.Life ^ uint32(seed), Limits: s.Limits, Weights: s.Weights}); err != nil {
+		if c.limiter, err = fleetlimit.New(fleetlimit.Settings{Index: s.Index, FleetSize: s.Fleet, Seed: seed, Rules: s.Rules,
+			QuotaShares: s.Fleet <= fleetlimit.MaxQuotaRelays, Incarnation: s.Life ^ uint32(seed), Limits: s.Limits, Weights: s.Weights}); err != nil {
 			return nil, err
 		}
 	}
@@ -42,44 +42,44 @@
 
 // Routes are those that this relay is steward of and that are asked for now.
 func (c *Core) Routes() []fleetlimit.RouteView {
-	if c.fleet == nil {
+	if c.limiter == nil {
 		return nil
 	}
-	return c.fleet.Views()
+	return c.limiter.RouteViews()
 }
 
-// Parts are the limits that this relay has a part of.
-func (c *Core) Parts() []fleetlimit.PartView {
-	if c.fleet == nil {
+// Shares are the limits that this relay has a part of.
+func (c *Core) Shares() []fleetlimit.ShareView {
+	if c.limiter == nil {
 		return nil
 	}
-	return c.fleet.PartViews()
+	return c.limiter.ShareViews()
 }
 
 // Resize says into how many parts limits are divided, and which relays are gone for good.
 func (c *Core) Resize(parts int, lost []int) {
-	if c.fleet != nil {
-		c.fleet.Resize(parts, lost)
+	if c.limiter != nil {
+		c.limiter.Resize(parts, lost)
 	}
 }
 
-// Tell takes in which limits are told from now on.
-func (c *Core) Tell(limits map[int]quota.Limit) {
-	if c.fleet != nil {
-		c.fleet.Tell(limits)
+// SetLimits takes in which limits are told from now on.
+func (c *Core) SetLimits(limits map[int]quota.Limit) {
+	if c.limiter != nil {
+		c.limiter.SetLimits(limits)
 	}
 }
 
-// Granted tells whether calls go out on grants of the fleet.
-func (c *Core) Granted() bool { return c.fleet != nil }
+// UsesGrants tells whether calls go out on grants of the fleet.
+func (c *Core) UsesGrants() bool { return c.limiter != nil }
 
 // Step takes in all that happened, then decides once.
 func (c *Core) Step(now time.Duration, events []choice.Event) (out []choice.Action) {
-	if c.fleet == nil {
+	if c.limiter == nil {
 		return c.Chooser.Step(now, events)
 	}
-	in := c.given
-	c.given = nil
+	in := c.pending
+	c.pending = nil
 	var heard []choice.Heard
 	for _, e := range events {
 		switch e := e.(type) {
@@ -95,12 +95,12 @@
 		c.chooserAt = 0
 		in = append(in, choice.Woken{})
 	}
-	if c.fleetAt <= now {
-		c.fleetAt = 0
+	if c.limiterAt <= now {
+		c.limiterAt = 0
 	}
 	for n := 0; n == 0 || len(in) > 0; n++ {
-		if n == rounds { // whatever is wrong, time goes on
-			c.given, c.fleetAt = in, now+time.Millisecond
+		if n == maxRounds { // whatever is wrong, time goes on
+			c.pending, c.limiterAt = in, now+time.Millisecond
 			break
 		}
 		var said []choice.Action
@@ -115,24 +115,24 @@
 			}
 		}
 		var acts []choice.Action
-		acts, in = c.fleet.Step(now, heard, said)
+		acts, in = c.limiter.Step(now, heard, said)
 		heard = nil
 		for _, a := range acts {
 			if w, ok := a.(choice.Wake); ok {
-				c.fleetAt = now + w.After
+				c.limiterAt = now + w.After
 			} else {
 				out = append(out, a)
 			}
 		}
 	}
-	return c.wake(now, out)
+	return c.scheduleWake(now, out)
 }
 
-// wake asks to be woken when the first of the two wants to be.
-func (c *Core) wake(now time.Duration, out []choice.Action) []choice.Action {
+// scheduleWake asks to be woken when the first of the two wants to be.
+func (c *Core) scheduleWake(now time.Duration, out []choice.Action) []choice.Action {
 	at := c.chooserAt
-	if at == 0 || c.fleetAt > 0 && c.fleetAt < at {
-		at = c.fleetAt
+	if at == 0 || c.limiterAt > 0 && c.limiterAt < at {
+		at = c.limiterAt
 	}
 	if at > 0 && (c.wakeAt <= now || at < c.wakeAt) {
 		c.wakeAt = at
--- a/internal/relay/engine/engine_test.go
+++ b/internal/relay/engine/engine_test.go
@@ -111,11 +111,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Granted() || c.Parts() != nil || c.Routes() != nil {
+	if c.UsesGrants() || c.Shares() != nil || c.Routes() != nil {
 		t.Error("a relay apart has parts or routes")
 	}
 	c.Resize(3, nil)
-	c.Tell(nil)
+	c.SetLimits(nil)
 }
 
 // Any bytes, notes that were heard before, and senders that are not there harm nothing: the limit holds, and calls go on.
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -33,10 +33,10 @@
 	frozenKind  = choice.Kind{Apart: true, PerCall: 6}
 	frozenRules = choice.Rules{AnswerGrace: time.Millisecond, DrainGrace: 2 * time.Millisecond, OverloadFactor: 3.5, Fall: 4 * time.Second,
 		ColdFrom: 0.5, Cold: 6 * time.Second, OrderSettle: 7 * time.Second}
-	frozenWords = []override.Word{
-		{Subject: "endpoint:acme-2", On: true, Count: 4, Origin: "r2", By: "op-a", AtMs: frozenTime + 1},
-		{Subject: "gone:r3", On: true, Count: 5, Origin: "r3", By: "op-b", AtMs: frozenTime + 2},
-		{Subject: "partner:other", Count: 6, Origin: "r1", By: "op-c", AtMs: frozenTime + 3}}
+	frozenWords = []override.Override{
+		{Subject: "endpoint:acme-2", Active: true, Counter: 4, Origin: "r2", Author: "op-a", AtMs: frozenTime + 1},
+		{Subject: "gone:r3", Active: true, Counter: 5, Origin: "r3", Author: "op-b", AtMs: frozenTime + 2},
+		{Subject: "partner:other", Counter: 6, Origin: "r1", Author: "op-c", AtMs: frozenTime + 3}}
 )
 
 // frozenConfig is of a relay of its own, the first of a fleet of three.
@@ -145,7 +145,7 @@
 	phase, _ := r.alone.book.Phase()
 	want(t, "phase", string(phase), "draining")
 	want(t, "endpoint that the fleet was told of is open", r.alone.book.Open("acme-2"), false)
-	if words := r.company.talk.Book().All(); !reflect.DeepEqual(words, frozenWords) {
+	if words := r.company.talk.Store().All(); !reflect.DeepEqual(words, frozenWords) {
 		t.Errorf("words %+v, want %+v", words, frozenWords)
 	}
 	want(t, "relays that are gone", fmt.Sprint(r.company.lost), "[2]")
@@ -201,8 +201,8 @@
 	if unset := fixture.Unset(frozenPartner, frozenClass, frozenKind, frozenRules); len(unset) > 0 {
 		t.Errorf("no value sets %v", unset)
 	}
-	acts := newRelay(t, frozenConfig(t, t.TempDir())).company.talk.Acts(0)
-	wanted := []override.Acts{{Kind: 1, Version: 3837147583}, {Kind: 2, Version: 3183409465}, {Kind: 3, Version: 3447108203}, {Kind: 4, Version: 1943657945}}
+	acts := newRelay(t, frozenConfig(t, t.TempDir())).company.talk.ActiveVersions(0)
+	wanted := []override.ActiveVersion{{Kind: 1, Version: 3837147583}, {Kind: 2, Version: 3183409465}, {Kind: 3, Version: 3447108203}, {Kind: 4, Version: 1943657945}}
 	if !reflect.DeepEqual(acts, wanted) {
 		t.Errorf("the relay says that it acts on %+v, want %+v", acts, wanted)
 	}
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -14,7 +14,7 @@
 func (r *Relay) joinFleet(ctx context.Context) {
 	c, err := gossip.Listen(ctx, r.conf.PeerListen)
 	if err == nil {
-		if err = c.Join(r.conf.Peers); err != nil {
+		if err = c.SetPeers(r.conf.Peers); err != nil {
 			c.Close()
 		}
 	}
--- a/internal/relay/fleetlimit/fixtures_test.go
+++ b/internal/relay/fleetlimit/fixtures_test.go
@@ -19,27 +19,27 @@
 	kinds   []byte // as numbers on the wire
 	records []record
 }{
-	{"ask", []byte{1}, []record{{kind: askKind, dest: 0x01020304, mark: 0x0506, calls: 7, value: 16, routes: []rumour{
-		{route: 0x11121314, rate: 4, found: true, state: down, span: 24 * time.Millisecond},
-		{route: 0x21222324, rate: 0.5, saw: true, state: cold, span: 80 * time.Millisecond}}}}},
-	{"ask without routes", []byte{1}, []record{{kind: askKind, dest: 8, mark: 9, calls: 255, value: 0.25}}},
-	{"queued", []byte{2}, []record{{kind: queuedKind, dest: 0x02030405, routes: []rumour{
-		{route: 0x31323334, rate: 8, state: open, span: 160 * time.Millisecond},
-		{route: 0x41424344, rate: 0, found: true, saw: true, state: cold, span: 65535 * 8 * time.Millisecond}}}}},
-	{"grant", []byte{3}, []record{{kind: grantKind, dest: 0x03040506, routes: []rumour{
-		{route: 0x51525354, rate: 2, found: true, saw: true, state: cold, span: 40 * time.Millisecond}},
-		grant: 0x61626364, life: 200 * time.Millisecond, well: true, mark: 0x0708, kept: 4800 * time.Millisecond}}},
-	{"spent", []byte{4}, []record{{kind: spentKind, dest: 0x04050607, routes: []rumour{{route: 0x71727374}}, grant: 0x08090a0b,
+	{"ask", []byte{1}, []record{{kind: requestKind, dest: 0x01020304, timestamp: 0x0506, calls: 7, value: 16, routes: []estimate{
+		{route: 0x11121314, rate: 4, limitKnown: true, state: down, inState: 24 * time.Millisecond},
+		{route: 0x21222324, rate: 0.5, witnessed: true, state: warmingUp, inState: 80 * time.Millisecond}}}}},
+	{"ask without routes", []byte{1}, []record{{kind: requestKind, dest: 8, timestamp: 9, calls: 255, value: 0.25}}},
+	{"queued", []byte{2}, []record{{kind: queuedKind, dest: 0x02030405, routes: []estimate{
+		{route: 0x31323334, rate: 8, state: open, inState: 160 * time.Millisecond},
+		{route: 0x41424344, rate: 0, limitKnown: true, witnessed: true, state: warmingUp, inState: 65535 * 8 * time.Millisecond}}}}},
+	{"grant", []byte{3}, []record{{kind: grantKind, dest: 0x03040506, routes: []estimate{
+		{route: 0x51525354, rate: 2, limitKnown: true, witnessed: true, state: warmingUp, inState: 40 * time.Millisecond}},
+		grant: 0x61626364, validFor: 200 * time.Millisecond, healthy: true, timestamp: 0x0708, queuedFor: 4800 * time.Millisecond}}},
+	{"spent", []byte{4}, []record{{kind: outcomeKind, dest: 0x04050607, routes: []estimate{{route: 0x71727374}}, grant: 0x08090a0b,
 		outcome: choice.Reset, took: 2400 * time.Millisecond, wait: 3200 * time.Millisecond}}},
-	{"moved", []byte{5}, []record{{kind: movedKind, dest: 0x05060708, steward: 0x1920}}},
+	{"moved", []byte{5}, []record{{kind: movedKind, dest: 0x05060708, coordinator: 0x1920}}},
 	{"hello", []byte{6}, []record{{kind: helloKind}}},
 	{"hello that answers", []byte{6}, []record{{kind: helloKind, answer: true}}},
-	{"call", []byte{7}, []record{{kind: callKind, dest: 0x06070809, answer: true, stamp: quota.Stamp{Incarnation: 0xa1a2a3a4, At: 0x0102030405 * time.Millisecond}}}},
+	{"call", []byte{7}, []record{{kind: pledgeRequestKind, dest: 0x06070809, answer: true, stamp: quota.Stamp{Incarnation: 0xa1a2a3a4, At: 0x0102030405 * time.Millisecond}}}},
 	{"pledge", []byte{8}, []record{{kind: pledgeKind, dest: 0x0708090a, units: 0x000fedcb, stamp: quota.Stamp{Incarnation: 0xb1b2b3b4, At: 0x0203040506 * time.Millisecond}}}},
 	{"release", []byte{9}, []record{{kind: releaseKind, dest: 0x08090a0b, stamp: quota.Stamp{Incarnation: 0xc1c2c3c4, At: 0x0304050607 * time.Millisecond}}}},
 	{"several", []byte{7, 4, 6}, []record{
-		{kind: callKind, dest: 1, stamp: quota.Stamp{Incarnation: 2, At: 3 * time.Millisecond}},
-		{kind: spentKind, dest: 4, routes: []rumour{{route: 5}}, grant: 6, outcome: choice.Spoilt, took: 8 * time.Millisecond, wait: 16 * time.Millisecond},
+		{kind: pledgeRequestKind, dest: 1, stamp: quota.Stamp{Incarnation: 2, At: 3 * time.Millisecond}},
+		{kind: outcomeKind, dest: 4, routes: []estimate{{route: 5}}, grant: 6, outcome: choice.Spoilt, took: 8 * time.Millisecond, wait: 16 * time.Millisecond},
 		{kind: helloKind, answer: true}}},
 }
 
@@ -49,7 +49,7 @@
 	for _, f := range frozen {
 		b := []byte{version}
 		for _, r := range f.records {
-			b = r.append(b)
+			b = r.appendTo(b)
 		}
 		present = append(present, fixture.Line{Name: f.name, Text: hex.EncodeToString(gossip.Seal(b))})
 	}
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := read(data)
+		got, err := decode(data)
 		if err != nil || !reflect.DeepEqual(got, f.records) {
 			t.Errorf("%s: decoded as %+v, %v, want %+v", f.name, got, err, f.records)
 		}
@@ -83,7 +83,7 @@
 	for k := range 256 {
 		known := false // a kind is known if a record of zeros is read with some length
 		for n := range 64 {
-			_, err := read(gossip.Seal(append([]byte{version, byte(k)}, make([]byte, n)...)))
+			_, err := decode(gossip.Seal(append([]byte{version, byte(k)}, make([]byte, n)...)))
 			known = known || err == nil
 		}
 		if known != covered[byte(k)] {
@@ -98,13 +98,13 @@
 // Numbers that notes carry, or that relays must compute alike.
 func TestNumbersOfNotesAreAsFrozen(t *testing.T) {
 	for name, tc := range map[string]struct{ got, want uint64 }{
-		"a route's number":             {uint64(routeOf("10.0.0.1:80")), 1170886113},
+		"a route's number":             {uint64(routeID("10.0.0.1:80")), 1170886113},
 		"the whole of a limit":         {quota.TotalUnits, 1048576},
-		"most bytes of a note":         {gossip.Most, 256},
-		"a time step":                  {uint64(step), 8_000_000},
+		"most bytes of a note":         {gossip.MaxMessageBytes, 256},
+		"a time step":                  {uint64(timeUnit), 8_000_000},
 		"state open":                   {uint64(open), 0},
 		"state down":                   {uint64(down), 1},
-		"state cold":                   {uint64(cold), 2},
+		"state cold":                   {uint64(warmingUp), 2},
 		"outcome served":               {uint64(choice.Served), 0},
 		"outcome error":                {uint64(choice.Error), 1},
 		"outcome refused":              {uint64(choice.Refused), 2},
--- a/internal/relay/fleetlimit/fleet_test.go
+++ b/internal/relay/fleetlimit/fleet_test.go
@@ -72,10 +72,10 @@
 			if a.served {
 				o = choice.Served
 			}
-			p.ended(now, 0, a.id, o, 80*ms, a.wait)
+			p.complete(now, 0, a.id, o, 80*ms, a.wait)
 			return true
 		})
-		for p.settle(now, hears(now), true); p.roomAt(now) <= now; {
+		for p.advance(now, hears(now), true); p.nextAt(now) <= now; {
 			id++
 			p.grant(now, 0, id)
 			ok, wait := b.admit(now)
@@ -143,10 +143,10 @@
 	paced(p, b, 0, 0, 10*time.Second, 1)
 	now, id, trials := 10*time.Second, uint32(1000), 0
 	for ; now < 15*time.Second; now += ms {
-		for p.settle(now, hears(now), true); p.roomAt(now) <= now; trials++ {
+		for p.advance(now, hears(now), true); p.nextAt(now) <= now; trials++ {
 			id++
 			p.grant(now, 0, id)
-			p.ended(now, 0, id, choice.NoConnection, 0, 0)
+			p.complete(now, 0, id, choice.NoConnection, 0, 0)
 		}
 	}
 	if p.state != down || trials > 14 {
@@ -155,10 +155,10 @@
 	back := now
 	var came []time.Duration
 	for ; now < back+10*time.Second; now += ms {
-		for p.settle(now, hears(now), true); p.roomAt(now) <= now; {
+		for p.advance(now, hears(now), true); p.nextAt(now) <= now; {
 			id++
 			p.grant(now, 0, id)
-			p.ended(now, 0, id, choice.Served, 50*ms, 0)
+			p.complete(now, 0, id, choice.Served, 50*ms, 0)
 			came = append(came, now)
 			first, _ := slices.BinarySearch(came, now-2*time.Second)
 			if most := 2 * 2 * 30 * (0.2 + 0.8*(now-back).Seconds()/10); float64(len(came)-first) > most+1 {
@@ -173,7 +173,7 @@
 
 func TestNumberBeyondTheFleet(t *testing.T) {
 	for _, n := range []int{-1, 4, 5} {
-		if _, err := New(Settings{Index: n, Fleet: 4, Rules: rules()}); err == nil {
+		if _, err := New(Settings{Index: n, FleetSize: 4, Rules: rules()}); err == nil {
 			t.Errorf("no error for relay %d of 4", n)
 		}
 	}
@@ -181,13 +181,13 @@
 
 // All relays have the same steward for a destination, and the destinations are spread over the relays.
 func TestStewardsAreSpread(t *testing.T) {
-	a, _ := New(Settings{Index: 0, Fleet: 80, Rules: rules()})
-	b, _ := New(Settings{Index: 7, Fleet: 80, Rules: rules()})
+	a, _ := New(Settings{Index: 0, FleetSize: 80, Rules: rules()})
+	b, _ := New(Settings{Index: 7, FleetSize: 80, Rules: rules()})
 	count := map[int]int{}
 	for dest := range 800 {
-		ranked := a.errand(dest).ranked
-		if !slices.Equal(ranked, b.errand(dest).ranked) || len(ranked) != ranks {
-			t.Fatalf("destination %d: %v and %v", dest, ranked, b.errand(dest).ranked)
+		ranked := a.requestFor(dest).candidates
+		if !slices.Equal(ranked, b.requestFor(dest).candidates) || len(ranked) != maxCandidates {
+			t.Fatalf("destination %d: %v and %v", dest, ranked, b.requestFor(dest).candidates)
 		}
 		count[ranked[0]]++
 	}
--- a/internal/relay/fleetlimit/rights_test.go
+++ b/internal/relay/fleetlimit/rights_test.go
@@ -18,7 +18,7 @@
 // relays are the real parts of a small fleet that want more calls to one destination than it takes, in virtual time. How
 // notes go is told by the test.
 type relays struct {
-	all     []*Fleet
+	all     []*Limiter
 	n       int
 	now     time.Duration
 	draw    *rand.Rand
@@ -58,12 +58,12 @@
 
 func (w *relays) start(t *testing.T, i int) {
 	w.lives++
-	f, err := New(Settings{Index: i, Fleet: w.n, Seed: uint64(i), Rules: rules(), Rights: true, Life: uint32(w.lives), Limits: w.limits, Weights: w.weights})
+	f, err := New(Settings{Index: i, FleetSize: w.n, Seed: uint64(i), Rules: rules(), QuotaShares: true, Incarnation: uint32(w.lives), Limits: w.limits, Weights: w.weights})
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := f.errand(5) // the limit is known to all
-	e.heardOf[routeOf("a")] = hearsay{rumour{route: routeOf("a"), rate: limit, found: true}, 0}
+	e := f.requestFor(5) // the limit is known to all
+	e.estimates[routeID("a")] = receivedEstimate{estimate{route: routeID("a"), rate: limit, limitKnown: true}, 0}
 	w.all[i], w.born[i] = f, w.now
 }
 
@@ -109,8 +109,8 @@
 			}
 		}
 		for i, f := range w.all {
-			if k := f.desks[5]; k != nil && !w.still[i] {
-				part, _ := f.part(k)
+			if k := f.coordinated[5]; k != nil && !w.still[i] {
+				part, _ := f.grantableShare(k)
 				sum += part
 			}
 		}
@@ -180,7 +180,7 @@
 func TestStewardStartsAnew(t *testing.T) {
 	w := newRelays(t, 12, 1)
 	w.play(t, 5*time.Second)
-	w.start(t, Stewards(5, 12)[0])
+	w.start(t, Coordinators(5, 12)[0])
 	w.play(t, 2*time.Second)
 	w.took(1)
 	w.play(t, 2*time.Second)
@@ -194,7 +194,7 @@
 	for dead, want := range map[int]float64{3: 0.9 * 4 * limit, 4: 0.9 * 4 * limit * 8 / 12} {
 		w := newRelays(t, 12, 1)
 		w.play(t, 3*time.Second)
-		first := Stewards(5, 12)[0]
+		first := Coordinators(5, 12)[0]
 		for n, i := 0, 0; n < dead; i++ {
 			if i != first {
 				w.still[i], n = true, n+1
@@ -215,7 +215,7 @@
 func TestPartsAreConserved(t *testing.T) {
 	for seed := range uint64(*courses) {
 		w := newRelays(t, 3+int(seed%6), seed)
-		w.bound = Over(w.n)
+		w.bound = OvergrantBound(w.n)
 		for range 12 {
 			w.trouble(t)
 		}
@@ -245,7 +245,7 @@
 // The bound on what may be granted of a limit that was found out is what the pages say.
 func TestStatedBound(t *testing.T) {
 	for n, want := range map[int]float64{1: 1, 2: 1, 3: 4.0 / 3, 4: 1.25, 5: 1.4, 8: 1.25, 16: 1.25, 24: 1.25, 63: 1 + 15.0/63, 64: 1.25} {
-		if got := Over(n); got < want-1e-9 || got > want+1e-9 {
+		if got := OvergrantBound(n); got < want-1e-9 || got > want+1e-9 {
 			t.Errorf("%d relays: %v, want %v", n, got, want)
 		}
 	}
@@ -276,7 +276,7 @@
 					}
 					calls++
 				}
-				if most := told.Rate*(span+lateAfter).Seconds() + max(told.Burst, float64(n)) + 1; float64(calls) > most {
+				if most := told.Rate*(span+maxGrantDelay).Seconds() + max(told.Burst, float64(n)) + 1; float64(calls) > most {
 					t.Fatalf("course %d, %d relays: %d calls within %v from %v, %.0f at most", seed, n, calls, span, at, most)
 				}
 			}
@@ -361,19 +361,19 @@
 		r := w.draw
 		lie := func() record {
 			x := record{kind: kind(1 + r.IntN(int(releaseKind))), dest: 5, calls: r.IntN(300), value: r.ExpFloat64() * 1e6, grant: r.Uint32N(50),
-				routes: []rumour{{route: routeOf("a"), rate: r.ExpFloat64() * 1e5, found: true, state: state(r.IntN(3)), saw: r.IntN(2) == 0}}, life: grantLife,
-				mark: markOf(w.now), outcome: choice.Outcome(r.IntN(8)), wait: time.Duration(r.Int64N(int64(time.Hour))), steward: r.IntN(200), answer: r.IntN(2) == 0,
+				routes: []estimate{{route: routeID("a"), rate: r.ExpFloat64() * 1e5, limitKnown: true, state: state(r.IntN(3)), witnessed: r.IntN(2) == 0}}, validFor: grantTTL,
+				timestamp: timestampOf(w.now), outcome: choice.Outcome(r.IntN(8)), wait: time.Duration(r.Int64N(int64(time.Hour))), coordinator: r.IntN(200), answer: r.IntN(2) == 0,
 				units: r.Uint32(), stamp: quota.Stamp{Incarnation: uint32(1 + r.IntN(2*n)), At: w.now + time.Duration(r.Int64N(int64(2*time.Second))) - time.Second}}
 			return x
 		}
 		for range 300 {
 			for range 3 {
 				to := 1 + r.IntN(n-1)
-				w.wire = append(w.wire, passing{at: w.now, from: 0, to: to, note: gossip.Seal(lie().append([]byte{version}))})
+				w.wire = append(w.wire, passing{at: w.now, from: 0, to: to, note: gossip.Seal(lie().appendTo([]byte{version}))})
 			}
 			w.play(t, 10*ms)
 		}
-		w.play(t, mostWait+3*time.Second)
+		w.play(t, maxRetryAfter+3*time.Second)
 		w.took(1)
 		w.play(t, 2*time.Second)
 		if got, want := w.took(1)[0], 0.85*2*limit*float64(n-1)/float64(n); float64(got) < want {
@@ -391,7 +391,7 @@
 	}{{map[int]quota.Limit{5: {Rate: 50, Burst: 10}}, 92, 112}, {map[int]quota.Limit{5: {Rate: 20, Burst: 5}}, 36, 45}, {map[int]quota.Limit{5: {Rate: 80, Burst: 5}}, 140, 170},
 		{nil, 180, 1 << 20}, {map[int]quota.Limit{5: {Rate: 20, Burst: 5}}, 36, 45}} {
 		for _, f := range w.all {
-			f.Tell(c.limits)
+			f.SetLimits(c.limits)
 		}
 		w.play(t, 2*time.Second)
 		w.took(1)
@@ -400,8 +400,8 @@
 			t.Errorf("told %v: %d calls in 2 s, want %d to %d", c.limits, n, c.least, c.most)
 		}
 	}
-	for _, v := range w.all[Stewards(5, 3)[0]].PartViews() {
-		if v.Told == nil || v.Over != 1 || v.Own < 0.333 || v.Own > 0.334 || v.Granted < 0.99 || v.Steward != Stewards(5, 3)[0] {
+	for _, v := range w.all[Coordinators(5, 3)[0]].ShareViews() {
+		if v.ConfiguredLimit == nil || v.OvergrantBound != 1 || v.OwnShare < 0.333 || v.OwnShare > 0.334 || v.GrantableShare < 0.99 || v.Coordinator != Coordinators(5, 3)[0] {
 			t.Errorf("shown as %+v", v)
 		}
 	}
--- a/internal/relay/fleetlimit/steward.go
+++ b/internal/relay/fleetlimit/steward.go
@@ -10,145 +10,145 @@
 )
 
 const (
-	grantLife = 400 * time.Millisecond  // a grant that is not used by then lapses
-	askLife   = 2500 * time.Millisecond // an ask that is not said again by then is dropped
-	routeLife = 10 * time.Minute        // what is known of a route that nobody asks for
+	grantTTL   = 400 * time.Millisecond  // a grant that is not used by then lapses
+	requestTTL = 2500 * time.Millisecond // an ask that is not said again by then is dropped
+	routeTTL   = 10 * time.Minute        // what is known of a route that nobody asks for
 )
 
-// desk is the steward's side of one destination: the asks of relays that wait, and a pacer for each route.
-type desk struct {
-	dest   int
-	before []int // relays that come before this one
-	routes map[uint32]*pacer
-	order  []uint32 // in the order in which they were heard of
+// coordinatorState is the steward's side of one destination: the asks of relays that wait, and a pacer for each route.
+type coordinatorState struct {
+	dest         int
+	predecessors []int // relays that come before this one
+	routes       map[uint32]*pacer
+	order        []uint32 // in the order in which they were heard of
 	// What is known as a steward, while this relay is alone.
-	kept      map[uint32]*pacer
-	keptOrder []uint32
-	asks      []*ask
-	again     time.Duration // there is more room then
-	since     time.Duration // there are asks
-	helloAt   time.Duration // those that come before this relay were last greeted
-	listed    bool          // among the desks with asks
-	lone      bool          // nobody else answers this relay, which asks itself
-	rights    bool
-	pool      *quota.Pool   // of what was pledged to this relay
-	callAt    time.Duration // pledges that are half over are called for then
-	seekAt    time.Duration // and those that are not there
-	idleAt    time.Duration // since then nobody has asked
-	told      *contract     // of a limit that was told; nil for none
+	savedRoutes     map[uint32]*pacer
+	savedOrder      []uint32
+	requests        []*pendingRequest
+	nextRoomAt      time.Duration // there is more room then
+	busySince       time.Duration // there are asks
+	helloAt         time.Duration // those that come before this relay were last greeted
+	inBusy          bool          // among the desks with asks
+	alone           bool          // nobody else answers this relay, which asks itself
+	quotaShares     bool
+	pool            *quota.Pool      // of what was pledged to this relay
+	pledgeRequestAt time.Duration    // pledges that are half over are called for then
+	seekAt          time.Duration    // and those that are not there
+	idleSince       time.Duration    // since then nobody has asked
+	configured      *configuredLimit // of a limit that was told; nil for none
 }
 
-// ask is what one relay wants of a destination.
-type ask struct {
-	relay  int
-	calls  int
-	value  float64
-	routes []uint32
-	since  time.Duration // it began to wait
-	at     time.Duration // last said
-	told   bool          // it has been answered since
-	mark   uint16        // of its relay's clock, when it was last said
+// pendingRequest is what one relay wants of a destination.
+type pendingRequest struct {
+	relay        int
+	calls        int
+	value        float64
+	routes       []uint32
+	waitingSince time.Duration // it began to wait
+	receivedAt   time.Duration // last said
+	answered     bool          // it has been answered since
+	timestamp    uint16        // of its relay's clock, when it was last said
 }
 
-// know has a route among those that are kept. What a relay heard of it counts if it is not, or nothing is known yet: it came
+// updateRoute has a route among those that are kept. What a relay heard of it counts if it is not, or nothing is known yet: it came
 // from a steward before this one. The first that ask may have been started anew, and have heard nothing.
-func (k *desk) know(rules choice.Rules, part float64, alone bool, now time.Duration, from int, x rumour) {
+func (k *coordinatorState) updateRoute(rules choice.Rules, part float64, alone bool, now time.Duration, from int, x estimate) {
 	p := k.routes[x.route]
 	if p == nil {
 		p = newPacer(rules, now)
-		p.rights = k.rights
-		if k.told != nil { // so much is allowed, and it need not be found out call by call
-			p.rate = max(p.rate, k.told.limit.Rate)
+		p.quotaShares = k.quotaShares
+		if k.configured != nil { // so much is allowed, and it need not be found out call by call
+			p.rate = max(p.rate, k.configured.limit.Rate)
 		}
-		p.hear(now, x)
-		if alone && !k.rights && p.state == open {
+		p.adopt(now, x)
+		if alone && !k.quotaShares && p.state == open {
 			p.tokens = 1 // what has been waiting since the cut began is less than what the route takes at once
 		}
 		k.routes[x.route] = p
 		k.order = append(k.order, x.route)
 	} else if !alone {
-		p.learn(now, x)
+		p.adoptIfUnknown(now, x)
 	}
-	if p.lend(part, alone); x.saw {
-		p.vote(now, from, x.state)
+	if p.setShare(part, alone); x.witnessed {
+		p.addWitness(now, from, x.state)
 	}
 }
 
 // put takes in an ask, in the place of that relay's last one.
-func (k *desk) put(rules choice.Rules, part float64, alone bool, now time.Duration, from int, r record) {
-	i := slices.IndexFunc(k.asks, func(a *ask) bool { return a.relay == from })
-	if i >= 0 && k.asks[i].stale(r.mark) {
+func (k *coordinatorState) put(rules choice.Rules, part float64, alone bool, now time.Duration, from int, r record) {
+	i := slices.IndexFunc(k.requests, func(a *pendingRequest) bool { return a.relay == from })
+	if i >= 0 && k.requests[i].stale(r.timestamp) {
 		return
 	}
 	if r.calls == 0 || len(r.routes) == 0 {
 		if i >= 0 {
-			k.asks = slices.Delete(k.asks, i, i+1)
+			k.requests = slices.Delete(k.requests, i, i+1)
 		}
 		return
 	}
 	if i < 0 {
-		i = len(k.asks)
-		k.asks = append(k.asks, &ask{relay: from, since: now})
+		i = len(k.requests)
+		k.requests = append(k.requests, &pendingRequest{relay: from, waitingSince: now})
 	}
-	a := k.asks[i]
-	a.calls, a.value, a.at, a.told, a.mark, a.routes = r.calls, r.value, now, false, r.mark, a.routes[:0]
+	a := k.requests[i]
+	a.calls, a.value, a.receivedAt, a.answered, a.timestamp, a.routes = r.calls, r.value, now, false, r.timestamp, a.routes[:0]
 	for _, x := range r.routes {
-		k.know(rules, part, alone, now, from, x)
+		k.updateRoute(rules, part, alone, now, from, x)
 		a.routes = append(a.routes, x.route)
 	}
 	if alone {
-		k.spread(from, a.routes)
+		k.shuffleRoutes(from, a.routes)
 	}
 }
 
 // serve gives the room that there is to the calls that are worth most, each on the route that its relay likes best of
 // those with room, and notes when there will be more.
-func (k *desk) serve(part float64, alone bool, now time.Duration, heard func(relay int) time.Duration, give func(a *ask, route uint32, p *pacer)) {
-	k.asks = slices.DeleteFunc(k.asks, func(a *ask) bool { return now-a.at > askLife })
-	if k.told != nil {
-		k.told.settle(now, part)
+func (k *coordinatorState) serve(part float64, alone bool, now time.Duration, heard func(relay int) time.Duration, give func(a *pendingRequest, route uint32, p *pacer)) {
+	k.requests = slices.DeleteFunc(k.requests, func(a *pendingRequest) bool { return now-a.receivedAt > requestTTL })
+	if k.configured != nil {
+		k.configured.advance(now, part)
 	}
 	for _, id := range k.order {
-		k.routes[id].lend(part, alone)
-		k.routes[id].settle(now, heard, slices.ContainsFunc(k.asks, func(a *ask) bool { return slices.Contains(a.routes, id) }))
+		k.routes[id].setShare(part, alone)
+		k.routes[id].advance(now, heard, slices.ContainsFunc(k.requests, func(a *pendingRequest) bool { return slices.Contains(a.routes, id) }))
 	}
-	slices.SortStableFunc(k.asks, func(a, b *ask) int {
-		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.since, b.since), cmp.Compare(a.relay, b.relay))
+	slices.SortStableFunc(k.requests, func(a, b *pendingRequest) int {
+		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.waitingSince, b.waitingSince), cmp.Compare(a.relay, b.relay))
 	})
-	deaf := func(a *ask) bool { return k.rights && now-heard(a.relay) > grantFor }
-	for _, a := range k.asks {
+	deaf := func(a *pendingRequest) bool { return k.quotaShares && now-heard(a.relay) > grantWindow }
+	for _, a := range k.requests {
 		if deaf(a) {
 			continue
 		}
 		for a.calls > 0 {
-			at := slices.IndexFunc(a.routes, func(id uint32) bool { return k.routes[id].roomAt(now) <= now })
-			if at < 0 || k.told != nil && !k.told.take(k.out()) {
+			at := slices.IndexFunc(a.routes, func(id uint32) bool { return k.routes[id].nextAt(now) <= now })
+			if at < 0 || k.configured != nil && !k.configured.take(k.inFlight()) {
 				break
 			}
 			a.calls--
-			a.told = true
+			a.answered = true
 			give(a, a.routes[at], k.routes[a.routes[at]])
 		}
 	}
-	k.asks = slices.DeleteFunc(k.asks, func(a *ask) bool { return a.calls == 0 })
-	k.again = never
-	for _, a := range k.asks {
+	k.requests = slices.DeleteFunc(k.requests, func(a *pendingRequest) bool { return a.calls == 0 })
+	k.nextRoomAt = never
+	for _, a := range k.requests {
 		if deaf(a) {
 			continue
 		}
 		for _, id := range a.routes {
-			k.again = min(k.again, max(now+time.Millisecond, k.routes[id].roomAt(now)))
+			k.nextRoomAt = min(k.nextRoomAt, max(now+time.Millisecond, k.routes[id].nextAt(now)))
 		}
 	}
-	if k.told != nil && k.again < never {
-		k.again = max(k.again, k.told.again(now, part, k.out()))
+	if k.configured != nil && k.nextRoomAt < never {
+		k.nextRoomAt = max(k.nextRoomAt, k.configured.nextAt(now, part, k.inFlight()))
 	}
 }
 
-// forget drops routes that nobody has asked for in a long while.
-func (k *desk) forget(now time.Duration) {
+// expireRoutes drops routes that nobody has asked for in a long while.
+func (k *coordinatorState) expireRoutes(now time.Duration) {
 	k.order = slices.DeleteFunc(k.order, func(id uint32) bool {
-		old := now-k.routes[id].at > routeLife
+		old := now-k.routes[id].updatedAt > routeTTL
 		if old {
 			delete(k.routes, id)
 		}
--- a/internal/relay/fleetlimit/told.go
+++ b/internal/relay/fleetlimit/told.go
@@ -11,75 +11,77 @@
 // steward grants on the part of it that was pledged, so that all sides of a cut keep to it: in any span the calls granted
 // are at most what the limit gives in it, and one burst.
 
-// contract counts what of a told limit may be granted here.
-type contract struct {
-	limit  quota.Limit
-	part   float64
-	tokens float64
-	at     time.Duration
+// configuredLimit counts what of a told limit may be granted here.
+type configuredLimit struct {
+	limit     quota.Limit
+	share     float64
+	tokens    float64
+	updatedAt time.Duration
 }
 
-// told makes the contract of a destination; nil where no limit was told. It begins empty: a steward before this one may have
+// newConfiguredLimit makes the contract of a destination; nil where no limit was newConfiguredLimit. It begins empty: a steward before this one may have
 // used the burst up.
-func (f *Fleet) told(dest int) *contract {
-	l, ok := f.set.Limits[dest]
+func (f *Limiter) newConfiguredLimit(dest int) *configuredLimit {
+	l, ok := f.settings.Limits[dest]
 	if !ok {
 		return nil
 	}
-	return &contract{limit: l, at: f.now}
+	return &configuredLimit{limit: l, updatedAt: f.now}
 }
 
-// Tell takes in which limits are told from now on.
-func (f *Fleet) Tell(limits map[int]quota.Limit) {
-	f.set.Limits = limits
-	for dest, k := range f.desks {
-		switch next := f.told(dest); {
-		case next == nil || k.told == nil:
-			k.told = next
+// SetLimits takes in which limits are told from now on.
+func (f *Limiter) SetLimits(limits map[int]quota.Limit) {
+	f.settings.Limits = limits
+	for dest, k := range f.coordinated {
+		switch next := f.newConfiguredLimit(dest); {
+		case next == nil || k.configured == nil:
+			k.configured = next
 		default:
-			k.told.limit, k.told.tokens = next.limit, min(k.told.tokens, next.limit.Burst*k.told.part)
+			k.configured.limit, k.configured.tokens = next.limit, min(k.configured.tokens, next.limit.Burst*k.configured.share)
 		}
 	}
 }
 
-// settle brings the tokens up to date. Between two instants the part was no less than the smaller of what it was and is.
-func (b *contract) settle(now time.Duration, part float64) {
+// advance brings the tokens up to date. Between two instants the part was no less than the smaller of what it was and is.
+func (b *configuredLimit) advance(now time.Duration, part float64) {
 	if plant.Is(plant.Contract) {
 		part = 1
 	}
-	b.tokens += b.limit.Rate * min(b.part, part) * max(0, now-b.at).Seconds()
+	b.tokens += b.limit.Rate * min(b.share, part) * max(0, now-b.updatedAt).Seconds()
 	b.tokens = min(b.tokens, max(1, b.limit.Burst*part))
 	if part == 0 {
 		b.tokens = 0
 	}
-	b.part, b.at = part, now
+	b.share, b.updatedAt = part, now
 }
 
-// most is how many calls may be under way by what is granted here. A part of less than one call is one call: a relay that is
+// maxConcurrent is how many calls may be under way by what is granted here. A part of less than one call is one call: a relay that is
 // alone would otherwise starve.
-func (b *contract) most() int { return max(1, int(float64(b.limit.MaxConcurrent)*b.part)) }
+func (b *configuredLimit) maxConcurrent() int {
+	return max(1, int(float64(b.limit.MaxConcurrent)*b.share))
+}
 
 // take takes leave for one call, if there is any, while so many are under way.
-func (b *contract) take(out int) bool {
-	if b.tokens < 1-1e-9 || b.part == 0 || b.limit.MaxConcurrent > 0 && out >= b.most() {
+func (b *configuredLimit) take(out int) bool {
+	if b.tokens < 1-1e-9 || b.share == 0 || b.limit.MaxConcurrent > 0 && out >= b.maxConcurrent() {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// again is when there may be leave, after settle. What frees a place is told, and needs no waking.
-func (b *contract) again(now time.Duration, part float64, out int) time.Duration {
-	if part <= 0 || b.limit.MaxConcurrent > 0 && out >= b.most() {
+// nextAt is when there may be leave, after settle. What frees a place is told, and needs no waking.
+func (b *configuredLimit) nextAt(now time.Duration, part float64, out int) time.Duration {
+	if part <= 0 || b.limit.MaxConcurrent > 0 && out >= b.maxConcurrent() {
 		return never
 	}
 	return now + max(time.Millisecond, time.Duration((1-b.tokens)/(b.limit.Rate*part)*float64(time.Second)))
 }
 
-// out are the calls that were granted here and whose end has not been told.
-func (k *desk) out() (n int) {
+// inFlight are the calls that were granted here and whose end has not been told.
+func (k *coordinatorState) inFlight() (n int) {
 	for _, p := range k.routes {
-		n += len(p.out)
+		n += len(p.inFlight)
 	}
 	return n
 }
--- a/internal/relay/gossip/conn.go
+++ b/internal/relay/gossip/conn.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// again is when listening is tried again while another process of this relay still does.
-const again = 50 * time.Millisecond
+// listenRetryInterval is when listening is tried listenRetryInterval while another process of this relay still does.
+const listenRetryInterval = 50 * time.Millisecond
 
 // Conn sends and receives the notes of one relay. Its methods may be called at the same time.
 type Conn struct {
-	conn  *net.UDPConn
-	addrs []netip.AddrPort
-	from  map[netip.AddrPort]int
+	conn        *net.UDPConn
+	addrs       []netip.AddrPort
+	relayByAddr map[netip.AddrPort]int
 }
 
 // Listen takes up a relay's address. While it is in use it is tried again until the context ends: another process of
@@ -36,23 +36,23 @@
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("peers: %w", err)
-		case <-time.After(again):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
-// Join tells the addresses of all relays by number, this one's among them. It comes before Receive and Send.
-func (c *Conn) Join(peers []string) error {
-	c.addrs, c.from = nil, map[netip.AddrPort]int{}
+// SetPeers tells the addresses of all relays by number, this one's among them. It comes before Receive and Send.
+func (c *Conn) SetPeers(peers []string) error {
+	c.addrs, c.relayByAddr = nil, map[netip.AddrPort]int{}
 	for i, text := range peers {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return fmt.Errorf("peers: relay %d: %w", i, err)
 		}
-		if other, twice := c.from[a]; twice {
+		if other, twice := c.relayByAddr[a]; twice {
 			return fmt.Errorf("peers: relays %d and %d have the same address %s", other, i, a)
 		}
-		c.addrs, c.from[a] = append(c.addrs, a), i
+		c.addrs, c.relayByAddr[a] = append(c.addrs, a), i
 	}
 	return nil
 }
@@ -62,16 +62,16 @@
 
 // Receive hands each note that comes to f, which may keep it, until Close. Those of strangers are dropped.
 func (c *Conn) Receive(f func(from int, note []byte)) {
-	room := make([]byte, Most+1)
+	room := make([]byte, MaxMessageBytes+1)
 	for {
 		n, at, err := c.conn.ReadFromUDPAddrPort(room)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || n > Most {
+		if err != nil || n > MaxMessageBytes {
 			continue
 		}
-		if from, ok := c.from[netip.AddrPortFrom(at.Addr().Unmap(), at.Port())]; ok {
+		if from, ok := c.relayByAddr[netip.AddrPortFrom(at.Addr().Unmap(), at.Port())]; ok {
 			f(from, append([]byte(nil), room[:n]...))
 		}
 	}
@@ -79,7 +79,7 @@
 
 // Send sends a note to a relay. Whatever goes wrong, the note is lost, as notes may be.
 func (c *Conn) Send(to int, note []byte) {
-	if to >= 0 && to < len(c.addrs) && len(note) <= Most {
+	if to >= 0 && to < len(c.addrs) && len(note) <= MaxMessageBytes {
 		c.conn.WriteToUDPAddrPort(note, c.addrs[to])
 	}
 }
--- a/internal/relay/gossip/conn_test.go
+++ b/internal/relay/gossip/conn_test.go
@@ -32,7 +32,7 @@
 func TestNotes(t *testing.T) {
 	a, b := listen(t), listen(t)
 	for _, c := range []*Conn{a, b} {
-		if err := c.Join([]string{a.Addr().String(), b.Addr().String()}); err != nil {
+		if err := c.SetPeers([]string{a.Addr().String(), b.Addr().String()}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,9 +48,9 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("from nowhere"))
-	b.Send(0, make([]byte, Most+1))
+	b.Send(0, make([]byte, MaxMessageBytes+1))
 	b.Send(7, []byte("to nobody"))
-	b.conn.WriteToUDPAddrPort(make([]byte, Most+1), a.Addr())
+	b.conn.WriteToUDPAddrPort(make([]byte, MaxMessageBytes+1), a.Addr())
 	b.Send(0, []byte("hello"))
 	select {
 	case n := <-got:
@@ -92,7 +92,7 @@
 	}
 	a := listen(t)
 	for _, all := range [][]string{{"127.0.0.1"}, {"127.0.0.1:1", "127.0.0.1:1"}} {
-		if err := a.Join(all); err == nil {
+		if err := a.SetPeers(all); err == nil {
 			t.Errorf("no error for %q", all)
 		}
 	}
--- a/internal/relay/override/note.go
+++ b/internal/relay/override/note.go
@@ -12,54 +12,54 @@
 // Version is the first byte of a note (internal/relay/gossip); a message in the wire format of Protocol Buffers follows.
 const Version = 'V'
 
-// note is what one relay tells another.
-type note struct {
-	life    uint32 // of its sender
-	beat    uint64 // of its sender
-	list    uint64 // stands for the names of the fleet's relays, as its sender has them
-	total   int    // the sum of their weights, without those that are gone
-	weight  int    // the sender's
-	digest  uint64
-	answers bool    // the receiver is to say at once what it has
-	detail  *Digest // sent where digests differ
-	heard   []heard
-	words   []Word
-	seen    uint32 // digest of the sights
-	sights  []Sight
-	acts    []Acts
+// message is what one relay tells another.
+type message struct {
+	incarnation       uint32 // of its sender
+	heartbeat         uint64 // of its sender
+	listDigest        uint64 // stands for the names of the fleet's relays, as its sender has them
+	totalWeight       int    // the sum of their weights, without those that are gone
+	weight            int    // the sender's
+	storeDigest       uint64
+	wantsReply        bool    // the receiver is to say at once what it has
+	bucketDigest      *Digest // sent where digests differ
+	heartbeats        []relayHeartbeat
+	overrides         []Override
+	observationDigest uint32 // digest of the sights
+	observations      []Observation
+	versions          []ActiveVersion
 }
 
-// Acts is what a relay acts on: a version, as a digest, of something that has a number (internal/relay/versionaudit).
-type Acts struct {
+// ActiveVersion is what a relay acts on: a version, as a digest, of something that has a number (internal/relay/versionaudit).
+type ActiveVersion struct {
 	Kind    int
 	Version uint32
 }
 
-// heard is a relay's beat that the sender has heard of.
-type heard struct {
-	relay int // in the order of the list
-	beat  uint64
+// relayHeartbeat is a relay's beat that the sender has relayHeartbeat of.
+type relayHeartbeat struct {
+	relay     int // in the order of the list
+	heartbeat uint64
 }
 
 // The numbers of a note's fields. A number is never used anew.
 const (
-	noteBeat protowire.Number = iota + 1
-	noteList
-	noteTotal
-	noteDigest
-	noteAnswers
-	noteDetail
-	noteHeard
-	noteWord
-	noteSeen
-	noteSight
-	noteWeight
-	noteActs
-	noteLife
+	messageHeartbeat protowire.Number = iota + 1
+	messageListDigest
+	messageTotalWeight
+	messageStoreDigest
+	messageWantsReply
+	messageBucketDigest
+	messageHeartbeats
+	messageOverride
+	messageObservationDigest
+	messageObservation
+	messageWeight
+	messageVersions
+	messageIncarnation
 )
 
-// listOf stands for a list of names.
-func listOf(names []string) uint64 {
+// listDigest stands for a list of names.
+func listDigest(names []string) uint64 {
 	h := fnv.New64a()
 	for _, n := range names {
 		h.Write([]byte(n))
@@ -70,143 +70,143 @@
 
 // encode writes a note: as many of its words, then of its sights, and then of the beats heard, as there is room for. It returns
 // how many words and sights are in it.
-func (n note) encode() (data []byte, words, sights int) {
+func (n message) encode() (data []byte, words, sights int) {
 	number := func(b []byte, f protowire.Number, v uint64) []byte {
 		return protowire.AppendVarint(protowire.AppendTag(b, f, protowire.VarintType), v)
 	}
 	fixed := func(b []byte, f protowire.Number, v uint64) []byte {
 		return protowire.AppendFixed64(protowire.AppendTag(b, f, protowire.Fixed64Type), v)
 	}
-	b := number([]byte{Version}, noteBeat, n.beat)
-	b = number(b, noteLife, uint64(n.life))
-	b = fixed(b, noteList, n.list)
-	b = number(number(b, noteTotal, uint64(n.total)), noteWeight, uint64(n.weight))
-	b = fixed(b, noteDigest, n.digest)
-	if n.seen != 0 {
-		b = number(b, noteSeen, uint64(n.seen))
+	b := number([]byte{Version}, messageHeartbeat, n.heartbeat)
+	b = number(b, messageIncarnation, uint64(n.incarnation))
+	b = fixed(b, messageListDigest, n.listDigest)
+	b = number(number(b, messageTotalWeight, uint64(n.totalWeight)), messageWeight, uint64(n.weight))
+	b = fixed(b, messageStoreDigest, n.storeDigest)
+	if n.observationDigest != 0 {
+		b = number(b, messageObservationDigest, uint64(n.observationDigest))
 	}
-	if n.answers {
-		b = number(b, noteAnswers, 1)
+	if n.wantsReply {
+		b = number(b, messageWantsReply, 1)
 	}
-	if n.detail != nil {
+	if n.bucketDigest != nil {
 		var d []byte
-		for _, x := range n.detail {
+		for _, x := range n.bucketDigest {
 			d = protowire.AppendFixed32(d, x)
 		}
-		b = protowire.AppendBytes(protowire.AppendTag(b, noteDetail, protowire.BytesType), d)
+		b = protowire.AppendBytes(protowire.AppendTag(b, messageBucketDigest, protowire.BytesType), d)
 	}
-	for _, w := range n.words {
-		next := protowire.AppendBytes(protowire.AppendTag(b, noteWord, protowire.BytesType), w.encode(nil))
-		if len(next) > gossip.Room {
+	for _, w := range n.overrides {
+		next := protowire.AppendBytes(protowire.AppendTag(b, messageOverride, protowire.BytesType), w.encode(nil))
+		if len(next) > gossip.MaxUnsealedBytes {
 			break
 		}
 		b, words = next, words+1
 	}
-	for _, s := range n.sights {
-		next := protowire.AppendBytes(protowire.AppendTag(b, noteSight, protowire.BytesType), s.encode(nil))
-		if len(next) > gossip.Room {
+	for _, s := range n.observations {
+		next := protowire.AppendBytes(protowire.AppendTag(b, messageObservation, protowire.BytesType), s.encode(nil))
+		if len(next) > gossip.MaxUnsealedBytes {
 			break
 		}
 		b, sights = next, sights+1
 	}
 	var acts []byte
-	for _, a := range n.acts {
+	for _, a := range n.versions {
 		acts = protowire.AppendFixed32(protowire.AppendVarint(acts, uint64(a.Kind)), a.Version)
 	}
-	if len(acts) > 0 && len(b)+len(acts)+2 <= gossip.Room {
-		b = protowire.AppendBytes(protowire.AppendTag(b, noteActs, protowire.BytesType), acts)
+	if len(acts) > 0 && len(b)+len(acts)+2 <= gossip.MaxUnsealedBytes {
+		b = protowire.AppendBytes(protowire.AppendTag(b, messageVersions, protowire.BytesType), acts)
 	}
 	var beats []byte
-	for _, h := range n.heard {
-		next := protowire.AppendVarint(protowire.AppendVarint(beats, uint64(h.relay)), h.beat)
-		if len(b)+len(next)+4 > gossip.Room { // a tag and a length of two bytes
+	for _, h := range n.heartbeats {
+		next := protowire.AppendVarint(protowire.AppendVarint(beats, uint64(h.relay)), h.heartbeat)
+		if len(b)+len(next)+4 > gossip.MaxUnsealedBytes { // a tag and a length of two bytes
 			break
 		}
 		beats = next
 	}
 	if len(beats) > 0 {
-		b = protowire.AppendBytes(protowire.AppendTag(b, noteHeard, protowire.BytesType), beats)
+		b = protowire.AppendBytes(protowire.AppendTag(b, messageHeartbeats, protowire.BytesType), beats)
 	}
 	return gossip.Seal(b), words, sights
 }
 
 // decode reads a note. One that is damaged in any way gives nothing.
-func decode(data []byte) (note, error) {
+func decode(data []byte) (message, error) {
 	says, err := gossip.Open(data, Version)
 	if err != nil {
-		return note{}, err
+		return message{}, err
 	}
-	var n note
-	if err := fields(says, n.take); err != nil {
-		return note{}, err
+	var n message
+	if err := eachField(says, n.setField); err != nil {
+		return message{}, err
 	}
 	return n, nil
 }
 
-// take takes in one field.
-func (n *note) take(number protowire.Number, f protofields.Field) error {
+// setField takes in one field.
+func (n *message) setField(number protowire.Number, f protofields.Field) error {
 	switch number {
-	case noteBeat:
-		n.beat = f.Number
-	case noteLife:
-		n.life = uint32(f.Number)
-	case noteList:
-		n.list = f.Number
-	case noteTotal:
-		n.total = int(min(f.Number, 1<<20))
-	case noteWeight:
+	case messageHeartbeat:
+		n.heartbeat = f.Number
+	case messageIncarnation:
+		n.incarnation = uint32(f.Number)
+	case messageListDigest:
+		n.listDigest = f.Number
+	case messageTotalWeight:
+		n.totalWeight = int(min(f.Number, 1<<20))
+	case messageWeight:
 		n.weight = int(min(f.Number, 1<<20))
-	case noteDigest:
-		n.digest = f.Number
-	case noteAnswers:
-		n.answers = f.Number == 1
-	case noteSeen:
-		n.seen = uint32(f.Number)
-	case noteDetail:
-		n.detail = new(Digest)
-		for i := range n.detail {
+	case messageStoreDigest:
+		n.storeDigest = f.Number
+	case messageWantsReply:
+		n.wantsReply = f.Number == 1
+	case messageObservationDigest:
+		n.observationDigest = uint32(f.Number)
+	case messageBucketDigest:
+		n.bucketDigest = new(Digest)
+		for i := range n.bucketDigest {
 			v, size := protowire.ConsumeFixed32(f.Bytes)
 			if size < 0 {
-				return errNote
+				return errMalformed
 			}
-			n.detail[i], f.Bytes = v, f.Bytes[size:]
+			n.bucketDigest[i], f.Bytes = v, f.Bytes[size:]
 		}
-	case noteHeard:
+	case messageHeartbeats:
 		for len(f.Bytes) > 0 {
 			relay, size := protowire.ConsumeVarint(f.Bytes)
 			if size < 0 {
-				return errNote
+				return errMalformed
 			}
 			beat, more := protowire.ConsumeVarint(f.Bytes[size:])
 			if more < 0 {
-				return errNote
+				return errMalformed
 			}
-			n.heard, f.Bytes = append(n.heard, heard{int(min(relay, 1<<20)), beat}), f.Bytes[size+more:]
+			n.heartbeats, f.Bytes = append(n.heartbeats, relayHeartbeat{int(min(relay, 1<<20)), beat}), f.Bytes[size+more:]
 		}
-	case noteActs:
+	case messageVersions:
 		for len(f.Bytes) > 0 {
 			kind, size := protowire.ConsumeVarint(f.Bytes)
 			if size < 0 {
-				return errNote
+				return errMalformed
 			}
 			version, more := protowire.ConsumeFixed32(f.Bytes[size:])
 			if more < 0 {
-				return errNote
+				return errMalformed
 			}
-			n.acts, f.Bytes = append(n.acts, Acts{int(min(kind, 1<<20)), version}), f.Bytes[size+more:]
+			n.versions, f.Bytes = append(n.versions, ActiveVersion{int(min(kind, 1<<20)), version}), f.Bytes[size+more:]
 		}
-	case noteSight:
-		s, err := decodeSight(f.Bytes)
+	case messageObservation:
+		s, err := decodeObservation(f.Bytes)
 		if err != nil {
 			return err
 		}
-		n.sights = append(n.sights, s)
-	case noteWord:
-		w, err := decodeWord(f.Bytes)
+		n.observations = append(n.observations, s)
+	case messageOverride:
+		w, err := decodeOverride(f.Bytes)
 		if err != nil {
 			return err
 		}
-		n.words = append(n.words, w)
+		n.overrides = append(n.overrides, w)
 	}
 	return nil
 }
--- a/internal/relay/override/override_test.go
+++ b/internal/relay/override/override_test.go
@@ -17,17 +17,17 @@
 
 var histories = flag.Int("histories", 100, "random histories of TestFleetAgrees")
 
-func word(t *rapid.T) Word {
-	return Word{Subject: rapid.SampledFrom([]string{"endpoint:a", "endpoint:b", "partner:p"}).Draw(t, "subject"), On: rapid.Bool().Draw(t, "on"),
-		Count: rapid.Uint64Range(1, 3).Draw(t, "count"), Origin: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "origin"),
-		By: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "by"), AtMs: rapid.Int64Range(-1, 1).Draw(t, "at")}
+func word(t *rapid.T) Override {
+	return Override{Subject: rapid.SampledFrom([]string{"endpoint:a", "endpoint:b", "partner:p"}).Draw(t, "subject"), Active: rapid.Bool().Draw(t, "on"),
+		Counter: rapid.Uint64Range(1, 3).Draw(t, "count"), Origin: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "origin"),
+		Author: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "by"), AtMs: rapid.Int64Range(-1, 1).Draw(t, "at")}
 }
 
 // Whatever order words come in, and however often, books end the same, and so do their digests.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		words := rapid.SliceOfN(rapid.Custom(word), 1, 12).Draw(t, "words")
-		a, b := NewBook(), NewBook()
+		a, b := NewStore(), NewStore()
 		for _, w := range words {
 			a.Merge(w)
 		}
@@ -54,33 +54,33 @@
 
 func TestNotesAreReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := note{beat: rapid.Uint64().Draw(t, "beat"), list: rapid.Uint64().Draw(t, "list"), total: rapid.IntRange(0, 64).Draw(t, "total"), weight: rapid.IntRange(0, 100).Draw(t, "weight"),
-			digest: rapid.Uint64().Draw(t, "digest"), answers: rapid.Bool().Draw(t, "answers"), words: rapid.SliceOfN(rapid.Custom(word), 0, 3).Draw(t, "words")}
+		n := message{heartbeat: rapid.Uint64().Draw(t, "beat"), listDigest: rapid.Uint64().Draw(t, "list"), totalWeight: rapid.IntRange(0, 64).Draw(t, "total"), weight: rapid.IntRange(0, 100).Draw(t, "weight"),
+			storeDigest: rapid.Uint64().Draw(t, "digest"), wantsReply: rapid.Bool().Draw(t, "answers"), overrides: rapid.SliceOfN(rapid.Custom(word), 0, 3).Draw(t, "words")}
 		if rapid.Bool().Draw(t, "detail") {
-			n.detail = &Digest{1, math.MaxUint32}
+			n.bucketDigest = &Digest{1, math.MaxUint32}
 		}
 		for i := range rapid.IntRange(0, 4).Draw(t, "acts") {
-			n.acts = append(n.acts, Acts{i, uint32(i) << 30})
+			n.versions = append(n.versions, ActiveVersion{i, uint32(i) << 30})
 		}
 		for i := range rapid.IntRange(0, 64).Draw(t, "heard") {
-			n.heard = append(n.heard, heard{i, uint64(i) << 20})
+			n.heartbeats = append(n.heartbeats, relayHeartbeat{i, uint64(i) << 20})
 		}
 		data, words, _ := n.encode()
 		got, err := decode(data)
-		if err != nil || len(data) > gossip.Most {
+		if err != nil || len(data) > gossip.MaxMessageBytes {
 			t.Fatal(err, len(data))
 		}
-		n.words, n.heard, n.acts = n.words[:words], n.heard[:len(got.heard)], n.acts[:len(got.acts)]
-		if fmt.Sprint(got.words, got.heard, got.beat, got.list, got.total, got.weight, got.acts, got.digest, got.answers) != fmt.Sprint(n.words, n.heard, n.beat, n.list, n.total, n.weight, n.acts, n.digest, n.answers) {
+		n.overrides, n.heartbeats, n.versions = n.overrides[:words], n.heartbeats[:len(got.heartbeats)], n.versions[:len(got.versions)]
+		if fmt.Sprint(got.overrides, got.heartbeats, got.heartbeat, got.listDigest, got.totalWeight, got.weight, got.versions, got.storeDigest, got.wantsReply) != fmt.Sprint(n.overrides, n.heartbeats, n.heartbeat, n.listDigest, n.totalWeight, n.weight, n.versions, n.storeDigest, n.wantsReply) {
 			t.Fatalf("%+v\n%+v", n, got)
 		}
 	})
-	longest := Word{Subject: strings.Repeat("s", MostSubject), Count: mostCount, Origin: strings.Repeat("o", MostBy), By: strings.Repeat("b", MostBy), AtMs: math.MaxInt64}
-	if _, words, _ := (note{beat: math.MaxUint64, list: 1, total: 6400, weight: 100, digest: 1, answers: true, words: []Word{longest}}).encode(); words != 1 {
+	longest := Override{Subject: strings.Repeat("s", MaxSubjectBytes), Counter: maxCounter, Origin: strings.Repeat("o", MaxNameBytes), Author: strings.Repeat("b", MaxNameBytes), AtMs: math.MaxInt64}
+	if _, words, _ := (message{heartbeat: math.MaxUint64, listDigest: 1, totalWeight: 6400, weight: 100, storeDigest: 1, wantsReply: true, overrides: []Override{longest}}).encode(); words != 1 {
 		t.Error("the longest word does not fit into a note")
 	}
-	if w, err := NewBook().Next("partner:p", true, "x", strings.Repeat("ñ", 60), 0); err != nil || len(w.By) > MostBy || !strings.HasPrefix(w.By, "ññ") {
-		t.Errorf("a long name: %q, %v", w.By, err)
+	if w, err := NewStore().Next("partner:p", true, "x", strings.Repeat("ñ", 60), 0); err != nil || len(w.Author) > MaxNameBytes || !strings.HasPrefix(w.Author, "ññ") {
+		t.Errorf("a long name: %q, %v", w.Author, err)
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestChangedNotesAreNotRead(t *testing.T) {
 	draw, passed := rand.New(rand.NewPCG(1, 1)), 0
 	for range 20_000 {
-		data, _, _ := note{beat: draw.Uint64(), digest: draw.Uint64(), words: []Word{{Subject: "partner:p", Count: 1, Origin: "x"}}}.encode()
+		data, _, _ := message{heartbeat: draw.Uint64(), storeDigest: draw.Uint64(), overrides: []Override{{Subject: "partner:p", Counter: 1, Origin: "x"}}}.encode()
 		data[draw.IntN(len(data))] ^= byte(1 + draw.IntN(255))
 		if _, err := decode(data); err == nil {
 			passed++
@@ -100,12 +100,12 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	data, _, _ := note{beat: 3, words: []Word{{Subject: "partner:p", Count: 1, Origin: "x"}}, heard: []heard{{1, 2}}, detail: new(Digest)}.encode()
+	data, _, _ := message{heartbeat: 3, overrides: []Override{{Subject: "partner:p", Counter: 1, Origin: "x"}}, heartbeats: []relayHeartbeat{{1, 2}}, bucketDigest: new(Digest)}.encode()
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if n, err := decode(data); err == nil {
-			for _, w := range n.words {
-				if w.Check() != nil {
+			for _, w := range n.overrides {
+				if w.Validate() != nil {
 					t.Error("a word that no book takes")
 				}
 			}
@@ -115,7 +115,7 @@
 
 // fleet are the parts of all relays, in virtual time.
 type fleet struct {
-	talks   []*Talk
+	talks   []*Gossiper
 	dead    []bool
 	now     time.Duration
 	draw    *rand.Rand
@@ -153,32 +153,32 @@
 	return all
 }
 
-func (f *fleet) start(t testing.TB, i int, kept []Word) {
+func (f *fleet) start(t testing.TB, i int, kept []Override) {
 	f.lives++
-	talk, err := New(Settings{Names: names(len(f.dead)), Self: i, Life: f.lives}, f.now, kept)
+	talk, err := New(Settings{Names: names(len(f.dead)), Self: i, Incarnation: f.lives}, f.now, kept)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.talks[i], f.dead[i] = talk, false
 }
 
-func (f *fleet) take(i int, words []Word) {
+func (f *fleet) take(i int, words []Override) {
 	if !f.durable(i) {
 		return
 	}
-	f.talks[i].Take(f.now, words...)
+	f.talks[i].Apply(f.now, words...)
 	for _, w := range words {
 		f.taken[fmt.Sprint(i, w.Subject)] = f.now
 	}
 }
 
 // say has a relay take in what its operator says.
-func (f *fleet) say(t testing.TB, i int, subject string, on bool) Word {
-	w, err := f.talks[i].Book().Next(subject, on, names(len(f.dead))[i], "op", 0)
+func (f *fleet) say(t testing.TB, i int, subject string, on bool) Override {
+	w, err := f.talks[i].Store().Next(subject, on, names(len(f.dead))[i], "op", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.take(i, []Word{w})
+	f.take(i, []Override{w})
 	return w
 }
 
@@ -191,7 +191,7 @@
 			if s.at > f.now {
 				left = append(left, s)
 			} else if !f.dead[s.to] {
-				f.take(s.to, f.talks[s.to].Hear(f.now, s.from, s.data))
+				f.take(s.to, f.talks[s.to].Receive(f.now, s.from, s.data))
 			}
 		}
 		for i, talk := range f.talks {
@@ -213,7 +213,7 @@
 
 // all tells whether a subject holds at some relays, as it should.
 func (f *fleet) all(subject string, on bool, relays ...int) bool {
-	return !slices.ContainsFunc(relays, func(i int) bool { _, holds := f.talks[i].Book().Holds(subject); return holds != on })
+	return !slices.ContainsFunc(relays, func(i int) bool { _, holds := f.talks[i].Store().Get(subject); return holds != on })
 }
 
 func upTo(n int) (all []int) {
@@ -253,8 +253,8 @@
 			took := f.now - began
 			f.play(2 * time.Second)
 			if name == "whole" || name == "lossy" {
-				for _, v := range f.talks[0].Views(f.now) {
-					if !v.Self && (!v.Agrees || v.Agreed > f.now-began) {
+				for _, v := range f.talks[0].PeerViews(f.now) {
+					if !v.Self && (!v.InSync || v.SinceInSync > f.now-began) {
 						t.Errorf("%s, seed %d: %s holds it, which is not known: %+v", name, seed, v.Name, v)
 					}
 				}
@@ -287,8 +287,8 @@
 	f.works = func(a, b int) bool { return a-b == 1 || b-a == 1 }
 	f.play(4 * time.Second)
 	there := func(of int) (n int) {
-		for _, v := range f.talks[of].Views(f.now) {
-			if v.There {
+		for _, v := range f.talks[of].PeerViews(f.now) {
+			if v.Reachable {
 				n++
 			}
 		}
@@ -298,7 +298,7 @@
 		t.Errorf("in a chain of eight the first takes %d to be there", n)
 	}
 	f.works = func(a, b int) bool { return a != 3 && b != 3 }
-	f.play(LostAfter + 2*BeatEvery)
+	f.play(UnreachableAfter + 2*HeartbeatInterval)
 	if n := there(3); n != 1 {
 		t.Errorf("one that is cut off takes %d to be there, itself among them", n)
 	}
@@ -315,12 +315,12 @@
 	said := f.now
 	f.say(t, 0, "endpoint:a", true)
 	f.play(2 * time.Second)
-	if v := f.talks[0].Views(f.now)[2]; v.Agrees || v.Agreed < f.now-said {
+	if v := f.talks[0].PeerViews(f.now)[2]; v.InSync || v.SinceInSync < f.now-said {
 		t.Errorf("a relay that could not record it: %+v", v)
 	}
 	f.durable = func(int) bool { return true }
 	f.play(time.Second)
-	if v := f.talks[0].Views(f.now)[2]; !v.Agrees || !f.all("endpoint:a", true, 2) {
+	if v := f.talks[0].PeerViews(f.now)[2]; !v.InSync || !f.all("endpoint:a", true, 2) {
 		t.Errorf("once it could: %+v", v)
 	}
 }
@@ -354,7 +354,7 @@
 	f.dead[2] = true // in the next instant
 	f.play(time.Second)
 	f.works = func(int, int) bool { return true }
-	f.start(t, 2, []Word{{Subject: "endpoint:x", On: true, Count: 1, Origin: "r02", By: "op"}}) // what it had recorded
+	f.start(t, 2, []Override{{Subject: "endpoint:x", Active: true, Counter: 1, Origin: "r02", Author: "op"}}) // what it had recorded
 	if f.play(time.Second); !f.all("endpoint:x", true, upTo(6)...) || !f.all("partner:q", true, upTo(6)...) {
 		t.Error("the word of a relay that died as it was said is lost")
 	}
@@ -364,7 +364,7 @@
 	if f.play(time.Second); !f.all("endpoint:x", true, upTo(6)...) {
 		t.Error("one that began anew with nothing has not taken over what the others hold")
 	}
-	if v := f.talks[0].Views(f.now)[4]; !v.There || !v.Agrees {
+	if v := f.talks[0].PeerViews(f.now)[4]; !v.Reachable || !v.InSync {
 		t.Errorf("it is not taken to be there: %+v", v)
 	}
 }
@@ -376,7 +376,7 @@
 		draw := rand.New(rand.NewPCG(seed, 8))
 		n := 2 + draw.IntN(6)
 		f := newFleet(t, n, seed)
-		kept := make([]map[string]Word, n) // as their journals have it
+		kept := make([]map[string]Override, n) // as their journals have it
 		for range 12 {
 			side := make([]int, n)
 			for i := range side {
@@ -395,41 +395,41 @@
 			for range draw.IntN(4) {
 				i, subject := draw.IntN(n), fmt.Sprintf("endpoint:%d", draw.IntN(30))
 				if !f.dead[i] {
-					_, holds := f.talks[i].Book().Holds(subject)
+					_, holds := f.talks[i].Store().Get(subject)
 					f.say(t, i, subject, !holds)
 				}
 			}
 			f.play(time.Duration(draw.IntN(400)) * time.Millisecond)
 			if i := draw.IntN(n); f.dead[i] {
-				var words []Word
+				var words []Override
 				for _, w := range kept[i] {
 					words = append(words, w)
 				}
 				f.start(t, i, words)
 			} else if draw.IntN(3) == 0 {
-				f.dead[i], kept[i] = true, map[string]Word{}
-				for _, w := range f.talks[i].Book().All() {
+				f.dead[i], kept[i] = true, map[string]Override{}
+				for _, w := range f.talks[i].Store().All() {
 					kept[i][w.Subject] = w
 				}
 			}
 		}
-		want := NewBook()
+		want := NewStore()
 		for i := range n {
 			if f.dead[i] {
-				var words []Word
+				var words []Override
 				for _, w := range kept[i] {
 					words = append(words, w)
 				}
 				f.start(t, i, words)
 			}
-			for _, w := range f.talks[i].Book().All() {
+			for _, w := range f.talks[i].Store().All() {
 				want.Merge(w)
 			}
 		}
 		f.works, f.lose, f.delay = func(int, int) bool { return true }, 0, func() time.Duration { return time.Millisecond }
 		f.play(4 * time.Second) // the wire may hold notes that are 2 s late
 		for i := range n {
-			if got := f.talks[i].Book(); got.Digest() != want.Digest() || fmt.Sprint(got.All()) != fmt.Sprint(want.All()) {
+			if got := f.talks[i].Store(); got.Digest() != want.Digest() || fmt.Sprint(got.All()) != fmt.Sprint(want.All()) {
 				t.Fatalf("history %d: relay %d of %d holds\n%v\nwant\n%v", seed, i, n, got.All(), want.All())
 			}
 		}
@@ -445,8 +445,8 @@
 	f.play(time.Second)
 	seen := func(at int) string {
 		var all []string
-		for _, s := range f.talks[at].Sights(f.now) {
-			all = append(all, fmt.Sprintf("%s by %d %v", s.Subject, s.Origin, s.Bad))
+		for _, s := range f.talks[at].Observations(f.now) {
+			all = append(all, fmt.Sprintf("%s by %d %v", s.Subject, s.Origin, s.Unhealthy))
 		}
 		return strings.Join(all, ", ")
 	}
@@ -458,35 +458,35 @@
 			}
 		}
 	}
-	f.talks[1].See(f.now, "endpoint:a", true)
-	f.talks[1].See(f.now, "endpoint:b", false) // was never bad
-	f.talks[4].See(f.now, "endpoint:a", true)
+	f.talks[1].Observe(f.now, "endpoint:a", true)
+	f.talks[1].Observe(f.now, "endpoint:b", false) // was never bad
+	f.talks[4].Observe(f.now, "endpoint:a", true)
 	f.play(time.Second)
 	everywhere("two saw it out", "endpoint:a by 1 true, endpoint:a by 4 true")
 	f.play(40 * time.Second)
 	everywhere("it is said again", "endpoint:a by 1 true, endpoint:a by 4 true")
-	if s := f.talks[0].Sights(f.now)[0]; s.Since < 40*time.Second || s.Since > 42*time.Second || s.Said > sayAgain+time.Second {
-		t.Errorf("since %v, said %v ago", s.Since, s.Said)
+	if s := f.talks[0].Observations(f.now)[0]; s.Since < 40*time.Second || s.Since > 42*time.Second || s.Renewed > renewInterval+time.Second {
+		t.Errorf("since %v, said %v ago", s.Since, s.Renewed)
 	}
-	f.talks[1].See(f.now, "endpoint:a", false)
+	f.talks[1].Observe(f.now, "endpoint:a", false)
 	f.play(time.Second)
 	everywhere("one sees it well", "endpoint:a by 1 false, endpoint:a by 4 true")
 	f.start(t, 4, nil) // and has seen nothing
 	f.play(2 * time.Second)
 	everywhere("the other began anew", "endpoint:a by 1 false, endpoint:a by 4 false")
-	f.talks[4].See(f.now, "endpoint:a", true)
+	f.talks[4].Observe(f.now, "endpoint:a", true)
 	f.play(time.Second)
 	everywhere("and sees it out again", "endpoint:a by 1 false, endpoint:a by 4 true")
 	f.dead[4] = true
-	f.play(SightFor + time.Second)
+	f.play(ObservationTTL + time.Second)
 	everywhere("nobody renews it", "")
-	for i := range 2 * MostSights {
-		f.talks[2].See(f.now, fmt.Sprint("endpoint:", i), true)
+	for i := range 2 * MaxObservations {
+		f.talks[2].Observe(f.now, fmt.Sprint("endpoint:", i), true)
 	}
 	f.play(5 * time.Second)
 	for i, talk := range f.talks {
-		if n := len(talk.Sights(f.now)); n != MostSights && !f.dead[i] {
-			t.Errorf("relay %d knows %d sights, want %d", i, n, MostSights)
+		if n := len(talk.Observations(f.now)); n != MaxObservations && !f.dead[i] {
+			t.Errorf("relay %d knows %d sights, want %d", i, n, MaxObservations)
 		}
 	}
 	f.notes = 0
@@ -500,42 +500,42 @@
 func TestLateAndMadeUpNotes(t *testing.T) {
 	f := newFleet(t, 3, 1)
 	f.play(2 * time.Second)
-	old, _ := f.talks[1].Due(f.now + BeatEvery)
+	old, _ := f.talks[1].Due(f.now + HeartbeatInterval)
 	f.play(2 * time.Second)
 	f.dead[1] = true
-	f.play(LostAfter + BeatEvery)
+	f.play(UnreachableAfter + HeartbeatInterval)
 	for _, n := range old {
 		if n.To == 0 {
-			f.talks[0].Hear(f.now, 1, n.Data)
+			f.talks[0].Receive(f.now, 1, n.Data)
 		}
 	}
-	if v := f.talks[0].Views(f.now)[1]; v.There {
+	if v := f.talks[0].PeerViews(f.now)[1]; v.Reachable {
 		t.Errorf("a relay that is dead is there by a note of 3 s ago: %+v", v)
 	}
 	f.start(t, 1, nil)
 	f.play(time.Second)
-	if v := f.talks[0].Views(f.now)[1]; !v.There {
+	if v := f.talks[0].PeerViews(f.now)[1]; !v.Reachable {
 		t.Errorf("one that began anew is not there: %+v", v)
 	}
 	f.say(t, 0, "partner:p", true)
 	f.play(time.Second)
-	lie, _, _ := note{life: 3, beat: 1 << 50, list: listOf(names(3)), total: 3, weight: 1, heard: []heard{{0, math.MaxUint64}, {1, 1 << 60}},
-		words: []Word{{Subject: "partner:p", Count: 1 << 40, Origin: "r02"}}}.encode()
+	lie, _, _ := message{incarnation: 3, heartbeat: 1 << 50, listDigest: listDigest(names(3)), totalWeight: 3, weight: 1, heartbeats: []relayHeartbeat{{0, math.MaxUint64}, {1, 1 << 60}},
+		overrides: []Override{{Subject: "partner:p", Counter: 1 << 40, Origin: "r02"}}}.encode()
 	for _, talk := range f.talks[:2] {
-		if news := talk.Hear(f.now, 2, lie); len(news) > 0 {
+		if news := talk.Receive(f.now, 2, lie); len(news) > 0 {
 			t.Errorf("taken in: %v", news)
 		}
 	}
 	f.play(2 * time.Second)
 	for i := range 3 {
-		for _, v := range f.talks[i].Views(f.now) {
-			if !v.There {
+		for _, v := range f.talks[i].PeerViews(f.now) {
+			if !v.Reachable {
 				t.Errorf("after made-up beats relay %d takes %s for lost", i, v.Name)
 			}
 		}
 	}
-	if f.say(t, 1, "partner:p", false); f.talks[1].Book().words["partner:p"].Count != 2 {
-		t.Errorf("what was said has count %d after a made-up one", f.talks[1].Book().words["partner:p"].Count)
+	if f.say(t, 1, "partner:p", false); f.talks[1].Store().overrides["partner:p"].Counter != 2 {
+		t.Errorf("what was said has count %d after a made-up one", f.talks[1].Store().overrides["partner:p"].Counter)
 	}
 	if f.play(time.Second); !f.all("partner:p", false, 0, 1, 2) {
 		t.Error("an operator is not heard after a made-up count")
@@ -551,32 +551,32 @@
 		t.Helper()
 		f.play(500 * time.Millisecond)
 		for i, talk := range f.talks {
-			if got := talk.Parts(f.now); got != want {
+			if got := talk.TotalWeight(f.now); got != want {
 				t.Errorf("%s: relay %d divides by %d, want %d", what, i, got, want)
 			}
 		}
 	}
 	parts("even", 3)
-	f.talks[2].set.Weights = []int{1, 1, 3}
+	f.talks[2].settings.Weights = []int{1, 1, 3}
 	parts("one has three in its own list", 5)
-	f.talks[1].set.Weights = []int{1, 4, 1}
+	f.talks[1].settings.Weights = []int{1, 4, 1}
 	parts("and another has four in its own: 1 + 4 + 3", 8)
-	f.talks[1].set.Weights, f.talks[2].set.Weights = nil, nil
+	f.talks[1].settings.Weights, f.talks[2].settings.Weights = nil, nil
 	parts("all have the first list again", 3)
-	f.talks[2].set.Weights = []int{1, 1, 1 << 19}
+	f.talks[2].settings.Weights = []int{1, 1, 1 << 19}
 	f.play(500 * time.Millisecond)
-	if n := f.talks[0].Parts(f.now); n != MostSize {
-		t.Errorf("%d parts by a wrong list, want %d", n, MostSize)
+	if n := f.talks[0].TotalWeight(f.now); n != MaxTotalWeight {
+		t.Errorf("%d parts by a wrong list, want %d", n, MaxTotalWeight)
 	}
-	f.talks[2].set.Weights = nil
+	f.talks[2].settings.Weights = nil
 	for i, talk := range f.talks {
-		talk.Lose([]int{1})
+		talk.SetRemoved([]int{1})
 		if i == 1 {
 			f.dead[i] = true
 		}
 	}
 	f.play(500 * time.Millisecond)
-	if n := f.talks[0].Parts(f.now); n != 2 {
+	if n := f.talks[0].TotalWeight(f.now); n != 2 {
 		t.Errorf("%d parts without one that is gone, want 2", n)
 	}
 	if _, err := New(Settings{Names: names(2), Weights: []int{1}}, 0, nil); err == nil {
--- a/internal/relay/override/peer.go
+++ b/internal/relay/override/peer.go
@@ -18,77 +18,77 @@
 // budget of a cold return) goes with asks and grants, from whoever granted the calls.
 //
 // A sight has its origin and that one's count, and ages instead of times: since it began, and since it was said last. It is said
-// again every sayAgain while it holds, and lapses SightFor after it was said last, wherever that is heard: so what nobody
+// again every renewInterval while it holds, and lapses ObservationTTL after it was said last, wherever that is heard: so what nobody
 // renews, because its origin is gone or cut off, is gone too. One that comes round to its origin changes nothing there;
 // one of that from before it began anew has it count on above it and say anew what it sees now.
 const (
-	SightFor   = 30 * time.Second
-	sayAgain   = 10 * time.Second
-	MostSights = 32      // of one relay
-	mostAge    = 1 << 32 // milliseconds
+	ObservationTTL  = 30 * time.Second
+	renewInterval   = 10 * time.Second
+	MaxObservations = 32      // of one relay
+	maxAgeMs        = 1 << 32 // milliseconds
 )
 
-// Sight is what one relay saw.
-type Sight struct {
-	Subject string
-	Origin  int // in the order of the list
-	Bad     bool
-	Since   time.Duration // ago, by its origin and the relays that passed it on; notes under way are not counted
-	Said    time.Duration // ago, likewise
-	Count   uint64
+// Observation is what one relay saw.
+type Observation struct {
+	Subject   string
+	Origin    int // in the order of the list
+	Unhealthy bool
+	Since     time.Duration // ago, by its origin and the relays that passed it on; notes under way are not counted
+	Renewed   time.Duration // ago, likewise
+	Counter   uint64
 }
 
-// sighted names what a sight is about.
-type sighted struct {
+// observationKey names what a sight is about.
+type observationKey struct {
 	origin  int
 	subject string
 }
 
-// seen is a sight as it is kept.
-type seen struct {
-	bad    bool
-	count  uint64
-	since  time.Duration // by this relay's clock
-	saidAt time.Duration
+// observed is a sight as it is kept.
+type observed struct {
+	unhealthy bool
+	counter   uint64
+	since     time.Duration // by this relay's clock
+	renewedAt time.Duration
 }
 
-// sights are those that one relay knows.
-type sights struct {
-	all    map[sighted]seen
-	digest uint32
-	cursor map[int]sighted // by peer, the last one sent
-	lookAt time.Duration   // nothing lapses, or is to be said again, before
+// observationSet are those that one relay knows.
+type observationSet struct {
+	all       map[observationKey]observed
+	digest    uint32
+	lastSent  map[int]observationKey // by peer, the last one sent
+	nextCheck time.Duration          // nothing lapses, or is to be said again, before
 }
 
-func newSights() sights {
-	return sights{all: map[sighted]seen{}, cursor: map[int]sighted{}, lookAt: never}
+func newObservationSet() observationSet {
+	return observationSet{all: map[observationKey]observed{}, lastSent: map[int]observationKey{}, nextCheck: never}
 }
 
-func (s *sights) put(k sighted, v seen) {
+func (s *observationSet) put(k observationKey, v observed) {
 	if was, ok := s.all[k]; ok {
-		s.digest ^= k.sum(was)
+		s.digest ^= k.hash(was)
 	}
 	s.all[k] = v
-	s.digest ^= k.sum(v)
-	s.lookAt = min(s.lookAt, v.saidAt+sayAgain)
+	s.digest ^= k.hash(v)
+	s.nextCheck = min(s.nextCheck, v.renewedAt+renewInterval)
 }
 
-func (s *sights) drop(k sighted) {
-	s.digest ^= k.sum(s.all[k])
+func (s *observationSet) remove(k observationKey) {
+	s.digest ^= k.hash(s.all[k])
 	delete(s.all, k)
 }
 
-// sum stands for a sight in the digest: all but its times.
-func (k sighted) sum(v seen) uint32 {
+// hash stands for a sight in the digest: all but its times.
+func (k observationKey) hash(v observed) uint32 {
 	h := fnv.New32a()
-	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, uint32(k.origin)), v.count)
-	h.Write(append(b, byte(protowire.EncodeBool(v.bad))))
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, uint32(k.origin)), v.counter)
+	h.Write(append(b, byte(protowire.EncodeBool(v.unhealthy))))
 	h.Write([]byte(k.subject))
 	return h.Sum32()
 }
 
-// count is how many sights of an origin are kept.
-func (s *sights) count(origin int) (n int) {
+// countOf is how many sights of an origin are kept.
+func (s *observationSet) countOf(origin int) (n int) {
 	for k := range s.all {
 		if k.origin == origin {
 			n++
@@ -97,146 +97,146 @@
 	return n
 }
 
-// See takes in what this relay sees now. What it has not called bad before is not told to be well.
-func (t *Talk) See(now time.Duration, subject string, bad bool) {
-	k := sighted{t.set.Self, subject}
-	was, known := t.sights.all[k]
-	if known && was.bad == bad || !known && (!bad || t.sights.count(t.set.Self) >= MostSights) || len(subject) > MostSubject || subject == "" {
+// Observe takes in what this relay sees now. What it has not called bad before is not told to be well.
+func (t *Gossiper) Observe(now time.Duration, subject string, bad bool) {
+	k := observationKey{t.settings.Self, subject}
+	was, known := t.observations.all[k]
+	if known && was.unhealthy == bad || !known && (!bad || t.observations.countOf(t.settings.Self) >= MaxObservations) || len(subject) > MaxSubjectBytes || subject == "" {
 		return
 	}
-	t.counted++
-	t.sights.put(k, seen{bad: bad, count: t.counted, since: now, saidAt: now})
-	t.tellSights()
+	t.observationCounter++
+	t.observations.put(k, observed{unhealthy: bad, counter: t.observationCounter, since: now, renewedAt: now})
+	t.pushObservations()
 }
 
-// tellSights has all others told of sights at once.
-func (t *Talk) tellSights() {
+// pushObservations has all others told of sights at once.
+func (t *Gossiper) pushObservations() {
 	for i := range t.peers {
-		t.peers[i].sights = true
+		t.peers[i].observationsUnsent = true
 	}
 }
 
-// hearSight takes in a sight from a note.
-func (t *Talk) hearSight(now time.Duration, s Sight) {
-	if s.Origin < 0 || s.Origin >= len(t.peers) || s.Subject == "" || len(s.Subject) > MostSubject || s.Said >= SightFor || s.Count == 0 || s.Count > mostCount {
+// receiveObservation takes in a sight from a note.
+func (t *Gossiper) receiveObservation(now time.Duration, s Observation) {
+	if s.Origin < 0 || s.Origin >= len(t.peers) || s.Subject == "" || len(s.Subject) > MaxSubjectBytes || s.Renewed >= ObservationTTL || s.Counter == 0 || s.Counter > maxCounter {
 		return
 	}
-	k := sighted{s.Origin, s.Subject}
-	was, known := t.sights.all[k]
-	if s.Origin == t.set.Self {
-		if s.Count <= t.counted { // it came round
+	k := observationKey{s.Origin, s.Subject}
+	was, known := t.observations.all[k]
+	if s.Origin == t.settings.Self {
+		if s.Counter <= t.observationCounter { // it came round
 			return
 		}
-		t.counted = s.Count + 1 // from before this one began anew: what is seen now is newer
-		bad, since := known && was.bad, now
+		t.observationCounter = s.Counter + 1 // from before this one began anew: what is seen now is newer
+		bad, since := known && was.unhealthy, now
 		if bad {
 			since = was.since
 		}
-		t.sights.put(k, seen{bad: bad, count: t.counted, since: since, saidAt: now})
-		t.tellSights()
+		t.observations.put(k, observed{unhealthy: bad, counter: t.observationCounter, since: since, renewedAt: now})
+		t.pushObservations()
 		return
 	}
-	if known && s.Count <= was.count || !known && t.sights.count(s.Origin) >= MostSights {
+	if known && s.Counter <= was.counter || !known && t.observations.countOf(s.Origin) >= MaxObservations {
 		return
 	}
-	t.sights.put(k, seen{bad: s.Bad, count: s.Count, since: now - s.Since, saidAt: now - s.Said})
-	t.tellSights()
+	t.observations.put(k, observed{unhealthy: s.Unhealthy, counter: s.Counter, since: now - s.Since, renewedAt: now - s.Renewed})
+	t.pushObservations()
 }
 
-// keepSights says again what this relay still sees, and forgets what has lapsed.
-func (t *Talk) keepSights(now time.Duration) {
-	if now < t.sights.lookAt {
+// renewObservations says again what this relay still sees, and forgets what has lapsed.
+func (t *Gossiper) renewObservations(now time.Duration) {
+	if now < t.observations.nextCheck {
 		return
 	}
-	t.sights.lookAt = never
-	for _, k := range slices.SortedFunc(maps.Keys(t.sights.all), compareSighted) {
-		switch v := t.sights.all[k]; {
-		case k.origin == t.set.Self && v.bad && now-v.saidAt >= sayAgain:
-			t.counted++
-			v.count, v.saidAt = t.counted, now
-			t.sights.put(k, v)
-		case now-v.saidAt >= SightFor:
-			t.sights.drop(k)
+	t.observations.nextCheck = never
+	for _, k := range slices.SortedFunc(maps.Keys(t.observations.all), compareObservationKeys) {
+		switch v := t.observations.all[k]; {
+		case k.origin == t.settings.Self && v.unhealthy && now-v.renewedAt >= renewInterval:
+			t.observationCounter++
+			v.counter, v.renewedAt = t.observationCounter, now
+			t.observations.put(k, v)
+		case now-v.renewedAt >= ObservationTTL:
+			t.observations.remove(k)
 		default:
-			at := v.saidAt + SightFor
-			if k.origin == t.set.Self && v.bad {
-				at = v.saidAt + sayAgain
+			at := v.renewedAt + ObservationTTL
+			if k.origin == t.settings.Self && v.unhealthy {
+				at = v.renewedAt + renewInterval
 			}
-			t.sights.lookAt = min(t.sights.lookAt, at)
+			t.observations.nextCheck = min(t.observations.nextCheck, at)
 		}
 	}
 }
 
-func compareSighted(a, b sighted) int {
+func compareObservationKeys(a, b observationKey) int {
 	return cmp.Or(cmp.Compare(a.origin, b.origin), cmp.Compare(a.subject, b.subject))
 }
 
-// Sights are what is known, by subject and origin.
-func (t *Talk) Sights(now time.Duration) (all []Sight) {
-	for k, v := range t.sights.all {
-		if now-v.saidAt < SightFor {
-			all = append(all, Sight{Subject: k.subject, Origin: k.origin, Bad: v.bad, Since: now - v.since, Said: now - v.saidAt, Count: v.count})
+// Observations are what is known, by subject and origin.
+func (t *Gossiper) Observations(now time.Duration) (all []Observation) {
+	for k, v := range t.observations.all {
+		if now-v.renewedAt < ObservationTTL {
+			all = append(all, Observation{Subject: k.subject, Origin: k.origin, Unhealthy: v.unhealthy, Since: now - v.since, Renewed: now - v.renewedAt, Counter: v.counter})
 		}
 	}
-	slices.SortFunc(all, func(a, b Sight) int {
+	slices.SortFunc(all, func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(a.Subject, b.Subject), cmp.Compare(a.Origin, b.Origin))
 	})
 	return all
 }
 
-// differingSights are those to send a peer whose digest is another, from where the last note to it ended.
-func (t *Talk) differingSights(now time.Duration, to int) (all []Sight) {
-	keys := slices.SortedFunc(maps.Keys(t.sights.all), compareSighted)
-	first, _ := slices.BinarySearchFunc(keys, t.sights.cursor[to], compareSighted)
-	if first < len(keys) && keys[first] == t.sights.cursor[to] {
+// observationsFor are those to send a peer whose digest is another, from where the last note to it ended.
+func (t *Gossiper) observationsFor(now time.Duration, to int) (all []Observation) {
+	keys := slices.SortedFunc(maps.Keys(t.observations.all), compareObservationKeys)
+	first, _ := slices.BinarySearchFunc(keys, t.observations.lastSent[to], compareObservationKeys)
+	if first < len(keys) && keys[first] == t.observations.lastSent[to] {
 		first++
 	}
 	for _, k := range append(slices.Clone(keys[first:]), keys[:first]...) {
-		v := t.sights.all[k]
-		all = append(all, Sight{Subject: k.subject, Origin: k.origin, Bad: v.bad, Since: now - v.since, Said: now - v.saidAt, Count: v.count})
+		v := t.observations.all[k]
+		all = append(all, Observation{Subject: k.subject, Origin: k.origin, Unhealthy: v.unhealthy, Since: now - v.since, Renewed: now - v.renewedAt, Counter: v.counter})
 	}
 	return all
 }
 
 // The numbers of a sight's fields. A number is never used anew.
 const (
-	sightSubject protowire.Number = iota + 1
-	sightOrigin
-	sightBad
-	sightSince // milliseconds
-	sightSaid  // milliseconds
-	sightCount
+	observationSubject protowire.Number = iota + 1
+	observationOrigin
+	observationUnhealthy
+	observationSince   // milliseconds
+	observationRenewed // milliseconds
+	observationCounter
 )
 
-func (s Sight) encode(b []byte) []byte {
+func (s Observation) encode(b []byte) []byte {
 	number := func(f protowire.Number, v uint64) {
 		b = protowire.AppendVarint(protowire.AppendTag(b, f, protowire.VarintType), v)
 	}
-	b = protowire.AppendString(protowire.AppendTag(b, sightSubject, protowire.BytesType), s.Subject)
-	number(sightOrigin, uint64(s.Origin))
-	number(sightBad, protowire.EncodeBool(s.Bad))
-	number(sightSince, uint64(max(0, s.Since).Milliseconds()))
-	number(sightSaid, uint64(max(0, s.Said).Milliseconds()))
-	number(sightCount, s.Count)
+	b = protowire.AppendString(protowire.AppendTag(b, observationSubject, protowire.BytesType), s.Subject)
+	number(observationOrigin, uint64(s.Origin))
+	number(observationUnhealthy, protowire.EncodeBool(s.Unhealthy))
+	number(observationSince, uint64(max(0, s.Since).Milliseconds()))
+	number(observationRenewed, uint64(max(0, s.Renewed).Milliseconds()))
+	number(observationCounter, s.Counter)
 	return b
 }
 
-func decodeSight(data []byte) (s Sight, err error) {
-	err = fields(data, func(n protowire.Number, f protofields.Field) error {
-		ms := time.Duration(min(f.Number, mostAge)) * time.Millisecond
+func decodeObservation(data []byte) (s Observation, err error) {
+	err = eachField(data, func(n protowire.Number, f protofields.Field) error {
+		ms := time.Duration(min(f.Number, maxAgeMs)) * time.Millisecond
 		switch n {
-		case sightSubject:
+		case observationSubject:
 			s.Subject = string(f.Bytes)
-		case sightOrigin:
+		case observationOrigin:
 			s.Origin = int(min(f.Number, 1<<20))
-		case sightBad:
-			s.Bad = protowire.DecodeBool(f.Number)
-		case sightSince:
+		case observationUnhealthy:
+			s.Unhealthy = protowire.DecodeBool(f.Number)
+		case observationSince:
 			s.Since = ms
-		case sightSaid:
-			s.Said = ms
-		case sightCount:
-			s.Count = f.Number
+		case observationRenewed:
+			s.Renewed = ms
+		case observationCounter:
+			s.Counter = f.Number
 		}
 		return nil
 	})
--- a/internal/relay/override/store.go
+++ b/internal/relay/override/store.go
@@ -26,58 +26,58 @@
 
 // The bounds of a word: three at least fit into a note.
 const (
-	MostSubject = 80   // bytes
-	MostBy      = 40   // bytes of who said it; more is cut off
-	MostWords   = 1000 // of one fleet, those that were taken back among them
-	mostCount   = 1 << 48
-	mostLeap    = 1 << 20 // by which a word's count may exceed the one that is known: operators do not say so much
+	MaxSubjectBytes = 80   // bytes
+	MaxNameBytes    = 40   // bytes of who said it; more is cut off
+	MaxOverrides    = 1000 // of one fleet, those that were taken back among them
+	maxCounter      = 1 << 48
+	maxCounterLeap  = 1 << 20 // by which a word's count may exceed the one that is known: operators do not say so much
 )
 
-// Word is what an operator said of a subject.
-type Word struct {
+// Override is what an operator said of a subject.
+type Override struct {
 	Subject string
-	On      bool   // it holds; false: it was taken back
-	Count   uint64 // one more than that of the word before, as its origin knew it
+	Active  bool   // it holds; false: it was taken back
+	Counter uint64 // one more than that of the word before, as its origin knew it
 	Origin  string // the relay at which it was said
-	By      string // who said it, for people
+	Author  string // who said it, for people
 	AtMs    int64  // when, by its origin's wall clock, for people alone
 }
 
 // Compare orders words on one subject: the later one wins, by count. Two that were said without knowing of each other have
 // the same count; then the one that holds wins over the one that takes back, since to send nothing is the safer mistake.
 // What is left is told apart so that all relays choose the same.
-func (w Word) Compare(o Word) int {
+func (w Override) Compare(o Override) int {
 	on := func(b bool) int {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(w.Count, o.Count), cmp.Compare(on(w.On), on(o.On)), cmp.Compare(w.Origin, o.Origin),
-		cmp.Compare(w.AtMs, o.AtMs), cmp.Compare(w.By, o.By))
+	return cmp.Or(cmp.Compare(w.Counter, o.Counter), cmp.Compare(on(w.Active), on(o.Active)), cmp.Compare(w.Origin, o.Origin),
+		cmp.Compare(w.AtMs, o.AtMs), cmp.Compare(w.Author, o.Author))
 }
 
-// Check tells what is wrong with a word; nil if nothing is.
-func (w Word) Check() error {
+// Validate tells what is wrong with a word; nil if nothing is.
+func (w Override) Validate() error {
 	switch {
-	case w.Subject == "" || len(w.Subject) > MostSubject:
-		return fmt.Errorf("verdict: a subject of %d bytes, must have from 1 to %d", len(w.Subject), MostSubject)
-	case w.Origin == "" || len(w.Origin) > MostBy || len(w.By) > MostBy:
-		return fmt.Errorf("verdict: an origin of %d and a speaker of %d bytes, %d at most", len(w.Origin), len(w.By), MostBy)
-	case w.Count == 0 || w.Count > mostCount:
-		return fmt.Errorf("verdict: count %d", w.Count)
+	case w.Subject == "" || len(w.Subject) > MaxSubjectBytes:
+		return fmt.Errorf("verdict: a subject of %d bytes, must have from 1 to %d", len(w.Subject), MaxSubjectBytes)
+	case w.Origin == "" || len(w.Origin) > MaxNameBytes || len(w.Author) > MaxNameBytes:
+		return fmt.Errorf("verdict: an origin of %d and a speaker of %d bytes, %d at most", len(w.Origin), len(w.Author), MaxNameBytes)
+	case w.Counter == 0 || w.Counter > maxCounter:
+		return fmt.Errorf("verdict: count %d", w.Counter)
 	}
 	return nil
 }
 
-// buckets are the parts of a book that are compared by digests of their own.
-const buckets = 16
+// digestBuckets are the parts of a book that are compared by digests of their own.
+const digestBuckets = 16
 
 // Digest stands for all words of a book: two books with the same hold the same words.
-type Digest [buckets]uint32
+type Digest [digestBuckets]uint32
 
-// whole is one figure for all of a digest.
-func (d Digest) whole() uint64 {
+// combined is one figure for all of a digest.
+func (d Digest) combined() uint64 {
 	h := fnv.New64a()
 	for _, x := range d {
 		h.Write(protowire.AppendFixed32(nil, x))
@@ -85,143 +85,143 @@
 	return h.Sum64()
 }
 
-// Book holds the words of one relay. It is not safe for concurrent use.
-type Book struct {
-	words  map[string]Word
-	digest Digest
+// Store holds the words of one relay. It is not safe for concurrent use.
+type Store struct {
+	overrides map[string]Override
+	digest    Digest
 }
 
-// NewBook returns an empty one.
-func NewBook() *Book { return &Book{words: map[string]Word{}} }
+// NewStore returns an empty one.
+func NewStore() *Store { return &Store{overrides: map[string]Override{}} }
 
-// ErrMany is told where a book is full.
-var ErrMany = fmt.Errorf("verdict: more than %d words", MostWords)
+// ErrFull is told where a book is full.
+var ErrFull = fmt.Errorf("verdict: more than %d words", MaxOverrides)
 
-// ErrSame is told where what is said holds already.
-var ErrSame = errors.New("verdict: that holds already")
+// ErrUnchanged is told where what is said holds already.
+var ErrUnchanged = errors.New("verdict: that holds already")
 
 // Next is the word that says something anew here. It is not in the book before Merge.
-func (b *Book) Next(subject string, on bool, origin, by string, atMs int64) (Word, error) {
-	was, known := b.words[subject]
-	if was.On == on {
-		return was, ErrSame
+func (b *Store) Next(subject string, on bool, origin, by string, atMs int64) (Override, error) {
+	was, known := b.overrides[subject]
+	if was.Active == on {
+		return was, ErrUnchanged
 	}
-	if !known && len(b.words) >= MostWords {
-		return Word{}, ErrMany
+	if !known && len(b.overrides) >= MaxOverrides {
+		return Override{}, ErrFull
 	}
-	w := Word{subject, on, was.Count + 1, origin, cut(by), atMs}
-	return w, w.Check()
+	w := Override{subject, on, was.Counter + 1, origin, truncate(by), atMs}
+	return w, w.Validate()
 }
 
-// cut shortens a name to what fits, at a rune's end.
-func cut(s string) string {
-	for len(s) > MostBy {
+// truncate shortens a name to what fits, at a rune's end.
+func truncate(s string) string {
+	for len(s) > MaxNameBytes {
 		_, size := utf8.DecodeLastRuneInString(s)
 		s = s[:len(s)-size]
 	}
 	return s
 }
 
-// News tells whether a word would change the book.
-func (b *Book) News(w Word) bool {
-	was, known := b.words[w.Subject]
-	return w.Check() == nil && (known && w.Compare(was) > 0 && w.Count-was.Count <= mostLeap || !known && len(b.words) < MostWords)
+// Changes tells whether a word would change the book.
+func (b *Store) Changes(w Override) bool {
+	was, known := b.overrides[w.Subject]
+	return w.Validate() == nil && (known && w.Compare(was) > 0 && w.Counter-was.Counter <= maxCounterLeap || !known && len(b.overrides) < MaxOverrides)
 }
 
 // Merge takes a word in, and tells whether it changed the book.
-func (b *Book) Merge(w Word) bool {
-	if !b.News(w) {
+func (b *Store) Merge(w Override) bool {
+	if !b.Changes(w) {
 		return false
 	}
-	if was, known := b.words[w.Subject]; known {
-		b.digest[bucketOf(w.Subject)] ^= was.sum()
+	if was, known := b.overrides[w.Subject]; known {
+		b.digest[bucketOf(w.Subject)] ^= was.hash()
 	}
-	b.words[w.Subject] = w
-	b.digest[bucketOf(w.Subject)] ^= w.sum()
+	b.overrides[w.Subject] = w
+	b.digest[bucketOf(w.Subject)] ^= w.hash()
 	return true
 }
 
 func bucketOf(subject string) int {
 	h := fnv.New32a()
 	h.Write([]byte(subject))
-	return int(h.Sum32() % buckets)
+	return int(h.Sum32() % digestBuckets)
 }
 
-// sum stands for a word in a digest.
-func (w Word) sum() uint32 {
+// hash stands for a word in a digest.
+func (w Override) hash() uint32 {
 	h := fnv.New64a()
 	h.Write(w.encode(nil))
 	s := h.Sum64()
 	return uint32(s>>32) ^ uint32(s)
 }
 
-// Holds tells what was said of a subject last, and whether it holds.
-func (b *Book) Holds(subject string) (w Word, holds bool) {
-	w = b.words[subject]
-	return w, w.On
+// Get tells what was said of a subject last, and whether it holds.
+func (b *Store) Get(subject string) (w Override, holds bool) {
+	w = b.overrides[subject]
+	return w, w.Active
 }
 
 // All are the words of the book, by subject.
-func (b *Book) All() []Word {
-	return slices.SortedFunc(maps.Values(b.words), func(a, o Word) int { return cmp.Compare(a.Subject, o.Subject) })
+func (b *Store) All() []Override {
+	return slices.SortedFunc(maps.Values(b.overrides), func(a, o Override) int { return cmp.Compare(a.Subject, o.Subject) })
 }
 
 // Digest stands for them.
-func (b *Book) Digest() Digest { return b.digest }
+func (b *Store) Digest() Digest { return b.digest }
 
 // The numbers of a word's fields. A number is never used anew.
 const (
-	wordSubject protowire.Number = iota + 1
-	wordOn
-	wordCount
-	wordOrigin
-	wordBy
-	wordAt
+	overrideSubject protowire.Number = iota + 1
+	overrideActive
+	overrideCounter
+	overrideOrigin
+	overrideAuthor
+	overrideAt
 )
 
-func (w Word) encode(b []byte) []byte {
-	b = protowire.AppendString(protowire.AppendTag(b, wordSubject, protowire.BytesType), w.Subject)
-	b = protowire.AppendVarint(protowire.AppendTag(b, wordOn, protowire.VarintType), protowire.EncodeBool(w.On))
-	b = protowire.AppendVarint(protowire.AppendTag(b, wordCount, protowire.VarintType), w.Count)
-	b = protowire.AppendString(protowire.AppendTag(b, wordOrigin, protowire.BytesType), w.Origin)
-	b = protowire.AppendString(protowire.AppendTag(b, wordBy, protowire.BytesType), w.By)
-	return protowire.AppendVarint(protowire.AppendTag(b, wordAt, protowire.VarintType), protowire.EncodeZigZag(w.AtMs))
+func (w Override) encode(b []byte) []byte {
+	b = protowire.AppendString(protowire.AppendTag(b, overrideSubject, protowire.BytesType), w.Subject)
+	b = protowire.AppendVarint(protowire.AppendTag(b, overrideActive, protowire.VarintType), protowire.EncodeBool(w.Active))
+	b = protowire.AppendVarint(protowire.AppendTag(b, overrideCounter, protowire.VarintType), w.Counter)
+	b = protowire.AppendString(protowire.AppendTag(b, overrideOrigin, protowire.BytesType), w.Origin)
+	b = protowire.AppendString(protowire.AppendTag(b, overrideAuthor, protowire.BytesType), w.Author)
+	return protowire.AppendVarint(protowire.AppendTag(b, overrideAt, protowire.VarintType), protowire.EncodeZigZag(w.AtMs))
 }
 
-var errNote = errors.New("verdict: the note cannot be read")
+var errMalformed = errors.New("verdict: the note cannot be read")
 
-// decodeWord reads a word. Fields that are not known are passed over.
-func decodeWord(data []byte) (w Word, err error) {
-	err = fields(data, func(n protowire.Number, f protofields.Field) error {
+// decodeOverride reads a word. Fields that are not known are passed over.
+func decodeOverride(data []byte) (w Override, err error) {
+	err = eachField(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
-		case wordSubject:
+		case overrideSubject:
 			w.Subject = string(f.Bytes)
-		case wordOn:
-			w.On = protowire.DecodeBool(f.Number)
-		case wordCount:
-			w.Count = f.Number
-		case wordOrigin:
+		case overrideActive:
+			w.Active = protowire.DecodeBool(f.Number)
+		case overrideCounter:
+			w.Counter = f.Number
+		case overrideOrigin:
 			w.Origin = string(f.Bytes)
-		case wordBy:
-			w.By = string(f.Bytes)
-		case wordAt:
+		case overrideAuthor:
+			w.Author = string(f.Bytes)
+		case overrideAt:
 			w.AtMs = f.Signed()
 		}
 		return nil
 	})
 	if err == nil {
-		err = w.Check()
+		err = w.Validate()
 	}
 	return w, err
 }
 
-// fields hands out the fields of a message, which are varints, fixed64 and bytes.
-func fields(data []byte, take func(n protowire.Number, f protofields.Field) error) error {
+// eachField hands out the eachField of a message, which are varints, fixed64 and bytes.
+func eachField(data []byte, take func(n protowire.Number, f protofields.Field) error) error {
 	return protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
 		switch f.Type {
 		case protowire.VarintType, protowire.Fixed64Type, protowire.BytesType:
 			return take(n, f)
 		}
-		return errNote
+		return errMalformed
 	})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -209,10 +209,10 @@
 // Serve runs the relay until it is ended.
 func (r *Relay) Serve() {
 	if r.alone == nil {
-		go r.follow(r.life, discoverypoll.Settings{Index: r.set.Index, Fleet: r.set.Fleet, Seed: r.conf.Seed, Version: r.version, Listed: len(r.hosts) > 0})
+		go r.follow(r.life, discoverypoll.Settings{Index: r.set.Index, FleetSize: r.set.Fleet, Seed: r.conf.Seed, Version: r.version, Listed: len(r.hosts) > 0})
 		go r.tell(r.life)
 	}
-	if r.chooser.Granted() && r.conf.PeerListen != "" {
+	if r.chooser.UsesGrants() && r.conf.PeerListen != "" {
 		go r.joinFleet(r.life)
 	}
 	go r.server.Serve(r.listener)
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -39,15 +39,15 @@
 	}
 	r.tracedAt = now
 	for _, v := range r.chooser.Routes() {
-		slog.Debug("steward", "dest", v.Dest, "route", v.Route, "state", v.State, "for", v.For.Milliseconds(), "rate", v.Rate, "used", v.Used,
-			"out", v.Out, "asks", v.Asks, "calls", v.Calls, "share", v.Share)
+		slog.Debug("steward", "dest", v.Dest, "route", v.Route, "state", v.State, "for", v.InState.Milliseconds(), "rate", v.Rate, "used", v.UsedRate,
+			"out", v.InFlight, "asks", v.PendingRequests, "calls", v.PendingCalls, "share", v.Share)
 	}
 }
 
 // traceAsked notes an answer of discovery, or its absence.
-func traceAsked(q discoverypoll.Question, l list, took time.Duration, err error) {
+func traceAsked(q discoverypoll.Request, l list, took time.Duration, err error) {
 	if debugging() {
-		slog.Debug("asked", "full", q.Whole, "since", q.Since, "version", l.Version, "whole", l.Full, "lines", len(l.Servers),
+		slog.Debug("asked", "full", q.FullList, "since", q.Since, "version", l.Version, "whole", l.Full, "lines", len(l.Servers),
 			"took", took.Milliseconds(), "err", err)
 	}
 }
--- a/internal/relay/versionaudit/versionaudit.go
+++ b/internal/relay/versionaudit/versionaudit.go
@@ -36,88 +36,88 @@
 // Version is a digest of what a relay acts on; 0 is none.
 type Version uint32
 
-// lapse is after how long a version that nobody is heard to hold any more is forgotten: once it comes again it is new.
-const lapse = 10 * time.Minute
-
-// Ledger is one relay's. It is not safe for concurrent use.
-type Ledger struct {
-	relays int
-	began  time.Duration // the first entry; below 0 before it
-	held   map[Kind][]held
-	born   map[Kind]map[Version]time.Duration // when it was first seen, after nobody held it
-	seen   map[Kind]map[Version]time.Duration // last
+// versionTTL is after how long a version that nobody is heard to hold any more is forgotten: once it comes again it is new.
+const versionTTL = 10 * time.Minute
+
+// Auditor is one relay's. It is not safe for concurrent use.
+type Auditor struct {
+	relays     int
+	startedAt  time.Duration // the first entry; below 0 before it
+	reports    map[Kind][]report
+	appearedAt map[Kind]map[Version]time.Duration // when it was first seen, after nobody held it
+	lastSeenAt map[Kind]map[Version]time.Duration // last
 }
 
-// held is what a relay acts on, as it was heard last.
-type held struct {
+// report is what a relay acts on, as it was heard last.
+type report struct {
 	version Version
-	since   time.Duration // heard of first
-	at      time.Duration // heard of last
+	firstAt time.Duration // heard of first
+	lastAt  time.Duration // heard of last
 }
 
 // New returns the ledger of a fleet of so many relays.
-func New(relays int) *Ledger {
-	l := &Ledger{relays: relays, began: -1, held: map[Kind][]held{}, born: map[Kind]map[Version]time.Duration{}, seen: map[Kind]map[Version]time.Duration{}}
+func New(relays int) *Auditor {
+	l := &Auditor{relays: relays, startedAt: -1, reports: map[Kind][]report{}, appearedAt: map[Kind]map[Version]time.Duration{}, lastSeenAt: map[Kind]map[Version]time.Duration{}}
 	for _, k := range Kinds {
-		l.held[k], l.born[k], l.seen[k] = make([]held, relays), map[Version]time.Duration{}, map[Version]time.Duration{}
+		l.reports[k], l.appearedAt[k], l.lastSeenAt[k] = make([]report, relays), map[Version]time.Duration{}, map[Version]time.Duration{}
 	}
 	return l
 }
 
-// Heard takes in what a relay acts on. Kinds that are not known are passed over: a newer build tells more.
-func (l *Ledger) Heard(now time.Duration, relay int, k Kind, v Version) {
-	all, ok := l.held[k]
+// Record takes in what a relay acts on. Kinds that are not known are passed over: a newer build tells more.
+func (l *Auditor) Record(now time.Duration, relay int, k Kind, v Version) {
+	all, ok := l.reports[k]
 	if !ok || relay < 0 || relay >= l.relays || v == 0 {
 		return
 	}
-	for old, at := range l.seen[k] {
-		if now-at >= lapse {
-			delete(l.seen[k], old)
-			delete(l.born[k], old)
+	for old, at := range l.lastSeenAt[k] {
+		if now-at >= versionTTL {
+			delete(l.lastSeenAt[k], old)
+			delete(l.appearedAt[k], old)
 		}
 	}
-	if l.began < 0 {
-		l.began = now
+	if l.startedAt < 0 {
+		l.startedAt = now
 	}
-	if _, known := l.born[k][v]; !known || !l.anybody(k, v) {
-		l.born[k][v] = now
-		if now-l.began < together {
-			l.born[k][v] = l.began
+	if _, known := l.appearedAt[k][v]; !known || !l.inUse(k, v) {
+		l.appearedAt[k][v] = now
+		if now-l.startedAt < startupWindow {
+			l.appearedAt[k][v] = l.startedAt
 		}
 	}
-	l.seen[k][v] = now
+	l.lastSeenAt[k][v] = now
 	if h := &all[relay]; h.version != v {
-		*h = held{v, now, now}
+		*h = report{v, now, now}
 	} else {
-		h.at = now
+		h.lastAt = now
 	}
 }
 
-// anybody tells whether a relay holds a version, as far as is known.
-func (l *Ledger) anybody(k Kind, v Version) bool {
-	return slices.ContainsFunc(l.held[k], func(h held) bool { return h.version == v })
+// inUse tells whether a relay holds a version, as far as is known.
+func (l *Auditor) inUse(k Kind, v Version) bool {
+	return slices.ContainsFunc(l.reports[k], func(h report) bool { return h.version == v })
 }
 
 // newest is the version of a kind that appeared last of those that are held, and when. Of versions that appeared at once, as
 // where a relay starts and hears all, it is the one that most relays hold.
-func (l *Ledger) newest(k Kind) (v Version, born time.Duration) {
+func (l *Auditor) newest(k Kind) (v Version, born time.Duration) {
 	holders := map[Version]int{}
-	for _, h := range l.held[k] {
+	for _, h := range l.reports[k] {
 		if h.version != 0 {
 			holders[h.version]++
 		}
 	}
 	for _, o := range slices.Sorted(maps.Keys(holders)) {
-		if at := l.born[k][o]; v == 0 || at > born || at == born && holders[o] > holders[v] {
+		if at := l.appearedAt[k][o]; v == 0 || at > born || at == born && holders[o] > holders[v] {
 			v, born = o, at
 		}
 	}
 	return v, born
 }
 
-// together is for how long after its first entry a ledger takes all versions to have been there before: a relay that starts
+// startupWindow is for how long after its first entry a ledger takes all versions to have been there before: a relay that starts
 // hears the others within a few beats.
-const together = 2 * time.Second
+const startupWindow = 2 * time.Second
 
 // State is how a relay stands with a kind.
 type State string
@@ -131,37 +131,37 @@
 
 // Row is what is known of a relay and a kind.
 type Row struct {
-	Relay   int
-	Kind    Kind
-	Version Version
-	State   State
-	For     time.Duration // it has been known to act on that version
-	Heard   time.Duration // since it was heard last
-	Behind  time.Duration // since a newer version appeared; 0 for one that is current
-	Newest  int           // relays that act on the newest version
+	Relay       int
+	Kind        Kind
+	Version     Version
+	State       State
+	ActiveFor   time.Duration // it has been known to act on that version
+	SinceReport time.Duration // since it was heard last
+	BehindFor   time.Duration // since a newer version appeared; 0 for one that is current
+	OnNewest    int           // relays that act on the newest version
 }
 
 // Rows are all relays and kinds: those that are behind first, the longest first.
-func (l *Ledger) Rows(now time.Duration) (all []Row) {
+func (l *Auditor) Rows(now time.Duration) (all []Row) {
 	for _, k := range Kinds {
 		v, born := l.newest(k)
 		count := 0
-		for _, h := range l.held[k] {
+		for _, h := range l.reports[k] {
 			if v != 0 && h.version == v {
 				count++
 			}
 		}
-		for i, h := range l.held[k] {
-			r := Row{Relay: i, Kind: k, Version: h.version, State: Unknown, Newest: count}
+		for i, h := range l.reports[k] {
+			r := Row{Relay: i, Kind: k, Version: h.version, State: Unknown, OnNewest: count}
 			if h.version != 0 {
-				r.State, r.For, r.Heard = Current, now-h.since, now-h.at
+				r.State, r.ActiveFor, r.SinceReport = Current, now-h.firstAt, now-h.lastAt
 			}
 			if h.version != 0 && h.version != v {
-				r.State, r.Behind = Behind, max(0, now-born)
+				r.State, r.BehindFor = Behind, max(0, now-born)
 			}
 			all = append(all, r)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Row) int { return cmp.Compare(b.Behind, a.Behind) })
+	slices.SortStableFunc(all, func(a, b Row) int { return cmp.Compare(b.BehindFor, a.BehindFor) })
 	return all
 }
--- a/internal/relay/versionaudit/versionaudit_test.go
+++ b/internal/relay/versionaudit/versionaudit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func show(l *Ledger, now time.Duration, k Kind) (text string) {
+func show(l *Auditor, now time.Duration, k Kind) (text string) {
 	rows := map[int]Row{}
 	for _, r := range l.Rows(now) {
 		if r.Kind == k {
@@ -27,7 +27,7 @@
 	l := New(4)
 	all := func(now time.Duration, versions ...Version) {
 		for i, v := range versions {
-			l.Heard(now, i, Partners, v)
+			l.Record(now, i, Partners, v)
 		}
 	}
 	step := func(now time.Duration, want string) {
@@ -40,7 +40,7 @@
 	step(1*s, "1:current 1:current 1:current 0:unknown ")
 	all(10*s, 1, 2, 1)
 	step(11*s, "1:behind 2:current 1:behind 0:unknown ")
-	if r := l.Rows(40 * s)[0]; r.Behind != 30*s || r.Kind != Partners || r.Newest != 1 || r.For != 40*s || r.Heard != 30*s {
+	if r := l.Rows(40 * s)[0]; r.BehindFor != 30*s || r.Kind != Partners || r.OnNewest != 1 || r.ActiveFor != 40*s || r.SinceReport != 30*s {
 		t.Errorf("%+v", r)
 	}
 	all(50*s, 2, 2, 1, 2)
@@ -52,9 +52,9 @@
 	all(0, 5)
 	all(1*s, 5, 6, 6, 6)
 	step(2*s, "5:behind 6:current 6:current 6:current ")
-	l.Heard(3*s, 9, Partners, 7)
-	l.Heard(3*s, 1, Kind(77), 7)
-	l.Heard(3*s, 1, Partners, 0)
+	l.Record(3*s, 9, Partners, 7)
+	l.Record(3*s, 1, Kind(77), 7)
+	l.Record(3*s, 1, Partners, 0)
 	step(3*s, "5:behind 6:current 6:current 6:current ")
 }
 
@@ -67,7 +67,7 @@
 		for range rapid.IntRange(0, 40).Draw(t, "notes") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "after"))
 			i, v := rapid.IntRange(0, n-1).Draw(t, "relay"), Version(rapid.IntRange(1, 4).Draw(t, "version"))
-			l.Heard(now, i, Rules, v)
+			l.Record(now, i, Rules, v)
 			last[i] = v
 		}
 		rows, current, versions := 0, 0, map[Version]bool{}
@@ -76,7 +76,7 @@
 				continue
 			}
 			rows++
-			if r.Version != last[r.Relay] || (r.State == Unknown) != (last[r.Relay] == 0) || r.Behind < 0 || r.Behind > now {
+			if r.Version != last[r.Relay] || (r.State == Unknown) != (last[r.Relay] == 0) || r.BehindFor < 0 || r.BehindFor > now {
 				t.Fatalf("%+v, last %v", r, last)
 			}
 			if r.State == Current {
--- a/internal/relay/versions.go
+++ b/internal/relay/versions.go
@@ -36,19 +36,19 @@
 		versionaudit.Rules:    digestOf([]any{r.set.Classes, r.set.Rules, r.set.Zones, r.set.ZoneFee, r.set.KindNames, r.set.Kinds}),
 		versionaudit.Build:    digestOf(r.alone.Version),
 	}
-	var acts []override.Acts
+	var acts []override.ActiveVersion
 	for _, k := range versionaudit.Kinds {
-		acts = append(acts, override.Acts{Kind: int(k), Version: uint32(on[k])})
+		acts = append(acts, override.ActiveVersion{Kind: int(k), Version: uint32(on[k])})
 	}
-	f.talk.Act(acts)
+	f.talk.SetActiveVersions(acts)
 	r.heardActs(f.self)
 }
 
 // heardActs enters what a relay says that it acts on.
 func (r *Relay) heardActs(relay int) {
 	f, now := r.company, r.now()
-	for _, a := range f.talk.Acts(relay) {
-		f.ledger.Heard(now, relay, versionaudit.Kind(a.Kind), versionaudit.Version(a.Version))
+	for _, a := range f.talk.ActiveVersions(relay) {
+		f.ledger.Record(now, relay, versionaudit.Kind(a.Kind), versionaudit.Version(a.Version))
 	}
 }
 
@@ -61,11 +61,11 @@
 	f.lookAt = r.now() + time.Second
 	for _, row := range f.ledger.Rows(r.now()) {
 		key := straggler{row.Relay, row.Kind, row.Version}
-		if row.State != versionaudit.Behind || row.Behind < behindFor || row.Heard > override.LostAfter || f.warned[key] {
+		if row.State != versionaudit.Behind || row.BehindFor < behindFor || row.SinceReport > override.UnreachableAfter || f.warned[key] {
 			continue
 		}
 		f.warned[key] = true
-		slog.Warn("a relay acts on an older version", "relay", f.names[row.Relay], "of", row.Kind.String(), "for", row.Behind.Round(time.Second), "newest_at", row.Newest,
+		slog.Warn("a relay acts on an older version", "relay", f.names[row.Relay], "of", row.Kind.String(), "for", row.BehindFor.Round(time.Second), "newest_at", row.OnNewest,
 			"relays", len(f.names))
 	}
 }
@@ -82,9 +82,9 @@
 	f := r.company
 	all := []adminapi.FleetVersion{}
 	for _, row := range f.ledger.Rows(r.now()) {
-		v := adminapi.FleetVersion{Relay: f.names[row.Relay], Kind: row.Kind.String(), State: string(row.State), Newest: row.Newest}
+		v := adminapi.FleetVersion{Relay: f.names[row.Relay], Kind: row.Kind.String(), State: string(row.State), Newest: row.OnNewest}
 		if row.State != versionaudit.Unknown {
-			v.Version, v.ForMs, v.HeardMs, v.BehindMs = uint32(row.Version), row.For.Milliseconds(), row.Heard.Milliseconds(), row.Behind.Milliseconds()
+			v.Version, v.ForMs, v.HeardMs, v.BehindMs = uint32(row.Version), row.ActiveFor.Milliseconds(), row.SinceReport.Milliseconds(), row.BehindFor.Milliseconds()
 		}
 		all = append(all, v)
 	}
