--- a/internal/relay/fleetlimit/steward.go
+++ b/internal/relay/fleetlimit/coordinator.go
@@ -155,3 +155,63 @@
 		return old
 	})
 }
+
+func (f *Limiter) coordinatorFor(dest int) *coordinatorState {
+	k := f.coordinated[dest]
+	if k == nil {
+		ranked := f.requestFor(dest).candidates // none are before one that grants to itself alone
+		k = &coordinatorState{dest: dest, configured: f.newConfiguredLimit(dest), routes: map[uint32]*pacer{}, nextRoomAt: never, helloAt: -helloInterval, quotaShares: f.settings.QuotaShares,
+			pool: quota.NewPool(leaseTerms, f.settings.Incarnation), predecessors: ranked[:max(0, slices.Index(ranked, f.settings.Index))]}
+		f.coordinated[dest] = k
+	}
+	if !k.inBusy {
+		if len(k.order) > 0 && f.now-k.idleSince > idleTimeout { // what has not been told since is lost
+			for _, p := range k.routes {
+				p.resume(f.now)
+			}
+		}
+		k.inBusy, k.busySince = true, f.now
+		i, _ := slices.BinarySearchFunc(f.busy, k, func(a, b *coordinatorState) int { return cmp.Compare(a.dest, b.dest) })
+		f.busy = slices.Insert(f.busy, i, k)
+	}
+	return k
+}
+
+// acceptRequest takes in an ask as a steward.
+func (f *Limiter) acceptRequest(k *coordinatorState, from int, r record) {
+	part, alone := f.grantableShare(k)
+	k.put(f.settings.Rules, part, alone, f.now, from, r)
+}
+
+// serve grants what there is room for at a destination that this relay is steward of.
+func (f *Limiter) serve(k *coordinatorState) {
+	if f.handOver(k) {
+		return
+	}
+	part, alone := f.grantableShare(k)
+	k.serve(part, alone, f.now, f.receivedAt, func(a *pendingRequest, route uint32, p *pacer) {
+		f.lastGrant++
+		p.grant(f.now, a.relay, f.lastGrant)
+		f.send(a.relay, record{kind: grantKind, dest: k.dest, routes: []estimate{p.estimate(f.now, route)}, grant: f.lastGrant,
+			validFor: grantTTL, healthy: p.healthy(f.now), timestamp: a.timestamp, queuedFor: f.now - a.receivedAt})
+	})
+	for _, a := range k.requests {
+		if a.answered {
+			continue
+		}
+		a.answered = true
+		r := record{kind: queuedKind, dest: k.dest}
+		for _, id := range a.routes {
+			r.routes = append(r.routes, k.routes[id].estimate(f.now, id))
+		}
+		f.send(a.relay, r)
+	}
+	f.requestPledges(k)
+}
+
+// shuffleRoutes orders the routes of a destination for a relay that is alone: each relay begins with one drawn by chance, and
+// in the fleet as many begin with a route as its rate is of all (weighted rendezvous hashing). What all would choose,
+// for its fee, all would overload.
+func (k *coordinatorState) shuffleRoutes(self int, routes []uint32) {
+	slices.SortStableFunc(routes, func(a, b uint32) int { return cmp.Compare(k.weightedRank(self, a), k.weightedRank(self, b)) })
+}
--- a/internal/relay/fleetlimit/fixtures_test.go
+++ b/internal/relay/fleetlimit/fixtures_test.go
@@ -19,6 +19,7 @@
 	kinds   []byte // as numbers on the wire
 	records []record
 }{
+
 	{"ask", []byte{1}, []record{{kind: requestKind, dest: 0x01020304, timestamp: 0x0506, calls: 7, value: 16, routes: []estimate{
 		{route: 0x11121314, rate: 4, limitKnown: true, state: down, inState: 24 * time.Millisecond},
 		{route: 0x21222324, rate: 0.5, witnessed: true, state: warmingUp, inState: 80 * time.Millisecond}}}}},
--- a/internal/relay/fleetlimit/cut.go
+++ b/internal/relay/fleetlimit/partition.go
@@ -1,7 +1,6 @@
 package fleetlimit
 
 import (
-	"cmp"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -165,35 +164,6 @@
 // traffic does, and refusals take it back.
 func (p *pacer) isolatedFactor() float64 { return min(1, p.share*p.rules.OverloadFactor) }
 
-// shuffleRoutes orders the routes of a destination for a relay that is alone: each relay begins with one drawn by chance, and
-// in the fleet as many begin with a route as its rate is of all (weighted rendezvous hashing). What all would choose,
-// for its fee, all would overload.
-func (k *coordinatorState) shuffleRoutes(self int, routes []uint32) {
-	slices.SortStableFunc(routes, func(a, b uint32) int { return cmp.Compare(k.weightedRank(self, a), k.weightedRank(self, b)) })
-}
-
 func (k *coordinatorState) weightedRank(self int, route uint32) float64 {
 	return rand.New(rand.NewPCG(uint64(self), uint64(route))).ExpFloat64() / k.routes[route].rate
 }
-
-// addWitness takes in what a relay saw of a route while it heard nobody. A route that most of them saw fail went down, and
-// came back cold if it came back; one that a few could not reach was on the other side of a cut.
-func (p *pacer) addWitness(now time.Duration, from int, s state) {
-	if p.state != open || p.alone {
-		return
-	}
-	if p.witnesses == nil {
-		p.witnesses = map[int]bool{}
-	}
-	p.witnesses[from] = s != open
-	bad := 0
-	for _, b := range p.witnesses {
-		if b {
-			bad++
-		}
-	}
-	if len(p.witnesses) >= minWitnesses && 2*bad > len(p.witnesses) {
-		p.witnesses = nil
-		p.markDown(now)
-	}
-}
--- a/internal/relay/fleetlimit/away.go
+++ b/internal/relay/fleetlimit/stall.go
@@ -40,10 +40,3 @@
 		}
 	}
 }
-
-// resume takes a route up where it was after a time in which its ends could not be heard. Calls that were under way have
-// ended, whatever became of them.
-func (p *pacer) resume(now time.Duration) {
-	p.inFlight, p.lastFullAt, p.callsSinceFull, p.witnesses = nil, -1, 0, nil
-	p.updatedAt, p.lastServed, p.tokens = now, now, min(p.tokens, 0)
-}
