--- a/internal/relay/fleetlimit/codec.go
+++ b/internal/relay/fleetlimit/codec.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// logByte puts a positive number on a scale of eighths of octaves round 1; 0 stands for 0.
+// logByte encodes a positive number on a logarithmic scale of stepsPerOctave around 1; 0 stands for 0.
 func logByte(x float64) byte {
 	if !(x > 0) {
 		return 0
@@ -18,6 +18,7 @@
 	return byte(max(1, min(255, math.Round(stepsPerOctave*math.Log2(x))+128)))
 }
 
+// fromLog decodes a number of logByte.
 func fromLog(b byte) float64 {
 	if b == 0 {
 		return 0
@@ -25,11 +26,13 @@
 	return math.Exp2((float64(b) - 128) / stepsPerOctave)
 }
 
+// durationByte encodes a duration in units of timeUnit, rounded up and capped.
 func durationByte(d time.Duration) byte { return byte(max(0, min(255, (d+timeUnit-1)/timeUnit))) }
 
+// durationWord is durationByte with 16 bits.
 func durationWord(d time.Duration) uint16 { return uint16(max(0, min(65535, (d+timeUnit-1)/timeUnit))) }
 
-// appendTo adds a record to a note.
+// appendTo appends the encoded record to a message.
 func (r record) appendTo(b []byte) []byte {
 	b = append(b, byte(r.kind))
 	be := binary.BigEndian
@@ -68,17 +71,22 @@
 	return b
 }
 
+// appendTo appends the encoded estimate to a message.
 func (x estimate) appendTo(b []byte) []byte {
-	return binary.BigEndian.AppendUint16(append(binary.BigEndian.AppendUint32(b, x.route), logByte(x.rate), byte(x.state)|bit(x.limitKnown)<<7|bit(x.witnessed)<<6), durationWord(x.inState))
+	flags := byte(x.state) | bit(x.limitKnown)<<7 | bit(x.witnessed)<<6
+	b = append(binary.BigEndian.AppendUint32(b, x.route), logByte(x.rate), flags)
+	return binary.BigEndian.AppendUint16(b, durationWord(x.inState))
 }
 
+// estimate decodes an estimate.
 func (c *cursor) estimate() estimate {
 	x := estimate{route: c.uint32(), rate: fromLog(c.byte())}
-	b := c.byte()
-	x.limitKnown, x.witnessed, x.state, x.inState = b>>7 == 1, b>>6&1 == 1, state(b&0x3f), c.duration()
+	flags := c.byte()
+	x.limitKnown, x.witnessed, x.state, x.inState = flags>>7 == 1, flags>>6&1 == 1, state(flags&0x3f), c.duration()
 	return x
 }
 
+// bit encodes a boolean.
 func bit(b bool) byte {
 	if b {
 		return 1
@@ -86,12 +94,13 @@
 	return 0
 }
 
-// cursor reads fields; once one is missing all further are 0.
+// cursor reads fields. Once one is missing all further ones are 0.
 type cursor struct {
 	rest      []byte
-	truncated bool
+	truncated bool // a field was missing
 }
 
+// take returns the next n bytes; zeros if fewer are left.
 func (c *cursor) take(n int) []byte {
 	if len(c.rest) < n {
 		c.rest, c.truncated = nil, true
@@ -108,63 +117,76 @@
 
 func (c *cursor) uint32() uint32 { return binary.BigEndian.Uint32(c.take(4)) }
 
+// shortDuration decodes a durationByte.
 func (c *cursor) shortDuration() time.Duration { return time.Duration(c.byte()) * timeUnit }
 
+// stamp decodes a time in milliseconds, capped at what a time.Duration holds.
 func (c *cursor) stamp() time.Duration {
 	return time.Duration(min(binary.BigEndian.Uint64(c.take(8)), math.MaxInt64/uint64(time.Millisecond))) * time.Millisecond
 }
 
+// duration decodes a durationWord.
 func (c *cursor) duration() time.Duration { return time.Duration(c.uint16()) * timeUnit }
 
-// decode takes a note apart. One that is damaged in any way gives nothing.
-func decode(note []byte) ([]record, error) {
-	body, err := gossip.Open(note, version)
+// decode returns the records of a message, or an error if it is damaged in any way.
+func decode(message []byte) ([]record, error) {
+	body, err := gossip.Open(message, version)
 	if err != nil {
 		return nil, err
 	}
-	var all []record
+	var records []record
 	for c := (&cursor{rest: body}); len(c.rest) > 0; {
-		r := record{kind: kind(c.byte())}
-		if r.kind != helloKind {
-			r.dest = int(c.uint32())
-		}
-		switch r.kind {
-		case requestKind:
-			r.timestamp = c.uint16()
-			r.calls, r.value = int(c.byte()), fromLog(c.byte())
-			for range c.byte() {
-				r.routes = append(r.routes, c.estimate())
-			}
-		case queuedKind:
-			for range c.byte() {
-				r.routes = append(r.routes, c.estimate())
-			}
-		case grantKind:
-			r.routes = []estimate{c.estimate()}
-			r.grant, r.validFor, r.healthy = c.uint32(), c.shortDuration(), c.byte() == 1
-			r.timestamp, r.queuedFor = c.uint16(), c.duration()
-		case outcomeKind:
-			r.routes = []estimate{{route: c.uint32()}}
-			r.grant = c.uint32()
-			r.outcome, r.took, r.wait = choice.Outcome(c.byte()), c.duration(), c.duration()
-		case movedKind:
-			r.coordinator = int(c.uint16())
-		case helloKind:
-			r.answer = c.byte() == 1
-		case pledgeRequestKind, pledgeKind, releaseKind:
-			r.stamp = quota.Stamp{Incarnation: c.uint32(), At: c.stamp()}
-			if r.kind == pledgeRequestKind {
-				r.answer = c.byte() == 1
-			} else if r.kind == pledgeKind {
-				r.units = c.uint32()
-			}
-		default:
+		r, known := c.record()
+		if !known || c.truncated {
 			return nil, errMalformed
 		}
-		if c.truncated {
-			return nil, errMalformed
+		records = append(records, r)
+	}
+	return records, nil
+}
+
+// record decodes a record, and reports whether its kind is known.
+func (c *cursor) record() (r record, known bool) {
+	r = record{kind: kind(c.byte())}
+	if r.kind != helloKind {
+		r.dest = int(c.uint32())
+	}
+	switch r.kind {
+	case requestKind:
+		r.timestamp = c.uint16()
+		r.calls, r.value = int(c.byte()), fromLog(c.byte())
+		r.routes = c.estimates()
+	case queuedKind:
+		r.routes = c.estimates()
+	case grantKind:
+		r.routes = []estimate{c.estimate()}
+		r.grant, r.validFor, r.healthy = c.uint32(), c.shortDuration(), c.byte() == 1
+		r.timestamp, r.queuedFor = c.uint16(), c.duration()
+	case outcomeKind:
+		r.routes = []estimate{{route: c.uint32()}}
+		r.grant = c.uint32()
+		r.outcome, r.took, r.wait = choice.Outcome(c.byte()), c.duration(), c.duration()
+	case movedKind:
+		r.coordinator = int(c.uint16())
+	case helloKind:
+		r.answer = c.byte() == 1
+	case pledgeRequestKind, pledgeKind, releaseKind:
+		r.stamp = quota.Stamp{Incarnation: c.uint32(), At: c.stamp()}
+		if r.kind == pledgeRequestKind {
+			r.answer = c.byte() == 1
+		} else if r.kind == pledgeKind {
+			r.units = c.uint32()
 		}
-		all = append(all, r)
+	default:
+		return r, false
+	}
+	return r, true
+}
+
+// estimates decodes a number of estimates and the estimates.
+func (c *cursor) estimates() (all []estimate) {
+	for range c.byte() {
+		all = append(all, c.estimate())
 	}
-	return all, nil
+	return all
 }
--- a/internal/relay/fleetlimit/configured.go
+++ b/internal/relay/fleetlimit/configured.go
@@ -7,80 +7,83 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// A limit that was told (share.Limit) holds for all routes of a destination together, beside what is found out of each. Its
-// steward grants on the part of it that was pledged, so that all sides of a cut keep to it: in any span the calls granted
-// are at most what the limit gives in it, and one burst.
+// A configured limit (quota.Limit) is one for all routes of a destination together, in addition to the limits
+// that are estimated for each route. Its coordinator grants on the share of it that was pledged, so that all
+// sides of a partition keep to it: in any time span the granted calls are at most what the limit allows in it,
+// and one burst.
 
-// configuredLimit counts what of a told limit may be granted here.
+// configuredLimit counts the tokens of a configured limit that may be granted here.
 type configuredLimit struct {
 	limit     quota.Limit
-	share     float64
-	tokens    float64
+	share     float64 // that may be granted here
+	tokens    float64 // calls
 	updatedAt time.Duration
 }
 
-// newConfiguredLimit makes the contract of a destination; nil where no limit was newConfiguredLimit. It begins empty: a steward before this one may have
-// used the burst up.
-func (f *Limiter) newConfiguredLimit(dest int) *configuredLimit {
-	l, ok := f.settings.Limits[dest]
+// newConfiguredLimit returns the state of a destination's configured limit; nil if it has none. Its bucket
+// begins empty: a coordinator before this one may have used the burst.
+func (l *Limiter) newConfiguredLimit(dest int) *configuredLimit {
+	limit, ok := l.settings.Limits[dest]
 	if !ok {
 		return nil
 	}
-	return &configuredLimit{limit: l, updatedAt: f.now}
+	return &configuredLimit{limit: limit, updatedAt: l.now}
 }
 
-// SetLimits takes in which limits are told from now on.
-func (f *Limiter) SetLimits(limits map[int]quota.Limit) {
-	f.settings.Limits = limits
-	for dest, k := range f.coordinated {
-		switch next := f.newConfiguredLimit(dest); {
-		case next == nil || k.configured == nil:
-			k.configured = next
+// SetLimits sets the configured limits from now on.
+func (l *Limiter) SetLimits(limits map[int]quota.Limit) {
+	l.settings.Limits = limits
+	for dest, coord := range l.coordinated {
+		switch next := l.newConfiguredLimit(dest); {
+		case next == nil || coord.configured == nil:
+			coord.configured = next
 		default:
-			k.configured.limit, k.configured.tokens = next.limit, min(k.configured.tokens, next.limit.Burst*k.configured.share)
+			coord.configured.limit = next.limit
+			coord.configured.tokens = min(coord.configured.tokens, next.limit.Burst*coord.configured.share)
 		}
 	}
 }
 
-// advance brings the tokens up to date. Between two instants the part was no less than the smaller of what it was and is.
-func (b *configuredLimit) advance(now time.Duration, part float64) {
+// advance adds the tokens since the last call. Between the two the share was no less than the smaller of both.
+func (c *configuredLimit) advance(now time.Duration, share float64) {
 	if plant.Is(plant.Contract) {
-		part = 1
+		share = 1
 	}
-	b.tokens += b.limit.Rate * min(b.share, part) * max(0, now-b.updatedAt).Seconds()
-	b.tokens = min(b.tokens, max(1, b.limit.Burst*part))
-	if part == 0 {
-		b.tokens = 0
+	c.tokens += c.limit.Rate * min(c.share, share) * max(0, now-c.updatedAt).Seconds()
+	c.tokens = min(c.tokens, max(1, c.limit.Burst*share))
+	if share == 0 {
+		c.tokens = 0
 	}
-	b.share, b.updatedAt = part, now
+	c.share, c.updatedAt = share, now
 }
 
-// maxConcurrent is how many calls may be under way by what is granted here. A part of less than one call is one call: a relay that is
-// alone would otherwise starve.
-func (b *configuredLimit) maxConcurrent() int {
-	return max(1, int(float64(b.limit.MaxConcurrent)*b.share))
+// maxConcurrent returns how many calls granted here may be in flight. A share of less than one call counts as
+// one: an isolated relay would starve otherwise.
+func (c *configuredLimit) maxConcurrent() int {
+	return max(1, int(float64(c.limit.MaxConcurrent)*c.share))
 }
 
-// take takes leave for one call, if there is any, while so many are under way.
-func (b *configuredLimit) take(out int) bool {
-	if b.tokens < 1-1e-9 || b.share == 0 || b.limit.MaxConcurrent > 0 && out >= b.maxConcurrent() {
+// take consumes a token and reports whether there was one, with that many calls in flight.
+func (c *configuredLimit) take(inFlight int) bool {
+	if c.tokens < 1-1e-9 || c.share == 0 || c.limit.MaxConcurrent > 0 && inFlight >= c.maxConcurrent() {
 		return false
 	}
-	b.tokens--
+	c.tokens--
 	return true
 }
 
-// nextAt is when there may be leave, after settle. What frees a place is told, and needs no waking.
-func (b *configuredLimit) nextAt(now time.Duration, part float64, out int) time.Duration {
-	if part <= 0 || b.limit.MaxConcurrent > 0 && out >= b.maxConcurrent() {
+// nextAt returns when there may be a token, after advance. An outcome that frees a call in flight arrives as a
+// message and needs no wake-up.
+func (c *configuredLimit) nextAt(now time.Duration, share float64, inFlight int) time.Duration {
+	if share <= 0 || c.limit.MaxConcurrent > 0 && inFlight >= c.maxConcurrent() {
 		return never
 	}
-	return now + max(time.Millisecond, time.Duration((1-b.tokens)/(b.limit.Rate*part)*float64(time.Second)))
+	return now + max(time.Millisecond, time.Duration((1-c.tokens)/(c.limit.Rate*share)*float64(time.Second)))
 }
 
-// inFlight are the calls that were granted here and whose end has not been told.
-func (k *coordinatorState) inFlight() (n int) {
-	for _, p := range k.routes {
+// inFlight returns the number of calls that were granted here and whose outcome was not reported.
+func (coord *coordinatorState) inFlight() (n int) {
+	for _, p := range coord.routes {
 		n += len(p.inFlight)
 	}
 	return n
--- a/internal/relay/fleetlimit/coordinator.go
+++ b/internal/relay/fleetlimit/coordinator.go
@@ -10,208 +10,237 @@
 )
 
 const (
-	grantTTL   = 400 * time.Millisecond  // a grant that is not used by then lapses
-	requestTTL = 2500 * time.Millisecond // an ask that is not said again by then is dropped
-	routeTTL   = 10 * time.Minute        // what is known of a route that nobody asks for
+	grantTTL   = 400 * time.Millisecond  // an unused grant expires
+	requestTTL = 2500 * time.Millisecond // a request that is not refreshed is dropped
+	routeTTL   = 10 * time.Minute        // of the state of a route without requests
 )
 
-// coordinatorState is the steward's side of one destination: the asks of relays that wait, and a pacer for each route.
+// coordinatorState is the coordinator's state of one destination: pending requests of relays, and a pacer for
+// each route.
 type coordinatorState struct {
-	dest         int
-	predecessors []int // relays that come before this one
-	routes       map[uint32]*pacer
-	order        []uint32 // in the order in which they were heard of
-	// What is known as a steward, while this relay is alone.
-	savedRoutes     map[uint32]*pacer
+	dest            int
+	predecessors    []int             // candidates that are preferred to this relay
+	routes          map[uint32]*pacer // by route ID
+	order           []uint32          // of the routes, as they were first requested
+	savedRoutes     map[uint32]*pacer // while this relay is isolated
 	savedOrder      []uint32
 	requests        []*pendingRequest
-	nextRoomAt      time.Duration // there is more room then
-	busySince       time.Duration // there are asks
-	helloAt         time.Duration // those that come before this relay were last greeted
-	inBusy          bool          // among the desks with asks
-	alone           bool          // nobody else answers this relay, which asks itself
+	nextRoomAt      time.Duration // for which a wake-up is needed
+	busySince       time.Duration // since then there are requests
+	helloAt         time.Duration // last hello to the predecessors
+	inBusy          bool          // in Limiter.busy
+	alone           bool          // no other relay answers this one, which requests from itself
 	quotaShares     bool
-	pool            *quota.Pool      // of what was pledged to this relay
-	pledgeRequestAt time.Duration    // pledges that are half over are called for then
-	seekAt          time.Duration    // and those that are not there
-	idleSince       time.Duration    // since then nobody has asked
-	configured      *configuredLimit // of a limit that was told; nil for none
+	pool            *quota.Pool      // shares pledged to this relay
+	pledgeRequestAt time.Duration    // next renewal of pledges
+	seekAt          time.Duration    // next request to relays without a pledge
+	idleSince       time.Duration    // last step with requests
+	configured      *configuredLimit // nil if the limit is estimated
 }
 
-// pendingRequest is what one relay wants of a destination.
+// pendingRequest is what one relay requests of a destination.
 type pendingRequest struct {
 	relay        int
 	calls        int
-	value        float64
-	routes       []uint32
-	waitingSince time.Duration // it began to wait
-	receivedAt   time.Duration // last said
-	answered     bool          // it has been answered since
-	timestamp    uint16        // of its relay's clock, when it was last said
+	value        float64  // of the most valuable call
+	routes       []uint32 // IDs, in the relay's order of preference
+	waitingSince time.Duration
+	receivedAt   time.Duration // last refresh
+	answered     bool          // since the last refresh
+	timestamp    uint16        // of its relay's clock, in the last refresh
 }
 
-// updateRoute has a route among those that are kept. What a relay heard of it counts if it is not, or nothing is known yet: it came
-// from a steward before this one. The first that ask may have been started anew, and have heard nothing.
-func (k *coordinatorState) updateRoute(rules choice.Rules, part float64, alone bool, now time.Duration, from int, x estimate) {
-	p := k.routes[x.route]
+// updateRoute adds a route, or updates it by a relay's estimate. The estimate counts if the route is new or its
+// limit unknown: it comes from a coordinator before this one. The first relays that request may have restarted,
+// and know nothing.
+func (coord *coordinatorState) updateRoute(rules choice.Rules, share float64, alone bool, now time.Duration, from int,
+	known estimate) {
+	p := coord.routes[known.route]
 	if p == nil {
 		p = newPacer(rules, now)
-		p.quotaShares = k.quotaShares
-		if k.configured != nil { // so much is allowed, and it need not be found out call by call
-			p.rate = max(p.rate, k.configured.limit.Rate)
+		p.quotaShares = coord.quotaShares
+		if coord.configured != nil { // no need to measure what is allowed anyway
+			p.rate = max(p.rate, coord.configured.limit.Rate)
 		}
-		p.adopt(now, x)
-		if alone && !k.quotaShares && p.state == open {
-			p.tokens = 1 // what has been waiting since the cut began is less than what the route takes at once
+		p.adopt(now, known)
+		if alone && !coord.quotaShares && p.state == open {
+			p.tokens = 1 // the requests since the partition began are fewer than the burst of the route
 		}
-		k.routes[x.route] = p
-		k.order = append(k.order, x.route)
+		coord.routes[known.route] = p
+		coord.order = append(coord.order, known.route)
 	} else if !alone {
-		p.adoptIfUnknown(now, x)
+		p.adoptIfUnknown(now, known)
 	}
-	if p.setShare(part, alone); x.witnessed {
-		p.addWitness(now, from, x.state)
+	if p.setShare(share, alone); known.witnessed {
+		p.addWitness(now, from, known.state)
 	}
 }
 
-// put takes in an ask, in the place of that relay's last one.
-func (k *coordinatorState) put(rules choice.Rules, part float64, alone bool, now time.Duration, from int, r record) {
-	i := slices.IndexFunc(k.requests, func(a *pendingRequest) bool { return a.relay == from })
-	if i >= 0 && k.requests[i].stale(r.timestamp) {
+// put adds or replaces the request of a relay; one without calls removes it. A request older than the known one
+// is ignored.
+func (coord *coordinatorState) put(rules choice.Rules, share float64, alone bool, now time.Duration, from int, r record) {
+	i := slices.IndexFunc(coord.requests, func(pending *pendingRequest) bool { return pending.relay == from })
+	if i >= 0 && coord.requests[i].stale(r.timestamp) {
 		return
 	}
 	if r.calls == 0 || len(r.routes) == 0 {
 		if i >= 0 {
-			k.requests = slices.Delete(k.requests, i, i+1)
+			coord.requests = slices.Delete(coord.requests, i, i+1)
 		}
 		return
 	}
 	if i < 0 {
-		i = len(k.requests)
-		k.requests = append(k.requests, &pendingRequest{relay: from, waitingSince: now})
+		i = len(coord.requests)
+		coord.requests = append(coord.requests, &pendingRequest{relay: from, waitingSince: now})
 	}
-	a := k.requests[i]
-	a.calls, a.value, a.receivedAt, a.answered, a.timestamp, a.routes = r.calls, r.value, now, false, r.timestamp, a.routes[:0]
-	for _, x := range r.routes {
-		k.updateRoute(rules, part, alone, now, from, x)
-		a.routes = append(a.routes, x.route)
+	pending := coord.requests[i]
+	pending.calls, pending.value, pending.receivedAt, pending.answered = r.calls, r.value, now, false
+	pending.timestamp, pending.routes = r.timestamp, pending.routes[:0]
+	for _, known := range r.routes {
+		coord.updateRoute(rules, share, alone, now, from, known)
+		pending.routes = append(pending.routes, known.route)
 	}
 	if alone {
-		k.shuffleRoutes(from, a.routes)
+		coord.shuffleRoutes(from, pending.routes)
 	}
 }
 
-// serve gives the room that there is to the calls that are worth most, each on the route that its relay likes best of
-// those with room, and notes when there will be more.
-func (k *coordinatorState) serve(part float64, alone bool, now time.Duration, heard func(relay int) time.Duration, give func(a *pendingRequest, route uint32, p *pacer)) {
-	k.requests = slices.DeleteFunc(k.requests, func(a *pendingRequest) bool { return now-a.receivedAt > requestTTL })
-	if k.configured != nil {
-		k.configured.advance(now, part)
-	}
-	for _, id := range k.order {
-		k.routes[id].setShare(part, alone)
-		k.routes[id].advance(now, heard, slices.ContainsFunc(k.requests, func(a *pendingRequest) bool { return slices.Contains(a.routes, id) }))
-	}
-	slices.SortStableFunc(k.requests, func(a, b *pendingRequest) int {
-		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.waitingSince, b.waitingSince), cmp.Compare(a.relay, b.relay))
-	})
-	deaf := func(a *pendingRequest) bool { return k.quotaShares && now-heard(a.relay) > grantWindow }
-	for _, a := range k.requests {
-		if deaf(a) {
+// serve grants the available room to the most valuable calls, each on the first route of its relay's preference
+// that has room, and records when there will be more.
+func (coord *coordinatorState) serve(share float64, alone bool, now time.Duration, received func(relay int) time.Duration,
+	grant func(to *pendingRequest, route uint32, p *pacer)) {
+	coord.advance(share, alone, now, received)
+	unreachable := func(pending *pendingRequest) bool {
+		return coord.quotaShares && now-received(pending.relay) > grantWindow
+	}
+	for _, pending := range coord.requests {
+		if unreachable(pending) {
 			continue
 		}
-		for a.calls > 0 {
-			at := slices.IndexFunc(a.routes, func(id uint32) bool { return k.routes[id].nextAt(now) <= now })
-			if at < 0 || k.configured != nil && !k.configured.take(k.inFlight()) {
+		for pending.calls > 0 {
+			i := slices.IndexFunc(pending.routes, func(id uint32) bool { return coord.routes[id].nextAt(now) <= now })
+			if i < 0 || coord.configured != nil && !coord.configured.take(coord.inFlight()) {
 				break
 			}
-			a.calls--
-			a.answered = true
-			give(a, a.routes[at], k.routes[a.routes[at]])
+			pending.calls--
+			pending.answered = true
+			grant(pending, pending.routes[i], coord.routes[pending.routes[i]])
 		}
 	}
-	k.requests = slices.DeleteFunc(k.requests, func(a *pendingRequest) bool { return a.calls == 0 })
-	k.nextRoomAt = never
-	for _, a := range k.requests {
-		if deaf(a) {
+	coord.requests = slices.DeleteFunc(coord.requests, func(pending *pendingRequest) bool { return pending.calls == 0 })
+	coord.nextRoomAt = never
+	for _, pending := range coord.requests {
+		if unreachable(pending) {
 			continue
 		}
-		for _, id := range a.routes {
-			k.nextRoomAt = min(k.nextRoomAt, max(now+time.Millisecond, k.routes[id].nextAt(now)))
+		for _, id := range pending.routes {
+			coord.nextRoomAt = min(coord.nextRoomAt, max(now+time.Millisecond, coord.routes[id].nextAt(now)))
 		}
 	}
-	if k.configured != nil && k.nextRoomAt < never {
-		k.nextRoomAt = max(k.nextRoomAt, k.configured.nextAt(now, part, k.inFlight()))
+	if coord.configured != nil && coord.nextRoomAt < never {
+		coord.nextRoomAt = max(coord.nextRoomAt, coord.configured.nextAt(now, share, coord.inFlight()))
+	}
+}
+
+// advance drops expired requests, updates limits and pacers, and sorts the requests by value, then by age.
+func (coord *coordinatorState) advance(share float64, alone bool, now time.Duration, received func(relay int) time.Duration) {
+	coord.requests = slices.DeleteFunc(coord.requests, func(pending *pendingRequest) bool {
+		return now-pending.receivedAt > requestTTL
+	})
+	if coord.configured != nil {
+		coord.configured.advance(now, share)
+	}
+	for _, id := range coord.order {
+		coord.routes[id].setShare(share, alone)
+		wanted := slices.ContainsFunc(coord.requests, func(pending *pendingRequest) bool {
+			return slices.Contains(pending.routes, id)
+		})
+		coord.routes[id].advance(now, received, wanted)
 	}
+	slices.SortStableFunc(coord.requests, func(a, b *pendingRequest) int {
+		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.waitingSince, b.waitingSince), cmp.Compare(a.relay, b.relay))
+	})
 }
 
-// expireRoutes drops routes that nobody has asked for in a long while.
-func (k *coordinatorState) expireRoutes(now time.Duration) {
-	k.order = slices.DeleteFunc(k.order, func(id uint32) bool {
-		old := now-k.routes[id].updatedAt > routeTTL
+// expireRoutes drops routes that were not requested for long.
+func (coord *coordinatorState) expireRoutes(now time.Duration) {
+	coord.order = slices.DeleteFunc(coord.order, func(id uint32) bool {
+		old := now-coord.routes[id].updatedAt > routeTTL
 		if old {
-			delete(k.routes, id)
+			delete(coord.routes, id)
 		}
 		return old
 	})
 }
 
-func (f *Limiter) coordinatorFor(dest int) *coordinatorState {
-	k := f.coordinated[dest]
-	if k == nil {
-		ranked := f.requestFor(dest).candidates // none are before one that grants to itself alone
-		k = &coordinatorState{dest: dest, configured: f.newConfiguredLimit(dest), routes: map[uint32]*pacer{}, nextRoomAt: never, helloAt: -helloInterval, quotaShares: f.settings.QuotaShares,
-			pool: quota.NewPool(leaseTerms, f.settings.Incarnation), predecessors: ranked[:max(0, slices.Index(ranked, f.settings.Index))]}
-		f.coordinated[dest] = k
-	}
-	if !k.inBusy {
-		if len(k.order) > 0 && f.now-k.idleSince > idleTimeout { // what has not been told since is lost
-			for _, p := range k.routes {
-				p.resume(f.now)
+// coordinatorFor returns the coordinator's state of a destination, and adds it to the busy ones.
+func (l *Limiter) coordinatorFor(dest int) *coordinatorState {
+	coord := l.coordinated[dest]
+	if coord == nil {
+		candidates := l.requestFor(dest).candidates
+		coord = &coordinatorState{
+			dest:        dest,
+			configured:  l.newConfiguredLimit(dest),
+			routes:      map[uint32]*pacer{},
+			nextRoomAt:  never,
+			helloAt:     -helloInterval,
+			quotaShares: l.settings.QuotaShares,
+			pool:        quota.NewPool(leaseTerms, l.settings.Incarnation),
+			// None if this relay is not a candidate, but grants to itself.
+			predecessors: candidates[:max(0, slices.Index(candidates, l.settings.Index))],
+		}
+		l.coordinated[dest] = coord
+	}
+	if !coord.inBusy {
+		if len(coord.order) > 0 && l.now-coord.idleSince > idleTimeout { // outcomes that were not reported are lost
+			for _, p := range coord.routes {
+				p.resume(l.now)
 			}
 		}
-		k.inBusy, k.busySince = true, f.now
-		i, _ := slices.BinarySearchFunc(f.busy, k, func(a, b *coordinatorState) int { return cmp.Compare(a.dest, b.dest) })
-		f.busy = slices.Insert(f.busy, i, k)
+		coord.inBusy, coord.busySince = true, l.now
+		i, _ := slices.BinarySearchFunc(l.busy, coord, func(a, b *coordinatorState) int { return cmp.Compare(a.dest, b.dest) })
+		l.busy = slices.Insert(l.busy, i, coord)
 	}
-	return k
+	return coord
 }
 
-// acceptRequest takes in an ask as a steward.
-func (f *Limiter) acceptRequest(k *coordinatorState, from int, r record) {
-	part, alone := f.grantableShare(k)
-	k.put(f.settings.Rules, part, alone, f.now, from, r)
+// acceptRequest adds a relay's request to a destination that this relay coordinates.
+func (l *Limiter) acceptRequest(coord *coordinatorState, from int, r record) {
+	share, alone := l.grantableShare(coord)
+	coord.put(l.settings.Rules, share, alone, l.now, from, r)
 }
 
-// serve grants what there is room for at a destination that this relay is steward of.
-func (f *Limiter) serve(k *coordinatorState) {
-	if f.handOver(k) {
+// serve grants the calls that a destination has room for, and answers requests that have to wait.
+func (l *Limiter) serve(coord *coordinatorState) {
+	if l.handOver(coord) {
 		return
 	}
-	part, alone := f.grantableShare(k)
-	k.serve(part, alone, f.now, f.receivedAt, func(a *pendingRequest, route uint32, p *pacer) {
-		f.lastGrant++
-		p.grant(f.now, a.relay, f.lastGrant)
-		f.send(a.relay, record{kind: grantKind, dest: k.dest, routes: []estimate{p.estimate(f.now, route)}, grant: f.lastGrant,
-			validFor: grantTTL, healthy: p.healthy(f.now), timestamp: a.timestamp, queuedFor: f.now - a.receivedAt})
+	share, alone := l.grantableShare(coord)
+	coord.serve(share, alone, l.now, l.receivedAt, func(to *pendingRequest, route uint32, p *pacer) {
+		l.lastGrant++
+		p.grant(l.now, to.relay, l.lastGrant)
+		l.send(to.relay, record{kind: grantKind, dest: coord.dest, routes: []estimate{p.estimate(l.now, route)}, grant: l.lastGrant,
+			validFor: grantTTL, healthy: p.healthy(l.now), timestamp: to.timestamp, queuedFor: l.now - to.receivedAt})
 	})
-	for _, a := range k.requests {
-		if a.answered {
+	for _, pending := range coord.requests {
+		if pending.answered {
 			continue
 		}
-		a.answered = true
-		r := record{kind: queuedKind, dest: k.dest}
-		for _, id := range a.routes {
-			r.routes = append(r.routes, k.routes[id].estimate(f.now, id))
+		pending.answered = true
+		r := record{kind: queuedKind, dest: coord.dest}
+		for _, id := range pending.routes {
+			r.routes = append(r.routes, coord.routes[id].estimate(l.now, id))
 		}
-		f.send(a.relay, r)
+		l.send(pending.relay, r)
 	}
-	f.requestPledges(k)
+	l.requestPledges(coord)
 }
 
-// shuffleRoutes orders the routes of a destination for a relay that is alone: each relay begins with one drawn by chance, and
-// in the fleet as many begin with a route as its rate is of all (weighted rendezvous hashing). What all would choose,
-// for its fee, all would overload.
-func (k *coordinatorState) shuffleRoutes(self int, routes []uint32) {
-	slices.SortStableFunc(routes, func(a, b uint32) int { return cmp.Compare(k.weightedRank(self, a), k.weightedRank(self, b)) })
+// shuffleRoutes orders the routes of a destination for an isolated relay: each relay begins with one drawn at
+// random, and over the fleet as many begin with a route as its share of the sum of rates is (weighted rendezvous
+// hashing). The route that all would prefer for its fee, all would overload.
+func (coord *coordinatorState) shuffleRoutes(self int, routes []uint32) {
+	slices.SortStableFunc(routes, func(a, b uint32) int {
+		return cmp.Compare(coord.weightedRank(self, a), coord.weightedRank(self, b))
+	})
 }
--- a/internal/relay/fleetlimit/coordinators.go
+++ b/internal/relay/fleetlimit/coordinators.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// Coordinators are the relays of a fleet that may be steward of a destination, the first first. All relays have the same
-// order, and one more or less in the fleet changes it for few destinations.
-func Coordinators(dest, fleet int) (first []int) {
+// Coordinators returns the relays of a fleet that may be coordinator of a destination, in the order of preference, by
+// rendezvous hashing. All relays compute the same order, and one relay more or less changes it for few destinations.
+func Coordinators(dest, fleetSize int) (first []int) {
 	type scored struct {
 		relay int
 		score uint32
 	}
-	all := make([]scored, fleet)
+	all := make([]scored, fleetSize)
 	for i := range all {
 		all[i] = scored{i, crc32.Checksum(fmt.Appendf(nil, "%d of %d", i, dest), castagnoli)}
 	}
@@ -25,50 +25,52 @@
 	return first
 }
 
-// currentCoordinator is whom to ask now; lone if nobody else answers.
-func (f *Limiter) currentCoordinator(ranked []int) (relay int, lone bool) {
-	if f.connectivity.partitioned {
-		return f.settings.Index, true
+// currentCoordinator returns the first candidate that is not skipped; alone reports that only this relay itself
+// is left.
+func (l *Limiter) currentCoordinator(candidates []int) (relay int, alone bool) {
+	if l.connectivity.partitioned {
+		return l.settings.Index, true
 	}
-	for _, i := range ranked {
-		if i == f.settings.Index || f.skipUntil[i] <= f.now {
+	for _, i := range candidates {
+		if i == l.settings.Index || l.skipUntil[i] <= l.now {
 			return i, false
 		}
 	}
-	return f.settings.Index, true
+	return l.settings.Index, true
 }
 
-// skip passes over a relay that did not answer, each time for longer until it is heard again.
-func (f *Limiter) skip(i int) {
-	f.misses[i] = min(f.misses[i]+1, 4)
-	f.skipUntil[i] = f.now + skipTime<<(f.misses[i]-1)
-	f.noAnswer(i)
+// skip passes over a relay that did not answer, each time for longer until a message of it arrives.
+func (l *Limiter) skip(relay int) {
+	l.misses[relay] = min(l.misses[relay]+1, 4)
+	l.skipUntil[relay] = l.now + skipTime<<(l.misses[relay]-1)
+	l.noAnswer(relay)
 }
 
-// handOver hands the asks of a destination to a relay that comes before this one, if there is one that was heard since
-// they came here. They come while that is silent, or was to some; it is greeted for as long as they do.
-func (f *Limiter) handOver(k *coordinatorState) bool {
-	if len(k.requests) == 0 || f.connectivity.partitioned {
+// handOver passes the pending requests of a destination to a preferred candidate, if one was reachable since
+// they arrived here, and reports whether it did. Requests arrive here while that candidate is down, or was for
+// some relays; hellos are sent to the preferred candidates for as long as requests arrive.
+func (l *Limiter) handOver(coord *coordinatorState) bool {
+	if len(coord.requests) == 0 || l.connectivity.partitioned {
 		return false
 	}
-	greet := f.now-k.helloAt >= helloInterval
-	for _, i := range k.predecessors {
-		if f.lastReachable[i] > k.busySince {
-			for _, a := range k.requests {
-				if a.relay != f.settings.Index {
-					f.send(a.relay, record{kind: movedKind, dest: k.dest, coordinator: i})
+	helloDue := l.now-coord.helloAt >= helloInterval
+	for _, i := range coord.predecessors {
+		if l.lastReachable[i] > coord.busySince {
+			for _, pending := range coord.requests {
+				if pending.relay != l.settings.Index {
+					l.send(pending.relay, record{kind: movedKind, dest: coord.dest, coordinator: i})
 				}
 			}
-			k.requests = nil
-			f.releasePledges(k)
+			coord.requests = nil
+			l.releasePledges(coord)
 			return true
 		}
-		if greet {
-			f.send(i, record{kind: helloKind})
+		if helloDue {
+			l.send(i, record{kind: helloKind})
 		}
 	}
-	if greet {
-		k.helloAt = f.now
+	if helloDue {
+		coord.helloAt = l.now
 	}
 	return false
 }
--- a/internal/relay/fleetlimit/fixtures_test.go
+++ b/internal/relay/fleetlimit/fixtures_test.go
@@ -12,8 +12,9 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// frozen has a note for each kind of record, and some for the forms that a kind has. Every field that a kind carries has a value of its
-// own. Rates and values are powers of two, which the scale of a note holds exactly; times are whole steps.
+// frozen has a message for each kind of record, and for each form of a kind. Every field of a kind has a value
+// of its own. Rates and values are powers of two, which the encoding keeps exactly; times are multiples of
+// timeUnit.
 var frozen = []struct {
 	name    string
 	kinds   []byte // as numbers on the wire
@@ -35,17 +36,21 @@
 	{"moved", []byte{5}, []record{{kind: movedKind, dest: 0x05060708, coordinator: 0x1920}}},
 	{"hello", []byte{6}, []record{{kind: helloKind}}},
 	{"hello that answers", []byte{6}, []record{{kind: helloKind, answer: true}}},
-	{"call", []byte{7}, []record{{kind: pledgeRequestKind, dest: 0x06070809, answer: true, stamp: quota.Stamp{Incarnation: 0xa1a2a3a4, At: 0x0102030405 * time.Millisecond}}}},
-	{"pledge", []byte{8}, []record{{kind: pledgeKind, dest: 0x0708090a, units: 0x000fedcb, stamp: quota.Stamp{Incarnation: 0xb1b2b3b4, At: 0x0203040506 * time.Millisecond}}}},
-	{"release", []byte{9}, []record{{kind: releaseKind, dest: 0x08090a0b, stamp: quota.Stamp{Incarnation: 0xc1c2c3c4, At: 0x0304050607 * time.Millisecond}}}},
+	{"call", []byte{7}, []record{{kind: pledgeRequestKind, dest: 0x06070809, answer: true,
+		stamp: quota.Stamp{Incarnation: 0xa1a2a3a4, At: 0x0102030405 * time.Millisecond}}}},
+	{"pledge", []byte{8}, []record{{kind: pledgeKind, dest: 0x0708090a, units: 0x000fedcb,
+		stamp: quota.Stamp{Incarnation: 0xb1b2b3b4, At: 0x0203040506 * time.Millisecond}}}},
+	{"release", []byte{9}, []record{{kind: releaseKind, dest: 0x08090a0b,
+		stamp: quota.Stamp{Incarnation: 0xc1c2c3c4, At: 0x0304050607 * time.Millisecond}}}},
 	{"several", []byte{7, 4, 6}, []record{
 		{kind: pledgeRequestKind, dest: 1, stamp: quota.Stamp{Incarnation: 2, At: 3 * time.Millisecond}},
-		{kind: outcomeKind, dest: 4, routes: []estimate{{route: 5}}, grant: 6, outcome: choice.Spoilt, took: 8 * time.Millisecond, wait: 16 * time.Millisecond},
+		{kind: outcomeKind, dest: 4, routes: []estimate{{route: 5}}, grant: 6, outcome: choice.Spoilt,
+			took: 8 * time.Millisecond, wait: 16 * time.Millisecond},
 		{kind: helloKind, answer: true}}},
 }
 
-// Guards against a change of the notes that relays of different builds send each other.
-func TestNotesAreAsFrozen(t *testing.T) {
+// Guards against a change of the messages that relays of different builds send each other.
+func TestFrozenMessages(t *testing.T) {
 	var present []fixture.Line
 	for _, f := range frozen {
 		b := []byte{version}
@@ -56,7 +61,7 @@
 	}
 	old := fixture.Lines(t, "testdata/notes-v2.txt", present)
 	if len(old) != len(frozen) {
-		t.Errorf("%d notes in the file, %d in the test", len(old), len(frozen))
+		t.Errorf("%d messages in the file, %d in the test", len(old), len(frozen))
 	}
 	covered := map[byte]bool{}
 	for i, f := range frozen {
@@ -96,25 +101,25 @@
 	}
 }
 
-// Numbers that notes carry, or that relays must compute alike.
-func TestNumbersOfNotesAreAsFrozen(t *testing.T) {
+// Numbers that messages carry, or that relays must compute alike.
+func TestFrozenConstants(t *testing.T) {
 	for name, tc := range map[string]struct{ got, want uint64 }{
-		"a route's number":             {uint64(routeID("10.0.0.1:80")), 1170886113},
-		"the whole of a limit":         {quota.TotalUnits, 1048576},
-		"most bytes of a note":         {gossip.MaxMessageBytes, 256},
-		"a time step":                  {uint64(timeUnit), 8_000_000},
-		"state open":                   {uint64(open), 0},
-		"state down":                   {uint64(down), 1},
-		"state cold":                   {uint64(warmingUp), 2},
-		"outcome served":               {uint64(choice.Served), 0},
-		"outcome error":                {uint64(choice.Error), 1},
-		"outcome refused":              {uint64(choice.Refused), 2},
-		"outcome timeout":              {uint64(choice.Timeout), 3},
-		"outcome no connection":        {uint64(choice.NoConnection), 4},
-		"outcome reset":                {uint64(choice.Reset), 5},
-		"outcome cancelled":            {uint64(choice.Cancelled), 6},
-		"outcome not sent":             {uint64(choice.NotSent), 7},
-		"outcome spoilt, the last one": {uint64(choice.Spoilt), 8},
+		"route ID":              {uint64(routeID("10.0.0.1:80")), 1170886113},
+		"units of a limit":      {quota.TotalUnits, 1048576},
+		"bytes of a message":    {gossip.MaxMessageBytes, 256},
+		"time unit":             {uint64(timeUnit), 8_000_000},
+		"state open":            {uint64(open), 0},
+		"state down":            {uint64(down), 1},
+		"state cold":            {uint64(warmingUp), 2},
+		"outcome served":        {uint64(choice.Served), 0},
+		"outcome error":         {uint64(choice.Error), 1},
+		"outcome refused":       {uint64(choice.Refused), 2},
+		"outcome timeout":       {uint64(choice.Timeout), 3},
+		"outcome no connection": {uint64(choice.NoConnection), 4},
+		"outcome reset":         {uint64(choice.Reset), 5},
+		"outcome cancelled":     {uint64(choice.Cancelled), 6},
+		"outcome not sent":      {uint64(choice.NotSent), 7},
+		"outcome spoilt":        {uint64(choice.Spoilt), 8},
 	} {
 		if tc.got != tc.want {
 			t.Errorf("%s: %d, want %d", name, tc.got, tc.want)
--- a/internal/relay/fleetlimit/message.go
+++ b/internal/relay/fleetlimit/message.go
@@ -9,62 +9,66 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// A note is a version byte and records, in the frame of all notes (internal/relay/gossip).
-// Times are in units of 8 ms, rates and values in steps of an eighth of an stepsPerOctave, routes the CRC-32C of their names.
+// A message is a version byte and records, in the frame of all messages between relays (internal/relay/gossip).
+// Times are in units of 8 ms, rates and values in steps of an eighth of an octave, routes the CRC-32C of their
+// names.
 const (
-	version        = 2
+	version        = 2 // first byte of a message
 	timeUnit       = 8 * time.Millisecond
 	stepsPerOctave = 8.0
 )
 
+// kind of a record. The numbers are on the wire.
 type kind byte
 
 const (
-	requestKind       kind = iota + 1 // relay to steward: so many calls could go to a destination
-	queuedKind                        // steward to relay: the ask is known, there is no room yet
-	grantKind                         // steward to relay: one call may go to a route
-	outcomeKind                       // relay to steward: what became of it
-	movedKind                         // steward to relay: another is steward of a destination
-	helloKind                         // to a relay that was silent, and its answer
-	pledgeRequestKind                 // steward to all: pledge what you have of a destination's limits
-	pledgeKind                        // relay to steward: it is pledged, on the call with that stamp
-	releaseKind                       // steward to relay: it is let go of, up to that stamp
+	requestKind       kind = iota + 1 // relay to coordinator: wants that many calls
+	queuedKind                        // coordinator to relay: the request is known, there is no room yet
+	grantKind                         // coordinator to relay: one call may go to a route
+	outcomeKind                       // relay to coordinator: outcome of a granted call
+	movedKind                         // coordinator to relay: another relay coordinates the destination
+	helloKind                         // to a relay that did not answer, and its answer
+	pledgeRequestKind                 // coordinator to all: pledge your share of a destination's limits
+	pledgeKind                        // relay to coordinator: in answer to the request with that stamp
+	releaseKind                       // coordinator to relay: the share is released, up to that stamp
 )
 
-// record is one of a note; which fields count depends on its kind.
+// record is one record of a message. Which fields are set depends on its kind.
 type record struct {
 	kind        kind
-	dest        int
-	calls       int
-	value       float64
-	routes      []estimate // ask, queued; grant and spent have one
-	grant       uint32
-	validFor    time.Duration // grant: it lapses after that
-	healthy     bool
-	outcome     choice.Outcome
-	took        time.Duration
-	wait        time.Duration
-	coordinator int           // moved
-	answer      bool          // hello: none is wanted; call: the receiver's pledge is in force
-	stamp       quota.Stamp   // call, pledge, release: of the steward's clock
-	units       uint32        // pledge
-	timestamp   uint16        // ask: the relay's clock, in steps; grant: that of the ask which it answers
-	queuedFor   time.Duration // grant: how long the steward had that ask
+	dest        int            // all but hello
+	calls       int            // request
+	value       float64        // request: of the most valuable call
+	routes      []estimate     // request, queued: any number; grant, outcome: one
+	grant       uint32         // grant, outcome: number of the grant
+	validFor    time.Duration  // grant: it expires after that
+	healthy     bool           // grant: the route is
+	outcome     choice.Outcome // outcome
+	took        time.Duration  // outcome: duration of the call
+	wait        time.Duration  // outcome: retry-after
+	coordinator int            // moved
+	// hello: it is an answer; pledge request: the coordinator receives the messages of the receiver
+	answer    bool
+	stamp     quota.Stamp   // pledge request, pledge, release: of the coordinator's clock
+	units     uint32        // pledge
+	timestamp uint16        // request: the relay's clock; grant: that of the request it answers
+	queuedFor time.Duration // grant: how long the coordinator had that request
 }
 
-// estimate is what a steward holds of a route, as it goes from relay to relay.
+// estimate is a coordinator's knowledge of a route, as it is gossiped from relay to relay.
 type estimate struct {
-	route      uint32
-	rate       float64 // calls a second for the whole fleet; 0 if nothing is known
-	limitKnown bool    // that is a limit that was met
+	route      uint32  // route ID
+	rate       float64 // calls a second of the whole fleet; 0 if nothing is known
+	limitKnown bool    // the rate has reached the route's limit
 	state      state
-	inState    time.Duration // it is in that state
-	witnessed  bool          // that is what the relay that tells it saw itself, while it heard nobody
+	inState    time.Duration // time in that state
+	witnessed  bool          // the sender saw the state itself, while it was isolated
 }
 
 var (
 	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
-	errMalformed = errors.New("grants: the note cannot be read")
+	errMalformed = errors.New("fleetlimit: message cannot be decoded")
 )
 
+// routeID returns the number of a route on the wire: the CRC-32C of its name.
 func routeID(name string) uint32 { return crc32.Checksum([]byte(name), castagnoli) }
--- a/internal/relay/fleetlimit/note_test.go
+++ b/internal/relay/fleetlimit/message_test.go
@@ -11,11 +11,12 @@
 	"larchrouter/internal/relay/gossip"
 )
 
-// anyRecord draws a record with the fields that its kind has, as they come out of a note again.
+// anyRecord draws a record with the fields of its kind, with values that the encoding keeps exactly.
 func anyRecord(t *rapid.T) record {
 	route := rapid.Custom(func(t *rapid.T) estimate {
 		return estimate{route: rapid.Uint32().Draw(t, "route"), rate: fromLog(rapid.Byte().Draw(t, "rate")),
-			limitKnown: rapid.Bool().Draw(t, "found"), state: state(rapid.IntRange(0, 2).Draw(t, "state")), inState: timeUnit * time.Duration(rapid.Uint16().Draw(t, "span"))}
+			limitKnown: rapid.Bool().Draw(t, "found"), state: state(rapid.IntRange(0, 2).Draw(t, "state")),
+			inState: timeUnit * time.Duration(rapid.Uint16().Draw(t, "span"))}
 	})
 	r := record{kind: kind(rapid.IntRange(int(requestKind), int(helloKind)).Draw(t, "kind"))}
 	if r.kind != helloKind {
@@ -45,8 +46,8 @@
 	return r
 }
 
-// What is written is read again; a note with a bit turned over gives nothing.
-func TestNotesAreReadAsWritten(t *testing.T) {
+// Encoded records are decoded unchanged; a message with a flipped bit is an error.
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.SliceOfN(rapid.Custom(anyRecord), 1, 3).Draw(t, "records")
 		b := []byte{version}
@@ -56,18 +57,18 @@
 		b = gossip.Seal(b)
 		got, err := decode(b)
 		if err != nil || !reflect.DeepEqual(got, all) {
-			t.Fatalf("read %+v, %v; want %+v", got, err, all)
+			t.Fatalf("decoded %+v, %v; want %+v", got, err, all)
 		}
 		bit := rapid.IntRange(0, 8*len(b)-1).Draw(t, "bit")
 		b[bit/8] ^= 1 << (bit % 8)
 		if _, err := decode(b); err == nil {
-			t.Fatalf("a note with bit %d turned over was read", bit)
+			t.Fatalf("a message with bit %d flipped was decoded", bit)
 		}
 	})
 }
 
-// Guards against a note that makes a relay crash, whatever it holds.
-func FuzzRead(f *testing.F) {
+// Guards against a message that makes a relay crash, whatever it contains.
+func FuzzDecode(f *testing.F) {
 	f.Add([]byte{version, byte(requestKind), 0, 0, 0, 1, 1, 128, 1, 0, 0, 0, 1, 128, 0, 0, 0})
 	f.Add([]byte{version, byte(helloKind), 0})
 	f.Add([]byte{})
@@ -76,11 +77,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, note := range [][]byte{body, gossip.Seal(append([]byte{version}, body...))} {
-			acts, _ := fleet.Step(time.Second, []choice.Heard{{From: 1, Note: note}}, nil)
-			for _, a := range acts {
+		for _, message := range [][]byte{body, gossip.Seal(append([]byte{version}, body...))} {
+			actions, _ := fleet.Step(time.Second, []choice.Heard{{From: 1, Note: message}}, nil)
+			for _, a := range actions {
 				if a, ok := a.(choice.Tell); ok && len(a.Note) > gossip.MaxMessageBytes {
-					t.Fatalf("a note of %d bytes", len(a.Note))
+					t.Fatalf("a message of %d bytes", len(a.Note))
 				}
 			}
 		}
--- a/internal/relay/fleetlimit/pacer_outcome.go
+++ b/internal/relay/fleetlimit/pacer_outcome.go
@@ -6,7 +6,8 @@
 	"larchrouter/choice"
 )
 
-// under way are the calls that may not have reached the route yet, or whose answer may not have come back.
+// recentInFlight returns the number of calls that may not have reached the route yet, or whose answer may be in
+// transit.
 func (p *pacer) recentInFlight(now time.Duration) int {
 	n, recent := 0, now-p.answerTime()
 	for i := len(p.inFlight) - 1; i >= 0 && p.inFlight[i].grantedAt > recent; i-- {
@@ -15,21 +16,22 @@
 	return n
 }
 
-// answerTime is how long a call may be under way, and nothing is wrong.
+// answerTime returns for how long a call may be in flight without anything being wrong.
 func (p *pacer) answerTime() time.Duration {
 	return max(minAnswerTime, time.Duration(4*p.meanLatency*float64(time.Second)))
 }
 
-// trialInterval between trials of a route that is down.
+// trialInterval returns the time between trial calls to a route that is down.
 func (p *pacer) trialInterval() time.Duration {
 	return min(firstTrialInterval<<min(p.failedTrials, 4), p.rules.Fall/3)
 }
 
-// complete takes in what became of a call, and tells whether its room may be given again.
-func (p *pacer) complete(now time.Duration, relay int, id uint32, o choice.Outcome, took, wait time.Duration) (again bool) {
+// complete processes the outcome of a granted call, and reports whether its token may be granted again.
+func (p *pacer) complete(now time.Duration, relay int, id uint32, outcome choice.Outcome,
+	took, wait time.Duration) (again bool) {
 	at := -1
-	for i, l := range p.inFlight {
-		if l.relay == relay && l.id == id {
+	for i, grant := range p.inFlight {
+		if grant.relay == relay && grant.id == id {
 			at = i
 			break
 		}
@@ -39,7 +41,7 @@
 	}
 	granted := p.inFlight[at].grantedAt
 	p.inFlight = append(p.inFlight[:at:at], p.inFlight[at+1:]...)
-	switch o {
+	switch outcome {
 	case choice.NotSent:
 		return p.returnGrant(now, granted)
 	case choice.Served:
@@ -53,8 +55,9 @@
 	return false
 }
 
-// returnGrant takes a grant back that was not used. Its room is there for another call if that is told soon; later it has
-// passed, and what is measured since does not count the call.
+// returnGrant takes back a grant that was not used, and reports whether its token may be granted again. The
+// token is returned if the report is in time; the room of a later one has passed, and what is measured since
+// does not count the call.
 func (p *pacer) returnGrant(now, granted time.Duration) (again bool) {
 	if granted > p.lastFullAt-p.answerTime() {
 		p.callsSinceFull = max(0, p.callsSinceFull-1)
@@ -66,6 +69,7 @@
 	return true
 }
 
+// succeeded processes a served call.
 func (p *pacer) succeeded(now, granted, took time.Duration) {
 	p.meanLatency += (took.Seconds() - p.meanLatency) / 16
 	p.servedRate += 1 / servedRateWindow.Seconds()
@@ -79,7 +83,7 @@
 	p.servedInWindow++
 	switch {
 	case p.state == down && p.failedTrials <= 1 && now-p.stateSince < time.Second:
-		p.state = open // a slip, no outage
+		p.state = open // no outage
 	case p.state == down && granted >= p.stateSince:
 		p.state, p.stateSince, p.tokens, p.failedTrials = warmingUp, now, 0, 0
 		p.growthTime, p.reducedAt, p.lastFullAt, p.callsSinceFull = 0, now, -1, 0
@@ -88,8 +92,8 @@
 	}
 }
 
-// refused takes in a refusal. Calls that were out when the room was last seen used up are refused with it, and are
-// no news.
+// refused processes a refusal. Calls that were in flight when the room was last used up are refused with it, and
+// carry no new information.
 func (p *pacer) refused(now, granted, wait time.Duration) {
 	p.consecutiveFailures = 0
 	if wait > 0 {
@@ -108,7 +112,7 @@
 		to = p.rate * isolatedBackoff
 	case p.alone:
 		to = p.rate * isolatedEstimateBackoff
-	case p.lastFullAt >= 0 && span >= minMeasureTime && p.shareSeconds > 0: // one that goes alone sees its own calls only
+	case p.lastFullAt >= 0 && span >= minMeasureTime && p.shareSeconds > 0: // an isolated relay sees only its own calls
 		measured := float64(p.callsSinceFull) / p.shareSeconds
 		to = min(p.rate*measuredMargin, max(measuredMargin*measured, p.rate*maxBackoff))
 		if p.limit = to; p.share < nearlyAll {
@@ -118,13 +122,14 @@
 	p.rate = max(minRate, to)
 	p.limitKnown = true
 	p.callsSinceFull, p.shareSeconds = p.recentInFlight(now), 0
-	p.lastFullAt, p.reducedAt, p.growthTime, p.tokens = now, now, 0, -float64(p.callsSinceFull) // they will find no room either
+	p.lastFullAt, p.reducedAt, p.growthTime = now, now, 0
+	p.tokens = -float64(p.callsSinceFull) // they will find no room either
 }
 
-// applyRetryAfter takes in a told applyRetryAfter. It binds the relay that was told; the others go on, as most routes tell the same time
-// whatever room there is. But where waits told at different times end at one instant, or are long, the route counts
-// calls in a fixed span of time, and until its end there is no room for anybody. What it took in the span before is
-// what it takes in the next.
+// applyRetryAfter processes a retry-after. It binds the relay that received it; the others go on, as most routes
+// send the same time whatever room there is. But where retry-after times sent at different times end at one
+// instant, or are long, the route counts calls in fixed windows, and until the end of the window there is no
+// room for any relay. The calls served in the window before are the limit of the next.
 func (p *pacer) applyRetryAfter(now, wait time.Duration) {
 	end := now + wait
 	same := p.retryAfterEnd > 0 && max(end-p.retryAfterEnd, p.retryAfterEnd-end) < sameEndTolerance
@@ -132,7 +137,8 @@
 		p.retryAfterAt = now
 	}
 	p.retryAfterEnd = end
-	if end <= p.blockedUntil+sameEndTolerance || wait < minWindow || wait < longRetryAfter && !(same && now-p.retryAfterAt > sameEndTolerance) {
+	fixedWindow := wait >= longRetryAfter || same && now-p.retryAfterAt > sameEndTolerance
+	if end <= p.blockedUntil+sameEndTolerance || wait < minWindow || !fixedWindow {
 		return
 	}
 	if span := end - p.windowStart; span >= minWindow && !p.alone && p.share >= nearlyAll {
@@ -143,6 +149,7 @@
 	p.lastFullAt, p.reducedAt, p.growthTime, p.tokens = -1, now, 0, 0
 }
 
+// failed processes a failure other than a refusal.
 func (p *pacer) failed(now time.Duration) {
 	p.consecutiveFailures++
 	if p.state == down {
@@ -150,25 +157,25 @@
 		p.nextTrialAt = max(p.nextTrialAt, now+p.trialInterval()/2)
 		return
 	}
-	if p.consecutiveFailures >= outageFailures || p.alone { // one that goes alone sees too little to wait for more
+	if p.consecutiveFailures >= outageFailures || p.alone { // an isolated relay sees too little to wait for more
 		p.markDown(now)
 	}
 }
 
-// detectUnanswered notices that calls are left unanswered. Their ends are told by notes: those of a relay of which nothing has been
-// heard since its call say nothing of the route.
-func (p *pacer) detectUnanswered(now time.Duration, heard func(relay int) time.Duration) {
+// detectUnanswered marks a route down whose calls are left unanswered. Outcomes arrive in messages: calls of a
+// relay from which nothing was received since say nothing about the route.
+func (p *pacer) detectUnanswered(now time.Duration, received func(relay int) time.Duration) {
 	if p.state == down || len(p.inFlight) < outageFailures {
 		return
 	}
-	quiet := p.answerTime()
-	n := 0
-	for _, l := range p.inFlight {
-		if now-max(l.grantedAt, p.lastServed) <= quiet {
+	answerTime := p.answerTime()
+	unanswered := 0
+	for _, grant := range p.inFlight {
+		if now-max(grant.grantedAt, p.lastServed) <= answerTime {
 			return
 		}
-		if heard(l.relay) > l.grantedAt {
-			if n++; n == outageFailures {
+		if received(grant.relay) > grant.grantedAt {
+			if unanswered++; unanswered == outageFailures {
 				p.markDown(now)
 				return
 			}
@@ -176,24 +183,27 @@
 	}
 }
 
+// markDown begins an outage.
 func (p *pacer) markDown(now time.Duration) {
 	if p.state == open {
-		// What was measured, or served at its best, if that is more: the rate itself may have grown well beyond it. In large
-		// fleets it is gone by where the limit was met: there the care cost service and prevented nothing (design/007).
+		// What was measured, or served at its best, if that is more: the rate itself may have grown well beyond
+		// it. In large fleets the rate is taken where the limit is known: there this care cost service and
+		// prevented nothing (design/007).
 		if p.rateBeforeOutage = p.rate; !p.limitKnown || p.quotaShares && p.limit > 0 {
 			p.rateBeforeOutage = max(minRate, min(p.rate, max(p.limit, p.peakServedRate)))
 		}
 	}
-	p.state, p.stateSince, p.failedTrials, p.nextTrialAt = down, now, 0, now+time.Duration(float64(firstTrialInterval)/p.positiveShare())
+	p.state, p.stateSince, p.failedTrials = down, now, 0
+	p.nextTrialAt = now + time.Duration(float64(firstTrialInterval)/p.positiveShare())
 }
 
-// healthy tells whether a route is well by what the fleet has seen.
+// healthy reports whether the route is healthy by what the fleet has seen.
 func (p *pacer) healthy(now time.Duration) bool {
 	return p.state == open && p.consecutiveFailures == 0 && now-p.lastServed < 2*time.Second
 }
 
-// addWitness takes in what a relay saw of a route while it heard nobody. A route that most of them saw fail went down, and
-// came back cold if it came back; one that a few could not reach was on the other side of a cut.
+// addWitness records what a relay saw of a route while it was isolated. A route that most of them saw fail went
+// down, and is warming up if it came back; one that a few could not reach was on the other side of a partition.
 func (p *pacer) addWitness(now time.Duration, from int, s state) {
 	if p.state != open || p.alone {
 		return
@@ -202,20 +212,20 @@
 		p.witnesses = map[int]bool{}
 	}
 	p.witnesses[from] = s != open
-	bad := 0
-	for _, b := range p.witnesses {
-		if b {
-			bad++
+	failed := 0
+	for _, sawFailure := range p.witnesses {
+		if sawFailure {
+			failed++
 		}
 	}
-	if len(p.witnesses) >= minWitnesses && 2*bad > len(p.witnesses) {
+	if len(p.witnesses) >= minWitnesses && 2*failed > len(p.witnesses) {
 		p.witnesses = nil
 		p.markDown(now)
 	}
 }
 
-// resume takes a route up where it was after a time in which its ends could not be heard. Calls that were under way have
-// ended, whatever became of them.
+// resume continues after a time in which outcomes could not be received. Calls that were in flight have ended, with
+// whatever outcome.
 func (p *pacer) resume(now time.Duration) {
 	p.inFlight, p.lastFullAt, p.callsSinceFull, p.witnesses = nil, -1, 0, nil
 	p.updatedAt, p.lastServed, p.tokens = now, now, min(p.tokens, 0)
--- a/internal/relay/fleetlimit/partition.go
+++ b/internal/relay/fleetlimit/partition.go
@@ -10,93 +10,100 @@
 	"larchrouter/choice"
 )
 
-// A relay that hears nobody any more is cut off: that is not the death of a steward, or of the eight that would come
-// after it, and to try them in turn costs 2.4 s in which nothing goes out. So when one does not answer and nothing came
-// from any other meanwhile, a handful drawn by chance are called; if none of them answers either, the relay grants its
-// calls to itself, and calls one after another until it hears any.
+// A relay that receives from no other any more is partitioned: that is not the death of a coordinator, or of the
+// eight candidates after it, and to try them in turn costs 2.4 s in which no call is sent. So when one does not
+// answer and no message of any other arrived meanwhile, hellos are sent to a few drawn at random; if none of
+// them answers either, the relay grants its calls to itself, and sends hellos to one after another until it
+// receives any message.
 //
-// What it believed of relays that did not answer in the cut is void then, and what it knew of routes as their steward is
-// taken up where it was: it could not hear how calls ended, and what one relay sees alone is not the fleet's rate. But
-// routes may have gone down and come back cold while nobody could tell: those that saw it bear witness with their
-// first asks, and the steward goes by the most of them.
+// Then what it concluded about relays that did not answer during the partition is void, and its state as a
+// coordinator continues where it was: it could not receive how calls ended, and what one relay sees while
+// isolated is not the fleet's rate. But routes may have gone down and come back while it was isolated: relays
+// that saw it witness it with their first requests, and the coordinator follows the majority of them.
 
 const (
-	partitionProbes = 6
-	witnessTTL      = 3 * time.Second // after it heals
+	partitionProbes = 6               // hellos before a relay considers itself partitioned
+	witnessTTL      = 3 * time.Second // after the end of the partition
 	minWitnesses    = 3
-	// isolatedEstimateBackoff is what is left of a rate after a refusal to a relay that is alone: it sees too few to measure.
+	// isolatedEstimateBackoff is the factor of a rate after a refusal to an isolated relay: it sees too few
+	// calls to measure.
 	isolatedEstimateBackoff = 0.5
 )
 
-// connectivity is whether this relay hears any other.
+// connectivity is the state of the detection whether this relay receives from any other.
 type connectivity struct {
 	rand          *rand.Rand
-	lastReceived  time.Duration // something was last heard
+	lastReceived  time.Duration // from any relay
 	unanswered    map[int]bool  // relays that did not answer since
-	suspectedAt   time.Duration // others were called, and nothing heard since; below 0 if they were not
-	partitioned   bool
-	partitionedAt time.Duration // cut
-	helloAt       time.Duration
+	suspectedAt   time.Duration // hellos were sent, and nothing received since; -1 if not
+	partitioned   bool          // this relay receives from no other
+	partitionedAt time.Duration
+	helloAt       time.Duration // next hello while partitioned
 }
 
+// newConnectivity returns the state at the start.
 func newConnectivity(seed uint64) connectivity {
 	return connectivity{rand: rand.New(rand.NewPCG(seed, 5)), unanswered: map[int]bool{}, suspectedAt: -1}
 }
 
-// received notes that something came, and tells whether that ends a cut. Who did not answer in one is kept for healed.
-func (h *connectivity) received(now time.Duration) (healed bool) {
-	healed = h.partitioned
+// received records that a message arrived, and reports whether that ends a partition. unanswered is kept for
+// rejoin then.
+func (h *connectivity) received(now time.Duration) (rejoined bool) {
+	rejoined = h.partitioned
 	h.lastReceived, h.suspectedAt, h.partitioned = now, -1, false
-	if !healed {
+	if !rejoined {
 		clear(h.unanswered)
 	}
-	return healed
+	return rejoined
 }
 
-// sendHello calls another relay, drawn by chance.
-func (f *Limiter) sendHello() {
-	f.send((f.settings.Index+1+f.connectivity.rand.IntN(f.settings.FleetSize-1))%f.settings.FleetSize, record{kind: helloKind})
+// sendHello sends a hello to another relay, drawn at random.
+func (l *Limiter) sendHello() {
+	to := (l.settings.Index + 1 + l.connectivity.rand.IntN(l.settings.FleetSize-1)) % l.settings.FleetSize
+	l.send(to, record{kind: helloKind})
 }
 
-// resendRequests has all that is wanted asked for at once, of whoever is steward now.
-func (f *Limiter) resendRequests() {
-	for _, e := range f.active {
-		e.requestedAt, e.attempts = f.now-refreshInterval, 0
+// resendRequests makes all active requests due at once, to whoever is coordinator now.
+func (l *Limiter) resendRequests() {
+	for _, req := range l.active {
+		req.requestedAt, req.attempts = l.now-refreshInterval, 0
 	}
 }
 
-// noAnswer notes that a relay did not answer an ask.
-func (f *Limiter) noAnswer(relay int) {
-	h := &f.connectivity
+// noAnswer records that a relay did not answer a request. If nothing else was received since, this relay may be
+// partitioned, and sends hellos to several others.
+func (l *Limiter) noAnswer(relay int) {
+	h := &l.connectivity
 	h.unanswered[relay] = true
-	if h.partitioned || h.suspectedAt >= 0 || f.settings.FleetSize <= 2 || f.now-h.lastReceived < maxAttempts*answerTimeout {
+	if h.partitioned || h.suspectedAt >= 0 || l.settings.FleetSize <= 2 || l.now-h.lastReceived < maxAttempts*answerTimeout {
 		return
 	}
-	h.suspectedAt = f.now
+	h.suspectedAt = l.now
 	for range partitionProbes {
-		f.sendHello()
+		l.sendHello()
 	}
 }
 
-// detectPartition finds that this relay is cut off, and calls others as long as it is.
-func (f *Limiter) detectPartition() {
-	h := &f.connectivity
-	f.expireProbes()
-	if h.suspectedAt >= 0 && !h.partitioned && f.now-h.suspectedAt >= answerTimeout {
-		h.partitioned, h.partitionedAt, h.helloAt = true, f.now, f.now+helloInterval
-		f.actions = append(f.actions, choice.Log{Text: fmt.Sprintf("no other relay is heard for %v: calls go out on this one's own share", f.now-h.lastReceived)})
-		for _, k := range f.coordinated {
-			k.isolate(f.settings.Rules, f.now)
+// detectPartition detects that this relay is partitioned, and sends hellos to others while it is.
+func (l *Limiter) detectPartition() {
+	h := &l.connectivity
+	l.expireProbes()
+	if h.suspectedAt >= 0 && !h.partitioned && l.now-h.suspectedAt >= answerTimeout {
+		h.partitioned, h.partitionedAt, h.helloAt = true, l.now, l.now+helloInterval
+		text := fmt.Sprintf("no other relay is heard for %v: calls go out on this one's own share", l.now-h.lastReceived)
+		l.actions = append(l.actions, choice.Log{Text: text})
+		for _, coord := range l.coordinated {
+			coord.isolate(l.settings.Rules, l.now)
 		}
-		f.resendRequests()
+		l.resendRequests()
 	}
-	if h.partitioned && f.now >= h.helloAt {
-		h.helloAt = f.now + helloInterval
-		f.sendHello()
+	if h.partitioned && l.now >= h.helloAt {
+		h.helloAt = l.now + helloInterval
+		l.sendHello()
 	}
 }
 
-// nextCheck is when to do so next.
+// nextCheck returns when to call detectPartition next.
 func (h *connectivity) nextCheck() time.Duration {
 	switch {
 	case h.partitioned:
@@ -107,63 +114,66 @@
 	return never
 }
 
-// rejoin takes up the fleet again: relays that did not answer in the cut have done nothing wrong.
-func (f *Limiter) rejoin() {
-	h := &f.connectivity
-	f.actions = append(f.actions, choice.Log{Text: fmt.Sprintf("other relays are heard again after %v", f.now-h.partitionedAt)})
+// rejoin ends a partition: relays that did not answer during it are no longer skipped.
+func (l *Limiter) rejoin() {
+	h := &l.connectivity
+	l.actions = append(l.actions, choice.Log{Text: fmt.Sprintf("other relays are heard again after %v", l.now-h.partitionedAt)})
 	for i := range h.unanswered {
-		f.skipUntil[i], f.misses[i] = 0, 0
+		l.skipUntil[i], l.misses[i] = 0, 0
 	}
 	clear(h.unanswered)
-	for _, dest := range slices.Sorted(maps.Keys(f.coordinated)) { // the same events give the same actions
-		k := f.coordinated[dest]
-		f.recordWitnessed(k)
-		k.rejoin(f.now)
-		f.releasePledges(k)
+	for _, dest := range slices.Sorted(maps.Keys(l.coordinated)) { // the same events give the same actions
+		coord := l.coordinated[dest]
+		l.recordWitnessed(coord)
+		coord.rejoin(l.now)
+		l.releasePledges(coord)
 	}
-	f.resendRequests()
+	l.resendRequests()
 }
 
-// recordWitnessed turns what this relay saw of a destination while it was alone into what it tells with its asks: not of the
-// rate, of which it saw too little, but whether calls were served.
-func (f *Limiter) recordWitnessed(k *coordinatorState) {
-	e := f.requestFor(k.dest)
-	for id, p := range k.routes {
-		if x, ok := e.estimates[id]; ok && (p.state != open || p.lastServed > f.connectivity.partitionedAt) {
-			e.estimates[id] = receivedEstimate{estimate{route: id, rate: x.rate, limitKnown: x.limitKnown, state: p.state, inState: f.now - p.stateSince, witnessed: true}, f.now}
+// recordWitnessed turns what this relay saw of a destination while it was isolated into what it sends with its
+// requests: not the rate, of which it saw too little, but whether calls were served.
+func (l *Limiter) recordWitnessed(coord *coordinatorState) {
+	req := l.requestFor(coord.dest)
+	for id, p := range coord.routes {
+		known, ok := req.estimates[id]
+		if ok && (p.state != open || p.lastServed > l.connectivity.partitionedAt) {
+			req.estimates[id] = receivedEstimate{estimate{route: id, rate: known.rate, limitKnown: known.limitKnown,
+				state: p.state, inState: l.now - p.stateSince, witnessed: true}, l.now}
 		}
 	}
 }
 
-// isolate sets aside what is known as a steward. A relay that is alone goes on from it with pacers of its own.
-func (k *coordinatorState) isolate(rules choice.Rules, now time.Duration) {
-	k.savedRoutes, k.savedOrder, k.requests = k.routes, slices.Clone(k.order), nil
-	k.routes = map[uint32]*pacer{}
-	for id, p := range k.savedRoutes {
-		k.routes[id] = newPacer(rules, now)
-		k.routes[id].quotaShares = p.quotaShares
-		k.routes[id].adopt(now, p.estimate(now, id))
+// isolate saves the coordinator's state of the routes. An isolated relay continues from it with pacers of its own.
+func (coord *coordinatorState) isolate(rules choice.Rules, now time.Duration) {
+	coord.savedRoutes, coord.savedOrder, coord.requests = coord.routes, slices.Clone(coord.order), nil
+	coord.routes = map[uint32]*pacer{}
+	for id, p := range coord.savedRoutes {
+		coord.routes[id] = newPacer(rules, now)
+		coord.routes[id].quotaShares = p.quotaShares
+		coord.routes[id].adopt(now, p.estimate(now, id))
 	}
 }
 
-// rejoin takes it up again.
-func (k *coordinatorState) rejoin(now time.Duration) {
-	k.requests = nil
-	if k.routes, k.order = k.savedRoutes, k.savedOrder; k.routes == nil {
-		k.routes = map[uint32]*pacer{}
+// rejoin restores the saved state.
+func (coord *coordinatorState) rejoin(now time.Duration) {
+	coord.requests = nil
+	if coord.routes, coord.order = coord.savedRoutes, coord.savedOrder; coord.routes == nil {
+		coord.routes = map[uint32]*pacer{}
 	}
-	k.savedRoutes, k.savedOrder = nil, nil
-	for _, p := range k.routes {
+	coord.savedRoutes, coord.savedOrder = nil, nil
+	for _, p := range coord.routes {
 		p.resume(now)
 	}
 }
 
-// isolatedFactor is how much of an open route's rate a relay grants itself that is alone. Even shares starve: 300 relays have
-// use for a call at different times, and each would wait for many times what all of them need together. So it takes the
-// multiple of its share by which the rules let a route be passed. The sum stays within the limit as long as the fleet's
-// traffic does, and refusals take it back.
+// isolatedFactor returns the share of an open route's rate that an isolated relay grants itself. Equal shares
+// starve: 300 relays need calls at different times, and each would wait for many times what all of them need
+// together. So it takes the multiple of its share by which the rules let a route be exceeded. The sum stays
+// within the limit as long as the fleet's traffic does, and refusals reduce it.
 func (p *pacer) isolatedFactor() float64 { return min(1, p.share*p.rules.OverloadFactor) }
 
-func (k *coordinatorState) weightedRank(self int, route uint32) float64 {
-	return rand.New(rand.NewPCG(uint64(self), uint64(route))).ExpFloat64() / k.routes[route].rate
+// weightedRank returns the rank of a route in that order.
+func (coord *coordinatorState) weightedRank(self int, route uint32) float64 {
+	return rand.New(rand.NewPCG(uint64(self), uint64(route))).ExpFloat64() / coord.routes[route].rate
 }
--- a/internal/relay/fleetlimit/request.go
+++ b/internal/relay/fleetlimit/request.go
@@ -8,146 +8,166 @@
 	"larchrouter/choice"
 )
 
-// request is what this relay wants of one destination.
+// request is what this relay requests for one destination.
 type request struct {
-	dest          int
-	candidates    []int       // who may be its steward, the first first
-	wanted        choice.Want // wanted now
-	requested     choice.Want // last told, less what was granted since
-	coordinator   int         // whom it was told; -1 for nobody
-	requestedAt   time.Duration
-	awaitingSince time.Duration // an answer is awaited; what is said anew meanwhile does not change it
-	answered      bool          // an answer came since
-	attempts      int           // without an answer
-	routeNames    map[uint32]string
-	estimates     map[uint32]receivedEstimate // by route
-	activeGrants  map[uint32]activeGrant      // grants that this relay has, by the number that the Chooser knows
-	recentGrants  map[grantID]time.Duration   // all that came of late: a note that comes twice must not grant twice
-	inActive      bool                        // among the active
+	dest        int
+	candidates  []int       // coordinators in the order of preference
+	wanted      choice.Want // now
+	requested   choice.Want // last sent, less the calls granted since
+	coordinator int         // to which it was sent; -1 for none
+	requestedAt time.Duration
+	// An answer is awaited since then. A changed request that is sent meanwhile does not restart the time-out.
+	awaitingSince time.Duration
+	answered      bool                        // since it was sent
+	attempts      int                         // without an answer
+	routeNames    map[uint32]string           // by route ID
+	estimates     map[uint32]receivedEstimate // by route ID
+	activeGrants  map[uint32]activeGrant      // by the number that the Chooser knows
+	recentGrants  map[grantID]time.Duration   // all received lately: a duplicated message must not grant twice
+	inActive      bool                        // in Limiter.active
 }
 
-// receivedEstimate is what a steward told of a route.
+// receivedEstimate is a coordinator's estimate of a route.
 type receivedEstimate struct {
 	estimate
 	receivedAt time.Duration
 }
 
-// grantID names a grant in the whole fleet.
+// grantID identifies a grant in the fleet.
 type grantID struct {
 	coordinator int
 	number      uint32
 }
 
-// activeGrant is a grant that this relay has.
+// activeGrant is a grant that this relay has, whose outcome it has not reported.
 type activeGrant struct {
 	grantID
 	grantedAt time.Duration
 }
 
-// setWanted takes in what the Chooser could use.
-func (f *Limiter) setWanted(w choice.Want) {
-	e := f.requestFor(w.Dest)
-	e.wanted = w
+// setWanted records which calls the Chooser could use.
+func (l *Limiter) setWanted(w choice.Want) {
+	req := l.requestFor(w.Dest)
+	req.wanted = w
 	for _, name := range w.Routes {
-		e.routeNames[routeID(name)] = name
+		req.routeNames[routeID(name)] = name
 	}
-	f.activate(e)
+	l.activate(req)
 }
 
-func (f *Limiter) requestFor(dest int) *request {
-	e := f.requests[dest]
-	if e == nil {
-		e = &request{dest: dest, coordinator: -1, candidates: Coordinators(dest, f.settings.FleetSize), routeNames: map[uint32]string{}, estimates: map[uint32]receivedEstimate{},
-			activeGrants: map[uint32]activeGrant{}, recentGrants: map[grantID]time.Duration{}}
-		f.requests[dest] = e
+// requestFor returns the request of a destination, a new one if there is none.
+func (l *Limiter) requestFor(dest int) *request {
+	req := l.requests[dest]
+	if req == nil {
+		req = &request{
+			dest:         dest,
+			coordinator:  -1,
+			candidates:   Coordinators(dest, l.settings.FleetSize),
+			routeNames:   map[uint32]string{},
+			estimates:    map[uint32]receivedEstimate{},
+			activeGrants: map[uint32]activeGrant{},
+			recentGrants: map[grantID]time.Duration{},
+		}
+		l.requests[dest] = req
 	}
-	return e
+	return req
 }
 
-// activate has an errand looked at; the order is by destination, so that the same events give the same actions.
-func (f *Limiter) activate(e *request) {
-	if !e.inActive {
-		e.inActive = true
-		i, _ := slices.BinarySearchFunc(f.active, e, func(a, b *request) int { return cmp.Compare(a.dest, b.dest) })
-		f.active = slices.Insert(f.active, i, e)
+// activate adds a request to the active ones, by destination, so that the same events give the same actions.
+func (l *Limiter) activate(req *request) {
+	if !req.inActive {
+		req.inActive = true
+		i, _ := slices.BinarySearchFunc(l.active, req, func(a, b *request) int { return cmp.Compare(a.dest, b.dest) })
+		l.active = slices.Insert(l.active, i, req)
 	}
 }
 
-// sendRequest tells a steward what is wanted, if that has changed, is not answered or has to be said again.
-func (f *Limiter) sendRequest(e *request) {
-	due := f.now-e.requestedAt >= refreshInterval
-	awaits := e.requested.Calls > 0 && !e.answered
-	if awaits && f.now-e.awaitingSince >= answerTimeout {
-		due, awaits = true, false
-		if e.attempts++; e.attempts >= maxAttempts && e.coordinator != f.settings.Index && !f.reachableRecently(e.coordinator) {
-			f.skip(e.coordinator)
+// sendRequest sends a request to its coordinator if it has changed, was not answered, or has to be refreshed.
+func (l *Limiter) sendRequest(req *request) {
+	due := l.now-req.requestedAt >= refreshInterval
+	awaiting := req.requested.Calls > 0 && !req.answered
+	if awaiting && l.now-req.awaitingSince >= answerTimeout {
+		due, awaiting = true, false
+		req.attempts++
+		if req.attempts >= maxAttempts && req.coordinator != l.settings.Index && !l.reachableRecently(req.coordinator) {
+			l.skip(req.coordinator)
 		} else {
-			f.probeCandidates(e)
+			l.probeCandidates(req)
 		}
 	}
-	to, lone := f.currentCoordinator(e.candidates)
-	if e.wanted.Calls == 0 && e.requested.Calls == 0 || !due && (e.wanted.Calls == 0 || to == e.coordinator) && !e.changed() {
+	to, alone := l.currentCoordinator(req.candidates)
+	nothing := req.wanted.Calls == 0 && req.requested.Calls == 0
+	if nothing || !due && (req.wanted.Calls == 0 || to == req.coordinator) && !req.changed() {
 		return
 	}
-	if e.coordinator >= 0 && e.coordinator != to && e.requested.Calls > 0 && !f.connectivity.partitioned { // the one before must not grant as well
-		f.send(e.coordinator, record{kind: requestKind, dest: e.dest, timestamp: timestampOf(f.now)})
-	}
-	if e.coordinator != to {
-		e.attempts, awaits = 0, false
+	if req.coordinator >= 0 && req.coordinator != to && req.requested.Calls > 0 && !l.connectivity.partitioned {
+		// The coordinator before must not grant as well.
+		l.send(req.coordinator, record{kind: requestKind, dest: req.dest, timestamp: timestampOf(l.now)})
 	}
-	if !awaits {
-		e.awaitingSince = f.now
+	if req.coordinator != to {
+		req.attempts, awaiting = 0, false
 	}
-	e.coordinator, e.requestedAt, e.answered = to, f.now, false
-	e.requested = e.wanted
-	r := record{kind: requestKind, dest: e.dest, calls: e.wanted.Calls, value: e.wanted.Value, timestamp: timestampOf(f.now)}
-	for _, name := range e.wanted.Routes {
-		x := estimate{route: routeID(name)}
-		if h, ok := e.estimates[x.route]; ok && f.now-h.receivedAt < estimateTTL {
-			x = h.estimate
-			x.inState += f.now - h.receivedAt
-			x.witnessed = x.witnessed && f.now-h.receivedAt < witnessTTL
-		}
-		r.routes = append(r.routes, x)
+	if !awaiting {
+		req.awaitingSince = l.now
 	}
-	if to != f.settings.Index {
-		f.send(to, r)
+	req.coordinator, req.requestedAt, req.answered = to, l.now, false
+	req.requested = req.wanted
+	r := l.requestRecord(req)
+	if to != l.settings.Index {
+		l.send(to, r)
 		return
 	}
-	e.answered = true
-	k := f.coordinatorFor(e.dest)
-	k.alone = lone
-	f.acceptRequest(k, to, r)
+	req.answered = true
+	coord := l.coordinatorFor(req.dest)
+	coord.alone = alone
+	l.acceptRequest(coord, to, r)
+}
+
+// requestRecord returns the record of a request, with the estimates of its routes that this relay has received.
+func (l *Limiter) requestRecord(req *request) record {
+	r := record{kind: requestKind, dest: req.dest, calls: req.wanted.Calls, value: req.wanted.Value, timestamp: timestampOf(l.now)}
+	for _, name := range req.wanted.Routes {
+		known := estimate{route: routeID(name)}
+		if received, ok := req.estimates[known.route]; ok && l.now-received.receivedAt < estimateTTL {
+			known = received.estimate
+			known.inState += l.now - received.receivedAt
+			known.witnessed = known.witnessed && l.now-received.receivedAt < witnessTTL
+		}
+		r.routes = append(r.routes, known)
+	}
+	return r
 }
 
-// changed tells whether what is wanted changed from what was said by enough to be told.
-func (e *request) changed() bool {
-	w, s := &e.wanted, &e.requested
-	return w.Calls != s.Calls || !slices.Equal(w.Routes, s.Routes) || w.Value > s.Value*valueTolerance || s.Value > w.Value*valueTolerance
+// changed reports whether what is wanted differs from what was requested by enough to be sent.
+func (req *request) changed() bool {
+	now, sent := &req.wanted, &req.requested
+	return now.Calls != sent.Calls || !slices.Equal(now.Routes, sent.Routes) ||
+		now.Value > sent.Value*valueTolerance || sent.Value > now.Value*valueTolerance
 }
 
-// requestAnswered notes that a steward requestAnswered, and what it tells of rates.
-func (f *Limiter) requestAnswered(from int, r record) *request {
-	e := f.requestFor(r.dest)
-	if from == e.coordinator {
-		e.answered, e.attempts = true, 0
+// requestAnswered records that a coordinator answered, and the estimates in its answer.
+func (l *Limiter) requestAnswered(from int, r record) *request {
+	req := l.requestFor(r.dest)
+	if from == req.coordinator {
+		req.answered, req.attempts = true, 0
 	}
 	for _, x := range r.routes {
-		if x.rate > 0 && !(from == f.settings.Index && f.connectivity.partitioned) { // what one relay sees alone is not the fleet's rate
-			e.estimates[x.route] = receivedEstimate{x, f.now}
+		// What one relay sees while isolated is not the fleet's rate.
+		if x.rate > 0 && !(from == l.settings.Index && l.connectivity.partitioned) {
+			req.estimates[x.route] = receivedEstimate{x, l.now}
 		}
 	}
-	return e
+	return req
 }
 
-// reportOutcome passes on what became of a granted call to whoever granted it.
-func (f *Limiter) reportOutcome(s choice.Spent) {
-	e := f.requestFor(s.Dest)
-	h, ok := e.activeGrants[s.Grant]
+// reportOutcome reports the outcome of a granted call to the coordinator that granted it.
+func (l *Limiter) reportOutcome(s choice.Spent) {
+	req := l.requestFor(s.Dest)
+	grant, ok := req.activeGrants[s.Grant]
 	if !ok {
 		return
 	}
-	delete(e.activeGrants, s.Grant)
-	f.send(h.coordinator, record{kind: outcomeKind, dest: s.Dest, routes: []estimate{{route: routeID(s.Route)}}, grant: h.number,
-		outcome: s.Outcome, took: s.Took, wait: s.Wait})
+	delete(req.activeGrants, s.Grant)
+	l.send(grant.coordinator, record{kind: outcomeKind, dest: s.Dest, routes: []estimate{{route: routeID(s.Route)}},
+		grant: grant.number, outcome: s.Outcome, took: s.Took, wait: s.Wait})
 }
--- a/internal/relay/fleetlimit/shares.go
+++ b/internal/relay/fleetlimit/shares.go
@@ -9,227 +9,240 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// In a fleet of up to 64 relays the limits of a destination are held as rights (internal/relay/quota): each relay has an even
-// part of them, a steward grants on the parts that were pledged to it, and so the stewards of all sides of a cut, the
-// ones that stand in and the ones that come back, together grant what one would (a quarter more at most, see gone).
+// In a fleet of up to 64 relays the limits of a destination are divided into quota shares
+// (internal/relay/quota): each relay owns a share, a coordinator grants on the shares that were pledged to it,
+// and so the coordinators on all sides of a partition, those that stand in and those that return, together grant
+// what one would (a quarter more at most, see deadWeight).
 //
-// A steward that has asks calls all relays for their pledges: each when its pledge is half over, again and again until it
-// is renewed, and with whatever note goes to it before. A relay pledges to the one that ranks first of those that it hears
-// call and that hear it, wherever it asks itself. A call says whether the steward has heard its receiver of late, and who
-// was not heard says that it is there; so nobody pledges to a steward that does not hear it, and what is pledged is of use.
-// A steward that hands a destination back lets go of what was pledged to it, so that nobody waits for a lease.
+// A coordinator with pending requests requests pledges from all relays: from each when half of its lease is
+// over, repeatedly until it is renewed, and with any message that goes there before. A relay pledges to the
+// preferred candidate of those whose pledge requests it receives and that receive from it, wherever it sends its
+// own requests. A pledge request states whether the coordinator has recently received from the receiver, and a
+// relay that was not received answers with a hello; so no relay pledges to a coordinator that does not receive
+// it, and what is pledged is of use. A coordinator that hands over a destination releases what was pledged to
+// it, so that no relay waits for a lease.
 //
-// Larger fleets have no rights: calls would cost more notes than they are worth (design/007). There the steward grants
-// all, and a relay that is alone a multiple of its even share.
+// Larger fleets have no quota shares: pledges would cost more messages than they are worth (design/007). There
+// the coordinator grants all, and an isolated relay a multiple of its equal share.
 
-// MaxQuotaRelays is the largest fleet in which rights are pledged.
+// MaxQuotaRelays is the size of the largest fleet that uses quota shares.
 const MaxQuotaRelays = 64
 
 const (
-	pledgeRequestInterval = 100 * time.Millisecond  // a pledge that is half over is called for so often
-	seekInterval          = 300 * time.Millisecond  // so often where there is none
-	piggybackAge          = 150 * time.Millisecond  // a pledge that old is called for with a note that goes there anyway
-	reachableTime         = time.Second             // a relay that was heard so long ago at most is told that it is heard
-	grantWindow           = 600 * time.Millisecond  // one that was not heard for so long is granted nothing: what is granted to one on the other side of a cut is lost
-	pledgeRequestTTL      = 760 * time.Millisecond  // a lease: who has not called for so long has nothing to grant, or is not heard
-	deadTimeout           = 1500 * time.Millisecond // two leases: a relay of which nothing was heard for so long is dead or cut off
-	nearlyAll             = 0.9                     // of the rights: whoever has so much sees what the fleet sees
-	isolatedBackoff       = 0.8                     // is left of a rate after a refusal to one that is alone and goes on its own rights
+	pledgeRequestInterval = 100 * time.Millisecond // of a pledge whose lease is half over
+	seekInterval          = 300 * time.Millisecond // of a relay without a pledge
+	piggybackAge          = 150 * time.Millisecond // a pledge that old is renewed with a message that goes there anyway
+	reachableTime         = time.Second            // a relay whose message arrived so recently is reported as received
+	// A relay that was not received from for so long is granted nothing: a grant to the other side of a
+	// partition is lost.
+	grantWindow = 600 * time.Millisecond
+	// A lease: a coordinator without a pledge request for so long has nothing to grant, or is not received.
+	pledgeRequestTTL = 760 * time.Millisecond
+	// Two leases: a relay not received from for so long is dead or partitioned
+	deadTimeout     = 1500 * time.Millisecond
+	nearlyAll       = 0.9 // of the shares: a coordinator with so much sees what the fleet sees
+	isolatedBackoff = 0.8 // of a rate after a refusal to an isolated relay that uses its own share
 )
 
-// leaseTerms have a pledge called for four times before it lapses, so that three in ten notes lost cost few. Clocks of one kind
-// of machine differ by less than a thousandth; a hundredth is allowed.
+// leaseTerms have a pledge requested four times before it expires, so that three in ten messages lost cost few.
+// Clocks of one kind of machine differ by less than a thousandth; a hundredth is allowed.
 var leaseTerms = quota.Terms{Lease: 750 * time.Millisecond, Drift: 0.01}
 
-// ownShare is this relay's part of a destination's limits, and who calls for it.
+// ownShare is this relay's share of a destination's limits, and the coordinators that request it.
 type ownShare struct {
 	holder     *quota.Holder
-	requesters map[int]pledgeRequester
+	requesters map[int]pledgeRequester // by relay
 }
 
-// pledgeRequester is a steward that was heard calling.
+// pledgeRequester is a coordinator whose pledge request was received.
 type pledgeRequester struct {
 	stamp      quota.Stamp
-	receivedAt time.Duration // last, by this relay's clock
-	receivesUs bool          // it hears this relay
+	receivedAt time.Duration // by this relay's clock
+	receivesUs bool          // it receives this relay's messages
 }
 
-func (f *Limiter) ownShareOf(dest int) *ownShare {
-	r := f.ownShares[dest]
-	if r == nil {
-		r = &ownShare{holder: quota.NewHolder(leaseTerms, f.ownUnits(), f.startedAt), requesters: map[int]pledgeRequester{}}
-		f.ownShares[dest] = r
+// ownShareOf returns this relay's share of a destination, a new one if there is none.
+func (l *Limiter) ownShareOf(dest int) *ownShare {
+	own := l.ownShares[dest]
+	if own == nil {
+		own = &ownShare{holder: quota.NewHolder(leaseTerms, l.ownUnits(), l.startedAt), requesters: map[int]pledgeRequester{}}
+		l.ownShares[dest] = own
 	}
-	return r
+	return own
 }
 
-// requestPledges calls for the pledges that are due, as long as there are asks.
-func (f *Limiter) requestPledges(k *coordinatorState) {
-	if !f.settings.QuotaShares || len(k.requests) == 0 {
+// requestPledges sends the pledge requests that are due, as long as there are pending requests.
+func (l *Limiter) requestPledges(coord *coordinatorState) {
+	if !l.settings.QuotaShares || len(coord.requests) == 0 {
 		return
 	}
-	tick := f.now >= k.pledgeRequestAt
+	tick := l.now >= coord.pledgeRequestAt
 	if tick {
-		k.pledgeRequestAt = f.now + pledgeRequestInterval
+		coord.pledgeRequestAt = l.now + pledgeRequestInterval
 	}
-	seek := tick && f.now >= k.seekAt
+	seek := tick && l.now >= coord.seekAt
 	if seek {
-		k.seekAt = f.now + seekInterval
+		coord.seekAt = l.now + seekInterval
 	}
-	for i := range f.settings.FleetSize {
-		age, held := k.pool.Age(f.now, i)
+	for i := range l.settings.FleetSize {
+		age, inForce := coord.pool.Age(l.now, i)
 		due := seek
-		if held {
-			due = tick && age >= leaseTerms.Lease/2 || f.outgoing[i] != nil && age >= piggybackAge
+		if inForce {
+			due = tick && age >= leaseTerms.Lease/2 || l.outgoing[i] != nil && age >= piggybackAge
 		}
-		if !due || f.connectivity.partitioned && i != f.settings.Index {
+		if !due || l.connectivity.partitioned && i != l.settings.Index {
 			continue
 		}
-		r := record{kind: pledgeRequestKind, dest: k.dest, stamp: k.pool.Stamp(f.now.Truncate(time.Millisecond)), answer: f.receivedRecently(i)}
-		if i != f.settings.Index {
-			f.send(i, r)
+		r := record{kind: pledgeRequestKind, dest: coord.dest, answer: l.receivedRecently(i)}
+		r.stamp = coord.pool.Stamp(l.now.Truncate(time.Millisecond))
+		if i != l.settings.Index {
+			l.send(i, r)
 		} else {
-			f.pledgeRequested(i, r)
+			l.pledgeRequested(i, r)
 		}
 	}
 }
 
-// receivedRecently tells whether a relay was heard of late.
-func (f *Limiter) receivedRecently(i int) bool {
-	return i == f.settings.Index || f.lastReceived[i] >= 0 && f.now-f.lastReceived[i] < reachableTime
+// receivedRecently reports whether a message of a relay arrived recently.
+func (l *Limiter) receivedRecently(relay int) bool {
+	return relay == l.settings.Index || l.lastReceived[relay] >= 0 && l.now-l.lastReceived[relay] < reachableTime
 }
 
-// pledgeRequested takes in a call, and pledges to its steward if that is the one to pledge to.
-func (f *Limiter) pledgeRequested(from int, r record) {
-	if !f.settings.QuotaShares {
+// pledgeRequested processes a pledge request, and pledges the share if its coordinator is the one to pledge to.
+func (l *Limiter) pledgeRequested(from int, r record) {
+	if !l.settings.QuotaShares {
 		return
 	}
-	own := f.ownShareOf(r.dest)
-	c := own.requesters[from]
-	if c.stamp.Incarnation == r.stamp.Incarnation && r.stamp.At < c.stamp.At {
-		return // an old one
+	own := l.ownShareOf(r.dest)
+	last := own.requesters[from]
+	if last.stamp.Incarnation == r.stamp.Incarnation && r.stamp.At < last.stamp.At {
+		return // delayed
 	}
-	own.requesters[from] = pledgeRequester{r.stamp, f.now, r.answer}
-	if !r.answer { // it cannot be pledged to before it has heard this relay
-		f.send(from, record{kind: helloKind, answer: true})
+	own.requesters[from] = pledgeRequester{r.stamp, l.now, r.answer}
+	if !r.answer { // nothing can be pledged to it before it receives from this relay
+		l.send(from, record{kind: helloKind, answer: true})
 	}
-	if f.choosePledgee(r.dest) != from {
+	if l.choosePledgee(r.dest) != from {
 		return
 	}
-	if units, ok := own.holder.Pledge(f.now, from, r.stamp); ok {
-		f.send(from, record{kind: pledgeKind, dest: r.dest, stamp: r.stamp, units: units})
+	if units, ok := own.holder.Pledge(l.now, from, r.stamp); ok {
+		l.send(from, record{kind: pledgeKind, dest: r.dest, stamp: r.stamp, units: units})
 	}
 }
 
-// choosePledgee is whom to pledge to of those that call.
-func (f *Limiter) choosePledgee(dest int) (steward int) {
-	ranked, steward, best := f.requestFor(dest).candidates, quota.NoCoordinator, math.MaxInt
-	for i, c := range f.ownShareOf(dest).requesters {
-		if f.now-c.receivedAt > pledgeRequestTTL || !c.receivesUs {
+// choosePledgee returns the coordinator to pledge to: the preferred one of those that request it and receive
+// this relay.
+func (l *Limiter) choosePledgee(dest int) (coordinator int) {
+	candidates, coordinator, best := l.requestFor(dest).candidates, quota.NoCoordinator, math.MaxInt
+	for i, requester := range l.ownShareOf(dest).requesters {
+		if l.now-requester.receivedAt > pledgeRequestTTL || !requester.receivesUs {
 			continue
 		}
-		at := slices.Index(ranked, i)
-		if at < 0 {
-			at = len(ranked) + i
+		rank := slices.Index(candidates, i)
+		if rank < 0 {
+			rank = len(candidates) + i
 		}
-		if at < best {
-			steward, best = i, at
+		if rank < best {
+			coordinator, best = i, rank
 		}
 	}
-	return steward
+	return coordinator
 }
 
-// acceptPledge takes in a pledge.
-func (f *Limiter) acceptPledge(from int, r record) {
-	if k := f.coordinated[r.dest]; k != nil && f.settings.QuotaShares {
-		k.pool.Accept(f.now, from, min(r.units, f.shareOf(from)), r.stamp)
+// acceptPledge records a pledge.
+func (l *Limiter) acceptPledge(from int, r record) {
+	if coord := l.coordinated[r.dest]; coord != nil && l.settings.QuotaShares {
+		coord.pool.Accept(l.now, from, min(r.units, l.shareOf(from)), r.stamp)
 	}
 }
 
-// releasePledges lets go of all that was pledged for a destination.
-func (f *Limiter) releasePledges(k *coordinatorState) {
-	if !f.settings.QuotaShares {
+// releasePledges releases all that was pledged to this relay for a destination.
+func (l *Limiter) releasePledges(coord *coordinatorState) {
+	if !l.settings.QuotaShares {
 		return
 	}
-	holders := k.pool.Holders(f.now)
+	holders := coord.pool.Holders(l.now)
 	slices.Sort(holders) // the same events give the same actions
 	for _, i := range holders {
-		f.send(i, record{kind: releaseKind, dest: k.dest, stamp: k.pool.Release(f.now.Truncate(time.Millisecond), i)})
+		l.send(i, record{kind: releaseKind, dest: coord.dest, stamp: coord.pool.Release(l.now.Truncate(time.Millisecond), i)})
 	}
 }
 
-// reachableRecently tells whether a relay showed of late that it hears this one: what it did not answer was lost.
-func (f *Limiter) reachableRecently(relay int) bool {
-	return f.settings.QuotaShares && f.lastReachable[relay] >= 0 && f.now-f.lastReachable[relay] < maxAttempts*answerTimeout
+// reachableRecently reports whether a relay showed recently that it receives this relay's messages: an
+// unanswered request was lost.
+func (l *Limiter) reachableRecently(relay int) bool {
+	return l.settings.QuotaShares && l.lastReachable[relay] >= 0 && l.now-l.lastReachable[relay] < maxAttempts*answerTimeout
 }
 
-// probeCandidates asks all that may be steward in place of one that does not answer whether they are there. So those that are not,
-// on the other side of a cut, are passed over together, and not one after the other.
-func (f *Limiter) probeCandidates(e *request) {
-	if !f.settings.QuotaShares || f.connectivity.partitioned {
+// probeCandidates sends hellos to all candidates for the place of a coordinator that does not answer. So those
+// that are on the other side of a partition are skipped together, and not one after the other.
+func (l *Limiter) probeCandidates(req *request) {
+	if !l.settings.QuotaShares || l.connectivity.partitioned {
 		return
 	}
-	for _, i := range e.candidates {
-		if i != f.settings.Index && i != e.coordinator && f.skipUntil[i] <= f.now && f.probedAt[i] < 0 && !f.reachableRecently(i) {
-			f.probedAt[i] = f.now
-			f.send(i, record{kind: helloKind})
+	for _, i := range req.candidates {
+		if i != l.settings.Index && i != req.coordinator && l.skipUntil[i] <= l.now && l.probedAt[i] < 0 && !l.reachableRecently(i) {
+			l.probedAt[i] = l.now
+			l.send(i, record{kind: helloKind})
 		}
 	}
 }
 
-// expireProbes passes over those that did not answer.
-func (f *Limiter) expireProbes() {
-	for i, since := range f.probedAt {
+// expireProbes skips the relays that did not answer a probe.
+func (l *Limiter) expireProbes() {
+	for i, since := range l.probedAt {
 		if since < 0 {
 			continue
 		}
-		if f.lastReachable[i] >= since {
-			f.probedAt[i] = -1
-		} else if f.now-since >= answerTimeout {
-			f.probedAt[i] = -1
-			f.skip(i)
+		if l.lastReachable[i] >= since {
+			l.probedAt[i] = -1
+		} else if l.now-since >= answerTimeout {
+			l.probedAt[i] = -1
+			l.skip(i)
 		}
 	}
 }
 
-// grantableShare is what of a destination's limits may be granted here, as a share, and whether this relay sees no calls but its own.
-func (f *Limiter) grantableShare(k *coordinatorState) (part float64, alone bool) {
-	alone = f.connectivity.partitioned || k.alone
+// grantableShare returns the share of a destination's limits that may be granted here, and reports whether this
+// relay sees only its own calls.
+func (l *Limiter) grantableShare(coord *coordinatorState) (share float64, alone bool) {
+	alone = l.connectivity.partitioned || coord.alone
 	switch {
-	case f.settings.QuotaShares:
-		at := f.now
+	case l.settings.QuotaShares:
+		at := l.now
 		if plant.Is(plant.Lease) {
 			at = 0
 		}
-		each := 1 / float64(f.totalWeight)
-		part = min(1, float64(k.pool.Units(at))/float64(quota.Share(f.totalWeight))*each)
-		if k.configured == nil && part >= claimThreshold(f.remainingRelays()) {
-			part = min(1, part+each*float64(f.deadWeight()))
+		each := 1 / float64(l.totalWeight)
+		share = min(1, float64(coord.pool.Units(at))/float64(quota.Share(l.totalWeight))*each)
+		if coord.configured == nil && share >= claimThreshold(l.remainingRelays()) {
+			share = min(1, share+each*float64(l.deadWeight()))
 		}
-		return part, alone
+		return share, alone
 	case alone:
-		return 1 / float64(f.settings.FleetSize), true
+		return 1 / float64(l.settings.FleetSize), true
 	}
 	return 1, false
 }
 
-// deadWeight counts the parts of relays of which nothing was heard for long. Most such relays are dead, and their parts would be lost; a
-// few may be cut off and go on with what is theirs. So whoever has three quarters of the parts, or in a small fleet more than
-// half, claims theirs as well, and nobody else does. A limit that was told is a contract: there nobody claims anything.
-func (f *Limiter) deadWeight() (n int) {
-	for i, at := range f.lastReceived {
-		if i != f.settings.Index && !f.removed[i] && f.now-max(at, f.startedAt) >= deadTimeout {
-			n += f.weight(i)
+// deadWeight returns the weight of the relays from which nothing was received for long. Most such relays are
+// dead, and their shares would be lost; a few may be partitioned and go on with their own. So a coordinator with
+// three quarters of the shares, or in a small fleet more than half, claims theirs as well, and no other does.
+// Shares of a configured limit are never claimed.
+func (l *Limiter) deadWeight() (n int) {
+	for i, at := range l.lastReceived {
+		if i != l.settings.Index && !l.removed[i] && l.now-max(at, l.startedAt) >= deadTimeout {
+			n += l.weight(i)
 		}
 	}
 	return n
 }
 
-// smallFleet is the number of relays from which three quarters are asked for: of fewer, one that is down would cost all the rest
-// of its part.
+// smallFleet is the number of relays below which more than half are enough to claim the rest: with three
+// quarters, one dead relay would cost the whole of its share.
 const smallFleet = 8
 
-// claimQuorum are the relays whose parts it takes to claim the rest.
+// claimQuorum returns the number of relays whose shares it takes to claim the rest.
 func claimQuorum(relays int) int {
 	if relays < smallFleet {
 		return relays/2 + 1
@@ -237,24 +250,25 @@
 	return (3*relays + 3) / 4
 }
 
+// claimThreshold returns claimQuorum as a share of the limit.
 func claimThreshold(relays int) float64 { return float64(claimQuorum(relays))/float64(relays) - 1e-9 }
 
-// OvergrantBound is the stated bound on what all sides of a cut together may grant of a limit that was found out: 1 while no side
-// claims; those that are not of a side that does may be cut off and go on with what is theirs. Of a limit that was told it
-// is 1 always.
+// OvergrantBound returns the stated bound on what all sides of a partition together may grant of an estimated
+// limit, as a multiple of the limit: 1 while no side claims shares; relays that are not of a side that does may
+// be alive and use their own. For a configured limit the bound is always 1.
 func OvergrantBound(relays int) float64 {
 	return 1 + float64(relays-claimQuorum(relays))/float64(relays)
 }
 
-// weight is how many parts a relay has.
-func (f *Limiter) weight(i int) int {
-	if f.settings.Weights == nil {
+// weight returns the weight of a relay.
+func (l *Limiter) weight(relay int) int {
+	if l.settings.Weights == nil {
 		return 1
 	}
-	return f.settings.Weights[i]
+	return l.settings.Weights[relay]
 }
 
-// sumWeights is the sum of weights.
+// sumWeights returns the sum of the weights.
 func sumWeights(weights []int, relays int) (n int) {
 	if weights == nil {
 		return relays
@@ -265,47 +279,48 @@
 	return n
 }
 
-// remainingRelays counts those that are not gone for good.
-func (f *Limiter) remainingRelays() (n int) {
-	for _, lost := range f.removed {
-		if !lost {
+// remainingRelays returns the number of relays that are not removed, at least 1.
+func (l *Limiter) remainingRelays() (n int) {
+	for _, removed := range l.removed {
+		if !removed {
 			n++
 		}
 	}
 	return max(1, n)
 }
 
-// shareOf is what a relay has of each limit; parts sum to share.Whole at most.
-func (f *Limiter) shareOf(i int) uint32 {
-	if f.removed[i] {
+// shareOf returns the units of a relay's share. All shares sum to quota.TotalUnits at most.
+func (l *Limiter) shareOf(relay int) uint32 {
+	if l.removed[relay] {
 		return 0
 	}
-	return min(quota.TotalUnits, uint32(f.weight(i))*quota.Share(f.totalWeight))
+	return min(quota.TotalUnits, uint32(l.weight(relay))*quota.Share(l.totalWeight))
 }
 
-// ownUnits is this relay's part.
-func (f *Limiter) ownUnits() uint32 { return f.shareOf(f.settings.Index) }
+// ownUnits returns the units of this relay's share.
+func (l *Limiter) ownUnits() uint32 { return l.shareOf(l.settings.Index) }
 
-// Resize says into how many parts limits are divided, by weights, and which relays are gone for good: their parts are the
-// others'. All that heard of a larger number go by it (internal/relay/override), so no more parts are used than there are.
-func (f *Limiter) Resize(parts int, lost []int) {
-	clear(f.removed)
-	for _, i := range lost {
-		f.removed[i] = true
+// Resize sets the total weight by which limits are divided, and which relays are removed for good: their shares
+// are the others'. All relays that received a larger total use it (internal/relay/override), so no more shares
+// are used than there are.
+func (l *Limiter) Resize(totalWeight int, removed []int) {
+	clear(l.removed)
+	for _, i := range removed {
+		l.removed[i] = true
 	}
-	f.totalWeight = max(1, parts)
-	for _, r := range f.ownShares {
-		r.holder.Resize(f.ownUnits())
+	l.totalWeight = max(1, totalWeight)
+	for _, own := range l.ownShares {
+		own.holder.Resize(l.ownUnits())
 	}
 }
 
-// setShare tells a pacer what may be granted on it from now on.
-func (p *pacer) setShare(part float64, alone bool) {
-	if p.quotaShares && part < nearlyAll && p.share >= nearlyAll && p.limitKnown && p.limit > 0 {
-		p.rate = min(p.rate, p.limit) // what others grant is not seen here, so it goes by what was measured, and no further
+// setShare sets which share of the rate may be granted from now on.
+func (p *pacer) setShare(share float64, alone bool) {
+	if p.quotaShares && share < nearlyAll && p.share >= nearlyAll && p.limitKnown && p.limit > 0 {
+		p.rate = min(p.rate, p.limit) // grants of others are not seen here: nothing beyond the measured limit
 	}
-	p.share, p.alone = part, alone
+	p.share, p.alone = share, alone
 }
 
-// positiveShare is a share that is above 0, to divide by.
+// positiveShare returns the share, bounded away from 0 for divisions.
 func (p *pacer) positiveShare() float64 { return max(p.share, 1.0/256) }
--- a/internal/relay/fleetlimit/stall.go
+++ b/internal/relay/fleetlimit/stall.go
@@ -7,36 +7,39 @@
 	"larchrouter/choice"
 )
 
-// A process that stood still does not know it: its machine was suspended, or paged, or somebody stopped it. To itself no
-// time has passed between two instants, and all that it awaited seems late by the fault of others: stewards that did not
-// answer, calls whose ends were not told, a route that took few calls for long. So a relay that is woken far later than
-// it asked to be takes nothing from the time between. What others sent it meanwhile lies in the socket and may be as
-// old as that; as nobody can tell, it is not taken, like any note that is lost.
+// A process that was stalled does not know it: its machine was suspended, or paged, or the process was stopped.
+// For the process no time has passed between two instants, and everything that it awaits seems late by the fault
+// of others: coordinators that did not answer, calls whose outcomes were not reported, a route that accepted few
+// calls for long. So a relay that is woken far later than it requested uses nothing from the time between. What
+// others sent meanwhile is in the socket and may be as old as that; as it cannot be told apart, it is discarded,
+// like any message that is lost.
 
 const (
-	// stallThreshold is by how much a wake is late when the process stood still: more than the scheduler of a busy machine
-	// makes of it, and less than grantLife, after which nothing that it granted or was granted counts.
+	// stallThreshold is by how much a wake-up is late when the process was stalled: more than the scheduler of a
+	// busy machine causes, and less than grantTTL, after which no grant made or received before is valid.
 	stallThreshold = 250 * time.Millisecond
-	// discardTime is how long notes that came meanwhile are read after it.
+	// discardTime is for how long messages that arrived during the stall are read after it.
 	discardTime = 50 * time.Millisecond
 )
 
-// detectStall finds that this relay stood still until now. It comes before anything else is taken in.
-func (f *Limiter) detectStall(now time.Duration) {
-	if f.wakeAt <= f.now || now-f.wakeAt < stallThreshold {
+// detectStall detects that this process was stalled until now. It precedes all other processing of a step.
+func (l *Limiter) detectStall(now time.Duration) {
+	if l.wakeAt <= l.now || now-l.wakeAt < stallThreshold {
 		return
 	}
-	f.actions = append(f.actions, choice.Log{Text: fmt.Sprintf("this relay stood still for %v: what it granted is void, and so are the notes that came meanwhile", now-f.wakeAt)})
-	f.discardUntil = now + discardTime
-	f.connectivity.lastReceived, f.connectivity.suspectedAt = now, -1
-	for _, e := range f.active {
-		e.attempts, e.answered, e.awaitingSince, e.requestedAt = 0, false, now, now-refreshInterval // it is asked for again
+	const text = "this relay stood still for %v: what it granted is void, and so are the notes that came meanwhile"
+	l.actions = append(l.actions, choice.Log{Text: fmt.Sprintf(text, now-l.wakeAt)})
+	l.discardUntil = now + discardTime
+	l.connectivity.lastReceived, l.connectivity.suspectedAt = now, -1
+	for _, req := range l.active {
+		req.attempts, req.answered, req.awaitingSince = 0, false, now
+		req.requestedAt = now - refreshInterval // due again
 	}
-	for _, k := range f.coordinated {
-		k.requests = nil
-		for _, p := range k.routes {
+	for _, coord := range l.coordinated {
+		coord.requests = nil
+		for _, p := range coord.routes {
 			p.resume(now)
-			p.limitKnown = false // the one that stood in may have found out more since
+			p.limitKnown = false // another coordinator may have measured more since
 		}
 	}
 }
--- a/internal/relay/fleetlimit/timers.go
+++ b/internal/relay/fleetlimit/timers.go
@@ -7,64 +7,64 @@
 	"larchrouter/choice"
 )
 
-// expire forgets what hangs on destinations and routes that are gone for good.
-func (f *Limiter) expire() {
-	if f.now < f.sweepAt {
+// expire drops the state of destinations, routes and grants that are no longer in use.
+func (l *Limiter) expire() {
+	if l.now < l.sweepAt {
 		return
 	}
-	f.sweepAt = f.now + expireInterval
-	for dest, k := range f.coordinated {
-		k.pool.Expire(f.now)
-		if k.expireRoutes(f.now); len(k.order) == 0 && !k.inBusy {
-			delete(f.coordinated, dest)
+	l.sweepAt = l.now + expireInterval
+	for dest, coord := range l.coordinated {
+		coord.pool.Expire(l.now)
+		if coord.expireRoutes(l.now); len(coord.order) == 0 && !coord.inBusy {
+			delete(l.coordinated, dest)
 		}
 	}
-	for dest, r := range f.ownShares {
-		if f.now >= r.holder.FreeAt()+activeGrantTTL {
-			delete(f.ownShares, dest)
+	for dest, own := range l.ownShares {
+		if l.now >= own.holder.FreeAt()+activeGrantTTL {
+			delete(l.ownShares, dest)
 		}
 	}
-	for dest, e := range f.requests {
-		for id, h := range e.activeGrants {
-			if f.now-h.grantedAt > activeGrantTTL {
-				delete(e.activeGrants, id)
+	for dest, req := range l.requests {
+		for id, grant := range req.activeGrants {
+			if l.now-grant.grantedAt > activeGrantTTL {
+				delete(req.activeGrants, id)
 			}
 		}
-		maps.DeleteFunc(e.recentGrants, func(_ grantID, at time.Duration) bool { return f.now-at > grantHistory })
-		if !e.inActive && len(e.activeGrants) == 0 && f.now-e.requestedAt > routeTTL {
-			delete(f.requests, dest)
+		maps.DeleteFunc(req.recentGrants, func(_ grantID, at time.Duration) bool { return l.now-at > grantHistory })
+		if !req.inActive && len(req.activeGrants) == 0 && l.now-req.requestedAt > routeTTL {
+			delete(l.requests, dest)
 		}
 	}
 }
 
-// scheduleWake asks to be woken when something is due by the passing of time alone.
-func (f *Limiter) scheduleWake() {
+// scheduleWake requests a wake-up for the next deadline, if it is earlier than the one requested before.
+func (l *Limiter) scheduleWake() {
 	at := never
-	for _, e := range f.active {
-		if e.requested.Calls > 0 && !e.answered {
-			at = min(at, e.awaitingSince+answerTimeout)
+	for _, req := range l.active {
+		if req.requested.Calls > 0 && !req.answered {
+			at = min(at, req.awaitingSince+answerTimeout)
 		}
-		at = min(at, e.requestedAt+refreshInterval)
+		at = min(at, req.requestedAt+refreshInterval)
 	}
-	if len(f.active) > 0 {
-		at = min(at, f.connectivity.nextCheck())
+	if len(l.active) > 0 {
+		at = min(at, l.connectivity.nextCheck())
 	}
-	for _, since := range f.probedAt {
+	for _, since := range l.probedAt {
 		if since >= 0 {
 			at = min(at, since+answerTimeout)
 		}
 	}
-	for _, k := range f.busy {
-		at = min(at, k.nextRoomAt)
-		if f.settings.QuotaShares {
-			at = min(at, k.pledgeRequestAt)
+	for _, coord := range l.busy {
+		at = min(at, coord.nextRoomAt)
+		if l.settings.QuotaShares {
+			at = min(at, coord.pledgeRequestAt)
 		}
-		if len(k.predecessors) > 0 {
-			at = min(at, k.helloAt+helloInterval)
+		if len(coord.predecessors) > 0 {
+			at = min(at, coord.helloAt+helloInterval)
 		}
 	}
-	if at < never && (f.wakeAt <= f.now || at < f.wakeAt) {
-		f.wakeAt = max(at, f.now+time.Millisecond)
-		f.actions = append(f.actions, choice.Wake{After: f.wakeAt - f.now})
+	if at < never && (l.wakeAt <= l.now || at < l.wakeAt) {
+		l.wakeAt = max(at, l.now+time.Millisecond)
+		l.actions = append(l.actions, choice.Wake{After: l.wakeAt - l.now})
 	}
 }
--- a/internal/relay/fleetlimit/transport.go
+++ b/internal/relay/fleetlimit/transport.go
@@ -8,114 +8,128 @@
 	"larchrouter/internal/relay/gossip"
 )
 
-// receive takes in a note. One that cannot be read, or comes from nowhere, is passed over.
-func (f *Limiter) receive(h choice.Heard) {
-	if h.From < 0 || h.From >= f.settings.FleetSize || h.From == f.settings.Index {
+// receive processes a message. One that cannot be decoded, or whose sender is unknown, is dropped.
+func (l *Limiter) receive(h choice.Heard) {
+	if h.From < 0 || h.From >= l.settings.FleetSize || h.From == l.settings.Index {
 		return
 	}
-	all, err := decode(h.Note)
+	records, err := decode(h.Note)
 	if err != nil {
 		return
 	}
-	if f.connectivity.received(f.now) {
-		f.rejoin()
+	if l.connectivity.received(l.now) {
+		l.rejoin()
 	}
-	f.lastReceived[h.From] = f.now
-	if slices.ContainsFunc(all, func(r record) bool { return r.kind != pledgeRequestKind || r.answer }) {
-		f.skipUntil[h.From], f.misses[h.From], f.lastReachable[h.From] = 0, 0, f.now
+	l.lastReceived[h.From] = l.now
+	if slices.ContainsFunc(records, func(r record) bool { return r.kind != pledgeRequestKind || r.answer }) {
+		l.skipUntil[h.From], l.misses[h.From], l.lastReachable[h.From] = 0, 0, l.now
 	}
-	for _, r := range all {
-		f.handle(h.From, r)
+	for _, r := range records {
+		l.handle(h.From, r)
 	}
 }
 
-// handle takes in one record.
-func (f *Limiter) handle(from int, r record) {
+// handle processes one record of a message.
+func (l *Limiter) handle(from int, r record) {
 	switch r.kind {
 	case requestKind:
-		k := f.coordinatorFor(r.dest)
-		k.alone = false
-		f.acceptRequest(k, from, r)
+		coord := l.coordinatorFor(r.dest)
+		coord.alone = false
+		l.acceptRequest(coord, from, r)
 	case outcomeKind:
-		if k := f.coordinated[r.dest]; k != nil {
-			if p := k.routes[r.routes[0].route]; p != nil {
-				p.advance(f.now, f.receivedAt, false)
-				if p.complete(f.now, from, r.grant, r.outcome, r.took, min(r.wait, maxRetryAfter)) && k.configured != nil {
-					k.configured.tokens++
-				}
-			}
-		}
+		l.handleOutcome(from, r)
 	case queuedKind:
-		f.requestAnswered(from, r)
+		l.requestAnswered(from, r)
 	case grantKind:
-		e := f.requestAnswered(from, r)
-		g := grantID{from, r.grant}
-		if _, twice := e.recentGrants[g]; twice {
-			return
-		}
-		name, ok := e.routeNames[r.routes[0].route]
-		if !ok || f.expired(r) { // no such route is wanted any more, or its time has passed
-			e.recentGrants[g] = f.now
-			r.kind, r.outcome = outcomeKind, choice.NotSent
-			f.send(from, r)
-			return
-		}
-		f.lastLocalGrant++
-		e.recentGrants[g], e.activeGrants[f.lastLocalGrant] = f.now, activeGrant{g, f.now}
-		e.requested.Calls, e.wanted.Calls = max(0, e.requested.Calls-1), max(0, e.wanted.Calls-1)
-		f.grants = append(f.grants, choice.Granted{Dest: r.dest, Route: name, Grant: f.lastLocalGrant, For: r.validFor, Well: r.healthy})
+		l.handleGrant(from, r)
 	case movedKind:
-		if e := f.requestFor(r.dest); e.coordinator == from && r.coordinator < f.settings.FleetSize {
-			f.skipUntil[r.coordinator] = 0
-			f.activate(e)
+		if req := l.requestFor(r.dest); req.coordinator == from && r.coordinator < l.settings.FleetSize {
+			l.skipUntil[r.coordinator] = 0
+			l.activate(req)
 		}
 	case pledgeRequestKind:
-		f.pledgeRequested(from, r)
+		l.pledgeRequested(from, r)
 	case pledgeKind:
-		f.acceptPledge(from, r)
+		l.acceptPledge(from, r)
 	case releaseKind:
-		if own := f.ownShares[r.dest]; own != nil {
-			own.holder.Release(f.now, from, r.stamp)
+		if own := l.ownShares[r.dest]; own != nil {
+			own.holder.Release(l.now, from, r.stamp)
 		}
 	case helloKind:
 		if !r.answer {
-			f.send(from, record{kind: helloKind, answer: true})
+			l.send(from, record{kind: helloKind, answer: true})
 		}
 	}
 }
 
-// receivedAt is when a relay was last receivedAt; this one hears itself.
-func (f *Limiter) receivedAt(relay int) time.Duration {
-	if relay == f.settings.Index {
-		return f.now
+// handleOutcome processes the outcome of a call that this relay granted as a coordinator.
+func (l *Limiter) handleOutcome(from int, r record) {
+	coord := l.coordinated[r.dest]
+	if coord == nil {
+		return
+	}
+	p := coord.routes[r.routes[0].route]
+	if p == nil {
+		return
+	}
+	p.advance(l.now, l.receivedAt, false)
+	if p.complete(l.now, from, r.grant, r.outcome, r.took, min(r.wait, maxRetryAfter)) && coord.configured != nil {
+		coord.configured.tokens++
+	}
+}
+
+// handleGrant passes a grant to the Chooser, or returns it if it cannot be used any more. A duplicate is ignored.
+func (l *Limiter) handleGrant(from int, r record) {
+	req := l.requestAnswered(from, r)
+	id := grantID{from, r.grant}
+	if _, duplicate := req.recentGrants[id]; duplicate {
+		return
+	}
+	name, ok := req.routeNames[r.routes[0].route]
+	if !ok || l.expired(r) { // the route is no longer wanted, or the time has passed
+		req.recentGrants[id] = l.now
+		r.kind, r.outcome = outcomeKind, choice.NotSent
+		l.send(from, r)
+		return
+	}
+	l.lastLocalGrant++
+	req.recentGrants[id], req.activeGrants[l.lastLocalGrant] = l.now, activeGrant{id, l.now}
+	req.requested.Calls, req.wanted.Calls = max(0, req.requested.Calls-1), max(0, req.wanted.Calls-1)
+	l.grants = append(l.grants, choice.Granted{Dest: r.dest, Route: name, Grant: l.lastLocalGrant, For: r.validFor, Well: r.healthy})
+}
+
+// receivedAt returns when the last message of a relay arrived; for this relay itself the present.
+func (l *Limiter) receivedAt(relay int) time.Duration {
+	if relay == l.settings.Index {
+		return l.now
 	}
-	return f.lastReceived[relay]
+	return l.lastReceived[relay]
 }
 
-// send gives a record to a relay, or takes it in where that is this one.
-func (f *Limiter) send(to int, r record) {
-	if to == f.settings.Index {
-		f.handle(to, r)
+// send appends a record to the message for a relay, or handles it at once if that is this relay.
+func (l *Limiter) send(to int, r record) {
+	if to == l.settings.Index {
+		l.handle(to, r)
 		return
 	}
-	b := f.outgoing[to]
+	b := l.outgoing[to]
 	if b == nil {
 		b = []byte{version}
 	}
 	next := r.appendTo(b)
 	if len(next) > gossip.MaxUnsealedBytes {
-		f.actions = append(f.actions, choice.Tell{To: to, Note: gossip.Seal(b)})
+		l.actions = append(l.actions, choice.Tell{To: to, Note: gossip.Seal(b)})
 		next = r.appendTo([]byte{version})
 	}
-	f.outgoing[to] = next
+	l.outgoing[to] = next
 }
 
-// flush sends what others are to be told.
-func (f *Limiter) flush() {
-	for to := range f.skipUntil {
-		if b := f.outgoing[to]; b != nil {
-			f.actions = append(f.actions, choice.Tell{To: to, Note: gossip.Seal(b)})
+// flush sends the messages of this step.
+func (l *Limiter) flush() {
+	for to := range l.skipUntil {
+		if b := l.outgoing[to]; b != nil {
+			l.actions = append(l.actions, choice.Tell{To: to, Note: gossip.Seal(b)})
 		}
 	}
-	clear(f.outgoing)
+	clear(l.outgoing)
 }
--- a/internal/relay/fleetlimit/view.go
+++ b/internal/relay/fleetlimit/view.go
@@ -8,65 +8,78 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// RouteView is what a steward holds of a route, for people to read.
+// RouteView is a coordinator's state of a route, for operators.
 type RouteView struct {
 	Dest            int
-	Route           string        // empty if this relay does not call it itself
+	Route           string        // empty if this relay does not call the route itself
 	State           string        // open, down or cold
-	InState         time.Duration // it is in that state
-	Rate            float64       // calls a second for the whole fleet
+	InState         time.Duration // time in that state
+	Rate            float64       // calls a second of the whole fleet
 	UsedRate        float64       // of them, smoothed
-	InFlight        int           // calls whose end has not been told
-	PendingRequests int           // relays that wait for leave at its destination
-	PendingCalls    int           // that they wait for
-	Share           float64       // of the rate that is granted here: 1, or less where this relay hears nobody and grants to itself alone
+	InFlight        int           // calls whose outcome was not reported
+	PendingRequests int           // relays that wait for grants of the destination
+	PendingCalls    int           // calls that they wait for
+	// Share of the rate that is granted here: 1, or less where this relay is isolated and grants to itself alone
+	Share float64
 }
 
 var stateNames = [...]string{open: "open", down: "down", warmingUp: "cold"}
 
-// RouteViews are the routes whose steward this relay is, by destination.
-func (f *Limiter) RouteViews() (all []RouteView) {
-	for _, k := range f.busy {
+// RouteViews returns the routes that this relay coordinates and that are requested now, by destination.
+func (l *Limiter) RouteViews() (all []RouteView) {
+	for _, coord := range l.busy {
 		calls := 0
-		for _, a := range k.requests {
-			calls += a.calls
+		for _, pending := range coord.requests {
+			calls += pending.calls
 		}
-		for _, id := range k.order {
-			p := k.routes[id]
-			all = append(all, RouteView{Dest: k.dest, Route: f.requestFor(k.dest).routeNames[id], State: stateNames[p.state], InState: f.now - p.stateSince,
-				Rate: p.allowed(f.now), UsedRate: p.grantedRate, InFlight: len(p.inFlight), PendingRequests: len(k.requests), PendingCalls: calls, Share: p.share})
+		for _, id := range coord.order {
+			p := coord.routes[id]
+			all = append(all, RouteView{
+				Dest:            coord.dest,
+				Route:           l.requestFor(coord.dest).routeNames[id],
+				State:           stateNames[p.state],
+				InState:         l.now - p.stateSince,
+				Rate:            p.allowed(l.now),
+				UsedRate:        p.grantedRate,
+				InFlight:        len(p.inFlight),
+				PendingRequests: len(coord.requests),
+				PendingCalls:    calls,
+				Share:           p.share,
+			})
 		}
 	}
 	return all
 }
 
-// ShareView is this relay's part of a destination's limits, and what it may grant itself, for people.
+// ShareView is this relay's share of a destination's limits, and what it may grant as a coordinator, for operators.
 type ShareView struct {
 	Dest            int
-	Coordinator     int           // to whom the part is pledged; share.Nobody for nobody
-	ExpiresIn       time.Duration // until the pledge lapses, unless it is renewed
-	OwnShare        float64       // this relay's part of the limits
-	GrantableShare  float64       // the part that may be granted here, as a steward
-	PendingRequests int           // relays that wait for leave here
-	ConfiguredLimit *quota.Limit  // nil where the limit is found out
-	OvergrantBound  float64       // all sides of a cut together grant at most so many times the limit
+	Coordinator     int           // to which the share is pledged; quota.NoCoordinator for none
+	ExpiresIn       time.Duration // until the pledge expires, unless it is renewed
+	OwnShare        float64       // this relay's share of the limits
+	GrantableShare  float64       // that may be granted here, as a coordinator
+	PendingRequests int           // relays that wait for grants here
+	ConfiguredLimit *quota.Limit  // nil if the limit is estimated
+	// OvergrantBound is the bound on what all sides of a partition grant, as a multiple of the limit
+	OvergrantBound float64
 }
 
-// ShareViews are the destinations that this relay has wanted calls to of late, or is steward of.
-func (f *Limiter) ShareViews() (all []ShareView) {
-	for _, dest := range slices.Sorted(maps.Keys(f.requests)) {
-		v := ShareView{Dest: dest, Coordinator: quota.NoCoordinator, OwnShare: float64(f.ownUnits()) / float64(quota.Share(f.totalWeight)) / float64(f.totalWeight), OvergrantBound: OvergrantBound(f.remainingRelays())}
-		if l, ok := f.settings.Limits[dest]; ok {
-			v.ConfiguredLimit, v.OvergrantBound = &l, 1
+// ShareViews returns the destinations that this relay requested calls to lately, or coordinates.
+func (l *Limiter) ShareViews() (all []ShareView) {
+	for _, dest := range slices.Sorted(maps.Keys(l.requests)) {
+		v := ShareView{Dest: dest, Coordinator: quota.NoCoordinator, OvergrantBound: OvergrantBound(l.remainingRelays())}
+		v.OwnShare = float64(l.ownUnits()) / float64(quota.Share(l.totalWeight)) / float64(l.totalWeight)
+		if limit, ok := l.settings.Limits[dest]; ok {
+			v.ConfiguredLimit, v.OvergrantBound = &limit, 1
 		}
-		if r := f.ownShares[dest]; r != nil {
-			if v.Coordinator = r.holder.Coordinator(f.now); v.Coordinator != quota.NoCoordinator {
-				v.ExpiresIn = r.holder.FreeAt() - f.now
+		if own := l.ownShares[dest]; own != nil {
+			if v.Coordinator = own.holder.Coordinator(l.now); v.Coordinator != quota.NoCoordinator {
+				v.ExpiresIn = own.holder.FreeAt() - l.now
 			}
 		}
-		if k := f.coordinated[dest]; k != nil {
-			v.GrantableShare, _ = f.grantableShare(k)
-			v.PendingRequests = len(k.requests)
+		if coord := l.coordinated[dest]; coord != nil {
+			v.GrantableShare, _ = l.grantableShare(coord)
+			v.PendingRequests = len(coord.requests)
 		}
 		all = append(all, v)
 	}
