--- a/internal/relay/override/fixtures_test.go
+++ b/internal/relay/override/fixtures_test.go
@@ -26,9 +26,13 @@
 	name string
 	note message
 }{
+
 	{"all fields", frozenNote},
+
 	{"beat", message{heartbeat: 1}},
+
 	{"words", message{heartbeat: 2, overrides: []Override{frozenWord, takenBack}}},
+
 	{"sights", message{heartbeat: 3, observations: []Observation{
 		{Subject: "endpoint:a", Origin: 1, Unhealthy: true, Since: time.Second, Renewed: time.Millisecond, Counter: 2},
 		{Subject: "endpoint:b", Origin: 2, Since: 2 * time.Second, Renewed: 3 * time.Second, Counter: 4}}}},
--- a/internal/relay/override/gossiper.go
+++ b/internal/relay/override/gossiper.go
@@ -57,29 +57,6 @@
 	observationCounter uint64 // of this relay's sights
 }
 
-// peer is another relay as this one knows it.
-type peer struct {
-	receivedAt         time.Duration // a note came from it; below 0 before the first
-	incarnation        uint32
-	ownHeartbeat       uint64        // its beat, as it said last in that life
-	heartbeat          uint64        // the highest heard of
-	heartbeatAt        time.Duration // when it was; below 0 before
-	storeDigest        uint64        // of its book, as it said last
-	bucketDigest       *Digest
-	inSyncAt           time.Duration // last known to hold the same book; below 0 before
-	listDigest         uint64
-	totalWeight        int // of the weights in its list
-	weight             int // of itself, by that
-	versions           []ActiveVersion
-	sentAt             time.Duration
-	nextHeartbeat      time.Duration
-	cursor             string // the last subject sent of those that differ
-	unsent             []string
-	owesReply          bool // it said what differs: it is answered
-	observationDigest  uint32
-	observationsUnsent bool // there is a sight that it may not have been told of
-}
-
 // Message is to be sent to a relay.
 type Message struct {
 	To   int
@@ -198,32 +175,6 @@
 	return t.peers[relay].versions
 }
 
-// SetRemoved says which relays are gone for good.
-func (t *Gossiper) SetRemoved(lost []int) { t.removed = lost }
-
-func (t *Gossiper) weight(i int) int {
-	switch {
-	case slices.Contains(t.removed, i):
-		return 0
-	case t.settings.Weights == nil:
-		return 1
-	}
-	return t.settings.Weights[i]
-}
-
-// listedWeight is the sum of the weights in this relay's list, without those that are gone.
-func (t *Gossiper) listedWeight() (n int) {
-	for i := range t.peers {
-		n += t.weight(i)
-	}
-	return n
-}
-
-// receivedRecently tells whether a relay itself was heard of late.
-func (p *peer) receivedRecently(now time.Duration) bool {
-	return p.receivedAt >= 0 && now-p.receivedAt < UnreachableAfter
-}
-
 // due is when a relay is to be sent a note.
 func (t *Gossiper) due(now time.Duration, p *peer) time.Duration {
 	at := p.nextHeartbeat
@@ -333,57 +284,3 @@
 	})
 	return all
 }
-
-// TotalWeight is into how many parts limits are divided: the largest sum of weights that a relay says of its list, of those that were
-// heard of late, or that those have together by what each says of itself. While lists differ, as they do while relays are
-// restarted with a new one, who goes by that takes no more than is its own.
-func (t *Gossiper) TotalWeight(now time.Duration) int {
-	listed := t.listedWeight()
-	most, sum, believed := listed, 0, max(MaxTotalWeight, 4*listed)
-	for i := range t.peers {
-		p, w := &t.peers[i], t.weight(i)
-		if i != t.settings.Self && p.receivedAt >= 0 && now-p.receivedAt < weightTTL && !slices.Contains(t.removed, i) {
-			most, w = max(most, min(p.totalWeight, believed)), max(0, min(p.weight, MaxWeight))
-		}
-		sum += w
-	}
-	return max(1, most, min(sum, believed))
-}
-
-// The bounds of what is believed of another relay's list, which bound the harm that a wrong one can do.
-const (
-	MaxTotalWeight = 64 // relays, or parts if a list has less than a quarter of them
-	MaxWeight      = 100
-)
-
-// PeerView is another relay as this one knows it, for people.
-type PeerView struct {
-	Name           string
-	Self           bool
-	SinceMessage   time.Duration // since a note of its own came; below 0 for never
-	SinceHeartbeat time.Duration // since a beat of it came, by whatever way; below 0 for never
-	Reachable      bool          // some chain of links joins it to this relay
-	InSync         bool          // it held the same words when it was heard last
-	SinceInSync    time.Duration // since it did last, as far as is known here; below 0 for never
-	ListDiffers    bool          // its list of relays, or its own weight in it, is another
-}
-
-// PeerViews are all relays, in the order of the list.
-func (t *Gossiper) PeerViews(now time.Duration) (all []PeerView) {
-	ago := func(at time.Duration) time.Duration {
-		if at < 0 {
-			return -1
-		}
-		return now - at
-	}
-	for i, name := range t.settings.Names {
-		p := &t.peers[i]
-		if i == t.settings.Self {
-			all = append(all, PeerView{Name: name, Self: true, Reachable: true, InSync: true})
-			continue
-		}
-		all = append(all, PeerView{Name: name, SinceMessage: ago(p.receivedAt), SinceHeartbeat: ago(p.heartbeatAt), Reachable: p.heartbeatAt >= 0 && now-p.heartbeatAt < UnreachableAfter,
-			InSync: p.receivedAt >= 0 && p.storeDigest == t.storeDigest, SinceInSync: ago(p.inSyncAt), ListDiffers: p.receivedAt >= 0 && (p.listDigest != t.listDigest || p.weight != t.weight(i) && !slices.Contains(t.removed, i))})
-	}
-	return all
-}
