--- a/internal/relay/override/message.go
+++ b/internal/relay/override/message.go
@@ -9,39 +9,41 @@
 	"larchrouter/internal/relay/protofields"
 )
 
-// Version is the first byte of a note (internal/relay/gossip); a message in the wire format of Protocol Buffers follows.
+// Version is the first byte of a message (internal/relay/gossip); a body in the wire format of Protocol Buffers
+// follows.
 const Version = 'V'
 
-// message is what one relay tells another.
+// message is what one relay gossips to another.
 type message struct {
-	incarnation       uint32 // of its sender
-	heartbeat         uint64 // of its sender
-	listDigest        uint64 // stands for the names of the fleet's relays, as its sender has them
-	totalWeight       int    // the sum of their weights, without those that are gone
-	weight            int    // the sender's
-	storeDigest       uint64
-	wantsReply        bool    // the receiver is to say at once what it has
-	bucketDigest      *Digest // sent where digests differ
+	incarnation       uint32  // of the sender
+	heartbeat         uint64  // of the sender
+	listDigest        uint64  // of the names of the fleet's relays, as the sender has them
+	totalWeight       int     // of the relays in that list, without removed ones
+	weight            int     // of the sender
+	storeDigest       uint64  // combined digest of the sender's store
+	wantsReply        bool    // the receiver is to answer at once with what it has
+	bucketDigest      *Digest // sent where the digests differ
 	heartbeats        []relayHeartbeat
 	overrides         []Override
-	observationDigest uint32 // digest of the sights
+	observationDigest uint32
 	observations      []Observation
 	versions          []ActiveVersion
 }
 
-// ActiveVersion is what a relay acts on: a version, as a digest, of something that has a number (internal/relay/versionaudit).
+// ActiveVersion is the version, as a digest, of something that a relay acts on and that has a number
+// (internal/relay/versionaudit).
 type ActiveVersion struct {
 	Kind    int
 	Version uint32
 }
 
-// relayHeartbeat is a relay's beat that the sender has relayHeartbeat of.
+// relayHeartbeat is another relay's heartbeat that the sender has heard of.
 type relayHeartbeat struct {
-	relay     int // in the order of the list
+	relay     int // number, in the order of the list
 	heartbeat uint64
 }
 
-// The numbers of a note's fields. A number is never used anew.
+// Field numbers of a message. A number is never reused.
 const (
 	messageHeartbeat protowire.Number = iota + 1
 	messageListDigest
@@ -58,7 +60,7 @@
 	messageIncarnation
 )
 
-// listDigest stands for a list of names.
+// listDigest identifies a list of names.
 func listDigest(names []string) uint64 {
 	h := fnv.New64a()
 	for _, n := range names {
@@ -68,145 +70,170 @@
 	return h.Sum64()
 }
 
-// encode writes a note: as many of its words, then of its sights, and then of the beats heard, as there is room for. It returns
-// how many words and sights are in it.
-func (n message) encode() (data []byte, words, sights int) {
-	number := func(b []byte, f protowire.Number, v uint64) []byte {
-		return protowire.AppendVarint(protowire.AppendTag(b, f, protowire.VarintType), v)
-	}
-	fixed := func(b []byte, f protowire.Number, v uint64) []byte {
-		return protowire.AppendFixed64(protowire.AppendTag(b, f, protowire.Fixed64Type), v)
-	}
-	b := number([]byte{Version}, messageHeartbeat, n.heartbeat)
-	b = number(b, messageIncarnation, uint64(n.incarnation))
-	b = fixed(b, messageListDigest, n.listDigest)
-	b = number(number(b, messageTotalWeight, uint64(n.totalWeight)), messageWeight, uint64(n.weight))
-	b = fixed(b, messageStoreDigest, n.storeDigest)
-	if n.observationDigest != 0 {
-		b = number(b, messageObservationDigest, uint64(n.observationDigest))
-	}
-	if n.wantsReply {
-		b = number(b, messageWantsReply, 1)
-	}
-	if n.bucketDigest != nil {
-		var d []byte
-		for _, x := range n.bucketDigest {
-			d = protowire.AppendFixed32(d, x)
-		}
-		b = protowire.AppendBytes(protowire.AppendTag(b, messageBucketDigest, protowire.BytesType), d)
-	}
-	for _, w := range n.overrides {
-		next := protowire.AppendBytes(protowire.AppendTag(b, messageOverride, protowire.BytesType), w.encode(nil))
+// encode encodes the message with as many of its overrides, then of its observations, and then of its heartbeats
+// as fit. It returns the numbers of overrides and observations that are included.
+func (m message) encode() (data []byte, overrides, observations int) {
+	b := m.encodeState()
+	for _, o := range m.overrides {
+		next := protowire.AppendBytes(protowire.AppendTag(b, messageOverride, protowire.BytesType), o.encode(nil))
 		if len(next) > gossip.MaxUnsealedBytes {
 			break
 		}
-		b, words = next, words+1
+		b, overrides = next, overrides+1
 	}
-	for _, s := range n.observations {
-		next := protowire.AppendBytes(protowire.AppendTag(b, messageObservation, protowire.BytesType), s.encode(nil))
+	for _, o := range m.observations {
+		next := protowire.AppendBytes(protowire.AppendTag(b, messageObservation, protowire.BytesType), o.encode(nil))
 		if len(next) > gossip.MaxUnsealedBytes {
 			break
 		}
-		b, sights = next, sights+1
+		b, observations = next, observations+1
 	}
-	var acts []byte
-	for _, a := range n.versions {
-		acts = protowire.AppendFixed32(protowire.AppendVarint(acts, uint64(a.Kind)), a.Version)
+	var versions []byte
+	for _, v := range m.versions {
+		versions = protowire.AppendFixed32(protowire.AppendVarint(versions, uint64(v.Kind)), v.Version)
 	}
-	if len(acts) > 0 && len(b)+len(acts)+2 <= gossip.MaxUnsealedBytes {
-		b = protowire.AppendBytes(protowire.AppendTag(b, messageVersions, protowire.BytesType), acts)
+	if len(versions) > 0 && len(b)+len(versions)+2 <= gossip.MaxUnsealedBytes {
+		b = protowire.AppendBytes(protowire.AppendTag(b, messageVersions, protowire.BytesType), versions)
 	}
-	var beats []byte
-	for _, h := range n.heartbeats {
-		next := protowire.AppendVarint(protowire.AppendVarint(beats, uint64(h.relay)), h.heartbeat)
+	var heartbeats []byte
+	for _, h := range m.heartbeats {
+		next := protowire.AppendVarint(protowire.AppendVarint(heartbeats, uint64(h.relay)), h.heartbeat)
 		if len(b)+len(next)+4 > gossip.MaxUnsealedBytes { // a tag and a length of two bytes
 			break
 		}
-		beats = next
+		heartbeats = next
+	}
+	if len(heartbeats) > 0 {
+		b = protowire.AppendBytes(protowire.AppendTag(b, messageHeartbeats, protowire.BytesType), heartbeats)
+	}
+	return gossip.Seal(b), overrides, observations
+}
+
+// encodeState encodes the version and all but the lists, which are included as far as they fit.
+func (m message) encodeState() []byte {
+	number := func(b []byte, f protowire.Number, v uint64) []byte {
+		return protowire.AppendVarint(protowire.AppendTag(b, f, protowire.VarintType), v)
+	}
+	fixed := func(b []byte, f protowire.Number, v uint64) []byte {
+		return protowire.AppendFixed64(protowire.AppendTag(b, f, protowire.Fixed64Type), v)
+	}
+	b := number([]byte{Version}, messageHeartbeat, m.heartbeat)
+	b = number(b, messageIncarnation, uint64(m.incarnation))
+	b = fixed(b, messageListDigest, m.listDigest)
+	b = number(number(b, messageTotalWeight, uint64(m.totalWeight)), messageWeight, uint64(m.weight))
+	b = fixed(b, messageStoreDigest, m.storeDigest)
+	if m.observationDigest != 0 {
+		b = number(b, messageObservationDigest, uint64(m.observationDigest))
 	}
-	if len(beats) > 0 {
-		b = protowire.AppendBytes(protowire.AppendTag(b, messageHeartbeats, protowire.BytesType), beats)
+	if m.wantsReply {
+		b = number(b, messageWantsReply, 1)
+	}
+	if m.bucketDigest != nil {
+		var digest []byte
+		for _, bucket := range m.bucketDigest {
+			digest = protowire.AppendFixed32(digest, bucket)
+		}
+		b = protowire.AppendBytes(protowire.AppendTag(b, messageBucketDigest, protowire.BytesType), digest)
 	}
-	return gossip.Seal(b), words, sights
+	return b
 }
 
-// decode reads a note. One that is damaged in any way gives nothing.
+// decode decodes a message. A damaged one is an error.
 func decode(data []byte) (message, error) {
-	says, err := gossip.Open(data, Version)
+	body, err := gossip.Open(data, Version)
 	if err != nil {
 		return message{}, err
 	}
-	var n message
-	if err := eachField(says, n.setField); err != nil {
+	var m message
+	if err := eachField(body, m.setField); err != nil {
 		return message{}, err
 	}
-	return n, nil
+	return m, nil
 }
 
-// setField takes in one field.
-func (n *message) setField(number protowire.Number, f protofields.Field) error {
+// maxNumber caps numbers of relays and kinds, and weights, so that they fit into an int.
+const maxNumber = 1 << 20
+
+// setField sets the field of that number.
+func (m *message) setField(number protowire.Number, f protofields.Field) (err error) {
 	switch number {
 	case messageHeartbeat:
-		n.heartbeat = f.Number
+		m.heartbeat = f.Number
 	case messageIncarnation:
-		n.incarnation = uint32(f.Number)
+		m.incarnation = uint32(f.Number)
 	case messageListDigest:
-		n.listDigest = f.Number
+		m.listDigest = f.Number
 	case messageTotalWeight:
-		n.totalWeight = int(min(f.Number, 1<<20))
+		m.totalWeight = int(min(f.Number, maxNumber))
 	case messageWeight:
-		n.weight = int(min(f.Number, 1<<20))
+		m.weight = int(min(f.Number, maxNumber))
 	case messageStoreDigest:
-		n.storeDigest = f.Number
+		m.storeDigest = f.Number
 	case messageWantsReply:
-		n.wantsReply = f.Number == 1
+		m.wantsReply = f.Number == 1
 	case messageObservationDigest:
-		n.observationDigest = uint32(f.Number)
+		m.observationDigest = uint32(f.Number)
 	case messageBucketDigest:
-		n.bucketDigest = new(Digest)
-		for i := range n.bucketDigest {
-			v, size := protowire.ConsumeFixed32(f.Bytes)
-			if size < 0 {
-				return errMalformed
-			}
-			n.bucketDigest[i], f.Bytes = v, f.Bytes[size:]
-		}
+		m.bucketDigest, err = decodeDigest(f.Bytes)
 	case messageHeartbeats:
-		for len(f.Bytes) > 0 {
-			relay, size := protowire.ConsumeVarint(f.Bytes)
-			if size < 0 {
-				return errMalformed
-			}
-			beat, more := protowire.ConsumeVarint(f.Bytes[size:])
-			if more < 0 {
-				return errMalformed
-			}
-			n.heartbeats, f.Bytes = append(n.heartbeats, relayHeartbeat{int(min(relay, 1<<20)), beat}), f.Bytes[size+more:]
-		}
+		m.heartbeats, err = appendHeartbeats(m.heartbeats, f.Bytes)
 	case messageVersions:
-		for len(f.Bytes) > 0 {
-			kind, size := protowire.ConsumeVarint(f.Bytes)
-			if size < 0 {
-				return errMalformed
-			}
-			version, more := protowire.ConsumeFixed32(f.Bytes[size:])
-			if more < 0 {
-				return errMalformed
-			}
-			n.versions, f.Bytes = append(n.versions, ActiveVersion{int(min(kind, 1<<20)), version}), f.Bytes[size+more:]
-		}
+		m.versions, err = appendVersions(m.versions, f.Bytes)
 	case messageObservation:
-		s, err := decodeObservation(f.Bytes)
-		if err != nil {
-			return err
+		var o Observation
+		if o, err = decodeObservation(f.Bytes); err == nil {
+			m.observations = append(m.observations, o)
 		}
-		n.observations = append(n.observations, s)
 	case messageOverride:
-		w, err := decodeOverride(f.Bytes)
-		if err != nil {
-			return err
+		var o Override
+		if o, err = decodeOverride(f.Bytes); err == nil {
+			m.overrides = append(m.overrides, o)
+		}
+	}
+	return err
+}
+
+// decodeDigest decodes the digests of all buckets.
+func decodeDigest(data []byte) (*Digest, error) {
+	digest := new(Digest)
+	for i := range digest {
+		v, size := protowire.ConsumeFixed32(data)
+		if size < 0 {
+			return nil, errMalformed
+		}
+		digest[i], data = v, data[size:]
+	}
+	return digest, nil
+}
+
+// appendHeartbeats decodes pairs of a relay and its heartbeat.
+func appendHeartbeats(all []relayHeartbeat, data []byte) ([]relayHeartbeat, error) {
+	for len(data) > 0 {
+		relay, size := protowire.ConsumeVarint(data)
+		if size < 0 {
+			return nil, errMalformed
+		}
+		heartbeat, more := protowire.ConsumeVarint(data[size:])
+		if more < 0 {
+			return nil, errMalformed
+		}
+		all, data = append(all, relayHeartbeat{int(min(relay, maxNumber)), heartbeat}), data[size+more:]
+	}
+	return all, nil
+}
+
+// appendVersions decodes pairs of a kind and a version.
+func appendVersions(all []ActiveVersion, data []byte) ([]ActiveVersion, error) {
+	for len(data) > 0 {
+		kind, size := protowire.ConsumeVarint(data)
+		if size < 0 {
+			return nil, errMalformed
+		}
+		version, more := protowire.ConsumeFixed32(data[size:])
+		if more < 0 {
+			return nil, errMalformed
 		}
-		n.overrides = append(n.overrides, w)
+		all, data = append(all, ActiveVersion{int(min(kind, maxNumber)), version}), data[size+more:]
 	}
-	return nil
+	return all, nil
 }
--- a/internal/relay/override/observation.go
+++ b/internal/relay/override/observation.go
@@ -13,14 +13,16 @@
 	"larchrouter/internal/relay/protofields"
 )
 
-// A sight is what one relay saw at first hand: an endpoint is out, or well again. It binds nobody, as who does not see the same
-// may be right: it is there for people, who want to know whether a partner is out or a link. What binds (single trials, the
-// budget of a cold return) goes with asks and grants, from whoever granted the calls.
+// An observation is what one relay saw at first hand: an endpoint is unhealthy, or healthy again. It binds no
+// other relay, as one that does not see the same may be right: it is there for operators, who want to know
+// whether a partner is out or a link. What binds (single trial calls, the budget of a route that is warming up)
+// is carried by requests and grants, from the relay that granted the calls.
 //
-// A sight has its origin and that one's count, and ages instead of times: since it began, and since it was said last. It is said
-// again every renewInterval while it holds, and lapses ObservationTTL after it was said last, wherever that is heard: so what nobody
-// renews, because its origin is gone or cut off, is gone too. One that comes round to its origin changes nothing there;
-// one of that from before it began anew has it count on above it and say anew what it sees now.
+// An observation has its origin and the origin's counter, and ages instead of times: since it began, and since
+// it was renewed. It is renewed every renewInterval while it holds, and expires ObservationTTL after its
+// renewal, at every relay: so what nobody renews, because its origin is dead or partitioned, disappears. One
+// that returns to its origin changes nothing there; one from before a restart of its origin has the origin count
+// on above it and send what it sees now.
 const (
 	ObservationTTL  = 30 * time.Second
 	renewInterval   = 10 * time.Second
@@ -28,42 +30,51 @@
 	maxAgeMs        = 1 << 32 // milliseconds
 )
 
-// Observation is what one relay saw.
+// Observation is what one relay saw of a subject at first hand.
 type Observation struct {
 	Subject   string
-	Origin    int // in the order of the list
+	Origin    int // number, in the order of the list
 	Unhealthy bool
-	Since     time.Duration // ago, by its origin and the relays that passed it on; notes under way are not counted
-	Renewed   time.Duration // ago, likewise
-	Counter   uint64
+	// Age, by the clocks of its origin and of the relays that passed it on; time in transit is not counted.
+	Since   time.Duration
+	Renewed time.Duration // age of the last renewal, likewise
+	Counter uint64        // of its origin
 }
 
-// observationKey names what a sight is about.
+// observationKey identifies an observation.
 type observationKey struct {
 	origin  int
 	subject string
 }
 
-// observed is a sight as it is kept.
+// observed is the state of an observation in the set.
 type observed struct {
 	unhealthy bool
 	counter   uint64
 	since     time.Duration // by this relay's clock
-	renewedAt time.Duration
+	renewedAt time.Duration // by this relay's clock
 }
 
-// observationSet are those that one relay knows.
+// observation returns the observation with its ages.
+func (v observed) observation(now time.Duration, k observationKey) Observation {
+	return Observation{Subject: k.subject, Origin: k.origin, Unhealthy: v.unhealthy, Counter: v.counter,
+		Since: now - v.since, Renewed: now - v.renewedAt}
+}
+
+// observationSet holds the observations that one relay knows.
 type observationSet struct {
 	all       map[observationKey]observed
 	digest    uint32
-	lastSent  map[int]observationKey // by peer, the last one sent
-	nextCheck time.Duration          // nothing lapses, or is to be said again, before
+	lastSent  map[int]observationKey // by peer
+	nextCheck time.Duration          // nothing expires or has to be renewed before
 }
 
+// newObservationSet returns an empty set.
 func newObservationSet() observationSet {
 	return observationSet{all: map[observationKey]observed{}, lastSent: map[int]observationKey{}, nextCheck: never}
 }
 
+// put adds or replaces an observation.
 func (s *observationSet) put(k observationKey, v observed) {
 	if was, ok := s.all[k]; ok {
 		s.digest ^= k.hash(was)
@@ -73,12 +84,13 @@
 	s.nextCheck = min(s.nextCheck, v.renewedAt+renewInterval)
 }
 
+// remove removes an observation.
 func (s *observationSet) remove(k observationKey) {
 	s.digest ^= k.hash(s.all[k])
 	delete(s.all, k)
 }
 
-// hash stands for a sight in the digest: all but its times.
+// hash returns the contribution of an observation to the digest: of all but its times.
 func (k observationKey) hash(v observed) uint32 {
 	h := fnv.New32a()
 	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(nil, uint32(k.origin)), v.counter)
@@ -87,7 +99,7 @@
 	return h.Sum32()
 }
 
-// countOf is how many sights of an origin are kept.
+// countOf returns the number of observations of an origin.
 func (s *observationSet) countOf(origin int) (n int) {
 	for k := range s.all {
 		if k.origin == origin {
@@ -97,85 +109,102 @@
 	return n
 }
 
-// Observe takes in what this relay sees now. What it has not called bad before is not told to be well.
-func (t *Gossiper) Observe(now time.Duration, subject string, bad bool) {
-	k := observationKey{t.settings.Self, subject}
-	was, known := t.observations.all[k]
-	if known && was.unhealthy == bad || !known && (!bad || t.observations.countOf(t.settings.Self) >= MaxObservations) || len(subject) > MaxSubjectBytes || subject == "" {
+// Observe records what this relay sees now. That a subject is healthy is gossiped only if it was unhealthy before.
+func (g *Gossiper) Observe(now time.Duration, subject string, unhealthy bool) {
+	k := observationKey{g.settings.Self, subject}
+	was, known := g.observations.all[k]
+	if len(subject) > MaxSubjectBytes || subject == "" || known && was.unhealthy == unhealthy {
+		return
+	}
+	if !known && (!unhealthy || g.observations.countOf(g.settings.Self) >= MaxObservations) {
 		return
 	}
-	t.observationCounter++
-	t.observations.put(k, observed{unhealthy: bad, counter: t.observationCounter, since: now, renewedAt: now})
-	t.pushObservations()
+	g.observationCounter++
+	g.observations.put(k, observed{unhealthy: unhealthy, counter: g.observationCounter, since: now, renewedAt: now})
+	g.pushObservations()
 }
 
-// pushObservations has all others told of sights at once.
-func (t *Gossiper) pushObservations() {
-	for i := range t.peers {
-		t.peers[i].observationsUnsent = true
+// pushObservations makes observations due for all peers at once.
+func (g *Gossiper) pushObservations() {
+	for i := range g.peers {
+		g.peers[i].observationsUnsent = true
 	}
 }
 
-// receiveObservation takes in a sight from a note.
-func (t *Gossiper) receiveObservation(now time.Duration, s Observation) {
-	if s.Origin < 0 || s.Origin >= len(t.peers) || s.Subject == "" || len(s.Subject) > MaxSubjectBytes || s.Renewed >= ObservationTTL || s.Counter == 0 || s.Counter > maxCounter {
+// receiveObservation processes an observation of a message.
+func (g *Gossiper) receiveObservation(now time.Duration, s Observation) {
+	if !g.valid(s) {
 		return
 	}
 	k := observationKey{s.Origin, s.Subject}
-	was, known := t.observations.all[k]
-	if s.Origin == t.settings.Self {
-		if s.Counter <= t.observationCounter { // it came round
-			return
-		}
-		t.observationCounter = s.Counter + 1 // from before this one began anew: what is seen now is newer
-		bad, since := known && was.unhealthy, now
-		if bad {
-			since = was.since
-		}
-		t.observations.put(k, observed{unhealthy: bad, counter: t.observationCounter, since: since, renewedAt: now})
-		t.pushObservations()
+	was, known := g.observations.all[k]
+	if s.Origin == g.settings.Self {
+		g.receiveOwnObservation(now, s)
+		return
+	}
+	if known && s.Counter <= was.counter || !known && g.observations.countOf(s.Origin) >= MaxObservations {
 		return
 	}
-	if known && s.Counter <= was.counter || !known && t.observations.countOf(s.Origin) >= MaxObservations {
+	g.observations.put(k, observed{unhealthy: s.Unhealthy, counter: s.Counter, since: now - s.Since, renewedAt: now - s.Renewed})
+	g.pushObservations()
+}
+
+// valid reports whether the fields of a received observation are within their bounds.
+func (g *Gossiper) valid(s Observation) bool {
+	return s.Origin >= 0 && s.Origin < len(g.peers) && s.Subject != "" && len(s.Subject) <= MaxSubjectBytes &&
+		s.Renewed < ObservationTTL && s.Counter != 0 && s.Counter <= maxCounter
+}
+
+// receiveOwnObservation processes an observation of this relay that another one returned.
+func (g *Gossiper) receiveOwnObservation(now time.Duration, s Observation) {
+	if s.Counter <= g.observationCounter { // sent in this incarnation
 		return
 	}
-	t.observations.put(k, observed{unhealthy: s.Unhealthy, counter: s.Counter, since: now - s.Since, renewedAt: now - s.Renewed})
-	t.pushObservations()
+	k := observationKey{s.Origin, s.Subject}
+	was, known := g.observations.all[k]
+	g.observationCounter = s.Counter + 1 // from before a restart: what is seen now is newer
+	unhealthy, since := known && was.unhealthy, now
+	if unhealthy {
+		since = was.since
+	}
+	g.observations.put(k, observed{unhealthy: unhealthy, counter: g.observationCounter, since: since, renewedAt: now})
+	g.pushObservations()
 }
 
-// renewObservations says again what this relay still sees, and forgets what has lapsed.
-func (t *Gossiper) renewObservations(now time.Duration) {
-	if now < t.observations.nextCheck {
+// renewObservations renews what this relay still sees, and drops what has expired.
+func (g *Gossiper) renewObservations(now time.Duration) {
+	if now < g.observations.nextCheck {
 		return
 	}
-	t.observations.nextCheck = never
-	for _, k := range slices.SortedFunc(maps.Keys(t.observations.all), compareObservationKeys) {
-		switch v := t.observations.all[k]; {
-		case k.origin == t.settings.Self && v.unhealthy && now-v.renewedAt >= renewInterval:
-			t.observationCounter++
-			v.counter, v.renewedAt = t.observationCounter, now
-			t.observations.put(k, v)
+	g.observations.nextCheck = never
+	for _, k := range slices.SortedFunc(maps.Keys(g.observations.all), compareObservationKeys) {
+		switch v := g.observations.all[k]; {
+		case k.origin == g.settings.Self && v.unhealthy && now-v.renewedAt >= renewInterval:
+			g.observationCounter++
+			v.counter, v.renewedAt = g.observationCounter, now
+			g.observations.put(k, v)
 		case now-v.renewedAt >= ObservationTTL:
-			t.observations.remove(k)
+			g.observations.remove(k)
 		default:
 			at := v.renewedAt + ObservationTTL
-			if k.origin == t.settings.Self && v.unhealthy {
+			if k.origin == g.settings.Self && v.unhealthy {
 				at = v.renewedAt + renewInterval
 			}
-			t.observations.nextCheck = min(t.observations.nextCheck, at)
+			g.observations.nextCheck = min(g.observations.nextCheck, at)
 		}
 	}
 }
 
+// compareObservationKeys orders observations by origin and subject.
 func compareObservationKeys(a, b observationKey) int {
 	return cmp.Or(cmp.Compare(a.origin, b.origin), cmp.Compare(a.subject, b.subject))
 }
 
-// Observations are what is known, by subject and origin.
-func (t *Gossiper) Observations(now time.Duration) (all []Observation) {
-	for k, v := range t.observations.all {
+// Observations returns what is known, by subject and origin.
+func (g *Gossiper) Observations(now time.Duration) (all []Observation) {
+	for k, v := range g.observations.all {
 		if now-v.renewedAt < ObservationTTL {
-			all = append(all, Observation{Subject: k.subject, Origin: k.origin, Unhealthy: v.unhealthy, Since: now - v.since, Renewed: now - v.renewedAt, Counter: v.counter})
+			all = append(all, v.observation(now, k))
 		}
 	}
 	slices.SortFunc(all, func(a, b Observation) int {
@@ -184,21 +213,22 @@
 	return all
 }
 
-// observationsFor are those to send a peer whose digest is another, from where the last note to it ended.
-func (t *Gossiper) observationsFor(now time.Duration, to int) (all []Observation) {
-	keys := slices.SortedFunc(maps.Keys(t.observations.all), compareObservationKeys)
-	first, _ := slices.BinarySearchFunc(keys, t.observations.lastSent[to], compareObservationKeys)
-	if first < len(keys) && keys[first] == t.observations.lastSent[to] {
+// observationsFor returns the observations to send to a peer whose digest differs, continued where the last
+// message to it ended.
+func (g *Gossiper) observationsFor(now time.Duration, to int) (all []Observation) {
+	keys := slices.SortedFunc(maps.Keys(g.observations.all), compareObservationKeys)
+	first, _ := slices.BinarySearchFunc(keys, g.observations.lastSent[to], compareObservationKeys)
+	if first < len(keys) && keys[first] == g.observations.lastSent[to] {
 		first++
 	}
 	for _, k := range append(slices.Clone(keys[first:]), keys[:first]...) {
-		v := t.observations.all[k]
-		all = append(all, Observation{Subject: k.subject, Origin: k.origin, Unhealthy: v.unhealthy, Since: now - v.since, Renewed: now - v.renewedAt, Counter: v.counter})
+		v := g.observations.all[k]
+		all = append(all, v.observation(now, k))
 	}
 	return all
 }
 
-// The numbers of a sight's fields. A number is never used anew.
+// Field numbers of an observation. A number is never reused.
 const (
 	observationSubject protowire.Number = iota + 1
 	observationOrigin
@@ -208,6 +238,7 @@
 	observationCounter
 )
 
+// encode appends the encoded observation.
 func (s Observation) encode(b []byte) []byte {
 	number := func(f protowire.Number, v uint64) {
 		b = protowire.AppendVarint(protowire.AppendTag(b, f, protowire.VarintType), v)
@@ -221,6 +252,7 @@
 	return b
 }
 
+// decodeObservation decodes an observation. Unknown fields are ignored.
 func decodeObservation(data []byte) (s Observation, err error) {
 	err = eachField(data, func(n protowire.Number, f protofields.Field) error {
 		ms := time.Duration(min(f.Number, maxAgeMs)) * time.Millisecond
@@ -228,7 +260,7 @@
 		case observationSubject:
 			s.Subject = string(f.Bytes)
 		case observationOrigin:
-			s.Origin = int(min(f.Number, 1<<20))
+			s.Origin = int(min(f.Number, maxNumber))
 		case observationUnhealthy:
 			s.Unhealthy = protowire.DecodeBool(f.Number)
 		case observationSince:
--- a/internal/relay/override/override.go
+++ b/internal/relay/override/override.go
@@ -12,53 +12,54 @@
 	"larchrouter/internal/relay/protofields"
 )
 
-// The bounds of a word: three at least fit into a note.
+// Bounds of an override: at least three fit into a message.
 const (
-	MaxSubjectBytes = 80   // bytes
-	MaxNameBytes    = 40   // bytes of who said it; more is cut off
-	MaxOverrides    = 1000 // of one fleet, those that were taken back among them
+	MaxSubjectBytes = 80
+	MaxNameBytes    = 40   // of an author or origin; longer authors are truncated
+	MaxOverrides    = 1000 // of one fleet, revoked ones included
 	maxCounter      = 1 << 48
-	maxCounterLeap  = 1 << 20 // by which a word's count may exceed the one that is known: operators do not say so much
+	// maxCounterLeap is by how much a counter may exceed the known one: operators do not set so many.
+	maxCounterLeap = 1 << 20
 )
 
-// Override is what an operator said of a subject.
+// Override is what an operator set for a subject: a register that the last writer wins.
 type Override struct {
-	Subject string
-	Active  bool   // it holds; false: it was taken back
-	Counter uint64 // one more than that of the word before, as its origin knew it
-	Origin  string // the relay at which it was said
-	Author  string // who said it, for people
-	AtMs    int64  // when, by its origin's wall clock, for people alone
+	Subject string // for example endpoint:NAME
+	Active  bool   // false if it was revoked
+	Counter uint64 // Lamport clock: one more than that of the override that its origin knew
+	Origin  string // name of the relay at which it was set
+	Author  string // who set it, for people
+	AtMs    int64  // by its origin's wall clock, for people only
 }
 
-// Compare orders words on one subject: the later one wins, by count. Two that were said without knowing of each other have
-// the same count; then the one that holds wins over the one that takes back, since to send nothing is the safer mistake.
-// What is left is told apart so that all relays choose the same.
-func (w Override) Compare(o Override) int {
-	on := func(b bool) int {
+// Compare orders overrides of one subject: the later one wins, by counter. Two that were set without knowledge
+// of each other have the same counter; then the active one wins over the revocation, since to send nothing is
+// the safer mistake. The remaining fields break ties, so that all relays choose the same.
+func (o Override) Compare(other Override) int {
+	number := func(b bool) int {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(w.Counter, o.Counter), cmp.Compare(on(w.Active), on(o.Active)), cmp.Compare(w.Origin, o.Origin),
-		cmp.Compare(w.AtMs, o.AtMs), cmp.Compare(w.Author, o.Author))
+	return cmp.Or(cmp.Compare(o.Counter, other.Counter), cmp.Compare(number(o.Active), number(other.Active)),
+		cmp.Compare(o.Origin, other.Origin), cmp.Compare(o.AtMs, other.AtMs), cmp.Compare(o.Author, other.Author))
 }
 
-// Validate tells what is wrong with a word; nil if nothing is.
-func (w Override) Validate() error {
+// Validate returns an error if a field is outside its bounds.
+func (o Override) Validate() error {
 	switch {
-	case w.Subject == "" || len(w.Subject) > MaxSubjectBytes:
-		return fmt.Errorf("verdict: a subject of %d bytes, must have from 1 to %d", len(w.Subject), MaxSubjectBytes)
-	case w.Origin == "" || len(w.Origin) > MaxNameBytes || len(w.Author) > MaxNameBytes:
-		return fmt.Errorf("verdict: an origin of %d and a speaker of %d bytes, %d at most", len(w.Origin), len(w.Author), MaxNameBytes)
-	case w.Counter == 0 || w.Counter > maxCounter:
-		return fmt.Errorf("verdict: count %d", w.Counter)
+	case o.Subject == "" || len(o.Subject) > MaxSubjectBytes:
+		return fmt.Errorf("verdict: a subject of %d bytes, must have from 1 to %d", len(o.Subject), MaxSubjectBytes)
+	case o.Origin == "" || len(o.Origin) > MaxNameBytes || len(o.Author) > MaxNameBytes:
+		return fmt.Errorf("verdict: an origin of %d and a speaker of %d bytes, %d at most", len(o.Origin), len(o.Author), MaxNameBytes)
+	case o.Counter == 0 || o.Counter > maxCounter:
+		return fmt.Errorf("verdict: count %d", o.Counter)
 	}
 	return nil
 }
 
-// truncate shortens a name to what fits, at a rune's end.
+// truncate shortens a name to MaxNameBytes, at the end of a rune.
 func truncate(s string) string {
 	for len(s) > MaxNameBytes {
 		_, size := utf8.DecodeLastRuneInString(s)
@@ -67,15 +68,15 @@
 	return s
 }
 
-// hash stands for a word in a digest.
-func (w Override) hash() uint32 {
+// hash returns the contribution of an override to a digest.
+func (o Override) hash() uint32 {
 	h := fnv.New64a()
-	h.Write(w.encode(nil))
+	h.Write(o.encode(nil))
 	s := h.Sum64()
 	return uint32(s>>32) ^ uint32(s)
 }
 
-// The numbers of a word's fields. A number is never used anew.
+// Field numbers of an override. A number is never reused.
 const (
 	overrideSubject protowire.Number = iota + 1
 	overrideActive
@@ -85,48 +86,51 @@
 	overrideAt
 )
 
-func (w Override) encode(b []byte) []byte {
-	b = protowire.AppendString(protowire.AppendTag(b, overrideSubject, protowire.BytesType), w.Subject)
-	b = protowire.AppendVarint(protowire.AppendTag(b, overrideActive, protowire.VarintType), protowire.EncodeBool(w.Active))
-	b = protowire.AppendVarint(protowire.AppendTag(b, overrideCounter, protowire.VarintType), w.Counter)
-	b = protowire.AppendString(protowire.AppendTag(b, overrideOrigin, protowire.BytesType), w.Origin)
-	b = protowire.AppendString(protowire.AppendTag(b, overrideAuthor, protowire.BytesType), w.Author)
-	return protowire.AppendVarint(protowire.AppendTag(b, overrideAt, protowire.VarintType), protowire.EncodeZigZag(w.AtMs))
+// encode appends the encoded override.
+func (o Override) encode(b []byte) []byte {
+	b = protowire.AppendString(protowire.AppendTag(b, overrideSubject, protowire.BytesType), o.Subject)
+	b = protowire.AppendVarint(protowire.AppendTag(b, overrideActive, protowire.VarintType), protowire.EncodeBool(o.Active))
+	b = protowire.AppendVarint(protowire.AppendTag(b, overrideCounter, protowire.VarintType), o.Counter)
+	b = protowire.AppendString(protowire.AppendTag(b, overrideOrigin, protowire.BytesType), o.Origin)
+	b = protowire.AppendString(protowire.AppendTag(b, overrideAuthor, protowire.BytesType), o.Author)
+	return protowire.AppendVarint(protowire.AppendTag(b, overrideAt, protowire.VarintType), protowire.EncodeZigZag(o.AtMs))
 }
 
-var errMalformed = errors.New("verdict: the note cannot be read")
+// errMalformed is returned for a message that cannot be decoded.
+var errMalformed = errors.New("override: message cannot be decoded")
 
-// decodeOverride reads a word. Fields that are not known are passed over.
-func decodeOverride(data []byte) (w Override, err error) {
+// decodeOverride decodes and validates an override. Unknown fields are ignored.
+func decodeOverride(data []byte) (o Override, err error) {
 	err = eachField(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
 		case overrideSubject:
-			w.Subject = string(f.Bytes)
+			o.Subject = string(f.Bytes)
 		case overrideActive:
-			w.Active = protowire.DecodeBool(f.Number)
+			o.Active = protowire.DecodeBool(f.Number)
 		case overrideCounter:
-			w.Counter = f.Number
+			o.Counter = f.Number
 		case overrideOrigin:
-			w.Origin = string(f.Bytes)
+			o.Origin = string(f.Bytes)
 		case overrideAuthor:
-			w.Author = string(f.Bytes)
+			o.Author = string(f.Bytes)
 		case overrideAt:
-			w.AtMs = f.Signed()
+			o.AtMs = f.Signed()
 		}
 		return nil
 	})
 	if err == nil {
-		err = w.Validate()
+		err = o.Validate()
 	}
-	return w, err
+	return o, err
 }
 
-// eachField hands out the eachField of a message, which are varints, fixed64 and bytes.
-func eachField(data []byte, take func(n protowire.Number, f protofields.Field) error) error {
-	return protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
-		switch f.Type {
+// eachField calls f with each field of a protobuf message. Fields are varints, fixed64 and bytes; others are an
+// error.
+func eachField(data []byte, f func(n protowire.Number, field protofields.Field) error) error {
+	return protofields.Each(data, func(n protowire.Number, field protofields.Field) error {
+		switch field.Type {
 		case protowire.VarintType, protowire.Fixed64Type, protowire.BytesType:
-			return take(n, f)
+			return f(n, field)
 		}
 		return errMalformed
 	})
--- a/internal/relay/override/store.go
+++ b/internal/relay/override/store.go
@@ -1,13 +1,3 @@
-// Package override holds what operators have said of things that a whole fleet deals with, and spreads it: that an endpoint or
-// a partner is drained at every relay, or that a relay is gone for good. Word and release are facts that win over one another
-// by rule, whatever way they come and however often, so all relays that some chain of links joins hold the same in the end.
-//
-// A Book holds the words; a Talk decides which notes go to whom. They decide and do nothing else: no clock, no socket, no
-// goroutine. A word that comes is handed to the caller first, who makes it durable and carries it out; only then it counts,
-// and only then other relays are told that it is heeded here.
-//
-// Words are last-writer-wins registers (Shapiro and others 2011) ordered by Lamport clocks (1978), spread by pushing and
-// anti-entropy (Demers and others 1987) with digests by bucket. No wall clock orders anything.
 package override
 
 import (
@@ -21,84 +11,91 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// digestBuckets are the parts of a book that are compared by digests of their own.
+// digestBuckets is the number of parts of a store that have digests of their own.
 const digestBuckets = 16
 
-// Digest stands for all words of a book: two books with the same hold the same words.
+// Digest identifies the overrides of a store, by bucket: stores with equal digests hold the same overrides.
 type Digest [digestBuckets]uint32
 
-// combined is one figure for all of a digest.
+// combined returns one number for the digest.
 func (d Digest) combined() uint64 {
 	h := fnv.New64a()
-	for _, x := range d {
-		h.Write(protowire.AppendFixed32(nil, x))
+	for _, bucket := range d {
+		h.Write(protowire.AppendFixed32(nil, bucket))
 	}
 	return h.Sum64()
 }
 
-// Store holds the words of one relay. It is not safe for concurrent use.
+// Store holds the overrides of one relay. It is not safe for concurrent use.
 type Store struct {
-	overrides map[string]Override
+	overrides map[string]Override // by subject
 	digest    Digest
 }
 
-// NewStore returns an empty one.
+// NewStore returns an empty store.
 func NewStore() *Store { return &Store{overrides: map[string]Override{}} }
 
-// ErrFull is told where a book is full.
+// ErrFull is returned if a store is full.
 var ErrFull = fmt.Errorf("verdict: more than %d words", MaxOverrides)
 
-// ErrUnchanged is told where what is said holds already.
+// ErrUnchanged is returned if a subject is in the wanted state already.
 var ErrUnchanged = errors.New("verdict: that holds already")
 
-// Next is the word that says something anew here. It is not in the book before Merge.
-func (b *Store) Next(subject string, on bool, origin, by string, atMs int64) (Override, error) {
-	was, known := b.overrides[subject]
-	if was.Active == on {
-		return was, ErrUnchanged
+// Next returns the override that sets a subject to a state. It is not in the store before Merge.
+func (s *Store) Next(subject string, active bool, origin, author string, atMs int64) (Override, error) {
+	previous, known := s.overrides[subject]
+	if previous.Active == active {
+		return previous, ErrUnchanged
 	}
-	if !known && len(b.overrides) >= MaxOverrides {
+	if !known && len(s.overrides) >= MaxOverrides {
 		return Override{}, ErrFull
 	}
-	w := Override{subject, on, was.Counter + 1, origin, truncate(by), atMs}
-	return w, w.Validate()
+	o := Override{subject, active, previous.Counter + 1, origin, truncate(author), atMs}
+	return o, o.Validate()
 }
 
-// Changes tells whether a word would change the book.
-func (b *Store) Changes(w Override) bool {
-	was, known := b.overrides[w.Subject]
-	return w.Validate() == nil && (known && w.Compare(was) > 0 && w.Counter-was.Counter <= maxCounterLeap || !known && len(b.overrides) < MaxOverrides)
+// Changes reports whether an override would change the store.
+func (s *Store) Changes(o Override) bool {
+	previous, known := s.overrides[o.Subject]
+	switch {
+	case o.Validate() != nil:
+		return false
+	case !known:
+		return len(s.overrides) < MaxOverrides
+	}
+	return o.Compare(previous) > 0 && o.Counter-previous.Counter <= maxCounterLeap
 }
 
-// Merge takes a word in, and tells whether it changed the book.
-func (b *Store) Merge(w Override) bool {
-	if !b.Changes(w) {
+// Merge adds an override, and reports whether it changed the store. It is commutative, associative and idempotent.
+func (s *Store) Merge(o Override) bool {
+	if !s.Changes(o) {
 		return false
 	}
-	if was, known := b.overrides[w.Subject]; known {
-		b.digest[bucketOf(w.Subject)] ^= was.hash()
+	if previous, known := s.overrides[o.Subject]; known {
+		s.digest[bucketOf(o.Subject)] ^= previous.hash()
 	}
-	b.overrides[w.Subject] = w
-	b.digest[bucketOf(w.Subject)] ^= w.hash()
+	s.overrides[o.Subject] = o
+	s.digest[bucketOf(o.Subject)] ^= o.hash()
 	return true
 }
 
+// bucketOf returns the bucket of a subject.
 func bucketOf(subject string) int {
 	h := fnv.New32a()
 	h.Write([]byte(subject))
 	return int(h.Sum32() % digestBuckets)
 }
 
-// Get tells what was said of a subject last, and whether it holds.
-func (b *Store) Get(subject string) (w Override, holds bool) {
-	w = b.overrides[subject]
-	return w, w.Active
+// Get returns the last override of a subject, and whether it is active.
+func (s *Store) Get(subject string) (o Override, active bool) {
+	o = s.overrides[subject]
+	return o, o.Active
 }
 
-// All are the words of the book, by subject.
-func (b *Store) All() []Override {
-	return slices.SortedFunc(maps.Values(b.overrides), func(a, o Override) int { return cmp.Compare(a.Subject, o.Subject) })
+// All returns the overrides, by subject.
+func (s *Store) All() []Override {
+	return slices.SortedFunc(maps.Values(s.overrides), func(a, b Override) int { return cmp.Compare(a.Subject, b.Subject) })
 }
 
-// Digest stands for them.
-func (b *Store) Digest() Digest { return b.digest }
+// Digest returns the digest of the store.
+func (s *Store) Digest() Digest { return s.digest }
--- a/internal/relay/override/weights.go
+++ b/internal/relay/override/weights.go
@@ -5,45 +5,47 @@
 	"time"
 )
 
-// SetRemoved says which relays are gone for good.
-func (t *Gossiper) SetRemoved(lost []int) { t.removed = lost }
+// SetRemoved sets which relays are removed for good.
+func (g *Gossiper) SetRemoved(removed []int) { g.removed = removed }
 
-func (t *Gossiper) weight(i int) int {
+// weight returns the weight of a relay; 0 if it is removed.
+func (g *Gossiper) weight(relay int) int {
 	switch {
-	case slices.Contains(t.removed, i):
+	case slices.Contains(g.removed, relay):
 		return 0
-	case t.settings.Weights == nil:
+	case g.settings.Weights == nil:
 		return 1
 	}
-	return t.settings.Weights[i]
+	return g.settings.Weights[relay]
 }
 
-// listedWeight is the sum of the weights in this relay's list, without those that are gone.
-func (t *Gossiper) listedWeight() (n int) {
-	for i := range t.peers {
-		n += t.weight(i)
+// listedWeight returns the sum of the weights in this relay's list, without removed relays.
+func (g *Gossiper) listedWeight() (n int) {
+	for i := range g.peers {
+		n += g.weight(i)
 	}
 	return n
 }
 
-// TotalWeight is into how many parts limits are divided: the largest sum of weights that a relay says of its list, of those that were
-// heard of late, or that those have together by what each says of itself. While lists differ, as they do while relays are
-// restarted with a new one, who goes by that takes no more than is its own.
-func (t *Gossiper) TotalWeight(now time.Duration) int {
-	listed := t.listedWeight()
-	most, sum, believed := listed, 0, max(MaxTotalWeight, 4*listed)
-	for i := range t.peers {
-		p, w := &t.peers[i], t.weight(i)
-		if i != t.settings.Self && p.receivedAt >= 0 && now-p.receivedAt < weightTTL && !slices.Contains(t.removed, i) {
-			most, w = max(most, min(p.totalWeight, believed)), max(0, min(p.weight, MaxWeight))
+// TotalWeight returns into how many shares limits are divided: the largest sum of weights that a relay heard
+// from recently reports for its list, or that those relays have together by what each reports of itself. While
+// lists differ, as they do while relays are restarted with a new one, a relay that divides by it uses no more
+// than its own share.
+func (g *Gossiper) TotalWeight(now time.Duration) int {
+	listed := g.listedWeight()
+	largest, sum, limit := listed, 0, max(MaxTotalWeight, 4*listed)
+	for i := range g.peers {
+		p, weight := &g.peers[i], g.weight(i)
+		if i != g.settings.Self && p.receivedAt >= 0 && now-p.receivedAt < weightTTL && !slices.Contains(g.removed, i) {
+			largest, weight = max(largest, min(p.totalWeight, limit)), max(0, min(p.weight, MaxWeight))
 		}
-		sum += w
+		sum += weight
 	}
-	return max(1, most, min(sum, believed))
+	return max(1, largest, min(sum, limit))
 }
 
-// The bounds of what is believed of another relay's list, which bound the harm that a wrong one can do.
+// Bounds of what is accepted of another relay's list, which bound the harm of a wrong one.
 const (
-	MaxTotalWeight = 64 // relays, or parts if a list has less than a quarter of them
-	MaxWeight      = 100
+	MaxTotalWeight = 64  // accepted from other lists, unless four times the own one is more
+	MaxWeight      = 100 // of one relay
 )
