--- a/internal/relay/discoverypoll/discoverypoll_test.go
+++ b/internal/relay/discoverypoll/discoverypoll_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// discovery is one that is overbooked: it has so much work to give a second, a watch that begins takes some whether or
-// not it is let in. Looks are the agents'.
+// discovery is an overloaded one: it has a capacity of watches that begin, and a rejected watch uses some of it,
+// too. Polls are answered by the agents.
 type discovery struct {
 	rate, most, left float64
 	at               time.Duration
@@ -26,8 +26,8 @@
 	return true
 }
 
-// played is how many of a fleet have a watch after a while, and how many were begun.
-func played(fleet int, rate float64, span time.Duration) (watching, begun int) {
+// runWatches returns how many relays of a fleet have a watch after a time span, and how many watches were begun.
+func runWatches(fleet int, rate float64, span time.Duration) (watching, begun int) {
 	d := &discovery{rate: rate, most: rate / 4, left: rate / 4}
 	all := make([]*Poller, fleet)
 	done := make([]bool, fleet)
@@ -57,41 +57,41 @@
 	return watching, begun
 }
 
-// Guards against a fleet that keeps an overbooked discovery down by asking: each in its turn is served.
+// Guards against a fleet that keeps an overloaded discovery down by its retries: in turn, each relay is served.
 func TestLargeFleetTakesTurns(t *testing.T) {
 	for _, fleet := range []int{16, 36, 80, 300} {
-		if watching, begun := played(fleet, 30, 16*time.Second); watching < fleet || begun > fleet*5/4 {
+		if watching, begun := runWatches(fleet, 30, 16*time.Second); watching < fleet || begun > fleet*5/4 {
 			t.Errorf("%d of %d relays watch after 16 s, with %d begun", watching, fleet, begun)
 		}
 	}
 }
 
-// agent is what a relay's own machine has of discovery, drawn move by move.
+// agent is the discovery agent on a relay's machine; its behaviour is drawn event by event.
 type agent struct {
-	version int64
-	silent  bool
-	deny    bool // watches are turned away
+	version       int64
+	unresponsive  bool
+	rejectWatches bool
 }
 
-// Guards against a relay that sends to an endpoint of which its agent has heard that it drains: whatever becomes of
-// its watches, however many relays there are, and wherever discovery moves, an agent that answers is never left
-// unasked for longer than Blind.
-func TestNeverBlind(t *testing.T) {
+// Guards against calls to an endpoint of which the agent knows that it drains: whatever happens to the watches,
+// however many relays there are, and however often discovery changes, the time between requests to an agent that
+// answers never exceeds MaxStaleness.
+func TestStalenessIsBounded(t *testing.T) {
 	if MaxStaleness > 200*ms {
-		t.Errorf("%v without asking leave nothing of 250 ms for the relay's own work", MaxStaleness)
+		t.Errorf("%v between requests leave nothing of 250 ms for the relay's own work", MaxStaleness)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.SampledFrom([]int{121, 200, 300, 1000}).Draw(t, "fleet")
 		f := New(Settings{Index: rapid.IntRange(0, fleet-1).Draw(t, "index"), FleetSize: fleet, Seed: rapid.Uint64().Draw(t, "seed"),
 			Version: 5}, 0)
 		a := &agent{version: int64(rapid.IntRange(1, 9).Draw(t, "version"))}
-		now, asked := time.Duration(0), time.Duration(0) // asked: the agent could last have told what it has
+		now, lastRequest := time.Duration(0), time.Duration(0) // lastRequest: the agent could last have answered with what it has
 		for range 400 {
 			switch rapid.IntRange(0, 19).Draw(t, "event") {
 			case 0:
-				a.deny = !a.deny
+				a.rejectWatches = !a.rejectWatches
 			case 1:
-				a.silent = !a.silent
+				a.unresponsive = !a.unresponsive
 			case 2:
 				f.SourceChanged(now)
 				a.version = int64(rapid.IntRange(1, 9).Draw(t, "history"))
@@ -99,37 +99,37 @@
 				a.version++
 			}
 			q := f.Next()
-			if now = max(now, q.At); !a.silent && now-asked > MaxStaleness {
-				t.Fatalf("at %v nothing asked since %v; next is %+v", now, asked, q)
+			if now = max(now, q.At); !a.unresponsive && now-lastRequest > MaxStaleness {
+				t.Fatalf("at %v no request since %v; next is %+v", now, lastRequest, q)
 			}
 			switch {
-			case a.silent && q.FullList:
+			case a.unresponsive && q.FullList:
 				now += pollTimeout
-				asked = now // it may answer again from now on only
+				lastRequest = now // it may answer again only from now on
 				f.Failed(now, q, false)
-			case a.silent:
+			case a.unresponsive:
 				now += time.Duration(rapid.IntRange(0, 2500).Draw(t, "hung")) * ms
-				asked = now
+				lastRequest = now
 				f.Failed(now, q, true)
 			case q.FullList:
-				asked = now
+				lastRequest = now
 				now += time.Duration(rapid.IntRange(0, 90).Draw(t, "look")) * ms
 				f.Answered(now, q, a.version, true)
-			case a.deny:
-				asked = now
+			case a.rejectWatches:
+				lastRequest = now
 				now += time.Duration(rapid.IntRange(0, 30).Draw(t, "denied")) * ms
 				f.Failed(now, q, true)
-			default: // the watch stands for as long as it does
+			default: // the watch lasts for a while
 				now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "watch")) * ms
-				asked = now
+				lastRequest = now
 				f.Answered(now, q, a.version, false)
 			}
 		}
 	})
 }
 
-// A large fleet's watches stay rare however long discovery turns them away.
-func TestPausesOfALargeFleet(t *testing.T) {
+// A large fleet's watches stay rare however long discovery rejects them.
+func TestLargeFleetBacksOff(t *testing.T) {
 	const fleet = 300
 	begun := 0
 	for i := range fleet {
@@ -145,36 +145,38 @@
 		}
 	}
 	if a := float64(begun) / 60; a > 70 {
-		t.Errorf("%.0f watches a second are begun by %d relays that are all turned away", a, fleet)
+		t.Errorf("%.0f watches a second are begun by %d relays that are all rejected", a, fleet)
 	}
 }
 
-// A small fleet has no looks: while its agent is silent, watches follow each other with hardly a pause, as what the agent gets
-// when discovery returns counts as told whether or not a watch is open. One that turns it away is asked more seldom.
-func TestSmallFleetStaysWithASilentAgent(t *testing.T) {
-	for _, away := range []bool{false, true} {
+// A small fleet does not poll: while its agent is unresponsive, watches follow each other with little backoff,
+// as what the agent receives when discovery returns counts as known whether or not a watch is open. An agent
+// that rejects watches is asked more seldom.
+func TestSmallFleetRetriesUnresponsiveAgent(t *testing.T) {
+	for _, rejected := range []bool{false, true} {
 		f := New(Settings{Index: 2, FleetSize: LargeFleet - 1, Version: 7, Listed: true, Seed: 9}, 0)
 		f.Answered(0, f.Next(), 7, true)
 		longest := time.Duration(0)
 		for now, n := time.Duration(0), 0; n < 20; n++ {
 			q := f.Next()
 			longest = max(longest, q.At-now)
-			if now = max(now, q.At); !away {
+			if now = max(now, q.At); !rejected {
 				now += q.Timeout
 			}
-			f.Failed(now, q, away)
+			f.Failed(now, q, rejected)
 		}
-		if silent := longest <= 3*firstBackoff/2; silent == away {
-			t.Errorf("turned away %v: the longest pause is %v", away, longest)
+		if short := longest <= 3*firstBackoff/2; short == rejected {
+			t.Errorf("rejected %v: the longest backoff is %v", rejected, longest)
 		}
 	}
 }
 
-func TestSmallFleetAsksAtOnce(t *testing.T) {
+// A small fleet requests the full list and then watches, without delay.
+func TestSmallFleetRequestsAtOnce(t *testing.T) {
 	f := New(Settings{Index: 2, FleetSize: 3, Version: 7}, time.Second)
 	q := f.Next()
 	if q != (Request{FullList: true, At: time.Second, Timeout: listTimeout}) {
-		t.Errorf("first question is %+v", q)
+		t.Errorf("first request is %+v", q)
 	}
 	f.Answered(1001*ms, q, 7, true)
 	if q = f.Next(); q.FullList || q.Since != 7 || q.At > 1001*ms {
@@ -188,11 +190,11 @@
 	}
 }
 
-// Whatever the list is that a relay was started with, it ends with discovery's.
-func TestLists(t *testing.T) {
+// A relay ends with the list of discovery, whatever list it was started with.
+func TestListsOfOtherHistories(t *testing.T) {
 	type answer struct {
 		version int64
-		whole   bool // asked for
+		full    bool // requested
 		counts  bool
 	}
 	for name, c := range map[string]struct {
@@ -208,8 +210,8 @@
 		f := New(Settings{FleetSize: 300, Version: c.known}, 0)
 		for i, a := range c.answers {
 			q := f.Next()
-			if q.FullList != a.whole {
-				t.Errorf("%s: question %d is %+v", name, i, q)
+			if q.FullList != a.full {
+				t.Errorf("%s: request %d is %+v", name, i, q)
 			}
 			if counts := f.Answered(0, q, a.version, q.FullList); counts != a.counts {
 				t.Errorf("%s: answer %d counts: %v", name, i, counts)
@@ -217,18 +219,18 @@
 		}
 		f.SourceChanged(time.Second)
 		if q := f.Next(); !q.FullList || q.At != time.Second {
-			t.Errorf("%s: after a move %+v", name, q)
+			t.Errorf("%s: after a change of source %+v", name, q)
 		}
 	}
 }
 
-// A list that the relay has already is no news, and one that was told by a look makes the watch after it cheap.
-func TestLooks(t *testing.T) {
+// A list that the relay has already is ignored, and a polled one is the base of the watch after it.
+func TestPolls(t *testing.T) {
 	f := New(Settings{Index: 40, FleetSize: 300, Version: 5}, 0)
 	for i, version := range []int64{5, 5, 6, 6} {
 		q := f.Next()
 		if !q.FullList || q.At != time.Duration(i)*pollInterval {
-			t.Fatalf("question %d is %+v", i, q)
+			t.Fatalf("request %d is %+v", i, q)
 		}
 		if counts := f.Answered(q.At, q, version, true); counts != (i == 0 || i == 2) {
 			t.Errorf("answer %d counts: %v", i, counts)
@@ -242,33 +244,33 @@
 	}
 }
 
-// A fleet whose turns are over in time does without looks: there are agents that do not answer them at no cost.
-func TestTurnsAlone(t *testing.T) {
+// A fleet whose turns are over in time does not poll: some agents do not answer polls at no cost.
+func TestTurnsWithoutPolls(t *testing.T) {
 	for _, fleet := range []int{16, 80, 120} {
 		f := New(Settings{Index: 10, FleetSize: fleet, Version: 5, Listed: true}, 0)
 		for i := range 20 {
 			q := f.Next()
 			if q.FullList || i == 0 && q.At != 10*turnTime {
-				t.Fatalf("%d relays: question %d is %+v", fleet, i, q)
+				t.Fatalf("%d relays: request %d is %+v", fleet, i, q)
 			}
 			f.Failed(q.At, q, true)
 		}
 		f.SourceChanged(time.Minute)
 		if q := f.Next(); !q.FullList || q.At != time.Minute {
-			t.Errorf("%d relays: after a move %+v", fleet, q)
+			t.Errorf("%d relays: after a change of source %+v", fleet, q)
 		}
 	}
 }
 
-// An agent that turns looks away is asked more and more seldom, and as often as ever once it answers.
-func TestLooksTurnedAway(t *testing.T) {
+// An agent that rejects polls is polled more and more seldom, and at the usual pace once it answers.
+func TestRejectedPollsBackOff(t *testing.T) {
 	f := New(Settings{Index: 299, FleetSize: 300, Version: 5, Listed: true}, 0)
 	n := 0
 	for ; f.Next().At < 10*time.Second; n++ {
 		f.Failed(f.Next().At, f.Next(), true)
 	}
 	if n > 10 {
-		t.Errorf("%d looks in 10 s at an agent that turns them away", n)
+		t.Errorf("%d polls in 10 s of an agent that rejects them", n)
 	}
 	f.Answered(10*time.Second, f.Next(), 6, true)
 	if q := f.Next(); !q.FullList || q.At != 10*time.Second+pollInterval {
--- a/internal/relay/gossip/conn.go
+++ b/internal/relay/gossip/conn.go
@@ -1,5 +1,6 @@
-// Package gossip carries notes between the relays of a fleet: UDP datagrams of up to 256 bytes, which come late, twice
-// or not at all. Who wrote one is told by the address that it came from.
+// Package gossip transports messages between the relays of a fleet: UDP datagrams of up to 256 bytes, which may
+// be delayed, duplicated or lost. The sender of a message is identified by its address. Messages have a frame
+// with a kind and a checksum (Seal and Open); their content belongs to the packages that send them.
 package gossip
 
 import (
@@ -11,22 +12,22 @@
 	"time"
 )
 
-// listenRetryInterval is when listening is tried listenRetryInterval while another process of this relay still does.
+// listenRetryInterval is the time between attempts to listen while the address is in use.
 const listenRetryInterval = 50 * time.Millisecond
 
-// Conn sends and receives the notes of one relay. Its methods may be called at the same time.
+// Conn sends and receives the messages of one relay. After SetPeers its methods may be called concurrently.
 type Conn struct {
 	conn        *net.UDPConn
-	addrs       []netip.AddrPort
+	addrs       []netip.AddrPort // by number of the relay
 	relayByAddr map[netip.AddrPort]int
 }
 
-// Listen takes up a relay's address. While it is in use it is tried again until the context ends: another process of
-// this relay may be about to leave it.
+// Listen listens on a relay's address. While the address is in use it retries until the context ends: an earlier
+// process of this relay may be about to end.
 func Listen(ctx context.Context, listen string) (*Conn, error) {
 	at, err := netip.ParseAddrPort(listen)
 	if err != nil {
-		return nil, fmt.Errorf("peers: the address to listen on: %w", err)
+		return nil, fmt.Errorf("gossip: the address to listen on: %w", err)
 	}
 	c := &Conn{}
 	for {
@@ -35,36 +36,37 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("peers: %w", err)
+			return nil, fmt.Errorf("gossip: %w", err)
 		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
-// SetPeers tells the addresses of all relays by number, this one's among them. It comes before Receive and Send.
+// SetPeers sets the addresses of all relays, by number, this one included. It must be called before Receive and Send.
 func (c *Conn) SetPeers(peers []string) error {
 	c.addrs, c.relayByAddr = nil, map[netip.AddrPort]int{}
 	for i, text := range peers {
-		a, err := netip.ParseAddrPort(text)
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return fmt.Errorf("peers: relay %d: %w", i, err)
+			return fmt.Errorf("gossip: relay %d: %w", i, err)
 		}
-		if other, twice := c.relayByAddr[a]; twice {
-			return fmt.Errorf("peers: relays %d and %d have the same address %s", other, i, a)
+		if other, duplicate := c.relayByAddr[addr]; duplicate {
+			return fmt.Errorf("gossip: relays %d and %d have the same address %s", other, i, addr)
 		}
-		c.addrs, c.relayByAddr[a] = append(c.addrs, a), i
+		c.addrs, c.relayByAddr[addr] = append(c.addrs, addr), i
 	}
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which it listens.
 func (c *Conn) Addr() netip.AddrPort { return c.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Receive hands each note that comes to f, which may keep it, until Close. Those of strangers are dropped.
-func (c *Conn) Receive(f func(from int, note []byte)) {
-	room := make([]byte, MaxMessageBytes+1)
+// Receive calls f with each message of a known relay until Close; f may keep the message. Messages from other
+// addresses are dropped.
+func (c *Conn) Receive(f func(from int, message []byte)) {
+	buffer := make([]byte, MaxMessageBytes+1)
 	for {
-		n, at, err := c.conn.ReadFromUDPAddrPort(room)
+		n, at, err := c.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -72,15 +74,15 @@
 			continue
 		}
 		if from, ok := c.relayByAddr[netip.AddrPortFrom(at.Addr().Unmap(), at.Port())]; ok {
-			f(from, append([]byte(nil), room[:n]...))
+			f(from, append([]byte(nil), buffer[:n]...))
 		}
 	}
 }
 
-// Send sends a note to a relay. Whatever goes wrong, the note is lost, as notes may be.
-func (c *Conn) Send(to int, note []byte) {
-	if to >= 0 && to < len(c.addrs) && len(note) <= MaxMessageBytes {
-		c.conn.WriteToUDPAddrPort(note, c.addrs[to])
+// Send sends a message to a relay. If that fails the message is lost, as datagrams may be.
+func (c *Conn) Send(to int, message []byte) {
+	if to >= 0 && to < len(c.addrs) && len(message) <= MaxMessageBytes {
+		c.conn.WriteToUDPAddrPort(message, c.addrs[to])
 	}
 }
 
--- a/internal/relay/versionaudit/fixtures_test.go
+++ b/internal/relay/versionaudit/fixtures_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Notes between relays of different builds carry the numbers, the control API the names.
-func TestKindsAndStatesAreAsFrozen(t *testing.T) {
+// Messages between relays of different builds carry the numbers, the admin API the names.
+func TestFrozenKindsAndStates(t *testing.T) {
 	frozen := map[int]string{1: "partners", 2: "fleet", 3: "rules", 4: "build"}
 	if len(Kinds) != len(frozen) || len(kindNames) != len(frozen) {
 		t.Errorf("%d kinds with %d names, %d are in this test", len(Kinds), len(kindNames), len(frozen))
--- a/internal/relay/versionaudit/versionaudit.go
+++ b/internal/relay/versionaudit/versionaudit.go
@@ -1,10 +1,12 @@
-// Package versionaudit knows which relay of a fleet acts on which version of what, as far as relays tell one another: their operator's
-// files, in sections, and the program's build. It is the first part of the fleet's audit: it tells who is behind, and for how long.
+// Package versionaudit records which relay of a fleet acts on which version of what, as far as relays report it
+// to each other: the sections of their operator's files, and the program's build. It is the first part of the
+// fleet's audit: it shows who is behind, and for how long.
 //
-// A file has no number that only grows, so versions are digests, and which of two is newer is told by when it appeared: the newest
-// version of a kind is the one that was held by nobody last. Ages are by the clock of the relay that heard; what it has not heard
-// is unknown. A relay that was cut off for a time may take a version for new that the others have had for long: that shows in
-// who holds it, and mends itself with the next change. The package decides and does nothing else.
+// A file has no number that only grows, so versions are digests, and which of two is newer follows from when
+// they appeared: the newest version of a kind is the one that appeared last, after no relay had it. Ages are by
+// the clock of the relay that received the reports; what it has not received is unknown. A relay that was
+// partitioned for a time may take a version for new that the others have had for long: that shows in who has it,
+// and ends with the next change. The package is a pure state machine without clock and I/O.
 package versionaudit
 
 import (
@@ -14,10 +16,10 @@
 	"time"
 )
 
-// Kind is something that relays act on.
+// Kind of a version: something that relays act on.
 type Kind int
 
-// The kinds. A number is never used anew: notes carry them.
+// The kinds. Messages carry the numbers; a number is never reused.
 const (
 	Partners Kind = iota + 1 // endpoints, classes and limits of partners
 	Fleet                    // relays, addresses, weights
@@ -25,108 +27,115 @@
 	Build                    // of the program
 )
 
-// Kinds are all of them, in the order in which they are shown.
+// Kinds are all kinds, in the order of output.
 var Kinds = []Kind{Partners, Fleet, Rules, Build}
 
 var kindNames = map[Kind]string{Partners: "partners", Fleet: "fleet", Rules: "rules", Build: "build"}
 
-// String gives the kind as operators read it.
+// String returns the name of the kind in output.
 func (k Kind) String() string { return kindNames[k] }
 
 // Version is a digest of what a relay acts on; 0 is none.
 type Version uint32
 
-// versionTTL is after how long a version that nobody is heard to hold any more is forgotten: once it comes again it is new.
+// versionTTL is how long a version is remembered that no relay reports. If it returns later it counts as new.
 const versionTTL = 10 * time.Minute
 
-// Auditor is one relay's. It is not safe for concurrent use.
+// Auditor records the versions that the relays of a fleet report. It is not safe for concurrent use.
 type Auditor struct {
-	relays     int
-	startedAt  time.Duration // the first entry; below 0 before it
-	reports    map[Kind][]report
-	appearedAt map[Kind]map[Version]time.Duration // when it was first seen, after nobody held it
-	lastSeenAt map[Kind]map[Version]time.Duration // last
+	relays     int                                // number
+	startedAt  time.Duration                      // the first report; -1 before it
+	reports    map[Kind][]report                  // by kind and relay
+	appearedAt map[Kind]map[Version]time.Duration // first report after no relay had it
+	lastSeenAt map[Kind]map[Version]time.Duration // last report
 }
 
-// report is what a relay acts on, as it was heard last.
+// report is what a relay acts on by its last report.
 type report struct {
-	version Version
-	firstAt time.Duration // heard of first
-	lastAt  time.Duration // heard of last
+	version Version       // 0 for none
+	firstAt time.Duration // of that version
+	lastAt  time.Duration // of that version
 }
 
-// New returns the ledger of a fleet of so many relays.
+// New returns the auditor of a fleet of that many relays.
 func New(relays int) *Auditor {
-	l := &Auditor{relays: relays, startedAt: -1, reports: map[Kind][]report{}, appearedAt: map[Kind]map[Version]time.Duration{}, lastSeenAt: map[Kind]map[Version]time.Duration{}}
+	a := &Auditor{
+		relays:     relays,
+		startedAt:  -1,
+		reports:    map[Kind][]report{},
+		appearedAt: map[Kind]map[Version]time.Duration{},
+		lastSeenAt: map[Kind]map[Version]time.Duration{},
+	}
 	for _, k := range Kinds {
-		l.reports[k], l.appearedAt[k], l.lastSeenAt[k] = make([]report, relays), map[Version]time.Duration{}, map[Version]time.Duration{}
+		a.reports[k] = make([]report, relays)
+		a.appearedAt[k], a.lastSeenAt[k] = map[Version]time.Duration{}, map[Version]time.Duration{}
 	}
-	return l
+	return a
 }
 
-// Record takes in what a relay acts on. Kinds that are not known are passed over: a newer build tells more.
-func (l *Auditor) Record(now time.Duration, relay int, k Kind, v Version) {
-	all, ok := l.reports[k]
-	if !ok || relay < 0 || relay >= l.relays || v == 0 {
+// Record records what a relay acts on. Unknown kinds are ignored: a newer build may report more.
+func (a *Auditor) Record(now time.Duration, relay int, k Kind, v Version) {
+	reports, ok := a.reports[k]
+	if !ok || relay < 0 || relay >= a.relays || v == 0 {
 		return
 	}
-	for old, at := range l.lastSeenAt[k] {
+	for old, at := range a.lastSeenAt[k] {
 		if now-at >= versionTTL {
-			delete(l.lastSeenAt[k], old)
-			delete(l.appearedAt[k], old)
+			delete(a.lastSeenAt[k], old)
+			delete(a.appearedAt[k], old)
 		}
 	}
-	if l.startedAt < 0 {
-		l.startedAt = now
+	if a.startedAt < 0 {
+		a.startedAt = now
 	}
-	if _, known := l.appearedAt[k][v]; !known || !l.inUse(k, v) {
-		l.appearedAt[k][v] = now
-		if now-l.startedAt < startupWindow {
-			l.appearedAt[k][v] = l.startedAt
+	if _, known := a.appearedAt[k][v]; !known || !a.inUse(k, v) {
+		a.appearedAt[k][v] = now
+		if now-a.startedAt < startupWindow {
+			a.appearedAt[k][v] = a.startedAt
 		}
 	}
-	l.lastSeenAt[k][v] = now
-	if h := &all[relay]; h.version != v {
-		*h = report{v, now, now}
+	a.lastSeenAt[k][v] = now
+	if last := &reports[relay]; last.version != v {
+		*last = report{v, now, now}
 	} else {
-		h.lastAt = now
+		last.lastAt = now
 	}
 }
 
-// inUse tells whether a relay holds a version, as far as is known.
-func (l *Auditor) inUse(k Kind, v Version) bool {
-	return slices.ContainsFunc(l.reports[k], func(h report) bool { return h.version == v })
+// inUse reports whether a relay acts on a version, by its last report.
+func (a *Auditor) inUse(k Kind, v Version) bool {
+	return slices.ContainsFunc(a.reports[k], func(r report) bool { return r.version == v })
 }
 
-// newest is the version of a kind that appeared last of those that are held, and when. Of versions that appeared at once, as
-// where a relay starts and hears all, it is the one that most relays hold.
-func (l *Auditor) newest(k Kind) (v Version, born time.Duration) {
-	holders := map[Version]int{}
-	for _, h := range l.reports[k] {
-		if h.version != 0 {
-			holders[h.version]++
+// newest returns the version of a kind that appeared last of those in use, and when. Of versions that appeared
+// together, as at the start of this relay, it is the one that most relays act on.
+func (a *Auditor) newest(k Kind) (v Version, appeared time.Duration) {
+	users := map[Version]int{}
+	for _, r := range a.reports[k] {
+		if r.version != 0 {
+			users[r.version]++
 		}
 	}
-	for _, o := range slices.Sorted(maps.Keys(holders)) {
-		if at := l.appearedAt[k][o]; v == 0 || at > born || at == born && holders[o] > holders[v] {
-			v, born = o, at
+	for _, other := range slices.Sorted(maps.Keys(users)) {
+		if at := a.appearedAt[k][other]; v == 0 || at > appeared || at == appeared && users[other] > users[v] {
+			v, appeared = other, at
 		}
 	}
-	return v, born
+	return v, appeared
 }
 
-// startupWindow is for how long after its first entry a ledger takes all versions to have been there before: a relay that starts
-// hears the others within a few beats.
+// startupWindow is for how long after the first report all versions count as having been there before: a relay
+// that starts hears the others within a few heartbeats.
 const startupWindow = 2 * time.Second
 
-// State is how a relay stands with a kind.
+// State of a relay's version.
 type State string
 
-// The states.
+// The states. The names are in output.
 const (
 	Current State = "current"
 	Behind  State = "behind"
-	Unknown State = "unknown" // nothing was heard of it
+	Unknown State = "unknown" // nothing was reported
 )
 
 // Row is what is known of a relay and a kind.
@@ -135,33 +144,33 @@
 	Kind        Kind
 	Version     Version
 	State       State
-	ActiveFor   time.Duration // it has been known to act on that version
-	SinceReport time.Duration // since it was heard last
-	BehindFor   time.Duration // since a newer version appeared; 0 for one that is current
-	OnNewest    int           // relays that act on the newest version
+	ActiveFor   time.Duration // time since the first report of that version
+	SinceReport time.Duration // time since the last report
+	BehindFor   time.Duration // time since the newest version appeared; 0 if current
+	OnNewest    int           // number of relays that act on the newest version
 }
 
-// Rows are all relays and kinds: those that are behind first, the longest first.
-func (l *Auditor) Rows(now time.Duration) (all []Row) {
+// Rows returns a row for each relay and kind: those that are behind first, the longest first.
+func (a *Auditor) Rows(now time.Duration) (rows []Row) {
 	for _, k := range Kinds {
-		v, born := l.newest(k)
+		v, appeared := a.newest(k)
 		count := 0
-		for _, h := range l.reports[k] {
-			if v != 0 && h.version == v {
+		for _, last := range a.reports[k] {
+			if v != 0 && last.version == v {
 				count++
 			}
 		}
-		for i, h := range l.reports[k] {
-			r := Row{Relay: i, Kind: k, Version: h.version, State: Unknown, OnNewest: count}
-			if h.version != 0 {
-				r.State, r.ActiveFor, r.SinceReport = Current, now-h.firstAt, now-h.lastAt
+		for i, last := range a.reports[k] {
+			r := Row{Relay: i, Kind: k, Version: last.version, State: Unknown, OnNewest: count}
+			if last.version != 0 {
+				r.State, r.ActiveFor, r.SinceReport = Current, now-last.firstAt, now-last.lastAt
 			}
-			if h.version != 0 && h.version != v {
-				r.State, r.BehindFor = Behind, max(0, now-born)
+			if last.version != 0 && last.version != v {
+				r.State, r.BehindFor = Behind, max(0, now-appeared)
 			}
-			all = append(all, r)
+			rows = append(rows, r)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b Row) int { return cmp.Compare(b.BehindFor, a.BehindFor) })
-	return all
+	slices.SortStableFunc(rows, func(x, y Row) int { return cmp.Compare(y.BehindFor, x.BehindFor) })
+	return rows
 }
--- a/internal/relay/versionaudit/versionaudit_test.go
+++ b/internal/relay/versionaudit/versionaudit_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-func show(l *Auditor, now time.Duration, k Kind) (text string) {
+// states returns the version and state of each relay.
+func states(a *Auditor, now time.Duration, k Kind) (text string) {
 	rows := map[int]Row{}
-	for _, r := range l.Rows(now) {
+	for _, r := range a.Rows(now) {
 		if r.Kind == k {
 			rows[r.Relay] = r
 		}
@@ -21,57 +22,59 @@
 	return text
 }
 
-// A new file at one relay has the others behind until they have it; a rollback is a new version too; what was not heard of is unknown.
-func TestWhoIsBehind(t *testing.T) {
+// A new file at one relay puts the others behind until they have it; a rollback is a new version too; a relay
+// without a report is unknown.
+func TestBehindUntilUpdated(t *testing.T) {
 	const s = time.Second
-	l := New(4)
-	all := func(now time.Duration, versions ...Version) {
+	a := New(4)
+	record := func(now time.Duration, versions ...Version) {
 		for i, v := range versions {
-			l.Record(now, i, Partners, v)
+			a.Record(now, i, Partners, v)
 		}
 	}
-	step := func(now time.Duration, want string) {
+	check := func(now time.Duration, want string) {
 		t.Helper()
-		if got := show(l, now, Partners); got != want {
+		if got := states(a, now, Partners); got != want {
 			t.Errorf("at %v: %q, want %q", now, got, want)
 		}
 	}
-	all(0, 1, 1, 1)
-	step(1*s, "1:current 1:current 1:current 0:unknown ")
-	all(10*s, 1, 2, 1)
-	step(11*s, "1:behind 2:current 1:behind 0:unknown ")
-	if r := l.Rows(40 * s)[0]; r.BehindFor != 30*s || r.Kind != Partners || r.OnNewest != 1 || r.ActiveFor != 40*s || r.SinceReport != 30*s {
+	record(0, 1, 1, 1)
+	check(1*s, "1:current 1:current 1:current 0:unknown ")
+	record(10*s, 1, 2, 1)
+	check(11*s, "1:behind 2:current 1:behind 0:unknown ")
+	r := a.Rows(40 * s)[0]
+	if r.BehindFor != 30*s || r.Kind != Partners || r.OnNewest != 1 || r.ActiveFor != 40*s || r.SinceReport != 30*s {
 		t.Errorf("%+v", r)
 	}
-	all(50*s, 2, 2, 1, 2)
-	step(51*s, "2:current 2:current 1:behind 2:current ")
-	all(60*s, 2, 2, 2, 2)
-	all(70*s, 1, 2, 2, 2) // back to the first, which nobody held any more
-	step(71*s, "1:current 2:behind 2:behind 2:behind ")
-	l = New(4) // one that starts and hears all: the version of most is taken for the newest
-	all(0, 5)
-	all(1*s, 5, 6, 6, 6)
-	step(2*s, "5:behind 6:current 6:current 6:current ")
-	l.Record(3*s, 9, Partners, 7)
-	l.Record(3*s, 1, Kind(77), 7)
-	l.Record(3*s, 1, Partners, 0)
-	step(3*s, "5:behind 6:current 6:current 6:current ")
+	record(50*s, 2, 2, 1, 2)
+	check(51*s, "2:current 2:current 1:behind 2:current ")
+	record(60*s, 2, 2, 2, 2)
+	record(70*s, 1, 2, 2, 2) // rollback to the first version, which no relay had any more
+	check(71*s, "1:current 2:behind 2:behind 2:behind ")
+	a = New(4) // after a start, the version that most relays have counts as the newest
+	record(0, 5)
+	record(1*s, 5, 6, 6, 6)
+	check(2*s, "5:behind 6:current 6:current 6:current ")
+	a.Record(3*s, 9, Partners, 7)
+	a.Record(3*s, 1, Kind(77), 7)
+	a.Record(3*s, 1, Partners, 0)
+	check(3*s, "5:behind 6:current 6:current 6:current ")
 }
 
-// Whatever is heard: each relay has one row of each kind, at least one relay that was heard of is current, and nobody is behind
-// where all hold the same.
-func TestRows(t *testing.T) {
+// Whatever is reported: each relay has one row of each kind, at least one relay with a report is current, and
+// none is behind if all have the same version.
+func TestRowsAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "relays")
-		l, now, last := New(n), time.Duration(0), map[int]Version{}
+		a, now, last := New(n), time.Duration(0), map[int]Version{}
 		for range rapid.IntRange(0, 40).Draw(t, "notes") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "after"))
 			i, v := rapid.IntRange(0, n-1).Draw(t, "relay"), Version(rapid.IntRange(1, 4).Draw(t, "version"))
-			l.Record(now, i, Rules, v)
+			a.Record(now, i, Rules, v)
 			last[i] = v
 		}
 		rows, current, versions := 0, 0, map[Version]bool{}
-		for _, r := range l.Rows(now) {
+		for _, r := range a.Rows(now) {
 			if r.Kind != Rules {
 				continue
 			}
