--- a/internal/relay/batching/batching.go
+++ b/internal/relay/batching/batching.go
@@ -21,7 +21,12 @@
 // New returns an empty schedule with slots of a length, batches of that many items, and a look-ahead of that many slots.
 // All must be above 0. If more than lookAhead/2 batches are due at one instant, they may be begun too late for all of them.
 func New(slotLength time.Duration, batchSize, lookAhead int) *Schedule {
-	return &Schedule{slotLength: max(slotLength, 1), batchSize: max(batchSize, 1), lookAhead: int64(max(lookAhead, 1)), countBySlot: map[int64]int{}}
+	return &Schedule{
+		slotLength:  max(slotLength, 1),
+		batchSize:   max(batchSize, 1),
+		lookAhead:   int64(max(lookAhead, 1)),
+		countBySlot: map[int64]int{},
+	}
 }
 
 // Piece returns the size of a batch: how many items may be done in a slot.
--- a/internal/relay/batching/batching_test.go
+++ b/internal/relay/batching/batching_test.go
@@ -38,7 +38,7 @@
 			}
 			must, again := s.Look(tc.now)
 			if must != tc.must || again != tc.again {
-				t.Errorf("must do %d, look again at %v; want %d and %v", must, again, tc.must, tc.again)
+				t.Errorf("must do %d, call again at %v; want %d and %v", must, again, tc.must, tc.again)
 			}
 		})
 	}
--- a/internal/relay/discoverypoll/discoverypoll_test.go
+++ b/internal/relay/discoverypoll/discoverypoll_test.go
@@ -113,7 +113,7 @@
 				f.Failed(now, q, true)
 			case q.FullList:
 				lastRequest = now
-				now += time.Duration(rapid.IntRange(0, 90).Draw(t, "look")) * ms
+				now += time.Duration(rapid.IntRange(0, 90).Draw(t, "poll")) * ms
 				f.Answered(now, q, a.version, true)
 			case a.rejectWatches:
 				lastRequest = now
--- a/internal/relay/fleetlimit/codec.go
+++ b/internal/relay/fleetlimit/codec.go
@@ -111,6 +111,7 @@
 	return b
 }
 
+// byte, uint16 and uint32 decode big-endian numbers.
 func (c *cursor) byte() byte { return c.take(1)[0] }
 
 func (c *cursor) uint16() uint16 { return binary.BigEndian.Uint16(c.take(2)) }
--- a/internal/relay/fleetlimit/limiter.go
+++ b/internal/relay/fleetlimit/limiter.go
@@ -18,7 +18,7 @@
 	skipTime        = 3 * time.Second        // after the first miss; doubled with each further one
 	maxCandidates   = 8                      // coordinators that are tried before a relay grants to itself
 	helloInterval   = 400 * time.Millisecond
-	valueTolerance  = 1.1 // a value that changes by this factor is sent anew
+	valueTolerance  = 1.1 // a value that changes by this factor is sent again
 	expireInterval  = 10 * time.Second
 	grantHistory    = 5 * time.Second // for which received grants are remembered against duplicates
 	// estimateTTL is how long a gossiped estimate of a route is passed on: limits change.
--- a/internal/relay/fleetlimit/message_test.go
+++ b/internal/relay/fleetlimit/message_test.go
@@ -30,13 +30,13 @@
 		r.routes = rapid.SliceOfN(route, 0, 5).Draw(t, "routes")
 	case grantKind:
 		r.routes, r.grant = []estimate{route.Draw(t, "route")}, rapid.Uint32().Draw(t, "grant")
-		r.validFor, r.healthy = timeUnit*time.Duration(rapid.Byte().Draw(t, "life")), rapid.Bool().Draw(t, "well")
+		r.validFor, r.healthy = timeUnit*time.Duration(rapid.Byte().Draw(t, "validFor")), rapid.Bool().Draw(t, "healthy")
 	case outcomeKind:
 		r.routes, r.grant = []estimate{{route: rapid.Uint32().Draw(t, "route")}}, rapid.Uint32().Draw(t, "grant")
 		r.outcome = choice.Outcome(rapid.IntRange(0, int(choice.Spoilt)).Draw(t, "outcome"))
 		r.took, r.wait = timeUnit*time.Duration(rapid.Uint16().Draw(t, "took")), timeUnit*time.Duration(rapid.Uint16().Draw(t, "wait"))
 	case movedKind:
-		r.coordinator = int(rapid.Uint16().Draw(t, "steward"))
+		r.coordinator = int(rapid.Uint16().Draw(t, "coordinator"))
 	case helloKind:
 		r.answer = rapid.Bool().Draw(t, "answer")
 	}
--- a/internal/relay/fleetlimit/pacer_test.go
+++ b/internal/relay/fleetlimit/pacer_test.go
@@ -103,8 +103,8 @@
 		if share := float64(served) / (30 * limit); share < 0.85 {
 			t.Errorf("limit %g: %.2f of it used", limit, share)
 		}
-		if part := float64(refused) / float64(served+refused); part > 0.15 { // on the slowest, one call in ten probes
-			t.Errorf("limit %g: %.2f of the calls refused", limit, part)
+		if ratio := float64(refused) / float64(served+refused); ratio > 0.15 { // on the slowest, one call in ten probes
+			t.Errorf("limit %g: %.2f of the calls refused", limit, ratio)
 		}
 	}
 }
--- a/internal/relay/fleetlimit/partition_test.go
+++ b/internal/relay/fleetlimit/partition_test.go
@@ -181,21 +181,21 @@
 // The majority of the relays that saw a route decide whether it is warming up; a few that could not reach it do
 // not mark it down.
 func TestWitnesses(t *testing.T) {
-	for _, tc := range []struct{ bad, well int }{{1, 0}, {2, 0}, {3, 0}, {3, 2}, {2, 3}, {5, 5}, {30, 10}, {10, 30}} {
+	for _, tc := range []struct{ down, open int }{{1, 0}, {2, 0}, {3, 0}, {3, 2}, {2, 3}, {5, 5}, {30, 10}, {10, 30}} {
 		p := newPacer(rules(), 0)
 		p.rate, p.limitKnown = 40, true
-		for i := range tc.well {
+		for i := range tc.open {
 			p.addWitness(time.Second, i, open)
 		}
-		for i := range tc.bad {
+		for i := range tc.down {
 			p.addWitness(time.Second, 100+i, down)
 		}
 		want := open
-		if tc.bad+tc.well >= minWitnesses && tc.bad > tc.well {
+		if tc.down+tc.open >= minWitnesses && tc.down > tc.open {
 			want = down
 		}
 		if p.state != want || p.rateBeforeOutage != map[state]float64{open: 0, down: 40}[want] {
-			t.Errorf("%d saw it fail, %d serve: state %d, base %v", tc.bad, tc.well, p.state, p.rateBeforeOutage)
+			t.Errorf("%d saw it fail, %d serve: state %d, base %v", tc.down, tc.open, p.state, p.rateBeforeOutage)
 		}
 	}
 }
--- a/internal/relay/fleetlimit/shares_test.go
+++ b/internal/relay/fleetlimit/shares_test.go
@@ -38,7 +38,7 @@
 type delivery struct {
 	at       time.Duration
 	from, to int
-	note     []byte
+	message  []byte
 	spent    choice.Spent
 }
 
@@ -86,7 +86,7 @@
 				if p.at > w.now || p.to != i {
 					return false
 				}
-				received = append(received, choice.Heard{From: p.from, Note: p.note})
+				received = append(received, choice.Heard{From: p.from, Note: p.message})
 				return true
 			})
 			input := []choice.Action{choice.Want{Dest: 5, Calls: 20 + int(w.now/(50*ms))%3, Value: 1, Routes: []string{"a"}}}
@@ -101,7 +101,7 @@
 			for _, a := range actions {
 				if n, ok := a.(choice.Tell); ok {
 					if delay, ok := w.deliver(i, n.To); ok {
-						w.inFlight = append(w.inFlight, delivery{at: w.now + delay, from: i, to: n.To, note: n.Note})
+						w.inFlight = append(w.inFlight, delivery{at: w.now + delay, from: i, to: n.To, message: n.Note})
 					}
 				}
 			}
@@ -382,7 +382,7 @@
 		for range 300 {
 			for range 3 {
 				to := 1 + random.IntN(n-1)
-				w.inFlight = append(w.inFlight, delivery{at: w.now, from: 0, to: to, note: gossip.Seal(forge().appendTo([]byte{version}))})
+				w.inFlight = append(w.inFlight, delivery{at: w.now, from: 0, to: to, message: gossip.Seal(forge().appendTo([]byte{version}))})
 			}
 			w.run(t, 10*ms)
 		}
--- a/internal/relay/outcome/outcome_test.go
+++ b/internal/relay/outcome/outcome_test.go
@@ -28,7 +28,8 @@
 	if dropped := s.Expire(now.Add(9 * time.Second)); !slices.Equal(dropped, []string{"m2"}) {
 		t.Errorf("expired %v, want m2", dropped)
 	}
-	if dropped := New(0, time.Hour).Add(&journal.Entry{ID: "x", EndAt: now.UnixMilli()}, now); !slices.Equal(dropped, []string{"x"}) {
+	dropped := New(0, time.Hour).Add(&journal.Entry{ID: "x", EndAt: now.UnixMilli()}, now)
+	if !slices.Equal(dropped, []string{"x"}) {
 		t.Errorf("a store of no entries: %v", dropped)
 	}
 }
--- a/internal/relay/override/fixtures_test.go
+++ b/internal/relay/override/fixtures_test.go
@@ -26,10 +26,10 @@
 	}
 )
 
-// frozenMessages has a message with every field, and one for each part that may be left out or come more than once.
+// frozenMessages has a message with every field, and one for each field that may be left out or come more than once.
 var frozenMessages = []struct {
-	name string
-	note message
+	name    string
+	message message
 }{
 
 	{"all fields", frozenMessage},
@@ -48,8 +48,8 @@
 func TestFrozenMessages(t *testing.T) {
 	var present []fixture.Line
 	for _, f := range frozenMessages {
-		data, words, sights := f.note.encode()
-		if words != len(f.note.overrides) || sights != len(f.note.observations) {
+		data, overrides, observations := f.message.encode()
+		if overrides != len(f.message.overrides) || observations != len(f.message.observations) {
 			t.Fatalf("%s: does not fit into one message", f.name)
 		}
 		present = append(present, fixture.Line{Name: f.name, Text: hex.EncodeToString(data)})
@@ -67,8 +67,8 @@
 			t.Fatal(err)
 		}
 		got, err := decode(data)
-		if err != nil || !reflect.DeepEqual(got, f.note) {
-			t.Errorf("%s: decoded as %+v, %v, want %+v", f.name, got, err, f.note)
+		if err != nil || !reflect.DeepEqual(got, f.message) {
+			t.Errorf("%s: decoded as %+v, %v, want %+v", f.name, got, err, f.message)
 		}
 		if data[0] != 0x56 {
 			t.Errorf("%s: version %#x, want 0x56", f.name, data[0])
@@ -83,9 +83,9 @@
 // that introduced them.
 func TestFrozenDigests(t *testing.T) {
 	store := NewStore()
-	for _, w := range []Override{frozenOverride, frozenRevocation} {
-		if !store.Merge(w) {
-			t.Fatalf("%+v was not merged", w)
+	for _, o := range []Override{frozenOverride, frozenRevocation} {
+		if !store.Merge(o) {
+			t.Fatalf("%+v was not merged", o)
 		}
 	}
 	digest := store.Digest()
--- a/internal/relay/override/fleet_test.go
+++ b/internal/relay/override/fleet_test.go
@@ -59,13 +59,13 @@
 	f.gossipers[i], f.dead[i] = gossiper, false
 }
 
-func (f *testFleet) apply(i int, words []Override) {
+func (f *testFleet) apply(i int, overrides []Override) {
 	if !f.durable(i) {
 		return
 	}
-	f.gossipers[i].Apply(f.now, words...)
-	for _, w := range words {
-		f.appliedAt[fmt.Sprint(i, w.Subject)] = f.now
+	f.gossipers[i].Apply(f.now, overrides...)
+	for _, o := range overrides {
+		f.appliedAt[fmt.Sprint(i, o.Subject)] = f.now
 	}
 }
 
@@ -95,8 +95,8 @@
 			if f.dead[i] {
 				continue
 			}
-			notes, _ := gossiper.Due(f.now)
-			for _, n := range notes {
+			messages, _ := gossiper.Due(f.now)
+			for _, n := range messages {
 				f.messages++
 				f.bytes += len(n.Data)
 				if f.connected(i, n.To) && f.random.Float64() >= f.lossRate {
--- a/internal/relay/override/gossiper_test.go
+++ b/internal/relay/override/gossiper_test.go
@@ -190,11 +190,11 @@
 			}
 			f.run(time.Duration(random.IntN(400)) * time.Millisecond)
 			if i := random.IntN(n); f.dead[i] {
-				var words []Override
+				var recorded []Override
 				for _, w := range journals[i] {
-					words = append(words, w)
+					recorded = append(recorded, w)
 				}
-				f.start(t, i, words)
+				f.start(t, i, recorded)
 			} else if random.IntN(3) == 0 {
 				f.dead[i], journals[i] = true, map[string]Override{}
 				for _, w := range f.gossipers[i].Store().All() {
@@ -205,11 +205,11 @@
 		want := NewStore()
 		for i := range n {
 			if f.dead[i] {
-				var words []Override
+				var recorded []Override
 				for _, w := range journals[i] {
-					words = append(words, w)
+					recorded = append(recorded, w)
 				}
-				f.start(t, i, words)
+				f.start(t, i, recorded)
 			}
 			for _, w := range f.gossipers[i].Store().All() {
 				want.Merge(w)
--- a/internal/relay/override/message_test.go
+++ b/internal/relay/override/message_test.go
@@ -15,26 +15,27 @@
 // Encoded messages are decoded unchanged, as far as their content fits; the largest override does.
 func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := message{heartbeat: rapid.Uint64().Draw(t, "beat"), listDigest: rapid.Uint64().Draw(t, "list"),
+		m := message{heartbeat: rapid.Uint64().Draw(t, "heartbeat"), listDigest: rapid.Uint64().Draw(t, "list"),
 			totalWeight: rapid.IntRange(0, 64).Draw(t, "total"),
 			weight:      rapid.IntRange(0, 100).Draw(t, "weight"),
-			storeDigest: rapid.Uint64().Draw(t, "digest"), wantsReply: rapid.Bool().Draw(t, "answers"),
-			overrides: rapid.SliceOfN(rapid.Custom(anyOverride), 0, 3).Draw(t, "words")}
+			storeDigest: rapid.Uint64().Draw(t, "digest"), wantsReply: rapid.Bool().Draw(t, "wantsReply"),
+			overrides: rapid.SliceOfN(rapid.Custom(anyOverride), 0, 3).Draw(t, "overrides")}
 		if rapid.Bool().Draw(t, "detail") {
 			m.bucketDigest = &Digest{1, math.MaxUint32}
 		}
-		for i := range rapid.IntRange(0, 4).Draw(t, "acts") {
+		for i := range rapid.IntRange(0, 4).Draw(t, "versions") {
 			m.versions = append(m.versions, ActiveVersion{i, uint32(i) << 30})
 		}
-		for i := range rapid.IntRange(0, 64).Draw(t, "heard") {
+		for i := range rapid.IntRange(0, 64).Draw(t, "heartbeats") {
 			m.heartbeats = append(m.heartbeats, relayHeartbeat{i, uint64(i) << 20})
 		}
-		data, words, _ := m.encode()
+		data, included, _ := m.encode()
 		got, err := decode(data)
 		if err != nil || len(data) > gossip.MaxMessageBytes {
 			t.Fatal(err, len(data))
 		}
-		m.overrides, m.heartbeats, m.versions = m.overrides[:words], m.heartbeats[:len(got.heartbeats)], m.versions[:len(got.versions)]
+		m.overrides, m.heartbeats = m.overrides[:included], m.heartbeats[:len(got.heartbeats)]
+		m.versions = m.versions[:len(got.versions)]
 		decoded := fmt.Sprint(got.overrides, got.heartbeats, got.heartbeat, got.listDigest,
 			got.totalWeight, got.weight, got.versions, got.storeDigest, got.wantsReply)
 		if decoded != fmt.Sprint(m.overrides, m.heartbeats, m.heartbeat, m.listDigest,
--- a/internal/relay/override/observation.go
+++ b/internal/relay/override/observation.go
@@ -76,8 +76,8 @@
 
 // put adds or replaces an observation.
 func (s *observationSet) put(k observationKey, v observed) {
-	if was, ok := s.all[k]; ok {
-		s.digest ^= k.hash(was)
+	if previous, ok := s.all[k]; ok {
+		s.digest ^= k.hash(previous)
 	}
 	s.all[k] = v
 	s.digest ^= k.hash(v)
@@ -112,8 +112,8 @@
 // Observe records what this relay sees now. That a subject is healthy is gossiped only if it was unhealthy before.
 func (g *Gossiper) Observe(now time.Duration, subject string, unhealthy bool) {
 	k := observationKey{g.settings.Self, subject}
-	was, known := g.observations.all[k]
-	if len(subject) > MaxSubjectBytes || subject == "" || known && was.unhealthy == unhealthy {
+	previous, known := g.observations.all[k]
+	if len(subject) > MaxSubjectBytes || subject == "" || known && previous.unhealthy == unhealthy {
 		return
 	}
 	if !known && (!unhealthy || g.observations.countOf(g.settings.Self) >= MaxObservations) {
@@ -137,12 +137,12 @@
 		return
 	}
 	k := observationKey{s.Origin, s.Subject}
-	was, known := g.observations.all[k]
+	previous, known := g.observations.all[k]
 	if s.Origin == g.settings.Self {
 		g.receiveOwnObservation(now, s)
 		return
 	}
-	if known && s.Counter <= was.counter || !known && g.observations.countOf(s.Origin) >= MaxObservations {
+	if known && s.Counter <= previous.counter || !known && g.observations.countOf(s.Origin) >= MaxObservations {
 		return
 	}
 	g.observations.put(k, observed{unhealthy: s.Unhealthy, counter: s.Counter, since: now - s.Since, renewedAt: now - s.Renewed})
@@ -161,11 +161,11 @@
 		return
 	}
 	k := observationKey{s.Origin, s.Subject}
-	was, known := g.observations.all[k]
+	previous, known := g.observations.all[k]
 	g.observationCounter = s.Counter + 1 // from before a restart: what is seen now is newer
-	unhealthy, since := known && was.unhealthy, now
+	unhealthy, since := known && previous.unhealthy, now
 	if unhealthy {
-		since = was.since
+		since = previous.since
 	}
 	g.observations.put(k, observed{unhealthy: unhealthy, counter: g.observationCounter, since: since, renewedAt: now})
 	g.pushObservations()
--- a/internal/relay/override/override_test.go
+++ b/internal/relay/override/override_test.go
@@ -18,26 +18,26 @@
 // Stores merge overrides to the same state and digest, in whatever order and however often they arrive.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := rapid.SliceOfN(rapid.Custom(anyOverride), 1, 12).Draw(t, "words")
+		overrides := rapid.SliceOfN(rapid.Custom(anyOverride), 1, 12).Draw(t, "overrides")
 		a, b := NewStore(), NewStore()
-		for _, w := range words {
-			a.Merge(w)
+		for _, o := range overrides {
+			a.Merge(o)
 		}
-		for _, i := range rapid.Permutation(words).Draw(t, "order") {
-			b.Merge(i)
-			if b.Merge(i) {
+		for _, o := range rapid.Permutation(overrides).Draw(t, "order") {
+			b.Merge(o)
+			if b.Merge(o) {
 				t.Fatal("the same override twice changed the store")
 			}
 		}
-		for _, w := range a.All() {
-			if a.Merge(w) {
+		for _, o := range a.All() {
+			if a.Merge(o) {
 				t.Fatal("a store merged with itself changed")
 			}
 		}
 		if fmt.Sprint(a.All()) != fmt.Sprint(b.All()) || a.Digest() != b.Digest() {
 			t.Fatalf("%v\n%v", a.All(), b.All())
 		}
-		x, y, z := words[0], words[len(words)/2], words[len(words)-1]
+		x, y, z := overrides[0], overrides[len(overrides)/2], overrides[len(overrides)-1]
 		if x.Compare(y) > 0 && y.Compare(z) > 0 && x.Compare(z) <= 0 || x.Compare(y) != -y.Compare(x) {
 			t.Fatal("overrides have no order")
 		}
--- a/internal/relay/override/weights.go
+++ b/internal/relay/override/weights.go
@@ -27,8 +27,8 @@
 	return n
 }
 
-// TotalWeight returns into how many shares limits are divided: the largest sum of weights that a relay heard
-// from recently reports for its list, or that those relays have together by what each reports of itself. While
+// TotalWeight returns into how many shares limits are divided: the largest sum of weights that a recently received
+// relay reports for its list, or that those relays have together by what each reports of itself. While
 // lists differ, as they do while relays are restarted with a new one, a relay that divides by it uses no more
 // than its own share.
 func (g *Gossiper) TotalWeight(now time.Duration) int {
--- a/internal/relay/versionaudit/versionaudit_test.go
+++ b/internal/relay/versionaudit/versionaudit_test.go
@@ -67,7 +67,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "relays")
 		a, now, last := New(n), time.Duration(0), map[int]Version{}
-		for range rapid.IntRange(0, 40).Draw(t, "notes") {
+		for range rapid.IntRange(0, 40).Draw(t, "reports") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "after"))
 			i, v := rapid.IntRange(0, n-1).Draw(t, "relay"), Version(rapid.IntRange(1, 4).Draw(t, "version"))
 			a.Record(now, i, Rules, v)
