--- a/internal/tier/controlnode/batch_test.go
+++ b/internal/tier/controlnode/batch_test.go
@@ -17,7 +17,7 @@
 const silence = 100 * time.Millisecond
 
 // startAlone starts a node that is the only one of its system: what it writes is committed with its own sync.
-func startAlone(t *testing.T) *Core {
+func startAlone(t *testing.T) *Server {
 	t.Helper()
 	base := freeBase(t)
 	ip := fmt.Sprintf("127.0.%d.1", 10+base%200)
@@ -41,7 +41,7 @@
 	})
 	t.Cleanup(func() { cancel(); running.Wait() })
 	for leads := false; !leads; {
-		if !core.do(func() { leads = core.node.Leads() }) {
+		if !core.runOnLoop(func() { leads = core.node.IsActiveHead() }) {
 			t.Fatal("the node has stopped")
 		}
 	}
@@ -54,9 +54,9 @@
 	core := startAlone(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	syncing, synced := make(chan struct{}), make(chan struct{})
-	core.events <- func() {
-		core.commit = func(ctx context.Context, rows []sqlitelog.Write) error {
-			core.commit = core.db.Commit
+	core.requests <- func() {
+		core.syncRows = func(ctx context.Context, rows []sqlitelog.Write) error {
+			core.syncRows = core.db.Commit
 			close(syncing)
 			<-synced
 			return core.db.Commit(ctx, rows)
@@ -65,14 +65,14 @@
 		<-release
 	}
 	<-entered
-	core.events <- func() { core.add(core.node.Write(core.now(), 0, "key", []byte("value"))) }
+	core.requests <- func() { core.mergeReady(core.node.Write(core.now(), 0, "key", []byte("value"))) }
 	read := make(chan int)
 	go func() {
 		entries := 0
-		core.do(func() { entries = len(core.node.Chain().Committed(0)) })
+		core.runOnLoop(func() { entries = len(core.node.Chain().Committed(0)) })
 		read <- entries
 	}()
-	for len(core.events) < 2 { // the write, and the reader behind it
+	for len(core.requests) < 2 { // the write, and the reader behind it
 		runtime.Gosched()
 	}
 	close(release)
@@ -92,16 +92,16 @@
 
 // Callers that come again at once, each time they are answered, do not keep the loop from sending.
 func TestABatchHasAnEnd(t *testing.T) {
-	c := &Core{ctx: t.Context(), events: make(chan func(), 1), peers: make(chan Message, 1)}
+	c := &Server{ctx: t.Context(), requests: make(chan func(), 1), peerMessages: make(chan Message, 1)}
 	taken := 0
 	var call func()
 	call = func() {
 		if taken++; taken < 2*maxBatch {
-			c.events <- call
+			c.requests <- call
 		}
 	}
-	c.events <- call
-	if !c.takeBatch(nil) || taken != maxBatch {
+	c.requests <- call
+	if !c.handleBatch(nil) || taken != maxBatch {
 		t.Errorf("a batch took %d events, at most %d are taken before something is sent", taken, maxBatch)
 	}
 }
--- a/internal/tier/controlnode/calls.go
+++ b/internal/tier/controlnode/calls.go
@@ -10,14 +10,14 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// send passes a message to the goroutine that carries those to one address, in order. One that is slow loses messages,
+// sendToPeer passes a message to the goroutine that carries those to one address, in order. One that is slow loses messages,
 // which are sent again.
-func (c *Core) send(e Envelope) {
+func (c *Server) sendToPeer(e Envelope) {
 	ch := c.senders[e.To]
 	if ch == nil {
 		ch = make(chan Message, 64)
 		c.senders[e.To] = ch
-		to := c.calls.To(e.To)
+		to := c.clients.To(e.To)
 		c.wg.Go(func() {
 			for {
 				select {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (c *Core) handlers() map[rpc.Method]rpc.Handler {
+func (c *Server) handlers() map[rpc.Method]rpc.Handler {
 	return map[rpc.Method]rpc.Handler{
 		feed.PeerCall: func(_ context.Context, body []byte) (any, error) {
 			var m Message
@@ -45,25 +45,25 @@
 				return nil, err
 			}
 			select {
-			case c.peers <- m:
+			case c.peerMessages <- m:
 			case <-c.ctx.Done():
 			}
 			return nil, nil
 		},
-		feed.FollowCall:   c.follow,
-		feed.ChangesCall:  answer(c.changes),
-		feed.ChunkCall:    answer(c.piece),
-		feed.PutCall:      answer(c.putHere),
-		feed.ReadCall:     answer(c.readHere),
-		feed.RegisterCall: answer(c.register),
-		feed.RetireCall:   answer(c.retireHere),
-		feed.PhaseCall:    answer(c.phaseHere),
-		feed.StatusCall:   answer(func(context.Context, *feed.Empty) (*Status, error) { return c.status(), nil }),
+		feed.FollowCall:   c.handleFollow,
+		feed.ChangesCall:  typedHandler(c.handleChanges),
+		feed.ChunkCall:    typedHandler(c.handleChunk),
+		feed.PutCall:      typedHandler(c.handlePut),
+		feed.ReadCall:     typedHandler(c.handleRead),
+		feed.RegisterCall: typedHandler(c.handleRegister),
+		feed.RetireCall:   typedHandler(c.handleRetire),
+		feed.PhaseCall:    typedHandler(c.handlePhase),
+		feed.StatusCall:   typedHandler(func(context.Context, *feed.Empty) (*Status, error) { return c.status(), nil }),
 	}
 }
 
-// answer makes a handler of a function of a request.
-func answer[Q, A any](f func(context.Context, *Q) (*A, error)) rpc.Handler {
+// typedHandler makes a handler of a function of a request.
+func typedHandler[Q, A any](f func(context.Context, *Q) (*A, error)) rpc.Handler {
 	return func(ctx context.Context, body []byte) (any, error) {
 		q := new(Q)
 		if err := rpc.Decode(body, q); err != nil {
@@ -74,14 +74,14 @@
 }
 
 // forward passes a call on to the node that can answer it. One hop: a node that cannot either says so.
-func forward[Q, A any](ctx context.Context, c *Core, to string, m rpc.Method, q *Q) (*A, error) {
+func forward[Q, A any](ctx context.Context, c *Server, to string, m rpc.Method, q *Q) (*A, error) {
 	if to == "" || to == c.self.Addr {
 		return nil, errNoHead
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerIn)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	a := new(A)
-	return a, c.calls.To(to).Call(ctx, m, q, a)
+	return a, c.clients.To(to).Call(ctx, m, q, a)
 }
 
 var errNoHead = errors.New("no node can take this now: the view changes; try again")
--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -111,8 +111,8 @@
 	}
 	for a, since := range c.leaving {
 		m := c.machines[a]
-		if m.up && (m.node.Left() || c.now-since > leaveIn || c.fault.leavesAtOnce) {
-			c.note("%s is stopped, it had left: %v", a, m.node.Left())
+		if m.up && (m.node.CanStop() || c.now-since > leaveTimeout || c.fault.leavesAtOnce) {
+			c.note("%s is stopped, it had left: %v", a, m.node.CanStop())
 			c.stop(m)
 			if c.replaced[a] {
 				c.remove(a)
@@ -175,7 +175,7 @@
 
 func (c *contract) headNow() string {
 	for _, a := range c.order {
-		if m := c.machines[a]; m.up && m.node.Head() {
+		if m := c.machines[a]; m.up && m.node.IsConfirmedHead() {
 			return a
 		}
 	}
@@ -228,9 +228,9 @@
 func (c *contract) roll(s *slot, m *machine) {
 	c.count("roll")
 	c.note("%s is told to end", m.addr)
-	c.carry(m, m.node.Leave(c.now))
+	c.carry(m, m.node.StartLeaving(c.now))
 	c.leaving[m.addr] = c.now
-	s.down, s.until = true, max(s.until, c.now+leaveIn+200*time.Millisecond)
+	s.down, s.until = true, max(s.until, c.now+leaveTimeout+200*time.Millisecond)
 	s.end = func() {
 		delete(c.leaving, m.addr)
 		if m.up {
@@ -282,7 +282,7 @@
 	s.end = func() {
 		c.note("%s is told to end", m.addr)
 		if m.up && c.machines[m.addr] == m {
-			c.carry(m, m.node.Leave(c.now))
+			c.carry(m, m.node.StartLeaving(c.now))
 			c.leaving[m.addr], c.replaced[m.addr] = c.now, true
 		} else {
 			c.remove(m.addr)
@@ -390,9 +390,9 @@
 		for _, a := range c.order {
 			if m := c.machines[a]; m.up {
 				n := m.node
-				sent, ok := n.confirmedAt()
-				tail := n.peers[n.vote.View.Tail()]
-				c.note("%s(%s) frozen %v fresh %v epoch %d sealed %v known %v commit %d confirmed %v %v tail %v %+v", a, m.id, m.frozen, n.Fresh(), n.vote.View.Epoch, n.vote.HasPromised(), n.chain.CommitIsCurrent(), n.chain.State().Commit, sent, ok, n.vote.View.Tail(), tail)
+				sent, ok := n.confirmedRoundSentAt()
+				tail := n.peers[n.acceptor.View.Tail()]
+				c.note("%s(%s) frozen %v fresh %v epoch %d sealed %v known %v commit %d confirmed %v %v tail %v %+v", a, m.id, m.frozen, n.Fresh(), n.acceptor.View.Epoch, n.acceptor.HasPromised(), n.chain.CommitIsCurrent(), n.chain.State().Commit, sent, ok, n.acceptor.View.Tail(), tail)
 			}
 		}
 		t.Fatalf("%s\n%s", c.failure, c.story())
--- a/internal/tier/controlnode/core.go
+++ b/internal/tier/controlnode/core.go
@@ -20,43 +20,43 @@
 )
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	answerIn    = 900 * time.Millisecond  // callers take a second of silence for a dead node
-	leaveIn     = 1500 * time.Millisecond // for the others to agree on a view without this node
-	askEvery    = 900 * time.Millisecond  // the platform's list
-	planEvery   = 100 * time.Millisecond
-	followFresh = 300 * time.Millisecond // how long a follower is kept while this node is cut off or behind
+	tickInterval     = 50 * time.Millisecond
+	requestTimeout   = 900 * time.Millisecond  // callers take a second of silence for a dead node
+	leaveTimeout     = 1500 * time.Millisecond // for the others to agree on a view without this node
+	hostPollInterval = 900 * time.Millisecond  // the platform's list
+	planInterval     = 100 * time.Millisecond
+	pollGrace        = 300 * time.Millisecond // how long a follower is kept while this node is cut off or behind
 )
 
-// Core is a core node as a process: one goroutine owns the node's decisions, syncs what they changed, and then sends.
-type Core struct {
-	set   *process.Settings
-	db    *sqlitelog.DB
-	log   *process.Ring
-	calls *rpc.Clients
-	self  view.Member
-	begin time.Time
-	life  int64 // how often this node was started with its disk
+// Server is a core node as a process: one goroutine owns the node's decisions, syncs what they changed, and then sends.
+type Server struct {
+	settings    *process.Settings
+	db          *sqlitelog.DB
+	log         *process.Ring
+	clients     *rpc.Clients
+	self        view.Member
+	startedAt   time.Time
+	incarnation int64 // how often this node was started with its disk
 
-	events chan func()
-	peers  chan Message // of other core nodes: they go before all else
-	ctx    context.Context
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
+	requests     chan func()
+	peerMessages chan Message // of other core nodes: they go before all else
+	ctx          context.Context
+	stop         context.CancelFunc
+	wg           sync.WaitGroup
 
 	// of the loop
-	node          *Node
-	out           Output
-	finished      []chan struct{}                                // of do, to be closed once what was taken before them is on disk
-	commit        func(context.Context, []sqlitelog.Write) error // syncs rows to the disk
-	saved         map[int64]uint64                               // hashes of the entries on disk, by index
-	savedTo       chain.State
-	pending       map[int64]caller
-	lastRequestID int64
-	duty          duty
-	history       discovery.History // of the lists of hosts
+	node            *Node
+	ready           Ready
+	awaitingSync    []chan struct{}                                // of do, to be closed once what was taken before them is on disk
+	syncRows        func(context.Context, []sqlitelog.Write) error // syncs rows to the disk
+	savedHashes     map[int64]uint64                               // hashes of the entries on disk, by index
+	savedState      chain.State
+	pendingRequests map[int64]pendingRequest
+	lastRequestID   int64
+	placementRole   placementRole
+	hostListHistory discovery.History // of the lists of hosts
 
-	head    atomic.Bool
+	isHead  atomic.Bool
 	mu      sync.Mutex
 	changed chan struct{} // closed when followers may have something to take
 	senders map[string]chan Message
@@ -66,7 +66,7 @@
 }
 
 // Open makes a core node from its settings and its disk.
-func Open(s *process.Settings, log *process.Ring) (*Core, error) {
+func Open(s *process.Settings, log *process.Ring) (*Server, error) {
 	if err := cmp.Or(process.RequireSetting("bind_addrs.control_addr", s.Bind.Control, "give HOST:PORT, for operators"), process.RequireSetting("data_dir", s.DataDir, "give a core node a folder")); err != nil {
 		return nil, err
 	}
@@ -74,9 +74,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{set: s, db: db, log: log, calls: &rpc.Clients{}, begin: time.Now(), events: make(chan func(), 256), peers: make(chan Message, 256),
-		saved: map[int64]uint64{}, pending: map[int64]caller{}, changed: make(chan struct{}), senders: map[string]chan Message{}}
-	c.commit = db.Commit
+	c := &Server{settings: s, db: db, log: log, clients: &rpc.Clients{}, startedAt: time.Now(), requests: make(chan func(), 256), peerMessages: make(chan Message, 256),
+		savedHashes: map[int64]uint64{}, pendingRequests: map[int64]pendingRequest{}, changed: make(chan struct{}), senders: map[string]chan Message{}}
+	c.syncRows = db.Commit
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	d, err := c.load()
 	if err != nil {
@@ -87,28 +87,28 @@
 	for _, one := range s.Seeds {
 		seeds = append(seeds, s.PeerAddr(one, process.CorePort))
 	}
-	c.node = NewNode(NodeSettings{Self: c.self, Life: c.life, Seeds: seeds, Losses: s.FaultTolerance(), Timings: DefaultTimings()}, d, 0)
+	c.node = NewNode(NodeSettings{Self: c.self, Incarnation: c.incarnation, Seeds: seeds, FaultTolerance: s.FaultTolerance(), Timings: DefaultTimings()}, d, 0)
 	return c, nil
 }
 
-func (c *Core) now() time.Duration { return time.Since(c.begin) }
+func (c *Server) now() time.Duration { return time.Since(c.startedAt) }
 
 // UpdateSeeds takes in the core nodes that settings name, for a node that has to be admitted.
-func (c *Core) UpdateSeeds(s *process.Settings) {
+func (c *Server) UpdateSeeds(s *process.Settings) {
 	var seeds []string
 	for _, one := range s.Seeds {
 		seeds = append(seeds, s.PeerAddr(one, process.CorePort))
 	}
-	c.do(func() { c.node.set.Seeds = seeds })
+	c.runOnLoop(func() { c.node.settings.Seeds = seeds })
 }
 
 // Run serves until the context ends, then hands its duties over and stops.
-func (c *Core) Run(ctx context.Context) error {
+func (c *Server) Run(ctx context.Context) error {
 	peers, err := net.Listen("tcp4", c.self.Addr)
 	if err != nil {
 		return errors.Wrap(err, "listen for other nodes: free the port or change port_range")
 	}
-	control, err := net.Listen("tcp4", c.set.Bind.Control)
+	control, err := net.Listen("tcp4", c.settings.Bind.Control)
 	if err != nil {
 		peers.Close()
 		return errors.Wrap(err, "listen for operators: free the port or change bind_addrs.control_addr")
@@ -117,12 +117,12 @@
 	web := &http.Server{Handler: c.operatorAPI(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
 	c.wg.Go(func() { server.Serve(peers) })
 	c.wg.Go(func() { _ = web.Serve(control) })
-	c.wg.Go(c.askPlatform)
+	c.wg.Go(c.pollPlatform)
 	lost := make(chan error, 1)
-	c.wg.Go(func() { lost <- c.loop() })
+	c.wg.Go(func() { lost <- c.eventLoop() })
 	select {
 	case <-ctx.Done():
-		c.leave()
+		c.leaveView()
 	case err = <-lost:
 	}
 	short, done := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -130,25 +130,25 @@
 	_ = web.Shutdown(short)
 	_ = web.Close()
 	c.stop()
-	c.calls.Close()
+	c.clients.Close()
 	server.Close()
 	c.wg.Wait()
 	return errors.CombineErrors(err, c.db.Close())
 }
 
-// leave names a successor for the duties, as far as the others are there to agree.
-func (c *Core) leave() {
-	c.do(func() { c.add(c.node.Leave(c.now())) })
-	until := time.Now().Add(leaveIn)
+// leaveView names a successor for the duties, as far as the others are there to agree.
+func (c *Server) leaveView() {
+	c.runOnLoop(func() { c.mergeReady(c.node.StartLeaving(c.now())) })
+	until := time.Now().Add(leaveTimeout)
 	for left := false; !left && time.Now().Before(until); {
-		c.wait(20 * time.Millisecond)
-		if !c.do(func() { left = c.node.Left() }) {
+		c.sleep(20 * time.Millisecond)
+		if !c.runOnLoop(func() { left = c.node.CanStop() }) {
 			return
 		}
 	}
 }
 
-func (c *Core) wait(d time.Duration) {
+func (c *Server) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/tier/controlnode/core_test.go
+++ b/internal/tier/controlnode/core_test.go
@@ -46,7 +46,7 @@
 	stops []func()
 	crash []func() // ends a node without a word
 	http  *http.Client
-	cores []*Core
+	cores []*Server
 
 	platform string // its address, empty for none
 }
@@ -66,7 +66,7 @@
 
 func newClusterWith(t testing.TB, n int, platform string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, platform: platform, base: freeBase(t), n: n, dirs: make([]string, n), stops: make([]func(), n), crash: make([]func(), n), cores: make([]*Core, n), http: &http.Client{Timeout: 3 * time.Second}}
+	c := &cluster{t: t, platform: platform, base: freeBase(t), n: n, dirs: make([]string, n), stops: make([]func(), n), crash: make([]func(), n), cores: make([]*Server, n), http: &http.Client{Timeout: 3 * time.Second}}
 	for i := range n {
 		c.dirs[i] = t.TempDir()
 		c.start(i, true)
--- a/internal/tier/controlnode/course_test.go
+++ b/internal/tier/controlnode/course_test.go
@@ -232,13 +232,13 @@
 			seeds = append(seeds, a)
 		}
 	}
-	m.node = NewNode(NodeSettings{Self: view.Member{ID: m.id, Name: m.name, Addr: m.addr}, Life: m.life, Seeds: seeds, Losses: c.losses, Timings: c.timings()}, d, c.now)
+	m.node = NewNode(NodeSettings{Self: view.Member{ID: m.id, Name: m.name, Addr: m.addr}, Incarnation: m.life, Seeds: seeds, FaultTolerance: c.losses, Timings: c.timings()}, d, c.now)
 }
 
 func (c *course) timings() Timings {
 	t := DefaultTimings()
 	if c.fault.neverGone {
-		t.Gone = time.Hour
+		t.FailureTimeout = time.Hour
 	}
 	return t
 }
@@ -283,8 +283,8 @@
 }
 
 // carry does with an output what the driver does. Between changing and syncing the power may fail.
-func (c *course) carry(m *machine, o Output) {
-	if o.Dirty {
+func (c *course) carry(m *machine, o Ready) {
+	if o.MustSync {
 		mayFail := c.trouble == "" || c.trouble == m.addr // one machine at a time
 		if !c.quiet && c.rng.IntN(400) == 0 && mayFail && !c.fault.early {
 			c.trouble = m.addr
@@ -315,17 +315,17 @@
 		}
 	}
 	if c.fault.unsealed {
-		m.node.vote.Promised = view.Ballot{}
+		m.node.acceptor.Promised = view.Ballot{}
 	}
 	c.emit(m, o)
 }
 
-func (c *course) emit(m *machine, o Output) {
-	for _, e := range o.Send {
-		if !c.quiet && c.rng.IntN(50) == 0 || c.mute && e.Kind == decide {
+func (c *course) emit(m *machine, o Ready) {
+	for _, e := range o.Messages {
+		if !c.quiet && c.rng.IntN(50) == 0 || c.mute && e.Kind == msgDecide {
 			continue // lost
 		}
-		if to := c.machines[e.To]; c.fault.noSuccessor && to != nil && !c.newest.IsVoter(m.id) && e.Kind == heartbeat {
+		if to := c.machines[e.To]; c.fault.noSuccessor && to != nil && !c.newest.IsVoter(m.id) && e.Kind == msgHeartbeat {
 			continue
 		}
 		c.seq++
@@ -335,13 +335,13 @@
 		}
 		c.queue = append(c.queue, packet{at: c.now + c.latency + delay, to: e.To, from: m.addr, m: e.Message, seq: c.seq})
 	}
-	for _, d := range o.Done {
+	for _, d := range o.Completed {
 		r, ok := c.asked[d.RequestID]
 		if !ok {
 			continue
 		}
 		delete(c.asked, d.RequestID)
-		if d.Kind != Committed {
+		if d.Outcome != Committed {
 			continue
 		}
 		if r.write {
@@ -384,7 +384,7 @@
 	value := fmt.Sprintf("v%d", c.requestID)
 	c.asked[c.requestID] = request{write: true, value: value, by: m.addr}
 	o := m.node.Write(c.now, c.requestID, "config", []byte(value))
-	if c.fault.shortWrite && o.Dirty {
+	if c.fault.shortWrite && o.MustSync {
 		if r, ok := c.asked[c.requestID]; ok {
 			delete(c.asked, c.requestID)
 			c.acknowledge(m.node.Chain().State().LastIndex, r.value)
@@ -397,15 +397,15 @@
 	c.requestID++
 	if v := m.node.View(); c.fault.oldTail && v.Tail() == m.id && m.node.Chain().IsActive() {
 		c.asked[c.requestID] = request{at: c.acked, by: m.addr}
-		c.emit(m, Output{Done: []Done{{RequestID: c.requestID, Kind: Committed, Index: m.node.Chain().State().Commit}}})
+		c.emit(m, Ready{Completed: []Completion{{RequestID: c.requestID, Outcome: Committed, Index: m.node.Chain().State().Commit}}})
 		return
 	}
-	if e, ok := m.node.Chain().LastEntry("config"); c.fault.dirtyRead && ok && m.node.Head() {
+	if e, ok := m.node.Chain().LastEntry("config"); c.fault.dirtyRead && ok && m.node.IsConfirmedHead() {
 		c.acknowledge(e.Index, string(e.Value))
 		return
 	}
 	c.asked[c.requestID] = request{at: c.acked, by: m.addr}
-	c.carry(m, m.node.Read(c.now, c.requestID))
+	c.carry(m, m.node.ReadIndex(c.now, c.requestID))
 }
 
 func (c *course) reach(from, to string) bool {
@@ -583,7 +583,7 @@
 		case 8:
 			c.note("%s leaves in order", a)
 			if m.up {
-				c.carry(m, m.node.Leave(c.now))
+				c.carry(m, m.node.StartLeaving(c.now))
 				c.run(300 * time.Millisecond)
 				if m.up {
 					c.stop(m)
--- a/internal/tier/controlnode/decisions.go
+++ b/internal/tier/controlnode/decisions.go
@@ -11,11 +11,11 @@
 	"larchrouter/internal/tier/orders"
 )
 
-// errUnclear says that nothing is known of an order: it may be in force, now or later.
-var errUnclear = errors.New("no majority of the core nodes has answered in time: send the same again, it is taken once")
+// errOutcomeUnknown says that nothing is known of an order: it may be in force, now or later.
+var errOutcomeUnknown = errors.New("no majority of the core nodes has answered in time: send the same again, it is taken once")
 
-// statuses are what operators are answered for each kind of decision.
-var statuses = map[orders.Kind]int{
+// httpStatusByDecision are what operators are answered for each kind of decision.
+var httpStatusByDecision = map[orders.Kind]int{
 	orders.Accept:          http.StatusOK,
 	orders.AlreadyApplied:  http.StatusOK,
 	orders.InProgress:      http.StatusOK,
@@ -30,9 +30,9 @@
 	orders.Unavailable:     http.StatusServiceUnavailable,
 }
 
-// replyTo puts a decision in the operator's terms.
-func replyTo(d orders.Decision) *feed.Reply {
-	r := &feed.Reply{Status: statuses[d.Kind], Text: d.Reason, Body: d.Body}
+// replyFor puts a decision in the operator's terms.
+func replyFor(d orders.Decision) *feed.Reply {
+	r := &feed.Reply{Status: httpStatusByDecision[d.Kind], Text: d.Reason, Body: d.Body}
 	switch d.Kind {
 	case orders.Serving:
 		r.Body = []byte(`{"phase":"serving"}`)
@@ -42,9 +42,9 @@
 	return r
 }
 
-// headNow tells whether this node decides orders, and otherwise who does, as far as it knows.
-func (c *Core) headNow() (here bool, addr string, err error) {
-	if !c.do(func() { here, addr = c.node.Leads(), c.node.HeadAddr() }) {
+// headStatus tells whether this node decides orders, and otherwise who does, as far as it knows.
+func (c *Server) headStatus() (here bool, addr string, err error) {
+	if !c.runOnLoop(func() { here, addr = c.node.IsActiveHead(), c.node.HeadAddr() }) {
 		return false, "", errNoHead
 	}
 	return here, addr, nil
@@ -52,32 +52,32 @@
 
 // decideAtHead decides an order in the state as this node, the head, has it, and returns the decision once it may be
 // told: once what is to be appended is committed, or what the decision rests on is committed and the epoch confirmed.
-func (c *Core) decideAtHead(ctx context.Context, o orders.Order) (orders.Decision, error) {
+func (c *Server) decideAtHead(ctx context.Context, o orders.Order) (orders.Decision, error) {
 	var d orders.Decision
 	var err error
-	done, heard := c.ask(ctx, func(requestID int64) Output {
-		d, err = orders.Decide(c.node.Chain().State().Entries, c.set.FaultTolerance(), o)
+	done, heard := c.submit(ctx, func(requestID int64) Ready {
+		d, err = orders.Decide(c.node.Chain().State().Entries, c.settings.FaultTolerance(), o)
 		switch {
-		case err != nil || !c.node.Leads():
-			return Output{Done: []Done{{RequestID: requestID, Kind: Unclear}}}
+		case err != nil || !c.node.IsActiveHead():
+			return Ready{Completed: []Completion{{RequestID: requestID, Outcome: OutcomeUnknown}}}
 		case d.Kind == orders.Accept:
-			return c.appendAll(requestID, d.Append)
+			return c.appendEntries(requestID, d.Append)
 		}
 		return c.confirm(requestID, d.DependsOn)
 	})
 	switch {
 	case !heard:
-		return orders.Decision{}, errUnclear
+		return orders.Decision{}, errOutcomeUnknown
 	case err != nil:
 		return orders.Decision{}, err
-	case done.Kind != Committed:
-		return orders.Decision{}, errUnclear
+	case done.Outcome != Committed:
+		return orders.Decision{}, errOutcomeUnknown
 	}
 	return d, nil
 }
 
-// appendAll appends entries in their order. The request is done once the last of them is committed. It runs in the loop.
-func (c *Core) appendAll(requestID int64, writes []orders.Write) (all Output) {
+// appendEntries appends entries in their order. The request is done once the last of them is committed. It runs in the loop.
+func (c *Server) appendEntries(requestID int64, writes []orders.Write) (all Ready) {
 	for i, w := range writes {
 		one := requestID
 		if i < len(writes)-1 {
@@ -85,76 +85,76 @@
 			one = c.lastRequestID
 		}
 		o := c.node.Write(c.now(), one, w.Key, w.Value)
-		all.Dirty = all.Dirty || o.Dirty
-		all.Send = append(all.Send, o.Send...)
-		all.Done = append(all.Done, o.Done...)
+		all.MustSync = all.MustSync || o.MustSync
+		all.Messages = append(all.Messages, o.Messages...)
+		all.Completed = append(all.Completed, o.Completed...)
 	}
 	return all
 }
 
 // confirm ends in a Done: Committed once the index is committed and a majority has confirmed the epoch since this call.
 // It runs in the loop.
-func (c *Core) confirm(requestID, index int64) Output {
+func (c *Server) confirm(requestID, index int64) Ready {
 	return c.node.Confirm(c.now(), requestID, index)
 }
 
 // decideAtTail decides an order that only asks, in what is committed: at the tail, or at this node passed on to it.
-func (c *Core) decideAtTail(ctx context.Context, o orders.Order) (d orders.Decision, tail string, err error) {
-	done, _ := c.ask(ctx, func(requestID int64) Output { return c.node.Read(c.now(), requestID) })
-	switch done.Kind {
-	case Elsewhere:
-		return d, done.To, nil
-	case Unclear:
-		return d, "", errUnclear
+func (c *Server) decideAtTail(ctx context.Context, o orders.Order) (d orders.Decision, tail string, err error) {
+	done, _ := c.submit(ctx, func(requestID int64) Ready { return c.node.ReadIndex(c.now(), requestID) })
+	switch done.Outcome {
+	case NotHere:
+		return d, done.RedirectTo, nil
+	case OutcomeUnknown:
+		return d, "", errOutcomeUnknown
 	}
-	if !c.do(func() {
-		d, err = orders.Decide(c.node.Chain().Committed(0), c.set.FaultTolerance(), o)
+	if !c.runOnLoop(func() {
+		d, err = orders.Decide(c.node.Chain().Committed(0), c.settings.FaultTolerance(), o)
 	}) {
-		return orders.Decision{}, "", errUnclear
+		return orders.Decision{}, "", errOutcomeUnknown
 	}
 	return d, "", err
 }
 
-// caller is one that waits for the Done of a request.
-type caller struct {
-	done chan Done
+// pendingRequest is one that waits for the Done of a request.
+type pendingRequest struct {
+	done chan Completion
 	ctx  context.Context // of the call: the caller has given up once it ends
 }
 
-// newToken makes a request ID whose Done goes to a channel as long as the call lasts. It runs in the loop.
-func (c *Core) newToken(ctx context.Context, done chan Done) int64 {
+// newRequestID makes a request ID whose Done goes to a channel as long as the call lasts. It runs in the loop.
+func (c *Server) newRequestID(ctx context.Context, done chan Completion) int64 {
 	c.dropAbandoned()
 	c.lastRequestID++
-	c.pending[c.lastRequestID] = caller{done, ctx}
+	c.pendingRequests[c.lastRequestID] = pendingRequest{done, ctx}
 	return c.lastRequestID
 }
 
 // dropAbandoned forgets the callers that have given up. It runs in the loop.
-func (c *Core) dropAbandoned() {
-	for requestID, w := range c.pending {
+func (c *Server) dropAbandoned() {
+	for requestID, w := range c.pendingRequests {
 		if w.ctx.Err() != nil {
-			delete(c.pending, requestID)
+			delete(c.pendingRequests, requestID)
 		}
 	}
 }
 
-// ask begins something of the node that ends in a Done, for as long as callers wait. Where heard is false the caller
+// submit begins something of the node that ends in a Done, for as long as callers wait. Where heard is false the caller
 // waited in vain, and f may still run: what it changes must not be looked at.
-func (c *Core) ask(ctx context.Context, f func(requestID int64) Output) (done Done, heard bool) {
-	ctx, cancel := context.WithTimeout(ctx, answerIn)
+func (c *Server) submit(ctx context.Context, f func(requestID int64) Ready) (done Completion, heard bool) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	ch := make(chan Done, 1)
+	ch := make(chan Completion, 1)
 	begin := func() {
 		if ctx.Err() == nil {
-			c.add(f(c.newToken(ctx, ch)))
+			c.mergeReady(f(c.newRequestID(ctx, ch)))
 		}
 	}
 	select {
-	case c.events <- begin:
+	case c.requests <- begin:
 	case <-ctx.Done():
-		return Done{Kind: Unclear}, false
+		return Completion{Outcome: OutcomeUnknown}, false
 	case <-c.ctx.Done():
-		return Done{Kind: Unclear}, false
+		return Completion{Outcome: OutcomeUnknown}, false
 	}
 	select {
 	case done = <-ch:
@@ -162,24 +162,24 @@
 	case <-ctx.Done():
 	case <-c.ctx.Done():
 	}
-	return Done{Kind: Unclear}, false
+	return Completion{Outcome: OutcomeUnknown}, false
 }
 
-// patiently asks again until there is a reply or the caller would take the node for dead.
-func patiently(ctx context.Context, ask func(ctx context.Context) (*feed.Reply, error)) *feed.Reply {
-	ctx, done := context.WithTimeout(ctx, answerIn)
+// retryUntilTimeout asks again until there is a reply or the caller would take the node for dead.
+func retryUntilTimeout(ctx context.Context, ask func(ctx context.Context) (*feed.Reply, error)) *feed.Reply {
+	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
 	for {
 		reply, err := ask(ctx)
 		if err == nil {
 			return reply
 		}
-		t := time.NewTimer(retryWithin)
+		t := time.NewTimer(retryInterval)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
-			return &feed.Reply{Status: http.StatusServiceUnavailable, Text: errUnclear.Error()}
+			return &feed.Reply{Status: http.StatusServiceUnavailable, Text: errOutcomeUnknown.Error()}
 		}
 	}
 }
--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -20,7 +20,7 @@
 
 func TestEachKindOfDecisionHasAnAnswer(t *testing.T) {
 	for k := orders.Accept; k <= orders.Found; k++ {
-		r := replyTo(orders.Decision{Kind: k, Reason: "reason", Body: []byte("{}")})
+		r := replyFor(orders.Decision{Kind: k, Reason: "reason", Body: []byte("{}")})
 		switch {
 		case k.IsRejection() && (r.Status < 400 || r.Status >= 500):
 			t.Errorf("%v: %d, a refusal", k, r.Status)
@@ -143,7 +143,7 @@
 		callers.Go(func() {
 			short, done := context.WithTimeout(ctx, 50*time.Millisecond)
 			defer done()
-			if _, heard := core.ask(short, func(requestID int64) Output {
+			if _, heard := core.submit(short, func(requestID int64) Ready {
 				begun.Add(1)
 				return core.node.Write(core.now(), requestID, "key", fmt.Append(nil, i))
 			}); heard {
@@ -157,7 +157,7 @@
 	}
 	left := -1
 	for end := time.Now().Add(10 * time.Second); left != 0 && time.Now().Before(end); {
-		core.do(func() { left = len(core.pending) })
+		core.runOnLoop(func() { left = len(core.pendingRequests) })
 	}
 	if left != 0 {
 		t.Fatalf("of %d orders that were given up %d are still waited for", begun.Load(), left)
--- a/internal/tier/controlnode/disk.go
+++ b/internal/tier/controlnode/disk.go
@@ -14,21 +14,21 @@
 	"larchrouter/internal/tier/view"
 )
 
-// meta is the chain's state on disk beside its entries.
-type meta struct{ Activated, Place, Commit int64 }
+// chainMeta is the chain's state on disk beside its entries.
+type chainMeta struct{ ActivatedEpoch, LastIndex, Commit int64 }
 
 // Rows of the table of votes.
 var (
-	selfKey     = []byte("self")
-	lifeKey     = []byte("life")
-	acceptorKey = []byte("acceptor")
-	metaKey     = []byte("meta")
+	selfKey        = []byte("self")
+	incarnationKey = []byte("life")
+	acceptorKey    = []byte("acceptor")
+	metaKey        = []byte("meta")
 )
 
 // load reads what the disk has; with an empty one the node gets its identity, which is on disk before it is used.
-func (c *Core) load() (d Durable, err error) {
-	c.self = view.Member{Name: c.set.NodeName, Addr: c.set.PeerAddr(c.set.IP, process.CorePort)}
-	if err := c.beginLife(); err != nil {
+func (c *Server) load() (d Durable, err error) {
+	c.self = view.Member{Name: c.settings.NodeName, Addr: c.settings.PeerAddr(c.settings.IP, process.CorePort)}
+	if err := c.beginIncarnation(); err != nil {
 		return d, err
 	}
 	id, err := c.db.Get("vote", selfKey)
@@ -37,16 +37,16 @@
 	}
 	if id == nil {
 		c.self.ID, _ = c.db.Identity()
-		if c.set.Bootstrap && slices.Contains(c.set.Seeds, c.set.Bind.Control) {
+		if c.settings.Bootstrap && slices.Contains(c.settings.Seeds, c.settings.Bind.Control) {
 			var founders []view.Member
-			for _, seed := range c.set.Seeds {
-				addr := c.set.PeerAddr(seed, process.CorePort)
+			for _, seed := range c.settings.Seeds {
+				addr := c.settings.PeerAddr(seed, process.CorePort)
 				founders = append(founders, view.Member{ID: "seed-" + addr, Addr: addr})
 			}
 			c.self.ID = "seed-" + c.self.Addr
 			d = Founding(founders)
 		}
-		return d, c.db.Commit(c.ctx, append(c.rows(d), sqlitelog.Write{Table: "vote", Key: selfKey, Value: []byte(c.self.ID)}))
+		return d, c.db.Commit(c.ctx, append(c.changedRows(d), sqlitelog.Write{Table: "vote", Key: selfKey, Value: []byte(c.self.ID)}))
 	}
 	c.self.ID = string(id)
 	if b, err := c.db.Get("vote", acceptorKey); err != nil {
@@ -56,7 +56,7 @@
 			return d, errors.Wrap(err, "the vote on disk cannot be read: empty the data folder, the node joins anew")
 		}
 	}
-	var m meta
+	var m chainMeta
 	if b, err := c.db.Get("vote", metaKey); err != nil {
 		return d, err
 	} else if b != nil {
@@ -64,45 +64,45 @@
 			return d, errors.Wrap(err, "the state on disk cannot be read: empty the data folder, the node joins anew")
 		}
 	}
-	d.State = chain.State{ActivatedEpoch: m.Activated, LastIndex: m.Place, Commit: m.Commit}
+	d.State = chain.State{ActivatedEpoch: m.ActivatedEpoch, LastIndex: m.LastIndex, Commit: m.Commit}
 	err = c.db.Range("entries", nil, nil, func(k, v []byte) error {
 		var e chain.Entry
 		if err := rpc.Decode(v, &e); err != nil {
 			return err
 		}
 		d.State.Entries = append(d.State.Entries, e)
-		c.saved[e.Index] = entryHash(&e)
+		c.savedHashes[e.Index] = entryHash(&e)
 		return nil
 	})
 	return d, err
 }
 
-// beginLife counts the starts. A head that dies and starts again within its epoch numbers its lists of hosts on from
+// beginIncarnation counts the starts. A head that dies and starts again within its epoch numbers its lists of hosts on from
 // above those of its life before, of which nothing but this is left.
-func (c *Core) beginLife() error {
-	b, err := c.db.Get("vote", lifeKey)
+func (c *Server) beginIncarnation() error {
+	b, err := c.db.Get("vote", incarnationKey)
 	if err != nil {
 		return err
 	}
 	if len(b) == 8 {
-		c.life = int64(binary.BigEndian.Uint64(b))
+		c.incarnation = int64(binary.BigEndian.Uint64(b))
 	}
-	c.life++
-	return c.db.Commit(c.ctx, []sqlitelog.Write{{Table: "vote", Key: lifeKey, Value: indexKey(c.life)}})
+	c.incarnation++
+	return c.db.Commit(c.ctx, []sqlitelog.Write{{Table: "vote", Key: incarnationKey, Value: indexKey(c.incarnation)}})
 }
 
 func indexKey(index int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(index)) }
 
-// rows are the writes that bring the disk to what the node has.
-func (c *Core) rows(d Durable) []sqlitelog.Write {
+// changedRows are the writes that bring the disk to what the node has.
+func (c *Server) changedRows(d Durable) []sqlitelog.Write {
 	w := []sqlitelog.Write{
 		{Table: "vote", Key: acceptorKey, Value: rpc.Encode(&d.Acceptor)},
-		{Table: "vote", Key: metaKey, Value: rpc.Encode(&meta{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit})},
+		{Table: "vote", Key: metaKey, Value: rpc.Encode(&chainMeta{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit})},
 	}
-	replaced := d.State.ActivatedEpoch != c.savedTo.ActivatedEpoch // entries may have been replaced under their indexes
+	replaced := d.State.ActivatedEpoch != c.savedState.ActivatedEpoch // entries may have been replaced under their indexes
 	now := make(map[int64]uint64, len(d.State.Entries))
 	for _, e := range d.State.Entries {
-		old, saved := c.saved[e.Index]
+		old, saved := c.savedHashes[e.Index]
 		hash := old
 		if !saved || replaced {
 			hash = entryHash(&e)
@@ -112,12 +112,12 @@
 			w = append(w, sqlitelog.Write{Table: "entries", Key: indexKey(e.Index), Value: rpc.Encode(&e)})
 		}
 	}
-	for index := range c.saved {
+	for index := range c.savedHashes {
 		if _, kept := now[index]; !kept {
 			w = append(w, sqlitelog.Write{Table: "entries", Key: indexKey(index)})
 		}
 	}
-	c.saved, c.savedTo = now, d.State
+	c.savedHashes, c.savedState = now, d.State
 	return w
 }
 
--- a/internal/tier/controlnode/duty_test.go
+++ b/internal/tier/controlnode/duty_test.go
@@ -13,7 +13,7 @@
 func TestStoresAreNotTakenForSilentAfterAPauseOfTheHead(t *testing.T) {
 	const pause = 10 * time.Second
 	timings := placement.DefaultTimings(3 * time.Second)
-	var d duty
+	var d placementRole
 	d.stores = map[string]placement.StoreStatus{}
 	now := time.Duration(0)
 	p := &turnstore.Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1}
@@ -22,7 +22,7 @@
 			placement.Register(d.stores, placement.Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Generation: 1, SweptGeneration: 1}, now, timings)
 		}
 		d.tick(now)
-		return placement.Plan(placement.Input{Now: now, TookOverAt: d.since, FaultTolerance: 1, Current: p, Stores: d.stores}, timings)
+		return placement.Plan(placement.Input{Now: now, TookOverAt: d.tookOverAt, FaultTolerance: 1, Current: p, Stores: d.stores}, timings)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		p.Old = append(p.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
--- a/internal/tier/controlnode/feed_bench_test.go
+++ b/internal/tier/controlnode/feed_bench_test.go
@@ -74,7 +74,7 @@
 func (c *cluster) calls(ctx context.Context, sockets bool, wg *sync.WaitGroup) func(q *feed.ChangesRequest) ([]byte, error) {
 	if !sockets {
 		return func(q *feed.ChangesRequest) ([]byte, error) {
-			a, err := c.cores[0].changes(ctx, q)
+			a, err := c.cores[0].handleChanges(ctx, q)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -141,7 +141,7 @@
 	}
 	given, busy := 0, 0
 	for i := range 20 {
-		switch p := s.piece(q(i), entry, 0); p.Status {
+		switch p := s.serveChunk(q(i), entry, 0); p.Status {
 		case feed.ChunkServed:
 			given++
 			if len(p.Data) != 64<<10 {
@@ -154,7 +154,7 @@
 	if given != 8 || busy != 12 {
 		t.Errorf("%d were given a piece and %d told to wait", given, busy)
 	}
-	if p := s.piece(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
+	if p := s.serveChunk(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
 		t.Errorf("a value that there never was: state %d", p.Status)
 	}
 }
@@ -172,15 +172,15 @@
 	frozen := c.cores[2]
 	before := int64(0)
 	c.until("the node has the version", func() bool {
-		frozen.do(func() { before = frozen.node.Chain().State().Commit })
+		frozen.runOnLoop(func() { before = frozen.node.Chain().State().Commit })
 		return before >= f.Tables().Index
 	})
-	release, woke := make(chan struct{}), make(chan moment, 1)
-	go frozen.do(func() {
+	release, woke := make(chan struct{}), make(chan feedSnapshot, 1)
+	go frozen.runOnLoop(func() {
 		<-release
 		now := frozen.now()
-		frozen.add(frozen.node.Tick(now)) // its clock goes on before its sockets are read
-		woke <- frozen.moment(&feed.ChangesRequest{Name: "front-2"}, now, true)
+		frozen.mergeReady(frozen.node.Tick(now)) // its clock goes on before its sockets are read
+		woke <- frozen.snapshotFeed(&feed.ChangesRequest{Name: "front-2"}, now, true)
 	})
 	if got := c.put(9, 3, 0, 1); got != http.StatusOK {
 		t.Fatal(got)
@@ -190,7 +190,7 @@
 	if m.index != before {
 		t.Fatalf("it has index %d, wanted %d: it did not stand still", m.index, before)
 	}
-	if m.fresh {
+	if m.confirmed {
 		t.Error("a poll that came as it woke was answered fresh with the state from before")
 	}
 	calls := &rpc.Clients{}
@@ -210,23 +210,23 @@
 	q := &feed.ChangesRequest{Name: "front-1"}
 	for i, core := range c.cores {
 		var arrival time.Duration
-		var m moment
+		var m feedSnapshot
 		c.until("a node that was confirmed lately", func() bool {
-			core.do(func() {
+			core.runOnLoop(func() {
 				arrival = core.now()
-				m = core.moment(q, arrival, true)
+				m = core.snapshotFeed(q, arrival, true)
 			})
-			return m.lately && m.index > 0
+			return m.recent && m.index > 0
 		})
-		if m.fresh || m.ready == nil {
+		if m.confirmed || m.ready == nil {
 			t.Fatalf("node %d: a poll was answered fresh in the moment of its coming", i)
 		}
 		c.until("a round begun after the poll", func() bool {
-			core.do(func() { m = core.moment(q, arrival, true) })
-			if !m.fresh {
+			core.runOnLoop(func() { m = core.snapshotFeed(q, arrival, true) })
+			if !m.confirmed {
 				<-m.ready // at the latest when the poll has ended
 			}
-			return m.fresh
+			return m.confirmed
 		})
 		if len(m.entries) == 0 {
 			t.Errorf("node %d: nothing is told after the round", i)
--- /dev/null
+++ b/internal/tier/controlnode/frames_test.go
@@ -0,0 +1,478 @@
+package controlnode
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"math"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"larchrouter/internal/process"
+	"larchrouter/internal/rpc"
+	"larchrouter/internal/tier/chain"
+	"larchrouter/internal/tier/discovery"
+	"larchrouter/internal/tier/feed"
+	"larchrouter/internal/tier/orders"
+	"larchrouter/internal/tier/placement"
+	"larchrouter/internal/tier/turnstore"
+	"larchrouter/internal/tier/view"
+)
+
+// writeFixtures has tests write the fixtures under testdata that are missing. A fixture holds the bytes of a format as they
+// were when it was first used: it is written once and never rewritten, least of all for a rename. Whoever changes a format on
+// purpose adds a new fixture beside the old one.
+var writeFixtures = flag.Bool("fixtures.write", false, "write the fixtures under testdata that are missing; those that are there stay as they are")
+
+const (
+	sideRequest = "request"
+	sideReply   = "reply"
+	sideStored  = "stored" // the value of an entry of the control state, or of a row on disk: method 0
+)
+
+// big is beyond 32 bits, so that a field that is made narrower does not pass.
+const big = 1 << 40
+
+// encoded is one body of a frame, or one value: its method's number, a name for people, which way it goes, and the value that
+// its bytes mean.
+type encoded struct {
+	method rpc.Method
+	name   string
+	side   string
+	value  any // pointer to a struct
+}
+
+func (e encoded) key() string { return fmt.Sprintf("%d %s %s", e.method, e.name, e.side) }
+
+// messageKinds are the kinds of messages between core nodes by their numbers, which are on the wire.
+var messageKinds = []string{"heartbeat", "prepare", "promise", "accept", "accepted", "decide", "update", "ack", "confirm", "confirmed", "host list", "learn", "learned"}
+
+// allEncoded are all that core nodes, followers and stores send each other through core nodes, and what core nodes keep.
+// Numbers are literals on purpose: they are on the wire.
+func allEncoded() []encoded {
+	host := discovery.Host{ID: "host", Service: "service", Addr: "addr", Zone: "zone", Capacity: big + 31, Phase: "phase", WarmupMs: big + 32, Models: []string{"model-1", "model-2"}}
+	list := discovery.List{Term: big + 33, Number: big + 34, Hosts: []discovery.Host{host}}
+	other := discovery.Host{ID: "host-2", Service: "service-2", Addr: "addr-2", Zone: "zone-2", Capacity: big + 41, Phase: "phase-2", WarmupMs: big + 42, Models: []string{"model-3"}}
+	delta := discovery.Delta{FromTerm: big + 43, FromNumber: big + 44, Term: big + 45, Number: big + 46, Changed: []discovery.Host{other}, Removed: []string{"removed-1", "removed-2"}}
+	entry := chain.Entry{Index: big + 51, Key: "entry-key", Value: []byte("entry-value")}
+	store := turnstore.Store{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}
+	all := []encoded{
+		{2, "follow", sideRequest, &feed.FollowRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ActiveVersion: big + 2, HostListTerm: big + 3, HostListNumber: big + 4, WaitMs: big + 5}},
+		{2, "follow", sideReply, &feed.FollowResponse{Confirmed: true, Index: big + 1, Entries: []chain.Entry{entry}, Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, CoreAddrs: []string{"core-1", "core-2"}}},
+		{3, "put", sideRequest, &feed.PutRequest{IfMatch: big + 1, Body: []byte("body"), Forwarded: true}},
+		{3, "put", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{4, "read", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
+		{4, "read", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{5, "register", sideRequest, &feed.Registration{Store: store, Generation: big + 1, SweptGeneration: big + 2, Full: true, Forwarded: true}},
+		{5, "register", sideReply, &feed.Empty{Unused: true}},
+		{6, "retire", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
+		{6, "retire", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{7, "phase", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
+		{7, "phase", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{8, "status", sideRequest, &feed.Empty{Unused: true}},
+		{8, "status", sideReply, fullStatus()},
+		{9, "changes", sideRequest, &feed.ChangesRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ReceivedIndex: big + 2, ActiveVersion: big + 3, HostListTerm: big + 4, HostListNumber: big + 5, WaitMs: big + 6,
+			BaseValues: []feed.BaseValue{{Key: "held-key", Digest: []byte("held-digest")}}}},
+		{9, "changes", sideReply, &feed.ChangesResponse{Confirmed: true, Index: big + 1, Entries: []chain.Entry{entry}, Patches: []feed.Patch{{Index: big + 2, Key: "patch-key", Delta: []byte("patch-delta")}},
+			LargeValues: []feed.ValueRef{{Index: big + 3, Key: "large-key", Size: big + 4, Digest: []byte("large-digest")}},
+			Hosts:       []discovery.List{list}, Delta: []discovery.Delta{delta}, CoreAddrs: []string{"core-1", "core-2"}}},
+		{10, "piece", sideRequest, &feed.ChunkRequest{Name: "name", Digest: []byte("digest"), Offset: big + 1, Length: big + 2}},
+		{10, "piece", sideReply, &feed.Chunk{Status: big + 1, Digest: []byte("digest"), Offset: big + 2, Data: []byte("bytes"), Final: true}},
+
+		{0, "configuration", sideStored, &feed.ConfigEntry{Version: big + 1, Body: []byte("body"), RecentDigests: [][]byte{[]byte("digest-1"), []byte("digest-2")}}},
+		{0, "placement", sideStored, &turnstore.Placement{Generation: big + 1, ReplicationFactor: big + 2, DurableReplicas: big + 3, FaultTolerance: big + 4, Old: []turnstore.Store{store},
+			New: []turnstore.Store{{ID: "store-id-2", Name: "store-name-2", Addr: "store-addr-2", Zone: "store-zone-2"}}, SweptIDs: []string{"done-1", "done-2"}}},
+		{0, "retirement", sideStored, &feed.RetireEntry{ID: "store-id"}},
+		{0, "page of orders", sideStored, &orders.Page{Records: []orders.Record{{Sequence: big + 1, Version: big + 2, BaseVersion: big + 3, Digest: []byte("digest-1")},
+			{Sequence: big + 4, Version: big + 5, BaseVersion: big + 6, Digest: []byte("digest-2")}}}},
+		{0, "earlier orders", sideStored, &orders.LegacyHistory{Version: big + 1, Digests: [][]byte{[]byte("digest-1"), []byte("digest-2")}, Complete: true}},
+		{0, "entry", sideStored, &entry},
+		{0, "acceptor", sideStored, &view.Acceptor{View: fullView("a", 100), Promised: view.Ballot{Number: big + 1, Proposer: "promised"}, AcceptedAt: view.Ballot{Number: big + 2, Proposer: "accepted"}, Accepted: fullView("b", 200)}},
+		{0, "meta", sideStored, &chainMeta{ActivatedEpoch: big + 1, LastIndex: big + 2, Commit: big + 3}},
+	}
+	for number, kind := range messageKinds {
+		all = append(all, encoded{1, "peer, " + kind, sideRequest, &Message{
+			Kind: number, From: view.Member{ID: "from-id", Name: "from-name", Addr: "from-addr"}, Incarnation: big + 1, Epoch: big + 2, Promised: true, Leaving: true, ConfirmationRound: big + 3,
+			Echoes: []Echo{{ID: "echo-1", Incarnation: big + 4, ConfirmationRound: big + 5}, {ID: "echo-2", Incarnation: big + 6, ConfirmationRound: big + 7}},
+			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedAt: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), ActivatedEpoch: big + 10,
+			Update: chain.Update{Epoch: big + 11, Base: big + 12, After: chain.Position{LastIndex: big + 13, PartialIndex: big + 14, PartialBytes: big + 15},
+				Fragments: []chain.Fragment{{Index: big + 16, Key: "fragment-key", ValueSize: big + 17, Checksum: big + 18, Offset: big + 19, Data: []byte("data")}},
+				Complete:  true, Through: big + 20, Commit: big + 21},
+			Ack:   chain.Ack{Epoch: big + 22, LastIndex: big + 23, Commit: big + 24, CommitIsCurrent: true, Active: true, Received: chain.Position{LastIndex: big + 25, PartialIndex: big + 26, PartialBytes: big + 27}},
+			Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, HostListTerm: big + 61, HostListNumber: big + 62,
+			Handover: []placement.Observations{{Generation: big + 63, GenerationAge: big + 64, Unresponsive: []placement.UnresponsiveStore{{ID: "silent-1", Elapsed: big + 65}, {ID: "silent-2", Elapsed: big + 66}}}},
+		}})
+	}
+	return all
+}
+
+// boolMessages tell booleans of one struct apart, each of which is true in allEncoded.
+var boolMessages = []encoded{
+	{1, "peer, sealed", sideRequest, &Message{Promised: true}},
+	{1, "peer, leaving", sideRequest, &Message{Leaving: true}},
+	{1, "peer, known", sideRequest, &Message{Ack: chain.Ack{CommitIsCurrent: true}}},
+	{1, "peer, active", sideRequest, &Message{Ack: chain.Ack{Active: true}}},
+	{5, "register, full", sideRequest, &feed.Registration{Full: true}},
+	{5, "register, relayed", sideRequest, &feed.Registration{Forwarded: true}},
+	{8, "status, sealed", sideReply, &Status{Sealed: true}},
+	{8, "status, fresh", sideReply, &Status{Fresh: true}},
+	{8, "status, joint", sideReply, &Status{Joint: true}},
+}
+
+func fullView(name string, n int64) view.View {
+	return view.View{Epoch: big + n, Voters: []view.Member{{ID: name + "-id-1", Name: name + "-name-1", Addr: name + "-addr-1"}, {ID: name + "-id-2", Name: name + "-name-2", Addr: name + "-addr-2"}},
+		Chain: []view.ChainMember{{ID: name + "-link-1", JoinedEpoch: big + n + 1}, {ID: name + "-link-2", JoinedEpoch: big + n + 2}}}
+}
+
+func fullStatus() *Status {
+	return &Status{Node: "node", Epoch: big + 1, Head: "head", Tail: "tail", Chain: []string{"chain-1", "chain-2"}, Voters: []Voter{{ID: "voter-id", Name: "voter-name", Addr: "voter-addr", SilentMs: big + 2}},
+		Sealed: true, Fresh: true, Place: big + 3, Commit: big + 4, Version: big + 5, Hosts: big + 6, Gen: big + 7, Joint: true,
+		Stores: []turnstore.Store{{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}}, Full: []string{"full-1", "full-2"},
+		Silent: []SilentStore{{ID: "silent-id", Name: "silent-name", Addr: "silent-addr", SilentMs: big + 8}}, Lacking: big + 9,
+		Followers: []FollowerStatus{{Name: "follower-name", Class: "follower-class", Version: big + 10, Place: big + 11, SilentMs: big + 12}}, Role: "role",
+		Transfers: []Transfer{{To: "to", Place: big + 13, Target: big + 14, Bytes: big + 15}}}
+}
+
+// The bytes of each message are those of the code before it was renamed: Avro has fields in their order and without names, so
+// that a field that was moved, added, dropped or given another type shows here and nowhere else.
+func TestFramesKeepTheirBytes(t *testing.T) {
+	path := filepath.Join("testdata", "frames.txt")
+	if *writeFixtures {
+		writeMissingFrames(t, path, slices.Concat(allEncoded(), boolMessages))
+	}
+	var full, alone []any
+	for _, e := range allEncoded() {
+		requireAllSet(t, e.key(), e.value)
+		full = append(full, e.value)
+	}
+	for _, e := range boolMessages {
+		alone = append(alone, e.value)
+	}
+	requireBoolsApart(t, full, alone)
+	fixtures := readFrames(t, path)
+	for _, e := range slices.Concat(allEncoded(), boolMessages) {
+		old, known := fixtures[e.key()]
+		delete(fixtures, e.key())
+		if !known {
+			t.Errorf("%s has no fixture in %s", e.key(), path)
+			continue
+		}
+		got := reflect.New(reflect.TypeOf(e.value).Elem()).Interface()
+		if err := rpc.Decode(old, got); err != nil {
+			t.Errorf("%s: the old bytes: %v", e.key(), err)
+		} else if !sameValue(got, e.value) {
+			t.Errorf("%s: the old bytes mean %+v, want %+v", e.key(), got, e.value)
+		}
+		if now := rpc.Encode(e.value); !bytes.Equal(now, old) {
+			t.Errorf("%s is encoded as\n%x, was\n%x", e.key(), now, old)
+		}
+	}
+	for key := range fixtures {
+		t.Errorf("nothing is held against the fixture %q", key)
+	}
+}
+
+// loneCore is a core node that is the only one, so that it decides by itself. It serves no port.
+func loneCore(t *testing.T) *Server {
+	t.Helper()
+	text := fmt.Sprintf("node_name: core-1\nip_addr: 127.0.0.1\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '127.0.0.1:20000'}\n"+
+		"port_range: [20001, 20010]\nseed_nodes: ['127.0.0.1:20000']\nbootstrap: true\ndata_dir: '%s'\nlimits: {memory_mb: 64, max_fds: 256, disk_mb: 64}\n", t.TempDir())
+	s, err := process.Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := Open(s, process.NewRing(io.Discard))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.wg.Go(func() { _ = c.eventLoop() })
+	t.Cleanup(func() {
+		c.stop()
+		c.clients.Close()
+		c.wg.Wait()
+		_ = c.db.Close()
+	})
+	for end := time.Now().Add(5 * time.Second); !c.isHead.Load(); c.sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the only core node is not the head after 5 s")
+		}
+	}
+	return c
+}
+
+// Each method that a core node serves has fixtures, and takes and gives the types that they are of.
+func TestEachMethodHasFixtures(t *testing.T) {
+	find := func(method rpc.Method, side string) any {
+		for _, e := range allEncoded() {
+			if e.method == method && e.side == side {
+				return e.value
+			}
+		}
+		t.Errorf("method %d has no %s among the fixtures", method, side)
+		return nil
+	}
+	const peerNotice = 1 // it has no answer
+	c := loneCore(t)
+	handlers := c.handlers()
+	for method, handle := range handlers {
+		if method == peerNotice {
+			continue
+		}
+		call, want := find(method, sideRequest), find(method, sideReply)
+		if call == nil || want == nil {
+			continue
+		}
+		got, err := handle(t.Context(), rpc.Encode(call))
+		if err != nil {
+			t.Errorf("method %d: %v", method, err)
+		} else if reflect.TypeOf(got) != reflect.TypeOf(want) {
+			t.Errorf("method %d answers with %T, the fixture is of %T", method, got, want)
+		}
+	}
+	c.stop()
+	c.wg.Wait() // the notice is not to be acted on
+	if got, err := handlers[peerNotice](t.Context(), rpc.Encode(find(peerNotice, sideRequest))); got != nil || err != nil {
+		t.Errorf("the notice of a peer ends in %v, %v", got, err)
+	}
+	for _, e := range allEncoded() {
+		if e.method != 0 && handlers[e.method] == nil {
+			t.Errorf("nothing serves %s", e.key())
+		}
+	}
+}
+
+// The numbers of methods, kinds of messages and states of pieces are on the wire.
+func TestNumbersOnTheWire(t *testing.T) {
+	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutCall, feed.ReadCall, feed.RegisterCall, feed.RetireCall, feed.PhaseCall, feed.StatusCall, feed.ChangesCall, feed.ChunkCall}
+	if want := []rpc.Method{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}; !reflect.DeepEqual(methods, want) {
+		t.Errorf("methods are %v, want %v", methods, want)
+	}
+	kinds := []int{msgHeartbeat, msgPrepare, msgPromise, msgAccept, msgAccepted, msgDecide, msgChainUpdate, msgChainAck, msgConfirm, msgConfirmed, msgHostList, msgLearnerUpdate, msgLearnerAck}
+	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !reflect.DeepEqual(kinds, want) {
+		t.Errorf("kinds of messages are %v, want %v", kinds, want)
+	}
+	pieces := []int{feed.ChunkServed, feed.ChunkUnknown, feed.ChunkBusy}
+	if want := []int{0, 1, 2}; !reflect.DeepEqual(pieces, want) {
+		t.Errorf("states of pieces are %v, want %v", pieces, want)
+	}
+}
+
+// The status of a core node goes to operators, and to larch-control, as JSON.
+func TestStatusKeepsItsJSON(t *testing.T) {
+	path := filepath.Join("testdata", "status.json")
+	now, err := json.MarshalIndent(fullStatus(), "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	now = append(now, '\n')
+	if _, err := os.Stat(path); *writeFixtures && os.IsNotExist(err) {
+		if err := os.WriteFile(path, now, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	old, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(now, old) {
+		t.Errorf("the status is\n%s\nwas\n%s", now, old)
+	}
+	var got Status
+	if err := json.Unmarshal(old, &got); err != nil || !reflect.DeepEqual(&got, fullStatus()) {
+		t.Errorf("the old status is read as %+v (%v)", got, err)
+	}
+}
+
+// An operator, and larch-control, are told in JSON what became of an order.
+func TestRepliesKeepTheirJSON(t *testing.T) {
+	for _, one := range []struct {
+		reply feed.Reply
+		want  string
+	}{
+		{feed.Reply{Status: 409, Text: "a reason"}, `{"message":"a reason"}`},
+		{*replyFor(orders.Decision{Kind: orders.Serving}), `{"phase":"serving"}`},
+		{*replyFor(orders.Decision{Kind: orders.Complete}), `{"phase":"complete"}`},
+	} {
+		w := httptest.NewRecorder()
+		writeReply(w, &one.reply)
+		if got := w.Body.String(); got != one.want || w.Code != one.reply.Status {
+			t.Errorf("told %d %s, want %s", w.Code, got, one.want)
+		}
+	}
+}
+
+// readFrames reads lines of a message's key and its bytes in hexadecimal.
+func readFrames(t *testing.T, path string) map[string][]byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	frames := map[string][]byte{}
+	for line := range strings.Lines(string(text)) {
+		line = strings.TrimSpace(line)
+		at := strings.LastIndexByte(line, ' ')
+		if at < 0 {
+			t.Fatalf("%s: line %q has no bytes", path, line)
+		}
+		b, err := hex.DecodeString(line[at+1:])
+		if err != nil {
+			t.Fatalf("%s: line %q: %v", path, line, err)
+		}
+		if frames[line[:at]] != nil {
+			t.Fatalf("%s: %q is there twice", path, line[:at])
+		}
+		frames[line[:at]] = b
+	}
+	return frames
+}
+
+// writeMissingFrames adds the messages that a file of fixtures does not have.
+func writeMissingFrames(t *testing.T, path string, all []encoded) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	known := readFrames(t, path)
+	for _, e := range all {
+		if known[e.key()] == nil {
+			if _, err := fmt.Fprintf(f, "%s %x\n", e.key(), rpc.Encode(e.value)); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+}
+
+// requireAllSet makes sure that no field of a fixture is zero, and that no two numbers or strings of it are the same: else a
+// field that was dropped, or two that changed places, might not show.
+func requireAllSet(t *testing.T, what string, value any) {
+	t.Helper()
+	seen := map[any]bool{}
+	var look func(path string, v reflect.Value)
+	look = func(path string, v reflect.Value) {
+		switch v.Kind() {
+		case reflect.Pointer:
+			look(path, v.Elem())
+			return
+		case reflect.Struct:
+			for i := range v.NumField() {
+				look(path+"."+v.Type().Field(i).Name, v.Field(i))
+			}
+			return
+		}
+		var leaf any
+		switch {
+		case path == ".Kind": // of a Message: its numbers begin with 0
+			return
+		case v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0:
+			t.Errorf("%s: %s is not set", what, path)
+			return
+		case v.Kind() == reflect.Bool:
+			return
+		case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8:
+			leaf = string(v.Bytes())
+		case v.Kind() == reflect.Slice:
+			for i := range v.Len() {
+				look(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			}
+			return
+		case v.CanInt():
+			leaf = v.Int()
+		default:
+			leaf = v.String()
+		}
+		if seen[leaf] {
+			t.Errorf("%s: %s has the value %v of another field", what, path, leaf)
+		}
+		seen[leaf] = true
+	}
+	look("", reflect.ValueOf(value))
+}
+
+// requireBoolsApart makes sure that two booleans of a struct that changed places would show: wherever a struct has several,
+// there is a message for each in which it alone is true.
+func requireBoolsApart(t *testing.T, full, alone []any) {
+	t.Helper()
+	type field struct {
+		of   reflect.Type
+		name string
+	}
+	needed, found := map[field]bool{}, map[field]bool{}
+	var look func(v reflect.Value, set map[field]bool, most int)
+	look = func(v reflect.Value, set map[field]bool, most int) {
+		switch {
+		case v.Kind() == reflect.Pointer:
+			look(v.Elem(), set, most)
+		case v.Kind() == reflect.Slice:
+			for i := range v.Len() {
+				look(v.Index(i), set, most)
+			}
+		case v.Kind() == reflect.Struct:
+			var bools []string
+			count := 0
+			for i := range v.NumField() {
+				if f := v.Field(i); f.Kind() == reflect.Bool {
+					count++
+					if f.Bool() {
+						bools = append(bools, v.Type().Field(i).Name)
+					}
+				} else {
+					look(f, set, most)
+				}
+			}
+			if count > 1 && len(bools) <= most {
+				for _, name := range bools {
+					set[field{v.Type(), name}] = true
+				}
+			}
+		}
+	}
+	for _, v := range full {
+		look(reflect.ValueOf(v), needed, math.MaxInt)
+	}
+	for _, v := range alone {
+		look(reflect.ValueOf(v), found, 1)
+	}
+	for f := range needed {
+		if !found[f] {
+			t.Errorf("%v has several booleans: add a message in which %s alone is true", f.of, f.name)
+		}
+	}
+}
+
+// sameValue compares what was decoded with what is meant. Where nothing is meant, as in a message of one boolean, an empty
+// slice is as good as none: their bytes are the same.
+func sameValue(got, want any) bool {
+	return reflect.DeepEqual(got, want) || reflect.DeepEqual(withoutEmpty(got), withoutEmpty(want))
+}
+
+// withoutEmpty clears the empty slices among the fields of the struct that v points to, and of those in it.
+func withoutEmpty(v any) any {
+	var look func(v reflect.Value)
+	look = func(v reflect.Value) {
+		switch {
+		case v.Kind() == reflect.Struct:
+			for i := range v.NumField() {
+				look(v.Field(i))
+			}
+		case v.Kind() == reflect.Slice && v.Len() == 0:
+			v.SetZero()
+		}
+	}
+	look(reflect.ValueOf(v).Elem())
+	return v
+}
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestHandoverPassesBetweenNodes(t *testing.T) {
-	sent := Message{Kind: heartbeat, Handover: []placement.Observations{silentFor(1500 * time.Millisecond)}}
+	sent := Message{Kind: msgHeartbeat, Handover: []placement.Observations{silentFor(1500 * time.Millisecond)}}
 	var got Message
 	if err := rpc.Decode(rpc.Encode(&sent), &got); err != nil || !reflect.DeepEqual(got.Handover, sent.Handover) {
 		t.Fatalf("%+v, %v", got.Handover, err)
@@ -29,7 +29,7 @@
 	c.quiet = true
 	c.run(time.Second)
 	head, next := c.machines["m0"], c.machines["m1"]
-	if !head.node.Head() {
+	if !head.node.IsConfirmedHead() {
 		t.Fatalf("the first of the chain does not lead: %+v", head.node.View())
 	}
 	want := silentFor(1500 * time.Millisecond)
@@ -37,18 +37,18 @@
 	c.run(400 * time.Millisecond)
 	c.stop(head)
 	stopped := c.now
-	for !next.node.Head() && c.now-stopped < 5*time.Second {
+	for !next.node.IsConfirmedHead() && c.now-stopped < 5*time.Second {
 		c.step()
 	}
-	if got := next.node.Handover(); !next.node.Head() || !reflect.DeepEqual(got, want) {
+	if got := next.node.Handover(); !next.node.IsConfirmedHead() || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v after the head stopped: %+v", c.now-stopped, got)
 	}
-	core := &Core{node: next.node, begin: time.Now()}
-	core.takeDuty()
-	if !reflect.DeepEqual(core.duty.told, want) {
-		t.Errorf("it takes the duty with %+v", core.duty.told)
+	core := &Server{node: next.node, startedAt: time.Now()}
+	core.assumePlacementRole()
+	if !reflect.DeepEqual(core.placementRole.inherited, want) {
+		t.Errorf("it takes the duty with %+v", core.placementRole.inherited)
 	}
-	c.run(handoverFor)
+	c.run(handoverMaxAge)
 	if got := next.node.Handover(); got.Generation != 0 || len(got.Unresponsive) > 0 {
 		t.Errorf("what was told long ago still counts: %+v", got)
 	}
@@ -61,10 +61,10 @@
 	told := func() placement.Observations {
 		for _, id := range registering {
 			one := turnstore.Store{ID: id, Name: id, Addr: id + ":1"}
-			_, _ = c.cores[1].register(t.Context(), &feed.Registration{Store: one})
+			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one})
 		}
 		var h placement.Observations
-		c.cores[2].do(func() { h = c.cores[2].node.Handover() })
+		c.cores[2].runOnLoop(func() { h = c.cores[2].node.Handover() })
 		return h
 	}
 	c.until("all stores are placed", func() bool { return told().Generation > 0 })
@@ -86,8 +86,8 @@
 	head := c.machines["m0"].node
 	head.SetHandover(silentFor(time.Second))
 	told := func() (n int) {
-		c.now += head.set.Timings.Beat
-		for _, e := range head.Tick(c.now).Send {
+		c.now += head.settings.Timings.HeartbeatInterval
+		for _, e := range head.Tick(c.now).Messages {
 			n += len(e.Handover)
 		}
 		return n
@@ -95,7 +95,7 @@
 	if told() == 0 {
 		t.Error("a head that is confirmed tells nothing")
 	}
-	for head.Head() {
+	for head.IsConfirmedHead() {
 		told()
 	}
 	if n := told(); n > 0 {
@@ -114,8 +114,8 @@
 	c.run(3 * time.Second)
 	c.thaw(head)
 	c.run(3 * time.Second)
-	if head.node.Head() || head.node.handover.own != nil {
-		t.Errorf("leads %v, tells %+v", head.node.Head(), head.node.handover.own)
+	if head.node.IsConfirmedHead() || head.node.handover.outgoing != nil {
+		t.Errorf("leads %v, tells %+v", head.node.IsConfirmedHead(), head.node.handover.outgoing)
 	}
 }
 
@@ -126,8 +126,8 @@
 	head, node := c.machines["m0"], c.machines["m1"].node
 	view := node.View()
 	tell := func(from *machine, epoch, round int64, silence time.Duration) {
-		self := from.node.set.Self
-		node.Receive(c.now, Message{Kind: heartbeat, From: self, Life: from.life, Epoch: epoch, Round: round, Handover: []placement.Observations{silentFor(silence)}})
+		self := from.node.settings.Self
+		node.Receive(c.now, Message{Kind: msgHeartbeat, From: self, Incarnation: from.life, Epoch: epoch, ConfirmationRound: round, Handover: []placement.Observations{silentFor(silence)}})
 	}
 	holds := func(what string, want time.Duration) {
 		t.Helper()
@@ -148,13 +148,13 @@
 }
 
 func TestAfterAPauseNothingCountsThatWasMeasuredBefore(t *testing.T) {
-	d := duty{since: time.Second, ticked: time.Second, told: silentFor(time.Second)}
-	d.tick(time.Second + pauseOfOwn)
-	if len(d.told.Unresponsive) != 1 {
+	d := placementRole{tookOverAt: time.Second, lastTickAt: time.Second, inherited: silentFor(time.Second)}
+	d.tick(time.Second + maxRolePause)
+	if len(d.inherited.Unresponsive) != 1 {
 		t.Error("forgotten without a pause")
 	}
 	d.tick(10 * time.Second)
-	if len(d.told.Unresponsive) > 0 || d.since != 10*time.Second {
+	if len(d.inherited.Unresponsive) > 0 || d.tookOverAt != 10*time.Second {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/tier/controlnode/host_list.go
+++ b/internal/tier/controlnode/host_list.go
@@ -7,37 +7,37 @@
 )
 
 // Hosts is the newest list of hosts, nil for none.
-func (n *Node) Hosts() *discovery.List { return n.hosts }
+func (n *Node) Hosts() *discovery.List { return n.hosts.list }
 
-// Publish has a list of hosts spread; it is soft state.
-func (n *Node) Publish(now time.Duration, l *discovery.List) Output {
+// PublishHosts has a list of hosts spread; it is soft state.
+func (n *Node) PublishHosts(now time.Duration, l *discovery.List) Ready {
 	return n.step(now, func() {
-		if !l.Newer(n.hosts) {
+		if !l.Newer(n.hosts.list) {
 			return
 		}
-		if n.hosts != nil { // whoever has another list says so with its next heartbeat
-			n.sendToVoters(Message{Kind: hostList, Delta: []discovery.Delta{discovery.Diff(n.hosts, l)}})
+		if n.hosts.list != nil { // whoever has another list says so with its next heartbeat
+			n.sendToVoters(Message{Kind: msgHostList, Delta: []discovery.Delta{discovery.Diff(n.hosts.list, l)}})
 		} else {
-			n.sendToVoters(Message{Kind: hostList, Hosts: []discovery.List{*l}})
+			n.sendToVoters(Message{Kind: msgHostList, Hosts: []discovery.List{*l}})
 		}
-		n.hosts = l
+		n.hosts.list = l
 	})
 }
 
-func (n *Node) listTerm() int64 {
-	if n.hosts == nil {
+func (n *Node) hostListTerm() int64 {
+	if n.hosts.list == nil {
 		return 0
 	}
-	return n.hosts.Term
+	return n.hosts.list.Term
 }
 
-func (n *Node) takeHostList(m Message) {
-	if len(m.Hosts) == 1 && m.Hosts[0].Newer(n.hosts) {
-		n.hosts = &m.Hosts[0]
+func (n *Node) handleHostList(m Message) {
+	if len(m.Hosts) == 1 && m.Hosts[0].Newer(n.hosts.list) {
+		n.hosts.list = &m.Hosts[0]
 	}
 	if len(m.Delta) == 1 {
-		if l, ok := n.hosts.Apply(m.Delta[0]); ok && l.Newer(n.hosts) {
-			n.hosts = l
+		if l, ok := n.hosts.list.Apply(m.Delta[0]); ok && l.Newer(n.hosts.list) {
+			n.hosts.list = l
 		}
 	}
 }
--- a/internal/tier/controlnode/loop.go
+++ b/internal/tier/controlnode/loop.go
@@ -9,11 +9,11 @@
 	"larchrouter/internal/tier/discovery"
 )
 
-// do has the loop run f, and waits until what the loop knew then is on disk: the caller may tell what f has read.
-func (c *Core) do(f func()) bool {
+// runOnLoop has the loop run f, and waits until what the loop knew then is on disk: the caller may tell what f has read.
+func (c *Server) runOnLoop(f func()) bool {
 	done := make(chan struct{})
 	select {
-	case c.events <- func() { f(); c.finished = append(c.finished, done) }:
+	case c.requests <- func() { f(); c.awaitingSync = append(c.awaitingSync, done) }:
 	case <-c.ctx.Done():
 		return false
 	}
@@ -25,18 +25,18 @@
 	}
 }
 
-func (c *Core) add(o Output) {
-	c.out.Dirty = c.out.Dirty || o.Dirty
-	c.out.Send = append(c.out.Send, o.Send...)
-	c.out.Done = append(c.out.Done, o.Done...)
+func (c *Server) mergeReady(o Ready) {
+	c.ready.MustSync = c.ready.MustSync || o.MustSync
+	c.ready.Messages = append(c.ready.Messages, o.Messages...)
+	c.ready.Completed = append(c.ready.Completed, o.Completed...)
 }
 
-// loop owns the node. What a batch of events changed is synced once, before anything of it is told.
-func (c *Core) loop() error {
-	tick := time.NewTicker(tickEvery)
+// eventLoop owns the node. What a batch of events changed is synced once, before anything of it is told.
+func (c *Server) eventLoop() error {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	told := published{epoch: -1, commit: -1}
-	for c.takeBatch(tick.C) {
+	told := publishedState{epoch: -1, commit: -1}
+	for c.handleBatch(tick.C) {
 		if err := c.syncChanges(); err != nil {
 			if c.ctx.Err() != nil {
 				return nil
@@ -45,9 +45,9 @@
 			return errors.Wrap(err, "sync the control state")
 		}
 		c.deliver()
-		c.wakeConfirmed()
-		c.head.Store(c.node.Head())
-		c.publish(&told)
+		c.wakeConfirmedPolls()
+		c.isHead.Store(c.node.IsConfirmedHead())
+		c.notifyChanges(&told)
 	}
 	return nil
 }
@@ -56,33 +56,33 @@
 // keep this node from being heard by the others.
 const maxBatch = 256
 
-// takeBatch waits for an event, and takes those that have come as well. It returns false once the node stops.
-func (c *Core) takeBatch(tick <-chan time.Time) bool {
+// handleBatch waits for an event, and takes those that have come as well. It returns false once the node stops.
+func (c *Server) handleBatch(tick <-chan time.Time) bool {
 	select {
 	case <-c.ctx.Done():
 		return false
-	case m := <-c.peers:
-		c.add(c.node.Receive(c.now(), m))
-	case f := <-c.events:
+	case m := <-c.peerMessages:
+		c.mergeReady(c.node.Receive(c.now(), m))
+	case f := <-c.requests:
 		f()
 	case <-tick:
 		c.tick()
 	}
-	for taken := 1; taken < maxBatch && c.takeNext(tick); taken++ {
+	for taken := 1; taken < maxBatch && c.handleNext(tick); taken++ {
 	}
 	return true
 }
 
-// takeNext takes one event that has come, messages of other nodes first. It returns false if there is none.
-func (c *Core) takeNext(tick <-chan time.Time) bool {
+// handleNext takes one event that has come, messages of other nodes first. It returns false if there is none.
+func (c *Server) handleNext(tick <-chan time.Time) bool {
 	select {
-	case m := <-c.peers:
-		c.add(c.node.Receive(c.now(), m))
+	case m := <-c.peerMessages:
+		c.mergeReady(c.node.Receive(c.now(), m))
 		return true
 	default:
 	}
 	select {
-	case f := <-c.events:
+	case f := <-c.requests:
 		f()
 	case <-tick:
 		c.tick()
@@ -92,48 +92,48 @@
 	return true
 }
 
-func (c *Core) tick() {
-	c.add(c.node.Tick(c.now()))
+func (c *Server) tick() {
+	c.mergeReady(c.node.Tick(c.now()))
 	c.dropAbandoned()
-	c.plan()
+	c.planPlacement()
 }
 
 // syncChanges brings the disk to what the node has.
-func (c *Core) syncChanges() error {
-	if !c.out.Dirty {
+func (c *Server) syncChanges() error {
+	if !c.ready.MustSync {
 		return nil
 	}
-	return c.commit(c.ctx, c.rows(c.node.Durable()))
+	return c.syncRows(c.ctx, c.changedRows(c.node.Durable()))
 }
 
 // deliver tells what came of the batch: to other nodes, to those that wait for a Done, and to those that had f run by do.
-func (c *Core) deliver() {
-	for _, e := range c.out.Send {
-		c.send(e)
+func (c *Server) deliver() {
+	for _, e := range c.ready.Messages {
+		c.sendToPeer(e)
 	}
-	for _, d := range c.out.Done {
-		if w, waits := c.pending[d.RequestID]; waits {
-			delete(c.pending, d.RequestID)
+	for _, d := range c.ready.Completed {
+		if w, waits := c.pendingRequests[d.RequestID]; waits {
+			delete(c.pendingRequests, d.RequestID)
 			w.done <- d
 		}
 	}
-	c.out = Output{}
-	for _, done := range c.finished {
+	c.ready = Ready{}
+	for _, done := range c.awaitingSync {
 		close(done)
 	}
-	c.finished = c.finished[:0]
+	c.awaitingSync = c.awaitingSync[:0]
 }
 
-// published is what followers and the log were last told of.
-type published struct {
+// publishedState is what followers and the log were last told of.
+type publishedState struct {
 	epoch  int64
 	commit int64
 	hosts  *discovery.List
 	fresh  bool
 }
 
-// publish wakes followers and writes to the log where something has changed since.
-func (c *Core) publish(told *published) {
+// notifyChanges wakes followers and writes to the log where something has changed since.
+func (c *Server) notifyChanges(told *publishedState) {
 	if v := c.node.View(); v.Epoch != told.epoch {
 		told.epoch = v.Epoch
 		c.log.Say("msg", "view", "epoch", v.Epoch, "voters", len(v.Voters), "chain", strings.Join(c.chainNames(), " "), "self", c.self.ID)
@@ -143,10 +143,10 @@
 		return
 	}
 	if fresh != told.fresh {
-		_ = c.log.Log("msg", "relied on by followers", "fresh", fresh, "age", c.node.Age(), "commit", commit)
+		_ = c.log.Log("msg", "relied on by followers", "fresh", fresh, "age", c.node.ConfirmationAge(), "commit", commit)
 	}
 	if hosts != told.hosts {
-		c.history.Add(told.hosts, hosts)
+		c.hostListHistory.Add(told.hosts, hosts)
 	}
 	told.commit, told.hosts, told.fresh = commit, hosts, fresh
 	c.mu.Lock()
@@ -156,7 +156,7 @@
 }
 
 // chainNames are the machines of the chain, by id as long as one has not been heard.
-func (c *Core) chainNames() (names []string) {
+func (c *Server) chainNames() (names []string) {
 	for _, l := range c.node.View().Chain {
 		names = append(names, c.name(l.ID))
 	}
@@ -164,7 +164,7 @@
 }
 
 // name is the machine that bears an identity, or the identity as long as the machine has not been heard.
-func (c *Core) name(id string) string {
+func (c *Server) name(id string) string {
 	if id == c.self.ID {
 		return c.self.Name
 	}
--- a/internal/tier/controlnode/membership.go
+++ b/internal/tier/controlnode/membership.go
@@ -4,84 +4,84 @@
 
 func (n *Node) majorityAlive(c view.Conditions) bool {
 	alive := 0
-	for _, m := range n.vote.View.Voters {
+	for _, m := range n.acceptor.View.Voters {
 		if c.Alive[m.ID] {
 			alive++
 		}
 	}
-	return alive >= n.vote.View.Majority()
+	return alive >= n.acceptor.View.Majority()
 }
 
 // wantsChange tells whether the view should change.
 func (n *Node) wantsChange(c view.Conditions) bool {
-	v := &n.vote.View
-	if n.vote.HasPromised() && n.now-n.sealedAt > 2*n.set.Timings.Beat {
+	v := &n.acceptor.View
+	if n.acceptor.HasPromised() && n.now-n.election.promisedAt > 2*n.settings.Timings.HeartbeatInterval {
 		return true // somebody began one and did not end it
 	}
-	return n.chainTooLong(c) || n.chainTooShort(c) || view.CanReplace(v, c) || view.CanAdmit(v, c) || n.voterTooMany(c)
+	return n.wantsRemovalFromChain(c) || n.wantsChainExtension(c) || view.CanReplace(v, c) || view.CanAdmit(v, c) || n.wantsVoterRemoval(c)
 }
 
-// chainTooLong tells whether a member should go out of the chain.
-func (n *Node) chainTooLong(c view.Conditions) bool {
-	for _, l := range n.vote.View.Chain {
-		if p := n.peers[l.ID]; p != nil && !p.ever && n.now-p.heard < n.set.Timings.Suspect && l.ID != n.set.Self.ID {
+// wantsRemovalFromChain tells whether a member should go out of the chain.
+func (n *Node) wantsRemovalFromChain(c view.Conditions) bool {
+	for _, l := range n.acceptor.View.Chain {
+		if p := n.peers[l.ID]; p != nil && !p.heardFrom && n.now-p.lastHeard < n.settings.Timings.SuspectTimeout && l.ID != n.settings.Self.ID {
 			continue // where all have just started, one that was not heard yet is no wonder
 		}
-		if !c.Alive[l.ID] || c.Leaving[l.ID] && n.canSpare(c) {
+		if !c.Alive[l.ID] || c.Leaving[l.ID] && n.canShortenChain(c) {
 			return true
 		}
 	}
 	return false
 }
 
-// canSpare tells whether enough members of the chain have its whole state without those that leave.
-func (n *Node) canSpare(c view.Conditions) bool {
+// canShortenChain tells whether enough members of the chain have its whole state without those that leave.
+func (n *Node) canShortenChain(c view.Conditions) bool {
 	staying := 0
-	for _, l := range n.vote.View.Chain {
-		active := l.ID == n.set.Self.ID && n.chain.IsActive()
-		if p := n.peers[l.ID]; p != nil && p.ack.Active && p.ack.Epoch == n.vote.View.Epoch {
+	for _, l := range n.acceptor.View.Chain {
+		active := l.ID == n.settings.Self.ID && n.chain.IsActive()
+		if p := n.peers[l.ID]; p != nil && p.chainAck.Active && p.chainAck.Epoch == n.acceptor.View.Epoch {
 			active = true
 		}
 		if active && c.Alive[l.ID] && !c.Leaving[l.ID] {
 			staying++
 		}
 	}
-	return staying > n.set.Losses
+	return staying > n.settings.FaultTolerance
 }
 
-// chainTooShort tells whether a voter should come into the chain.
-func (n *Node) chainTooShort(c view.Conditions) bool {
-	v := &n.vote.View
+// wantsChainExtension tells whether a voter should come into the chain.
+func (n *Node) wantsChainExtension(c view.Conditions) bool {
+	v := &n.acceptor.View
 	for _, m := range v.Voters {
-		if v.Position(m.ID) < 0 && c.Alive[m.ID] && !c.Leaving[m.ID] && (c.CaughtUp[m.ID] || len(v.Chain) <= n.set.Losses) {
+		if v.Position(m.ID) < 0 && c.Alive[m.ID] && !c.Leaving[m.ID] && (c.CaughtUp[m.ID] || len(v.Chain) <= n.settings.FaultTolerance) {
 			return true
 		}
 	}
 	return false
 }
 
-// voterTooMany tells whether a voter should lose its vote.
-func (n *Node) voterTooMany(c view.Conditions) bool {
-	id := view.RemovableVoter(&n.vote.View, c)
-	return id != "" && (n.vote.View.Position(id) < 0 || n.canSpare(c))
+// wantsVoterRemoval tells whether a voter should lose its vote.
+func (n *Node) wantsVoterRemoval(c view.Conditions) bool {
+	id := view.RemovableVoter(&n.acceptor.View, c)
+	return id != "" && (n.acceptor.View.Position(id) < 0 || n.canShortenChain(c))
 }
 
-// rank is this node's turn among those that could propose: members of the chain first.
-func (n *Node) rank(c view.Conditions) int {
+// proposalRank is this node's turn among those that could propose: members of the chain first.
+func (n *Node) proposalRank(c view.Conditions) int {
 	rank := 0
-	for _, l := range n.vote.View.Chain {
-		if l.ID == n.set.Self.ID {
+	for _, l := range n.acceptor.View.Chain {
+		if l.ID == n.settings.Self.ID {
 			return rank
 		}
 		if c.Alive[l.ID] && !c.Leaving[l.ID] {
 			rank++
 		}
 	}
-	for _, m := range n.vote.View.Voters {
-		if m.ID == n.set.Self.ID {
+	for _, m := range n.acceptor.View.Voters {
+		if m.ID == n.settings.Self.ID {
 			return rank
 		}
-		if n.vote.View.Position(m.ID) < 0 && c.Alive[m.ID] {
+		if n.acceptor.View.Position(m.ID) < 0 && c.Alive[m.ID] {
 			rank++
 		}
 	}
--- a/internal/tier/controlnode/membership_test.go
+++ b/internal/tier/controlnode/membership_test.go
@@ -32,7 +32,7 @@
 					t.Fatal("the change is not committed")
 				}
 			}
-			head.peers[away.id].ack = chain.Ack{Commit: before}
+			head.peers[away.id].chainAck = chain.Ack{Commit: before}
 			if got := head.caughtUp(head.peers[away.id]); got != one.want {
 				t.Errorf("caught up is %v, want %v", got, one.want)
 			}
--- a/internal/tier/controlnode/operator.go
+++ b/internal/tier/controlnode/operator.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	configPath  = "/api/config"
-	maxConfig   = 32 << 20
-	maxRelayed  = 256 << 10 // a larger body would cross a second link of 30 Mbit/s within the second that callers wait
-	maxOrder    = 1 << 16
-	retryWithin = 40 * time.Millisecond
+	configPath       = "/api/config"
+	maxConfigBody    = 32 << 20
+	maxForwardedBody = 256 << 10 // a larger body would cross a second link of 30 Mbit/s within the second that callers wait
+	maxOrderBody     = 1 << 16
+	retryInterval    = 40 * time.Millisecond
 )
 
 // operatorCalls is the table of what operators call on a core node.
 var operatorCalls = []struct {
 	Pattern string // method and path
-	Serve   func(c *Core, w http.ResponseWriter, r *http.Request)
+	Serve   func(c *Server, w http.ResponseWriter, r *http.Request)
 }{
-	{"PUT " + configPath, (*Core).putConfig},
-	{"GET " + configPath, (*Core).getConfig},
-	{"POST /api/retire/{node}", (*Core).postRetire},
-	{"GET /api/retire/{node}", (*Core).getRetire},
-	{"GET /api/status", (*Core).getStatus},
+	{"PUT " + configPath, (*Server).putConfig},
+	{"GET " + configPath, (*Server).getConfig},
+	{"POST /api/retire/{node}", (*Server).postRetire},
+	{"GET /api/retire/{node}", (*Server).getRetire},
+	{"GET /api/status", (*Server).getStatus},
 }
 
-func (c *Core) operatorAPI() http.Handler {
+func (c *Server) operatorAPI() http.Handler {
 	mux := http.NewServeMux()
 	for _, call := range operatorCalls {
 		mux.HandleFunc(call.Pattern, func(w http.ResponseWriter, r *http.Request) { call.Serve(c, w, r) })
@@ -45,7 +45,7 @@
 	return mux
 }
 
-func tell(w http.ResponseWriter, r *feed.Reply) {
+func writeReply(w http.ResponseWriter, r *feed.Reply) {
 	b := r.Body
 	if len(b) == 0 { // one that another node gave has an empty body, not none
 		b, _ = json.Marshal(struct {
@@ -65,22 +65,22 @@
 }
 
 // redirect sends a caller to another node, given by its address for calls of nodes. All nodes serve operators at one port.
-func (c *Core) redirect(node, path string) *feed.Reply {
+func (c *Server) redirect(node, path string) *feed.Reply {
 	host, _, err := net.SplitHostPort(node)
-	_, port, ownErr := net.SplitHostPort(c.set.Bind.Control)
+	_, port, ownErr := net.SplitHostPort(c.settings.Bind.Control)
 	if err != nil || ownErr != nil {
-		return &feed.Reply{Status: http.StatusServiceUnavailable, Text: errUnclear.Error()}
+		return &feed.Reply{Status: http.StatusServiceUnavailable, Text: errOutcomeUnknown.Error()}
 	}
 	at := "http://" + net.JoinHostPort(host, port) + path
 	return &feed.Reply{Status: http.StatusTemporaryRedirect, Text: "too large to be passed on: send it to " + at, Location: at}
 }
 
 func badRequest(w http.ResponseWriter, text string) {
-	tell(w, &feed.Reply{Status: http.StatusBadRequest, Text: text})
+	writeReply(w, &feed.Reply{Status: http.StatusBadRequest, Text: text})
 }
 
-func (c *Core) putConfig(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfig))
+func (c *Server) putConfig(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBody))
 	if err != nil {
 		badRequest(w, "the configuration did not come whole: send it again")
 		return
@@ -92,7 +92,7 @@
 	}
 	q := &feed.PutRequest{IfMatch: match, Body: body}
 	order := putOrder(q)
-	tell(w, patiently(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.put(ctx, q, order) }))
+	writeReply(w, retryUntilTimeout(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.put(ctx, q, order) }))
 }
 
 // putOrder makes an order of a request, once it is needed: to read a large configuration takes time.
@@ -108,20 +108,20 @@
 	})
 }
 
-// putHere takes a configuration that another node has passed on.
-func (c *Core) putHere(ctx context.Context, q *feed.PutRequest) (*feed.Reply, error) {
+// handlePut takes a configuration that another node has passed on.
+func (c *Server) handlePut(ctx context.Context, q *feed.PutRequest) (*feed.Reply, error) {
 	return c.put(ctx, q, putOrder(q))
 }
 
 // put takes a configuration at the head, or passes it on to it.
-func (c *Core) put(ctx context.Context, q *feed.PutRequest, order func() orders.PutConfig) (*feed.Reply, error) {
-	here, head, err := c.headNow()
+func (c *Server) put(ctx context.Context, q *feed.PutRequest, order func() orders.PutConfig) (*feed.Reply, error) {
+	here, head, err := c.headStatus()
 	switch {
 	case err != nil:
 		return nil, err
 	case !here && q.Forwarded:
-		return nil, errUnclear
-	case !here && len(q.Body) > maxRelayed && head != "":
+		return nil, errOutcomeUnknown
+	case !here && len(q.Body) > maxForwardedBody && head != "":
 		return c.redirect(head, configPath), nil
 	case !here:
 		on := *q
@@ -136,26 +136,26 @@
 	if d.Kind == orders.Accept {
 		c.log.Say("msg", "configuration taken", "version", order().Version, "ms", time.Since(began).Milliseconds())
 	}
-	return replyTo(d), nil
+	return replyFor(d), nil
 }
 
-func (c *Core) postRetire(w http.ResponseWriter, r *http.Request) {
-	if _, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrder)); err != nil {
+func (c *Server) postRetire(w http.ResponseWriter, r *http.Request) {
+	if _, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBody)); err != nil {
 		badRequest(w, "the order did not come whole: send it again")
 		return
 	}
 	q := &feed.OrderRequest{Name: r.PathValue("node")}
-	tell(w, patiently(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.retireHere(ctx, q) }))
+	writeReply(w, retryUntilTimeout(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.handleRetire(ctx, q) }))
 }
 
-// retireHere takes an order to empty a store at the head, or passes it on to it.
-func (c *Core) retireHere(ctx context.Context, q *feed.OrderRequest) (*feed.Reply, error) {
-	here, head, err := c.headNow()
+// handleRetire takes an order to empty a store at the head, or passes it on to it.
+func (c *Server) handleRetire(ctx context.Context, q *feed.OrderRequest) (*feed.Reply, error) {
+	here, head, err := c.headStatus()
 	switch {
 	case err != nil:
 		return nil, err
 	case !here && q.Forwarded:
-		return nil, errUnclear
+		return nil, errOutcomeUnknown
 	case !here:
 		on := &feed.OrderRequest{Name: q.Name, Forwarded: true}
 		return forward[feed.OrderRequest, feed.Reply](ctx, c, head, feed.RetireCall, on)
@@ -164,49 +164,49 @@
 	if err != nil {
 		return nil, err
 	}
-	return replyTo(d), nil
+	return replyFor(d), nil
 }
 
-func (c *Core) getConfig(w http.ResponseWriter, r *http.Request) {
+func (c *Server) getConfig(w http.ResponseWriter, r *http.Request) {
 	q := &feed.OrderRequest{}
-	tell(w, patiently(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.readHere(ctx, q) }))
+	writeReply(w, retryUntilTimeout(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.handleRead(ctx, q) }))
 }
 
-// readHere reads the newest configuration at the tail.
-func (c *Core) readHere(ctx context.Context, q *feed.OrderRequest) (*feed.Reply, error) {
-	return c.query(ctx, q, orders.ReadConfig{}, feed.ReadCall)
+// handleRead reads the newest configuration at the tail.
+func (c *Server) handleRead(ctx context.Context, q *feed.OrderRequest) (*feed.Reply, error) {
+	return c.answerQuery(ctx, q, orders.ReadConfig{}, feed.ReadCall)
 }
 
-func (c *Core) getRetire(w http.ResponseWriter, r *http.Request) {
+func (c *Server) getRetire(w http.ResponseWriter, r *http.Request) {
 	q := &feed.OrderRequest{Name: r.PathValue("node")}
-	tell(w, patiently(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.phaseHere(ctx, q) }))
+	writeReply(w, retryUntilTimeout(r.Context(), func(ctx context.Context) (*feed.Reply, error) { return c.handlePhase(ctx, q) }))
 }
 
-// phaseHere tells, at the tail, how far the emptying of a store is.
-func (c *Core) phaseHere(ctx context.Context, q *feed.OrderRequest) (*feed.Reply, error) {
-	return c.query(ctx, q, orders.StorePhase{Name: q.Name}, feed.PhaseCall)
+// handlePhase tells, at the tail, how far the emptying of a store is.
+func (c *Server) handlePhase(ctx context.Context, q *feed.OrderRequest) (*feed.Reply, error) {
+	return c.answerQuery(ctx, q, orders.StorePhase{Name: q.Name}, feed.PhaseCall)
 }
 
-// query decides at the tail an order that only asks, or passes it on to the tail.
-func (c *Core) query(ctx context.Context, q *feed.OrderRequest, o orders.Order, call rpc.Method) (*feed.Reply, error) {
+// answerQuery decides at the tail an order that only asks, or passes it on to the tail.
+func (c *Server) answerQuery(ctx context.Context, q *feed.OrderRequest, o orders.Order, call rpc.Method) (*feed.Reply, error) {
 	d, tail, err := c.decideAtTail(ctx, o)
 	switch {
 	case err != nil:
 		return nil, err
-	case tail != "" && !q.Forwarded && call == feed.ReadCall && c.configSize() > maxRelayed:
+	case tail != "" && !q.Forwarded && call == feed.ReadCall && c.configSize() > maxForwardedBody:
 		return c.redirect(tail, configPath), nil
 	case tail != "" && !q.Forwarded:
 		on := &feed.OrderRequest{Name: q.Name, Forwarded: true}
 		return forward[feed.OrderRequest, feed.Reply](ctx, c, tail, call, on)
 	case d.Kind == 0:
-		return nil, errUnclear
+		return nil, errOutcomeUnknown
 	}
-	return replyTo(d), nil
+	return replyFor(d), nil
 }
 
 // configSize is that of the configuration as this node has it, in bytes.
-func (c *Core) configSize() (size int) {
-	c.do(func() {
+func (c *Server) configSize() (size int) {
+	c.runOnLoop(func() {
 		e, _ := c.node.Chain().LastEntry(feed.ConfigKey)
 		size = len(e.Value)
 	})
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return trouble(err)
 	}
-	core.calls.Dial = through(routes)
+	core.clients.Dial = through(routes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if err := core.Run(ctx); err != nil {
--- a/internal/tier/controlnode/receive.go
+++ b/internal/tier/controlnode/receive.go
@@ -7,117 +7,117 @@
 )
 
 // Receive takes a message of another node.
-func (n *Node) Receive(now time.Duration, m Message) Output {
+func (n *Node) Receive(now time.Duration, m Message) Ready {
 	return n.step(now, func() {
-		if m.From.ID == n.set.Self.ID || m.From.ID == "" {
+		if m.From.ID == n.settings.Self.ID || m.From.ID == "" {
 			return
 		}
-		if p := n.hear(m); p != nil {
-			n.take(p, m)
+		if p := n.recordMessage(m); p != nil {
+			n.dispatch(p, m)
 		}
 	})
 }
 
-// hear notes that a peer was heard; nil if the message is of an earlier life of its.
-func (n *Node) hear(m Message) *peer {
-	p := n.meet(m.From)
-	if m.Life < p.life {
+// recordMessage notes that a peer was heard; nil if the message is of an earlier life of its.
+func (n *Node) recordMessage(m Message) *peer {
+	p := n.ensurePeer(m.From)
+	if m.Incarnation < p.incarnation {
 		return nil
 	}
-	if m.Life > p.life {
-		*p = peer{member: m.From, life: m.Life, hearsMe: n.now, epoch: p.epoch, leaving: false}
+	if m.Incarnation > p.incarnation {
+		*p = peer{member: m.From, incarnation: m.Incarnation, lastHeardUs: n.now, epoch: p.epoch, leaving: false}
 	}
-	p.member, p.heard, p.ever = m.From, n.now, true
+	p.member, p.lastHeard, p.heardFrom = m.From, n.now, true
 	return p
 }
 
-func (n *Node) take(p *peer, m Message) {
+func (n *Node) dispatch(p *peer, m Message) {
 	switch m.Kind {
-	case heartbeat:
-		n.takeHeartbeat(p, m)
-	case prepare:
-		n.takePrepare(m)
-	case promise:
-		n.takePromise(m)
-	case accept:
-		n.takeAccept(m)
-	case accepted:
-		n.takeAccepted(m)
-	case decide:
+	case msgHeartbeat:
+		n.handleHeartbeat(p, m)
+	case msgPrepare:
+		n.handlePrepare(m)
+	case msgPromise:
+		n.handlePromise(m)
+	case msgAccept:
+		n.handleAccept(m)
+	case msgAccepted:
+		n.handleAccepted(m)
+	case msgDecide:
 		n.adopt(m.View)
-	case update:
-		n.takeUpdate(m)
-	case ack:
-		n.takeAck(m)
-	case learn:
+	case msgChainUpdate:
+		n.handleChainUpdate(m)
+	case msgChainAck:
+		n.handleChainAck(m)
+	case msgLearnerUpdate:
 		if n.chain.HandleLearnerUpdate(m.Update) {
-			n.out.Dirty = true
+			n.ready.MustSync = true
 		}
-		n.send(m.From.Addr, Message{Kind: learned, Ack: n.chain.CurrentAck()})
-	case learned:
-		n.takeLearned(p, m)
-	case confirm:
-		p.round = max(p.round, m.Round)
-		n.send(m.From.Addr, Message{Kind: confirmed, Echoes: []Echo{{ID: m.From.ID, Life: m.Life, Round: m.Round}}, Ack: n.chain.CurrentAck()})
-	case confirmed:
+		n.send(m.From.Addr, Message{Kind: msgLearnerAck, Ack: n.chain.CurrentAck()})
+	case msgLearnerAck:
+		n.handleLearnerAck(p, m)
+	case msgConfirm:
+		p.latestRound = max(p.latestRound, m.ConfirmationRound)
+		n.send(m.From.Addr, Message{Kind: msgConfirmed, Echoes: []Echo{{ID: m.From.ID, Incarnation: m.Incarnation, ConfirmationRound: m.ConfirmationRound}}, Ack: n.chain.CurrentAck()})
+	case msgConfirmed:
 		for _, e := range m.Echoes {
-			n.takeConfirmed(p, m, e)
+			n.handleEcho(p, m, e)
 		}
-	case hostList:
-		n.takeHostList(m)
+	case msgHostList:
+		n.handleHostList(m)
 	}
 }
 
-func (n *Node) takeHeartbeat(p *peer, m Message) {
+func (n *Node) handleHeartbeat(p *peer, m Message) {
 	for _, e := range m.Echoes {
-		n.takeConfirmed(p, m, e)
+		n.handleEcho(p, m, e)
 	}
-	p.hearing = p.hearing[:0]
+	p.heardPeers = p.heardPeers[:0]
 	for _, e := range m.Echoes {
-		p.hearing = append(p.hearing, e.ID)
+		p.heardPeers = append(p.heardPeers, e.ID)
 	}
-	n.takeHandover(m)
-	p.round = max(p.round, m.Round)
-	p.leaving, p.epoch, p.ack, p.term, p.number = m.Leaving, m.Epoch, m.Ack, m.Term, m.Number
-	if m.Epoch < n.vote.View.Epoch {
-		n.teach(m)
+	n.handleHandover(m)
+	p.latestRound = max(p.latestRound, m.ConfirmationRound)
+	p.leaving, p.epoch, p.chainAck, p.hostListTerm, p.hostListNumber = m.Leaving, m.Epoch, m.Ack, m.HostListTerm, m.HostListNumber
+	if m.Epoch < n.acceptor.View.Epoch {
+		n.sendDecidedView(m)
 	}
-	n.takeLearned(p, m)
-	n.takeAck(m)
-	behind := m.Term < n.listTerm() || m.Term == n.listTerm() && n.hosts != nil && m.Number < n.hosts.Number
-	if n.hosts != nil && behind && n.vote.View.IsVoter(m.From.ID) && n.vote.View.Head() == n.set.Self.ID {
-		n.send(m.From.Addr, Message{Kind: hostList, Hosts: []discovery.List{*n.hosts}})
+	n.handleLearnerAck(p, m)
+	n.handleChainAck(m)
+	behind := m.HostListTerm < n.hostListTerm() || m.HostListTerm == n.hostListTerm() && n.hosts.list != nil && m.HostListNumber < n.hosts.list.Number
+	if n.hosts.list != nil && behind && n.acceptor.View.IsVoter(m.From.ID) && n.acceptor.View.Head() == n.settings.Self.ID {
+		n.send(m.From.Addr, Message{Kind: msgHostList, Hosts: []discovery.List{*n.hosts.list}})
 	}
 }
 
-func (n *Node) takeAck(m Message) {
-	if n.chain.HandleAck(m.From.ID, m.Life, m.Ack) {
-		n.acknowledge() // what is committed is told upstream
+func (n *Node) handleChainAck(m Message) {
+	if n.chain.HandleAck(m.From.ID, m.Incarnation, m.Ack) {
+		n.sendChainAck() // what is committed is told upstream
 	}
 }
 
-func (n *Node) takeLearned(p *peer, m Message) {
-	p.ack = m.Ack
-	n.chain.HandleLearnerAck(m.From.ID, m.Life, m.Ack)
-	if m.From.ID == n.learner {
-		n.learnsAt = n.now
+func (n *Node) handleLearnerAck(p *peer, m Message) {
+	p.chainAck = m.Ack
+	n.chain.HandleLearnerAck(m.From.ID, m.Incarnation, m.Ack)
+	if m.From.ID == n.replication.learner {
+		n.replication.learnerAckedAt = n.now
 	}
 }
 
-func (n *Node) takeUpdate(m Message) {
-	if n.vote.HasPromised() {
+func (n *Node) handleChainUpdate(m Message) {
+	if n.acceptor.HasPromised() {
 		return
 	}
-	if m.Update.Epoch < n.vote.View.Epoch {
-		n.teach(Message{Epoch: m.Update.Epoch, From: m.From})
+	if m.Update.Epoch < n.acceptor.View.Epoch {
+		n.sendDecidedView(Message{Epoch: m.Update.Epoch, From: m.From})
 		return
 	}
 	changed, ok := n.chain.HandleUpdate(m.From.ID, m.Update)
 	if !ok {
 		return
 	}
-	n.updated = true
-	n.out.Dirty = n.out.Dirty || changed
+	n.replication.updateReceived = true
+	n.ready.MustSync = n.ready.MustSync || changed
 	n.chain.MarkDurable()
-	n.acknowledge()
+	n.sendChainAck()
 }
--- a/internal/tier/controlnode/redirect_test.go
+++ b/internal/tier/controlnode/redirect_test.go
@@ -40,7 +40,7 @@
 	}
 	redirected := 0
 	for node := range 3 {
-		resp := put(node, bodyOf(last+1, maxRelayed+1))
+		resp := put(node, bodyOf(last+1, maxForwardedBody+1))
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("node %d: %d", node, resp.StatusCode)
 		}
--- a/internal/tier/controlnode/replicate.go
+++ b/internal/tier/controlnode/replicate.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-type write struct {
+type pendingWrite struct {
 	requestID int64
 	index     int64
 }
 
 // Write asks for an entry at the head. It ends in a Done with the request ID.
-func (n *Node) Write(now time.Duration, requestID int64, key string, value []byte) Output {
+func (n *Node) Write(now time.Duration, requestID int64, key string, value []byte) Ready {
 	return n.step(now, func() {
-		if n.vote.HasPromised() && n.vote.View.Head() == n.set.Self.ID {
-			n.done(Done{RequestID: requestID, Kind: Elsewhere})
+		if n.acceptor.HasPromised() && n.acceptor.View.Head() == n.settings.Self.ID {
+			n.complete(Completion{RequestID: requestID, Outcome: NotHere})
 			return
 		}
 		e, ok := n.chain.Append(key, value)
 		if !ok {
-			n.done(Done{RequestID: requestID, Kind: Elsewhere, To: n.HeadAddr()})
+			n.complete(Completion{RequestID: requestID, Outcome: NotHere, RedirectTo: n.HeadAddr()})
 			return
 		}
-		n.out.Dirty = true
+		n.ready.MustSync = true
 		n.chain.MarkDurable() // Done goes out after the sync that Dirty asks for
-		n.writes = append(n.writes, write{requestID, e.Index})
+		n.replication.pendingWrites = append(n.replication.pendingWrites, pendingWrite{requestID, e.Index})
 	})
 }
 
-// settleWrites ends those that are committed.
-func (n *Node) settleWrites() {
+// completeCommittedWrites ends those that are committed.
+func (n *Node) completeCommittedWrites() {
 	commit := n.chain.State().Commit
-	n.writes = slices.DeleteFunc(n.writes, func(w write) bool {
+	n.replication.pendingWrites = slices.DeleteFunc(n.replication.pendingWrites, func(w pendingWrite) bool {
 		if w.index <= commit {
-			n.done(Done{RequestID: w.requestID, Kind: Committed, Index: w.index})
+			n.complete(Completion{RequestID: w.requestID, Outcome: Committed, Index: w.index})
 			return true
 		}
 		return false
@@ -42,37 +42,37 @@
 
 // replicate sends the successor what it lacks, and a learner.
 func (n *Node) replicate() {
-	if !n.vote.HasPromised() {
+	if !n.acceptor.HasPromised() {
 		for {
 			to, u, some := n.chain.NextUpdate()
 			if !some {
 				break
 			}
-			n.send(n.addr(to), Message{Kind: update, Update: u})
+			n.send(n.addr(to), Message{Kind: msgChainUpdate, Update: u})
 		}
 	}
-	n.teachLearner()
+	n.updateLearner()
 }
 
-// teachLearner sends one learner at a time what it lacks: several would share the link, and all would take long.
-func (n *Node) teachLearner() {
-	if n.learner != "" && !n.chain.LearnerIsBehind(n.learner) {
-		n.learner = ""
+// updateLearner sends one learner at a time what it lacks: several would share the link, and all would take long.
+func (n *Node) updateLearner() {
+	if n.replication.learner != "" && !n.chain.LearnerIsBehind(n.replication.learner) {
+		n.replication.learner = ""
 	}
-	if n.learner != "" && n.now-n.learnsAt > n.set.Timings.Suspect {
-		n.chain.RemoveLearner(n.learner)
-		n.learner = ""
+	if n.replication.learner != "" && n.now-n.replication.learnerAckedAt > n.settings.Timings.SuspectTimeout {
+		n.chain.RemoveLearner(n.replication.learner)
+		n.replication.learner = ""
 	}
-	if n.learner == "" {
-		n.learner = n.nextLearner()
-		n.learnsAt = n.now
+	if n.replication.learner == "" {
+		n.replication.learner = n.nextLearner()
+		n.replication.learnerAckedAt = n.now
 	}
-	for n.learner != "" {
-		u, some := n.chain.NextLearnerUpdate(n.learner)
+	for n.replication.learner != "" {
+		u, some := n.chain.NextLearnerUpdate(n.replication.learner)
 		if !some {
 			return
 		}
-		n.send(n.addr(n.learner), Message{Kind: learn, Update: u})
+		n.send(n.addr(n.replication.learner), Message{Kind: msgLearnerUpdate, Update: u})
 	}
 }
 
@@ -86,8 +86,8 @@
 	return next
 }
 
-func (n *Node) acknowledge() {
+func (n *Node) sendChainAck() {
 	if to, a, ok := n.chain.PredecessorAck(); ok {
-		n.send(n.addr(to), Message{Kind: ack, Ack: a})
+		n.send(n.addr(to), Message{Kind: msgChainAck, Ack: a})
 	}
 }
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -65,11 +65,11 @@
 	RoleApplicant  = "applicant"   // it has no vote yet
 )
 
-func (c *Core) role() string {
+func (c *Server) role() string {
 	switch {
 	case c.node.Chain().CommitIsCurrent():
 		return RoleMember
-	case c.node.vote.View.IsVoter(c.self.ID):
+	case c.node.acceptor.View.IsVoter(c.self.ID):
 		return RoleCatchingUp
 	}
 	return RoleApplicant
@@ -92,18 +92,18 @@
 	SilentMs int64  `json:"silent_ms"`
 }
 
-func (c *Core) status() *Status {
+func (c *Server) status() *Status {
 	s := &Status{Node: c.self.Name}
-	c.do(func() {
+	c.runOnLoop(func() {
 		v := c.node.View()
-		s.Epoch, s.Chain, s.Sealed, s.Fresh = v.Epoch, c.chainNames(), c.node.vote.HasPromised(), c.node.Fresh()
+		s.Epoch, s.Chain, s.Sealed, s.Fresh = v.Epoch, c.chainNames(), c.node.acceptor.HasPromised(), c.node.Fresh()
 		if len(s.Chain) > 0 {
 			s.Head, s.Tail = s.Chain[0], s.Chain[len(s.Chain)-1]
 		}
 		for _, m := range v.Voters {
 			one := Voter{ID: m.ID, Name: m.Name, Addr: c.node.addr(m.ID)}
 			if p := c.node.peers[m.ID]; p != nil && m.ID != c.self.ID {
-				one.Name, one.SilentMs = cmp.Or(p.member.Name, m.Name), (c.now() - p.heard).Milliseconds()
+				one.Name, one.SilentMs = cmp.Or(p.member.Name, m.Name), (c.now() - p.lastHeard).Milliseconds()
 			} else if m.ID == c.self.ID {
 				one.Name = c.self.Name
 			}
@@ -117,11 +117,11 @@
 		if h := c.node.Hosts(); h != nil {
 			s.Hosts = len(h.Hosts)
 		}
-		if known, err := orders.ReadState(c.node.Chain().Committed(0), c.set.FaultTolerance()); err == nil {
+		if known, err := orders.ReadState(c.node.Chain().Committed(0), c.settings.FaultTolerance()); err == nil {
 			s.Version = known.Version()
 			if p := known.Placement; p != nil {
 				s.Gen, s.Joint, s.Stores = p.Generation, len(p.New) > 0, p.Stores()
-				c.describeSilent(s, p)
+				c.addUnresponsiveStores(s, p)
 			}
 		}
 		s.Full = c.fullStores()
@@ -134,9 +134,9 @@
 	return s
 }
 
-// describeSilent adds the stores that are not heard. It runs in the loop.
-func (c *Core) describeSilent(s *Status, p *turnstore.Placement) {
-	silent := c.handover().FailedStores(c.placementTimings())
+// addUnresponsiveStores adds the stores that are not heard. It runs in the loop.
+func (c *Server) addUnresponsiveStores(s *Status, p *turnstore.Placement) {
+	silent := c.currentObservations().FailedStores(c.placementTimings())
 	s.Lacking = placement.StoresRequired(p, silent)
 	for _, one := range silent {
 		if i := slices.IndexFunc(s.Stores, func(o turnstore.Store) bool { return o.ID == one.ID }); i >= 0 {
@@ -145,12 +145,12 @@
 	}
 }
 
-// gatherIn bounds how long others are asked for what followers have told them.
-const gatherIn = 300 * time.Millisecond
+// gatherTimeout bounds how long others are asked for what followers have told them.
+const gatherTimeout = 300 * time.Millisecond
 
-// gather brings in the followers of the other core nodes: each follows one at a time, and what it told another before is old.
-func (c *Core) gather(ctx context.Context, s *Status) {
-	ctx, done := context.WithTimeout(ctx, gatherIn)
+// gatherFollowers brings in the followers of the other core nodes: each follows one at a time, and what it told another before is old.
+func (c *Server) gatherFollowers(ctx context.Context, s *Status) {
+	ctx, done := context.WithTimeout(ctx, gatherTimeout)
 	defer done()
 	told := make(chan []FollowerStatus, len(s.Voters))
 	asked := 0
@@ -161,7 +161,7 @@
 		asked++
 		go func() {
 			var other Status
-			if c.calls.To(v.Addr).Call(ctx, feed.StatusCall, &feed.Empty{}, &other) != nil {
+			if c.clients.To(v.Addr).Call(ctx, feed.StatusCall, &feed.Empty{}, &other) != nil {
 				other.Followers = nil
 			}
 			told <- other.Followers
@@ -182,15 +182,15 @@
 	s.Followers = slices.SortedFunc(maps.Values(latest), func(a, b FollowerStatus) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-func (c *Core) getStatus(w http.ResponseWriter, r *http.Request) {
+func (c *Server) getStatus(w http.ResponseWriter, r *http.Request) {
 	s := c.status()
-	c.gather(r.Context(), s)
+	c.gatherFollowers(r.Context(), s)
 	b, err := json.Marshal(s)
 	if err != nil {
-		tell(w, &feed.Reply{Status: http.StatusInternalServerError, Text: err.Error()})
+		writeReply(w, &feed.Reply{Status: http.StatusInternalServerError, Text: err.Error()})
 		return
 	}
-	tell(w, &feed.Reply{Status: http.StatusOK, Body: b})
+	writeReply(w, &feed.Reply{Status: http.StatusOK, Body: b})
 }
 
 // Trouble names the one thing that is wrong, as far as this node can tell.
@@ -219,21 +219,21 @@
 	case s.Version == 0:
 		return "no configuration was taken yet"
 	case s.Lacking > 0:
-		return fmt.Sprintf("more stores are silent than may be lost (%s): bring %d of them back with their disks", s.silentStores(), s.Lacking)
+		return fmt.Sprintf("more stores are silent than may be lost (%s): bring %d of them back with their disks", s.describeUnresponsive(), s.Lacking)
 	case len(s.Full) > 0:
 		return "a store opens no turns (" + strings.Join(s.Full, ", ") + "): its disk, or its memory of ledgers, is nearly full; its log says which"
 	case s.Joint && len(s.Silent) > 0:
-		return "the placement of stores changes; silent: " + s.silentStores()
+		return "the placement of stores changes; silent: " + s.describeUnresponsive()
 	case s.Joint:
 		return "the placement of stores changes"
 	case len(s.Silent) > 0:
-		return "a store is silent (" + s.silentStores() + "); the others go on"
+		return "a store is silent (" + s.describeUnresponsive() + "); the others go on"
 	}
 	return "all is well"
 }
 
-// silentStores names the stores that are not heard, with how long.
-func (s *Status) silentStores() string {
+// describeUnresponsive names the stores that are not heard, with how long.
+func (s *Status) describeUnresponsive() string {
 	var all []string
 	for _, one := range s.Silent {
 		all = append(all, fmt.Sprintf("%s for %d s", one.Name, one.SilentMs/1000))
--- a/internal/tier/controlnode/status_test.go
+++ b/internal/tier/controlnode/status_test.go
@@ -58,7 +58,7 @@
 	register := func(ids string) {
 		for _, id := range strings.Fields(ids) {
 			one := turnstore.Store{ID: id, Name: "store-" + id, Addr: id + ":1"}
-			_, _ = c.cores[1].register(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
+			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
 		}
 	}
 	status := func(i int) (s Status) {
--- a/internal/tier/controlnode/timeline_test.go
+++ b/internal/tier/controlnode/timeline_test.go
@@ -48,7 +48,7 @@
 				}
 			case "-":
 				if m.up {
-					c.carry(m, m.node.Leave(c.now))
+					c.carry(m, m.node.StartLeaving(c.now))
 				}
 			default:
 				if !m.up {
@@ -224,8 +224,8 @@
 	o := head.node.Write(c.now, 1000, "config", []byte("lost"))
 	c.carry(head, o)
 	o = head.node.Confirm(c.now, 1001, index)
-	if len(o.Done) > 0 {
-		t.Fatalf("what is not committed is told of: %+v", o.Done)
+	if len(o.Completed) > 0 {
+		t.Fatalf("what is not committed is told of: %+v", o.Completed)
 	}
 	c.asked[1001] = request{write: true, value: "412", by: "m0"}
 	c.run(3 * time.Second)
