--- a/internal/tier/controlnode/batch_test.go
+++ b/internal/tier/controlnode/batch_test.go
@@ -41,7 +41,7 @@
 	})
 	t.Cleanup(func() { cancel(); running.Wait() })
 	for leads := false; !leads; {
-		if !core.runOnLoop(func() { leads = core.node.IsActiveHead() }) {
+		if !core.onLoop(func() { leads = core.node.IsActiveHead() }) {
 			t.Fatal("the node has stopped")
 		}
 	}
@@ -54,7 +54,7 @@
 	core := startAlone(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	syncing, synced := make(chan struct{}), make(chan struct{})
-	core.requests <- func() {
+	core.requests <- onLoopRequest(func() {
 		core.syncRows = func(ctx context.Context, rows []sqlitelog.Write) error {
 			core.syncRows = core.db.Commit
 			close(syncing)
@@ -63,13 +63,13 @@
 		}
 		close(entered)
 		<-release
-	}
+	})
 	<-entered
-	core.requests <- func() { core.mergeReady(core.node.Write(core.now(), 0, "key", []byte("value"))) }
+	core.requests <- onLoopRequest(func() { core.mergeReady(core.node.Write(core.now(), 0, "key", []byte("value"))) })
 	read := make(chan int)
 	go func() {
 		entries := 0
-		core.runOnLoop(func() { entries = len(core.node.Chain().Committed(0)) })
+		core.onLoop(func() { entries = len(core.node.Chain().Committed(0)) })
 		read <- entries
 	}()
 	for len(core.requests) < 2 { // the write, and the reader behind it
@@ -92,15 +92,15 @@
 
 // Callers that come again at once, each time they are answered, do not keep the loop from sending.
 func TestABatchHasAnEnd(t *testing.T) {
-	c := &Server{ctx: t.Context(), requests: make(chan func(), 1), peerMessages: make(chan Message, 1)}
+	c := &Server{ctx: t.Context(), requests: make(chan queuedRequest, 1), peerMessages: make(chan Message, 1)}
 	taken := 0
 	var call func()
 	call = func() {
 		if taken++; taken < 2*maxBatch {
-			c.requests <- call
+			c.requests <- onLoopRequest(call)
 		}
 	}
-	c.requests <- call
+	c.requests <- onLoopRequest(call)
 	if !c.handleBatch(nil) || taken != maxBatch {
 		t.Errorf("a batch took %d events, at most %d are taken before something is sent", taken, maxBatch)
 	}
--- a/internal/tier/controlnode/conditions.go
+++ b/internal/tier/controlnode/conditions.go
@@ -8,71 +8,74 @@
 	"larchrouter/internal/tier/view"
 )
 
-// conditions are what this node would have the next view take up.
+// conditions returns what this node would have the next view take into account.
 func (n *Node) conditions() view.Conditions {
-	c := view.Conditions{Alive: map[string]bool{n.settings.Self.ID: true}, CaughtUp: map[string]bool{}, Failed: map[string]bool{},
-		Suspected: map[string]bool{}, Leaving: map[string]bool{}, FaultTolerance: n.settings.FaultTolerance}
+	cond := view.Conditions{
+		Alive:          map[string]bool{n.settings.Self.ID: true},
+		CaughtUp:       map[string]bool{},
+		Failed:         map[string]bool{},
+		Suspected:      map[string]bool{},
+		Leaving:        map[string]bool{},
+		FaultTolerance: n.settings.FaultTolerance,
+	}
 	if n.leaving {
-		c.Leaving[n.settings.Self.ID] = true
+		cond.Leaving[n.settings.Self.ID] = true
 	}
 	ids := make([]string, 0, len(n.peers))
 	for id := range n.peers {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	c.CaughtUp[n.settings.Self.ID] = true
-	heard := n.heardByMajority()
+	cond.CaughtUp[n.settings.Self.ID] = true
+	heardByMajority := n.heardByMajority()
 	for _, id := range ids {
 		if id != n.settings.Self.ID {
-			n.addPeerConditions(&c, id, heard)
+			n.addPeerConditions(&cond, id, heardByMajority)
 		}
 	}
-	return c
+	return cond
 }
 
 // addPeerConditions adds one peer to the conditions.
-func (n *Node) addPeerConditions(c *view.Conditions, id string, heardByMajority bool) {
-	p := n.peers[id]
-	silence := n.now - p.lastHeard
+func (n *Node) addPeerConditions(cond *view.Conditions, id string, heardByMajority bool) {
+	peer := n.peers[id]
+	elapsed := n.now - peer.lastHeard
 	voter := n.acceptor.View.IsVoter(id)
-	deaf := heardByMajority && !n.hearsUs(p) // cut off in one way
-	alive := p.heardFrom && silence < n.settings.Timings.SuspectTimeout && !deaf
-	if alive && (voter || n.isApplicant(p)) {
-		c.Alive[id] = true
-		c.CaughtUp[id] = n.caughtUp(p) && n.heardByChain(id) && p.echoedInView
-		if p.chainAck.Commit > n.chain.State().Commit {
-			c.CaughtUp[n.settings.Self.ID] = false
+	unreachable := heardByMajority && !n.hearsUs(peer) // one-way partition
+	alive := peer.heardFrom && elapsed < n.settings.Timings.SuspectTimeout && !unreachable
+	if alive && (voter || n.isApplicant(peer)) {
+		cond.Alive[id] = true
+		cond.CaughtUp[id] = n.caughtUp(peer) && n.heardByChain(id) && peer.echoedInView
+		if peer.chainAck.Commit > n.chain.State().Commit {
+			cond.CaughtUp[n.settings.Self.ID] = false
 		}
-		c.Leaving[id] = p.leaving
-		if !voter && !p.leaving {
-			c.Applicants = append(c.Applicants, p.member)
+		cond.Leaving[id] = peer.leaving
+		if !voter && !peer.leaving {
+			cond.Applicants = append(cond.Applicants, peer.member)
 		}
 	}
 	if !voter {
 		return
 	}
-	c.Failed[id] = silence > n.settings.Timings.FailureTimeout || p.leaving && silence > n.settings.Timings.SuspectTimeout
-	c.Suspected[id] = !alive && p.heardFrom && !c.Failed[id]
+	cond.Failed[id] = elapsed > n.settings.Timings.FailureTimeout || peer.leaving && elapsed > n.settings.Timings.SuspectTimeout
+	cond.Suspected[id] = !alive && peer.heardFrom && !cond.Failed[id]
 }
 
-// heardByMajority tells whether a majority of the voters hears this node: if not, the fault is its own.
+// heardByMajority reports whether messages of this node reach a majority of the voters: if not, the fault is
+// its own.
 func (n *Node) heardByMajority() bool {
-	by := 0
+	count := 0
 	for _, m := range n.acceptor.View.Voters {
 		if p := n.peers[m.ID]; m.ID == n.settings.Self.ID || p != nil && n.hearsUs(p) {
-			by++
+			count++
 		}
 	}
-	return by >= n.acceptor.View.Majority()
-}
-
-// hearsUs tells whether a peer has heard this node lately.
-func (n *Node) hearsUs(p *peer) bool {
-	return n.now-p.lastHeardUs <= 4*n.settings.Timings.HeartbeatInterval
+	return count >= n.acceptor.View.Majority()
 }
 
-// isApplicant tells whether a member without a vote may get one: it has answered this node in its present life, so that a
-// late message of a machine that is gone is none, and no other identity answers from its address.
+// isApplicant reports whether a member without a vote may get one: it has answered the present incarnation of
+// this node, so that a delayed message of a machine that is lost does not apply, and no other identity
+// answers from its address.
 func (n *Node) isApplicant(p *peer) bool {
 	if !p.echoedInView || !n.hearsUs(p) {
 		return false
@@ -85,57 +88,29 @@
 	return true
 }
 
-// heardByChain tells whether all members of the chain that this node hears, hear a member. One that some do not hear would
-// be taken out again by them as soon as others have brought it in.
+// heardByChain reports whether messages of a member reach all members of the chain that this node hears from.
+// A member that some do not hear from would be removed by them as soon as others have added it.
 func (n *Node) heardByChain(id string) bool {
 	for _, l := range n.acceptor.View.Chain {
 		p := n.peers[l.ID]
 		if l.ID == id || l.ID == n.settings.Self.ID || p == nil || !n.recentlyHeard(p) {
 			continue
 		}
-		if _, hears := slices.BinarySearch(p.heardPeers, id); !hears {
+		if _, heard := slices.BinarySearch(p.heardPeers, id); !heard {
 			return false
 		}
 	}
 	return true
 }
 
-// caughtUp tells whether a member outside the chain lacks so little that the chain need not wait for it.
-func (n *Node) caughtUp(p *peer) bool {
-	return p.chainAck.Commit >= n.recentCommits.at(n.now-catchUpLag) && n.chain.CommittedBytes(p.chainAck.Commit) <= catchUpBytes
-}
-
-// How far a member outside the chain may be behind and still counts as caught up: what was committed less than catchUpLag ago
-// may be on its way, unless it is so much that it takes long on a thin link.
+// How far a member outside the chain may be behind and still counts as caught up: what was committed less
+// than catchUpLag ago may be in flight, unless it is so much that it takes long on a slow link.
 const (
 	catchUpLag   = 600 * time.Millisecond
 	catchUpBytes = 4 * chain.ChunkSize
 )
 
-// commitHistory is what was committed at moments of the last second or so.
-type commitHistory struct {
-	samples [8]commitSample
-	next    int
-}
-
-type commitSample struct {
-	at    time.Duration
-	index int64
-}
-
-func (h *commitHistory) record(at time.Duration, index int64) {
-	h.samples[h.next%len(h.samples)] = commitSample{at, index}
-	h.next++
-}
-
-// at is what was committed at a moment, or the oldest that is known.
-func (h *commitHistory) at(moment time.Duration) int64 {
-	index := int64(0)
-	for i := max(0, h.next-len(h.samples)); i < h.next; i++ {
-		s := h.samples[i%len(h.samples)]
-		if s.at <= moment || index == 0 {
-			index = s.index
-		}
-	}
-	return index
+// caughtUp reports whether a member outside the chain lacks so little that the chain need not wait for it.
+func (n *Node) caughtUp(p *peer) bool {
+	return p.chainAck.Commit >= n.recentCommits.at(n.now-catchUpLag) && n.chain.CommittedBytes(p.chainAck.Commit) <= catchUpBytes
 }
--- a/internal/tier/controlnode/decisions.go
+++ b/internal/tier/controlnode/decisions.go
@@ -11,10 +11,10 @@
 	"larchrouter/internal/tier/orders"
 )
 
-// errOutcomeUnknown says that nothing is known of an order: it may be in force, now or later.
+// errOutcomeUnknown reports that nothing is known of an order: it may be in force, now or later.
 var errOutcomeUnknown = errors.New("no majority of the core nodes has answered in time: send the same again, it is taken once")
 
-// httpStatusByDecision are what operators are answered for each kind of decision.
+// httpStatusByDecision is the HTTP status for each kind of decision.
 var httpStatusByDecision = map[orders.Kind]int{
 	orders.Accept:          http.StatusOK,
 	orders.AlreadyApplied:  http.StatusOK,
@@ -30,155 +30,139 @@
 	orders.Unavailable:     http.StatusServiceUnavailable,
 }
 
-// replyFor puts a decision in the operator's terms.
-func replyFor(d orders.Decision) *feed.Reply {
-	r := &feed.Reply{Status: httpStatusByDecision[d.Kind], Text: d.Reason, Body: d.Body}
-	switch d.Kind {
+// replyFor returns the operator API's reply for a decision.
+func replyFor(decision orders.Decision) *feed.Reply {
+	reply := &feed.Reply{Status: httpStatusByDecision[decision.Kind], Text: decision.Reason, Body: decision.Body}
+	switch decision.Kind {
 	case orders.Serving:
-		r.Body = []byte(`{"phase":"serving"}`)
+		reply.Body = []byte(`{"phase":"serving"}`)
 	case orders.Complete:
-		r.Body = []byte(`{"phase":"complete"}`)
+		reply.Body = []byte(`{"phase":"complete"}`)
 	}
-	return r
+	return reply
 }
 
-// headStatus tells whether this node decides orders, and otherwise who does, as far as it knows.
-func (c *Server) headStatus() (here bool, addr string, err error) {
-	if !c.runOnLoop(func() { here, addr = c.node.IsActiveHead(), c.node.HeadAddr() }) {
+// headStatusQuery reports which node decides orders, as far as this node knows.
+type headStatusQuery struct {
+	isHead   bool   // this node decides orders
+	headAddr string // empty where no head is known
+}
+
+func (q *headStatusQuery) handle(s *Server) {
+	q.isHead, q.headAddr = s.node.IsActiveHead(), s.node.HeadAddr()
+}
+
+// headStatus reports whether this node decides orders, and otherwise the address of the one that does, as far
+// as it knows.
+func (s *Server) headStatus() (isHead bool, headAddr string, err error) {
+	query := &headStatusQuery{}
+	if !s.runOnLoop(query) {
 		return false, "", errNoHead
 	}
-	return here, addr, nil
+	return query.isHead, query.headAddr, nil
 }
 
-// decideAtHead decides an order in the state as this node, the head, has it, and returns the decision once it may be
-// told: once what is to be appended is committed, or what the decision rests on is committed and the epoch confirmed.
-func (c *Server) decideAtHead(ctx context.Context, o orders.Order) (orders.Decision, error) {
-	var d orders.Decision
-	var err error
-	done, heard := c.submit(ctx, func(requestID int64) Ready {
-		d, err = orders.Decide(c.node.Chain().State().Entries, c.settings.FaultTolerance(), o)
-		switch {
-		case err != nil || !c.node.IsActiveHead():
-			return Ready{Completed: []Completion{{RequestID: requestID, Outcome: OutcomeUnknown}}}
-		case d.Kind == orders.Accept:
-			return c.appendEntries(requestID, d.Append)
-		}
-		return c.confirm(requestID, d.DependsOn)
-	})
+// decideAtHeadRequest decides an order in the state of this head, committed or not. It completes once the
+// entries to append are committed, or the index that the decision depends on is committed and the epoch
+// confirmed.
+type decideAtHeadRequest struct {
+	order    orders.Order
+	decision orders.Decision
+	err      error
+}
+
+func (r *decideAtHeadRequest) start(s *Server, requestID int64) Ready {
+	r.decision, r.err = orders.Decide(s.node.Chain().State().Entries, s.settings.FaultTolerance(), r.order)
 	switch {
-	case !heard:
+	case r.err != nil || !s.node.IsActiveHead():
+		return Ready{Completed: []Completion{{RequestID: requestID, Outcome: OutcomeUnknown}}}
+	case r.decision.Kind == orders.Accept:
+		return s.appendEntries(requestID, r.decision.Append)
+	}
+	return s.node.Confirm(s.now(), requestID, r.decision.DependsOn)
+}
+
+// decideAtHead decides an order at this node, the head, and returns the decision once it may be reported.
+func (s *Server) decideAtHead(ctx context.Context, order orders.Order) (orders.Decision, error) {
+	request := &decideAtHeadRequest{order: order}
+	completion, ok := s.submit(ctx, request)
+	switch {
+	case !ok:
 		return orders.Decision{}, errOutcomeUnknown
-	case err != nil:
-		return orders.Decision{}, err
-	case done.Outcome != Committed:
+	case request.err != nil:
+		return orders.Decision{}, request.err
+	case completion.Outcome != Committed:
 		return orders.Decision{}, errOutcomeUnknown
 	}
-	return d, nil
+	return request.decision, nil
 }
 
-// appendEntries appends entries in their order. The request is done once the last of them is committed. It runs in the loop.
-func (c *Server) appendEntries(requestID int64, writes []orders.Write) (all Ready) {
+// appendEntries appends entries in their order. The request completes once the last of them is committed. It
+// runs on the event loop.
+func (s *Server) appendEntries(requestID int64, writes []orders.Write) (all Ready) {
 	for i, w := range writes {
-		one := requestID
+		writeID := requestID
 		if i < len(writes)-1 {
-			c.lastRequestID++ // nobody waits for it
-			one = c.lastRequestID
+			s.lastRequestID++ // nobody waits for it
+			writeID = s.lastRequestID
 		}
-		o := c.node.Write(c.now(), one, w.Key, w.Value)
-		all.MustSync = all.MustSync || o.MustSync
-		all.Messages = append(all.Messages, o.Messages...)
-		all.Completed = append(all.Completed, o.Completed...)
+		ready := s.node.Write(s.now(), writeID, w.Key, w.Value)
+		all.MustSync = all.MustSync || ready.MustSync
+		all.Messages = append(all.Messages, ready.Messages...)
+		all.Completed = append(all.Completed, ready.Completed...)
 	}
 	return all
 }
 
-// confirm ends in a Done: Committed once the index is committed and a majority has confirmed the epoch since this call.
-// It runs in the loop.
-func (c *Server) confirm(requestID, index int64) Ready {
-	return c.node.Confirm(c.now(), requestID, index)
-}
+// readIndexRequest completes once what is committed here is no older than anything acknowledged before it.
+type readIndexRequest struct{}
 
-// decideAtTail decides an order that only asks, in what is committed: at the tail, or at this node passed on to it.
-func (c *Server) decideAtTail(ctx context.Context, o orders.Order) (d orders.Decision, tail string, err error) {
-	done, _ := c.submit(ctx, func(requestID int64) Ready { return c.node.ReadIndex(c.now(), requestID) })
-	switch done.Outcome {
-	case NotHere:
-		return d, done.RedirectTo, nil
-	case OutcomeUnknown:
-		return d, "", errOutcomeUnknown
-	}
-	if !c.runOnLoop(func() {
-		d, err = orders.Decide(c.node.Chain().Committed(0), c.settings.FaultTolerance(), o)
-	}) {
-		return orders.Decision{}, "", errOutcomeUnknown
-	}
-	return d, "", err
+func (readIndexRequest) start(s *Server, requestID int64) Ready {
+	return s.node.ReadIndex(s.now(), requestID)
 }
 
-// pendingRequest is one that waits for the Done of a request.
-type pendingRequest struct {
-	done chan Completion
-	ctx  context.Context // of the call: the caller has given up once it ends
+// decideCommittedQuery decides an order that only reads, in the committed entries.
+type decideCommittedQuery struct {
+	order    orders.Order
+	decision orders.Decision
+	err      error
 }
 
-// newRequestID makes a request ID whose Done goes to a channel as long as the call lasts. It runs in the loop.
-func (c *Server) newRequestID(ctx context.Context, done chan Completion) int64 {
-	c.dropAbandoned()
-	c.lastRequestID++
-	c.pendingRequests[c.lastRequestID] = pendingRequest{done, ctx}
-	return c.lastRequestID
+func (q *decideCommittedQuery) handle(s *Server) {
+	q.decision, q.err = orders.Decide(s.node.Chain().Committed(0), s.settings.FaultTolerance(), q.order)
 }
 
-// dropAbandoned forgets the callers that have given up. It runs in the loop.
-func (c *Server) dropAbandoned() {
-	for requestID, w := range c.pendingRequests {
-		if w.ctx.Err() != nil {
-			delete(c.pendingRequests, requestID)
-		}
+// decideAtTail decides an order that only reads in what is committed, if this node is the tail; otherwise it
+// returns the address of the tail, empty where none is known.
+func (s *Server) decideAtTail(ctx context.Context, order orders.Order) (d orders.Decision, tail string, err error) {
+	completion, _ := s.submit(ctx, readIndexRequest{})
+	switch completion.Outcome {
+	case NotHere:
+		return d, completion.RedirectTo, nil
+	case OutcomeUnknown:
+		return d, "", errOutcomeUnknown
 	}
+	query := &decideCommittedQuery{order: order}
+	if !s.runOnLoop(query) {
+		return orders.Decision{}, "", errOutcomeUnknown
+	}
+	return query.decision, "", query.err
 }
 
-// submit begins something of the node that ends in a Done, for as long as callers wait. Where heard is false the caller
-// waited in vain, and f may still run: what it changes must not be looked at.
-func (c *Server) submit(ctx context.Context, f func(requestID int64) Ready) (done Completion, heard bool) {
+// retryUntilTimeout repeats a call until there is a reply or requestTimeout is over; then the reply is 503.
+func retryUntilTimeout(ctx context.Context, call func(ctx context.Context) (*feed.Reply, error)) *feed.Reply {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	ch := make(chan Completion, 1)
-	begin := func() {
-		if ctx.Err() == nil {
-			c.mergeReady(f(c.newRequestID(ctx, ch)))
-		}
-	}
-	select {
-	case c.requests <- begin:
-	case <-ctx.Done():
-		return Completion{Outcome: OutcomeUnknown}, false
-	case <-c.ctx.Done():
-		return Completion{Outcome: OutcomeUnknown}, false
-	}
-	select {
-	case done = <-ch:
-		return done, true
-	case <-ctx.Done():
-	case <-c.ctx.Done():
-	}
-	return Completion{Outcome: OutcomeUnknown}, false
-}
-
-// retryUntilTimeout asks again until there is a reply or the caller would take the node for dead.
-func retryUntilTimeout(ctx context.Context, ask func(ctx context.Context) (*feed.Reply, error)) *feed.Reply {
-	ctx, done := context.WithTimeout(ctx, requestTimeout)
-	defer done()
 	for {
-		reply, err := ask(ctx)
+		reply, err := call(ctx)
 		if err == nil {
 			return reply
 		}
-		t := time.NewTimer(retryInterval)
+		timer := time.NewTimer(retryInterval)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return &feed.Reply{Status: http.StatusServiceUnavailable, Text: errOutcomeUnknown.Error()}
 		}
 	}
--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -143,10 +143,10 @@
 		callers.Go(func() {
 			short, done := context.WithTimeout(ctx, 50*time.Millisecond)
 			defer done()
-			if _, heard := core.submit(short, func(requestID int64) Ready {
+			if _, completed := core.submit(short, nodeFunc(func(requestID int64) Ready {
 				begun.Add(1)
 				return core.node.Write(core.now(), requestID, "key", fmt.Append(nil, i))
-			}); heard {
+			})); completed {
 				t.Error("a write without a majority was done")
 			}
 		})
@@ -157,7 +157,7 @@
 	}
 	left := -1
 	for end := time.Now().Add(10 * time.Second); left != 0 && time.Now().Before(end); {
-		core.runOnLoop(func() { left = len(core.pendingRequests) })
+		core.onLoop(func() { left = len(core.pendingRequests) })
 	}
 	if left != 0 {
 		t.Fatalf("of %d orders that were given up %d are still waited for", begun.Load(), left)
--- a/internal/tier/controlnode/disk.go
+++ b/internal/tier/controlnode/disk.go
@@ -14,10 +14,11 @@
 	"larchrouter/internal/tier/view"
 )
 
-// chainMeta is the chain's state on disk beside its entries.
+// chainMeta is the chain's state on disk in addition to its entries. The order of the fields is that of the
+// stored bytes.
 type chainMeta struct{ ActivatedEpoch, LastIndex, Commit int64 }
 
-// Rows of the table of votes.
+// Keys of the table "vote".
 var (
 	selfKey        = []byte("self")
 	incarnationKey = []byte("life")
@@ -25,103 +26,117 @@
 	metaKey        = []byte("meta")
 )
 
-// load reads what the disk has; with an empty one the node gets its identity, which is on disk before it is used.
-func (c *Server) load() (d Durable, err error) {
-	c.self = view.Member{Name: c.settings.NodeName, Addr: c.settings.PeerAddr(c.settings.IP, process.CorePort)}
-	if err := c.beginIncarnation(); err != nil {
+// load reads the durable state from the disk. On an empty disk the node gets its identity, which is synced
+// before it is used.
+func (s *Server) load() (d Durable, err error) {
+	s.self = view.Member{Name: s.settings.NodeName, Addr: s.settings.PeerAddr(s.settings.IP, process.CorePort)}
+	if err := s.beginIncarnation(); err != nil {
 		return d, err
 	}
-	id, err := c.db.Get("vote", selfKey)
+	id, err := s.db.Get("vote", selfKey)
 	if err != nil {
 		return d, err
 	}
 	if id == nil {
-		c.self.ID, _ = c.db.Identity()
-		if c.settings.Bootstrap && slices.Contains(c.settings.Seeds, c.settings.Bind.Control) {
-			var founders []view.Member
-			for _, seed := range c.settings.Seeds {
-				addr := c.settings.PeerAddr(seed, process.CorePort)
-				founders = append(founders, view.Member{ID: "seed-" + addr, Addr: addr})
-			}
-			c.self.ID = "seed-" + c.self.Addr
-			d = Founding(founders)
-		}
-		return d, c.db.Commit(c.ctx, append(c.changedRows(d), sqlitelog.Write{Table: "vote", Key: selfKey, Value: []byte(c.self.ID)}))
+		return s.createIdentity()
 	}
-	c.self.ID = string(id)
-	if b, err := c.db.Get("vote", acceptorKey); err != nil {
+	s.self.ID = string(id)
+	err = s.loadRow(acceptorKey, &d.Acceptor, "the vote on disk cannot be read: empty the data folder, the node joins anew")
+	if err != nil {
 		return d, err
-	} else if b != nil {
-		if err := rpc.Decode(b, &d.Acceptor); err != nil {
-			return d, errors.Wrap(err, "the vote on disk cannot be read: empty the data folder, the node joins anew")
-		}
 	}
-	var m chainMeta
-	if b, err := c.db.Get("vote", metaKey); err != nil {
+	var meta chainMeta
+	err = s.loadRow(metaKey, &meta, "the state on disk cannot be read: empty the data folder, the node joins anew")
+	if err != nil {
 		return d, err
-	} else if b != nil {
-		if err := rpc.Decode(b, &m); err != nil {
-			return d, errors.Wrap(err, "the state on disk cannot be read: empty the data folder, the node joins anew")
-		}
 	}
-	d.State = chain.State{ActivatedEpoch: m.ActivatedEpoch, LastIndex: m.LastIndex, Commit: m.Commit}
-	err = c.db.Range("entries", nil, nil, func(k, v []byte) error {
+	d.State = chain.State{ActivatedEpoch: meta.ActivatedEpoch, LastIndex: meta.LastIndex, Commit: meta.Commit}
+	err = s.db.Range("entries", nil, nil, func(_, value []byte) error {
 		var e chain.Entry
-		if err := rpc.Decode(v, &e); err != nil {
+		if err := rpc.Decode(value, &e); err != nil {
 			return err
 		}
 		d.State.Entries = append(d.State.Entries, e)
-		c.savedHashes[e.Index] = entryHash(&e)
+		s.savedHashes[e.Index] = entryHash(&e)
 		return nil
 	})
 	return d, err
 }
 
-// beginIncarnation counts the starts. A head that dies and starts again within its epoch numbers its lists of hosts on from
-// above those of its life before, of which nothing but this is left.
-func (c *Server) beginIncarnation() error {
-	b, err := c.db.Get("vote", incarnationKey)
+// createIdentity returns the durable state of a node with an empty disk, and syncs it with the identity: a
+// founding seed is named by its address, any other node at random.
+func (s *Server) createIdentity() (d Durable, err error) {
+	s.self.ID, _ = s.db.Identity()
+	if s.settings.Bootstrap && slices.Contains(s.settings.Seeds, s.settings.Bind.Control) {
+		var founders []view.Member
+		for _, addr := range seedAddrs(s.settings) {
+			founders = append(founders, view.Member{ID: "seed-" + addr, Addr: addr})
+		}
+		s.self.ID = "seed-" + s.self.Addr
+		d = Founding(founders)
+	}
+	rows := append(s.changedRows(d), sqlitelog.Write{Table: "vote", Key: selfKey, Value: []byte(s.self.ID)})
+	return d, s.db.Commit(s.ctx, rows)
+}
+
+// loadRow decodes a row of the table "vote", if it is there. The advice precedes the error of a row that
+// cannot be decoded.
+func (s *Server) loadRow(key []byte, v any, advice string) error {
+	b, err := s.db.Get("vote", key)
+	if err != nil || b == nil {
+		return err
+	}
+	return errors.Wrap(rpc.Decode(b, v), advice)
+}
+
+// beginIncarnation counts this start, on disk before anything else. A head that dies and starts again within
+// its epoch numbers its lists of hosts above those of its last incarnation, of which only this number is
+// left.
+func (s *Server) beginIncarnation() error {
+	value, err := s.db.Get("vote", incarnationKey)
 	if err != nil {
 		return err
 	}
-	if len(b) == 8 {
-		c.incarnation = int64(binary.BigEndian.Uint64(b))
+	if len(value) == 8 {
+		s.incarnation = int64(binary.BigEndian.Uint64(value))
 	}
-	c.incarnation++
-	return c.db.Commit(c.ctx, []sqlitelog.Write{{Table: "vote", Key: incarnationKey, Value: indexKey(c.incarnation)}})
+	s.incarnation++
+	return s.db.Commit(s.ctx, []sqlitelog.Write{{Table: "vote", Key: incarnationKey, Value: indexKey(s.incarnation)}})
 }
 
+// indexKey returns the key of an index in the table "entries"; the keys sort as the indexes do.
 func indexKey(index int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(index)) }
 
-// changedRows are the writes that bring the disk to what the node has.
-func (c *Server) changedRows(d Durable) []sqlitelog.Write {
-	w := []sqlitelog.Write{
+// changedRows returns the writes that bring the disk to the durable state, and takes them for written. It
+// runs on the event loop, or before it.
+func (s *Server) changedRows(d Durable) []sqlitelog.Write {
+	writes := []sqlitelog.Write{
 		{Table: "vote", Key: acceptorKey, Value: rpc.Encode(&d.Acceptor)},
 		{Table: "vote", Key: metaKey, Value: rpc.Encode(&chainMeta{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit})},
 	}
-	replaced := d.State.ActivatedEpoch != c.savedState.ActivatedEpoch // entries may have been replaced under their indexes
-	now := make(map[int64]uint64, len(d.State.Entries))
+	replaced := d.State.ActivatedEpoch != s.savedState.ActivatedEpoch // entries may have been replaced under their indexes
+	hashes := make(map[int64]uint64, len(d.State.Entries))
 	for _, e := range d.State.Entries {
-		old, saved := c.savedHashes[e.Index]
-		hash := old
+		oldHash, saved := s.savedHashes[e.Index]
+		hash := oldHash
 		if !saved || replaced {
 			hash = entryHash(&e)
 		}
-		now[e.Index] = hash
-		if !saved || hash != old {
-			w = append(w, sqlitelog.Write{Table: "entries", Key: indexKey(e.Index), Value: rpc.Encode(&e)})
+		hashes[e.Index] = hash
+		if !saved || hash != oldHash {
+			writes = append(writes, sqlitelog.Write{Table: "entries", Key: indexKey(e.Index), Value: rpc.Encode(&e)})
 		}
 	}
-	for index := range c.savedHashes {
-		if _, kept := now[index]; !kept {
-			w = append(w, sqlitelog.Write{Table: "entries", Key: indexKey(index)})
+	for index := range s.savedHashes {
+		if _, kept := hashes[index]; !kept {
+			writes = append(writes, sqlitelog.Write{Table: "entries", Key: indexKey(index)})
 		}
 	}
-	c.savedHashes, c.savedState = now, d.State
-	return w
+	s.savedHashes, s.savedState = hashes, d.State
+	return writes
 }
 
-// entryHash tells entries under the same index apart.
+// entryHash returns a hash by which entries under the same index are told apart.
 func entryHash(e *chain.Entry) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(e.Key)
--- a/internal/tier/controlnode/agreement.go
+++ b/internal/tier/controlnode/election.go
@@ -7,16 +7,33 @@
 	"larchrouter/internal/tier/view"
 )
 
+// election is the proposer of the next view, and when it may propose. Views are decided by the voters of the
+// view before with single-decree Paxos (package view); the acceptor is in Node.acceptor and durable, this
+// part is not.
+//
+// Invariants: a ballot of this node is used once, as ballotNumber only rises and the promise to it is synced
+// before it is sent; a proposal is for the epoch after the view, and is dropped with it.
+type election struct {
+	ballotNumber      int64         // the highest that this node has used or seen
+	proposal          *proposal     // in progress; nil for none
+	failedProposals   int           // in this epoch; each gives the next one more time
+	nextProposalAt    time.Duration // no proposal before it
+	changeWantedSince time.Duration // 0 while the view suits
+	promisedAt        time.Duration // when this node promised to the epoch after its view
+}
+
+// proposal is a ballot of this node: it collects promises until a view can be chosen, then accepts.
 type proposal struct {
 	epoch     int64
 	ballot    view.Ballot
 	startedAt time.Duration
 	promises  map[string]view.Promise
-	view      view.View // once chosen
+	view      view.View // Epoch 0 until it is chosen
 	accepts   map[string]bool
 }
 
-// maybePropose begins a new view if one is wanted, this node's turn has come, and a majority is alive.
+// maybePropose drives the proposal in progress. Without one it starts one if another view is wanted, this
+// node's turn has come, and a majority is alive.
 func (n *Node) maybePropose() {
 	if p := n.election.proposal; p != nil {
 		switch {
@@ -33,74 +50,91 @@
 	if v.Epoch == 0 || !v.IsVoter(n.settings.Self.ID) || n.now < n.election.nextProposalAt {
 		return
 	}
-	c := n.conditions()
-	if !n.majorityAlive(c) || !n.wantsChange(c) {
+	cond := n.conditions()
+	if !n.majorityAlive(cond) || !n.wantsChange(cond) {
 		n.election.changeWantedSince = 0
 		return
 	}
 	if n.election.changeWantedSince == 0 {
 		n.election.changeWantedSince = max(n.now, 1)
 	}
-	if n.now-n.election.changeWantedSince < time.Duration(n.proposalRank(c))*2*n.settings.Timings.HeartbeatInterval { // those with an earlier turn go first
+	turn := time.Duration(n.proposalRank(cond)) * 2 * n.settings.Timings.HeartbeatInterval
+	if n.now-n.election.changeWantedSince < turn { // those with an earlier turn go first
 		return
 	}
 	n.startProposal()
 }
 
-// Bounds of the time in which a proposal has to be decided. It takes four messages one after the other and a sync before
-// each, which may take long where the processor or the disk is slow: the time doubles with each proposal that failed.
+// Bounds of the time in which a proposal has to be decided. It takes four messages in sequence and a sync
+// before each, which may take long where the processor or the disk is slow: the time doubles with each
+// proposal that failed.
 const (
-	proposalHeartbeats  = 3 // heartbeats, for the first proposal of an epoch
-	maxTimeoutDoublings = 3 // doublings
+	proposalHeartbeats  = 3 // heartbeat intervals, for the first proposal of an epoch
+	maxTimeoutDoublings = 3
 )
 
-// proposalTimeout is how long a proposal may take now.
+// proposalTimeout returns how long a proposal may take now.
 func (n *Node) proposalTimeout() time.Duration {
 	return proposalHeartbeats * n.settings.Timings.HeartbeatInterval << min(n.election.failedProposals, maxTimeoutDoublings)
 }
 
-// startProposal asks the voters for their promises.
+// startProposal begins a new ballot and asks the voters for their promises.
 func (n *Node) startProposal() {
 	v := &n.acceptor.View
 	n.election.ballotNumber++
-	b := view.Ballot{Number: n.election.ballotNumber, Proposer: n.settings.Self.ID}
-	fresh := !n.acceptor.HasPromised()
-	if !n.acceptor.Prepare(v.Epoch+1, b) {
+	ballot := view.Ballot{Number: n.election.ballotNumber, Proposer: n.settings.Self.ID}
+	firstPromise := !n.acceptor.HasPromised()
+	if !n.acceptor.Prepare(v.Epoch+1, ballot) {
 		return
 	}
-	if fresh {
+	if firstPromise {
 		n.election.promisedAt = n.now
 	}
 	n.ready.MustSync = true
-	n.election.proposal = &proposal{epoch: v.Epoch + 1, ballot: b, startedAt: n.now, promises: map[string]view.Promise{
-		n.settings.Self.ID: {From: n.settings.Self, AcceptedAt: n.acceptor.AcceptedAt, Accepted: n.acceptor.Accepted, ActivatedEpoch: n.chain.State().ActivatedEpoch}}}
-	n.sendToVoters(Message{Kind: msgPrepare, Epoch: v.Epoch + 1, Ballot: b})
+	n.election.proposal = &proposal{epoch: v.Epoch + 1, ballot: ballot, startedAt: n.now, promises: map[string]view.Promise{
+		n.settings.Self.ID: {
+			From:           n.settings.Self,
+			AcceptedAt:     n.acceptor.AcceptedAt,
+			Accepted:       n.acceptor.Accepted,
+			ActivatedEpoch: n.chain.State().ActivatedEpoch,
+		}}}
+	n.sendToVoters(Message{Kind: msgPrepare, Epoch: v.Epoch + 1, Ballot: ballot})
 	n.chooseView()
 }
 
+// handlePrepare answers a prepare with a promise, or with the decided view if the sender is behind it.
 func (n *Node) handlePrepare(m Message) {
 	if n.acceptor.View.Epoch == 0 {
 		return // it votes on nothing before it knows a view
 	}
-	fresh := !n.acceptor.HasPromised()
+	firstPromise := !n.acceptor.HasPromised()
 	if !n.acceptor.Prepare(m.Epoch, m.Ballot) {
 		n.election.ballotNumber = max(n.election.ballotNumber, n.acceptor.Promised.Number)
 		n.sendDecidedView(m)
 		return
 	}
-	if fresh {
+	if firstPromise {
 		n.election.promisedAt = n.now
 	}
 	if n.election.proposal != nil && n.election.proposal.ballot.Less(m.Ballot) {
 		n.election.proposal = nil
 		n.election.failedProposals++
 	}
-	n.election.nextProposalAt = max(n.election.nextProposalAt, n.now+n.proposalTimeout()-proposalHeartbeats*n.settings.Timings.HeartbeatInterval) // for the other one to end it
+	extra := n.proposalTimeout() - proposalHeartbeats*n.settings.Timings.HeartbeatInterval
+	n.election.nextProposalAt = max(n.election.nextProposalAt, n.now+extra) // time for the other proposer to finish
 	n.election.ballotNumber = max(n.election.ballotNumber, m.Ballot.Number)
 	n.ready.MustSync = true
-	n.send(m.From.Addr, Message{Kind: msgPromise, Epoch: m.Epoch, Ballot: m.Ballot, AcceptedAt: n.acceptor.AcceptedAt, View: n.acceptor.Accepted, ActivatedEpoch: n.chain.State().ActivatedEpoch})
+	n.send(m.From.Addr, Message{
+		Kind:           msgPromise,
+		Epoch:          m.Epoch,
+		Ballot:         m.Ballot,
+		AcceptedAt:     n.acceptor.AcceptedAt,
+		View:           n.acceptor.Accepted,
+		ActivatedEpoch: n.chain.State().ActivatedEpoch,
+	})
 }
 
+// handlePromise counts a promise for the proposal in progress.
 func (n *Node) handlePromise(m Message) {
 	p := n.election.proposal
 	if p == nil || m.Epoch != p.epoch || m.Ballot != p.ballot || p.view.Epoch > 0 || !n.acceptor.View.IsVoter(m.From.ID) {
@@ -110,22 +144,23 @@
 	n.chooseView()
 }
 
-// chooseView proposes once all that are alive have promised, or a majority has and the others take long.
+// chooseView proposes a view once all voters that are alive have promised, or a majority has and the others
+// took longer than a heartbeat interval.
 func (n *Node) chooseView() {
 	p := n.election.proposal
-	c := n.conditions()
+	cond := n.conditions()
 	for _, v := range n.acceptor.View.Voters {
-		if _, has := p.promises[v.ID]; !has && c.Alive[v.ID] && n.now-p.startedAt < n.settings.Timings.HeartbeatInterval {
+		if _, has := p.promises[v.ID]; !has && cond.Alive[v.ID] && n.now-p.startedAt < n.settings.Timings.HeartbeatInterval {
 			return
 		}
 	}
 	var promises []view.Promise
 	for _, v := range n.acceptor.View.Voters {
-		if one, has := p.promises[v.ID]; has {
-			promises = append(promises, one)
+		if promised, has := p.promises[v.ID]; has {
+			promises = append(promises, promised)
 		}
 	}
-	next, ok := view.ChooseView(&n.acceptor.View, promises, c)
+	next, ok := view.ChooseView(&n.acceptor.View, promises, cond)
 	if !ok || !n.acceptor.Accept(p.ballot, next) {
 		return
 	}
@@ -135,6 +170,7 @@
 	n.adoptIfAccepted()
 }
 
+// handleAccept accepts a proposed view, unless this node has promised to a higher ballot.
 func (n *Node) handleAccept(m Message) {
 	if !n.acceptor.Accept(m.Ballot, m.View) {
 		n.sendDecidedView(m)
@@ -144,13 +180,17 @@
 	n.send(m.From.Addr, Message{Kind: msgAccepted, Epoch: m.Epoch, Ballot: m.Ballot})
 }
 
+// handleAccepted counts an accept for the proposal in progress.
 func (n *Node) handleAccepted(m Message) {
-	if p := n.election.proposal; p != nil && p.view.Epoch > 0 && m.Epoch == p.epoch && m.Ballot == p.ballot && n.acceptor.View.IsVoter(m.From.ID) {
+	p := n.election.proposal
+	if p != nil && p.view.Epoch > 0 && m.Epoch == p.epoch && m.Ballot == p.ballot && n.acceptor.View.IsVoter(m.From.ID) {
 		p.accepts[m.From.ID] = true
 		n.adoptIfAccepted()
 	}
 }
 
+// adoptIfAccepted adopts the proposed view once a majority has accepted it, and sends it to the members of
+// the view before and after.
 func (n *Node) adoptIfAccepted() {
 	p := n.election.proposal
 	if len(p.accepts) < n.acceptor.View.Majority() {
@@ -159,7 +199,7 @@
 	before := n.acceptor.View
 	v := p.view
 	n.adopt(v)
-	for _, m := range before.Voters { // those that left the list hear of it as well
+	for _, m := range before.Voters { // removed voters are notified as well
 		if m.ID != n.settings.Self.ID {
 			n.send(n.addr(m.ID), Message{Kind: msgDecide, View: v})
 		}
@@ -171,6 +211,9 @@
 	}
 }
 
+// adopt makes a decided view the view of this node, if it is newer. It resets what counts for one epoch only:
+// the proposal, confirmations, the learner; a node that is not head any more completes its writes with
+// OutcomeUnknown.
 func (n *Node) adopt(v view.View) {
 	if !n.acceptor.Adopt(v) {
 		return
@@ -184,7 +227,7 @@
 	}
 	for id, p := range n.peers {
 		p.confirmedRound, p.commitReported, p.reportedCommit = 0, false, 0 // nothing was confirmed in this epoch yet
-		p.echoedInView = false                                             // whoever was left out has to be heard of anew
+		p.echoedInView = false                                             // an excluded member has to answer anew
 		if !v.IsVoter(id) && n.now-p.lastHeard > 10*n.settings.Timings.FailureTimeout {
 			delete(n.peers, id)
 		}
@@ -197,8 +240,9 @@
 		n.handover.outgoing = nil
 	}
 	n.readIndex.roundAtAdoption, n.readIndex.requestedRound = n.readIndex.rounds.number, n.readIndex.rounds.number+1
-	n.sendChainAck() // the predecessor has to know where this member is
+	n.sendChainAck() // the predecessor needs this member's position
 	if next := v.Successor(n.settings.Self.ID); next != "" {
-		n.send(n.addr(next), Message{Kind: msgChainUpdate, Update: chain.Update{Epoch: v.Epoch}}) // it answers where it is, if it adopted first
+		// The successor answers with its position, if it adopted the view first.
+		n.send(n.addr(next), Message{Kind: msgChainUpdate, Update: chain.Update{Epoch: v.Epoch}})
 	}
 }
--- /dev/null
+++ b/internal/tier/controlnode/event_loop.go
@@ -0,0 +1,171 @@
+package controlnode
+
+import (
+	"strings"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"larchrouter/internal/tier/discovery"
+)
+
+// eventLoop owns the node. It takes events in batches: what a batch changed is synced once, before any of its
+// messages, completions and reads leave the node. It returns an error if the disk fails, as a node that can
+// not sync can not promise anything.
+func (s *Server) eventLoop() error {
+	tick := time.NewTicker(tickInterval)
+	defer tick.Stop()
+	lastPublished := publishedState{epoch: -1, commit: -1}
+	for s.handleBatch(tick.C) {
+		if err := s.syncChanges(); err != nil {
+			if s.ctx.Err() != nil {
+				return nil
+			}
+			s.log.Trouble("msg", "the disk does not take the node's state; it stops", "err", err)
+			return errors.Wrap(err, "sync the control state")
+		}
+		s.deliver()
+		s.wakeConfirmedPolls()
+		s.isHead.Store(s.node.IsConfirmedHead())
+		s.publishChanges(&lastPublished)
+	}
+	return nil
+}
+
+// maxBatch bounds the events that are handled before anything is sent: many followers that call without a
+// pause must not delay the heartbeats of this node.
+const maxBatch = 256
+
+// handleBatch waits for an event, and handles it and those that are waiting as well. It returns false once
+// the server stops.
+func (s *Server) handleBatch(tick <-chan time.Time) bool {
+	select {
+	case <-s.ctx.Done():
+		return false
+	case m := <-s.peerMessages:
+		s.mergeReady(s.node.Receive(s.now(), m))
+	case request := <-s.requests:
+		s.handleRequest(request)
+	case <-tick:
+		s.tick()
+	}
+	for handled := 1; handled < maxBatch && s.handleNext(tick); handled++ {
+	}
+	return true
+}
+
+// handleNext handles one waiting event, messages of other nodes first. It returns false if there is none.
+func (s *Server) handleNext(tick <-chan time.Time) bool {
+	select {
+	case m := <-s.peerMessages:
+		s.mergeReady(s.node.Receive(s.now(), m))
+		return true
+	default:
+	}
+	select {
+	case request := <-s.requests:
+		s.handleRequest(request)
+	case <-tick:
+		s.tick()
+	default:
+		return false
+	}
+	return true
+}
+
+// tick does the periodic work of the loop.
+func (s *Server) tick() {
+	s.mergeReady(s.node.Tick(s.now()))
+	s.dropAbandoned()
+	s.planPlacement()
+}
+
+// mergeReady adds a Ready of the node to that of the batch.
+func (s *Server) mergeReady(ready Ready) {
+	s.ready.MustSync = s.ready.MustSync || ready.MustSync
+	s.ready.Messages = append(s.ready.Messages, ready.Messages...)
+	s.ready.Completed = append(s.ready.Completed, ready.Completed...)
+}
+
+// syncChanges writes the node's durable state to the disk and syncs it, if the batch has changed it.
+func (s *Server) syncChanges() error {
+	if !s.ready.MustSync {
+		return nil
+	}
+	return s.syncRows(s.ctx, s.changedRows(s.node.Durable()))
+}
+
+// deliver sends the messages of the batch, wakes the callers of completed requests, and then the callers of
+// runOnLoop.
+func (s *Server) deliver() {
+	for _, e := range s.ready.Messages {
+		s.sendToPeer(e)
+	}
+	for _, completion := range s.ready.Completed {
+		if p, ok := s.pendingRequests[completion.RequestID]; ok {
+			delete(s.pendingRequests, completion.RequestID)
+			p.completed <- completion
+		}
+	}
+	s.ready = Ready{}
+	for _, synced := range s.awaitingSync {
+		close(synced)
+	}
+	s.awaitingSync = s.awaitingSync[:0]
+}
+
+// publishedState is what followers and the log were last notified of.
+type publishedState struct {
+	epoch  int64
+	commit int64
+	hosts  *discovery.List
+	fresh  bool
+}
+
+// publishChanges wakes the polls of followers and writes to the log where something has changed since the
+// last call.
+func (s *Server) publishChanges(last *publishedState) {
+	if v := s.node.View(); v.Epoch != last.epoch {
+		last.epoch = v.Epoch
+		chain := strings.Join(s.chainNames(), " ")
+		s.log.Say("msg", "view", "epoch", v.Epoch, "voters", len(v.Voters), "chain", chain, "self", s.self.ID)
+	}
+	commit, hosts, fresh := s.node.Chain().State().Commit, s.node.Hosts(), s.node.Fresh()
+	if commit == last.commit && hosts == last.hosts && fresh == last.fresh {
+		return
+	}
+	if fresh != last.fresh {
+		_ = s.log.Log("msg", "fresh for followers", "fresh", fresh, "age", s.node.ConfirmationAge(), "commit", commit)
+	}
+	if hosts != last.hosts {
+		s.hostListHistory.Add(last.hosts, hosts)
+	}
+	last.commit, last.hosts, last.fresh = commit, hosts, fresh
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
+
+// chainNames returns the names of the chain's machines, and the ids of those whose names are unknown.
+func (s *Server) chainNames() (names []string) {
+	for _, member := range s.node.View().Chain {
+		names = append(names, s.name(member.ID))
+	}
+	return names
+}
+
+// name returns the name of the machine with an id, or the id where the name is unknown.
+func (s *Server) name(id string) string {
+	if id == s.self.ID {
+		return s.self.Name
+	}
+	if p := s.node.peers[id]; p != nil && p.member.Name != "" {
+		return p.member.Name
+	}
+	v := s.node.View()
+	if m, ok := v.Member(id); ok && m.Name != "" {
+		return m.Name
+	}
+	return id
+}
--- /dev/null
+++ b/internal/tier/controlnode/feed_poll.go
@@ -0,0 +1,164 @@
+package controlnode
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"larchrouter/internal/tier/chain"
+	"larchrouter/internal/tier/discovery"
+	"larchrouter/internal/tier/feed"
+)
+
+// waitingPoll is a poll that has something to answer, and waits for a confirmation round started after it
+// came.
+type waitingPoll struct {
+	arrival time.Duration
+	until   time.Duration // the poll has ended by then
+	ready   chan struct{} // closed once it is confirmed, or the poll has ended
+}
+
+// feedSnapshot is the feed after a follower's index, as the event loop read it for one look of a poll.
+type feedSnapshot struct {
+	confirmed bool          // since the poll came
+	recent    bool          // confirmed within the last SuspectTimeout
+	ready     chan struct{} // closed once what is here is confirmed; nil where nothing waits for it
+	index     int64         // commit index
+	entries   []chain.Entry // after the index that the follower has
+	committed []chain.Entry // all of them
+	hosts     []discovery.List
+	delta     []discovery.Delta
+	coreAddrs []string
+}
+
+// hasUpdate reports whether there is something that the follower does not have.
+func (f *feedSnapshot) hasUpdate(poll *feed.ChangesRequest) bool {
+	return f.index > poll.ReceivedIndex || len(f.hosts)+len(f.delta) > 0
+}
+
+// snapshotFeedRequest reads the feed for a poll, and requests a confirmation round where the poll is to be
+// answered.
+type snapshotFeedRequest struct {
+	poll     *feed.ChangesRequest
+	arrival  time.Duration
+	over     bool // the poll has waited as long as it asked
+	snapshot feedSnapshot
+}
+
+func (r *snapshotFeedRequest) handle(s *Server) {
+	r.snapshot = s.snapshotFeed(r.poll, r.arrival, r.over)
+}
+
+// recordFollower keeps what a poll reports of its follower.
+func (s *Server) recordFollower(poll *feed.ChangesRequest) {
+	s.followers.Store(poll.Name, &Follower{
+		Name:          poll.Name,
+		Class:         poll.Class,
+		ActiveVersion: poll.ActiveVersion,
+		AppliedIndex:  poll.AppliedIndex,
+		LastSeen:      time.Now(),
+	})
+}
+
+// awaitUpdate waits, for as long as a poll asks, for something that the follower does not have, and returns
+// the feed then. It is confirmed since the poll came; where that takes too long the snapshot says that it is
+// not.
+func (s *Server) awaitUpdate(ctx context.Context, poll *feed.ChangesRequest) (snapshot feedSnapshot, err error) {
+	s.recordFollower(poll)
+	request := &snapshotFeedRequest{poll: poll, arrival: s.now()}
+	wait := time.Duration(poll.WaitMs) * time.Millisecond
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	for {
+		s.mu.Lock()
+		changed := s.changed
+		s.mu.Unlock()
+		spent := s.now() - request.arrival
+		over := spent >= wait
+		request.over = over
+		if !s.runOnLoop(request) {
+			return feedSnapshot{}, errStopping
+		}
+		snapshot = request.snapshot
+		// A follower that has nothing yet waits on where one that has something is sent to another node.
+		stale := !snapshot.recent && (over || poll.ReceivedIndex > 0 && spent >= pollGrace)
+		if stale || spent >= wait+pollGrace || snapshot.confirmed && (over || snapshot.hasUpdate(poll)) {
+			return snapshot, nil
+		}
+		timer.Reset(nextCheck(spent, wait, snapshot.recent))
+		select {
+		case <-changed:
+		case <-snapshot.ready:
+		case <-timer.C:
+		case <-ctx.Done():
+			return snapshot, ctx.Err()
+		}
+	}
+}
+
+// nextCheck returns how long a poll may sleep: until it has waited as long as it asked, or until it is given
+// up.
+func nextCheck(spent, wait time.Duration, recent bool) time.Duration {
+	switch {
+	case !recent && spent < pollGrace && pollGrace < wait:
+		return pollGrace - spent
+	case spent < wait:
+		return wait - spent
+	}
+	return wait + pollGrace - spent
+}
+
+// snapshotFeed reads the feed for a poll, which is to be answered where there is an update or its time is
+// over. It runs on the event loop.
+func (s *Server) snapshotFeed(poll *feed.ChangesRequest, arrival time.Duration, over bool) (f feedSnapshot) {
+	replica := s.node.Chain()
+	f.index = replica.State().Commit
+	behind := f.index < poll.ReceivedIndex // another node gave the follower more than this one has
+	f.confirmed = !behind && s.confirmedSince(arrival)
+	f.recent = !behind && s.node.Fresh()
+	f.committed = feed.FilterForFollowers(replica.Committed(0))
+	f.entries = chain.EntriesAfter(f.committed, poll.ReceivedIndex)
+	if h := s.node.Hosts(); h != nil && h.Newer(&discovery.List{Term: poll.HostListTerm, Number: poll.HostListNumber}) {
+		if d, ok := s.hostListHistory.Since(poll.HostListTerm, poll.HostListNumber); ok && d.Term == h.Term && d.Number == h.Number {
+			f.delta = []discovery.Delta{d}
+		} else {
+			f.hosts = []discovery.List{*h}
+		}
+	}
+	for _, m := range s.node.View().Voters {
+		f.coreAddrs = append(f.coreAddrs, m.Addr)
+	}
+	if !f.confirmed && !behind && (over || f.hasUpdate(poll)) {
+		f.ready = s.registerPoll(arrival, poll)
+	}
+	return f
+}
+
+// registerPoll registers a poll that is to be answered, and requests a confirmation round. It runs on the
+// event loop.
+func (s *Server) registerPoll(arrival time.Duration, poll *feed.ChangesRequest) chan struct{} {
+	s.mergeReady(s.node.RequestConfirmation(s.now()))
+	until := arrival + time.Duration(poll.WaitMs)*time.Millisecond + pollGrace
+	w := waitingPoll{arrival: arrival, until: until, ready: make(chan struct{})}
+	s.feed.waitingPolls = append(s.feed.waitingPolls, w)
+	return w.ready
+}
+
+// confirmedSince reports whether followers may rely on this node for all that was committed before a poll
+// arrived: a majority has confirmed it in a round started after that. It runs on the event loop.
+func (s *Server) confirmedSince(arrival time.Duration) bool { return s.node.ConfirmedSince(arrival) }
+
+// wakeConfirmedPolls wakes the polls that are confirmed, and drops those that have ended. The event loop
+// calls it after each batch.
+func (s *Server) wakeConfirmedPolls() {
+	if len(s.feed.waitingPolls) == 0 {
+		return
+	}
+	s.feed.waitingPolls = slices.DeleteFunc(s.feed.waitingPolls, func(w waitingPoll) bool {
+		if !s.confirmedSince(w.arrival) && s.now() <= w.until {
+			return false
+		}
+		close(w.ready)
+		return true
+	})
+}
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -172,11 +172,11 @@
 	frozen := c.cores[2]
 	before := int64(0)
 	c.until("the node has the version", func() bool {
-		frozen.runOnLoop(func() { before = frozen.node.Chain().State().Commit })
+		frozen.onLoop(func() { before = frozen.node.Chain().State().Commit })
 		return before >= f.Tables().Index
 	})
 	release, woke := make(chan struct{}), make(chan feedSnapshot, 1)
-	go frozen.runOnLoop(func() {
+	go frozen.onLoop(func() {
 		<-release
 		now := frozen.now()
 		frozen.mergeReady(frozen.node.Tick(now)) // its clock goes on before its sockets are read
@@ -212,7 +212,7 @@
 		var arrival time.Duration
 		var m feedSnapshot
 		c.until("a node that was confirmed lately", func() bool {
-			core.runOnLoop(func() {
+			core.onLoop(func() {
 				arrival = core.now()
 				m = core.snapshotFeed(q, arrival, true)
 			})
@@ -222,7 +222,7 @@
 			t.Fatalf("node %d: a poll was answered fresh in the moment of its coming", i)
 		}
 		c.until("a round begun after the poll", func() bool {
-			core.runOnLoop(func() { m = core.snapshotFeed(q, arrival, true) })
+			core.onLoop(func() { m = core.snapshotFeed(q, arrival, true) })
 			if !m.confirmed {
 				<-m.ready // at the latest when the poll has ended
 			}
--- a/internal/tier/controlnode/handover.go
+++ b/internal/tier/controlnode/handover.go
@@ -6,26 +6,29 @@
 	"larchrouter/internal/tier/placement"
 )
 
-// handoverMaxAge is how long what a head has told counts: until another has taken over. What is older is of a head before that.
+// handoverMaxAge is how long received observations count: until a successor has taken over. Older ones are of
+// an earlier head.
 const handoverMaxAge = 2 * time.Second
 
-// handover is what passes from the head to the one after it about the placement of stores. It is soft state: what is lost
-// costs the one after it time.
+// handover passes a head's observations of the stores to its successor, with the head's heartbeats. It is
+// soft state: what is lost costs the successor time. Invariants: only the head of this node's view is heard,
+// only its newest heartbeat counts, and outgoing is empty on a node that lost the head's place.
 type handover struct {
-	outgoing          []placement.Observations // that this node tells as the head, at most one
-	received          placement.Observations   // the newest that it was told
-	senderID          string                   // the id of the node that told it
+	outgoing          []placement.Observations // what this node sends as the head, at most one
+	received          placement.Observations   // the newest that came
+	senderID          string
 	senderIncarnation int64
-	heartbeatRound    int64 // of the heartbeat that it came with
+	heartbeatRound    int64 // the round of the heartbeat that it came with
 	receivedAt        time.Duration
 }
 
-// SetHandover has this node tell the others, with its heartbeats as the head, what it has measured of the stores.
-func (n *Node) SetHandover(h placement.Observations) {
-	n.handover.outgoing = []placement.Observations{h}
+// SetHandover sets the observations that this node sends with its heartbeats while it is the head.
+func (n *Node) SetHandover(observations placement.Observations) {
+	n.handover.outgoing = []placement.Observations{observations}
 }
 
-// Handover is what the head has told last, empty where that is too long ago.
+// Handover returns the observations that the head sent last, empty where that is longer ago than
+// handoverMaxAge.
 func (n *Node) Handover() placement.Observations {
 	if n.now-n.handover.receivedAt > handoverMaxAge {
 		return placement.Observations{}
@@ -33,12 +36,14 @@
 	return n.handover.received
 }
 
-// handleHandover keeps what a heartbeat of the head of this node's view tells. Heartbeats may come out of order.
+// handleHandover keeps the observations of a heartbeat of the head of this node's view. Heartbeats may come
+// out of order.
 func (n *Node) handleHandover(m Message) {
 	h := &n.handover
-	late := m.From.ID == h.senderID && m.Incarnation == h.senderIncarnation && m.ConfirmationRound <= h.heartbeatRound
-	if len(m.Handover) != 1 || m.Epoch != n.acceptor.View.Epoch || m.From.ID != n.acceptor.View.Head() || late {
+	outdated := m.From.ID == h.senderID && m.Incarnation == h.senderIncarnation && m.ConfirmationRound <= h.heartbeatRound
+	if len(m.Handover) != 1 || m.Epoch != n.acceptor.View.Epoch || m.From.ID != n.acceptor.View.Head() || outdated {
 		return
 	}
-	h.received, h.senderID, h.senderIncarnation, h.heartbeatRound, h.receivedAt = m.Handover[0], m.From.ID, m.Incarnation, m.ConfirmationRound, n.now
+	h.received, h.receivedAt = m.Handover[0], n.now
+	h.senderID, h.senderIncarnation, h.heartbeatRound = m.From.ID, m.Incarnation, m.ConfirmationRound
 }
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -64,7 +64,7 @@
 			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one})
 		}
 		var h placement.Observations
-		c.cores[2].runOnLoop(func() { h = c.cores[2].node.Handover() })
+		c.cores[2].onLoop(func() { h = c.cores[2].node.Handover() })
 		return h
 	}
 	c.until("all stores are placed", func() bool { return told().Generation > 0 })
--- a/internal/tier/controlnode/host_list.go
+++ b/internal/tier/controlnode/host_list.go
@@ -6,24 +6,32 @@
 	"larchrouter/internal/tier/discovery"
 )
 
-// Hosts is the newest list of hosts, nil for none.
+// hostList is the newest list of hosts that this node knows. It is soft state: the head publishes it, and
+// sends it to voters whose heartbeats show an older one. Invariant: it is replaced only by a newer one, by
+// term and number.
+type hostList struct {
+	list *discovery.List // the newest; nil for none
+}
+
+// Hosts returns the newest list of hosts, nil for none.
 func (n *Node) Hosts() *discovery.List { return n.hosts.list }
 
-// PublishHosts has a list of hosts spread; it is soft state.
-func (n *Node) PublishHosts(now time.Duration, l *discovery.List) Ready {
+// PublishHosts sends a newer list of hosts to all voters, as a difference where they may have the one before.
+func (n *Node) PublishHosts(now time.Duration, list *discovery.List) Ready {
 	return n.step(now, func() {
-		if !l.Newer(n.hosts.list) {
+		if !list.Newer(n.hosts.list) {
 			return
 		}
-		if n.hosts.list != nil { // whoever has another list says so with its next heartbeat
-			n.sendToVoters(Message{Kind: msgHostList, Delta: []discovery.Delta{discovery.Diff(n.hosts.list, l)}})
+		if n.hosts.list != nil { // a voter with another list shows that in its next heartbeat
+			n.sendToVoters(Message{Kind: msgHostList, Delta: []discovery.Delta{discovery.Diff(n.hosts.list, list)}})
 		} else {
-			n.sendToVoters(Message{Kind: msgHostList, Hosts: []discovery.List{*l}})
+			n.sendToVoters(Message{Kind: msgHostList, Hosts: []discovery.List{*list}})
 		}
-		n.hosts.list = l
+		n.hosts.list = list
 	})
 }
 
+// hostListTerm returns the term of the newest list, 0 for none.
 func (n *Node) hostListTerm() int64 {
 	if n.hosts.list == nil {
 		return 0
@@ -31,6 +39,7 @@
 	return n.hosts.list.Term
 }
 
+// handleHostList takes a list of hosts, or a difference, if that makes a newer list.
 func (n *Node) handleHostList(m Message) {
 	if len(m.Hosts) == 1 && m.Hosts[0].Newer(n.hosts.list) {
 		n.hosts.list = &m.Hosts[0]
--- a/internal/tier/controlnode/node.go
+++ b/internal/tier/controlnode/node.go
@@ -1,5 +1,3 @@
-// Package controlnode is a node of the control plane: it joins the agreement on views (package view) with the chain of the
-// control state (package chain), and carries both out. Node is pure; Core drives it.
 package controlnode
 
 import (
@@ -8,32 +6,17 @@
 	"time"
 
 	"larchrouter/internal/tier/chain"
-	"larchrouter/internal/tier/discovery"
 	"larchrouter/internal/tier/view"
 )
 
-// peer is what a node knows of another. What it has heard of it is fenced by the life in which the other said it.
-type peer struct {
-	member         view.Member
-	incarnation    int64 // the newest that was heard
-	lastHeard      time.Duration
-	heardFrom      bool
-	lastHeardUs    time.Duration // when what it is known to have heard of this node was sent, or when it was met
-	echoedInView   bool          // it has echoed a round that this node sent since it adopted its view
-	leaving        bool
-	epoch          int64
-	chainAck       chain.Ack // its part of the chain, with its last heartbeat
-	heardPeers     []string  // whom it hears, sorted
-	hostListTerm   int64     // of its list of hosts
-	hostListNumber int64
-	latestRound    int64 // the newest of its rounds that has come
-	confirmedRound int64 // the newest of this node's rounds that it has confirmed in this epoch
-
-	commitReported bool // it has told, in this epoch, what is committed
-	reportedCommit int64
-}
-
-// Node is a control node's decisions. It is not safe for concurrent use.
+// Node is the state machine of a control node. It does no I/O and reads no clock: each exported method that
+// takes the time handles one event and returns a Ready with what the caller has to persist, send and
+// complete. It is not safe for concurrent use.
+//
+// Its state is split by concern: acceptor (promises and the newest decided view), chain (the replicated
+// entries), peers, election (this node's proposals for the next view), replication (requests and learner in
+// progress), readIndex (confirmation rounds), hosts and handover (soft state). Only acceptor and chain
+// survive a restart.
 type Node struct {
 	settings        NodeSettings
 	now             time.Duration // of the newest event; never goes back
@@ -55,34 +38,8 @@
 	ready Ready // collects what the current step asks for; empty between steps
 }
 
-type election struct {
-	ballotNumber      int64         // the highest that this node has used or seen
-	proposal          *proposal     // in progress; nil for none
-	failedProposals   int           // in this epoch; each gives the next one more time
-	nextProposalAt    time.Duration // no proposal before it
-	changeWantedSince time.Duration // 0 while the view suits
-	promisedAt        time.Duration // when this node promised to the epoch after its view
-}
-
-type replication struct {
-	updateReceived bool // the predecessor has sent an update in this epoch and incarnation
-	pendingWrites  []pendingWrite
-	learner        string        // the id of the one that the tail brings up to date, empty for none
-	learnerAckedAt time.Duration // when it answered last
-}
-
-type readIndex struct {
-	rounds          confirmationRounds
-	requestedRound  int64 // a round with this number or a higher one is wanted
-	roundAtAdoption int64 // the newest when the view was adopted
-	waiters         []waiter
-}
-
-type hostList struct {
-	list *discovery.List // the newest; nil for none
-}
-
-// NewNode makes a node from what its disk has. A founding one has a View of epoch 1 there.
+// NewNode returns a node with the state that its disk has. A founding node has a View of epoch 1 there, see
+// Founding.
 func NewNode(s NodeSettings, d Durable, now time.Duration) *Node {
 	n := &Node{settings: s, acceptor: d.Acceptor, chain: chain.New(s.Self.ID, d.State), peers: map[string]*peer{}, now: now}
 	n.election.ballotNumber = d.Acceptor.Promised.Number
@@ -98,7 +55,8 @@
 	return n
 }
 
-// Founding is what a founding seed begins with: the seeds are the voters of epoch 1, by address.
+// Founding returns the durable state with which a founding seed starts: the seeds, by address, are the voters
+// and the chain of epoch 1.
 func Founding(seeds []view.Member) Durable {
 	v := view.View{Epoch: 1, Voters: slices.Clone(seeds)}
 	slices.SortFunc(v.Voters, func(a, b view.Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -108,37 +66,34 @@
 	return Durable{Acceptor: view.Acceptor{View: v}, State: chain.State{ActivatedEpoch: 1}}
 }
 
-// View is the newest decided view that the node knows.
+// View returns the newest decided view that the node knows.
 func (n *Node) View() view.View { return n.acceptor.View }
 
-// Chain is the node's part of the chain, to be read only.
+// Chain returns the node's replica of the chain, for reading only.
 func (n *Node) Chain() *chain.Chain { return n.chain }
 
-// IsConfirmedHead tells whether this node holds the duties: it leads, and a majority has confirmed that lately.
+// Durable returns the state that has to be on disk.
+func (n *Node) Durable() Durable { return Durable{Acceptor: n.acceptor, State: *n.chain.State()} }
+
+// IsConfirmedHead reports whether this node has the singleton roles (planning the placement, polling the
+// platform): it is the active head, and a majority has confirmed that in a round sent within the last
+// SuspectTimeout. It is a hint; whatever the roles write is fenced by the epoch.
 func (n *Node) IsConfirmedHead() bool {
 	return n.IsActiveHead() && n.ConfirmationAge() < n.settings.Timings.SuspectTimeout
 }
 
-// IsActiveHead tells whether orders are decided at this node: it is the head of its view's chain, takes part, and has not promised
-// to the next view. It may have been replaced without knowing: what is decided is told after Confirm or a commit.
+// IsActiveHead reports whether orders are decided at this node: it is the head of its view's chain, is active
+// in it, and has not promised to the next epoch. It may have been replaced without knowing: a decision is
+// reported to a caller only after Confirm or a commit.
 func (n *Node) IsActiveHead() bool {
 	return n.acceptor.View.Head() == n.settings.Self.ID && n.chain.IsActive() && !n.acceptor.HasPromised()
 }
 
-// HeadAddr is the address of the head, empty where none is known.
+// HeadAddr returns the address of the head, empty where none is known.
 func (n *Node) HeadAddr() string { return n.addr(n.acceptor.View.Head()) }
 
-func (n *Node) addr(id string) string {
-	if p := n.peers[id]; p != nil && p.heardFrom {
-		return p.member.Addr
-	}
-	if m, ok := n.acceptor.View.Member(id); ok {
-		return m.Addr
-	}
-	return ""
-}
-
-// ConfirmationAge is how long ago the newest round was sent that a majority of the voters has confirmed.
+// ConfirmationAge returns how long ago the newest round was sent that a majority of the voters has confirmed,
+// or an hour where there is none.
 func (n *Node) ConfirmationAge() time.Duration {
 	if sent, ok := n.confirmedRoundSentAt(); ok {
 		return n.now - sent
@@ -146,20 +101,13 @@
 	return time.Hour
 }
 
-// Fresh tells whether followers may rely on this node: it has all that was committed a moment ago. It is a hint; what
-// a follower is answered takes ConfirmedSince.
+// Fresh reports whether followers may rely on this node: it had, within the last SuspectTimeout, everything
+// that was committed. It is a hint; an answer to a follower requires ConfirmedSince.
 func (n *Node) Fresh() bool { return n.ConfirmedSince(n.now - n.settings.Timings.SuspectTimeout) }
 
-func (n *Node) ensurePeer(m view.Member) *peer {
-	p := n.peers[m.ID]
-	if p == nil {
-		p = &peer{member: m, lastHeard: n.now, lastHeardUs: n.now}
-		n.peers[m.ID] = p
-	}
-	return p
-}
-
-// step brackets one event; what it asks for comes back.
+// step handles one event and returns what it asks for. The order is part of the contract: the event,
+// completed writes, a requested confirmation round, completed waiters, and at last the updates to the
+// successor and the learner.
 func (n *Node) step(now time.Duration, event func()) Ready {
 	n.advanceClock(now)
 	known := n.chain.CommitIsCurrent()
@@ -171,13 +119,14 @@
 	n.startRequestedRound()
 	n.completeWaiters()
 	n.replicate()
-	out := n.ready
+	ready := n.ready
 	n.ready = Ready{}
-	return out
+	return ready
 }
 
-// advanceClock moves on. After a pause of its own (it was frozen, or got no processor) what it has not heard meanwhile is no
-// sign of others' health. It is none of its own health either: that takes a round of confirmation.
+// advanceClock sets the time. After a pause of this node itself (frozen, or without a processor, for more
+// than MaxPause) the missing messages of that time are no evidence of others' faults, and the deadlines move
+// by the gap. The pause says nothing about this node's own health either: that takes a confirmation round.
 func (n *Node) advanceClock(now time.Duration) {
 	if gap := now - n.now; gap > n.settings.Timings.MaxPause {
 		for _, p := range n.peers {
@@ -190,7 +139,7 @@
 	n.now = max(n.now, now)
 }
 
-// Tick is to be called several times in Timings.Beat.
+// Tick handles the passing of time. It is to be called several times in Timings.HeartbeatInterval.
 func (n *Node) Tick(now time.Duration) Ready {
 	return n.step(now, func() {
 		if n.now >= n.nextHeartbeatAt {
@@ -206,13 +155,14 @@
 	})
 }
 
-func (n *Node) complete(d Completion) { n.ready.Completed = append(n.ready.Completed, d) }
+// complete adds the end of a write or a read to the Ready of this step.
+func (n *Node) complete(c Completion) { n.ready.Completed = append(n.ready.Completed, c) }
 
-// resend repeats what is under way: its messages, or the answers to them, may be lost.
+// resend repeats what is in flight: its messages, or the answers to them, may be lost.
 func (n *Node) resend() {
 	n.chain.Resend()
 	if !n.chain.IsActive() || !n.replication.updateReceived {
-		n.sendChainAck() // the predecessor has to know where this member is
+		n.sendChainAck() // the predecessor needs this member's position
 	}
 	if p := n.election.proposal; p != nil {
 		if p.view.Epoch > 0 {
@@ -225,3 +175,31 @@
 		n.readIndex.requestedRound = n.readIndex.rounds.number + 1
 	}
 }
+
+// StartLeaving announces that this node is about to stop: another takes its place in the chain and its roles
+// at once.
+func (n *Node) StartLeaving(now time.Duration) Ready {
+	return n.step(now, func() {
+		n.leaving = true
+		n.sendHeartbeat()
+		n.election.nextProposalAt = 0
+		n.maybePropose()
+	})
+}
+
+// CanStop reports whether the node may stop: it is not in the chain any more and has no vote that others
+// would miss, or too few others are alive for a chain without it, so that waiting is of no use.
+func (n *Node) CanStop() bool {
+	v := &n.acceptor.View
+	if v.Position(n.settings.Self.ID) < 0 && (!v.IsVoter(n.settings.Self.ID) || len(v.Voters) <= 2*n.settings.FaultTolerance+1) {
+		return true
+	}
+	cond := n.conditions()
+	staying := 0
+	for id := range cond.Alive {
+		if id != n.settings.Self.ID && !cond.Leaving[id] {
+			staying++
+		}
+	}
+	return staying <= n.settings.FaultTolerance || !n.majorityAlive(cond)
+}
--- /dev/null
+++ b/internal/tier/controlnode/peer_calls.go
@@ -0,0 +1,104 @@
+package controlnode
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"larchrouter/internal/rpc"
+	"larchrouter/internal/tier/feed"
+)
+
+// Bounds of what waits for one peer.
+const (
+	maxQueuedMessages = 64 // for one address
+	notifyTimeout     = 800 * time.Millisecond
+)
+
+// sendToPeer queues a message for the goroutine that sends to one address, in order. A message for a full
+// queue is dropped; the node resends what matters. It runs on the event loop.
+func (s *Server) sendToPeer(e Envelope) {
+	queue := s.senders[e.To]
+	if queue == nil {
+		queue = make(chan Message, maxQueuedMessages)
+		s.senders[e.To] = queue
+		client := s.clients.To(e.To)
+		s.wg.Go(func() {
+			for {
+				select {
+				case m := <-queue:
+					ctx, cancel := context.WithTimeout(s.ctx, notifyTimeout)
+					_ = client.Notify(ctx, feed.PeerCall, &m)
+					cancel()
+				case <-s.ctx.Done():
+					return
+				}
+			}
+		})
+	}
+	select {
+	case queue <- e.Message:
+	default:
+	}
+}
+
+// handlers returns the handlers of the calls of other nodes and of followers.
+func (s *Server) handlers() map[rpc.Method]rpc.Handler {
+	return map[rpc.Method]rpc.Handler{
+		feed.PeerCall:     s.handlePeerMessage,
+		feed.FollowCall:   s.handleFollow,
+		feed.ChangesCall:  typedHandler(s.handleChanges),
+		feed.ChunkCall:    typedHandler(s.handleChunk),
+		feed.PutCall:      typedHandler(s.handlePut),
+		feed.ReadCall:     typedHandler(s.handleRead),
+		feed.RegisterCall: typedHandler(s.handleRegister),
+		feed.RetireCall:   typedHandler(s.handleRetire),
+		feed.PhaseCall:    typedHandler(s.handlePhase),
+		feed.StatusCall:   typedHandler(func(context.Context, *feed.Empty) (*Status, error) { return s.status(), nil }),
+	}
+}
+
+// handlePeerMessage queues a message of another node for the event loop. There is no answer.
+func (s *Server) handlePeerMessage(_ context.Context, body []byte) (any, error) {
+	var m Message
+	if err := rpc.Decode(body, &m); err != nil {
+		return nil, err
+	}
+	select {
+	case s.peerMessages <- m:
+	case <-s.ctx.Done():
+	}
+	return nil, nil
+}
+
+// typedHandler returns the handler of a call with a typed request and response.
+func typedHandler[Request, Response any](f func(context.Context, *Request) (*Response, error)) rpc.Handler {
+	return func(ctx context.Context, body []byte) (any, error) {
+		request := new(Request)
+		if err := rpc.Decode(body, request); err != nil {
+			return nil, errors.Wrap(err, "the two sides differ in version")
+		}
+		return f(ctx, request)
+	}
+}
+
+// errNoHead reports that no node is known that can take a request.
+var errNoHead = errors.New("no node can take this now: the view changes; try again")
+
+// errStopping reports that this node stops.
+var errStopping = errors.New("this node stops: ask another")
+
+// forward passes a call to the node that can answer it, over one hop at most: the caller marks the request as
+// forwarded.
+func forward[Request, Response any](
+	ctx context.Context, s *Server, to string, method rpc.Method, request *Request,
+) (*Response, error) {
+	if to == "" || to == s.self.Addr {
+		return nil, errNoHead
+	}
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	response := new(Response)
+	return response, s.clients.To(to).Call(ctx, method, request, response)
+}
--- /dev/null
+++ b/internal/tier/controlnode/peers.go
@@ -0,0 +1,76 @@
+package controlnode
+
+import (
+	"time"
+
+	"larchrouter/internal/tier/chain"
+	"larchrouter/internal/tier/view"
+)
+
+// peer is what a node knows of another member. Everything in it was reported by one incarnation of the peer:
+// a message of a newer incarnation resets it. Fields about confirmation are reset with each adopted view.
+type peer struct {
+	member         view.Member
+	incarnation    int64         // the newest that was heard from; messages of an older one are dropped
+	lastHeard      time.Duration // when its last message came, or when it became known
+	heardFrom      bool          // a message of this incarnation has come
+	lastHeardUs    time.Duration // when the newest of our rounds that it echoed was sent, or when it became known
+	echoedInView   bool          // it has echoed a round that this node sent since it adopted its view
+	leaving        bool
+	epoch          int64
+	chainAck       chain.Ack // its position in the chain, with its last heartbeat
+	heardPeers     []string  // the ids from which it has heard recently, sorted
+	hostListTerm   int64
+	hostListNumber int64
+	latestRound    int64 // the newest of its confirmation rounds that has come; this node echoes it
+	confirmedRound int64 // the newest of this node's rounds that it has confirmed in this epoch
+
+	commitReported bool  // it has reported, in this epoch, what is committed
+	reportedCommit int64 // valid if commitReported
+}
+
+// ensurePeer returns the peer of a member, and adds it if it is unknown.
+func (n *Node) ensurePeer(m view.Member) *peer {
+	p := n.peers[m.ID]
+	if p == nil {
+		p = &peer{member: m, lastHeard: n.now, lastHeardUs: n.now}
+		n.peers[m.ID] = p
+	}
+	return p
+}
+
+// recordMessage notes that a message of a peer has come. It returns nil if the message is of an earlier
+// incarnation.
+func (n *Node) recordMessage(m Message) *peer {
+	p := n.ensurePeer(m.From)
+	if m.Incarnation < p.incarnation {
+		return nil
+	}
+	if m.Incarnation > p.incarnation {
+		*p = peer{member: m.From, incarnation: m.Incarnation, lastHeardUs: n.now, epoch: p.epoch, leaving: false}
+	}
+	p.member, p.lastHeard, p.heardFrom = m.From, n.now, true
+	return p
+}
+
+// recentlyHeard reports whether a message of a peer has come within three heartbeat intervals.
+func (n *Node) recentlyHeard(p *peer) bool {
+	return p.heardFrom && n.now-p.lastHeard < 3*n.settings.Timings.HeartbeatInterval
+}
+
+// hearsUs reports whether a peer has recently echoed a round of this node: messages reach it.
+func (n *Node) hearsUs(p *peer) bool {
+	return n.now-p.lastHeardUs <= 4*n.settings.Timings.HeartbeatInterval
+}
+
+// addr returns the address of a member: the one it was last heard from, or else the one in the view; empty
+// where it is unknown.
+func (n *Node) addr(id string) string {
+	if p := n.peers[id]; p != nil && p.heardFrom {
+		return p.member.Addr
+	}
+	if m, ok := n.acceptor.View.Member(id); ok {
+		return m.Addr
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/tier/controlnode/placement_role.go
@@ -0,0 +1,164 @@
+package controlnode
+
+import (
+	"time"
+
+	"larchrouter/internal/rpc"
+	"larchrouter/internal/tier/feed"
+	"larchrouter/internal/tier/orders"
+	"larchrouter/internal/tier/placement"
+	"larchrouter/internal/tier/turnstore"
+)
+
+// placementRole is what the head keeps for the placement of stores. It is soft state of one epoch; only
+// stores, and what was measured of them, outlive an epoch in which this node was head before.
+type placementRole struct {
+	epoch           int64
+	tookOverAt      time.Duration          // missing registrations count from then on
+	inherited       placement.Observations // of the head before
+	stores          map[string]placement.StoreStatus
+	lastPlacement   *turnstore.Placement // that the planner has seen
+	departures      placement.Departures
+	generation      int64         // of the placement
+	generationSince time.Duration // when the generation was seen first
+	lastPlannedAt   time.Duration
+	lastTickAt      time.Duration
+	writeInFlight   bool // an entry is being written; nothing is planned meanwhile
+}
+
+// maxRolePause is the longest time between two ticks that counts as normal: after a longer one this node was
+// frozen or had no processor, and missing registrations of that time are no evidence of faults of stores.
+const maxRolePause = 400 * time.Millisecond
+
+// tick notes that the role is exercised. After a pause of this node's own, missing registrations count from
+// now on, and nothing that was measured before it.
+func (d *placementRole) tick(now time.Duration) {
+	if now-d.lastTickAt > maxRolePause {
+		d.tookOverAt, d.inherited = now, placement.Observations{}
+	}
+	d.lastTickAt = now
+}
+
+// assumePlacementRole resets the role where the epoch has changed since it was exercised. It runs on the
+// event loop of the confirmed head.
+func (s *Server) assumePlacementRole() {
+	epoch := s.node.View().Epoch
+	if s.placementRole.epoch == epoch {
+		return
+	}
+	stores := s.placementRole.stores
+	if stores == nil || s.placementRole.epoch == 0 || !s.hadPlacementRole(epoch-1) {
+		stores = map[string]placement.StoreStatus{}
+		s.placementRole = placementRole{
+			tookOverAt: s.now(),
+			inherited:  s.node.Handover(),
+			departures: placement.Departures{},
+			lastTickAt: s.now(),
+		}
+	}
+	s.placementRole.epoch, s.placementRole.stores, s.placementRole.writeInFlight = epoch, stores, false
+}
+
+// hadPlacementRole reports whether this node had the role last in an epoch, so that its measurements still
+// count.
+func (s *Server) hadPlacementRole(epoch int64) bool { return s.placementRole.epoch == epoch }
+
+// planPlacement exercises the role: at the confirmed head it plans the placement of stores and writes a
+// change. It runs on the event loop.
+func (s *Server) planPlacement() {
+	now := s.now()
+	s.placementRole.tick(now)
+	if !s.node.IsConfirmedHead() {
+		return
+	}
+	s.assumePlacementRole()
+	if s.placementRole.writeInFlight || now-s.placementRole.lastPlannedAt < planInterval {
+		return
+	}
+	s.placementRole.lastPlannedAt = now
+	input := s.plannerInput(now)
+	s.node.SetHandover(input.Observe(s.placementTimings()))
+	if lost := placement.LostWhileRetiring(input); len(lost) > 0 {
+		s.log.Say("msg", "a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
+		s.writePlacementEntry(orders.RetireKey(lost[0].Name, lost[0].ID), rpc.Encode(&feed.RetireEntry{ID: lost[0].ID}))
+		return
+	}
+	if next := placement.Plan(input, s.placementTimings()); next != nil {
+		s.log.Say("msg", "placement", "gen", next.Generation, "old", len(next.Old), "new", len(next.New))
+		s.writePlacementEntry(feed.PlacementKey, rpc.Encode(next))
+	}
+}
+
+// plannerInput returns the planner's input at a time, with the newest placement, committed or not. It runs on
+// the event loop of the confirmed head.
+func (s *Server) plannerInput(now time.Duration) placement.Input {
+	role := &s.placementRole
+	input := placement.Input{
+		Now:            now,
+		TookOverAt:     role.tookOverAt,
+		Inherited:      role.inherited,
+		FaultTolerance: s.settings.FaultTolerance(),
+		Stores:         role.stores,
+		Retired:        map[string]bool{},
+	}
+	for _, e := range s.node.Chain().State().Entries {
+		switch {
+		case e.Key == feed.PlacementKey:
+			p := new(turnstore.Placement)
+			if rpc.Decode(e.Value, p) == nil {
+				input.Current = p // the last one, committed or not
+			}
+		case len(e.Key) > len(feed.RetirePrefix) && e.Key[:len(feed.RetirePrefix)] == feed.RetirePrefix:
+			var r feed.RetireEntry
+			if rpc.Decode(e.Value, &r) == nil {
+				input.Retired[r.ID] = true
+			}
+		}
+	}
+	if input.Current != nil && input.Current.Generation != role.generation {
+		role.generation = input.Current.Generation
+		role.generationSince = role.inherited.GenerationSince(input.Current.Generation, now)
+	}
+	input.GenerationSince = role.generationSince
+	role.departures.Record(role.lastPlacement, input.Current, input.Retired, now)
+	input.Departures, role.lastPlacement = role.departures, input.Current
+	return input
+}
+
+// currentObservations returns what is known of stores that do not register: at the head its own observations,
+// elsewhere those that the head has sent. It runs on the event loop.
+func (s *Server) currentObservations() placement.Observations {
+	if !s.node.IsConfirmedHead() {
+		return s.node.Handover()
+	}
+	s.assumePlacementRole()
+	input := s.plannerInput(s.now())
+	return input.Observe(s.placementTimings())
+}
+
+// writePlacementEntry writes an entry for the role; nothing is planned until that has ended. It runs on the
+// event loop.
+func (s *Server) writePlacementEntry(key string, value []byte) {
+	s.placementRole.writeInFlight = true
+	completed := make(chan Completion, 1)
+	requestID := s.newRequestID(s.ctx, completed)
+	epoch := s.placementRole.epoch
+	s.mergeReady(s.node.Write(s.now(), requestID, key, value))
+	s.wg.Go(func() {
+		select {
+		case <-completed:
+		case <-s.ctx.Done():
+			return
+		}
+		s.runOnLoop(&placementWriteEnded{epoch: epoch})
+	})
+}
+
+// placementWriteEnded permits the next plan, if the role is still that of the epoch of the write.
+type placementWriteEnded struct{ epoch int64 }
+
+func (r *placementWriteEnded) handle(s *Server) {
+	if s.placementRole.epoch == r.epoch {
+		s.placementRole.writeInFlight = false
+	}
+}
--- /dev/null
+++ b/internal/tier/controlnode/ready.go
@@ -0,0 +1,41 @@
+package controlnode
+
+import (
+	"larchrouter/internal/tier/chain"
+	"larchrouter/internal/tier/view"
+)
+
+// Durable is the state of a node that has to be on disk before the messages and completions of the same Ready
+// leave the node.
+type Durable struct {
+	Acceptor view.Acceptor
+	State    chain.State
+}
+
+// Ready is what a step asks of the caller, in this order: if MustSync, write Node.Durable to disk and sync
+// it; then send the Messages and report what is Completed. Several Readies may be merged and synced once, as
+// long as nothing of any of them leaves the node before that sync.
+type Ready struct {
+	MustSync  bool // Durable has changed
+	Messages  []Envelope
+	Completed []Completion
+}
+
+// Completion is the end of a write or a read that was requested of the node.
+type Completion struct {
+	RequestID  int64
+	Outcome    Outcome
+	Index      int64  // with Committed
+	RedirectTo string // with NotHere: the address of the node to ask, empty where none is known
+}
+
+// Outcome is how a write or a read ended.
+type Outcome int
+
+// The outcomes. NotHere: this node can not take the request and has not applied it. OutcomeUnknown proves
+// nothing: the write may be in force, now or later.
+const (
+	Committed Outcome = iota
+	NotHere
+	OutcomeUnknown
+)
--- a/internal/tier/controlnode/receive.go
+++ b/internal/tier/controlnode/receive.go
@@ -6,7 +6,7 @@
 	"larchrouter/internal/tier/discovery"
 )
 
-// Receive takes a message of another node.
+// Receive handles a message of another node.
 func (n *Node) Receive(now time.Duration, m Message) Ready {
 	return n.step(now, func() {
 		if m.From.ID == n.settings.Self.ID || m.From.ID == "" {
@@ -18,19 +18,7 @@
 	})
 }
 
-// recordMessage notes that a peer was heard; nil if the message is of an earlier life of its.
-func (n *Node) recordMessage(m Message) *peer {
-	p := n.ensurePeer(m.From)
-	if m.Incarnation < p.incarnation {
-		return nil
-	}
-	if m.Incarnation > p.incarnation {
-		*p = peer{member: m.From, incarnation: m.Incarnation, lastHeardUs: n.now, epoch: p.epoch, leaving: false}
-	}
-	p.member, p.lastHeard, p.heardFrom = m.From, n.now, true
-	return p
-}
-
+// dispatch handles a message by its kind.
 func (n *Node) dispatch(p *peer, m Message) {
 	switch m.Kind {
 	case msgHeartbeat:
@@ -58,7 +46,8 @@
 		n.handleLearnerAck(p, m)
 	case msgConfirm:
 		p.latestRound = max(p.latestRound, m.ConfirmationRound)
-		n.send(m.From.Addr, Message{Kind: msgConfirmed, Echoes: []Echo{{ID: m.From.ID, Incarnation: m.Incarnation, ConfirmationRound: m.ConfirmationRound}}, Ack: n.chain.CurrentAck()})
+		echo := Echo{ID: m.From.ID, Incarnation: m.Incarnation, ConfirmationRound: m.ConfirmationRound}
+		n.send(m.From.Addr, Message{Kind: msgConfirmed, Echoes: []Echo{echo}, Ack: n.chain.CurrentAck()})
 	case msgConfirmed:
 		for _, e := range m.Echoes {
 			n.handleEcho(p, m, e)
@@ -68,6 +57,8 @@
 	}
 }
 
+// handleHeartbeat takes over a peer's state: its echoes, position in the chain, observations of stores and
+// list of hosts.
 func (n *Node) handleHeartbeat(p *peer, m Message) {
 	for _, e := range m.Echoes {
 		n.handleEcho(p, m, e)
@@ -84,26 +75,15 @@
 	}
 	n.handleLearnerAck(p, m)
 	n.handleChainAck(m)
-	behind := m.HostListTerm < n.hostListTerm() || m.HostListTerm == n.hostListTerm() && n.hosts.list != nil && m.HostListNumber < n.hosts.list.Number
+	behind := m.HostListTerm < n.hostListTerm() ||
+		m.HostListTerm == n.hostListTerm() && n.hosts.list != nil && m.HostListNumber < n.hosts.list.Number
 	if n.hosts.list != nil && behind && n.acceptor.View.IsVoter(m.From.ID) && n.acceptor.View.Head() == n.settings.Self.ID {
 		n.send(m.From.Addr, Message{Kind: msgHostList, Hosts: []discovery.List{*n.hosts.list}})
 	}
 }
 
-func (n *Node) handleChainAck(m Message) {
-	if n.chain.HandleAck(m.From.ID, m.Incarnation, m.Ack) {
-		n.sendChainAck() // what is committed is told upstream
-	}
-}
-
-func (n *Node) handleLearnerAck(p *peer, m Message) {
-	p.chainAck = m.Ack
-	n.chain.HandleLearnerAck(m.From.ID, m.Incarnation, m.Ack)
-	if m.From.ID == n.replication.learner {
-		n.replication.learnerAckedAt = n.now
-	}
-}
-
+// handleChainUpdate takes entries from the predecessor and acknowledges them; the acknowledgement leaves
+// after the sync that MustSync asks for.
 func (n *Node) handleChainUpdate(m Message) {
 	if n.acceptor.HasPromised() {
 		return
@@ -121,3 +101,19 @@
 	n.chain.MarkDurable()
 	n.sendChainAck()
 }
+
+// handleChainAck takes the position of the successor.
+func (n *Node) handleChainAck(m Message) {
+	if n.chain.HandleAck(m.From.ID, m.Incarnation, m.Ack) {
+		n.sendChainAck() // the commit index goes upstream
+	}
+}
+
+// handleLearnerAck takes the position of a member outside the chain.
+func (n *Node) handleLearnerAck(p *peer, m Message) {
+	p.chainAck = m.Ack
+	n.chain.HandleLearnerAck(m.From.ID, m.Incarnation, m.Ack)
+	if m.From.ID == n.replication.learner {
+		n.replication.learnerAckedAt = n.now
+	}
+}
--- a/internal/tier/controlnode/replicate.go
+++ b/internal/tier/controlnode/replication.go
@@ -5,12 +5,26 @@
 	"time"
 )
 
+// replication is the state of transfers along the chain that package chain does not have: the writes of this
+// head that are not committed yet, and the learner that this node, as the tail, brings up to date outside the
+// chain.
+//
+// Invariants: pendingWrites is empty unless this node is the head; at most one learner at a time.
+type replication struct {
+	updateReceived bool // the predecessor has sent an update in this epoch and incarnation
+	pendingWrites  []pendingWrite
+	learner        string        // the id of the one that the tail brings up to date, empty for none
+	learnerAckedAt time.Duration // when it answered last
+}
+
+// pendingWrite is a write at this head whose entry is not committed yet.
 type pendingWrite struct {
 	requestID int64
 	index     int64
 }
 
-// Write asks for an entry at the head. It ends in a Done with the request ID.
+// Write appends an entry at the head. It ends in a Completion with the request ID: Committed once every
+// member of the chain has the entry on disk.
 func (n *Node) Write(now time.Duration, requestID int64, key string, value []byte) Ready {
 	return n.step(now, func() {
 		if n.acceptor.HasPromised() && n.acceptor.View.Head() == n.settings.Self.ID {
@@ -23,12 +37,12 @@
 			return
 		}
 		n.ready.MustSync = true
-		n.chain.MarkDurable() // Done goes out after the sync that Dirty asks for
+		n.chain.MarkDurable() // the completion leaves after the sync that MustSync asks for
 		n.replication.pendingWrites = append(n.replication.pendingWrites, pendingWrite{requestID, e.Index})
 	})
 }
 
-// completeCommittedWrites ends those that are committed.
+// completeCommittedWrites completes the writes whose entries are committed.
 func (n *Node) completeCommittedWrites() {
 	commit := n.chain.State().Commit
 	n.replication.pendingWrites = slices.DeleteFunc(n.replication.pendingWrites, func(w pendingWrite) bool {
@@ -40,12 +54,12 @@
 	})
 }
 
-// replicate sends the successor what it lacks, and a learner.
+// replicate sends the successor, and a learner, the updates that they lack.
 func (n *Node) replicate() {
 	if !n.acceptor.HasPromised() {
 		for {
-			to, u, some := n.chain.NextUpdate()
-			if !some {
+			to, u, ok := n.chain.NextUpdate()
+			if !ok {
 				break
 			}
 			n.send(n.addr(to), Message{Kind: msgChainUpdate, Update: u})
@@ -54,7 +68,8 @@
 	n.updateLearner()
 }
 
-// updateLearner sends one learner at a time what it lacks: several would share the link, and all would take long.
+// updateLearner sends one learner at a time the updates that it lacks: several would share the link, and all
+// would take long.
 func (n *Node) updateLearner() {
 	if n.replication.learner != "" && !n.chain.LearnerIsBehind(n.replication.learner) {
 		n.replication.learner = ""
@@ -68,14 +83,15 @@
 		n.replication.learnerAckedAt = n.now
 	}
 	for n.replication.learner != "" {
-		u, some := n.chain.NextLearnerUpdate(n.replication.learner)
-		if !some {
+		u, ok := n.chain.NextLearnerUpdate(n.replication.learner)
+		if !ok {
 			return
 		}
 		n.send(n.addr(n.replication.learner), Message{Kind: msgLearnerUpdate, Update: u})
 	}
 }
 
+// nextLearner returns the lowest id of the learners that are behind, empty for none.
 func (n *Node) nextLearner() string {
 	next := ""
 	for id := range n.peers {
@@ -86,8 +102,9 @@
 	return next
 }
 
+// sendChainAck sends this member's position in the chain to its predecessor.
 func (n *Node) sendChainAck() {
-	if to, a, ok := n.chain.PredecessorAck(); ok {
-		n.send(n.addr(to), Message{Kind: msgChainAck, Ack: a})
+	if to, ack, ok := n.chain.PredecessorAck(); ok {
+		n.send(n.addr(to), Message{Kind: msgChainAck, Ack: ack})
 	}
 }
--- a/internal/tier/controlnode/retire_test.go
+++ b/internal/tier/controlnode/retire_test.go
@@ -22,7 +22,7 @@
 			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
 		}
 		s := &orders.State{}
-		c.cores[0].runOnLoop(func() {
+		c.cores[0].onLoop(func() {
 			if known, err := orders.ReadState(c.cores[0].node.Chain().Committed(0), 1); err == nil {
 				s = known
 			}
@@ -47,7 +47,7 @@
 		return got == http.StatusOK && strings.Contains(text, "complete")
 	})
 	c.until("the head has seen it leave", func() (seen bool) {
-		c.cores[0].runOnLoop(func() { _, seen = c.cores[0].placementRole.departures["d"] })
+		c.cores[0].onLoop(func() { _, seen = c.cores[0].placementRole.departures["d"] })
 		return seen
 	})
 	if p := state().Placement; len(p.New) > 0 || len(p.Old) != 3 {
--- /dev/null
+++ b/internal/tier/controlnode/server.go
@@ -0,0 +1,200 @@
+package controlnode
+
+import (
+	"cmp"
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"larchrouter/internal/process"
+	"larchrouter/internal/rpc"
+	"larchrouter/internal/sqlitelog"
+	"larchrouter/internal/tier/chain"
+	"larchrouter/internal/tier/discovery"
+	"larchrouter/internal/tier/view"
+)
+
+// Intervals and time-outs of the server.
+const (
+	tickInterval     = 50 * time.Millisecond
+	requestTimeout   = 900 * time.Millisecond  // callers take a node that does not answer within a second for dead
+	leaveTimeout     = 1500 * time.Millisecond // for the others to agree on a view without this node
+	hostPollInterval = 900 * time.Millisecond  // of the platform's list
+	planInterval     = 100 * time.Millisecond
+	pollGrace        = 300 * time.Millisecond // how long a follower's poll waits while this node is cut off or behind
+)
+
+// Server is a control node as a process. One goroutine, the event loop, owns the Node and everything that
+// depends on it; all others hand it requests. See the package documentation.
+type Server struct {
+	settings    *process.Settings
+	db          *sqlitelog.DB
+	log         *process.Ring
+	clients     *rpc.Clients
+	self        view.Member
+	startedAt   time.Time
+	incarnation int64 // how often this node was started with its disk
+
+	requests     chan queuedRequest
+	peerMessages chan Message // of other control nodes: the loop takes them before all else
+	ctx          context.Context
+	stop         context.CancelFunc
+	wg           sync.WaitGroup
+
+	// Owned by the event loop; only loopRequest.handle and nodeRequest.start use them elsewhere.
+	node            *Node
+	ready           Ready                                          // merged from the steps of the batch
+	awaitingSync    []chan struct{}                                // of runOnLoop, closed once the batch is on disk
+	syncRows        func(context.Context, []sqlitelog.Write) error // db.Commit
+	savedHashes     map[int64]uint64                               // of the entries on disk, by index
+	savedState      chain.State                                    // on disk
+	pendingRequests map[int64]pendingRequest                       // by request ID
+	lastRequestID   int64
+	placementRole   placementRole
+	hostListHistory discovery.History
+
+	isHead  atomic.Bool             // IsConfirmedHead after the last batch
+	mu      sync.Mutex              // guards changed
+	changed chan struct{}           // closed when there may be something new for followers
+	senders map[string]chan Message // by address; owned by the event loop
+
+	followers sync.Map // name to *Follower
+	feed      feedServer
+}
+
+// Open returns a control node with its settings and its disk. Run starts it.
+func Open(s *process.Settings, log *process.Ring) (*Server, error) {
+	if err := cmp.Or(
+		process.RequireSetting("bind_addrs.control_addr", s.Bind.Control, "give HOST:PORT, for operators"),
+		process.RequireSetting("data_dir", s.DataDir, "give a core node a folder"),
+	); err != nil {
+		return nil, err
+	}
+	db, err := sqlitelog.Open(s.DataDir, "core.db", int64(s.Limits.DiskMB*0.8)<<20, "vote", "entries")
+	if err != nil {
+		return nil, err
+	}
+	server := &Server{
+		settings:        s,
+		db:              db,
+		log:             log,
+		clients:         &rpc.Clients{},
+		startedAt:       time.Now(),
+		requests:        make(chan queuedRequest, 256),
+		peerMessages:    make(chan Message, 256),
+		savedHashes:     map[int64]uint64{},
+		pendingRequests: map[int64]pendingRequest{},
+		changed:         make(chan struct{}),
+		senders:         map[string]chan Message{},
+	}
+	server.syncRows = db.Commit
+	server.ctx, server.stop = context.WithCancel(context.Background())
+	durable, err := server.load()
+	if err != nil {
+		_ = db.Close()
+		return nil, err
+	}
+	server.node = NewNode(NodeSettings{
+		Self:           server.self,
+		Incarnation:    server.incarnation,
+		Seeds:          seedAddrs(s),
+		FaultTolerance: s.FaultTolerance(),
+		Timings:        DefaultTimings(),
+	}, durable, 0)
+	return server, nil
+}
+
+// seedAddrs returns the addresses of the seeds for calls between nodes.
+func seedAddrs(settings *process.Settings) (addrs []string) {
+	for _, seed := range settings.Seeds {
+		addrs = append(addrs, settings.PeerAddr(seed, process.CorePort))
+	}
+	return addrs
+}
+
+// now returns the time since the start; the clock of the Node.
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
+
+// UpdateSeeds sets the seeds from settings that were read anew; a node without a vote announces itself to
+// them.
+func (s *Server) UpdateSeeds(settings *process.Settings) {
+	s.runOnLoop(&setSeedsRequest{seeds: seedAddrs(settings)})
+}
+
+// setSeedsRequest replaces the seeds of the node.
+type setSeedsRequest struct{ seeds []string }
+
+func (r *setSeedsRequest) handle(s *Server) { s.node.settings.Seeds = r.seeds }
+
+// Run serves until the context ends, then leaves the view as far as others can replace this node, and stops.
+// It returns an error where the node can not listen or its disk fails.
+func (s *Server) Run(ctx context.Context) error {
+	peers, err := net.Listen("tcp4", s.self.Addr)
+	if err != nil {
+		return errors.Wrap(err, "listen for other nodes: free the port or change port_range")
+	}
+	control, err := net.Listen("tcp4", s.settings.Bind.Control)
+	if err != nil {
+		peers.Close()
+		return errors.Wrap(err, "listen for operators: free the port or change bind_addrs.control_addr")
+	}
+	server := rpc.NewServer(s.handlers())
+	operators := &http.Server{Handler: s.operatorAPI(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
+	s.wg.Go(func() { server.Serve(peers) })
+	s.wg.Go(func() { _ = operators.Serve(control) })
+	s.wg.Go(s.pollPlatform)
+	loopEnded := make(chan error, 1)
+	s.wg.Go(func() { loopEnded <- s.eventLoop() })
+	select {
+	case <-ctx.Done():
+		s.leaveView()
+	case err = <-loopEnded:
+	}
+	shutdown, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	defer cancel()
+	_ = operators.Shutdown(shutdown)
+	_ = operators.Close()
+	s.stop()
+	s.clients.Close()
+	server.Close()
+	s.wg.Wait()
+	return errors.CombineErrors(err, s.db.Close())
+}
+
+// leaveView asks the others to agree on a view without this node, and waits for that for leaveTimeout at
+// most.
+func (s *Server) leaveView() {
+	s.runOnLoop(&startLeavingRequest{})
+	deadline := time.Now().Add(leaveTimeout)
+	for query := (&canStopQuery{}); !query.canStop && time.Now().Before(deadline); {
+		s.sleep(20 * time.Millisecond)
+		if !s.runOnLoop(query) {
+			return
+		}
+	}
+}
+
+// startLeavingRequest announces that this node is about to stop.
+type startLeavingRequest struct{}
+
+func (*startLeavingRequest) handle(s *Server) { s.mergeReady(s.node.StartLeaving(s.now())) }
+
+// canStopQuery reports whether others have replaced this node, or can not.
+type canStopQuery struct{ canStop bool }
+
+func (q *canStopQuery) handle(s *Server) { q.canStop = s.node.CanStop() }
+
+// sleep returns after a duration, or at once when the server stops.
+func (s *Server) sleep(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-s.ctx.Done():
+	}
+}
