--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -9,49 +9,55 @@
 	"time"
 )
 
-// A contract course plays losses the moment the contract permits them: a machine counts as lost while it is down, frozen or
-// cut off, for catch_up_s after it is back, and for as long after its start if it is new; one that is removed counts until
-// its successor has had that time. As soon as fewer count than fault_tolerance says, the next is struck. In each step the
-// newest view must have a live majority and a live holder of all that was committed, and writes must go on.
-
-var contractCourses = flag.Int("contract", 16, "drawn courses of losses as soon as they are permitted")
-
-// slot is one of the losses that may be under way: it ends when nothing of it counts any more.
-type slot struct {
-	machine string        // that counts, empty for none
-	until   time.Duration // the trouble itself
-	counts  time.Duration // until then it counts, once the trouble is over
-	end     func()        // ends the trouble, nil once it has
-	down    bool          // the trouble keeps the machine down, and its end starts it
+// A contract simulation injects losses at the moment the contract permits them: a machine counts as lost
+// while it is down, frozen or partitioned, for catch_up_s after it is back, and for as long after its start
+// if it is new; one that is removed counts until its successor has had that time. As soon as fewer count than
+// fault_tolerance permits, the next loss is injected. In each step the newest view must have a live majority
+// and a live holder of all that was committed, and writes must be acknowledged.
+var contractSimulations = flag.Int("contract", 16, "simulations of losses as soon as they are permitted")
+
+// lossSlot is one of the losses that may be in progress: it is free again when nothing of it counts any more.
+type lossSlot struct {
+	machine     string        // that counts, empty for none
+	until       time.Duration // the end of the fault
+	countsUntil time.Duration // until then it counts, once the fault has ended
+	end         func()        // ends the fault, nil once it has
+	down        bool          // the fault keeps the machine down, and its end starts it
 }
 
 type contract struct {
-	*course
-	catchUp  time.Duration
-	slots    []slot
-	added    int
-	lastAck  time.Duration
-	acked    int
-	unjudged time.Duration // all were killed: no invariant of the living before it
-	leaving  map[string]time.Duration
-	replaced map[string]bool // leave for good
-	struck   map[string]int
+	*simulation
+	catchUp     time.Duration
+	slots       []lossSlot
+	added       int
+	lastAck     time.Duration
+	acked       int
+	checkedFrom time.Duration // all were killed: no invariant of the living before it
+	leaving     map[string]time.Duration
+	replaced    map[string]bool // leave for good
+	faultCounts map[string]int
 }
 
-// unableFor bounds how long no write may be acknowledged while no more are lost than the contract permits.
-const unableFor = 6 * time.Second
+// maxWriteGap bounds how long no write may be acknowledged while no more are lost than the contract permits.
+const maxWriteGap = 6 * time.Second
 
-func newContract(t testing.TB, seed uint64, n, losses int, f planted) *contract {
-	c := &contract{course: newCourseWith(t, seed, n, losses, f), catchUp: 4200 * time.Millisecond, slots: make([]slot, losses),
-		leaving: map[string]time.Duration{}, replaced: map[string]bool{}, struck: map[string]int{}}
+func newContract(t testing.TB, seed uint64, n, losses int, f plantedFaults) *contract {
+	c := &contract{
+		simulation:  newSimulationWith(t, seed, n, losses, f),
+		catchUp:     4200 * time.Millisecond,
+		slots:       make([]lossSlot, losses),
+		leaving:     map[string]time.Duration{},
+		replaced:    map[string]bool{},
+		faultCounts: map[string]int{},
+	}
 	if losses > 1 {
 		c.catchUp = 6 * time.Second
 	}
-	c.trouble = "none" // no machine loses power by itself: this counts what is lost
+	c.faultyMachine = "none" // no machine loses power by itself: this counts what is lost
 	return c
 }
 
-func (c *contract) lost(addr string) bool {
+func (c *contract) countsAsLost(addr string) bool {
 	for _, s := range c.slots {
 		if s.machine == addr {
 			return true
@@ -60,25 +66,25 @@
 	return false
 }
 
-// well are the machines that could be struck.
-func (c *contract) well() (all []string) {
+// healthyMachines returns the machines at which a fault could be injected.
+func (c *contract) healthyMachines() (all []string) {
 	for _, a := range c.order {
 		m := c.machines[a]
-		if m.up && !m.frozen && !c.lost(a) && c.leaving[a] == 0 {
+		if m.up && !m.frozen && !c.countsAsLost(a) && c.leaving[a] == 0 {
 			all = append(all, a)
 		}
 	}
 	return all
 }
 
-// play strikes rounds times.
+// play injects a number of faults.
 func (c *contract) play(rounds int) {
 	c.run(c.catchUp) // no loss is permitted before the members had their time
 	c.lastAck = c.now
 	for strikes := 0; strikes < rounds && c.failure == ""; {
 		for i := range c.slots {
 			if c.slots[i].machine == "" && c.failure == "" {
-				c.strike(&c.slots[i])
+				c.injectFault(&c.slots[i])
 				strikes++
 			}
 		}
@@ -89,7 +95,7 @@
 	}
 }
 
-// tick moves time on, ends troubles, and checks the invariant.
+// tick moves time on, ends faults, and checks the invariant.
 func (c *contract) tick() {
 	c.step()
 	if c.writes > c.acked {
@@ -101,18 +107,18 @@
 			continue
 		}
 		if s.end != nil && c.now >= s.until {
-			s.counts = c.now + c.catchUp
+			s.countsUntil = c.now + c.catchUp
 			s.end() // may say otherwise
 			s.end = nil
 		}
-		if s.end == nil && c.now >= s.counts {
+		if s.end == nil && c.now >= s.countsUntil {
 			s.machine = ""
 		}
 	}
 	for a, since := range c.leaving {
 		m := c.machines[a]
-		if m.up && (m.node.CanStop() || c.now-since > leaveTimeout || c.fault.leavesAtOnce) {
-			c.note("%s is stopped, it had left: %v", a, m.node.CanStop())
+		if m.up && (m.node.CanStop() || c.now-since > leaveTimeout || c.fault.stopsBeforeLeft) {
+			c.logf("%s is stopped, it had left: %v", a, m.node.CanStop())
 			c.stop(m)
 			if c.replaced[a] {
 				c.remove(a)
@@ -122,17 +128,17 @@
 	c.invariant()
 }
 
-// invariant: by the newest view that was decided, a majority of the voters lives, and a member of the chain that has all that
-// was committed.
+// invariant checks that, by the newest decided view, a majority of the voters is alive, and a member of the
+// chain that has all that was committed.
 func (c *contract) invariant() {
-	if c.now < c.unjudged || c.failure != "" {
+	if c.now < c.checkedFrom || c.failure != "" {
 		return
 	}
 	newest := c.newest
 	majority, holder := 0, false
 	for _, a := range c.order {
 		m := c.machines[a]
-		if _, cut := c.cutOff[a]; !m.up || m.frozen || cut {
+		if _, cut := c.partitioned[a]; !m.up || m.frozen || cut {
 			continue
 		}
 		if newest.IsVoter(m.id) {
@@ -143,37 +149,39 @@
 		}
 	}
 	if majority < newest.Majority() {
-		c.fail("of %d voters of view %d only %d live", len(newest.Voters), newest.Epoch, majority)
+		c.failf("of %d voters of view %d only %d live", len(newest.Voters), newest.Epoch, majority)
 	}
 	if !holder {
-		c.fail("no member of view %d that has what was committed lives", newest.Epoch)
+		c.failf("no member of view %d that has what was committed lives", newest.Epoch)
 	}
-	if c.now-c.lastAck > unableFor {
-		c.fail("no write was acknowledged for %v", unableFor)
+	if c.now-c.lastAck > maxWriteGap {
+		c.failf("no write was acknowledged for %v", maxWriteGap)
 	}
 }
 
-// strike has one machine get into trouble.
-func (c *contract) strike(s *slot) {
-	well := c.well()
+// injectFault draws a machine and a fault.
+func (c *contract) injectFault(s *lossSlot) {
+	well := c.healthyMachines()
 	if len(well) == 0 {
 		return
 	}
 	a := well[c.rng.IntN(len(well))]
-	if head := c.headNow(); head != "" && c.rng.IntN(3) == 0 && slices.Contains(well, head) {
+	if head := c.currentHead(); head != "" && c.rng.IntN(3) == 0 && slices.Contains(well, head) {
 		a = head
 	}
 	m := c.machines[a]
 	span := time.Duration(50+c.rng.IntN(5000)) * time.Millisecond
-	*s = slot{machine: a, until: c.now + span}
-	kinds := []func(s *slot, m *machine){c.kill, c.wipe, c.freeze, c.cutAway, c.roll, c.replace, c.replacePlanned, c.killAll, c.grow}
-	if c.fault.keepsID { // found sooner where disks are lost again and again
-		kinds = []func(s *slot, m *machine){c.kill, c.wipe, c.killAll}
+	*s = lossSlot{machine: a, until: c.now + span}
+	kinds := []func(s *lossSlot, m *machine){
+		c.kill, c.wipe, c.freeze, c.partition, c.roll, c.replace, c.replacePlanned, c.killAll, c.grow,
+	}
+	if c.fault.keepsIDAfterDiskLoss { // found sooner where disks are lost again and again
+		kinds = []func(s *lossSlot, m *machine){c.kill, c.wipe, c.killAll}
 	}
 	kinds[c.rng.IntN(len(kinds))](s, m)
 }
 
-func (c *contract) headNow() string {
+func (c *contract) currentHead() string {
 	for _, a := range c.order {
 		if m := c.machines[a]; m.up && m.node.IsConfirmedHead() {
 			return a
@@ -182,53 +190,53 @@
 	return ""
 }
 
-func (c *contract) count(kind string) { c.struck[kind]++ }
+func (c *contract) countFault(kind string) { c.faultCounts[kind]++ }
 
-func (c *contract) kill(s *slot, m *machine) {
-	c.count("kill")
-	c.note("%s is killed", m.addr)
+func (c *contract) kill(s *lossSlot, m *machine) {
+	c.countFault("kill")
+	c.logf("%s is killed", m.addr)
 	c.stop(m)
 	s.down = true
-	s.end = func() { c.start(m); c.note("%s starts", m.addr) }
+	s.end = func() { c.start(m); c.logf("%s starts", m.addr) }
 }
 
-func (c *contract) wipe(s *slot, m *machine) {
-	c.count("wipe")
-	c.note("%s loses its disk", m.addr)
+func (c *contract) wipe(s *lossSlot, m *machine) {
+	c.countFault("wipe")
+	c.logf("%s loses its disk", m.addr)
 	c.stop(m)
 	m.disk = Durable{}
-	if !c.fault.keepsID {
-		m.id, m.life = c.newID(), 0
+	if !c.fault.keepsIDAfterDiskLoss {
+		m.id, m.incarnation = c.newID(), 0
 	}
 	s.down = true
-	s.end = func() { c.start(m); c.note("%s starts empty", m.addr) }
+	s.end = func() { c.start(m); c.logf("%s starts empty", m.addr) }
 }
 
-func (c *contract) freeze(s *slot, m *machine) {
-	c.count("freeze")
-	c.note("%s freezes", m.addr)
+func (c *contract) freeze(s *lossSlot, m *machine) {
+	c.countFault("freeze")
+	c.logf("%s freezes", m.addr)
 	m.frozen = true
 	s.end = func() {
 		if m.up {
 			c.thaw(m)
 		}
-		c.note("%s wakes", m.addr)
+		c.logf("%s wakes", m.addr)
 	}
 }
 
-func (c *contract) cutAway(s *slot, m *machine) {
-	c.count("cut")
+func (c *contract) partition(s *lossSlot, m *machine) {
+	c.countFault("cut")
 	way := c.rng.IntN(3)
-	c.note("%s is cut off, way %d", m.addr, way)
-	c.cutOff[m.addr] = way
-	s.end = func() { delete(c.cutOff, m.addr); c.note("%s is joined again", m.addr) }
+	c.logf("%s is cut off, way %d", m.addr, way)
+	c.partitioned[m.addr] = way
+	s.end = func() { delete(c.partitioned, m.addr); c.logf("%s is joined again", m.addr) }
 }
 
 // roll stops a machine in order, and starts it again.
-func (c *contract) roll(s *slot, m *machine) {
-	c.count("roll")
-	c.note("%s is told to end", m.addr)
-	c.carry(m, m.node.StartLeaving(c.now))
+func (c *contract) roll(s *lossSlot, m *machine) {
+	c.countFault("roll")
+	c.logf("%s is stopped in order", m.addr)
+	c.handleReady(m, m.node.StartLeaving(c.now))
 	c.leaving[m.addr] = c.now
 	s.down, s.until = true, max(s.until, c.now+leaveTimeout+200*time.Millisecond)
 	s.end = func() {
@@ -237,7 +245,7 @@
 			c.stop(m)
 		}
 		c.start(m)
-		c.note("%s starts again", m.addr)
+		c.logf("%s starts again", m.addr)
 	}
 }
 
@@ -260,41 +268,43 @@
 	delete(c.machines, a)
 }
 
-// replace takes a machine away for good; an empty one comes a second later at another address.
-func (c *contract) replace(s *slot, m *machine) {
-	c.count("replace")
-	c.note("%s is gone for good", m.addr)
+// replace removes a machine for good; an empty one comes a second later at another address.
+func (c *contract) replace(s *lossSlot, m *machine) {
+	c.countFault("replace")
+	c.logf("%s is removed for good", m.addr)
 	c.remove(m.addr)
 	s.until = c.now + time.Second
-	s.end = func() { s.machine = c.newMachine().addr; c.note("%s comes for %s", s.machine, m.addr) }
+	s.end = func() { s.machine = c.newMachine().addr; c.logf("%s comes for %s", s.machine, m.addr) }
 }
 
-// replacePlanned starts the new machine first; the old one is told to end a second later, or when the new one has had its time.
-func (c *contract) replacePlanned(s *slot, m *machine) {
-	c.count("replace planned")
+// replacePlanned starts the new machine first; the old one is stopped in order a second later, or when the
+// new one has had its time.
+func (c *contract) replacePlanned(s *lossSlot, m *machine) {
+	c.countFault("replace planned")
 	next := c.newMachine()
 	began := c.now
-	c.note("%s comes to take over from %s", next.addr, m.addr)
+	c.logf("%s comes to take over from %s", next.addr, m.addr)
 	s.machine, s.until = next.addr, c.now+time.Second
 	if c.rng.IntN(2) == 0 {
 		s.until = c.now + c.catchUp // the next loss may come with the order to end
 	}
 	s.end = func() {
-		c.note("%s is told to end", m.addr)
+		c.logf("%s is stopped in order", m.addr)
 		if m.up && c.machines[m.addr] == m {
-			c.carry(m, m.node.StartLeaving(c.now))
+			c.handleReady(m, m.node.StartLeaving(c.now))
 			c.leaving[m.addr], c.replaced[m.addr] = c.now, true
 		} else {
 			c.remove(m.addr)
 		}
-		s.counts = began + c.catchUp // the old one counts until the new one has had its time
+		s.countsUntil = began + c.catchUp // the old one counts until the new one has had its time
 	}
 }
 
-// killAll ends all processes at one instant, whatever fault_tolerance says. They come back within a second, disks kept.
-func (c *contract) killAll(s *slot, m *machine) {
-	c.count("kill all")
-	c.note("all are killed")
+// killAll ends all processes at one instant, whatever fault_tolerance permits. They come back within a
+// second, with their disks.
+func (c *contract) killAll(s *lossSlot, m *machine) {
+	c.countFault("kill all")
+	c.logf("all are killed")
 	for _, a := range c.order {
 		if one := c.machines[a]; one.up {
 			c.stop(one)
@@ -305,20 +315,20 @@
 		c.remove(a)
 	}
 	s.until = c.now + time.Duration(100+c.rng.IntN(900))*time.Millisecond
-	c.unjudged = s.until + 3*time.Second
-	c.lastAck, c.excused = c.unjudged, c.unjudged
+	c.checkedFrom = s.until + 3*time.Second
+	c.lastAck, c.boundsFrom = c.checkedFrom, c.checkedFrom
 	s.end = func() {
 		for _, a := range c.order {
-			if one := c.machines[a]; !one.up && !c.replaced[a] && c.leaving[a] == 0 && !c.lostAndEnding(a, s) {
+			if one := c.machines[a]; !one.up && !c.replaced[a] && c.leaving[a] == 0 && !c.willRestart(a, s) {
 				c.start(one)
 			}
 		}
-		c.note("they start again")
+		c.logf("they start again")
 	}
 }
 
-// lostAndEnding tells whether another loss will bring the machine back.
-func (c *contract) lostAndEnding(a string, but *slot) bool {
+// willRestart reports whether another loss will start the machine again.
+func (c *contract) willRestart(a string, but *lossSlot) bool {
 	for i := range c.slots {
 		if s := &c.slots[i]; s != but && s.machine == a && s.end != nil && s.down {
 			return true
@@ -328,63 +338,64 @@
 }
 
 // grow adds a machine.
-func (c *contract) grow(s *slot, m *machine) {
-	c.count("grow")
+func (c *contract) grow(s *lossSlot, m *machine) {
+	c.countFault("grow")
 	next := c.newMachine()
-	c.note("%s is added", next.addr)
+	c.logf("%s is added", next.addr)
 	s.machine, s.until = next.addr, c.now
 	s.end = func() {}
 }
 
-func TestLossesAsSoonAsTheyArePermitted(t *testing.T) {
+func TestRandomLossesWithinContract(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
 	writes, struck := 0, map[string]int{}
-	for i := range *contractCourses {
-		c := contractAt(t, base+uint64(i), planted{})
+	for i := range *contractSimulations {
+		c := contractAt(t, base+uint64(i), plantedFaults{})
 		c.play(12)
 		if c.failure != "" {
-			t.Fatalf("seed %d, %d machines, losses %d: %s\n%s", c.seed, c.founded, c.losses, c.failure, c.story())
+			t.Fatalf("seed %d, %d machines, losses %d: %s\n%s", c.seed, c.initialMachines, c.faultTolerance, c.failure, c.trace())
 		}
 		writes += c.writes
-		for kind, n := range c.struck {
+		for kind, n := range c.faultCounts {
 			struck[kind] += n
 		}
 	}
-	t.Logf("%d courses, %d writes acknowledged, struck: %v", *contractCourses, writes, struck)
+	t.Logf("%d simulations, %d writes acknowledged, faults: %v", *contractSimulations, writes, struck)
 }
 
-// A course in which two views change within the time that followers have, and two of their sources are silent.
-func TestFollowersGoOnThroughTwoViews(t *testing.T) {
+// Two views change within the time that followers have, and two of their sources do not answer.
+func TestFollowersSurviveTwoViewChanges(t *testing.T) {
 	t.Parallel()
-	c := contractAt(t, 1796199225728843689, planted{})
+	c := contractAt(t, 1796199225728843689, plantedFaults{})
 	c.play(12)
 	if c.failure != "" {
-		t.Errorf("%s\n%s", c.failure, c.story())
+		t.Errorf("%s\n%s", c.failure, c.trace())
 	}
 }
 
-// Drawn courses in which a link of the chain lost its first update after a second without writes: the next was sent seconds later.
-func TestUpdatesLostAfterARestAreSentAgainSoon(t *testing.T) {
+// Seeds in which a link of the chain lost its first update after a second without writes: the next was sent
+// seconds later.
+func TestUpdatesLostAfterIdleAreResentSoon(t *testing.T) {
 	for seed, machines := range map[uint64]int{1796199634200714431: 5, 1796199634201552299: 4} {
-		c := newCourse(t, seed, machines, planted{})
+		c := newSimulation(t, seed, machines, plantedFaults{})
 		c.play(6)
 		if c.failure != "" {
-			t.Errorf("seed %d: %s\n%s", seed, c.failure, c.story())
+			t.Errorf("seed %d: %s\n%s", seed, c.failure, c.trace())
 		}
 	}
 }
 
-// contractAt draws the size of a course by its seed: losses of 1 and 2, 3 to 8 nodes.
-func contractAt(t testing.TB, seed uint64, f planted) *contract {
+// contractAt draws the size of a simulation by its seed: losses of 1 and 2, 3 to 8 nodes.
+func contractAt(t testing.TB, seed uint64, f plantedFaults) *contract {
 	sizes := []struct{ n, losses int }{{3, 1}, {4, 1}, {5, 1}, {8, 1}, {5, 2}, {8, 2}}
 	one := sizes[rand.New(rand.NewPCG(seed, 1)).IntN(len(sizes))]
 	return newContract(t, seed, one.n, one.losses, f)
 }
 
-func TestOneContract(t *testing.T) {
-	c := contractAt(t, *contractSeed, planted{})
+func TestSingleContractSeed(t *testing.T) {
+	c := contractAt(t, *contractSeed, plantedFaults{})
 	c.play(12)
 	if c.failure != "" {
 		for _, a := range c.order {
@@ -392,23 +403,24 @@
 				n := m.node
 				sent, ok := n.confirmedRoundSentAt()
 				tail := n.peers[n.acceptor.View.Tail()]
-				c.note("%s(%s) frozen %v fresh %v epoch %d sealed %v known %v commit %d confirmed %v %v tail %v %+v", a, m.id, m.frozen, n.Fresh(), n.acceptor.View.Epoch, n.acceptor.HasPromised(), n.chain.CommitIsCurrent(), n.chain.State().Commit, sent, ok, n.acceptor.View.Tail(), tail)
+				c.logf("%s(%s) frozen %v fresh %v epoch %d sealed %v known %v commit %d confirmed %v %v tail %v %+v",
+					a, m.id, m.frozen, n.Fresh(), n.acceptor.View.Epoch, n.acceptor.HasPromised(), n.chain.CommitIsCurrent(), n.chain.State().Commit, sent, ok, n.acceptor.View.Tail(), tail)
 			}
 		}
-		t.Fatalf("%s\n%s", c.failure, c.story())
+		t.Fatalf("%s\n%s", c.failure, c.trace())
 	}
 }
 
-var contractSeed = flag.Uint64("contract.seed", 1, "seed of the one course")
+var contractSeed = flag.Uint64("contract.seed", 1, "seed of the one simulation")
 
-// What breaks the contract has to be seen.
-func TestBrokenContractsAreFound(t *testing.T) {
+// Violations of the contract are found.
+func TestContractCheckFindsPlantedFaults(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]planted{
-		"a lost disk that comes back under its old id": {keepsID: true},
-		"a member that leaves without a word":          {leavesAtOnce: true},
-		"voters that are gone keep their votes":        {neverGone: true},
-		"an identity that is replaced keeps its vote":  {noSuccessor: true},
+	for name, f := range map[string]plantedFaults{
+		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
+		"a member that leaves without a word":          {stopsBeforeLeft: true},
+		"voters that are lost keep their votes":        {neverRemovesVoters: true},
+		"an identity that is replaced keeps its vote":  {ignoresApplicants: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -419,7 +431,7 @@
 					return
 				}
 			}
-			t.Fatal("not found in 200 courses")
+			t.Fatal("not found in 200 simulations")
 		})
 	}
 }
--- a/internal/tier/controlnode/cost_test.go
+++ b/internal/tier/controlnode/cost_test.go
@@ -22,8 +22,8 @@
 	costDiskMost = 16 << 20     // bytes of a node's data folder, with its log
 )
 
-// drawnConfig is a configuration of a size with routes of common length, of which two versions have little in common.
-func drawnConfig(version int64, size int) string {
+// randomConfig is a configuration of a size with routes of common length, of which two versions have little in common.
+func randomConfig(version int64, size int) string {
 	r := rand.New(rand.NewPCG(uint64(version), 0))
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"config_version":%d,"service_table":[{"name":"s"}],"route_table":[`, version)
@@ -87,7 +87,7 @@
 	f.t.Helper()
 	for range n {
 		on, _ := f.hist.newest()
-		body := drawnConfig(on+1, size)
+		body := randomConfig(on+1, size)
 		i := 0
 		f.until("a large configuration is acknowledged", func() bool {
 			i++
@@ -96,10 +96,10 @@
 	}
 }
 
-// TestReturnAfterManyLargeChangesFitsASmallShare: a member that was away for 300 changes of 1 MB, and a follower that
+// TestCatchUpAfterManyLargeChangesFitsCPUShare: a member that was away for 300 changes of 1 MB, and a follower that
 // starts, need so little processor time that a tenth of a core has them up to date within catch_up_s, the time on the
 // link included; the member does not lead before, and no disk grows with the number of changes.
-func TestReturnAfterManyLargeChangesFitsASmallShare(t *testing.T) {
+func TestCatchUpAfterManyLargeChangesFitsCPUShare(t *testing.T) {
 	changes := costChanges
 	if raceDetector {
 		changes /= 10 * slowness
@@ -110,7 +110,8 @@
 	f.kill(2)
 	before := f.nodes[0].processorTime(t)
 	f.largeChanges(changes, costSize, 0, 1)
-	t.Logf("%d changes of %d KB: %v of processor time each at node 0", changes, costSize>>10, (f.nodes[0].processorTime(t)-before)/time.Duration(changes))
+	t.Logf("%d changes of %d KB: %v of processor time each at node 0",
+		changes, costSize>>10, (f.nodes[0].processorTime(t)-before)/time.Duration(changes))
 	f.linkRate(costRate)
 	used := map[int]time.Duration{0: f.nodes[0].processorTime(t), 1: f.nodes[1].processorTime(t)}
 	tail := f.tail()
@@ -120,7 +121,7 @@
 		if s != nil && s.Head == s.Node && !f.isMember(2) {
 			t.Error("it leads before it has all that was committed")
 		}
-		return f.together()
+		return f.allMembers()
 	})
 	const onLink = costSize * time.Second / costRate
 	f.fits("the member that returns", f.nodes[2].processorTime(t), onLink, took)
@@ -134,7 +135,7 @@
 			t.Logf("node %d has %d KB on disk", i, size>>10)
 		}
 	}
-	f.settles(f.tail()) // others send a reader of so much to it
+	f.requireCaughtUp(f.tail()) // others send a reader of so much to it
 }
 
 // fits fails where processor time at the share of a core, with the time on the link, is more than catch_up_s.
@@ -154,13 +155,14 @@
 	follower := startFollowerChild(f.t, f.settings(0, false))
 	newest, _ := f.hist.newest()
 	acts := fmt.Sprintf("%s%d\n", actsMark, newest)
-	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.said.String(), acts) })
+	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
 	f.fits("a follower that starts", follower.processorTime(f.t), onLink, time.Since(began))
 	used := follower.processorTime(f.t)
 	const more = 5
 	f.largeChanges(more, costSize, f.all()...)
 	newest, _ = f.hist.newest()
 	acts = fmt.Sprintf("%s%d\n", actsMark, newest)
-	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.said.String(), acts) })
-	f.t.Logf("a follower that is awake: %v of processor time for each change", ((follower.processorTime(f.t) - used) / more).Round(time.Millisecond))
+	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
+	f.t.Logf("a follower that is awake: %v of processor time for each change",
+		((follower.processorTime(f.t) - used) / more).Round(time.Millisecond))
 }
--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -18,7 +18,7 @@
 	"larchrouter/internal/tier/orders"
 )
 
-func TestEachKindOfDecisionHasAnAnswer(t *testing.T) {
+func TestEveryDecisionKindHasHTTPStatus(t *testing.T) {
 	for k := orders.Accept; k <= orders.Found; k++ {
 		r := replyFor(orders.Decision{Kind: k, Reason: "reason", Body: []byte("{}")})
 		switch {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestAnOrderIsAcknowledgedAgainAfterManyOthers(t *testing.T) {
+func TestRepeatedOrderIsAcknowledgedAfterManyOthers(t *testing.T) {
 	const versions = 80
 	c := newCluster(t, 3)
 	for v := 1; v <= versions; v++ {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFollowersAreToldNothingOfOrders(t *testing.T) {
+func TestFeedExcludesOrders(t *testing.T) {
 	c := newCluster(t, 3)
 	for v := 1; v <= 3; v++ {
 		if got := c.put(v, v-1, 0, 1, 2); got != http.StatusOK {
@@ -79,7 +79,7 @@
 	settings := c.settings(0, false)
 	to := calls.To(settings.PeerAddr(c.control(0), process.CorePort))
 	var a feed.FollowResponse
-	c.until("a node tells all that it has", func() bool {
+	c.until("a node has all that is committed", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), 2*time.Second)
 		defer done()
 		a = feed.FollowResponse{}
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestANodeWithoutAMajorityRefusesNothing(t *testing.T) {
+func TestNodeWithoutMajorityRejectsNothing(t *testing.T) {
 	c := newCluster(t, 3)
 	for v := 1; v <= 2; v++ {
 		if got := c.put(v, v-1, 0, 1, 2); got != http.StatusOK {
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestCallersThatGiveUpLeaveNothing asks a head without a majority: what is written there has no end as long as its epoch
+// TestAbandonedRequestsAreDropped asks a head without a majority: what is written there has no end as long as its epoch
 // lasts.
-func TestCallersThatGiveUpLeaveNothing(t *testing.T) {
+func TestAbandonedRequestsAreDropped(t *testing.T) {
 	settings := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir()}}
 	core, err := Open(settings.settings(0, true), process.NewRing(io.Discard))
 	if err != nil {
@@ -160,6 +160,6 @@
 		core.onLoop(func() { left = len(core.pendingRequests) })
 	}
 	if left != 0 {
-		t.Fatalf("of %d orders that were given up %d are still waited for", begun.Load(), left)
+		t.Fatalf("of %d abandoned requests %d are still pending", begun.Load(), left)
 	}
 }
--- a/internal/tier/controlnode/batch_test.go
+++ b/internal/tier/controlnode/event_loop_test.go
@@ -13,8 +13,8 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// silence is how long nothing may be told.
-const silence = 100 * time.Millisecond
+// quietPeriod is how long nothing may be reported.
+const quietPeriod = 100 * time.Millisecond
 
 // startAlone starts a node that is the only one of its system: what it writes is committed with its own sync.
 func startAlone(t *testing.T) *Server {
@@ -48,9 +48,9 @@
 	return core
 }
 
-// A reader that meets a write in one batch of the loop is told of it only once the write is on disk: a loss of power
-// in between would take back what it was told.
-func TestWhatIsReadIsOnDisk(t *testing.T) {
+// A reader that sees a write of its own batch of the event loop gets its answer only once the write is on
+// disk: a loss of power in between would take back what it was answered.
+func TestReadsAreReportedAfterSync(t *testing.T) {
 	core := startAlone(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	syncing, synced := make(chan struct{}), make(chan struct{})
@@ -82,7 +82,7 @@
 		t.Errorf("%d entries were read before they were on disk", n)
 		close(synced)
 		return
-	case <-time.After(silence):
+	case <-time.After(quietPeriod):
 	}
 	close(synced)
 	if n := <-read; n != 1 {
@@ -91,7 +91,7 @@
 }
 
 // Callers that come again at once, each time they are answered, do not keep the loop from sending.
-func TestABatchHasAnEnd(t *testing.T) {
+func TestBatchIsBounded(t *testing.T) {
 	c := &Server{ctx: t.Context(), requests: make(chan queuedRequest, 1), peerMessages: make(chan Message, 1)}
 	taken := 0
 	var call func()
--- a/internal/tier/controlnode/feed_bench_test.go
+++ b/internal/tier/controlnode/feed_bench_test.go
@@ -15,13 +15,13 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// hollow is a follower that polls and takes nothing in but what the next poll has to name.
+// hollow is a follower that polls and keeps nothing but what the next poll has to name.
 type hollow struct {
 	q    feed.ChangesRequest
 	call func(q *feed.ChangesRequest) ([]byte, error) // an encoded answer
 }
 
-type counts struct{ polls, asked, bytes, patches, whole, failed atomic.Int64 }
+type counts struct{ polls, asked, bytes, patches, complete, failed atomic.Int64 }
 
 func (h *hollow) poll(n *counts) {
 	b, err := h.call(&h.q)
@@ -40,7 +40,7 @@
 		h.q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: p.Delta[1+size : 1+2*size]}}
 	}
 	for _, name := range a.LargeValues {
-		n.whole.Add(1)
+		n.complete.Add(1)
 		h.q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: name.Digest}}
 	}
 }
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -59,7 +59,7 @@
 	return c.settings(0, false).PeerAddr(c.ip(node), process.CorePort)
 }
 
-func TestLargeConfigurationsGoInPiecesAndAsDifferences(t *testing.T) {
+func TestLargeConfigurationsAreSentInChunksAndDeltas(t *testing.T) {
 	c := newCluster(t, 3)
 	f, stop := c.follow("front-1")
 	defer stop()
@@ -81,7 +81,7 @@
 	q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: a.LargeValues[0].Digest}}
 	b := c.ask(calls, 0, q)
 	if len(b.Patches) != 1 || len(b.Patches[0].Delta) > 500 {
-		t.Fatalf("%d differences, %d by name, %d whole", len(b.Patches), len(b.LargeValues), len(b.Entries))
+		t.Fatalf("%d differences, %d by digest, %d complete", len(b.Patches), len(b.LargeValues), len(b.Entries))
 	}
 	next, err := bodydelta.Apply(value, b.Patches[0].Delta, rpc.MaxFrame)
 	var e feed.ConfigEntry
@@ -111,8 +111,8 @@
 	return value
 }
 
-// A follower of the version before this one asks by the old call and gets every value whole.
-func TestAFollowerOfTheVersionBeforeIsAnswered(t *testing.T) {
+// A follower of the release before this one polls by the old call and gets every value complete.
+func TestFollowerOfEarlierReleaseIsServed(t *testing.T) {
 	c := newCluster(t, 3)
 	c.putBody(0, largeConfig(3))
 	calls := &rpc.Clients{}
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestAPieceOfWhatIsCommittedIsGivenToSomeAtOnce(t *testing.T) {
+func TestConcurrentChunkTransfersAreLimited(t *testing.T) {
 	var s feedServer
 	value := rpc.Encode(&feed.ConfigEntry{Version: 3, Body: largeConfig(3)})
 	digest := bodydelta.DigestOf(value)
@@ -152,16 +152,16 @@
 		}
 	}
 	if given != 8 || busy != 12 {
-		t.Errorf("%d were given a piece and %d told to wait", given, busy)
+		t.Errorf("%d were given a chunk and %d had to wait", given, busy)
 	}
 	if p := s.serveChunk(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
 		t.Errorf("a value that there never was: state %d", p.Status)
 	}
 }
 
-// A node that stood still answers the polls that come as it wakes before it has heard of what was committed meanwhile:
-// whatever its clock says of silence, the answer is not fresh until a majority has confirmed it after the poll came.
-func TestANodeThatStoodStillDoesNotFeedWhatItHad(t *testing.T) {
+// A frozen node answers the polls that come as it wakes before it has received what was committed meanwhile:
+// whatever its clock shows, the answer is not fresh until a majority has confirmed it after the poll came.
+func TestFrozenNodeDoesNotServeStaleFeed(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
@@ -200,9 +200,10 @@
 	}
 }
 
-// An answer rests on a round that begins after its poll came, and not on one that has ended before: a node that is healthy
-// by all that it knows has to ask first. It asks at once, and does not wait for the next heartbeats.
-func TestAPollIsAnsweredAfterARoundOfItsOwn(t *testing.T) {
+// An answer rests on a confirmation round that starts after its poll came, and not on one that has ended
+// before: a node that is healthy by its own state has to ask first. It asks at once, and does not wait for
+// the next heartbeats.
+func TestPollWaitsForConfirmationRound(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
@@ -211,7 +212,7 @@
 	for i, core := range c.cores {
 		var arrival time.Duration
 		var m feedSnapshot
-		c.until("a node that was confirmed lately", func() bool {
+		c.until("a node that was confirmed recently", func() bool {
 			core.onLoop(func() {
 				arrival = core.now()
 				m = core.snapshotFeed(q, arrival, true)
@@ -219,7 +220,7 @@
 			return m.recent && m.index > 0
 		})
 		if m.confirmed || m.ready == nil {
-			t.Fatalf("node %d: a poll was answered fresh in the moment of its coming", i)
+			t.Fatalf("node %d: a poll was answered fresh as it came", i)
 		}
 		c.until("a round begun after the poll", func() bool {
 			core.onLoop(func() { m = core.snapshotFeed(q, arrival, true) })
@@ -229,7 +230,7 @@
 			return m.confirmed
 		})
 		if len(m.entries) == 0 {
-			t.Errorf("node %d: nothing is told after the round", i)
+			t.Errorf("node %d: no entries after the round", i)
 		}
 	}
 }
--- a/internal/tier/controlnode/callers_test.go
+++ b/internal/tier/controlnode/fleet_callers_test.go
@@ -21,7 +21,7 @@
 type writtenCall struct {
 	name  string
 	conn  net.Conn
-	order orderSeen // body "" for a call that is no change
+	order observedPut // body "" for a call that is no change
 }
 
 // write puts a call into the socket of a node's control address.
@@ -31,9 +31,10 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	c := &writtenCall{name: name, conn: conn, order: orderSeen{node: i, on: on, version: versionOf(body), body: body}}
+	c := &writtenCall{name: name, conn: conn, order: observedPut{node: i, on: on, version: versionOf(body), body: body}}
 	c.order.began = f.hist.now()
-	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: core\r\nConnection: close\r\nIf-Match: %d\r\nContent-Length: %d\r\n\r\n%s", method, path, on, len(body), body)
+	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: core\r\nConnection: close\r\nIf-Match: %d\r\nContent-Length: %d\r\n\r\n%s",
+		method, path, on, len(body), body)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -60,9 +61,9 @@
 	return resp.StatusCode, string(b)
 }
 
-// questions writes one call of each kind to a node: the newest change again, one on the newest version, one on a version
+// writeRequests writes one call of each kind to a node: the newest change again, one on the newest version, one on a version
 // that is past, a reading, an order about a store, and a reading of that.
-func (f *fleet) questions(i, tag int) []*writtenCall {
+func (f *fleet) writeRequests(i, tag int) []*writtenCall {
 	f.t.Helper()
 	newest, body := f.hist.newest()
 	on := int64(0)
@@ -83,9 +84,9 @@
 	}
 }
 
-// unclear waits for the answers of a node that no majority can have confirmed anything to: each comes within a caller's
-// second and proves nothing.
-func (f *fleet) unclear(calls []*writtenCall, since time.Time) {
+// requireOutcomeUnknown waits for the answers of a node that no majority can have confirmed anything to: each
+// comes within a caller's second and proves nothing.
+func (f *fleet) requireOutcomeUnknown(calls []*writtenCall, since time.Time) {
 	f.t.Helper()
 	var all sync.WaitGroup
 	for _, c := range calls {
@@ -102,17 +103,17 @@
 	all.Wait()
 }
 
-// knowsNothing asks a node that is cut off, wave after wave over more than the time in which it could take itself for
-// fresh, and asks its feed as well: an answer of that must not be old.
-func (f *fleet) knowsNothing(i int) {
+// requireNoAnswers calls a partitioned node, wave after wave over more than the time in which it could take
+// itself for fresh, and polls its feed as well: an answer of that must not be old.
+func (f *fleet) requireNoAnswers(i int) {
 	f.t.Helper()
 	const waves, apart = 8, 110 * time.Millisecond
 	next := time.NewTicker(apart)
 	defer next.Stop()
 	var all sync.WaitGroup
 	for wave := range waves {
-		calls, since := f.questions(i, wave), time.Now()
-		all.Go(func() { f.unclear(calls, since) })
+		calls, since := f.writeRequests(i, wave), time.Now()
+		all.Go(func() { f.requireOutcomeUnknown(calls, since) })
 		all.Go(func() { f.feed(i) })
 		<-next.C
 	}
@@ -188,7 +189,7 @@
 			changed := follower.Changed()
 			if now := follower.Tables().Config; now != nil && now.Version != last {
 				last = now.Version
-				f.hist.act(actsSeen{f.hist.now(), fmt.Sprintf("%s of %v", s.NodeName, began), began, last})
+				f.hist.act(observedActivation{f.hist.now(), fmt.Sprintf("%s of %v", s.NodeName, began), began, last})
 			}
 			select {
 			case <-changed:
@@ -210,8 +211,8 @@
 	})
 }
 
-// drawn gives a seed and tells it.
-func drawn(t *testing.T) (seed uint64, r *rand.Rand) {
+// newSeed returns a seed and logs it.
+func newSeed(t *testing.T) (seed uint64, r *rand.Rand) {
 	seed = uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	return seed, rand.New(rand.NewPCG(seed, 7))
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -29,12 +29,12 @@
 	portStrides = 1000
 
 	pollEvery  = 15 * time.Millisecond
-	fleetLimit = 15 * time.Second // for anything that has to come about
+	fleetLimit = 15 * time.Second // for anything that is waited for
 	catchUp    = 4200 * time.Millisecond
 
 	callerLimit = 1500 * time.Millisecond // after which a caller takes a node for dead
 
-	// answerLimit is a caller's second of silence, with what a busy machine adds to it.
+	// answerLimit is the second after which a caller takes a node for dead, with what a busy machine adds to it.
 	answerLimit = time.Second + 400*time.Millisecond
 )
 
@@ -79,7 +79,7 @@
 		f.start(i, true)
 	}
 	f.change(0, f.all()...)
-	f.until("all nodes are members", f.together)
+	f.until("all nodes are members", f.allMembers)
 	return f
 }
 
@@ -115,7 +115,7 @@
 	f.relays[[2]int{from, to}] = r
 }
 
-// report checks the history, and shows what the nodes said where something is broken.
+// report checks the history, and logs the output of the nodes where something is broken.
 func (f *fleet) report() {
 	for _, b := range f.hist.check() {
 		f.t.Error(b)
@@ -125,7 +125,7 @@
 	}
 	for i, c := range f.nodes {
 		if c != nil {
-			f.t.Logf("node %d said: %s", i, c.said.String())
+			f.t.Logf("output of node %d: %s", i, c.output.String())
 		}
 	}
 }
@@ -145,8 +145,8 @@
 	return nodes
 }
 
-// but are the nodes that run, without those named.
-func (f *fleet) but(without ...int) []int {
+// allExcept returns the nodes that run, without those named.
+func (f *fleet) allExcept(without ...int) []int {
 	return slices.DeleteFunc(f.all(), func(i int) bool { return slices.Contains(without, i) })
 }
 
@@ -195,17 +195,17 @@
 	f.dirs[i] = f.t.TempDir()
 }
 
-// holdTo keeps from a node all that others say; holdFrom keeps from the others all that it says. Calls and their answers
-// go on connections of either side.
-func (f *fleet) holdTo(i int) {
+// blockInbound keeps from a node all that others send; blockOutbound keeps from the others all that it sends.
+// Calls and their answers go on connections of either side.
+func (f *fleet) blockInbound(i int) {
 	f.links(i, func(mine, theirs *cutproxy.Relay) { mine.Hold(cutproxy.Backward); theirs.Hold(cutproxy.Forward) })
 }
 
-func (f *fleet) holdFrom(i int) {
+func (f *fleet) blockOutbound(i int) {
 	f.links(i, func(mine, theirs *cutproxy.Relay) { mine.Hold(cutproxy.Forward); theirs.Hold(cutproxy.Backward) })
 }
 
-func (f *fleet) cut(i int) { f.holdTo(i); f.holdFrom(i) }
+func (f *fleet) partition(i int) { f.blockInbound(i); f.blockOutbound(i) }
 
 // links calls do with the relays from a node to each other one, and back.
 func (f *fleet) links(i int, do func(mine, theirs *cutproxy.Relay)) {
@@ -216,8 +216,8 @@
 	}
 }
 
-// split cuts the links between the nodes of a side and the others.
-func (f *fleet) split(side ...int) {
+// partitionGroups cuts the links between the nodes of a side and the others.
+func (f *fleet) partitionGroups(side ...int) {
 	for pair, r := range f.relays {
 		if slices.Contains(side, pair[0]) != slices.Contains(side, pair[1]) {
 			r.Hold(cutproxy.Forward)
@@ -226,7 +226,7 @@
 	}
 }
 
-// heal joins all links again. Bytes that were held up are delivered, or lost with their connections.
+// heal unblocks all links. Bytes that were blocked are delivered, or lost with their connections.
 func (f *fleet) heal(lose bool) {
 	for _, r := range f.relays {
 		if lose {
@@ -237,7 +237,7 @@
 	}
 }
 
-// until calls done, with pauses, until it says so.
+// until calls done, with pauses, until it returns true.
 func (f *fleet) until(what string, done func() bool) { f.t.Helper(); f.within(fleetLimit, what, done) }
 
 func (f *fleet) within(limit time.Duration, what string, done func() bool) time.Duration {
@@ -281,7 +281,7 @@
 
 // put sends a change to a node once, and notes the answer.
 func (f *fleet) put(i int, on int64, body string) int {
-	o := orderSeen{node: i, on: on, version: versionOf(body), body: body}
+	o := observedPut{node: i, on: on, version: versionOf(body), body: body}
 	o.began = f.hist.now()
 	o.status, o.text = f.call(i, http.MethodPut, "/api/config", strconv.FormatInt(on, 10), []byte(body))
 	o.ended = f.hist.now()
@@ -291,7 +291,7 @@
 
 // read reads from a node once, and notes the answer.
 func (f *fleet) read(i int) (status int, version int64) {
-	r := readSeen{where: fmt.Sprintf("node %d", i)}
+	r := observedRead{where: fmt.Sprintf("node %d", i)}
 	r.began = f.hist.now()
 	status, text := f.call(i, http.MethodGet, "/api/config", "", nil)
 	r.ended = f.hist.now()
@@ -305,9 +305,10 @@
 	return status, r.version
 }
 
-// feed asks a node for its feed from the start, as a new follower does, and notes an answer that says it may be relied on.
+// feed polls the feed of a node from the start, as a new follower does, and records an answer that is
+// confirmed.
 func (f *fleet) feed(i int) (fresh bool, version int64) {
-	r := readSeen{where: fmt.Sprintf("feed of node %d", i), feed: true}
+	r := observedRead{where: fmt.Sprintf("feed of node %d", i), feed: true}
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
 	r.began = f.hist.now()
@@ -327,7 +328,7 @@
 	return true, r.version
 }
 
-// status is what a node says of itself; nil for no answer.
+// status returns the status that a node reports; nil for no answer.
 func (f *fleet) status(i int) *Status {
 	code, text := f.call(i, http.MethodGet, "/api/status", "", nil)
 	s := new(Status)
@@ -347,14 +348,15 @@
 	return names
 }
 
-// isMember tells whether a node says that it is a member of the chain that has all that was committed.
+// isMember reports whether a node reports that it is a member of the chain that has all that was committed.
 func (f *fleet) isMember(i int) bool {
 	s := f.status(i)
 	return s != nil && s.Fresh && !s.Sealed && slices.Contains(s.Chain, s.Node)
 }
 
-// together tells whether all nodes that run say the same: one view, all of them caught-up members of its chain.
-func (f *fleet) together() bool {
+// allMembers reports whether all nodes that run report the same: one view, all of them caught-up members of
+// its chain.
+func (f *fleet) allMembers() bool {
 	epoch, chain := int64(0), []string(nil)
 	for _, i := range f.all() {
 		s := f.status(i)
@@ -418,8 +420,8 @@
 	return head
 }
 
-// settles waits until each node is a caught-up member and reads what is newest.
-func (f *fleet) settles(nodes ...int) {
+// requireCaughtUp waits until each node is a caught-up member and reads what is newest.
+func (f *fleet) requireCaughtUp(nodes ...int) {
 	f.t.Helper()
 	for _, i := range nodes {
 		f.caughtUp(i)
--- a/internal/tier/controlnode/follower_cut_test.go
+++ b/internal/tier/controlnode/follower_partition_test.go
@@ -13,8 +13,8 @@
 )
 
 // applyTime is config_apply_ms: within it a follower that is in touch with some node acts on a change. That it does is judged
-// in virtual time, by the courses of package feed. Here, where a busy machine keeps whole processes back, the followers
-// have to come through while the cut lasts, within fleetLimit; a follower that takes longer than applyTime is logged.
+// in virtual time, by the simulations of package feed. Here, where a busy machine keeps whole processes back, the followers
+// have to catch up while the partition lasts, within fleetLimit; a follower that takes longer than applyTime is logged.
 const applyTime = 2 * time.Second
 
 // homeLimit is more than the 16 s in which a follower that began elsewhere tries to follow the first of its own order.
@@ -69,7 +69,7 @@
 	}
 }
 
-// release joins links again; what was held up is delivered, or lost with its connection.
+// release unblocks links; what was blocked is delivered, or lost with its connection.
 func (l *linkedFollower) release(lose bool, nodes ...int) {
 	for _, i := range nodes {
 		if lose {
@@ -91,18 +91,18 @@
 	l.f.t.Logf("%s: acts on a change %v after it was acknowledged, wanted within %v", what, took.Round(time.Millisecond), applyTime)
 }
 
-// TestFollowerWhoseLinksAreCutInOneWay: on sockets, a follower that is heard and hears nothing, or hears and is not heard,
+// TestFollowerInOneWayPartition: on sockets, a follower that receives nothing, or whose messages are lost,
 // of its source, of one after the other, of all but one as it starts, and of all until a change arrives.
-func TestFollowerWhoseLinksAreCutInOneWay(t *testing.T) {
+func TestFollowerInOneWayPartition(t *testing.T) {
 	t.Parallel()
 	for name, directions := range map[string][]cutproxy.Direction{
-		"it is heard and hears nothing": {cutproxy.Backward},
-		"it hears and is not heard":     {cutproxy.Forward},
+		"it receives nothing":           {cutproxy.Backward},
+		"nothing that it sends arrives": {cutproxy.Forward},
 		"nothing passes":                {cutproxy.Forward, cutproxy.Backward},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := drawn(t)
+			_, r := newSeed(t)
 			f := newFleet(t, 3, 3)
 			first := r.IntN(3)
 			l := f.linked(first, f.all(), nil)
@@ -117,10 +117,10 @@
 				l.release(r.IntN(2) == 0, f.all()...)
 			}
 			one := r.IntN(3)
-			late := f.linked(others(3, one)[0], f.all(), func(l *linkedFollower) { l.hold(directions, others(3, one)...) })
-			late.acts("it starts and reaches one of three")
+			second := f.linked(others(3, one)[0], f.all(), func(l *linkedFollower) { l.hold(directions, others(3, one)...) })
+			second.acts("it starts and reaches one of three")
 			l.cutEndsAsAChangeArrives(directions, r.IntN(2) == 0)
-			f.settles(f.all()...)
+			f.requireCaughtUp(f.all()...)
 		})
 	}
 }
@@ -129,32 +129,32 @@
 func (l *linkedFollower) cutEndsAsAChangeArrives(directions []cutproxy.Direction, lose bool) {
 	l.f.t.Helper()
 	l.hold(directions, l.f.all()...)
-	heard := l.Tables().ConfirmedAt
+	confirmedAt := l.Tables().ConfirmedAt
 	for range 3 {
 		l.f.change(2, l.f.all()...)
 	}
-	l.f.until("the follower has missed a poll", func() bool { return time.Since(heard) > applyTime })
+	l.f.until("the follower has missed a poll", func() bool { return time.Since(confirmedAt) > applyTime })
 	var joined sync.WaitGroup
 	joined.Go(func() { l.release(lose, l.f.all()...) })
 	l.acts("all were cut off, and are joined as a change arrives")
 	joined.Wait()
 }
 
-// TestFollowerWhoseSeedsAreOnTheCutSide: the only node that a starting follower was told of is cut off from the others in one
+// TestFollowerWhoseSeedsArePartitioned: the only node that a starting follower knows is partitioned from the others in one
 // way; it names them, and they feed the follower.
-func TestFollowerWhoseSeedsAreOnTheCutSide(t *testing.T) {
+func TestFollowerWhoseSeedsArePartitioned(t *testing.T) {
 	t.Parallel()
 	for name, hold := range map[string]func(f *fleet, i int){
-		"the node is heard and hears nothing": (*fleet).holdTo,
-		"the node hears and is not heard":     (*fleet).holdFrom,
+		"the node receives nothing":           (*fleet).blockInbound,
+		"nothing that the node sends arrives": (*fleet).blockOutbound,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := drawn(t)
+			_, r := newSeed(t)
 			f := newFleet(t, 3, 3)
 			seed := r.IntN(3)
 			hold(f, seed)
-			f.change(1, f.but(seed)...)
+			f.change(1, f.allExcept(seed)...)
 			l := f.linked(seed, []int{seed}, nil)
 			newest, _ := f.hist.newest()
 			took := f.within(fleetLimit, "the follower acts on what is newest", func() bool {
@@ -163,7 +163,7 @@
 			})
 			t.Logf("acts on what is newest %v after its start", took.Round(time.Millisecond))
 			f.heal(r.IntN(2) == 0)
-			f.settles(f.all()...)
+			f.requireCaughtUp(f.all()...)
 			l.acts("the nodes are joined again")
 		})
 	}
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -11,28 +11,32 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-func silentFor(d time.Duration) placement.Observations {
-	return placement.Observations{Generation: 4, GenerationAge: time.Minute, Unresponsive: []placement.UnresponsiveStore{{ID: "store", Elapsed: d}}}
+func unresponsiveStore(d time.Duration) placement.Observations {
+	return placement.Observations{
+		Generation:    4,
+		GenerationAge: time.Minute,
+		Unresponsive:  []placement.UnresponsiveStore{{ID: "store", Elapsed: d}},
+	}
 }
 
-func TestHandoverPassesBetweenNodes(t *testing.T) {
-	sent := Message{Kind: msgHeartbeat, Handover: []placement.Observations{silentFor(1500 * time.Millisecond)}}
+func TestHandoverEncoding(t *testing.T) {
+	sent := Message{Kind: msgHeartbeat, Handover: []placement.Observations{unresponsiveStore(1500 * time.Millisecond)}}
 	var got Message
 	if err := rpc.Decode(rpc.Encode(&sent), &got); err != nil || !reflect.DeepEqual(got.Handover, sent.Handover) {
 		t.Fatalf("%+v, %v", got.Handover, err)
 	}
 }
 
-// A head stops; the one that takes over has what was measured of the stores, and forgets it once it is old.
-func TestANewHeadHasWhatTheOneBeforeItHasMeasured(t *testing.T) {
-	c := newCourse(t, 1, 3, planted{})
-	c.quiet = true
+// A head stops; its successor has its observations of the stores, and drops them once they are old.
+func TestNewHeadInheritsObservations(t *testing.T) {
+	c := newSimulation(t, 1, 3, plantedFaults{})
+	c.withoutChance = true
 	c.run(time.Second)
 	head, next := c.machines["m0"], c.machines["m1"]
 	if !head.node.IsConfirmedHead() {
 		t.Fatalf("the first of the chain does not lead: %+v", head.node.View())
 	}
-	want := silentFor(1500 * time.Millisecond)
+	want := unresponsiveStore(1500 * time.Millisecond)
 	head.node.SetHandover(want)
 	c.run(400 * time.Millisecond)
 	c.stop(head)
@@ -46,19 +50,20 @@
 	core := &Server{node: next.node, startedAt: time.Now()}
 	core.assumePlacementRole()
 	if !reflect.DeepEqual(core.placementRole.inherited, want) {
-		t.Errorf("it takes the duty with %+v", core.placementRole.inherited)
+		t.Errorf("it assumes the role with %+v", core.placementRole.inherited)
 	}
 	c.run(handoverMaxAge)
 	if got := next.node.Handover(); got.Generation != 0 || len(got.Unresponsive) > 0 {
-		t.Errorf("what was told long ago still counts: %+v", got)
+		t.Errorf("old observations still count: %+v", got)
 	}
 }
 
-// The other core nodes hear of a store that is late, and no more of it once it registers again.
-func TestTheHeadTellsWhichStoresAreSilent(t *testing.T) {
+// The head sends the other control nodes its observation of a store that does not register, until it
+// registers again.
+func TestHeadSendsObservationsOfUnresponsiveStores(t *testing.T) {
 	c := newCluster(t, 3)
 	registering := []string{"a", "b", "c", "d"}
-	told := func() placement.Observations {
+	received := func() placement.Observations {
 		for _, id := range registering {
 			one := turnstore.Store{ID: id, Name: id, Addr: id + ":1"}
 			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one})
@@ -67,88 +72,95 @@
 		c.cores[2].onLoop(func() { h = c.cores[2].node.Handover() })
 		return h
 	}
-	c.until("all stores are placed", func() bool { return told().Generation > 0 })
-	c.until("all stores are heard", func() bool { return len(told().Unresponsive) == 0 })
+	c.until("all stores are placed", func() bool { return received().Generation > 0 })
+	c.until("all stores register", func() bool { return len(received().Unresponsive) == 0 })
 	registering = registering[:3]
-	c.until("a node that does not lead knows which store is silent", func() bool {
-		h := told()
+	c.until("a node that does not lead knows which store is unresponsive", func() bool {
+		h := received()
 		return len(h.Unresponsive) == 1 && h.Unresponsive[0].ID == "d"
 	})
 	registering = append(registering, "d")
-	c.until("the store is heard again", func() bool { return len(told().Unresponsive) == 0 })
+	c.until("the store registers again", func() bool { return len(received().Unresponsive) == 0 })
 }
 
-// A node that no majority confirms does not know whether it still holds the duty.
-func TestAHeadThatIsNotConfirmedHandsNothingOver(t *testing.T) {
-	c := newCourse(t, 1, 3, planted{})
-	c.quiet = true
+// A node that no majority confirms does not know whether it still has the placement role.
+func TestUnconfirmedHeadSendsNoObservations(t *testing.T) {
+	c := newSimulation(t, 1, 3, plantedFaults{})
+	c.withoutChance = true
 	c.run(time.Second)
 	head := c.machines["m0"].node
-	head.SetHandover(silentFor(time.Second))
-	told := func() (n int) {
+	head.SetHandover(unresponsiveStore(time.Second))
+	sent := func() (n int) {
 		c.now += head.settings.Timings.HeartbeatInterval
 		for _, e := range head.Tick(c.now).Messages {
 			n += len(e.Handover)
 		}
 		return n
 	}
-	if told() == 0 {
-		t.Error("a head that is confirmed tells nothing")
+	if sent() == 0 {
+		t.Error("a confirmed head sends nothing")
 	}
 	for head.IsConfirmedHead() {
-		told()
+		sent()
 	}
-	if n := told(); n > 0 {
-		t.Errorf("told %d times", n)
+	if n := sent(); n > 0 {
+		t.Errorf("sent %d times", n)
 	}
 }
 
-// A node that led once tells nothing of that time when it leads again.
-func TestWhatAnEarlierReignMeasuredIsNotTold(t *testing.T) {
-	c := newCourse(t, 1, 3, planted{})
-	c.quiet = true
+// A node that was head once sends nothing of that time when it is head again.
+func TestObservationsOfEarlierHeadshipAreNotSent(t *testing.T) {
+	c := newSimulation(t, 1, 3, plantedFaults{})
+	c.withoutChance = true
 	c.run(time.Second)
 	head := c.machines["m0"]
-	head.node.SetHandover(silentFor(time.Second))
+	head.node.SetHandover(unresponsiveStore(time.Second))
 	head.frozen = true
 	c.run(3 * time.Second)
 	c.thaw(head)
 	c.run(3 * time.Second)
 	if head.node.IsConfirmedHead() || head.node.handover.outgoing != nil {
-		t.Errorf("leads %v, tells %+v", head.node.IsConfirmedHead(), head.node.handover.outgoing)
+		t.Errorf("head %v, sends %+v", head.node.IsConfirmedHead(), head.node.handover.outgoing)
 	}
 }
 
-func TestOnlyTheHeadsNewestHeartbeatHandsOver(t *testing.T) {
-	c := newCourse(t, 1, 3, planted{})
-	c.quiet = true
+func TestOnlyNewestHeartbeatOfHeadHandsOver(t *testing.T) {
+	c := newSimulation(t, 1, 3, plantedFaults{})
+	c.withoutChance = true
 	c.run(time.Second)
 	head, node := c.machines["m0"], c.machines["m1"].node
 	view := node.View()
-	tell := func(from *machine, epoch, round int64, silence time.Duration) {
+	deliver := func(from *machine, epoch, round int64, elapsed time.Duration) {
 		self := from.node.settings.Self
-		node.Receive(c.now, Message{Kind: msgHeartbeat, From: self, Incarnation: from.life, Epoch: epoch, ConfirmationRound: round, Handover: []placement.Observations{silentFor(silence)}})
-	}
-	holds := func(what string, want time.Duration) {
+		node.Receive(c.now, Message{
+			Kind:              msgHeartbeat,
+			From:              self,
+			Incarnation:       from.incarnation,
+			Epoch:             epoch,
+			ConfirmationRound: round,
+			Handover:          []placement.Observations{unresponsiveStore(elapsed)},
+		})
+	}
+	requireElapsed := func(what string, want time.Duration) {
 		t.Helper()
 		if got := node.Handover(); len(got.Unresponsive) != 1 || got.Unresponsive[0].Elapsed != want {
 			t.Errorf("%s: %+v, wanted %v", what, got, want)
 		}
 	}
-	tell(head, view.Epoch, 1000, time.Second)
-	holds("the head's heartbeat", time.Second)
-	tell(head, view.Epoch, 999, 2*time.Second)
-	holds("one that comes late", time.Second)
-	tell(head, view.Epoch-1, 1001, 2*time.Second)
-	holds("one of the epoch before", time.Second)
-	tell(c.machines["m2"], view.Epoch, 1002, 2*time.Second)
-	holds("one of another node", time.Second)
-	tell(head, view.Epoch, 1003, 3*time.Second)
-	holds("the head's next", 3*time.Second)
+	deliver(head, view.Epoch, 1000, time.Second)
+	requireElapsed("the head's heartbeat", time.Second)
+	deliver(head, view.Epoch, 999, 2*time.Second)
+	requireElapsed("one that comes out of order", time.Second)
+	deliver(head, view.Epoch-1, 1001, 2*time.Second)
+	requireElapsed("one of the epoch before", time.Second)
+	deliver(c.machines["m2"], view.Epoch, 1002, 2*time.Second)
+	requireElapsed("one of another node", time.Second)
+	deliver(head, view.Epoch, 1003, 3*time.Second)
+	requireElapsed("the head's next", 3*time.Second)
 }
 
-func TestAfterAPauseNothingCountsThatWasMeasuredBefore(t *testing.T) {
-	d := placementRole{tookOverAt: time.Second, lastTickAt: time.Second, inherited: silentFor(time.Second)}
+func TestPauseResetsInheritedObservations(t *testing.T) {
+	d := placementRole{tookOverAt: time.Second, lastTickAt: time.Second, inherited: unresponsiveStore(time.Second)}
 	d.tick(time.Second + maxRolePause)
 	if len(d.inherited.Unresponsive) != 1 {
 		t.Error("forgotten without a pause")
--- a/internal/tier/controlnode/history_test.go
+++ b/internal/tier/controlnode/history_test.go
@@ -15,8 +15,8 @@
 // span is when a caller began to ask and had the answer, from the start of a history.
 type span struct{ began, ended time.Duration }
 
-// orderSeen is one sending of a configuration. Status 0, 307 and 5xx prove nothing.
-type orderSeen struct {
+// observedPut is one sending of a configuration. Status 0, 307 and 5xx prove nothing.
+type observedPut struct {
 	span
 	node    int
 	on      int64
@@ -26,8 +26,8 @@
 	text    string
 }
 
-// readSeen is one reading with a clear answer, from the operators' interface or from the feed. Version 0 is none.
-type readSeen struct {
+// observedRead is one reading with a clear answer, from the operators' interface or from the feed. Version 0 is none.
+type observedRead struct {
 	span
 	where   string
 	feed    bool // from the feed, which may lag behind readings, but not behind what was acknowledged
@@ -35,11 +35,11 @@
 	body    string
 }
 
-// actsSeen is a version that a follower began to act on.
-type actsSeen struct {
+// observedActivation is a version that a follower began to act on.
+type observedActivation struct {
 	at       time.Duration
 	follower string
-	began    time.Duration // of the follower's life
+	began    time.Duration // of the follower's start
 	version  int64
 }
 
@@ -48,28 +48,28 @@
 	begin time.Time
 
 	mu     sync.Mutex
-	orders []orderSeen
-	reads  []readSeen
-	acts   []actsSeen
+	orders []observedPut
+	reads  []observedRead
+	acts   []observedActivation
 }
 
 func newHistory() *history { return &history{begin: time.Now()} }
 
 func (h *history) now() time.Duration { return time.Since(h.begin) }
 
-func (h *history) order(o orderSeen) {
+func (h *history) order(o observedPut) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.orders = append(h.orders, o)
 }
 
-func (h *history) read(r readSeen) {
+func (h *history) read(r observedRead) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reads = append(h.reads, r)
 }
 
-func (h *history) act(a actsSeen) {
+func (h *history) act(a observedActivation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.acts = append(h.acts, a)
@@ -87,7 +87,7 @@
 	return version, body
 }
 
-// acknowledged is the newest version that had been acknowledged before a moment.
+// acknowledged is the newest version that had been acknowledged before a time.
 func (h *history) acknowledged(before time.Duration) (version int64) {
 	for _, o := range h.orders {
 		if o.status == http.StatusOK && o.ended < before {
@@ -97,9 +97,9 @@
 	return version
 }
 
-func (o *orderSeen) refused() bool { return o.status >= 400 && o.status < 500 }
+func (o *observedPut) refused() bool { return o.status >= 400 && o.status < 500 }
 
-// check gives every promise that the history shows broken, as text.
+// check returns every promise that the history shows broken, as text.
 func (h *history) check() (broken []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,19 +113,21 @@
 
 // checkOrders: two changes on one version are never both acknowledged; none that was acknowledged is ever refused.
 func (h *history) checkOrders() (broken []string) {
-	won := map[int64]orderSeen{}
+	won := map[int64]observedPut{}
 	for _, o := range h.orders {
 		if o.status != http.StatusOK {
 			continue
 		}
 		if other, some := won[o.on]; some && other.body != o.body {
-			broken = append(broken, fmt.Sprintf("BOTH: versions %d and %d were both acknowledged on %d", min(other.version, o.version), max(other.version, o.version), o.on))
+			broken = append(broken, fmt.Sprintf("BOTH: versions %d and %d were both acknowledged on %d",
+				min(other.version, o.version), max(other.version, o.version), o.on))
 		}
 		won[o.on] = o
 	}
 	for _, o := range h.orders {
 		if w, some := won[o.on]; o.refused() && some && w.body == o.body {
-			broken = append(broken, fmt.Sprintf("REFUSED: version %d on %d was acknowledged, and refused by node %d at %v: %d %s", o.version, o.on, o.node, o.ended, o.status, o.text))
+			broken = append(broken, fmt.Sprintf("REFUSED: version %d on %d was acknowledged, and refused by node %d at %v: %d %s",
+				o.version, o.on, o.node, o.ended, o.status, o.text))
 		}
 	}
 	return broken
@@ -138,11 +140,12 @@
 		if !o.refused() {
 			continue
 		}
-		ground := slices.ContainsFunc(h.orders, func(other orderSeen) bool {
+		ground := slices.ContainsFunc(h.orders, func(other observedPut) bool {
 			return other.on == o.on && other.body != o.body && other.began < o.ended && !other.refused()
 		})
 		if o.status != http.StatusPreconditionFailed || !ground {
-			broken = append(broken, fmt.Sprintf("GROUNDLESS: version %d on %d was refused by node %d at %v, with no other change on %d: %d %s", o.version, o.on, o.node, o.ended, o.on, o.status, o.text))
+			broken = append(broken, fmt.Sprintf("GROUNDLESS: version %d on %d was refused by node %d at %v, with no other change on %d: %d %s",
+				o.version, o.on, o.node, o.ended, o.on, o.status, o.text))
 		}
 	}
 	return broken
@@ -157,13 +160,14 @@
 	}
 	for _, r := range h.reads {
 		if least := h.acknowledged(r.began); r.version < least {
-			broken = append(broken, fmt.Sprintf("OLD: %s told version %d to a call of %v, after %d was acknowledged", r.where, r.version, r.began, least))
+			broken = append(broken, fmt.Sprintf("OLD: %s returned version %d to a call of %v, after %d was acknowledged",
+				r.where, r.version, r.began, least))
 		}
 		if r.version > 0 && !sent[r.body] {
-			broken = append(broken, fmt.Sprintf("OTHER: %s told a version %d that nobody sent", r.where, r.version))
+			broken = append(broken, fmt.Sprintf("OTHER: %s returned a version %d that nobody sent", r.where, r.version))
 		}
 		if refused[r.body] {
-			broken = append(broken, fmt.Sprintf("INFORCE: %s told version %d, which was refused", r.where, r.version))
+			broken = append(broken, fmt.Sprintf("INFORCE: %s returned version %d, which was refused", r.where, r.version))
 		}
 	}
 	return append(broken, h.checkReadsAmongThemselves()...)
@@ -171,16 +175,17 @@
 
 // checkReadsAmongThemselves: a reading that began after another had ended is not older.
 func (h *history) checkReadsAmongThemselves() (broken []string) {
-	reads := slices.DeleteFunc(slices.Clone(h.reads), func(r readSeen) bool { return r.feed })
-	byEnd := slices.SortedFunc(slices.Values(reads), func(a, b readSeen) int { return int(a.ended - b.ended) })
-	byBegin := slices.SortedFunc(slices.Values(reads), func(a, b readSeen) int { return int(a.began - b.began) })
+	reads := slices.DeleteFunc(slices.Clone(h.reads), func(r observedRead) bool { return r.feed })
+	byEnd := slices.SortedFunc(slices.Values(reads), func(a, b observedRead) int { return int(a.ended - b.ended) })
+	byBegin := slices.SortedFunc(slices.Values(reads), func(a, b observedRead) int { return int(a.began - b.began) })
 	least, next := int64(0), 0
 	for _, r := range byBegin {
 		for ; next < len(byEnd) && byEnd[next].ended < r.began; next++ {
 			least = max(least, byEnd[next].version)
 		}
 		if r.version < least {
-			broken = append(broken, fmt.Sprintf("BACK: %s told version %d to a call of %v, after %d had been read", r.where, r.version, r.began, least))
+			broken = append(broken, fmt.Sprintf("BACK: %s returned version %d to a call of %v, after %d had been read",
+				r.where, r.version, r.began, least))
 		}
 	}
 	return broken
@@ -192,7 +197,8 @@
 	for _, a := range h.acts {
 		before, some := last[a.follower]
 		if least := h.acknowledged(a.began); !some && a.version < least {
-			broken = append(broken, fmt.Sprintf("OLD: follower %s began with version %d, after %d was acknowledged", a.follower, a.version, least))
+			broken = append(broken, fmt.Sprintf("OLD: follower %s began with version %d, after %d was acknowledged",
+				a.follower, a.version, least))
 		}
 		if a.version < before {
 			broken = append(broken, fmt.Sprintf("BACK: follower %s acted on version %d after %d", a.follower, a.version, before))
@@ -215,8 +221,8 @@
 			continue
 		}
 		var a, b int64
-		var o orderSeen
-		var s actsSeen
+		var o observedPut
+		var s observedActivation
 		var err error
 		switch f[0] {
 		case "ORDER":
@@ -225,7 +231,7 @@
 			h.order(o)
 		case "READ", "FEED":
 			_, err = fmt.Sscanf(line, f[0]+" %d-%d %d %s", &a, &b, &o.version, &o.body)
-			h.read(readSeen{span{ms(a), ms(b)}, "a node", f[0] == "FEED", o.version, o.body})
+			h.read(observedRead{span{ms(a), ms(b)}, "a node", f[0] == "FEED", o.version, o.body})
 		case "ACT":
 			_, err = fmt.Sscanf(line, "ACT %d %s %d %d", &a, &s.follower, &b, &s.version)
 			s.at, s.began = ms(a), ms(b)
@@ -238,7 +244,7 @@
 	return h
 }
 
-func TestHistoryFindsPlantedFaults(t *testing.T) {
+func TestHistoryCheckFindsPlantedFaults(t *testing.T) {
 	for name, one := range map[string]struct{ text, want string }{
 		"all is well": {`ORDER 0-10 0 1 a 200
 			ORDER 5-12 0 1 a 200
@@ -283,5 +289,5 @@
 	}
 }
 
-// versionOf is the version that a configuration says it is.
+// versionOf returns the version in a configuration.
 func versionOf(body string) int64 { return gjson.Get(body, "config_version").Int() }
--- a/internal/tier/controlnode/large_test.go
+++ b/internal/tier/controlnode/large_test.go
@@ -31,7 +31,8 @@
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		fmt.Fprintf(&b, `{"name":"r%d-%s","host_name":"h%d.example","path_prefix":"/a%d/","route_kind":"idempotent","deadline_ms":%d,"target_ms":100,"rank":0,"target_service":"s","max_attempts":2}`, i, long, i, i, 1000+version)
+		fmt.Fprintf(&b, `{"name":"r%d-%s","host_name":"h%d.example","path_prefix":"/a%d/","route_kind":"idempotent","deadline_ms":%d,"target_ms":100,"rank":0,"target_service":"s","max_attempts":2}`,
+			i, long, i, i, 1000+version)
 	}
 	b.WriteString(`],"service_table":[{"name":"s","health_path":"/health","conn_limit":10,"protocol":"h1","tls_mode":false}]}`)
 	return b.String()
@@ -102,11 +103,12 @@
 		f.start(2, false)
 		processes := f.processes()
 		watch := starvation.Start(func() []int { return processes })
-		took := f.within(returnLimit, "the node is a member of one chain with all others again: "+what, f.together)
+		took := f.within(returnLimit, "the node is a member of one chain with all others again: "+what, f.allMembers)
 		waited := watch.Stop()
-		f.t.Logf("%s: a member again after %v, limit %v; a thread waited %v at most for a processor in %v", what, took, catchUp, waited, starvation.Interval)
+		f.t.Logf("%s: a member again after %v, limit %v; a thread waited %v at most for a processor in %v",
+			what, took, catchUp, waited, starvation.Interval)
 		f.linkRate(0)
-		f.settles(2)
+		f.requireCaughtUp(2)
 		switch {
 		case took <= catchUp:
 			return
--- a/internal/tier/controlnode/loss_test.go
+++ b/internal/tier/controlnode/loss_test.go
@@ -10,9 +10,9 @@
 
 var admissions = flag.Int("admissions", 1, "wiped core nodes of which the time until they are members again is measured")
 
-// TestWipedNodeIsAMemberAgainWithinTheContract measures from the start of a process with an empty disk until it reports
+// TestWipedNodeRejoinsInTime measures from the start of a process with an empty disk until it reports
 // itself a caught-up member. The contract counts it as lost for catch_up_s; the next loss may come right after.
-func TestWipedNodeIsAMemberAgainWithinTheContract(t *testing.T) {
+func TestWipedNodeRejoinsInTime(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	var took []time.Duration
@@ -23,15 +23,15 @@
 		f.change(1, f.all()...)
 		f.start(i, false)
 		took = append(took, f.within(catchUp, "the wiped node is a caught-up member", func() bool { return f.isMember(i) }))
-		f.settles(i)
+		f.requireCaughtUp(i)
 	}
 	slices.Sort(took)
 	t.Logf("%d admissions: median %v, worst %v; the contract: %v", len(took), took[len(took)/2], took[len(took)-1], catchUp)
 }
 
-// TestSecondLossAsSoonAsTheWipedNodeIsAMember: the one that was wiped carries on with any other node lost right after it
+// TestSecondLossAfterWipedNodeRejoined: the one that was wiped carries on with any other node lost right after it
 // reports itself a member, and that one may have been wiped before as well.
-func TestSecondLossAsSoonAsTheWipedNodeIsAMember(t *testing.T) {
+func TestSecondLossAfterWipedNodeRejoined(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	for i := range 2 {
@@ -42,39 +42,39 @@
 	}
 	f.kill(2)
 	f.change(1, 0, 1)
-	f.settles(0, 1)
+	f.requireCaughtUp(0, 1)
 	f.start(2, false)
-	f.settles(2)
+	f.requireCaughtUp(2)
 }
 
-// TestSecondLossBeforeTheWipedNodeIsAMember is earlier than the contract permits: what is left may tell nothing until the
+// TestSecondLossBeforeWipedNodeRejoined is earlier than the contract permits: what is left may answer nothing until the
 // second returns, and goes on as soon as it does, with nothing lost. The wiped node is kept from admission by a cut.
-func TestSecondLossBeforeTheWipedNodeIsAMember(t *testing.T) {
+func TestSecondLossBeforeWipedNodeRejoined(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	f.change(1, f.all()...)
 	f.kill(1)
 	f.wipe(1)
-	f.cut(1)
+	f.partition(1)
 	f.start(1, false)
 	f.change(2, 0, 2)
 	f.kill(2)
 	f.heal(false)
-	f.until("the node that is left knows that it hears no majority", func() bool { s := f.status(0); return s != nil && !s.Fresh })
-	f.unclear(f.questions(0, 0), time.Now())
-	f.unclear(f.questions(1, 1), time.Now())
+	f.until("the node that is left knows that it reaches no majority", func() bool { s := f.status(0); return s != nil && !s.Fresh })
+	f.requireOutcomeUnknown(f.writeRequests(0, 0), time.Now())
+	f.requireOutcomeUnknown(f.writeRequests(1, 1), time.Now())
 	f.start(2, false)
 	f.within(catchUp, "versions go on once the second has returned", func() bool {
 		on, _ := f.hist.newest()
 		return f.put(0, on, variant(on+1, 3)) == 200
 	})
-	f.settles(f.all()...)
+	f.requireCaughtUp(f.all()...)
 }
 
-// TestAllKilledAtOnceAndBack: with their disks, and once more with one disk lost.
-func TestAllKilledAtOnceAndBack(t *testing.T) {
+// TestRestartOfAllNodes: with their disks, and once more with one disk lost.
+func TestRestartOfAllNodes(t *testing.T) {
 	t.Parallel()
-	_, r := drawn(t)
+	_, r := newSeed(t)
 	f := newFleet(t, 3, 3)
 	for round := range 2 {
 		f.change(1+round, f.all()...)
@@ -90,14 +90,14 @@
 		for i := range f.nodes {
 			f.start(i, false)
 		}
-		f.settles(f.all()...)
+		f.requireCaughtUp(f.all()...)
 	}
 	f.change(3, f.all()...)
 }
 
-// TestPlannedReplacementAndALossRightAfter: the successor comes first, the old node ends by SIGTERM, and as soon as it has
+// TestLossAfterPlannedReplacement: the successor comes first, the old node ends by SIGTERM, and as soon as it has
 // ended another is killed: the one that left in order counts no more.
-func TestPlannedReplacementAndALossRightAfter(t *testing.T) {
+func TestLossAfterPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 4)
 	f.start(3, false)
@@ -106,33 +106,33 @@
 	f.terminate(0)
 	f.kill(1)
 	f.change(2, f.all()...)
-	f.settles(f.all()...)
+	f.requireCaughtUp(f.all()...)
 	f.start(1, false)
-	f.settles(f.all()...)
+	f.requireCaughtUp(f.all()...)
 }
 
-// TestReplacementOfADeadNodeAndALossRightAfter: the successor of a node that is gone for good has catch_up_s to take its
-// place among the voters; another loss right after is borne.
-func TestReplacementOfADeadNodeAndALossRightAfter(t *testing.T) {
+// TestLossAfterReplacementOfLostNode: the successor of a node that is lost for good has catch_up_s to replace
+// it among the voters; another loss right after is tolerated.
+func TestLossAfterReplacementOfLostNode(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 4)
 	f.kill(0)
 	f.change(1, f.all()...)
 	f.start(3, false)
-	f.within(catchUp, "the successor is a voter in the place of the dead node", func() bool {
+	f.within(catchUp, "the successor is a voter instead of the lost node", func() bool {
 		names := f.voters(3)
-		return f.together() && slices.Contains(names, "core-3") && !slices.Contains(names, "core-0")
+		return f.allMembers() && slices.Contains(names, "core-3") && !slices.Contains(names, "core-0")
 	})
 	f.kill(1)
 	f.change(2, f.all()...)
-	f.settles(f.all()...)
+	f.requireCaughtUp(f.all()...)
 }
 
-// TestTwoLossesAtOnceAgainAndAgain: five nodes that are to bear two losses. Two lose their disks at once, and as soon as
+// TestRepeatedDoubleLosses: five nodes that are to bear two losses. Two lose their disks at once, and as soon as
 // they are members again two others do; then all are killed at one instant, and two more disks are lost.
-func TestTwoLossesAtOnceAgainAndAgain(t *testing.T) {
+func TestRepeatedDoubleLosses(t *testing.T) {
 	t.Parallel()
-	_, r := drawn(t)
+	_, r := newSeed(t)
 	f := newFleet(t, 5, 5)
 	lose := func(nodes ...int) {
 		for _, i := range nodes {
@@ -150,7 +150,7 @@
 			f.wipe(i)
 			f.start(i, false)
 		}
-		f.within(catchUp, "all five are members again", f.together)
+		f.within(catchUp, "all five are members again", f.allMembers)
 	}
 	f.change(2, f.all()...)
 	lose(f.all()...)
@@ -160,6 +160,6 @@
 		}
 		f.start(i, false)
 	}
-	f.until("all five are members again", f.together)
-	f.settles(f.all()...)
+	f.until("all five are members again", f.allMembers)
+	f.requireCaughtUp(f.all()...)
 }
--- a/internal/tier/controlnode/membership_test.go
+++ b/internal/tier/controlnode/membership_test.go
@@ -9,7 +9,7 @@
 
 // A member that comes back while a large change has just been committed is not taken into the chain before it has that: all
 // writes would wait while it crosses a thin link. A small change may be on its way.
-func TestAMemberThatLacksALargeChangeIsNotCaughtUp(t *testing.T) {
+func TestMemberLackingLargeChangeIsNotCaughtUp(t *testing.T) {
 	for name, one := range map[string]struct {
 		size int
 		want bool
@@ -18,14 +18,14 @@
 		"a large change": {catchUpBytes + 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCourse(t, 1, 3, planted{})
-			c.quiet = true
+			c := newSimulation(t, 1, 3, plantedFaults{})
+			c.withoutChance = true
 			c.run(time.Second)
 			head, away := c.machines["m0"].node, c.machines["m2"]
 			c.stop(away)
 			c.run(2 * time.Second)
 			before := head.chain.State().Commit
-			c.carry(c.machines["m0"], head.Write(c.now, 1<<40, "large", make([]byte, one.size)))
+			c.handleReady(c.machines["m0"], head.Write(c.now, 1<<40, "large", make([]byte, one.size)))
 			const soon = catchUpLag / 2 // pieces that overtake one another on their way are sent again
 			for end := c.now + soon; head.chain.State().Commit <= before; c.step() {
 				if c.now > end {
--- a/internal/tier/controlnode/placement_role.go
+++ b/internal/tier/controlnode/placement_role.go
@@ -10,8 +10,8 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// placementRole is what the head keeps for the placement of stores. It is soft state of one epoch; only
-// stores, and what was measured of them, outlive an epoch in which this node was head before.
+// placementRole is what the head keeps for the placement of stores. It is soft state, and starts anew with
+// each epoch, unless this node had the role in the epoch before: then only writeInFlight is reset.
 type placementRole struct {
 	epoch           int64
 	tookOverAt      time.Duration          // missing registrations count from then on
--- a/internal/tier/controlnode/duty_test.go
+++ b/internal/tier/controlnode/placement_role_test.go
@@ -8,9 +8,9 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// A head that stood still for ten seconds heard no store meanwhile. It must not give the places of all of them away to the
-// first newcomer that it hears when it goes on.
-func TestStoresAreNotTakenForSilentAfterAPauseOfTheHead(t *testing.T) {
+// A head that was frozen for ten seconds got no registration meanwhile. It must not replace all stores by the
+// first newcomer that registers when it resumes.
+func TestStoresStayPlacedAfterPauseOfHead(t *testing.T) {
 	const pause = 10 * time.Second
 	timings := placement.DefaultTimings(3 * time.Second)
 	var d placementRole
@@ -19,10 +19,12 @@
 	p := &turnstore.Placement{Generation: 1, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1}
 	look := func(ids ...string) *turnstore.Placement {
 		for _, id := range ids {
-			placement.Register(d.stores, placement.Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Generation: 1, SweptGeneration: 1}, now, timings)
+			store := turnstore.Store{ID: id, Name: id, Addr: id + ":1"}
+			placement.Register(d.stores, placement.Registration{Store: store, Generation: 1, SweptGeneration: 1}, now, timings)
 		}
 		d.tick(now)
-		return placement.Plan(placement.Input{Now: now, TookOverAt: d.tookOverAt, FaultTolerance: 1, Current: p, Stores: d.stores}, timings)
+		input := placement.Input{Now: now, TookOverAt: d.tookOverAt, FaultTolerance: 1, Current: p, Stores: d.stores}
+		return placement.Plan(input, timings)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		p.Old = append(p.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
@@ -35,7 +37,7 @@
 	now += pause
 	for end := now + timings.SuspectTimeout; now < end; now += 50 * time.Millisecond {
 		if next := look("d"); next != nil && len(next.New) < 4 {
-			t.Fatalf("%v after a pause a store loses its place: %+v", now-end+timings.SuspectTimeout, next)
+			t.Fatalf("%v after a pause a store is replaced: %+v", now-end+timings.SuspectTimeout, next)
 		}
 	}
 }
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -22,39 +22,39 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// routesVariable makes a child process of the tests a core node, and says through which relay it reaches each other one:
+// routesVariable makes a child process of the tests a control node, and names the relay through which it reaches each other one:
 // ADDR=RELAY, separated by commas.
 const routesVariable = "CONTROLNODE_TEST_ROUTES"
 
-// followerVariable makes a child process of the tests a follower, which says what it acts on.
+// followerVariable makes a child process of the tests a follower, which prints the version that it acts on.
 const followerVariable = "CONTROLNODE_TEST_FOLLOWER"
 
-// actsMark begins the line in which a follower says what version it acts on.
+// actsMark begins the line in which a follower prints the version that it acts on.
 const actsMark = "acts on version "
 
-// exitTrouble is the code with which a child ends that could not run.
-const exitTrouble = 3
+// exitFault is the code with which a child ends that could not run.
+const exitFault = 3
 
 // childMain is a core node as larch-control runs it, with its connections to others led through relays.
 func childMain(routes string) int {
-	trouble := func(err error) int {
+	fault := func(err error) int {
 		fmt.Fprintln(os.Stderr, err)
-		return exitTrouble
+		return exitFault
 	}
 	settings, err := process.Load()
 	if err != nil {
-		return trouble(err)
+		return fault(err)
 	}
 	log := process.NewRing(os.Stderr)
 	core, err := Open(settings, log)
 	if err != nil {
-		return trouble(err)
+		return fault(err)
 	}
 	core.clients.Dial = through(routes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if err := core.Run(ctx); err != nil {
-		return trouble(err)
+		return fault(err)
 	}
 	return 0
 }
@@ -64,7 +64,7 @@
 	settings, err := process.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitTrouble
+		return exitFault
 	}
 	settings.NodeName, settings.MachineClass = "front-1", "front"
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -105,11 +105,11 @@
 	}
 }
 
-// child is one life of a core node as a process.
+// child is one incarnation of a control node as a process.
 type child struct {
-	cmd  *exec.Cmd
-	said syncBuffer
-	done chan struct{} // closed once it has ended
+	cmd    *exec.Cmd
+	output syncBuffer
+	done   chan struct{} // closed once it has ended
 }
 
 type syncBuffer struct {
@@ -141,7 +141,7 @@
 	return startChildAs(t, settings, followerVariable+"=1")
 }
 
-// startChildAs starts a child process of the kind that a variable of its environment says.
+// startChildAs starts a child process of the kind that a variable of its environment names.
 func startChildAs(t *testing.T, settings, kind string) *child {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.yaml")
@@ -150,7 +150,7 @@
 	}
 	c := &child{cmd: exec.Command(os.Args[0]), done: make(chan struct{})}
 	c.cmd.Env = []string{process.SettingsVariable + "=" + path, kind, "GOMAXPROCS=2"}
-	c.cmd.Stdout, c.cmd.Stderr = &c.said, &c.said
+	c.cmd.Stdout, c.cmd.Stderr = &c.output, &c.output
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // none outlives the tests, frozen or not
 	if err := c.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -171,7 +171,7 @@
 	<-c.done
 }
 
-// freeze stops the process where it is, and returns once it stands.
+// freeze stops the process with SIGSTOP, and returns once it is stopped.
 func (c *child) freeze(t *testing.T) {
 	t.Helper()
 	c.signal(syscall.SIGSTOP)
--- a/internal/tier/controlnode/redirect_test.go
+++ b/internal/tier/controlnode/redirect_test.go
@@ -18,7 +18,7 @@
 
 // A body that would have to cross a second link within the second that callers wait is not passed on: the caller is sent to
 // the node that can take it. Small ones are passed on.
-func TestLargeBodiesAreSentToTheHead(t *testing.T) {
+func TestLargeBodiesAreRedirectedToHead(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
--- a/internal/tier/controlnode/retire_test.go
+++ b/internal/tier/controlnode/retire_test.go
@@ -10,8 +10,9 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// A store loses its disk while it is emptied, and comes back under another identity: the order goes on, and ends in complete.
-func TestAnOrderGoesOnForAStoreThatLosesItsDisk(t *testing.T) {
+// A store loses its disk while it is emptied, and comes back under another identity: the order continues, and
+// ends in complete.
+func TestRetireContinuesForStoreThatLostItsDisk(t *testing.T) {
 	c := newCluster(t, 3)
 	registering, swept := []turnstore.Store{}, int64(0)
 	for _, name := range []string{"a", "b", "c", "d"} {
--- a/internal/tier/controlnode/core_test.go
+++ b/internal/tier/controlnode/server_test.go
@@ -33,7 +33,7 @@
 	if _, is := os.LookupEnv(followerVariable); is {
 		os.Exit(followerMain())
 	}
-	_ = flag.Set("test.parallel", "4") // unless the caller says otherwise: tests with processes wait most of their time
+	_ = flag.Set("test.parallel", "4") // unless the caller sets it: tests with processes wait most of their time
 	goleak.VerifyTestMain(m)
 }
 
@@ -66,7 +66,17 @@
 
 func newClusterWith(t testing.TB, n int, platform string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, platform: platform, base: freeBase(t), n: n, dirs: make([]string, n), stops: make([]func(), n), crash: make([]func(), n), cores: make([]*Server, n), http: &http.Client{Timeout: 3 * time.Second}}
+	c := &cluster{
+		t:        t,
+		platform: platform,
+		base:     freeBase(t),
+		n:        n,
+		dirs:     make([]string, n),
+		stops:    make([]func(), n),
+		crash:    make([]func(), n),
+		cores:    make([]*Server, n),
+		http:     &http.Client{Timeout: 3 * time.Second},
+	}
 	for i := range n {
 		c.dirs[i] = t.TempDir()
 		c.start(i, true)
@@ -123,7 +133,7 @@
 	}
 }
 
-// until calls f until it says that it is done, for a bounded time. f waits by itself on what it calls.
+// until calls f until it returns true, for a bounded time. f waits by itself on what it calls.
 func (c *cluster) until(what string, f func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
@@ -217,7 +227,7 @@
 	}
 }
 
-func TestACoreTakesReadsAndFeedsConfigurations(t *testing.T) {
+func TestPutReadAndFeedConfiguration(t *testing.T) {
 	c := newCluster(t, 4)
 	f, stop := c.follow("front-1")
 	defer stop()
@@ -258,7 +268,7 @@
 	}
 }
 
-func TestEachNodeTellsWhyItRefuses(t *testing.T) {
+func TestEveryNodeReportsReasonOfRejection(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
@@ -273,7 +283,7 @@
 	}
 }
 
-func TestEachNodeTellsOnWhatAllFollowersAct(t *testing.T) {
+func TestEveryNodeReportsVersionsOfAllFollowers(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
@@ -303,7 +313,7 @@
 	}
 }
 
-func TestOfTwoOnTheSameVersionOneWins(t *testing.T) {
+func TestConcurrentPutsOnSameVersionOneWins(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
@@ -329,7 +339,7 @@
 	}
 }
 
-func TestWhatWasAcknowledgedOutlivesMachinesAndDisks(t *testing.T) {
+func TestAcknowledgedWritesSurviveMachineAndDiskLoss(t *testing.T) {
 	c := newCluster(t, 4)
 	f, stop := c.follow("front-1")
 	defer stop()
@@ -382,10 +392,11 @@
 	next(0, 1, 2, 3)
 }
 
-func TestAHeadThatStartsAgainInItsEpochIsStillHeardOfHosts(t *testing.T) {
+func TestRestartedHeadPublishesNewerHostList(t *testing.T) {
 	var host atomic.Int64
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"instance_list":[{"target_service":"s","address":"10.0.0.1:80","zone_name":"z","capacity":4,"phase":"ready","host_id":"i%d"}],"next_token":null}`, host.Load())
+		fmt.Fprintf(w, `{"instance_list":[{"target_service":"s","address":"10.0.0.1:80","zone_name":"z","capacity":4,"phase":"ready","host_id":"i%d"}],"next_token":null}`,
+			host.Load())
 	}))
 	defer platform.Close()
 	c := newClusterWith(t, 3, platform.Listener.Addr().String())
@@ -394,7 +405,7 @@
 	}
 	f, stop := c.follow("front-1")
 	defer stop()
-	hears := func(want int64) {
+	requireHost := func(want int64) {
 		t.Helper()
 		host.Store(want)
 		limit := time.NewTimer(20 * time.Second)
@@ -407,14 +418,14 @@
 			select {
 			case <-changed:
 			case <-limit.C:
-				t.Fatalf("host i%d was not heard of; the list is %+v", want, f.Tables().Hosts)
+				t.Fatalf("host i%d was not published; the list is %+v", want, f.Tables().Hosts)
 			}
 		}
 	}
 	for i := int64(1); i <= 3; i++ {
-		hears(i)
+		requireHost(i)
 	}
 	c.crash[0]() // the head, as the founding order has it
 	c.start(0, false)
-	hears(9)
+	requireHost(9)
 }
--- /dev/null
+++ b/internal/tier/controlnode/simulation_faults_test.go
@@ -0,0 +1,249 @@
+package controlnode
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// plantedFaults are faults that the harness makes; each must be found by the checks.
+type plantedFaults struct {
+	skipsSync                bool // what a step changed is on disk only with the next one's
+	sendsBeforeSync          bool // messages go out before the sync
+	keepsIDAfterDiskLoss     bool // a machine whose disk was lost comes back under its old id
+	losesVotes               bool // promises and acceptances are not on disk
+	readsWithoutConfirmation bool // reads are answered without asking a majority
+	losesEntries             bool // the entries are not on disk, the rest is
+	breaksPromises           bool // a voter that has promised goes on as if it had not
+	readsUncommitted         bool // the head answers reads from what is not committed yet
+	followerRegresses        bool // a follower that changes its source accepts whatever index that one has
+	servesStaleFeed          bool // a partitioned or lagging node claims to followers that it is fresh
+	acknowledgesEarly        bool // a write is acknowledged when the head has it
+	stopsBeforeLeft          bool // a member that is stopped in order does not wait until it has left
+	neverRemovesVoters       bool // voters keep their votes however long they do not answer
+	ignoresApplicants        bool // a member without a vote never gets one
+}
+
+// play injects faults, one machine at a time and some that hit all, with time to catch up between.
+func (c *simulation) play(rounds int) {
+	c.run(800 * time.Millisecond)
+	for range rounds {
+		if c.failure != "" {
+			return
+		}
+		c.playFault()
+		c.restartAll()
+		c.faultyMachine = ""
+		c.checkProgress()
+	}
+}
+
+// playFault draws a machine, a duration and a fault, and plays it.
+func (c *simulation) playFault() {
+	a := c.order[c.rng.IntN(len(c.order))]
+	if c.faultyMachine != "" {
+		a = c.faultyMachine
+	}
+	m := c.machines[a]
+	c.faultyMachine = a
+	span := time.Duration(100+c.rng.IntN(3500)) * time.Millisecond
+	kind := c.rng.IntN(14)
+	if c.fault.losesVotes {
+		kind = 12 // lost votes show where all start again and again: elsewhere some remember
+	}
+	switch kind {
+	case 0, 1:
+		c.logf("%s is killed", a)
+		if m.up {
+			c.stop(m)
+		}
+		c.run(span)
+	case 2:
+		c.logf("%s loses its disk", a)
+		if m.up {
+			c.stop(m)
+		}
+		c.loseDisk(m)
+		c.run(span)
+	case 3:
+		c.logf("%s freezes", a)
+		m.frozen = true
+		c.run(span)
+		c.thaw(m)
+		c.logf("%s wakes", a)
+	case 4, 5, 6:
+		c.playPartition(a, span)
+	case 7:
+		c.playPowerLoss(m)
+	case 9, 10, 11:
+		c.playCrashLoop(m, span)
+	case 12, 13:
+		c.playCrashesOfAll(span)
+	case 8:
+		c.playLeave(m, span)
+	}
+}
+
+// loseDisk empties the disk of a machine that is down.
+func (c *simulation) loseDisk(m *machine) {
+	m.disk = Durable{}
+	if !c.fault.keepsIDAfterDiskLoss {
+		m.id = c.newID()
+	}
+}
+
+// playPartition blocks the links of a machine: in both directions, inbound or outbound.
+func (c *simulation) playPartition(a string, span time.Duration) {
+	way := c.rng.IntN(3) // both, in, out
+	c.logf("%s is partitioned, way %d", a, way)
+	for _, b := range c.order {
+		if b != a && way != 1 {
+			c.blockedLinks[[2]string{a, b}] = true
+		}
+		if b != a && way != 2 {
+			c.blockedLinks[[2]string{b, a}] = true
+		}
+	}
+	c.run(span)
+	c.blockedLinks = map[[2]string]bool{}
+}
+
+// playPowerLoss stops all machines at once; one may lose its disk.
+func (c *simulation) playPowerLoss(m *machine) {
+	c.logf("all lose power")
+	c.boundsFrom = c.now + 2*maxFollowerLag
+	for _, b := range c.order {
+		if c.machines[b].up {
+			c.stop(c.machines[b])
+		}
+	}
+	if c.rng.IntN(2) == 0 {
+		c.logf("%s loses its disk", m.addr)
+		c.loseDisk(m)
+	}
+}
+
+// playCrashLoop restarts one machine again and again; some of its links are blocked now and then.
+func (c *simulation) playCrashLoop(m *machine, span time.Duration) {
+	a := m.addr
+	c.logf("%s dies and starts again and again, partitioned from some now and then", a)
+	for end := c.now + span; c.now < end && c.failure == ""; {
+		if m.up {
+			c.stop(m)
+		}
+		c.run(time.Duration(c.rng.IntN(40)) * 5 * time.Millisecond)
+		if !m.up {
+			c.start(m)
+		}
+		c.blockedLinks = map[[2]string]bool{}
+		if b := c.order[c.rng.IntN(len(c.order))]; b != a && c.rng.IntN(2) == 0 {
+			c.blockedLinks[[2]string{b, a}] = c.rng.IntN(2) == 0
+			c.blockedLinks[[2]string{a, b}] = true
+		}
+		c.run(time.Duration(c.rng.IntN(200)) * 5 * time.Millisecond)
+	}
+	c.blockedLinks = map[[2]string]bool{}
+}
+
+// playCrashesOfAll restarts all machines again and again, each by itself; messages with decided views may be lost.
+func (c *simulation) playCrashesOfAll(span time.Duration) {
+	c.dropsDecisions = c.rng.IntN(2) == 0
+	c.logf("all die and start again, each by itself, for a while; decisions are lost: %v", c.dropsDecisions)
+	c.boundsFrom = time.Hour
+	steps := 60 * (1 + 3*c.rng.IntN(2)) // between crashes: some hundred milliseconds, or a second and more
+	if c.fault.losesVotes {
+		steps = 240
+	}
+	for end := c.now + span; c.now < end && c.failure == ""; {
+		for _, b := range c.order {
+			m := c.machines[b]
+			switch {
+			case m.up && c.rng.IntN(steps) == 0:
+				c.stop(m)
+			case !m.up && c.rng.IntN(20) == 0:
+				c.start(m)
+			}
+		}
+		c.step()
+	}
+	c.dropsDecisions = false
+	c.boundsFrom = c.now + 2*maxFollowerLag
+}
+
+// playLeave stops a machine in order.
+func (c *simulation) playLeave(m *machine, span time.Duration) {
+	c.logf("%s leaves in order", m.addr)
+	if m.up {
+		c.handleReady(m, m.node.StartLeaving(c.now))
+		c.run(300 * time.Millisecond)
+		if m.up {
+			c.stop(m)
+		}
+	}
+	c.run(span)
+}
+
+// restartAll starts all machines, and gives them time to catch up. Power may fail before a sync meanwhile.
+func (c *simulation) restartAll() {
+	for down := true; down; {
+		down = false
+		for _, b := range c.order {
+			if m := c.machines[b]; !m.up {
+				c.start(m)
+			}
+		}
+		c.run(4200 * time.Millisecond)
+		for _, b := range c.order {
+			down = down || !c.machines[b].up
+		}
+	}
+}
+
+func TestRandomFaultsLoseNothing(t *testing.T) {
+	t.Parallel()
+	base := uint64(time.Now().UnixNano())
+	t.Logf("seeds from %d", base)
+	writes, reads := 0, 0
+	for i := range *simulations {
+		c := newSimulation(t, base+uint64(i), 3+i%3, plantedFaults{})
+		c.play(6)
+		if c.failure != "" {
+			t.Fatalf("seed %d, %d machines: %s\n%s", c.seed, len(c.order), c.failure, c.trace())
+		}
+		writes, reads = writes+c.writes, reads+c.reads
+	}
+	t.Logf("%d simulations: %d writes and %d reads acknowledged", *simulations, writes, reads)
+	if writes < *simulations || reads < *simulations {
+		t.Fatalf("only %d writes and %d reads in %d simulations: they show nothing", writes, reads, *simulations)
+	}
+}
+
+func TestSimulationFindsPlantedFaults(t *testing.T) {
+	t.Parallel()
+	wants := map[string]string{"a follower that takes any source's index": "goes back"} // others may be found in several ways
+	for name, f := range map[string]plantedFaults{
+		"a sync left out":                              {skipsSync: true},
+		"messages before the sync":                     {sendsBeforeSync: true},
+		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
+		"votes not on disk":                            {losesVotes: true},
+		"a read from an old tail":                      {readsWithoutConfirmation: true},
+		"entries not on disk":                          {losesEntries: true},
+		"acknowledged by the head alone":               {acknowledgesEarly: true},
+		"a promise that is not kept":                   {breaksPromises: true},
+		"a read of what is not committed":              {readsUncommitted: true},
+		"a follower that takes any source's index":     {followerRegresses: true, servesStaleFeed: true},
+		"a source that does not know it is cut off":    {servesStaleFeed: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(600) {
+				c := newSimulation(t, seed+1, 3+int(seed%3), f)
+				c.play(8)
+				if strings.Contains(c.failure, wants[name]) && c.failure != "" {
+					return
+				}
+			}
+			t.Fatal("not found in 600 simulations")
+		})
+	}
+}
--- a/internal/tier/controlnode/slow_test.go
+++ b/internal/tier/controlnode/slow_links_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TestAViewIsAgreedOnWhereMessagesTakeLong: a view takes four messages one after the other, and a sync before each. Where
+// TestViewIsDecidedOnSlowLinks: a view takes four messages one after the other, and a sync before each. Where
 // these take longer than a proposal is given at first, later ones are given more, so that the others go on without a
 // head that is lost.
-func TestAViewIsAgreedOnWhereMessagesTakeLong(t *testing.T) {
+func TestViewIsDecidedOnSlowLinks(t *testing.T) {
 	for _, latency := range []time.Duration{0, 100 * time.Millisecond, 160 * time.Millisecond, 220 * time.Millisecond} {
 		t.Run(latency.String(), func(t *testing.T) {
-			c := newCourse(t, 1, 3, planted{})
+			c := newSimulation(t, 1, 3, plantedFaults{})
 			c.rng = rand.New(rand.NewPCG(1, 1))
-			c.quiet = true
+			c.withoutChance = true
 			c.run(3 * time.Second)
 			c.latency = latency
 			c.run(3 * time.Second)
--- a/internal/tier/controlnode/status_test.go
+++ b/internal/tier/controlnode/status_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-func TestTroubleNamesTheStoresThatAreSilent(t *testing.T) {
+func TestTroubleNamesUnresponsiveStores(t *testing.T) {
 	well := Status{Epoch: 1, Role: RoleMember, Fresh: true, Version: 1, Voters: []Voter{{}, {}, {}}}
 	one := []SilentStore{{Name: "store-2", SilentMs: 95_900}}
 	two := append(slices.Clone(one), SilentStore{Name: "store-3", SilentMs: 4_000})
@@ -36,8 +36,8 @@
 	}
 }
 
-// A store without room is told of, but not ahead of stores whose loss leaves programs without a majority.
-func TestTroubleNamesTheStoresWithoutRoom(t *testing.T) {
+// A full store is named, but after stores whose loss leaves programs without a majority.
+func TestTroubleNamesFullStores(t *testing.T) {
 	s := Status{Epoch: 1, Role: RoleMember, Fresh: true, Version: 1, Voters: []Voter{{}, {}, {}}, Full: []string{"store-1"}}
 	const full = "a store opens no turns (store-1): its disk, or its memory of ledgers, is nearly full; its log says which"
 	if got := s.Trouble(); got != full {
@@ -50,9 +50,9 @@
 	}
 }
 
-// Two of four stores are gone where one may be lost, and a newcomer has taken the place of one: the change cannot end. All core
+// Two of four stores are lost where one may be lost, and a newcomer has replaced one: the change cannot end. All core
 // nodes name the two, until one is back.
-func TestStatusNamesTheStoresThatAChangeWaitsFor(t *testing.T) {
+func TestStatusReportsStoresThatBlockAChange(t *testing.T) {
 	c := newCluster(t, 3)
 	swept := int64(0)
 	register := func(ids string) {
@@ -84,7 +84,7 @@
 		})
 	}
 	before := status(0).Silent[0].SilentMs
-	c.until("the silence goes on", func() bool {
+	c.until("the stores stay unresponsive", func() bool {
 		register("a b e")
 		s := status(0).Silent
 		return len(s) == 2 && s[0].SilentMs >= before+1000
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-// start has a node in memory take the place of the one at its address.
+// start replaces the node in memory at an address.
 func (n *network) start(self view.Member, d Durable) {
 	seeds := []string{storedMembers[0].Addr, storedMembers[1].Addr}
 	n.peers[self.Addr] = NewNode(NodeSettings{Self: self, Incarnation: 1, Seeds: seeds, FaultTolerance: 1, Timings: DefaultTimings()}, d, n.now)
@@ -83,8 +83,8 @@
 	}
 }
 
-// take carries out what a step of the core node asks for, as its loop does.
-func (n *network) take(o Ready) []Completion {
+// handleReady carries out what a step of the core node asks for, as its loop does.
+func (n *network) handleReady(o Ready) []Completion {
 	n.t.Helper()
 	n.core.mergeReady(o)
 	if err := n.core.syncChanges(); err != nil {
@@ -102,7 +102,7 @@
 		if n.now += tickInterval; n.now > end {
 			n.t.Fatalf("not within a minute of the nodes' time: %s (%+v)", what, n.core.node.Durable())
 		}
-		n.take(n.core.node.Tick(n.now))
+		n.handleReady(n.core.node.Tick(n.now))
 		for _, m := range storedMembers[1:] {
 			n.sent = append(n.sent, n.peers[m.Addr].Tick(n.now).Messages...)
 		}
@@ -113,7 +113,7 @@
 				continue
 			}
 			if e.To == n.core.self.Addr {
-				n.take(n.core.node.Receive(n.now, e.Message))
+				n.handleReady(n.core.node.Receive(n.now, e.Message))
 			} else if p := n.peers[e.To]; p != nil {
 				n.sent = append(n.sent, p.Receive(n.now, e.Message).Messages...)
 			}
@@ -121,8 +121,8 @@
 	}
 }
 
-// whole tells whether all three are in the chain and all that was written is committed.
-func (n *network) whole() bool {
+// allCaughtUp reports whether all three are in the chain and all that was written is committed.
+func (n *network) allCaughtUp() bool {
 	s := n.core.node.Chain().State()
 	return n.core.node.IsConfirmedHead() && len(n.core.node.View().Chain) == 3 && s.Commit == s.LastIndex
 }
@@ -134,11 +134,13 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.take(n.core.appendEntries(1, d.Append))
+	n.handleReady(n.core.appendEntries(1, d.Append))
 	return d
 }
 
-func (n *network) write(key string, value []byte) { n.take(n.core.node.Write(n.now, 1, key, value)) }
+func (n *network) write(key string, value []byte) {
+	n.handleReady(n.core.node.Write(n.now, 1, key, value))
+}
 
 func putOf(version int64) orders.PutConfig {
 	body := storedBody(version)
@@ -157,12 +159,12 @@
 	n := openNetwork(t, dir, founding)
 	last := storedMembers[2]
 	n.start(view.Member{ID: "seed-" + last.Addr, Name: last.Name, Addr: last.Addr}, founding(n.core))
-	n.until("the chain is whole", n.whole)
+	n.until("the chain is complete", n.allCaughtUp)
 	before := &feed.ConfigEntry{Version: 3, Body: storedBody(3), RecentDigests: [][]byte{orders.Digest(storedBody(2)), orders.Digest(storedBody(3))}}
 	n.write(feed.ConfigKey, rpc.Encode(before))
 	n.write(feed.RetirePrefix+"store-0", rpc.Encode(&feed.RetireEntry{ID: "store-id-0"}))
 	n.write("deleted", nil)
-	n.until("what the format before wrote is committed", n.whole)
+	n.until("what the format before wrote is committed", n.allCaughtUp)
 	for version := int64(4); version <= 21; version++ {
 		if d := n.order(putOf(version)); d.Kind != orders.Accept {
 			t.Fatalf("version %d: %+v", version, d)
@@ -172,12 +174,12 @@
 	if d := n.order(orders.RetireStore{Name: "store-5"}); d.Kind != orders.Accept {
 		t.Fatalf("%+v", d)
 	}
-	n.until("all is committed", n.whole)
+	n.until("all is committed", n.allCaughtUp)
 	n.cut[last.Addr] = true
 	n.until("the last is out of the chain", func() bool { return len(n.core.node.View().Chain) == 2 })
 	n.cut[last.Addr] = false
 	n.start(last, Durable{})
-	n.until("the last is back under another identity", func() bool { return n.whole() && n.core.node.acceptor.View.IsVoter(last.ID) })
+	n.until("the last is back under another identity", func() bool { return n.allCaughtUp() && n.core.node.acceptor.View.IsVoter(last.ID) })
 
 	// What is not committed, and a vote on a view that is not decided.
 	if d := n.order(putOf(22)); d.Kind != orders.Accept {
@@ -188,7 +190,7 @@
 	next.Epoch++
 	ask := func(from view.Member, m Message) {
 		m.From, m.Incarnation, m.Epoch = from, 1, next.Epoch
-		n.take(n.core.node.Receive(n.now, m))
+		n.handleReady(n.core.node.Receive(n.now, m))
 	}
 	one := view.Ballot{Number: 101, Proposer: storedMembers[1].ID}
 	ask(storedMembers[1], Message{Kind: msgPrepare, Ballot: one})
@@ -307,7 +309,7 @@
 	}
 }
 
-// requireDecided checks what the state says of orders.
+// requireDecided checks the decision of an order in the state.
 func requireDecided(t *testing.T, entries []chain.Entry, o orders.Order, want orders.Kind) {
 	t.Helper()
 	if d, err := orders.Decide(entries, 1, o); err != nil || d.Kind != want {
@@ -315,7 +317,7 @@
 	}
 }
 
-// A folder that the code wrote before it was renamed is read whole, row by row, and the node goes on from it.
+// A folder that the code wrote before it was renamed is read completely, row by row, and the node goes on from it.
 func TestFolderOfBeforeTheRenameGoesOn(t *testing.T) {
 	if _, err := os.Stat(storedFolder); *writeFixtures && os.IsNotExist(err) {
 		writeCoreFolder(t, storedFolder)
@@ -334,7 +336,7 @@
 		t.Errorf("the file's identity is %s, fresh %v", id, fresh)
 	}
 	if n.core.self != storedMembers[0] || n.core.incarnation != 4 {
-		t.Errorf("the node is %+v in life %d, want %+v in life 4", n.core.self, n.core.incarnation, storedMembers[0])
+		t.Errorf("the node is %+v in incarnation %d, want %+v in incarnation 4", n.core.self, n.core.incarnation, storedMembers[0])
 	}
 	rows := map[string]bool{}
 	if err := n.core.db.Range("vote", nil, nil, func(k, _ []byte) error { rows[string(k)] = true; return nil }); err != nil {
@@ -348,7 +350,7 @@
 		t.Errorf("the vote is %+v, want %+v", d.Acceptor, storedAcceptor())
 	}
 	if got, want := [3]int64{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit}, [3]int64{3, 44, 42}; got != want {
-		t.Errorf("activated, place, commit are %v, want %v", got, want)
+		t.Errorf("activated epoch, last index, commit are %v, want %v", got, want)
 	}
 	requireEntries(t, "as it was", d.State.Entries, storedEntries())
 	committed := n.core.node.Chain().Committed(0)
@@ -362,7 +364,7 @@
 	requireDecided(t, committed, orders.StorePhase{Name: "store-1"}, orders.Serving)
 	requireDecided(t, committed, orders.RetireStore{Name: "store-5"}, orders.InProgress)
 
-	n.until("the view that was voted on, or one after it, is decided and all is committed", n.whole)
+	n.until("the view that was voted on, or one after it, is decided and all is committed", n.allCaughtUp)
 	epoch := n.core.node.View().Epoch
 	if epoch <= d.Acceptor.View.Epoch {
 		t.Errorf("epoch %d after epoch %d", epoch, d.Acceptor.View.Epoch)
@@ -370,7 +372,7 @@
 	if d := n.order(putOf(23)); d.Kind != orders.Accept {
 		t.Errorf("a new configuration: %+v", d)
 	}
-	n.until("the new configuration is committed", n.whole)
+	n.until("the new configuration is committed", n.allCaughtUp)
 	n.close()
 
 	n = openNetwork(t, dir, peers)
@@ -378,7 +380,7 @@
 	d = n.core.node.Durable()
 	place := storedEntries()[len(storedEntries())-1].index
 	if d.Acceptor.View.Epoch != epoch || d.State.LastIndex != place+2 || n.core.incarnation != 5 {
-		t.Errorf("opened again in life %d: epoch %d, place %d; want 5, %d, %d", n.core.incarnation, d.Acceptor.View.Epoch, d.State.LastIndex, epoch, place+2)
+		t.Errorf("opened again in incarnation %d: epoch %d, index %d; want 5, %d, %d", n.core.incarnation, d.Acceptor.View.Epoch, d.State.LastIndex, epoch, place+2)
 	}
 	requireDecided(t, d.State.Entries, putOf(4), orders.AlreadyApplied)
 	requireDecided(t, d.State.Entries, putOf(23), orders.AlreadyApplied)
--- a/internal/tier/controlnode/timeline_test.go
+++ b/internal/tier/controlnode/timeline_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Timelines have a column for each core node. A line holds until its time in ms, with a mark for each node:
+// Timelines have a column for each core node. A line is in force until its time in ms, with a mark for each node:
 //
 //	.    it runs
 //	x    it is down, its disk kept
 //	#    it is down, its disk lost
-//	z    it stands still
-//	|    it is cut off from the others
-//	>    what it sends is lost (a cut in one way)
+//	z    it is frozen
+//	|    it is partitioned from the others
+//	>    what it sends is lost (a one-way partition)
 //	<    what is sent to it is lost
 //	-    it has left in order, and is down
 //
-// and behind the bar what has to hold: "w" writes were acknowledged in that time, "-" none were, "?" either; then the
+// and behind the bar the expectations: "w" writes were acknowledged in that time, "-" none were, "?" either; then the
 // chain as the first that runs and is fresh sees it (letters in its order), "*" for any.
-func draw(t *testing.T, n int, timeline string) {
+func playTimeline(t *testing.T, n int, timeline string) {
 	t.Helper()
-	c := newCourse(t, 1, n, planted{})
+	c := newSimulation(t, 1, n, plantedFaults{})
 	c.rng = rand.New(rand.NewPCG(1, 1))
-	c.quiet = true
+	c.withoutChance = true
 	letters := "abcdefgh"
 	last := map[string]string{}
 	for _, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.cut = map[[2]string]bool{}
+		c.blockedLinks = map[[2]string]bool{}
 		for i, a := range c.order {
 			m, mark := c.machines[a], f[1+i]
 			switch mark {
@@ -48,7 +48,7 @@
 				}
 			case "-":
 				if m.up {
-					c.carry(m, m.node.StartLeaving(c.now))
+					c.handleReady(m, m.node.StartLeaving(c.now))
 				}
 			default:
 				if !m.up {
@@ -60,16 +60,16 @@
 				in := m.inbox
 				m.inbox = nil
 				for _, one := range in {
-					c.carry(m, m.node.Receive(c.now, one))
+					c.handleReady(m, m.node.Receive(c.now, one))
 				}
 			}
 			m.frozen = mark == "z"
 			for _, b := range c.order {
 				if mark == "|" || mark == ">" {
-					c.cut[[2]string{a, b}] = true
+					c.blockedLinks[[2]string{a, b}] = true
 				}
 				if mark == "|" || mark == "<" {
-					c.cut[[2]string{b, a}] = true
+					c.blockedLinks[[2]string{b, a}] = true
 				}
 			}
 			last[a] = mark
@@ -83,7 +83,7 @@
 		}
 		c.run(time.Duration(until)*time.Millisecond - c.now)
 		if c.failure != "" {
-			t.Fatalf("until %s ms: %s\n%s", f[0], c.failure, c.story())
+			t.Fatalf("until %s ms: %s\n%s", f[0], c.failure, c.trace())
 		}
 		wrote := c.writes > before
 		chain := ""
@@ -101,10 +101,10 @@
 		}
 		want := f[2+n:]
 		if want[0] == "w" && !wrote || want[0] == "-" && wrote {
-			t.Fatalf("until %s ms: written %v, wanted %s\n%s", f[0], wrote, want[0], c.story())
+			t.Fatalf("until %s ms: written %v, wanted %s\n%s", f[0], wrote, want[0], c.trace())
 		}
 		if want[1] != "*" && want[1] != chain {
-			t.Fatalf("until %s ms: the chain is %q, wanted %q\n%s", f[0], chain, want[1], c.story())
+			t.Fatalf("until %s ms: the chain is %q, wanted %q\n%s", f[0], chain, want[1], c.trace())
 		}
 	}
 }
@@ -124,7 +124,7 @@
 			900   . . x   | ? *
 			2500  . . x   | w ab
 			3500  . . .   | w abc`},
-		"the tail is cut in one way: it hears, nobody hears it": {4, `
+		"the tail in a one-way partition: nothing that it sends arrives": {4, `
 			800   . . . .   | w abcd
 			2400  . . . >   | w abc
 			3600  . . . .   | w abcd`},
@@ -132,15 +132,15 @@
 			800   . . . .   | w abcd
 			2700  . . . <   | w abc
 			4600  . . . .   | w abcd`},
-		"the head hears nobody, and is heard": {4, `
+		"the head receives nothing": {4, `
 			800   . . . .   | w abcd
 			2700  < . . .   | w bcd
 			4600  . . . .   | w bcda`},
-		"the head is not heard": {4, `
+		"nothing that the head sends arrives": {4, `
 			800   . . . .   | w abcd
 			2700  > . . .   | w bcd
 			4600  . . . .   | w bcda`},
-		"the head stands still in the middle of writes, and wakes": {4, `
+		"the head freezes in the middle of writes, and wakes": {4, `
 			800   . . . .   | w abcd
 			2600  z . . .   | w bcd
 			4500  . . . .   | w bcda`},
@@ -206,32 +206,32 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			draw(t, one.n, one.line)
+			playTimeline(t, one.n, one.line)
 		})
 	}
 }
 
-// A 412 names a version: it may not be told before that one is committed, and not at all if it never is.
-func TestAWaitForWhatIsNeverCommittedEndsUnclear(t *testing.T) {
-	c := newCourse(t, 3, 3, planted{})
-	c.quiet = true
+// A 412 names a version: it may not be answered before that one is committed, and not at all if it never is.
+func TestWaitForUncommittedIndexEndsUnknown(t *testing.T) {
+	c := newSimulation(t, 3, 3, plantedFaults{})
+	c.withoutChance = true
 	c.run(800 * time.Millisecond)
 	head := c.machines["m0"]
 	for _, b := range c.order[1:] { // cut off before the write
-		c.cut[[2]string{"m0", b}], c.cut[[2]string{b, "m0"}] = true, true
+		c.blockedLinks[[2]string{"m0", b}], c.blockedLinks[[2]string{b, "m0"}] = true, true
 	}
 	index := head.node.Chain().State().LastIndex + 1
 	o := head.node.Write(c.now, 1000, "config", []byte("lost"))
-	c.carry(head, o)
+	c.handleReady(head, o)
 	o = head.node.Confirm(c.now, 1001, index)
 	if len(o.Completed) > 0 {
-		t.Fatalf("what is not committed is told of: %+v", o.Completed)
+		t.Fatalf("what is not committed was reported: %+v", o.Completed)
 	}
-	c.asked[1001] = request{write: true, value: "412", by: "m0"}
+	c.pending[1001] = request{write: true, value: "412", by: "m0"}
 	c.run(3 * time.Second)
-	c.cut = map[[2]string]bool{}
+	c.blockedLinks = map[[2]string]bool{}
 	c.run(3 * time.Second)
-	if _, waits := c.asked[1001]; waits || c.values[index] == "412" {
+	if _, waits := c.pending[1001]; waits || c.values[index] == "412" {
 		t.Fatalf("waits %v, values %v", waits, c.values)
 	}
 	for i, a := range c.order {
