--- a/internal/pieces/pieces.go
+++ b/internal/relay/batching/batching.go
@@ -1,11 +1,11 @@
-// Package pieces decides when work that falls due in heaps has to begin, so that it is done in pieces that hold up
+// Package batching decides when work that falls due in heaps has to begin, so that it is done in pieces that hold up
 // nothing else and still in time. It does no I/O and reads no clock.
 //
 // Time is cut into slots, and a piece is what may be done in one. As long as no more than a piece falls due in any
 // slot, each thing is done at its own time. Where more does, work begins sooner: k things due until the end of a slot
 // are begun k pieces before it. That is the latest start of the rule "earliest deadline first" (Liu and Layland, 1973),
 // which meets all deadlines if any order does.
-package pieces
+package batching
 
 import "time"
 
--- a/internal/ledger/ledger.go
+++ b/internal/relay/versionaudit/versionaudit.go
@@ -1,11 +1,11 @@
-// Package ledger knows which relay of a fleet acts on which version of what, as far as relays tell one another: their operator's
+// Package versionaudit knows which relay of a fleet acts on which version of what, as far as relays tell one another: their operator's
 // files, in sections, and the program's build. It is the first part of the fleet's audit: it tells who is behind, and for how long.
 //
 // A file has no number that only grows, so versions are digests, and which of two is newer is told by when it appeared: the newest
 // version of a kind is the one that was held by nobody last. Ages are by the clock of the relay that heard; what it has not heard
 // is unknown. A relay that was cut off for a time may take a version for new that the others have had for long: that shows in
 // who holds it, and mends itself with the next change. The package decides and does nothing else.
-package ledger
+package versionaudit
 
 import (
 	"cmp"
@@ -30,6 +30,7 @@
 
 var kindNames = map[Kind]string{Partners: "partners", Fleet: "fleet", Rules: "rules", Build: "build"}
 
+// String gives the kind as operators read it.
 func (k Kind) String() string { return kindNames[k] }
 
 // Version is a digest of what a relay acts on; 0 is none.
--- a/internal/rpc/clients.go
+++ b/internal/rpc/clients.go
@@ -1,44 +1,42 @@
 package rpc
 
-import (
-	"sync"
-)
+import "sync"
 
-// Clients keeps one Client for each address. Its zero value is ready for use.
+// Clients keeps one Client for each address. Its zero value is ready for use, by many goroutines.
 type Clients struct {
-	Dial DialFunc // opens connections; nil for TCP. It is set before the first call
+	Dial DialFunc // opens connections; nil for TCP. It must be set before the first call
 
-	mu     sync.Mutex
-	all    map[string]*Client
-	closed bool
+	mu      sync.Mutex
+	clients map[string]*Client // by address
+	closed  bool
 }
 
-// To gives the client of an address.
+// To returns the client of an address HOST:PORT. Clients are kept until Close. After Close their calls end in ErrUnsent.
 func (c *Clients) To(addr string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.all == nil {
-		c.all = map[string]*Client{}
+	if c.clients == nil {
+		c.clients = map[string]*Client{}
 	}
-	if c.all[addr] == nil {
-		open := c.Dial
-		if open == nil {
-			open = dialTCP
+	if c.clients[addr] == nil {
+		dial := c.Dial
+		if dial == nil {
+			dial = dialTCP
 		}
-		c.all[addr] = newClient(addr, open)
+		c.clients[addr] = newClient(addr, dial)
 		if c.closed {
-			c.all[addr].Close()
+			c.clients[addr].Close()
 		}
 	}
-	return c.all[addr]
+	return c.clients[addr]
 }
 
-// Close ends all connections for good.
+// Close closes all clients for good.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for _, one := range c.all {
-		one.Close()
+	for _, client := range c.clients {
+		client.Close()
 	}
 }
--- a/internal/tier/controlnode/event_loop.go
+++ b/internal/tier/controlnode/event_loop.go
@@ -21,7 +21,7 @@
 			if s.ctx.Err() != nil {
 				return nil
 			}
-			s.log.Trouble("msg", "the disk does not take the node's state; it stops", "err", err)
+			s.log.Error("the disk does not take the node's state; it stops", "err", err)
 			return errors.Wrap(err, "sync the control state")
 		}
 		s.deliver()
@@ -128,14 +128,14 @@
 	if v := s.node.View(); v.Epoch != last.epoch {
 		last.epoch = v.Epoch
 		chain := strings.Join(s.chainNames(), " ")
-		s.log.Say("msg", "view", "epoch", v.Epoch, "voters", len(v.Voters), "chain", chain, "self", s.self.ID)
+		s.log.Info("view", "epoch", v.Epoch, "voters", len(v.Voters), "chain", chain, "id", s.self.ID)
 	}
 	commit, hosts, fresh := s.node.Chain().State().Commit, s.node.Hosts(), s.node.Fresh()
 	if commit == last.commit && hosts == last.hosts && fresh == last.fresh {
 		return
 	}
 	if fresh != last.fresh {
-		_ = s.log.Log("msg", "fresh for followers", "fresh", fresh, "age", s.node.ConfirmationAge(), "commit", commit)
+		s.log.Debug("fresh for followers", "fresh", fresh, "age", s.node.ConfirmationAge(), "commit", commit)
 	}
 	if hosts != last.hosts {
 		s.hostListHistory.Add(last.hosts, hosts)
--- a/internal/tier/controlnode/operator_orders.go
+++ b/internal/tier/controlnode/operator_orders.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	if decision.Kind == orders.Accept {
-		s.log.Say("msg", "configuration taken", "version", order().Version, "ms", time.Since(startedAt).Milliseconds())
+		s.log.Info("configuration taken", "version", order().Version, "ms", time.Since(startedAt).Milliseconds())
 	}
 	return replyFor(decision), nil
 }
--- a/internal/tier/controlnode/placement_role.go
+++ b/internal/tier/controlnode/placement_role.go
@@ -79,12 +79,12 @@
 	input := s.plannerInput(now)
 	s.node.SetHandover(input.Observe(s.placementTimings()))
 	if lost := placement.LostWhileRetiring(input); len(lost) > 0 {
-		s.log.Say("msg", "a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
+		s.log.Info("a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
 		s.writePlacementEntry(orders.RetireKey(lost[0].Name, lost[0].ID), rpc.Encode(&feed.RetireEntry{ID: lost[0].ID}))
 		return
 	}
 	if next := placement.Plan(input, s.placementTimings()); next != nil {
-		s.log.Say("msg", "placement", "gen", next.Generation, "old", len(next.Old), "new", len(next.New))
+		s.log.Info("placement", "gen", next.Generation, "old", len(next.Old), "new", len(next.New))
 		s.writePlacementEntry(feed.PlacementKey, rpc.Encode(next))
 	}
 }
--- a/internal/tier/controlnode/platform_poller.go
+++ b/internal/tier/controlnode/platform_poller.go
@@ -38,7 +38,7 @@
 		startedAt := time.Now()
 		hosts, err := client.FetchHosts(s.ctx)
 		if err != nil {
-			_ = s.log.Log("msg", "the platform's list was not fetched", "err", err)
+			s.log.Debug("the platform's list was not fetched", "err", err)
 			s.sleep(hostPollInterval / 3)
 			continue
 		}
--- a/internal/tier/controlnode/server.go
+++ b/internal/tier/controlnode/server.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"context"
+	"log/slog"
 	"net"
 	"net/http"
 	"sync"
@@ -34,7 +35,7 @@
 type Server struct {
 	settings    *process.Settings
 	db          *sqlitelog.DB
-	log         *process.Ring
+	log         *slog.Logger
 	clients     *rpc.Clients
 	self        view.Member
 	startedAt   time.Time
@@ -68,7 +69,7 @@
 }
 
 // Open returns a control node with its settings and its disk. Run starts it.
-func Open(s *process.Settings, log *process.Ring) (*Server, error) {
+func Open(s *process.Settings, log *slog.Logger) (*Server, error) {
 	if err := cmp.Or(
 		process.RequireSetting("bind_addrs.control_addr", s.Bind.Control, "give HOST:PORT, for operators"),
 		process.RequireSetting("data_dir", s.DataDir, "give a core node a folder"),
--- /dev/null
+++ b/internal/tier/placement/helpers_test.go
@@ -0,0 +1,216 @@
+package placement
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"larchrouter/internal/tier/turnstore"
+)
+
+func containsStore(list []turnstore.Store, id string) bool {
+	return slices.ContainsFunc(list, func(s turnstore.Store) bool { return s.ID == id })
+}
+
+func storeIDs(list []turnstore.Store) string {
+	var out []string
+	for _, s := range list {
+		out = append(out, s.ID)
+	}
+	return strings.Join(out, ",")
+}
+
+// headSequence simulates successive heads with the stores of one placement, in steps of planStep.
+type headSequence struct {
+	input   Input
+	timings Timings
+}
+
+const planStep = 100 * time.Millisecond
+
+func newHeadSequence(faultTolerance int, ids ...string) *headSequence {
+	heads := &headSequence{timings: DefaultTimings(4 * time.Second)}
+	placement := &turnstore.Placement{Generation: 3, ReplicationFactor: 2*faultTolerance + 1, DurableReplicas: faultTolerance + 1,
+		FaultTolerance: faultTolerance}
+	for _, id := range ids {
+		placement.Old = append(placement.Old, turnstore.Store{ID: id, Name: id, Addr: id + ":1"})
+	}
+	heads.input = Input{FaultTolerance: faultTolerance, Current: placement,
+		Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
+	return heads
+}
+
+// run simulates until a point in time or the first change, and returns that. The given stores register at each step; one with
+// ~ behind its name has not swept under the generation in force.
+func (r *headSequence) run(until time.Duration, ids ...string) *turnstore.Placement {
+	for in := &r.input; in.Now < until; in.Now += planStep {
+		for _, id := range ids {
+			r.register(id)
+		}
+		if next := Plan(*in, r.timings); next != nil {
+			return next
+		}
+	}
+	return nil
+}
+
+func (r *headSequence) register(who string) {
+	in := &r.input
+	id, unswept := strings.CutSuffix(who, "~")
+	registration := Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Generation: in.Current.Generation}
+	if !unswept {
+		registration.SweptGeneration = in.Current.Generation
+	}
+	Register(in.Stores, registration, in.Now, r.timings)
+}
+
+// takeOver makes another node head, which inherits observations.
+func (r *headSequence) takeOver(inherited Observations) {
+	in := &r.input
+	in.TookOverAt, in.Inherited, in.Stores = in.Now, inherited, map[string]StoreStatus{}
+	in.GenerationSince = inherited.GenerationSince(in.Current.Generation, in.Now)
+}
+
+// newRetirement returns a head with four stores and an order to retire d. If joint, the change that removes d is in progress.
+func newRetirement(joint bool) *headSequence {
+	heads := newHeadSequence(1, "a", "b", "c", "d")
+	heads.run(4*time.Second, "a", "b", "c", "d")
+	in := &heads.input
+	in.Retired["d"] = true
+	if joint {
+		next := *in.Current
+		next.Generation, next.New = 4, in.Current.Old[:3]
+		in.Current, in.GenerationSince = &next, in.Now
+	}
+	return heads
+}
+
+// registerTwice registers a store twice, which confirms it.
+func (r *headSequence) registerTwice(store turnstore.Store) {
+	for range 2 {
+		Register(r.input.Stores, Registration{Store: store, Generation: r.input.Current.Generation}, r.input.Now, r.timings)
+		r.input.Now += planStep
+	}
+}
+
+// playRegistrations registers stores by lines of a time in ms and the stores that register then, each as id@address or
+// id@address:generation. It returns the last time.
+func playRegistrations(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
+	t.Helper()
+	timings := DefaultTimings(3 * time.Second)
+	for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
+		fields := strings.Fields(line)
+		ms, err := strconv.Atoi(fields[0])
+		if err != nil {
+			t.Fatal(err)
+		}
+		now = time.Duration(ms) * time.Millisecond
+		for _, registration := range fields[1:] {
+			who, swept, _ := strings.Cut(registration, ":")
+			id, addr, _ := strings.Cut(who, "@")
+			generation, _ := strconv.Atoi(swept)
+			store := turnstore.Store{ID: id, Name: id[:1], Addr: addr}
+			Register(stores, Registration{Store: store, Generation: int64(generation), SweptGeneration: int64(generation)}, now, timings)
+		}
+	}
+	return now
+}
+
+// playTimeline runs Plan on a timeline with a column for each store, and checks the placement after each line. A line is a
+// time in ms, and for each column what the store does until then:
+//
+//	'+'  it registers, and has swept
+//	'~'  it registers, but has not swept
+//	'.'  it does not register
+//	'w'  it registers under another identity: its disk was lost
+//	'R'  it registers, and is to be retired
+//
+// After '|' follows the placement at that time: generation, old and new list, as names, with w for the other identity.
+func playTimeline(t *testing.T, faultTolerance int, timeline string) {
+	t.Helper()
+	var lines [][]string
+	for _, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
+		lines = append(lines, strings.Fields(line))
+	}
+	names := lines[0][1:]
+	timings := DefaultTimings(3 * time.Second)
+	in := Input{FaultTolerance: faultTolerance, Stores: map[string]StoreStatus{}, Retired: map[string]bool{}}
+	for _, fields := range lines[1:] {
+		until, err := strconv.Atoi(fields[0])
+		if err != nil {
+			t.Fatal(err)
+		}
+		bar := slices.Index(fields, "|")
+		for ; in.Now <= time.Duration(until)*time.Millisecond; in.Now += planStep {
+			for i, mark := range fields[1:bar] {
+				playMark(&in, names[i], mark)
+			}
+			planOnce(t, &in, timings)
+		}
+		if got, want := formatPlacement(in.Current), strings.Join(fields[bar+1:], " "); got != want {
+			t.Fatalf("at %s ms: got %q, want %q", fields[0], got, want)
+		}
+	}
+}
+
+// playMark records what a store does by its mark in a timeline.
+func playMark(in *Input, name, mark string) {
+	id := name
+	if mark == "." {
+		return
+	}
+	if mark == "w" {
+		id += "w"
+	}
+	if mark == "R" {
+		in.Retired[id] = true
+	}
+	status := in.Stores[id]
+	if status.Store.ID == "" {
+		status = StoreStatus{Store: turnstore.Store{ID: id, Name: name, Addr: name + ":1"}, FirstSeen: in.Now}
+	}
+	if status.ConfirmedAt = in.Now; mark != "~" && in.Current != nil {
+		status.SweptGeneration = in.Current.Generation
+	}
+	in.Stores[id] = status
+}
+
+// planOnce plans, and checks that the generation does not decrease.
+func planOnce(t *testing.T, in *Input, timings Timings) {
+	t.Helper()
+	next := Plan(*in, timings)
+	if next == nil {
+		return
+	}
+	if in.Current != nil && next.Generation < in.Current.Generation {
+		t.Fatalf("at %v the generation decreases from %d to %d", in.Now, in.Current.Generation, next.Generation)
+	}
+	if in.Current == nil || next.Generation != in.Current.Generation {
+		in.GenerationSince = in.Now
+	}
+	in.Current = next
+}
+
+// formatPlacement returns a placement as in timelines.
+func formatPlacement(p *turnstore.Placement) string {
+	if p == nil {
+		return "none"
+	}
+	return strings.TrimSpace(fmt.Sprintf("%d %s %s", p.Generation, formatStores(p.Old), formatStores(p.New)))
+}
+
+func formatStores(list []turnstore.Store) string {
+	var out []string
+	for _, store := range list {
+		if store.ID == store.Name {
+			out = append(out, store.Name)
+		} else {
+			out = append(out, store.Name+"w")
+		}
+	}
+	slices.Sort(out)
+	return strings.Join(out, ",")
+}
