--- a/internal/tier/controlnode/batch_test.go
+++ b/internal/tier/controlnode/event_loop_test.go
@@ -13,11 +13,11 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// silence is how long nothing may be told.
-const silence = 100 * time.Millisecond
+// quietPeriod is how long nothing may be reported.
+const quietPeriod = 100 * time.Millisecond
 
 // startAlone starts a node that is the only one of its system: what it writes is committed with its own sync.
-func startAlone(t *testing.T) *Core {
+func startAlone(t *testing.T) *Server {
 	t.Helper()
 	base := freeBase(t)
 	ip := fmt.Sprintf("127.0.%d.1", 10+base%200)
@@ -41,38 +41,38 @@
 	})
 	t.Cleanup(func() { cancel(); running.Wait() })
 	for leads := false; !leads; {
-		if !core.do(func() { leads = core.node.Leads() }) {
+		if !core.onLoop(func() { leads = core.node.IsActiveHead() }) {
 			t.Fatal("the node has stopped")
 		}
 	}
 	return core
 }
 
-// A reader that meets a write in one batch of the loop is told of it only once the write is on disk: a loss of power
-// in between would take back what it was told.
-func TestWhatIsReadIsOnDisk(t *testing.T) {
+// A reader that sees a write of its own batch of the event loop gets its answer only once the write is on
+// disk: a loss of power in between would take back what it was answered.
+func TestReadsAreReportedAfterSync(t *testing.T) {
 	core := startAlone(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	syncing, synced := make(chan struct{}), make(chan struct{})
-	core.events <- func() {
-		core.commit = func(ctx context.Context, rows []sqlitelog.Write) error {
-			core.commit = core.db.Commit
+	core.requests <- onLoopRequest(func() {
+		core.syncRows = func(ctx context.Context, rows []sqlitelog.Write) error {
+			core.syncRows = core.db.Commit
 			close(syncing)
 			<-synced
 			return core.db.Commit(ctx, rows)
 		}
 		close(entered)
 		<-release
-	}
+	})
 	<-entered
-	core.events <- func() { core.add(core.node.Write(core.now(), 0, "key", []byte("value"))) }
+	core.requests <- onLoopRequest(func() { core.mergeReady(core.node.Write(core.now(), 0, "key", []byte("value"))) })
 	read := make(chan int)
 	go func() {
 		entries := 0
-		core.do(func() { entries = len(core.node.Chain().Committed(0)) })
+		core.onLoop(func() { entries = len(core.node.Chain().Committed(0)) })
 		read <- entries
 	}()
-	for len(core.events) < 2 { // the write, and the reader behind it
+	for len(core.requests) < 2 { // the write, and the reader behind it
 		runtime.Gosched()
 	}
 	close(release)
@@ -82,7 +82,7 @@
 		t.Errorf("%d entries were read before they were on disk", n)
 		close(synced)
 		return
-	case <-time.After(silence):
+	case <-time.After(quietPeriod):
 	}
 	close(synced)
 	if n := <-read; n != 1 {
@@ -91,17 +91,17 @@
 }
 
 // Callers that come again at once, each time they are answered, do not keep the loop from sending.
-func TestABatchHasAnEnd(t *testing.T) {
-	c := &Core{ctx: t.Context(), events: make(chan func(), 1), peers: make(chan Message, 1)}
+func TestBatchIsBounded(t *testing.T) {
+	c := &Server{ctx: t.Context(), requests: make(chan queuedRequest, 1), peerMessages: make(chan Message, 1)}
 	taken := 0
 	var call func()
 	call = func() {
 		if taken++; taken < 2*maxBatch {
-			c.events <- call
+			c.requests <- onLoopRequest(call)
 		}
 	}
-	c.events <- call
-	if !c.takeBatch(nil) || taken != maxBatch {
+	c.requests <- onLoopRequest(call)
+	if !c.handleBatch(nil) || taken != maxBatch {
 		t.Errorf("a batch took %d events, at most %d are taken before something is sent", taken, maxBatch)
 	}
 }
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -59,7 +59,7 @@
 	return c.settings(0, false).PeerAddr(c.ip(node), process.CorePort)
 }
 
-func TestLargeConfigurationsGoInPiecesAndAsDifferences(t *testing.T) {
+func TestLargeConfigurationsAreSentInChunksAndDeltas(t *testing.T) {
 	c := newCluster(t, 3)
 	f, stop := c.follow("front-1")
 	defer stop()
@@ -81,7 +81,7 @@
 	q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: a.LargeValues[0].Digest}}
 	b := c.ask(calls, 0, q)
 	if len(b.Patches) != 1 || len(b.Patches[0].Delta) > 500 {
-		t.Fatalf("%d differences, %d by name, %d whole", len(b.Patches), len(b.LargeValues), len(b.Entries))
+		t.Fatalf("%d differences, %d by digest, %d complete", len(b.Patches), len(b.LargeValues), len(b.Entries))
 	}
 	next, err := bodydelta.Apply(value, b.Patches[0].Delta, rpc.MaxFrame)
 	var e feed.ConfigEntry
@@ -111,8 +111,8 @@
 	return value
 }
 
-// A follower of the version before this one asks by the old call and gets every value whole.
-func TestAFollowerOfTheVersionBeforeIsAnswered(t *testing.T) {
+// A follower of the release before this one polls by the old call and gets every value complete.
+func TestFollowerOfEarlierReleaseIsServed(t *testing.T) {
 	c := newCluster(t, 3)
 	c.putBody(0, largeConfig(3))
 	calls := &rpc.Clients{}
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestAPieceOfWhatIsCommittedIsGivenToSomeAtOnce(t *testing.T) {
+func TestConcurrentChunkTransfersAreLimited(t *testing.T) {
 	var s feedServer
 	value := rpc.Encode(&feed.ConfigEntry{Version: 3, Body: largeConfig(3)})
 	digest := bodydelta.DigestOf(value)
@@ -141,7 +141,7 @@
 	}
 	given, busy := 0, 0
 	for i := range 20 {
-		switch p := s.piece(q(i), entry, 0); p.Status {
+		switch p := s.serveChunk(q(i), entry, 0); p.Status {
 		case feed.ChunkServed:
 			given++
 			if len(p.Data) != 64<<10 {
@@ -152,16 +152,16 @@
 		}
 	}
 	if given != 8 || busy != 12 {
-		t.Errorf("%d were given a piece and %d told to wait", given, busy)
+		t.Errorf("%d were given a chunk and %d had to wait", given, busy)
 	}
-	if p := s.piece(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
+	if p := s.serveChunk(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
 		t.Errorf("a value that there never was: state %d", p.Status)
 	}
 }
 
-// A node that stood still answers the polls that come as it wakes before it has heard of what was committed meanwhile:
-// whatever its clock says of silence, the answer is not fresh until a majority has confirmed it after the poll came.
-func TestANodeThatStoodStillDoesNotFeedWhatItHad(t *testing.T) {
+// A frozen node answers the polls that come as it wakes before it has received what was committed meanwhile:
+// whatever its clock shows, the answer is not fresh until a majority has confirmed it after the poll came.
+func TestFrozenNodeDoesNotServeStaleFeed(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
@@ -172,15 +172,15 @@
 	frozen := c.cores[2]
 	before := int64(0)
 	c.until("the node has the version", func() bool {
-		frozen.do(func() { before = frozen.node.Chain().State().Commit })
+		frozen.onLoop(func() { before = frozen.node.Chain().State().Commit })
 		return before >= f.Tables().Index
 	})
-	release, woke := make(chan struct{}), make(chan moment, 1)
-	go frozen.do(func() {
+	release, woke := make(chan struct{}), make(chan feedSnapshot, 1)
+	go frozen.onLoop(func() {
 		<-release
 		now := frozen.now()
-		frozen.add(frozen.node.Tick(now)) // its clock goes on before its sockets are read
-		woke <- frozen.moment(&feed.ChangesRequest{Name: "front-2"}, now, true)
+		frozen.mergeReady(frozen.node.Tick(now)) // its clock goes on before its sockets are read
+		woke <- frozen.snapshotFeed(&feed.ChangesRequest{Name: "front-2"}, now, true)
 	})
 	if got := c.put(9, 3, 0, 1); got != http.StatusOK {
 		t.Fatal(got)
@@ -190,7 +190,7 @@
 	if m.index != before {
 		t.Fatalf("it has index %d, wanted %d: it did not stand still", m.index, before)
 	}
-	if m.fresh {
+	if m.confirmed {
 		t.Error("a poll that came as it woke was answered fresh with the state from before")
 	}
 	calls := &rpc.Clients{}
@@ -200,9 +200,10 @@
 	}
 }
 
-// An answer rests on a round that begins after its poll came, and not on one that has ended before: a node that is healthy
-// by all that it knows has to ask first. It asks at once, and does not wait for the next heartbeats.
-func TestAPollIsAnsweredAfterARoundOfItsOwn(t *testing.T) {
+// An answer rests on a confirmation round that starts after its poll came, and not on one that has ended
+// before: a node that is healthy by its own state has to ask first. It asks at once, and does not wait for
+// the next heartbeats.
+func TestPollWaitsForConfirmationRound(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
@@ -210,26 +211,26 @@
 	q := &feed.ChangesRequest{Name: "front-1"}
 	for i, core := range c.cores {
 		var arrival time.Duration
-		var m moment
-		c.until("a node that was confirmed lately", func() bool {
-			core.do(func() {
+		var m feedSnapshot
+		c.until("a node that was confirmed recently", func() bool {
+			core.onLoop(func() {
 				arrival = core.now()
-				m = core.moment(q, arrival, true)
+				m = core.snapshotFeed(q, arrival, true)
 			})
-			return m.lately && m.index > 0
+			return m.recent && m.index > 0
 		})
-		if m.fresh || m.ready == nil {
-			t.Fatalf("node %d: a poll was answered fresh in the moment of its coming", i)
+		if m.confirmed || m.ready == nil {
+			t.Fatalf("node %d: a poll was answered fresh as it came", i)
 		}
 		c.until("a round begun after the poll", func() bool {
-			core.do(func() { m = core.moment(q, arrival, true) })
-			if !m.fresh {
+			core.onLoop(func() { m = core.snapshotFeed(q, arrival, true) })
+			if !m.confirmed {
 				<-m.ready // at the latest when the poll has ended
 			}
-			return m.fresh
+			return m.confirmed
 		})
 		if len(m.entries) == 0 {
-			t.Errorf("node %d: nothing is told after the round", i)
+			t.Errorf("node %d: no entries after the round", i)
 		}
 	}
 }
--- a/internal/tier/controlnode/retire_test.go
+++ b/internal/tier/controlnode/retire_test.go
@@ -10,8 +10,9 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// A store loses its disk while it is emptied, and comes back under another identity: the order goes on, and ends in complete.
-func TestAnOrderGoesOnForAStoreThatLosesItsDisk(t *testing.T) {
+// A store loses its disk while it is emptied, and comes back under another identity: the order continues, and
+// ends in complete.
+func TestRetireContinuesForStoreThatLostItsDisk(t *testing.T) {
 	c := newCluster(t, 3)
 	registering, swept := []turnstore.Store{}, int64(0)
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -19,10 +20,10 @@
 	}
 	state := func() *orders.State {
 		for _, one := range registering {
-			_, _ = c.cores[1].register(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
+			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
 		}
 		s := &orders.State{}
-		c.cores[0].do(func() {
+		c.cores[0].onLoop(func() {
 			if known, err := orders.ReadState(c.cores[0].node.Chain().Committed(0), 1); err == nil {
 				s = known
 			}
@@ -47,7 +48,7 @@
 		return got == http.StatusOK && strings.Contains(text, "complete")
 	})
 	c.until("the head has seen it leave", func() (seen bool) {
-		c.cores[0].do(func() { _, seen = c.cores[0].duty.left["d"] })
+		c.cores[0].onLoop(func() { _, seen = c.cores[0].placementRole.departures["d"] })
 		return seen
 	})
 	if p := state().Placement; len(p.New) > 0 || len(p.Old) != 3 {
