--- a/choice/admit.go
+++ b/choice/admit.go
@@ -9,22 +9,22 @@
 
 const (
 	// crowded is the part of the holding room above which the least worth is turned away.
-	crowded = 0.9
+	shedThreshold = 0.9
 	// leastShare and mostShare are what a destination may hold of the room that is left, for messages worth
 	// nothing and for those worth most.
-	leastShare, mostShare = 1.0, 4.0
+	minShareFactor, maxShareFactor = 1.0, 4.0
 	// displaces is how many times the worth of another a message has that takes its place in a crowded room.
-	displaces = 2
+	displacementFactor = 2
 )
 
 // arrive takes a message on, or turns it away at once.
-func (c *Chooser) arrive(e Arrival) {
-	m := c.message(e)
-	if why := c.tooMany(m); why != NoReason {
-		c.act(Refuse{m.ID, c.comeBack(m.dest), why})
+func (c *Chooser) admit(arrival Arrival) {
+	msg := c.newMessage(arrival)
+	if why := c.rejection(msg); why != NoReason {
+		c.emit(Refuse{msg.ID, c.retryAfter(msg.dest), why})
 		return
 	}
-	c.hold(m)
+	c.accept(msg)
 }
 
 // tooMany is why the holding room has no place for one more message, which is refused at the door.
@@ -32,196 +32,200 @@
 // (1998): whatever its backlog some room stays, and the more destinations have one the smaller each share.
 // What is worth more has a larger share, so that the cheap cannot shut it out. In a crowded room a message
 // must be worth a good deal more than the one turned away for it, which has been taken on already.
-func (c *Chooser) tooMany(m *message) Reason {
-	d, room := m.dest, float64(c.set.MaxHeld)
-	factor := leastShare + (mostShare-leastShare)*m.class.Worth/c.mostWorth
+func (c *Chooser) rejection(msg *message) Reason {
+	dest, room := msg.dest, float64(c.cfg.MaxHeld)
+	factor := minShareFactor + (maxShareFactor-minShareFactor)*msg.class.Worth/c.maxValue
 	switch {
-	case room > 0 && float64(d.waits) >= factor*(room-float64(c.held)):
+	case room > 0 && float64(dest.queued) >= factor*(room-float64(c.pending)):
 		return Share
-	case float64(c.held+1) <= crowded*room || room == 0:
+	case float64(c.pending+1) <= shedThreshold*room || room == 0:
 		return NoReason
 	}
-	if _, least := c.worst(); c.worth(m.class, c.now-m.born)/float64(d.waits+1) < displaces*least {
+	if _, least := c.shedCandidate(); c.value(msg.class, c.now-msg.createdAt)/float64(dest.queued+1) < displacementFactor*least {
 		return Crowded
 	}
 	return NoReason
 }
 
 // result takes in how an attempt ended.
-func (c *Chooser) result(e Result) {
-	m := c.msgs[e.ID]
-	if m == nil || m.call == nil {
+func (c *Chooser) applyResult(result Result) {
+	msg := c.messages[result.ID]
+	if msg == nil || msg.call == nil {
 		return
 	}
-	k, h, u, d := m.call, m.call.host, m.call.host.unit, m.dest
-	c.settle(d)
-	c.touch(d)
-	u.waitUntil = max(u.waitUntil, c.now+e.Wait) // it binds with any outcome
-	m.call, m.last = nil, h
-	k.members = remove(k.members, m)
-	if c.report(k, e); len(k.members) == 0 {
-		c.busy, d.out, h.out = c.busy-1, d.out-1, h.out-1
-		u.outs = remove(u.outs, k)
+	call, host, unit, dest := msg.call, msg.call.host, msg.call.host.unit, msg.dest
+	c.updateRateLimits(dest)
+	c.markDirty(dest)
+	unit.retryAfterUntil = max(unit.retryAfterUntil, c.now+result.Wait) // it binds with any outcome
+	msg.call, msg.lastHost = nil, host
+	call.messages = removeElement(call.messages, msg)
+	if c.reportGrant(call, result); len(call.messages) == 0 {
+		c.callsInFlight, dest.inFlight, host.inFlight = c.callsInFlight-1, dest.inFlight-1, host.inFlight-1
+		unit.inFlight = removeElement(unit.inFlight, call)
 	}
-	if r := c.set.ReportLimit; r >= 0 && r < len(e.Report) && e.Report[r] > 0 {
-		u.listed = e.Report[r]
+	if reportIndex := c.cfg.ReportLimit; reportIndex >= 0 && reportIndex < len(result.Report) && result.Report[reportIndex] > 0 {
+		unit.listedRate = result.Report[reportIndex]
 	}
-	switch e.Outcome {
+	switch result.Outcome {
 	case Served:
-		d.table.Add(e.Took)
-		c.pool.Add(e.Took)
-		if e.Took <= d.table.Edge() {
-			d.backoff = 0
+		dest.latencies.Add(result.Took)
+		c.pooledLatencies.Add(result.Took)
+		if result.Took <= dest.latencies.Edge() {
+			dest.timeouts = 0
 		}
-		h.fails, h.spoilt = 0, 0
-		if d.refused > 0 {
-			*d.luck += (1 - *d.luck) / 16
+		host.failures, host.unreadable = 0, 0
+		if dest.refusals > 0 {
+			*dest.retrySuccess += (1 - *dest.retrySuccess) / 16
 		}
-		d.refused = 0
-		c.served(u, d, e.Took)
+		dest.refusals = 0
+		c.applyServed(unit, dest, result.Took)
 	case Refused:
-		c.refused(u, d, e.Wait)
+		c.applyRefusal(unit, dest, result.Wait)
 	case Error, Reset:
-		c.failed(h, e.Outcome)
+		c.applyFailure(host, result.Outcome)
 	case Spoilt: // it guards against holding stray noise for an outage: the host did answer
-		if h.spoilt++; h.spoilt > outage {
-			c.failed(h, Error)
+		if host.unreadable++; host.unreadable > outageFailures {
+			c.applyFailure(host, Error)
 		}
 	case Timeout, Cancelled:
-		d.table.CutShort()
-		if u.lastServed < k.sent {
-			d.backoff++
-			if e.Took >= c.patience(d) {
-				c.failed(h, e.Outcome)
+		dest.latencies.CutShort()
+		if unit.lastServed < call.sentAt {
+			dest.timeouts++
+			if result.Took >= c.unresponsiveTimeout(dest) {
+				c.applyFailure(host, result.Outcome)
 			}
 		}
 	case NoConnection:
-		d.table.CutShort()
-		c.failed(h, e.Outcome)
+		dest.latencies.CutShort()
+		c.applyFailure(host, result.Outcome)
 	}
-	sure := e.Outcome == Served || e.Outcome == Refused || e.Outcome == NoConnection || e.Outcome == NotSent
-	if !sure {
-		if m.unsure = c.now; !m.ran {
-			m.ran, m.ranAt, m.ranZone = true, k.sent, h.Zone
+	certain := result.Outcome == Served || result.Outcome == Refused || result.Outcome == NoConnection || result.Outcome == NotSent
+	if !certain {
+		if msg.uncertainAt = c.now; !msg.mayHaveRun {
+			msg.mayHaveRun, msg.mayHaveRunAt, msg.mayHaveRunZone = true, call.sentAt, host.Zone
 		}
 	}
 	switch {
-	case e.Done || m.over:
-		c.end(m)
-	case c.spent(m):
-		c.final(m, c.whySpent(m))
+	case result.Done || msg.finished:
+		c.finish(msg)
+	case c.exhausted(msg):
+		c.answer(msg, c.exhaustedReason(msg))
 	default:
-		c.queue(m)
+		c.enqueue(msg)
 	}
 }
 
 // repeatable tells whether the effect of a message allows one more send now.
-func (c *Chooser) repeatable(m *message) bool {
-	return !m.ran || m.class.Effect == Safe || m.class.Effect == Keyed && c.now < c.windowEnd(m)
+func (c *Chooser) mayRetry(msg *message) bool {
+	return !msg.mayHaveRun || msg.class.Effect == Safe || msg.class.Effect == Keyed && c.now < c.keyWindowEnd(msg)
 }
 
-func (c *Chooser) windowEnd(m *message) time.Duration {
-	if !m.ran {
-		return c.now + m.class.Window
+func (c *Chooser) keyWindowEnd(msg *message) time.Duration {
+	if !msg.mayHaveRun {
+		return c.now + msg.class.Window
 	}
-	return m.ranAt + m.class.Window
+	return msg.mayHaveRunAt + msg.class.Window
 }
 
 // endAt is when a message that waits is answered, come what may.
-func (c *Chooser) endAt(m *message) time.Duration {
-	at := m.due - margin*c.set.Tick - c.nap
-	if m.ran && m.class.Effect == Keyed {
-		at = min(at, c.windowEnd(m))
+func (c *Chooser) expiryOf(msg *message) time.Duration {
+	at := msg.deadline - expiryMarginTicks*c.cfg.Tick - c.lookInterval
+	if msg.mayHaveRun && msg.class.Effect == Keyed {
+		at = min(at, c.keyWindowEnd(msg))
 	}
 	return at
 }
 
 // mayShed tells whether a message that waits may be turned away: with no harm, and with no first try owed.
-func (m *message) mayShed() bool { return !m.owed() && (!m.ran || m.class.Effect == Safe) }
+func (m *message) sheddable() bool {
+	return !m.owedFirstAttempt() && (!m.mayHaveRun || m.class.Effect == Safe)
+}
 
 // tied tells whether a message may go to the zone of its last attempt only.
-func (m *message) tied() bool { return m.ran && m.class.Effect == Keyed && m.class.SameZone }
+func (m *message) zoneBound() bool {
+	return m.mayHaveRun && m.class.Effect == Keyed && m.class.SameZone
+}
 
 // final answers a message that is not out: refused where that is lawful, else failed.
-func (c *Chooser) final(m *message, why Reason) {
-	if !m.ran || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.SameZone {
-		c.act(Refuse{m.ID, c.comeBack(m.dest), why})
+func (c *Chooser) answer(msg *message, why Reason) {
+	if !msg.mayHaveRun || msg.class.Effect == Safe || msg.class.Effect == Keyed && !msg.class.SameZone {
+		c.emit(Refuse{msg.ID, c.retryAfter(msg.dest), why})
 	} else {
-		c.act(Fail{m.ID, why})
+		c.emit(Fail{msg.ID, why})
 	}
-	c.end(m)
+	c.finish(msg)
 }
 
 // end frees a message; one that is out keeps its record, and its key, until its outcome.
-func (c *Chooser) end(m *message) {
-	if !m.over {
-		m.over = true
-		c.held--
-		c.dequeue(m)
+func (c *Chooser) finish(msg *message) {
+	if !msg.finished {
+		msg.finished = true
+		c.pending--
+		c.dequeue(msg)
 	}
-	if m.call != nil {
+	if msg.call != nil {
 		return
 	}
-	delete(c.msgs, m.ID)
-	if l := c.lines[m.Key]; l != nil && m.class.Ordered {
-		l.queue.Remove(m)
-		if m.unsure >= 0 {
-			l.rest = max(l.rest, m.unsure+c.set.Rules.OrderSettle)
+	delete(c.messages, msg.ID)
+	if order := c.keyOrders[msg.Key]; order != nil && msg.class.Ordered {
+		order.messages.Remove(msg)
+		if msg.uncertainAt >= 0 {
+			order.settledAt = max(order.settledAt, msg.uncertainAt+c.cfg.Rules.OrderSettle)
 		}
-		c.advance(l)
+		c.advance(order)
 	}
 }
 
 // worth of a message of a class if it is served at an age.
-func (c *Chooser) worth(k *Class, age time.Duration) float64 {
-	if age >= k.Deadline {
+func (c *Chooser) value(class *Class, age time.Duration) float64 {
+	if age >= class.Deadline {
 		return 0
 	}
-	if age <= k.Aim {
-		return k.Worth
+	if age <= class.Aim {
+		return class.Worth
 	}
-	late := (age - k.Aim).Seconds()
-	if c.set.Halving {
-		return k.Worth * max(k.LateShare, math.Exp2(-late/k.Aim.Seconds()))
+	late := (age - class.Aim).Seconds()
+	if c.cfg.Halving {
+		return class.Worth * max(class.LateShare, math.Exp2(-late/class.Aim.Seconds()))
 	}
-	return k.Worth * (1 - (1-k.LateShare)*late/(k.Deadline-k.Aim).Seconds())
+	return class.Worth * (1 - (1-class.LateShare)*late/(class.Deadline-class.Aim).Seconds())
 }
 
 // answer ends messages whose time is up, a piece in a Step; the first of more than that a while before it.
-func (c *Chooser) answer() {
-	sooner := c.sooner()
-	for n := range c.pieces.Piece() {
-		m, ok := c.ends.Min()
-		if !ok || m.endAt > c.now && n >= sooner {
+func (c *Chooser) answerExpired() {
+	sooner := c.dueEarly()
+	for n := range c.batches.Piece() {
+		msg, ok := c.expiries.Min()
+		if !ok || msg.expiresAt > c.now && n >= sooner {
 			return
 		}
-		c.final(m, c.whyOver(m))
+		c.answer(msg, c.expiryReason(msg))
 	}
 }
 
 // shed turns messages away while the holding room is crowded.
-func (c *Chooser) shed() {
-	for c.set.MaxHeld > 0 && float64(c.held) > crowded*float64(c.set.MaxHeld) {
-		m, _ := c.worst()
-		if m == nil {
+func (c *Chooser) shedLoad() {
+	for c.cfg.MaxHeld > 0 && float64(c.pending) > shedThreshold*float64(c.cfg.MaxHeld) {
+		msg, _ := c.shedCandidate()
+		if msg == nil {
 			return
 		}
-		c.final(m, Crowded)
+		c.answer(msg, Crowded)
 	}
 }
 
 // worst is the message to be turned away first, and its worth, spread over all that wait with it: of each
 // class the oldest at the destination where most messages wait, and of these the least.
-func (c *Chooser) worst() (worst *message, least float64) {
+func (c *Chooser) shedCandidate() (worst *message, least float64) {
 	least = math.Inf(1)
-	for k, crowd := range c.crowds {
-		d, ok := crowd.Min()
+	for class, crowd := range c.shedOrders {
+		dest, ok := crowd.Min()
 		if !ok {
 			continue
 		}
-		m := c.oldest(d, k)
-		if w := c.worth(m.class, c.now-m.born) / float64(d.waits); w < least {
-			least, worst = w, m
+		msg := c.oldestSheddable(dest, class)
+		if value := c.value(msg.class, c.now-msg.createdAt) / float64(dest.queued); value < least {
+			least, worst = value, msg
 		}
 	}
 	return worst, least
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	margin = 4   // ticks between the last own look at a message and its deadline
-	glance = 200 // looks without news within the shortest aim
+	expiryMarginTicks = 4   // ticks between the last own look at a message and its deadline
+	looksPerTarget    = 200 // looks without news within the shortest aim
 	// In a fleet of large size a relay begins at each unit with its share of a guess, in calls a second from
 	// all of them: each one's first calls are harmless, their sum shuts a unit where refused ones count.
-	large, guess = 16, 15.0
+	largeFleet, initialRateGuess = 16, 15.0
 )
 
 // New returns a Chooser for one relay. Pauses are drawn from the seed.
@@ -27,146 +27,146 @@
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("choice: settings: %w", err)
 	}
-	c := &Chooser{set: s, msgs: map[string]*message{}, dests: map[int]*dest{},
-		hosts: map[string]*host{}, lines: map[string]*line{},
-		rand: rand.New(rand.NewPCG(seed, 0)), pool: oracle.New(0, restartCost),
-		watchAt: never, lapseAt: never}
+	c := &Chooser{cfg: s, messages: map[string]*message{}, destinations: map[int]*destination{},
+		hosts: map[string]*endpoint{}, keyOrders: map[string]*keyOrder{},
+		rand: rand.New(rand.NewPCG(seed, 0)), pooledLatencies: oracle.New(0, restartCost),
+		watchAt: never, nextGrantExpiry: never}
 	if !s.Subscribe {
-		c.askAt = -1
+		c.subscribeAt = -1
 	}
-	c.luck = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
-	c.measure()
-	c.makeOrders()
+	c.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
+	c.deriveSettings()
+	c.initOrders()
 	return c, nil
 }
 
 // Step takes in all that happened, then decides once. What it costs grows with the events, the actions and
 // the calls out, and with the logarithm of what is held.
 func (c *Chooser) Step(now time.Duration, events []Event) []Action {
-	c.take(now, events)
-	c.watch()
-	c.answer()
-	c.shed()
-	c.turn()
-	c.ask()
-	c.wake()
-	return c.acts
+	c.applyEvents(now, events)
+	c.detectUnresponsive()
+	c.answerExpired()
+	c.shedLoad()
+	c.fillSlots()
+	c.emitWants()
+	c.requestWake()
+	return c.actions
 }
 
 // take takes in all that happened. Time that runs backwards stands still.
-func (c *Chooser) take(now time.Duration, events []Event) {
-	c.now, c.acts = max(c.now, now), nil
-	c.lapse()
-	for _, e := range events {
-		switch e := e.(type) {
+func (c *Chooser) applyEvents(now time.Duration, events []Event) {
+	c.now, c.actions = max(c.now, now), nil
+	c.returnExpiredGrants()
+	for _, event := range events {
+		switch e := event.(type) {
 		case Arrival:
-			c.arrive(e)
+			c.admit(e)
 		case Restored:
 			c.restore(e)
 		case Unwell:
-			c.unwell(e)
+			c.applyUnwell(e)
 		case Result:
-			c.result(e)
+			c.applyResult(e)
 		case Withdrawn:
-			if m := c.msgs[e.ID]; m != nil && !m.over {
-				c.end(m)
+			if msg := c.messages[e.ID]; msg != nil && !msg.finished {
+				c.finish(msg)
 			}
 		case Listing:
-			c.list(e)
+			c.applyListing(e)
 		case Retuned:
-			c.retune(e.Settings)
+			c.applySettings(e.Settings)
 		case Told:
-			c.told(e)
+			c.applyWait(e)
 		case Granted:
-			c.granted(e)
+			c.applyGrant(e)
 		case Woken:
 			c.wakeAt = 0
 		}
 	}
-	if c.askAt >= 0 && c.now >= c.askAt {
-		c.askAt = -1
-		c.act(Subscribe{})
+	if c.subscribeAt >= 0 && c.now >= c.subscribeAt {
+		c.subscribeAt = -1
+		c.emit(Subscribe{})
 	}
-	c.freeLines()
+	c.releaseSettledKeys()
 }
 
-func (c *Chooser) act(a Action) { c.acts = append(c.acts, a) }
+func (c *Chooser) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Chooser) log(format string, args ...any) { c.act(Log{fmt.Sprintf(format, args...)}) }
+func (c *Chooser) logf(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
 // list takes in news of the endpoint list.
-func (c *Chooser) list(e Listing) {
-	if e.Failed {
-		c.askAt = c.now + time.Second
+func (c *Chooser) applyListing(listing Listing) {
+	if listing.Failed {
+		c.subscribeAt = c.now + time.Second
 		return
 	}
-	if e.Whole {
-		for _, h := range c.hosts {
-			h.State = Gone
-			c.depart(h.dest)
+	if listing.Whole {
+		for _, host := range c.hosts {
+			host.State = Gone
+			c.markPrunable(host.dest)
 		}
 	}
-	for _, n := range e.Hosts {
-		h := c.hosts[n.Addr]
-		if h == nil && n.State == Gone {
+	for _, entry := range listing.Hosts {
+		host := c.hosts[entry.Addr]
+		if host == nil && entry.State == Gone {
 			continue
 		}
-		d := c.dest(n.Dest)
-		c.settle(d) // what is new here has its tokens
-		if h == nil {
-			h = c.newHost(d, n)
+		dest := c.destination(entry.Dest)
+		c.updateRateLimits(dest) // what is new here has its tokens
+		if host == nil {
+			host = c.newHost(dest, entry)
 		}
-		if c.touch(h.dest); n.State == Gone {
-			c.depart(h.dest)
+		if c.markDirty(host.dest); entry.State == Gone {
+			c.markPrunable(host.dest)
 		}
-		if h.Host = n; c.set.Listed && n.State == Ready {
-			if h.unit.listed = n.Rate; h.unit.limit == 0 {
-				h.unit.limit = n.Rate // all relays together may send no more, so neither may one
+		if host.Host = entry; c.cfg.Listed && entry.State == Ready {
+			if host.unit.listedRate = entry.Rate; host.unit.rateLimit == 0 {
+				host.unit.rateLimit = entry.Rate // all relays together may send no more, so neither may one
 			}
 		}
 	}
-	c.leaving = slices.DeleteFunc(c.leaving, func(d *dest) bool {
-		d.leaving = !c.prune(d)
-		return !d.leaving
+	c.prunable = slices.DeleteFunc(c.prunable, func(dest *destination) bool {
+		dest.listedPrunable = !c.prune(dest)
+		return !dest.listedPrunable
 	})
 }
 
 // depart notes a destination with a host that may have to be forgotten.
-func (c *Chooser) depart(d *dest) {
-	c.touch(d)
-	if !d.leaving {
-		d.leaving, c.leaving = true, append(c.leaving, d)
+func (c *Chooser) markPrunable(dest *destination) {
+	c.markDirty(dest)
+	if !dest.listedPrunable {
+		dest.listedPrunable, c.prunable = true, append(c.prunable, dest)
 	}
 }
 
 // prune forgets what has left of a destination, and it too in the end; it tells whether that is all there is
 // to be forgotten.
-func (c *Chooser) prune(d *dest) (done bool) {
-	d.hosts = slices.DeleteFunc(d.hosts, func(h *host) bool {
+func (c *Chooser) prune(dest *destination) (done bool) {
+	dest.hosts = slices.DeleteFunc(dest.hosts, func(host *endpoint) bool {
 		// A host that may come back keeps its wait, and what is known of its health.
-		left := h.State == Gone && h.out == 0 && c.now >= h.unit.waitUntil &&
-			(h.unit.state == healthy || c.now-h.unit.since > c.set.Rules.Cold)
-		if left {
-			delete(c.hosts, h.Addr)
+		departed := host.State == Gone && host.inFlight == 0 && c.now >= host.unit.retryAfterUntil &&
+			(host.unit.state == healthy || c.now-host.unit.stateSince > c.cfg.Rules.Cold)
+		if departed {
+			delete(c.hosts, host.Addr)
 		}
-		if left && d.kind.Apart {
-			d.units = remove(d.units, h.unit)
+		if departed && dest.kind.Apart {
+			dest.units = removeElement(dest.units, host.unit)
 		}
-		return left
+		return departed
 	})
-	if len(d.hosts) == 0 && d.waits == 0 && d.out == 0 {
-		delete(c.dests, d.id)
+	if len(dest.hosts) == 0 && dest.queued == 0 && dest.inFlight == 0 {
+		delete(c.destinations, dest.id)
 		return true
 	}
-	return len(d.hosts) > 0 && !slices.ContainsFunc(d.hosts, func(h *host) bool { return h.State == Gone })
+	return len(dest.hosts) > 0 && !slices.ContainsFunc(dest.hosts, func(host *endpoint) bool { return host.State == Gone })
 }
 
-func (c *Chooser) dest(id int) *dest {
-	d := c.dests[id]
-	if d == nil {
-		d = c.newDest(id)
-		c.dests[id] = d
-		c.depart(d)
+func (c *Chooser) destination(id int) *destination {
+	dest := c.destinations[id]
+	if dest == nil {
+		dest = c.newDestination(id)
+		c.destinations[id] = dest
+		c.markPrunable(dest)
 	}
-	return d
+	return dest
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -148,8 +148,8 @@
 	if got := answers(r.after(100 * ms)); got != "refuse m;" {
 		t.Errorf("at the deadline %q, want a refusal", got)
 	}
-	if len(r.c.msgs) != 0 || r.c.held != 0 {
-		t.Errorf("%d messages kept, %d held after the answer", len(r.c.msgs), r.c.held)
+	if len(r.c.messages) != 0 || r.c.pending != 0 {
+		t.Errorf("%d messages kept, %d held after the answer", len(r.c.messages), r.c.pending)
 	}
 }
 
@@ -216,8 +216,8 @@
 	}
 	r.step(r.end("n", "a", Served))
 	r.after(200 * ms)
-	if len(r.c.lines) != 0 {
-		t.Errorf("%d keys kept", len(r.c.lines))
+	if len(r.c.keyOrders) != 0 {
+		t.Errorf("%d keys kept", len(r.c.keyOrders))
 	}
 }
 
@@ -240,7 +240,7 @@
 		if got = append(sends(acts), sends(r.after(3*time.Second))...); len(got) != 1 {
 			t.Fatalf("%d sends after a time-out", len(got))
 		}
-		if got[0].Timeout < last+r.c.bound/oracle.Buckets {
+		if got[0].Timeout < last+r.c.maxTimeout/oracle.Buckets {
 			t.Errorf("time-out %v after %v, want a bucket more", got[0].Timeout, last)
 		}
 		last = got[0].Timeout
@@ -264,8 +264,8 @@
 
 func TestCallsAreShared(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 1, 0))
-	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.busy != 1 {
-		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.busy)
+	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.callsInFlight != 1 {
+		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.callsInFlight)
 	}
 }
 
@@ -334,8 +334,8 @@
 			r.step(r.end(id, s.Host, Served))
 		}
 	}
-	if u := r.c.dests[1].units[0]; u.state != healthy {
-		t.Errorf("unit is in state %d", u.state)
+	if unit := r.c.destinations[1].units[0]; unit.state != healthy {
+		t.Errorf("unit is in state %d", unit.state)
 	}
 }
 
@@ -460,11 +460,11 @@
 		r.step(arrival("m", 0))
 		start, tries := r.now, 0
 		for r.now < start+9*time.Second {
-			if r.c.msgs["m"] != nil && r.c.msgs["m"].call != nil {
+			if r.c.messages["m"] != nil && r.c.messages["m"].call != nil {
 				r.step(r.end("m", "a", Refused))
 				tries++
 			}
-			if r.after(5 * ms); tries == 1 && r.c.msgs["m"].call != nil {
+			if r.after(5 * ms); tries == 1 && r.c.messages["m"].call != nil {
 				first = append(first, r.now-start)
 			}
 		}
@@ -493,8 +493,8 @@
 		first += len(sends(acts))
 		sent += len(sends(acts)) + len(sends(r.after(2*time.Second)))
 	}
-	if most := 2.5 * guess; first > 0 || float64(sent) > most || sent < guess {
-		t.Errorf("%d calls at once and %d in two seconds, want none and %g to %g", first, sent, guess, most)
+	if most := 2.5 * initialRateGuess; first > 0 || float64(sent) > most || sent < initialRateGuess {
+		t.Errorf("%d calls at once and %d in two seconds, want none and %g to %g", first, sent, initialRateGuess, most)
 	}
 }
 
@@ -527,11 +527,11 @@
 	h.Rate = 4
 	pause := func(luck float64) time.Duration {
 		r := newRig(t, s, h)
-		r.c.luck[0] = luck
+		r.c.retrySuccess[0] = luck
 		r.step(arrival("m", 0))
 		r.now += 50 * ms
 		r.step(r.end("m", "a", Refused))
-		return r.c.dests[1].units[0].pauseUntil - r.now
+		return r.c.destinations[1].units[0].backoffUntil - r.now
 	}
 	if often, never := pause(0.5), pause(0.05); often > 2*time.Second || never < 5*time.Second {
 		t.Errorf("pauses %v where retries are served and %v where not, want under 2s and over 5s", often, never)
@@ -587,7 +587,7 @@
 		r.after(5 * time.Second)
 		r.step(arrival("m", 0))
 		r.step(r.end("m", "a", NoConnection))
-		if got := r.c.dests[1].units[0].state; got != want {
+		if got := r.c.destinations[1].units[0].state; got != want {
 			t.Errorf("fleet of %d: health %v after the first failure, want %v", fleet, got, want)
 		}
 		if n := len(sends(r.after(5 * time.Second))); want == suspect && n > 0 {
@@ -605,8 +605,8 @@
 	r.step(arrival("m", 0), other)
 	r.now += 5 * time.Second
 	r.step(Woken{}, r.end("m", "a", Served), r.end("n", "b", Served))
-	for id, d := range r.c.dests {
-		if got := d.units[0].state; got != healthy {
+	for id, dest := range r.c.destinations {
+		if got := dest.units[0].state; got != healthy {
 			t.Errorf("destination %d: health %v after the relay's own stall, want healthy", id, got)
 		}
 	}
@@ -629,15 +629,15 @@
 	if got := sends(r.step(m)); len(got) != 1 || got[0].Host != "h4999" {
 		t.Fatalf("sends %v, want one to h4999", got)
 	}
-	for id, d := range r.c.dests {
-		if !d.table.Empty() {
+	for id, dest := range r.c.destinations {
+		if !dest.latencies.Empty() {
 			t.Fatalf("destination %d has a table before its first answer", id)
 		}
 	}
 	r.step(r.end("m", "h4999", Served))
 	r.step(Listing{Hosts: gone})
-	if len(r.c.dests) != 0 || len(r.c.hosts) != 0 {
-		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.c.dests), len(r.c.hosts))
+	if len(r.c.destinations) != 0 || len(r.c.hosts) != 0 {
+		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.c.destinations), len(r.c.hosts))
 	}
 }
 
@@ -675,20 +675,20 @@
 	s := settings()
 	s.Listed, s.Fleet = false, 1
 	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
-	u := r.c.hosts["a"].unit
+	unit := r.c.hosts["a"].unit
 	for i := range 60 { // 20 a second
 		id := fmt.Sprint("m", i)
 		r.step(arrival(id, 2))
 		r.step(r.end(id, "a", Served))
 		r.after(50 * ms)
 	}
-	if flow := r.c.flow(u); flow < 12 || flow > 25 {
+	if flow := r.c.servedRate(unit); flow < 12 || flow > 25 {
 		t.Errorf("flow is %.1f after 3 s of 20 a second", flow)
 	}
 	r.step(arrival("full", 2))
 	r.step(r.end("full", "a", Refused))
-	if u.limit <= 0 || u.tokens < -u.limit {
-		t.Errorf("limit %.1f, tokens %.1f after the first refusal, want a debt of under a second", u.limit, u.tokens)
+	if unit.rateLimit <= 0 || unit.tokens < -unit.rateLimit {
+		t.Errorf("limit %.1f, tokens %.1f after the first refusal, want a debt of under a second", unit.rateLimit, unit.tokens)
 	}
 }
 
@@ -698,22 +698,22 @@
 	s := settings()
 	s.Listed, s.Fleet = false, 1
 	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
-	u := r.c.hosts["a"].unit
-	u.born, u.served, u.lastServed = r.now-time.Hour, 20, r.now
+	unit := r.c.hosts["a"].unit
+	unit.createdAt, unit.servedRate, unit.lastServed = r.now-time.Hour, 20, r.now
 	r.step(arrival("full", 2))
 	r.step(r.end("full", "a", Refused))
-	if u.limit < 0.7*20 {
-		t.Errorf("limit %.1f after a refusal at one call a second, want it near the 20 served before", u.limit)
+	if unit.rateLimit < 0.7*20 {
+		t.Errorf("limit %.1f after a refusal at one call a second, want it near the 20 served before", unit.rateLimit)
 	}
 	for _, tc := range []struct{ limit, least, most float64 }{{2, 2.1, 2.31}, {16, 20, 30}} {
-		u.limit, u.limitAt = tc.limit, r.now
+		unit.rateLimit, unit.rateLimitAt = tc.limit, r.now
 		for range 20 { // two seconds
 			r.now += 100 * ms
 			r.c.now = r.now
-			r.c.settle(r.c.dests[1])
+			r.c.updateRateLimits(r.c.destinations[1])
 		}
-		if u.limit < tc.least || u.limit > tc.most {
-			t.Errorf("limit %.1f grew to %.1f in 2 s, want %.1f to %.1f", tc.limit, u.limit, tc.least, tc.most)
+		if unit.rateLimit < tc.least || unit.rateLimit > tc.most {
+			t.Errorf("limit %.1f grew to %.1f in 2 s, want %.1f to %.1f", tc.limit, unit.rateLimit, tc.least, tc.most)
 		}
 	}
 }
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -104,7 +104,7 @@
 				t.Fatalf("%s was lost", id)
 			}
 		}
-		if out := c.busy; out > s.Workers {
+		if out := c.callsInFlight; out > s.Workers {
 			t.Fatalf("%d calls out with %d slots", out, s.Workers)
 		}
 	}
--- a/choice/granted.go
+++ b/choice/granted.go
@@ -12,40 +12,40 @@
 )
 
 // lookAgain is how often a want is looked at again while it waits: messages grow old.
-const lookAgain = 250 * time.Millisecond
+const wantInterval = 250 * time.Millisecond
 
 // grant is leave for one call.
-type grant struct {
-	id    uint32
-	until time.Duration
-	worst Outcome // of the call's messages so far
-	ended bool    // one of them has ended
-	wait  time.Duration
+type callGrant struct {
+	id         uint32
+	expiresAt  time.Duration
+	outcome    Outcome // of the call's messages so far
+	ended      bool    // one of them has ended
+	retryAfter time.Duration
 }
 
 // granted takes in a grant. One for a route that is not known is given back.
-func (c *Chooser) granted(e Granted) {
-	d := c.dests[e.Dest]
-	at := -1
-	if d != nil {
-		at = slices.IndexFunc(d.units, func(u *unit) bool { return u.key == e.Route })
-	}
-	if at < 0 {
-		c.act(Spent{Dest: e.Dest, Route: e.Route, Grant: e.Grant, Outcome: NotSent})
+func (c *Chooser) applyGrant(granted Granted) {
+	dest := c.destinations[granted.Dest]
+	unitIndex := -1
+	if dest != nil {
+		unitIndex = slices.IndexFunc(dest.units, func(unit *healthUnit) bool { return unit.key == granted.Route })
+	}
+	if unitIndex < 0 {
+		c.emit(Spent{Dest: granted.Dest, Route: granted.Route, Grant: granted.Grant, Outcome: NotSent})
 		return
 	}
-	u := d.units[at]
-	if e.Well && u.state != healthy && !slices.ContainsFunc(d.hosts, func(h *host) bool { return h.unit == u && c.now < h.retryAt }) {
-		u.state, u.since, u.risky, u.errors, u.recent, u.bad = healthy, c.now, false, false, 0, 0
-		c.act(Health{u.name, false, 0})
+	unit := dest.units[unitIndex]
+	if granted.Well && unit.state != healthy && !slices.ContainsFunc(dest.hosts, func(host *endpoint) bool { return host.unit == unit && c.now < host.avoidUntil }) {
+		unit.state, unit.stateSince, unit.mayHaveRun, unit.sawErrors, unit.recentFailures, unit.unsuccessful = healthy, c.now, false, false, 0, 0
+		c.emit(Health{unit.name, false, 0})
 	}
-	u.grants = append(u.grants, grant{id: e.Grant, until: c.now + e.For})
-	c.lapseAt = min(c.lapseAt, c.now+e.For)
-	c.touch(d)
+	unit.grants = append(unit.grants, callGrant{id: granted.Grant, expiresAt: c.now + granted.For})
+	c.nextGrantExpiry = min(c.nextGrantExpiry, c.now+granted.For)
+	c.markDirty(dest)
 }
 
 // leaveAt is when a call may go to a unit that may be sent to from a time: then if there is a grant for it.
-func (u *unit) leaveAt(at time.Duration) time.Duration {
+func (u *healthUnit) grantedAt(at time.Duration) time.Duration {
 	if len(u.grants) > 0 {
 		return at
 	}
@@ -53,21 +53,21 @@
 }
 
 // lapse gives back the grants that were not used in time.
-func (c *Chooser) lapse() {
-	if c.now < c.lapseAt {
+func (c *Chooser) returnExpiredGrants() {
+	if c.now < c.nextGrantExpiry {
 		return
 	}
-	c.lapseAt = never
-	for _, id := range slices.Sorted(maps.Keys(c.dests)) { // the same events give the same actions
-		d := c.dests[id]
-		for _, u := range d.units {
-			u.grants = slices.DeleteFunc(u.grants, func(g grant) bool {
-				if c.now < g.until {
-					c.lapseAt = min(c.lapseAt, g.until)
+	c.nextGrantExpiry = never
+	for _, id := range slices.Sorted(maps.Keys(c.destinations)) { // the same events give the same actions
+		dest := c.destinations[id]
+		for _, unit := range dest.units {
+			unit.grants = slices.DeleteFunc(unit.grants, func(grant callGrant) bool {
+				if c.now < grant.expiresAt {
+					c.nextGrantExpiry = min(c.nextGrantExpiry, grant.expiresAt)
 					return false
 				}
-				c.act(Spent{Dest: d.id, Route: u.key, Grant: g.id, Outcome: NotSent})
-				c.touch(d)
+				c.emit(Spent{Dest: dest.id, Route: unit.key, Grant: grant.id, Outcome: NotSent})
+				c.markDirty(dest)
 				return true
 			})
 		}
@@ -75,89 +75,89 @@
 }
 
 // spend has a call go on the grant that lapses first.
-func (c *Chooser) spend(k *call) {
-	if u := k.host.unit; len(u.grants) > 0 {
-		g := u.grants[0]
-		u.grants = slices.Delete(u.grants, 0, 1)
-		k.leave = &g
+func (c *Chooser) useGrant(call *outboundCall) {
+	if unit := call.host.unit; len(unit.grants) > 0 {
+		grant := unit.grants[0]
+		unit.grants = slices.Delete(unit.grants, 0, 1)
+		call.grant = &grant
 	}
 }
 
 // report takes in how one message of a call ended, and tells of the call once all have. It was served if one of
 // them was.
-func (c *Chooser) report(k *call, e Result) {
-	g := k.leave
-	if e.Outcome == Served || e.Outcome == Refused {
-		k.host.endedAt = c.now
+func (c *Chooser) reportGrant(call *outboundCall, result Result) {
+	grant := call.grant
+	if result.Outcome == Served || result.Outcome == Refused {
+		call.host.lastAnsweredAt = c.now
 	}
-	if g == nil {
+	if grant == nil {
 		return
 	}
-	if !g.ended || e.Outcome == Served {
-		g.worst = e.Outcome
+	if !grant.ended || result.Outcome == Served {
+		grant.outcome = result.Outcome
 	}
-	g.ended, g.wait = true, max(g.wait, e.Wait)
-	if len(k.members) == 0 {
-		u := k.host.unit
-		c.act(Spent{Dest: k.host.dest.id, Route: u.key, Grant: g.id, Outcome: g.worst, Took: e.Took, Wait: g.wait})
+	grant.ended, grant.retryAfter = true, max(grant.retryAfter, result.Wait)
+	if len(call.messages) == 0 {
+		unit := call.host.unit
+		c.emit(Spent{Dest: call.host.dest.id, Route: unit.key, Grant: grant.id, Outcome: grant.outcome, Took: result.Took, Wait: grant.retryAfter})
 	}
 }
 
 // want works out what could go to a destination, and when to do so again.
-func (c *Chooser) want(d *dest) (again time.Duration) {
-	w := Want{Dest: d.id}
+func (c *Chooser) updateWant(dest *destination) (again time.Duration) {
+	want := Want{Dest: dest.id}
 	again = never
-	if d.waits > 0 && c.now >= d.since {
-		again = c.now + lookAgain
-		var open []*host
-		for _, h := range d.hosts {
-			if at := max(h.unit.waitUntil, h.unit.pauseUntil); h.State == Ready && at > c.now {
+	if dest.queued > 0 && c.now >= dest.demandSince {
+		again = c.now + wantInterval
+		var open []*endpoint
+		for _, host := range dest.hosts {
+			if at := max(host.unit.retryAfterUntil, host.unit.backoffUntil); host.State == Ready && at > c.now {
 				again = min(again, at)
-			} else if h.State == Ready && slices.ContainsFunc(d.groups, func(g *group) bool { return c.fits(g, h) }) {
-				open = append(open, h)
+			} else if host.State == Ready && slices.ContainsFunc(dest.groups, func(group *messageGroup) bool { return c.eligible(group, host) }) {
+				open = append(open, host)
 			}
 		}
-		if m := c.best(d, open); m != nil {
-			slices.SortStableFunc(open, func(a, b *host) int { return cmp.Compare(c.cost(m, a), c.cost(m, b)) })
+		if msg := c.bestMessage(dest, open); msg != nil {
+			slices.SortStableFunc(open, func(a, b *endpoint) int { return cmp.Compare(c.routeCost(msg, a), c.routeCost(msg, b)) })
 			live := 0
-			for _, h := range open {
-				if !slices.Contains(w.Routes, h.unit.key) {
-					w.Routes = append(w.Routes, h.unit.key)
-					live += len(h.unit.grants)
+			for _, host := range open {
+				if !slices.Contains(want.Routes, host.unit.key) {
+					want.Routes = append(want.Routes, host.unit.key)
+					live += len(host.unit.grants)
 				}
 			}
-			w.Calls = max(0, min(c.set.Workers, (d.waits+d.kind.PerCall-1)/d.kind.PerCall)-live)
+			want.Calls = max(0, min(c.cfg.Workers, (dest.queued+dest.kind.PerCall-1)/dest.kind.PerCall)-live)
 			// Between worth and one for each message: the worst-served class counts for itself as well.
-			w.Value = math.Sqrt(c.worth(m.class, c.now-m.born)+c.ahead(m)) * float64(min(d.waits, d.kind.PerCall))
+			want.Value = math.Sqrt(c.value(msg.class, c.now-msg.createdAt)+c.priorityBonus(msg)) * float64(min(dest.queued, dest.kind.PerCall))
 		}
 	}
-	if w.Calls == 0 {
-		w.Value, w.Routes = 0, nil
+	if want.Calls == 0 {
+		want.Value, want.Routes = 0, nil
 	}
-	if w.Calls == d.wanted.Calls && slices.Equal(w.Routes, d.wanted.Routes) &&
-		math.Abs(w.Value-d.wanted.Value) <= 0.1*d.wanted.Value {
+	if want.Calls == dest.lastWant.Calls && slices.Equal(want.Routes, dest.lastWant.Routes) &&
+		math.Abs(want.Value-dest.lastWant.Value) <= 0.1*dest.lastWant.Value {
 		return again
 	}
-	if d.wanted = w; !d.wanting {
-		d.wanting, c.wanting = true, append(c.wanting, d)
+	if dest.lastWant = want; !dest.wantChanged {
+		dest.wantChanged, c.changedWants = true, append(c.changedWants, dest)
 	}
 	return again
 }
 
 // fits tells whether a message of a group may go to a host by all but grants and waits.
-func (c *Chooser) fits(g *group, h *host) bool {
-	oldest, ok := g.messages.Min()
-	return ok && g.turn && c.now-oldest.born > c.fitAge(g, h)
+func (c *Chooser) eligible(group *messageGroup, host *endpoint) bool {
+	oldest, ok := group.messages.Min()
+	return ok && group.keyAllows && c.now-oldest.createdAt > c.eligibleAge(group, host)
 }
 
 // ask tells the wants that have changed; while all slots are taken it waits, as a grant could not be used.
-func (c *Chooser) ask() {
-	if !c.set.Granted || c.busy >= c.set.Workers {
+func (c *Chooser) emitWants() {
+	if !c.cfg.Granted || c.callsInFlight >= c.cfg.Workers {
 		return
 	}
-	for _, d := range c.wanting {
-		d.wanting = false
-		c.act(d.wanted)
+	for _, dest := range c.changedWants {
+		dest.wantChanged = false
+		c.emit(dest.lastWant)
 	}
-	c.wanting = c.wanting[:0]
+	c.changedWants = c.changedWants[:0]
 }
--- a/choice/health.go
+++ b/choice/health.go
@@ -11,220 +11,220 @@
 
 const (
 	// outage of the last history outcomes of a unit must have failed: one stray error is none.
-	history, outage = 5, 2
-	budgetShare     = 0.9 // of the rule's budget for a cold destination
+	outcomeHistory, outageFailures = 5, 2
+	budgetFraction                 = 0.9 // of the rule's budget for a cold destination
 )
 
 // bad takes in a failure or a refusal.
-func (c *Chooser) bad(u *unit) {
-	u.streak = 0
-	u.bad++
-	if u.state == suspect {
-		u.trials++
-		u.trialAt = c.now + c.gap(u)
+func (c *Chooser) recordUnsuccessful(unit *healthUnit) {
+	unit.servedStreak = 0
+	unit.unsuccessful++
+	if unit.state == suspect {
+		unit.failedTrials++
+		unit.nextTrialAt = c.now + c.trialBackoff(unit)
 	}
 }
 
 // failed takes in a failure. It is held against the host alone while another of its unit is well: that
 // guards against the loss of one building, and of one machine among several.
-func (c *Chooser) failed(h *host, o Outcome) {
-	u, d := h.unit, h.dest
-	h.fails++
-	h.retryAt = c.now + min(c.set.Rules.Fall/8<<min(h.fails, 3), c.set.Rules.Fall/3)
-	well := func(g *host) bool { return g.unit == u && g.State == Ready && g.fails == 0 }
-	if slices.ContainsFunc(d.hosts, well) {
+func (c *Chooser) applyFailure(host *endpoint, outcome Outcome) {
+	unit, dest := host.unit, host.dest
+	host.failures++
+	host.avoidUntil = c.now + min(c.cfg.Rules.Fall/8<<min(host.failures, 3), c.cfg.Rules.Fall/3)
+	isWell := func(g *endpoint) bool { return g.unit == unit && g.State == Ready && g.failures == 0 }
+	if slices.ContainsFunc(dest.hosts, isWell) {
 		return
 	}
-	c.bad(u)
-	u.risky = u.risky || o != NoConnection
-	u.errors = u.errors || o == Error
-	u.note(true)
-	alone := c.thin(u) && c.now-u.lastServed > c.set.Rules.Fall // nothing here speaks against an outage
-	if u.state != suspect && (alone || bits.OnesCount(u.recent) >= outage) {
-		c.suspect(u, d, "failures")
+	c.recordUnsuccessful(unit)
+	unit.mayHaveRun = unit.mayHaveRun || outcome != NoConnection
+	unit.sawErrors = unit.sawErrors || outcome == Error
+	unit.recordOutcome(true)
+	alone := c.rarelyCalls(unit) && c.now-unit.lastServed > c.cfg.Rules.Fall // nothing here speaks against an outage
+	if unit.state != suspect && (alone || bits.OnesCount(unit.recentFailures) >= outageFailures) {
+		c.markSuspect(unit, dest, "failures")
 	}
 }
 
 // note remembers whether the last outcome was a failure.
-func (u *unit) note(failed bool) {
-	u.recent = u.recent << 1 & (1<<history - 1)
+func (u *healthUnit) recordOutcome(failed bool) {
+	u.recentFailures = u.recentFailures << 1 & (1<<outcomeHistory - 1)
 	if failed {
-		u.recent |= 1
+		u.recentFailures |= 1
 	}
 }
 
 // budget is this relay's share of the calls that the rule allows in its window, a while after a return.
-func (c *Chooser) budget(u *unit, back time.Duration) float64 {
-	rate := u.listed
+func (c *Chooser) slowStartBudget(unit *healthUnit, back time.Duration) float64 {
+	rate := unit.listedRate
 	if rate == 0 {
-		rate = u.base * float64(c.set.Fleet)
+		rate = unit.rateBeforeOutage * float64(c.cfg.Fleet)
 	}
-	k := c.set.Rules
-	share := min(1, k.ColdFrom+(1-k.ColdFrom)*back.Seconds()/k.Cold.Seconds())
-	return budgetShare * k.OverloadFactor * share * rate * k.Fall.Seconds() / float64(c.set.Fleet)
+	rules := c.cfg.Rules
+	share := min(1, rules.ColdFrom+(1-rules.ColdFrom)*back.Seconds()/rules.Cold.Seconds())
+	return budgetFraction * rules.OverloadFactor * share * rate * rules.Fall.Seconds() / float64(c.cfg.Fleet)
 }
 
 // gap between trials, drawn by chance: it doubles up to a third of the rule's window, or to what leaves the
 // trials of all relays within twice the budget of a unit just back. In a large fleet each relay tries for
 // itself, and those that failed just before the return would come at once: there it is long from the start.
-func (c *Chooser) gap(u *unit) time.Duration {
-	fall := c.set.Rules.Fall
-	longest := max(fall/3, min(2*c.set.Rules.Cold, time.Duration(float64(fall)/(2*c.budget(u, 0)))))
-	gap := min(fall/8<<min(u.trials, 6), longest)
-	if c.thin(u) {
+func (c *Chooser) trialBackoff(unit *healthUnit) time.Duration {
+	window := c.cfg.Rules.Fall
+	longest := max(window/3, min(2*c.cfg.Rules.Cold, time.Duration(float64(window)/(2*c.slowStartBudget(unit, 0)))))
+	gap := min(window/8<<min(unit.failedTrials, 6), longest)
+	if c.rarelyCalls(unit) {
 		gap = longest
 	}
 	return gap/2 + time.Duration(c.rand.Float64()*float64(gap))
 }
 
-func (c *Chooser) suspect(u *unit, d *dest, why string) {
-	if u.state == healthy {
-		u.base = max(c.flow(u), 1/c.set.Rules.Cold.Seconds())
+func (c *Chooser) markSuspect(unit *healthUnit, dest *destination, why string) {
+	if unit.state == healthy {
+		unit.rateBeforeOutage = max(c.servedRate(unit), 1/c.cfg.Rules.Cold.Seconds())
 	}
-	c.log("destination %d unit %s suspect: %s", d.id, u.name, why)
-	u.state, u.since, u.why, u.trials, u.streak = suspect, c.now, why, 0, 0
-	u.trialAt = c.now + c.gap(u)
-	c.act(Health{u.name, true, u.base})
+	c.logf("destination %d unit %s suspect: %s", dest.id, unit.name, why)
+	unit.state, unit.stateSince, unit.stateReason, unit.failedTrials, unit.servedStreak = suspect, c.now, why, 0, 0
+	unit.nextTrialAt = c.now + c.trialBackoff(unit)
+	c.emit(Health{unit.name, true, unit.rateBeforeOutage})
 }
 
 // refused takes in a refusal: a wait if one was told, a pause of its own and a lower pace if not.
-func (c *Chooser) refused(u *unit, d *dest, wait time.Duration) {
-	c.bad(u)
-	u.waitUntil = max(u.waitUntil, c.now+wait)
-	if c.set.Granted { // whoever gives the grants hears of it
+func (c *Chooser) applyRefusal(unit *healthUnit, dest *destination, wait time.Duration) {
+	c.recordUnsuccessful(unit)
+	unit.retryAfterUntil = max(unit.retryAfterUntil, c.now+wait)
+	if c.cfg.Granted { // whoever gives the grants hears of it
 		return
 	}
-	u.pauseUntil = max(c.now, u.waitUntil)
-	if wait <= 0 || c.thin(u) {
-		u.pauseUntil += c.spread(u, d, u.bad-1)
+	unit.backoffUntil = max(c.now, unit.retryAfterUntil)
+	if wait <= 0 || c.rarelyCalls(unit) {
+		unit.backoffUntil += c.refusalBackoff(unit, dest, unit.unsuccessful-1)
 	}
-	if d.refused > 0 {
-		*d.luck -= *d.luck / 16
+	if dest.refusals > 0 {
+		*dest.retrySuccess -= *dest.retrySuccess / 16
 	}
-	if d.refused++; d.refused >= len(d.units) && c.thin(u) {
-		c.pause(d, c.now+2*c.spread(u, d, d.refused-len(d.units)))
+	if dest.refusals++; dest.refusals >= len(dest.units) && c.rarelyCalls(unit) {
+		c.backOff(dest, c.now+2*c.refusalBackoff(unit, dest, dest.refusals-len(dest.units)))
 	}
-	if c.now-u.cutAt >= time.Second && !c.thin(u) {
+	if c.now-unit.rateCutAt >= time.Second && !c.rarelyCalls(unit) {
 		// Over at least the even share of a call, or the refused call alone counts as more than its share.
-		span := min(max(time.Second, c.even(u)), c.set.Rules.Cold)
-		own := c.sent(u, span) / span.Seconds()
-		if flow := c.flow(u); flow > brisk { // one refusal in a lull says little of what it takes
-			own = max(own, flow)
+		window := min(max(time.Second, c.evenShareInterval(unit)), c.cfg.Rules.Cold)
+		sentRate := c.sentWithin(unit, window) / window.Seconds()
+		if flow := c.servedRate(unit); flow > briskRate { // one refusal in a lull says little of what it takes
+			sentRate = max(sentRate, flow)
 		}
-		if u.limit == 0 || own < u.limit {
-			u.limit = own
+		if unit.rateLimit == 0 || sentRate < unit.rateLimit {
+			unit.rateLimit = sentRate
 		}
-		u.limit = max(u.limit*cut, 1/c.set.Rules.Cold.Seconds(), u.listed/float64(c.set.Fleet)/2)
-		u.cutAt, u.tokens = c.now, max(-u.limit/2, min(u.tokens, 0)) // calls without a limit are no debt
+		unit.rateLimit = max(unit.rateLimit*rateCutFactor, 1/c.cfg.Rules.Cold.Seconds(), unit.listedRate/float64(c.cfg.Fleet)/2)
+		unit.rateCutAt, unit.tokens = c.now, max(-unit.rateLimit/2, min(unit.tokens, 0)) // calls without a limit are no debt
 	}
 	// Refusals alone, for longer than a limit explains, are those of a shut destination.
-	fall := c.set.Rules.Fall
-	if u.state == healthy && (wait > 2*fall/3 || u.bad > 6 && c.now-u.lastServed >= fall) {
-		c.suspect(u, d, "refusals only")
+	fall := c.cfg.Rules.Fall
+	if unit.state == healthy && (wait > 2*fall/3 || unit.unsuccessful > 6 && c.now-unit.lastServed >= fall) {
+		c.markSuspect(unit, dest, "refusals only")
 	}
 }
 
 // spread is a pause drawn by chance, so that relays do not come back in step. It doubles with each step up
 // to the even share of a call, sooner the fewer calls after a refusal are served at this kind: where refused
 // calls use up the limit, retries alone can keep it shut. It may harm where refusals come by chance.
-func (c *Chooser) spread(u *unit, d *dest, step int) time.Duration {
-	pause := (c.minAim / 4).Seconds() * math.Exp2(float64(min(step, 10))) / math.Pow(2*(*d.luck), 3)
-	return time.Duration(min(pause, c.even(u).Seconds()) * (0.5 + c.rand.Float64()) * float64(time.Second))
+func (c *Chooser) refusalBackoff(unit *healthUnit, dest *destination, step int) time.Duration {
+	pause := (c.minTarget / 4).Seconds() * math.Exp2(float64(min(step, 10))) / math.Pow(2*(*dest.retrySuccess), 3)
+	return time.Duration(min(pause, c.evenShareInterval(unit).Seconds()) * (0.5 + c.rand.Float64()) * float64(time.Second))
 }
 
-func (c *Chooser) served(u *unit, d *dest, took time.Duration) {
-	if u.pace == 0 {
-		u.pace = took.Seconds()
-	}
-	u.pace += (took.Seconds() - u.pace) / 8
-	cold := c.set.Rules.Cold.Seconds()
-	u.served = u.served*math.Exp(-(c.now-u.lastServed).Seconds()/cold) + 1/cold
-	short := u.bad == 0 || !u.errors && c.now-u.lastServed < c.set.Rules.Fall
-	u.lastServed, u.bad = c.now, 0
-	u.streak++
-	u.note(false)
+func (c *Chooser) applyServed(unit *healthUnit, dest *destination, took time.Duration) {
+	if unit.latency == 0 {
+		unit.latency = took.Seconds()
+	}
+	unit.latency += (took.Seconds() - unit.latency) / 8
+	cold := c.cfg.Rules.Cold.Seconds()
+	unit.servedRate = unit.servedRate*math.Exp(-(c.now-unit.lastServed).Seconds()/cold) + 1/cold
+	briefly := unit.unsuccessful == 0 || !unit.sawErrors && c.now-unit.lastServed < c.cfg.Rules.Fall
+	unit.lastServed, unit.unsuccessful = c.now, 0
+	unit.servedStreak++
+	unit.recordOutcome(false)
 	switch {
-	case u.state == healthy && u.recent == 0:
-		u.risky, u.errors = false, false
-	case u.state == suspect && short:
-		u.state, u.since, u.risky, u.recent = healthy, c.now, false, 0
-		c.act(Health{u.name, false, 0})
-	case u.state == suspect:
-		u.state, u.since, u.recent = recovering, c.now, 0
-		c.log("destination %d unit %s recovering", d.id, u.name)
-	case u.state == recovering && c.now-u.since >= c.set.Rules.Cold:
-		u.state, u.since, u.risky, u.errors = healthy, c.now, false, false
-		c.log("destination %d unit %s healthy", d.id, u.name)
-		c.act(Health{u.name, false, 0})
+	case unit.state == healthy && unit.recentFailures == 0:
+		unit.mayHaveRun, unit.sawErrors = false, false
+	case unit.state == suspect && briefly:
+		unit.state, unit.stateSince, unit.mayHaveRun, unit.recentFailures = healthy, c.now, false, 0
+		c.emit(Health{unit.name, false, 0})
+	case unit.state == suspect:
+		unit.state, unit.stateSince, unit.recentFailures = recovering, c.now, 0
+		c.logf("destination %d unit %s recovering", dest.id, unit.name)
+	case unit.state == recovering && c.now-unit.stateSince >= c.cfg.Rules.Cold:
+		unit.state, unit.stateSince, unit.mayHaveRun, unit.sawErrors = healthy, c.now, false, false
+		c.logf("destination %d unit %s healthy", dest.id, unit.name)
+		c.emit(Health{unit.name, false, 0})
 	}
 }
 
 // watch makes units suspect that leave calls unanswered: a guard against any silence, before a
 // time-out tells. It holds as well against calls that unsafe messages leave out for long.
-func (c *Chooser) watch() {
+func (c *Chooser) detectUnresponsive() {
 	c.watchAt = never
-	c.calling = slices.DeleteFunc(c.calling, func(d *dest) bool {
-		for _, u := range d.units {
-			if u.state != healthy || len(u.outs) == 0 {
+	c.calling = slices.DeleteFunc(c.calling, func(dest *destination) bool {
+		for _, unit := range dest.units {
+			if unit.state != healthy || len(unit.inFlight) == 0 {
 				continue
 			}
-			if quiet := c.now - max(u.outs[0].sent, u.lastServed); quiet < c.patience(d) {
-				c.watchFrom(c.now-quiet, d)
+			if quiet := c.now - max(unit.inFlight[0].sentAt, unit.lastServed); quiet < c.unresponsiveTimeout(dest) {
+				c.scheduleWatch(c.now-quiet, dest)
 				continue
 			}
-			u.risky = true
-			c.suspect(u, d, "silent")
-			c.touch(d)
+			unit.mayHaveRun = true
+			c.markSuspect(unit, dest, "silent")
+			c.markDirty(dest)
 		}
-		d.calling = d.out > 0
-		return !d.calling
+		dest.listedCalling = dest.inFlight > 0
+		return !dest.listedCalling
 	})
 }
 
 // watchFrom has a silence noticed that began at a time.
-func (c *Chooser) watchFrom(begin time.Duration, d *dest) {
-	c.watchAt = min(c.watchAt, begin+c.patience(d))
+func (c *Chooser) scheduleWatch(begin time.Duration, dest *destination) {
+	c.watchAt = min(c.watchAt, begin+c.unresponsiveTimeout(dest))
 }
 
 // sent counts the calls to a unit within a span until now.
-func (c *Chooser) sent(u *unit, span time.Duration) float64 {
-	first, _ := slices.BinarySearch(u.sends, c.now-span)
-	return float64(len(u.sends) - first)
+func (c *Chooser) sentWithin(unit *healthUnit, span time.Duration) float64 {
+	first, _ := slices.BinarySearch(unit.sendTimes, c.now-span)
+	return float64(len(unit.sendTimes) - first)
 }
 
 // roomAt is when a unit may be sent a call, by what is known now: at once, never unless something happens, or
 // not before that time.
-func (c *Chooser) roomAt(u *unit) time.Duration {
-	at := max(c.now, u.waitUntil, u.pauseUntil)
+func (c *Chooser) sendableAt(unit *healthUnit) time.Duration {
+	at := max(c.now, unit.retryAfterUntil, unit.backoffUntil)
 	switch {
-	case c.set.Granted:
-		return u.leaveAt(at)
-	case u.state == suspect && len(u.outs) > 1:
+	case c.cfg.Granted:
+		return unit.grantedAt(at)
+	case unit.state == suspect && len(unit.inFlight) > 1:
 		return never
-	case u.state == suspect:
-		return max(at, u.trialAt)
-	case u.state == recovering:
-		at = max(at, c.budgetAt(u))
+	case unit.state == suspect:
+		return max(at, unit.nextTrialAt)
+	case unit.state == recovering:
+		at = max(at, c.slowStartAt(unit))
 	}
-	return max(at, c.tokenAt(u))
+	return max(at, c.tokenAt(unit))
 }
 
 // budgetAt is when the budget of a cold unit has room for a call, or a time before that.
-func (c *Chooser) budgetAt(u *unit) time.Duration {
-	at := c.freeAt(u, c.budget(u, c.now-u.since))
+func (c *Chooser) slowStartAt(unit *healthUnit) time.Duration {
+	at := c.budgetFreeAt(unit, c.slowStartBudget(unit, c.now-unit.stateSince))
 	if at > c.now { // and the budget grows until then
-		at = max(c.now+1, c.freeAt(u, c.budget(u, at-u.since)))
+		at = max(c.now+1, c.budgetFreeAt(unit, c.slowStartBudget(unit, at-unit.stateSince)))
 	}
 	return at
 }
 
 // freeAt is when a budget of calls in the rule's window, or of one in a longer one, has room for a call.
-func (c *Chooser) freeAt(u *unit, budget float64) time.Duration {
-	span := time.Duration(float64(c.set.Rules.Fall) / min(1, budget))
-	first, _ := slices.BinarySearch(u.sends, c.now-span)
-	over := len(u.sends) - first + 1 - int(max(1, budget))
-	if over <= 0 {
+func (c *Chooser) budgetFreeAt(unit *healthUnit, budget float64) time.Duration {
+	span := time.Duration(float64(c.cfg.Rules.Fall) / min(1, budget))
+	first, _ := slices.BinarySearch(unit.sendTimes, c.now-span)
+	excess := len(unit.sendTimes) - first + 1 - int(max(1, budget))
+	if excess <= 0 {
 		return c.now
 	}
-	return u.sends[first+over-1] + span + 1
+	return unit.sendTimes[first+excess-1] + span + 1
 }
--- a/choice/internal/reference/choice.go
+++ b/choice/internal/reference/choice.go
@@ -21,167 +21,167 @@
 
 const (
 	// buckets is the paper's H; their bound is the longest aim.
-	buckets = 100
+	latencyBuckets = 100
 	// minSamples before the oracle is heard: the 98% edge means nothing with fewer.
 	minSamples = 30
 	// memory in samples of a latency table. Twice H: it fills the tail's buckets and still relearns.
 	memory = 200
 	// wasted is the restart cost c in mean latencies: the attempt runs on, its successor waits behind it.
-	wasted = 4.0
+	restartCostMeans = 4.0
 	// outage of the last history outcomes of a unit must have failed: one stray error is none.
-	history, outage = 5, 2
-	margin          = 4   // ticks between the last own look at a message and its deadline
-	budgetShare     = 0.9 // of the rule's budget for a cold destination
+	outcomeHistory, outageFailures = 5, 2
+	expiryMarginTicks              = 4   // ticks between the last own look at a message and its deadline
+	budgetFraction                 = 0.9 // of the rule's budget for a cold destination
 	// cut of a unit's pace: a fifth on a refusal. grow is what it regains in a second without, and
 	// search the same where no rate is listed.
-	cut, grow, search = 0.8, 0.05, 0.07
-	brisk             = 4 // calls a second from which pace is learnt by calls, not by seconds
+	rateCutFactor, listedRateGrowth, rateGrowth = 0.8, 0.05, 0.07
+	briskRate                                   = 4 // calls a second from which pace is learnt by calls, not by seconds
 	// aside is the share of worth by which a host that just failed, or is not yet well, comes later.
-	aside  = 0.02
-	glance = 200 // looks without news within the shortest aim
+	avoidancePenalty = 0.02
+	looksPerTarget   = 200 // looks without news within the shortest aim
 	// crowded is the part of the holding room above which the least worth is turned away.
-	crowded = 0.9
+	shedThreshold = 0.9
 )
 
 // New returns a Chooser for one relay. Pauses are drawn from the seed.
 func New(s Settings, seed uint64) (*Chooser, error) {
-	c := &Chooser{set: s, minAim: math.MaxInt64, msgs: map[string]*message{}, dests: map[int]*dest{},
-		hosts: map[string]*host{}, lines: map[string]*line{},
-		rand: rand.New(rand.NewPCG(seed, 0)), pool: table{weight: 1}}
+	c := &Chooser{cfg: s, minTarget: math.MaxInt64, messages: map[string]*message{}, destinations: map[int]*destination{},
+		hosts: map[string]*endpoint{}, keyOrders: map[string]*keyOrder{},
+		rand: rand.New(rand.NewPCG(seed, 0)), pooledLatencies: latencyTable{weight: 1}}
 	for _, k := range s.Classes {
-		c.bound, c.minAim = max(c.bound, k.Aim), min(c.minAim, k.Aim)
+		c.maxTimeout, c.minTarget = max(c.maxTimeout, k.Aim), min(c.minTarget, k.Aim)
 	}
 	if !s.Subscribe {
-		c.askAt = -1
+		c.subscribeAt = -1
 	}
-	c.pool.width = c.bound / buckets
-	c.luck = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
-	c.nap = max(s.Tick, c.minAim/glance)
+	c.pooledLatencies.width = c.maxTimeout / latencyBuckets
+	c.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
+	c.lookInterval = max(s.Tick, c.minTarget/looksPerTarget)
 	return c, nil
 }
 
 // Step takes in all that happened, then decides once.
 func (c *Chooser) Step(now time.Duration, events []Event) []Action {
-	c.now, c.acts = now, nil
+	c.now, c.actions = now, nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case Arrival:
-			c.arrive(e, false)
+			c.admit(e, false)
 		case Restored:
 			c.restore(e)
 		case Unwell:
-			c.unwell(e)
+			c.applyUnwell(e)
 		case Result:
-			c.result(e)
+			c.applyResult(e)
 		case Withdrawn:
-			if m := c.msgs[e.ID]; m != nil && !m.over {
-				c.end(m)
+			if msg := c.messages[e.ID]; msg != nil && !msg.finished {
+				c.finish(msg)
 			}
 		case Listing:
-			c.list(e)
+			c.applyListing(e)
 		}
 	}
-	if c.askAt >= 0 && now >= c.askAt {
-		c.askAt = -1
-		c.act(Subscribe{})
+	if c.subscribeAt >= 0 && now >= c.subscribeAt {
+		c.subscribeAt = -1
+		c.emit(Subscribe{})
 	}
-	c.freeLines()
-	c.live = slices.DeleteFunc(c.live, func(d *dest) bool {
-		d.live = len(d.waiting) > 0 || d.out > 0
-		return !d.live
+	c.releaseSettledKeys()
+	c.active = slices.DeleteFunc(c.active, func(dest *destination) bool {
+		dest.listedActive = len(dest.waiting) > 0 || dest.inFlight > 0
+		return !dest.listedActive
 	})
-	c.watch()
-	c.answer()
-	c.shed()
-	c.turn()
-	at := now + c.nap
-	if (c.held+c.busy > 0 || c.askAt >= 0) && (c.wakeAt <= now || at < c.wakeAt) {
+	c.detectUnresponsive()
+	c.answerExpired()
+	c.shedLoad()
+	c.fillSlots()
+	at := now + c.lookInterval
+	if (c.pending+c.callsInFlight > 0 || c.subscribeAt >= 0) && (c.wakeAt <= now || at < c.wakeAt) {
 		c.wakeAt = at
-		c.act(Wake{After: at - now})
+		c.emit(Wake{After: at - now})
 	}
-	return c.acts
+	return c.actions
 }
 
-func (c *Chooser) act(a Action) { c.acts = append(c.acts, a) }
+func (c *Chooser) emit(a Action) { c.actions = append(c.actions, a) }
 
 // list takes in news of the endpoint list.
-func (c *Chooser) list(e Listing) {
-	if e.Failed {
-		c.askAt = c.now + time.Second
+func (c *Chooser) applyListing(listing Listing) {
+	if listing.Failed {
+		c.subscribeAt = c.now + time.Second
 		return
 	}
-	if e.Whole {
-		for _, h := range c.hosts {
-			h.State = Gone
+	if listing.Whole {
+		for _, host := range c.hosts {
+			host.State = Gone
 		}
 	}
-	for _, n := range e.Hosts {
-		h := c.hosts[n.Addr]
-		if h == nil && n.State == Gone {
+	for _, entry := range listing.Hosts {
+		host := c.hosts[entry.Addr]
+		if host == nil && entry.State == Gone {
 			continue
 		}
-		c.settle(c.dest(n.Dest))
-		if h == nil {
-			d := c.dest(n.Dest)
-			h = &host{dest: d, liking: c.rand.Float64()}
-			c.hosts[n.Addr], d.hosts = h, append(d.hosts, h)
-			if n.Kind >= 0 && n.Kind < len(c.set.Kinds) {
-				d.kind, d.luck = c.set.Kinds[n.Kind], &c.luck[n.Kind]
+		c.updateRateLimits(c.destination(entry.Dest))
+		if host == nil {
+			dest := c.destination(entry.Dest)
+			host = &endpoint{dest: dest, preference: c.rand.Float64()}
+			c.hosts[entry.Addr], dest.hosts = host, append(dest.hosts, host)
+			if entry.Kind >= 0 && entry.Kind < len(c.cfg.Kinds) {
+				dest.kind, dest.retrySuccess = c.cfg.Kinds[entry.Kind], &c.retrySuccess[entry.Kind]
 			}
-			if d.kind.Apart || len(d.units) == 0 {
-				u := &unit{name: n.Addr, born: c.now - time.Second, lastServed: c.now - time.Second}
-				if c.set.Fleet >= 16 && !c.set.Listed {
-					u.limit, u.limitAt, u.tokens = 15/float64(c.set.Fleet), c.now, c.rand.Float64()
+			if dest.kind.Apart || len(dest.units) == 0 {
+				unit := &healthUnit{name: entry.Addr, createdAt: c.now - time.Second, lastServed: c.now - time.Second}
+				if c.cfg.Fleet >= 16 && !c.cfg.Listed {
+					unit.rateLimit, unit.rateLimitAt, unit.tokens = 15/float64(c.cfg.Fleet), c.now, c.rand.Float64()
 				}
-				d.units = append(d.units, u)
+				dest.units = append(dest.units, unit)
 			}
-			h.unit = d.units[len(d.units)-1]
+			host.unit = dest.units[len(dest.units)-1]
 		}
-		if h.Host = n; c.set.Listed && n.State == Ready {
-			if h.unit.listed = n.Rate; h.unit.limit == 0 {
-				h.unit.limit = n.Rate // all relays together may send no more, so neither may one
+		if host.Host = entry; c.cfg.Listed && entry.State == Ready {
+			if host.unit.listedRate = entry.Rate; host.unit.rateLimit == 0 {
+				host.unit.rateLimit = entry.Rate // all relays together may send no more, so neither may one
 			}
 		}
 	}
-	for _, d := range c.order {
-		d.hosts = slices.DeleteFunc(d.hosts, func(h *host) bool {
+	for _, dest := range c.inOrder {
+		dest.hosts = slices.DeleteFunc(dest.hosts, func(host *endpoint) bool {
 			// A host that may come back keeps its wait, and what is known of its health.
-			left := h.State == Gone && h.out == 0 && c.now >= h.unit.waitUntil &&
-				(h.unit.state == healthy || c.now-h.unit.since > c.set.Rules.Cold)
+			left := host.State == Gone && host.inFlight == 0 && c.now >= host.unit.retryAfterUntil &&
+				(host.unit.state == healthy || c.now-host.unit.stateSince > c.cfg.Rules.Cold)
 			if left {
-				delete(c.hosts, h.Addr)
+				delete(c.hosts, host.Addr)
 			}
-			if left && d.kind.Apart {
-				d.units = remove(d.units, h.unit)
+			if left && dest.kind.Apart {
+				dest.units = removeElement(dest.units, host.unit)
 			}
 			return left
 		})
 	}
-	c.order = slices.DeleteFunc(c.order, func(d *dest) bool {
-		idle := len(d.hosts) == 0 && len(d.waiting) == 0 && d.out == 0
+	c.inOrder = slices.DeleteFunc(c.inOrder, func(dest *destination) bool {
+		idle := len(dest.hosts) == 0 && len(dest.waiting) == 0 && dest.inFlight == 0
 		if idle {
-			delete(c.dests, d.id)
+			delete(c.destinations, dest.id)
 		}
 		return idle
 	})
 }
 
-func (c *Chooser) dest(id int) *dest {
-	d := c.dests[id]
-	if d == nil {
-		d = &dest{id: id, kind: Kind{PerCall: 1}, luck: &c.luck[0]}
-		d.table = table{width: c.bound / buckets, weight: 1}
-		c.dests[id] = d
-		c.order = append(c.order, d)
+func (c *Chooser) destination(id int) *destination {
+	dest := c.destinations[id]
+	if dest == nil {
+		dest = &destination{id: id, kind: Kind{PerCall: 1}, retrySuccess: &c.retrySuccess[0]}
+		dest.latencies = latencyTable{width: c.maxTimeout / latencyBuckets, weight: 1}
+		c.destinations[id] = dest
+		c.inOrder = append(c.inOrder, dest)
 	}
-	return d
+	return dest
 }
 
 // The timeout oracle.
 
 // table holds the latencies of one destination. Old samples fade: each new one weighs a
 // little more than the one before it.
-type table struct {
+type latencyTable struct {
 	width  time.Duration
 	weight float64
 	count  []float64     // N_i; made with the first sample
@@ -194,23 +194,23 @@
 }
 
 // add enters one served latency; cutShort one attempt that was given up at the bound.
-func (t *table) add(took time.Duration) {
+func (t *latencyTable) add(took time.Duration) {
 	i := int(took / t.width)
-	if i < 0 || i >= buckets {
+	if i < 0 || i >= latencyBuckets {
 		t.cutShort()
 		return
 	}
 	t.fade()
 	if t.count == nil {
-		t.count, t.sum = make([]float64, buckets), make([]float64, buckets)
+		t.count, t.sum = make([]float64, latencyBuckets), make([]float64, latencyBuckets)
 	}
 	t.count[i] += t.weight
 	t.sum[i] += t.weight * took.Seconds()
 }
 
-func (t *table) cutShort() { t.fade(); t.beyond += t.weight }
+func (t *latencyTable) cutShort() { t.fade(); t.beyond += t.weight }
 
-func (t *table) fade() {
+func (t *latencyTable) fade() {
 	t.total++
 	t.stale = true
 	if t.weight *= 1 + 1.0/memory; t.weight > 1e6 {
@@ -223,7 +223,7 @@
 }
 
 // look brings edge and high up to date.
-func (t *table) look() {
+func (t *latencyTable) update() {
 	if !t.stale || t.total < minSamples {
 		return
 	}
@@ -235,7 +235,7 @@
 	all, cost := served+t.beyond, t.width.Seconds()
 	if served > 0 {
 		for _, s := range t.sum {
-			cost += wasted * s / served
+			cost += restartCostMeans * s / served
 		}
 	}
 	f, m, best := 0.0, 0.0, math.Inf(1)
@@ -257,215 +257,215 @@
 }
 
 // patience is how long a call to a destination may stay unanswered before its silence means something.
-func (c *Chooser) patience(d *dest) time.Duration {
-	t, least := &d.table, c.minAim/8
-	if t.total < minSamples {
-		t, least = &c.pool, c.minAim/2
+func (c *Chooser) unresponsiveTimeout(dest *destination) time.Duration {
+	latencies, least := &dest.latencies, c.minTarget/8
+	if latencies.total < minSamples {
+		latencies, least = &c.pooledLatencies, c.minTarget/2
 	}
-	if t.look(); t.high == 0 {
-		return c.minAim / 2
+	if latencies.update(); latencies.high == 0 {
+		return c.minTarget / 2
 	}
-	return min(max(2*t.high, least), c.bound)
+	return min(max(2*latencies.high, least), c.maxTimeout)
 }
 
 // timeout for the next try of a message at a unit.
-func (c *Chooser) timeout(m *message, u *unit) time.Duration {
-	left := m.due - c.now
-	if !c.repeatable(m) || m.attempts+1 >= c.set.MaxAttempts {
+func (c *Chooser) attemptTimeout(msg *message, unit *healthUnit) time.Duration {
+	left := msg.deadline - c.now
+	if !c.mayRetry(msg) || msg.attempts+1 >= c.cfg.MaxAttempts {
 		return left
 	}
-	d := m.dest
-	d.table.look()
-	t := d.table.edge
+	dest := msg.dest
+	dest.latencies.update()
+	timeout := dest.latencies.edge
 	switch {
-	case u.state == suspect:
-		t = c.patience(d) << min(u.trials, 4)
-	case t > 0 && len(d.waiting) > 1:
+	case unit.state == suspect:
+		timeout = c.unresponsiveTimeout(dest) << min(unit.failedTrials, 4)
+	case timeout > 0 && len(dest.waiting) > 1:
 		// With a message waiting here a restart takes its place, and feeds an overload:
 		// only calls that are very likely lost are given up.
-		t = max(t, c.patience(d))
+		timeout = max(timeout, c.unresponsiveTimeout(dest))
 	}
-	t <<= min(d.backoff, 4)
-	if t == 0 {
+	timeout <<= min(dest.timeouts, 4)
+	if timeout == 0 {
 		return left
 	}
-	t = max(t, m.timeout+d.table.width)
-	restart := c.now + t + time.Duration(u.pace*float64(time.Second))
-	if restart >= m.due || m.class.Effect == Keyed && restart >= c.windowEnd(m) {
+	timeout = max(timeout, msg.lastTimeout+dest.latencies.width)
+	restart := c.now + timeout + time.Duration(unit.latency*float64(time.Second))
+	if restart >= msg.deadline || msg.class.Effect == Keyed && restart >= c.keyWindowEnd(msg) {
 		return left
 	}
-	return t
+	return timeout
 }
 
 // Health, pacing and waits.
 
 // bad takes in a failure or a refusal.
-func (c *Chooser) bad(u *unit) {
-	u.streak = 0
-	u.bad++
-	if u.state == suspect {
-		u.trials++
-		u.trialAt = c.now + c.gap(u)
+func (c *Chooser) recordUnsuccessful(unit *healthUnit) {
+	unit.servedStreak = 0
+	unit.unsuccessful++
+	if unit.state == suspect {
+		unit.failedTrials++
+		unit.nextTrialAt = c.now + c.trialBackoff(unit)
 	}
 }
 
 // failed takes in a failure. It is held against the host alone while another of its unit is well: that
 // guards against the loss of one building, and of one machine among several.
-func (c *Chooser) failed(h *host, o Outcome) {
-	u, d := h.unit, h.dest
-	h.fails++
-	h.retryAt = c.now + min(c.set.Rules.Fall/8<<min(h.fails, 3), c.set.Rules.Fall/3)
-	well := func(g *host) bool { return g.unit == u && g.State == Ready && g.fails == 0 }
-	if slices.ContainsFunc(d.hosts, well) {
+func (c *Chooser) applyFailure(host *endpoint, outcome Outcome) {
+	unit, dest := host.unit, host.dest
+	host.failures++
+	host.avoidUntil = c.now + min(c.cfg.Rules.Fall/8<<min(host.failures, 3), c.cfg.Rules.Fall/3)
+	isWell := func(g *endpoint) bool { return g.unit == unit && g.State == Ready && g.failures == 0 }
+	if slices.ContainsFunc(dest.hosts, isWell) {
 		return
 	}
-	c.bad(u)
-	u.risky = u.risky || o != NoConnection
-	u.errors = u.errors || o == Error
-	u.note(true)
-	alone := c.thin(u) && c.now-u.lastServed > c.set.Rules.Fall // nothing here speaks against an outage
-	if u.state != suspect && (alone || bits.OnesCount(u.recent) >= outage) {
-		c.suspect(u, d, "failures")
+	c.recordUnsuccessful(unit)
+	unit.mayHaveRun = unit.mayHaveRun || outcome != NoConnection
+	unit.sawErrors = unit.sawErrors || outcome == Error
+	unit.recordOutcome(true)
+	alone := c.rarelyCalls(unit) && c.now-unit.lastServed > c.cfg.Rules.Fall // nothing here speaks against an outage
+	if unit.state != suspect && (alone || bits.OnesCount(unit.recentFailures) >= outageFailures) {
+		c.markSuspect(unit, dest, "failures")
 	}
 }
 
 // note remembers whether the last outcome was a failure.
-func (u *unit) note(failed bool) {
-	u.recent = u.recent << 1 & (1<<history - 1)
+func (u *healthUnit) recordOutcome(failed bool) {
+	u.recentFailures = u.recentFailures << 1 & (1<<outcomeHistory - 1)
 	if failed {
-		u.recent |= 1
+		u.recentFailures |= 1
 	}
 }
 
 // budget is this relay's share of the calls that the rule allows in its window, a while after a return.
-func (c *Chooser) budget(u *unit, back time.Duration) float64 {
-	rate := u.listed
+func (c *Chooser) slowStartBudget(unit *healthUnit, back time.Duration) float64 {
+	rate := unit.listedRate
 	if rate == 0 {
-		rate = u.base * float64(c.set.Fleet)
+		rate = unit.rateBeforeOutage * float64(c.cfg.Fleet)
 	}
-	k := c.set.Rules
+	k := c.cfg.Rules
 	share := min(1, k.ColdFrom+(1-k.ColdFrom)*back.Seconds()/k.Cold.Seconds())
-	return budgetShare * k.OverloadFactor * share * rate * k.Fall.Seconds() / float64(c.set.Fleet)
+	return budgetFraction * k.OverloadFactor * share * rate * k.Fall.Seconds() / float64(c.cfg.Fleet)
 }
 
 // gap between trials, drawn by chance: it doubles up to a third of the rule's window, or to what leaves the
 // trials of all relays within twice the budget of a unit just back. In a large fleet each relay tries for
 // itself, and those that failed just before the return would come at once: there it is long from the start.
-func (c *Chooser) gap(u *unit) time.Duration {
-	fall := c.set.Rules.Fall
-	longest := max(fall/3, min(2*c.set.Rules.Cold, time.Duration(float64(fall)/(2*c.budget(u, 0)))))
-	gap := min(fall/8<<min(u.trials, 6), longest)
-	if c.thin(u) {
+func (c *Chooser) trialBackoff(unit *healthUnit) time.Duration {
+	window := c.cfg.Rules.Fall
+	longest := max(window/3, min(2*c.cfg.Rules.Cold, time.Duration(float64(window)/(2*c.slowStartBudget(unit, 0)))))
+	gap := min(window/8<<min(unit.failedTrials, 6), longest)
+	if c.rarelyCalls(unit) {
 		gap = longest
 	}
 	return gap/2 + time.Duration(c.rand.Float64()*float64(gap))
 }
 
-func (c *Chooser) suspect(u *unit, d *dest, why string) {
-	if u.state == healthy {
-		u.base = max(c.flow(u), 1/c.set.Rules.Cold.Seconds())
+func (c *Chooser) markSuspect(unit *healthUnit, dest *destination, why string) {
+	if unit.state == healthy {
+		unit.rateBeforeOutage = max(c.servedRate(unit), 1/c.cfg.Rules.Cold.Seconds())
 	}
-	c.log("destination %d unit %s suspect: %s", d.id, u.name, why)
-	u.state, u.since, u.why, u.trials, u.streak = suspect, c.now, why, 0, 0
-	u.trialAt = c.now + c.gap(u)
-	c.act(Health{Host: u.name, Unwell: true, Base: u.base})
+	c.logf("destination %d unit %s suspect: %s", dest.id, unit.name, why)
+	unit.state, unit.stateSince, unit.stateReason, unit.failedTrials, unit.servedStreak = suspect, c.now, why, 0, 0
+	unit.nextTrialAt = c.now + c.trialBackoff(unit)
+	c.emit(Health{Host: unit.name, Unwell: true, Base: unit.rateBeforeOutage})
 }
 
-func (c *Chooser) log(format string, args ...any) { c.act(Log{Text: fmt.Sprintf(format, args...)}) }
+func (c *Chooser) logf(format string, args ...any) { c.emit(Log{Text: fmt.Sprintf(format, args...)}) }
 
 // refused takes in a refusal: a wait if one was told, a pause of its own and a lower pace if not.
-func (c *Chooser) refused(u *unit, d *dest, wait time.Duration) {
-	c.bad(u)
-	u.waitUntil = max(u.waitUntil, c.now+wait)
-	u.pauseUntil = max(c.now, u.waitUntil)
-	if wait <= 0 || c.thin(u) {
-		u.pauseUntil += c.spread(u, d, u.bad-1)
+func (c *Chooser) applyRefusal(unit *healthUnit, dest *destination, wait time.Duration) {
+	c.recordUnsuccessful(unit)
+	unit.retryAfterUntil = max(unit.retryAfterUntil, c.now+wait)
+	unit.backoffUntil = max(c.now, unit.retryAfterUntil)
+	if wait <= 0 || c.rarelyCalls(unit) {
+		unit.backoffUntil += c.refusalBackoff(unit, dest, unit.unsuccessful-1)
 	}
-	if d.refused > 0 {
-		*d.luck -= *d.luck / 16
+	if dest.refusals > 0 {
+		*dest.retrySuccess -= *dest.retrySuccess / 16
 	}
-	if d.refused++; d.refused >= len(d.units) && c.thin(u) {
-		d.pauseUntil = c.now + 2*c.spread(u, d, d.refused-len(d.units))
-		if len(d.waiting) > 0 {
-			d.since = max(c.now, d.pauseUntil)
+	if dest.refusals++; dest.refusals >= len(dest.units) && c.rarelyCalls(unit) {
+		dest.backoffUntil = c.now + 2*c.refusalBackoff(unit, dest, dest.refusals-len(dest.units))
+		if len(dest.waiting) > 0 {
+			dest.demandSince = max(c.now, dest.backoffUntil)
 		}
 	}
-	if c.now-u.cutAt >= time.Second && !c.thin(u) {
+	if c.now-unit.rateCutAt >= time.Second && !c.rarelyCalls(unit) {
 		// Over at least the even share of a call, or the refused call alone counts as more than its share.
-		span := min(max(time.Second, c.even(u)), c.set.Rules.Cold)
-		own := c.sent(u, span) / span.Seconds()
-		if flow := c.flow(u); flow > brisk { // one refusal in a lull says little of what it takes
-			own = max(own, flow)
+		window := min(max(time.Second, c.evenShareInterval(unit)), c.cfg.Rules.Cold)
+		sentRate := c.sentWithin(unit, window) / window.Seconds()
+		if flow := c.servedRate(unit); flow > briskRate { // one refusal in a lull says little of what it takes
+			sentRate = max(sentRate, flow)
 		}
-		if u.limit == 0 || own < u.limit {
-			u.limit = own
+		if unit.rateLimit == 0 || sentRate < unit.rateLimit {
+			unit.rateLimit = sentRate
 		}
-		u.limit = max(u.limit*cut, 1/c.set.Rules.Cold.Seconds(), u.listed/float64(c.set.Fleet)/2)
-		u.cutAt, u.tokens = c.now, max(-u.limit/2, min(u.tokens, 0)) // calls without a limit are no debt
+		unit.rateLimit = max(unit.rateLimit*rateCutFactor, 1/c.cfg.Rules.Cold.Seconds(), unit.listedRate/float64(c.cfg.Fleet)/2)
+		unit.rateCutAt, unit.tokens = c.now, max(-unit.rateLimit/2, min(unit.tokens, 0)) // calls without a limit are no debt
 	}
 	// Refusals alone, for longer than a limit explains, are those of a shut destination.
-	fall := c.set.Rules.Fall
-	if u.state == healthy && (wait > 2*fall/3 || u.bad > 6 && c.now-u.lastServed >= fall) {
-		c.suspect(u, d, "refusals only")
+	fall := c.cfg.Rules.Fall
+	if unit.state == healthy && (wait > 2*fall/3 || unit.unsuccessful > 6 && c.now-unit.lastServed >= fall) {
+		c.markSuspect(unit, dest, "refusals only")
 	}
 }
 
 // spread is a pause drawn by chance, so that relays do not come back in step. It doubles with each step up
 // to the even share of a call, sooner the fewer calls after a refusal are served at this kind: where refused
 // calls use up the limit, retries alone can keep it shut. It may harm where refusals come by chance.
-func (c *Chooser) spread(u *unit, d *dest, step int) time.Duration {
-	pause := (c.minAim / 4).Seconds() * math.Exp2(float64(min(step, 10))) / math.Pow(2*(*d.luck), 3)
-	return time.Duration(min(pause, c.even(u).Seconds()) * (0.5 + c.rand.Float64()) * float64(time.Second))
-}
-
-func (c *Chooser) served(u *unit, d *dest, took time.Duration) {
-	if u.pace == 0 {
-		u.pace = took.Seconds()
-	}
-	u.pace += (took.Seconds() - u.pace) / 8
-	cold := c.set.Rules.Cold.Seconds()
-	u.served = u.served*math.Exp(-(c.now-u.lastServed).Seconds()/cold) + 1/cold
-	short := u.bad == 0 || !u.errors && c.now-u.lastServed < c.set.Rules.Fall
-	u.lastServed, u.bad = c.now, 0
-	u.streak++
-	u.note(false)
+func (c *Chooser) refusalBackoff(unit *healthUnit, dest *destination, step int) time.Duration {
+	pause := (c.minTarget / 4).Seconds() * math.Exp2(float64(min(step, 10))) / math.Pow(2*(*dest.retrySuccess), 3)
+	return time.Duration(min(pause, c.evenShareInterval(unit).Seconds()) * (0.5 + c.rand.Float64()) * float64(time.Second))
+}
+
+func (c *Chooser) applyServed(unit *healthUnit, dest *destination, took time.Duration) {
+	if unit.latency == 0 {
+		unit.latency = took.Seconds()
+	}
+	unit.latency += (took.Seconds() - unit.latency) / 8
+	cold := c.cfg.Rules.Cold.Seconds()
+	unit.servedRate = unit.servedRate*math.Exp(-(c.now-unit.lastServed).Seconds()/cold) + 1/cold
+	briefly := unit.unsuccessful == 0 || !unit.sawErrors && c.now-unit.lastServed < c.cfg.Rules.Fall
+	unit.lastServed, unit.unsuccessful = c.now, 0
+	unit.servedStreak++
+	unit.recordOutcome(false)
 	switch {
-	case u.state == healthy && u.recent == 0:
-		u.risky, u.errors = false, false
-	case u.state == suspect && short:
-		u.state, u.since, u.risky, u.recent = healthy, c.now, false, 0
-		c.act(Health{Host: u.name})
-	case u.state == suspect:
-		u.state, u.since, u.recent = recovering, c.now, 0
-		c.log("destination %d unit %s recovering", d.id, u.name)
-	case u.state == recovering && c.now-u.since >= c.set.Rules.Cold:
-		u.state, u.since, u.risky, u.errors = healthy, c.now, false, false
-		c.log("destination %d unit %s healthy", d.id, u.name)
-		c.act(Health{Host: u.name})
+	case unit.state == healthy && unit.recentFailures == 0:
+		unit.mayHaveRun, unit.sawErrors = false, false
+	case unit.state == suspect && briefly:
+		unit.state, unit.stateSince, unit.mayHaveRun, unit.recentFailures = healthy, c.now, false, 0
+		c.emit(Health{Host: unit.name})
+	case unit.state == suspect:
+		unit.state, unit.stateSince, unit.recentFailures = recovering, c.now, 0
+		c.logf("destination %d unit %s recovering", dest.id, unit.name)
+	case unit.state == recovering && c.now-unit.stateSince >= c.cfg.Rules.Cold:
+		unit.state, unit.stateSince, unit.mayHaveRun, unit.sawErrors = healthy, c.now, false, false
+		c.logf("destination %d unit %s healthy", dest.id, unit.name)
+		c.emit(Health{Host: unit.name})
 	}
 }
 
 // watch makes units suspect that leave calls unanswered: a guard against any silence, before a
 // time-out tells. It holds as well against calls that unsafe messages leave out for long.
-func (c *Chooser) watch() {
-	c.calling = slices.DeleteFunc(c.calling, func(d *dest) bool {
-		for _, u := range d.units {
-			if u.state == healthy && len(u.outs) > 0 {
-				quiet := c.now - max(u.outs[0].sent, u.lastServed)
-				if quiet >= c.patience(d) {
-					u.risky = true
-					c.suspect(u, d, "silent")
+func (c *Chooser) detectUnresponsive() {
+	c.calling = slices.DeleteFunc(c.calling, func(dest *destination) bool {
+		for _, unit := range dest.units {
+			if unit.state == healthy && len(unit.inFlight) > 0 {
+				quiet := c.now - max(unit.inFlight[0].sentAt, unit.lastServed)
+				if quiet >= c.unresponsiveTimeout(dest) {
+					unit.mayHaveRun = true
+					c.markSuspect(unit, dest, "silent")
 				}
 			}
 		}
-		return d.out == 0
+		return dest.inFlight == 0
 	})
 }
 
 // sent counts the calls to a unit within a span until now.
-func (c *Chooser) sent(u *unit, span time.Duration) float64 {
+func (c *Chooser) sentWithin(unit *healthUnit, span time.Duration) float64 {
 	n := 0.0
-	for _, t := range u.sends {
+	for _, t := range unit.sendTimes {
 		if c.now-t <= span {
 			n++
 		}
@@ -474,330 +474,330 @@
 }
 
 // room tells whether a unit may be sent a call now.
-func (c *Chooser) room(u *unit) bool {
-	if c.now < u.waitUntil || c.now < u.pauseUntil {
+func (c *Chooser) maySend(unit *healthUnit) bool {
+	if c.now < unit.retryAfterUntil || c.now < unit.backoffUntil {
 		return false
 	}
-	switch u.state {
+	switch unit.state {
 	case suspect:
-		return len(u.outs) <= 1 && c.now >= u.trialAt
+		return len(unit.inFlight) <= 1 && c.now >= unit.nextTrialAt
 	case recovering:
-		n, span := c.budget(u, c.now-u.since), c.set.Rules.Fall
+		n, span := c.slowStartBudget(unit, c.now-unit.stateSince), c.cfg.Rules.Fall
 		if n < 1 {
 			n, span = 1, time.Duration(float64(span)/n)
 		}
-		if c.sent(u, span)+1 > n {
+		if c.sentWithin(unit, span)+1 > n {
 			return false
 		}
 	}
-	return u.limit == 0 || u.tokens >= 1-1e-9
+	return unit.rateLimit == 0 || unit.tokens >= 1-1e-9
 }
 
 // Admission and final answers.
 
-func (c *Chooser) arrive(e Arrival, restored bool) {
-	k := &c.set.Classes[min(max(e.Class, 0), len(c.set.Classes)-1)]
-	m := &message{Arrival: e, class: k, dest: c.dest(e.Dest), due: c.now + e.Left, unsure: -1}
-	m.born = m.due - k.Deadline
-	if !restored && c.tooMany(m) {
-		c.act(Refuse{ID: m.ID, After: c.comeBack(m.dest)})
+func (c *Chooser) admit(arrival Arrival, restored bool) {
+	k := &c.cfg.Classes[min(max(arrival.Class, 0), len(c.cfg.Classes)-1)]
+	msg := &message{Arrival: arrival, class: k, dest: c.destination(arrival.Dest), deadline: c.now + arrival.Left, uncertainAt: -1}
+	msg.createdAt = msg.deadline - k.Deadline
+	if !restored && c.rejection(msg) {
+		c.emit(Refuse{ID: msg.ID, After: c.retryAfter(msg.dest)})
 		return
 	}
-	c.msgs[e.ID] = m
-	c.held++
-	c.queue(m)
-	if k.Ordered && e.Key != "" {
-		l := c.lines[e.Key]
-		if l == nil {
-			l = &line{key: e.Key}
-			c.lines[e.Key] = l
+	c.messages[arrival.ID] = msg
+	c.pending++
+	c.enqueue(msg)
+	if k.Ordered && arrival.Key != "" {
+		order := c.keyOrders[arrival.Key]
+		if order == nil {
+			order = &keyOrder{key: arrival.Key}
+			c.keyOrders[arrival.Key] = order
 		}
-		l.queue = append(l.queue, m)
+		order.messages = append(order.messages, msg)
 	}
 }
 
 // result takes in how an attempt ended.
-func (c *Chooser) result(e Result) {
-	m := c.msgs[e.ID]
-	if m == nil || m.call == nil {
+func (c *Chooser) applyResult(result Result) {
+	msg := c.messages[result.ID]
+	if msg == nil || msg.call == nil {
 		return
 	}
-	k, h, u, d := m.call, m.call.host, m.call.host.unit, m.dest
-	c.settle(d)
-	u.waitUntil = max(u.waitUntil, c.now+e.Wait) // it binds with any outcome
-	m.call, m.last = nil, h
-	if k.members = remove(k.members, m); len(k.members) == 0 {
-		c.busy, d.out, h.out = c.busy-1, d.out-1, h.out-1
-		u.outs = remove(u.outs, k)
+	call, host, unit, dest := msg.call, msg.call.host, msg.call.host.unit, msg.dest
+	c.updateRateLimits(dest)
+	unit.retryAfterUntil = max(unit.retryAfterUntil, c.now+result.Wait) // it binds with any outcome
+	msg.call, msg.lastHost = nil, host
+	if call.messages = removeElement(call.messages, msg); len(call.messages) == 0 {
+		c.callsInFlight, dest.inFlight, host.inFlight = c.callsInFlight-1, dest.inFlight-1, host.inFlight-1
+		unit.inFlight = removeElement(unit.inFlight, call)
 	}
-	if r := c.set.ReportLimit; r >= 0 && r < len(e.Report) && e.Report[r] > 0 {
-		u.listed = e.Report[r]
+	if reportIndex := c.cfg.ReportLimit; reportIndex >= 0 && reportIndex < len(result.Report) && result.Report[reportIndex] > 0 {
+		unit.listedRate = result.Report[reportIndex]
 	}
-	switch e.Outcome {
+	switch result.Outcome {
 	case Served:
-		d.table.add(e.Took)
-		c.pool.add(e.Took)
-		if e.Took <= d.table.edge {
-			d.backoff = 0
+		dest.latencies.add(result.Took)
+		c.pooledLatencies.add(result.Took)
+		if result.Took <= dest.latencies.edge {
+			dest.timeouts = 0
 		}
-		h.fails, h.spoilt = 0, 0
-		if d.refused > 0 {
-			*d.luck += (1 - *d.luck) / 16
+		host.failures, host.unreadable = 0, 0
+		if dest.refusals > 0 {
+			*dest.retrySuccess += (1 - *dest.retrySuccess) / 16
 		}
-		d.refused = 0
-		c.served(u, d, e.Took)
+		dest.refusals = 0
+		c.applyServed(unit, dest, result.Took)
 	case Refused:
-		c.refused(u, d, e.Wait)
+		c.applyRefusal(unit, dest, result.Wait)
 	case Error, Reset:
-		c.failed(h, e.Outcome)
+		c.applyFailure(host, result.Outcome)
 	case Spoilt: // it guards against holding stray noise for an outage: the host did answer
-		if h.spoilt++; h.spoilt > outage {
-			c.failed(h, Error)
+		if host.unreadable++; host.unreadable > outageFailures {
+			c.applyFailure(host, Error)
 		}
 	case Timeout, Cancelled:
-		d.table.cutShort()
-		if u.lastServed < k.sent {
-			d.backoff++
-			if e.Took >= c.patience(d) {
-				c.failed(h, e.Outcome)
+		dest.latencies.cutShort()
+		if unit.lastServed < call.sentAt {
+			dest.timeouts++
+			if result.Took >= c.unresponsiveTimeout(dest) {
+				c.applyFailure(host, result.Outcome)
 			}
 		}
 	case NoConnection:
-		d.table.cutShort()
-		c.failed(h, e.Outcome)
+		dest.latencies.cutShort()
+		c.applyFailure(host, result.Outcome)
 	}
-	sure := e.Outcome == Served || e.Outcome == Refused || e.Outcome == NoConnection || e.Outcome == NotSent
-	if !sure {
-		if m.unsure = c.now; !m.ran {
-			m.ran, m.ranAt, m.ranZone = true, k.sent, h.Zone
+	certain := result.Outcome == Served || result.Outcome == Refused || result.Outcome == NoConnection || result.Outcome == NotSent
+	if !certain {
+		if msg.uncertainAt = c.now; !msg.mayHaveRun {
+			msg.mayHaveRun, msg.mayHaveRunAt, msg.mayHaveRunZone = true, call.sentAt, host.Zone
 		}
 	}
 	switch {
-	case e.Done || m.over:
-		c.end(m)
-	case !c.repeatable(m) || m.attempts >= c.set.MaxAttempts:
-		c.final(m)
+	case result.Done || msg.finished:
+		c.finish(msg)
+	case !c.mayRetry(msg) || msg.attempts >= c.cfg.MaxAttempts:
+		c.answer(msg)
 	default:
-		c.queue(m)
+		c.enqueue(msg)
 	}
 }
 
 // queue lets a message wait for its next try.
-func (c *Chooser) queue(m *message) {
-	d := m.dest
-	c.queued++
-	m.queued = c.queued
-	if len(d.waiting) == 0 {
-		d.since = max(c.now, d.pauseUntil)
+func (c *Chooser) enqueue(msg *message) {
+	dest := msg.dest
+	c.queueSequence++
+	msg.queueSequence = c.queueSequence
+	if len(dest.waiting) == 0 {
+		dest.demandSince = max(c.now, dest.backoffUntil)
 	}
-	if d.waiting = append(d.waiting, m); !d.live {
-		d.live, c.live = true, append(c.live, d)
+	if dest.waiting = append(dest.waiting, msg); !dest.listedActive {
+		dest.listedActive, c.active = true, append(c.active, dest)
 	}
 }
 
 // repeatable tells whether the effect of a message allows one more send now.
-func (c *Chooser) repeatable(m *message) bool {
-	return !m.ran || m.class.Effect == Safe || m.class.Effect == Keyed && c.now < c.windowEnd(m)
+func (c *Chooser) mayRetry(msg *message) bool {
+	return !msg.mayHaveRun || msg.class.Effect == Safe || msg.class.Effect == Keyed && c.now < c.keyWindowEnd(msg)
 }
 
-func (c *Chooser) windowEnd(m *message) time.Duration {
-	if !m.ran {
-		return c.now + m.class.Window
+func (c *Chooser) keyWindowEnd(msg *message) time.Duration {
+	if !msg.mayHaveRun {
+		return c.now + msg.class.Window
 	}
-	return m.ranAt + m.class.Window
+	return msg.mayHaveRunAt + msg.class.Window
 }
 
 // final answers a message that is not out: refused where that is lawful, else failed.
-func (c *Chooser) final(m *message) {
-	if !m.ran || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.SameZone {
-		c.act(Refuse{ID: m.ID, After: c.comeBack(m.dest)})
+func (c *Chooser) answer(msg *message) {
+	if !msg.mayHaveRun || msg.class.Effect == Safe || msg.class.Effect == Keyed && !msg.class.SameZone {
+		c.emit(Refuse{ID: msg.ID, After: c.retryAfter(msg.dest)})
 	} else {
-		c.act(Fail{ID: m.ID})
+		c.emit(Fail{ID: msg.ID})
 	}
-	c.end(m)
+	c.finish(msg)
 }
 
 // end frees a message; one that is out keeps its record, and its key, until its outcome.
-func (c *Chooser) end(m *message) {
-	if !m.over {
-		m.over = true
-		c.held--
-		if m.call == nil {
-			c.settle(m.dest)
-			m.dest.waiting = remove(m.dest.waiting, m)
+func (c *Chooser) finish(msg *message) {
+	if !msg.finished {
+		msg.finished = true
+		c.pending--
+		if msg.call == nil {
+			c.updateRateLimits(msg.dest)
+			msg.dest.waiting = removeElement(msg.dest.waiting, msg)
 		}
 	}
-	if m.call != nil {
+	if msg.call != nil {
 		return
 	}
-	delete(c.msgs, m.ID)
-	if l := c.lines[m.Key]; l != nil && m.class.Ordered {
-		l.queue = remove(l.queue, m)
-		if m.unsure >= 0 {
-			l.rest = max(l.rest, m.unsure+c.set.Rules.OrderSettle)
+	delete(c.messages, msg.ID)
+	if order := c.keyOrders[msg.Key]; order != nil && msg.class.Ordered {
+		order.messages = removeElement(order.messages, msg)
+		if msg.uncertainAt >= 0 {
+			order.settledAt = max(order.settledAt, msg.uncertainAt+c.cfg.Rules.OrderSettle)
 		}
-		if len(l.queue) == 0 {
-			c.resting = append(c.resting, l)
+		if len(order.messages) == 0 {
+			c.settling = append(c.settling, order)
 		}
 	}
 }
 
 // worth of a message if it is served at a time.
-func (c *Chooser) worth(m *message, at time.Duration) float64 {
-	k := m.class
-	if at >= m.due {
+func (c *Chooser) value(msg *message, at time.Duration) float64 {
+	k := msg.class
+	if at >= msg.deadline {
 		return 0
 	}
-	age := at - m.born
+	age := at - msg.createdAt
 	if age <= k.Aim {
 		return k.Worth
 	}
 	late := (age - k.Aim).Seconds()
-	if c.set.Halving {
+	if c.cfg.Halving {
 		return k.Worth * max(k.LateShare, math.Exp2(-late/k.Aim.Seconds()))
 	}
 	return k.Worth * (1 - (1-k.LateShare)*late/(k.Deadline-k.Aim).Seconds())
 }
 
 // answer ends messages whose time is up, in the order of that time.
-func (c *Chooser) answer() {
+func (c *Chooser) answerExpired() {
 	var over []*message
-	for _, d := range c.live {
-		for _, m := range d.waiting {
-			if c.endAt(m) <= c.now || !c.repeatable(m) {
-				over = append(over, m)
+	for _, dest := range c.active {
+		for _, msg := range dest.waiting {
+			if c.expiryOf(msg) <= c.now || !c.mayRetry(msg) {
+				over = append(over, msg)
 			}
 		}
 	}
 	slices.SortFunc(over, func(a, b *message) int {
-		return cmp.Or(cmp.Compare(c.endAt(a), c.endAt(b)), cmp.Compare(a.queued, b.queued))
+		return cmp.Or(cmp.Compare(c.expiryOf(a), c.expiryOf(b)), cmp.Compare(a.queueSequence, b.queueSequence))
 	})
-	for _, m := range over {
-		c.final(m)
+	for _, msg := range over {
+		c.answer(msg)
 	}
 }
 
-func (c *Chooser) endAt(m *message) time.Duration {
-	at := m.due - margin*c.set.Tick - c.nap
-	if m.ran && m.class.Effect == Keyed {
-		at = min(at, c.windowEnd(m))
+func (c *Chooser) expiryOf(msg *message) time.Duration {
+	at := msg.deadline - expiryMarginTicks*c.cfg.Tick - c.lookInterval
+	if msg.mayHaveRun && msg.class.Effect == Keyed {
+		at = min(at, c.keyWindowEnd(msg))
 	}
 	return at
 }
 
 // shed turns messages away while the holding room is crowded.
-func (c *Chooser) shed() {
-	for c.set.MaxHeld > 0 && float64(c.held) > crowded*float64(c.set.MaxHeld) {
-		m, _ := c.worst()
-		if m == nil {
+func (c *Chooser) shedLoad() {
+	for c.cfg.MaxHeld > 0 && float64(c.pending) > shedThreshold*float64(c.cfg.MaxHeld) {
+		msg, _ := c.shedCandidate()
+		if msg == nil {
 			return
 		}
-		c.final(m)
+		c.answer(msg)
 	}
 }
 
-func (c *Chooser) worst() (worst *message, least float64) {
+func (c *Chooser) shedCandidate() (worst *message, least float64) {
 	least = math.Inf(1)
-	for k := range c.set.Classes {
-		var most *dest
+	for class := range c.cfg.Classes {
+		var most *destination
 		var oldest *message
-		for _, d := range c.live {
-			if most != nil && (len(d.waiting) < len(most.waiting) || len(d.waiting) == len(most.waiting) && d.id > most.id) {
+		for _, dest := range c.active {
+			if most != nil && (len(dest.waiting) < len(most.waiting) || len(dest.waiting) == len(most.waiting) && dest.id > most.id) {
 				continue
 			}
 			var first *message
-			for _, m := range d.waiting {
-				if m.Class == k && !m.owed() && (!m.ran || m.class.Effect == Safe) && (first == nil || m.due < first.due) {
-					first = m
+			for _, msg := range dest.waiting {
+				if msg.Class == class && !msg.owedFirstAttempt() && (!msg.mayHaveRun || msg.class.Effect == Safe) && (first == nil || msg.deadline < first.deadline) {
+					first = msg
 				}
 			}
 			if first != nil {
-				most, oldest = d, first
+				most, oldest = dest, first
 			}
 		}
 		if most == nil {
 			continue
 		}
-		if w := c.worth(oldest, c.now) / float64(len(most.waiting)); w < least {
-			least, worst = w, oldest
+		if value := c.value(oldest, c.now) / float64(len(most.waiting)); value < least {
+			least, worst = value, oldest
 		}
 	}
 	return worst, least
 }
 
-func (c *Chooser) tooMany(m *message) bool {
-	if c.set.MaxHeld == 0 {
+func (c *Chooser) rejection(msg *message) bool {
+	if c.cfg.MaxHeld == 0 {
 		return false
 	}
 	most := 1e-9
-	for _, k := range c.set.Classes {
+	for _, k := range c.cfg.Classes {
 		most = max(most, k.Worth)
 	}
-	waits, room := float64(len(m.dest.waiting)), float64(c.set.MaxHeld)
-	if waits >= (1+3*m.class.Worth/most)*(room-float64(c.held)) {
+	waits, room := float64(len(msg.dest.waiting)), float64(c.cfg.MaxHeld)
+	if waits >= (1+3*msg.class.Worth/most)*(room-float64(c.pending)) {
 		return true
 	}
-	if float64(c.held+1) <= crowded*room {
+	if float64(c.pending+1) <= shedThreshold*room {
 		return false
 	}
-	_, least := c.worst()
-	return c.worth(m, c.now)/(waits+1) < 2*least
+	_, least := c.shedCandidate()
+	return c.value(msg, c.now)/(waits+1) < 2*least
 }
 
 // The turn.
 
 // turn fills the free slots: the destination with the fewest calls out goes first.
-func (c *Chooser) turn() {
-	most := max(1, (3*c.set.Workers+3)/4-1)
-	half := max(1, c.set.Workers/2)
+func (c *Chooser) fillSlots() {
+	maxShare := max(1, (3*c.cfg.Workers+3)/4-1)
+	crowdedShare := max(1, c.cfg.Workers/2)
 	// Trials go last, lest a small relay's slots fill with calls that may hang; those long due do not.
-	well := func(u *unit) bool { return u.state != suspect || c.now-u.trialAt > c.set.Rules.Fall }
-	trial := func(d *dest) int {
-		if slices.ContainsFunc(d.units, well) {
+	well := func(unit *healthUnit) bool { return unit.state != suspect || c.now-unit.nextTrialAt > c.cfg.Rules.Fall }
+	trial := func(dest *destination) int {
+		if slices.ContainsFunc(dest.units, well) {
 			return 0
 		}
 		return 1
 	}
-	var ready []*dest
-	for _, d := range c.live {
-		if len(d.waiting) == 0 || c.now < d.pauseUntil {
+	var ready []*destination
+	for _, dest := range c.active {
+		if len(dest.waiting) == 0 || c.now < dest.backoffUntil {
 			continue
 		}
-		for _, u := range d.units {
-			c.refill(u, d)
+		for _, unit := range dest.units {
+			c.updateRateLimit(unit, dest)
 		}
-		if slices.ContainsFunc(d.units, c.room) {
-			ready = append(ready, d)
+		if slices.ContainsFunc(dest.units, c.maySend) {
+			ready = append(ready, dest)
 		}
 	}
-	var full []*dest
-	for c.busy < c.set.Workers {
-		ready = slices.DeleteFunc(ready, func(d *dest) bool { m, _ := c.pick(d); return m == nil })
+	var full []*destination
+	for c.callsInFlight < c.cfg.Workers {
+		ready = slices.DeleteFunc(ready, func(dest *destination) bool { msg, _ := c.chooseSend(dest); return msg == nil })
 		if len(ready) == 0 {
 			last := len(full) - 1
-			if last < 0 || full[last].out >= most {
+			if last < 0 || full[last].inFlight >= maxShare {
 				break
 			}
 			ready, full = append(ready, full[last]), full[:last]
 		}
-		d := slices.MinFunc(ready, func(a, b *dest) int {
-			return cmp.Or(cmp.Compare(trial(a), trial(b)), cmp.Compare(a.out, b.out),
-				cmp.Compare(a.lastTurn, b.lastTurn), cmp.Compare(a.id, b.id))
+		dest := slices.MinFunc(ready, func(a, b *destination) int {
+			return cmp.Or(cmp.Compare(trial(a), trial(b)), cmp.Compare(a.inFlight, b.inFlight),
+				cmp.Compare(a.lastSentAt, b.lastSentAt), cmp.Compare(a.id, b.id))
 		})
-		top := most
+		limit := maxShare
 		if len(ready) > 1 {
-			top = half
+			limit = crowdedShare
 		}
-		if d.out >= top {
-			full = append(full, d)
+		if dest.inFlight >= limit {
+			full = append(full, dest)
 		}
-		if d.out >= top || !c.sendOne(d) {
-			ready = remove(ready, d)
+		if dest.inFlight >= limit || !c.sendNext(dest) {
+			ready = removeElement(ready, dest)
 		}
 	}
-	waits := func(d *dest) bool { m, _ := c.pick(d); return m != nil }
-	if c.set.Cancels && c.busy >= c.set.Workers && slices.ContainsFunc(append(ready, full...), waits) {
-		c.callOff()
+	waits := func(dest *destination) bool { msg, _ := c.chooseSend(dest); return msg != nil }
+	if c.cfg.Cancels && c.callsInFlight >= c.cfg.Workers && slices.ContainsFunc(append(ready, full...), waits) {
+		c.cancelStuckCall()
 	}
 }
 
@@ -806,171 +806,171 @@
 // that slow ones are served in the end. It guards against calls that nobody will answer. An unsafe message
 // is lost by it: twice the patience while such calls hold no more than half of the slots. Half the room
 // taken halves the patience.
-func (c *Chooser) callOff() {
-	var stuck []*call
-	for _, d := range c.live {
-		for _, u := range d.units {
-			for _, k := range u.outs {
-				if k.off {
+func (c *Chooser) cancelStuckCall() {
+	var stuck []*outboundCall
+	for _, dest := range c.active {
+		for _, unit := range dest.units {
+			for _, call := range unit.inFlight {
+				if call.cancelled {
 					return // one at a time
 				}
-				patience := c.patience(d)
-				if c.set.MaxHeld > 0 && 2*c.held > c.set.MaxHeld {
+				patience := c.unresponsiveTimeout(dest)
+				if c.cfg.MaxHeld > 0 && 2*c.pending > c.cfg.MaxHeld {
 					patience /= 2
 				}
-				if u.lastServed >= k.sent {
+				if unit.lastServed >= call.sentAt {
 					patience *= 2
 				}
-				patience *= time.Duration(k.members[0].attempts)
-				if c.now-k.sent > patience {
-					stuck = append(stuck, k)
+				patience *= time.Duration(call.messages[0].attempts)
+				if c.now-call.sentAt > patience {
+					stuck = append(stuck, call)
 				}
 			}
 		}
 	}
-	slices.SortFunc(stuck, func(a, b *call) int { return cmp.Compare(a.number, b.number) })
-	for _, k := range stuck {
-		unsafe := slices.ContainsFunc(k.members, func(m *message) bool { return m.class.Effect == Unsafe })
-		if unsafe && 2*len(stuck) <= c.set.Workers && c.now-k.sent < 2*c.patience(k.host.dest) {
+	slices.SortFunc(stuck, func(a, b *outboundCall) int { return cmp.Compare(a.sequence, b.sequence) })
+	for _, call := range stuck {
+		unsafe := slices.ContainsFunc(call.messages, func(msg *message) bool { return msg.class.Effect == Unsafe })
+		if unsafe && 2*len(stuck) <= c.cfg.Workers && c.now-call.sentAt < 2*c.unresponsiveTimeout(call.host.dest) {
 			continue
 		}
-		k.off = true
-		for _, m := range k.members {
-			c.act(Cancel{ID: m.ID, Attempt: m.attempts - 1})
+		call.cancelled = true
+		for _, msg := range call.messages {
+			c.emit(Cancel{ID: msg.ID, Attempt: msg.attempts - 1})
 		}
 		return
 	}
 }
 
 // sendOne sends the best message of a destination, and others along in the same call.
-func (c *Chooser) sendOne(d *dest) bool {
-	m, h := c.pick(d)
-	if m == nil {
+func (c *Chooser) sendNext(dest *destination) bool {
+	msg, host := c.chooseSend(dest)
+	if msg == nil {
 		return false
 	}
-	u := h.unit
-	c.calls++
-	k := &call{number: c.calls, host: h, sent: c.now}
-	if !slices.Contains(c.calling, d) {
-		c.calling = append(c.calling, d)
-	}
-	c.busy, d.out, h.out, d.lastTurn = c.busy+1, d.out+1, h.out+1, c.now
-	old := func(t time.Duration) bool { return c.now-t > max(c.set.Rules.Cold, time.Second) }
-	u.outs, u.sends = append(u.outs, k), append(slices.DeleteFunc(u.sends, old), c.now)
-	u.tokens--
-	if u.state == suspect {
-		u.trialAt = c.now + c.patience(d)<<min(u.trials, 4) + c.gap(u)
-	}
-	c.send(m, k)
-	for len(k.members) < d.kind.PerCall && u.state != suspect {
-		m := c.best(d, func(m *message) bool { return c.fits(m, h) })
-		if m == nil {
+	unit := host.unit
+	c.callSequence++
+	call := &outboundCall{sequence: c.callSequence, host: host, sentAt: c.now}
+	if !slices.Contains(c.calling, dest) {
+		c.calling = append(c.calling, dest)
+	}
+	c.callsInFlight, dest.inFlight, host.inFlight, dest.lastSentAt = c.callsInFlight+1, dest.inFlight+1, host.inFlight+1, c.now
+	old := func(t time.Duration) bool { return c.now-t > max(c.cfg.Rules.Cold, time.Second) }
+	unit.inFlight, unit.sendTimes = append(unit.inFlight, call), append(slices.DeleteFunc(unit.sendTimes, old), c.now)
+	unit.tokens--
+	if unit.state == suspect {
+		unit.nextTrialAt = c.now + c.unresponsiveTimeout(dest)<<min(unit.failedTrials, 4) + c.trialBackoff(unit)
+	}
+	c.send(msg, call)
+	for len(call.messages) < dest.kind.PerCall && unit.state != suspect {
+		msg := c.bestMessage(dest, func(msg *message) bool { return c.eligible(msg, host) })
+		if msg == nil {
 			break
 		}
-		c.send(m, k)
+		c.send(msg, call)
 	}
-	if len(k.members) > 1 {
-		u.sends = append(u.sends, c.now) // further messages weigh a little: counted as one more call
+	if len(call.messages) > 1 {
+		unit.sendTimes = append(unit.sendTimes, c.now) // further messages weigh a little: counted as one more call
 	}
 	return true
 }
 
-func (c *Chooser) send(m *message, k *call) {
-	d := m.dest
-	m.timeout = c.timeout(m, k.host.unit)
-	d.waiting = remove(d.waiting, m)
-	m.attempts++
-	m.call = k
-	k.members = append(k.members, m)
-	c.act(Send{ID: m.ID, Host: k.host.Addr, Timeout: m.timeout})
+func (c *Chooser) send(msg *message, call *outboundCall) {
+	dest := msg.dest
+	msg.lastTimeout = c.attemptTimeout(msg, call.host.unit)
+	dest.waiting = removeElement(dest.waiting, msg)
+	msg.attempts++
+	msg.call = call
+	call.messages = append(call.messages, msg)
+	c.emit(Send{ID: msg.ID, Host: call.host.Addr, Timeout: msg.lastTimeout})
 }
 
 // fits tells whether a message may go to a host now, room in its unit apart.
-func (c *Chooser) fits(m *message, h *host) bool {
-	if h.State != Ready || !c.repeatable(m) || m.attempts >= c.set.MaxAttempts {
+func (c *Chooser) eligible(msg *message, host *endpoint) bool {
+	if host.State != Ready || !c.mayRetry(msg) || msg.attempts >= c.cfg.MaxAttempts {
 		return false
 	}
-	if m.class.Effect == Keyed && m.class.SameZone && m.ran && h.Zone != m.ranZone {
+	if msg.class.Effect == Keyed && msg.class.SameZone && msg.mayHaveRun && host.Zone != msg.mayHaveRunZone {
 		return false
 	}
 	// What cannot be repeated is kept from a unit whose failures may have run until it has served
 	// a few, unless its own time runs short.
-	u := h.unit
-	proven := u.state == healthy || !u.risky || u.state == recovering && (!u.errors || u.streak >= history)
-	return proven || m.class.Effect != Unsafe || m.due-c.now < m.class.Deadline/4
+	unit := host.unit
+	proven := unit.state == healthy || !unit.mayHaveRun || unit.state == recovering && (!unit.sawErrors || unit.servedStreak >= outcomeHistory)
+	return proven || msg.class.Effect != Unsafe || msg.deadline-c.now < msg.class.Deadline/4
 }
 
 // owed tells whether a message is still owed its first try from before a restart.
-func (m *message) owed() bool { return m.found && m.attempts == 0 }
+func (m *message) owedFirstAttempt() bool { return m.restoredUntried && m.attempts == 0 }
 
 // best is the message that loses most by waiting, among those that a test lets through.
-func (c *Chooser) best(d *dest, test func(*message) bool) *message {
+func (c *Chooser) bestMessage(dest *destination, test func(*message) bool) *message {
 	rate := 0.0
-	for _, u := range d.units {
-		rate += u.served
+	for _, unit := range dest.units {
+		rate += unit.servedRate
 	}
-	wait := c.minAim
+	wait := c.minTarget
 	if rate > 0 {
-		wait = time.Duration(float64(len(d.waiting)) / rate * float64(time.Second))
+		wait = time.Duration(float64(len(dest.waiting)) / rate * float64(time.Second))
 	}
-	wait = min(max(wait, c.minAim/8), 4*c.bound)
+	wait = min(max(wait, c.minTarget/8), 4*c.maxTimeout)
 	var best *message
-	most := math.Inf(-1)
-	for _, m := range d.waiting {
-		if !c.hasTurn(m) || !test(m) {
+	maxLoss := math.Inf(-1)
+	for _, msg := range dest.waiting {
+		if !c.keyAllows(msg) || !test(msg) {
 			continue
 		}
-		loss := c.worth(m, c.now) - c.worth(m, c.now+wait)
-		if k, age := m.class, c.now-m.born; !c.set.Halving && age > k.Aim && age+wait < k.Deadline {
+		loss := c.value(msg, c.now) - c.value(msg, c.now+wait)
+		if k, age := msg.class, c.now-msg.createdAt; !c.cfg.Halving && age > k.Aim && age+wait < k.Deadline {
 			loss = k.Worth * (1 - k.LateShare) * wait.Seconds() / (k.Deadline - k.Aim).Seconds()
 		}
-		if m.owed() {
-			loss += slices.MaxFunc(c.set.Classes, func(a, b Class) int { return cmp.Compare(a.Worth, b.Worth) }).Worth
+		if msg.owedFirstAttempt() {
+			loss += slices.MaxFunc(c.cfg.Classes, func(a, b Class) int { return cmp.Compare(a.Worth, b.Worth) }).Worth
 		}
-		if best == nil || loss > most || loss == most && m.due < best.due {
-			best, most = m, loss
+		if best == nil || loss > maxLoss || loss == maxLoss && msg.deadline < best.deadline {
+			best, maxLoss = msg, loss
 		}
 	}
 	return best
 }
 
 // pick chooses a message of a destination and a host for it.
-func (c *Chooser) pick(d *dest) (*message, *host) {
-	var open []*host
-	for _, h := range d.hosts {
-		if h.State == Ready && c.room(h.unit) {
-			open = append(open, h)
+func (c *Chooser) chooseSend(dest *destination) (*message, *endpoint) {
+	var open []*endpoint
+	for _, host := range dest.hosts {
+		if host.State == Ready && c.maySend(host.unit) {
+			open = append(open, host)
 		}
 	}
-	m := c.best(d, func(m *message) bool {
-		return slices.ContainsFunc(open, func(h *host) bool { return c.fits(m, h) })
+	msg := c.bestMessage(dest, func(msg *message) bool {
+		return slices.ContainsFunc(open, func(host *endpoint) bool { return c.eligible(msg, host) })
 	})
-	var best *host
-	least := math.Inf(1)
-	for _, h := range open {
-		if m != nil && c.fits(m, h) && c.cost(m, h) < least {
-			best, least = h, c.cost(m, h)
+	var best *endpoint
+	minCost := math.Inf(1)
+	for _, host := range open {
+		if msg != nil && c.eligible(msg, host) && c.routeCost(msg, host) < minCost {
+			best, minCost = host, c.routeCost(msg, host)
 		}
 	}
-	return m, best
+	return msg, best
 }
 
 // cost of a route in shares of worth: its fee, and what its pace and its calls out take of the aim.
-func (c *Chooser) cost(m *message, h *host) float64 {
-	u := h.unit
+func (c *Chooser) routeCost(msg *message, host *endpoint) float64 {
+	unit := host.unit
 	cost := 0.0
-	if m.dest.kind.Apart && h.Zone < len(c.set.ZoneFee) {
-		cost += c.set.ZoneFee[h.Zone]
+	if msg.dest.kind.Apart && host.Zone < len(c.cfg.ZoneFee) {
+		cost += c.cfg.ZoneFee[host.Zone]
 	}
-	if c.thin(u) {
-		cost = cost/10 + h.liking/20
+	if c.rarelyCalls(unit) {
+		cost = cost/10 + host.preference/20
 	}
-	finish := u.pace * float64(h.out+1) / m.class.Aim.Seconds()
+	finish := unit.latency * float64(host.inFlight+1) / msg.class.Aim.Seconds()
 	cost += max(0, finish-0.25) + finish/100
-	if h == m.last || u.state != healthy || h.fails > 0 {
-		cost += aside
+	if host == msg.lastHost || unit.state != healthy || host.failures > 0 {
+		cost += avoidancePenalty
 	}
-	if c.now < h.retryAt {
+	if c.now < host.avoidUntil {
 		cost++
 	}
 	return cost
--- a/choice/internal/reference/order.go
+++ b/choice/internal/reference/order.go
@@ -5,19 +5,19 @@
 // Order of keys.
 
 // hasTurn tells whether the order of its key lets a message go.
-func (c *Chooser) hasTurn(m *message) bool {
-	if !m.class.Ordered || m.Key == "" {
+func (c *Chooser) keyAllows(msg *message) bool {
+	if !msg.class.Ordered || msg.Key == "" {
 		return true
 	}
-	l := c.lines[m.Key]
-	return l.queue[0] == m && c.now >= l.rest
+	order := c.keyOrders[msg.Key]
+	return order.messages[0] == msg && c.now >= order.settledAt
 }
 
-func (c *Chooser) freeLines() {
-	c.resting = slices.DeleteFunc(c.resting, func(l *line) bool {
-		if len(l.queue) == 0 && c.now >= l.rest {
-			delete(c.lines, l.key)
+func (c *Chooser) releaseSettledKeys() {
+	c.settling = slices.DeleteFunc(c.settling, func(order *keyOrder) bool {
+		if len(order.messages) == 0 && c.now >= order.settledAt {
+			delete(c.keyOrders, order.key)
 		}
-		return len(l.queue) > 0 || c.now >= l.rest
+		return len(order.messages) > 0 || c.now >= order.settledAt
 	})
 }
--- a/choice/internal/reference/state.go
+++ b/choice/internal/reference/state.go
@@ -11,42 +11,42 @@
 // message is one message until its final answer and its last outcome.
 type message struct {
 	Arrival
-	class    *Class
-	dest     *dest
-	due      time.Duration // deadline
-	born     time.Duration // due less the class's deadline: first handed in
-	attempts int
-	found    bool          // by a restart, untried
-	timeout  time.Duration // of the last try
-	call     *call         // out now
-	ran      bool          // an attempt may have run
-	ranAt    time.Duration // the first such attempt went out
-	ranZone  int
-	last     *host
-	unsure   time.Duration // time of the last unsure outcome; its key rests after it
-	over     bool          // answered or withdrawn
-	queued   uint64        // in the order in which messages began to wait
+	class           *Class
+	dest            *destination
+	deadline        time.Duration // deadline
+	createdAt       time.Duration // due less the class's deadline: first handed in
+	attempts        int
+	restoredUntried bool          // by a restart, untried
+	lastTimeout     time.Duration // of the last try
+	call            *outboundCall // out now
+	mayHaveRun      bool          // an attempt may have run
+	mayHaveRunAt    time.Duration // the first such attempt went out
+	mayHaveRunZone  int
+	lastHost        *endpoint
+	uncertainAt     time.Duration // time of the last unsure outcome; its key rests after it
+	finished        bool          // answered or withdrawn
+	queueSequence   uint64        // in the order in which messages began to wait
 }
 
 // call is one call out; sends of one turn to one host may share it.
-type call struct {
-	number  uint64 // in the order of sending
-	host    *host
-	sent    time.Duration
-	members []*message // outcomes still due
-	off     bool       // called off
+type outboundCall struct {
+	sequence  uint64 // in the order of sending
+	host      *endpoint
+	sentAt    time.Duration
+	messages  []*message // outcomes still due
+	cancelled bool       // called off
 }
 
 // host is one endpoint.
-type host struct {
+type endpoint struct {
 	Host
-	dest    *dest
-	unit    *unit
-	out     int
-	liking  float64       // this relay's own liking, by chance
-	fails   int           // in a row
-	spoilt  int           // answers in a row
-	retryAt time.Duration // after failures
+	dest       *destination
+	unit       *healthUnit
+	inFlight   int
+	preference float64       // this relay's own liking, by chance
+	failures   int           // in a row
+	unreadable int           // answers in a row
+	avoidUntil time.Duration // after failures
 }
 
 // health of a unit.
@@ -59,87 +59,87 @@
 )
 
 // unit is what health, limits and waits hang on: a destination, or a route where routes are apart.
-type unit struct {
-	name       string
-	born       time.Duration
-	listed     float64 // calls a second from all relays, 0 if unknown
-	state      health
-	since      time.Duration // of the state
-	why        string        // it left the healthy state
-	waitUntil  time.Duration // told
-	pauseUntil time.Duration // own
-	recent     uint          // recent outcomes, a bit set for each failure
-	streak     int           // answers served in a row
-	errors     bool          // errors answered were among them
-	risky      bool          // failures that may have run were seen in this outage
-	trialAt    time.Duration // next trial
-	trials     int           // trials failed in a row
-	bad        int           // failures and refusals since then
-	lastServed time.Duration // or first listed
-	outs       []*call
-	sends      []time.Duration // in the last Fall or second
-	pace       float64         // smoothed latency, seconds
-	served     float64         // smoothed rate served to this relay, messages a second
-	base       float64         // served when the outage began
-	limit      float64         // calls a second this relay allows itself; 0 for no limit
-	limitAt    time.Duration   // last time that limit or tokens were brought up to date
-	cutAt      time.Duration
-	tokens     float64
+type healthUnit struct {
+	name             string
+	createdAt        time.Duration
+	listedRate       float64 // calls a second from all relays, 0 if unknown
+	state            health
+	stateSince       time.Duration // of the state
+	stateReason      string        // it left the healthy state
+	retryAfterUntil  time.Duration // told
+	backoffUntil     time.Duration // own
+	recentFailures   uint          // recent outcomes, a bit set for each failure
+	servedStreak     int           // answers served in a row
+	sawErrors        bool          // errors answered were among them
+	mayHaveRun       bool          // failures that may have run were seen in this outage
+	nextTrialAt      time.Duration // next trial
+	failedTrials     int           // trials failed in a row
+	unsuccessful     int           // failures and refusals since then
+	lastServed       time.Duration // or first listed
+	inFlight         []*outboundCall
+	sendTimes        []time.Duration // in the last Fall or second
+	latency          float64         // smoothed latency, seconds
+	servedRate       float64         // smoothed rate served to this relay, messages a second
+	rateBeforeOutage float64         // served when the outage began
+	rateLimit        float64         // calls a second this relay allows itself; 0 for no limit
+	rateLimitAt      time.Duration   // last time that limit or tokens were brought up to date
+	rateCutAt        time.Duration
+	tokens           float64
 }
 
 // dest is one destination.
-type dest struct {
-	id         int
-	kind       Kind
-	hosts      []*host
-	units      []*unit
-	waiting    []*message
-	out        int
-	live       bool // on the list of those with messages waiting or out
-	lastTurn   time.Duration
-	table      table
-	refused    int      // refusals in a row
-	luck       *float64 // of its kind
-	pauseUntil time.Duration
-	since      time.Duration // messages wait, and no pause is on
-	backoff    int           // time-outs in a row with nothing served since
+type destination struct {
+	id           int
+	kind         Kind
+	hosts        []*endpoint
+	units        []*healthUnit
+	waiting      []*message
+	inFlight     int
+	listedActive bool // on the list of those with messages waiting or out
+	lastSentAt   time.Duration
+	latencies    latencyTable
+	refusals     int      // refusals in a row
+	retrySuccess *float64 // of its kind
+	backoffUntil time.Duration
+	demandSince  time.Duration // messages wait, and no pause is on
+	timeouts     int           // time-outs in a row with nothing served since
 }
 
 // line is the order of one key.
-type line struct {
-	key   string
-	queue []*message
-	rest  time.Duration
+type keyOrder struct {
+	key       string
+	messages  []*message
+	settledAt time.Duration
 }
 
 // Chooser decides for one relay. It is not safe for concurrent use.
 type Chooser struct {
-	set     Settings
-	now     time.Duration
-	bound   time.Duration // maximal timeout of the oracle
-	minAim  time.Duration
-	msgs    map[string]*message
-	dests   map[int]*dest
-	order   []*dest // as first heard of
-	live    []*dest // with messages waiting or out
-	calling []*dest // with calls out, in the order in which they came to have some
-	queued  uint64
-	calls   uint64
-	hosts   map[string]*host
-	lines   map[string]*line
-	resting []*line
-	busy    int
-	held    int
-	wakeAt  time.Duration // the next wake-up asked for
-	rand    *rand.Rand
-	nap     time.Duration // between looks
-	luck    []float64     // by kind: share served of the calls to destinations that refused the last one
-	pool    table         // of all destinations together, for those that have few samples yet
-	askAt   time.Duration // ask for list changes then; below 0 for never
-	acts    []Action
+	cfg             Settings
+	now             time.Duration
+	maxTimeout      time.Duration // maximal timeout of the oracle
+	minTarget       time.Duration
+	messages        map[string]*message
+	destinations    map[int]*destination
+	inOrder         []*destination // as first heard of
+	active          []*destination // with messages waiting or out
+	calling         []*destination // with calls out, in the order in which they came to have some
+	queueSequence   uint64
+	callSequence    uint64
+	hosts           map[string]*endpoint
+	keyOrders       map[string]*keyOrder
+	settling        []*keyOrder
+	callsInFlight   int
+	pending         int
+	wakeAt          time.Duration // the next wake-up asked for
+	rand            *rand.Rand
+	lookInterval    time.Duration // between looks
+	retrySuccess    []float64     // by kind: share served of the calls to destinations that refused the last one
+	pooledLatencies latencyTable  // of all destinations together, for those that have few samples yet
+	subscribeAt     time.Duration // ask for list changes then; below 0 for never
+	actions         []Action
 }
 
 // remove deletes one element.
-func remove[T comparable](all []T, one T) []T {
+func removeElement[T comparable](all []T, one T) []T {
 	return slices.DeleteFunc(all, func(o T) bool { return o == one })
 }
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -16,20 +16,22 @@
 
 // restore takes a message up where the earlier process left it. Its effect and
 // its attempts bind as if no restart had been; what may not go again is answered now.
-func (c *Chooser) restore(e Restored) {
-	m := c.message(e.Arrival)
-	m.attempts, m.timeout, m.found = e.Attempts, e.Timeout, e.Attempts == 0 && !e.Ran
-	if m.ran = e.Ran; e.Ran {
-		m.ranAt, m.ranZone, m.unsure = c.now-e.RanAgo, e.RanZone, c.now
+func (c *Chooser) restore(restored Restored) {
+	msg := c.newMessage(restored.Arrival)
+	msg.attempts, msg.lastTimeout, msg.restoredUntried = restored.Attempts, restored.Timeout, restored.Attempts == 0 && !restored.Ran
+	if msg.mayHaveRun = restored.Ran; restored.Ran {
+		msg.mayHaveRunAt, msg.mayHaveRunZone, msg.uncertainAt = c.now-restored.RanAgo, restored.RanZone, c.now
 	}
-	c.hold(m)
-	if c.spent(m) {
-		c.final(m, c.whySpent(m))
+	c.accept(msg)
+	if c.exhausted(msg) {
+		c.answer(msg, c.exhaustedReason(msg))
 	}
 }
 
 // spent tells whether a message may not be tried again.
-func (c *Chooser) spent(m *message) bool { return m.attempts >= c.set.MaxAttempts || !c.repeatable(m) }
+func (c *Chooser) exhausted(msg *message) bool {
+	return msg.attempts >= c.cfg.MaxAttempts || !c.mayRetry(msg)
+}
 
 // Unwell says that an earlier process of this relay saw an outage at a host whose
 // end it did not see. It follows the first Listing.
@@ -39,41 +41,41 @@
 }
 
 // unwell guards a returning destination against a relay that forgot the outage by a restart.
-func (c *Chooser) unwell(e Unwell) {
-	h := c.hosts[e.Host]
-	if h == nil {
+func (c *Chooser) applyUnwell(unwell Unwell) {
+	host := c.hosts[unwell.Host]
+	if host == nil {
 		return
 	}
-	h.unit.served = e.Base
-	h.unit.risky, h.unit.errors, h.unit.bad = true, true, 1 // one answer does not prove it well
-	c.suspect(h.unit, h.dest, "unwell before the restart")
+	host.unit.servedRate = unwell.Base
+	host.unit.mayHaveRun, host.unit.sawErrors, host.unit.unsuccessful = true, true, 1 // one answer does not prove it well
+	c.markSuspect(host.unit, host.dest, "unwell before the restart")
 }
 
 // told keeps to a wait that another process was told.
-func (c *Chooser) told(e Told) {
-	if h := c.hosts[e.Host]; h != nil {
-		h.unit.waitUntil = max(h.unit.waitUntil, c.now+e.Wait)
-		c.touch(h.dest)
+func (c *Chooser) applyWait(e Told) {
+	if host := c.hosts[e.Host]; host != nil {
+		host.unit.retryAfterUntil = max(host.unit.retryAfterUntil, c.now+e.Wait)
+		c.markDirty(host.dest)
 	}
 }
 
 // comeBack is when a client had best hand a refused message in again: once a unit of its
 // destination may be sent to, and what waits there has gone.
-func (c *Chooser) comeBack(d *dest) time.Duration {
-	open, rate := time.Duration(-1), 0.0
-	for _, u := range d.units {
-		at := max(u.waitUntil, u.pauseUntil)
-		if u.state == suspect {
-			at = max(at, u.trialAt)
+func (c *Chooser) retryAfter(dest *destination) time.Duration {
+	soonest, rate := time.Duration(-1), 0.0
+	for _, unit := range dest.units {
+		at := max(unit.retryAfterUntil, unit.backoffUntil)
+		if unit.state == suspect {
+			at = max(at, unit.nextTrialAt)
 		}
-		if left := max(0, at-c.now); open < 0 || left < open {
-			open = left
+		if left := max(0, at-c.now); soonest < 0 || left < soonest {
+			soonest = left
 		}
-		rate += u.served
+		rate += unit.servedRate
 	}
-	after := max(open, c.minAim/4)
+	after := max(soonest, c.minTarget/4)
 	if rate > 0 {
-		after = max(after, min(c.minAim, time.Duration(float64(d.waits)/rate*float64(time.Second))))
+		after = max(after, min(c.minTarget, time.Duration(float64(dest.queued)/rate*float64(time.Second))))
 	}
-	return min(after, c.bound)
+	return min(after, c.maxTimeout)
 }
--- a/choice/retune.go
+++ b/choice/retune.go
@@ -16,65 +16,65 @@
 // What falls due together is answered at this pace, begun sooner by half of ahead at most. A relay on one core can
 // record and tell some 20,000 ends a second beside its other work.
 const (
-	answersASecond = 12_800
-	leastPiece     = 64
-	ahead          = 5 * time.Second
+	answersPerSecond = 12_800
+	minBatch         = 64
+	batchLead        = 5 * time.Second
 )
 
 // measure derives from the settings what the decisions go by.
-func (c *Chooser) measure() {
-	c.bound, c.minAim, c.mostWorth = 0, math.MaxInt64, 1e-9
-	for _, k := range c.set.Classes {
-		c.bound, c.minAim = max(c.bound, k.Aim), min(c.minAim, k.Aim)
-		c.mostWorth = max(c.mostWorth, k.Worth)
+func (c *Chooser) deriveSettings() {
+	c.maxTimeout, c.minTarget, c.maxValue = 0, math.MaxInt64, 1e-9
+	for _, class := range c.cfg.Classes {
+		c.maxTimeout, c.minTarget = max(c.maxTimeout, class.Aim), min(c.minTarget, class.Aim)
+		c.maxValue = max(c.maxValue, class.Worth)
 	}
-	c.nap = max(c.set.Tick, c.minAim/glance)
-	c.cut()
-	c.pool.Rescale(c.bound / oracle.Buckets)
-	for _, d := range c.dests {
-		d.table.Rescale(c.bound / oracle.Buckets)
+	c.lookInterval = max(c.cfg.Tick, c.minTarget/looksPerTarget)
+	c.resizeBatches()
+	c.pooledLatencies.Rescale(c.maxTimeout / oracle.Buckets)
+	for _, dest := range c.destinations {
+		dest.latencies.Rescale(c.maxTimeout / oracle.Buckets)
 	}
 }
 
 // cut cuts the ends of what waits into pieces anew if the time between looks has changed.
-func (c *Chooser) cut() {
-	if c.pieces != nil && c.pieces.Slot() == c.nap {
+func (c *Chooser) resizeBatches() {
+	if c.batches != nil && c.batches.Slot() == c.lookInterval {
 		return
 	}
-	c.pieces = batching.New(c.nap, max(leastPiece, int(answersASecond*c.nap.Seconds())), int(ahead/c.nap))
-	for _, m := range c.msgs {
-		if m.group != nil {
-			c.pieces.Add(m.endAt)
+	c.batches = batching.New(c.lookInterval, max(minBatch, int(answersPerSecond*c.lookInterval.Seconds())), int(batchLead/c.lookInterval))
+	for _, msg := range c.messages {
+		if msg.group != nil {
+			c.batches.Add(msg.expiresAt)
 		}
 	}
 }
 
 // retune takes other settings, or logs why not.
-func (c *Chooser) retune(s Settings) {
-	set := c.set
-	set.Classes, set.MaxAttempts, set.MaxHeld, set.Workers, set.Rules = s.Classes, s.MaxAttempts, s.MaxHeld, s.Workers, s.Rules
-	if err := set.Check(); err != nil {
-		c.log("settings not taken: %v", err)
+func (c *Chooser) applySettings(changed Settings) {
+	cfg := c.cfg
+	cfg.Classes, cfg.MaxAttempts, cfg.MaxHeld, cfg.Workers, cfg.Rules = changed.Classes, changed.MaxAttempts, changed.MaxHeld, changed.Workers, changed.Rules
+	if err := cfg.Check(); err != nil {
+		c.logf("settings not taken: %v", err)
 		return
 	}
-	if n := len(c.set.Classes); len(set.Classes) < n || !slices.Equal(set.Classes[:n], c.set.Classes) {
-		c.log("settings not taken: classes that messages may have were changed")
+	if classes := len(c.cfg.Classes); len(cfg.Classes) < classes || !slices.Equal(cfg.Classes[:classes], c.cfg.Classes) {
+		c.logf("settings not taken: classes that messages may have were changed")
 		return
 	}
-	c.set = set
-	c.measure()
-	c.moreClasses()
+	c.cfg = cfg
+	c.deriveSettings()
+	c.addShedOrders()
 	var spent []*message
-	for _, m := range c.msgs {
-		if m.group != nil && c.spent(m) {
-			spent = append(spent, m)
+	for _, msg := range c.messages {
+		if msg.group != nil && c.exhausted(msg) {
+			spent = append(spent, msg)
 		}
 	}
-	slices.SortFunc(spent, func(a, b *message) int { return byEnd(a, b) })
-	for _, m := range spent {
-		c.final(m, c.whySpent(m))
+	slices.SortFunc(spent, func(a, b *message) int { return compareExpiry(a, b) })
+	for _, msg := range spent {
+		c.answer(msg, c.exhaustedReason(msg))
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.dests)) {
-		c.touch(c.dests[id]) // more may go now, or at other times
+	for _, id := range slices.Sorted(maps.Keys(c.destinations)) {
+		c.markDirty(c.destinations[id]) // more may go now, or at other times
 	}
 }
--- a/choice/retune_test.go
+++ b/choice/retune_test.go
@@ -32,8 +32,8 @@
 	if got := sent(c.Step(2, []Event{Retuned{more}})); got != 0 {
 		t.Errorf("%d sends in a wait", got)
 	}
-	if c.bound != 3*time.Second || c.mostWorth != 9 || len(c.crowds) != 2 || len(c.dests[0].cheap) != 2 {
-		t.Errorf("bound %v, most worth %v, %d crowds, %d places", c.bound, c.mostWorth, len(c.crowds), len(c.dests[0].cheap))
+	if c.maxTimeout != 3*time.Second || c.maxValue != 9 || len(c.shedOrders) != 2 || len(c.destinations[0].sheddable) != 2 {
+		t.Errorf("bound %v, most worth %v, %d crowds, %d places", c.maxTimeout, c.maxValue, len(c.shedOrders), len(c.destinations[0].sheddable))
 	}
 	c.Step(3, []Event{Arrival{ID: "n", Class: 1, Left: 20 * time.Second}})
 	for name, bad := range map[string]func(*Settings){
@@ -47,7 +47,7 @@
 		s := more
 		bad(&s)
 		c.Step(4, []Event{Retuned{s}})
-		if c.set.MaxAttempts != 4 || len(c.set.Classes) != 2 || c.set.Classes[0].Effect != Safe {
+		if c.cfg.MaxAttempts != 4 || len(c.cfg.Classes) != 2 || c.cfg.Classes[0].Effect != Safe {
 			t.Errorf("%s was taken", name)
 		}
 	}
--- a/choice/timeout.go
+++ b/choice/timeout.go
@@ -12,42 +12,42 @@
 var restartCost = oracle.Cost{Buckets: 1, Means: 4}
 
 // patience is how long a call to a destination may stay unanswered before its silence means something.
-func (c *Chooser) patience(d *dest) time.Duration {
-	t, least := &d.table, c.minAim/8
-	if t.Few() {
-		t, least = &c.pool, c.minAim/2
+func (c *Chooser) unresponsiveTimeout(dest *destination) time.Duration {
+	latencies, least := &dest.latencies, c.minTarget/8
+	if latencies.Few() {
+		latencies, least = &c.pooledLatencies, c.minTarget/2
 	}
-	if t.Look(); t.High() == 0 {
-		return c.minAim / 2
+	if latencies.Look(); latencies.High() == 0 {
+		return c.minTarget / 2
 	}
-	return min(max(2*t.High(), least), c.bound)
+	return min(max(2*latencies.High(), least), c.maxTimeout)
 }
 
 // timeout for the next try of a message at a unit.
-func (c *Chooser) timeout(m *message, u *unit) time.Duration {
-	left := m.due - c.now
-	if !c.repeatable(m) || m.attempts+1 >= c.set.MaxAttempts {
+func (c *Chooser) attemptTimeout(msg *message, unit *healthUnit) time.Duration {
+	left := msg.deadline - c.now
+	if !c.mayRetry(msg) || msg.attempts+1 >= c.cfg.MaxAttempts {
 		return left
 	}
-	d := m.dest
-	d.table.Look()
-	t := d.table.Edge()
+	dest := msg.dest
+	dest.latencies.Look()
+	timeout := dest.latencies.Edge()
 	switch {
-	case u.state == suspect:
-		t = c.patience(d) << min(u.trials, 4)
-	case t > 0 && d.waits > 1:
+	case unit.state == suspect:
+		timeout = c.unresponsiveTimeout(dest) << min(unit.failedTrials, 4)
+	case timeout > 0 && dest.queued > 1:
 		// With a message waiting here a restart takes its place, and feeds an overload:
 		// only calls that are very likely lost are given up.
-		t = max(t, c.patience(d))
+		timeout = max(timeout, c.unresponsiveTimeout(dest))
 	}
-	t <<= min(d.backoff, 4)
-	if t == 0 {
+	timeout <<= min(dest.timeouts, 4)
+	if timeout == 0 {
 		return left
 	}
-	t = max(t, m.timeout+d.table.Width())
-	restart := c.now + t + time.Duration(u.pace*float64(time.Second))
-	if restart >= m.due || m.class.Effect == Keyed && restart >= c.windowEnd(m) {
+	timeout = max(timeout, msg.lastTimeout+dest.latencies.Width())
+	restart := c.now + timeout + time.Duration(unit.latency*float64(time.Second))
+	if restart >= msg.deadline || msg.class.Effect == Keyed && restart >= c.keyWindowEnd(msg) {
 		return left
 	}
-	return t
+	return timeout
 }
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -10,28 +10,28 @@
 )
 
 // aside is the share of worth by which a host that just failed, or is not yet well, comes later.
-const aside = 0.02
+const avoidancePenalty = 0.02
 
 // anyAge is past by any age.
 const anyAge = -never
 
 // turn fills the free slots: the destination with the fewest calls out goes first.
-func (c *Chooser) turn() {
-	for d, ok := c.soon.Min(); ok && d.lookAt <= c.now; d, ok = c.soon.Min() {
-		c.soon.Remove(d)
-		c.touch(d)
+func (c *Chooser) fillSlots() {
+	for dest, ok := c.looks.Min(); ok && dest.nextLookAt <= c.now; dest, ok = c.looks.Min() {
+		c.looks.Remove(dest)
+		c.markDirty(dest)
 	}
-	for _, d := range c.changed {
-		c.look(d)
+	for _, dest := range c.dirty {
+		c.evaluate(dest)
 	}
-	c.changed = c.changed[:0]
-	most := max(1, (3*c.set.Workers+3)/4-1)
-	half := max(1, c.set.Workers/2)
-	var full []*dest
-	for c.busy < c.set.Workers {
-		d, ok := c.ready.Min()
+	c.dirty = c.dirty[:0]
+	maxShare := max(1, (3*c.cfg.Workers+3)/4-1)
+	crowdedShare := max(1, c.cfg.Workers/2)
+	var full []*destination
+	for c.callsInFlight < c.cfg.Workers {
+		dest, ok := c.ready.Min()
 		last := len(full) - 1
-		if !ok && last >= 0 && full[last].out < most { // all others have sent what they could
+		if !ok && last >= 0 && full[last].inFlight < maxShare { // all others have sent what they could
 			c.ready.Set(full[last])
 			full = full[:last]
 			continue
@@ -39,78 +39,78 @@
 		if !ok {
 			break
 		}
-		top := most
+		limit := maxShare
 		if c.ready.Len() > 1 {
-			top = half
+			limit = crowdedShare
 		}
 		switch {
-		case d.out >= top:
-			c.ready.Remove(d)
-			full = append(full, d)
-		case c.sendOne(d):
-			c.look(d)
+		case dest.inFlight >= limit:
+			c.ready.Remove(dest)
+			full = append(full, dest)
+		case c.sendNext(dest):
+			c.evaluate(dest)
 		default: // it guards against asking for ever: what was ready can be sent
-			c.ready.Remove(d)
+			c.ready.Remove(dest)
 		}
 	}
-	c.changed = c.changed[:0] // those sent to have been looked at
-	if c.set.Cancels && c.busy >= c.set.Workers && c.ready.Len()+len(full) > 0 {
-		c.callOff()
+	c.dirty = c.dirty[:0] // those sent to have been looked at
+	if c.cfg.Cancels && c.callsInFlight >= c.cfg.Workers && c.ready.Len()+len(full) > 0 {
+		c.cancelStuckCall()
 	}
-	for _, d := range full {
-		c.ready.Set(d)
+	for _, dest := range full {
+		c.ready.Set(dest)
 	}
 }
 
 // byTurn is the order of destinations that could be sent to. Trials go last, lest a small relay's slots fill
 // with calls that may hang; those long due do not.
-func byTurn(a, b turnKey) int {
-	if a.trial != b.trial {
-		if b.trial {
+func compareSendOrder(a, b sendOrder) int {
+	if a.onTrial != b.onTrial {
+		if b.onTrial {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(a.out, b.out), cmp.Compare(a.lastTurn, b.lastTurn))
+	return cmp.Or(cmp.Compare(a.inFlight, b.inFlight), cmp.Compare(a.lastSentAt, b.lastSentAt))
 }
 
 // look finds out whether a destination may be sent to now, and when that may change by itself.
-func (c *Chooser) look(d *dest) {
-	if d.waits == 0 || c.now < d.since {
-		c.place(d, false, turnKey{}, d.since)
+func (c *Chooser) evaluate(dest *destination) {
+	if dest.queued == 0 || c.now < dest.demandSince {
+		c.reschedule(dest, false, sendOrder{}, dest.demandSince)
 		return
 	}
-	c.settle(d)
-	ready, again, trial := false, never, never
-	for _, h := range d.hosts {
-		if h.State != Ready {
+	c.updateRateLimits(dest)
+	ready, nextLook, trialAt := false, never, never
+	for _, host := range dest.hosts {
+		if host.State != Ready {
 			continue
 		}
-		if at := c.roomAt(h.unit); at > c.now {
-			again = min(again, at)
+		if at := c.sendableAt(host.unit); at > c.now {
+			nextLook = min(nextLook, at)
 			continue
 		}
-		for _, g := range d.groups {
-			if m, ok := g.messages.Min(); ok && g.turn {
-				if age := c.fitAge(g, h); c.now-m.born > age {
+		for _, group := range dest.groups {
+			if msg, ok := group.messages.Min(); ok && group.keyAllows {
+				if age := c.eligibleAge(group, host); c.now-msg.createdAt > age {
 					ready = true
 				} else if age < never {
-					again = min(again, m.born+age+1)
+					nextLook = min(nextLook, msg.createdAt+age+1)
 				}
 			}
 		}
 	}
-	for _, u := range d.units {
-		if u.state != suspect {
-			trial = c.now
+	for _, unit := range dest.units {
+		if unit.state != suspect {
+			trialAt = c.now
 			break
 		}
-		trial = min(trial, u.trialAt+c.set.Rules.Fall+1)
+		trialAt = min(trialAt, unit.nextTrialAt+c.cfg.Rules.Fall+1)
 	}
-	if ready && trial > c.now {
-		again = min(again, trial)
+	if ready && trialAt > c.now {
+		nextLook = min(nextLook, trialAt)
 	}
-	c.place(d, ready, turnKey{trial > c.now, d.out, d.lastTurn}, again)
+	c.reschedule(dest, ready, sendOrder{trialAt > c.now, dest.inFlight, dest.lastSentAt}, nextLook)
 }
 
 // callOff frees a slot while all are taken and a message waits for one: the oldest call out beyond its
@@ -118,158 +118,158 @@
 // that slow ones are served in the end. It guards against calls that nobody will answer. An unsafe message
 // is lost by it: twice the patience while such calls hold no more than half of the slots. Half the room
 // taken halves the patience.
-func (c *Chooser) callOff() {
-	var stuck []*call
-	for _, d := range c.calling {
-		for _, u := range d.units {
-			for _, k := range u.outs {
-				if k.off {
+func (c *Chooser) cancelStuckCall() {
+	var stuck []*outboundCall
+	for _, dest := range c.calling {
+		for _, unit := range dest.units {
+			for _, call := range unit.inFlight {
+				if call.cancelled {
 					return // one at a time
 				}
-				patience := c.patience(d)
-				if c.set.MaxHeld > 0 && 2*c.held > c.set.MaxHeld {
+				patience := c.unresponsiveTimeout(dest)
+				if c.cfg.MaxHeld > 0 && 2*c.pending > c.cfg.MaxHeld {
 					patience /= 2
 				}
-				if u.lastServed >= k.sent {
+				if unit.lastServed >= call.sentAt {
 					patience *= 2
 				}
-				patience *= time.Duration(k.members[0].attempts)
-				if c.now-k.sent > patience {
-					stuck = append(stuck, k)
+				patience *= time.Duration(call.messages[0].attempts)
+				if c.now-call.sentAt > patience {
+					stuck = append(stuck, call)
 				} else {
-					c.watchAt = min(c.watchAt, k.sent+patience+1)
+					c.watchAt = min(c.watchAt, call.sentAt+patience+1)
 				}
 			}
 		}
 	}
-	slices.SortFunc(stuck, func(a, b *call) int { return cmp.Compare(a.number, b.number) })
-	for _, k := range stuck {
-		unsafe := slices.ContainsFunc(k.members, func(m *message) bool { return m.class.Effect == Unsafe })
-		late := k.sent + 2*c.patience(k.host.dest)
-		if unsafe && 2*len(stuck) <= c.set.Workers && c.now < late {
-			c.watchAt = min(c.watchAt, late)
+	slices.SortFunc(stuck, func(a, b *outboundCall) int { return cmp.Compare(a.sequence, b.sequence) })
+	for _, call := range stuck {
+		unsafe := slices.ContainsFunc(call.messages, func(msg *message) bool { return msg.class.Effect == Unsafe })
+		unsafeDeadline := call.sentAt + 2*c.unresponsiveTimeout(call.host.dest)
+		if unsafe && 2*len(stuck) <= c.cfg.Workers && c.now < unsafeDeadline {
+			c.watchAt = min(c.watchAt, unsafeDeadline)
 			continue
 		}
-		k.off = true
-		for _, m := range k.members {
-			c.act(Cancel{m.ID, m.attempts - 1})
+		call.cancelled = true
+		for _, msg := range call.messages {
+			c.emit(Cancel{msg.ID, msg.attempts - 1})
 		}
 		return
 	}
 }
 
 // sendOne sends the best message of a destination, and others along in the same call.
-func (c *Chooser) sendOne(d *dest) bool {
-	c.settle(d)
-	m, h := c.pick(d)
-	if m == nil {
+func (c *Chooser) sendNext(dest *destination) bool {
+	c.updateRateLimits(dest)
+	msg, host := c.chooseSend(dest)
+	if msg == nil {
 		return false
 	}
-	u := h.unit
-	c.calls++
-	k := &call{number: c.calls, host: h, sent: c.now}
-	c.busy, d.out, h.out, d.lastTurn = c.busy+1, d.out+1, h.out+1, c.now
-	if !d.calling {
-		d.calling, c.calling = true, append(c.calling, d)
+	unit := host.unit
+	c.callSequence++
+	call := &outboundCall{sequence: c.callSequence, host: host, sentAt: c.now}
+	c.callsInFlight, dest.inFlight, host.inFlight, dest.lastSentAt = c.callsInFlight+1, dest.inFlight+1, host.inFlight+1, c.now
+	if !dest.listedCalling {
+		dest.listedCalling, c.calling = true, append(c.calling, dest)
 	}
-	old, _ := slices.BinarySearch(u.sends, c.now-max(c.set.Rules.Cold, time.Second))
-	u.outs, u.sends = append(u.outs, k), append(u.sends[old:], c.now)
-	u.tokens--
-	if u.state == suspect {
-		u.trialAt = c.now + c.patience(d)<<min(u.trials, 4) + c.gap(u)
+	old, _ := slices.BinarySearch(unit.sendTimes, c.now-max(c.cfg.Rules.Cold, time.Second))
+	unit.inFlight, unit.sendTimes = append(unit.inFlight, call), append(unit.sendTimes[old:], c.now)
+	unit.tokens--
+	if unit.state == suspect {
+		unit.nextTrialAt = c.now + c.unresponsiveTimeout(dest)<<min(unit.failedTrials, 4) + c.trialBackoff(unit)
 	}
-	c.spend(k)
-	c.send(m, k)
-	for len(k.members) < d.kind.PerCall && u.state != suspect {
-		m := c.best(d, append(c.open[:0], h))
-		if m == nil {
+	c.useGrant(call)
+	c.send(msg, call)
+	for len(call.messages) < dest.kind.PerCall && unit.state != suspect {
+		msg := c.bestMessage(dest, append(c.openHosts[:0], host))
+		if msg == nil {
 			break
 		}
-		c.send(m, k)
+		c.send(msg, call)
 	}
-	if len(k.members) > 1 {
-		u.sends = append(u.sends, c.now) // further messages weigh a little: counted as one more call
+	if len(call.messages) > 1 {
+		unit.sendTimes = append(unit.sendTimes, c.now) // further messages weigh a little: counted as one more call
 	}
-	c.watchFrom(max(k.sent, u.lastServed), d)
+	c.scheduleWatch(max(call.sentAt, unit.lastServed), dest)
 	return true
 }
 
-func (c *Chooser) send(m *message, k *call) {
-	m.timeout = c.timeout(m, k.host.unit)
-	c.dequeue(m)
-	m.attempts++
-	m.call = k
-	k.members = append(k.members, m)
-	c.act(Send{m.ID, k.host.Addr, m.timeout})
+func (c *Chooser) send(msg *message, call *outboundCall) {
+	msg.lastTimeout = c.attemptTimeout(msg, call.host.unit)
+	c.dequeue(msg)
+	msg.attempts++
+	msg.call = call
+	call.messages = append(call.messages, msg)
+	c.emit(Send{msg.ID, call.host.Addr, msg.lastTimeout})
 }
 
 // fitAge is the age that messages of a group must be past to go to a host, room in its unit apart; never if
 // none may go there.
-func (c *Chooser) fitAge(g *group, h *host) time.Duration {
-	if h.State != Ready || g.zone != anyZone && g.zone != h.Zone {
+func (c *Chooser) eligibleAge(group *messageGroup, host *endpoint) time.Duration {
+	if host.State != Ready || group.zone != anyZone && group.zone != host.Zone {
 		return never
 	}
 	// What cannot be repeated is kept from a unit whose failures may have run until it has served
 	// a few, unless its own time runs short.
-	u, k := h.unit, &c.set.Classes[g.class]
-	proven := u.state == healthy || !u.risky || u.state == recovering && (!u.errors || u.streak >= history)
-	if proven || k.Effect != Unsafe {
+	unit, class := host.unit, &c.cfg.Classes[group.class]
+	proven := unit.state == healthy || !unit.mayHaveRun || unit.state == recovering && (!unit.sawErrors || unit.servedStreak >= outcomeHistory)
+	if proven || class.Effect != Unsafe {
 		return anyAge
 	}
-	return k.Deadline - k.Deadline/4
+	return class.Deadline - class.Deadline/4
 }
 
 // loss is what a message of a class loses if it waits a while longer at an age. It is nothing up to the aim,
 // then rises until the aim has passed, then falls or stays; where the deadline comes into reach it is all
 // that is left, which falls again.
-func (c *Chooser) loss(k *Class, age, wait time.Duration) float64 {
-	if !c.set.Halving && age > k.Aim && age+wait < k.Deadline {
-		return k.Worth * (1 - k.LateShare) * wait.Seconds() / (k.Deadline - k.Aim).Seconds()
+func (c *Chooser) waitingLoss(class *Class, age, wait time.Duration) float64 {
+	if !c.cfg.Halving && age > class.Aim && age+wait < class.Deadline {
+		return class.Worth * (1 - class.LateShare) * wait.Seconds() / (class.Deadline - class.Aim).Seconds()
 	}
-	return c.worth(k, age) - c.worth(k, age+wait)
+	return c.value(class, age) - c.value(class, age+wait)
 }
 
 // best is the message that loses most by waiting, among those that may go to one of some hosts. Within a
 // group it is next to an age at which the course of the loss changes.
-func (c *Chooser) best(d *dest, hosts []*host) *message {
+func (c *Chooser) bestMessage(dest *destination, hosts []*endpoint) *message {
 	rate := 0.0
-	for _, u := range d.units {
-		rate += u.served
+	for _, unit := range dest.units {
+		rate += unit.servedRate
 	}
-	wait := c.minAim
+	wait := c.minTarget
 	if rate > 0 {
-		wait = time.Duration(min(float64(d.waits)/rate, 1e9) * float64(time.Second))
+		wait = time.Duration(min(float64(dest.queued)/rate, 1e9) * float64(time.Second))
 	}
-	wait = min(max(wait, c.minAim/8), 4*c.bound)
+	wait = min(max(wait, c.minTarget/8), 4*c.maxTimeout)
 	var best *message
-	most := math.Inf(-1)
-	consider := func(m *message, from time.Duration) {
-		if c.now-m.born <= from {
+	maxLoss := math.Inf(-1)
+	consider := func(msg *message, minAge time.Duration) {
+		if c.now-msg.createdAt <= minAge {
 			return
 		}
-		loss := c.loss(m.class, c.now-m.born, wait) + c.ahead(m)
-		if best == nil || loss > most || loss == most && byDue(m, best) {
-			best, most = m, loss
+		loss := c.waitingLoss(msg.class, c.now-msg.createdAt, wait) + c.priorityBonus(msg)
+		if best == nil || loss > maxLoss || loss == maxLoss && earlierDeadline(msg, best) {
+			best, maxLoss = msg, loss
 		}
 	}
-	for _, g := range d.groups {
-		oldest, ok := g.messages.Min()
-		from := never
-		for _, h := range hosts {
-			from = min(from, c.fitAge(g, h))
+	for _, group := range dest.groups {
+		oldest, ok := group.messages.Min()
+		minAge := never
+		for _, host := range hosts {
+			minAge = min(minAge, c.eligibleAge(group, host))
 		}
-		if !ok || !g.turn || c.now-oldest.born <= from {
+		if !ok || !group.keyAllows || c.now-oldest.createdAt <= minAge {
 			continue
 		}
-		consider(oldest, from)
-		k := &c.set.Classes[g.class]
+		consider(oldest, minAge)
+		class := &c.cfg.Classes[group.class]
 		for _, age := range [...]time.Duration{
-			max(from, -k.Deadline), k.Aim - wait, k.Aim, k.Deadline - wait} {
-			if m, ok := c.within(g, age); ok {
-				consider(m, from)
+			max(minAge, -class.Deadline), class.Aim - wait, class.Aim, class.Deadline - wait} {
+			if msg, ok := c.oldestWithin(group, age); ok {
+				consider(msg, minAge)
 			}
-			if m, ok := c.past(g, age); ok {
-				consider(m, from)
+			if msg, ok := c.youngestPast(group, age); ok {
+				consider(msg, minAge)
 			}
 		}
 	}
@@ -277,43 +277,43 @@
 }
 
 // pick chooses a message of a destination and a host for it.
-func (c *Chooser) pick(d *dest) (*message, *host) {
-	c.open = c.open[:0]
-	for _, h := range d.hosts {
-		if h.State == Ready && c.roomAt(h.unit) <= c.now {
-			c.open = append(c.open, h)
+func (c *Chooser) chooseSend(dest *destination) (*message, *endpoint) {
+	c.openHosts = c.openHosts[:0]
+	for _, host := range dest.hosts {
+		if host.State == Ready && c.sendableAt(host.unit) <= c.now {
+			c.openHosts = append(c.openHosts, host)
 		}
 	}
-	m := c.best(d, c.open)
-	var best *host
-	least := math.Inf(1)
-	for _, h := range c.open {
-		if m != nil && c.now-m.born > c.fitAge(m.group, h) && c.cost(m, h) < least {
-			best, least = h, c.cost(m, h)
+	msg := c.bestMessage(dest, c.openHosts)
+	var best *endpoint
+	minCost := math.Inf(1)
+	for _, host := range c.openHosts {
+		if msg != nil && c.now-msg.createdAt > c.eligibleAge(msg.group, host) && c.routeCost(msg, host) < minCost {
+			best, minCost = host, c.routeCost(msg, host)
 		}
 	}
-	return m, best
+	return msg, best
 }
 
 // cost of a route in shares of worth: its fee, and what its pace and its calls out take of the aim.
-func (c *Chooser) cost(m *message, h *host) float64 {
-	u := h.unit
+func (c *Chooser) routeCost(msg *message, host *endpoint) float64 {
+	unit := host.unit
 	cost := 0.0
-	if m.dest.kind.Apart && h.Zone < len(c.set.ZoneFee) {
-		cost += c.set.ZoneFee[h.Zone]
+	if msg.dest.kind.Apart && host.Zone < len(c.cfg.ZoneFee) {
+		cost += c.cfg.ZoneFee[host.Zone]
 	}
-	if c.thin(u) && !c.set.Granted {
-		cost = cost/10 + h.liking/20
+	if c.rarelyCalls(unit) && !c.cfg.Granted {
+		cost = cost/10 + host.preference/20
 	}
-	finish := u.pace * float64(h.out+1) / m.class.Aim.Seconds()
+	finish := unit.latency * float64(host.inFlight+1) / msg.class.Aim.Seconds()
 	cost += max(0, finish-0.25) + finish/100
-	if c.set.Granted && !c.warm(h) {
-		cost += c.set.Handshake
+	if c.cfg.Granted && !c.hasWarmConnection(host) {
+		cost += c.cfg.Handshake
 	}
-	if h == m.last || u.state != healthy || h.fails > 0 {
-		cost += aside
+	if host == msg.lastHost || unit.state != healthy || host.failures > 0 {
+		cost += avoidancePenalty
 	}
-	if c.now < h.retryAt {
+	if c.now < host.avoidUntil {
 		cost++
 	}
 	return cost
--- a/choice/view.go
+++ b/choice/view.go
@@ -34,34 +34,34 @@
 // Views returns all destinations with what is held of their endpoints, in no order. It changes nothing; its
 // cost is that of the endpoints, not of the messages.
 func (c *Chooser) Views() map[int]DestView {
-	left := func(t time.Duration) time.Duration { return max(0, t-c.now) }
-	all := make(map[int]DestView, len(c.dests))
-	for id, d := range c.dests {
-		v := DestView{Waiting: d.waits, Out: d.out, Pause: left(d.pauseUntil)}
-		for _, h := range d.hosts {
-			u := h.unit
-			hv := HostView{Host: h.Host, Health: "healthy", Wait: left(u.waitUntil), Out: h.out, Retry: left(h.retryAt),
-				Latency: time.Duration(u.pace * float64(time.Second)), Rate: u.rateNow(c), Limit: u.limit, Apart: d.kind.Apart}
-			if u.pauseUntil > u.waitUntil {
-				hv.Pause = left(u.pauseUntil)
+	remaining := func(t time.Duration) time.Duration { return max(0, t-c.now) }
+	views := make(map[int]DestView, len(c.destinations))
+	for id, dest := range c.destinations {
+		view := DestView{Waiting: dest.queued, Out: dest.inFlight, Pause: remaining(dest.backoffUntil)}
+		for _, host := range dest.hosts {
+			unit := host.unit
+			hostView := HostView{Host: host.Host, Health: "healthy", Wait: remaining(unit.retryAfterUntil), Out: host.inFlight, Retry: remaining(host.avoidUntil),
+				Latency: time.Duration(unit.latency * float64(time.Second)), Rate: unit.currentRate(c), Limit: unit.rateLimit, Apart: dest.kind.Apart}
+			if unit.backoffUntil > unit.retryAfterUntil {
+				hostView.Pause = remaining(unit.backoffUntil)
 			}
-			if u.state != healthy {
-				hv.Health, hv.Why, hv.For = "recovering", u.why, c.now-u.since
+			if unit.state != healthy {
+				hostView.Health, hostView.Why, hostView.For = "recovering", unit.stateReason, c.now-unit.stateSince
 			}
-			if u.state == suspect {
-				hv.Health, hv.Trial = "suspect", left(u.trialAt)
+			if unit.state == suspect {
+				hostView.Health, hostView.Trial = "suspect", remaining(unit.nextTrialAt)
 			}
-			v.Hosts = append(v.Hosts, hv)
+			view.Hosts = append(view.Hosts, hostView)
 		}
-		all[id] = v
+		views[id] = view
 	}
-	return all
+	return views
 }
 
 // rateNow is the smoothed rate, faded since the last message served.
-func (u *unit) rateNow(c *Chooser) float64 {
-	if u.served == 0 {
+func (u *healthUnit) currentRate(c *Chooser) float64 {
+	if u.servedRate == 0 {
 		return 0
 	}
-	return c.flow(u) * math.Exp(-(c.now-u.lastServed).Seconds()/c.set.Rules.Cold.Seconds())
+	return c.servedRate(u) * math.Exp(-(c.now-u.lastServed).Seconds()/c.cfg.Rules.Cold.Seconds())
 }
--- a/choice/waiting.go
+++ b/choice/waiting.go
@@ -12,260 +12,268 @@
 	"larchrouter/internal/relay/queue"
 )
 
-func (c *Chooser) makeOrders() {
-	c.ready = queue.NewHeap(func(a, b *dest) bool { return cmp.Or(byTurn(a.turn, b.turn), cmp.Compare(a.id, b.id)) < 0 },
-		func(d *dest) *queue.Place { return &d.readyPlace })
-	c.soon = queue.NewHeap(func(a, b *dest) bool { return cmp.Or(cmp.Compare(a.lookAt, b.lookAt), cmp.Compare(a.id, b.id)) < 0 },
-		func(d *dest) *queue.Place { return &d.lookPlace })
-	c.ends = queue.NewHeap(func(a, b *message) bool { return byEnd(a, b) < 0 },
-		func(m *message) *queue.Place { return &m.endPlace })
-	c.resting = queue.NewHeap(func(a, b *line) bool { return cmp.Or(cmp.Compare(a.rest, b.rest), cmp.Compare(a.key, b.key)) < 0 },
-		func(l *line) *queue.Place { return &l.place })
-	c.moreClasses()
+func (c *Chooser) initOrders() {
+	c.ready = queue.NewHeap(func(a, b *destination) bool {
+		return cmp.Or(compareSendOrder(a.sendOrder, b.sendOrder), cmp.Compare(a.id, b.id)) < 0
+	},
+		func(dest *destination) *queue.Place { return &dest.readyIndex })
+	c.looks = queue.NewHeap(func(a, b *destination) bool {
+		return cmp.Or(cmp.Compare(a.nextLookAt, b.nextLookAt), cmp.Compare(a.id, b.id)) < 0
+	},
+		func(dest *destination) *queue.Place { return &dest.lookIndex })
+	c.expiries = queue.NewHeap(func(a, b *message) bool { return compareExpiry(a, b) < 0 },
+		func(msg *message) *queue.Place { return &msg.expiryIndex })
+	c.settling = queue.NewHeap(func(a, b *keyOrder) bool {
+		return cmp.Or(cmp.Compare(a.settledAt, b.settledAt), cmp.Compare(a.key, b.key)) < 0
+	},
+		func(order *keyOrder) *queue.Place { return &order.settleIndex })
+	c.addShedOrders()
 }
 
 // moreClasses makes room for classes that have come.
-func (c *Chooser) moreClasses() {
-	for k := len(c.crowds); k < len(c.set.Classes); k++ {
-		c.crowds = append(c.crowds, queue.NewHeap(func(a, b *dest) bool { return byCrowd(a, b) < 0 },
-			func(d *dest) *queue.Place { return &d.cheap[k].place }))
-		for _, d := range c.dests {
-			d.cheap = append(d.cheap, shed{})
+func (c *Chooser) addShedOrders() {
+	for class := len(c.shedOrders); class < len(c.cfg.Classes); class++ {
+		c.shedOrders = append(c.shedOrders, queue.NewHeap(func(a, b *destination) bool { return compareShedBacklog(a, b) < 0 },
+			func(dest *destination) *queue.Place { return &dest.sheddable[class].index }))
+		for _, dest := range c.destinations {
+			dest.sheddable = append(dest.sheddable, sheddableCount{})
 		}
 	}
 }
 
-func (c *Chooser) newDest(id int) *dest {
-	return &dest{id: id, kind: Kind{PerCall: 1}, luck: &c.luck[0], since: never, lookAt: never,
-		table: oracle.New(c.bound/oracle.Buckets, restartCost), cheap: make([]shed, len(c.set.Classes))}
+func (c *Chooser) newDestination(id int) *destination {
+	return &destination{id: id, kind: Kind{PerCall: 1}, retrySuccess: &c.retrySuccess[0], demandSince: never, nextLookAt: never,
+		latencies: oracle.New(c.maxTimeout/oracle.Buckets, restartCost), sheddable: make([]sheddableCount, len(c.cfg.Classes))}
 }
 
-func newLine(key string) *line {
-	return &line{key: key, queue: queue.NewSorted(func(a, b *message) bool { return a.number < b.number })}
+func newKeyOrder(key string) *keyOrder {
+	return &keyOrder{key: key, messages: queue.NewSorted(func(a, b *message) bool { return a.keySequence < b.keySequence })}
 }
 
-func byEnd(a, b *message) int {
-	return cmp.Or(cmp.Compare(a.endAt, b.endAt), cmp.Compare(a.queued, b.queued))
+func compareExpiry(a, b *message) int {
+	return cmp.Or(cmp.Compare(a.expiresAt, b.expiresAt), cmp.Compare(a.queueSequence, b.queueSequence))
 }
 
-func byCrowd(a, b *dest) int { return cmp.Or(cmp.Compare(b.crowd, a.crowd), cmp.Compare(a.id, b.id)) }
+func compareShedBacklog(a, b *destination) int {
+	return cmp.Or(cmp.Compare(b.shedBacklog, a.shedBacklog), cmp.Compare(a.id, b.id))
+}
 
-func byDue(a, b *message) bool {
-	return a.due < b.due || a.due == b.due && a.queued < b.queued
+func earlierDeadline(a, b *message) bool {
+	return a.deadline < b.deadline || a.deadline == b.deadline && a.queueSequence < b.queueSequence
 }
 
 // within is the oldest message of a group that is at most so old, past the youngest that is older. Of those
 // of one age it is the one that has waited longest.
-func (c *Chooser) within(g *group, age time.Duration) (*message, bool) {
-	c.pivot.due = c.now + c.set.Classes[g.class].Deadline - age
-	return g.messages.From(&c.pivot)
+func (c *Chooser) oldestWithin(group *messageGroup, age time.Duration) (*message, bool) {
+	c.searchPivot.deadline = c.now + c.cfg.Classes[group.class].Deadline - age
+	return group.messages.From(&c.searchPivot)
 }
 
-func (c *Chooser) past(g *group, age time.Duration) (*message, bool) {
-	c.pivot.due = c.now + c.set.Classes[g.class].Deadline - age
-	m, ok := g.messages.Before(&c.pivot)
+func (c *Chooser) youngestPast(group *messageGroup, age time.Duration) (*message, bool) {
+	c.searchPivot.deadline = c.now + c.cfg.Classes[group.class].Deadline - age
+	msg, ok := group.messages.Before(&c.searchPivot)
 	if ok {
-		c.pivot.due = m.due
-		m, _ = g.messages.From(&c.pivot)
+		c.searchPivot.deadline = msg.deadline
+		msg, _ = group.messages.From(&c.searchPivot)
 	}
-	return m, ok
+	return msg, ok
 }
 
 // oldest of the messages of a class that may be turned away; nil if there is none.
-func (c *Chooser) oldest(d *dest, class int) *message {
+func (c *Chooser) oldestSheddable(dest *destination, class int) *message {
 	var first *message
-	for _, g := range d.groups {
-		if g.class != class || g.owed || g.ran && c.set.Classes[class].Effect != Safe {
+	for _, group := range dest.groups {
+		if group.class != class || group.owedFirstAttempt || group.mayHaveRun && c.cfg.Classes[class].Effect != Safe {
 			continue
 		}
-		if m, ok := g.messages.Min(); ok && (first == nil || byDue(m, first)) {
-			first = m
+		if msg, ok := group.messages.Min(); ok && (first == nil || earlierDeadline(msg, first)) {
+			first = msg
 		}
 	}
 	return first
 }
 
 // message makes one of an arrival.
-func (c *Chooser) message(e Arrival) *message {
-	e.Class = min(max(e.Class, 0), len(c.set.Classes)-1)
-	k := &c.set.Classes[e.Class]
-	due := c.now + e.Left
-	return &message{Arrival: e, class: k, dest: c.dest(e.Dest), due: due, born: due - k.Deadline, unsure: -1}
+func (c *Chooser) newMessage(arrival Arrival) *message {
+	arrival.Class = min(max(arrival.Class, 0), len(c.cfg.Classes)-1)
+	class := &c.cfg.Classes[arrival.Class]
+	due := c.now + arrival.Left
+	return &message{Arrival: arrival, class: class, dest: c.destination(arrival.Dest), deadline: due, createdAt: due - class.Deadline, uncertainAt: -1}
 }
 
 // hold takes a message on.
-func (c *Chooser) hold(m *message) {
-	c.msgs[m.ID] = m
-	c.held++
-	if m.class.Ordered && m.Key != "" {
-		l := c.lines[m.Key]
-		if l == nil {
-			l = newLine(m.Key)
-			c.lines[m.Key] = l
+func (c *Chooser) accept(msg *message) {
+	c.messages[msg.ID] = msg
+	c.pending++
+	if msg.class.Ordered && msg.Key != "" {
+		order := c.keyOrders[msg.Key]
+		if order == nil {
+			order = newKeyOrder(msg.Key)
+			c.keyOrders[msg.Key] = order
 		}
-		c.number++
-		m.number = c.number
-		l.queue.Add(m)
+		c.keySequence++
+		msg.keySequence = c.keySequence
+		order.messages.Add(msg)
 	}
-	c.queue(m)
+	c.enqueue(msg)
 }
 
 // queue lets a message wait for its next try.
-func (c *Chooser) queue(m *message) {
-	d := m.dest
-	c.queued++
-	m.queued, m.endAt = c.queued, c.endAt(m)
-	if d.waits++; d.waits == 1 {
-		d.since = max(c.now, d.pauseUntil)
+func (c *Chooser) enqueue(msg *message) {
+	dest := msg.dest
+	c.queueSequence++
+	msg.queueSequence, msg.expiresAt = c.queueSequence, c.expiryOf(msg)
+	if dest.queued++; dest.queued == 1 {
+		dest.demandSince = max(c.now, dest.backoffUntil)
 	}
-	c.ends.Set(m)
-	c.pieces.Add(m.endAt)
-	c.pieceAt = min(c.pieceAt, c.now+c.nap)
-	c.join(m)
-	c.recrowd(d)
+	c.expiries.Set(msg)
+	c.batches.Add(msg.expiresAt)
+	c.nextBatchAt = min(c.nextBatchAt, c.now+c.lookInterval)
+	c.joinGroup(msg)
+	c.updateShedOrders(dest)
 }
 
 // dequeue ends the waiting of a message; one that does not wait does nothing.
-func (c *Chooser) dequeue(m *message) {
-	if m.group == nil {
+func (c *Chooser) dequeue(msg *message) {
+	if msg.group == nil {
 		return
 	}
-	d := m.dest
-	c.settle(d)
-	d.waits--
-	c.ends.Remove(m)
-	c.pieces.Remove(m.endAt)
-	c.leave(m)
-	c.recrowd(d)
-	if d.waits == 0 {
-		d.since = never
+	dest := msg.dest
+	c.updateRateLimits(dest)
+	dest.queued--
+	c.expiries.Remove(msg)
+	c.batches.Remove(msg.expiresAt)
+	c.leaveGroup(msg)
+	c.updateShedOrders(dest)
+	if dest.queued == 0 {
+		dest.demandSince = never
 	}
 }
 
 // owed tells whether a message is still owed its first try from before a restart.
-func (m *message) owed() bool { return m.found && m.attempts == 0 }
+func (m *message) owedFirstAttempt() bool { return m.restoredUntried && m.attempts == 0 }
 
 // ahead is what a message gains on others of its destination: those owed a try from before a restart go first. They have
 // waited while nobody could send them, and by the loss of waiting alone, which is little once the aim has passed,
 // most of them would wait behind what comes in until their time is up.
-func (c *Chooser) ahead(m *message) float64 {
-	if m.owed() {
-		return c.mostWorth
+func (c *Chooser) priorityBonus(msg *message) float64 {
+	if msg.owedFirstAttempt() {
+		return c.maxValue
 	}
 	return 0
 }
 
 // sooner is how many messages have to be answered before their time is up, as more fall due together than can be
 // told at once.
-func (c *Chooser) sooner() (must int) {
-	if c.now >= c.pieceAt {
-		must, c.pieceAt = c.pieces.Look(c.now)
+func (c *Chooser) dueEarly() (count int) {
+	if c.now >= c.nextBatchAt {
+		count, c.nextBatchAt = c.batches.Look(c.now)
 	}
-	return must
+	return count
 }
 
 // join puts a message that waits into its group.
-func (c *Chooser) join(m *message) {
-	d, of := m.dest, groupKey{class: m.Class, zone: anyZone, ran: m.ran, turn: c.hasTurn(m), owed: m.owed()}
-	if m.tied() {
-		of.zone = m.ranZone
+func (c *Chooser) joinGroup(msg *message) {
+	dest, key := msg.dest, groupKey{class: msg.Class, zone: anyZone, mayHaveRun: msg.mayHaveRun, keyAllows: c.keyAllows(msg), owedFirstAttempt: msg.owedFirstAttempt()}
+	if msg.zoneBound() {
+		key.zone = msg.mayHaveRunZone
 	}
-	i := slices.IndexFunc(d.groups, func(g *group) bool { return g.groupKey == of })
+	i := slices.IndexFunc(dest.groups, func(group *messageGroup) bool { return group.groupKey == key })
 	if i < 0 {
-		i = len(d.groups)
-		d.groups = append(d.groups, &group{of, queue.NewSorted(byDue)})
+		i = len(dest.groups)
+		dest.groups = append(dest.groups, &messageGroup{key, queue.NewSorted(earlierDeadline)})
 	}
-	m.group = d.groups[i]
-	m.group.messages.Add(m)
-	if m.mayShed() {
-		d.cheap[m.Class].count++
+	msg.group = dest.groups[i]
+	msg.group.messages.Add(msg)
+	if msg.sheddable() {
+		dest.sheddable[msg.Class].count++
 	}
-	c.touch(d)
+	c.markDirty(dest)
 }
 
-func (c *Chooser) leave(m *message) {
-	d := m.dest
-	m.group.messages.Remove(m)
-	if m.group = nil; m.mayShed() {
-		d.cheap[m.Class].count--
+func (c *Chooser) leaveGroup(msg *message) {
+	dest := msg.dest
+	msg.group.messages.Remove(msg)
+	if msg.group = nil; msg.sheddable() {
+		dest.sheddable[msg.Class].count--
 	}
-	c.touch(d)
+	c.markDirty(dest)
 }
 
 // touch has a destination looked at: something has happened that may change what is sent to it.
-func (c *Chooser) touch(d *dest) {
-	if !d.changed {
-		d.changed = true
-		c.changed = append(c.changed, d)
+func (c *Chooser) markDirty(dest *destination) {
+	if !dest.dirty {
+		dest.dirty = true
+		c.dirty = append(c.dirty, dest)
 	}
 }
 
 // place puts a destination where it belongs in the orders of turns and of looks, after a look.
-func (c *Chooser) place(d *dest, ready bool, turn turnKey, lookAt time.Duration) {
-	d.changed = false
-	if c.set.Granted {
-		lookAt = min(lookAt, c.want(d))
+func (c *Chooser) reschedule(dest *destination, ready bool, turn sendOrder, lookAt time.Duration) {
+	dest.dirty = false
+	if c.cfg.Granted {
+		lookAt = min(lookAt, c.updateWant(dest))
 	}
-	if d.turn = turn; ready {
-		c.ready.Set(d)
+	if dest.sendOrder = turn; ready {
+		c.ready.Set(dest)
 	} else {
-		c.ready.Remove(d)
+		c.ready.Remove(dest)
 	}
-	if d.lookAt = lookAt; lookAt < never {
-		c.soon.Set(d)
+	if dest.nextLookAt = lookAt; lookAt < never {
+		c.looks.Set(dest)
 	} else {
-		c.soon.Remove(d)
+		c.looks.Remove(dest)
 	}
 }
 
 // recrowd puts a destination where it belongs in the orders of crowds.
-func (c *Chooser) recrowd(d *dest) {
-	if c.set.MaxHeld == 0 {
+func (c *Chooser) updateShedOrders(dest *destination) {
+	if c.cfg.MaxHeld == 0 {
 		return
 	}
-	d.crowd = d.waits
-	for k, crowd := range c.crowds {
-		if d.cheap[k].count > 0 {
-			crowd.Set(d)
+	dest.shedBacklog = dest.queued
+	for class, order := range c.shedOrders {
+		if dest.sheddable[class].count > 0 {
+			order.Set(dest)
 		} else {
-			crowd.Remove(d)
+			order.Remove(dest)
 		}
 	}
 }
 
 // pause holds a destination back until a time.
-func (c *Chooser) pause(d *dest, until time.Duration) {
-	if d.pauseUntil = until; d.waits > 0 {
-		d.since = max(c.now, until)
+func (c *Chooser) backOff(dest *destination, until time.Duration) {
+	if dest.backoffUntil = until; dest.queued > 0 {
+		dest.demandSince = max(c.now, until)
 	}
 }
 
 // wake asks to be woken when something changes by the passing of time alone, no sooner than a nap from now.
-func (c *Chooser) wake() {
-	at := min(c.watchAt, c.lapseAt)
-	if c.askAt >= 0 {
-		at = min(at, c.askAt)
+func (c *Chooser) requestWake() {
+	at := min(c.watchAt, c.nextGrantExpiry)
+	if c.subscribeAt >= 0 {
+		at = min(at, c.subscribeAt)
 	}
-	soonest := c.now + c.nap
-	if m, ok := c.ends.Min(); ok {
-		if at = min(at, m.endAt); at <= c.now { // the rest of more than a piece
+	soonest := c.now + c.lookInterval
+	if msg, ok := c.expiries.Min(); ok {
+		if at = min(at, msg.expiresAt); at <= c.now { // the rest of more than a piece
 			soonest = c.now + time.Millisecond
 		}
 	}
-	if c.pieces.Len() > c.pieces.Piece() {
-		at = min(at, c.pieceAt)
+	if c.batches.Len() > c.batches.Piece() {
+		at = min(at, c.nextBatchAt)
 	}
-	if d, ok := c.soon.Min(); ok {
-		at = min(at, d.lookAt)
+	if dest, ok := c.looks.Min(); ok {
+		at = min(at, dest.nextLookAt)
 	}
-	if l, ok := c.resting.Min(); ok {
-		at = min(at, l.rest)
+	if order, ok := c.settling.Min(); ok {
+		at = min(at, order.settledAt)
 	}
 	if at == never {
 		return
 	}
 	if at = max(at, soonest); c.wakeAt <= c.now || at < c.wakeAt {
 		c.wakeAt = at
-		c.act(Wake{at - c.now})
+		c.emit(Wake{at - c.now})
 	}
 }
--- a/choice/why.go
+++ b/choice/why.go
@@ -21,7 +21,7 @@
 	WindowOver        // an attempt may have run, and its key is no longer remembered, or will not be for long enough
 )
 
-var reasons = [...]string{
+var reasonTexts = [...]string{
 	NoReason:   "",
 	Crowded:    "the relay is crowded, and it was worth least",
 	Share:      "its partner's messages fill their share of the room",
@@ -33,26 +33,26 @@
 
 // String gives the reason as people read it; it is empty for NoReason.
 func (r Reason) String() string {
-	if r < 0 || int(r) >= len(reasons) {
+	if r < 0 || int(r) >= len(reasonTexts) {
 		return fmt.Sprintf("reason %d", int(r))
 	}
-	return reasons[r]
+	return reasonTexts[r]
 }
 
 // whySpent is why a message may not be tried again.
-func (c *Chooser) whySpent(m *message) Reason {
+func (c *Chooser) exhaustedReason(msg *message) Reason {
 	switch {
-	case c.repeatable(m):
+	case c.mayRetry(msg):
 		return Used
-	case m.class.Effect == Unsafe:
+	case msg.class.Effect == Unsafe:
 		return MayHaveRun
 	}
 	return WindowOver
 }
 
 // whyOver is why a message that waits has to be answered now.
-func (c *Chooser) whyOver(m *message) Reason {
-	if m.ran && m.class.Effect == Keyed && m.endAt == c.windowEnd(m) {
+func (c *Chooser) expiryReason(msg *message) Reason {
+	if msg.mayHaveRun && msg.class.Effect == Keyed && msg.expiresAt == c.keyWindowEnd(msg) {
 		return WindowOver
 	}
 	return TimeUp
@@ -68,79 +68,79 @@
 
 // Waits tells why a message waits; false if it does not. It changes nothing and looks at the endpoints of the
 // message's destination only.
-func (c *Chooser) Waits(id string) (v WaitView, ok bool) {
-	m := c.msgs[id]
-	if m == nil || m.group == nil {
-		return v, false
+func (c *Chooser) Waits(id string) (view WaitView, ok bool) {
+	msg := c.messages[id]
+	if msg == nil || msg.group == nil {
+		return view, false
 	}
-	d := m.dest
-	v.Ahead = d.waits
+	dest := msg.dest
+	view.Ahead = dest.queued
 	left := func(at time.Duration) time.Duration { return max(0, at-c.now) }
-	if !m.group.turn {
-		l := c.lines[m.Key]
-		if first, _ := l.queue.Min(); first != m {
-			v.Why = "an earlier message of its key is not over"
+	if !msg.group.keyAllows {
+		order := c.keyOrders[msg.Key]
+		if first, _ := order.messages.Min(); first != msg {
+			view.Why = "an earlier message of its key is not over"
 		} else {
-			v.Why, v.Again = "its key rests after an attempt whose end is not known", left(l.rest)
+			view.Why, view.Again = "its key rests after an attempt whose end is not known", left(order.settledAt)
 		}
-		return v, true
+		return view, true
 	}
-	if c.now < d.pauseUntil {
-		v.Why, v.Again = "its partner's calls time out one after the other", left(d.pauseUntil)
-		return v, true
+	if c.now < dest.backoffUntil {
+		view.Why, view.Again = "its partner's calls time out one after the other", left(dest.backoffUntil)
+		return view, true
 	}
 	soonest := never
 	listed, bound := 0, 0
-	for _, h := range d.hosts {
-		if h.State != Ready {
+	for _, host := range dest.hosts {
+		if host.State != Ready {
 			continue
 		}
 		listed++
-		age := c.fitAge(m.group, h)
+		age := c.eligibleAge(msg.group, host)
 		if age == never {
 			bound++
 			continue
 		}
-		why, at := c.whyNot(h.unit)
-		if ready := m.born + age + 1; age != anyAge && ready > at {
+		why, at := c.blockedReason(host.unit)
+		if ready := msg.createdAt + age + 1; age != anyAge && ready > at {
 			why, at = "is in doubt, and this must not be repeated", ready
 		}
-		if v.Why == "" || at < soonest {
-			v.Why, v.Host, soonest = why, h.Addr, at
+		if view.Why == "" || at < soonest {
+			view.Why, view.Host, soonest = why, host.Addr, at
 		}
 	}
 	switch {
 	case listed == 0:
-		v.Why = "its partner has no endpoint that may be sent to"
+		view.Why = "its partner has no endpoint that may be sent to"
 	case bound == listed:
-		v.Why = "an attempt may have run, and no endpoint in that zone may be sent to"
+		view.Why = "an attempt may have run, and no endpoint in that zone may be sent to"
 	case soonest == never: // until a call ends
 	case soonest > c.now:
-		v.Again = left(soonest)
-	case c.busy >= c.set.Workers:
-		v.Why, v.Host = fmt.Sprintf("all %d slots are taken", c.set.Workers), ""
+		view.Again = left(soonest)
+	case c.callsInFlight >= c.cfg.Workers:
+		view.Why, view.Host = fmt.Sprintf("all %d slots are taken", c.cfg.Workers), ""
 	default:
-		v.Why, v.Host = "others go first", ""
+		view.Why, view.Host = "others go first", ""
 	}
-	return v, true
+	return view, true
 }
 
 // whyNot is why a unit may not be sent a call, and when it may; empty if it may be at once. It follows roomAt.
-func (c *Chooser) whyNot(u *unit) (why string, at time.Duration) {
-	at = c.roomAt(u)
+func (c *Chooser) blockedReason(unit *healthUnit) (why string, at time.Duration) {
+	at = c.sendableAt(unit)
 	switch {
 	case at <= c.now:
 		return "", at
 	case at == never:
-		return "is down (" + u.why + "); a trial is out", at
-	case u.waitUntil > c.now && u.waitUntil >= u.pauseUntil:
+		return "is down (" + unit.stateReason + "); a trial is out", at
+	case unit.retryAfterUntil > c.now && unit.retryAfterUntil >= unit.backoffUntil:
 		return "told to wait", at
-	case u.pauseUntil > c.now:
+	case unit.backoffUntil > c.now:
 		return "refused; this relay pauses", at
-	case u.state == suspect:
-		return "is down (" + u.why + "); the next trial", at
-	case u.state == recovering && c.tokenAt(u) < at:
+	case unit.state == suspect:
+		return "is down (" + unit.stateReason + "); the next trial", at
+	case unit.state == recovering && c.tokenAt(unit) < at:
 		return "is cold after an outage, and has a budget", at
 	}
-	return fmt.Sprintf("takes %.2g calls a second, as far as is known", u.limit), at
+	return fmt.Sprintf("takes %.2g calls a second, as far as is known", unit.rateLimit), at
 }
