--- a/choice/admit.go
+++ b/choice/admit.go
@@ -1,6 +1,6 @@
 package choice
 
-// Admission and final answers.
+// Admission, load shedding, outcomes of attempts and final answers.
 
 import (
 	"math"
@@ -8,16 +8,17 @@
 )
 
 const (
-	// crowded is the part of the holding room above which the least worth is turned away.
+	// shedThreshold is the fraction of MaxHeld above which the messages with the least value are shed.
 	shedThreshold = 0.9
-	// leastShare and mostShare are what a destination may hold of the room that is left, for messages worth
-	// nothing and for those worth most.
+	// minShareFactor and maxShareFactor bound the quota of a destination, as a multiple of the free capacity:
+	// for messages without value and for those of the class with the greatest value.
 	minShareFactor, maxShareFactor = 1.0, 4.0
-	// displaces is how many times the worth of another a message has that takes its place in a crowded room.
+	// displacementFactor is how many times the value of the message shed for it a new message must have once
+	// shedThreshold is reached.
 	displacementFactor = 2
 )
 
-// arrive takes a message on, or turns it away at once.
+// admit accepts a message or rejects it at once.
 func (c *Chooser) admit(arrival Arrival) {
 	msg := c.newMessage(arrival)
 	if why := c.rejection(msg); why != NoReason {
@@ -27,45 +28,79 @@
 	c.accept(msg)
 }
 
-// tooMany is why the holding room has no place for one more message, which is refused at the door.
-// A destination may hold a multiple of the room that is left, the dynamic threshold of Choudhury and Hahne
-// (1998): whatever its backlog some room stays, and the more destinations have one the smaller each share.
-// What is worth more has a larger share, so that the cheap cannot shut it out. In a crowded room a message
-// must be worth a good deal more than the one turned away for it, which has been taken on already.
+// rejection returns the reason to reject a message on arrival, NoReason to accept it.
+//
+// The quota of a destination is a multiple of the free capacity, the dynamic threshold of Choudhury and Hahne
+// (1998): however long its backlog, some capacity stays free, and the more destinations have a backlog the
+// smaller is the quota of each. Classes of greater value have larger quotas, so that messages of low value
+// cannot starve them. Above shedThreshold a message must have much more value than the one shed for it, which
+// was accepted earlier.
 func (c *Chooser) rejection(msg *message) Reason {
-	dest, room := msg.dest, float64(c.cfg.MaxHeld)
+	dest, capacity := msg.dest, float64(c.cfg.MaxHeld)
 	factor := minShareFactor + (maxShareFactor-minShareFactor)*msg.class.Worth/c.maxValue
 	switch {
-	case room > 0 && float64(dest.queued) >= factor*(room-float64(c.pending)):
+	case capacity > 0 && float64(dest.queued) >= factor*(capacity-float64(c.pending)):
 		return Share
-	case float64(c.pending+1) <= shedThreshold*room || room == 0:
+	case float64(c.pending+1) <= shedThreshold*capacity || capacity == 0:
 		return NoReason
 	}
-	if _, least := c.shedCandidate(); c.value(msg.class, c.now-msg.createdAt)/float64(dest.queued+1) < displacementFactor*least {
+	_, least := c.shedCandidate()
+	if c.value(msg.class, c.now-msg.createdAt)/float64(dest.queued+1) < displacementFactor*least {
 		return Crowded
 	}
 	return NoReason
 }
 
-// result takes in how an attempt ended.
+// applyResult ends an attempt: it updates limits and health, then retries or finishes the message.
 func (c *Chooser) applyResult(result Result) {
 	msg := c.messages[result.ID]
 	if msg == nil || msg.call == nil {
 		return
 	}
-	call, host, unit, dest := msg.call, msg.call.host, msg.call.host.unit, msg.dest
+	call, host, dest := msg.call, msg.call.host, msg.dest
 	c.updateRateLimits(dest)
 	c.markDirty(dest)
-	unit.retryAfterUntil = max(unit.retryAfterUntil, c.now+result.Wait) // it binds with any outcome
+	c.releaseCall(msg, result)
+	c.applyOutcome(result, call, dest)
+	if !result.Outcome.certain() {
+		if msg.uncertainAt = c.now; !msg.mayHaveRun {
+			msg.mayHaveRun, msg.mayHaveRunAt, msg.mayHaveRunZone = true, call.sentAt, host.Zone
+		}
+	}
+	switch {
+	case result.Done || msg.finished:
+		c.finish(msg)
+	case c.exhausted(msg):
+		c.answer(msg, c.exhaustedReason(msg))
+	default:
+		c.enqueue(msg)
+	}
+}
+
+// certain reports whether an outcome proves that the message ran, or that it did not.
+func (o Outcome) certain() bool {
+	return o == Served || o == Refused || o == NoConnection || o == NotSent
+}
+
+// releaseCall detaches a message from its call, and frees the call's slot with its last message.
+func (c *Chooser) releaseCall(msg *message, result Result) {
+	call, host, unit, dest := msg.call, msg.call.host, msg.call.host.unit, msg.dest
+	unit.retryAfterUntil = max(unit.retryAfterUntil, c.now+result.Wait) // a wait applies with any outcome
 	msg.call, msg.lastHost = nil, host
 	call.messages = removeElement(call.messages, msg)
 	if c.reportGrant(call, result); len(call.messages) == 0 {
 		c.callsInFlight, dest.inFlight, host.inFlight = c.callsInFlight-1, dest.inFlight-1, host.inFlight-1
 		unit.inFlight = removeElement(unit.inFlight, call)
 	}
-	if reportIndex := c.cfg.ReportLimit; reportIndex >= 0 && reportIndex < len(result.Report) && result.Report[reportIndex] > 0 {
-		unit.listedRate = result.Report[reportIndex]
+	i := c.cfg.ReportLimit
+	if i >= 0 && i < len(result.Report) && result.Report[i] > 0 {
+		unit.listedRate = result.Report[i]
 	}
+}
+
+// applyOutcome updates latencies, health and rate limits by the outcome of an attempt.
+func (c *Chooser) applyOutcome(result Result, call *outboundCall, dest *destination) {
+	host, unit := call.host, call.host.unit
 	switch result.Outcome {
 	case Served:
 		dest.latencies.Add(result.Took)
@@ -83,7 +118,7 @@
 		c.applyRefusal(unit, dest, result.Wait)
 	case Error, Reset:
 		c.applyFailure(host, result.Outcome)
-	case Spoilt: // it guards against holding stray noise for an outage: the host did answer
+	case Spoilt: // the host did respond: only repeated ones are taken for an outage
 		if host.unreadable++; host.unreadable > outageFailures {
 			c.applyFailure(host, Error)
 		}
@@ -99,27 +134,14 @@
 		dest.latencies.CutShort()
 		c.applyFailure(host, result.Outcome)
 	}
-	certain := result.Outcome == Served || result.Outcome == Refused || result.Outcome == NoConnection || result.Outcome == NotSent
-	if !certain {
-		if msg.uncertainAt = c.now; !msg.mayHaveRun {
-			msg.mayHaveRun, msg.mayHaveRunAt, msg.mayHaveRunZone = true, call.sentAt, host.Zone
-		}
-	}
-	switch {
-	case result.Done || msg.finished:
-		c.finish(msg)
-	case c.exhausted(msg):
-		c.answer(msg, c.exhaustedReason(msg))
-	default:
-		c.enqueue(msg)
-	}
 }
 
-// repeatable tells whether the effect of a message allows one more send now.
+// mayRetry reports whether the effect of a message allows another attempt now.
 func (c *Chooser) mayRetry(msg *message) bool {
 	return !msg.mayHaveRun || msg.class.Effect == Safe || msg.class.Effect == Keyed && c.now < c.keyWindowEnd(msg)
 }
 
+// keyWindowEnd returns the time until which the destination recognizes duplicates of a keyed message.
 func (c *Chooser) keyWindowEnd(msg *message) time.Duration {
 	if !msg.mayHaveRun {
 		return c.now + msg.class.Window
@@ -127,26 +149,26 @@
 	return msg.mayHaveRunAt + msg.class.Window
 }
 
-// endAt is when a message that waits is answered, come what may.
+// expiryOf returns the time at which a queued message gets its final answer if it was not sent until then.
 func (c *Chooser) expiryOf(msg *message) time.Duration {
-	at := msg.deadline - expiryMarginTicks*c.cfg.Tick - c.lookInterval
+	at := msg.deadline - expiryMarginTicks*c.cfg.Tick - c.wakeInterval
 	if msg.mayHaveRun && msg.class.Effect == Keyed {
 		at = min(at, c.keyWindowEnd(msg))
 	}
 	return at
 }
 
-// mayShed tells whether a message that waits may be turned away: with no harm, and with no first try owed.
+// sheddable reports whether a queued message may be shed: safely, and without a first attempt owed to it.
 func (m *message) sheddable() bool {
 	return !m.owedFirstAttempt() && (!m.mayHaveRun || m.class.Effect == Safe)
 }
 
-// tied tells whether a message may go to the zone of its last attempt only.
+// zoneBound reports whether retries of a message are limited to the zone of the attempt that may have run.
 func (m *message) zoneBound() bool {
 	return m.mayHaveRun && m.class.Effect == Keyed && m.class.SameZone
 }
 
-// final answers a message that is not out: refused where that is lawful, else failed.
+// answer gives a queued message its final answer: Refuse where the client may safely submit it again, else Fail.
 func (c *Chooser) answer(msg *message, why Reason) {
 	if !msg.mayHaveRun || msg.class.Effect == Safe || msg.class.Effect == Keyed && !msg.class.SameZone {
 		c.emit(Refuse{msg.ID, c.retryAfter(msg.dest), why})
@@ -156,7 +178,7 @@
 	c.finish(msg)
 }
 
-// end frees a message; one that is out keeps its record, and its key, until its outcome.
+// finish ends a message. One in flight keeps its record, and blocks its ordering key, until its outcome.
 func (c *Chooser) finish(msg *message) {
 	if !msg.finished {
 		msg.finished = true
@@ -176,7 +198,7 @@
 	}
 }
 
-// worth of a message of a class if it is served at an age.
+// value returns the value of a delivery at an age since submission.
 func (c *Chooser) value(class *Class, age time.Duration) float64 {
 	if age >= class.Deadline {
 		return 0
@@ -191,19 +213,20 @@
 	return class.Worth * (1 - (1-class.LateShare)*late/(class.Deadline-class.Aim).Seconds())
 }
 
-// answer ends messages whose time is up, a piece in a Step; the first of more than that a while before it.
+// answerExpired answers queued messages that expire, a batch at most in a Step; if more than a batch expires at
+// once, the first are answered early.
 func (c *Chooser) answerExpired() {
-	sooner := c.dueEarly()
+	early := c.dueEarly()
 	for n := range c.batches.Piece() {
 		msg, ok := c.expiries.Min()
-		if !ok || msg.expiresAt > c.now && n >= sooner {
+		if !ok || msg.expiresAt > c.now && n >= early {
 			return
 		}
 		c.answer(msg, c.expiryReason(msg))
 	}
 }
 
-// shed turns messages away while the holding room is crowded.
+// shedLoad sheds messages while the number of pending messages is above the threshold.
 func (c *Chooser) shedLoad() {
 	for c.cfg.MaxHeld > 0 && float64(c.pending) > shedThreshold*float64(c.cfg.MaxHeld) {
 		msg, _ := c.shedCandidate()
@@ -214,8 +237,8 @@
 	}
 }
 
-// worst is the message to be turned away first, and its worth, spread over all that wait with it: of each
-// class the oldest at the destination where most messages wait, and of these the least.
+// shedCandidate returns the message to be shed next and its value, divided by the backlog of its destination. Of
+// each class the oldest message at the destination with the longest backlog is considered; the least value wins.
 func (c *Chooser) shedCandidate() (worst *message, least float64) {
 	least = math.Inf(1)
 	for class, crowd := range c.shedOrders {
--- a/choice/api.go
+++ b/choice/api.go
@@ -1,16 +1,7 @@
-// Package choice makes the decisions of an outbound gateway: which message a
-// relay sends next, to which endpoint, how long it waits, whether it tries
-// again, and when it gives a message back.
-//
-// A relay embeds one Chooser. It hands Step the time and everything that has
-// happened since the last call, carries out the actions that come back, and
-// reports what became of them as later events. The package opens no
-// connection, starts no goroutine and reads no clock.
-//
-// Times are durations since an epoch of the relay's choosing; they must never
-// run backwards. The same seed and the same events yield the same actions.
 package choice
 
+// Settings, events and actions: the types of the module's interface.
+
 import "time"
 
 // Effect says what a second execution of a message would do.
@@ -18,65 +9,64 @@
 
 // The kinds of effect.
 const (
-	Safe   Effect = iota // a repeat does no harm
-	Keyed                // the destination drops repeats for a while
-	Unsafe               // a repeat must never happen
+	Safe   Effect = iota // idempotent: any number of executions does no harm
+	Keyed                // idempotent by key: the destination drops duplicates within Class.Window
+	Unsafe               // not idempotent: never retried after an attempt that may have run
 )
 
 // Class describes one class of message.
 type Class struct {
 	Name      string
-	Aim       time.Duration // delivered within this, it earns all its worth
-	Deadline  time.Duration // after this it is worth nothing
-	Worth     float64
-	LateShare float64 // share of the worth that is left at the deadline
+	Aim       time.Duration // latency target: delivered within it, a message has its full value
+	Deadline  time.Duration // from submission; a later delivery has no value
+	Worth     float64       // value of a delivery within the latency target, at least 0
+	LateShare float64       // share of the value that is left at the deadline, from 0 to 1
 	Effect    Effect
-	// SameZone limits repeats of a keyed message to endpoints in the zone of
-	// the attempt that may have run; otherwise every endpoint drops them.
+	// SameZone limits retries of a keyed message to endpoints in the zone of the attempt that may have run;
+	// otherwise every endpoint drops duplicates.
 	SameZone bool
-	Window   time.Duration // how long a keyed message is remembered
-	Ordered  bool          // messages that share a key go one at a time, in order
+	Window   time.Duration // time for which a destination remembers a keyed message
+	Ordered  bool          // messages with the same key are sent one at a time, in the order of arrival
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Apart   bool // endpoints are routes apart, each with limits and health of its own
-	PerCall int  // messages that one call carries at most
+	Apart   bool // endpoints are separate routes, each with its own rate limit and health
+	PerCall int  // maximum number of messages in one call
 }
 
-// Rules are the figures of the operating rules.
+// Rules are the parameters of the operating rules.
 type Rules struct {
-	AnswerGrace    time.Duration // how long past its deadline a final answer still counts
-	DrainGrace     time.Duration // how long a draining endpoint may still be sent to
-	OverloadFactor float64       // a cold destination falls over above this multiple ...
-	Fall           time.Duration // ... of its present capacity, kept up for this long
-	ColdFrom       float64       // share of its capacity with which a destination returns
-	Cold           time.Duration // time until it has all of its capacity again
-	OrderSettle    time.Duration // rest of a key after an attempt whose end is unsure
+	AnswerGrace    time.Duration // time after the deadline within which a final answer still counts
+	DrainGrace     time.Duration // time for which a draining endpoint still takes calls
+	OverloadFactor float64       // a destination in slow start fails above this multiple ...
+	Fall           time.Duration // ... of its current capacity, sustained for this window
+	ColdFrom       float64       // share of its capacity with which a destination starts after an outage
+	Cold           time.Duration // duration of the slow start, until it has its full capacity
+	OrderSettle    time.Duration // pause of an ordering key after an attempt with an unknown outcome
 }
 
 // Settings configure a Chooser.
 type Settings struct {
-	Index       int // this relay's number, from 0
-	Fleet       int // relays in all
-	Workers     int // calls that may be out at once
-	MaxHeld     int // messages held at most, sent or not
-	MaxAttempts int // attempts for one message, those never sent included
-	Tick        time.Duration
+	Index       int           // this relay's number, from 0
+	Fleet       int           // number of relays, at least 1
+	Workers     int           // maximum number of calls in flight
+	MaxHeld     int           // maximum number of pending messages, in flight or queued; 0 for no limit
+	MaxAttempts int           // maximum number of attempts for one message, those that ended as NotSent included
+	Tick        time.Duration // resolution of the relay's timers
 	Classes     []Class
 	Kinds       []Kind
-	Handshake   float64       // points for each new connection, for each message
-	IdleConn    time.Duration // hosts close a connection that stood idle for so long
-	ZoneFee     []float64     // points for each message a route apart takes on, by zone
-	Halving     bool          // after the aim worth falls by half with each further aim; else evenly
-	Listed      bool          // Host.Rate is the rate that a destination takes from all relays
+	Handshake   float64       // cost of a new connection, in units of value for each message
+	IdleConn    time.Duration // hosts close a connection after this idle time
+	ZoneFee     []float64     // cost of each message on a separate route, in units of value, by zone
+	Halving     bool          // past the latency target value halves with each further target; else it falls linearly
+	Listed      bool          // Host.Rate is the rate limit of a destination for all relays together
 	Cancels     bool          // Cancel is allowed
-	Subscribe   bool          // list changes come only after Subscribe
-	// ReportLimit is the place in Result.Report of the limit in calls a second;
-	// below 0 where it is not reported.
+	Subscribe   bool          // updates of the endpoint list come only after Subscribe
+	// ReportLimit is the index in Result.Report of the rate limit in calls a second; negative if none is reported.
 	ReportLimit int
-	// Granted has calls go out on grants alone, one each (Want, Granted, Spent). Whoever gives them keeps all
-	// relays together under a route's limit and within the rule for one that returns; waits still bind here.
+	// Granted makes every call need a grant (Want, Granted, Spent). The coordinator that issues grants enforces
+	// the fleet-wide rate limit of a route and its slow start; waits are still enforced here.
 	Granted bool
 	Rules   Rules
 }
@@ -84,8 +74,8 @@
 // Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes. Refused, NoConnection and NotSent prove that the message never
-// ran; Served proves that it did; the others prove nothing.
+// The outcomes. Refused, NoConnection and NotSent prove that the message did not run; Served proves that it ran;
+// after any other it may have run.
 const (
 	Served Outcome = iota
 	Error
@@ -95,19 +85,19 @@
 	Reset
 	Cancelled
 	NotSent
-	Spoilt // no answer that can be read, by no fault of the host's: it may have run, and one says nothing of its health
+	Spoilt // unreadable response: it may have run; a single one does not count against the host's health
 )
 
-// An Event tells a Chooser what happened. The types below are the events.
+// An Event is an input of Step. The types below are the events.
 type Event interface{ event() }
 
-// Arrival is a new message; the Chooser owes it one final answer.
+// Arrival submits a new message, which will get exactly one final answer.
 type Arrival struct {
 	ID    string
 	Class int
 	Dest  int
-	Left  time.Duration // how long it may still be delivered
-	Key   string        // key of the order; empty for none
+	Left  time.Duration // time to its deadline
+	Key   string        // ordering key; empty for none
 }
 
 // Result ends one attempt.
@@ -116,70 +106,70 @@
 	Host    string
 	Attempt int
 	Outcome Outcome
-	Took    time.Duration // since the attempt went out
-	Wait    time.Duration // told with Refused: send nothing there for so long; 0 if none was told
-	Done    bool          // the message is finished; no answer is owed any more
+	Took    time.Duration // since the attempt was sent
+	Wait    time.Duration // the host's retry-after: nothing may be sent there for this time; 0 for none
+	Done    bool          // the message has its final answer
 	Report  []float64     // load report, if any
 }
 
-// Withdrawn says that nobody wants a message any more.
+// Withdrawn cancels a message; it needs no final answer.
 type Withdrawn struct{ ID string }
 
 // State is an endpoint's state on the list.
 type State int
 
-// The states; none tells of health.
+// The states of the list; they are independent of health.
 const (
 	Gone State = iota
 	Ready
 	Draining
 )
 
-// Host is one endpoint as the list has it.
+// Host is one entry of the endpoint list.
 type Host struct {
 	Addr  string
 	Dest  int
 	Kind  int
 	Zone  int
-	Rate  float64 // see Settings.Listed
+	Rate  float64 // calls a second, see Settings.Listed
 	State State
 }
 
-// Listing is news of the endpoint list.
+// Listing is an update of the endpoint list.
 type Listing struct {
-	Whole  bool // replaces the old list; else only changed entries
-	Failed bool // asking for the list failed; the old one stands
+	Whole  bool // the complete list; else only the entries that changed
+	Failed bool // the request for the list failed; the last one remains valid
 	Hosts  []Host
 }
 
-// Retuned gives other settings: Classes, MaxAttempts, MaxHeld, Workers and Rules; what else differs is not taken.
-// Classes may only become more: the earlier ones stay in their places, as messages under way have them. Settings
-// that cannot be taken are logged and change nothing.
+// Retuned changes the settings Classes, MaxAttempts, MaxHeld, Workers and Rules; other differences are ignored.
+// Classes may only be appended, since pending messages refer to the existing ones by index. Settings that are
+// invalid are logged and change nothing.
 type Retuned struct{ Settings }
 
-// Told says that a host has told this relay to wait, in answer to what another process of it sent.
+// Told reports a wait (retry-after) that a host sent to another process of this relay.
 type Told struct {
 	Host string
 	Wait time.Duration
 }
 
-// Granted gives leave for one call to a route, in answer to a Want. Each ends in one Spent.
+// Granted permits one call to a route, in response to a Want. Each grant is reported back by one Spent.
 type Granted struct {
 	Dest  int
 	Route string
-	Grant uint32        // tells it from others
-	For   time.Duration // it lapses if the call is not begun by then
-	Well  bool          // the route has served other relays since this one may have seen it fail
+	Grant uint32        // identifies the grant
+	For   time.Duration // it expires unless the call is sent within this time
+	Well  bool          // the route has served other relays since this relay may have seen it fail
 }
 
-// Heard is a note of another relay of the fleet, and Tell an action that sends one. A Chooser does neither; they
-// pass between whoever carries notes and whoever gives grants (internal/relay/engine).
+// Heard is a message from another relay of the fleet, and Tell the action that sends one. A Chooser ignores the
+// one and never returns the other: internal/relay/engine passes both between gossip and the issuer of grants.
 type Heard struct {
-	From int // its number
+	From int // index of the sender
 	Note []byte
 }
 
-// Woken is the wake-up that a Wake action asked for.
+// Woken is the wake-up that a Wake action requested.
 type Woken struct{}
 
 func (Arrival) event()   {}
@@ -194,72 +184,71 @@
 func (Heard) event()     {}
 func (Woken) event()     {}
 
-// An Action is something the relay must do. The types below are the actions.
+// An Action is an output of Step that the relay must carry out. The types below are the actions.
 type Action interface{ action() }
 
-// Send calls an endpoint with a message. The attempt ends as Timeout after the
-// given time. Sends of one Step to one host share a call as far as
-// Kind.PerCall allows.
+// Send starts an attempt. It ends as Timeout after the given time. Sends of one Step to one host share a call as
+// far as Kind.PerCall allows.
 type Send struct {
 	ID      string
 	Host    string
 	Timeout time.Duration
 }
 
-// Refuse ends a message: it did not run, and the client may safely come again,
-// best after the given time.
+// Refuse is a final answer: the message did not run or may safely be executed again. The client may submit it
+// again, best after the given time.
 type Refuse struct {
 	ID    string
 	After time.Duration
 	Why   Reason
 }
 
-// Fail ends a message; whether it ran is not known.
+// Fail is a final answer: whether the message ran is not known.
 type Fail struct {
 	ID  string
 	Why Reason
 }
 
-// Cancel calls an attempt off; it still gets its Result.
+// Cancel aborts an attempt, which still ends in a Result.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Wake asks for a Step with a Woken event after a while.
+// Wake requests a Step with a Woken event after the given time.
 type Wake struct{ After time.Duration }
 
-// Subscribe asks for changes of the endpoint list.
+// Subscribe requests updates of the endpoint list.
 type Subscribe struct{}
 
-// Health tells that a host began or ceased to be in an outage, or cold after one.
-// A relay keeps it, and hands it to its successor as Unwell.
+// Health reports the begin (Unwell) or the end of an outage of a host, including the slow start after it.
+// The relay stores it and passes it to its successor process as an Unwell event.
 type Health struct {
 	Host   string
 	Unwell bool
-	Base   float64 // messages a second served to this relay before
+	Base   float64 // messages a second served to this relay before the outage
 }
 
-// Want tells how many calls could go to a destination now if they were granted, and what the next would be worth.
-// It replaces the last one for that destination.
+// Want states how many calls could be sent to a destination now if they were granted, and the value of the next.
+// It replaces the last Want for that destination.
 type Want struct {
 	Dest   int
 	Calls  int
 	Value  float64
-	Routes []string // to any of these, the best liked first
+	Routes []string // any of these would do; in order of preference
 }
 
-// Spent tells what became of a granted call; NotSent if it was not made, as when the grant has lapsed.
+// Spent reports the outcome of a granted call; NotSent if none was made, as when the grant expired.
 type Spent struct {
 	Dest    int
 	Route   string
 	Grant   uint32
 	Outcome Outcome
 	Took    time.Duration
-	Wait    time.Duration // told
+	Wait    time.Duration // the host's retry-after, 0 for none
 }
 
-// Tell sends a note to another relay of the fleet; it may be lost.
+// Tell sends a message to another relay of the fleet; it may be lost.
 type Tell struct {
 	To   int
 	Note []byte
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -16,7 +16,7 @@
 
 const (
 	expiryMarginTicks = 4   // ticks between the last own look at a message and its deadline
-	looksPerTarget    = 200 // looks without news within the shortest aim
+	wakesPerTarget    = 200 // looks without news within the shortest aim
 	// In a fleet of large size a relay begins at each unit with its share of a guess, in calls a second from
 	// all of them: each one's first calls are harmless, their sum shuts a unit where refused ones count.
 	largeFleet, initialRateGuess = 16, 15.0
--- a/choice/internal/reference/choice.go
+++ b/choice/internal/reference/choice.go
@@ -38,7 +38,7 @@
 	briskRate                                   = 4 // calls a second from which pace is learnt by calls, not by seconds
 	// aside is the share of worth by which a host that just failed, or is not yet well, comes later.
 	avoidancePenalty = 0.02
-	looksPerTarget   = 200 // looks without news within the shortest aim
+	wakesPerTarget   = 200 // looks without news within the shortest aim
 	// crowded is the part of the holding room above which the least worth is turned away.
 	shedThreshold = 0.9
 )
@@ -56,7 +56,7 @@
 	}
 	c.pooledLatencies.width = c.maxTimeout / latencyBuckets
 	c.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
-	c.lookInterval = max(s.Tick, c.minTarget/looksPerTarget)
+	c.wakeInterval = max(s.Tick, c.minTarget/wakesPerTarget)
 	return c, nil
 }
 
@@ -94,7 +94,7 @@
 	c.answerExpired()
 	c.shedLoad()
 	c.fillSlots()
-	at := now + c.lookInterval
+	at := now + c.wakeInterval
 	if (c.pending+c.callsInFlight > 0 || c.subscribeAt >= 0) && (c.wakeAt <= now || at < c.wakeAt) {
 		c.wakeAt = at
 		c.emit(Wake{After: at - now})
@@ -678,7 +678,7 @@
 }
 
 func (c *Chooser) expiryOf(msg *message) time.Duration {
-	at := msg.deadline - expiryMarginTicks*c.cfg.Tick - c.lookInterval
+	at := msg.deadline - expiryMarginTicks*c.cfg.Tick - c.wakeInterval
 	if msg.mayHaveRun && msg.class.Effect == Keyed {
 		at = min(at, c.keyWindowEnd(msg))
 	}
@@ -814,15 +814,15 @@
 				if call.cancelled {
 					return // one at a time
 				}
-				patience := c.unresponsiveTimeout(dest)
+				timeout := c.unresponsiveTimeout(dest)
 				if c.cfg.MaxHeld > 0 && 2*c.pending > c.cfg.MaxHeld {
-					patience /= 2
+					timeout /= 2
 				}
 				if unit.lastServed >= call.sentAt {
-					patience *= 2
+					timeout *= 2
 				}
-				patience *= time.Duration(call.messages[0].attempts)
-				if c.now-call.sentAt > patience {
+				timeout *= time.Duration(call.messages[0].attempts)
+				if c.now-call.sentAt > timeout {
 					stuck = append(stuck, call)
 				}
 			}
--- a/choice/internal/reference/state.go
+++ b/choice/internal/reference/state.go
@@ -132,7 +132,7 @@
 	pending         int
 	wakeAt          time.Duration // the next wake-up asked for
 	rand            *rand.Rand
-	lookInterval    time.Duration // between looks
+	wakeInterval    time.Duration // between looks
 	retrySuccess    []float64     // by kind: share served of the calls to destinations that refused the last one
 	pooledLatencies latencyTable  // of all destinations together, for those that have few samples yet
 	subscribeAt     time.Duration // ask for list changes then; below 0 for never
--- a/choice/oracle/oracle.go
+++ b/choice/oracle/oracle.go
@@ -1,6 +1,6 @@
 package oracle
 
-// What a table is told, and what it tells: the decisions.
+// Samples and the estimate.
 
 import (
 	"math"
@@ -8,15 +8,16 @@
 )
 
 const (
-	// Buckets is the paper's H; their bound is the maximal timeout.
+	// Buckets is the number H of buckets, which together cover the maximum time-out.
 	Buckets = 100
-	// MinSamples before the oracle is heard: the 98% edge means nothing with fewer.
+	// MinSamples is the number of samples below which there is no estimate: the 98% edge means nothing with fewer.
 	MinSamples = 30
-	// memory in samples of a table. Twice H: it fills the tail's buckets and still relearns.
+	// memory is the time constant, in samples, with which old samples decay. Twice Buckets: enough to fill the
+	// buckets of the tail, and short enough to adapt.
 	memory = 200
 )
 
-// Add enters one served latency.
+// Add records the latency of a served call; one beyond the last bucket counts as cut short.
 func (t *Table) Add(took time.Duration) {
 	i := int(took / t.width)
 	if i < 0 || i >= Buckets {
@@ -31,9 +32,10 @@
 	t.sum[i] += t.weight * took.Seconds()
 }
 
-// CutShort enters one attempt that was given up at the bound.
+// CutShort records an attempt that ended without a latency: at its time-out, or by a failed connection.
 func (t *Table) CutShort() { t.fade(); t.beyond += t.weight }
 
+// fade gives the next sample more weight than all before it, and rescales the weights before they overflow.
 func (t *Table) fade() {
 	t.total++
 	t.stale = true
@@ -46,7 +48,8 @@
 	}
 }
 
-// Look brings edge and high up to date.
+// Look updates Edge and High to the samples so far. Edge minimizes E = M/F + (1-F)/F * (edge + cost), with F the
+// share of samples below the edge and M their sum over all samples.
 func (t *Table) Look() {
 	if !t.stale || t.total < MinSamples {
 		return
--- a/choice/oracle/table.go
+++ b/choice/oracle/table.go
@@ -1,44 +1,44 @@
-// Package oracle is the timeout oracle: from the latencies of one destination it tells after how long a call had better
-// be cut and restarted. It reads no clock, and nothing in it is safe for concurrent use.
+// Package oracle is the time-out oracle: from the latencies of a destination it estimates the time-out after which
+// a call is best abandoned and retried. It reads no clock, and nothing in it is safe for concurrent use.
 package oracle
 
 import "time"
 
-// Cost is what a restart costs: so many buckets, so many mean latencies, and a fixed time, added up.
+// Cost is the cost of a retry in addition to the time-out before it: the sum of its parts.
 type Cost struct {
-	Buckets float64
-	Means   float64
+	Buckets float64 // in widths of a bucket
+	Means   float64 // in mean latencies
 	Fixed   time.Duration
 }
 
-// Table holds the latencies of one destination. Old samples fade: each new one weighs a little more than the one
-// before it.
+// Table is a histogram of the latencies of one destination. Old samples decay: each new one weighs a little more
+// than the one before it.
 type Table struct {
 	cost   Cost
 	width  time.Duration
-	weight float64
-	count  []float64     // N_i; made with the first sample
-	sum    []float64     // N_i times M_i, seconds
-	beyond float64       // N_tau
-	total  float64       // samples, not faded
-	edge   time.Duration // least-E edge, 0 for none
-	high   time.Duration // edge below which 98% of the answers lie, 0 if unknown
-	stale  bool
+	weight float64       // of the next sample
+	count  []float64     // weighted samples, by bucket; allocated with the first served sample
+	sum    []float64     // weighted sum of latencies, seconds, by bucket
+	beyond float64       // weighted samples without a latency
+	total  float64       // samples, not weighted
+	edge   time.Duration // best time-out, 0 for none
+	high   time.Duration // 98% of the served latencies are below it, 0 if unknown
+	stale  bool          // edge and high are older than the last sample
 }
 
-// New is a table without samples, with buckets of the given width.
+// New returns a table without samples, with buckets of the given width.
 func New(width time.Duration, cost Cost) Table { return Table{cost: cost, width: width, weight: 1} }
 
-// Width is that of a bucket.
+// Width returns the width of a bucket.
 func (t *Table) Width() time.Duration { return t.width }
 
-// Edge is the edge with the least estimate as of the last Look, 0 if there is none.
+// Edge returns the time-out with the least expected completion time as of the last Look, 0 if there is none.
 func (t *Table) Edge() time.Duration { return t.edge }
 
-// High is the edge below which 98% of the answers lay as of the last Look, 0 if unknown.
+// High returns the bucket edge below which 98% of the served latencies were as of the last Look, 0 if unknown.
 func (t *Table) High() time.Duration { return t.high }
 
-// Mean is that of the latencies, 0 if there are none.
+// Mean returns the mean latency, 0 if there are no samples.
 func (t *Table) Mean() time.Duration {
 	n, sum := 0.0, 0.0
 	for i := range t.count {
@@ -50,13 +50,13 @@
 	return time.Duration(sum / n * float64(time.Second))
 }
 
-// Few tells whether there are too few samples for the oracle to be heard.
+// Few reports whether there are too few samples for an estimate.
 func (t *Table) Few() bool { return t.total < MinSamples }
 
-// Empty tells whether there is no latency yet; such a table takes up hardly any memory.
+// Empty reports whether there is no latency yet; such a table has no buckets allocated.
 func (t *Table) Empty() bool { return t.count == nil }
 
-// Rescale has a table's buckets be so wide, with what it holds in the nearest of the new ones.
+// Rescale changes the width of the buckets. Samples move to the new bucket of the mean of their old one.
 func (t *Table) Rescale(width time.Duration) {
 	old := *t
 	if t.width = width; old.width == width || old.count == nil {
--- a/choice/retune.go
+++ b/choice/retune.go
@@ -28,7 +28,7 @@
 		c.maxTimeout, c.minTarget = max(c.maxTimeout, class.Aim), min(c.minTarget, class.Aim)
 		c.maxValue = max(c.maxValue, class.Worth)
 	}
-	c.lookInterval = max(c.cfg.Tick, c.minTarget/looksPerTarget)
+	c.wakeInterval = max(c.cfg.Tick, c.minTarget/wakesPerTarget)
 	c.resizeBatches()
 	c.pooledLatencies.Rescale(c.maxTimeout / oracle.Buckets)
 	for _, dest := range c.destinations {
@@ -38,10 +38,10 @@
 
 // cut cuts the ends of what waits into pieces anew if the time between looks has changed.
 func (c *Chooser) resizeBatches() {
-	if c.batches != nil && c.batches.Slot() == c.lookInterval {
+	if c.batches != nil && c.batches.Slot() == c.wakeInterval {
 		return
 	}
-	c.batches = batching.New(c.lookInterval, max(minBatch, int(answersPerSecond*c.lookInterval.Seconds())), int(batchLead/c.lookInterval))
+	c.batches = batching.New(c.wakeInterval, max(minBatch, int(answersPerSecond*c.wakeInterval.Seconds())), int(batchLead/c.wakeInterval))
 	for _, msg := range c.messages {
 		if msg.group != nil {
 			c.batches.Add(msg.expiresAt)
--- a/choice/state.go
+++ b/choice/state.go
@@ -129,31 +129,31 @@
 
 // dest is one destination.
 type destination struct {
-	id             int
-	kind           Kind
-	hosts          []*endpoint
-	units          []*healthUnit
-	groups         []*messageGroup
-	queued         int           // messages that wait
-	demandSince    time.Duration // messages wait, and no pause is on; never if none wait
-	inFlight       int
-	listedCalling  bool // on the list of those with calls out
-	lastSentAt     time.Duration
-	nextLookAt     time.Duration // what may be sent changes then by itself; never if only by events
-	lookIndex      queue.Place
-	sendOrder      sendOrder // as it stands in the order of turns
-	readyIndex     queue.Place
-	listedPrunable bool             // on the list of those to be forgotten in part
-	dirty          bool             // something has happened since its last look
-	sheddable      []sheddableCount // by class
-	shedBacklog    int              // waits as the orders of crowds have it
-	latencies      oracle.Table
-	refusals       int      // refusals in a row
-	retrySuccess   *float64 // of its kind
-	backoffUntil   time.Duration
-	timeouts       int  // time-outs in a row with nothing served since
-	lastWant       Want // as last told
-	wantChanged    bool // on the list of those to be told
+	id              int
+	kind            Kind
+	hosts           []*endpoint
+	units           []*healthUnit
+	groups          []*messageGroup
+	queued          int           // messages that wait
+	demandSince     time.Duration // messages wait, and no pause is on; never if none wait
+	inFlight        int
+	listedCalling   bool // on the list of those with calls out
+	lastSentAt      time.Duration
+	evaluateAt      time.Duration // what may be sent changes then by itself; never if only by events
+	evaluationIndex queue.Place
+	sendOrder       sendOrder // as it stands in the order of turns
+	readyIndex      queue.Place
+	listedPrunable  bool             // on the list of those to be forgotten in part
+	dirty           bool             // something has happened since its last look
+	sheddable       []sheddableCount // by class
+	shedBacklog     int              // waits as the orders of crowds have it
+	latencies       oracle.Table
+	refusals        int      // refusals in a row
+	retrySuccess    *float64 // of its kind
+	backoffUntil    time.Duration
+	timeouts        int  // time-outs in a row with nothing served since
+	lastWant        Want // as last told
+	wantChanged     bool // on the list of those to be told
 }
 
 // turnKey is what the order of turns goes by.
@@ -192,7 +192,7 @@
 	calling         []*destination            // with calls out
 	dirty           []*destination            // something happened there since the last look
 	ready           *queue.Heap[*destination] // with a message to send and a unit to send it to, the next first
-	looks           *queue.Heap[*destination] // by lookAt
+	evaluations     *queue.Heap[*destination] // by lookAt
 	expiries        *queue.Heap[*message]     // those that wait, by endAt
 	batches         *batching.Schedule        // of the ends
 	nextBatchAt     time.Duration             // it is looked at then
@@ -207,7 +207,7 @@
 	pending         int
 	wakeAt          time.Duration // the next wake-up asked for
 	rand            *rand.Rand
-	lookInterval    time.Duration  // between looks, at the least
+	wakeInterval    time.Duration  // between looks, at the least
 	watchAt         time.Duration  // the next silence to be noticed, or call to be called off
 	retrySuccess    []float64      // by kind: share served of the calls to destinations that refused the last one
 	pooledLatencies oracle.Table   // of all destinations together, for those that have few samples yet
--- a/choice/timeout.go
+++ b/choice/timeout.go
@@ -1,6 +1,6 @@
 package choice
 
-// How long a call may take, by the timeout oracle.
+// Time-outs of attempts, by the time-out oracle.
 
 import (
 	"time"
@@ -8,10 +8,11 @@
 	"larchrouter/choice/oracle"
 )
 
-// restartCost is the paper's c: the attempt runs on, its successor waits behind it.
+// restartCost is the oracle's cost c of a retry: the first attempt keeps running and its retry queues behind it.
 var restartCost = oracle.Cost{Buckets: 1, Means: 4}
 
-// patience is how long a call to a destination may stay unanswered before its silence means something.
+// unresponsiveTimeout is the time without a response after which a call counts against the health of its destination.
+// With few samples it is based on the latencies of all destinations.
 func (c *Chooser) unresponsiveTimeout(dest *destination) time.Duration {
 	latencies, least := &dest.latencies, c.minTarget/8
 	if latencies.Few() {
@@ -23,7 +24,8 @@
 	return min(max(2*latencies.High(), least), c.maxTimeout)
 }
 
-// timeout for the next try of a message at a unit.
+// attemptTimeout returns the time-out of the next attempt of a message at a unit: the time to the deadline if there
+// can be no retry after it. It never falls from one attempt to the next.
 func (c *Chooser) attemptTimeout(msg *message, unit *healthUnit) time.Duration {
 	left := msg.deadline - c.now
 	if !c.mayRetry(msg) || msg.attempts+1 >= c.cfg.MaxAttempts {
@@ -36,8 +38,8 @@
 	case unit.state == suspect:
 		timeout = c.unresponsiveTimeout(dest) << min(unit.failedTrials, 4)
 	case timeout > 0 && dest.queued > 1:
-		// With a message waiting here a restart takes its place, and feeds an overload:
-		// only calls that are very likely lost are given up.
+		// With other messages queued a retry displaces one of them and adds to an overload:
+		// only calls that are very likely lost are abandoned.
 		timeout = max(timeout, c.unresponsiveTimeout(dest))
 	}
 	timeout <<= min(dest.timeouts, 4)
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -1,6 +1,6 @@
 package choice
 
-// The turn: what goes next, and where.
+// Scheduling: which message is sent next, and to which endpoint.
 
 import (
 	"cmp"
@@ -9,22 +9,16 @@
 	"time"
 )
 
-// aside is the share of worth by which a host that just failed, or is not yet well, comes later.
+// avoidancePenalty is the cost, in units of value, of a host that just failed or is not yet healthy.
 const avoidancePenalty = 0.02
 
-// anyAge is past by any age.
+// anyAge is an eligible age that every message is past.
 const anyAge = -never
 
-// turn fills the free slots: the destination with the fewest calls out goes first.
+// fillSlots sends messages while slots are free: the destination with the fewest calls in flight goes first. One
+// destination has at most three quarters of the slots, and at most half while others could use them.
 func (c *Chooser) fillSlots() {
-	for dest, ok := c.looks.Min(); ok && dest.nextLookAt <= c.now; dest, ok = c.looks.Min() {
-		c.looks.Remove(dest)
-		c.markDirty(dest)
-	}
-	for _, dest := range c.dirty {
-		c.evaluate(dest)
-	}
-	c.dirty = c.dirty[:0]
+	c.evaluateDirty()
 	maxShare := max(1, (3*c.cfg.Workers+3)/4-1)
 	crowdedShare := max(1, c.cfg.Workers/2)
 	var full []*destination
@@ -49,11 +43,11 @@
 			full = append(full, dest)
 		case c.sendNext(dest):
 			c.evaluate(dest)
-		default: // it guards against asking for ever: what was ready can be sent
+		default: // guards against an endless loop: a destination that is ready can be sent to
 			c.ready.Remove(dest)
 		}
 	}
-	c.dirty = c.dirty[:0] // those sent to have been looked at
+	c.dirty = c.dirty[:0] // the destinations sent to have been evaluated
 	if c.cfg.Cancels && c.callsInFlight >= c.cfg.Workers && c.ready.Len()+len(full) > 0 {
 		c.cancelStuckCall()
 	}
@@ -62,8 +56,20 @@
 	}
 }
 
-// byTurn is the order of destinations that could be sent to. Trials go last, lest a small relay's slots fill
-// with calls that may hang; those long due do not.
+// evaluateDirty evaluates the destinations with an event since their last evaluation, or with one that is due.
+func (c *Chooser) evaluateDirty() {
+	for dest, ok := c.evaluations.Min(); ok && dest.evaluateAt <= c.now; dest, ok = c.evaluations.Min() {
+		c.evaluations.Remove(dest)
+		c.markDirty(dest)
+	}
+	for _, dest := range c.dirty {
+		c.evaluate(dest)
+	}
+	c.dirty = c.dirty[:0]
+}
+
+// compareSendOrder orders destinations that could be sent to. Trials go last, so that the slots of a small relay
+// do not fill with calls that may hang, except trials that are long overdue.
 func compareSendOrder(a, b sendOrder) int {
 	if a.onTrial != b.onTrial {
 		if b.onTrial {
@@ -74,20 +80,20 @@
 	return cmp.Or(cmp.Compare(a.inFlight, b.inFlight), cmp.Compare(a.lastSentAt, b.lastSentAt))
 }
 
-// look finds out whether a destination may be sent to now, and when that may change by itself.
+// evaluate determines whether a destination can be sent to now, and when that may change without an event.
 func (c *Chooser) evaluate(dest *destination) {
 	if dest.queued == 0 || c.now < dest.demandSince {
 		c.reschedule(dest, false, sendOrder{}, dest.demandSince)
 		return
 	}
 	c.updateRateLimits(dest)
-	ready, nextLook, trialAt := false, never, never
+	ready, evaluateAt := false, never
 	for _, host := range dest.hosts {
 		if host.State != Ready {
 			continue
 		}
 		if at := c.sendableAt(host.unit); at > c.now {
-			nextLook = min(nextLook, at)
+			evaluateAt = min(evaluateAt, at)
 			continue
 		}
 		for _, group := range dest.groups {
@@ -95,52 +101,38 @@
 				if age := c.eligibleAge(group, host); c.now-msg.createdAt > age {
 					ready = true
 				} else if age < never {
-					nextLook = min(nextLook, msg.createdAt+age+1)
+					evaluateAt = min(evaluateAt, msg.createdAt+age+1)
 				}
 			}
 		}
 	}
+	overdueAt := c.trialOverdueAt(dest)
+	if ready && overdueAt > c.now {
+		evaluateAt = min(evaluateAt, overdueAt)
+	}
+	c.reschedule(dest, ready, sendOrder{overdueAt > c.now, dest.inFlight, dest.lastSentAt}, evaluateAt)
+}
+
+// trialOverdueAt returns the time from which a destination on trial goes before others again; now if one of its
+// units is not suspect.
+func (c *Chooser) trialOverdueAt(dest *destination) time.Duration {
+	at := never
 	for _, unit := range dest.units {
 		if unit.state != suspect {
-			trialAt = c.now
-			break
+			return c.now
 		}
-		trialAt = min(trialAt, unit.nextTrialAt+c.cfg.Rules.Fall+1)
+		at = min(at, unit.nextTrialAt+c.cfg.Rules.Fall+1)
 	}
-	if ready && trialAt > c.now {
-		nextLook = min(nextLook, trialAt)
-	}
-	c.reschedule(dest, ready, sendOrder{trialAt > c.now, dest.inFlight, dest.lastSentAt}, nextLook)
+	return at
 }
 
-// callOff frees a slot while all are taken and a message waits for one: the oldest call out beyond its
-// destination's patience, twice that if the unit has served others since, and as often as it was tried, so
-// that slow ones are served in the end. It guards against calls that nobody will answer. An unsafe message
-// is lost by it: twice the patience while such calls hold no more than half of the slots. Half the room
-// taken halves the patience.
+// cancelStuckCall frees a slot while all are taken and a message is queued for one, as a guard against calls that
+// never get a response. It cancels the oldest of the stuck calls, one at a time. A message that is not idempotent
+// is lost by it: its call gets twice the unresponsive time-out while at most half of the slots have stuck calls.
 func (c *Chooser) cancelStuckCall() {
-	var stuck []*outboundCall
-	for _, dest := range c.calling {
-		for _, unit := range dest.units {
-			for _, call := range unit.inFlight {
-				if call.cancelled {
-					return // one at a time
-				}
-				patience := c.unresponsiveTimeout(dest)
-				if c.cfg.MaxHeld > 0 && 2*c.pending > c.cfg.MaxHeld {
-					patience /= 2
-				}
-				if unit.lastServed >= call.sentAt {
-					patience *= 2
-				}
-				patience *= time.Duration(call.messages[0].attempts)
-				if c.now-call.sentAt > patience {
-					stuck = append(stuck, call)
-				} else {
-					c.watchAt = min(c.watchAt, call.sentAt+patience+1)
-				}
-			}
-		}
+	stuck, ok := c.stuckCalls()
+	if !ok {
+		return
 	}
 	slices.SortFunc(stuck, func(a, b *outboundCall) int { return cmp.Compare(a.sequence, b.sequence) })
 	for _, call := range stuck {
@@ -158,7 +150,42 @@
 	}
 }
 
-// sendOne sends the best message of a destination, and others along in the same call.
+// stuckCalls returns the calls in flight beyond their time-out; not ok if a call is being cancelled already.
+func (c *Chooser) stuckCalls() (stuck []*outboundCall, ok bool) {
+	for _, dest := range c.calling {
+		for _, unit := range dest.units {
+			for _, call := range unit.inFlight {
+				if call.cancelled {
+					return nil, false
+				}
+				timeout := c.stuckTimeout(dest, unit, call)
+				if c.now-call.sentAt > timeout {
+					stuck = append(stuck, call)
+				} else {
+					c.watchAt = min(c.watchAt, call.sentAt+timeout+1)
+				}
+			}
+		}
+	}
+	return stuck, true
+}
+
+// stuckTimeout returns the time after which a call may be cancelled: the unresponsive time-out of its destination,
+// half of it while more than half of the capacity is taken, twice if the unit has served others since, times the
+// number of attempts, so that slow calls complete in the end.
+func (c *Chooser) stuckTimeout(dest *destination, unit *healthUnit, call *outboundCall) time.Duration {
+	timeout := c.unresponsiveTimeout(dest)
+	if c.cfg.MaxHeld > 0 && 2*c.pending > c.cfg.MaxHeld {
+		timeout /= 2
+	}
+	if unit.lastServed >= call.sentAt {
+		timeout *= 2
+	}
+	return timeout * time.Duration(call.messages[0].attempts)
+}
+
+// sendNext sends the best message of a destination, and others with it in the same call. It reports whether there
+// was one.
 func (c *Chooser) sendNext(dest *destination) bool {
 	c.updateRateLimits(dest)
 	msg, host := c.chooseSend(dest)
@@ -166,19 +193,7 @@
 		return false
 	}
 	unit := host.unit
-	c.callSequence++
-	call := &outboundCall{sequence: c.callSequence, host: host, sentAt: c.now}
-	c.callsInFlight, dest.inFlight, host.inFlight, dest.lastSentAt = c.callsInFlight+1, dest.inFlight+1, host.inFlight+1, c.now
-	if !dest.listedCalling {
-		dest.listedCalling, c.calling = true, append(c.calling, dest)
-	}
-	old, _ := slices.BinarySearch(unit.sendTimes, c.now-max(c.cfg.Rules.Cold, time.Second))
-	unit.inFlight, unit.sendTimes = append(unit.inFlight, call), append(unit.sendTimes[old:], c.now)
-	unit.tokens--
-	if unit.state == suspect {
-		unit.nextTrialAt = c.now + c.unresponsiveTimeout(dest)<<min(unit.failedTrials, 4) + c.trialBackoff(unit)
-	}
-	c.useGrant(call)
+	call := c.openCall(dest, host)
 	c.send(msg, call)
 	for len(call.messages) < dest.kind.PerCall && unit.state != suspect {
 		msg := c.bestMessage(dest, append(c.openHosts[:0], host))
@@ -188,12 +203,34 @@
 		c.send(msg, call)
 	}
 	if len(call.messages) > 1 {
-		unit.sendTimes = append(unit.sendTimes, c.now) // further messages weigh a little: counted as one more call
+		unit.sendTimes = append(unit.sendTimes, c.now) // all further messages weigh as much as one more call
 	}
 	c.scheduleWatch(max(call.sentAt, unit.lastServed), dest)
 	return true
 }
 
+// openCall takes a slot, a token and, if needed, a grant for a call to a host.
+func (c *Chooser) openCall(dest *destination, host *endpoint) *outboundCall {
+	unit := host.unit
+	c.callSequence++
+	call := &outboundCall{sequence: c.callSequence, host: host, sentAt: c.now}
+	c.callsInFlight, dest.inFlight, host.inFlight = c.callsInFlight+1, dest.inFlight+1, host.inFlight+1
+	dest.lastSentAt = c.now
+	if !dest.listedCalling {
+		dest.listedCalling, c.calling = true, append(c.calling, dest)
+	}
+	old, _ := slices.BinarySearch(unit.sendTimes, c.now-max(c.cfg.Rules.Cold, time.Second))
+	unit.inFlight, unit.sendTimes = append(unit.inFlight, call), append(unit.sendTimes[old:], c.now)
+	unit.tokens--
+	if unit.state == suspect {
+		timeout := c.unresponsiveTimeout(dest) << min(unit.failedTrials, 4)
+		unit.nextTrialAt = c.now + timeout + c.trialBackoff(unit)
+	}
+	c.useGrant(call)
+	return call
+}
+
+// send starts the next attempt of a message as part of a call.
 func (c *Chooser) send(msg *message, call *outboundCall) {
 	msg.lastTimeout = c.attemptTimeout(msg, call.host.unit)
 	c.dequeue(msg)
@@ -203,25 +240,26 @@
 	c.emit(Send{msg.ID, call.host.Addr, msg.lastTimeout})
 }
 
-// fitAge is the age that messages of a group must be past to go to a host, room in its unit apart; never if
-// none may go there.
+// eligibleAge returns the age that messages of a group must be past to go to a host, limits of its unit aside;
+// never if none may go there.
 func (c *Chooser) eligibleAge(group *messageGroup, host *endpoint) time.Duration {
 	if host.State != Ready || group.zone != anyZone && group.zone != host.Zone {
 		return never
 	}
-	// What cannot be repeated is kept from a unit whose failures may have run until it has served
-	// a few, unless its own time runs short.
+	// Messages that must not be retried are kept from a unit whose failed calls may have run until it has
+	// served a few others, unless their deadline is near.
 	unit, class := host.unit, &c.cfg.Classes[group.class]
-	proven := unit.state == healthy || !unit.mayHaveRun || unit.state == recovering && (!unit.sawErrors || unit.servedStreak >= outcomeHistory)
+	proven := unit.state == healthy || !unit.mayHaveRun ||
+		unit.state == recovering && (!unit.sawErrors || unit.servedStreak >= outcomeHistory)
 	if proven || class.Effect != Unsafe {
 		return anyAge
 	}
 	return class.Deadline - class.Deadline/4
 }
 
-// loss is what a message of a class loses if it waits a while longer at an age. It is nothing up to the aim,
-// then rises until the aim has passed, then falls or stays; where the deadline comes into reach it is all
-// that is left, which falls again.
+// waitingLoss returns the value that a message of a class loses if it waits longer at an age. It is zero up to
+// the latency target, rises until the target has passed, then falls or is constant; from where the wait crosses
+// the deadline it is all the value that is left, which falls again.
 func (c *Chooser) waitingLoss(class *Class, age, wait time.Duration) float64 {
 	if !c.cfg.Halving && age > class.Aim && age+wait < class.Deadline {
 		return class.Worth * (1 - class.LateShare) * wait.Seconds() / (class.Deadline - class.Aim).Seconds()
@@ -229,9 +267,9 @@
 	return c.value(class, age) - c.value(class, age+wait)
 }
 
-// best is the message that loses most by waiting, among those that may go to one of some hosts. Within a
-// group it is next to an age at which the course of the loss changes.
-func (c *Chooser) bestMessage(dest *destination, hosts []*endpoint) *message {
+// expectedWait returns the time for which a message of a destination that is not sent now is expected to wait: that
+// in which the backlog is served.
+func (c *Chooser) expectedWait(dest *destination) time.Duration {
 	rate := 0.0
 	for _, unit := range dest.units {
 		rate += unit.servedRate
@@ -240,7 +278,14 @@
 	if rate > 0 {
 		wait = time.Duration(min(float64(dest.queued)/rate, 1e9) * float64(time.Second))
 	}
-	wait = min(max(wait, c.minTarget/8), 4*c.maxTimeout)
+	return min(max(wait, c.minTarget/8), 4*c.maxTimeout)
+}
+
+// bestMessage returns the message that loses most value by waiting, among those that may go to one of the hosts;
+// nil if there is none. Within a group only messages next to an age at which the slope of the loss changes can be
+// the best, so only these are considered.
+func (c *Chooser) bestMessage(dest *destination, hosts []*endpoint) *message {
+	wait := c.expectedWait(dest)
 	var best *message
 	maxLoss := math.Inf(-1)
 	consider := func(msg *message, minAge time.Duration) {
@@ -276,7 +321,7 @@
 	return best
 }
 
-// pick chooses a message of a destination and a host for it.
+// chooseSend chooses a message of a destination and the host with the least cost for it.
 func (c *Chooser) chooseSend(dest *destination) (*message, *endpoint) {
 	c.openHosts = c.openHosts[:0]
 	for _, host := range dest.hosts {
@@ -295,7 +340,8 @@
 	return msg, best
 }
 
-// cost of a route in shares of worth: its fee, and what its pace and its calls out take of the aim.
+// routeCost returns the cost of a host for a message, in units of value: its fee, and the share of the latency
+// target that its latency and its calls in flight take.
 func (c *Chooser) routeCost(msg *message, host *endpoint) float64 {
 	unit := host.unit
 	cost := 0.0
--- a/choice/waiting.go
+++ b/choice/waiting.go
@@ -17,10 +17,10 @@
 		return cmp.Or(compareSendOrder(a.sendOrder, b.sendOrder), cmp.Compare(a.id, b.id)) < 0
 	},
 		func(dest *destination) *queue.Place { return &dest.readyIndex })
-	c.looks = queue.NewHeap(func(a, b *destination) bool {
-		return cmp.Or(cmp.Compare(a.nextLookAt, b.nextLookAt), cmp.Compare(a.id, b.id)) < 0
+	c.evaluations = queue.NewHeap(func(a, b *destination) bool {
+		return cmp.Or(cmp.Compare(a.evaluateAt, b.evaluateAt), cmp.Compare(a.id, b.id)) < 0
 	},
-		func(dest *destination) *queue.Place { return &dest.lookIndex })
+		func(dest *destination) *queue.Place { return &dest.evaluationIndex })
 	c.expiries = queue.NewHeap(func(a, b *message) bool { return compareExpiry(a, b) < 0 },
 		func(msg *message) *queue.Place { return &msg.expiryIndex })
 	c.settling = queue.NewHeap(func(a, b *keyOrder) bool {
@@ -42,7 +42,7 @@
 }
 
 func (c *Chooser) newDestination(id int) *destination {
-	return &destination{id: id, kind: Kind{PerCall: 1}, retrySuccess: &c.retrySuccess[0], demandSince: never, nextLookAt: never,
+	return &destination{id: id, kind: Kind{PerCall: 1}, retrySuccess: &c.retrySuccess[0], demandSince: never, evaluateAt: never,
 		latencies: oracle.New(c.maxTimeout/oracle.Buckets, restartCost), sheddable: make([]sheddableCount, len(c.cfg.Classes))}
 }
 
@@ -128,7 +128,7 @@
 	}
 	c.expiries.Set(msg)
 	c.batches.Add(msg.expiresAt)
-	c.nextBatchAt = min(c.nextBatchAt, c.now+c.lookInterval)
+	c.nextBatchAt = min(c.nextBatchAt, c.now+c.wakeInterval)
 	c.joinGroup(msg)
 	c.updateShedOrders(dest)
 }
@@ -209,20 +209,20 @@
 }
 
 // place puts a destination where it belongs in the orders of turns and of looks, after a look.
-func (c *Chooser) reschedule(dest *destination, ready bool, turn sendOrder, lookAt time.Duration) {
+func (c *Chooser) reschedule(dest *destination, ready bool, order sendOrder, evaluateAt time.Duration) {
 	dest.dirty = false
 	if c.cfg.Granted {
-		lookAt = min(lookAt, c.updateWant(dest))
+		evaluateAt = min(evaluateAt, c.updateWant(dest))
 	}
-	if dest.sendOrder = turn; ready {
+	if dest.sendOrder = order; ready {
 		c.ready.Set(dest)
 	} else {
 		c.ready.Remove(dest)
 	}
-	if dest.nextLookAt = lookAt; lookAt < never {
-		c.looks.Set(dest)
+	if dest.evaluateAt = evaluateAt; evaluateAt < never {
+		c.evaluations.Set(dest)
 	} else {
-		c.looks.Remove(dest)
+		c.evaluations.Remove(dest)
 	}
 }
 
@@ -254,7 +254,7 @@
 	if c.subscribeAt >= 0 {
 		at = min(at, c.subscribeAt)
 	}
-	soonest := c.now + c.lookInterval
+	soonest := c.now + c.wakeInterval
 	if msg, ok := c.expiries.Min(); ok {
 		if at = min(at, msg.expiresAt); at <= c.now { // the rest of more than a piece
 			soonest = c.now + time.Millisecond
@@ -263,8 +263,8 @@
 	if c.batches.Len() > c.batches.Piece() {
 		at = min(at, c.nextBatchAt)
 	}
-	if dest, ok := c.looks.Min(); ok {
-		at = min(at, dest.nextLookAt)
+	if dest, ok := c.evaluations.Min(); ok {
+		at = min(at, dest.evaluateAt)
 	}
 	if order, ok := c.settling.Min(); ok {
 		at = min(at, order.settledAt)
