--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,9 +1,9 @@
 package choice
 
-// The Chooser, one Step, and the endpoint list. The interface is in api.go, plain state in state.go. The
-// decisions are in files of their own: timeout.go and oracle/oracle.go time-outs; health.go outages, refusals
-// and waits; pace.go rates; admit.go what is taken on, ends of attempts and final answers; turn.go what goes
-// next, and where; order.go the order of keys; restore.go what outlasts a process.
+// The step function and the endpoint list. The interface is in api.go, the state in state.go. Decisions: timeout.go
+// and oracle/oracle.go time-outs of attempts; health.go outages, backoff and slow start; pace.go rate limits;
+// admit.go admission, load shedding, outcomes and final answers; turn.go scheduling; order.go ordering keys;
+// restore.go restarts of the relay. waiting.go has the queues that the decisions use.
 
 import (
 	"fmt"
@@ -15,14 +15,15 @@
 )
 
 const (
-	expiryMarginTicks = 4   // ticks between the last own look at a message and its deadline
-	wakesPerTarget    = 200 // looks without news within the shortest aim
-	// In a fleet of large size a relay begins at each unit with its share of a guess, in calls a second from
-	// all of them: each one's first calls are harmless, their sum shuts a unit where refused ones count.
+	expiryMarginTicks = 4   // ticks by which a final answer precedes the deadline
+	wakesPerTarget    = 200 // wake-ups without other events within the shortest latency target, at most
+	// From largeFleet relays on, each starts at a unit whose rate is not listed with its share of initialRateGuess,
+	// in calls a second: a burst of first calls of all relays could exhaust a limit on which refused calls count.
 	largeFleet, initialRateGuess = 16, 15.0
 )
 
-// New returns a Chooser for one relay. Pauses are drawn from the seed.
+// New returns a Chooser for one relay, or an error if the settings are invalid. The seed determines all random
+// choices.
 func New(s Settings, seed uint64) (*Chooser, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("choice: settings: %w", err)
@@ -40,8 +41,8 @@
 	return c, nil
 }
 
-// Step takes in all that happened, then decides once. What it costs grows with the events, the actions and
-// the calls out, and with the logarithm of what is held.
+// Step applies the events in their order, then makes all decisions that are possible at the time now, and returns
+// the actions to carry out.
 func (c *Chooser) Step(now time.Duration, events []Event) []Action {
 	c.applyEvents(now, events)
 	c.detectUnresponsive()
@@ -53,7 +54,7 @@
 	return c.actions
 }
 
-// take takes in all that happened. Time that runs backwards stands still.
+// applyEvents sets the current time, which never decreases, and applies the events to the state.
 func (c *Chooser) applyEvents(now time.Duration, events []Event) {
 	c.now, c.actions = max(c.now, now), nil
 	c.returnExpiredGrants()
@@ -90,11 +91,12 @@
 	c.releaseSettledKeys()
 }
 
+// emit appends an action to the result of the Step.
 func (c *Chooser) emit(a Action) { c.actions = append(c.actions, a) }
 
 func (c *Chooser) logf(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// list takes in news of the endpoint list.
+// applyListing updates the hosts by the endpoint list.
 func (c *Chooser) applyListing(listing Listing) {
 	if listing.Failed {
 		c.subscribeAt = c.now + time.Second
@@ -111,19 +113,7 @@
 		if host == nil && entry.State == Gone {
 			continue
 		}
-		dest := c.destination(entry.Dest)
-		c.updateRateLimits(dest) // what is new here has its tokens
-		if host == nil {
-			host = c.newHost(dest, entry)
-		}
-		if c.markDirty(host.dest); entry.State == Gone {
-			c.markPrunable(host.dest)
-		}
-		if host.Host = entry; c.cfg.Listed && entry.State == Ready {
-			if host.unit.listedRate = entry.Rate; host.unit.rateLimit == 0 {
-				host.unit.rateLimit = entry.Rate // all relays together may send no more, so neither may one
-			}
-		}
+		c.applyHost(host, entry)
 	}
 	c.prunable = slices.DeleteFunc(c.prunable, func(dest *destination) bool {
 		dest.listedPrunable = !c.prune(dest)
@@ -131,7 +121,24 @@
 	})
 }
 
-// depart notes a destination with a host that may have to be forgotten.
+// applyHost updates a host, nil if it is new, by its entry in the endpoint list.
+func (c *Chooser) applyHost(host *endpoint, entry Host) {
+	dest := c.destination(entry.Dest)
+	c.updateRateLimits(dest) // a new unit starts with the tokens that it has now
+	if host == nil {
+		host = c.newHost(dest, entry)
+	}
+	if c.markDirty(host.dest); entry.State == Gone {
+		c.markPrunable(host.dest)
+	}
+	if host.Host = entry; c.cfg.Listed && entry.State == Ready {
+		if host.unit.listedRate = entry.Rate; host.unit.rateLimit == 0 {
+			host.unit.rateLimit = entry.Rate // the limit of the fleet bounds that of each relay
+		}
+	}
+}
+
+// markPrunable puts a destination on the list of those that may have hosts to remove.
 func (c *Chooser) markPrunable(dest *destination) {
 	c.markDirty(dest)
 	if !dest.listedPrunable {
@@ -139,11 +146,11 @@
 	}
 }
 
-// prune forgets what has left of a destination, and it too in the end; it tells whether that is all there is
-// to be forgotten.
+// prune removes the hosts of a destination that have left the list, and the destination once it has none. It reports
+// whether nothing is left to remove.
 func (c *Chooser) prune(dest *destination) (done bool) {
 	dest.hosts = slices.DeleteFunc(dest.hosts, func(host *endpoint) bool {
-		// A host that may come back keeps its wait, and what is known of its health.
+		// A host that may return keeps its retry-after and its health.
 		departed := host.State == Gone && host.inFlight == 0 && c.now >= host.unit.retryAfterUntil &&
 			(host.unit.state == healthy || c.now-host.unit.stateSince > c.cfg.Rules.Cold)
 		if departed {
@@ -158,9 +165,11 @@
 		delete(c.destinations, dest.id)
 		return true
 	}
-	return len(dest.hosts) > 0 && !slices.ContainsFunc(dest.hosts, func(host *endpoint) bool { return host.State == Gone })
+	gone := func(host *endpoint) bool { return host.State == Gone }
+	return len(dest.hosts) > 0 && !slices.ContainsFunc(dest.hosts, gone)
 }
 
+// destination returns a destination, a new one if there is none with this number.
 func (c *Chooser) destination(id int) *destination {
 	dest := c.destinations[id]
 	if dest == nil {
--- a/choice/health.go
+++ b/choice/health.go
@@ -1,6 +1,6 @@
 package choice
 
-// Health, pacing and waits.
+// Health of units, backoff and slow start.
 
 import (
 	"math"
@@ -10,12 +10,13 @@
 )
 
 const (
-	// outage of the last history outcomes of a unit must have failed: one stray error is none.
+	// A unit is taken to be in an outage once outageFailures of its last outcomeHistory outcomes are failures.
 	outcomeHistory, outageFailures = 5, 2
-	budgetFraction                 = 0.9 // of the rule's budget for a cold destination
+	// budgetFraction is the part of the slow-start budget of the operating rules that the fleet uses.
+	budgetFraction = 0.9
 )
 
-// bad takes in a failure or a refusal.
+// recordUnsuccessful records a failure or a refusal; that of a trial lengthens the backoff to the next one.
 func (c *Chooser) recordUnsuccessful(unit *healthUnit) {
 	unit.servedStreak = 0
 	unit.unsuccessful++
@@ -25,13 +26,15 @@
 	}
 }
 
-// failed takes in a failure. It is held against the host alone while another of its unit is well: that
-// guards against the loss of one building, and of one machine among several.
+// applyFailure records a failure of a host. It counts against the health of its unit only if no other host of the
+// unit is without failures, so that the loss of one machine or zone is not taken for an outage of all.
 func (c *Chooser) applyFailure(host *endpoint, outcome Outcome) {
 	unit, dest := host.unit, host.dest
 	host.failures++
 	host.avoidUntil = c.now + min(c.cfg.Rules.Fall/8<<min(host.failures, 3), c.cfg.Rules.Fall/3)
-	isWell := func(g *endpoint) bool { return g.unit == unit && g.State == Ready && g.failures == 0 }
+	isWell := func(other *endpoint) bool {
+		return other.unit == unit && other.State == Ready && other.failures == 0
+	}
 	if slices.ContainsFunc(dest.hosts, isWell) {
 		return
 	}
@@ -39,13 +42,14 @@
 	unit.mayHaveRun = unit.mayHaveRun || outcome != NoConnection
 	unit.sawErrors = unit.sawErrors || outcome == Error
 	unit.recordOutcome(true)
-	alone := c.rarelyCalls(unit) && c.now-unit.lastServed > c.cfg.Rules.Fall // nothing here speaks against an outage
-	if unit.state != suspect && (alone || bits.OnesCount(unit.recentFailures) >= outageFailures) {
+	// A relay that rarely calls the unit has no recent success that contradicts an outage.
+	firstSign := c.rarelyCalls(unit) && c.now-unit.lastServed > c.cfg.Rules.Fall
+	if unit.state != suspect && (firstSign || bits.OnesCount(unit.recentFailures) >= outageFailures) {
 		c.markSuspect(unit, dest, "failures")
 	}
 }
 
-// note remembers whether the last outcome was a failure.
+// recordOutcome appends the last outcome to the recent ones.
 func (u *healthUnit) recordOutcome(failed bool) {
 	u.recentFailures = u.recentFailures << 1 & (1<<outcomeHistory - 1)
 	if failed {
@@ -53,7 +57,8 @@
 	}
 }
 
-// budget is this relay's share of the calls that the rule allows in its window, a while after a return.
+// slowStartBudget returns this relay's share of the calls that the operating rules allow in their window, at a time
+// since the end of the outage.
 func (c *Chooser) slowStartBudget(unit *healthUnit, back time.Duration) float64 {
 	rate := unit.listedRate
 	if rate == 0 {
@@ -64,34 +69,38 @@
 	return budgetFraction * rules.OverloadFactor * share * rate * rules.Fall.Seconds() / float64(c.cfg.Fleet)
 }
 
-// gap between trials, drawn by chance: it doubles up to a third of the rule's window, or to what leaves the
-// trials of all relays within twice the budget of a unit just back. In a large fleet each relay tries for
-// itself, and those that failed just before the return would come at once: there it is long from the start.
+// trialBackoff returns the randomized time to the next trial of a suspect unit: exponential, up to a third of the
+// rules' window or, if longer, to what keeps the trials of all relays within twice the slow-start budget. Relays of
+// a large fleet send trials independently, and those whose trials failed just before the end of the outage would
+// come back together: there the backoff has its full length from the start.
 func (c *Chooser) trialBackoff(unit *healthUnit) time.Duration {
 	window := c.cfg.Rules.Fall
-	longest := max(window/3, min(2*c.cfg.Rules.Cold, time.Duration(float64(window)/(2*c.slowStartBudget(unit, 0)))))
-	gap := min(window/8<<min(unit.failedTrials, 6), longest)
+	perBudget := time.Duration(float64(window) / (2 * c.slowStartBudget(unit, 0)))
+	longest := max(window/3, min(2*c.cfg.Rules.Cold, perBudget))
+	backoff := min(window/8<<min(unit.failedTrials, 6), longest)
 	if c.rarelyCalls(unit) {
-		gap = longest
+		backoff = longest
 	}
-	return gap/2 + time.Duration(c.rand.Float64()*float64(gap))
+	return backoff/2 + time.Duration(c.rand.Float64()*float64(backoff))
 }
 
+// markSuspect begins an outage of a unit, or starts its trials over during the slow start after one.
 func (c *Chooser) markSuspect(unit *healthUnit, dest *destination, why string) {
 	if unit.state == healthy {
 		unit.rateBeforeOutage = max(c.servedRate(unit), 1/c.cfg.Rules.Cold.Seconds())
 	}
 	c.logf("destination %d unit %s suspect: %s", dest.id, unit.name, why)
-	unit.state, unit.stateSince, unit.stateReason, unit.failedTrials, unit.servedStreak = suspect, c.now, why, 0, 0
+	unit.state, unit.stateSince, unit.stateReason = suspect, c.now, why
+	unit.failedTrials, unit.servedStreak = 0, 0
 	unit.nextTrialAt = c.now + c.trialBackoff(unit)
 	c.emit(Health{unit.name, true, unit.rateBeforeOutage})
 }
 
-// refused takes in a refusal: a wait if one was told, a pause of its own and a lower pace if not.
+// applyRefusal applies a refusal: its retry-after if it had one, else a backoff, and a lower rate limit.
 func (c *Chooser) applyRefusal(unit *healthUnit, dest *destination, wait time.Duration) {
 	c.recordUnsuccessful(unit)
 	unit.retryAfterUntil = max(unit.retryAfterUntil, c.now+wait)
-	if c.cfg.Granted { // whoever gives the grants hears of it
+	if c.cfg.Granted { // the issuer of grants is notified by Spent
 		return
 	}
 	unit.backoffUntil = max(c.now, unit.retryAfterUntil)
@@ -105,33 +114,42 @@
 		c.backOff(dest, c.now+2*c.refusalBackoff(unit, dest, dest.refusals-len(dest.units)))
 	}
 	if c.now-unit.rateCutAt >= time.Second && !c.rarelyCalls(unit) {
-		// Over at least the even share of a call, or the refused call alone counts as more than its share.
-		window := min(max(time.Second, c.evenShareInterval(unit)), c.cfg.Rules.Cold)
-		sentRate := c.sentWithin(unit, window) / window.Seconds()
-		if flow := c.servedRate(unit); flow > briskRate { // one refusal in a lull says little of what it takes
-			sentRate = max(sentRate, flow)
-		}
-		if unit.rateLimit == 0 || sentRate < unit.rateLimit {
-			unit.rateLimit = sentRate
-		}
-		unit.rateLimit = max(unit.rateLimit*rateCutFactor, 1/c.cfg.Rules.Cold.Seconds(), unit.listedRate/float64(c.cfg.Fleet)/2)
-		unit.rateCutAt, unit.tokens = c.now, max(-unit.rateLimit/2, min(unit.tokens, 0)) // calls without a limit are no debt
+		c.cutRateLimit(unit)
 	}
-	// Refusals alone, for longer than a limit explains, are those of a shut destination.
+	// Nothing but refusals, for longer than a rate limit explains, is an outage.
 	fall := c.cfg.Rules.Fall
 	if unit.state == healthy && (wait > 2*fall/3 || unit.unsuccessful > 6 && c.now-unit.lastServed >= fall) {
 		c.markSuspect(unit, dest, "refusals only")
 	}
 }
 
-// spread is a pause drawn by chance, so that relays do not come back in step. It doubles with each step up
-// to the even share of a call, sooner the fewer calls after a refusal are served at this kind: where refused
-// calls use up the limit, retries alone can keep it shut. It may harm where refusals come by chance.
+// cutRateLimit lowers the rate limit of a unit below the rate at which this relay sent when it was refused.
+func (c *Chooser) cutRateLimit(unit *healthUnit) {
+	// Measured over at least the interval of the even share, so that the refused call alone is not above it.
+	window := min(max(time.Second, c.evenShareInterval(unit)), c.cfg.Rules.Cold)
+	sentRate := c.sentWithin(unit, window) / window.Seconds()
+	if rate := c.servedRate(unit); rate > briskRate { // a refusal while little is sent does not measure capacity
+		sentRate = max(sentRate, rate)
+	}
+	if unit.rateLimit == 0 || sentRate < unit.rateLimit {
+		unit.rateLimit = sentRate
+	}
+	least := unit.listedRate / float64(c.cfg.Fleet) / 2
+	unit.rateLimit = max(unit.rateLimit*rateCutFactor, 1/c.cfg.Rules.Cold.Seconds(), least)
+	unit.rateCutAt = c.now
+	unit.tokens = max(-unit.rateLimit/2, min(unit.tokens, 0)) // calls from before there was a limit are no debt
+}
+
+// refusalBackoff returns a backoff with jitter, so that relays do not retry in step. It doubles with each step up to
+// the interval of the even share, and starts longer the fewer calls after a refusal were served by destinations of
+// this kind: if refused calls count against their rate limit, retries alone can keep it exhausted. It is too long
+// where refusals are independent of the rate.
 func (c *Chooser) refusalBackoff(unit *healthUnit, dest *destination, step int) time.Duration {
 	pause := (c.minTarget / 4).Seconds() * math.Exp2(float64(min(step, 10))) / math.Pow(2*(*dest.retrySuccess), 3)
 	return time.Duration(min(pause, c.evenShareInterval(unit).Seconds()) * (0.5 + c.rand.Float64()) * float64(time.Second))
 }
 
+// applyServed records a served call: smoothed latency and rate, and the end of an outage or of the slow start.
 func (c *Chooser) applyServed(unit *healthUnit, dest *destination, took time.Duration) {
 	if unit.latency == 0 {
 		unit.latency = took.Seconds()
@@ -159,8 +177,8 @@
 	}
 }
 
-// watch makes units suspect that leave calls unanswered: a guard against any silence, before a
-// time-out tells. It holds as well against calls that unsafe messages leave out for long.
+// detectUnresponsive marks units suspect that have not responded to any call for the unresponsive time-out. This is
+// sooner than the time-outs of the calls, which can be long for messages that must not be retried.
 func (c *Chooser) detectUnresponsive() {
 	c.watchAt = never
 	c.calling = slices.DeleteFunc(c.calling, func(dest *destination) bool {
@@ -181,19 +199,19 @@
 	})
 }
 
-// watchFrom has a silence noticed that began at a time.
+// scheduleWatch schedules the check for a unit without a response since a time.
 func (c *Chooser) scheduleWatch(begin time.Duration, dest *destination) {
 	c.watchAt = min(c.watchAt, begin+c.unresponsiveTimeout(dest))
 }
 
-// sent counts the calls to a unit within a span until now.
+// sentWithin returns the number of calls sent to a unit within a window until now.
 func (c *Chooser) sentWithin(unit *healthUnit, span time.Duration) float64 {
 	first, _ := slices.BinarySearch(unit.sendTimes, c.now-span)
 	return float64(len(unit.sendTimes) - first)
 }
 
-// roomAt is when a unit may be sent a call, by what is known now: at once, never unless something happens, or
-// not before that time.
+// sendableAt returns a time before which a unit must not be sent a call, as things are: now for at once, never if
+// that takes another event.
 func (c *Chooser) sendableAt(unit *healthUnit) time.Duration {
 	at := max(c.now, unit.retryAfterUntil, unit.backoffUntil)
 	switch {
@@ -209,16 +227,17 @@
 	return max(at, c.tokenAt(unit))
 }
 
-// budgetAt is when the budget of a cold unit has room for a call, or a time before that.
+// slowStartAt returns when the slow-start budget of a unit allows a call, or a time before that.
 func (c *Chooser) slowStartAt(unit *healthUnit) time.Duration {
 	at := c.budgetFreeAt(unit, c.slowStartBudget(unit, c.now-unit.stateSince))
-	if at > c.now { // and the budget grows until then
+	if at > c.now { // the budget grows in the meantime
 		at = max(c.now+1, c.budgetFreeAt(unit, c.slowStartBudget(unit, at-unit.stateSince)))
 	}
 	return at
 }
 
-// freeAt is when a budget of calls in the rule's window, or of one in a longer one, has room for a call.
+// budgetFreeAt returns when a budget of calls in the rules' window allows a call; a budget below one call is one call
+// in a window that is longer in proportion.
 func (c *Chooser) budgetFreeAt(unit *healthUnit, budget float64) time.Duration {
 	span := time.Duration(float64(c.cfg.Rules.Fall) / min(1, budget))
 	first, _ := slices.BinarySearch(unit.sendTimes, c.now-span)
--- a/choice/order.go
+++ b/choice/order.go
@@ -1,8 +1,8 @@
 package choice
 
-// Order of keys.
+// Ordering keys: messages with the same key are sent one at a time.
 
-// hasTurn tells whether the order of its key lets a message go.
+// keyAllows reports whether a message may be sent as far as its ordering key is concerned.
 func (c *Chooser) keyAllows(msg *message) bool {
 	if !msg.class.Ordered || msg.Key == "" {
 		return true
@@ -12,7 +12,7 @@
 	return first == msg && c.now >= order.settledAt
 }
 
-// advance lets the first message of a key go, or forgets a key without any, once the key has rested.
+// advance makes the first message of a key eligible, or removes a key without messages, once the key has settled.
 func (c *Chooser) advance(order *keyOrder) {
 	first, ok := order.messages.Min()
 	switch {
@@ -26,6 +26,7 @@
 	}
 }
 
+// releaseSettledKeys advances the keys whose pause after an unknown outcome is over.
 func (c *Chooser) releaseSettledKeys() {
 	for order, ok := c.settling.Min(); ok && order.settledAt <= c.now; order, ok = c.settling.Min() {
 		c.settling.Remove(order)
--- a/choice/pace.go
+++ b/choice/pace.go
@@ -1,23 +1,24 @@
 package choice
 
+// Rates of a unit, and the token bucket by which this relay limits its own rate there.
+
 import (
 	"math"
 	"time"
 )
 
 const (
-	// cut of a unit's pace: a fifth on a refusal. It regains at the rate grow a second without one, at the
-	// rate search where no rate is listed; either compounds.
+	// A refusal multiplies the rate limit of a unit by rateCutFactor. Without one it grows exponentially, by
+	// listedRateGrowth a second, or by rateGrowth if the rate of the unit is not listed.
 	rateCutFactor, listedRateGrowth, rateGrowth = 0.8, 0.05, 0.07
-	briskRate                                   = 4        // calls a second from which pace is learnt by calls, not by seconds
+	briskRate                                   = 4        // calls a second above which the limit grows by calls, not by time
 	maxRate                                     = 1e6      // calls a second
-	fullToken                                   = 1 - 1e-9 // of a token, for a call: sums are not exact
+	fullToken                                   = 1 - 1e-9 // tokens for a call: sums are not exact
 )
 
-// Rates of a unit, and the pace that this relay allows itself there.
-
-// rate that a unit takes from all relays together: listed or reported; else what it served here times
-// the fleet, and at least a call in an eighth of an aim.
+// fleetRate returns the calls a second that a unit takes from all relays together: the rate that is listed or
+// reported, else an estimate of the rate served to this relay times the fleet, and at least a call in an eighth of
+// the shortest latency target.
 func (c *Chooser) fleetRate(unit *healthUnit) float64 {
 	if unit.listedRate > 0 {
 		return unit.listedRate
@@ -25,25 +26,26 @@
 	return max(c.servedRate(unit)*float64(c.cfg.Fleet), 8/c.minTarget.Seconds())
 }
 
-// flow is the rate that a unit served to this relay, messages a second. The smoothed rate begins at 0: it is
-// scaled by the part of its time that has passed, lest a young unit pass for one that takes little.
+// servedRate returns the messages a second that a unit serves to this relay. The smoothed rate starts at 0, so it is
+// divided by the weight of the time since the unit was listed.
 func (c *Chooser) servedRate(unit *healthUnit) float64 {
 	age, cold := max(c.now-unit.createdAt, 2*time.Second), c.cfg.Rules.Cold
 	return unit.servedRate / (1 - math.Exp(-age.Seconds()/cold.Seconds()))
 }
 
-// even is the time in which this relay's even share of that is one call.
+// evenShareInterval returns the time in which this relay's even share of the fleet rate is one call.
 func (c *Chooser) evenShareInterval(unit *healthUnit) time.Duration {
 	return time.Duration(float64(c.cfg.Fleet) / c.fleetRate(unit) * float64(time.Second))
 }
 
-// thin tells whether this relay meets a unit too seldom to learn a pace from its own calls.
+// rarelyCalls reports whether the even share is too small to learn a rate limit from this relay's own calls.
 func (c *Chooser) rarelyCalls(unit *healthUnit) bool {
 	return c.evenShareInterval(unit) > c.minTarget/2
 }
 
-// settle brings pace and tokens of a destination's units up to date. Pace grows while messages wait that a
-// pause does not hold back, however often it is looked at; at the end of a lull it regains a second's worth.
+// updateRateLimits updates the rate limits and tokens of a destination's units to the current time. Limits grow only
+// while the destination has demand, and by one second at the end of a time without. The result does not depend on
+// how often it is called.
 func (c *Chooser) updateRateLimits(dest *destination) {
 	if c.now < dest.demandSince {
 		return
@@ -60,8 +62,9 @@
 	}
 }
 
-// grow has a pace grow for so many seconds, and returns the calls that it allows in them. Each served call
-// tells as much: from brisk on pace grows faster the higher it is, up to four times as fast.
+// growRateLimit lets the rate limit grow for a span in seconds and returns the number of calls that it allows in this
+// time. Each served call is as much evidence, so above briskRate the limit grows at a rate proportional to itself,
+// up to four times rateGrowth.
 func (u *healthUnit) growRateLimit(span float64) (calls float64) {
 	growTo := func(rate, top float64) {
 		if span <= 0 || u.rateLimit >= top {
@@ -78,7 +81,7 @@
 		return calls + u.rateLimit*span
 	}
 	growTo(rateGrowth, briskRate)
-	if span > 0 && u.rateLimit < 4*briskRate { // by search*limit/brisk
+	if span > 0 && u.rateLimit < 4*briskRate { // at a rate of rateGrowth*limit/briskRate
 		growing := min(span, briskRate/rateGrowth*(1/u.rateLimit-1/(4.0*briskRate)))
 		grown := 1 / (1/u.rateLimit - rateGrowth*growing/briskRate)
 		calls += briskRate / rateGrowth * math.Log(grown/u.rateLimit)
@@ -88,7 +91,7 @@
 	return calls + u.rateLimit*span
 }
 
-// tokenAt is a time before which a pace allows no call; it allows one then, or soon after.
+// tokenAt returns a time before which the rate limit allows no call; it allows one then or soon after.
 func (c *Chooser) tokenAt(unit *healthUnit) time.Duration {
 	if unit.rateLimit == 0 || unit.tokens >= fullToken {
 		return c.now
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -1,21 +1,22 @@
 package choice
 
+// State that outlives a process of the relay: pending messages, outages and waits.
+
 import "time"
 
-// Restored hands in a message that an earlier process of this relay had taken
-// on, with what is known of its attempts. An attempt whose outcome was never
-// recorded counts as one that may have run.
+// Restored submits a message that an earlier process of this relay accepted, with the state of its attempts. An
+// attempt whose outcome was not recorded counts as one that may have run.
 type Restored struct {
 	Arrival
-	Attempts int           // used up
-	Timeout  time.Duration // of the last of them
-	Ran      bool          // one of them may have run
-	RanAgo   time.Duration // since the first such attempt went out
+	Attempts int           // number of attempts made
+	Timeout  time.Duration // of the last attempt
+	Ran      bool          // an attempt may have run
+	RanAgo   time.Duration // time since the first such attempt was sent
 	RanZone  int           // zone of its host
 }
 
-// restore takes a message up where the earlier process left it. Its effect and
-// its attempts bind as if no restart had been; what may not go again is answered now.
+// restore continues a message where the earlier process left it. Its effect and its attempts count as if there had
+// been no restart; a message that must not be retried is answered now.
 func (c *Chooser) restore(restored Restored) {
 	msg := c.newMessage(restored.Arrival)
 	msg.attempts, msg.lastTimeout, msg.restoredUntried = restored.Attempts, restored.Timeout, restored.Attempts == 0 && !restored.Ran
@@ -28,30 +29,30 @@
 	}
 }
 
-// spent tells whether a message may not be tried again.
+// exhausted reports whether a message must not be sent again.
 func (c *Chooser) exhausted(msg *message) bool {
 	return msg.attempts >= c.cfg.MaxAttempts || !c.mayRetry(msg)
 }
 
-// Unwell says that an earlier process of this relay saw an outage at a host whose
-// end it did not see. It follows the first Listing.
+// Unwell reports an outage of a host that an earlier process of this relay saw begin, but not end. It follows the
+// first Listing.
 type Unwell struct {
 	Host string
-	Base float64 // as Health told it
+	Base float64 // as in Health
 }
 
-// unwell guards a returning destination against a relay that forgot the outage by a restart.
+// applyUnwell continues an outage, so that a restart of the relay does not skip the slow start of a destination.
 func (c *Chooser) applyUnwell(unwell Unwell) {
 	host := c.hosts[unwell.Host]
 	if host == nil {
 		return
 	}
 	host.unit.servedRate = unwell.Base
-	host.unit.mayHaveRun, host.unit.sawErrors, host.unit.unsuccessful = true, true, 1 // one answer does not prove it well
+	host.unit.mayHaveRun, host.unit.sawErrors, host.unit.unsuccessful = true, true, 1 // a single served call does not end the outage
 	c.markSuspect(host.unit, host.dest, "unwell before the restart")
 }
 
-// told keeps to a wait that another process was told.
+// applyWait applies a retry-after that another process of the relay received.
 func (c *Chooser) applyWait(e Told) {
 	if host := c.hosts[e.Host]; host != nil {
 		host.unit.retryAfterUntil = max(host.unit.retryAfterUntil, c.now+e.Wait)
@@ -59,8 +60,8 @@
 	}
 }
 
-// comeBack is when a client had best hand a refused message in again: once a unit of its
-// destination may be sent to, and what waits there has gone.
+// retryAfter returns the time after which a client should submit a rejected message again: when a unit of its
+// destination can be sent to and the backlog there has been served.
 func (c *Chooser) retryAfter(dest *destination) time.Duration {
 	soonest, rate := time.Duration(-1), 0.0
 	for _, unit := range dest.units {
--- a/choice/retune.go
+++ b/choice/retune.go
@@ -1,7 +1,7 @@
 package choice
 
-// Settings that change while messages are under way. This file only brings what is derived from the settings up
-// to date; what they mean for a message is decided where it ever was.
+// Changes of settings while messages are pending. This file updates what is derived from the settings; their meaning
+// for a message is decided in the other files.
 
 import (
 	"maps"
@@ -13,15 +13,15 @@
 	"larchrouter/internal/relay/batching"
 )
 
-// What falls due together is answered at this pace, begun sooner by half of ahead at most. A relay on one core can
-// record and tell some 20,000 ends a second beside its other work.
+// Messages that expire together are answered in batches, at a rate that leaves a relay on one core time for its other
+// work: it can record and send some 20,000 final answers a second.
 const (
 	answersPerSecond = 12_800
-	minBatch         = 64
-	batchLead        = 5 * time.Second
+	minBatch         = 64              // messages
+	batchLead        = 5 * time.Second // horizon of the schedule; answers are early by half of it at most
 )
 
-// measure derives from the settings what the decisions go by.
+// deriveSettings updates the values that are derived from the settings.
 func (c *Chooser) deriveSettings() {
 	c.maxTimeout, c.minTarget, c.maxValue = 0, math.MaxInt64, 1e-9
 	for _, class := range c.cfg.Classes {
@@ -36,12 +36,13 @@
 	}
 }
 
-// cut cuts the ends of what waits into pieces anew if the time between looks has changed.
+// resizeBatches rebuilds the schedule of expiries if wakeInterval has changed.
 func (c *Chooser) resizeBatches() {
 	if c.batches != nil && c.batches.Slot() == c.wakeInterval {
 		return
 	}
-	c.batches = batching.New(c.wakeInterval, max(minBatch, int(answersPerSecond*c.wakeInterval.Seconds())), int(batchLead/c.wakeInterval))
+	batch := max(minBatch, int(answersPerSecond*c.wakeInterval.Seconds()))
+	c.batches = batching.New(c.wakeInterval, batch, int(batchLead/c.wakeInterval))
 	for _, msg := range c.messages {
 		if msg.group != nil {
 			c.batches.Add(msg.expiresAt)
@@ -49,32 +50,35 @@
 	}
 }
 
-// retune takes other settings, or logs why not.
+// applySettings changes the settings, or logs why they are invalid. Messages that may not be sent again under the new
+// ones are answered.
 func (c *Chooser) applySettings(changed Settings) {
 	cfg := c.cfg
-	cfg.Classes, cfg.MaxAttempts, cfg.MaxHeld, cfg.Workers, cfg.Rules = changed.Classes, changed.MaxAttempts, changed.MaxHeld, changed.Workers, changed.Rules
+	cfg.Classes, cfg.MaxAttempts, cfg.MaxHeld = changed.Classes, changed.MaxAttempts, changed.MaxHeld
+	cfg.Workers, cfg.Rules = changed.Workers, changed.Rules
 	if err := cfg.Check(); err != nil {
 		c.logf("settings not taken: %v", err)
 		return
 	}
-	if classes := len(c.cfg.Classes); len(cfg.Classes) < classes || !slices.Equal(cfg.Classes[:classes], c.cfg.Classes) {
+	classes := len(c.cfg.Classes)
+	if len(cfg.Classes) < classes || !slices.Equal(cfg.Classes[:classes], c.cfg.Classes) {
 		c.logf("settings not taken: classes that messages may have were changed")
 		return
 	}
 	c.cfg = cfg
 	c.deriveSettings()
 	c.addShedOrders()
-	var spent []*message
+	var exhausted []*message
 	for _, msg := range c.messages {
 		if msg.group != nil && c.exhausted(msg) {
-			spent = append(spent, msg)
+			exhausted = append(exhausted, msg)
 		}
 	}
-	slices.SortFunc(spent, func(a, b *message) int { return compareExpiry(a, b) })
-	for _, msg := range spent {
+	slices.SortFunc(exhausted, compareExpiry)
+	for _, msg := range exhausted {
 		c.answer(msg, c.exhaustedReason(msg))
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.destinations)) {
-		c.markDirty(c.destinations[id]) // more may go now, or at other times
+		c.markDirty(c.destinations[id]) // it may be sent to now, or at other times
 	}
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -1,6 +1,6 @@
 package choice
 
-// State without decisions: what a Chooser remembers, and checks of its settings.
+// State of a Chooser, and the check of its settings.
 
 import (
 	"fmt"
@@ -14,226 +14,233 @@
 	"larchrouter/internal/relay/queue"
 )
 
-// never is a time that does not come.
+// never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// message is one message until its final answer and its last outcome.
+// message is a pending message, until its final answer and the outcome of its last attempt.
 type message struct {
 	Arrival
 	class           *Class
 	dest            *destination
-	deadline        time.Duration // deadline
-	createdAt       time.Duration // due less the class's deadline: first handed in
-	attempts        int
-	restoredUntried bool          // by a restart, untried
-	lastTimeout     time.Duration // of the last try
-	call            *outboundCall // out now
+	deadline        time.Duration
+	createdAt       time.Duration // deadline less the class's: when it was first submitted
+	attempts        int           // made, those that ended as NotSent included
+	restoredUntried bool          // restored after a restart, without an attempt before it
+	lastTimeout     time.Duration // of the last attempt
+	call            *outboundCall // in flight; nil if queued or finished
 	mayHaveRun      bool          // an attempt may have run
-	mayHaveRunAt    time.Duration // the first such attempt went out
-	mayHaveRunZone  int
-	lastHost        *endpoint
-	uncertainAt     time.Duration // time of the last unsure outcome; its key rests after it
+	mayHaveRunAt    time.Duration // when the first such attempt was sent
+	mayHaveRunZone  int           // zone of its host
+	lastHost        *endpoint     // of the last attempt
+	uncertainAt     time.Duration // time of the last unknown outcome, below 0 for none; its key settles after it
 	finished        bool          // answered or withdrawn
-	keySequence     uint64        // in the order of arrival
-	// While it waits:
-	group         *messageGroup
-	queueSequence uint64        // in the order in which messages began to wait
-	expiresAt     time.Duration // it is answered then, come what may
+	keySequence     uint64        // order of arrival, for messages with an ordering key
+	// While it is queued:
+	group         *messageGroup // nil if it is not queued
+	queueSequence uint64        // order in which messages were queued
+	expiresAt     time.Duration // it gets its final answer then
 	expiryIndex   queue.Place
 }
 
-// group is the messages of a destination that wait and differ in nothing but age: where one may go, any may.
+// messageGroup is the queued messages of a destination that differ only in age: if one may be sent to a host, all may,
+// except for eligibleAge.
 type messageGroup struct {
 	groupKey
-	messages *queue.Sorted[*message] // by due
+	messages *queue.Sorted[*message] // by deadline
 }
 
-// groupKey is what messages of a group have in common.
+// groupKey is the properties that messages of a group have in common.
 type groupKey struct {
 	class            int
-	zone             int  // that repeats are bound to, or anyZone
+	zone             int  // to which retries are bound, or anyZone
 	mayHaveRun       bool // an attempt may have run
-	keyAllows        bool // the order of keys lets them go
-	owedFirstAttempt bool // a restart found them untried, and they still are
+	keyAllows        bool // the ordering key lets them go
+	owedFirstAttempt bool // see message.owedFirstAttempt
 }
 
 const anyZone = -1
 
-// call is one call out; sends of one turn to one host may share it.
+// outboundCall is a call in flight. Sends of one Step to one host may share it.
 type outboundCall struct {
-	sequence  uint64 // in the order of sending
+	sequence  uint64 // order of sending
 	host      *endpoint
 	sentAt    time.Duration
-	messages  []*message // outcomes still due
-	cancelled bool       // called off
-	grant     *callGrant // that it goes on; nil without one
+	messages  []*message // without an outcome yet
+	cancelled bool
+	grant     *callGrant // nil without one
 }
 
-// host is one endpoint.
+// endpoint is a host with its state.
 type endpoint struct {
 	Host
 	dest           *destination
 	unit           *healthUnit
-	inFlight       int
-	preference     float64       // this relay's own liking, by chance
-	failures       int           // in a row
-	unreadable     int           // answers in a row
-	avoidUntil     time.Duration // after failures
-	lastAnsweredAt time.Duration // the last call that was answered
+	inFlight       int           // calls
+	preference     float64       // random, from 0 to 1: makes relays spread over hosts of equal cost
+	failures       int           // consecutive
+	unreadable     int           // consecutive unreadable responses
+	avoidUntil     time.Duration // after failures: other hosts are preferred until then
+	lastAnsweredAt time.Duration // last response, 0 for none
 }
 
-// warm tells whether a connection of an earlier call is likely to be there still.
+// hasWarmConnection reports whether the connection of an earlier call is likely to be open still.
 func (c *Chooser) hasWarmConnection(host *endpoint) bool {
 	return host.lastAnsweredAt > 0 && host.inFlight == 0 && c.now-host.lastAnsweredAt < c.cfg.IdleConn*3/4
 }
 
-// health of a unit.
+// health is the state of a healthUnit.
 type health int
 
 const (
 	healthy    health = iota
-	suspect           // single trials only
-	recovering        // within the budget for a cold destination
+	suspect           // in an outage: single trials only
+	recovering        // in slow start: calls within a budget
 )
 
-// unit is what health, limits and waits hang on: a destination, or a route where routes are apart.
+// healthUnit is the scope of health, rate limits and waits: a destination, or a single host where Kind.Apart is set.
 type healthUnit struct {
-	name             string
+	name             string      // address of its first host
 	key              string      // names the route to other relays
-	grants           []callGrant // not used yet
+	grants           []callGrant // unused, in order of arrival
 	createdAt        time.Duration
-	listedRate       float64 // calls a second from all relays, 0 if unknown
+	listedRate       float64 // calls a second from all relays, listed or reported; 0 if unknown
 	state            health
-	stateSince       time.Duration // of the state
-	stateReason      string        // it left the healthy state
-	retryAfterUntil  time.Duration // told
-	backoffUntil     time.Duration // own
-	recentFailures   uint          // recent outcomes, a bit set for each failure
-	servedStreak     int           // answers served in a row
-	sawErrors        bool          // errors answered were among them
-	mayHaveRun       bool          // failures that may have run were seen in this outage
-	nextTrialAt      time.Duration // next trial
-	failedTrials     int           // trials failed in a row
-	unsuccessful     int           // failures and refusals since then
-	lastServed       time.Duration // or first listed
-	inFlight         []*outboundCall
-	sendTimes        []time.Duration // in the last Fall or second
-	latency          float64         // smoothed latency, seconds
-	servedRate       float64         // smoothed rate served to this relay, messages a second
-	rateBeforeOutage float64         // served when the outage began
-	rateLimit        float64         // calls a second this relay allows itself; 0 for no limit
-	rateLimitAt      time.Duration   // last time that limit or tokens were brought up to date
-	rateCutAt        time.Duration
-	tokens           float64
+	stateSince       time.Duration
+	stateReason      string          // why it is not healthy
+	retryAfterUntil  time.Duration   // as requested by the host
+	backoffUntil     time.Duration   // this relay's own backoff after refusals
+	recentFailures   uint            // the last outcomeHistory outcomes, a set bit for each failure
+	servedStreak     int             // consecutive served calls
+	sawErrors        bool            // the outage had responses of outcome Error
+	mayHaveRun       bool            // the outage had failed calls that may have run
+	nextTrialAt      time.Duration   // while suspect
+	failedTrials     int             // consecutive
+	unsuccessful     int             // failures and refusals since lastServed
+	lastServed       time.Duration   // time of the last served call, or of the listing
+	inFlight         []*outboundCall // in the order of sending
+	sendTimes        []time.Duration // of calls within the last Rules.Cold, at least a second; ascending
+	latency          float64         // smoothed, of served calls, in seconds; 0 if unknown
+	servedRate       float64         // smoothed messages a second served to this relay, see Chooser.servedRate
+	rateBeforeOutage float64         // servedRate when the outage began
+	rateLimit        float64         // calls a second of this relay; 0 for no limit
+	rateLimitAt      time.Duration   // when rateLimit and tokens were last updated
+	rateCutAt        time.Duration   // when a refusal last lowered rateLimit
+	tokens           float64         // calls that the rate limit allows now; negative for a debt
 }
 
-// dest is one destination.
+// destination is a destination with its queue, hosts and units.
 type destination struct {
 	id              int
 	kind            Kind
 	hosts           []*endpoint
 	units           []*healthUnit
 	groups          []*messageGroup
-	queued          int           // messages that wait
-	demandSince     time.Duration // messages wait, and no pause is on; never if none wait
-	inFlight        int
-	listedCalling   bool // on the list of those with calls out
+	queued          int           // messages
+	demandSince     time.Duration // there are queued messages and no backoff since then; never if none are queued
+	inFlight        int           // calls
+	listedCalling   bool          // element of Chooser.calling
 	lastSentAt      time.Duration
-	evaluateAt      time.Duration // what may be sent changes then by itself; never if only by events
+	evaluateAt      time.Duration // next evaluation without an event, never if there is none
 	evaluationIndex queue.Place
-	sendOrder       sendOrder // as it stands in the order of turns
+	sendOrder       sendOrder // its key in Chooser.ready
 	readyIndex      queue.Place
-	listedPrunable  bool             // on the list of those to be forgotten in part
-	dirty           bool             // something has happened since its last look
+	listedPrunable  bool             // element of Chooser.prunable
+	dirty           bool             // element of Chooser.dirty
 	sheddable       []sheddableCount // by class
-	shedBacklog     int              // waits as the orders of crowds have it
+	shedBacklog     int              // its key in Chooser.shedOrders: queued
 	latencies       oracle.Table
-	refusals        int      // refusals in a row
-	retrySuccess    *float64 // of its kind
-	backoffUntil    time.Duration
-	timeouts        int  // time-outs in a row with nothing served since
-	lastWant        Want // as last told
-	wantChanged     bool // on the list of those to be told
+	refusals        int           // consecutive
+	retrySuccess    *float64      // of its kind, see Chooser.retrySuccess
+	backoffUntil    time.Duration // nothing is sent to any unit before
+	timeouts        int           // since the last call that was served in time, not counting units that served others
+	lastWant        Want          // as last emitted, or to be emitted if wantChanged
+	wantChanged     bool          // element of Chooser.changedWants
 }
 
-// turnKey is what the order of turns goes by.
+// sendOrder is the key by which destinations that can be sent to are ordered, see compareSendOrder.
 type sendOrder struct {
-	onTrial    bool // only units on trial may be sent to
+	onTrial    bool // all units are suspect
 	inFlight   int
 	lastSentAt time.Duration
 }
 
-// shed is how many messages of a class a destination has that may be turned away.
+// sheddableCount is the number of queued messages of a class at a destination that may be shed.
 type sheddableCount struct {
 	count int
 	index queue.Place
 }
 
-// line is the order of one key.
+// keyOrder is the pending messages of an ordering key. Only the first may be in flight or eligible.
 type keyOrder struct {
 	key         string
-	messages    *queue.Sorted[*message] // as they arrived
-	settledAt   time.Duration
+	messages    *queue.Sorted[*message] // by keySequence
+	settledAt   time.Duration           // end of the pause after an attempt with an unknown outcome
 	settleIndex queue.Place
 }
 
 // Chooser decides for one relay. It is not safe for concurrent use.
 type Chooser struct {
-	cfg             Settings
-	now             time.Duration
-	maxTimeout      time.Duration // maximal timeout of the oracle
-	minTarget       time.Duration
-	maxValue        float64 // of a class
-	messages        map[string]*message
-	destinations    map[int]*destination
-	hosts           map[string]*endpoint
-	keyOrders       map[string]*keyOrder
-	prunable        []*destination            // with a host that is gone, or none at all
-	calling         []*destination            // with calls out
-	dirty           []*destination            // something happened there since the last look
-	ready           *queue.Heap[*destination] // with a message to send and a unit to send it to, the next first
-	evaluations     *queue.Heap[*destination] // by lookAt
-	expiries        *queue.Heap[*message]     // those that wait, by endAt
-	batches         *batching.Schedule        // of the ends
-	nextBatchAt     time.Duration             // it is looked at then
-	settling        *queue.Heap[*keyOrder]
-	shedOrders      []*queue.Heap[*destination] // by class: those with some to turn away, most messages first
-	keySequence     uint64                      // of the last message
-	callSequence    uint64
-	searchPivot     message     // to search with
-	openHosts       []*endpoint // scratch
-	queueSequence   uint64
-	callsInFlight   int
-	pending         int
-	wakeAt          time.Duration // the next wake-up asked for
+	cfg Settings
+	now time.Duration
+
+	// Derived from the settings:
+	maxTimeout   time.Duration // maximum time-out by the oracle: the longest latency target
+	minTarget    time.Duration // the shortest latency target
+	maxValue     float64       // the greatest Worth of a class
+	wakeInterval time.Duration // minimum time between wake-ups
+
+	messages      map[string]*message
+	destinations  map[int]*destination
+	hosts         map[string]*endpoint // by address
+	keyOrders     map[string]*keyOrder
+	pending       int    // messages without a final answer
+	callsInFlight int    // slots taken
+	keySequence   uint64 // of the last message with an ordering key
+	callSequence  uint64 // of the last call
+	queueSequence uint64 // of the last message queued
+
+	prunable    []*destination              // with hosts to remove, or with none at all
+	calling     []*destination              // with calls in flight, in the order in which they came to have some
+	dirty       []*destination              // with an event since their last evaluation
+	ready       *queue.Heap[*destination]   // with a message to send and a unit to send it to; by sendOrder
+	evaluations *queue.Heap[*destination]   // by evaluateAt
+	expiries    *queue.Heap[*message]       // queued messages by expiresAt
+	batches     *batching.Schedule          // counts expiries by time
+	nextBatchAt time.Duration               // next look at batches
+	settling    *queue.Heap[*keyOrder]      // by settledAt
+	shedOrders  []*queue.Heap[*destination] // by class: with sheddable messages, the longest backlog first
+
+	wakeAt          time.Duration  // the next wake-up requested
+	watchAt         time.Duration  // next check for an unresponsive unit or a stuck call
+	subscribeAt     time.Duration  // next request for the endpoint list; below 0 for none
+	changedWants    []*destination // with a Want to emit
+	nextGrantExpiry time.Duration
+
 	rand            *rand.Rand
-	wakeInterval    time.Duration  // between looks, at the least
-	watchAt         time.Duration  // the next silence to be noticed, or call to be called off
-	retrySuccess    []float64      // by kind: share served of the calls to destinations that refused the last one
-	pooledLatencies oracle.Table   // of all destinations together, for those that have few samples yet
-	subscribeAt     time.Duration  // ask for list changes then; below 0 for never
-	changedWants    []*destination // their wants are to be told
-	nextGrantExpiry time.Duration  // the next grant lapses then
-	actions         []Action
+	retrySuccess    []float64    // by kind: share of served calls among those after a refusal, smoothed
+	pooledLatencies oracle.Table // of all destinations, for those with few samples
+	searchPivot     message      // search argument for queue.Sorted
+	openHosts       []*endpoint  // scratch space of chooseSend
+	actions         []Action     // of the current Step
 }
 
-// newHost is an endpoint that a destination did not have.
-func (c *Chooser) newHost(dest *destination, n Host) *endpoint {
+// newHost adds a host to a destination.
+func (c *Chooser) newHost(dest *destination, entry Host) *endpoint {
 	host := &endpoint{dest: dest, preference: c.rand.Float64()}
-	c.hosts[n.Addr], dest.hosts = host, append(dest.hosts, host)
-	if n.Kind >= 0 && n.Kind < len(c.cfg.Kinds) {
-		dest.kind, dest.retrySuccess = c.cfg.Kinds[n.Kind], &c.retrySuccess[n.Kind]
+	c.hosts[entry.Addr], dest.hosts = host, append(dest.hosts, host)
+	if entry.Kind >= 0 && entry.Kind < len(c.cfg.Kinds) {
+		dest.kind, dest.retrySuccess = c.cfg.Kinds[entry.Kind], &c.retrySuccess[entry.Kind]
 	}
 	if dest.kind.Apart || len(dest.units) == 0 {
-		dest.units = append(dest.units, c.newUnit(dest, n))
+		dest.units = append(dest.units, c.newUnit(dest, entry.Addr))
 	}
 	host.unit = dest.units[len(dest.units)-1]
 	return host
 }
 
-// newUnit is a unit of a destination, first heard of with a host.
-func (c *Chooser) newUnit(dest *destination, n Host) *healthUnit {
-	unit := &healthUnit{name: n.Addr, key: n.Addr, createdAt: c.now - time.Second, lastServed: c.now - time.Second}
+// newUnit returns a unit of a destination; name is the address of its first host.
+func (c *Chooser) newUnit(dest *destination, name string) *healthUnit {
+	unit := &healthUnit{name: name, key: name, createdAt: c.now - time.Second, lastServed: c.now - time.Second}
 	if !dest.kind.Apart {
 		unit.key = fmt.Sprint("dest ", dest.id)
 	}
@@ -243,12 +250,12 @@
 	return unit
 }
 
-// remove deletes one element.
+// removeElement removes an element from a slice, in place.
 func removeElement[T comparable](all []T, one T) []T {
 	return slices.DeleteFunc(all, func(o T) bool { return o == one })
 }
 
-// Check tells which setting is out of its range.
+// Check returns an error that names the first setting out of its range, nil if all are valid.
 func (s *Settings) Check() error {
 	switch {
 	case s.Workers < 1:
--- a/choice/waiting.go
+++ b/choice/waiting.go
@@ -1,7 +1,7 @@
 package choice
 
-// The messages that wait and the destinations that could be sent to, each in an order in which a decision
-// finds what it needs at once. This file keeps the orders true; it decides nothing.
+// Queues of messages and destinations, in the orders in which the decisions need them. This file keeps the orders
+// up to date and makes no decisions.
 
 import (
 	"cmp"
@@ -12,25 +12,23 @@
 	"larchrouter/internal/relay/queue"
 )
 
+// initOrders creates the queues.
 func (c *Chooser) initOrders() {
 	c.ready = queue.NewHeap(func(a, b *destination) bool {
 		return cmp.Or(compareSendOrder(a.sendOrder, b.sendOrder), cmp.Compare(a.id, b.id)) < 0
-	},
-		func(dest *destination) *queue.Place { return &dest.readyIndex })
+	}, func(dest *destination) *queue.Place { return &dest.readyIndex })
 	c.evaluations = queue.NewHeap(func(a, b *destination) bool {
 		return cmp.Or(cmp.Compare(a.evaluateAt, b.evaluateAt), cmp.Compare(a.id, b.id)) < 0
-	},
-		func(dest *destination) *queue.Place { return &dest.evaluationIndex })
+	}, func(dest *destination) *queue.Place { return &dest.evaluationIndex })
 	c.expiries = queue.NewHeap(func(a, b *message) bool { return compareExpiry(a, b) < 0 },
 		func(msg *message) *queue.Place { return &msg.expiryIndex })
 	c.settling = queue.NewHeap(func(a, b *keyOrder) bool {
 		return cmp.Or(cmp.Compare(a.settledAt, b.settledAt), cmp.Compare(a.key, b.key)) < 0
-	},
-		func(order *keyOrder) *queue.Place { return &order.settleIndex })
+	}, func(order *keyOrder) *queue.Place { return &order.settleIndex })
 	c.addShedOrders()
 }
 
-// moreClasses makes room for classes that have come.
+// addShedOrders creates the shedding orders of classes that have none.
 func (c *Chooser) addShedOrders() {
 	for class := len(c.shedOrders); class < len(c.cfg.Classes); class++ {
 		c.shedOrders = append(c.shedOrders, queue.NewHeap(func(a, b *destination) bool { return compareShedBacklog(a, b) < 0 },
@@ -41,34 +39,42 @@
 	}
 }
 
+// newDestination returns a destination without hosts or messages.
 func (c *Chooser) newDestination(id int) *destination {
-	return &destination{id: id, kind: Kind{PerCall: 1}, retrySuccess: &c.retrySuccess[0], demandSince: never, evaluateAt: never,
-		latencies: oracle.New(c.maxTimeout/oracle.Buckets, restartCost), sheddable: make([]sheddableCount, len(c.cfg.Classes))}
+	return &destination{id: id, kind: Kind{PerCall: 1}, retrySuccess: &c.retrySuccess[0],
+		demandSince: never, evaluateAt: never,
+		latencies: oracle.New(c.maxTimeout/oracle.Buckets, restartCost),
+		sheddable: make([]sheddableCount, len(c.cfg.Classes))}
 }
 
+// newKeyOrder returns an ordering key without messages.
 func newKeyOrder(key string) *keyOrder {
-	return &keyOrder{key: key, messages: queue.NewSorted(func(a, b *message) bool { return a.keySequence < b.keySequence })}
+	bySequence := func(a, b *message) bool { return a.keySequence < b.keySequence }
+	return &keyOrder{key: key, messages: queue.NewSorted(bySequence)}
 }
 
+// compareExpiry orders messages by expiry, equal ones by when they were queued.
 func compareExpiry(a, b *message) int {
 	return cmp.Or(cmp.Compare(a.expiresAt, b.expiresAt), cmp.Compare(a.queueSequence, b.queueSequence))
 }
 
+// compareShedBacklog orders destinations by backlog, the longest first.
 func compareShedBacklog(a, b *destination) int {
 	return cmp.Or(cmp.Compare(b.shedBacklog, a.shedBacklog), cmp.Compare(a.id, b.id))
 }
 
+// earlierDeadline orders messages by deadline, equal ones by when they were queued.
 func earlierDeadline(a, b *message) bool {
 	return a.deadline < b.deadline || a.deadline == b.deadline && a.queueSequence < b.queueSequence
 }
 
-// within is the oldest message of a group that is at most so old, past the youngest that is older. Of those
-// of one age it is the one that has waited longest.
+// oldestWithin returns the oldest message of a group up to an age; of several the one that was queued first.
 func (c *Chooser) oldestWithin(group *messageGroup, age time.Duration) (*message, bool) {
 	c.searchPivot.deadline = c.now + c.cfg.Classes[group.class].Deadline - age
 	return group.messages.From(&c.searchPivot)
 }
 
+// youngestPast returns the youngest message of a group above an age; of several the one that was queued first.
 func (c *Chooser) youngestPast(group *messageGroup, age time.Duration) (*message, bool) {
 	c.searchPivot.deadline = c.now + c.cfg.Classes[group.class].Deadline - age
 	msg, ok := group.messages.Before(&c.searchPivot)
@@ -79,7 +85,7 @@
 	return msg, ok
 }
 
-// oldest of the messages of a class that may be turned away; nil if there is none.
+// oldestSheddable returns the oldest message of a class that may be shed; nil if there is none.
 func (c *Chooser) oldestSheddable(dest *destination, class int) *message {
 	var first *message
 	for _, group := range dest.groups {
@@ -93,15 +99,16 @@
 	return first
 }
 
-// message makes one of an arrival.
+// newMessage returns the message of an arrival. A class out of range counts as the nearest.
 func (c *Chooser) newMessage(arrival Arrival) *message {
 	arrival.Class = min(max(arrival.Class, 0), len(c.cfg.Classes)-1)
 	class := &c.cfg.Classes[arrival.Class]
-	due := c.now + arrival.Left
-	return &message{Arrival: arrival, class: class, dest: c.destination(arrival.Dest), deadline: due, createdAt: due - class.Deadline, uncertainAt: -1}
+	deadline := c.now + arrival.Left
+	return &message{Arrival: arrival, class: class, dest: c.destination(arrival.Dest), deadline: deadline,
+		createdAt: deadline - class.Deadline, uncertainAt: -1}
 }
 
-// hold takes a message on.
+// accept makes a message pending and queues it.
 func (c *Chooser) accept(msg *message) {
 	c.messages[msg.ID] = msg
 	c.pending++
@@ -118,7 +125,7 @@
 	c.enqueue(msg)
 }
 
-// queue lets a message wait for its next try.
+// enqueue queues a message for its next attempt.
 func (c *Chooser) enqueue(msg *message) {
 	dest := msg.dest
 	c.queueSequence++
@@ -133,7 +140,7 @@
 	c.updateShedOrders(dest)
 }
 
-// dequeue ends the waiting of a message; one that does not wait does nothing.
+// dequeue removes a message from the queues; it does nothing if the message is not queued.
 func (c *Chooser) dequeue(msg *message) {
 	if msg.group == nil {
 		return
@@ -150,12 +157,12 @@
 	}
 }
 
-// owed tells whether a message is still owed its first try from before a restart.
+// owedFirstAttempt reports whether a message was restored after a restart without an attempt, and has had none yet.
 func (m *message) owedFirstAttempt() bool { return m.restoredUntried && m.attempts == 0 }
 
-// ahead is what a message gains on others of its destination: those owed a try from before a restart go first. They have
-// waited while nobody could send them, and by the loss of waiting alone, which is little once the aim has passed,
-// most of them would wait behind what comes in until their time is up.
+// priorityBonus returns the value added to a message's loss by waiting: messages that are owed a first attempt since a
+// restart go first. They aged while the relay was down, and past the latency target the loss by waiting is small, so
+// that most of them would expire behind new arrivals.
 func (c *Chooser) priorityBonus(msg *message) float64 {
 	if msg.owedFirstAttempt() {
 		return c.maxValue
@@ -163,8 +170,8 @@
 	return 0
 }
 
-// sooner is how many messages have to be answered before their time is up, as more fall due together than can be
-// told at once.
+// dueEarly returns the number of messages to answer now before they expire, since more expire together than one Step
+// answers.
 func (c *Chooser) dueEarly() (count int) {
 	if c.now >= c.nextBatchAt {
 		count, c.nextBatchAt = c.batches.Look(c.now)
@@ -172,9 +179,11 @@
 	return count
 }
 
-// join puts a message that waits into its group.
+// joinGroup adds a queued message to its group.
 func (c *Chooser) joinGroup(msg *message) {
-	dest, key := msg.dest, groupKey{class: msg.Class, zone: anyZone, mayHaveRun: msg.mayHaveRun, keyAllows: c.keyAllows(msg), owedFirstAttempt: msg.owedFirstAttempt()}
+	dest := msg.dest
+	key := groupKey{class: msg.Class, zone: anyZone, mayHaveRun: msg.mayHaveRun, keyAllows: c.keyAllows(msg),
+		owedFirstAttempt: msg.owedFirstAttempt()}
 	if msg.zoneBound() {
 		key.zone = msg.mayHaveRunZone
 	}
@@ -191,6 +200,7 @@
 	c.markDirty(dest)
 }
 
+// leaveGroup removes a queued message from its group.
 func (c *Chooser) leaveGroup(msg *message) {
 	dest := msg.dest
 	msg.group.messages.Remove(msg)
@@ -200,7 +210,7 @@
 	c.markDirty(dest)
 }
 
-// touch has a destination looked at: something has happened that may change what is sent to it.
+// markDirty schedules the evaluation of a destination in this Step, after an event that may change what it is sent.
 func (c *Chooser) markDirty(dest *destination) {
 	if !dest.dirty {
 		dest.dirty = true
@@ -208,7 +218,8 @@
 	}
 }
 
-// place puts a destination where it belongs in the orders of turns and of looks, after a look.
+// reschedule stores the result of an evaluation: whether the destination can be sent to now, in which order, and
+// when it is evaluated again.
 func (c *Chooser) reschedule(dest *destination, ready bool, order sendOrder, evaluateAt time.Duration) {
 	dest.dirty = false
 	if c.cfg.Granted {
@@ -226,7 +237,7 @@
 	}
 }
 
-// recrowd puts a destination where it belongs in the orders of crowds.
+// updateShedOrders updates the position of a destination in the shedding orders.
 func (c *Chooser) updateShedOrders(dest *destination) {
 	if c.cfg.MaxHeld == 0 {
 		return
@@ -241,14 +252,15 @@
 	}
 }
 
-// pause holds a destination back until a time.
+// backOff blocks a destination until a time.
 func (c *Chooser) backOff(dest *destination, until time.Duration) {
 	if dest.backoffUntil = until; dest.queued > 0 {
 		dest.demandSince = max(c.now, until)
 	}
 }
 
-// wake asks to be woken when something changes by the passing of time alone, no sooner than a nap from now.
+// requestWake requests a wake-up for the next time at which a decision may change without an event, no sooner than
+// after wakeInterval.
 func (c *Chooser) requestWake() {
 	at := min(c.watchAt, c.nextGrantExpiry)
 	if c.subscribeAt >= 0 {
@@ -256,7 +268,7 @@
 	}
 	soonest := c.now + c.wakeInterval
 	if msg, ok := c.expiries.Min(); ok {
-		if at = min(at, msg.expiresAt); at <= c.now { // the rest of more than a piece
+		if at = min(at, msg.expiresAt); at <= c.now { // the rest of more than a batch
 			soonest = c.now + time.Millisecond
 		}
 	}
