--- a/choice/internal/reference/order.go
+++ b/choice/internal/reference/order.go
@@ -1,10 +1,10 @@
 package reference
 
-import "slices"
+// Ordering keys: messages with the same key are sent one at a time.
 
-// Order of keys.
+import "slices"
 
-// hasTurn tells whether the order of its key lets a message go.
+// keyAllows reports whether a message may be sent as far as its ordering key is concerned.
 func (c *Chooser) keyAllows(msg *message) bool {
 	if !msg.class.Ordered || msg.Key == "" {
 		return true
@@ -13,6 +13,7 @@
 	return order.messages[0] == msg && c.now >= order.settledAt
 }
 
+// releaseSettledKeys removes the keys without messages whose pause after an unknown outcome is over.
 func (c *Chooser) releaseSettledKeys() {
 	c.settling = slices.DeleteFunc(c.settling, func(order *keyOrder) bool {
 		if len(order.messages) == 0 && c.now >= order.settledAt {
--- a/choice/internal/reference/pace.go
+++ b/choice/internal/reference/pace.go
@@ -1,14 +1,24 @@
 package reference
 
+// Rates of a unit, and the token bucket by which this relay limits its own rate there.
+
 import (
 	"math"
 	"time"
 )
 
-// Rates of a unit, and the pace that this relay allows itself there.
+const (
+	// A refusal multiplies the rate limit of a unit by rateCutFactor. Without one it grows exponentially, by
+	// listedRateGrowth a second, or by rateGrowth if the rate of the unit is not listed.
+	rateCutFactor, listedRateGrowth, rateGrowth = 0.8, 0.05, 0.07
+	// briskRate, in calls a second, is the limit above which it grows by calls, not by time.
+	briskRate = 4
+	maxRate   = 1e6
+)
 
-// rate that a unit takes from all relays together: listed or reported; else what it served here times
-// the fleet, and at least a call in an eighth of an aim.
+// fleetRate returns the calls a second that a unit takes from all relays together: the rate that is listed or
+// reported, else an estimate of the rate served to this relay times the fleet, and at least a call in an
+// eighth of the shortest latency target.
 func (c *Chooser) fleetRate(unit *healthUnit) float64 {
 	if unit.listedRate > 0 {
 		return unit.listedRate
@@ -16,24 +26,24 @@
 	return max(c.servedRate(unit)*float64(c.cfg.Fleet), 8/c.minTarget.Seconds())
 }
 
-// flow is the rate that a unit served to this relay, messages a second. The smoothed rate begins at 0: it is
-// scaled by the part of its time that has passed, lest a young unit pass for one that takes little.
+// servedRate returns the messages a second that a unit serves to this relay. The smoothed rate starts at 0,
+// so it is divided by the weight of the time since the unit was listed.
 func (c *Chooser) servedRate(unit *healthUnit) float64 {
 	age, cold := max(c.now-unit.createdAt, 2*time.Second), c.cfg.Rules.Cold
 	return unit.servedRate / (1 - math.Exp(-age.Seconds()/cold.Seconds()))
 }
 
-// even is the time in which this relay's even share of that is one call.
+// evenShareInterval returns the time in which this relay's even share of the fleet rate is one call.
 func (c *Chooser) evenShareInterval(unit *healthUnit) time.Duration {
 	return time.Duration(float64(c.cfg.Fleet) / c.fleetRate(unit) * float64(time.Second))
 }
 
-// thin tells whether this relay meets a unit too seldom to learn a pace from its own calls.
+// rarelyCalls reports whether the even share is too small to learn a rate limit from this relay's own calls.
 func (c *Chooser) rarelyCalls(unit *healthUnit) bool {
 	return c.evenShareInterval(unit) > c.minTarget/2
 }
 
-// settle brings a destination with messages that wait up to date.
+// updateRateLimits updates the rate limits of a destination with queued messages and without a backoff.
 func (c *Chooser) updateRateLimits(dest *destination) {
 	if len(dest.waiting) > 0 && c.now >= dest.backoffUntil {
 		for _, unit := range dest.units {
@@ -42,24 +52,22 @@
 	}
 }
 
-// refill brings pace and tokens up to date.
+// updateRateLimit updates the rate limit and tokens of a unit to the current time.
 func (c *Chooser) updateRateLimit(unit *healthUnit, dest *destination) {
-	dt := c.now - unit.rateLimitAt
-	lull := min(max(0, dest.demandSince-unit.rateLimitAt), dt)
+	span := c.now - unit.rateLimitAt
+	lull := min(max(0, dest.demandSince-unit.rateLimitAt), span)
 	unit.rateLimitAt = c.now
 	if unit.rateLimit == 0 {
 		return
 	}
 	lost := max(0, lull-time.Second)
 	unit.tokens += unit.rateLimit * lost.Seconds()
-	unit.tokens += unit.growRateLimit((dt - lost).Seconds())
+	unit.tokens += unit.growRateLimit((span - lost).Seconds())
 	unit.tokens = min(unit.tokens, max(1, unit.rateLimit*c.minTarget.Seconds()/8))
 }
 
-const maxRate = 1e6
-
-// grow has a pace grow for so many seconds, and returns the calls that it allows in them. Each served call
-// tells as much: from brisk on pace grows faster the higher it is, from four times brisk on four times as fast.
+// growRateLimit lets the rate limit grow for a span in seconds and returns the number of calls that it allows
+// in this time. Above briskRate it grows at a rate proportional to itself, up to four times rateGrowth.
 func (u *healthUnit) growRateLimit(span float64) (calls float64) {
 	growTo := func(rate, top float64) {
 		if span <= 0 || u.rateLimit >= top {
--- a/choice/internal/reference/state.go
+++ b/choice/internal/reference/state.go
@@ -1,6 +1,6 @@
 package reference
 
-// State without decisions: what a Chooser remembers, and checks of its settings.
+// State of a Chooser.
 
 import (
 	"math/rand/v2"
@@ -8,138 +8,139 @@
 	"time"
 )
 
-// message is one message until its final answer and its last outcome.
+// message is a pending message, until its final answer and the outcome of its last attempt.
 type message struct {
 	Arrival
 	class           *Class
 	dest            *destination
-	deadline        time.Duration // deadline
-	createdAt       time.Duration // due less the class's deadline: first handed in
-	attempts        int
-	restoredUntried bool          // by a restart, untried
-	lastTimeout     time.Duration // of the last try
-	call            *outboundCall // out now
+	deadline        time.Duration
+	createdAt       time.Duration // deadline less the class's: when it was first submitted
+	attempts        int           // made, those that ended as NotSent included
+	restoredUntried bool          // restored after a restart, without an attempt before it
+	lastTimeout     time.Duration // of the last attempt
+	call            *outboundCall // in flight; nil if queued or finished
 	mayHaveRun      bool          // an attempt may have run
-	mayHaveRunAt    time.Duration // the first such attempt went out
-	mayHaveRunZone  int
-	lastHost        *endpoint
-	uncertainAt     time.Duration // time of the last unsure outcome; its key rests after it
+	mayHaveRunAt    time.Duration // when the first such attempt was sent
+	mayHaveRunZone  int           // zone of its host
+	lastHost        *endpoint     // of the last attempt
+	uncertainAt     time.Duration // time of the last unknown outcome, below 0 for none
 	finished        bool          // answered or withdrawn
-	queueSequence   uint64        // in the order in which messages began to wait
+	queueSequence   uint64        // order in which messages were queued
 }
 
-// call is one call out; sends of one turn to one host may share it.
+// outboundCall is a call in flight. Sends of one Step to one host may share it.
 type outboundCall struct {
-	sequence  uint64 // in the order of sending
+	sequence  uint64 // order of sending
 	host      *endpoint
 	sentAt    time.Duration
-	messages  []*message // outcomes still due
-	cancelled bool       // called off
+	messages  []*message // without an outcome yet
+	cancelled bool
 }
 
-// host is one endpoint.
+// endpoint is a host with its state.
 type endpoint struct {
 	Host
 	dest       *destination
 	unit       *healthUnit
-	inFlight   int
-	preference float64       // this relay's own liking, by chance
-	failures   int           // in a row
-	unreadable int           // answers in a row
-	avoidUntil time.Duration // after failures
+	inFlight   int           // calls
+	preference float64       // random, from 0 to 1: makes relays spread over hosts of equal cost
+	failures   int           // consecutive
+	unreadable int           // consecutive unreadable responses
+	avoidUntil time.Duration // after failures: other hosts are preferred until then
 }
 
-// health of a unit.
+// health is the state of a healthUnit.
 type health int
 
 const (
 	healthy    health = iota
-	suspect           // single trials only
-	recovering        // within the budget for a cold destination
+	suspect           // in an outage: single trials only
+	recovering        // in slow start: calls within a budget
 )
 
-// unit is what health, limits and waits hang on: a destination, or a route where routes are apart.
+// healthUnit is the scope of health, rate limits and waits: a destination, or a single host where Kind.Apart
+// is set.
 type healthUnit struct {
-	name             string
+	name             string // address of its first host
 	createdAt        time.Duration
-	listedRate       float64 // calls a second from all relays, 0 if unknown
+	listedRate       float64 // calls a second from all relays, listed or reported; 0 if unknown
 	state            health
-	stateSince       time.Duration // of the state
-	stateReason      string        // it left the healthy state
-	retryAfterUntil  time.Duration // told
-	backoffUntil     time.Duration // own
-	recentFailures   uint          // recent outcomes, a bit set for each failure
-	servedStreak     int           // answers served in a row
-	sawErrors        bool          // errors answered were among them
-	mayHaveRun       bool          // failures that may have run were seen in this outage
-	nextTrialAt      time.Duration // next trial
-	failedTrials     int           // trials failed in a row
-	unsuccessful     int           // failures and refusals since then
-	lastServed       time.Duration // or first listed
-	inFlight         []*outboundCall
-	sendTimes        []time.Duration // in the last Fall or second
-	latency          float64         // smoothed latency, seconds
-	servedRate       float64         // smoothed rate served to this relay, messages a second
-	rateBeforeOutage float64         // served when the outage began
-	rateLimit        float64         // calls a second this relay allows itself; 0 for no limit
-	rateLimitAt      time.Duration   // last time that limit or tokens were brought up to date
-	rateCutAt        time.Duration
-	tokens           float64
+	stateSince       time.Duration
+	stateReason      string          // why it is not healthy
+	retryAfterUntil  time.Duration   // as requested by the host
+	backoffUntil     time.Duration   // this relay's own backoff after refusals
+	recentFailures   uint            // the last outcomeHistory outcomes, a set bit for each failure
+	servedStreak     int             // consecutive served calls
+	sawErrors        bool            // the outage had responses of outcome Error
+	mayHaveRun       bool            // the outage had failed calls that may have run
+	nextTrialAt      time.Duration   // while suspect
+	failedTrials     int             // consecutive
+	unsuccessful     int             // failures and refusals since lastServed
+	lastServed       time.Duration   // time of the last served call, or of the listing
+	inFlight         []*outboundCall // in the order of sending
+	sendTimes        []time.Duration // of calls within the last Rules.Cold, at least a second; ascending
+	latency          float64         // smoothed, of served calls, in seconds; 0 if unknown
+	servedRate       float64         // smoothed messages a second, see Chooser.servedRate
+	rateBeforeOutage float64         // servedRate when the outage began
+	rateLimit        float64         // calls a second of this relay; 0 for no limit
+	rateLimitAt      time.Duration   // when rateLimit and tokens were last updated
+	rateCutAt        time.Duration   // when a refusal last lowered rateLimit
+	tokens           float64         // calls that the rate limit allows now; negative for a debt
 }
 
-// dest is one destination.
+// destination is a destination with its queue, hosts and units.
 type destination struct {
 	id           int
 	kind         Kind
 	hosts        []*endpoint
 	units        []*healthUnit
-	waiting      []*message
-	inFlight     int
-	listedActive bool // on the list of those with messages waiting or out
+	waiting      []*message // queued, in no order
+	inFlight     int        // calls
+	listedActive bool       // element of Chooser.active
 	lastSentAt   time.Duration
 	latencies    latencyTable
-	refusals     int      // refusals in a row
-	retrySuccess *float64 // of its kind
-	backoffUntil time.Duration
-	demandSince  time.Duration // messages wait, and no pause is on
-	timeouts     int           // time-outs in a row with nothing served since
+	refusals     int           // consecutive
+	retrySuccess *float64      // of its kind, see Chooser.retrySuccess
+	backoffUntil time.Duration // nothing is sent to any unit before
+	demandSince  time.Duration // since then there are queued messages and no backoff; else never
+	timeouts     int           // since the last call that was served in time, where the unit served no other
 }
 
-// line is the order of one key.
+// keyOrder is the pending messages of an ordering key. Only the first may be in flight or eligible.
 type keyOrder struct {
 	key       string
-	messages  []*message
-	settledAt time.Duration
+	messages  []*message    // by keySequence
+	settledAt time.Duration // end of the pause after an attempt with an unknown outcome
 }
 
 // Chooser decides for one relay. It is not safe for concurrent use.
 type Chooser struct {
 	cfg             Settings
 	now             time.Duration
-	maxTimeout      time.Duration // maximal timeout of the oracle
-	minTarget       time.Duration
+	maxTimeout      time.Duration // maximum time-out by the oracle: the longest latency target
+	minTarget       time.Duration // the shortest latency target
 	messages        map[string]*message
 	destinations    map[int]*destination
-	inOrder         []*destination // as first heard of
-	active          []*destination // with messages waiting or out
-	calling         []*destination // with calls out, in the order in which they came to have some
-	queueSequence   uint64
-	callSequence    uint64
-	hosts           map[string]*endpoint
+	inOrder         []*destination       // in the order of creation
+	active          []*destination       // with messages queued or in flight
+	calling         []*destination       // with calls in flight, the longest first
+	queueSequence   uint64               // of the last message queued
+	callSequence    uint64               // of the last call
+	hosts           map[string]*endpoint // by address
 	keyOrders       map[string]*keyOrder
-	settling        []*keyOrder
-	callsInFlight   int
-	pending         int
-	wakeAt          time.Duration // the next wake-up asked for
+	settling        []*keyOrder   // by settledAt
+	callsInFlight   int           // slots taken
+	pending         int           // messages without a final answer
+	wakeAt          time.Duration // the next wake-up requested
 	rand            *rand.Rand
-	wakeInterval    time.Duration // between looks
-	retrySuccess    []float64     // by kind: share served of the calls to destinations that refused the last one
-	pooledLatencies latencyTable  // of all destinations together, for those that have few samples yet
-	subscribeAt     time.Duration // ask for list changes then; below 0 for never
-	actions         []Action
+	wakeInterval    time.Duration // minimum time between wake-ups
+	retrySuccess    []float64     // by kind: share of served calls among those after a refusal, smoothed
+	pooledLatencies latencyTable  // of all destinations, for those with few samples
+	subscribeAt     time.Duration // next request for the endpoint list; below 0 for none
+	actions         []Action      // of the current Step
 }
 
-// remove deletes one element.
+// removeElement removes an element from a slice, in place.
 func removeElement[T comparable](all []T, one T) []T {
 	return slices.DeleteFunc(all, func(o T) bool { return o == one })
 }
