--- a/choice/choice.go
+++ b/choice/choice.go
@@ -25,21 +25,21 @@
 
 // New returns a Chooser for one relay, or an error if the settings are invalid. The seed determines all
 // random choices.
-func New(s Settings, seed uint64) (*Chooser, error) {
-	if err := s.Check(); err != nil {
+func New(cfg Settings, seed uint64) (*Chooser, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, fmt.Errorf("choice: settings: %w", err)
 	}
-	c := &Chooser{cfg: s, messages: map[string]*message{}, destinations: map[int]*destination{},
+	chooser := &Chooser{cfg: cfg, messages: map[string]*message{}, destinations: map[int]*destination{},
 		hosts: map[string]*endpoint{}, keyOrders: map[string]*keyOrder{},
 		rand: rand.New(rand.NewPCG(seed, 0)), pooledLatencies: oracle.New(0, restartCost),
 		watchAt: never, nextGrantExpiry: never}
-	if !s.Subscribe {
-		c.subscribeAt = -1
+	if !cfg.Subscribe {
+		chooser.subscribeAt = -1
 	}
-	c.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
-	c.deriveSettings()
-	c.initOrders()
-	return c, nil
+	chooser.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(cfg.Kinds)))
+	chooser.deriveSettings()
+	chooser.initOrders()
+	return chooser, nil
 }
 
 // Step applies the events in their order, then makes all decisions that are possible at the time now, and
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -31,50 +31,50 @@
 }
 
 // rig drives one Chooser and keeps what it did.
-type rig struct {
-	t   *testing.T
-	c   *Chooser
-	now time.Duration
-	try map[string]int
+type harness struct {
+	t        *testing.T
+	c        *Chooser
+	now      time.Duration
+	attempts map[string]int
 }
 
-func newRig(t *testing.T, s Settings, hosts ...Host) *rig {
+func newHarness(t *testing.T, cfg Settings, hosts ...Host) *harness {
 	t.Helper()
-	c, err := New(s, 1)
+	chooser, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
+	r := &harness{t: t, c: chooser, now: time.Hour, attempts: map[string]int{}}
 	r.step(Listing{Whole: true, Hosts: hosts})
 	return r
 }
 
-func (r *rig) step(events ...Event) []Action {
+func (r *harness) step(events ...Event) []Action {
 	acts := r.c.Step(r.now, events)
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			r.try[s.ID]++
+			r.attempts[s.ID]++
 		}
 	}
 	return acts
 }
 
 // after lets time pass in ticks, waking the Chooser, and returns all actions.
-func (r *rig) after(d time.Duration) []Action {
+func (r *harness) advance(span time.Duration) []Action {
 	var acts []Action
-	for end := r.now + d; r.now < end; {
+	for end := r.now + span; r.now < end; {
 		r.now += 5 * ms
 		acts = append(acts, r.step(Woken{})...)
 	}
 	return acts
 }
 
-func (r *rig) end(id, host string, o Outcome, more ...func(*Result)) Result {
-	e := Result{ID: id, Host: host, Attempt: r.try[id] - 1, Outcome: o, Took: 50 * ms, Done: o == Served}
-	for _, m := range more {
-		m(&e)
+func (r *harness) result(id, host string, outcome Outcome, changes ...func(*Result)) Result {
+	result := Result{ID: id, Host: host, Attempt: r.attempts[id] - 1, Outcome: outcome, Took: 50 * ms, Done: outcome == Served}
+	for _, change := range changes {
+		change(&result)
 	}
-	return e
+	return result
 }
 
 func sends(acts []Action) (out []Send) {
@@ -86,7 +86,7 @@
 	return out
 }
 
-func answers(acts []Action) string {
+func finalAnswers(acts []Action) string {
 	out := ""
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -99,7 +99,7 @@
 	return out
 }
 
-func ready(addr string, dest, kind, zone int) Host {
+func readyHost(addr string, dest, kind, zone int) Host {
 	return Host{Addr: addr, Dest: dest, Kind: kind, Zone: zone, Rate: 100, State: Ready}
 }
 
@@ -108,7 +108,7 @@
 }
 
 // TestAnswers has one row for each outcome and effect: what becomes of the message.
-func TestAnswers(t *testing.T) {
+func TestOutcomeDecidesRetryOrFinalAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
 		outcome Outcome
@@ -120,16 +120,16 @@
 		{2, NoConnection, "again"}, {2, Refused, "again"}, {2, NotSent, "again"},
 	} {
 		t.Run(fmt.Sprintf("class%d-outcome%d", tc.class, tc.outcome), func(t *testing.T) {
-			r := newRig(t, settings(), ready("a", 1, 0, 0))
+			r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 			if n := len(sends(r.step(arrival("m", tc.class)))); n != 1 {
 				t.Fatalf("%d sends for an arrival, want 1", n)
 			}
 			r.now += 50 * ms
-			acts := r.step(r.end("m", "a", tc.outcome))
-			got := answers(acts)
+			acts := r.step(r.result("m", "a", tc.outcome))
+			got := finalAnswers(acts)
 			if tc.want == "again" {
-				acts = append(acts, r.after(3*time.Second)...)
-				if got = answers(acts); got != "" || len(sends(acts)) != 1 {
+				acts = append(acts, r.advance(3*time.Second)...)
+				if got = finalAnswers(acts); got != "" || len(sends(acts)) != 1 {
 					t.Errorf("answers %q, %d sends, want one more send", got, len(sends(acts)))
 				}
 			} else if got != tc.want || len(sends(acts)) != 0 {
@@ -139,13 +139,13 @@
 	}
 }
 
-func TestHeldIsAnsweredInTime(t *testing.T) {
-	r := newRig(t, settings()) // no host at all
+func TestPendingMessageIsAnsweredByItsDeadline(t *testing.T) {
+	r := newHarness(t, settings()) // no host at all
 	r.step(arrival("m", 2))
-	if got := answers(r.after(9900 * ms)); got != "" {
+	if got := finalAnswers(r.advance(9900 * ms)); got != "" {
 		t.Fatalf("answered early: %q", got)
 	}
-	if got := answers(r.after(100 * ms)); got != "refuse m;" {
+	if got := finalAnswers(r.advance(100 * ms)); got != "refuse m;" {
 		t.Errorf("at the deadline %q, want a refusal", got)
 	}
 	if len(r.c.messages) != 0 || r.c.pending != 0 {
@@ -153,12 +153,12 @@
 	}
 }
 
-func TestKeyedStaysInZoneAndWindow(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 2, 0), ready("b", 1, 2, 1))
+func TestKeyedRetryStaysInZoneAndWindow(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 2, 0), readyHost("b", 1, 2, 1))
 	first := sends(r.step(arrival("m", 1)))[0].Host
 	r.now += 50 * ms
-	acts := r.step(r.end("m", first, Error))
-	acts = append(acts, r.after(2800*ms)...)
+	acts := r.step(r.result("m", first, Error))
+	acts = append(acts, r.advance(2800*ms)...)
 	for _, s := range sends(acts) {
 		if s.Host != first {
 			t.Errorf("resent to %s, outside the zone of %s", s.Host, first)
@@ -168,17 +168,17 @@
 		t.Fatalf("%d sends within the window, want 1", len(sends(acts)))
 	}
 	r.now += 100 * ms
-	acts = r.step(r.end("m", first, Error))
-	if got := answers(append(acts, r.after(time.Second)...)); got != "fail m;" {
+	acts = r.step(r.result("m", first, Error))
+	if got := finalAnswers(append(acts, r.advance(time.Second)...)); got != "fail m;" {
 		t.Errorf("after its window %q, want it failed", got)
 	}
 }
 
-func TestDrainingGetsNothingNew(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	h := ready("a", 1, 0, 0)
-	h.State = Draining
-	if n := len(sends(r.step(Listing{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
+func TestDrainingHostGetsNoNewCalls(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
+	host := readyHost("a", 1, 0, 0)
+	host.State = Draining
+	if n := len(sends(r.step(Listing{Hosts: []Host{host}}, arrival("m", 0)))); n != 0 {
 		t.Errorf("%d sends to a draining host", n)
 	}
 	if n := len(sends(r.step(Listing{Whole: true}))); n != 0 {
@@ -186,48 +186,48 @@
 	}
 }
 
-func TestToldWaitIsKept(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestRetryAfterIsRespected(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
-	if acts = append(acts, r.after(695*ms)...); len(sends(acts)) != 0 {
+	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
+	if acts = append(acts, r.advance(695*ms)...); len(sends(acts)) != 0 {
 		t.Errorf("%d sends within the wait", len(sends(acts)))
 	}
-	if len(sends(r.after(2*time.Second))) == 0 {
+	if len(sends(r.advance(2*time.Second))) == 0 {
 		t.Errorf("nothing sent after the wait")
 	}
 }
 
-func TestOrderOfAKey(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	m, n := arrival("m", 3), arrival("n", 3)
-	m.Key, n.Key = "k", "k"
-	if got := sends(r.step(m, n)); len(got) != 1 || got[0].ID != "m" {
+func TestOrderingKeySendsOneMessageAtATime(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
+	msg, second := arrival("m", 3), arrival("n", 3)
+	msg.Key, second.Key = "k", "k"
+	if got := sends(r.step(msg, second)); len(got) != 1 || got[0].ID != "m" {
 		t.Fatalf("sent %v, want m alone", got)
 	}
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Reset))
-	if acts = append(acts, r.after(95*ms)...); len(sends(acts)) != 0 {
+	acts := r.step(r.result("m", "a", Reset))
+	if acts = append(acts, r.advance(95*ms)...); len(sends(acts)) != 0 {
 		t.Errorf("sent %v while the key rests", sends(acts))
 	}
-	if got := sends(r.after(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
+	if got := sends(r.advance(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
 		t.Errorf("sent %v after the rest, want n", got)
 	}
-	r.step(r.end("n", "a", Served))
-	r.after(200 * ms)
+	r.step(r.result("n", "a", Served))
+	r.advance(200 * ms)
 	if len(r.c.keyOrders) != 0 {
 		t.Errorf("%d keys kept", len(r.c.keyOrders))
 	}
 }
 
-func TestEachFurtherTryWaitsLonger(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestRetryTimeoutsGrow(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 	for i := range 2 * oracle.MinSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served))
+		r.step(r.result(id, "a", Served))
 	}
 	got := sends(r.step(arrival("m", 0)))
 	last := got[0].Timeout
@@ -236,8 +236,8 @@
 	}
 	for range 2 {
 		r.now += last
-		acts := r.step(r.end("m", "a", Timeout))
-		if got = append(sends(acts), sends(r.after(3*time.Second))...); len(got) != 1 {
+		acts := r.step(r.result("m", "a", Timeout))
+		if got = append(sends(acts), sends(r.advance(3*time.Second))...); len(got) != 1 {
 			t.Fatalf("%d sends after a time-out", len(got))
 		}
 		if got[0].Timeout < last+r.c.maxTimeout/oracle.Buckets {
@@ -247,11 +247,11 @@
 	}
 }
 
-func TestOneDestinationStaysUnderThreeQuarters(t *testing.T) {
+func TestOneDestinationLeavesSlotsToOthers(t *testing.T) {
 	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
-		s := settings()
-		s.Workers = tc.workers
-		r := newRig(t, s, ready("a", 1, 0, 0))
+		cfg := settings()
+		cfg.Workers = tc.workers
+		r := newHarness(t, cfg, readyHost("a", 1, 0, 0))
 		var events []Event
 		for i := range 20 {
 			events = append(events, arrival(fmt.Sprint(i), 0))
@@ -262,8 +262,8 @@
 	}
 }
 
-func TestCallsAreShared(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 1, 0))
+func TestMessagesShareACall(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 1, 0))
 	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.callsInFlight != 1 {
 		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.callsInFlight)
 	}
@@ -271,45 +271,45 @@
 
 // TestColdReturn: two failures make a unit suspect; after it answers again, the relay stays within
 // its share of the rule's budget.
-func TestColdReturn(t *testing.T) {
-	s := settings()
-	s.Workers = 100
-	h := ready("a", 1, 0, 0)
-	h.Rate = 10
-	r := newRig(t, s, h)
+func TestSlowStartAfterOutage(t *testing.T) {
+	cfg := settings()
+	cfg.Workers = 100
+	host := readyHost("a", 1, 0, 0)
+	host.Rate = 10
+	r := newHarness(t, cfg, host)
 	for _, id := range []string{"x", "y"} {
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 60 {
 		events = append(events, arrival(fmt.Sprint(i), 0))
 	}
-	trial := append(sends(r.step(events...)), sends(r.after(time.Second))...)
+	trial := append(sends(r.step(events...)), sends(r.advance(time.Second))...)
 	if len(trial) != 1 {
 		t.Fatalf("%d calls to a suspect unit, want a single trial", len(trial))
 	}
-	acts := r.step(r.end(trial[0].ID, "a", Served))
-	acts = append(acts, r.after(s.Rules.Fall)...)
-	share := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*s.Rules.Fall.Seconds()/s.Rules.Cold.Seconds()
-	most := s.Rules.OverloadFactor * share * 10 * s.Rules.Fall.Seconds() / 2
-	if n := float64(len(sends(acts))); n < 1 || n > most {
-		t.Errorf("%v calls in the first window after an outage, want 1 to %v", n, most)
+	acts := r.step(r.result(trial[0].ID, "a", Served))
+	acts = append(acts, r.advance(cfg.Rules.Fall)...)
+	share := cfg.Rules.ColdFrom + (1-cfg.Rules.ColdFrom)*cfg.Rules.Fall.Seconds()/cfg.Rules.Cold.Seconds()
+	budget := cfg.Rules.OverloadFactor * share * 10 * cfg.Rules.Fall.Seconds() / 2
+	if calls := float64(len(sends(acts))); calls < 1 || calls > budget {
+		t.Errorf("%v calls in the first window after an outage, want 1 to %v", calls, budget)
 	}
 }
 
 // TestStuckCallsAreCalledOff guards the slots: calls nobody answers may not hold them all.
-func TestStuckCallsAreCalledOff(t *testing.T) {
-	s := settings()
-	s.Workers = 2
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+func TestStuckCallsAreCancelled(t *testing.T) {
+	cfg := settings()
+	cfg.Workers = 2
+	r := newHarness(t, cfg, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	for i := 1; i <= 3; i++ {
-		m := arrival(fmt.Sprint(i), 2)
-		m.Dest = i
-		r.step(m)
+		msg := arrival(fmt.Sprint(i), 2)
+		msg.Dest = i
+		r.step(msg)
 	}
-	for _, a := range r.after(4 * time.Second) {
+	for _, a := range r.advance(4 * time.Second) {
 		if _, ok := a.(Cancel); ok {
 			return
 		}
@@ -318,20 +318,20 @@
 }
 
 // TestOneHostDownLeavesItsDestinationWell: the loss of one machine is not that of the destination.
-func TestOneHostDownLeavesItsDestinationWell(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 1, 0, 0))
+func TestFailedHostDoesNotEjectItsDestination(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
 	for i := range 6 {
 		id := fmt.Sprint(i)
 		for _, s := range sends(r.step(arrival(id, 0))) {
 			r.now += 50 * ms
 			for s.Host == "a" {
-				again := sends(r.step(r.end(id, "a", NoConnection)))
+				again := sends(r.step(r.result(id, "a", NoConnection)))
 				if len(again) != 1 {
 					t.Fatalf("%d sends after a failed connection, want one to the other host", len(again))
 				}
 				s = again[0]
 			}
-			r.step(r.end(id, s.Host, Served))
+			r.step(r.result(id, s.Host, Served))
 		}
 	}
 	if unit := r.c.destinations[1].units[0]; unit.state != healthy {
@@ -339,15 +339,15 @@
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestSettingsAreValidated(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"workers": func(s *Settings) { s.Workers = 0 }, "fleet": func(s *Settings) { s.Fleet = 0 },
 		"classes": func(s *Settings) { s.Classes = nil }, "aim": func(s *Settings) { s.Classes[0].Aim = 0 },
 		"tick": func(s *Settings) { s.Tick = 0 }, "fall": func(s *Settings) { s.Rules.Fall = 0 },
 	} {
-		s := settings()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil {
+		cfg := settings()
+		spoil(&cfg)
+		if _, err := New(cfg, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
@@ -355,17 +355,17 @@
 
 // TestLargeFleetSpacesItsCalls: where this relay's share of the budget is under one call in the
 // rule's window, it sends less than one call in it.
-func TestLargeFleetSpacesItsCalls(t *testing.T) {
-	s := settings()
-	s.Fleet, s.Workers = 12, 100
-	h := ready("a", 1, 0, 0)
-	h.Rate = 4
-	r := newRig(t, s, h)
+func TestLargeFleetSpacesItsTrials(t *testing.T) {
+	cfg := settings()
+	cfg.Fleet, cfg.Workers = 12, 100
+	host := readyHost("a", 1, 0, 0)
+	host.Rate = 4
+	r := newHarness(t, cfg, host)
 	for _, id := range []string{"x", "y"} {
-		r.after(time.Second)
+		r.advance(time.Second)
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 20 {
@@ -375,9 +375,9 @@
 	out := sends(r.step(events...))
 	for end := r.now + 8*time.Second; r.now < end; {
 		var ends []Event
-		for _, o := range out {
+		for _, send := range out {
 			trials++
-			ends = append(ends, r.end(o.ID, "a", NoConnection))
+			ends = append(ends, r.result(send.ID, "a", NoConnection))
 		}
 		r.now += 5 * ms
 		out = sends(r.step(append(ends, Woken{})...))
@@ -391,13 +391,13 @@
 
 // TestBacklogHoldsRestartsBack: while a message waits for the destination,
 // a call is given up only when it is very likely lost.
-func TestBacklogHoldsRestartsBack(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestBacklogRaisesTimeouts(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 	for i := range 4 * oracle.MinSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served, func(e *Result) {
+		r.step(r.result(id, "a", Served, func(e *Result) {
 			if e.Took = 100 * ms; i%8 == 0 {
 				e.Took = 1900 * ms // a tail that restarts would cut
 			}
@@ -416,22 +416,22 @@
 
 // TestLostCallsAreCalledOff: a call that nobody answers is given up for want of a slot even where
 // its destination goes on serving others.
-func TestLostCallsAreCalledOff(t *testing.T) {
-	s := settings()
-	s.Workers = 3
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+func TestLostCallsAreCancelled(t *testing.T) {
+	cfg := settings()
+	cfg.Workers = 3
+	r := newHarness(t, cfg, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	r.step(arrival("lost", 2))
 	var out []Send
 	for i := range 200 {
 		var events []Event
 		for _, x := range out {
-			events = append(events, r.end(x.ID, x.Host, Served))
+			events = append(events, r.result(x.ID, x.Host, Served))
 		}
 		for dest := 1; dest <= 3; dest++ {
 			for k := range 2 {
-				m := arrival(fmt.Sprint(i, dest, k), 0)
-				m.Dest = dest
-				events = append(events, m)
+				msg := arrival(fmt.Sprint(i, dest, k), 0)
+				msg.Dest = dest
+				events = append(events, msg)
 			}
 		}
 		acts := r.step(events...)
@@ -448,28 +448,28 @@
 
 // TestRefusalsInALargeFleet: relays that meet a destination seldom come back after growing pauses, and
 // not in step, so that together they get under its limit.
-func TestRefusalsInALargeFleet(t *testing.T) {
-	s := settings()
-	s.Fleet = 40
-	h := ready("a", 1, 0, 0)
-	h.Rate = 4
+func TestRefusalBackoffInLargeFleet(t *testing.T) {
+	cfg := settings()
+	cfg.Fleet = 40
+	host := readyHost("a", 1, 0, 0)
+	host.Rate = 4
 	var first []time.Duration
 	for seed := range uint64(5) {
-		r := newRig(t, s, h)
+		r := newHarness(t, cfg, host)
 		r.c.rand = rand.New(rand.NewPCG(seed, 0))
 		r.step(arrival("m", 0))
-		start, tries := r.now, 0
+		start, attempts := r.now, 0
 		for r.now < start+9*time.Second {
 			if r.c.messages["m"] != nil && r.c.messages["m"].call != nil {
-				r.step(r.end("m", "a", Refused))
-				tries++
+				r.step(r.result("m", "a", Refused))
+				attempts++
 			}
-			if r.after(5 * ms); tries == 1 && r.c.messages["m"].call != nil {
+			if r.advance(5 * ms); attempts == 1 && r.c.messages["m"].call != nil {
 				first = append(first, r.now-start)
 			}
 		}
-		if tries > 5 {
-			t.Errorf("%d tries in nine seconds of refusals, want at most five", tries)
+		if attempts > 5 {
+			t.Errorf("%d tries in nine seconds of refusals, want at most five", attempts)
 		}
 	}
 	if slices.Sort(first); len(first) < 5 || first[4]-first[0] < 50*ms {
@@ -479,19 +479,19 @@
 
 // TestManyRelaysBeginGently: a first call of each relay does no harm alone, and shuts a destination when all
 // make it: eighty relays with a message each begin, and go on, at the share of a guess.
-func TestManyRelaysBeginGently(t *testing.T) {
-	s := settings()
-	s.Fleet, s.Listed = 80, false
+func TestLargeFleetStartsWithinRateGuess(t *testing.T) {
+	cfg := settings()
+	cfg.Fleet, cfg.Listed = 80, false
 	var first, sent int
 	for seed := range uint64(80) {
-		c, err := New(s, seed)
+		chooser, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
-		acts := r.step(Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0)}}, arrival("m", 0), arrival("n", 0))
+		harness := &harness{t: t, c: chooser, now: time.Hour, attempts: map[string]int{}}
+		acts := harness.step(Listing{Whole: true, Hosts: []Host{readyHost("a", 1, 0, 0)}}, arrival("m", 0), arrival("n", 0))
 		first += len(sends(acts))
-		sent += len(sends(acts)) + len(sends(r.after(2*time.Second)))
+		sent += len(sends(acts)) + len(sends(harness.advance(2*time.Second)))
 	}
 	if most := 2.5 * initialRateGuess; first > 0 || float64(sent) > most || sent < initialRateGuess {
 		t.Errorf("%d calls at once and %d in two seconds, want none and %g to %g", first, sent, initialRateGuess, most)
@@ -499,18 +499,18 @@
 }
 
 // TestRelaysDoNotAllLikeOneHost: relays of a large fleet spread over the hosts of a destination.
-func TestRelaysDoNotAllLikeOneHost(t *testing.T) {
-	s := settings()
-	s.Fleet = 40
+func TestRelaysSpreadOverHosts(t *testing.T) {
+	cfg := settings()
+	cfg.Fleet = 40
 	used := map[string]int{}
 	for seed := range uint64(20) {
-		c, err := New(s, seed)
+		chooser, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, b := ready("a", 1, 0, 0), ready("b", 1, 0, 0)
+		a, b := readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0)
 		a.Rate, b.Rate = 4, 4
-		acts := c.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
+		acts := chooser.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
 		used[sends(acts)[0].Host]++
 	}
 	if used["a"] < 4 || used["b"] < 4 {
@@ -520,38 +520,38 @@
 
 // TestPausesLengthenWhereRetriesFail: where calls after a refusal are hardly ever served, as where refused
 // calls use up the limit, the pause goes to the even share of a call at once.
-func TestPausesLengthenWhereRetriesFail(t *testing.T) {
-	s := settings()
-	s.Fleet = 40
-	h := ready("a", 1, 0, 0)
-	h.Rate = 4
-	pause := func(luck float64) time.Duration {
-		r := newRig(t, s, h)
-		r.c.retrySuccess[0] = luck
+func TestRefusalBackoffGrowsWhereRetriesFail(t *testing.T) {
+	cfg := settings()
+	cfg.Fleet = 40
+	host := readyHost("a", 1, 0, 0)
+	host.Rate = 4
+	pause := func(success float64) time.Duration {
+		r := newHarness(t, cfg, host)
+		r.c.retrySuccess[0] = success
 		r.step(arrival("m", 0))
 		r.now += 50 * ms
-		r.step(r.end("m", "a", Refused))
+		r.step(r.result("m", "a", Refused))
 		return r.c.destinations[1].units[0].backoffUntil - r.now
 	}
-	if often, never := pause(0.5), pause(0.05); often > 2*time.Second || never < 5*time.Second {
-		t.Errorf("pauses %v where retries are served and %v where not, want under 2s and over 5s", often, never)
+	if frequent, rare := pause(0.5), pause(0.05); frequent > 2*time.Second || rare < 5*time.Second {
+		t.Errorf("pauses %v where retries are served and %v where not, want under 2s and over 5s", frequent, rare)
 	}
 }
 
 // TestSlowCallsAreServedInTheEnd: each further try of a message is called off later than the one before.
-func TestSlowCallsAreServedInTheEnd(t *testing.T) {
-	s := settings()
-	s.Workers, s.MaxHeld = 2, 1000
-	r := newRig(t, s, ready("slow", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+func TestEachRetryIsCancelledLater(t *testing.T) {
+	cfg := settings()
+	cfg.Workers, cfg.MaxHeld = 2, 1000
+	r := newHarness(t, cfg, readyHost("slow", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	var took []time.Duration
 	var events []Event
 	events = append(events, arrival("m", 0))
 	sent := r.now
 	for i := 0; r.now < sent+9*time.Second && len(took) < 2; i++ {
 		for dest := 2; dest <= 3; dest++ {
-			m := arrival(fmt.Sprint(i, dest), 0)
-			m.Dest = dest
-			events = append(events, m)
+			msg := arrival(fmt.Sprint(i, dest), 0)
+			msg.Dest = dest
+			events = append(events, msg)
 		}
 		acts := r.step(events...)
 		events = nil
@@ -561,11 +561,11 @@
 				if a.ID == "m" {
 					sent = r.now
 				} else {
-					events = append(events, r.end(a.ID, a.Host, Served))
+					events = append(events, r.result(a.ID, a.Host, Served))
 				}
 			case Cancel:
 				took = append(took, r.now-sent)
-				events = append(events, r.end(a.ID, "slow", Cancelled))
+				events = append(events, r.result(a.ID, "slow", Cancelled))
 			}
 		}
 		r.now += 50 * ms
@@ -577,20 +577,20 @@
 
 // TestFirstFailureWhereSeldomMet: a relay of a large fleet that has nothing served lately to speak against
 // an outage takes the first failure for one, and does not try again at once; a small fleet's relay goes on.
-func TestFirstFailureWhereSeldomMet(t *testing.T) {
+func TestFirstFailureEjectsInLargeFleet(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
-		s := settings()
-		s.Fleet = fleet
-		h := ready("a", 1, 0, 0)
-		h.Rate = 4
-		r := newRig(t, s, h)
-		r.after(5 * time.Second)
+		cfg := settings()
+		cfg.Fleet = fleet
+		host := readyHost("a", 1, 0, 0)
+		host.Rate = 4
+		r := newHarness(t, cfg, host)
+		r.advance(5 * time.Second)
 		r.step(arrival("m", 0))
-		r.step(r.end("m", "a", NoConnection))
+		r.step(r.result("m", "a", NoConnection))
 		if got := r.c.destinations[1].units[0].state; got != want {
 			t.Errorf("fleet of %d: health %v after the first failure, want %v", fleet, got, want)
 		}
-		if n := len(sends(r.after(5 * time.Second))); want == suspect && n > 0 {
+		if n := len(sends(r.advance(5 * time.Second))); want == suspect && n > 0 {
 			t.Errorf("fleet of %d: %d calls within 5s of the first failure, want none", fleet, n)
 		}
 	}
@@ -598,13 +598,13 @@
 
 // TestARelayThatStoodStill: outcomes that come all at once after a gap are taken in before anything is
 // judged, so that the relay's own stall is no silence of a destination.
-func TestARelayThatStoodStill(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 2, 0, 0))
+func TestStalledRelayDoesNotEjectDestinations(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0))
 	other := arrival("n", 0)
 	other.Dest = 2
 	r.step(arrival("m", 0), other)
 	r.now += 5 * time.Second
-	r.step(Woken{}, r.end("m", "a", Served), r.end("n", "b", Served))
+	r.step(Woken{}, r.result("m", "a", Served), r.result("n", "b", Served))
 	for id, dest := range r.c.destinations {
 		if got := dest.units[0].state; got != healthy {
 			t.Errorf("destination %d: health %v after the relay's own stall, want healthy", id, got)
@@ -614,19 +614,19 @@
 
 // TestALongList: thousands of hosts at once, listed twice, cost no table
 // each and leave the relay able to send; hosts that leave are forgotten.
-func TestALongList(t *testing.T) {
+func TestLargeEndpointList(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
-		h := ready(fmt.Sprint("h", i), i, 0, 0)
-		hosts = append(hosts, h)
-		h.State = Gone
-		gone = append(gone, h)
+		host := readyHost(fmt.Sprint("h", i), i, 0, 0)
+		hosts = append(hosts, host)
+		host.State = Gone
+		gone = append(gone, host)
 	}
-	r := newRig(t, settings(), hosts...)
+	r := newHarness(t, settings(), hosts...)
 	r.step(Listing{Whole: true, Hosts: hosts})
-	m := arrival("m", 0)
-	m.Dest = 4999
-	if got := sends(r.step(m)); len(got) != 1 || got[0].Host != "h4999" {
+	msg := arrival("m", 0)
+	msg.Dest = 4999
+	if got := sends(r.step(msg)); len(got) != 1 || got[0].Host != "h4999" {
 		t.Fatalf("sends %v, want one to h4999", got)
 	}
 	for id, dest := range r.c.destinations {
@@ -634,7 +634,7 @@
 			t.Fatalf("destination %d has a table before its first answer", id)
 		}
 	}
-	r.step(r.end("m", "h4999", Served))
+	r.step(r.result("m", "h4999", Served))
 	r.step(Listing{Hosts: gone})
 	if len(r.c.destinations) != 0 || len(r.c.hosts) != 0 {
 		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.c.destinations), len(r.c.hosts))
@@ -642,16 +642,16 @@
 }
 
 // Guards against holding stray noise for an outage: the host did answer.
-func TestSpoiltAnswersAreNoOutage(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	call := func(id string, o Outcome) (unwell bool) {
+func TestUnreadableResponsesAreNoOutage(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
+	call := func(id string, outcome Outcome) (unwell bool) {
 		acts := r.step(arrival(id, 2))
 		for len(sends(acts)) == 0 {
-			acts = r.after(10 * ms)
+			acts = r.advance(10 * ms)
 		}
-		for _, a := range r.step(r.end(id, "a", o)) {
-			h, ok := a.(Health)
-			unwell = unwell || ok && h.Unwell
+		for _, a := range r.step(r.result(id, "a", outcome)) {
+			health, ok := a.(Health)
+			unwell = unwell || ok && health.Unwell
 		}
 		return unwell
 	}
@@ -671,22 +671,22 @@
 
 // Guards against a standstill at the first refusal: calls sent while there was no limit are no debt. And
 // against taking a young unit for one that serves little, since the smoothed rate begins at 0.
-func TestFirstLimitOfAYoungUnit(t *testing.T) {
-	s := settings()
-	s.Listed, s.Fleet = false, 1
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+func TestFirstRateLimitOfNewUnit(t *testing.T) {
+	cfg := settings()
+	cfg.Listed, cfg.Fleet = false, 1
+	r := newHarness(t, cfg, Host{Addr: "a", Dest: 1, State: Ready})
 	unit := r.c.hosts["a"].unit
 	for i := range 60 { // 20 a second
 		id := fmt.Sprint("m", i)
 		r.step(arrival(id, 2))
-		r.step(r.end(id, "a", Served))
-		r.after(50 * ms)
+		r.step(r.result(id, "a", Served))
+		r.advance(50 * ms)
 	}
 	if flow := r.c.servedRate(unit); flow < 12 || flow > 25 {
 		t.Errorf("flow is %.1f after 3 s of 20 a second", flow)
 	}
 	r.step(arrival("full", 2))
-	r.step(r.end("full", "a", Refused))
+	r.step(r.result("full", "a", Refused))
 	if unit.rateLimit <= 0 || unit.tokens < -unit.rateLimit {
 		t.Errorf("limit %.1f, tokens %.1f after the first refusal, want a debt of under a second", unit.rateLimit, unit.tokens)
 	}
@@ -694,14 +694,14 @@
 
 // Guards against a backlog behind a pace that regains as little a second with many calls as with few, and
 // against a pace cut to what was sent in a lull.
-func TestPaceOfABriskUnit(t *testing.T) {
-	s := settings()
-	s.Listed, s.Fleet = false, 1
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+func TestRateLimitOfFastUnit(t *testing.T) {
+	cfg := settings()
+	cfg.Listed, cfg.Fleet = false, 1
+	r := newHarness(t, cfg, Host{Addr: "a", Dest: 1, State: Ready})
 	unit := r.c.hosts["a"].unit
 	unit.createdAt, unit.servedRate, unit.lastServed = r.now-time.Hour, 20, r.now
 	r.step(arrival("full", 2))
-	r.step(r.end("full", "a", Refused))
+	r.step(r.result("full", "a", Refused))
 	if unit.rateLimit < 0.7*20 {
 		t.Errorf("limit %.1f after a refusal at one call a second, want it near the 20 served before", unit.rateLimit)
 	}
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -9,7 +9,7 @@
 
 // A relay's own loop: hand in what happened, carry out what comes back.
 func Example() {
-	c, err := choice.New(choice.Settings{
+	chooser, err := choice.New(choice.Settings{
 		Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond,
 		Classes: []choice.Class{{Name: "status", Aim: 2 * time.Second, Deadline: 10 * time.Second,
 			Worth: 1, LateShare: 0.5, Effect: choice.Safe}},
@@ -26,7 +26,7 @@
 		choice.Arrival{ID: "m1", Class: 0, Dest: 7, Left: 10 * time.Second},
 	}
 	for len(inbox) > 0 {
-		actions := c.Step(now, inbox)
+		actions := chooser.Step(now, inbox)
 		inbox = nil
 		for _, a := range actions {
 			switch a := a.(type) {
--- a/choice/same_test.go
+++ b/choice/same_test.go
@@ -28,44 +28,44 @@
 
 // Choice does what the scanning standard does, action for action, whatever happens. It is led through the
 // same worlds and woken only when something has happened or it asked for it; the standard looks every tick.
-func TestSameAsScanning(t *testing.T) {
+func TestSameAsReference(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		rate   float64 // arrivals a second
 		held   int     // at first
 		change func(*choice.Settings)
 	}{
-		{"calm", 30, 20, func(s *choice.Settings) { s.Workers = 40 }},
-		{"few slots", 60, 20, func(s *choice.Settings) { s.Workers = 2 }},
-		{"overload", 120, 20, func(s *choice.Settings) {}},
-		{"no calling off", 60, 20, func(s *choice.Settings) { s.Cancels = false }},
-		{"listed rates", 60, 20, func(s *choice.Settings) { s.Listed = true }},
-		{"halving worth", 90, 20, func(s *choice.Settings) { s.Halving = true }},
-		{"small room", 90, 20, func(s *choice.Settings) { s.MaxHeld = 60 }},
-		{"room", 200, 20, func(s *choice.Settings) { s.MaxHeld = 600 }},
-		{"alone", 60, 20, func(s *choice.Settings) { s.Fleet = 1; s.Workers = 16 }},
-		{"held", 30, 3000, func(s *choice.Settings) { s.Workers = 32 }},
-		{"large fleet", 20, 20, func(s *choice.Settings) { s.Fleet = 40 }},
+		{"calm", 30, 20, func(cfg *choice.Settings) { cfg.Workers = 40 }},
+		{"few slots", 60, 20, func(cfg *choice.Settings) { cfg.Workers = 2 }},
+		{"overload", 120, 20, func(cfg *choice.Settings) {}},
+		{"no calling off", 60, 20, func(cfg *choice.Settings) { cfg.Cancels = false }},
+		{"listed rates", 60, 20, func(cfg *choice.Settings) { cfg.Listed = true }},
+		{"halving worth", 90, 20, func(cfg *choice.Settings) { cfg.Halving = true }},
+		{"small room", 90, 20, func(cfg *choice.Settings) { cfg.MaxHeld = 60 }},
+		{"room", 200, 20, func(cfg *choice.Settings) { cfg.MaxHeld = 600 }},
+		{"alone", 60, 20, func(cfg *choice.Settings) { cfg.Fleet = 1; cfg.Workers = 16 }},
+		{"held", 30, 3000, func(cfg *choice.Settings) { cfg.Workers = 32 }},
+		{"large fleet", 20, 20, func(cfg *choice.Settings) { cfg.Fleet = 40 }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			set := worldSettings()
-			tc.change(&set)
+			cfg := worldSettings()
+			tc.change(&cfg)
 			sent, ended, slept := 0, 0, 0
 			for seed := range uint64(*worlds) {
-				w := newWorld(seed, set, 8, tc.rate)
-				c, err := choice.New(set, seed)
+				w := newWorld(seed, cfg, 8, tc.rate)
+				chooser, err := choice.New(cfg, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
-				standard, err := reference.New(set, seed)
+				reference, err := reference.New(cfg, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
 				wake := time.Duration(0)
 				events := append([]choice.Event{w.listing()}, w.restored(tc.held)...)
 				for range 6000 { // 30 s
-					want := standard.Step(w.now, append(events, choice.Woken{}))
+					want := reference.Step(w.now, append(events, choice.Woken{}))
 					var got []choice.Action
 					if wake > 0 && w.now >= wake {
 						events = append(events, choice.Woken{})
@@ -74,13 +74,13 @@
 						if wake <= w.now {
 							wake = 0
 						}
-						got = c.Step(w.now, events)
+						got = chooser.Step(w.now, events)
 					} else {
 						slept++
 					}
-					if said(got) != said(want) {
+					if describe(got) != describe(want) {
 						t.Fatalf("seed %d, at %v after %d sends, woken: %v\nchoice:\n%s\nscanning:\n%s", seed, w.now, sent, len(events) > 0,
-							said(got), said(want))
+							describe(got), describe(want))
 					}
 					for _, a := range got {
 						switch a := a.(type) {
@@ -92,8 +92,8 @@
 							ended++
 						}
 					}
-					w.carry(got)
-					events = w.settle(w.turn())
+					w.carryOut(got)
+					events = w.applyResults(w.tick())
 				}
 			}
 			if sent < 100 || ended < 10 {
--- a/choice/view.go
+++ b/choice/view.go
@@ -71,9 +71,9 @@
 func (c *Chooser) remaining(until time.Duration) time.Duration { return max(0, until-c.now) }
 
 // currentRate returns the smoothed rate, decayed since the last served message.
-func (u *healthUnit) currentRate(c *Chooser) float64 {
+func (u *healthUnit) currentRate(chooser *Chooser) float64 {
 	if u.servedRate == 0 {
 		return 0
 	}
-	return c.servedRate(u) * math.Exp(-(c.now-u.lastServed).Seconds()/c.cfg.Rules.Cold.Seconds())
+	return chooser.servedRate(u) * math.Exp(-(chooser.now-u.lastServed).Seconds()/chooser.cfg.Rules.Cold.Seconds())
 }
--- a/choice/why_test.go
+++ b/choice/why_test.go
@@ -9,7 +9,7 @@
 )
 
 // Why a message waits and when that changes, with what stands in its way.
-func TestWaits(t *testing.T) {
+func TestWaitsExplainsQueuedMessages(t *testing.T) {
 	const s = time.Second
 	result := func(a choice.Send, o choice.Outcome, wait time.Duration) choice.Event {
 		return choice.Result{ID: a.ID, Host: a.Host, Outcome: o, Took: tick, Wait: wait}
@@ -17,59 +17,59 @@
 	for _, tc := range []struct {
 		name  string
 		class int
-		until func(t *testing.T, d *driven) // brings about what the message m-asked meets
+		until func(t *testing.T, driver *driver) // brings about what the message m-asked meets
 		why   string
 		host  string
 		again [2]time.Duration // from and to; 0, 0 for none
 	}{
-		{"nobody is listed", 0, func(t *testing.T, d *driven) {}, "no endpoint", "", [2]time.Duration{}},
-		{"told to wait", 0, func(t *testing.T, d *driven) {
-			d.step(choice.Listing{Hosts: []choice.Host{listed(0)}})
-			a := sendsOf(d.step(d.arrival(0, 0, 8*s)))[0]
-			d.step(result(a, choice.Refused, 3*s))
+		{"nobody is listed", 0, func(t *testing.T, driver *driver) {}, "no endpoint", "", [2]time.Duration{}},
+		{"told to wait", 0, func(t *testing.T, driver *driver) {
+			driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0)}})
+			a := sendsOf(driver.step(driver.arrival(0, 0, 8*s)))[0]
+			driver.step(result(a, choice.Refused, 3*s))
 		}, "told to wait", "h0", [2]time.Duration{3 * s, 3 * s}},
-		{"all slots taken", 0, func(t *testing.T, d *driven) {
-			d.step(choice.Listing{Hosts: []choice.Host{listed(0), listed(1), listed(2), listed(3)}})
-			d.step(append(d.arrivals(9, 0, 1, 8*s), append(d.arrivals(9, 0, 2, 8*s), d.arrivals(9, 0, 3, 8*s)...)...)...)
+		{"all slots taken", 0, func(t *testing.T, driver *driver) {
+			driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0), listedHost(1), listedHost(2), listedHost(3)}})
+			driver.step(append(driver.arrivals(9, 0, 1, 8*s), append(driver.arrivals(9, 0, 2, 8*s), driver.arrivals(9, 0, 3, 8*s)...)...)...)
 		}, "slots are taken", "", [2]time.Duration{}},
-		{"an outage", 0, func(t *testing.T, d *driven) {
-			d.step(choice.Listing{Hosts: []choice.Host{listed(0)}})
+		{"an outage", 0, func(t *testing.T, driver *driver) {
+			driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0)}})
 			for range 6 {
-				for _, a := range sendsOf(d.step(d.arrival(0, 0, 8*s))) {
-					d.step(result(a, choice.NoConnection, 0))
+				for _, a := range sendsOf(driver.step(driver.arrival(0, 0, 8*s))) {
+					driver.step(result(a, choice.NoConnection, 0))
 				}
 			}
 		}, "down (", "h0", [2]time.Duration{1, 20 * s}},
-		{"an earlier message of its key", 3, func(t *testing.T, d *driven) {
-			d.step(choice.Listing{Hosts: []choice.Host{listed(0)}})
-			a := d.arrival(3, 0, 8*s)
-			a.Key = "k"
-			d.step(a)
+		{"an earlier message of its key", 3, func(t *testing.T, driver *driver) {
+			driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0)}})
+			arrival := driver.arrival(3, 0, 8*s)
+			arrival.Key = "k"
+			driver.step(arrival)
 		}, "an earlier message of its key", "", [2]time.Duration{}},
-		{"bound to a zone", 1, func(t *testing.T, d *driven) { d.step(choice.Listing{Hosts: []choice.Host{listed(0)}}) },
+		{"bound to a zone", 1, func(t *testing.T, driver *driver) { driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0)}}) },
 			"no endpoint in that zone", "", [2]time.Duration{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			d := drive(t, worldSettings())
-			tc.until(t, d)
+			driver := newDriver(t, worldSettings())
+			tc.until(t, driver)
 			asked := choice.Arrival{ID: "asked", Class: tc.class, Dest: 0, Left: 8 * s, Key: "k"}
 			if tc.name == "bound to a zone" {
-				d.step(choice.Restored{Arrival: asked, Attempts: 1, Ran: true, RanZone: 5})
+				driver.step(choice.Restored{Arrival: asked, Attempts: 1, Ran: true, RanZone: 5})
 			} else {
-				d.step(asked)
+				driver.step(asked)
 			}
-			v, ok := d.c.Waits("asked")
+			v, ok := driver.c.Waits("asked")
 			if !ok || !strings.Contains(v.Why, tc.why) || v.Host != tc.host || v.Again < tc.again[0] || v.Again > tc.again[1] || v.Ahead < 1 {
 				t.Fatalf("%+v, %v; want %q at %q, again in %v to %v", v, ok, tc.why, tc.host, tc.again[0], tc.again[1])
 			}
-			if _, ok := d.c.Waits("nobody"); ok {
+			if _, ok := driver.c.Waits("nobody"); ok {
 				t.Error("a message that is not held waits")
 			}
 			if v.Again == 0 || tc.name == "an outage" {
 				return
 			}
 			// What is told is true: nothing goes out before that time, and it is looked at then.
-			for _, a := range d.sleep(v.Again + 20*tick) {
+			for _, a := range driver.advance(v.Again + 20*tick) {
 				if a, ok := a.(choice.Send); ok && a.Host == tc.host {
 					return
 				}
@@ -80,7 +80,7 @@
 }
 
 // Each end says why, for each way to it.
-func TestEndsSayWhy(t *testing.T) {
+func TestFinalAnswersHaveReasons(t *testing.T) {
 	const s = time.Second
 	whyOf := func(acts []choice.Action, id string) choice.Reason {
 		for _, a := range acts {
@@ -97,37 +97,40 @@
 		}
 		return choice.NoReason
 	}
-	set := worldSettings()
-	restored := func(d *driven, class, attempts int, ran bool, ago time.Duration) choice.Event {
-		return choice.Restored{Arrival: d.arrival(class, 0, 8*s), Attempts: attempts, Ran: ran, RanAgo: ago}
+	cfg := worldSettings()
+	restored := func(driver *driver, class, attempts int, ran bool, ago time.Duration) choice.Event {
+		return choice.Restored{Arrival: driver.arrival(class, 0, 8*s), Attempts: attempts, Ran: ran, RanAgo: ago}
 	}
 	for _, tc := range []struct {
 		name string
-		ends func(d *driven) []choice.Action // of m1
+		ends func(driver *driver) []choice.Action // of m1
 		want choice.Reason
 	}{
-		{"time", func(d *driven) []choice.Action { d.step(d.arrival(0, 0, s)); return d.sleep(2 * s) }, choice.TimeUp},
-		{"attempts", func(d *driven) []choice.Action { return d.step(restored(d, 0, 4, false, 0)) }, choice.Used},
-		{"an unsafe one that may have run", func(d *driven) []choice.Action { return d.step(restored(d, 2, 1, true, s)) }, choice.MayHaveRun},
-		{"a key forgotten", func(d *driven) []choice.Action { return d.step(restored(d, 1, 1, true, 4*s)) }, choice.WindowOver},
-		{"a key forgotten while it waits", func(d *driven) []choice.Action {
-			d.step(restored(d, 1, 1, true, s))
-			return d.sleep(4 * s)
+		{"time", func(driver *driver) []choice.Action {
+			driver.step(driver.arrival(0, 0, s))
+			return driver.advance(2 * s)
+		}, choice.TimeUp},
+		{"attempts", func(driver *driver) []choice.Action { return driver.step(restored(driver, 0, 4, false, 0)) }, choice.Used},
+		{"an unsafe one that may have run", func(driver *driver) []choice.Action { return driver.step(restored(driver, 2, 1, true, s)) }, choice.MayHaveRun},
+		{"a key forgotten", func(driver *driver) []choice.Action { return driver.step(restored(driver, 1, 1, true, 4*s)) }, choice.WindowOver},
+		{"a key forgotten while it waits", func(driver *driver) []choice.Action {
+			driver.step(restored(driver, 1, 1, true, s))
+			return driver.advance(4 * s)
 		}, choice.WindowOver},
-		{"a share filled", func(d *driven) []choice.Action { return d.step(d.arrivals(300, 0, 0, 8*s)...) }, choice.Share},
-		{"a crowded room", func(d *driven) []choice.Action {
+		{"a share filled", func(driver *driver) []choice.Action { return driver.step(driver.arrivals(300, 0, 0, 8*s)...) }, choice.Share},
+		{"a crowded room", func(driver *driver) []choice.Action {
 			var acts []choice.Action
 			for dest := range 30 {
-				acts = append(acts, d.step(d.arrivals(8, 2, dest, 8*s)...)...)
+				acts = append(acts, driver.step(driver.arrivals(8, 2, dest, 8*s)...)...)
 			}
-			return append(acts, d.step(choice.Arrival{ID: "cheap", Class: 0, Dest: 99, Left: 8 * s})...)
+			return append(acts, driver.step(choice.Arrival{ID: "cheap", Class: 0, Dest: 99, Left: 8 * s})...)
 		}, choice.Crowded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			set := set
-			set.MaxHeld = 200
-			d := drive(t, set)
-			acts := tc.ends(d)
+			cfg := cfg
+			cfg.MaxHeld = 200
+			driver := newDriver(t, cfg)
+			acts := tc.ends(driver)
 			id := "m1"
 			switch tc.want {
 			case choice.Share:
