--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -9,84 +9,6 @@
 	"larchrouter/choice"
 )
 
-// driven is one Chooser and what it did, driven by hand.
-type driver struct {
-	t       *testing.T
-	c       *choice.Chooser
-	now     time.Duration
-	next    int
-	actions []choice.Action // of the last Step
-}
-
-func newDriver(t *testing.T, cfg choice.Settings, hosts ...choice.Host) *driver {
-	t.Helper()
-	chooser, err := choice.New(cfg, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	driver := &driver{t: t, c: chooser, now: time.Hour}
-	driver.step(choice.Listing{Whole: true, Hosts: hosts})
-	return driver
-}
-
-func (d *driver) step(events ...choice.Event) []choice.Action {
-	d.actions = d.c.Step(d.now, append(events, choice.Woken{}))
-	return d.actions
-}
-
-// sleep lets a span pass, woken only when the last Step asked for it, and returns all that was done.
-func (d *driver) advance(span time.Duration) (all []choice.Action) {
-	d.t.Helper()
-	for end := d.now + span; ; {
-		wake := d.nextWake()
-		if wake == 0 || d.now+wake > end {
-			d.now = end
-			return all
-		}
-		d.now += wake
-		all = append(all, d.step()...)
-	}
-}
-
-// wake is how long after the last Step the next is asked for; 0 for never.
-func (d *driver) nextWake() (after time.Duration) {
-	for _, a := range d.actions {
-		if w, ok := a.(choice.Wake); ok {
-			after = w.After
-		}
-	}
-	return after
-}
-
-func (d *driver) arrival(class, dest int, left time.Duration) choice.Arrival {
-	d.next++
-	return choice.Arrival{ID: fmt.Sprint("m", d.next), Class: class, Dest: dest, Left: left}
-}
-
-func (d *driver) arrivals(n, class, dest int, left time.Duration) (all []choice.Event) {
-	for range n {
-		all = append(all, d.arrival(class, dest, left))
-	}
-	return all
-}
-
-// ends are the ids that a Step's actions ended, in order.
-func finalAnswers(acts []choice.Action) (refused, failed []string) {
-	for _, a := range acts {
-		switch a := a.(type) {
-		case choice.Refuse:
-			refused = append(refused, a.ID)
-		case choice.Fail:
-			failed = append(failed, a.ID)
-		}
-	}
-	return refused, failed
-}
-
-func listedHost(dest int) choice.Host {
-	return choice.Host{Addr: fmt.Sprint("h", dest), Dest: dest, Kind: 2, Rate: 100, State: choice.Ready}
-}
-
 // 20,000 messages wait for 40 partners that have been down, and all of these come back at once, cold. None is
 // sent more than the rule's budget in any window, and what does not get through hears so in the order of its
 // deadline.
@@ -161,16 +83,6 @@
 	}
 }
 
-func answeredID(a choice.Action) string {
-	switch a := a.(type) {
-	case choice.Refuse:
-		return a.ID
-	case choice.Fail:
-		return a.ID
-	}
-	return ""
-}
-
 // All that is held falls due in the same millisecond: it is answered before that in the order in which it
 // came, in pieces that no Step is long by, and none sooner than these pieces need.
 func TestAllMessagesExpireAtOnce(t *testing.T) {
@@ -363,11 +275,6 @@
 	}
 }
 
-func answeredIDs(acts []choice.Action) (ids []string) {
-	refused, failed := finalAnswers(acts)
-	return append(refused, failed...)
-}
-
 // A destination loses its last host with thousands waiting: they wait on without cost, go to the next host
 // that is listed, and hear in time if there is none. One withdrawn in the Step in which it would have been
 // sent stays.
@@ -404,52 +311,3 @@
 		t.Errorf("%d messages heard of their end in time, want all that are not out", n)
 	}
 }
-
-func sendsOf(acts []choice.Action) (all []choice.Send) {
-	for _, a := range acts {
-		if s, ok := a.(choice.Send); ok {
-			all = append(all, s)
-		}
-	}
-	return all
-}
-
-// BenchmarkStep is the cost of a Step that takes a message on, sends it and takes in that it was served,
-// while so many others wait for partners that told to wait or are down.
-func BenchmarkStep(b *testing.B) {
-	for _, held := range []int{100, 10_000, 100_000} {
-		for _, dests := range []int{32, 5000} {
-			b.Run(fmt.Sprintf("held=%d/dests=%d", held, dests), func(b *testing.B) {
-				cfg := worldSettings()
-				cfg.Workers, cfg.Listed, cfg.Fleet = 64, false, 1
-				chooser, err := choice.New(cfg, 1)
-				if err != nil {
-					b.Fatal(err)
-				}
-				listing := choice.Listing{Whole: true}
-				for d := range dests {
-					listing.Hosts = append(listing.Hosts, listedHost(d))
-				}
-				events := []choice.Event{listing}
-				for i := range held { // for the odd ones, which have no host
-					events = append(events, choice.Arrival{ID: fmt.Sprint("held", i), Class: i % 3, Dest: dests + i%(dests/2), Left: 24 * time.Hour})
-				}
-				now := time.Hour
-				chooser.Step(now, events)
-				events = events[:0]
-				b.ReportAllocs()
-				for n := 0; b.Loop(); n++ {
-					now += time.Millisecond
-					events = append(events, choice.Arrival{ID: fmt.Sprint("m", n), Class: n % 3, Dest: n % dests, Left: 8 * time.Second})
-					acts := chooser.Step(now, events)
-					events = events[:0]
-					for _, a := range acts {
-						if s, ok := a.(choice.Send); ok {
-							events = append(events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.Served, Took: 30 * time.Millisecond, Done: true})
-						}
-					}
-				}
-			})
-		}
-	}
-}
--- /dev/null
+++ b/choice/turn_test.go
@@ -0,0 +1,148 @@
+package choice
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestDrainingHostGetsNoNewCalls(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
+	host := readyHost("a", 1, 0, 0)
+	host.State = Draining
+	if n := len(sends(r.step(Listing{Hosts: []Host{host}}, arrival("m", 0)))); n != 0 {
+		t.Errorf("%d sends to a draining host", n)
+	}
+	if n := len(sends(r.step(Listing{Whole: true}))); n != 0 {
+		t.Errorf("%d sends to a host that is gone", n)
+	}
+}
+
+func TestOneDestinationLeavesSlotsToOthers(t *testing.T) {
+	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
+		cfg := settings()
+		cfg.Workers = tc.workers
+		r := newHarness(t, cfg, readyHost("a", 1, 0, 0))
+		var events []Event
+		for i := range 20 {
+			events = append(events, arrival(fmt.Sprint(i), 0))
+		}
+		if n := len(sends(r.step(events...))); n != tc.want {
+			t.Errorf("%d calls out to one destination with %d slots, want %d", n, tc.workers, tc.want)
+		}
+	}
+}
+
+func TestMessagesShareACall(t *testing.T) {
+	r := newHarness(t, settings(), readyHost("a", 1, 1, 0))
+	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.callsInFlight != 1 {
+		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.callsInFlight)
+	}
+}
+
+// TestStuckCallsAreCalledOff guards the slots: calls nobody answers may not hold them all.
+func TestStuckCallsAreCancelled(t *testing.T) {
+	cfg := settings()
+	cfg.Workers = 2
+	r := newHarness(t, cfg, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
+	for i := 1; i <= 3; i++ {
+		msg := arrival(fmt.Sprint(i), 2)
+		msg.Dest = i
+		r.step(msg)
+	}
+	for _, a := range r.advance(4 * time.Second) {
+		if _, ok := a.(Cancel); ok {
+			return
+		}
+	}
+	t.Errorf("no call was called off while another destination waited for a slot")
+}
+
+// TestLostCallsAreCalledOff: a call that nobody answers is given up for want of a slot even where
+// its destination goes on serving others.
+func TestLostCallsAreCancelled(t *testing.T) {
+	cfg := settings()
+	cfg.Workers = 3
+	r := newHarness(t, cfg, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
+	r.step(arrival("lost", 2))
+	var out []Send
+	for i := range 200 {
+		var events []Event
+		for _, x := range out {
+			events = append(events, r.result(x.ID, x.Host, Served))
+		}
+		for dest := 1; dest <= 3; dest++ {
+			for k := range 2 {
+				msg := arrival(fmt.Sprint(i, dest, k), 0)
+				msg.Dest = dest
+				events = append(events, msg)
+			}
+		}
+		acts := r.step(events...)
+		for _, a := range acts {
+			if c, ok := a.(Cancel); ok && c.ID == "lost" {
+				return
+			}
+		}
+		out = sends(acts)
+		r.now += 50 * ms
+	}
+	t.Errorf("the lost call was never called off")
+}
+
+// TestRelaysDoNotAllLikeOneHost: relays of a large fleet spread over the hosts of a destination.
+func TestRelaysSpreadOverHosts(t *testing.T) {
+	cfg := settings()
+	cfg.Fleet = 40
+	used := map[string]int{}
+	for seed := range uint64(20) {
+		chooser, err := New(cfg, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		a, b := readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0)
+		a.Rate, b.Rate = 4, 4
+		acts := chooser.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
+		used[sends(acts)[0].Host]++
+	}
+	if used["a"] < 4 || used["b"] < 4 {
+		t.Errorf("first calls of 20 relays went to %v, want both hosts well used", used)
+	}
+}
+
+// TestSlowCallsAreServedInTheEnd: each further try of a message is called off later than the one before.
+func TestEachRetryIsCancelledLater(t *testing.T) {
+	cfg := settings()
+	cfg.Workers, cfg.MaxHeld = 2, 1000
+	r := newHarness(t, cfg, readyHost("slow", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
+	var took []time.Duration
+	var events []Event
+	events = append(events, arrival("m", 0))
+	sent := r.now
+	for i := 0; r.now < sent+9*time.Second && len(took) < 2; i++ {
+		for dest := 2; dest <= 3; dest++ {
+			msg := arrival(fmt.Sprint(i, dest), 0)
+			msg.Dest = dest
+			events = append(events, msg)
+		}
+		acts := r.step(events...)
+		events = nil
+		for _, a := range acts {
+			switch a := a.(type) {
+			case Send:
+				if a.ID == "m" {
+					sent = r.now
+				} else {
+					events = append(events, r.result(a.ID, a.Host, Served))
+				}
+			case Cancel:
+				took = append(took, r.now-sent)
+				events = append(events, r.result(a.ID, "slow", Cancelled))
+			}
+		}
+		r.now += 50 * ms
+	}
+	if len(took) < 2 || took[1] < took[0]*3/2 {
+		t.Errorf("tries were called off after %v, want the second after longer", took)
+	}
+}
