--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -9,9 +9,8 @@
 	"larchrouter/choice"
 )
 
-// 20,000 messages wait for 40 partners that have been down, and all of these come back at once, cold. None is
-// sent more than the rule's budget in any window, and what does not get through hears so in the order of its
-// deadline.
+// 20,000 messages are queued for 40 destinations in an outage, which all end at once. None is sent more than
+// its slow-start budget in any window, and messages that expire are answered in the order of their deadlines.
 func TestAllDestinationsRecoverAtOnce(t *testing.T) {
 	cfg := worldSettings()
 	cfg.Fleet, cfg.Workers, cfg.Listed, cfg.Cancels = 1, 64, true, true
@@ -50,13 +49,13 @@
 			case choice.Refuse, choice.Fail:
 				id := answeredID(a)
 				if driver.now > deadlines[id] {
-					t.Fatalf("%s heard of its end %v late", id, driver.now-deadlines[id])
+					t.Fatalf("%s was answered %v late", id, driver.now-deadlines[id])
 				}
 				if deadlines[id]-driver.now > 6*tick { // its attempts are used up
 					continue
 				}
 				if expired++; deadlines[id] < last {
-					t.Fatalf("%s, due at %v, heard of its end after one due at %v", id, deadlines[id], last)
+					t.Fatalf("%s, due at %v, was answered after one due at %v", id, deadlines[id], last)
 				}
 				last = deadlines[id]
 			}
@@ -73,18 +72,19 @@
 			}
 			cold := min(1, rules.ColdFrom+(1-rules.ColdFrom)*(at-recoveredAt).Seconds()/rules.Cold.Seconds())
 			if budget := rules.OverloadFactor * cold * 100 * rules.Fall.Seconds(); float64(i-first+1) > budget {
-				t.Fatalf("%s, back for %v, was sent %d calls within %v: over the budget of %.0f", host, at-recoveredAt, i-first+1, rules.Fall, budget)
+				t.Fatalf("%s, %v after its outage, was sent %d calls within %v: over the budget of %.0f",
+					host, at-recoveredAt, i-first+1, rules.Fall, budget)
 			}
 		}
 	}
 	if len(sent) != partners || served < 2000 || expired < 1000 {
-		t.Errorf("%d partners were sent %d messages after their return, and %d heard that their time was up; want all %d and thousands",
+		t.Errorf("%d destinations were sent %d messages after the outage, and %d expired; want all %d and thousands",
 			len(sent), served, expired, partners)
 	}
 }
 
-// All that is held falls due in the same millisecond: it is answered before that in the order in which it
-// came, in pieces that no Step is long by, and none sooner than these pieces need.
+// All pending messages expire in the same millisecond: they are answered before it in the order of arrival,
+// in batches that keep Steps short, and not earlier than these batches need.
 func TestAllMessagesExpireAtOnce(t *testing.T) {
 	cfg := worldSettings()
 	driver := newDriver(t, cfg)
@@ -95,16 +95,16 @@
 	for answered < n {
 		wake := driver.nextWake()
 		if wake <= 0 {
-			t.Fatalf("%d of %d answered, and no wake-up is asked for", answered, n)
+			t.Fatalf("%d of %d answered, and no wake-up is requested", answered, n)
 		}
 		driver.now += wake
 		if driver.now > deadline {
-			t.Fatalf("%d of %d answered when their time was up", answered, n)
+			t.Fatalf("%d of %d answered at their deadline", answered, n)
 		}
 		refused, _ := finalAnswers(driver.step())
 		for i, id := range refused {
 			if want := fmt.Sprint("m", answered+i+1); id != want {
-				t.Fatalf("%s is answered where it was %s's turn", id, want)
+				t.Fatalf("%s is answered before %s", id, want)
 			}
 		}
 		if len(refused) > 128 {
@@ -115,13 +115,12 @@
 		}
 	}
 	if early := deadline - first; early > n/128*12*time.Millisecond {
-		t.Errorf("the first is answered %v before its time", early)
+		t.Errorf("the first is answered %v before its deadline", early)
 	}
 }
 
-// A destination is flooded with messages of one class, far over what it takes, while payments for others come
-// at their usual rate: those are all served, and the flood is refused at the door and told when to come
-// again.
+// A destination is flooded with messages of one class, far above its capacity, while payments for others
+// arrive at their usual rate: these are all served, and the flood is rejected on arrival with a retry-after.
 func TestFloodDoesNotStarveOtherDestinations(t *testing.T) {
 	cfg := worldSettings()
 	cfg.Fleet, cfg.MaxHeld, cfg.Workers = 1, 500, 16
@@ -140,8 +139,8 @@
 			pending := map[time.Duration][]choice.Event{}
 			var events []choice.Event
 			for n := range 6000 { // 30 s
-				if n < 5600 { // the last ones have their time
-					for range 5 { // 1,000 a second for a partner that takes 25
+				if n < 5600 { // time for the last ones to complete
+					for range 5 { // 1,000 a second for a destination that takes 25
 						arrival := driver.arrival(flood.class, 0, 8*time.Second)
 						flooded[arrival.ID] = driver.now
 						events = append(events, arrival)
@@ -161,7 +160,8 @@
 						} else {
 							others[a.ID] = true
 						}
-						pending[driver.now+took] = append(pending[driver.now+took], choice.Result{ID: a.ID, Host: a.Host, Outcome: choice.Served, Took: took, Done: true})
+						result := choice.Result{ID: a.ID, Host: a.Host, Outcome: choice.Served, Took: took, Done: true}
+						pending[driver.now+took] = append(pending[driver.now+took], result)
 					case choice.Refuse:
 						switch came := flooded[a.ID]; {
 						case came > 0 && came < driver.now:
@@ -182,15 +182,15 @@
 				}
 			}
 			if 100*served < 99*len(others) || rejected < 20_000 || shed > rejected/20 {
-				t.Errorf("%d of %d payments for others were sent; of the flood %d were refused at the door with a time, and %d after they had been"+
-					" taken on; want 99%%, most and few", served, len(others), rejected, shed)
+				t.Errorf("%d of %d payments for others were sent; of the flood %d were rejected on arrival with a"+
+					" retry-after, and %d were shed; want 99%%, most and few", served, len(others), rejected, shed)
 			}
 		})
 	}
 }
 
-// The room is full of messages that may have run and must not be turned away: a new one is refused at once,
-// and every one of those held is still there.
+// The capacity is taken by messages that may have run and must not be shed: a new one is rejected at once,
+// and all pending ones stay.
 func TestOverloadWithoutSheddableMessages(t *testing.T) {
 	cfg := worldSettings()
 	cfg.MaxHeld, cfg.Workers = 100, 100
@@ -204,7 +204,8 @@
 	pending := map[string]bool{}
 	for dest := range 10 {
 		for range 10 {
-			restored := choice.Restored{Arrival: driver.arrival(1, dest, 9*time.Second), Attempts: 1, Ran: true, RanZone: 1} // no host there
+			restored := choice.Restored{Arrival: driver.arrival(1, dest, 9*time.Second), Attempts: 1,
+				Ran: true, RanZone: 1} // a zone without a host
 			pending[restored.ID] = true
 			events = append(events, restored)
 		}
@@ -214,16 +215,16 @@
 		arrival := driver.arrival(class, 3, 5*time.Second)
 		refused, failed := finalAnswers(driver.step(arrival))
 		if fmt.Sprint(refused, failed) != fmt.Sprint([]string{arrival.ID}, []string(nil)) {
-			t.Errorf("class %d: refused %v and failed %v, want the new one alone refused", class, refused, failed)
+			t.Errorf("class %d: refused %v and failed %v, want only the new one refused", class, refused, failed)
 		}
 	}
 	refused, failed := finalAnswers(driver.advance(9 * time.Second))
 	if len(failed)+len(refused) != len(pending) {
-		t.Errorf("%d of %d held were answered at the end of their time", len(failed)+len(refused), len(pending))
+		t.Errorf("%d of %d pending messages were answered at their deadline", len(failed)+len(refused), len(pending))
 	}
 }
 
-// Time that stands still, jumps or runs backwards ends no message twice and loses none.
+// With a clock that stops, jumps or runs backwards no message is answered twice and none is lost.
 func TestClockJumps(t *testing.T) {
 	cfg := worldSettings()
 	cfg.MaxHeld = 200
@@ -233,7 +234,8 @@
 	var events []choice.Event
 	for range 3000 {
 		if random.IntN(2) == 0 {
-			arrival := driver.arrival(random.IntN(4), 1+random.IntN(2), time.Duration(1+random.IntN(9000))*time.Millisecond)
+			arrival := driver.arrival(random.IntN(4), 1+random.IntN(2),
+				time.Duration(1+random.IntN(9000))*time.Millisecond)
 			unanswered[arrival.ID] = true
 			events = append(events, arrival)
 		}
@@ -248,10 +250,11 @@
 				if outcome == choice.Served {
 					delete(unanswered, send.ID)
 				}
-				events = append(events, choice.Result{ID: send.ID, Host: send.Host, Outcome: outcome, Took: tick, Done: outcome == choice.Served})
+				events = append(events, choice.Result{ID: send.ID, Host: send.Host, Outcome: outcome, Took: tick,
+					Done: outcome == choice.Served})
 			} else if id := answeredID(a); id != "" {
 				if !unanswered[id] {
-					t.Fatalf("%s was ended twice", id)
+					t.Fatalf("%s was answered twice", id)
 				}
 				delete(unanswered, id)
 			}
@@ -271,13 +274,13 @@
 		delete(unanswered, id)
 	}
 	if len(unanswered) > 0 {
-		t.Errorf("%d messages never ended", len(unanswered))
+		t.Errorf("%d messages were never answered", len(unanswered))
 	}
 }
 
-// A destination loses its last host with thousands waiting: they wait on without cost, go to the next host
-// that is listed, and hear in time if there is none. One withdrawn in the Step in which it would have been
-// sent stays.
+// A destination loses its last host with thousands of messages queued: they stay queued, are sent to the next
+// host that is listed, and are answered in time if there is none. One withdrawn in the Step in which it could
+// be sent is not sent.
 func TestLastHostLeavesWithBacklog(t *testing.T) {
 	cfg := worldSettings()
 	cfg.Fleet = 1
@@ -308,6 +311,6 @@
 		}
 	}
 	if n := len(answeredIDs(driver.advance(7990 * time.Millisecond))); n < 4900 {
-		t.Errorf("%d messages heard of their end in time, want all that are not out", n)
+		t.Errorf("%d messages were answered in time, want all that are not in flight", n)
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestALongList: thousands of hosts at once, listed twice, cost no table
-// each and leave the relay able to send; hosts that leave are forgotten.
+// Thousands of hosts, listed twice, allocate no latency table each, and messages can be sent; hosts that
+// leave the list are removed.
 func TestLargeEndpointList(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
--- a/choice/driver_test.go
+++ b/choice/driver_test.go
@@ -8,7 +8,7 @@
 	"larchrouter/choice"
 )
 
-// driven is one Chooser and what it did, driven by hand.
+// driver drives a Chooser in simulated time and keeps its last actions.
 type driver struct {
 	t       *testing.T
 	c       *choice.Chooser
@@ -17,6 +17,7 @@
 	actions []choice.Action // of the last Step
 }
 
+// newDriver returns a driver whose Chooser knows the hosts.
 func newDriver(t *testing.T, cfg choice.Settings, hosts ...choice.Host) *driver {
 	t.Helper()
 	chooser, err := choice.New(cfg, 1)
@@ -33,7 +34,7 @@
 	return d.actions
 }
 
-// sleep lets a span pass, woken only when the last Step asked for it, and returns all that was done.
+// advance lets time pass with the requested wake-ups only, and returns all actions.
 func (d *driver) advance(span time.Duration) (all []choice.Action) {
 	d.t.Helper()
 	for end := d.now + span; ; {
@@ -47,7 +48,7 @@
 	}
 }
 
-// wake is how long after the last Step the next is asked for; 0 for never.
+// nextWake returns the time from the last Step to the requested wake-up; 0 for none.
 func (d *driver) nextWake() (after time.Duration) {
 	for _, a := range d.actions {
 		if w, ok := a.(choice.Wake); ok {
@@ -69,7 +70,7 @@
 	return all
 }
 
-// ends are the ids that a Step's actions ended, in order.
+// finalAnswers returns the messages with a final answer among actions, in order.
 func finalAnswers(acts []choice.Action) (refused, failed []string) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -86,6 +87,7 @@
 	return choice.Host{Addr: fmt.Sprint("h", dest), Dest: dest, Kind: 2, Rate: 100, State: choice.Ready}
 }
 
+// answeredID returns the message of a final answer, empty for another action.
 func answeredID(a choice.Action) string {
 	switch a := a.(type) {
 	case choice.Refuse:
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,7 +7,7 @@
 	"larchrouter/choice"
 )
 
-// A relay's own loop: hand in what happened, carry out what comes back.
+// The event loop of a relay: pass in events, carry out actions.
 func Example() {
 	chooser, err := choice.New(choice.Settings{
 		Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond,
--- a/choice/harness_test.go
+++ b/choice/harness_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// rig drives one Chooser and keeps what it did.
+// harness drives a Chooser and counts its attempts by message.
 type harness struct {
 	t        *testing.T
 	c        *Chooser
@@ -33,6 +33,7 @@
 	attempts map[string]int
 }
 
+// newHarness returns a harness whose Chooser knows the hosts.
 func newHarness(t *testing.T, cfg Settings, hosts ...Host) *harness {
 	t.Helper()
 	chooser, err := New(cfg, 1)
@@ -54,7 +55,7 @@
 	return acts
 }
 
-// after lets time pass in ticks, waking the Chooser, and returns all actions.
+// advance lets time pass in ticks, with a wake-up at each, and returns all actions.
 func (r *harness) advance(span time.Duration) []Action {
 	var acts []Action
 	for end := r.now + span; r.now < end; {
@@ -64,8 +65,10 @@
 	return acts
 }
 
+// result returns the Result of the last attempt of a message.
 func (r *harness) result(id, host string, outcome Outcome, changes ...func(*Result)) Result {
-	result := Result{ID: id, Host: host, Attempt: r.attempts[id] - 1, Outcome: outcome, Took: 50 * ms, Done: outcome == Served}
+	result := Result{ID: id, Host: host, Attempt: r.attempts[id] - 1, Outcome: outcome, Took: 50 * ms,
+		Done: outcome == Served}
 	for _, change := range changes {
 		change(&result)
 	}
@@ -81,6 +84,7 @@
 	return out
 }
 
+// finalAnswers returns the final answers among actions, in order, as text.
 func finalAnswers(acts []Action) string {
 	out := ""
 	for _, a := range acts {
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestColdReturn: two failures make a unit suspect; after it answers again, the relay stays within
-// its share of the rule's budget.
+// Two failures make a unit suspect; after it has served a trial, the relay stays within its share of the
+// slow-start budget.
 func TestSlowStartAfterOutage(t *testing.T) {
 	cfg := settings()
 	cfg.Workers = 100
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestOneHostDownLeavesItsDestinationWell: the loss of one machine is not that of the destination.
+// The loss of one machine is not an outage of the destination.
 func TestFailedHostDoesNotEjectItsDestination(t *testing.T) {
 	r := newHarness(t, settings(), readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
 	for i := range 6 {
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestLargeFleetSpacesItsCalls: where this relay's share of the budget is under one call in the
-// rule's window, it sends less than one call in it.
+// Where this relay's share of the slow-start budget is below one call in the rules' window, it sends less
+// than one trial in it.
 func TestLargeFleetSpacesItsTrials(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet, cfg.Workers = 12, 100
@@ -90,14 +90,14 @@
 		out = sends(r.step(append(ends, Woken{})...))
 	}
 	// Within twice this relay's share of the budget: 2 x 2 x 0.2 x 4 x 2 s / 12 relays, for
-	// four windows, once the first gaps have grown.
+	// four windows, once the first backoffs have grown.
 	if trials < 1 || trials > 7 {
 		t.Errorf("%d trials in eight seconds, want one to seven", trials)
 	}
 }
 
-// TestRefusalsInALargeFleet: relays that meet a destination seldom come back after growing pauses, and
-// not in step, so that together they get under its limit.
+// Relays that rarely call a destination retry after an exponential backoff with jitter, so that together they
+// get below its rate limit.
 func TestRefusalBackoffInLargeFleet(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet = 40
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestPausesLengthenWhereRetriesFail: where calls after a refusal are hardly ever served, as where refused
-// calls use up the limit, the pause goes to the even share of a call at once.
+// Where calls after a refusal are hardly ever served, as if refused calls count against the rate limit, the
+// backoff is the interval of the even share at once.
 func TestRefusalBackoffGrowsWhereRetriesFail(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet = 40
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestFirstFailureWhereSeldomMet: a relay of a large fleet that has nothing served lately to speak against
-// an outage takes the first failure for one, and does not try again at once; a small fleet's relay goes on.
+// A relay of a large fleet without a recent served call takes the first failure for an outage and does not
+// retry at once; a relay of a small fleet does.
 func TestFirstFailureEjectsInLargeFleet(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
 		cfg := settings()
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestARelayThatStoodStill: outcomes that come all at once after a gap are taken in before anything is
-// judged, so that the relay's own stall is no silence of a destination.
+// Results that arrive together after a stall of the relay are applied before health is checked, so that the
+// stall is not taken for unresponsive destinations.
 func TestStalledRelayDoesNotEjectDestinations(t *testing.T) {
 	r := newHarness(t, settings(), readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0))
 	other := arrival("n", 0)
@@ -184,7 +184,7 @@
 	}
 }
 
-// Guards against holding stray noise for an outage: the host did answer.
+// Single unreadable responses are not taken for an outage: the host did respond.
 func TestUnreadableResponsesAreNoOutage(t *testing.T) {
 	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 	call := func(id string, outcome Outcome) (unwell bool) {
--- a/choice/oracle/destination_test.go
+++ b/choice/oracle/destination_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// estimate is the formula as it is written: for the edge of bucket i, from all samples, cut ones below 0.
+// estimate computes the expected completion time for the edge of bucket i from all samples; one below 0 has
+// no latency.
 func estimate(samples []time.Duration, width time.Duration, i int) float64 {
 	var n, sum [Buckets]float64
 	cut, weight := 0.0, 1.0
@@ -38,7 +39,7 @@
 	return m/f + (1-f)/f*(edge.Seconds()+0.1)
 }
 
-func TestTimeoutIsTheLeastEstimate(t *testing.T) {
+func TestTimeoutMinimizesCompletionTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := time.Duration(rapid.IntRange(200, 6000).Draw(t, "bound")) * ms
 		width := bound / Buckets
@@ -54,20 +55,20 @@
 			}
 		})
 		samples := rapid.SliceOfN(took, 0, 300).Draw(t, "samples")
-		d := NewDestination(bound)
+		dest := NewDestination(bound)
 		served := 0
 		for _, s := range samples {
 			if s < 0 {
-				d.Cut()
+				dest.Cut()
 				continue
 			}
-			d.Served(s)
+			dest.Served(s)
 			if s/width < Buckets {
 				served++
 			}
 		}
 		const left = time.Hour
-		got := d.Timeout(left, 0, true)
+		got := dest.Timeout(left, 0, true)
 		if len(samples) < MinSamples || served == 0 {
 			if got != left {
 				t.Fatalf("cut at %v after %d samples, %d of them answers", got, len(samples), served)
@@ -87,8 +88,8 @@
 	})
 }
 
-// known is a destination whose answers take 45 ms, one in ten 905 ms: with buckets of 10 ms the edge is 50
-// ms.
+// known returns a destination with latencies of 45 ms, one in ten of 905 ms: with buckets of 10 ms the best
+// time-out is 50 ms.
 func known() *Destination {
 	d := NewDestination(time.Second)
 	for i := range 100 {
@@ -101,9 +102,9 @@
 	return d
 }
 
-// Each line is one call: what is left at each try, and its time-out as told; the last column says whether it
-// may be restarted. A try that is not cut ends the call.
-func TestTriesOfACall(t *testing.T) {
+// Each line is an attempt: the time to the deadline, the expected time-out, and whether it may be retried.
+// Lines of one call follow each other.
+func TestTimeoutsOfAttempts(t *testing.T) {
 	const timeline = `
 left  1000  timeout 50    restart
 left   950  timeout 60    restart
@@ -121,28 +122,28 @@
 ---
 left    -5  timeout -5    restart
 `
-	d := known()
+	dest := known()
 	mean := (0.9*45 + 0.1*905)
-	if got := d.table.Mean(); math.Abs(got.Seconds()*1000-mean) > 15 {
+	if got := dest.table.Mean(); math.Abs(got.Seconds()*1000-mean) > 15 {
 		t.Fatalf("mean %v, want about %.1f ms", got, mean)
 	}
 	last := time.Duration(0)
-	for i, l := range strings.Split(strings.TrimSpace(timeline), "\n") {
-		if l == "---" {
+	for i, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
+		if line == "---" {
 			last = 0
 			continue
 		}
-		f := strings.Fields(l)
-		left, _ := strconv.Atoi(f[1])
-		want, _ := strconv.Atoi(f[3])
-		last = d.Timeout(time.Duration(left)*ms, last, f[4] == "restart")
+		fields := strings.Fields(line)
+		left, _ := strconv.Atoi(fields[1])
+		want, _ := strconv.Atoi(fields[3])
+		last = dest.Timeout(time.Duration(left)*ms, last, fields[4] == "restart")
 		if last != time.Duration(want)*ms {
-			t.Errorf("line %d, %q: time-out %v", i+1, l, last)
+			t.Errorf("line %d, %q: time-out %v", i+1, line, last)
 		}
 	}
 }
 
-func TestTimeoutIsNeverOverWhatIsLeft(t *testing.T) {
+func TestTimeoutNeverExceedsDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := NewDestination(time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "bound")))
 		for range rapid.IntRange(0, 60).Draw(t, "served") {
@@ -168,7 +169,7 @@
 	})
 }
 
-func TestLateAnswersCount(t *testing.T) {
+func TestResponsesAfterTimeoutCount(t *testing.T) {
 	d := known()
 	before := d.Timeout(time.Hour, 0, true)
 	for range 2 * memory { // it has turned slow: every call ends after its time-out, and is answered then
@@ -179,7 +180,7 @@
 	}
 }
 
-func TestBoundThatChanges(t *testing.T) {
+func TestBoundCanChange(t *testing.T) {
 	d := known()
 	d.SetBound(2 * time.Second)
 	if got := d.Timeout(time.Hour, 0, true); got != 60*ms {
--- a/choice/oracle/oracle_test.go
+++ b/choice/oracle/oracle_test.go
@@ -10,20 +10,20 @@
 
 const ms = time.Millisecond
 
-// cost of a restart in these tests.
+// cost of a retry in these tests.
 var cost = Cost{Buckets: 1, Means: 4}
 
-func TestOracleByHand(t *testing.T) {
-	tab := New(10*ms, cost)
+func TestBestTimeoutOfKnownLatencies(t *testing.T) {
+	table := New(10*ms, cost)
 	for range 90 {
-		tab.Add(15 * ms)
+		table.Add(15 * ms)
 	}
 	for range 10 {
-		tab.Add(905 * ms)
+		table.Add(905 * ms)
 	}
-	tab.Look()
-	if tab.edge != 20*ms {
-		t.Errorf("edge %v with a tenth of the answers 60 times slower, want the bucket of the fast ones, 20ms", tab.edge)
+	table.Look()
+	if table.edge != 20*ms {
+		t.Errorf("edge %v with a tenth of the answers 60 times slower, want the bucket of the fast ones, 20ms", table.edge)
 	}
 	same := New(10*ms, cost)
 	for i := range 100 {
@@ -47,27 +47,27 @@
 	}
 }
 
-func TestTableFades(t *testing.T) {
-	tab := New(10*ms, cost)
+func TestOldSamplesDecay(t *testing.T) {
+	table := New(10*ms, cost)
 	for range 1000 {
-		tab.Add(15 * ms)
+		table.Add(15 * ms)
 	}
 	for range 2 * memory {
-		tab.Add(505 * ms)
+		table.Add(505 * ms)
 	}
-	tab.Look()
-	if tab.edge < 510*ms {
-		t.Errorf("edge %v after the destination slowed, want it relearned to 510ms", tab.edge)
+	table.Look()
+	if table.edge < 510*ms {
+		t.Errorf("edge %v after the destination slowed, want it relearned to 510ms", table.edge)
 	}
 	for range 10000 {
-		tab.Add(505 * ms)
+		table.Add(505 * ms)
 	}
-	if math.IsInf(tab.weight, 0) || tab.weight > 1e7 {
-		t.Errorf("weight %v grows without bound", tab.weight)
+	if math.IsInf(table.weight, 0) || table.weight > 1e7 {
+		t.Errorf("weight %v grows without bound", table.weight)
 	}
 }
 
-// Wider or narrower buckets keep every sample, and what an answer took within one bucket of either width.
+// Wider or narrower buckets keep every sample, and its latency to within a bucket of either width.
 func TestRescaleKeepsSamples(t *testing.T) {
 	if err := quick.Check(func(took []uint16, wide uint8) bool {
 		a := New(10*ms, cost)
--- a/choice/outcome_test.go
+++ b/choice/outcome_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// TestAnswers has one row for each outcome and effect: what becomes of the message.
+// One row for each outcome and effect of a message.
 func TestOutcomeDecidesRetryOrFinalAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
 		outcome Outcome
-		want    string // immediate answer; "again" for one more send
+		want    string // immediate final answer; "again" for a retry
 	}{
 		{0, Error, "again"}, {0, Timeout, "again"}, {0, Reset, "again"}, {0, NoConnection, "again"},
 		{1, Error, "again"}, {1, Timeout, "again"}, {1, NotSent, "again"},
-		{0, Spoilt, "again"}, {2, Spoilt, "fail m;"}, {2, Error, "fail m;"}, {2, Timeout, "fail m;"}, {2, Reset, "fail m;"}, {2, Cancelled, "fail m;"},
+		{0, Spoilt, "again"}, {2, Spoilt, "fail m;"}, {2, Error, "fail m;"}, {2, Timeout, "fail m;"},
+		{2, Reset, "fail m;"}, {2, Cancelled, "fail m;"},
 		{2, NoConnection, "again"}, {2, Refused, "again"}, {2, NotSent, "again"},
 	} {
 		t.Run(fmt.Sprintf("class%d-outcome%d", tc.class, tc.outcome), func(t *testing.T) {
--- a/choice/pace_test.go
+++ b/choice/pace_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestManyRelaysBeginGently: a first call of each relay does no harm alone, and shuts a destination when all
-// make it: eighty relays with a message each begin, and go on, at the share of a guess.
+// A burst of first calls of all relays could exhaust the rate limit of a destination: eighty relays with two
+// messages each start at their share of a guess.
 func TestLargeFleetStartsWithinRateGuess(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet, cfg.Listed = 80, false
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against a standstill at the first refusal: calls sent while there was no limit are no debt. And
-// against taking a young unit for one that serves little, since the smoothed rate begins at 0.
+// Calls sent before there was a rate limit are no debt, which would block the unit after its first refusal;
+// and a new unit is not taken for a slow one, although the smoothed rate starts at 0.
 func TestFirstRateLimitOfNewUnit(t *testing.T) {
 	cfg := settings()
 	cfg.Listed, cfg.Fleet = false, 1
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against a backlog behind a pace that regains as little a second with many calls as with few, and
-// against a pace cut to what was sent in a lull.
+// The rate limit of a unit with many calls grows faster than that of one with few, and a refusal while little
+// is sent does not cut it to the rate sent.
 func TestRateLimitOfFastUnit(t *testing.T) {
 	cfg := settings()
 	cfg.Listed, cfg.Fleet = false, 1
--- a/choice/restore_test.go
+++ b/choice/restore_test.go
@@ -7,7 +7,8 @@
 )
 
 func TestRestoredMessages(t *testing.T) {
-	a, b := Host{Addr: "a", Dest: 1, Kind: 2, Zone: 0, State: Ready}, Host{Addr: "b", Dest: 1, Kind: 2, Zone: 1, State: Ready}
+	a := Host{Addr: "a", Dest: 1, Kind: 2, Zone: 0, State: Ready}
+	b := Host{Addr: "b", Dest: 1, Kind: 2, Zone: 1, State: Ready}
 	for name, tc := range map[string]struct {
 		class    int
 		attempts int
@@ -61,14 +62,15 @@
 	}
 }
 
-// What a restart finds untried gets its try, whatever comes in and whatever that is worth: it guards against
-// giving it up with no call, first when it waits behind what is fresh, then when the room is crowded.
+// Messages restored without an attempt get one, whatever arrives and whatever its value: they neither expire
+// behind new arrivals nor are shed under overload.
 func TestRestoredMessagesWithoutAttemptGoFirst(t *testing.T) {
-	for name, left := range map[string]time.Duration{"within the aim": 9 * time.Second, "long past it": 3 * time.Second} {
+	for name, left := range map[string]time.Duration{"within the latency target": 9 * time.Second, "past it": 3 * time.Second} {
 		for class := range 3 { // safe, keyed, unsafe
 			set := settings()
 			set.Workers, set.MaxHeld, set.Classes[0].LateShare = 1, 24, 0
-			set.Classes = append(set.Classes, Class{Name: "dear", Aim: time.Second, Deadline: 10 * time.Second, Worth: 100, Effect: Safe})
+			set.Classes = append(set.Classes, Class{Name: "valuable", Aim: time.Second, Deadline: 10 * time.Second,
+				Worth: 100, Effect: Safe})
 			r := newHarness(t, set, readyHost("a", 1, 0, 0))
 			next, untried := 0, map[string]bool{}
 			var events []Event
@@ -76,7 +78,8 @@
 				id := fmt.Sprint("found", i)
 				untried[id] = true
 				events = append(events, Restored{Arrival: Arrival{ID: id, Class: class, Dest: 1, Left: left}})
-				events = append(events, Restored{Arrival: Arrival{ID: fmt.Sprint("tried", i), Class: class, Dest: 1, Left: left}, Attempts: 1})
+				attempted := Arrival{ID: fmt.Sprint("tried", i), Class: class, Dest: 1, Left: left}
+				events = append(events, Restored{Arrival: attempted, Attempts: 1})
 			}
 			for calls := 0; len(untried) > 0; calls++ {
 				for range 3 { // three times what can be sent
@@ -86,7 +89,7 @@
 				acts := r.step(events...)
 				for _, a := range acts {
 					if a, gone := a.(Refuse); gone && untried[a.ID] {
-						t.Fatalf("%s, class %d: %s given up with no call: %v", name, class, a.ID, a.Why)
+						t.Fatalf("%s, class %d: %s refused without an attempt: %v", name, class, a.ID, a.Why)
 					}
 				}
 				for got := sends(acts); len(got) == 0; got = sends(acts) {
@@ -94,7 +97,7 @@
 				}
 				send := sends(acts)[0]
 				if !untried[send.ID] {
-					t.Fatalf("%s, class %d: call %d is of %s, with %d found untried", name, class, calls, send.ID, len(untried))
+					t.Fatalf("%s, class %d: call %d is of %s, with %d without an attempt", name, class, calls, send.ID, len(untried))
 				}
 				delete(untried, send.ID)
 				r.now += 20 * ms
@@ -104,7 +107,7 @@
 	}
 }
 
-// A restart must not make a relay forget that a destination is cold.
+// The slow start of a destination is not skipped by a restart of the relay.
 func TestOutageOutlivesRestart(t *testing.T) {
 	hosts := []Host{{Addr: "a", Dest: 1, State: Ready}}
 	arrivals := func() (all []Event) {
@@ -130,7 +133,7 @@
 	}
 }
 
-// A wait may come with an answer that is no refusal, and binds alike.
+// A retry-after may come with a response that is no refusal, and applies as well.
 func TestRetryAfterAppliesToAnyOutcome(t *testing.T) {
 	r := newHarness(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 9 * time.Second})
@@ -141,11 +144,11 @@
 		acts = r.advance(5 * ms)
 	}
 	if r.now-notifiedAt < 300*ms {
-		t.Fatalf("sent %v after a wait of 300 ms was told", r.now-notifiedAt)
+		t.Fatalf("sent %v after a retry-after of 300 ms", r.now-notifiedAt)
 	}
 }
 
-// A refusal for a destination that told to wait says when that wait is over.
+// A message refused during a retry-after of its destination gets the rest of it as its own retry-after.
 func TestRefusalHasRetryAfter(t *testing.T) {
 	cfg := settings()
 	cfg.MaxHeld = 2
@@ -155,7 +158,7 @@
 	for _, action := range append(acts, r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})...) {
 		if refuse, ok := action.(Refuse); ok {
 			if refuse.After < 1500*ms || refuse.After > 3*time.Second {
-				t.Fatalf("come again after %v, want the rest of the wait", refuse.After)
+				t.Fatalf("retry-after of %v, want the rest of the host's", refuse.After)
 			}
 			return
 		}
--- a/choice/retune_test.go
+++ b/choice/retune_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// A module retuned amid its work does as it would have done with these settings from the start, as far as the
-// past does not show; and attempts that are no longer allowed end what waits.
+// After a change of settings the derived values are those of the new settings, invalid changes have no
+// effect, and messages without attempts left are answered.
 func TestSettingsChangeWithPendingMessages(t *testing.T) {
-	set := Settings{Fleet: 1, Workers: 4, MaxHeld: 100, MaxAttempts: 4, Tick: time.Millisecond, Kinds: []Kind{{PerCall: 1}},
+	set := Settings{Fleet: 1, Workers: 4, MaxHeld: 100, MaxAttempts: 4, Tick: time.Millisecond,
+		Kinds:       []Kind{{PerCall: 1}},
 		Rules:       Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second},
 		Classes:     []Class{{Name: "a", Aim: time.Second, Deadline: 10 * time.Second, Worth: 1, Effect: Safe}},
 		ReportLimit: -1}
@@ -25,15 +26,19 @@
 		}
 		return n
 	}
-	chooser.Step(0, []Event{Listing{Whole: true, Hosts: []Host{{Addr: "h", State: Ready}}}, Arrival{ID: "m", Left: 10 * time.Second}})
+	hosts := []Host{{Addr: "h", State: Ready}}
+	chooser.Step(0, []Event{Listing{Whole: true, Hosts: hosts}, Arrival{ID: "m", Left: 10 * time.Second}})
 	chooser.Step(1, []Event{Result{ID: "m", Host: "h", Outcome: Refused, Wait: 2 * time.Second}})
 	more := set
-	more.Classes = append(slices.Clone(set.Classes), Class{Name: "b", Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 9, Effect: Unsafe})
+	more.Classes = append(slices.Clone(set.Classes),
+		Class{Name: "b", Aim: 3 * time.Second, Deadline: 20 * time.Second, Worth: 9, Effect: Unsafe})
 	if got := sent(chooser.Step(2, []Event{Retuned{more}})); got != 0 {
-		t.Errorf("%d sends in a wait", got)
+		t.Errorf("%d sends within a retry-after", got)
 	}
-	if chooser.maxTimeout != 3*time.Second || chooser.maxValue != 9 || len(chooser.shedOrders) != 2 || len(chooser.destinations[0].sheddable) != 2 {
-		t.Errorf("bound %v, most worth %v, %d crowds, %d places", chooser.maxTimeout, chooser.maxValue, len(chooser.shedOrders), len(chooser.destinations[0].sheddable))
+	orders, counts := len(chooser.shedOrders), len(chooser.destinations[0].sheddable)
+	if chooser.maxTimeout != 3*time.Second || chooser.maxValue != 9 || orders != 2 || counts != 2 {
+		t.Errorf("maximum time-out %v, maximum value %v, %d shed orders, %d counts",
+			chooser.maxTimeout, chooser.maxValue, orders, counts)
 	}
 	chooser.Step(3, []Event{Arrival{ID: "n", Class: 1, Left: 20 * time.Second}})
 	for name, bad := range map[string]func(*Settings){
@@ -55,9 +60,9 @@
 	fewer.MaxAttempts = 1
 	acts := chooser.Step(5, []Event{Retuned{fewer}})
 	if !slices.ContainsFunc(acts, func(a Action) bool { refuse, ok := a.(Refuse); return ok && refuse.ID == "m" }) {
-		t.Errorf("a message that has used up its attempts waits on: %v", acts)
+		t.Errorf("a message without attempts left stays queued: %v", acts)
 	}
 	if n := sent(chooser.Step(3*time.Second, []Event{Woken{}})); n != 1 {
-		t.Errorf("%d sends after the wait, want the other message's", n)
+		t.Errorf("%d sends after the retry-after, want the other message's", n)
 	}
 }
--- a/choice/same_test.go
+++ b/choice/same_test.go
@@ -9,16 +9,18 @@
 	"larchrouter/choice/internal/reference"
 )
 
-var worlds = flag.Int("worlds", 4, "worlds for each setting that choice and the scanning standard are both led through")
+var worlds = flag.Int("worlds", 4, "simulated worlds for each setting in which choice is compared with the reference")
 
 func worldSettings() choice.Settings {
 	s := time.Second
 	return choice.Settings{Fleet: 2, Workers: 8, MaxAttempts: 4, Tick: tick, Cancels: true, ReportLimit: -1,
 		Classes: []choice.Class{
 			{Name: "safe", Aim: 2 * s, Deadline: 10 * s, Worth: 1, LateShare: 0.5},
-			{Name: "keyed", Aim: 2 * s, Deadline: 10 * s, Worth: 2, LateShare: 0.5, Effect: choice.Keyed, SameZone: true, Window: 3 * s},
+			{Name: "keyed", Aim: 2 * s, Deadline: 10 * s, Worth: 2, LateShare: 0.5, Effect: choice.Keyed,
+				SameZone: true, Window: 3 * s},
 			{Name: "unsafe", Aim: s, Deadline: 8 * s, Worth: 4, LateShare: 0.2, Effect: choice.Unsafe},
-			{Name: "ordered", Aim: 2 * s, Deadline: 10 * s, Worth: 1, LateShare: 0.5, Effect: choice.Keyed, Window: 5 * s, Ordered: true},
+			{Name: "ordered", Aim: 2 * s, Deadline: 10 * s, Worth: 1, LateShare: 0.5, Effect: choice.Keyed,
+				Window: 5 * s, Ordered: true},
 		},
 		Kinds:   []choice.Kind{{PerCall: 1}, {PerCall: 3}, {PerCall: 1, Apart: true}},
 		ZoneFee: []float64{0, 0.05},
@@ -26,13 +28,13 @@
 			Cold: 10 * s, OrderSettle: 100 * time.Millisecond}}
 }
 
-// Choice does what the scanning standard does, action for action, whatever happens. It is led through the
-// same worlds and woken only when something has happened or it asked for it; the standard looks every tick.
+// Choice gives the same actions as the reference in simulated worlds. It is stepped only with events and at
+// the wake-ups that it requested; the reference is stepped at every tick.
 func TestSameAsReference(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		rate   float64 // arrivals a second
-		held   int     // at first
+		held   int     // messages restored at the start
 		change func(*choice.Settings)
 	}{
 		{"calm", 30, 20, func(cfg *choice.Settings) { cfg.Workers = 40 }},
@@ -79,8 +81,8 @@
 						slept++
 					}
 					if describe(got) != describe(want) {
-						t.Fatalf("seed %d, at %v after %d sends, woken: %v\nchoice:\n%s\nscanning:\n%s", seed, w.now, sent, len(events) > 0,
-							describe(got), describe(want))
+						t.Fatalf("seed %d, at %v after %d sends, stepped: %v\nchoice:\n%s\nreference:\n%s",
+							seed, w.now, sent, len(events) > 0, describe(got), describe(want))
 					}
 					for _, a := range got {
 						switch a := a.(type) {
@@ -97,9 +99,9 @@
 				}
 			}
 			if sent < 100 || ended < 10 {
-				t.Errorf("%d sends and %d answers only: this world shows nothing", sent, ended)
+				t.Errorf("%d sends and %d answers only: too few for a comparison", sent, ended)
 			}
-			t.Logf("%d worlds: %d sends, %d answers, %d ticks slept through", *worlds, sent, ended, slept)
+			t.Logf("%d worlds: %d sends, %d answers, %d ticks without a step", *worlds, sent, ended, slept)
 		})
 	}
 }
--- a/choice/step_bench_test.go
+++ b/choice/step_bench_test.go
@@ -8,8 +8,8 @@
 	"larchrouter/choice"
 )
 
-// BenchmarkStep is the cost of a Step that takes a message on, sends it and takes in that it was served,
-// while so many others wait for partners that told to wait or are down.
+// BenchmarkStep measures a Step that accepts a message, sends it and applies its Result, with a given number
+// of other messages queued for destinations without a host.
 func BenchmarkStep(b *testing.B) {
 	for _, held := range []int{100, 10_000, 100_000} {
 		for _, dests := range []int{32, 5000} {
@@ -26,7 +26,8 @@
 				}
 				events := []choice.Event{listing}
 				for i := range held { // for the odd ones, which have no host
-					events = append(events, choice.Arrival{ID: fmt.Sprint("held", i), Class: i % 3, Dest: dests + i%(dests/2), Left: 24 * time.Hour})
+					events = append(events, choice.Arrival{ID: fmt.Sprint("held", i), Class: i % 3,
+						Dest: dests + i%(dests/2), Left: 24 * time.Hour})
 				}
 				now := time.Hour
 				chooser.Step(now, events)
@@ -34,12 +35,14 @@
 				b.ReportAllocs()
 				for n := 0; b.Loop(); n++ {
 					now += time.Millisecond
-					events = append(events, choice.Arrival{ID: fmt.Sprint("m", n), Class: n % 3, Dest: n % dests, Left: 8 * time.Second})
+					events = append(events, choice.Arrival{ID: fmt.Sprint("m", n), Class: n % 3,
+						Dest: n % dests, Left: 8 * time.Second})
 					acts := chooser.Step(now, events)
 					events = events[:0]
 					for _, a := range acts {
 						if s, ok := a.(choice.Send); ok {
-							events = append(events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.Served, Took: 30 * time.Millisecond, Done: true})
+							events = append(events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.Served,
+								Took: 30 * time.Millisecond, Done: true})
 						}
 					}
 				}
--- a/choice/timeout_test.go
+++ b/choice/timeout_test.go
@@ -34,8 +34,7 @@
 	}
 }
 
-// TestBacklogHoldsRestartsBack: while a message waits for the destination,
-// a call is given up only when it is very likely lost.
+// While other messages are queued for the destination, a call is abandoned only when it is very likely lost.
 func TestBacklogRaisesTimeouts(t *testing.T) {
 	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 	for i := range 4 * oracle.MinSamples {
--- a/choice/turn_test.go
+++ b/choice/turn_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestStuckCallsAreCalledOff guards the slots: calls nobody answers may not hold them all.
+// Calls without a response must not occupy all slots.
 func TestStuckCallsAreCancelled(t *testing.T) {
 	cfg := settings()
 	cfg.Workers = 2
@@ -58,8 +58,7 @@
 	t.Errorf("no call was called off while another destination waited for a slot")
 }
 
-// TestLostCallsAreCalledOff: a call that nobody answers is given up for want of a slot even where
-// its destination goes on serving others.
+// A call without a response is cancelled when slots are short, also if its destination keeps serving others.
 func TestLostCallsAreCancelled(t *testing.T) {
 	cfg := settings()
 	cfg.Workers = 3
@@ -90,7 +89,7 @@
 	t.Errorf("the lost call was never called off")
 }
 
-// TestRelaysDoNotAllLikeOneHost: relays of a large fleet spread over the hosts of a destination.
+// Relays of a large fleet spread over the hosts of a destination.
 func TestRelaysSpreadOverHosts(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet = 40
@@ -110,7 +109,7 @@
 	}
 }
 
-// TestSlowCallsAreServedInTheEnd: each further try of a message is called off later than the one before.
+// Each retry of a message is cancelled later than the attempt before, so that slow calls complete in the end.
 func TestEachRetryIsCancelledLater(t *testing.T) {
 	cfg := settings()
 	cfg.Workers, cfg.MaxHeld = 2, 1000
--- a/choice/why_test.go
+++ b/choice/why_test.go
@@ -8,7 +8,7 @@
 	"larchrouter/choice"
 )
 
-// Why a message waits and when that changes, with what stands in its way.
+// One row for each reason why a message is queued.
 func TestWaitsExplainsQueuedMessages(t *testing.T) {
 	const s = time.Second
 	result := func(a choice.Send, o choice.Outcome, wait time.Duration) choice.Event {
@@ -17,7 +17,7 @@
 	for _, tc := range []struct {
 		name  string
 		class int
-		until func(t *testing.T, driver *driver) // brings about what the message m-asked meets
+		until func(t *testing.T, driver *driver) // sets up the state before the message arrives
 		why   string
 		host  string
 		again [2]time.Duration // from and to; 0, 0 for none
@@ -30,7 +30,8 @@
 		}, "told to wait", "h0", [2]time.Duration{3 * s, 3 * s}},
 		{"all slots taken", 0, func(t *testing.T, driver *driver) {
 			driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0), listedHost(1), listedHost(2), listedHost(3)}})
-			driver.step(append(driver.arrivals(9, 0, 1, 8*s), append(driver.arrivals(9, 0, 2, 8*s), driver.arrivals(9, 0, 3, 8*s)...)...)...)
+			driver.step(append(driver.arrivals(9, 0, 1, 8*s),
+				append(driver.arrivals(9, 0, 2, 8*s), driver.arrivals(9, 0, 3, 8*s)...)...)...)
 		}, "slots are taken", "", [2]time.Duration{}},
 		{"an outage", 0, func(t *testing.T, driver *driver) {
 			driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0)}})
@@ -46,8 +47,9 @@
 			arrival.Key = "k"
 			driver.step(arrival)
 		}, "an earlier message of its key", "", [2]time.Duration{}},
-		{"bound to a zone", 1, func(t *testing.T, driver *driver) { driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0)}}) },
-			"no endpoint in that zone", "", [2]time.Duration{}},
+		{"bound to a zone", 1, func(t *testing.T, driver *driver) {
+			driver.step(choice.Listing{Hosts: []choice.Host{listedHost(0)}})
+		}, "no endpoint in that zone", "", [2]time.Duration{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			driver := newDriver(t, worldSettings())
@@ -59,27 +61,28 @@
 				driver.step(asked)
 			}
 			v, ok := driver.c.Waits("asked")
-			if !ok || !strings.Contains(v.Why, tc.why) || v.Host != tc.host || v.Again < tc.again[0] || v.Again > tc.again[1] || v.Ahead < 1 {
+			inTime := v.Again >= tc.again[0] && v.Again <= tc.again[1]
+			if !ok || !strings.Contains(v.Why, tc.why) || v.Host != tc.host || !inTime || v.Ahead < 1 {
 				t.Fatalf("%+v, %v; want %q at %q, again in %v to %v", v, ok, tc.why, tc.host, tc.again[0], tc.again[1])
 			}
 			if _, ok := driver.c.Waits("nobody"); ok {
-				t.Error("a message that is not held waits")
+				t.Error("an unknown message is queued")
 			}
 			if v.Again == 0 || tc.name == "an outage" {
 				return
 			}
-			// What is told is true: nothing goes out before that time, and it is looked at then.
+			// Nothing is sent before the time, and the Chooser requests a wake-up for it.
 			for _, a := range driver.advance(v.Again + 20*tick) {
 				if a, ok := a.(choice.Send); ok && a.Host == tc.host {
 					return
 				}
 			}
-			t.Errorf("nothing was sent when it was said to be")
+			t.Errorf("nothing was sent at the time that was given")
 		})
 	}
 }
 
-// Each end says why, for each way to it.
+// One row for each reason of a final answer.
 func TestFinalAnswersHaveReasons(t *testing.T) {
 	const s = time.Second
 	whyOf := func(acts []choice.Action, id string) choice.Reason {
@@ -110,14 +113,22 @@
 			driver.step(driver.arrival(0, 0, s))
 			return driver.advance(2 * s)
 		}, choice.TimeUp},
-		{"attempts", func(driver *driver) []choice.Action { return driver.step(restored(driver, 0, 4, false, 0)) }, choice.Used},
-		{"an unsafe one that may have run", func(driver *driver) []choice.Action { return driver.step(restored(driver, 2, 1, true, s)) }, choice.MayHaveRun},
-		{"a key forgotten", func(driver *driver) []choice.Action { return driver.step(restored(driver, 1, 1, true, 4*s)) }, choice.WindowOver},
+		{"attempts", func(driver *driver) []choice.Action {
+			return driver.step(restored(driver, 0, 4, false, 0))
+		}, choice.Used},
+		{"an unsafe one that may have run", func(driver *driver) []choice.Action {
+			return driver.step(restored(driver, 2, 1, true, s))
+		}, choice.MayHaveRun},
+		{"a key forgotten", func(driver *driver) []choice.Action {
+			return driver.step(restored(driver, 1, 1, true, 4*s))
+		}, choice.WindowOver},
 		{"a key forgotten while it waits", func(driver *driver) []choice.Action {
 			driver.step(restored(driver, 1, 1, true, s))
 			return driver.advance(4 * s)
 		}, choice.WindowOver},
-		{"a share filled", func(driver *driver) []choice.Action { return driver.step(driver.arrivals(300, 0, 0, 8*s)...) }, choice.Share},
+		{"a share filled", func(driver *driver) []choice.Action {
+			return driver.step(driver.arrivals(300, 0, 0, 8*s)...)
+		}, choice.Share},
 		{"a crowded room", func(driver *driver) []choice.Action {
 			var acts []choice.Action
 			for dest := range 30 {
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -11,8 +11,8 @@
 	"larchrouter/choice"
 )
 
-// world is destinations and clients in simulated time: it turns sends into results, as its hosts behave, and
-// draws arrivals. The same seed and the same actions give the same events.
+// world simulates destinations and clients: it answers sends with results by the state of its hosts, and
+// draws arrivals and faults. The same seed and the same actions give the same events.
 type world struct {
 	set       choice.Settings
 	rand      *rand.Rand
@@ -27,17 +27,19 @@
 	timeLeft  func() time.Duration
 }
 
+// worldHost is a host with its latency and its current fault.
 type worldHost struct {
 	choice.Host
 	latency     time.Duration
-	refuseShare float64 // share
+	refuseShare float64 // share of calls that it refuses
 	retryAfter  time.Duration
-	failShare   float64 // share that errs
+	failShare   float64 // share of calls with an error
 	hangs       bool
 	down        bool
-	faultUntil  time.Duration // in such a state
+	faultUntil  time.Duration // until then it keeps its fault
 }
 
+// worldMessage is a message as the relay's clients know it.
 type worldMessage struct {
 	class, dest int
 	deadline    time.Duration
@@ -52,8 +54,11 @@
 	for d := range dests {
 		kind := w.rand.IntN(len(cfg.Kinds))
 		for i := range 1 + w.rand.IntN(3) {
-			host := &worldHost{Host: choice.Host{Addr: fmt.Sprintf("h%d-%d", d, i), Dest: d, Kind: kind, Zone: w.rand.IntN(2),
-				Rate: 20 + float64(w.rand.IntN(100)), State: choice.Ready}, latency: time.Duration(5+w.rand.IntN(200)) * time.Millisecond}
+			host := &worldHost{
+				Host: choice.Host{Addr: fmt.Sprintf("h%d-%d", d, i), Dest: d, Kind: kind, Zone: w.rand.IntN(2),
+					Rate: 20 + float64(w.rand.IntN(100)), State: choice.Ready},
+				latency: time.Duration(5+w.rand.IntN(200)) * time.Millisecond,
+			}
 			w.hosts = append(w.hosts, host)
 			w.byAddr[host.Addr] = host
 		}
@@ -72,7 +77,7 @@
 	return listing
 }
 
-// turn lets a tick pass and returns what happened in it.
+// tick advances the time by a tick and returns its events.
 func (w *world) tick() []choice.Event {
 	w.now += tick
 	events := w.scheduled[w.now]
@@ -82,7 +87,8 @@
 			events = append(events, w.arrive(-1, w.rand.IntN(len(w.hosts)*2)))
 		}
 	}
-	if id := fmt.Sprint("m", w.next-w.rand.IntN(50)); w.messages[id] != nil && !w.messages[id].finished && w.rand.Float64() < 0.01 {
+	id := fmt.Sprint("m", w.next-w.rand.IntN(50))
+	if w.messages[id] != nil && !w.messages[id].finished && w.rand.Float64() < 0.01 {
 		events = append(events, choice.Withdrawn{ID: id})
 		w.finish(id)
 	}
@@ -117,7 +123,7 @@
 	return events
 }
 
-// arrive hands a message in; class or destination below 0 are drawn.
+// arrive submits a message; a class below 0 is drawn.
 func (w *world) arrive(class, dest int) choice.Event {
 	if class < 0 {
 		class = w.rand.IntN(len(w.set.Classes))
@@ -134,12 +140,15 @@
 	return arrival
 }
 
-// restored hands in what an earlier process held: so many messages, some of which may have run.
+// restored returns n messages of an earlier process, some of which may have run, and two outages.
 func (w *world) restored(n int) (events []choice.Event) {
 	for range n {
-		restored := choice.Restored{Arrival: w.arrive(-1, w.rand.IntN(len(w.hosts)*2)).(choice.Arrival), Attempts: w.rand.IntN(3)}
+		arrival := w.arrive(-1, w.rand.IntN(len(w.hosts)*2)).(choice.Arrival)
+		restored := choice.Restored{Arrival: arrival, Attempts: w.rand.IntN(3)}
 		if restored.Attempts > 0 && w.rand.IntN(2) == 0 {
-			restored.Ran, restored.RanAgo, restored.RanZone = true, time.Duration(w.rand.IntN(4000))*time.Millisecond, w.rand.IntN(2)
+			restored.Ran = true
+			restored.RanAgo = time.Duration(w.rand.IntN(4000)) * time.Millisecond
+			restored.RanZone = w.rand.IntN(2)
 		}
 		w.messages[restored.ID].attempts = restored.Attempts
 		events = append(events, restored)
@@ -150,7 +159,7 @@
 	return events
 }
 
-// carry carries actions out.
+// carryOut carries out actions.
 func (w *world) carryOut(acts []choice.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -162,7 +171,8 @@
 			w.finish(a.ID)
 		case choice.Cancel:
 			if msg := w.messages[a.ID]; msg != nil && msg.host != "" {
-				w.schedule(tick, choice.Result{ID: a.ID, Host: msg.host, Attempt: a.Attempt, Outcome: choice.Cancelled, Took: time.Second})
+				w.schedule(tick, choice.Result{ID: a.ID, Host: msg.host, Attempt: a.Attempt,
+					Outcome: choice.Cancelled, Took: time.Second})
 			}
 		}
 	}
@@ -207,8 +217,8 @@
 	w.schedule(took, result)
 }
 
-// results marks what became of attempts, as the events go to the Choosers, and drops results of attempts that
-// ended before.
+// applyResults ends the attempts whose results are about to be passed on, and drops results of attempts that
+// have ended.
 func (w *world) applyResults(events []choice.Event) []choice.Event {
 	return slices.DeleteFunc(events, func(e choice.Event) bool {
 		result, isResult := e.(choice.Result)
@@ -226,12 +236,12 @@
 	})
 }
 
-// said puts actions into words, in an order that does not depend on that in which destinations were looked
-// at; sends stay as they are. Wakes are left out.
+// describe returns actions as text: sends in their order, others sorted, since their order depends on that in
+// which destinations are evaluated. Wakes are left out.
 func describe(acts []choice.Action) string {
 	var sends, others []string
 	for _, a := range acts {
-		switch r := a.(type) { // the standard does not say why
+		switch r := a.(type) { // the reference gives no reasons
 		case choice.Refuse:
 			r.Why = 0
 			a = r
