--- a/choice/api.go
+++ b/choice/api.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Effect says what a second execution of a message would do.
+// Effect is the effect of a second execution of a message.
 type Effect int
 
 // The kinds of effect.
--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -260,7 +260,7 @@
 			}
 		}
 		switch random.IntN(6) {
-		case 0: // stands still
+		case 0: // the clock stops
 		case 1:
 			driver.now += time.Duration(random.IntN(5000)) * time.Millisecond
 		case 2:
--- a/choice/health.go
+++ b/choice/health.go
@@ -129,7 +129,7 @@
 	// Measured over at least the interval of the even share, so that the refused call alone is not above it.
 	window := min(max(time.Second, c.evenShareInterval(unit)), c.cfg.Rules.Cold)
 	sentRate := c.sentWithin(unit, window) / window.Seconds()
-	if rate := c.servedRate(unit); rate > briskRate { // else it may have sent little lately
+	if rate := c.servedRate(unit); rate > briskRate { // else it may have sent little
 		sentRate = max(sentRate, rate)
 	}
 	if unit.rateLimit == 0 || sentRate < unit.rateLimit {
--- a/choice/internal/reference/health.go
+++ b/choice/internal/reference/health.go
@@ -117,7 +117,7 @@
 		// it.
 		window := min(max(time.Second, c.evenShareInterval(unit)), c.cfg.Rules.Cold)
 		sentRate := c.sentWithin(unit, window) / window.Seconds()
-		if rate := c.servedRate(unit); rate > briskRate { // else it may have sent little lately
+		if rate := c.servedRate(unit); rate > briskRate { // else it may have sent little
 			sentRate = max(sentRate, rate)
 		}
 		if unit.rateLimit == 0 || sentRate < unit.rateLimit {
--- a/choice/outcome_test.go
+++ b/choice/outcome_test.go
@@ -49,7 +49,7 @@
 		t.Errorf("at the deadline %q, want a refusal", got)
 	}
 	if len(r.c.messages) != 0 || r.c.pending != 0 {
-		t.Errorf("%d messages kept, %d held after the answer", len(r.c.messages), r.c.pending)
+		t.Errorf("%d messages kept, %d pending after the answer", len(r.c.messages), r.c.pending)
 	}
 }
 
--- a/choice/step_bench_test.go
+++ b/choice/step_bench_test.go
@@ -11,9 +11,9 @@
 // BenchmarkStep measures a Step that accepts a message, sends it and applies its Result, with a given number
 // of other messages queued for destinations without a host.
 func BenchmarkStep(b *testing.B) {
-	for _, held := range []int{100, 10_000, 100_000} {
+	for _, pending := range []int{100, 10_000, 100_000} {
 		for _, dests := range []int{32, 5000} {
-			b.Run(fmt.Sprintf("held=%d/dests=%d", held, dests), func(b *testing.B) {
+			b.Run(fmt.Sprintf("held=%d/dests=%d", pending, dests), func(b *testing.B) {
 				cfg := worldSettings()
 				cfg.Workers, cfg.Listed, cfg.Fleet = 64, false, 1
 				chooser, err := choice.New(cfg, 1)
@@ -25,7 +25,7 @@
 					listing.Hosts = append(listing.Hosts, listedHost(d))
 				}
 				events := []choice.Event{listing}
-				for i := range held { // for the odd ones, which have no host
+				for i := range pending { // for destinations without a host
 					events = append(events, choice.Arrival{ID: fmt.Sprint("held", i), Class: i % 3,
 						Dest: dests + i%(dests/2), Left: 24 * time.Hour})
 				}
--- a/choice/turn_test.go
+++ b/choice/turn_test.go
@@ -55,7 +55,7 @@
 			return
 		}
 	}
-	t.Errorf("no call was called off while another destination waited for a slot")
+	t.Errorf("no call was cancelled while another destination had a message for its slot")
 }
 
 // A call without a response is cancelled when slots are short, also if its destination keeps serving others.
@@ -86,7 +86,7 @@
 		out = sends(acts)
 		r.now += 50 * ms
 	}
-	t.Errorf("the lost call was never called off")
+	t.Errorf("the lost call was never cancelled")
 }
 
 // Relays of a large fleet spread over the hosts of a destination.
@@ -142,6 +142,6 @@
 		r.now += 50 * ms
 	}
 	if len(took) < 2 || took[1] < took[0]*3/2 {
-		t.Errorf("tries were called off after %v, want the second after longer", took)
+		t.Errorf("attempts were cancelled after %v, want the second after longer", took)
 	}
 }
