--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -35,19 +35,19 @@
 	sent := map[string][]time.Duration{}
 	served, expired, last := 0, 0, time.Duration(0)
 	for end := driver.now + 12*time.Second; driver.now < end; driver.now += tick {
-		for _, a := range driver.step(events...) {
-			switch a := a.(type) {
+		for _, action := range driver.step(events...) {
+			switch action := action.(type) {
 			case choice.Send:
-				result, took := choice.Result{ID: a.ID, Host: a.Host, Outcome: choice.NoConnection, Took: tick}, tick
+				result, took := choice.Result{ID: action.ID, Host: action.Host, Outcome: choice.NoConnection, Took: tick}, tick
 				if driver.now >= recoveredAt {
-					sent[a.Host] = append(sent[a.Host], driver.now)
+					sent[action.Host] = append(sent[action.Host], driver.now)
 					result.Outcome, result.Done, took = choice.Served, true, 30*time.Millisecond
 					served++
 				}
 				result.Took = took
 				pending[driver.now+took] = append(pending[driver.now+took], result)
 			case choice.Refuse, choice.Fail:
-				id := answeredID(a)
+				id := answeredID(action)
 				if driver.now > deadlines[id] {
 					t.Fatalf("%s was answered %v late", id, driver.now-deadlines[id])
 				}
@@ -138,35 +138,35 @@
 			others := map[string]bool{}                                 // payments for others, true once served
 			pending := map[time.Duration][]choice.Event{}
 			var events []choice.Event
-			for n := range 6000 { // 30 s
-				if n < 5600 { // time for the last ones to complete
+			for step := range 6000 { // 30 s
+				if step < 5600 { // time for the last ones to complete
 					for range 5 { // 1,000 a second for a destination that takes 25
 						arrival := driver.arrival(flood.class, 0, 8*time.Second)
 						flooded[arrival.ID] = driver.now
 						events = append(events, arrival)
 					}
-					if n%20 == 0 { // 10 a second
-						arrival := driver.arrival(2, 1+n/20%4, 8*time.Second)
+					if step%20 == 0 { // 10 a second
+						arrival := driver.arrival(2, 1+step/20%4, 8*time.Second)
 						others[arrival.ID] = false
 						events = append(events, arrival)
 					}
 				}
-				for _, a := range driver.step(events...) {
-					switch a := a.(type) {
+				for _, action := range driver.step(events...) {
+					switch action := action.(type) {
 					case choice.Send:
 						took := 40 * time.Millisecond
-						if flooded[a.ID] > 0 {
+						if flooded[action.ID] > 0 {
 							took = 400 * time.Millisecond
 						} else {
-							others[a.ID] = true
+							others[action.ID] = true
 						}
-						result := choice.Result{ID: a.ID, Host: a.Host, Outcome: choice.Served, Took: took, Done: true}
+						result := choice.Result{ID: action.ID, Host: action.Host, Outcome: choice.Served, Took: took, Done: true}
 						pending[driver.now+took] = append(pending[driver.now+took], result)
 					case choice.Refuse:
-						switch came := flooded[a.ID]; {
+						switch came := flooded[action.ID]; {
 						case came > 0 && came < driver.now:
 							shed++
-						case came > 0 && a.After > 0:
+						case came > 0 && action.After > 0:
 							rejected++
 						}
 					}
@@ -239,10 +239,10 @@
 			unanswered[arrival.ID] = true
 			events = append(events, arrival)
 		}
-		acts := driver.step(events...)
+		actions := driver.step(events...)
 		events = nil
-		for _, a := range acts {
-			if send, ok := a.(choice.Send); ok {
+		for _, action := range actions {
+			if send, ok := action.(choice.Send); ok {
 				if !unanswered[send.ID] {
 					t.Fatalf("%s was sent after its end", send.ID)
 				}
@@ -252,7 +252,7 @@
 				}
 				events = append(events, choice.Result{ID: send.ID, Host: send.Host, Outcome: outcome, Took: tick,
 					Done: outcome == choice.Served})
-			} else if id := answeredID(a); id != "" {
+			} else if id := answeredID(action); id != "" {
 				if !unanswered[id] {
 					t.Fatalf("%s was answered twice", id)
 				}
@@ -289,28 +289,28 @@
 	driver.step(driver.arrivals(5000, 0, 1, 9*time.Second)...)
 	host.State = choice.Gone
 	var results []choice.Event
-	for _, a := range driver.actions {
-		if send, ok := a.(choice.Send); ok {
+	for _, action := range driver.actions {
+		if send, ok := action.(choice.Send); ok {
 			results = append(results, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.Reset, Took: tick})
 		}
 	}
 	driver.now += tick
-	if acts := driver.step(append(results, choice.Listing{Hosts: []choice.Host{host}})...); len(sendsOf(acts)) > 0 {
-		t.Fatalf("sent to a host that left: %v", sendsOf(acts)[0])
+	if actions := driver.step(append(results, choice.Listing{Hosts: []choice.Host{host}})...); len(sendsOf(actions)) > 0 {
+		t.Fatalf("sent to a host that left: %v", sendsOf(actions)[0])
 	}
 	driver.now += time.Second
 	next := listedHost(1)
 	next.Addr = "next"
-	acts := driver.step(choice.Withdrawn{ID: "m4000"}, choice.Listing{Hosts: []choice.Host{next}})
-	if len(sendsOf(acts)) == 0 {
+	actions := driver.step(choice.Withdrawn{ID: "m4000"}, choice.Listing{Hosts: []choice.Host{next}})
+	if len(sendsOf(actions)) == 0 {
 		t.Fatal("nothing was sent to the new host")
 	}
-	for _, send := range sendsOf(acts) {
+	for _, send := range sendsOf(actions) {
 		if send.Host != "next" || send.ID == "m4000" {
 			t.Errorf("sent %+v", send)
 		}
 	}
-	if n := len(answeredIDs(driver.advance(7990 * time.Millisecond))); n < 4900 {
-		t.Errorf("%d messages were answered in time, want all that are not in flight", n)
+	if answered := len(answeredIDs(driver.advance(7990 * time.Millisecond))); answered < 4900 {
+		t.Errorf("%d messages were answered in time, want all that are not in flight", answered)
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -60,27 +60,27 @@
 	c.now, c.actions = max(c.now, now), nil
 	c.returnExpiredGrants()
 	for _, event := range events {
-		switch e := event.(type) {
+		switch event := event.(type) {
 		case Arrival:
-			c.admit(e)
+			c.admit(event)
 		case Restored:
-			c.restore(e)
+			c.restore(event)
 		case Unwell:
-			c.applyUnwell(e)
+			c.applyUnwell(event)
 		case Result:
-			c.applyResult(e)
+			c.applyResult(event)
 		case Withdrawn:
-			if msg := c.messages[e.ID]; msg != nil && !msg.finished {
+			if msg := c.messages[event.ID]; msg != nil && !msg.finished {
 				c.finish(msg)
 			}
 		case Listing:
-			c.applyListing(e)
+			c.applyListing(event)
 		case Retuned:
-			c.applySettings(e.Settings)
+			c.applySettings(event.Settings)
 		case Told:
-			c.applyWait(e)
+			c.applyWait(event)
 		case Granted:
-			c.applyGrant(e)
+			c.applyGrant(event)
 		case Woken:
 			c.wakeAt = 0
 		}
@@ -93,7 +93,7 @@
 }
 
 // emit appends an action to the result of the Step.
-func (c *Chooser) emit(a Action) { c.actions = append(c.actions, a) }
+func (c *Chooser) emit(action Action) { c.actions = append(c.actions, action) }
 
 func (c *Chooser) logf(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
--- a/choice/driver_test.go
+++ b/choice/driver_test.go
@@ -50,8 +50,8 @@
 
 // nextWake returns the time from the last Step to the requested wake-up; 0 for none.
 func (d *driver) nextWake() (after time.Duration) {
-	for _, a := range d.actions {
-		if w, ok := a.(choice.Wake); ok {
+	for _, action := range d.actions {
+		if w, ok := action.(choice.Wake); ok {
 			after = w.After
 		}
 	}
@@ -71,13 +71,13 @@
 }
 
 // finalAnswers returns the messages with a final answer among actions, in order.
-func finalAnswers(acts []choice.Action) (refused, failed []string) {
-	for _, a := range acts {
-		switch a := a.(type) {
+func finalAnswers(actions []choice.Action) (refused, failed []string) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case choice.Refuse:
-			refused = append(refused, a.ID)
+			refused = append(refused, action.ID)
 		case choice.Fail:
-			failed = append(failed, a.ID)
+			failed = append(failed, action.ID)
 		}
 	}
 	return refused, failed
@@ -88,25 +88,25 @@
 }
 
 // answeredID returns the message of a final answer, empty for another action.
-func answeredID(a choice.Action) string {
-	switch a := a.(type) {
+func answeredID(action choice.Action) string {
+	switch action := action.(type) {
 	case choice.Refuse:
-		return a.ID
+		return action.ID
 	case choice.Fail:
-		return a.ID
+		return action.ID
 	}
 	return ""
 }
 
-func answeredIDs(acts []choice.Action) (ids []string) {
-	refused, failed := finalAnswers(acts)
+func answeredIDs(actions []choice.Action) (ids []string) {
+	refused, failed := finalAnswers(actions)
 	return append(refused, failed...)
 }
 
-func sendsOf(acts []choice.Action) (all []choice.Send) {
-	for _, a := range acts {
-		if s, ok := a.(choice.Send); ok {
-			all = append(all, s)
+func sendsOf(actions []choice.Action) (all []choice.Send) {
+	for _, action := range actions {
+		if send, ok := action.(choice.Send); ok {
+			all = append(all, send)
 		}
 	}
 	return all
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -28,14 +28,14 @@
 	for len(inbox) > 0 {
 		actions := chooser.Step(now, inbox)
 		inbox = nil
-		for _, a := range actions {
-			switch a := a.(type) {
+		for _, action := range actions {
+			switch action := action.(type) {
 			case choice.Send: // a relay would call a.Host here; this one pretends that it answered
-				fmt.Printf("send %s to %s, time-out %v\n", a.ID, a.Host, a.Timeout)
-				inbox = append(inbox, choice.Result{ID: a.ID, Host: a.Host, Outcome: choice.Served,
+				fmt.Printf("send %s to %s, time-out %v\n", action.ID, action.Host, action.Timeout)
+				inbox = append(inbox, choice.Result{ID: action.ID, Host: action.Host, Outcome: choice.Served,
 					Took: 80 * time.Millisecond, Done: true})
 			case choice.Wake:
-				fmt.Println("step again after", a.After)
+				fmt.Println("step again after", action.After)
 			}
 		}
 		now += 80 * time.Millisecond
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -243,12 +243,12 @@
 // seedInputs returns pseudo-random inputs, always the same.
 func seedInputs() [][]byte {
 	var out [][]byte
-	for k := range 12 {
-		x := uint32(k*2654435761 + 12345)
+	for seed := range 12 {
+		state := uint32(seed*2654435761 + 12345)
 		data := make([]byte, 1200)
 		for i := range data {
-			x = x*1664525 + 1013904223
-			data[i] = byte(x >> 24)
+			state = state*1664525 + 1013904223
+			data[i] = byte(state >> 24)
 		}
 		out = append(out, data)
 	}
--- a/choice/harness_test.go
+++ b/choice/harness_test.go
@@ -46,23 +46,23 @@
 }
 
 func (r *harness) step(events ...Event) []Action {
-	acts := r.c.Step(r.now, events)
-	for _, a := range acts {
-		if s, ok := a.(Send); ok {
-			r.attempts[s.ID]++
+	actions := r.c.Step(r.now, events)
+	for _, action := range actions {
+		if send, ok := action.(Send); ok {
+			r.attempts[send.ID]++
 		}
 	}
-	return acts
+	return actions
 }
 
 // advance lets time pass in ticks, with a wake-up at each, and returns all actions.
 func (r *harness) advance(span time.Duration) []Action {
-	var acts []Action
+	var actions []Action
 	for end := r.now + span; r.now < end; {
 		r.now += 5 * ms
-		acts = append(acts, r.step(Woken{})...)
+		actions = append(actions, r.step(Woken{})...)
 	}
-	return acts
+	return actions
 }
 
 // result returns the Result of the last attempt of a message.
@@ -75,24 +75,24 @@
 	return result
 }
 
-func sends(acts []Action) (out []Send) {
-	for _, a := range acts {
-		if s, ok := a.(Send); ok {
-			out = append(out, s)
+func sends(actions []Action) (out []Send) {
+	for _, action := range actions {
+		if send, ok := action.(Send); ok {
+			out = append(out, send)
 		}
 	}
 	return out
 }
 
 // finalAnswers returns the final answers among actions, in order, as text.
-func finalAnswers(acts []Action) string {
+func finalAnswers(actions []Action) string {
 	out := ""
-	for _, a := range acts {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Refuse:
-			out += "refuse " + a.ID + ";"
+			out += "refuse " + action.ID + ";"
 		case Fail:
-			out += "fail " + a.ID + ";"
+			out += "fail " + action.ID + ";"
 		}
 	}
 	return out
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -29,11 +29,11 @@
 	if len(trial) != 1 {
 		t.Fatalf("%d calls to a suspect unit, want a single trial", len(trial))
 	}
-	acts := r.step(r.result(trial[0].ID, "a", Served))
-	acts = append(acts, r.advance(cfg.Rules.Fall)...)
+	actions := r.step(r.result(trial[0].ID, "a", Served))
+	actions = append(actions, r.advance(cfg.Rules.Fall)...)
 	share := cfg.Rules.ColdFrom + (1-cfg.Rules.ColdFrom)*cfg.Rules.Fall.Seconds()/cfg.Rules.Cold.Seconds()
 	budget := cfg.Rules.OverloadFactor * share * 10 * cfg.Rules.Fall.Seconds() / 2
-	if calls := float64(len(sends(acts))); calls < 1 || calls > budget {
+	if calls := float64(len(sends(actions))); calls < 1 || calls > budget {
 		t.Errorf("%v calls in the first window after an outage, want 1 to %v", calls, budget)
 	}
 }
@@ -43,16 +43,16 @@
 	r := newHarness(t, settings(), readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
 	for i := range 6 {
 		id := fmt.Sprint(i)
-		for _, s := range sends(r.step(arrival(id, 0))) {
+		for _, send := range sends(r.step(arrival(id, 0))) {
 			r.now += 50 * ms
-			for s.Host == "a" {
+			for send.Host == "a" {
 				again := sends(r.step(r.result(id, "a", NoConnection)))
 				if len(again) != 1 {
 					t.Fatalf("%d sends after a failed connection, want one to the other host", len(again))
 				}
-				s = again[0]
+				send = again[0]
 			}
-			r.step(r.result(id, s.Host, Served))
+			r.step(r.result(id, send.Host, Served))
 		}
 	}
 	if unit := r.c.destinations[1].units[0]; unit.state != healthy {
@@ -162,8 +162,8 @@
 		if got := r.c.destinations[1].units[0].state; got != want {
 			t.Errorf("fleet of %d: health %v after the first failure, want %v", fleet, got, want)
 		}
-		if n := len(sends(r.advance(5 * time.Second))); want == suspect && n > 0 {
-			t.Errorf("fleet of %d: %d calls within 5s of the first failure, want none", fleet, n)
+		if calls := len(sends(r.advance(5 * time.Second))); want == suspect && calls > 0 {
+			t.Errorf("fleet of %d: %d calls within 5s of the first failure, want none", fleet, calls)
 		}
 	}
 }
@@ -188,12 +188,12 @@
 func TestUnreadableResponsesAreNoOutage(t *testing.T) {
 	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 	call := func(id string, outcome Outcome) (unwell bool) {
-		acts := r.step(arrival(id, 2))
-		for len(sends(acts)) == 0 {
-			acts = r.advance(10 * ms)
+		actions := r.step(arrival(id, 2))
+		for len(sends(actions)) == 0 {
+			actions = r.advance(10 * ms)
 		}
-		for _, a := range r.step(r.result(id, "a", outcome)) {
-			health, ok := a.(Health)
+		for _, action := range r.step(r.result(id, "a", outcome)) {
+			health, ok := action.(Health)
 			unwell = unwell || ok && health.Unwell
 		}
 		return unwell
--- a/choice/internal/reference/choice.go
+++ b/choice/internal/reference/choice.go
@@ -25,42 +25,42 @@
 
 // New returns a Chooser for one relay, or an error if the settings are invalid. The seed determines all
 // random choices.
-func New(s Settings, seed uint64) (*Chooser, error) {
-	c := &Chooser{cfg: s, minTarget: math.MaxInt64,
+func New(cfg Settings, seed uint64) (*Chooser, error) {
+	c := &Chooser{cfg: cfg, minTarget: math.MaxInt64,
 		messages: map[string]*message{}, destinations: map[int]*destination{},
 		hosts: map[string]*endpoint{}, keyOrders: map[string]*keyOrder{},
 		rand: rand.New(rand.NewPCG(seed, 0)), pooledLatencies: latencyTable{weight: 1}}
-	for _, class := range s.Classes {
+	for _, class := range cfg.Classes {
 		c.maxTimeout, c.minTarget = max(c.maxTimeout, class.Aim), min(c.minTarget, class.Aim)
 	}
-	if !s.Subscribe {
+	if !cfg.Subscribe {
 		c.subscribeAt = -1
 	}
 	c.pooledLatencies.width = c.maxTimeout / latencyBuckets
-	c.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
-	c.wakeInterval = max(s.Tick, c.minTarget/wakesPerTarget)
+	c.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(cfg.Kinds)))
+	c.wakeInterval = max(cfg.Tick, c.minTarget/wakesPerTarget)
 	return c, nil
 }
 
 // Step applies the events, then makes all decisions that are possible at the time now.
 func (c *Chooser) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = now, nil
-	for _, e := range events {
-		switch e := e.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case Arrival:
-			c.admit(e, false)
+			c.admit(event, false)
 		case Restored:
-			c.restore(e)
+			c.restore(event)
 		case Unwell:
-			c.applyUnwell(e)
+			c.applyUnwell(event)
 		case Result:
-			c.applyResult(e)
+			c.applyResult(event)
 		case Withdrawn:
-			if msg := c.messages[e.ID]; msg != nil && !msg.finished {
+			if msg := c.messages[event.ID]; msg != nil && !msg.finished {
 				c.finish(msg)
 			}
 		case Listing:
-			c.applyListing(e)
+			c.applyListing(event)
 		}
 	}
 	if c.subscribeAt >= 0 && now >= c.subscribeAt {
--- a/choice/internal/reference/health.go
+++ b/choice/internal/reference/health.go
@@ -212,11 +212,11 @@
 	case suspect:
 		return len(unit.inFlight) <= 1 && c.now >= unit.nextTrialAt
 	case recovering:
-		n, span := c.slowStartBudget(unit, c.now-unit.stateSince), c.cfg.Rules.Fall
-		if n < 1 {
-			n, span = 1, time.Duration(float64(span)/n)
+		calls, span := c.slowStartBudget(unit, c.now-unit.stateSince), c.cfg.Rules.Fall
+		if calls < 1 {
+			calls, span = 1, time.Duration(float64(span)/calls)
 		}
-		if c.sentWithin(unit, span)+1 > n {
+		if c.sentWithin(unit, span)+1 > calls {
 			return false
 		}
 	}
--- a/choice/internal/reference/latency.go
+++ b/choice/internal/reference/latency.go
@@ -72,28 +72,28 @@
 	}
 	t.stale = false
 	served := 0.0
-	for _, n := range t.count {
-		served += n
+	for _, count := range t.count {
+		served += count
 	}
-	all, cost := served+t.beyond, t.width.Seconds()
+	total, cost := served+t.beyond, t.width.Seconds()
 	if served > 0 {
-		for _, s := range t.sum {
-			cost += restartCostMeans * s / served
+		for _, sum := range t.sum {
+			cost += restartCostMeans * sum / served
 		}
 	}
-	f, m, best := 0.0, 0.0, math.Inf(1)
+	share, partialMean, best := 0.0, 0.0, math.Inf(1)
 	t.edge, t.high = 0, 0
 	for i := range t.count {
-		f += t.count[i] / all
-		m += t.sum[i] / all
+		share += t.count[i] / total
+		partialMean += t.sum[i] / total
 		edge := time.Duration(i+1) * t.width
-		if f <= 0 {
+		if share <= 0 {
 			continue
 		}
-		if e := m/f + (1-f)/f*(edge.Seconds()+cost); e < best {
-			best, t.edge = e, edge
+		if estimate := partialMean/share + (1-share)/share*(edge.Seconds()+cost); estimate < best {
+			best, t.edge = estimate, edge
 		}
-		if t.high == 0 && f*all >= 0.98*served {
+		if t.high == 0 && share*total >= 0.98*served {
 			t.high = edge
 		}
 	}
--- a/choice/oracle/destination_test.go
+++ b/choice/oracle/destination_test.go
@@ -13,30 +13,30 @@
 // estimate computes the expected completion time for the edge of bucket i from all samples; one below 0 has
 // no latency.
 func estimate(samples []time.Duration, width time.Duration, i int) float64 {
-	var n, sum [Buckets]float64
-	cut, weight := 0.0, 1.0
+	var count, sum [Buckets]float64
+	lost, weight := 0.0, 1.0
 	for _, took := range samples {
 		weight *= 1 + 1.0/memory
-		if k := int(took / width); took < 0 || k >= Buckets {
-			cut += weight
+		if bucket := int(took / width); took < 0 || bucket >= Buckets {
+			lost += weight
 		} else {
-			n[k] += weight
-			sum[k] += weight * took.Seconds()
+			count[bucket] += weight
+			sum[bucket] += weight * took.Seconds()
 		}
 	}
-	all, f, m := cut, 0.0, 0.0
-	for k := range Buckets {
-		all += n[k]
+	total, share, partialMean := lost, 0.0, 0.0
+	for bucket := range Buckets {
+		total += count[bucket]
 	}
-	for k := 0; k <= i; k++ {
-		f += n[k] / all
-		m += sum[k] / all
+	for bucket := 0; bucket <= i; bucket++ {
+		share += count[bucket] / total
+		partialMean += sum[bucket] / total
 	}
-	if f == 0 {
+	if share == 0 {
 		return math.Inf(1)
 	}
 	edge := time.Duration(i+1) * width
-	return m/f + (1-f)/f*(edge.Seconds()+0.1)
+	return partialMean/share + (1-share)/share*(edge.Seconds()+0.1)
 }
 
 func TestTimeoutMinimizesCompletionTime(t *testing.T) {
@@ -82,8 +82,8 @@
 		for i := range Buckets {
 			least = min(least, estimate(samples, width, i))
 		}
-		if e := estimate(samples, width, int(got/width)-1); e > least*(1+1e-9) {
-			t.Fatalf("cut at %v, estimate %.9f, the least is %.9f", got, e, least)
+		if completion := estimate(samples, width, int(got/width)-1); completion > least*(1+1e-9) {
+			t.Fatalf("cut at %v, estimate %.9f, the least is %.9f", got, completion, least)
 		}
 	})
 }
@@ -145,26 +145,26 @@
 
 func TestTimeoutNeverExceedsDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := NewDestination(time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "bound")))
+		dest := NewDestination(time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "bound")))
 		for range rapid.IntRange(0, 60).Draw(t, "served") {
-			d.Served(time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "took")))
+			dest.Served(time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "took")))
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "cut") {
-			d.Cut()
+			dest.Cut()
 		}
 		left := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "left"))
 		last := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "last"))
 		can := rapid.Bool().Draw(t, "can restart")
-		got := d.Timeout(left, last, can)
+		got := dest.Timeout(left, last, can)
 		switch {
 		case got > left || got < 0:
 			t.Fatalf("time-out %v with %v left", got, left)
 		case got < left && !can:
 			t.Fatalf("cut at %v though it may not be restarted", got)
-		case got < left && last > 0 && got < last+d.table.Width():
-			t.Fatalf("time-out %v after one of %v, buckets of %v", got, last, d.table.Width())
-		case got < left && got+d.table.Mean() >= left:
-			t.Fatalf("cut at %v of %v: a restart takes %v", got, left, d.table.Mean())
+		case got < left && last > 0 && got < last+dest.table.Width():
+			t.Fatalf("time-out %v after one of %v, buckets of %v", got, last, dest.table.Width())
+		case got < left && got+dest.table.Mean() >= left:
+			t.Fatalf("cut at %v of %v: a restart takes %v", got, left, dest.table.Mean())
 		}
 	})
 }
@@ -181,14 +181,14 @@
 }
 
 func TestBoundCanChange(t *testing.T) {
-	d := known()
-	d.SetBound(2 * time.Second)
-	if got := d.Timeout(time.Hour, 0, true); got != 60*ms {
+	dest := known()
+	dest.SetBound(2 * time.Second)
+	if got := dest.Timeout(time.Hour, 0, true); got != 60*ms {
 		t.Fatalf("time-out %v with buckets of 20ms, want 60ms", got)
 	}
-	d.SetBound(0) // as narrow as a bucket can be
-	d.Served(time.Millisecond)
-	if got := d.Timeout(time.Hour, 0, true); got != time.Hour {
+	dest.SetBound(0) // as narrow as a bucket can be
+	dest.Served(time.Millisecond)
+	if got := dest.Timeout(time.Hour, 0, true); got != time.Hour {
 		t.Fatalf("time-out %v where all answers lie beyond the bound", got)
 	}
 }
--- a/choice/oracle/oracle.go
+++ b/choice/oracle/oracle.go
@@ -56,29 +56,29 @@
 		return
 	}
 	t.stale = false
-	served := 0.0
-	for _, n := range t.count {
-		served += n
+	answered := 0.0
+	for _, count := range t.count {
+		answered += count
 	}
-	all, cost := served+t.beyond, t.cost.Buckets*t.width.Seconds()+t.cost.Fixed.Seconds()
-	if served > 0 {
-		for _, s := range t.sum {
-			cost += t.cost.Means * s / served
+	total, cost := answered+t.beyond, t.cost.Buckets*t.width.Seconds()+t.cost.Fixed.Seconds()
+	if answered > 0 {
+		for _, sum := range t.sum {
+			cost += t.cost.Means * sum / answered
 		}
 	}
-	f, m, best := 0.0, 0.0, math.Inf(1)
+	share, partialMean, best := 0.0, 0.0, math.Inf(1)
 	t.edge, t.high = 0, 0
 	for i := range t.count {
-		f += t.count[i] / all
-		m += t.sum[i] / all
+		share += t.count[i] / total
+		partialMean += t.sum[i] / total
 		edge := time.Duration(i+1) * t.width
-		if f <= 0 {
+		if share <= 0 {
 			continue
 		}
-		if e := m/f + (1-f)/f*(edge.Seconds()+cost); e < best {
-			best, t.edge = e, edge
+		if estimate := partialMean/share + (1-share)/share*(edge.Seconds()+cost); estimate < best {
+			best, t.edge = estimate, edge
 		}
-		if t.high == 0 && f*all >= 0.98*served {
+		if t.high == 0 && share*total >= 0.98*answered {
 			t.high = edge
 		}
 	}
--- a/choice/oracle/table.go
+++ b/choice/oracle/table.go
@@ -42,14 +42,14 @@
 
 // Mean returns the mean latency, 0 if there are no samples.
 func (t *Table) Mean() time.Duration {
-	n, sum := 0.0, 0.0
+	count, sum := 0.0, 0.0
 	for i := range t.count {
-		n, sum = n+t.count[i], sum+t.sum[i]
+		count, sum = count+t.count[i], sum+t.sum[i]
 	}
-	if n == 0 {
+	if count == 0 {
 		return 0
 	}
-	return time.Duration(sum / n * float64(time.Second))
+	return time.Duration(sum / count * float64(time.Second))
 }
 
 // Few reports whether there are too few samples for an estimate.
@@ -65,15 +65,15 @@
 		return
 	}
 	t.count, t.sum, t.stale = make([]float64, Buckets), make([]float64, Buckets), true
-	for i, n := range old.count {
-		if n == 0 {
+	for i, count := range old.count {
+		if count == 0 {
 			continue
 		}
-		if at := int(old.sum[i] / n / width.Seconds()); at < Buckets {
-			t.count[at] += n
-			t.sum[at] += old.sum[i]
+		if index := int(old.sum[i] / count / width.Seconds()); index < Buckets {
+			t.count[index] += count
+			t.sum[index] += old.sum[i]
 		} else {
-			t.beyond += n
+			t.beyond += count
 		}
 	}
 }
--- a/choice/outcome_test.go
+++ b/choice/outcome_test.go
@@ -21,18 +21,18 @@
 	} {
 		t.Run(fmt.Sprintf("class%d-outcome%d", tc.class, tc.outcome), func(t *testing.T) {
 			r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
-			if n := len(sends(r.step(arrival("m", tc.class)))); n != 1 {
-				t.Fatalf("%d sends for an arrival, want 1", n)
+			if sent := len(sends(r.step(arrival("m", tc.class)))); sent != 1 {
+				t.Fatalf("%d sends for an arrival, want 1", sent)
 			}
 			r.now += 50 * ms
-			acts := r.step(r.result("m", "a", tc.outcome))
-			got := finalAnswers(acts)
+			actions := r.step(r.result("m", "a", tc.outcome))
+			got := finalAnswers(actions)
 			if tc.want == "again" {
-				acts = append(acts, r.advance(3*time.Second)...)
-				if got = finalAnswers(acts); got != "" || len(sends(acts)) != 1 {
-					t.Errorf("answers %q, %d sends, want one more send", got, len(sends(acts)))
+				actions = append(actions, r.advance(3*time.Second)...)
+				if got = finalAnswers(actions); got != "" || len(sends(actions)) != 1 {
+					t.Errorf("answers %q, %d sends, want one more send", got, len(sends(actions)))
 				}
-			} else if got != tc.want || len(sends(acts)) != 0 {
+			} else if got != tc.want || len(sends(actions)) != 0 {
 				t.Errorf("answers %q, want %q", got, tc.want)
 			}
 		})
@@ -57,19 +57,19 @@
 	r := newHarness(t, settings(), readyHost("a", 1, 2, 0), readyHost("b", 1, 2, 1))
 	first := sends(r.step(arrival("m", 1)))[0].Host
 	r.now += 50 * ms
-	acts := r.step(r.result("m", first, Error))
-	acts = append(acts, r.advance(2800*ms)...)
-	for _, s := range sends(acts) {
-		if s.Host != first {
-			t.Errorf("resent to %s, outside the zone of %s", s.Host, first)
+	actions := r.step(r.result("m", first, Error))
+	actions = append(actions, r.advance(2800*ms)...)
+	for _, send := range sends(actions) {
+		if send.Host != first {
+			t.Errorf("resent to %s, outside the zone of %s", send.Host, first)
 		}
 	}
-	if len(sends(acts)) != 1 {
-		t.Fatalf("%d sends within the window, want 1", len(sends(acts)))
+	if len(sends(actions)) != 1 {
+		t.Fatalf("%d sends within the window, want 1", len(sends(actions)))
 	}
 	r.now += 100 * ms
-	acts = r.step(r.result("m", first, Error))
-	if got := finalAnswers(append(acts, r.advance(time.Second)...)); got != "fail m;" {
+	actions = r.step(r.result("m", first, Error))
+	if got := finalAnswers(append(actions, r.advance(time.Second)...)); got != "fail m;" {
 		t.Errorf("after its window %q, want it failed", got)
 	}
 }
@@ -78,9 +78,9 @@
 	r := newHarness(t, settings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	r.now += 50 * ms
-	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
-	if acts = append(acts, r.advance(695*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("%d sends within the wait", len(sends(acts)))
+	actions := r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
+	if actions = append(actions, r.advance(695*ms)...); len(sends(actions)) != 0 {
+		t.Errorf("%d sends within the wait", len(sends(actions)))
 	}
 	if len(sends(r.advance(2*time.Second))) == 0 {
 		t.Errorf("nothing sent after the wait")
@@ -95,9 +95,9 @@
 		t.Fatalf("sent %v, want m alone", got)
 	}
 	r.now += 50 * ms
-	acts := r.step(r.result("m", "a", Reset))
-	if acts = append(acts, r.advance(95*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("sent %v while the key rests", sends(acts))
+	actions := r.step(r.result("m", "a", Reset))
+	if actions = append(actions, r.advance(95*ms)...); len(sends(actions)) != 0 {
+		t.Errorf("sent %v while the key rests", sends(actions))
 	}
 	if got := sends(r.advance(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
 		t.Errorf("sent %v after the rest, want n", got)
--- a/choice/pace_test.go
+++ b/choice/pace_test.go
@@ -18,9 +18,9 @@
 			t.Fatal(err)
 		}
 		harness := &harness{t: t, c: chooser, now: time.Hour, attempts: map[string]int{}}
-		acts := harness.step(Listing{Whole: true, Hosts: []Host{readyHost("a", 1, 0, 0)}}, arrival("m", 0), arrival("n", 0))
-		first += len(sends(acts))
-		sent += len(sends(acts)) + len(sends(harness.advance(2*time.Second)))
+		actions := harness.step(Listing{Whole: true, Hosts: []Host{readyHost("a", 1, 0, 0)}}, arrival("m", 0), arrival("n", 0))
+		first += len(sends(actions))
+		sent += len(sends(actions)) + len(sends(harness.advance(2*time.Second)))
 	}
 	if most := 2.5 * initialRateGuess; first > 0 || float64(sent) > most || sent < initialRateGuess {
 		t.Errorf("%d calls at once and %d in two seconds, want none and %g to %g", first, sent, initialRateGuess, most)
--- a/choice/restore_test.go
+++ b/choice/restore_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestRestoredMessages(t *testing.T) {
-	a := Host{Addr: "a", Dest: 1, Kind: 2, Zone: 0, State: Ready}
-	b := Host{Addr: "b", Dest: 1, Kind: 2, Zone: 1, State: Ready}
+	first := Host{Addr: "a", Dest: 1, Kind: 2, Zone: 0, State: Ready}
+	second := Host{Addr: "b", Dest: 1, Kind: 2, Zone: 1, State: Ready}
 	for name, tc := range map[string]struct {
 		class    int
 		attempts int
@@ -26,16 +26,16 @@
 		"out of time, never ran: refused": {2, 0, false, 0, -time.Second, "refuse"},
 		"out of time, may have run":       {1, 1, true, time.Second, -time.Second, "fail"},
 	} {
-		r := newHarness(t, settings(), a, b)
-		acts := r.step(Restored{Arrival: Arrival{ID: "m", Class: tc.class, Dest: 1, Left: tc.left}, Attempts: tc.attempts,
+		r := newHarness(t, settings(), first, second)
+		actions := r.step(Restored{Arrival: Arrival{ID: "m", Class: tc.class, Dest: 1, Left: tc.left}, Attempts: tc.attempts,
 			Ran: tc.ran, RanAgo: tc.ago, RanZone: 1})
 		got := "nothing"
-		for _, action := range acts {
-			switch x := action.(type) {
+		for _, action := range actions {
+			switch action := action.(type) {
 			case Send:
 				got = "send"
 				if tc.want == "send b" {
-					got += " " + x.Host
+					got += " " + action.Host
 				}
 			case Fail:
 				got = "fail"
@@ -51,9 +51,9 @@
 
 func TestRestoredCountsAttempts(t *testing.T) {
 	r := newHarness(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
-	acts := r.step(Restored{Arrival: Arrival{ID: "m", Class: 0, Dest: 1, Left: 9 * time.Second}, Attempts: 3})
-	if len(sends(acts)) != 1 {
-		t.Fatalf("actions %v, want the last attempt", acts)
+	actions := r.step(Restored{Arrival: Arrival{ID: "m", Class: 0, Dest: 1, Left: 9 * time.Second}, Attempts: 3})
+	if len(sends(actions)) != 1 {
+		t.Fatalf("actions %v, want the last attempt", actions)
 	}
 	for _, action := range append(r.step(r.result("m", "a", Error)), r.advance(time.Second)...) {
 		if _, again := action.(Send); again {
@@ -86,16 +86,16 @@
 					events = append(events, arrival(fmt.Sprint("fresh", next), 4))
 					next++
 				}
-				acts := r.step(events...)
-				for _, a := range acts {
-					if a, gone := a.(Refuse); gone && untried[a.ID] {
-						t.Fatalf("%s, class %d: %s refused without an attempt: %v", name, class, a.ID, a.Why)
+				actions := r.step(events...)
+				for _, refuse := range actions {
+					if refuse, gone := refuse.(Refuse); gone && untried[refuse.ID] {
+						t.Fatalf("%s, class %d: %s refused without an attempt: %v", name, class, refuse.ID, refuse.Why)
 					}
 				}
-				for got := sends(acts); len(got) == 0; got = sends(acts) {
-					acts = r.advance(5 * ms)
+				for got := sends(actions); len(got) == 0; got = sends(actions) {
+					actions = r.advance(5 * ms)
 				}
-				send := sends(acts)[0]
+				send := sends(actions)[0]
 				if !untried[send.ID] {
 					t.Fatalf("%s, class %d: call %d is of %s, with %d without an attempt", name, class, calls, send.ID, len(untried))
 				}
@@ -116,8 +116,8 @@
 		}
 		return all
 	}
-	if n := len(sends(newHarness(t, settings(), hosts...).step(arrivals()...))); n < 2 {
-		t.Fatalf("a healthy destination got %d calls at once, want several", n)
+	if calls := len(sends(newHarness(t, settings(), hosts...).step(arrivals()...))); calls < 2 {
+		t.Fatalf("a healthy destination got %d calls at once, want several", calls)
 	}
 	r := newHarness(t, settings(), hosts...)
 	got := sends(r.step(append(arrivals(), Unwell{Host: "a", Base: 5}, Unwell{Host: "unknown"})...))
@@ -139,9 +139,9 @@
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 9 * time.Second})
 	r.step(r.result("m1", "a", Served, func(e *Result) { e.Wait = 300 * ms }))
 	notifiedAt := r.now
-	acts := r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})
-	for len(sends(acts)) == 0 {
-		acts = r.advance(5 * ms)
+	actions := r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})
+	for len(sends(actions)) == 0 {
+		actions = r.advance(5 * ms)
 	}
 	if r.now-notifiedAt < 300*ms {
 		t.Fatalf("sent %v after a retry-after of 300 ms", r.now-notifiedAt)
@@ -154,8 +154,8 @@
 	cfg.MaxHeld = 2
 	r := newHarness(t, cfg, Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 9 * time.Second})
-	acts := r.step(r.result("m1", "a", Refused, func(e *Result) { e.Wait = 1500 * ms }))
-	for _, action := range append(acts, r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})...) {
+	actions := r.step(r.result("m1", "a", Refused, func(e *Result) { e.Wait = 1500 * ms }))
+	for _, action := range append(actions, r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})...) {
 		if refuse, ok := action.(Refuse); ok {
 			if refuse.After < 1500*ms || refuse.After > 3*time.Second {
 				t.Fatalf("retry-after of %v, want the rest of the host's", refuse.After)
--- a/choice/retune_test.go
+++ b/choice/retune_test.go
@@ -18,13 +18,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := func(acts []Action) (n int) {
-		for _, a := range acts {
-			if _, ok := a.(Send); ok {
-				n++
+	sent := func(actions []Action) (sent int) {
+		for _, action := range actions {
+			if _, ok := action.(Send); ok {
+				sent++
 			}
 		}
-		return n
+		return sent
 	}
 	hosts := []Host{{Addr: "h", State: Ready}}
 	chooser.Step(0, []Event{Listing{Whole: true, Hosts: hosts}, Arrival{ID: "m", Left: 10 * time.Second}})
@@ -42,11 +42,11 @@
 	}
 	chooser.Step(3, []Event{Arrival{ID: "n", Class: 1, Left: 20 * time.Second}})
 	for name, bad := range map[string]func(*Settings){
-		"no attempts":  func(s *Settings) { s.MaxAttempts = 0 },
-		"a class less": func(s *Settings) { s.Classes = s.Classes[:1] },
-		"a class changed": func(s *Settings) {
-			s.Classes = slices.Clone(s.Classes)
-			s.Classes[0].Effect = Unsafe
+		"no attempts":  func(changed *Settings) { changed.MaxAttempts = 0 },
+		"a class less": func(changed *Settings) { changed.Classes = changed.Classes[:1] },
+		"a class changed": func(changed *Settings) {
+			changed.Classes = slices.Clone(changed.Classes)
+			changed.Classes[0].Effect = Unsafe
 		},
 	} {
 		cfg := more
@@ -58,11 +58,11 @@
 	}
 	fewer := more
 	fewer.MaxAttempts = 1
-	acts := chooser.Step(5, []Event{Retuned{fewer}})
-	if !slices.ContainsFunc(acts, func(a Action) bool { refuse, ok := a.(Refuse); return ok && refuse.ID == "m" }) {
-		t.Errorf("a message without attempts left stays queued: %v", acts)
+	actions := chooser.Step(5, []Event{Retuned{fewer}})
+	if !slices.ContainsFunc(actions, func(action Action) bool { refuse, ok := action.(Refuse); return ok && refuse.ID == "m" }) {
+		t.Errorf("a message without attempts left stays queued: %v", actions)
 	}
-	if n := sent(chooser.Step(3*time.Second, []Event{Woken{}})); n != 1 {
-		t.Errorf("%d sends after the retry-after, want the other message's", n)
+	if sent := sent(chooser.Step(3*time.Second, []Event{Woken{}})); sent != 1 {
+		t.Errorf("%d sends after the retry-after, want the other message's", sent)
 	}
 }
--- a/choice/step_bench_test.go
+++ b/choice/step_bench_test.go
@@ -21,8 +21,8 @@
 					b.Fatal(err)
 				}
 				listing := choice.Listing{Whole: true}
-				for d := range dests {
-					listing.Hosts = append(listing.Hosts, listedHost(d))
+				for dest := range dests {
+					listing.Hosts = append(listing.Hosts, listedHost(dest))
 				}
 				events := []choice.Event{listing}
 				for i := range pending { // for destinations without a host
@@ -33,15 +33,15 @@
 				chooser.Step(now, events)
 				events = events[:0]
 				b.ReportAllocs()
-				for n := 0; b.Loop(); n++ {
+				for message := 0; b.Loop(); message++ {
 					now += time.Millisecond
-					events = append(events, choice.Arrival{ID: fmt.Sprint("m", n), Class: n % 3,
-						Dest: n % dests, Left: 8 * time.Second})
-					acts := chooser.Step(now, events)
+					events = append(events, choice.Arrival{ID: fmt.Sprint("m", message), Class: message % 3,
+						Dest: message % dests, Left: 8 * time.Second})
+					actions := chooser.Step(now, events)
 					events = events[:0]
-					for _, a := range acts {
-						if s, ok := a.(choice.Send); ok {
-							events = append(events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.Served,
+					for _, action := range actions {
+						if send, ok := action.(choice.Send); ok {
+							events = append(events, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.Served,
 								Took: 30 * time.Millisecond, Done: true})
 						}
 					}
--- a/choice/timeout_test.go
+++ b/choice/timeout_test.go
@@ -23,8 +23,8 @@
 	}
 	for range 2 {
 		r.now += last
-		acts := r.step(r.result("m", "a", Timeout))
-		if got = append(sends(acts), sends(r.advance(3*time.Second))...); len(got) != 1 {
+		actions := r.step(r.result("m", "a", Timeout))
+		if got = append(sends(actions), sends(r.advance(3*time.Second))...); len(got) != 1 {
 			t.Fatalf("%d sends after a time-out", len(got))
 		}
 		if got[0].Timeout < last+r.c.maxTimeout/oracle.Buckets {
--- a/choice/turn_test.go
+++ b/choice/turn_test.go
@@ -27,8 +27,8 @@
 		for i := range 20 {
 			events = append(events, arrival(fmt.Sprint(i), 0))
 		}
-		if n := len(sends(r.step(events...))); n != tc.want {
-			t.Errorf("%d calls out to one destination with %d slots, want %d", n, tc.workers, tc.want)
+		if calls := len(sends(r.step(events...))); calls != tc.want {
+			t.Errorf("%d calls out to one destination with %d slots, want %d", calls, tc.workers, tc.want)
 		}
 	}
 }
@@ -50,8 +50,8 @@
 		msg.Dest = i
 		r.step(msg)
 	}
-	for _, a := range r.advance(4 * time.Second) {
-		if _, ok := a.(Cancel); ok {
+	for _, action := range r.advance(4 * time.Second) {
+		if _, ok := action.(Cancel); ok {
 			return
 		}
 	}
@@ -67,23 +67,23 @@
 	var out []Send
 	for i := range 200 {
 		var events []Event
-		for _, x := range out {
-			events = append(events, r.result(x.ID, x.Host, Served))
+		for _, send := range out {
+			events = append(events, r.result(send.ID, send.Host, Served))
 		}
 		for dest := 1; dest <= 3; dest++ {
-			for k := range 2 {
-				msg := arrival(fmt.Sprint(i, dest, k), 0)
+			for j := range 2 {
+				msg := arrival(fmt.Sprint(i, dest, j), 0)
 				msg.Dest = dest
 				events = append(events, msg)
 			}
 		}
-		acts := r.step(events...)
-		for _, a := range acts {
-			if c, ok := a.(Cancel); ok && c.ID == "lost" {
+		actions := r.step(events...)
+		for _, action := range actions {
+			if cancel, ok := action.(Cancel); ok && cancel.ID == "lost" {
 				return
 			}
 		}
-		out = sends(acts)
+		out = sends(actions)
 		r.now += 50 * ms
 	}
 	t.Errorf("the lost call was never cancelled")
@@ -99,10 +99,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, b := readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0)
-		a.Rate, b.Rate = 4, 4
-		acts := chooser.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
-		used[sends(acts)[0].Host]++
+		first, second := readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0)
+		first.Rate, second.Rate = 4, 4
+		actions := chooser.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{first, second}}, arrival("m", 0)})
+		used[sends(actions)[0].Host]++
 	}
 	if used["a"] < 4 || used["b"] < 4 {
 		t.Errorf("first calls of 20 relays went to %v, want both hosts well used", used)
@@ -124,19 +124,19 @@
 			msg.Dest = dest
 			events = append(events, msg)
 		}
-		acts := r.step(events...)
+		actions := r.step(events...)
 		events = nil
-		for _, a := range acts {
-			switch a := a.(type) {
+		for _, action := range actions {
+			switch action := action.(type) {
 			case Send:
-				if a.ID == "m" {
+				if action.ID == "m" {
 					sent = r.now
 				} else {
-					events = append(events, r.result(a.ID, a.Host, Served))
+					events = append(events, r.result(action.ID, action.Host, Served))
 				}
 			case Cancel:
 				took = append(took, r.now-sent)
-				events = append(events, r.result(a.ID, "slow", Cancelled))
+				events = append(events, r.result(action.ID, "slow", Cancelled))
 			}
 		}
 		r.now += 50 * ms
--- a/choice/view_test.go
+++ b/choice/view_test.go
@@ -15,24 +15,24 @@
 		t.Fatal(err)
 	}
 	hosts := []Host{{Addr: "x", Dest: 1, State: Ready}, {Addr: "y", Dest: 1, State: Draining}}
-	acts := chooser.Step(0, []Event{Listing{Whole: true, Hosts: hosts}, Arrival{ID: "m", Dest: 1, Left: 9 * time.Second},
+	actions := chooser.Step(0, []Event{Listing{Whole: true, Hosts: hosts}, Arrival{ID: "m", Dest: 1, Left: 9 * time.Second},
 		Arrival{ID: "n", Dest: 1, Left: 9 * time.Second}})
-	if len(acts) < 2 {
-		t.Fatalf("actions %v, want two sends", acts)
+	if len(actions) < 2 {
+		t.Fatalf("actions %v, want two sends", actions)
 	}
-	v := chooser.Views()[1]
-	if v.Out != 2 || v.Waiting != 0 || len(v.Hosts) != 2 ||
-		v.Hosts[0].Out != 2 || v.Hosts[1].State != Draining || v.Hosts[0].Health != "healthy" {
-		t.Fatalf("%+v", v)
+	view := chooser.Views()[1]
+	if view.Out != 2 || view.Waiting != 0 || len(view.Hosts) != 2 ||
+		view.Hosts[0].Out != 2 || view.Hosts[1].State != Draining || view.Hosts[0].Health != "healthy" {
+		t.Fatalf("%+v", view)
 	}
 	chooser.Step(time.Second, []Event{Result{ID: "m", Host: "x", Outcome: Refused, Wait: 3 * time.Second}})
-	v = chooser.Views()[1]
-	if h := v.Hosts[0]; v.Waiting != 1 || h.Wait != 3*time.Second ||
-		h.Health != "suspect" || h.Why != "refusals only" || h.Trial <= 0 {
-		t.Fatalf("after a refusal: %+v", v)
+	view = chooser.Views()[1]
+	if host := view.Hosts[0]; view.Waiting != 1 || host.Wait != 3*time.Second ||
+		host.Health != "suspect" || host.Why != "refusals only" || host.Trial <= 0 {
+		t.Fatalf("after a refusal: %+v", view)
 	}
 	chooser.Step(3*time.Second, nil)
-	if h := chooser.Views()[1].Hosts[0]; h.Wait != time.Second || h.For != 2*time.Second {
-		t.Fatalf("two seconds later: %+v", h)
+	if host := chooser.Views()[1].Hosts[0]; host.Wait != time.Second || host.For != 2*time.Second {
+		t.Fatalf("two seconds later: %+v", host)
 	}
 }
--- a/choice/why_test.go
+++ b/choice/why_test.go
@@ -60,20 +60,20 @@
 			} else {
 				driver.step(asked)
 			}
-			v, ok := driver.c.Waits("asked")
-			inTime := v.Again >= tc.again[0] && v.Again <= tc.again[1]
-			if !ok || !strings.Contains(v.Why, tc.why) || v.Host != tc.host || !inTime || v.Ahead < 1 {
-				t.Fatalf("%+v, %v; want %q at %q, again in %v to %v", v, ok, tc.why, tc.host, tc.again[0], tc.again[1])
+			view, ok := driver.c.Waits("asked")
+			inTime := view.Again >= tc.again[0] && view.Again <= tc.again[1]
+			if !ok || !strings.Contains(view.Why, tc.why) || view.Host != tc.host || !inTime || view.Ahead < 1 {
+				t.Fatalf("%+v, %v; want %q at %q, again in %v to %v", view, ok, tc.why, tc.host, tc.again[0], tc.again[1])
 			}
 			if _, ok := driver.c.Waits("nobody"); ok {
 				t.Error("an unknown message is queued")
 			}
-			if v.Again == 0 || tc.name == "an outage" {
+			if view.Again == 0 || tc.name == "an outage" {
 				return
 			}
 			// Nothing is sent before the time, and the Chooser requests a wake-up for it.
-			for _, a := range driver.advance(v.Again + 20*tick) {
-				if a, ok := a.(choice.Send); ok && a.Host == tc.host {
+			for _, action := range driver.advance(view.Again + 20*tick) {
+				if a, ok := action.(choice.Send); ok && a.Host == tc.host {
 					return
 				}
 			}
@@ -85,16 +85,16 @@
 // One row for each reason of a final answer.
 func TestFinalAnswersHaveReasons(t *testing.T) {
 	const s = time.Second
-	whyOf := func(acts []choice.Action, id string) choice.Reason {
-		for _, a := range acts {
-			switch a := a.(type) {
+	whyOf := func(actions []choice.Action, id string) choice.Reason {
+		for _, action := range actions {
+			switch action := action.(type) {
 			case choice.Refuse:
-				if a.ID == id {
-					return a.Why
+				if action.ID == id {
+					return action.Why
 				}
 			case choice.Fail:
-				if a.ID == id {
-					return a.Why
+				if action.ID == id {
+					return action.Why
 				}
 			}
 		}
@@ -130,18 +130,18 @@
 			return driver.step(driver.arrivals(300, 0, 0, 8*s)...)
 		}, choice.Share},
 		{"a crowded room", func(driver *driver) []choice.Action {
-			var acts []choice.Action
+			var actions []choice.Action
 			for dest := range 30 {
-				acts = append(acts, driver.step(driver.arrivals(8, 2, dest, 8*s)...)...)
+				actions = append(actions, driver.step(driver.arrivals(8, 2, dest, 8*s)...)...)
 			}
-			return append(acts, driver.step(choice.Arrival{ID: "cheap", Class: 0, Dest: 99, Left: 8 * s})...)
+			return append(actions, driver.step(choice.Arrival{ID: "cheap", Class: 0, Dest: 99, Left: 8 * s})...)
 		}, choice.Crowded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			cfg := cfg
 			cfg.MaxHeld = 200
 			driver := newDriver(t, cfg)
-			acts := tc.ends(driver)
+			actions := tc.ends(driver)
 			id := "m1"
 			switch tc.want {
 			case choice.Share:
@@ -149,7 +149,7 @@
 			case choice.Crowded:
 				id = "cheap"
 			}
-			if got := whyOf(acts, id); got != tc.want {
+			if got := whyOf(actions, id); got != tc.want {
 				t.Errorf("%s ended for %q, want %q", id, got, tc.want)
 			}
 		})
--- a/choice/world_test.go
+++ b/choice/world_test.go
@@ -51,11 +51,11 @@
 func newWorld(seed uint64, cfg choice.Settings, dests int, rate float64) *world {
 	w := &world{set: cfg, rand: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, byAddr: map[string]*worldHost{},
 		messages: map[string]*worldMessage{}, scheduled: map[time.Duration][]choice.Event{}, rate: rate, keys: 20}
-	for d := range dests {
+	for dest := range dests {
 		kind := w.rand.IntN(len(cfg.Kinds))
 		for i := range 1 + w.rand.IntN(3) {
 			host := &worldHost{
-				Host: choice.Host{Addr: fmt.Sprintf("h%d-%d", d, i), Dest: d, Kind: kind, Zone: w.rand.IntN(2),
+				Host: choice.Host{Addr: fmt.Sprintf("h%d-%d", dest, i), Dest: dest, Kind: kind, Zone: w.rand.IntN(2),
 					Rate: 20 + float64(w.rand.IntN(100)), State: choice.Ready},
 				latency: time.Duration(5+w.rand.IntN(200)) * time.Millisecond,
 			}
@@ -82,8 +82,8 @@
 	w.now += tick
 	events := w.scheduled[w.now]
 	delete(w.scheduled, w.now)
-	for n := w.rate * tick.Seconds(); n > 0; n-- {
-		if w.rand.Float64() < n {
+	for expected := w.rate * tick.Seconds(); expected > 0; expected-- {
+		if w.rand.Float64() < expected {
 			events = append(events, w.arrive(-1, w.rand.IntN(len(w.hosts)*2)))
 		}
 	}
@@ -141,8 +141,8 @@
 }
 
 // restored returns n messages of an earlier process, some of which may have run, and two outages.
-func (w *world) restored(n int) (events []choice.Event) {
-	for range n {
+func (w *world) restored(count int) (events []choice.Event) {
+	for range count {
 		arrival := w.arrive(-1, w.rand.IntN(len(w.hosts)*2)).(choice.Arrival)
 		restored := choice.Restored{Arrival: arrival, Attempts: w.rand.IntN(3)}
 		if restored.Attempts > 0 && w.rand.IntN(2) == 0 {
@@ -160,18 +160,18 @@
 }
 
 // carryOut carries out actions.
-func (w *world) carryOut(acts []choice.Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+func (w *world) carryOut(actions []choice.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case choice.Send:
-			w.send(a)
+			w.send(action)
 		case choice.Refuse:
-			w.finish(a.ID)
+			w.finish(action.ID)
 		case choice.Fail:
-			w.finish(a.ID)
+			w.finish(action.ID)
 		case choice.Cancel:
-			if msg := w.messages[a.ID]; msg != nil && msg.host != "" {
-				w.schedule(tick, choice.Result{ID: a.ID, Host: msg.host, Attempt: a.Attempt,
+			if msg := w.messages[action.ID]; msg != nil && msg.host != "" {
+				w.schedule(tick, choice.Result{ID: action.ID, Host: msg.host, Attempt: action.Attempt,
 					Outcome: choice.Cancelled, Took: time.Second})
 			}
 		}
@@ -238,23 +238,23 @@
 
 // describe returns actions as text: sends in their order, others sorted, since their order depends on that in
 // which destinations are evaluated. Wakes are left out.
-func describe(acts []choice.Action) string {
+func describe(actions []choice.Action) string {
 	var sends, others []string
-	for _, a := range acts {
-		switch r := a.(type) { // the reference gives no reasons
+	for _, action := range actions {
+		switch r := action.(type) { // the reference gives no reasons
 		case choice.Refuse:
 			r.Why = 0
-			a = r
+			action = r
 		case choice.Fail:
 			r.Why = 0
-			a = r
+			action = r
 		}
-		switch a := a.(type) {
+		switch action := action.(type) {
 		case choice.Wake:
 		case choice.Send:
-			sends = append(sends, fmt.Sprintf("%+v", a))
+			sends = append(sends, fmt.Sprintf("%+v", action))
 		default:
-			others = append(others, fmt.Sprintf("%T%+v", a, a))
+			others = append(others, fmt.Sprintf("%T%+v", action, action))
 		}
 	}
 	sort.Strings(others)
