--- a/choice/backlog_test.go
+++ b/choice/backlog_test.go
@@ -63,7 +63,18 @@
 		events = pending[driver.now+tick]
 		delete(pending, driver.now+tick)
 	}
-	rules := cfg.Rules
+	checkSlowStart(t, cfg.Rules, recoveredAt, 100, sent)
+	if len(sent) != partners || served < 2000 || expired < 1000 {
+		t.Errorf("%d destinations were sent %d messages after the outage, and %d expired; want all %d and thousands",
+			len(sent), served, expired, partners)
+	}
+}
+
+// checkSlowStart checks that no host was sent more calls in a window than the slow-start budget allows; rate is its
+// capacity, sent has the times of its calls.
+func checkSlowStart(t *testing.T, rules choice.Rules, recoveredAt time.Duration, rate float64,
+	sent map[string][]time.Duration) {
+	t.Helper()
 	for host, times := range sent {
 		first := 0
 		for i, at := range times {
@@ -71,16 +82,12 @@
 				first++
 			}
 			cold := min(1, rules.ColdFrom+(1-rules.ColdFrom)*(at-recoveredAt).Seconds()/rules.Cold.Seconds())
-			if budget := rules.OverloadFactor * cold * 100 * rules.Fall.Seconds(); float64(i-first+1) > budget {
+			if budget := rules.OverloadFactor * cold * rate * rules.Fall.Seconds(); float64(i-first+1) > budget {
 				t.Fatalf("%s, %v after its outage, was sent %d calls within %v: over the budget of %.0f",
 					host, at-recoveredAt, i-first+1, rules.Fall, budget)
 			}
 		}
 	}
-	if len(sent) != partners || served < 2000 || expired < 1000 {
-		t.Errorf("%d destinations were sent %d messages after the outage, and %d expired; want all %d and thousands",
-			len(sent), served, expired, partners)
-	}
 }
 
 // All pending messages expire in the same millisecond: they are answered before it in the order of arrival,
--- a/choice/health.go
+++ b/choice/health.go
@@ -33,10 +33,10 @@
 	unit, dest := host.unit, host.dest
 	host.failures++
 	host.avoidUntil = c.now + min(c.cfg.Rules.Fall/8<<min(host.failures, 3), c.cfg.Rules.Fall/3)
-	isWell := func(other *endpoint) bool {
+	working := func(other *endpoint) bool {
 		return other.unit == unit && other.State == Ready && other.failures == 0
 	}
-	if slices.ContainsFunc(dest.hosts, isWell) {
+	if slices.ContainsFunc(dest.hosts, working) {
 		return
 	}
 	c.recordUnsuccessful(unit)
@@ -60,13 +60,13 @@
 
 // slowStartBudget returns this relay's share of the calls that the operating rules allow in their window, at
 // a time since the end of the outage.
-func (c *Chooser) slowStartBudget(unit *healthUnit, back time.Duration) float64 {
+func (c *Chooser) slowStartBudget(unit *healthUnit, sinceOutage time.Duration) float64 {
 	rate := unit.listedRate
 	if rate == 0 {
 		rate = unit.rateBeforeOutage * float64(c.cfg.Fleet)
 	}
 	rules := c.cfg.Rules
-	share := min(1, rules.ColdFrom+(1-rules.ColdFrom)*back.Seconds()/rules.Cold.Seconds())
+	share := min(1, rules.ColdFrom+(1-rules.ColdFrom)*sinceOutage.Seconds()/rules.Cold.Seconds())
 	return budgetFraction * rules.OverloadFactor * share * rate * rules.Fall.Seconds() / float64(c.cfg.Fleet)
 }
 
@@ -118,8 +118,9 @@
 		c.cutRateLimit(unit)
 	}
 	// Nothing but refusals, for longer than a rate limit explains, is an outage.
-	fall := c.cfg.Rules.Fall
-	if unit.state == healthy && (wait > 2*fall/3 || unit.unsuccessful > 6 && c.now-unit.lastServed >= fall) {
+	window := c.cfg.Rules.Fall
+	refusedFor := c.now - unit.lastServed
+	if unit.state == healthy && (wait > 2*window/3 || unit.unsuccessful > 6 && refusedFor >= window) {
 		c.markSuspect(unit, dest, "refusals only")
 	}
 }
@@ -161,14 +162,14 @@
 	unit.latency += (took.Seconds() - unit.latency) / 8
 	cold := c.cfg.Rules.Cold.Seconds()
 	unit.servedRate = unit.servedRate*math.Exp(-(c.now-unit.lastServed).Seconds()/cold) + 1/cold
-	briefly := unit.unsuccessful == 0 || !unit.sawErrors && c.now-unit.lastServed < c.cfg.Rules.Fall
+	shortOutage := unit.unsuccessful == 0 || !unit.sawErrors && c.now-unit.lastServed < c.cfg.Rules.Fall
 	unit.lastServed, unit.unsuccessful = c.now, 0
 	unit.servedStreak++
 	unit.recordOutcome(false)
 	switch {
 	case unit.state == healthy && unit.recentFailures == 0:
 		unit.mayHaveRun, unit.sawErrors = false, false
-	case unit.state == suspect && briefly:
+	case unit.state == suspect && shortOutage:
 		unit.state, unit.stateSince, unit.mayHaveRun, unit.recentFailures = healthy, c.now, false, 0
 		c.emit(Health{unit.name, false, 0})
 	case unit.state == suspect:
@@ -205,13 +206,13 @@
 }
 
 // scheduleWatch schedules the check for a unit without a response since a time.
-func (c *Chooser) scheduleWatch(begin time.Duration, dest *destination) {
-	c.watchAt = min(c.watchAt, begin+c.unresponsiveTimeout(dest))
+func (c *Chooser) scheduleWatch(since time.Duration, dest *destination) {
+	c.watchAt = min(c.watchAt, since+c.unresponsiveTimeout(dest))
 }
 
 // sentWithin returns the number of calls sent to a unit within a window until now.
-func (c *Chooser) sentWithin(unit *healthUnit, span time.Duration) float64 {
-	first, _ := slices.BinarySearch(unit.sendTimes, c.now-span)
+func (c *Chooser) sentWithin(unit *healthUnit, window time.Duration) float64 {
+	first, _ := slices.BinarySearch(unit.sendTimes, c.now-window)
 	return float64(len(unit.sendTimes) - first)
 }
 
@@ -244,11 +245,11 @@
 // budgetFreeAt returns when a budget of calls in the rules' window allows a call; a budget below one call is
 // one call in a window that is longer in proportion.
 func (c *Chooser) budgetFreeAt(unit *healthUnit, budget float64) time.Duration {
-	span := time.Duration(float64(c.cfg.Rules.Fall) / min(1, budget))
-	first, _ := slices.BinarySearch(unit.sendTimes, c.now-span)
+	window := time.Duration(float64(c.cfg.Rules.Fall) / min(1, budget))
+	first, _ := slices.BinarySearch(unit.sendTimes, c.now-window)
 	excess := len(unit.sendTimes) - first + 1 - int(max(1, budget))
 	if excess <= 0 {
 		return c.now
 	}
-	return unit.sendTimes[first+excess-1] + span + 1
+	return unit.sendTimes[first+excess-1] + window + 1
 }
--- a/choice/internal/reference/health.go
+++ b/choice/internal/reference/health.go
@@ -33,8 +33,8 @@
 	unit, dest := host.unit, host.dest
 	host.failures++
 	host.avoidUntil = c.now + min(c.cfg.Rules.Fall/8<<min(host.failures, 3), c.cfg.Rules.Fall/3)
-	isWell := func(g *endpoint) bool { return g.unit == unit && g.State == Ready && g.failures == 0 }
-	if slices.ContainsFunc(dest.hosts, isWell) {
+	working := func(g *endpoint) bool { return g.unit == unit && g.State == Ready && g.failures == 0 }
+	if slices.ContainsFunc(dest.hosts, working) {
 		return
 	}
 	c.recordUnsuccessful(unit)
@@ -58,13 +58,13 @@
 
 // slowStartBudget returns this relay's share of the calls that the operating rules allow in their window, at
 // a time since the end of the outage.
-func (c *Chooser) slowStartBudget(unit *healthUnit, back time.Duration) float64 {
+func (c *Chooser) slowStartBudget(unit *healthUnit, sinceOutage time.Duration) float64 {
 	rate := unit.listedRate
 	if rate == 0 {
 		rate = unit.rateBeforeOutage * float64(c.cfg.Fleet)
 	}
 	k := c.cfg.Rules
-	share := min(1, k.ColdFrom+(1-k.ColdFrom)*back.Seconds()/k.Cold.Seconds())
+	share := min(1, k.ColdFrom+(1-k.ColdFrom)*sinceOutage.Seconds()/k.Cold.Seconds())
 	return budgetFraction * k.OverloadFactor * share * rate * k.Fall.Seconds() / float64(c.cfg.Fleet)
 }
 
@@ -129,8 +129,9 @@
 		unit.tokens = max(-unit.rateLimit/2, min(unit.tokens, 0)) // earlier calls are no debt
 	}
 	// Nothing but refusals, for longer than a rate limit explains, is an outage.
-	fall := c.cfg.Rules.Fall
-	if unit.state == healthy && (wait > 2*fall/3 || unit.unsuccessful > 6 && c.now-unit.lastServed >= fall) {
+	window := c.cfg.Rules.Fall
+	refusedFor := c.now - unit.lastServed
+	if unit.state == healthy && (wait > 2*window/3 || unit.unsuccessful > 6 && refusedFor >= window) {
 		c.markSuspect(unit, dest, "refusals only")
 	}
 }
@@ -155,14 +156,14 @@
 	unit.latency += (took.Seconds() - unit.latency) / 8
 	cold := c.cfg.Rules.Cold.Seconds()
 	unit.servedRate = unit.servedRate*math.Exp(-(c.now-unit.lastServed).Seconds()/cold) + 1/cold
-	briefly := unit.unsuccessful == 0 || !unit.sawErrors && c.now-unit.lastServed < c.cfg.Rules.Fall
+	shortOutage := unit.unsuccessful == 0 || !unit.sawErrors && c.now-unit.lastServed < c.cfg.Rules.Fall
 	unit.lastServed, unit.unsuccessful = c.now, 0
 	unit.servedStreak++
 	unit.recordOutcome(false)
 	switch {
 	case unit.state == healthy && unit.recentFailures == 0:
 		unit.mayHaveRun, unit.sawErrors = false, false
-	case unit.state == suspect && briefly:
+	case unit.state == suspect && shortOutage:
 		unit.state, unit.stateSince, unit.mayHaveRun, unit.recentFailures = healthy, c.now, false, 0
 		c.emit(Health{Host: unit.name})
 	case unit.state == suspect:
@@ -193,14 +194,14 @@
 }
 
 // sentWithin returns the number of calls sent to a unit within a window until now.
-func (c *Chooser) sentWithin(unit *healthUnit, span time.Duration) float64 {
-	n := 0.0
-	for _, t := range unit.sendTimes {
-		if c.now-t <= span {
-			n++
+func (c *Chooser) sentWithin(unit *healthUnit, window time.Duration) float64 {
+	count := 0.0
+	for _, sentAt := range unit.sendTimes {
+		if c.now-sentAt <= window {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // maySend reports whether a unit can be sent a call now.
--- a/choice/internal/reference/timeout.go
+++ b/choice/internal/reference/timeout.go
@@ -20,7 +20,7 @@
 }
 
 // attemptTimeout returns the time-out of the next attempt of a message at a unit: the time to the deadline if
-// there can be no retry after it. It never falls from one attempt to the next.
+// there can be no retry after it, else one that grows with each attempt.
 func (c *Chooser) attemptTimeout(msg *message, unit *healthUnit) time.Duration {
 	left := msg.deadline - c.now
 	if !c.mayRetry(msg) || msg.attempts+1 >= c.cfg.MaxAttempts {
