--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,9 +1,9 @@
 package choice
 
-// The Chooser, one Step, and the endpoint list. The interface is in api.go, plain state in state.go. The
-// decisions are in files of their own: timeout.go and oracle/oracle.go time-outs; health.go outages, refusals
-// and waits; pace.go rates; admit.go what is taken on, ends of attempts and final answers; turn.go what goes
-// next, and where; order.go the order of keys; restore.go what outlasts a process.
+// The step function and the endpoint list. The interface is in api.go, the state in state.go. Decisions:
+// timeout.go and oracle/oracle.go time-outs of attempts; health.go outages, backoff and slow start; pace.go
+// rate limits; admit.go admission, load shedding, outcomes and final answers; turn.go scheduling; order.go
+// ordering keys; restore.go restarts of the relay. waiting.go has the queues that the decisions use.
 
 import (
 	"fmt"
@@ -15,158 +15,168 @@
 )
 
 const (
-	margin = 4   // ticks between the last own look at a message and its deadline
-	glance = 200 // looks without news within the shortest aim
-	// In a fleet of large size a relay begins at each unit with its share of a guess, in calls a second from
-	// all of them: each one's first calls are harmless, their sum shuts a unit where refused ones count.
-	large, guess = 16, 15.0
+	expiryMarginTicks = 4   // ticks by which a final answer precedes the deadline
+	wakesPerTarget    = 200 // wake-ups without other events within the shortest latency target, at most
+	// From largeFleet relays on, each starts at a unit whose rate is not listed with its share of
+	// initialRateGuess, in calls a second: a burst of first calls of all relays could exhaust a limit on
+	// which refused calls count.
+	largeFleet, initialRateGuess = 16, 15.0
 )
 
-// New returns a Chooser for one relay. Pauses are drawn from the seed.
-func New(s Settings, seed uint64) (*Chooser, error) {
-	if err := s.Check(); err != nil {
+// New returns a Chooser for one relay, or an error if the settings are invalid. The seed determines all
+// random choices.
+func New(cfg Settings, seed uint64) (*Chooser, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, fmt.Errorf("choice: settings: %w", err)
 	}
-	c := &Chooser{set: s, msgs: map[string]*message{}, dests: map[int]*dest{},
-		hosts: map[string]*host{}, lines: map[string]*line{},
-		rand: rand.New(rand.NewPCG(seed, 0)), pool: oracle.New(0, restartCost),
-		watchAt: never, lapseAt: never}
-	if !s.Subscribe {
-		c.askAt = -1
+	chooser := &Chooser{cfg: cfg, messages: map[string]*message{}, destinations: map[int]*destination{},
+		hosts: map[string]*endpoint{}, keyOrders: map[string]*keyOrder{},
+		rand: rand.New(rand.NewPCG(seed, 0)), pooledLatencies: oracle.New(0, restartCost),
+		watchAt: never, nextGrantExpiry: never}
+	if !cfg.Subscribe {
+		chooser.subscribeAt = -1
 	}
-	c.luck = slices.Repeat([]float64{0.5}, max(1, len(s.Kinds)))
-	c.measure()
-	c.makeOrders()
-	return c, nil
+	chooser.retrySuccess = slices.Repeat([]float64{0.5}, max(1, len(cfg.Kinds)))
+	chooser.deriveSettings()
+	chooser.initOrders()
+	return chooser, nil
 }
 
-// Step takes in all that happened, then decides once. What it costs grows with the events, the actions and
-// the calls out, and with the logarithm of what is held.
+// Step applies the events in their order, then makes all decisions that are possible at the time now, and
+// returns the actions to carry out.
 func (c *Chooser) Step(now time.Duration, events []Event) []Action {
-	c.take(now, events)
-	c.watch()
-	c.answer()
-	c.shed()
-	c.turn()
-	c.ask()
-	c.wake()
-	return c.acts
+	c.applyEvents(now, events)
+	c.detectUnresponsive()
+	c.answerExpired()
+	c.shedLoad()
+	c.fillSlots()
+	c.emitWants()
+	c.requestWake()
+	return c.actions
 }
 
-// take takes in all that happened. Time that runs backwards stands still.
-func (c *Chooser) take(now time.Duration, events []Event) {
-	c.now, c.acts = max(c.now, now), nil
-	c.lapse()
-	for _, e := range events {
-		switch e := e.(type) {
+// applyEvents sets the current time, which never decreases, and applies the events to the state.
+func (c *Chooser) applyEvents(now time.Duration, events []Event) {
+	c.now, c.actions = max(c.now, now), nil
+	c.returnExpiredGrants()
+	for _, event := range events {
+		switch event := event.(type) {
 		case Arrival:
-			c.arrive(e)
+			c.admit(event)
 		case Restored:
-			c.restore(e)
+			c.restore(event)
 		case Unwell:
-			c.unwell(e)
+			c.applyUnwell(event)
 		case Result:
-			c.result(e)
+			c.applyResult(event)
 		case Withdrawn:
-			if m := c.msgs[e.ID]; m != nil && !m.over {
-				c.end(m)
+			if msg := c.messages[event.ID]; msg != nil && !msg.finished {
+				c.finish(msg)
 			}
 		case Listing:
-			c.list(e)
+			c.applyListing(event)
 		case Retuned:
-			c.retune(e.Settings)
+			c.applySettings(event.Settings)
 		case Told:
-			c.told(e)
+			c.applyWait(event)
 		case Granted:
-			c.granted(e)
+			c.applyGrant(event)
 		case Woken:
 			c.wakeAt = 0
 		}
 	}
-	if c.askAt >= 0 && c.now >= c.askAt {
-		c.askAt = -1
-		c.act(Subscribe{})
+	if c.subscribeAt >= 0 && c.now >= c.subscribeAt {
+		c.subscribeAt = -1
+		c.emit(Subscribe{})
 	}
-	c.freeLines()
+	c.releaseSettledKeys()
 }
 
-func (c *Chooser) act(a Action) { c.acts = append(c.acts, a) }
+// emit appends an action to the result of the Step.
+func (c *Chooser) emit(action Action) { c.actions = append(c.actions, action) }
 
-func (c *Chooser) log(format string, args ...any) { c.act(Log{fmt.Sprintf(format, args...)}) }
+func (c *Chooser) logf(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// list takes in news of the endpoint list.
-func (c *Chooser) list(e Listing) {
-	if e.Failed {
-		c.askAt = c.now + time.Second
+// applyListing updates the hosts by the endpoint list.
+func (c *Chooser) applyListing(listing Listing) {
+	if listing.Failed {
+		c.subscribeAt = c.now + time.Second
 		return
 	}
-	if e.Whole {
-		for _, h := range c.hosts {
-			h.State = Gone
-			c.depart(h.dest)
+	if listing.Whole {
+		for _, host := range c.hosts {
+			host.State = Gone
+			c.markPrunable(host.dest)
 		}
 	}
-	for _, n := range e.Hosts {
-		h := c.hosts[n.Addr]
-		if h == nil && n.State == Gone {
+	for _, entry := range listing.Hosts {
+		host := c.hosts[entry.Addr]
+		if host == nil && entry.State == Gone {
 			continue
 		}
-		d := c.dest(n.Dest)
-		c.settle(d) // what is new here has its tokens
-		if h == nil {
-			h = c.newHost(d, n)
-		}
-		if c.touch(h.dest); n.State == Gone {
-			c.depart(h.dest)
-		}
-		if h.Host = n; c.set.Listed && n.State == Ready {
-			if h.unit.listed = n.Rate; h.unit.limit == 0 {
-				h.unit.limit = n.Rate // all relays together may send no more, so neither may one
-			}
-		}
+		c.applyHost(host, entry)
 	}
-	c.leaving = slices.DeleteFunc(c.leaving, func(d *dest) bool {
-		d.leaving = !c.prune(d)
-		return !d.leaving
+	c.prunable = slices.DeleteFunc(c.prunable, func(dest *destination) bool {
+		dest.listedPrunable = !c.prune(dest)
+		return !dest.listedPrunable
 	})
 }
 
-// depart notes a destination with a host that may have to be forgotten.
-func (c *Chooser) depart(d *dest) {
-	c.touch(d)
-	if !d.leaving {
-		d.leaving, c.leaving = true, append(c.leaving, d)
+// applyHost updates a host, nil if it is new, by its entry in the endpoint list.
+func (c *Chooser) applyHost(host *endpoint, entry Host) {
+	dest := c.destination(entry.Dest)
+	c.updateRateLimits(dest) // a new unit starts with the tokens that it has now
+	if host == nil {
+		host = c.newHost(dest, entry)
+	}
+	if c.markDirty(host.dest); entry.State == Gone {
+		c.markPrunable(host.dest)
+	}
+	if host.Host = entry; c.cfg.Listed && entry.State == Ready {
+		if host.unit.listedRate = entry.Rate; host.unit.rateLimit == 0 {
+			host.unit.rateLimit = entry.Rate // the limit of the fleet bounds that of each relay
+		}
+	}
+}
+
+// markPrunable puts a destination on the list of those that may have hosts to remove.
+func (c *Chooser) markPrunable(dest *destination) {
+	c.markDirty(dest)
+	if !dest.listedPrunable {
+		dest.listedPrunable, c.prunable = true, append(c.prunable, dest)
 	}
 }
 
-// prune forgets what has left of a destination, and it too in the end; it tells whether that is all there is
-// to be forgotten.
-func (c *Chooser) prune(d *dest) (done bool) {
-	d.hosts = slices.DeleteFunc(d.hosts, func(h *host) bool {
-		// A host that may come back keeps its wait, and what is known of its health.
-		left := h.State == Gone && h.out == 0 && c.now >= h.unit.waitUntil &&
-			(h.unit.state == healthy || c.now-h.unit.since > c.set.Rules.Cold)
-		if left {
-			delete(c.hosts, h.Addr)
+// prune removes the hosts of a destination that have left the list, and the destination once it has none. It
+// reports whether nothing is left to remove.
+func (c *Chooser) prune(dest *destination) (done bool) {
+	dest.hosts = slices.DeleteFunc(dest.hosts, func(host *endpoint) bool {
+		// A host that may return keeps its retry-after and its health.
+		departed := host.State == Gone && host.inFlight == 0 && c.now >= host.unit.retryAfterUntil &&
+			(host.unit.state == healthy || c.now-host.unit.stateSince > c.cfg.Rules.Cold)
+		if departed {
+			delete(c.hosts, host.Addr)
 		}
-		if left && d.kind.Apart {
-			d.units = remove(d.units, h.unit)
+		if departed && dest.kind.Apart {
+			dest.units = removeElement(dest.units, host.unit)
 		}
-		return left
+		return departed
 	})
-	if len(d.hosts) == 0 && d.waits == 0 && d.out == 0 {
-		delete(c.dests, d.id)
+	if len(dest.hosts) == 0 && dest.queued == 0 && dest.inFlight == 0 {
+		delete(c.destinations, dest.id)
 		return true
 	}
-	return len(d.hosts) > 0 && !slices.ContainsFunc(d.hosts, func(h *host) bool { return h.State == Gone })
+	gone := func(host *endpoint) bool { return host.State == Gone }
+	return len(dest.hosts) > 0 && !slices.ContainsFunc(dest.hosts, gone)
 }
 
-func (c *Chooser) dest(id int) *dest {
-	d := c.dests[id]
-	if d == nil {
-		d = c.newDest(id)
-		c.dests[id] = d
-		c.depart(d)
+// destination returns a destination, a new one if there is none with this number.
+func (c *Chooser) destination(id int) *destination {
+	dest := c.destinations[id]
+	if dest == nil {
+		dest = c.newDestination(id)
+		c.destinations[id] = dest
+		c.markPrunable(dest)
 	}
-	return d
+	return dest
 }
--- a/choice/granted.go
+++ b/choice/granted.go
@@ -1,7 +1,7 @@
 package choice
 
-// Calls on grants: what this relay could use of them is told, those that it has are kept until they are used or
-// lapse, and what became of each is told. Which call goes on one is decided where it ever was.
+// Calls under a fleet-wide rate limit: Wants state the demand of this relay, grants are kept until they are
+// used or expire, and Spent reports the outcome of each. Which call uses a grant is decided in turn.go.
 
 import (
 	"cmp"
@@ -11,153 +11,178 @@
 	"time"
 )
 
-// lookAgain is how often a want is looked at again while it waits: messages grow old.
-const lookAgain = 250 * time.Millisecond
+// wantInterval is the time after which a want is updated without an event, since values change with age.
+const wantInterval = 250 * time.Millisecond
 
-// grant is leave for one call.
-type grant struct {
-	id    uint32
-	until time.Duration
-	worst Outcome // of the call's messages so far
-	ended bool    // one of them has ended
-	wait  time.Duration
+// callGrant is a permission for one call.
+type callGrant struct {
+	id         uint32
+	expiresAt  time.Duration
+	outcome    Outcome       // of the call's messages so far: Served if one was served
+	ended      bool          // one of them has ended
+	retryAfter time.Duration // the longest of them
 }
 
-// granted takes in a grant. One for a route that is not known is given back.
-func (c *Chooser) granted(e Granted) {
-	d := c.dests[e.Dest]
-	at := -1
-	if d != nil {
-		at = slices.IndexFunc(d.units, func(u *unit) bool { return u.key == e.Route })
-	}
-	if at < 0 {
-		c.act(Spent{Dest: e.Dest, Route: e.Route, Grant: e.Grant, Outcome: NotSent})
+// applyGrant adds a grant to its unit. One for an unknown route is returned.
+func (c *Chooser) applyGrant(granted Granted) {
+	dest := c.destinations[granted.Dest]
+	unitIndex := -1
+	if dest != nil {
+		byRoute := func(unit *healthUnit) bool { return unit.key == granted.Route }
+		unitIndex = slices.IndexFunc(dest.units, byRoute)
+	}
+	if unitIndex < 0 {
+		c.emit(Spent{Dest: granted.Dest, Route: granted.Route, Grant: granted.Grant, Outcome: NotSent})
 		return
 	}
-	u := d.units[at]
-	if e.Well && u.state != healthy && !slices.ContainsFunc(d.hosts, func(h *host) bool { return h.unit == u && c.now < h.retryAt }) {
-		u.state, u.since, u.risky, u.errors, u.recent, u.bad = healthy, c.now, false, false, 0, 0
-		c.act(Health{u.name, false, 0})
+	unit := dest.units[unitIndex]
+	avoided := func(host *endpoint) bool { return host.unit == unit && c.now < host.avoidUntil }
+	if granted.Well && unit.state != healthy && !slices.ContainsFunc(dest.hosts, avoided) {
+		unit.state, unit.stateSince, unit.mayHaveRun, unit.sawErrors = healthy, c.now, false, false
+		unit.recentFailures, unit.unsuccessful = 0, 0
+		c.emit(Health{unit.name, false, 0})
 	}
-	u.grants = append(u.grants, grant{id: e.Grant, until: c.now + e.For})
-	c.lapseAt = min(c.lapseAt, c.now+e.For)
-	c.touch(d)
+	unit.grants = append(unit.grants, callGrant{id: granted.Grant, expiresAt: c.now + granted.For})
+	c.nextGrantExpiry = min(c.nextGrantExpiry, c.now+granted.For)
+	c.markDirty(dest)
 }
 
-// leaveAt is when a call may go to a unit that may be sent to from a time: then if there is a grant for it.
-func (u *unit) leaveAt(at time.Duration) time.Duration {
+// grantedAt returns the time at if the unit has a grant, else never.
+func (u *healthUnit) grantedAt(at time.Duration) time.Duration {
 	if len(u.grants) > 0 {
 		return at
 	}
 	return never
 }
 
-// lapse gives back the grants that were not used in time.
-func (c *Chooser) lapse() {
-	if c.now < c.lapseAt {
+// returnExpiredGrants returns the grants that were not used in time, in the order of destinations.
+func (c *Chooser) returnExpiredGrants() {
+	if c.now < c.nextGrantExpiry {
 		return
 	}
-	c.lapseAt = never
-	for _, id := range slices.Sorted(maps.Keys(c.dests)) { // the same events give the same actions
-		d := c.dests[id]
-		for _, u := range d.units {
-			u.grants = slices.DeleteFunc(u.grants, func(g grant) bool {
-				if c.now < g.until {
-					c.lapseAt = min(c.lapseAt, g.until)
+	c.nextGrantExpiry = never
+	for _, id := range slices.Sorted(maps.Keys(c.destinations)) { // a fixed order, for determinism
+		dest := c.destinations[id]
+		for _, unit := range dest.units {
+			unit.grants = slices.DeleteFunc(unit.grants, func(grant callGrant) bool {
+				if c.now < grant.expiresAt {
+					c.nextGrantExpiry = min(c.nextGrantExpiry, grant.expiresAt)
 					return false
 				}
-				c.act(Spent{Dest: d.id, Route: u.key, Grant: g.id, Outcome: NotSent})
-				c.touch(d)
+				c.emit(Spent{Dest: dest.id, Route: unit.key, Grant: grant.id, Outcome: NotSent})
+				c.markDirty(dest)
 				return true
 			})
 		}
 	}
 }
 
-// spend has a call go on the grant that lapses first.
-func (c *Chooser) spend(k *call) {
-	if u := k.host.unit; len(u.grants) > 0 {
-		g := u.grants[0]
-		u.grants = slices.Delete(u.grants, 0, 1)
-		k.leave = &g
+// useGrant assigns the oldest grant of its unit, if any, to a call.
+func (c *Chooser) useGrant(call *outboundCall) {
+	if unit := call.host.unit; len(unit.grants) > 0 {
+		grant := unit.grants[0]
+		unit.grants = slices.Delete(unit.grants, 0, 1)
+		call.grant = &grant
 	}
 }
 
-// report takes in how one message of a call ended, and tells of the call once all have. It was served if one of
-// them was.
-func (c *Chooser) report(k *call, e Result) {
-	g := k.leave
-	if e.Outcome == Served || e.Outcome == Refused {
-		k.host.endedAt = c.now
-	}
-	if g == nil {
+// reportGrant records the outcome of one message of a call, and reports the grant with the last one. The call
+// counts as served if one of its messages was.
+func (c *Chooser) reportGrant(call *outboundCall, result Result) {
+	grant := call.grant
+	if result.Outcome == Served || result.Outcome == Refused {
+		call.host.lastAnsweredAt = c.now
+	}
+	if grant == nil {
 		return
 	}
-	if !g.ended || e.Outcome == Served {
-		g.worst = e.Outcome
+	if !grant.ended || result.Outcome == Served {
+		grant.outcome = result.Outcome
 	}
-	g.ended, g.wait = true, max(g.wait, e.Wait)
-	if len(k.members) == 0 {
-		u := k.host.unit
-		c.act(Spent{Dest: k.host.dest.id, Route: u.key, Grant: g.id, Outcome: g.worst, Took: e.Took, Wait: g.wait})
+	grant.ended, grant.retryAfter = true, max(grant.retryAfter, result.Wait)
+	if len(call.messages) == 0 {
+		unit := call.host.unit
+		c.emit(Spent{Dest: call.host.dest.id, Route: unit.key, Grant: grant.id, Outcome: grant.outcome,
+			Took: result.Took, Wait: grant.retryAfter})
 	}
 }
 
-// want works out what could go to a destination, and when to do so again.
-func (c *Chooser) want(d *dest) (again time.Duration) {
-	w := Want{Dest: d.id}
+// updateWant updates the Want of a destination and returns when to update it again without an event.
+func (c *Chooser) updateWant(dest *destination) (again time.Duration) {
+	want := Want{Dest: dest.id}
 	again = never
-	if d.waits > 0 && c.now >= d.since {
-		again = c.now + lookAgain
-		var open []*host
-		for _, h := range d.hosts {
-			if at := max(h.unit.waitUntil, h.unit.pauseUntil); h.State == Ready && at > c.now {
-				again = min(again, at)
-			} else if h.State == Ready && slices.ContainsFunc(d.groups, func(g *group) bool { return c.fits(g, h) }) {
-				open = append(open, h)
-			}
-		}
-		if m := c.best(d, open); m != nil {
-			slices.SortStableFunc(open, func(a, b *host) int { return cmp.Compare(c.cost(m, a), c.cost(m, b)) })
-			live := 0
-			for _, h := range open {
-				if !slices.Contains(w.Routes, h.unit.key) {
-					w.Routes = append(w.Routes, h.unit.key)
-					live += len(h.unit.grants)
-				}
-			}
-			w.Calls = max(0, min(c.set.Workers, (d.waits+d.kind.PerCall-1)/d.kind.PerCall)-live)
-			// Between worth and one for each message: the worst-served class counts for itself as well.
-			w.Value = math.Sqrt(c.worth(m.class, c.now-m.born)+c.ahead(m)) * float64(min(d.waits, d.kind.PerCall))
+	if dest.queued > 0 && c.now >= dest.demandSince {
+		var open []*endpoint
+		open, again = c.wantedHosts(dest)
+		if msg := c.bestMessage(dest, open); msg != nil {
+			want = c.wantFor(msg, open)
 		}
 	}
-	if w.Calls == 0 {
-		w.Value, w.Routes = 0, nil
+	if want.Calls == 0 {
+		want.Value, want.Routes = 0, nil
 	}
-	if w.Calls == d.wanted.Calls && slices.Equal(w.Routes, d.wanted.Routes) &&
-		math.Abs(w.Value-d.wanted.Value) <= 0.1*d.wanted.Value {
+	if want.Calls == dest.lastWant.Calls && slices.Equal(want.Routes, dest.lastWant.Routes) &&
+		math.Abs(want.Value-dest.lastWant.Value) <= 0.1*dest.lastWant.Value {
 		return again
 	}
-	if d.wanted = w; !d.wanting {
-		d.wanting, c.wanting = true, append(c.wanting, d)
+	if dest.lastWant = want; !dest.wantChanged {
+		dest.wantChanged, c.changedWants = true, append(c.changedWants, dest)
 	}
 	return again
 }
 
-// fits tells whether a message of a group may go to a host by all but grants and waits.
-func (c *Chooser) fits(g *group, h *host) bool {
-	oldest, ok := g.messages.Min()
-	return ok && g.turn && c.now-oldest.born > c.fitAge(g, h)
+// wantedHosts returns the hosts of a destination that queued messages could be sent to with a grant, and when
+// to look at them again.
+func (c *Chooser) wantedHosts(dest *destination) (open []*endpoint, again time.Duration) {
+	again = c.now + wantInterval
+	for _, host := range dest.hosts {
+		eligible := func(group *messageGroup) bool { return c.eligible(group, host) }
+		if at := max(host.unit.retryAfterUntil, host.unit.backoffUntil); host.State == Ready && at > c.now {
+			again = min(again, at)
+		} else if host.State == Ready && slices.ContainsFunc(dest.groups, eligible) {
+			open = append(open, host)
+		}
+	}
+	return open, again
+}
+
+// wantFor returns the Want of a destination whose best message is msg. It sorts the hosts by cost.
+func (c *Chooser) wantFor(msg *message, open []*endpoint) Want {
+	dest := msg.dest
+	want := Want{Dest: dest.id}
+	slices.SortStableFunc(open, func(a, b *endpoint) int {
+		return cmp.Compare(c.routeCost(msg, a), c.routeCost(msg, b))
+	})
+	unused := 0
+	for _, host := range open {
+		if !slices.Contains(want.Routes, host.unit.key) {
+			want.Routes = append(want.Routes, host.unit.key)
+			unused += len(host.unit.grants)
+		}
+	}
+	want.Calls = max(0, min(c.cfg.Workers, (dest.queued+dest.kind.PerCall-1)/dest.kind.PerCall)-unused)
+	// The square root is between the value and a count of messages: the class that is served worst counts by
+	// itself.
+	perMessage := math.Sqrt(c.value(msg.class, c.now-msg.createdAt) + c.priorityBonus(msg))
+	want.Value = perMessage * float64(min(dest.queued, dest.kind.PerCall))
+	return want
+}
+
+// eligible reports whether a message of a group may go to a host, grants and waits aside.
+func (c *Chooser) eligible(group *messageGroup, host *endpoint) bool {
+	oldest, ok := group.messages.Min()
+	return ok && group.keyAllows && c.now-oldest.createdAt > c.eligibleAge(group, host)
 }
 
-// ask tells the wants that have changed; while all slots are taken it waits, as a grant could not be used.
-func (c *Chooser) ask() {
-	if !c.set.Granted || c.busy >= c.set.Workers {
+// emitWants emits the wants that have changed, but none while all slots are taken, since a grant could not be
+// used.
+func (c *Chooser) emitWants() {
+	if !c.cfg.Granted || c.callsInFlight >= c.cfg.Workers {
 		return
 	}
-	for _, d := range c.wanting {
-		d.wanting = false
-		c.act(d.wanted)
+	for _, dest := range c.changedWants {
+		dest.wantChanged = false
+		c.emit(dest.lastWant)
 	}
-	c.wanting = c.wanting[:0]
+	c.changedWants = c.changedWants[:0]
 }
--- a/choice/internal/reference/pace.go
+++ b/choice/internal/reference/pace.go
@@ -1,85 +1,95 @@
 package reference
 
+// Rates of a unit, and the token bucket by which this relay limits its own rate there.
+
 import (
 	"math"
 	"time"
 )
 
-// Rates of a unit, and the pace that this relay allows itself there.
+const (
+	// A refusal multiplies the rate limit of a unit by rateCutFactor. Without one it grows exponentially, by
+	// listedRateGrowth a second, or by rateGrowth if the rate of the unit is not listed.
+	rateCutFactor, listedRateGrowth, rateGrowth = 0.8, 0.05, 0.07
+	// briskRate, in calls a second, is the limit above which it grows by calls, not by time.
+	briskRate = 4
+	maxRate   = 1e6
+)
 
-// rate that a unit takes from all relays together: listed or reported; else what it served here times
-// the fleet, and at least a call in an eighth of an aim.
-func (c *Chooser) rate(u *unit) float64 {
-	if u.listed > 0 {
-		return u.listed
+// fleetRate returns the calls a second that a unit takes from all relays together: the rate that is listed or
+// reported, else an estimate of the rate served to this relay times the fleet, and at least a call in an
+// eighth of the shortest latency target.
+func (c *Chooser) fleetRate(unit *healthUnit) float64 {
+	if unit.listedRate > 0 {
+		return unit.listedRate
 	}
-	return max(c.flow(u)*float64(c.set.Fleet), 8/c.minAim.Seconds())
+	return max(c.servedRate(unit)*float64(c.cfg.Fleet), 8/c.minTarget.Seconds())
 }
 
-// flow is the rate that a unit served to this relay, messages a second. The smoothed rate begins at 0: it is
-// scaled by the part of its time that has passed, lest a young unit pass for one that takes little.
-func (c *Chooser) flow(u *unit) float64 {
-	age, cold := max(c.now-u.born, 2*time.Second), c.set.Rules.Cold
-	return u.served / (1 - math.Exp(-age.Seconds()/cold.Seconds()))
+// servedRate returns the messages a second that a unit serves to this relay. The smoothed rate starts at 0,
+// so it is divided by the weight of the time since the unit was listed.
+func (c *Chooser) servedRate(unit *healthUnit) float64 {
+	age, cold := max(c.now-unit.createdAt, 2*time.Second), c.cfg.Rules.Cold
+	return unit.servedRate / (1 - math.Exp(-age.Seconds()/cold.Seconds()))
 }
 
-// even is the time in which this relay's even share of that is one call.
-func (c *Chooser) even(u *unit) time.Duration {
-	return time.Duration(float64(c.set.Fleet) / c.rate(u) * float64(time.Second))
+// evenShareInterval returns the time in which this relay's even share of the fleet rate is one call.
+func (c *Chooser) evenShareInterval(unit *healthUnit) time.Duration {
+	return time.Duration(float64(c.cfg.Fleet) / c.fleetRate(unit) * float64(time.Second))
 }
 
-// thin tells whether this relay meets a unit too seldom to learn a pace from its own calls.
-func (c *Chooser) thin(u *unit) bool { return c.even(u) > c.minAim/2 }
+// rarelyCalls reports whether the even share is too small to learn a rate limit from this relay's own calls.
+func (c *Chooser) rarelyCalls(unit *healthUnit) bool {
+	return c.evenShareInterval(unit) > c.minTarget/2
+}
 
-// settle brings a destination with messages that wait up to date.
-func (c *Chooser) settle(d *dest) {
-	if len(d.waiting) > 0 && c.now >= d.pauseUntil {
-		for _, u := range d.units {
-			c.refill(u, d)
+// updateRateLimits updates the rate limits of a destination with queued messages and without a backoff.
+func (c *Chooser) updateRateLimits(dest *destination) {
+	if len(dest.waiting) > 0 && c.now >= dest.backoffUntil {
+		for _, unit := range dest.units {
+			c.updateRateLimit(unit, dest)
 		}
 	}
 }
 
-// refill brings pace and tokens up to date.
-func (c *Chooser) refill(u *unit, d *dest) {
-	dt := c.now - u.limitAt
-	lull := min(max(0, d.since-u.limitAt), dt)
-	u.limitAt = c.now
-	if u.limit == 0 {
+// updateRateLimit updates the rate limit and tokens of a unit to the current time.
+func (c *Chooser) updateRateLimit(unit *healthUnit, dest *destination) {
+	span := c.now - unit.rateLimitAt
+	lull := min(max(0, dest.demandSince-unit.rateLimitAt), span)
+	unit.rateLimitAt = c.now
+	if unit.rateLimit == 0 {
 		return
 	}
 	lost := max(0, lull-time.Second)
-	u.tokens += u.limit * lost.Seconds()
-	u.tokens += u.grow((dt - lost).Seconds())
-	u.tokens = min(u.tokens, max(1, u.limit*c.minAim.Seconds()/8))
+	unit.tokens += unit.rateLimit * lost.Seconds()
+	unit.tokens += unit.growRateLimit((span - lost).Seconds())
+	unit.tokens = min(unit.tokens, max(1, unit.rateLimit*c.minTarget.Seconds()/8))
 }
 
-const fastest = 1e6
-
-// grow has a pace grow for so many seconds, and returns the calls that it allows in them. Each served call
-// tells as much: from brisk on pace grows faster the higher it is, from four times brisk on four times as fast.
-func (u *unit) grow(span float64) (calls float64) {
-	rise := func(rate, top float64) {
-		if span <= 0 || u.limit >= top {
+// growRateLimit lets the rate limit grow for a span in seconds and returns the number of calls that it allows
+// in this time. Above briskRate it grows at a rate proportional to itself, up to four times rateGrowth.
+func (u *healthUnit) growRateLimit(span float64) (calls float64) {
+	growTo := func(rate, top float64) {
+		if span <= 0 || u.rateLimit >= top {
 			return
 		}
-		t := min(span, math.Log(top/u.limit)/rate)
-		next := u.limit * math.Exp(rate*t)
-		calls += (next - u.limit) / rate
-		u.limit, span = next, span-t
+		growing := min(span, math.Log(top/u.rateLimit)/rate)
+		grown := u.rateLimit * math.Exp(rate*growing)
+		calls += (grown - u.rateLimit) / rate
+		u.rateLimit, span = grown, span-growing
 	}
-	if u.listed > 0 {
-		rise(grow, u.listed)
-		u.limit = min(u.limit, u.listed)
-		return calls + u.limit*span
+	if u.listedRate > 0 {
+		growTo(listedRateGrowth, u.listedRate)
+		u.rateLimit = min(u.rateLimit, u.listedRate)
+		return calls + u.rateLimit*span
 	}
-	rise(search, brisk)
-	if span > 0 && u.limit < 4*brisk { // by search*limit/brisk
-		t := min(span, brisk/search*(1/u.limit-1/(4.0*brisk)))
-		next := 1 / (1/u.limit - search*t/brisk)
-		calls += brisk / search * math.Log(next/u.limit)
-		u.limit, span = next, span-t
+	growTo(rateGrowth, briskRate)
+	if span > 0 && u.rateLimit < 4*briskRate { // by search*limit/brisk
+		growing := min(span, briskRate/rateGrowth*(1/u.rateLimit-1/(4.0*briskRate)))
+		grown := 1 / (1/u.rateLimit - rateGrowth*growing/briskRate)
+		calls += briskRate / rateGrowth * math.Log(grown/u.rateLimit)
+		u.rateLimit, span = grown, span-growing
 	}
-	rise(4*search, fastest)
-	return calls + u.limit*span
+	growTo(4*rateGrowth, maxRate)
+	return calls + u.rateLimit*span
 }
