--- a/internal/tier/admission/admission_test.go
+++ b/internal/tier/admission/admission_test.go
@@ -25,7 +25,7 @@
 func play(t *testing.T, timeline string) {
 	t.Helper()
 	q := NewQueue()
-	known := map[string]*Call{}
+	known := map[string]*Entry{}
 	for n, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
 		line, wanted, _ := strings.Cut(line, "->")
 		f := strings.Fields(line)
@@ -36,19 +36,19 @@
 		now, got := at(num[0]), ""
 		switch f[1] {
 		case "push":
-			c := &Call{Rank: num[3], Until: at(num[4]), Tag: f[2]}
+			c := &Entry{Priority: num[3], QueueDeadline: at(num[4]), Value: f[2]}
 			if len(f) > 5 {
-				c.Finish = at(num[5])
+				c.ProgramDeadline = at(num[5])
 			}
 			known[f[2]] = c
 			q.Push(c)
 		case "leave":
-			got = fmt.Sprint(q.Leave(known[f[2]]))
+			got = fmt.Sprint(q.Remove(known[f[2]]))
 		case "take":
 			got = "none"
 			if c := q.Next(now); c != nil {
-				q.Take(c)
-				got = c.Tag.(string)
+				q.Admit(c)
+				got = c.Value.(string)
 			}
 		case "len":
 			got = fmt.Sprint(q.Len())
@@ -133,47 +133,47 @@
 func TestAgainstAList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
-		var all []*Call // as they came
+		var all []*Entry // as they came
 		taken, now := 0, 0
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += rapid.IntRange(0, 5).Draw(t, "ms")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				c := &Call{Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Until: at(now + rapid.IntRange(1, 40).Draw(t, "patience")), Tag: i}
+				c := &Entry{Priority: rapid.IntRange(0, 3).Draw(t, "rank"), QueueDeadline: at(now + rapid.IntRange(1, 40).Draw(t, "patience")), Value: i}
 				if rapid.Bool().Draw(t, "program") {
-					c.Finish = at(rapid.IntRange(0, 9).Draw(t, "finish"))
+					c.ProgramDeadline = at(rapid.IntRange(0, 9).Draw(t, "finish"))
 				}
 				q.Push(c)
 				all = append(all, c)
 			case 2:
 				if len(all) > 0 {
 					i := rapid.IntRange(0, len(all)-1).Draw(t, "left")
-					q.Leave(all[i])
+					q.Remove(all[i])
 					all = slices.Delete(all, i, i+1)
 				}
 			default:
 				// What is at the head may have waited too long; what is behind it is dropped only once it is at the head.
-				var due *Call
+				var due *Entry
 				for due == nil && len(all) > 0 {
-					sorted := slices.SortedStableFunc(slices.Values(all), func(a, b *Call) int {
+					sorted := slices.SortedStableFunc(slices.Values(all), func(a, b *Entry) int {
 						far := began.Add(time.Hour)
-						fa, fb := a.Finish, b.Finish
+						fa, fb := a.ProgramDeadline, b.ProgramDeadline
 						if fa.IsZero() {
 							fa = far
 						}
 						if fb.IsZero() {
 							fb = far
 						}
-						return cmp.Or(cmp.Compare(a.Rank, b.Rank), fa.Compare(fb))
+						return cmp.Or(cmp.Compare(a.Priority, b.Priority), fa.Compare(fb))
 					})
 					head := sorted[0]
-					if taken%turnOf == turnOf-1 {
+					if taken%oldestInterval == oldestInterval-1 {
 						head = all[0]
 					}
-					if at(now).Before(head.Until) {
+					if at(now).Before(head.QueueDeadline) {
 						due = head
 					} else {
-						all = slices.DeleteFunc(all, func(c *Call) bool { return c == head })
+						all = slices.DeleteFunc(all, func(c *Entry) bool { return c == head })
 					}
 				}
 				got := q.Next(at(now))
@@ -181,9 +181,9 @@
 					t.Fatalf("the turn is of %v, want %v", tag(got), tag(due))
 				}
 				if got != nil {
-					q.Take(got)
+					q.Admit(got)
 					taken++
-					all = slices.DeleteFunc(all, func(c *Call) bool { return c == got })
+					all = slices.DeleteFunc(all, func(c *Entry) bool { return c == got })
 				}
 			}
 			if q.Len() != len(all) {
@@ -193,28 +193,28 @@
 	})
 }
 
-func tag(c *Call) any {
+func tag(c *Entry) any {
 	if c == nil {
 		return nil
 	}
-	return c.Tag
+	return c.Value
 }
 
 // No class starves: under a load of higher ranks without end, every call gets its turn.
 func TestNobodyStarves(t *testing.T) {
 	q := NewQueue()
-	low := &Call{Rank: 9, Until: at(1 << 30), Tag: "low"}
+	low := &Entry{Priority: 9, QueueDeadline: at(1 << 30), Value: "low"}
 	for i := range 20 {
-		q.Push(&Call{Until: at(1 << 30), Tag: i})
+		q.Push(&Entry{QueueDeadline: at(1 << 30), Value: i})
 	}
 	q.Push(low)
 	for i := range 400 {
 		c := q.Next(at(i))
-		q.Take(c)
+		q.Admit(c)
 		if c == low {
 			return
 		}
-		q.Push(&Call{Until: at(1 << 30), Tag: i})
+		q.Push(&Entry{QueueDeadline: at(1 << 30), Value: i})
 	}
 	t.Error("a call of a low rank never got its turn")
 }
@@ -224,10 +224,10 @@
 		{200 * time.Millisecond, time.Second, 38 * time.Millisecond},
 		{800 * time.Millisecond, time.Second, 188 * time.Millisecond},
 		{800 * time.Millisecond, 50 * time.Millisecond, 50 * time.Millisecond},
-		{0, time.Second, waitLeast},
+		{0, time.Second, minQueueTimeout},
 		{200 * time.Millisecond, 0, 0},
 	} {
-		if got := Patience(c.objective, c.left); got != c.want {
+		if got := QueueTimeout(c.objective, c.left); got != c.want {
 			t.Errorf("patience with an objective of %v and %v left is %v, want %v", c.objective, c.left, got, c.want)
 		}
 	}
--- a/internal/tier/admission/share_test.go
+++ b/internal/tier/admission/share_test.go
@@ -38,16 +38,16 @@
 				break
 			}
 			if c := q.Next(now); c != nil {
-				q.Take(c)
-				served[c.Tag.(int)]++
+				q.Admit(c)
+				served[c.Value.(int)]++
 			}
 			free = free.Add(slot)
 			continue
 		}
 		now := next[i]
-		c := &Call{Kind: crowds[i].name, Rank: crowds[i].rank, Until: now.Add(crowds[i].patience), Tag: i}
+		c := &Entry{Class: crowds[i].name, Priority: crowds[i].rank, QueueDeadline: now.Add(crowds[i].patience), Value: i}
 		if crowds[i].program {
-			c.Finish = now.Add(5 * time.Second)
+			c.ProgramDeadline = now.Add(5 * time.Second)
 		}
 		q.Push(c)
 		came[i]++
@@ -120,16 +120,16 @@
 // Kinds that come and go, as routes do over many configurations, are not remembered without bound.
 func TestKindsAreForgotten(t *testing.T) {
 	q := NewQueue()
-	for i := range 10 * kindsMost {
-		c := &Call{Kind: fmt.Sprint("kind", i), Until: began.Add(time.Second)}
+	for i := range 10 * maxClasses {
+		c := &Entry{Class: fmt.Sprint("kind", i), QueueDeadline: began.Add(time.Second)}
 		q.Push(c)
 		if i%2 == 0 {
-			q.Take(q.Next(began))
+			q.Admit(q.Next(began))
 		}
-		q.Leave(c)
-		q.Served(c)
+		q.Remove(c)
+		q.CountAdmitted(c)
 	}
-	if n := len(q.shares.kinds); n > kindsMost || len(q.shares.waiting) != 0 || q.Len() != 0 {
-		t.Errorf("%d kinds, %d waiting, %d calls", n, len(q.shares.waiting), q.Len())
+	if n := len(q.fairness.classes); n > maxClasses || len(q.fairness.queued) != 0 || q.Len() != 0 {
+		t.Errorf("%d kinds, %d waiting, %d calls", n, len(q.fairness.queued), q.Len())
 	}
 }
--- a/internal/tier/proxy/dispatch.go
+++ b/internal/tier/proxy/dispatch.go
@@ -187,7 +187,7 @@
 	if q.Called {
 		kind += " called"
 	}
-	call := &admission.Call{Kind: kind, Rank: rank, Finish: finish, Until: now.Add(patience), Tag: w}
+	call := &admission.Entry{Class: kind, Priority: rank, ProgramDeadline: finish, QueueDeadline: now.Add(patience), Value: w}
 	queue.Push(call)
 	if !slices.Contains(d.waiting, q.Service) {
 		d.waiting = append(d.waiting, q.Service)
@@ -206,7 +206,7 @@
 	now = time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	queue.Leave(call)
+	queue.Remove(call)
 	select {
 	case e := <-w.got: // just now
 		return e, 0
@@ -219,7 +219,7 @@
 	}
 	q.Over = true // it was not offered yet: to the queue of a host
 	if e := d.pick(q, now); e != nil {
-		queue.Served(call)
+		queue.CountAdmitted(call)
 		return e, 0
 	}
 	places, _ := d.balancer.Places(q.Service, now)
@@ -255,14 +255,14 @@
 func (d *dispatch) pump(service string, now time.Time) {
 	queue := d.queues[service]
 	for c := queue.Next(now); c != nil; c = queue.Next(now) {
-		w := c.Tag.(*waiter)
+		w := c.Value.(*waiter)
 		q := w.query
 		q.Waiting = queue.Len() > 1
 		e := d.pick(q, now)
 		if e == nil {
 			return
 		}
-		queue.Take(c)
+		queue.Admit(c)
 		w.got <- e
 	}
 }
--- a/internal/tier/proxy/forwarder.go
+++ b/internal/tier/proxy/forwarder.go
@@ -103,7 +103,7 @@
 func (f *forwarder) patience(left time.Duration) time.Duration {
 	target := f.request.route.LatencyTarget
 	if !f.mayHaveRun && f.sent == 0 {
-		return admission.Patience(target, left)
+		return admission.QueueTimeout(target, left)
 	}
 	return min(left, max(target/2, 20*time.Millisecond))
 }
