--- a/internal/tier/balancer/balancer.go
+++ b/internal/tier/balancer/balancer.go
@@ -21,205 +21,205 @@
 	Cut()                      // a time-out or a failed connection
 }
 
-// Proof is what the end of a call says about its host.
-type Proof int
+// Outcome is what the end of a call says about its host.
+type Outcome int
 
 // The proofs.
 const (
-	Good      Proof = iota // a whole answer
-	Full                   // it said that it had no room, and did not run the call
-	Refused                // a connection was refused, or hung
-	Broken                 // it broke off an answer, or sent bytes that are none
-	Late                   // a call was cut without a byte of an answer
-	Elsewhere              // 421: another host is at the address
-	Unknown                // the call ended for reasons of its own
+	Success      Outcome = iota // a whole answer
+	AtCapacity                   // it said that it had no room, and did not run the call
+	ConnectFailed                // a connection was refused, or hung
+	ResponseBroken                 // it broke off an answer, or sent bytes that are none
+	TimedOut                   // a call was cut without a byte of an answer
+	Misdirected              // 421: another host is at the address
+	Inconclusive                // the call ended for reasons of its own
 )
 
 const (
-	freshFor   = 2 * time.Second        // a reported load fades over this time
-	fullFor    = 40 * time.Millisecond  // a host that said it is full gets no call for this long
-	ejectLeast = 250 * time.Millisecond // doubled with each proof in a row
-	ejectMost  = 4 * time.Second
-	awayFor    = 5 * time.Second // a host whose address another one answered at is not asked
-	refusedRow = 1               // proofs in a row, from which on a host is ejected
-	brokenRow  = 2
-	lateRow    = 3
-	coldShare  = 0.5              // of its capacity that a cold host gets at first
-	zoneGain   = 0.1              // by how much fuller a host in the own zone may be
-	affinity   = 0.7              // of its capacity up to which a host gets calls for its cache's sake
-	spill      = 1.5              // times the mean load up to which it does
-	spillLeast = 6.0              // calls that are no load to speak of
-	queueShare = 0.25             // of its capacity that a host queues beyond its slots
-	most       = 3.0 / 4          // of the slots that one destination holds
-	normally   = 1.0 / 2          // while others wait
-	forget     = 10 * time.Second // proofs older than this do not add up
-	leavingRow = 2                // answers in a row that close their connection, from which on a host may be leaving
-	leavingFor = 2 * time.Second  // a host that may be leaving is asked again after this
+	loadFadeTime   = 2 * time.Second        // a reported load fades over this time
+	fullBackoff    = 40 * time.Millisecond  // a host that said it is full gets no call for this long
+	minEjection = 250 * time.Millisecond // doubled with each proof in a row
+	maxEjection  = 4 * time.Second
+	misdirectedEjection    = 5 * time.Second // a host whose address another one answered at is not asked
+	connectFailedThreshold = 1               // proofs in a row, from which on a host is ejected
+	responseBrokenThreshold  = 2
+	timedOutThreshold    = 3
+	slowStartReduction  = 0.5              // of its capacity that a cold host gets at first
+	otherZonePenalty   = 0.1              // by how much fuller a host in the own zone may be
+	affinityMaxLoad   = 0.7              // of its capacity up to which a host gets calls for its cache's sake
+	affinityLoadFactor      = 1.5              // times the mean load up to which it does
+	affinityMinBound = 6.0              // calls that are no load to speak of
+	hostQueueShare = 0.25             // of its capacity that a host queues beyond its slots
+	maxHostShare       = 3.0 / 4          // of the slots that one destination holds
+	contendedHostShare   = 1.0 / 2          // while others wait
+	failureMemory     = 10 * time.Second // proofs older than this do not add up
+	closeThreshold = 2                // answers in a row that close their connection, from which on a host may be leaving
+	closeAvoidTime = 2 * time.Second  // a host that may be leaving is asked again after this
 )
 
 // Host is one incarnation.
 type Host struct {
 	discovery.Host
-	out      int // calls of this relay under way
-	others   float64
-	told     time.Time // when others was reported
-	full     time.Time // it has no room until then
-	ejected  time.Time // until then
-	leaving  time.Time // it may be, until then
-	strikes  int
-	struck   time.Time
+	inFlight      int // calls of this relay under way
+	othersLoad   float64
+	reportedAt     time.Time // when others was reported
+	fullUntil     time.Time // it has no room until then
+	ejectedUntil  time.Time // until then
+	avoidUntil  time.Time // it may be, until then
+	failures  int
+	lastFailureAt   time.Time
 	listed   bool
-	closes   int // answers in a row that closed their connection
-	warm     time.Time
-	cold     time.Duration
+	consecutiveCloses   int // answers in a row that closed their connection
+	warmAt     time.Time
+	warmup     time.Duration
 	draining bool
 }
 
-// Out is how many calls of this relay are under way at the host.
-func (h *Host) Out() int { return h.out }
+// InFlight is how many calls of this relay are under way at the host.
+func (h *Host) InFlight() int { return h.inFlight }
 
 // Usable tells whether the list still lets new calls go there.
 func (h *Host) Usable() bool { return h.listed && !h.draining }
 
 // Load estimates the calls at the host: the own ones, and those of others as it reported them.
 func (h *Host) Load(now time.Time) float64 {
-	load := float64(h.out)
-	if age := now.Sub(h.told); h.others > 0 && age < freshFor {
-		load += h.others * (1 - float64(age)/float64(freshFor))
+	load := float64(h.inFlight)
+	if age := now.Sub(h.reportedAt); h.othersLoad > 0 && age < loadFadeTime {
+		load += h.othersLoad * (1 - float64(age)/float64(loadFadeTime))
 	}
 	return load
 }
 
-// room is the capacity that counts at this time.
-func (h *Host) room(now time.Time) float64 {
-	c := float64(max(1, h.Capacity))
-	if left := h.warm.Sub(now); left > 0 && h.cold > 0 {
-		c = max(1, c*(1-coldShare*float64(left)/float64(h.cold)))
+// effectiveCapacity is the capacity that counts at this time.
+func (h *Host) effectiveCapacity(now time.Time) float64 {
+	capacity := float64(max(1, h.Capacity))
+	if left := h.warmAt.Sub(now); left > 0 && h.warmup > 0 {
+		capacity = max(1, capacity*(1-slowStartReduction*float64(left)/float64(h.warmup)))
 	}
-	return c
+	return capacity
 }
 
 // Balancer knows the hosts.
 type Balancer struct {
 	zone     string
-	slots    int // calls that this relay has out at once, at most
-	out      int
+	maxInFlight    int // calls that this relay has out at once, at most
+	inFlight      int
 	seed     uint64
 	byID     map[string]*Host
 	services map[string][]*Host // listed or with calls under way
-	outOf    map[string]int     // calls under way by service
-	pricers  map[string]*pricer // by service, where generations go
-	scratch  []*Host
+	inFlightByService    map[string]int     // calls under way by service
+	costModels  map[string]*costModel // by service, where generations go
+	candidateBuffer  []*Host
 }
 
 // New makes a balancer for a relay in a zone that has at most so many calls out at once. The seed breaks ties.
 func New(zone string, slots int, seed uint64) *Balancer {
-	return &Balancer{zone: zone, slots: slots, seed: seed | 1, byID: map[string]*Host{}, services: map[string][]*Host{}, outOf: map[string]int{}, pricers: map[string]*pricer{}}
+	return &Balancer{zone: zone, maxInFlight: slots, seed: seed | 1, byID: map[string]*Host{}, services: map[string][]*Host{}, inFlightByService: map[string]int{}, costModels: map[string]*costModel{}}
 }
 
-// Hosts takes in the platform's list and tells which incarnations are no longer on it, and which drain.
-func (b *Balancer) Hosts(list []discovery.Host, now time.Time) (closed []*Host) {
+// UpdateHosts takes in the platform's list and tells which incarnations are no longer on it, and which drain.
+func (b *Balancer) UpdateHosts(list []discovery.Host, now time.Time) (closed []*Host) {
 	seen := make(map[string]bool, len(list))
-	for _, g := range list {
-		seen[g.ID] = true
-		h := b.byID[g.ID]
-		if h == nil {
-			h = &Host{cold: time.Duration(g.WarmupMs) * time.Millisecond}
-			h.warm = now.Add(h.cold)
-			b.byID[g.ID] = h
+	for _, listed := range list {
+		seen[listed.ID] = true
+		host := b.byID[listed.ID]
+		if host == nil {
+			host = &Host{warmup: time.Duration(listed.WarmupMs) * time.Millisecond}
+			host.warmAt = now.Add(host.warmup)
+			b.byID[listed.ID] = host
 		}
-		usable := h.Usable()
-		h.Host, h.listed, h.draining = g, true, g.Phase != discovery.Ready
-		if usable && !h.Usable() {
-			closed = append(closed, h)
+		usable := host.Usable()
+		host.Host, host.listed, host.draining = listed, true, listed.Phase != discovery.Ready
+		if usable && !host.Usable() {
+			closed = append(closed, host)
 		}
 	}
-	for id, h := range b.byID {
+	for id, host := range b.byID {
 		if !seen[id] {
-			if h.Usable() {
-				closed = append(closed, h)
+			if host.Usable() {
+				closed = append(closed, host)
 			}
-			if h.listed = false; h.out == 0 {
+			if host.listed = false; host.inFlight == 0 {
 				delete(b.byID, id)
 			}
 		}
 	}
-	b.forgetHosts()
+	b.dropUnknownHosts()
 	clear(b.services)
-	for _, h := range b.byID {
-		b.services[h.Service] = append(b.services[h.Service], h)
+	for _, host := range b.byID {
+		b.services[host.Service] = append(b.services[host.Service], host)
 	}
-	for _, all := range b.services { // one order, whatever that of the map
-		slices.SortFunc(all, func(a, b *Host) int { return cmp.Compare(a.ID, b.ID) })
+	for _, hosts := range b.services { // one order, whatever that of the map
+		slices.SortFunc(hosts, func(a, b *Host) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return closed
 }
 
-// Of gives the incarnation of an id, nil if it is not known.
-func (b *Balancer) Of(id string) *Host { return b.byID[id] }
+// Lookup gives the incarnation of an id, nil if it is not known.
+func (b *Balancer) Lookup(id string) *Host { return b.byID[id] }
 
-// Places is how many slots the usable hosts of a service have, and how many calls are estimated at them.
-func (b *Balancer) Places(service string, now time.Time) (places, taken float64) {
+// Capacity is how many slots the usable hosts of a service have, and how many calls are estimated at them.
+func (b *Balancer) Capacity(service string, now time.Time) (capacity, load float64) {
 	for _, h := range b.services[service] {
 		if h.Usable() {
-			places += h.room(now)
-			taken += min(h.Load(now), h.room(now))
+			capacity += h.effectiveCapacity(now)
+			load += min(h.Load(now), h.effectiveCapacity(now))
 		}
 	}
-	return places, taken
+	return capacity, load
 }
 
-// Query is what is asked for.
-type Query struct {
+// PickInfo is what is asked for.
+type PickInfo struct {
 	Service string
-	Kind    string   // of request; for admission, which serves no kind much less often than all
-	Called  bool     // by a program, as a tool: such calls are a kind of their own
+	Class    string   // of request; for admission, which serves no kind much less often than all
+	FromProgram  bool     // by a program, as a tool: such calls are a kind of their own
 	Program string   // calls of one program go to one host, for its cache
-	Prefix  string   // the shared part of the prompt, where no program is named
+	PromptPrefix  string   // the shared part of the prompt, where no program is named
 	Tried   []string // ids of hosts that had the call
-	Work    *Work    // of a generation, nil for other calls
-	Over    bool     // also to the queue of a host, beyond its slots
-	Waiting bool     // other calls wait for a slot
+	Generation    *Generation    // of a generation, nil for other calls
+	AllowHostQueue    bool     // also to the queue of a host, beyond its slots
+	Contended bool     // other calls wait for a slot
 }
 
 // Pick chooses the host for a call. It gives nil while all are at capacity, or none is known.
-func (b *Balancer) Pick(q Query, now time.Time) *Host {
-	if b.out >= b.slots {
+func (b *Balancer) Pick(info PickInfo, now time.Time) *Host {
+	if b.inFlight >= b.maxInFlight {
 		return nil
 	}
-	only := b.alone(q.Service)
-	ready := slices.DeleteFunc(b.candidates(q, now), func(h *Host) bool { return !b.open(h, q, now, only) })
-	if len(ready) == 0 {
+	singleHost := b.hasSingleHost(info.Service)
+	candidates := slices.DeleteFunc(b.candidates(info, now), func(h *Host) bool { return !b.hasSlot(h, info, now, singleHost) })
+	if len(candidates) == 0 {
 		return nil
 	}
-	if q.Work != nil {
-		return b.cheapest(ready, q, now)
+	if info.Generation != nil {
+		return b.pickCheapest(candidates, info, now)
 	}
-	if key := cmp.Or(q.Program, q.Prefix); key != "" && !q.Over {
-		if h := b.affine(ready, key, now); h != nil {
+	if key := cmp.Or(info.Program, info.PromptPrefix); key != "" && !info.AllowHostQueue {
+		if h := b.pickByAffinity(candidates, key, now); h != nil {
 			return h
 		}
 	}
-	return b.least(ready, now)
+	return b.pickLeastLoaded(candidates, now)
 }
 
 // candidates are the hosts that may be asked: those in good standing that did not have the call; where there is none, one
 // in doubt is better than nothing, and then one that had it.
-func (b *Balancer) candidates(q Query, now time.Time) []*Host {
-	ready := b.scratch[:0]
-	for pass := 0; pass < 3 && len(ready) == 0; pass++ {
-		for _, h := range b.services[q.Service] {
-			if h.Usable() && (pass > 0 || !now.Before(h.ejected) && !now.Before(h.leaving)) && (pass > 1 || !slices.Contains(q.Tried, h.ID)) {
-				ready = append(ready, h)
+func (b *Balancer) candidates(info PickInfo, now time.Time) []*Host {
+	candidates := b.candidateBuffer[:0]
+	for pass := 0; pass < 3 && len(candidates) == 0; pass++ {
+		for _, h := range b.services[info.Service] {
+			if h.Usable() && (pass > 0 || !now.Before(h.ejectedUntil) && !now.Before(h.avoidUntil)) && (pass > 1 || !slices.Contains(info.Tried, h.ID)) {
+				candidates = append(candidates, h)
 			}
 		}
 	}
-	b.scratch = ready
-	return ready
+	b.candidateBuffer = candidates
+	return candidates
 }
 
-// alone tells whether a service has one host only.
-func (b *Balancer) alone(service string) bool {
+// hasSingleHost tells whether a service has one host only.
+func (b *Balancer) hasSingleHost(service string) bool {
 	n := 0
 	for _, h := range b.services[service] {
 		if h.Usable() {
@@ -229,48 +229,48 @@
 	return n < 2
 }
 
-// open tells whether a host has a slot for a call, and the relay one for the host.
-func (b *Balancer) open(h *Host, q Query, now time.Time, only bool) bool {
-	room := h.room(now)
-	if q.Over {
-		room += max(1, queueShare*room)
+// hasSlot tells whether a host has a slot for a call, and the relay one for the host.
+func (b *Balancer) hasSlot(h *Host, info PickInfo, now time.Time, singleHost bool) bool {
+	capacity := h.effectiveCapacity(now)
+	if info.AllowHostQueue {
+		capacity += max(1, hostQueueShare*capacity)
 	}
-	if h.Load(now) >= room || now.Before(h.full) && !q.Over {
+	if h.Load(now) >= capacity || now.Before(h.fullUntil) && !info.AllowHostQueue {
 		return false
 	}
-	with := float64(h.out + 1)
+	callsWithThis := float64(h.inFlight + 1)
 	switch {
-	case only || with <= 1:
+	case singleHost || callsWithThis <= 1:
 		return true
-	case q.Waiting:
-		return with <= normally*float64(b.slots)
+	case info.Contended:
+		return callsWithThis <= contendedHostShare*float64(b.maxInFlight)
 	}
-	return with < most*float64(b.slots)
+	return callsWithThis < maxHostShare*float64(b.maxInFlight)
 }
 
-// affine is bounded-load rendezvous hashing: the first host in the key's order that is not loaded beyond the others.
-func (b *Balancer) affine(ready []*Host, key string, now time.Time) *Host {
-	load, room := 0.0, 0.0
-	for _, h := range ready {
-		load += h.Load(now)
-		room += h.room(now)
+// pickByAffinity is bounded-load rendezvous hashing: the first host in the key's order that is not loaded beyond the others.
+func (b *Balancer) pickByAffinity(candidates []*Host, key string, now time.Time) *Host {
+	totalLoad, capacity := 0.0, 0.0
+	for _, h := range candidates {
+		totalLoad += h.Load(now)
+		capacity += h.effectiveCapacity(now)
 	}
 	var best *Host
-	bestOwn, bestRank := false, uint64(0)
-	for _, h := range ready {
-		bound := min(affinity*h.room(now), max(spillLeast, spill*(load+1)*h.room(now)/room))
+	bestSameZone, bestScore := false, uint64(0)
+	for _, h := range candidates {
+		bound := min(affinityMaxLoad*h.effectiveCapacity(now), max(affinityMinBound, affinityLoadFactor*(totalLoad+1)*h.effectiveCapacity(now)/capacity))
 		if h.Load(now) >= bound {
 			continue
 		}
-		own, r := h.Zone == b.zone, rank(key, h.ID)
-		if best == nil || own && !bestOwn || own == bestOwn && r > bestRank {
-			best, bestOwn, bestRank = h, own, r
+		sameZone, score := h.Zone == b.zone, rendezvousScore(key, h.ID)
+		if best == nil || sameZone && !bestSameZone || sameZone == bestSameZone && score > bestScore {
+			best, bestSameZone, bestScore = h, sameZone, score
 		}
 	}
 	return best
 }
 
-func rank(key, id string) uint64 {
+func rendezvousScore(key, id string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
@@ -279,19 +279,19 @@
 	return d.Sum64()
 }
 
-// least takes the host with the smallest part of its slots taken; the own zone's may be a little fuller.
-func (b *Balancer) least(ready []*Host, now time.Time) *Host {
+// pickLeastLoaded takes the host with the smallest part of its slots taken; the own zone's may be a little fuller.
+func (b *Balancer) pickLeastLoaded(candidates []*Host, now time.Time) *Host {
 	var best *Host
-	low, ties := math.Inf(1), uint64(0)
-	for _, h := range ready {
-		part := (h.Load(now) + 1) / h.room(now)
+	lowest, ties := math.Inf(1), uint64(0)
+	for _, h := range candidates {
+		utilization := (h.Load(now) + 1) / h.effectiveCapacity(now)
 		if h.Zone != b.zone {
-			part += zoneGain
+			utilization += otherZonePenalty
 		}
 		switch {
-		case part < low-1e-9:
-			best, low, ties = h, part, 1
-		case part < low+1e-9:
+		case utilization < lowest-1e-9:
+			best, lowest, ties = h, utilization, 1
+		case utilization < lowest+1e-9:
 			if ties++; b.random()%ties == 0 {
 				best = h
 			}
@@ -307,87 +307,87 @@
 	return b.seed >> 11
 }
 
-// Begin notes a call that goes to a host.
-func (b *Balancer) Begin(h *Host) {
-	h.out++
-	b.out++
-	b.outOf[h.Service]++
+// CallStarted notes a call that goes to a host.
+func (b *Balancer) CallStarted(h *Host) {
+	h.inFlight++
+	b.inFlight++
+	b.inFlightByService[h.Service]++
 }
 
-// Out is how many calls are under way to the hosts of a service.
-func (b *Balancer) Out(service string) int { return b.outOf[service] }
+// InFlight is how many calls are under way to the hosts of a service.
+func (b *Balancer) InFlight(service string) int { return b.inFlightByService[service] }
 
-// Report takes in the load that a host told with an answer, while the call it answered still counts as out.
-func (b *Balancer) Report(h *Host, running, waiting int, now time.Time) {
-	h.others, h.told = max(0, float64(running+waiting-h.out)), now
+// ReportLoad takes in the load that a host told with an answer, while the call it answered still counts as out.
+func (b *Balancer) ReportLoad(h *Host, running, waiting int, now time.Time) {
+	h.othersLoad, h.reportedAt = max(0, float64(running+waiting-h.inFlight)), now
 }
 
-// Closed notes whether an answer of a host closed its connection. Hosts that leave do so with each answer, others now and
+// ObserveClose notes whether an answer of a host closed its connection. Hosts that leave do so with each answer, others now and
 // then: one that does so again and again is leaving, before the list says so.
-func (b *Balancer) Closed(h *Host, closed bool, now time.Time) {
+func (b *Balancer) ObserveClose(h *Host, closed bool, now time.Time) {
 	if !closed {
-		h.closes = 0
+		h.consecutiveCloses = 0
 		return
 	}
-	if h.closes++; h.closes >= leavingRow {
-		h.leaving = now.Add(leavingFor)
+	if h.consecutiveCloses++; h.consecutiveCloses >= closeThreshold {
+		h.avoidUntil = now.Add(closeAvoidTime)
 	}
 }
 
-// End notes the end of a call and what it proves.
-func (b *Balancer) End(h *Host, p Proof, now time.Time) {
-	h.out--
-	b.out--
-	b.outOf[h.Service]--
-	switch p {
-	case Good:
-		h.strikes = 0
-		h.ejected = time.Time{}
-	case Full:
-		h.full = now.Add(fullFor)
-		h.others, h.told = max(h.others, h.room(now)-float64(h.out)), now
-	case Refused:
-		h.strike(now, refusedRow)
-	case Broken:
-		h.strike(now, brokenRow)
-	case Late:
-		h.strike(now, lateRow)
-	case Elsewhere:
-		h.ejected = now.Add(awayFor)
+// CallEnded notes the end of a call and what it proves.
+func (b *Balancer) CallEnded(h *Host, outcome Outcome, now time.Time) {
+	h.inFlight--
+	b.inFlight--
+	b.inFlightByService[h.Service]--
+	switch outcome {
+	case Success:
+		h.failures = 0
+		h.ejectedUntil = time.Time{}
+	case AtCapacity:
+		h.fullUntil = now.Add(fullBackoff)
+		h.othersLoad, h.reportedAt = max(h.othersLoad, h.effectiveCapacity(now)-float64(h.inFlight)), now
+	case ConnectFailed:
+		h.recordFailure(now, connectFailedThreshold)
+	case ResponseBroken:
+		h.recordFailure(now, responseBrokenThreshold)
+	case TimedOut:
+		h.recordFailure(now, timedOutThreshold)
+	case Misdirected:
+		h.ejectedUntil = now.Add(misdirectedEjection)
 	}
-	if !h.listed && h.out == 0 {
+	if !h.listed && h.inFlight == 0 {
 		delete(b.byID, h.ID)
-		b.services[h.Service] = slices.DeleteFunc(b.services[h.Service], func(o *Host) bool { return o == h })
+		b.services[h.Service] = slices.DeleteFunc(b.services[h.Service], func(other *Host) bool { return other == h })
 	}
 }
 
-func (h *Host) strike(now time.Time, row int) {
-	if now.Sub(h.struck) > forget {
-		h.strikes = 0
+func (h *Host) recordFailure(now time.Time, threshold int) {
+	if now.Sub(h.lastFailureAt) > failureMemory {
+		h.failures = 0
 	}
-	h.strikes++
-	h.struck = now
-	if n := h.strikes - row; n >= 0 {
-		if until := now.Add(min(ejectMost, ejectLeast<<min(n, 8))); until.After(h.ejected) {
-			h.ejected = until
+	h.failures++
+	h.lastFailureAt = now
+	if excess := h.failures - threshold; excess >= 0 {
+		if until := now.Add(min(maxEjection, minEjection<<min(excess, 8))); until.After(h.ejectedUntil) {
+			h.ejectedUntil = until
 		}
 	}
 }
 
-// Target picks among weighted ones by a key: the same key goes the same way.
-func Target(shares []int, key string) int {
+// PickTarget picks among weighted ones by a key: the same key goes the same way.
+func PickTarget(weights []int, key string) int {
 	sum := 0
-	for _, s := range shares {
-		sum += s
+	for _, weight := range weights {
+		sum += weight
 	}
 	if sum <= 0 {
 		return 0
 	}
-	at := int(xxhash.Sum64String(key) % uint64(sum))
-	for i, s := range shares {
-		if at -= s; at < 0 {
+	remaining := int(xxhash.Sum64String(key) % uint64(sum))
+	for i, weight := range weights {
+		if remaining -= weight; remaining < 0 {
 			return i
 		}
 	}
-	return len(shares) - 1
+	return len(weights) - 1
 }
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -54,7 +54,7 @@
 //	places SERVICE          places and how many are taken
 func play(t *testing.T, slots int, timeline string) {
 	t.Helper()
-	proofs := map[string]Proof{"good": Good, "full": Full, "refused": Refused, "broken": Broken, "late": Late, "elsewhere": Elsewhere, "unknown": Unknown}
+	proofs := map[string]Outcome{"good": Success, "full": AtCapacity, "refused": ConnectFailed, "broken": ResponseBroken, "late": TimedOut, "elsewhere": Misdirected, "unknown": Inconclusive}
 	v := New("z", slots, 7)
 	known := map[string]*Host{}
 	for n, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
@@ -71,16 +71,16 @@
 		switch what {
 		case "hosts":
 			var closed []string
-			for _, h := range v.Hosts(list(rest), now) {
+			for _, h := range v.UpdateHosts(list(rest), now) {
 				closed = append(closed, h.ID)
 			}
 			slices.Sort(closed)
 			got = strings.Join(closed, " ")
 			for _, g := range list(rest) {
-				known[g.ID] = v.Of(g.ID)
+				known[g.ID] = v.Lookup(g.ID)
 			}
 		case "pick":
-			q := Query{Service: "a"}
+			q := PickInfo{Service: "a"}
 			for _, one := range f {
 				k, val, _ := strings.Cut(one, "=")
 				switch k {
@@ -89,33 +89,33 @@
 				case "p":
 					q.Program = val
 				case "x":
-					q.Prefix = val
+					q.PromptPrefix = val
 				case "t":
 					q.Tried = strings.Split(val, "+")
 				case "over":
-					q.Over = true
+					q.AllowHostQueue = true
 				case "waiting":
-					q.Waiting = true
+					q.Contended = true
 				}
 			}
 			got = "none"
 			if h := v.Pick(q, now); h != nil {
-				v.Begin(h)
+				v.CallStarted(h)
 				got = h.ID
 			}
 		case "end":
-			v.End(known[f[0]], proofs[f[1]], now)
+			v.CallEnded(known[f[0]], proofs[f[1]], now)
 		case "load":
 			running, waiting, _ := strings.Cut(f[1], "/")
 			r, _ := strconv.Atoi(running)
 			w, _ := strconv.Atoi(waiting)
-			v.Report(known[f[0]], r, w, now)
+			v.ReportLoad(known[f[0]], r, w, now)
 		case "closes", "stays":
-			v.Closed(known[f[0]], what == "closes", now)
+			v.ObserveClose(known[f[0]], what == "closes", now)
 		case "out":
-			got = fmt.Sprint(v.Out(f[0]))
+			got = fmt.Sprint(v.InFlight(f[0]))
 		case "places":
-			places, taken := v.Places(f[0], now)
+			places, taken := v.Capacity(f[0], now)
 			got = fmt.Sprintf("%.1f %.1f", places, taken)
 		default:
 			t.Fatalf("line %d: no event %q", n+1, what)
@@ -379,7 +379,7 @@
 		v := New("z", slots, rapid.Uint64().Draw(t, "seed"))
 		now := began
 		hosts := fleet(t, 0)
-		v.Hosts(hosts, now)
+		v.UpdateHosts(hosts, now)
 		out := map[*Host]int{}
 		total := 0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -387,27 +387,27 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				hosts = fleet(t, 0)
-				v.Hosts(hosts, now)
+				v.UpdateHosts(hosts, now)
 			case 1:
 				if total > 0 {
 					busy := slices.SortedFunc(maps.Keys(out), func(a, b *Host) int { return cmp.Compare(a.ID, b.ID) })
 					h := rapid.SampledFrom(busy).Draw(t, "ended")
 					if rapid.Bool().Draw(t, "tells") {
-						v.Report(h, rapid.IntRange(0, 99).Draw(t, "running"), 0, now)
-						v.Closed(h, rapid.Bool().Draw(t, "closes"), now)
+						v.ReportLoad(h, rapid.IntRange(0, 99).Draw(t, "running"), 0, now)
+						v.ObserveClose(h, rapid.Bool().Draw(t, "closes"), now)
 					}
-					v.End(h, Proof(rapid.IntRange(int(Good), int(Unknown)).Draw(t, "proof")), now)
+					v.CallEnded(h, Outcome(rapid.IntRange(int(Success), int(Inconclusive)).Draw(t, "proof")), now)
 					if out[h]--; out[h] == 0 {
 						delete(out, h)
 					}
 					total--
 				}
 			default:
-				q := Query{Service: "a", Over: rapid.Bool().Draw(t, "over"), Waiting: rapid.Bool().Draw(t, "waiting"),
+				q := PickInfo{Service: "a", AllowHostQueue: rapid.Bool().Draw(t, "over"), Contended: rapid.Bool().Draw(t, "waiting"),
 					Program: rapid.SampledFrom([]string{"", "p", "q"}).Draw(t, "program")}
 				h := v.Pick(q, now)
 				free := slices.ContainsFunc(v.services["a"], func(h *Host) bool {
-					return h.Usable() && !now.Before(h.ejected) && !now.Before(h.leaving) && !now.Before(h.full) && h.Load(now) < h.room(now) && float64(h.out)+1 < normally*slots
+					return h.Usable() && !now.Before(h.ejectedUntil) && !now.Before(h.avoidUntil) && !now.Before(h.fullUntil) && h.Load(now) < h.effectiveCapacity(now) && float64(h.inFlight)+1 < contendedHostShare*slots
 				})
 				if h == nil {
 					if free && total < slots {
@@ -419,15 +419,15 @@
 				if i < 0 || hosts[i].Phase != discovery.Ready {
 					t.Fatalf("the call goes to %s, which is draining or gone", h.ID)
 				}
-				if most := h.room(now); !q.Over && h.Load(now) >= most || h.Load(now) >= most+max(1, queueShare*most) {
+				if most := h.effectiveCapacity(now); !q.AllowHostQueue && h.Load(now) >= most || h.Load(now) >= most+max(1, hostQueueShare*most) {
 					t.Fatalf("the call goes to %s, which has no room", h.ID)
 				}
-				v.Begin(h)
+				v.CallStarted(h)
 				out[h]++
 				total++
 			}
-			if v.Out("a") != total || total > slots {
-				t.Fatalf("%d calls are told to be out, not %d of %d", v.Out("a"), total, slots)
+			if v.InFlight("a") != total || total > slots {
+				t.Fatalf("%d calls are told to be out, not %d of %d", v.InFlight("a"), total, slots)
 			}
 		}
 	})
@@ -443,13 +443,13 @@
 		}
 		one, other, fewer := New("z", 99, 1), New("z", 99, 2), New("z", 99, 3)
 		lost := rapid.IntRange(0, len(hosts)-1).Draw(t, "lost")
-		one.Hosts(hosts, began)
+		one.UpdateHosts(hosts, began)
 		turned := slices.Clone(hosts)
 		slices.Reverse(turned)
-		other.Hosts(turned, began)
-		fewer.Hosts(slices.Delete(slices.Clone(hosts), lost, lost+1), began)
+		other.UpdateHosts(turned, began)
+		fewer.UpdateHosts(slices.Delete(slices.Clone(hosts), lost, lost+1), began)
 		for i := range 30 {
-			q := Query{Service: "a", Program: fmt.Sprint("p", i)}
+			q := PickInfo{Service: "a", Program: fmt.Sprint("p", i)}
 			h := one.Pick(q, began)
 			if o := other.Pick(q, began); o.ID != h.ID {
 				t.Fatalf("two relays send %s to %s and %s", q.Program, h.ID, o.ID)
@@ -464,11 +464,11 @@
 // Programs are spread: with many of them no host of the zone has more than its part by far.
 func TestProgramsAreSpread(t *testing.T) {
 	v := New("z", 10_000, 1)
-	v.Hosts(list("a-1 z 96, a-2 z 96, a-3 z 96, a-4 y 96"), began)
+	v.UpdateHosts(list("a-1 z 96, a-2 z 96, a-3 z 96, a-4 y 96"), began)
 	had := map[string]int{}
 	for i := range 60 {
-		h := v.Pick(Query{Service: "a", Program: fmt.Sprint("p", i)}, began)
-		v.Begin(h)
+		h := v.Pick(PickInfo{Service: "a", Program: fmt.Sprint("p", i)}, began)
+		v.CallStarted(h)
 		had[h.ID]++
 	}
 	for id, n := range had {
@@ -482,8 +482,8 @@
 	had := [3]int{}
 	for i := range 3000 {
 		key := fmt.Sprint("k", i)
-		n := Target([]int{90, 0, 10}, key)
-		if n != Target([]int{90, 0, 10}, key) {
+		n := PickTarget([]int{90, 0, 10}, key)
+		if n != PickTarget([]int{90, 0, 10}, key) {
 			t.Fatal("the same key goes two ways")
 		}
 		had[n]++
@@ -492,7 +492,7 @@
 		t.Errorf("of 3000 keys %v went each way, want 90, 0 and 10 in 100", had)
 	}
 	for _, shares := range [][]int{{5}, {0}, nil} {
-		if n := Target(shares, "k"); n != 0 {
+		if n := PickTarget(shares, "k"); n != 0 {
 			t.Errorf("the target among %v is %d", shares, n)
 		}
 	}
--- a/internal/tier/proxy/dispatch.go
+++ b/internal/tier/proxy/dispatch.go
@@ -64,14 +64,14 @@
 		return
 	}
 	d.hosts, d.config = t.Hosts, t.Config
-	for _, h := range d.balancer.Hosts(t.Hosts.Hosts, now) {
+	for _, h := range d.balancer.UpdateHosts(t.Hosts.Hosts, now) {
 		if e := d.dests[h.ID]; e != nil {
 			e.calls.SetClosed(true)
 		}
 	}
 	seen := make(map[place]bool, len(t.Hosts.Hosts))
 	for _, g := range t.Hosts.Hosts {
-		h, at := d.balancer.Of(g.ID), place{g.Service, g.Addr}
+		h, at := d.balancer.Lookup(g.ID), place{g.Service, g.Addr}
 		seen[at] = true
 		if d.tables[at] == nil {
 			d.tables[at] = &table{by: map[time.Duration]balancer.Oracle{}}
@@ -91,7 +91,7 @@
 		}
 	}
 	for id, e := range d.dests {
-		if d.balancer.Of(id) != e.host {
+		if d.balancer.Lookup(id) != e.host {
 			e.calls.SetClosed(true)
 			delete(d.dests, id)
 		}
@@ -162,13 +162,13 @@
 func (g *guarded) Cut()                      { g.mu.Lock(); defer g.mu.Unlock(); g.o.Cut() }
 
 type waiter struct {
-	query balancer.Query
+	query balancer.PickInfo
 	got   chan *dest
 }
 
 // acquire takes a slot at a host, and waits for one for so long. It gives nil when none is to be had; wait then says
 // when to come back.
-func (d *dispatch) acquire(q balancer.Query, rank int, finish time.Time, objective, patience time.Duration, gone <-chan struct{}) (e *dest, wait time.Duration) {
+func (d *dispatch) acquire(q balancer.PickInfo, rank int, finish time.Time, objective, patience time.Duration, gone <-chan struct{}) (e *dest, wait time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
 	queue := d.queues[q.Service]
@@ -183,8 +183,8 @@
 		}
 	}
 	w := &waiter{query: q, got: make(chan *dest, 1)}
-	kind := q.Kind
-	if q.Called {
+	kind := q.Class
+	if q.FromProgram {
 		kind += " called"
 	}
 	call := &admission.Entry{Class: kind, Priority: rank, ProgramDeadline: finish, QueueDeadline: now.Add(patience), Value: w}
@@ -217,12 +217,12 @@
 		return nil, 0
 	default:
 	}
-	q.Over = true // it was not offered yet: to the queue of a host
+	q.AllowHostQueue = true // it was not offered yet: to the queue of a host
 	if e := d.pick(q, now); e != nil {
 		queue.CountAdmitted(call)
 		return e, 0
 	}
-	places, _ := d.balancer.Places(q.Service, now)
+	places, _ := d.balancer.Capacity(q.Service, now)
 	if places == 0 {
 		return nil, startsAgain() // no host is known: this relay has just started, or all have gone
 	}
@@ -230,12 +230,12 @@
 }
 
 // pick takes a slot now. The lock is held.
-func (d *dispatch) pick(q balancer.Query, now time.Time) *dest {
+func (d *dispatch) pick(q balancer.PickInfo, now time.Time) *dest {
 	h := d.balancer.Pick(q, now)
 	if h == nil || d.dests[h.ID] == nil {
 		return nil
 	}
-	d.balancer.Begin(h)
+	d.balancer.CallStarted(h)
 	return d.dests[h.ID]
 }
 
@@ -243,7 +243,7 @@
 // lock is held.
 func (d *dispatch) pumpAll(now time.Time) {
 	slices.SortFunc(d.waiting, func(a, b string) int {
-		return cmp.Or(cmp.Compare(d.balancer.Out(a), d.balancer.Out(b)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(d.balancer.InFlight(a), d.balancer.InFlight(b)), cmp.Compare(a, b))
 	})
 	for _, service := range d.waiting {
 		d.pump(service, now)
@@ -257,7 +257,7 @@
 	for c := queue.Next(now); c != nil; c = queue.Next(now) {
 		w := c.Value.(*waiter)
 		q := w.query
-		q.Waiting = queue.Len() > 1
+		q.Contended = queue.Len() > 1
 		e := d.pick(q, now)
 		if e == nil {
 			return
@@ -283,27 +283,27 @@
 }
 
 // release gives a slot back, with what the call proved.
-func (d *dispatch) release(e *dest, p balancer.Proof) {
-	if p == balancer.Elsewhere {
+func (d *dispatch) release(e *dest, p balancer.Outcome) {
+	if p == balancer.Misdirected {
 		e.calls.CloseIdle()
 	}
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.End(e.host, p, now)
+	d.balancer.CallEnded(e.host, p, now)
 	d.pumpAll(now)
 }
 
 // expect notes that a piece of work goes to a host; what it gives takes in how long the first event took.
-func (d *dispatch) expect(e *dest, w *balancer.Work) func(took time.Duration) {
+func (d *dispatch) expect(e *dest, w *balancer.Generation) func(took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	calls, tokens := d.balancer.Expect(e.host, w, time.Now())
+	calls, tokens := d.balancer.ExpectFirstEvent(e.host, w, time.Now())
 	service := e.host.Service
 	return func(took time.Duration) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.balancer.First(service, took, calls, tokens)
+		d.balancer.ObserveFirstEvent(service, took, calls, tokens)
 	}
 }
 
@@ -313,8 +313,8 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Closed(e.host, a.Close, now)
+	d.balancer.ObserveClose(e.host, a.Close, now)
 	if ok {
-		d.balancer.Report(e.host, running, waiting, now)
+		d.balancer.ReportLoad(e.host, running, waiting, now)
 	}
 }
--- a/internal/tier/proxy/forwarder.go
+++ b/internal/tier/proxy/forwarder.go
@@ -18,7 +18,7 @@
 }
 
 // end gives the slot back.
-func (r *request) end(t *attempt, p balancer.Proof) { r.server().dispatch.release(t.dest, p) }
+func (r *request) end(t *attempt, p balancer.Outcome) { r.server().dispatch.release(t.dest, p) }
 
 // served ends a try whose whole answer is in.
 func (r *request) served(t *attempt) {
@@ -26,7 +26,7 @@
 		t.oracle.Served(time.Since(t.begin))
 	}
 	t.Response.Finish()
-	r.end(t, balancer.Good)
+	r.end(t, balancer.Success)
 }
 
 // broke ends a try whose call or answer broke off.
@@ -39,25 +39,25 @@
 	}
 	switch {
 	case is(err, upstream.ErrCancelled):
-		r.end(t, balancer.Unknown)
+		r.end(t, balancer.Inconclusive)
 	case is(err, upstream.ErrDeadline):
 		t.oracle.Cut()
 		if t.Begun {
-			r.end(t, balancer.Unknown)
+			r.end(t, balancer.Inconclusive)
 		} else {
-			r.end(t, balancer.Late)
+			r.end(t, balancer.TimedOut)
 		}
 	case t.Reused && !t.Begun: // the connection may have been dropped on the way, which is no sign of its host's health
-		r.end(t, balancer.Unknown)
+		r.end(t, balancer.Inconclusive)
 	default:
-		r.end(t, balancer.Broken)
+		r.end(t, balancer.ResponseBroken)
 	}
 }
 
 // forwarder sends the request to hosts, one after the other, until one answers or nothing more may be tried.
 type forwarder struct {
 	request     *request
-	query       balancer.Query
+	query       balancer.PickInfo
 	body        [][]byte
 	repeatable  bool          // it may run more than once
 	sent        int           // attempts that a host had whole
@@ -113,8 +113,8 @@
 	r := f.request
 	d := r.server().dispatch
 	var expected func(time.Duration)
-	if f.query.Work != nil {
-		expected = d.expect(host, f.query.Work)
+	if f.query.Generation != nil {
+		expected = d.expect(host, f.query.Generation)
 	}
 	t := &attempt{dest: host, oracle: d.oracle(host, r.route.Deadline), begin: time.Now()}
 	rq := &upstream.Request{Method: r.method, URI: r.uri, Host: r.host, ID: r.id, Header: r.header, Body: f.body, Deadline: r.until, PreferNew: !f.repeatable}
@@ -197,9 +197,9 @@
 	r, a := f.request, t.Response
 	switch {
 	case a.Status == http.StatusBadRequest && !a.Complete(): // its reason broke off: another may tell it whole
-		r.end(t, balancer.Broken)
+		r.end(t, balancer.ResponseBroken)
 	case a.Status == http.StatusBadRequest: // of the request, whoever gets it
-		r.end(t, balancer.Good)
+		r.end(t, balancer.Success)
 		if !f.mayHaveRun {
 			r.sendWhole(a, a.RefusalBody)
 		} else {
@@ -207,9 +207,9 @@
 		}
 		return true
 	case a.Status == http.StatusMisdirectedRequest && r.get("Expect-Version") == "":
-		r.end(t, balancer.Elsewhere)
+		r.end(t, balancer.Misdirected)
 	default:
-		r.end(t, balancer.Full)
+		r.end(t, balancer.AtCapacity)
 	}
 	return false
 }
@@ -220,13 +220,13 @@
 	switch {
 	case is(t.Err, upstream.ErrConnect):
 		t.oracle.Cut()
-		r.end(t, balancer.Refused)
+		r.end(t, balancer.ConnectFailed)
 	case is(t.Err, upstream.ErrNotSent):
-		r.end(t, balancer.Broken)
+		r.end(t, balancer.ResponseBroken)
 	case is(t.Err, upstream.ErrConnectionLimit):
-		r.end(t, balancer.Full)
+		r.end(t, balancer.AtCapacity)
 	default:
-		r.end(t, balancer.Unknown)
+		r.end(t, balancer.Inconclusive)
 	}
 }
 
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -56,15 +56,15 @@
 }
 
 // query is what the request asks of the load balancing.
-func (r *request) query() balancer.Query {
-	q := balancer.Query{Service: r.service.Name, Kind: r.route.Name, Called: !r.route.Retained && r.get("Program") != ""}
+func (r *request) query() balancer.PickInfo {
+	q := balancer.PickInfo{Service: r.service.Name, Class: r.route.Name, FromProgram: !r.route.Retained && r.get("Program") != ""}
 	if r.route.Affinity || r.route.Retained {
 		q.Program = cmp.Or(r.get("Program"), r.get("Session"))
-		q.Prefix, _, _ = strings.Cut(r.get("X-Prompt-Prefix"), ":")
+		q.PromptPrefix, _, _ = strings.Cut(r.get("X-Prompt-Prefix"), ":")
 	}
 	if r.prompt > 0 {
-		q.Work = &balancer.Work{Prompt: r.prompt}
-		q.Work.Shared, q.Work.Common = shared(r.get("X-Prompt-Prefix"))
+		q.Generation = &balancer.Generation{PromptTokens: r.prompt}
+		q.Generation.SharedPrefix, q.Generation.SharedTokens = shared(r.get("X-Prompt-Prefix"))
 	}
 	return q
 }
--- a/internal/tier/proxy/idle_test.go
+++ b/internal/tier/proxy/idle_test.go
@@ -206,7 +206,7 @@
 	defer v.dispatch.mu.Unlock()
 	for _, id := range []string{"i-1", "i-1-e"} {
 		for range 3 {
-			v.dispatch.balancer.Begin(v.dispatch.balancer.Of(id))
+			v.dispatch.balancer.CallStarted(v.dispatch.balancer.Lookup(id))
 		}
 	}
 }
--- a/internal/tier/proxy/leaving_test.go
+++ b/internal/tier/proxy/leaving_test.go
@@ -69,7 +69,7 @@
 	v.dispatch.mu.Lock() // all slots are taken for a while
 	for _, id := range []string{"i-1", "i-2", "i-1-e", "i-2-e"} {
 		for range 12 {
-			v.dispatch.balancer.Begin(v.dispatch.balancer.Of(id))
+			v.dispatch.balancer.CallStarted(v.dispatch.balancer.Lookup(id))
 		}
 	}
 	v.dispatch.mu.Unlock()
@@ -79,7 +79,7 @@
 				v.dispatch.mu.Lock()
 				e := v.dispatch.dests[id]
 				v.dispatch.mu.Unlock()
-				v.dispatch.release(e, balancer.Good)
+				v.dispatch.release(e, balancer.Success)
 			}
 		}
 	})
@@ -126,7 +126,7 @@
 				}
 				most = max(most, len(c.calls))
 				v.dispatch.mu.Lock()
-				out := v.dispatch.balancer.Out("plain") + v.dispatch.balancer.Out("engine")
+				out := v.dispatch.balancer.InFlight("plain") + v.dispatch.balancer.InFlight("engine")
 				v.dispatch.mu.Unlock()
 				want(t, "slots taken behind "+moment.String(), out, 0)
 				if r.path == "/turn/x" && moment > step { // it was opened
--- a/internal/tier/proxy/many_test.go
+++ b/internal/tier/proxy/many_test.go
@@ -126,6 +126,6 @@
 	eventually(t, "nothing out", func() bool {
 		f.dispatch.mu.Lock()
 		defer f.dispatch.mu.Unlock()
-		return f.dispatch.balancer.Out("plain") == 0 && f.dispatch.balancer.Out("engine") == 0 && len(f.dispatch.waiting) == 0
+		return f.dispatch.balancer.InFlight("plain") == 0 && f.dispatch.balancer.InFlight("engine") == 0 && len(f.dispatch.waiting) == 0
 	})
 }
--- a/internal/tier/proxy/plain_test.go
+++ b/internal/tier/proxy/plain_test.go
@@ -356,7 +356,7 @@
 		eventually(t, "slot given back", func() bool {
 			f.dispatch.mu.Lock()
 			defer f.dispatch.mu.Unlock()
-			return f.dispatch.balancer.Out("plain") == 0
+			return f.dispatch.balancer.InFlight("plain") == 0
 		})
 		want(t, "calls", h.calls.Load(), 1)
 	}
@@ -447,7 +447,7 @@
 	d.mu.Lock()
 	d.again = time.NewTimer(time.Hour) // nobody looks
 	d.mu.Unlock()
-	q := balancer.Query{Service: "plain"}
+	q := balancer.PickInfo{Service: "plain"}
 	first, _ := d.acquire(q, 0, time.Time{}, time.Second, time.Second, nil)
 	got := make(chan *dest, 1)
 	go func() {
@@ -459,10 +459,10 @@
 		defer d.mu.Unlock()
 		return len(d.waiting) == 1
 	})
-	d.release(first, balancer.Good)
+	d.release(first, balancer.Success)
 	e := wait(t, got, "slot")
 	want(t, "host", e, first)
-	d.release(e, balancer.Good)
+	d.release(e, balancer.Success)
 }
 
 // A host that drains, by the list: what is under way there ends whole, nothing new goes there, also not on connections
@@ -517,9 +517,9 @@
 	d.mu.Lock()
 	d.again = time.NewTimer(time.Hour) // nobody looks
 	d.mu.Unlock()
-	q := balancer.Query{Service: "plain"}
+	q := balancer.PickInfo{Service: "plain"}
 	full, _ := d.acquire(q, 0, time.Time{}, time.Second, time.Second, nil)
-	d.release(full, balancer.Full)
+	d.release(full, balancer.AtCapacity)
 	got := make(chan *dest, 1)
 	go func() {
 		e, _ := d.acquire(q, 0, time.Time{}, time.Second, time.Hour, nil)
@@ -538,9 +538,9 @@
 	late, _ := d.acquire(q, 0, time.Time{}, time.Second, time.Millisecond, nil)
 	e := wait(t, got, "slot")
 	want(t, "host", e, full)
-	want(t, "calls out", e.host.Out(), 2) // the late one is in the host's own queue
-	d.release(e, balancer.Good)
-	d.release(late, balancer.Good)
+	want(t, "calls out", e.host.InFlight(), 2) // the late one is in the host's own queue
+	d.release(e, balancer.Success)
+	d.release(late, balancer.Success)
 }
 
 // Calls that programs make are a kind of their own, so that they are not starved by others on their route.
@@ -551,7 +551,7 @@
 	}{"": {false, false}, "p": {false, true}, "turn": {true, false}} {
 		r := &request{head: &head{header: http.Header{"Program": {header}}}, route: &routing.Route{Name: "r1", Retained: c.retained}}
 		q := r.query()
-		want(t, "kind", q.Kind, "r1")
-		want(t, "called", q.Called, c.called)
+		want(t, "kind", q.Class, "r1")
+		want(t, "called", q.FromProgram, c.called)
 	}
 }
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -109,7 +109,7 @@
 	for i, t := range r.route.Targets {
 		shares[i] = t.Weight
 	}
-	r.service = r.tables.Config.Services[r.route.Targets[balancer.Target(shares, r.id)].Service]
+	r.service = r.tables.Config.Services[r.route.Targets[balancer.PickTarget(shares, r.id)].Service]
 	r.gone = make(chan struct{})
 	r.client.during(r.cancel)
 	if r.route.Kind == routing.Streaming {
--- a/internal/tier/proxy/stream.go
+++ b/internal/tier/proxy/stream.go
@@ -21,8 +21,8 @@
 		if len(tn.opened.History) > 0 {
 			f.body = append(f.body, tn.opened.History)
 		}
-		if w := f.query.Work; w != nil {
-			w.Home, w.Context = tn.opened.CacheHost, tn.opened.ContextTokens
+		if w := f.query.Generation; w != nil {
+			w.CacheHost, w.CachedTokens = tn.opened.CacheHost, tn.opened.ContextTokens
 		}
 	}
 	if len(r.body) > 0 {
