--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -27,10 +27,11 @@
 //  8. Stream. request.relayStream passes on events as they come (request.copyEvents) and counts tokens (eventParser).
 //     request.serveBuffered buffers up to maxBufferedBody, so that a response that breaks off can be replaced by a retry,
 //     and relays a longer response as it comes (request.relayLong).
+//     At the end request.attemptSucceeded or request.attemptFailed releases the slot with the outcome (dispatcher.release).
 //  9. Record. request.closeTurn writes the turn to the Ledger before the last chunk of its stream is passed on;
 //     request.settleTurn commits the tokens of a turn that is not recorded.
-//  10. End. request.attemptSucceeded or request.attemptFailed releases the slot with the outcome (dispatcher.release).
-//     client.serve waits for the next request, or closes the connection.
+//  10. End. request.writeFinal completes the response, or client.abort closes the connection on one that is not complete.
+//     client.serve waits for the next request, or ends the connection.
 //
 // # Ownership and concurrency
 //
@@ -39,8 +40,8 @@
 // back through client.watchDone. On a disconnect it calls request.cancel, which closes request.cancelled and
 // cancels the call in flight and the opening of a turn. Fields of client and request below a mutex are shared by the two.
 //
-// The dispatcher is shared by all requests. Its mutex guards the balancer, the queues and the endpoints; it is never held
-// during I/O with a host. A latencyTables has a mutex of its own, and each Oracle is wrapped by lockedOracle. A slot is owned
+// The dispatcher is shared by all requests. Its mutex guards the balancer, the queues and the endpoints; it is never
+// held while waiting for a host. A latencyTables has a mutex of its own, and each Oracle is wrapped by lockedOracle. A slot is owned
 // by the attempt that got it and released exactly once.
 //
 // Server.followTables applies new tables and closes expired connections. Server.Drain is the graceful shutdown; Server.Close
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/peek"
 )
 
-var errEarlyResponse = errors.New("the host answered, or ended the connection, ahead of the end of the request")
+var errEarlyResponse = errors.New("response or end of the connection before the end of the request")
 
 // exchange is a request that was written and the head of its response.
 type exchange struct {
@@ -95,7 +95,7 @@
 		}
 		surplus++
 		if len(ids) != 1 || ids[0] == "" || surplus > maxSurplusResponses {
-			e.err = errors.New("an answer to no request of ours")
+			e.err = errors.New("response to another request")
 			return e
 		}
 		if e.err = c.discardSurplus(response); e.err != nil {
@@ -110,9 +110,9 @@
 	status := peek.Status(peek.FirstLine(c.reader))
 	switch status {
 	case 0:
-		return nil, errors.New("bytes that are no answer")
+		return nil, errors.New("no HTTP response")
 	case http.StatusSwitchingProtocols:
-		return nil, errors.New("the host switched protocols unasked")
+		return nil, errors.New("unexpected protocol switch")
 	}
 	return http.ReadResponse(c.reader, &http.Request{Method: method})
 }
@@ -121,11 +121,11 @@
 // so it is an error if any request on the connection was HEAD.
 func (c *conn) discardSurplus(response *http.Response) error {
 	if c.sentHead || response.ContentLength > maxSurplusBytes {
-		return errors.New("an answer to no request of ours")
+		return errors.New("response to another request")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBytes+1))
 	if err != nil || n > maxSurplusBytes || response.Close {
-		return errors.Newf("a surplus answer that does not end: %v", err)
+		return errors.Newf("surplus response is incomplete: %v", err)
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	case r.Method == http.MethodHead || res.Status == http.StatusNoContent || res.Status == http.StatusNotModified:
 		res.Length, res.body = 0, http.NoBody
 	case response.ContentLength < 0 && len(response.TransferEncoding) == 0:
-		return nil, errors.New("an answer whose end would not be known")
+		return nil, errors.New("response without a known end")
 	}
 	return res, nil
 }
--- a/internal/tier/upstream/host.go
+++ b/internal/tier/upstream/host.go
@@ -147,7 +147,7 @@
 	return c, nil
 }
 
-// connFailed gives the place of a connection back that was not made.
+// connFailed uncounts a connection that was not made.
 func (h *Host) connFailed() {
 	h.mu.Lock()
 	h.open--
--- a/internal/tier/upstream/response.go
+++ b/internal/tier/upstream/response.go
@@ -28,7 +28,7 @@
 	finished         bool
 }
 
-var errFinished = errors.New("the answer is finished: read it before Finish")
+var errFinished = errors.New("response is finished: read it before Finish")
 
 // Complete reports whether the body was read to its end.
 func (r *Response) Complete() bool { return r.eof }
--- a/internal/tier/upstream/upstream.go
+++ b/internal/tier/upstream/upstream.go
@@ -23,19 +23,19 @@
 // Kinds of errors that calls end in. Errors are marked with one of them.
 var (
 	// ErrConnect: the connection failed or timed out.
-	ErrConnect = errors.New("no connection to the host")
+	ErrConnect = errors.New("connection to the host failed")
 	// ErrConnectionLimit: no connection was free, by the bound of the host or the descriptors of this process.
-	ErrConnectionLimit = errors.New("no connection is free")
+	ErrConnectionLimit = errors.New("connection limit reached")
 	// ErrHostDisabled: the host drains or is no longer listed.
-	ErrHostDisabled = errors.New("the host gets no calls")
+	ErrHostDisabled = errors.New("host is disabled")
 	// ErrNotSent: the connection failed before the last byte of the request was written, so that it has not run.
-	ErrNotSent = errors.New("the request was not sent whole")
-	// ErrDeadline: the time for the call is up.
-	ErrDeadline = errors.New("the time for the call is up")
+	ErrNotSent = errors.New("request not sent completely")
+	// ErrDeadline: the deadline of the call has passed.
+	ErrDeadline = errors.New("call deadline exceeded")
 	// ErrCancelled: Call.Cancel was called.
-	ErrCancelled = errors.New("the call was given up")
+	ErrCancelled = errors.New("call cancelled")
 	// ErrBroken: the host closed or reset the connection, or sent bytes that are no response.
-	ErrBroken = errors.New("the host broke off")
+	ErrBroken = errors.New("host broke off the response")
 )
 
 // Outcome is what the end of a call proves about the request.
