--- a/internal/tier/admission/fairness_test.go
+++ b/internal/tier/admission/fairness_test.go
@@ -65,7 +65,7 @@
 const ms = time.Millisecond
 
 // No class is admitted less than a quarter as often as all, whatever the priorities and time-outs of the others.
-func TestNoKindStarves(t *testing.T) {
+func TestNoClassStarves(t *testing.T) {
 	for name, c := range map[string]struct {
 		classes      []arrivals
 		slotInterval time.Duration
@@ -92,7 +92,7 @@
 }
 
 // The same for drawn classes.
-func TestNoKindStarvesInDrawnCrowds(t *testing.T) {
+func TestNoDrawnClassStarves(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		var classes []arrivals
@@ -110,7 +110,7 @@
 }
 
 // With capacity for all requests of the highest priority, these are still admitted first.
-func TestTheUrgentGoFirst(t *testing.T) {
+func TestHighPriorityIsAdmittedFirst(t *testing.T) {
 	classes := []arrivals{{"urgent", 10 * ms, 0, 100 * ms, true}, {"others", 5 * ms, 1, 100 * ms, true}}
 	each, _ := simulate(classes, 6*ms)
 	if each[0] < 0.99 || slices.Max(each) != each[0] {
@@ -119,7 +119,7 @@
 }
 
 // Classes that come and go, as routes do over many configurations, are not kept without bound.
-func TestKindsAreForgotten(t *testing.T) {
+func TestClassesAreBounded(t *testing.T) {
 	q := NewQueue()
 	for i := range 10 * maxClasses {
 		entry := &Entry{Class: fmt.Sprint("class", i), QueueDeadline: start.Add(time.Second)}
--- a/internal/tier/admission/queue_test.go
+++ b/internal/tier/admission/queue_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestTimelines(t *testing.T) {
+func TestQueueTimelines(t *testing.T) {
 	for name, timeline := range map[string]string{
 		"by priority, then by arrival": `
 			0 admit -> none
@@ -130,7 +130,7 @@
 }
 
 // The queue against a model: a sorted list of entries.
-func TestAgainstAList(t *testing.T) {
+func TestQueueAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
 		var model []*Entry // by arrival
@@ -201,7 +201,7 @@
 }
 
 // Under an endless load of higher priorities, every entry is admitted in the end.
-func TestNobodyStarves(t *testing.T) {
+func TestLowPriorityIsAdmitted(t *testing.T) {
 	q := NewQueue()
 	low := &Entry{Priority: 9, QueueDeadline: at(1 << 30), Value: "low"}
 	for i := range 20 {
@@ -219,7 +219,7 @@
 	t.Error("an entry of low priority is never admitted")
 }
 
-func TestPatience(t *testing.T) {
+func TestQueueTimeout(t *testing.T) {
 	for _, c := range []struct{ target, remaining, want time.Duration }{
 		{200 * time.Millisecond, time.Second, 38 * time.Millisecond},
 		{800 * time.Millisecond, time.Second, 188 * time.Millisecond},
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -25,7 +25,7 @@
 
 // For any events: no call goes to a host that drains, is unlisted or has no capacity; calls in flight are counted; and while
 // a healthy host has capacity, one is picked.
-func TestNeverToTheWrongHost(t *testing.T) {
+func TestPickInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxInFlight = 60
 		b := New("z", maxInFlight, rapid.Uint64().Draw(t, "seed"))
@@ -114,7 +114,7 @@
 }
 
 // Many programs are spread over the hosts of the zone.
-func TestProgramsAreSpread(t *testing.T) {
+func TestAffinitySpreadsPrograms(t *testing.T) {
 	b := New("z", 10_000, 1)
 	b.UpdateHosts(parseHosts("a-1 z 96, a-2 z 96, a-3 z 96, a-4 y 96"), start)
 	picked := map[string]int{}
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestTargets(t *testing.T) {
+func TestPickTarget(t *testing.T) {
 	picked := [3]int{}
 	for i := range 3000 {
 		key := fmt.Sprint("k", i)
--- a/internal/tier/balancer/costmodel_test.go
+++ b/internal/tier/balancer/costmodel_test.go
@@ -28,7 +28,7 @@
 	return b.Pick(PickInfo{Service: "s", Program: "p", Generation: &generation}, now)
 }
 
-func TestAGenerationGoesWhereItsPromptIs(t *testing.T) {
+func TestGenerationGoesToCacheHost(t *testing.T) {
 	b := newEngineBalancer(5)
 	for i := range 20 {
 		home := string(rune('a' + i%4))
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestAFavouriteThatIsCrowdedIsLeft(t *testing.T) {
+func TestLoadedCacheHostIsNotPicked(t *testing.T) {
 	b := newEngineBalancer(5)
 	for _, h := range b.services["s"] {
 		b.ReportLoad(h, 2, 0, start)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestSharedPartsAreReadAgainOnlyWhereTheyAreNotKept(t *testing.T) {
+func TestSharedPrefixCache(t *testing.T) {
 	b := newEngineBalancer(4)
 	w := Generation{PromptTokens: 3000, SharedPrefix: "5c:2500", SharedTokens: 2500}
 	first := b.generation(w, start)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestRelaysThatSeeTheSameSpread(t *testing.T) {
+func TestRelaysWithSameViewSpread(t *testing.T) {
 	picked := map[string]int{}
 	for relay := range 60 {
 		b := newEngineBalancer(5)
@@ -95,7 +95,7 @@
 }
 
 // The cost model is learned for engines with fast prefill and slow queues, and the other way round.
-func TestPricesAreLearnt(t *testing.T) {
+func TestCostModelLearns(t *testing.T) {
 	for _, one := range []struct{ base, call, token float64 }{{40, 20, 0.01}, {90, 3, 0.1}, {60, 8, 0.03}} {
 		seed := rand.Uint64()
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestOneStallTeachesLittle(t *testing.T) {
+func TestCostModelBoundsOneObservation(t *testing.T) {
 	p := newCostModel()
 	before := p.perCallMs
 	p.observe(30*time.Second, 20, 1000)
--- a/internal/tier/balancer/timeline_test.go
+++ b/internal/tier/balancer/timeline_test.go
@@ -143,7 +143,7 @@
 	return info
 }
 
-func TestTimelines(t *testing.T) {
+func TestBalancerTimelines(t *testing.T) {
 	for name, c := range map[string]struct {
 		maxInFlight int
 		timeline    string
--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -70,7 +70,7 @@
 	}
 	defer nc.Close()
 	in := bufio.NewReader(nc)
-	rq := request1("GET", path, "a", turnHeader, "")
+	rq := requestText("GET", path, "a", turnHeader, "")
 	var got []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/tier/proxy/client_test.go
+++ b/internal/tier/proxy/client_test.go
@@ -15,7 +15,7 @@
 )
 
 // What two readers could take for different requests is refused, and nothing of it is run.
-func TestSmuggling(t *testing.T) {
+func TestRequestSmugglingIsRejected(t *testing.T) {
 	inner := "GET /order/inner HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: inner\r\n\r\n"
 	head := "POST /order/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: outer\r\n"
 	for name, text := range map[string]string{
@@ -56,7 +56,7 @@
 		"a trailer line ending in LF": head + "Transfer-Encoding: chunked\r\n\r\n0\r\nX-T: 1\n\r\n" + inner,
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHost(t, "i-1", serves("ran"))
+			h := newHost(t, "i-1", respondsOK("ran"))
 			f := newFront(t, h)
 			c := f.dial()
 			c.send(text)
@@ -72,36 +72,36 @@
 	}
 }
 
-func TestHeaderNamesThatOneConnectionKeeps(t *testing.T) {
-	h := newHost(t, "i-1", serves("ran"))
+func TestHopByHopHeadersOfClient(t *testing.T) {
+	h := newHost(t, "i-1", respondsOK("ran"))
 	f := newFront(t, h)
 	c := f.dial()
-	c.send(request1("POST", "/order/x", "a", timeLeft+"Connection: close, X-Attempt-Id, Content-Length\r\nUpgrade: h2c\r\nTE: trailers\r\n", "x"))
+	c.send(requestText("POST", "/order/x", "a", timeLeft+"Connection: close, X-Attempt-Id, Content-Length\r\nUpgrade: h2c\r\nTE: trailers\r\n", "x"))
 	a := c.read()
-	_ = c.SetReadDeadline(time.Now().Add(patient)) // before an idle one is closed
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout)) // before an idle one is closed
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("the connection ends with %v, want its end", err)
 	}
 	want(t, "status", a.status, 200)
 	want(t, "connection is closed", a.close, true)
-	if got := h.gotten(); !strings.Contains(got, "X-Attempt-Id: a\r\n") || strings.Contains(got, "Upgrade") || strings.Contains(got, "Te:") {
+	if got := h.lastRequest(); !strings.Contains(got, "X-Attempt-Id: a\r\n") || strings.Contains(got, "Upgrade") || strings.Contains(got, "Te:") {
 		t.Errorf("the host got %q", got)
 	}
 }
 
-func TestRequestsOneAfterTheOther(t *testing.T) {
-	h := newHost(t, "i-1", func(c *call) bool { c.answer(200, "", c.id()+c.body); return true })
+func TestKeepAliveAndPipelining(t *testing.T) {
+	h := newHost(t, "i-1", func(c *call) bool { c.respond(200, "", c.id()+c.body); return true })
 	f := newFront(t, h)
 	c := f.dial()
 	for i := range 20 {
-		c.send(request1("POST", "/order/x", fmt.Sprint("a", i), timeLeft, "!"))
+		c.send(requestText("POST", "/order/x", fmt.Sprint("a", i), timeLeft, "!"))
 		a := c.read()
 		want(t, "body", a.body, fmt.Sprint("a", i, "!"))
 		want(t, "Keep-Alive", a.header.Get("Keep-Alive"), "timeout=15")
 	}
 	var all strings.Builder // several at once are served in their order
 	for i := range 5 {
-		all.WriteString(request1("POST", "/order/x", fmt.Sprint("b", i), timeLeft, "?"))
+		all.WriteString(requestText("POST", "/order/x", fmt.Sprint("b", i), timeLeft, "?"))
 	}
 	c.send(all.String())
 	for i := range 5 {
@@ -110,8 +110,8 @@
 	want(t, "connections to the host", h.conns.Load(), 1)
 }
 
-func TestLimits(t *testing.T) {
-	h := newHost(t, "i-1", func(c *call) bool { c.answer(200, "", fmt.Sprint(len(c.body))); return true })
+func TestHeaderAndBodyLimits(t *testing.T) {
+	h := newHost(t, "i-1", func(c *call) bool { c.respond(200, "", fmt.Sprint(len(c.body))); return true })
 	f := newFront(t, h)
 	long := strings.Repeat("x", 5000) // over one reader's size, under the limit
 	a := f.do("POST", "/order/x", "a", "X-Long: "+long+"\r\n", "x")
@@ -129,7 +129,7 @@
 	// A long header on a kept connection, then a short one.
 	c = f.dial()
 	for i, header := range []string{"", "X-Long: " + long + "\r\n", "", "X-Long: " + long + "\r\n"} {
-		c.send(request1("POST", "/order/x", fmt.Sprint("k", i), header, "xy"))
+		c.send(requestText("POST", "/order/x", fmt.Sprint("k", i), header, "xy"))
 		want(t, "body", c.read().body, "2")
 	}
 }
@@ -142,8 +142,8 @@
 	})
 }
 
-func TestSlowAndIdleClients(t *testing.T) {
-	f := newFront(t, newHost(t, "i-1", serves("yes")))
+func TestHeaderAndIdleTimeouts(t *testing.T) {
+	f := newFront(t, newHost(t, "i-1", respondsOK("yes")))
 	withConfig(f, func(c *routing.Config) {
 		c.Limits.HeaderTimeout, c.Limits.IdleTimeout = 30*time.Millisecond, 60*time.Millisecond
 	})
@@ -151,15 +151,15 @@
 	c.send("POST /order/x HT")
 	want(t, "status of half a head", c.read().status, 408)
 	idle := f.dial()
-	idle.send(request1("POST", "/order/x", "a", timeLeft, "x"))
+	idle.send(requestText("POST", "/order/x", "a", timeLeft, "x"))
 	want(t, "status", idle.read().status, 200)
 	if _, err := idle.in.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection ends with %v, want its end", err)
 	}
 }
 
-func TestExpect(t *testing.T) {
-	f := newFront(t, newHost(t, "i-1", func(c *call) bool { c.answer(200, "", c.body); return true }))
+func TestExpectContinue(t *testing.T) {
+	f := newFront(t, newHost(t, "i-1", func(c *call) bool { c.respond(200, "", c.body); return true }))
 	c := f.dial()
 	c.send("POST /order/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	line, err := c.in.ReadString('\n')
@@ -170,8 +170,8 @@
 	want(t, "body", c.read().body, "ok")
 }
 
-func TestOwnAnswers(t *testing.T) {
-	h := newHost(t, "i-1", serves("yes"))
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	h := newHost(t, "i-1", respondsOK("yes"))
 	f := newFront(t, h)
 	for name, c := range map[string]struct {
 		path, id, header string
@@ -209,8 +209,8 @@
 }
 
 // Ready is who knows all that it takes: configuration, hosts, and the stores if turns are kept.
-func TestReadinessAndTheFirstConfiguration(t *testing.T) {
-	h := newHost(t, "i-1", serves("yes"))
+func TestReadiness(t *testing.T) {
+	h := newHost(t, "i-1", respondsOK("yes"))
 	f := newFront(t, h)
 	want(t, "readiness", readiness(t, f), 200)
 	whole := *f.source.Tables()
@@ -239,27 +239,27 @@
 
 // A drain: not ready at once, what is under way and what still comes is answered, connections end with their answers,
 // and it returns when all is done.
-func TestDrain(t *testing.T) {
+func TestDrainCompletesRequests(t *testing.T) {
 	release := make(chan bool)
 	h := newHost(t, "i-1", func(c *call) bool {
 		if strings.HasPrefix(c.id(), "slow") {
 			<-release
 		}
-		c.answer(200, "", "yes")
+		c.respond(200, "", "yes")
 		return true
 	})
 	f := newFront(t, h)
 	slow, idle, kept := f.dial(), f.dial(), f.dial()
 	for _, c := range []*conn{idle, kept} {
-		c.send(request1("POST", "/order/x", "a", timeLeft, "x"))
+		c.send(requestText("POST", "/order/x", "a", timeLeft, "x"))
 		want(t, "it is closed", c.read().close, false)
 	}
-	slow.send(request1("POST", "/order/x", "slow", timeLeft, "x"))
+	slow.send(requestText("POST", "/order/x", "slow", timeLeft, "x"))
 	eventually(t, "call", func() bool { return h.calls.Load() == 3 })
 	done := make(chan bool)
 	go func() { f.Drain(context.Background()); close(done) }()
 	eventually(t, "not ready", func() bool { return readiness(t, f) == 503 })
-	kept.send(request1("POST", "/order/x", "b", timeLeft, "x")) // before its idle time is over
+	kept.send(requestText("POST", "/order/x", "b", timeLeft, "x")) // before its idle time is over
 	a := kept.read()
 	want(t, "status on a kept connection", a.status, 200)
 	want(t, "it is closed", a.close, true)
@@ -282,13 +282,13 @@
 }
 
 // Requests that are still under way when the grace period is nearly over do not hold the end up.
-func TestDrainEnds(t *testing.T) {
+func TestDrainEndsWithGracePeriod(t *testing.T) {
 	end := make(chan bool)
 	defer close(end)
 	h := newHost(t, "i-1", func(c *call) bool { <-end; return false })
 	f := newFront(t, h)
 	c := f.dial()
-	c.send(request1("POST", "/order/x", "a", timeLeft, "x"))
+	c.send(requestText("POST", "/order/x", "a", timeLeft, "x"))
 	eventually(t, "call", func() bool { return h.calls.Load() == 1 })
 	f.options.GracePeriod = drainMargin + 50*time.Millisecond
 	f.Drain(context.Background())
@@ -298,13 +298,13 @@
 	}
 }
 
-func TestTooManyConnections(t *testing.T) {
-	f := newFront(t, newHost(t, "i-1", serves("yes")))
+func TestClientConnectionLimit(t *testing.T) {
+	f := newFront(t, newHost(t, "i-1", respondsOK("yes")))
 	f.mu.Lock()
 	f.options.MaxClientConns = 1
 	f.mu.Unlock()
 	first := f.dial()
-	first.send(request1("POST", "/order/x", "a", timeLeft, "x"))
+	first.send(requestText("POST", "/order/x", "a", timeLeft, "x"))
 	want(t, "status", first.read().status, 200)
 	second := f.dial()
 	if _, err := bufio.NewReader(second).ReadByte(); err == nil {
--- a/internal/tier/proxy/many_test.go
+++ b/internal/tier/proxy/concurrency_test.go
@@ -12,7 +12,7 @@
 
 // Many clients at once, with hosts that do whatever hosts do: an answer is never another request's nor looks complete when
 // it is not, what may not be repeated runs once at most, a promise is kept, and at the end nothing is out.
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentClientsWithFaultyHosts(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
 	script := func(c *call) bool {
@@ -24,15 +24,15 @@
 			if run(); stream {
 				return streams(c, event(1, id), event(2, id))
 			}
-			c.answer(200, "X-Host-Load: 3,0,4\r\n", id)
+			c.respond(200, "X-Host-Load: 3,0,4\r\n", id)
 			return true
 		}
 		switch h % 16 {
 		case 0:
-			c.answer(503, "X-Not-Executed: 1\r\n", "full")
+			c.respond(503, "X-Not-Executed: 1\r\n", "full")
 			return true
 		case 1:
-			c.answer(421, "", "")
+			c.respond(421, "", "")
 			return true
 		case 2: // the answer is lost
 			run()
@@ -54,7 +54,7 @@
 			return true
 		case 7:
 			run()
-			c.answer(500, "", "failed")
+			c.respond(500, "", "failed")
 			return true
 		case 8: // silence, which the edge cuts
 			if strings.HasPrefix(c.req.URL.Path, "/tool/") {
@@ -73,7 +73,7 @@
 		hosts = append(hosts, newHost(t, fmt.Sprint("i-", i), script))
 	}
 	f := newFront(t, hosts...)
-	f.oracle.edge = 25 * time.Millisecond
+	f.oracle.timeout = 25 * time.Millisecond
 	served := 0
 	var wg sync.WaitGroup
 	for n := range 24 {
@@ -82,7 +82,7 @@
 			for i := range 40 {
 				path := []string{"/tool/x", "/order/x", "/turn/x"}[(n+i)%3]
 				id := fmt.Sprintf("a%d.%d", n, i)
-				c.send(request1("POST", path, id, fmt.Sprintf("X-Time-Left-Ms: 1500\r\nProgram: p%d\r\nX-Token-Usage: 9,4\r\n", n), "x"))
+				c.send(requestText("POST", path, id, fmt.Sprintf("X-Time-Left-Ms: 1500\r\nProgram: p%d\r\nX-Token-Usage: 9,4\r\n", n), "x"))
 				a := c.read()
 				mu.Lock()
 				n := ran[id]
--- a/internal/tier/proxy/leaving_test.go
+++ b/internal/tier/proxy/disconnect_test.go
@@ -36,8 +36,8 @@
 // newCourse has a request opened, queued, declined by one host and served piece by piece by another, 50 ms for each step.
 func newCourse(v *virtual) *course {
 	c := &course{begin: time.Now()}
-	v.ledger.opening = func(ctx context.Context) error { return pause(ctx, step) }
-	v.ledger.closing = func(ctx context.Context) error { return pause(ctx, step) }
+	v.ledger.onOpen = func(ctx context.Context) error { return pause(ctx, step) }
+	v.ledger.onClose = func(ctx context.Context) error { return pause(ctx, step) }
 	v.host = func(nc net.Conn, in *bufio.Reader, r *http.Request) bool {
 		c.mu.Lock()
 		nth := len(c.calls)
@@ -97,7 +97,7 @@
 
 // Whenever a client goes, no host gets its request after that, the host that works on it sees the end of its connection at
 // once, and its slot is given back.
-func TestClientGoesAtEveryMoment(t *testing.T) {
+func TestDisconnectAtAnyTime(t *testing.T) {
 	const every, last = 10 * time.Millisecond, 900 * time.Millisecond
 	for _, r := range routes {
 		most := 0
@@ -107,7 +107,7 @@
 				c := newCourse(v)
 				done := make(chan struct{})
 				go func() { defer close(done); _, _ = io.Copy(io.Discard, v.client) }()
-				_, _ = io.WriteString(v.client, request1("POST", r.path, "a", turnHeader, "x"))
+				_, _ = io.WriteString(v.client, requestText("POST", r.path, "a", turnHeader, "x"))
 				time.Sleep(moment)
 				v.client.Close()
 				<-done
@@ -130,7 +130,7 @@
 				v.dispatcher.mu.Unlock()
 				want(t, "slots taken behind "+moment.String(), out, 0)
 				if r.path == "/turn/x" && moment > step { // it was opened
-					ended := strings.Count(v.ledger.told(), "settle") + strings.Count(v.ledger.told(), "close")
+					ended := strings.Count(v.ledger.log(), "settle") + strings.Count(v.ledger.log(), "close")
 					want(t, "turns ended behind "+moment.String(), ended > 0, true)
 				}
 			})
@@ -141,7 +141,7 @@
 
 // A client that ends its half of the connection is taken to have gone, as one that has closed it looks no different: its
 // host is told, and nothing is written. A request that it pipelined ahead and that was served by then has its answer.
-func TestHalfClosedClientHasGone(t *testing.T) {
+func TestHalfCloseIsDisconnect(t *testing.T) {
 	for _, r := range routes {
 		t.Run(r.path, func(t *testing.T) {
 			got, ended := make(chan bool, 1), make(chan bool, 1)
@@ -155,7 +155,7 @@
 				return false
 			}))
 			c := f.dial()
-			c.send(request1("POST", "/stream/x", "ahead", timeLeft, "x") + request1("POST", r.path, "a", turnHeader, "x"))
+			c.send(requestText("POST", "/stream/x", "ahead", timeLeft, "x") + requestText("POST", r.path, "a", turnHeader, "x"))
 			want(t, "status of the one ahead", c.read().status, 200)
 			wait(t, got, "request at its host")
 			_ = c.Conn.(*net.TCPConn).CloseWrite()
@@ -168,7 +168,7 @@
 
 // A client goes, or the process ends, while one of its requests is served and another waits behind it: the first one's host
 // sees it at once, and the second runs nowhere.
-func TestClientGoesWithARequestBehind(t *testing.T) {
+func TestDisconnectWithPipelinedRequest(t *testing.T) {
 	for name, end := range map[string]func(v *virtual){
 		"the client goes":  func(v *virtual) { v.client.Close() },
 		"the process ends": func(v *virtual) { v.Close() },
@@ -188,7 +188,7 @@
 					}
 					v.list(2)
 					go func() {
-						_, _ = io.WriteString(v.client, request1("POST", r.path, "a", turnHeader, "x")+request1("POST", r.path, "b", turnHeader, "x"))
+						_, _ = io.WriteString(v.client, requestText("POST", r.path, "a", turnHeader, "x")+requestText("POST", r.path, "b", turnHeader, "x"))
 					}()
 					time.Sleep(time.Second)
 					end(v)
@@ -202,7 +202,7 @@
 }
 
 // Requests that wait behind others are served in their order, whenever the rest of them comes.
-func TestRequestsBehindOthersInPieces(t *testing.T) {
+func TestPipelinedRequestsInPieces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtual(t, nil)
 		v.host = func(c net.Conn, _ *bufio.Reader, q *http.Request) bool {
@@ -214,7 +214,7 @@
 		const all, piece = 40, 37
 		var text strings.Builder
 		for i := range all {
-			text.WriteString(request1("POST", "/order/x", fmt.Sprint("r", i), timeLeft, strings.Repeat("x", 37*i)))
+			text.WriteString(requestText("POST", "/order/x", fmt.Sprint("r", i), timeLeft, strings.Repeat("x", 37*i)))
 		}
 		go func() {
 			for rest := text.String(); rest != ""; rest = rest[min(len(rest), piece):] {
--- a/internal/tier/proxy/exchange_drawn_test.go
+++ b/internal/tier/proxy/exchange_drawn_test.go
@@ -13,10 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// drawn are the exchanges that a drawn course may hold: all but those that change what comes after them on purpose.
-func drawn() (all []*exchange) {
+// drawableExchanges are the exchanges that a drawableExchanges course may hold: all but those that change what comes after them on purpose.
+func drawableExchanges() (all []*exchange) {
 	for i := range exchanges {
-		if e := &exchanges[i]; e.act != nil && e.late == nil {
+		if e := &exchanges[i]; e.act != nil && e.precededBy == nil {
 			all = append(all, e)
 		}
 	}
@@ -26,28 +26,28 @@
 // drawnHost is a host that acts by an exchange for one request in three, drawn by the seed, the request and the host. As a
 // request ends, an extra answer to it may stay behind, which comes in the next one's place.
 func drawnHost(t *testing.T, rec *record, id string, seed uint64) *host {
-	all := drawn()
-	x := &actor{host: id, record: rec}
+	all := drawableExchanges()
+	x := &exchangeHost{host: id, record: rec}
 	var mu sync.Mutex
 	extra := map[net.Conn]string{}
 	return newHost(t, id, func(c *call) bool {
-		x.got(c.id(), id)
+		x.recordReceived(c.id(), id)
 		h := xxhash.Sum64String(fmt.Sprint(seed, id, c.id()))
 		mu.Lock()
 		ahead := extra[c.Conn]
 		delete(extra, c.Conn)
 		if h%7 == 0 {
-			extra[c.Conn] = fmt.Sprintf(whole200, c.id())
+			extra[c.Conn] = fmt.Sprintf(forged200, c.id())
 		}
 		mu.Unlock()
 		c.raw(ahead)
 		if h>>8%3 != 0 {
-			x.runs(c)
-			return x.whole(c, 200, "Keep-Alive: timeout=20\r\n", "second")
+			x.recordRun(c)
+			return x.respond(c, 200, "Keep-Alive: timeout=20\r\n", "second")
 		}
 		e := all[h>>16%uint64(len(all))]
 		goesOn := e.act(x, c)
-		c.raw(e.behind)
+		c.raw(e.trailing)
 		return goesOn
 	})
 }
@@ -63,7 +63,7 @@
 				hosts = append(hosts, drawnHost(t, rec, fmt.Sprint("i-", i), seed))
 			}
 			f := newFront(t, hosts...)
-			f.oracle.edge = 60 * time.Millisecond
+			f.oracle.timeout = 60 * time.Millisecond
 			var clients sync.WaitGroup
 			for n := range 8 {
 				clients.Go(func() { drawnClient(f, rec, seed, n) })
@@ -73,7 +73,7 @@
 			for _, h := range hosts {
 				h.close()
 			}
-			for _, fault := range rec.faults() {
+			for _, fault := range rec.violations() {
 				t.Error(fault)
 			}
 			served := 0
@@ -95,13 +95,13 @@
 	c := f.dial()
 	for i := 0; i < 60; {
 		var text strings.Builder
-		var under []seen
+		var under []observed
 		for range 1 + draw.IntN(2) {
 			r := routes[draw.IntN(len(routes))]
 			id := fmt.Sprintf("d%d.%d", n, i)
 			i++
-			text.WriteString(request1("POST", r.path, id, "X-Time-Left-Ms: 400\r\n", "the body"))
-			under = append(under, seen{id: id, kind: r.kind, most: r.most})
+			text.WriteString(requestText("POST", r.path, id, "X-Time-Left-Ms: 400\r\n", "the body"))
+			under = append(under, observed{id: id, kind: r.kind, maxAttempts: r.maxAttempts})
 		}
 		c.send(text.String())
 		ended := false
@@ -110,7 +110,7 @@
 				s.answer = c.read()
 				ended = s.err != nil || s.close
 			}
-			rec.see(s)
+			rec.recordObserved(s)
 		}
 		if ended {
 			c.Close()
--- a/internal/tier/proxy/exchange_faults_test.go
+++ b/internal/tier/proxy/exchange_faults_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-func find(t *testing.T, name string) *exchange {
+func findExchange(t *testing.T, name string) *exchange {
 	t.Helper()
 	for i := range exchanges {
 		if exchanges[i].name == name {
@@ -22,12 +22,12 @@
 	return nil
 }
 
-// resends has a copy of request x go to the other host, once.
-func resends(s *stage, x *actor, c *call) {
+// sendCopyToSecond has a copy of request x go to the other host, once.
+func sendCopyToSecond(s *exchangeTest, x *exchangeHost, c *call) {
 	if c.id() != "x" || x.host != "i-1" {
 		return
 	}
-	nc, err := net.Dial("tcp4", s.other)
+	nc, err := net.Dial("tcp4", s.secondAddr)
 	if err != nil {
 		s.t.Error(err)
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-func replaces(id, old, new string) func(string, []byte) []byte {
+func replaceInResponse(id, old, new string) func(string, []byte) []byte {
 	return func(of string, b []byte) []byte {
 		if of != id {
 			return b
@@ -48,7 +48,7 @@
 	}
 }
 
-func turns(from, to int) func(a answer) answer {
+func replaceStatus(from, to int) func(a answer) answer {
 	return func(a answer) answer {
 		if a.status == from {
 			a.status = to
@@ -61,47 +61,47 @@
 func TestPlantedFaultsAreFound(t *testing.T) {
 	tool, order, turn := routes[0], routes[1], routes[3]
 	once := tool
-	once.most = 1 // the proxy believes that three hosts are allowed
+	once.maxAttempts = 1 // the proxy believes that three hosts are allowed
 	for name, c := range map[string]struct {
 		exchange string
 		route    route
 		kept     bool
-		plant    planted
+		plant    plantedFault
 		rule     string
 	}{
-		"sent again after a reset of a kept connection": {"reset while it runs", order, true, planted{toHost: resends}, "TWICE"},
-		"a turn sent again after a silence":             {"silence while it runs", turn, false, planted{toHost: resends}, "TWICE"},
-		"sent again after a 500":                        {"500", order, false, planted{toHost: resends}, "TWICE"},
-		"503 after it may have run":                     {"close while it runs", order, false, planted{fromClient: turns(502, 503)}, "REFUSED"},
-		"503 without a proof passed on":                 {"503 without a proof", order, false, planted{fromClient: turns(502, 503)}, "REFUSED"},
-		"421 for a failure":                             {"504", turn, false, planted{fromClient: turns(504, 421)}, "REFUSED"},
-		"the id is not checked":                         {"200 of another id", order, false, planted{fromHost: replaces("x", "Id: other", "Id: x")}, "MIXED"},
+		"sent again after a reset of a kept connection": {"reset while it runs", order, true, plantedFault{toHost: sendCopyToSecond}, "TWICE"},
+		"a turn sent again after a silence":             {"silence while it runs", turn, false, plantedFault{toHost: sendCopyToSecond}, "TWICE"},
+		"sent again after a 500":                        {"500", order, false, plantedFault{toHost: sendCopyToSecond}, "TWICE"},
+		"503 after it may have run":                     {"close while it runs", order, false, plantedFault{fromClient: replaceStatus(502, 503)}, "REFUSED"},
+		"503 without a proof passed on":                 {"503 without a proof", order, false, plantedFault{fromClient: replaceStatus(502, 503)}, "REFUSED"},
+		"421 for a failure":                             {"504", turn, false, plantedFault{fromClient: replaceStatus(504, 421)}, "REFUSED"},
+		"the id is not checked":                         {"200 of another id", order, false, plantedFault{fromHost: replaceInResponse("x", "Id: other", "Id: x")}, "MIXED"},
 		"an extra answer is taken": {"an extra answer in the next one's place", order, true,
-			planted{fromHost: replaces("after", "Id: x", "Id: after")}, "MIXED"},
+			plantedFault{fromHost: replaceInResponse("after", "Id: x", "Id: after")}, "MIXED"},
 		"a connection with bytes behind an answer is kept": {"an answer to the next behind", tool, true,
-			planted{fromHost: func(id string, b []byte) []byte {
+			plantedFault{fromHost: func(id string, b []byte) []byte {
 				if id == "after" {
-					return append(fmt.Appendf(nil, whole200, "after"), b...)
+					return append(fmt.Appendf(nil, forged200, "after"), b...)
 				}
 				return b
 			}}, "MIXED"},
-		"a body that breaks off looks whole": {"half a body", order, false, planted{fromHost: replaces("x", "Length: 9", "Length: 4")}, "MIXED"},
+		"a body that breaks off looks whole": {"half a body", order, false, plantedFault{fromHost: replaceInResponse("x", "Length: 9", "Length: 4")}, "MIXED"},
 		"chunks that break off look whole": {"chunks without end", order, false,
-			planted{fromHost: replaces("x", "half\r\n", "half\r\n0\r\n\r\n")}, "MIXED"},
-		"a seal with another status": {"500", order, false, planted{fromClient: turns(500, 502)}, "MIXED"},
-		"a success for a failure":    {"504", order, false, planted{fromClient: turns(504, 200)}, "MIXED"},
-		"a success without a seal": {"200", order, false, planted{fromClient: func(a answer) answer {
+			plantedFault{fromHost: replaceInResponse("x", "half\r\n", "half\r\n0\r\n\r\n")}, "MIXED"},
+		"a seal with another status": {"500", order, false, plantedFault{fromClient: replaceStatus(500, 502)}, "MIXED"},
+		"a success for a failure":    {"504", order, false, plantedFault{fromClient: replaceStatus(504, 200)}, "MIXED"},
+		"a success without a seal": {"200", order, false, plantedFault{fromClient: func(a answer) answer {
 			a.header.Del("X-Host-Seal")
 			return a
 		}}, "MIXED"},
-		"an answer to another caller": {"200", order, true, planted{fromClient: func(a answer) answer {
+		"an answer to another caller": {"200", order, true, plantedFault{fromClient: func(a answer) answer {
 			a.header.Set("X-Attempt-Id", "somebody")
 			return a
 		}}, "MIXED"},
-		"more hosts than allowed": {"503 not executed", once, false, planted{}, "BUDGET"},
+		"more hosts than allowed": {"503 not executed", once, false, plantedFault{}, "BUDGET"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, faults := play(t, find(t, c.exchange), c.route, c.kept, false, c.plant)
+			_, faults := runExchange(t, findExchange(t, c.exchange), c.route, c.kept, false, c.plant)
 			if !strings.Contains(strings.Join(faults, "; "), c.rule) {
 				t.Errorf("%q is found, want %s", faults, c.rule)
 			}
--- a/internal/tier/proxy/exchange_test.go
+++ b/internal/tier/proxy/exchange_test.go
@@ -11,42 +11,42 @@
 
 // route is what the exchanges need to know of one.
 type route struct {
-	path, kind string
-	most       int
+	path, kind  string
+	maxAttempts int
 }
 
 var routes = []route{{"/tool/x", "idempotent", 3}, {"/order/x", "non_idempotent", 3}, {"/stream/x", "streaming", 3}, {"/turn/x", "streaming", 2}}
 
-// next is the step that a proof allows: the answer that the client has to have. second tells whether another host would
+// expected is the step that a proof allows: the answer that the client has to have. second tells whether another host would
 // serve the request.
-func (e *exchange) next(r route, second bool) string {
+func (e *exchange) expected(r route, second bool) string {
 	repeat := r.kind == "idempotent"
 	broken := fmt.Sprint(max(e.status, 502))
 	switch {
-	case e.proof == unclear && repeat && second, e.proof == notRun && second:
+	case e.proof == proofRace && repeat && second, e.proof == proofNotRun && second:
 		return "200 second"
-	case e.proof == unclear && repeat, e.proof == unclear && !second:
+	case e.proof == proofRace && repeat, e.proof == proofRace && !second:
 		return "502|503 retry"
-	case e.proof == unclear:
+	case e.proof == proofRace:
 		return "200 second|502"
-	case e.proof == notRun:
+	case e.proof == proofNotRun:
 		return "503 retry"
-	case e.proof == refusal:
+	case e.proof == proofRejected:
 		return "400 no"
-	case e.proof == promised && (!repeat || !second || e.status < 500):
+	case e.proof == proofDeniedByStatus && (!repeat || !second || e.status < 500):
 		return "502"
-	case e.proof == stands && (!repeat || !second || e.status < 500):
+	case e.proof == proofRan && (!repeat || !second || e.status < 500):
 		return fmt.Sprintf("%d said %d", e.status, e.status)
 	case repeat && second:
 		return "200 second"
-	case e.proof == begun && e.passed && r.kind == "streaming":
+	case e.proof == proofStreamStarted && e.bodyStarted && r.kind == "streaming":
 		return "cut"
 	}
 	return broken
 }
 
-// sight is what a client saw, as next has it.
-func (a answer) sight() string {
+// summary is what a client saw, as next has it.
+func (a answer) summary() string {
 	switch {
 	case a.err != nil:
 		return "cut"
@@ -58,44 +58,44 @@
 	return fmt.Sprint(a.status)
 }
 
-// stage is a front with two hosts for one exchange.
-type stage struct {
+// exchangeTest is a front with two hosts for one exchange.
+type exchangeTest struct {
 	*front
 	*record
-	hosts []*host // that act by the exchange
-	other string  // the address of the host that is asked second
-	plant planted
+	hosts      []*host // that act by the exchange
+	secondAddr string  // the address of the host that is asked second
+	fault      plantedFault
 }
 
-// planted is a fault of a proxy, in the bytes on the way between it and the others. The zero value is none.
-type planted struct {
-	toHost     func(s *stage, x *actor, c *call) // with a request that a host got
-	fromHost   func(id string, b []byte) []byte  // an answer of a host on its way
-	fromClient func(a answer) answer             // an answer on its way to the client
+// plantedFault is a fault of a proxy, in the bytes on the way between it and the others. The zero value is none.
+type plantedFault struct {
+	toHost     func(s *exchangeTest, x *exchangeHost, c *call) // with a request that a host got
+	fromHost   func(id string, b []byte) []byte                // an answer of a host on its way
+	fromClient func(a answer) answer                           // an answer on its way to the client
 }
 
-// meddling is a connection of a host on which an answer is changed.
-type meddling struct {
+// rewritingConn is a connection of a host on which an answer is changed.
+type rewritingConn struct {
 	net.Conn
 	change func(b []byte) []byte
 }
 
-func (m *meddling) Write(b []byte) (int, error) {
+func (m *rewritingConn) Write(b []byte) (int, error) {
 	if _, err := m.Conn.Write(m.change(b)); err != nil {
 		return 0, err
 	}
 	return len(b), nil
 }
 
-// newStage has host i-1, which is asked first, act by the exchange for request x, and host i-2 too if it is everywhere.
-func newStage(t *testing.T, e *exchange, everywhere bool, p planted) *stage {
+// newExchangeTest has host i-1, which is asked first, act by the exchange for request x, and host i-2 too if it is everywhere.
+func newExchangeTest(t *testing.T, e *exchange, everywhere bool, p plantedFault) *exchangeTest {
 	t.Helper()
-	s := &stage{record: newRecord(), plant: p}
-	script := func(x *actor, acts bool) func(c *call) bool {
+	s := &exchangeTest{record: newRecord(), fault: p}
+	script := func(x *exchangeHost, acts bool) func(c *call) bool {
 		return func(c *call) bool {
-			x.got(c.id(), x.host)
+			x.recordReceived(c.id(), x.host)
 			if p.fromHost != nil {
-				c.Conn = &meddling{c.Conn, func(b []byte) []byte { return p.fromHost(c.id(), b) }}
+				c.Conn = &rewritingConn{c.Conn, func(b []byte) []byte { return p.fromHost(c.id(), b) }}
 			}
 			if p.toHost != nil {
 				p.toHost(s, x, c)
@@ -104,29 +104,29 @@
 			case c.id() == "x" && acts && e.act != nil:
 				return e.act(x, c)
 			case c.id() == "ahead" && acts && e.accept != nil:
-				x.runs(c)
-				x.whole(c, 200, "Keep-Alive: timeout=20\r\n", "second")
+				x.recordRun(c)
+				x.respond(c, 200, "Keep-Alive: timeout=20\r\n", "second")
 				return e.accept(c.Conn)
-			case c.id() == "after" && acts && e.late != nil:
-				c.raw(e.late(x, c))
+			case c.id() == "after" && acts && e.precededBy != nil:
+				c.raw(e.precededBy(x, c))
 			}
-			x.runs(c)
-			return x.whole(c, 200, "Keep-Alive: timeout=20\r\n", "second")
+			x.recordRun(c)
+			return x.respond(c, 200, "Keep-Alive: timeout=20\r\n", "second")
 		}
 	}
-	first := newHost(t, "i-1", script(&actor{"i-1", e.behind, s.record}, true))
-	second := newHost(t, "i-2", script(&actor{"i-2", e.behind, s.record}, everywhere))
+	first := newHost(t, "i-1", script(&exchangeHost{"i-1", e.trailing, s.record}, true))
+	second := newHost(t, "i-2", script(&exchangeHost{"i-2", e.trailing, s.record}, everywhere))
 	first.capacity = 99
 	s.front = newFront(t, first, second)
-	s.hosts, s.other = []*host{first}, second.addr
+	s.hosts, s.secondAddr = []*host{first}, second.addr
 	if everywhere {
 		s.hosts = append(s.hosts, second)
 	}
 	return s
 }
 
-// accept has new connections meet the exchange from now on.
-func (s *stage) accept(e *exchange) {
+// setAccept has new connections meet the exchange from now on.
+func (s *exchangeTest) setAccept(e *exchange) {
 	for _, h := range s.hosts {
 		h.mu.Lock()
 		h.accept = e.accept
@@ -134,37 +134,37 @@
 	}
 }
 
-// ask sends a request on a connection of its own and notes what comes.
-func (s *stage) ask(r route, id, header string) answer {
+// request sends a request on a connection of its own and notes what comes.
+func (s *exchangeTest) request(r route, id, header string) answer {
 	a := s.do("POST", r.path, id, header, "the body of the request, longer than a few bytes")
-	if s.plant.fromClient != nil {
-		a = s.plant.fromClient(a)
+	if s.fault.fromClient != nil {
+		a = s.fault.fromClient(a)
 	}
-	s.see(seen{id, r.kind, r.most, a})
+	s.recordObserved(observed{id, r.kind, r.maxAttempts, a})
 	return a
 }
 
-// play goes through an exchange: a request ahead of it where connections are to be kept, the request, and one after it.
-func play(t *testing.T, e *exchange, r route, kept, everywhere bool, p planted) (answer, []string) {
+// runExchange goes through an exchange: a request ahead of it where connections are to be kept, the request, and one after it.
+func runExchange(t *testing.T, e *exchange, r route, kept, everywhere bool, p plantedFault) (answer, []string) {
 	t.Helper()
-	s := newStage(t, e, everywhere, p)
+	s := newExchangeTest(t, e, everywhere, p)
 	if kept {
-		want(t, "status of the one ahead", s.ask(r, "ahead", timeLeft).status, 200)
+		want(t, "status of the one ahead", s.request(r, "ahead", timeLeft).status, 200)
 	}
-	s.accept(e)
+	s.setAccept(e)
 	left := timeLeft
 	if strings.HasPrefix(e.name, "silence") {
-		s.oracle.edge = 200 * time.Millisecond // where a call that may be repeated is cut
+		s.oracle.timeout = 200 * time.Millisecond // where a call that may be repeated is cut
 		if r.kind != "idempotent" || everywhere {
 			left = "X-Time-Left-Ms: 150\r\n"
 		}
 	}
-	a := s.ask(r, "x", left)
-	after := s.ask(r, "after", timeLeft)
+	a := s.request(r, "x", left)
+	after := s.request(r, "after", timeLeft)
 	s.Server.Close()
-	faults := s.faults()
-	if e.accept == nil && !e.crosses && after.sight() != "200 second" { // it meets a host that serves it
-		faults = append(faults, "AFTER: the next request has "+after.sight())
+	faults := s.violations()
+	if e.accept == nil && !e.crosses && after.summary() != "200 second" { // it meets a host that serves it
+		faults = append(faults, "AFTER: the next request has "+after.summary())
 	}
 	return a, faults
 }
@@ -178,10 +178,10 @@
 			for _, r := range routes {
 				for _, kept := range []bool{false, true} {
 					for _, everywhere := range []bool{false, true} {
-						a, faults := play(t, e, r, kept, everywhere, planted{})
+						a, faults := runExchange(t, e, r, kept, everywhere, plantedFault{})
 						what := fmt.Sprintf("%s, kept %v, everywhere %v", r.path, kept, everywhere)
-						if allowed := e.next(r, !everywhere); !strings.Contains("|"+allowed+"|", "|"+a.sight()+"|") {
-							t.Errorf("%s: the client has %q, want %q", what, a.sight(), allowed)
+						if allowed := e.expected(r, !everywhere); !strings.Contains("|"+allowed+"|", "|"+a.summary()+"|") {
+							t.Errorf("%s: the client has %q, want %q", what, a.summary(), allowed)
 						}
 						for _, f := range faults {
 							t.Errorf("%s: %s", what, f)
@@ -195,20 +195,20 @@
 
 // An answer that is cut behind any of its bytes is no answer: it does not look whole, what may not be repeated is not, and
 // the requests after it have their own.
-func TestAnswerCutBehindEachByte(t *testing.T) {
+func TestTruncatedResponseIsNotPassedOn(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 8\r\n\r\nsaid 200", chunked + "4\r\nsaid\r\n4\r\n 200\r\n0\r\n\r\n"} {
 		for _, r := range routes {
 			rec := newRecord()
 			script := func(host string) func(c *call) bool {
-				x := &actor{host: host, record: rec}
+				x := &exchangeHost{host: host, record: rec}
 				return func(c *call) bool {
-					x.got(c.id(), host)
-					x.runs(c)
+					x.recordReceived(c.id(), host)
+					x.recordRun(c)
 					var cut int
 					if _, err := fmt.Sscanf(c.id(), "cut%d", &cut); err != nil {
-						return x.whole(c, 200, "", "whole")
+						return x.respond(c, 200, "", "whole")
 					}
-					text := x.head(c, 200, "X-Host-Seal: "+x.say(c.id(), 200, "said 200", false)+"\r\n"+framing)
+					text := x.head(c, 200, "X-Host-Seal: "+x.recordResponse(c.id(), 200, "said 200", false)+"\r\n"+framing)
 					c.raw(text[:min(cut, len(text)-1)])
 					return false
 				}
@@ -217,14 +217,14 @@
 			for cut := range 100 + len(framing) {
 				for _, id := range []string{fmt.Sprint("cut", cut), fmt.Sprint("whole", cut)} {
 					a := f.do("POST", r.path, id, timeLeft, "x")
-					rec.see(seen{id, r.kind, r.most, a})
+					rec.recordObserved(observed{id, r.kind, r.maxAttempts, a})
 					if cuts := strings.HasPrefix(id, "cut"); cuts != (a.status != 200 || a.err != nil) {
 						t.Errorf("%s on %s: %d, %v", id, r.path, a.status, a.err)
 					}
 				}
 			}
 			f.Server.Close()
-			for _, fault := range rec.faults() {
+			for _, fault := range rec.violations() {
 				t.Error(fault)
 			}
 		}
--- /dev/null
+++ b/internal/tier/proxy/hosts_test.go
@@ -0,0 +1,76 @@
+package proxy
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"larchrouter/internal/tier/discovery"
+)
+
+// A host at whose address another answers gets nothing for a while.
+func TestMisdirectedHostIsEjected(t *testing.T) {
+	gone := newHost(t, "i-1", func(c *call) bool { c.respond(421, "", ""); return true })
+	f := newFront(t, gone, newHost(t, "i-2", respondsOK("yes")))
+	for i := range 12 {
+		want(t, "status", f.do("POST", "/order/x", fmt.Sprint("a", i), timeLeft, "x").status, 200)
+	}
+	if n := gone.calls.Load(); n > 1 {
+		t.Errorf("the host that is gone was asked %d times", n)
+	}
+}
+
+// A host that closes its connection with every answer is leaving, whatever the list says yet.
+func TestHostThatClosesIsAvoided(t *testing.T) {
+	leaving := newHost(t, "i-1", func(c *call) bool { c.respond(200, "Connection: close\r\n", ""); return false })
+	f := newFront(t, leaving, newHost(t, "i-2", respondsOK("")))
+	for i := range 15 {
+		want(t, "status", f.do("POST", "/order/x", fmt.Sprint("a", i), timeLeft, "x").status, 200)
+	}
+	if n := leaving.calls.Load(); n > 2 {
+		t.Errorf("the host that leaves was asked %d times", n)
+	}
+}
+
+// A host that drains, by the list: what is under way there ends whole, nothing new goes there, also not on connections
+// that were kept; and another incarnation at its address has its own.
+func TestDrainingHostGetsNoCalls(t *testing.T) {
+	release := make(chan bool)
+	begun := make(chan bool, 1)
+	script := func(c *call) bool {
+		if c.id() == "slow" {
+			begun <- true
+			<-release
+		}
+		c.respond(200, "Keep-Alive: timeout=20\r\n", "")
+		return true
+	}
+	h := newHost(t, "i-1", script)
+	f := newFront(t, h)
+	slow := f.dial()
+	slow.send(requestText("POST", "/calm/high/x", "slow", timeLeft, "x"))
+	wait(t, begun, "call")
+	want(t, "status", f.do("POST", "/order/x", "a", timeLeft, "x").status, 200)
+	f.dispatcher.mu.Lock()
+	of := f.dispatcher.endpoints["i-1"].connections
+	f.dispatcher.mu.Unlock()
+	want(t, "connections", of.OpenConns(), 2)
+	h.phase = discovery.Draining
+	f.setHosts(h)
+	eventually(t, "idle connection closed", func() bool { return of.OpenConns() == 1 })
+	want(t, "status with all hosts draining", f.do("POST", "/order/x", "b", timeLeft, "x").status, 503)
+	again := &host{id: "i-2", addr: h.addr, capacity: 4} // at the same address
+	f.setHosts(h, again)
+	eventually(t, "the new one known", func() bool {
+		f.dispatcher.mu.Lock()
+		defer f.dispatcher.mu.Unlock()
+		return f.dispatcher.endpoints["i-2"] != nil
+	})
+	want(t, "status", f.do("POST", "/order/x", "c", timeLeft, "x").status, 200)
+	if got := h.lastRequest(); !strings.Contains(got, "X-Target-Instance: i-2\r\n") {
+		t.Errorf("the host got %q", got)
+	}
+	close(release)
+	want(t, "status of the one under way", slow.read().status, 200)
+	eventually(t, "no connection kept", func() bool { return of.OpenConns() == 0 })
+}
--- a/internal/tier/proxy/idle_test.go
+++ b/internal/tier/proxy/idle_test.go
@@ -84,13 +84,13 @@
 	for i := range n {
 		all = append(all, &host{id: fmt.Sprint("i-", i+1), addr: fmt.Sprint("127.0.0.1:", i+1), capacity: 4})
 	}
-	(&front{source: v.source}).list(all...)
+	(&front{source: v.source}).setHosts(all...)
 	v.dispatcher.update(v.source.Tables(), time.Now())
 }
 
 // ask sends a request and gives the status of its answer, 0 for an end of the connection.
 func (v *virtual) ask(path, id, header string) int {
-	go func() { _, _ = io.WriteString(v.client, request1("POST", path, id, header, "x")) }()
+	go func() { _, _ = io.WriteString(v.client, requestText("POST", path, id, header, "x")) }()
 	resp, err := http.ReadResponse(v.in, nil)
 	if err != nil {
 		return 0
@@ -107,7 +107,7 @@
 
 // A connection is there for as long as the newest configuration lets it rest, whenever that came, and no shorter than its
 // client was told with the last answer.
-func TestIdleTimeOfTheNewestConfiguration(t *testing.T) {
+func TestIdleTimeoutFollowsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtual(t, nil)
 		want(t, "status", v.ask("/none/", "a", ""), 404)
@@ -142,7 +142,7 @@
 	return f.Conn.Read(p)
 }
 
-func TestRequestThatCameBeforeTheIdleTimeWasSeenToEnd(t *testing.T) {
+func TestRequestAtIdleTimeoutIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtual(t, func(c net.Conn) net.Conn { return &frozen{Conn: c, until: 16 * time.Second} })
 		want(t, "status", v.ask("/none/", "a", ""), 404)
@@ -152,8 +152,8 @@
 }
 
 // Nothing is read any more once a drain is over: a client whose connection is closed unread may go elsewhere.
-func TestDrainIsOver(t *testing.T) {
-	f := newFront(t, newHost(t, "i-1", serves("yes")))
+func TestNoConnectionIsReadAfterDrain(t *testing.T) {
+	f := newFront(t, newHost(t, "i-1", respondsOK("yes")))
 	quiet := make(chan struct{})
 	f.mu.Lock()
 	f.Server.drained = quiet
@@ -161,26 +161,26 @@
 	f.mu.Unlock()
 	wait(t, quiet, "end of the drain")
 	c := f.dial()
-	_, _ = io.WriteString(c, request1("POST", "/order/x", "a", timeLeft, "x"))
+	_, _ = io.WriteString(c, requestText("POST", "/order/x", "a", timeLeft, "x"))
 	want(t, "status", c.read().status, 0)
 }
 
 // A request has its final answer at the earlier of its route's deadline and its client's, wherever it is held up.
-func TestHeldUntilTheDeadline(t *testing.T) {
+func TestDeadlineIsMetInEveryPhase(t *testing.T) {
 	silent := func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
 	for name, c := range map[string]struct {
 		path, header string
 		within       time.Duration
 		hold         func(v *virtual)
 	}{
-		"the stores are silent":              {"/turn/x", "X-Time-Left-Ms: 60000\r\n", 8 * time.Second, func(v *virtual) { v.ledger.opening = silent }},
-		"the stores are silent, little time": {"/turn/x", "X-Time-Left-Ms: 900\r\n", 900 * time.Millisecond, func(v *virtual) { v.ledger.opening = silent }},
+		"the stores are silent":              {"/turn/x", "X-Time-Left-Ms: 60000\r\n", 8 * time.Second, func(v *virtual) { v.ledger.onOpen = silent }},
+		"the stores are silent, little time": {"/turn/x", "X-Time-Left-Ms: 900\r\n", 900 * time.Millisecond, func(v *virtual) { v.ledger.onOpen = silent }},
 		"all hosts are full":                 {"/calm/high/x", "X-Time-Left-Ms: 60000\r\n", 40 * time.Second, (*virtual).fill},
 		"all hosts are full, little time":    {"/calm/high/x", "X-Time-Left-Ms: 700\r\n", 700 * time.Millisecond, (*virtual).fill},
 		"all hosts are full, stream":         {"/stream/x", "X-Time-Left-Ms: 60000\r\n", 8 * time.Second, (*virtual).fill},
 		"no host is known":                   {"/tool/x", "X-Time-Left-Ms: 60000\r\n", 8 * time.Second, func(*virtual) {}},
 		"the stores take nearly all the time": {"/turn/x", "X-Time-Left-Ms: 60000\r\n", 8 * time.Second, func(v *virtual) {
-			v.ledger.opening = func(context.Context) error { time.Sleep(7900 * time.Millisecond); return nil }
+			v.ledger.onOpen = func(context.Context) error { time.Sleep(7900 * time.Millisecond); return nil }
 			v.fill()
 		}},
 	} {
@@ -200,7 +200,7 @@
 
 // fill lists one host of each service and takes its slots and its queue.
 func (v *virtual) fill() {
-	(&front{source: v.source}).list(&host{id: "i-1", addr: "127.0.0.1:1", capacity: 1})
+	(&front{source: v.source}).setHosts(&host{id: "i-1", addr: "127.0.0.1:1", capacity: 1})
 	v.dispatcher.update(v.source.Tables(), time.Now())
 	v.dispatcher.mu.Lock()
 	defer v.dispatcher.mu.Unlock()
@@ -212,12 +212,12 @@
 }
 
 // A client that goes while its turn is opened ends the opening.
-func TestClientGoesWhileItsTurnIsOpened(t *testing.T) {
+func TestDisconnectDuringOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtual(t, nil)
 		ended := make(chan error, 1)
-		v.ledger.opening = func(ctx context.Context) error { <-ctx.Done(); ended <- ctx.Err(); return ctx.Err() }
-		go func() { _, _ = io.WriteString(v.client, request1("POST", "/turn/x", "a", "", "x")) }()
+		v.ledger.onOpen = func(ctx context.Context) error { <-ctx.Done(); ended <- ctx.Err(); return ctx.Err() }
+		go func() { _, _ = io.WriteString(v.client, requestText("POST", "/turn/x", "a", "", "x")) }()
 		begin := time.Now()
 		time.Sleep(time.Second)
 		v.client.Close()
@@ -227,7 +227,7 @@
 }
 
 // A front that has not heard of the core for a while does not deny a route that may have been added since.
-func TestRouteThatMayHaveBeenAdded(t *testing.T) {
+func TestUnknownRouteOfStaleConfiguration(t *testing.T) {
 	for age, status := range map[time.Duration]int{0: 404, time.Second: 404, 2 * time.Second: 503, time.Minute: 503} {
 		synctest.Test(t, func(t *testing.T) {
 			v := newVirtual(t, nil)
--- a/internal/tier/proxy/client_kept_test.go
+++ b/internal/tier/proxy/keepalive_test.go
@@ -10,7 +10,7 @@
 )
 
 // The write deadline of a request ends with it: on a kept connection, later answers are written after it has passed.
-func TestWriteDeadlineOfAnEarlierRequest(t *testing.T) {
+func TestWriteDeadlineEndsWithRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		header, body string
 		wanted       string // the status lines that come
@@ -48,7 +48,7 @@
 }
 
 // A HEAD request has no body in its answer, on a route of streams either: nothing is in the next answer's place.
-func TestHeadOnARouteOfStreams(t *testing.T) {
+func TestHeadOnStreamingRoute(t *testing.T) {
 	h := newHost(t, "i-1", func(c *call) bool {
 		if c.req.Method == http.MethodHead {
 			c.raw(streamHead(c))
@@ -59,13 +59,13 @@
 	f := newFront(t, h)
 	for _, path := range []string{"/stream/x", "/turn/x"} {
 		c := f.dial()
-		c.send(request1(http.MethodHead, path, "a", turnHeader, ""))
+		c.send(requestText(http.MethodHead, path, "a", turnHeader, ""))
 		response, err := http.ReadResponse(c.in, &http.Request{Method: http.MethodHead})
 		if err != nil {
 			t.Fatal(err)
 		}
 		want(t, "status", response.StatusCode, 200)
-		c.send(request1(http.MethodPost, path, "b", turnHeader, "x"))
+		c.send(requestText(http.MethodPost, path, "b", turnHeader, "x"))
 		a := c.read()
 		want(t, "status of the next, "+path, a.status, 200)
 		want(t, "id of the next", a.header.Get("X-Attempt-Id"), "b")
@@ -74,7 +74,7 @@
 }
 
 // A pipelined request has come while the one before was served: its time runs from then on.
-func TestTimeOfAPipelinedRequest(t *testing.T) {
+func TestPipelinedRequestDeadline(t *testing.T) {
 	for name, ahead := range map[string]time.Duration{"in one piece": 0, "while the first is served": time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -82,9 +82,9 @@
 				v.fill()
 				const held = 5 * time.Second // the first
 				begin := time.Now()
-				first := request1("POST", "/calm/high/x", "a", "X-Time-Left-Ms: 5000\r\n", "x")
-				second := request1("POST", "/calm/high/x", "b", "X-Time-Left-Ms: 6000\r\n", "x") +
-					request1("POST", "/calm/high/x", "c", "X-Time-Left-Ms: 7000\r\n", "x")
+				first := requestText("POST", "/calm/high/x", "a", "X-Time-Left-Ms: 5000\r\n", "x")
+				second := requestText("POST", "/calm/high/x", "b", "X-Time-Left-Ms: 6000\r\n", "x") +
+					requestText("POST", "/calm/high/x", "c", "X-Time-Left-Ms: 7000\r\n", "x")
 				go func() {
 					if ahead == 0 {
 						_, _ = io.WriteString(v.client, first+second)
--- a/internal/tier/proxy/proxy_test.go
+++ b/internal/tier/proxy/proxy_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patient = 10 * time.Second // for what must happen, on a busy machine
+const testTimeout = 10 * time.Second // for what must happen, on a busy machine
 
 func want[T comparable](t *testing.T, what string, got, want T) {
 	t.Helper()
@@ -38,7 +38,7 @@
 	t.Helper()
 	select {
 	case v = <-ch:
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatalf("%s does not come", what)
 	}
 	return v
@@ -47,7 +47,7 @@
 // eventually polls.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patient); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s does not come true", what)
 		}
@@ -79,26 +79,26 @@
 
 // ledger is one that a test scripts; it notes what it was told.
 type ledger struct {
-	mu      sync.Mutex
-	history map[string]string
-	openErr error
-	opening func(ctx context.Context) error
-	closing func(ctx context.Context) error
-	base    bool
-	notes   []string
-	kept    []*turnstore.Turn
+	mu       sync.Mutex
+	history  map[string]string
+	openErr  error
+	onOpen   func(ctx context.Context) error
+	onClose  func(ctx context.Context) error
+	base     bool
+	entries  []string
+	recorded []*turnstore.Turn
 }
 
 func (l *ledger) note(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.notes = append(l.notes, fmt.Sprintf(format, args...))
+	l.entries = append(l.entries, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) told() string {
+func (l *ledger) log() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Join(l.notes, "; ")
+	return strings.Join(l.entries, "; ")
 }
 
 func (l *ledger) Open(ctx context.Context, o turnstore.OpenRequest) (*turnstore.OpenedTurn, error) {
@@ -106,15 +106,15 @@
 	if l.openErr != nil {
 		return nil, l.openErr
 	}
-	if l.opening != nil {
-		if err := l.opening(ctx); err != nil {
+	if l.onOpen != nil {
+		if err := l.onOpen(ctx); err != nil {
 			return nil, err
 		}
 	}
 	opened := &turnstore.OpenedTurn{OpenRequest: o, History: []byte(l.history[o.Previous]), ForeignBase: l.base}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.kept {
+	for _, t := range l.recorded {
 		if t.ID == o.Previous {
 			opened.CacheHost, opened.ContextTokens = t.CacheHost, t.ContextTokens
 		}
@@ -124,11 +124,11 @@
 
 func (l *ledger) Close(ctx context.Context, turn *turnstore.Turn) error {
 	l.mu.Lock()
-	l.kept = append(l.kept, turn)
+	l.recorded = append(l.recorded, turn)
 	l.mu.Unlock()
 	l.note("close %s %d", turn.ID, turn.UsedTokens)
-	if l.closing != nil {
-		return l.closing(ctx)
+	if l.onClose != nil {
+		return l.onClose(ctx)
 	}
 	return nil
 }
@@ -139,21 +139,21 @@
 
 // oracle is one that a test sets.
 type oracle struct {
-	mu     sync.Mutex
-	edge   time.Duration
-	given  []time.Duration // last tries that it was asked with
-	served int
-	cuts   int
+	mu        sync.Mutex
+	timeout   time.Duration
+	lastTries []time.Duration // last tries that it was asked with
+	served    int
+	cuts      int
 }
 
 func (o *oracle) Timeout(left, lastTry time.Duration, canRestart bool) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.given = append(o.given, lastTry)
-	if o.edge == 0 || !canRestart {
+	o.lastTries = append(o.lastTries, lastTry)
+	if o.timeout == 0 || !canRestart {
 		return left
 	}
-	return min(left, max(o.edge, lastTry+time.Millisecond))
+	return min(left, max(o.timeout, lastTry+time.Millisecond))
 }
 func (o *oracle) Served(time.Duration) { o.mu.Lock(); defer o.mu.Unlock(); o.served++ }
 func (o *oracle) Cut()                 { o.mu.Lock(); defer o.mu.Unlock(); o.cuts++ }
@@ -161,17 +161,17 @@
 // call is a request as a host got it, raw, with its connection.
 type call struct {
 	net.Conn
-	in   *bufio.Reader
-	req  *http.Request
-	head string // as it came
-	body string
-	nth  int // on its connection, from 1
+	in     *bufio.Reader
+	req    *http.Request
+	head   string // as it came
+	body   string
+	number int // on its connection, from 1
 }
 
 func (c *call) id() string { return c.req.Header.Get("X-Attempt-Id") }
 
-// answer writes a whole answer.
-func (c *call) answer(status int, header, body string) { c.raw(reply(c.id(), status, header, body)) }
+// respond writes a whole respond.
+func (c *call) respond(status int, header, body string) { c.raw(reply(c.id(), status, header, body)) }
 
 func (c *call) raw(s string) { _, _ = io.WriteString(c.Conn, s) }
 
@@ -190,7 +190,7 @@
 	wg       sync.WaitGroup
 	mu       sync.Mutex
 	open     map[net.Conn]bool
-	got      []string               // head and body
+	requests []string               // head and body
 	accept   func(nc net.Conn) bool // looks at a new connection first; false closes it
 }
 
@@ -258,27 +258,27 @@
 		}
 		h.calls.Add(1)
 		h.mu.Lock()
-		h.got = append(h.got, head.String()+string(body))
+		h.requests = append(h.requests, head.String()+string(body))
 		h.mu.Unlock()
-		c := &call{Conn: nc, in: in, req: req, head: head.String(), body: string(body), nth: nth}
+		c := &call{Conn: nc, in: in, req: req, head: head.String(), body: string(body), number: nth}
 		if !script(c) {
 			return
 		}
 	}
 }
 
-// gotten is what came to a host last.
-func (h *host) gotten() string {
+// lastRequest is what came to a host last.
+func (h *host) lastRequest() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.got) == 0 {
+	if len(h.requests) == 0 {
 		return ""
 	}
-	return h.got[len(h.got)-1]
+	return h.requests[len(h.requests)-1]
 }
 
-func serves(text string) func(c *call) bool {
-	return func(c *call) bool { c.answer(200, "", text); return true }
+func respondsOK(text string) func(c *call) bool {
+	return func(c *call) bool { c.respond(200, "", text); return true }
 }
 
 // front is a server under test with its stand-ins.
@@ -311,7 +311,7 @@
 		t.Fatal(err)
 	}
 	f.source.set(func(tb *feed.Tables) { tb.Config, tb.Placement = cfg, &turnstore.Placement{} })
-	f.list(hosts...)
+	f.setHosts(hosts...)
 	f.Server = New(Options{Zone: "z", Source: f.source, Ledger: f.ledger, Seed: 1, GracePeriod: 4 * time.Second,
 		NewOracle: func(time.Duration) balancer.Oracle { return f.oracle }})
 	f.addr, f.ready = serve(t, f.Server)
@@ -339,8 +339,8 @@
 	return fl.Addr().String(), rl.Addr().String()
 }
 
-// entry is a host on the list: of both services, so that tests need not say.
-func (f *front) list(hosts ...*host) {
+// entry is a host on the setHosts: of both services, so that tests need not say.
+func (f *front) setHosts(hosts ...*host) {
 	l := &discovery.List{Term: 1, Number: time.Now().UnixNano()}
 	for _, h := range hosts {
 		for _, service := range []string{"plain", "engine"} {
@@ -367,12 +367,12 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	_ = nc.SetDeadline(time.Now().Add(2 * patient))
+	_ = nc.SetDeadline(time.Now().Add(2 * testTimeout))
 	f.t.Cleanup(func() { nc.Close() })
 	return &conn{Conn: nc, t: f.t, in: bufio.NewReader(nc)}
 }
 
-func request1(method, uri, id, header, body string) string {
+func requestText(method, uri, id, header, body string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", method, uri, id, header, len(body), body)
 }
 
@@ -406,7 +406,7 @@
 	f.t.Helper()
 	c := f.dial()
 	defer c.Close()
-	c.send(request1(method, uri, id, header, body))
+	c.send(requestText(method, uri, id, header, body))
 	return c.read()
 }
 
--- a/internal/tier/proxy/seal_test.go
+++ b/internal/tier/proxy/seal_test.go
@@ -7,10 +7,10 @@
 
 // A failure bears a host's seal with the status that the host gave, or no seal. Statuses that promise that the request
 // has not run are not passed on without a proof of it; the client then has an answer of the proxy's own.
-func TestSealStaysWithTheStatusOfItsHost(t *testing.T) {
+func TestSealOnlyWithStatusOfHost(t *testing.T) {
 	for _, path := range []string{"/tool/x", "/order/x", "/stream/x", "/turn/x"} {
 		for _, status := range []int{400, 402, 404, 408, 409, 410, 413, 429, 500, 501, 502, 503, 504, 507} {
-			h := newHost(t, "i-1", func(c *call) bool { c.answer(status, "", "said"); return true })
+			h := newHost(t, "i-1", func(c *call) bool { c.respond(status, "", "said"); return true })
 			f := newFront(t, h)
 			a := f.do("POST", path, "a", timeLeft, "x")
 			what := fmt.Sprintf("%d on %s: answer", status, path)
@@ -24,12 +24,12 @@
 }
 
 // A success without the seal of a host is none: what sent it may have run the request.
-func TestSuccessWithoutASeal(t *testing.T) {
+func TestSuccessWithoutSealIsFailure(t *testing.T) {
 	for path, wanted := range map[string]string{"/tool/x": "200 two 2", "/order/x": "502 1", "/stream/x": "502 1"} {
 		calls := 0
 		script := func(c *call) bool {
 			if calls++; calls > 1 {
-				c.answer(200, "", "two")
+				c.respond(200, "", "two")
 			} else {
 				c.raw("HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 4\r\n\r\nfake")
 			}
@@ -46,9 +46,9 @@
 }
 
 // A host's Connection header cannot take the seal off its answer.
-func TestSealIsNotOfOneConnection(t *testing.T) {
+func TestSealIsEndToEnd(t *testing.T) {
 	f := newFront(t, newHost(t, "i-1", func(c *call) bool {
-		c.answer(200, "Connection: X-Host-Seal, X-Attempt-Id\r\n", "yes")
+		c.respond(200, "Connection: X-Host-Seal, X-Attempt-Id\r\n", "yes")
 		return true
 	}))
 	a := f.do("POST", "/order/x", "a", timeLeft, "x")
@@ -57,14 +57,14 @@
 }
 
 // A refusal whose reason breaks off does not look complete; as it has not run, another host is asked.
-func TestRefusalThatBreaksOff(t *testing.T) {
+func TestTruncatedRejectionIsRetried(t *testing.T) {
 	calls := 0
 	script := func(c *call) bool {
 		if calls++; calls == 1 {
 			c.raw("HTTP/1.1 400 X\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1\r\nContent-Length: 9\r\n\r\nhal")
 			return false
 		}
-		c.answer(200, "", "two")
+		c.respond(200, "", "two")
 		return true
 	}
 	f := newFront(t, newHost(t, "i-1", script), newHost(t, "i-2", script))
--- a/internal/tier/proxy/trickle_test.go
+++ b/internal/tier/proxy/slow_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-const heldAtMost = 250 * time.Millisecond // past its deadline, by the operators' rules
+const maxOverrun = 250 * time.Millisecond // past its deadline, by the operators' rules
 
-// trickles writes a text byte by byte, for as long as anybody reads.
-func trickles(c net.Conn, text string, every time.Duration) bool {
+// writeSlowly writes a text byte by byte, for as long as anybody reads.
+func writeSlowly(c net.Conn, text string, every time.Duration) bool {
 	for i := range len(text) {
 		if _, err := io.WriteString(c, text[i:i+1]); err != nil {
 			return false
@@ -30,7 +30,7 @@
 
 // A host that goes on sending, byte by byte, does not move the end of a request: its client has the answer, or the end of
 // the connection, at the deadline of the route and no later.
-func TestTricklingHostIsHeldToTheDeadline(t *testing.T) {
+func TestSlowHostMeetsDeadline(t *testing.T) {
 	const deadline = 8 * time.Second // of the routes
 	long := strings.Repeat("x", 5000)
 	for name, c := range map[string]struct {
@@ -42,7 +42,7 @@
 		}},
 		"body in chunks":    {text: func(id string) string { return streamOf(id) + chunked + strings.Repeat("1\r\nx\r\n", 2000) }},
 		"interim answers":   {text: func(string) string { return strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 300) }},
-		"answers to others": {text: func(string) string { return strings.Repeat(fmt.Sprintf(whole200, "other"), 3) + long }},
+		"answers to others": {text: func(string) string { return strings.Repeat(fmt.Sprintf(forged200, "other"), 3) + long }},
 		"a failure":         {text: func(id string) string { return reply(id, 404, "", long) }},
 	} {
 		for _, r := range routes {
@@ -50,7 +50,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					v := newVirtual(t, nil)
 					v.host = func(c1 net.Conn, _ *bufio.Reader, q *http.Request) bool {
-						return trickles(c1, c.text(q.Header.Get("X-Attempt-Id")), 10*time.Millisecond)
+						return writeSlowly(c1, c.text(q.Header.Get("X-Attempt-Id")), 10*time.Millisecond)
 					}
 					v.list(2)
 					begin := time.Now()
@@ -69,7 +69,7 @@
 }
 
 // A client that takes nothing in is held no longer than allowed, either.
-func TestClientThatDoesNotReadIsHeldToTheDeadline(t *testing.T) {
+func TestClientThatDoesNotReadMeetsDeadline(t *testing.T) {
 	for _, r := range routes {
 		t.Run(r.path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -79,8 +79,8 @@
 					return true
 				}
 				v.list(1)
-				_, _ = io.WriteString(v.client, request1("POST", r.path, "a", "X-Time-Left-Ms: 1000\r\n", "x"))
-				time.Sleep(time.Second + heldAtMost)
+				_, _ = io.WriteString(v.client, requestText("POST", r.path, "a", "X-Time-Left-Ms: 1000\r\n", "x"))
+				time.Sleep(time.Second + maxOverrun)
 				_, err := v.in.ReadByte()
 				want(t, "end", err, io.EOF)
 			})
@@ -90,15 +90,15 @@
 
 // No host is told more time than is left, whatever a request has been through: an opening, a queue, connections that come
 // up slowly, other hosts.
-func TestTimeLeftThatHostsAreTold(t *testing.T) {
+func TestTimeLeftHeaderToHosts(t *testing.T) {
 	for _, r := range routes {
 		for name, header := range map[string]string{"a request": "", "a call of a program": "Program: p1\r\n"} {
 			for _, first := range []string{"declines", "is silent", "breaks off"} {
 				t.Run(strings.Join([]string{name, r.path, first}, " "), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						v := newVirtual(t, nil)
-						v.oracle.edge = time.Second
-						v.ledger.opening = func(context.Context) error { time.Sleep(700 * time.Millisecond); return nil }
+						v.oracle.timeout = time.Second
+						v.ledger.onOpen = func(context.Context) error { time.Sleep(700 * time.Millisecond); return nil }
 						begin := time.Now()
 						var calls atomic.Int32
 						v.host = func(c net.Conn, in *bufio.Reader, q *http.Request) bool {
--- a/internal/tier/proxy/client_cut_test.go
+++ b/internal/tier/proxy/truncation_test.go
@@ -9,12 +9,12 @@
 
 // A request that its client cuts behind any byte but the last is not run; one ahead of it on the connection has its
 // answer.
-func TestClientCutBehindEachByte(t *testing.T) {
-	h := newHost(t, "i-1", func(c *call) bool { c.answer(200, "", c.id()); return true })
+func TestTruncatedRequestIsNotForwarded(t *testing.T) {
+	h := newHost(t, "i-1", func(c *call) bool { c.respond(200, "", c.id()); return true })
 	f := newFront(t, h)
-	ahead := request1("POST", "/order/x", "ahead", timeLeft, "x")
+	ahead := requestText("POST", "/order/x", "ahead", timeLeft, "x")
 	for _, text := range []string{
-		request1("POST", "/order/x", "cut", timeLeft, "body"),
+		requestText("POST", "/order/x", "cut", timeLeft, "body"),
 		"POST /order/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: cut\r\nTransfer-Encoding: chunked\r\n\r\n2;e=1\r\nbo\r\n2\r\ndy\r\n0\r\nX-T: 1\r\n\r\n",
 	} {
 		for cut := range len(text) {
@@ -35,7 +35,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, got := range h.got {
+	for _, got := range h.requests {
 		if strings.Contains(got, "X-Attempt-Id: cut") {
 			t.Errorf("the host got %q", got)
 		}
@@ -43,13 +43,13 @@
 }
 
 // Requests that come together with what cannot be read: those ahead are answered, in their order, and nothing behind runs.
-func TestPipelinedAheadOfGarbage(t *testing.T) {
-	h := newHost(t, "i-1", func(c *call) bool { c.answer(200, "", c.id()); return true })
+func TestPipelinedRequestsBeforeGarbage(t *testing.T) {
+	h := newHost(t, "i-1", func(c *call) bool { c.respond(200, "", c.id()); return true })
 	f := newFront(t, h)
 	c := f.dial()
-	c.send(request1("POST", "/order/x", "a", timeLeft, "x") + request1("GET", "/none/", "b", "", "") +
-		request1("DELETE", "/order/x", "c", timeLeft, "") + "GET /order/x HTTP/1.0\r\nHost: shop.example\r\nX-Attempt-Id: d\r\n\r\n" +
-		request1("POST", "/order/x", "e", timeLeft, "x"))
+	c.send(requestText("POST", "/order/x", "a", timeLeft, "x") + requestText("GET", "/none/", "b", "", "") +
+		requestText("DELETE", "/order/x", "c", timeLeft, "") + "GET /order/x HTTP/1.0\r\nHost: shop.example\r\nX-Attempt-Id: d\r\n\r\n" +
+		requestText("POST", "/order/x", "e", timeLeft, "x"))
 	for _, wanted := range []string{"200 a", "404 b", "200 c", "505 "} {
 		a := c.read()
 		want(t, "answer", fmt.Sprint(a.status, " ", a.header.Get("X-Attempt-Id")), wanted)
@@ -61,8 +61,8 @@
 }
 
 // A trailer without end is refused, not dropped without an answer.
-func TestTrailerWithoutEnd(t *testing.T) {
-	f := newFront(t, newHost(t, "i-1", serves("ran")))
+func TestEndlessTrailerIsRejected(t *testing.T) {
+	f := newFront(t, newHost(t, "i-1", respondsOK("ran")))
 	c := f.dial()
 	c.send("POST /order/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: " + strings.Repeat("y", 2*readBufferSize))
 	want(t, "status", c.read().status, 400)
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -49,7 +49,7 @@
 }
 
 // A turn: its host gets the history and the new input, events pass as they come, and the end is held until it is kept.
-func TestTurn(t *testing.T) {
+func TestTurnIsRecordedBeforeStreamEnds(t *testing.T) {
 	next := make(chan bool)
 	h := newHost(t, "i-1", func(c *call) bool {
 		c.raw(streamHead(c) + chunk(event(1, "one")))
@@ -61,9 +61,9 @@
 	f := newFront(t, h)
 	closing, kept := make(chan bool), make(chan error)
 	f.ledger.history = map[string]string{"t0": "history;"}
-	f.ledger.closing = func(context.Context) error { closing <- true; return <-kept }
+	f.ledger.onClose = func(context.Context) error { closing <- true; return <-kept }
 	c := f.dial()
-	c.send(request1("POST", "/turn/x", "t1", turnHeader, "input"))
+	c.send(requestText("POST", "/turn/x", "t1", turnHeader, "input"))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -84,12 +84,12 @@
 	}
 	kept <- nil
 	want(t, "end", wait(t, ended, "end"), io.EOF)
-	if got := h.gotten(); !strings.HasSuffix(got, "\r\n\r\nhistory;input") || !strings.Contains(got, "\r\nPrevious: t0\r\n") ||
+	if got := h.lastRequest(); !strings.HasSuffix(got, "\r\n\r\nhistory;input") || !strings.Contains(got, "\r\nPrevious: t0\r\n") ||
 		!strings.Contains(got, "\r\nContent-Length: 13\r\n") || !strings.Contains(got, "\r\nX-Target-Instance: i-1-e\r\n") {
 		t.Errorf("the host got %q", got)
 	}
-	want(t, "notes", f.ledger.told(), "open p1 t1<-t0 10/100; close t1 6")
-	k := f.ledger.kept[0]
+	want(t, "notes", f.ledger.log(), "open p1 t1<-t0 10/100; close t1 6")
+	k := f.ledger.recorded[0]
 	want(t, "key", k.Key, "p1")
 	want(t, "previous", k.Previous, "t0")
 	want(t, "input", string(k.Input), "input")
@@ -97,22 +97,22 @@
 	want(t, "base", k.Base == nil, true)
 	want(t, "retained", k.RetainSeconds, 60)
 	// The connection serves on.
-	f.ledger.closing = nil
-	c.send(request1("POST", "/tool/x", "a", timeLeft, "x"))
+	f.ledger.onClose = nil
+	c.send(requestText("POST", "/tool/x", "a", timeLeft, "x"))
 	want(t, "id of the next answer", c.read().header.Get("X-Attempt-Id"), "a")
 }
 
-func TestTurnUnderAnotherProgram(t *testing.T) {
+func TestTurnOfAnotherProgramRecordsBase(t *testing.T) {
 	f := newFront(t, newHost(t, "i-1", func(c *call) bool { return streams(c, event(1, "x")) }))
 	f.ledger.history, f.ledger.base = map[string]string{"t0": "history;"}, true
 	a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
 	want(t, "body", a.body, event(1, "x"))
 	want(t, "error", a.err, nil)
-	want(t, "base", string(f.ledger.kept[0].Base), "history;")
+	want(t, "base", string(f.ledger.recorded[0].Base), "history;")
 }
 
 // Answers to turns whose host breaks off or whose end cannot be kept are not complete, and what was handed out is settled.
-func TestTurnThatDoesNotEndWhole(t *testing.T) {
+func TestIncompleteTurnIsSettled(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(c *call) bool
 		status int // 0 for an answer that must not look complete
@@ -132,22 +132,22 @@
 		}, 0, "settle p1 t1 2", false},
 		"it is not kept":  {func(c *call) bool { return streams(c, event(1, "x"), event(2, "y")) }, 0, "close t1 4; settle p1 t1 4", true},
 		"over its need":   {func(c *call) bool { c.raw(streamHead(c) + chunk(strings.Repeat(event(1, "x"), 9))); return false }, 0, "settle p1 t1 10", false},
-		"500":             {func(c *call) bool { c.answer(500, "", "bad"); return true }, 500, "settle p1 t1 0", false},
-		"402 by the host": {func(c *call) bool { c.answer(402, "", "bad"); return true }, 502, "settle p1 t1 0", false},
+		"500":             {func(c *call) bool { c.respond(500, "", "bad"); return true }, 500, "settle p1 t1 0", false},
+		"402 by the host": {func(c *call) bool { c.respond(402, "", "bad"); return true }, 502, "settle p1 t1 0", false},
 		"half of a 500": {func(c *call) bool {
 			c.raw("HTTP/1.1 500 X\r\nX-Attempt-Id: t1\r\nContent-Length: 9\r\n\r\nba")
 			return false
 		}, 502, "settle p1 t1 0", false},
-		"full, everywhere": {func(c *call) bool { c.answer(503, "X-Not-Executed: 1\r\n", ""); return true }, 503, "settle p1 t1 0", false},
+		"full, everywhere": {func(c *call) bool { c.respond(503, "X-Not-Executed: 1\r\n", ""); return true }, 503, "settle p1 t1 0", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, "i-1", c.script)
 			f := newFront(t, h, newHost(t, "i-2", c.script))
 			if c.fails {
-				f.ledger.closing = func(context.Context) error { return turnstore.ErrUnavailable }
+				f.ledger.onClose = func(context.Context) error { return turnstore.ErrUnavailable }
 			}
 			k := f.dial()
-			k.send(request1("POST", "/turn/x", "t1", turnHeader, "input"))
+			k.send(requestText("POST", "/turn/x", "t1", turnHeader, "input"))
 			var a answer
 			if c.status == 0 {
 				raw, _ := io.ReadAll(k)
@@ -160,8 +160,8 @@
 				want(t, "status", a.status, c.status)
 				want(t, "error", a.err, nil)
 			}
-			eventually(t, "settled", func() bool { return strings.Contains(f.ledger.told(), "settle") })
-			want(t, "notes", f.ledger.told(), "open p1 t1<-t0 10/100; "+c.notes)
+			eventually(t, "settled", func() bool { return strings.Contains(f.ledger.log(), "settle") })
+			want(t, "notes", f.ledger.log(), "open p1 t1<-t0 10/100; "+c.notes)
 			if a.status != 503 {
 				want(t, "retry", a.header.Get("Retry-After"), "")
 			}
@@ -170,9 +170,9 @@
 }
 
 // What the ledger says decides, and no host is asked.
-func TestTurnThatMayNotRun(t *testing.T) {
+func TestTurnRejectedByLedger(t *testing.T) {
 	for kind, status := range map[error]int{turnstore.ErrBudget: 402, turnstore.ErrNoTurn: 404, turnstore.ErrUnavailable: 503, context.DeadlineExceeded: 503} {
-		h := newHost(t, "i-1", serves("ran"))
+		h := newHost(t, "i-1", respondsOK("ran"))
 		f := newFront(t, h)
 		f.ledger.openErr = errors.Mark(errors.New("as the test has it"), kind)
 		a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
@@ -183,13 +183,13 @@
 }
 
 // A turn moves to another host only after a proof, and its reservation stays.
-func TestTurnOnAnotherHost(t *testing.T) {
+func TestTurnRetryKeepsReservation(t *testing.T) {
 	first := make(chan bool, 1)
 	first <- true
 	script := func(c *call) bool {
 		select {
 		case <-first:
-			c.answer(503, "X-Not-Executed: 1\r\n", "")
+			c.respond(503, "X-Not-Executed: 1\r\n", "")
 			return true
 		default:
 			return streams(c, event(1, "x"))
@@ -198,11 +198,11 @@
 	f := newFront(t, newHost(t, "i-1", script), newHost(t, "i-2", script))
 	a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
 	want(t, "body", a.body, event(1, "x"))
-	want(t, "notes", f.ledger.told(), "open p1 t1<-t0 10/100; close t1 2")
+	want(t, "notes", f.ledger.log(), "open p1 t1<-t0 10/100; close t1 2")
 }
 
 // The turns of a line go to the host that ran the one before, as the ledger remembers it, whichever that was.
-func TestTurnsOfALineGoToTheHostThatHasTheirPrompt(t *testing.T) {
+func TestTurnsGoToCacheHost(t *testing.T) {
 	var hosts []*host
 	for i := range 5 {
 		hosts = append(hosts, newHost(t, fmt.Sprint("i-", i), func(c *call) bool { return streams(c, event(1, "x")) }))
@@ -214,7 +214,7 @@
 		if i > 0 {
 			head += fmt.Sprintf("Previous: t%d\r\n", i-1)
 		}
-		c.send(request1("POST", "/turn/x", fmt.Sprint("t", i), head, "input"))
+		c.send(requestText("POST", "/turn/x", fmt.Sprint("t", i), head, "input"))
 		want(t, "status", c.read().status, 200)
 	}
 	for _, h := range hosts {
@@ -225,7 +225,7 @@
 }
 
 // The client goes in the middle of a stream: the host is told, and what was handed out is settled.
-func TestClientGoesAmidAStream(t *testing.T) {
+func TestDisconnectDuringStream(t *testing.T) {
 	ended := make(chan bool, 1)
 	h := newHost(t, "i-1", func(c *call) bool {
 		c.raw(streamHead(c) + chunk(event(1, "x")))
@@ -235,7 +235,7 @@
 	})
 	f := newFront(t, h)
 	c := f.dial()
-	c.send(request1("POST", "/turn/x", "t1", turnHeader, "input"))
+	c.send(requestText("POST", "/turn/x", "t1", turnHeader, "input"))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -243,32 +243,32 @@
 	readPiece(t, resp.Body, event(1, "x"))
 	c.Close()
 	want(t, "end of the host's connection", wait(t, ended, "end"), true)
-	eventually(t, "settled", func() bool { return strings.HasSuffix(f.ledger.told(), "settle p1 t1 2") })
-	want(t, "kept", len(f.ledger.kept), 0)
+	eventually(t, "settled", func() bool { return strings.HasSuffix(f.ledger.log(), "settle p1 t1 2") })
+	want(t, "kept", len(f.ledger.recorded), 0)
 }
 
 // A stream that is no turn needs no ledger. One framed by length comes whole as well.
-func TestStreamWithoutALedger(t *testing.T) {
+func TestStreamNeedsNoLedger(t *testing.T) {
 	for name, script := range map[string]func(c *call) bool{
 		"chunks": func(c *call) bool { return streams(c, event(1, "x"), event(2, "y")) },
-		"length": func(c *call) bool { c.answer(200, "", event(1, "x")+event(2, "y")); return true },
+		"length": func(c *call) bool { c.respond(200, "", event(1, "x")+event(2, "y")); return true },
 	} {
 		f := newFront(t, newHost(t, "i-1", script))
 		a := f.do("POST", "/stream/x", "a", timeLeft, "x")
 		want(t, name, fmt.Sprint(a.status, a.body, a.err), "200"+event(1, "x")+event(2, "y")+"<nil>")
-		want(t, "notes", f.ledger.told(), "")
+		want(t, "notes", f.ledger.log(), "")
 	}
 }
 
-func TestTurnWithoutItsHeaders(t *testing.T) {
+func TestTurnHeaderDefaults(t *testing.T) {
 	f := newFront(t, newHost(t, "i-1", func(c *call) bool { return streams(c, event(1, "x")) }))
 	a := f.do("POST", "/turn/x", "t1", "", "input")
 	want(t, "status", a.status, 200)
-	want(t, "notes", f.ledger.told(), fmt.Sprintf("open t1 t1<- 0/%d; close t1 2", Unlimited))
+	want(t, "notes", f.ledger.log(), fmt.Sprintf("open t1 t1<- 0/%d; close t1 2", Unlimited))
 }
 
 // Events are the same however their bytes are cut.
-func TestEventsHoweverCut(t *testing.T) {
+func TestEventParserIgnoresPieceBoundaries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[a-z :]{0,6}`)
 		var text, out strings.Builder
@@ -302,7 +302,7 @@
 	})
 }
 
-func TestEvents(t *testing.T) {
+func TestEventParser(t *testing.T) {
 	for text, c := range map[string]struct {
 		count int
 		out   string
@@ -328,7 +328,7 @@
 }
 
 // A client has few tries: where stores or hosts are away it is told to come back when what was killed has started again.
-func TestWhoComesAgainIsToldToWaitUntilMachinesHaveStarted(t *testing.T) {
+func TestRetryAfterCoversRestart(t *testing.T) {
 	after := func(f *front) float64 {
 		t.Helper()
 		a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
--- a/internal/tier/upstream/time_test.go
+++ b/internal/tier/upstream/deadline_test.go
@@ -36,7 +36,7 @@
 }
 
 // A host is told the time that is left when the request goes out, not what was left before its connection came up.
-func TestTimeLeftIsThatOfTheWrite(t *testing.T) {
+func TestTimeLeftAtWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		told := ""
 		h := newVirtual(t, 300*time.Millisecond, func(c net.Conn, r *http.Request) {
@@ -52,7 +52,7 @@
 }
 
 // A refusal is proven by its head: its text may come for a moment, and a host that stalls in it does not hold the request up.
-func TestRefusalThatStalls(t *testing.T) {
+func TestStalledRejection(t *testing.T) {
 	for name, text := range map[string]string{
 		"not executed": "HTTP/1.1 503 X\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1\r\nContent-Length: 9\r\n\r\n",
 		"misdirected":  "HTTP/1.1 421 X\r\nX-Attempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n",
@@ -77,7 +77,7 @@
 }
 
 // What is read away of an answer that is not passed on is waited for as briefly.
-func TestDrainThatStalls(t *testing.T) {
+func TestStalledDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newVirtual(t, 0, func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 500 X\r\nX-Attempt-Id: a\r\nContent-Length: 9\r\n\r\nfai")
@@ -94,7 +94,7 @@
 }
 
 // The time of a call is not moved back by a refusal that comes just ahead of it.
-func TestRefusalAtTheEndOfTheTime(t *testing.T) {
+func TestRejectionKeepsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const within = time.Second
 		h := newVirtual(t, 0, func(c net.Conn, _ *http.Request) {
@@ -110,7 +110,7 @@
 }
 
 // A connection that does not come up in the little time of a call says nothing about its host.
-func TestLittleTimeForAConnection(t *testing.T) {
+func TestDialTimeoutKind(t *testing.T) {
 	for within, kind := range map[time.Duration]error{time.Millisecond: ErrDeadline, dialTimeout / 2: ErrDeadline, dialTimeout: ErrConnect, time.Second: ErrConnect} {
 		t.Run(within.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/tier/upstream/early_test.go
+++ b/internal/tier/upstream/early_test.go
@@ -33,7 +33,7 @@
 }
 
 // A host answers when it has read a part of a long request. What it says counts, at once; the connection is not kept.
-func TestAnswerAheadOfTheEndOfARequest(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	silence := func(_ net.Conn, _ *bufio.Reader, end <-chan bool) { <-end }
 	closes := func(net.Conn, *bufio.Reader, <-chan bool) {}
 	const sealed = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 3\r\n\r\nyes"
@@ -90,7 +90,7 @@
 }
 
 // A host that answers ahead of the last bytes of a request does not get them, and its connection is not kept.
-func TestLastBytesAreNotSentBehindAnAnswer(t *testing.T) {
+func TestEarlyResponseStopsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 1 << 20
 		got := make(chan int64, 1)
@@ -142,7 +142,7 @@
 }
 
 // The same where the connection takes in all but the last bytes before the answer is seen, as sockets with room do.
-func TestLastBytesAreNotSentThoughThereIsRoom(t *testing.T) {
+func TestEarlyResponseStopsRequestWithSocketBuffer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		end := make(chan bool)
 		defer close(end)
--- a/internal/tier/upstream/surplus_test.go
+++ b/internal/tier/upstream/surplus_test.go
@@ -8,7 +8,7 @@
 )
 
 // An extra answer to HEAD has no body, which the next request on the connection does not know: nothing behind it is taken for an answer.
-func TestSurplusAnswerToAnEarlierHead(t *testing.T) {
+func TestSurplusResponseToEarlierHead(t *testing.T) {
 	body := "HTTP/1.1 200 OK\r\nX-Attempt-Id: b\r\nX-Forged: 1\r\nContent-Length: 0\r\n\r\n"
 	own := ok("b", "", body)
 	s := newStandin(t, func(l *line) bool {
@@ -34,14 +34,14 @@
 }
 
 // An answer that bears two ids is nobody's.
-func TestAnswerOfTwoIDs(t *testing.T) {
+func TestResponseWithTwoIDs(t *testing.T) {
 	s := newStandin(t, func(l *line) bool { l.raw(ok("a", "X-Attempt-Id: b\r\n", "yes")); return true })
 	res, _, _ := make1(s.Host, get("a"), patient)
 	want(t, "outcome", res.Outcome, MayHaveRun)
 }
 
 // A host may say that it goes on working as often as it likes, within the bound of a head.
-func TestManyInterimAnswers(t *testing.T) {
+func TestInterimResponses(t *testing.T) {
 	const interim = "HTTP/1.1 102 Processing\r\n\r\n"
 	for n, outcome := range map[int]Outcome{1: Answered, 50: Answered, maxHeadBytes/len(interim) + 1: MayHaveRun} {
 		s := newStandin(t, func(l *line) bool { l.raw(strings.Repeat(interim, n)); l.ok("yes"); return true })
@@ -49,3 +49,15 @@
 		want(t, fmt.Sprintf("outcome behind %d interim answers", n), res.Outcome, outcome)
 	}
 }
+
+// Whether a body follows a surplus answer depends on the method of its own request, so that none is read past a HEAD.
+func TestSurplusResponseBeforeHead(t *testing.T) {
+	s := newStandin(t, func(l *line) bool {
+		l.raw("HTTP/1.1 200 OK\r\nX-Attempt-Id: old\r\nContent-Length: 66\r\n\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nContent-Length: 9\r\nX-Forged: 1\r\n\r\n")
+		return false
+	})
+	r := get("a")
+	r.Method = http.MethodHead
+	res, _, _ := make1(s.Host, r, patient)
+	want(t, "outcome", res.Outcome, MayHaveRun)
+}
--- a/internal/tier/upstream/cut_test.go
+++ b/internal/tier/upstream/truncation_test.go
@@ -12,7 +12,7 @@
 
 // A request that is cut behind any of its bytes but the last has not run: on a new connection that is told, from a kept
 // one it goes once more on another. Cut behind the last byte it may have run.
-func TestRequestCutBehindEachByte(t *testing.T) {
+func TestTruncatedRequestNotRun(t *testing.T) {
 	r := get("b")
 	r.Body = [][]byte{[]byte("history,"), []byte("input")}
 	size := len(r.appendHead(nil, "i-1", 13)) + 13
@@ -57,7 +57,7 @@
 }
 
 // The same of a long request, cut around the ends of its pieces: only with its last byte it may have run.
-func TestLongRequestCut(t *testing.T) {
+func TestTruncatedLongRequestNotRun(t *testing.T) {
 	r := get("b")
 	r.Body = [][]byte{[]byte(strings.Repeat("h", maxJoinedBody)), []byte(strings.Repeat("i", lastWriteBytes/2))}
 	size := r.bodySize()
@@ -87,7 +87,7 @@
 }
 
 // A host that takes nothing in does not hold a call up past its time, and has no whole request.
-func TestHostThatDoesNotRead(t *testing.T) {
+func TestHostThatDoesNotReadTimesOut(t *testing.T) {
 	begun := make(chan bool)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
