--- a/internal/tier/proxy/bench_test.go
+++ b/internal/tier/proxy/bench_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// canned answers every request, which must have no body, with the same bytes: it costs next to nothing.
+// canned starts a host that responds to every request, which must have no body, with the same bytes.
 func canned(b *testing.B, answer string) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/tier/proxy/cancel_test.go
+++ b/internal/tier/proxy/cancel_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// The client goes: the host is told by the end of its connection.
+// When the client disconnects, the connection to the host is closed and the slot released.
 func TestDisconnectCancelsCall(t *testing.T) {
 	for _, path := range []string{"/calm/high/x", "/stream/x"} {
 		ended := make(chan bool, 1)
--- a/internal/tier/proxy/doc.go
+++ b/internal/tier/proxy/doc.go
@@ -40,9 +40,9 @@
 // back through client.watchDone. On a disconnect it calls request.cancel, which closes request.cancelled and
 // cancels the call in flight and the opening of a turn. Fields of client and request below a mutex are shared by the two.
 //
-// The dispatcher is shared by all requests. Its mutex guards the balancer, the queues and the endpoints; it is never
-// held while waiting for a host. A latencyTables has a mutex of its own, and each Oracle is wrapped by lockedOracle. A slot is owned
-// by the attempt that got it and released exactly once.
+// The dispatcher is shared by all requests. Its mutex guards the balancer, the queues and the endpoints; it is never held
+// while waiting for a host. A latencyTables has a mutex of its own, and each Oracle is wrapped by lockedOracle. A slot is
+// owned by the attempt that got it and released exactly once.
 //
 // Server.followTables applies new tables and closes expired connections. Server.Drain is the graceful shutdown; Server.Close
 // ends all connections and waits for all goroutines.
--- a/internal/tier/proxy/seal_test.go
+++ b/internal/tier/proxy/seal_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A failure bears a host's seal with the status that the host gave, or no seal. Statuses that promise that the request
-// has not run are not passed on without a proof of it; the client then has an answer of the proxy's own.
+// An error has the seal of a host only with the status of that host. A status that states that the request has not run is not
+// passed on without a proof; the client gets an error of the proxy instead.
 func TestSealOnlyWithStatusOfHost(t *testing.T) {
 	for _, path := range []string{"/tool/x", "/order/x", "/stream/x", "/turn/x"} {
 		for _, status := range []int{400, 402, 404, 408, 409, 410, 413, 429, 500, 501, 502, 503, 504, 507} {
@@ -23,7 +23,7 @@
 	}
 }
 
-// A success without the seal of a host is none: what sent it may have run the request.
+// A success without the seal of a host is a failure: its sender may have run the request.
 func TestSuccessWithoutSealIsFailure(t *testing.T) {
 	for path, wanted := range map[string]string{"/tool/x": "200 two 2", "/order/x": "502 1", "/stream/x": "502 1"} {
 		calls := 0
@@ -45,7 +45,7 @@
 	}
 }
 
-// A host's Connection header cannot take the seal off its answer.
+// The Connection field of a host cannot remove the seal from its response.
 func TestSealIsEndToEnd(t *testing.T) {
 	f := newFront(t, newHost(t, "i-1", func(c *call) bool {
 		c.respond(200, "Connection: X-Host-Seal, X-Attempt-Id\r\n", "yes")
@@ -56,7 +56,7 @@
 	want(t, "id", a.header.Get("X-Attempt-Id"), "a")
 }
 
-// A refusal whose reason breaks off does not look complete; as it has not run, another host is asked.
+// A rejection whose text is truncated is not passed on; as the request has not run, it is retried.
 func TestTruncatedRejectionIsRetried(t *testing.T) {
 	calls := 0
 	script := func(c *call) bool {
--- a/internal/tier/proxy/truncation_test.go
+++ b/internal/tier/proxy/truncation_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A request that its client cuts behind any byte but the last is not run; one ahead of it on the connection has its
-// answer.
+// A request that its client truncates after any byte but the last is not forwarded; a complete one before it on the
+// connection gets its response.
 func TestTruncatedRequestIsNotForwarded(t *testing.T) {
 	h := newHost(t, "i-1", func(c *call) bool { c.respond(200, "", c.id()); return true })
 	f := newFront(t, h)
@@ -42,7 +42,7 @@
 	}
 }
 
-// Requests that come together with what cannot be read: those ahead are answered, in their order, and nothing behind runs.
+// Pipelined requests with garbage behind them: those before the garbage are answered in their order, nothing after it runs.
 func TestPipelinedRequestsBeforeGarbage(t *testing.T) {
 	h := newHost(t, "i-1", func(c *call) bool { c.respond(200, "", c.id()); return true })
 	f := newFront(t, h)
@@ -60,7 +60,7 @@
 	want(t, "calls", h.calls.Load(), 2)
 }
 
-// A trailer without end is refused, not dropped without an answer.
+// An endless trailer is rejected with a response.
 func TestEndlessTrailerIsRejected(t *testing.T) {
 	f := newFront(t, newHost(t, "i-1", respondsOK("ran")))
 	c := f.dial()
--- a/internal/tier/proxy/turnretry_test.go
+++ b/internal/tier/proxy/turnretry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A turn is sent again while the end of its first try waits for copies: the tries are turns of their own, with their own
-// bytes, and neither ends the other.
+// A turn is retried by its client while the first attempt waits for its record: the attempts are turns of their own, with their
+// own bytes, and neither ends the other.
 func TestTurnRetryDuringClose(t *testing.T) {
 	h := newHost(t, "i-1", func(c *call) bool { return streams(c, event(1, c.id())) })
 	f := newFront(t, h)
--- a/internal/tier/upstream/peek_test.go
+++ b/internal/tier/upstream/peek_test.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// recvPeek looks at what has come without taking it.
+// recvPeek returns received bytes without taking them.
 func recvPeek(fd int, b []byte) (int, syscall.Sockaddr, error) {
 	return syscall.Recvfrom(fd, b, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 }
