--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -18,40 +18,41 @@
 }
 
 // releaseSlot gives the slot of an attempt back.
-func (r *request) releaseSlot(t *attempt, outcome balancer.Outcome) {
-	r.server().dispatcher.release(t.endpoint, outcome)
+func (r *request) releaseSlot(attempt *attempt, outcome balancer.Outcome) {
+	r.server().dispatcher.release(attempt.endpoint, outcome)
 }
 
 // attemptSucceeded ends an attempt whose response is complete.
-func (r *request) attemptSucceeded(t *attempt) {
-	if t.Response.Status < 400 {
-		t.oracle.Served(time.Since(t.startedAt))
+func (r *request) attemptSucceeded(attempt *attempt) {
+	if attempt.Response.Status < 400 {
+		attempt.oracle.Served(time.Since(attempt.startedAt))
 	}
-	t.Response.Finish()
-	r.releaseSlot(t, balancer.Success)
+	attempt.Response.Finish()
+	r.releaseSlot(attempt, balancer.Success)
 }
 
 // attemptFailed ends an attempt whose call failed or whose response broke off.
-func (r *request) attemptFailed(t *attempt, err error) {
+func (r *request) attemptFailed(attempt *attempt, err error) {
 	if !errors.Is(err, upstream.ErrCancelled) {
-		r.server().note("attempt", r.id, "host", t.endpoint.connections.ID, "route", r.route.Name, "after", time.Since(t.startedAt), "broke", err)
+		r.server().note("attempt", r.id, "host", attempt.endpoint.connections.ID, "route", r.route.Name, "after", time.Since(attempt.startedAt), "broke", err)
 	}
-	if t.Response != nil {
-		t.Response.Finish()
+	if attempt.Response != nil {
+		attempt.Response.Finish()
 	}
 	switch {
 	case errors.Is(err, upstream.ErrCancelled):
-		r.releaseSlot(t, balancer.Inconclusive)
+		r.releaseSlot(attempt, balancer.Inconclusive)
 	case errors.Is(err, upstream.ErrDeadline):
-		t.oracle.Cut()
-		if t.ResponseStarted {
-			r.releaseSlot(t, balancer.Inconclusive)
+		attempt.oracle.Cut()
+		if attempt.ResponseStarted {
+			r.releaseSlot(attempt, balancer.Inconclusive)
 		} else {
-			r.releaseSlot(t, balancer.TimedOut)
+			r.releaseSlot(attempt, balancer.TimedOut)
 		}
-	case t.ConnReused && !t.ResponseStarted: // the network may have dropped the idle connection: no sign of the host's health
-		r.releaseSlot(t, balancer.Inconclusive)
+	case attempt.ConnReused && !attempt.ResponseStarted:
+		// The network may have dropped the idle connection: no sign of the host's health.
+		r.releaseSlot(attempt, balancer.Inconclusive)
 	default:
-		r.releaseSlot(t, balancer.ResponseBroken)
+		r.releaseSlot(attempt, balancer.ResponseBroken)
 	}
 }
--- a/internal/tier/proxy/buffered.go
+++ b/internal/tier/proxy/buffered.go
@@ -18,21 +18,21 @@
 	p := bufferPool.Get().(*[]byte)
 	b := (*p)[:0]
 	defer func() { putBuffer(p, b) }()
-	for t := f.forward(); t != nil; t = f.forward() {
-		response := t.Response
+	for attempt := f.forward(); attempt != nil; attempt = f.forward() {
+		response := attempt.Response
 		var err error
 		b, err = readBuffered(response, b[:0])
 		switch {
 		case err == io.EOF:
-			r.attemptSucceeded(t)
+			r.attemptSucceeded(attempt)
 			r.respondBuffered(response, b)
 			return
 		case err == nil:
 			response.SetDeadline(r.deadline)
-			r.relayLong(t, b)
+			r.relayLong(attempt, b)
 			return
 		}
-		if f.handleFailure(t, err) { // nothing was passed on yet
+		if f.handleFailure(attempt, err) { // nothing was passed on yet
 			return
 		}
 	}
@@ -54,15 +54,15 @@
 
 // relayLong relays a response of which the beginning was read. If it breaks off the connection is closed, so that it does not
 // look complete.
-func (r *request) relayLong(t *attempt, beginning []byte) {
-	err := r.copyResponse(t.Response, beginning)
+func (r *request) relayLong(attempt *attempt, beginning []byte) {
+	err := r.copyResponse(attempt.Response, beginning)
 	if err != nil {
-		r.attemptFailed(t, err)
+		r.attemptFailed(attempt, err)
 		r.client.abort()
 		return
 	}
-	r.attemptSucceeded(t)
-	if t.Response.Length < 0 {
+	r.attemptSucceeded(attempt)
+	if attempt.Response.Length < 0 {
 		r.writeFinal([]byte(lastChunk))
 	} else {
 		r.keepAlive = !r.closeAfter
--- a/internal/tier/proxy/dispatcher.go
+++ b/internal/tier/proxy/dispatcher.go
@@ -52,26 +52,26 @@
 }
 
 // update applies a new host list or configuration.
-func (d *dispatcher) update(t *feed.Tables, now time.Time) {
+func (d *dispatcher) update(tables *feed.Tables, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if t.Hosts == d.hosts && t.Config == d.config || t.Hosts == nil {
+	if tables.Hosts == d.hosts && tables.Config == d.config || tables.Hosts == nil {
 		return
 	}
-	d.hosts, d.config = t.Hosts, t.Config
-	for _, h := range d.balancer.UpdateHosts(t.Hosts.Hosts, now) {
-		if e := d.endpoints[h.ID]; e != nil {
-			e.connections.SetDisabled(true)
+	d.hosts, d.config = tables.Hosts, tables.Config
+	for _, h := range d.balancer.UpdateHosts(tables.Hosts.Hosts, now) {
+		if endpoint := d.endpoints[h.ID]; endpoint != nil {
+			endpoint.connections.SetDisabled(true)
 		}
 	}
-	seen := make(map[endpointKey]bool, len(t.Hosts.Hosts))
-	for _, listed := range t.Hosts.Hosts {
+	seen := make(map[endpointKey]bool, len(tables.Hosts.Hosts))
+	for _, listed := range tables.Hosts.Hosts {
 		seen[endpointKey{listed.Service, listed.Addr}] = true
 		d.updateEndpoint(listed)
 	}
-	for id, e := range d.endpoints {
-		if d.balancer.Lookup(id) != e.host {
-			e.connections.SetDisabled(true)
+	for id, endpoint := range d.endpoints {
+		if d.balancer.Lookup(id) != endpoint.host {
+			endpoint.connections.SetDisabled(true)
 			delete(d.endpoints, id)
 		}
 	}
@@ -93,14 +93,14 @@
 	if d.config != nil && d.config.Services[listed.Service].ConnLimit > 0 {
 		limit = max(minConnLimit, d.config.Services[listed.Service].ConnLimit/d.connLimitDivisor)
 	}
-	e := d.endpoints[listed.ID]
-	if e == nil || e.host != host {
-		e = &endpoint{host: host, connections: d.newHost(listed.ID, listed.Addr, limit), latencies: d.latencies[key]}
-		d.endpoints[listed.ID] = e
+	current := d.endpoints[listed.ID]
+	if current == nil || current.host != host {
+		current = &endpoint{host: host, connections: d.newHost(listed.ID, listed.Addr, limit), latencies: d.latencies[key]}
+		d.endpoints[listed.ID] = current
 	}
-	e.connections.SetConnLimit(limit)
+	current.connections.SetConnLimit(limit)
 	if host.Usable() {
-		e.connections.SetDisabled(false)
+		current.connections.SetDisabled(false)
 	}
 }
 
@@ -115,8 +115,8 @@
 func (d *dispatcher) sweep(now time.Time) {
 	d.mu.Lock()
 	hosts := make([]*upstream.Host, 0, len(d.endpoints))
-	for _, e := range d.endpoints {
-		hosts = append(hosts, e.connections)
+	for _, endpoint := range d.endpoints {
+		hosts = append(hosts, endpoint.connections)
 	}
 	d.mu.Unlock()
 	for _, h := range hosts {
@@ -132,17 +132,17 @@
 	if d.recheck != nil {
 		d.recheck.Stop()
 	}
-	for _, e := range d.endpoints {
-		e.connections.SetDisabled(true)
+	for _, endpoint := range d.endpoints {
+		endpoint.connections.SetDisabled(true)
 	}
 }
 
 // expectFirstEvent records that a generation goes to a host. The returned function records how long its first event took.
-func (d *dispatcher) expectFirstEvent(e *endpoint, generation *balancer.Generation) (observe func(took time.Duration)) {
+func (d *dispatcher) expectFirstEvent(endpoint *endpoint, generation *balancer.Generation) (observe func(took time.Duration)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	calls, tokens := d.balancer.ExpectFirstEvent(e.host, generation, time.Now())
-	service := e.host.Service
+	calls, tokens := d.balancer.ExpectFirstEvent(endpoint.host, generation, time.Now())
+	service := endpoint.host.Service
 	return func(took time.Duration) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -151,13 +151,13 @@
 }
 
 // reportResponse records what the head of a response says about its host: its load, and whether it closes the connection.
-func (d *dispatcher) reportResponse(e *endpoint, response *upstream.Response) {
+func (d *dispatcher) reportResponse(endpoint *endpoint, response *upstream.Response) {
 	running, waiting, _, ok := response.ReportedLoad()
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.ObserveClose(e.host, response.ConnClose, now)
+	d.balancer.ObserveClose(endpoint.host, response.ConnClose, now)
 	if ok {
-		d.balancer.ReportLoad(e.host, running, waiting, now)
+		d.balancer.ReportLoad(endpoint.host, running, waiting, now)
 	}
 }
--- a/internal/tier/proxy/latency.go
+++ b/internal/tier/proxy/latency.go
@@ -14,15 +14,15 @@
 }
 
 // oracle returns the latency table for calls to an endpoint with a deadline.
-func (d *dispatcher) oracle(e *endpoint, deadline time.Duration) balancer.Oracle {
-	e.latencies.mu.Lock()
-	defer e.latencies.mu.Unlock()
-	o := e.latencies.byDeadline[deadline]
-	if o == nil {
-		o = &lockedOracle{oracle: d.newOracle(deadline)}
-		e.latencies.byDeadline[deadline] = o
+func (d *dispatcher) oracle(endpoint *endpoint, deadline time.Duration) balancer.Oracle {
+	endpoint.latencies.mu.Lock()
+	defer endpoint.latencies.mu.Unlock()
+	table := endpoint.latencies.byDeadline[deadline]
+	if table == nil {
+		table = &lockedOracle{oracle: d.newOracle(deadline)}
+		endpoint.latencies.byDeadline[deadline] = table
 	}
-	return o
+	return table
 }
 
 // lockedOracle makes an Oracle safe for concurrent use.
--- a/internal/tier/proxy/retry.go
+++ b/internal/tier/proxy/retry.go
@@ -40,12 +40,12 @@
 // error response.
 func (f *forwarder) forward() *attempt {
 	for {
-		e := f.acquire()
-		if e == nil {
+		endpoint := f.acquire()
+		if endpoint == nil {
 			return nil
 		}
-		if t, done := f.handleResult(f.send(e)); done {
-			return t
+		if attempt, done := f.handleResult(f.send(endpoint)); done {
+			return attempt
 		}
 	}
 }
@@ -62,13 +62,13 @@
 		f.respondFailure(admission.RetryAfter(r.route.LatencyTarget, 0, 0, neutralRetryJitter))
 		return nil
 	}
-	e, retryAfter := r.server().dispatcher.acquire(f.info, admissionRequest{priority: r.route.Priority,
+	endpoint, retryAfter := r.server().dispatcher.acquire(f.info, admissionRequest{priority: r.route.Priority,
 		programDeadline: r.programDeadline, latencyTarget: r.route.LatencyTarget,
 		queueTimeout: f.queueTimeout(left), cancelled: r.cancelled})
-	if e == nil {
+	if endpoint == nil {
 		f.respondFailure(retryAfter)
 	}
-	return e
+	return endpoint
 }
 
 // queueTimeout returns how long the call may be queued for a slot: longer for a retry, since the attempts before it would be
@@ -82,70 +82,70 @@
 }
 
 // send makes an attempt at a host.
-func (f *forwarder) send(e *endpoint) *attempt {
+func (f *forwarder) send(endpoint *endpoint) *attempt {
 	r := f.request
 	d := r.server().dispatcher
 	var observeFirstEvent func(time.Duration)
 	if f.info.Generation != nil {
-		observeFirstEvent = d.expectFirstEvent(e, f.info.Generation)
+		observeFirstEvent = d.expectFirstEvent(endpoint, f.info.Generation)
 	}
-	t := &attempt{endpoint: e, oracle: d.oracle(e, r.route.Deadline), startedAt: time.Now()}
+	attempt := &attempt{endpoint: endpoint, oracle: d.oracle(endpoint, r.route.Deadline), startedAt: time.Now()}
 	outgoing := &upstream.Request{Method: r.method, URI: r.uri, Host: r.host, ID: r.id, Header: r.header, Body: f.body,
 		Deadline: r.deadline, PreferNewConn: !f.idempotent}
-	t.Result = r.newCall().Do(e.connections, outgoing, f.attemptDeadline(t))
-	if t.Response != nil {
-		if observeFirstEvent != nil && t.Response.Status == http.StatusOK {
-			observeFirstEvent(time.Since(t.startedAt))
+	attempt.Result = r.newCall().Do(endpoint.connections, outgoing, f.attemptDeadline(attempt))
+	if attempt.Response != nil {
+		if observeFirstEvent != nil && attempt.Response.Status == http.StatusOK {
+			observeFirstEvent(time.Since(attempt.startedAt))
 		}
-		d.reportResponse(e, t.Response)
+		d.reportResponse(endpoint, attempt.Response)
 	}
-	f.info.Tried = append(f.info.Tried, e.connections.ID)
-	return t
+	f.info.Tried = append(f.info.Tried, endpoint.connections.ID)
+	return attempt
 }
 
 // attemptDeadline returns when an attempt is cut: by the latency table if a retry may follow, else at the deadline of the
 // request.
-func (f *forwarder) attemptDeadline(t *attempt) time.Time {
+func (f *forwarder) attemptDeadline(attempt *attempt) time.Time {
 	r := f.request
 	if canRestart := f.idempotent && f.sentAttempts+1 < r.route.MaxAttempts; !canRestart {
 		return r.deadline
 	}
-	left := r.deadline.Sub(t.startedAt)
-	f.lastTimeout = t.oracle.Timeout(left, f.lastTimeout, true)
-	return t.startedAt.Add(min(left, f.lastTimeout))
+	left := r.deadline.Sub(attempt.startedAt)
+	f.lastTimeout = attempt.oracle.Timeout(left, f.lastTimeout, true)
+	return attempt.startedAt.Add(min(left, f.lastTimeout))
 }
 
 // handleResult decides by the outcome of a call. done reports that no retry follows: either the attempt has a response to
 // pass on, or the result is nil and the client has its response.
-func (f *forwarder) handleResult(t *attempt) (answered *attempt, done bool) {
+func (f *forwarder) handleResult(attempt *attempt) (answered *attempt, done bool) {
 	switch {
-	case t.Outcome == upstream.Answered:
+	case attempt.Outcome == upstream.Answered:
 		f.sentAttempts++
-		return f.handleResponse(t)
-	case t.Outcome == upstream.MayHaveRun:
+		return f.handleResponse(attempt)
+	case attempt.Outcome == upstream.MayHaveRun:
 		f.sentAttempts++
-		return nil, f.handleFailure(t, t.Err)
-	case t.Response != nil:
+		return nil, f.handleFailure(attempt, attempt.Err)
+	case attempt.Response != nil:
 		f.sentAttempts++
-		return nil, f.handleRejection(t)
+		return nil, f.handleRejection(attempt)
 	}
 	f.unsentAttempts++
-	f.handleNotSent(t)
+	f.handleNotSent(attempt)
 	return nil, false
 }
 
 // handleResponse decides about the response of a host that ran the request; results as of handleResult.
-func (f *forwarder) handleResponse(t *attempt) (answered *attempt, done bool) {
-	if !hasRequiredSeal(t.Response) {
-		return nil, f.handleFailure(t, upstream.ErrBroken)
+func (f *forwarder) handleResponse(attempt *attempt) (answered *attempt, done bool) {
+	if !hasRequiredSeal(attempt.Response) {
+		return nil, f.handleFailure(attempt, upstream.ErrBroken)
 	}
-	retry := f.shouldRetry(t.Response.Status)
-	if !retry && !statusPromisesNotRun(t.Response.Status) {
-		return t, true
+	retry := f.shouldRetry(attempt.Response.Status)
+	if !retry && !statusPromisesNotRun(attempt.Response.Status) {
+		return attempt, true
 	}
 	f.mayHaveRun, f.lastErr = true, nil
-	t.Response.Drain()
-	f.request.attemptSucceeded(t)
+	attempt.Response.Drain()
+	f.request.attemptSucceeded(attempt)
 	if !retry {
 		f.respondFailure(0)
 	}
@@ -161,9 +161,9 @@
 
 // handleFailure ends an attempt that may have run and has no complete response. done reports that no retry follows: the
 // client has its error response.
-func (f *forwarder) handleFailure(t *attempt, err error) (done bool) {
+func (f *forwarder) handleFailure(attempt *attempt, err error) (done bool) {
 	f.mayHaveRun, f.lastErr = true, err
-	f.request.attemptFailed(t, err)
+	f.request.attemptFailed(attempt, err)
 	if !f.idempotent {
 		f.respondFailure(0)
 	}
@@ -172,13 +172,13 @@
 
 // handleRejection ends an attempt that a host rejected without running it. done reports that no retry follows, since every
 // host would reject it: the client has its response.
-func (f *forwarder) handleRejection(t *attempt) (done bool) {
-	r, response := f.request, t.Response
+func (f *forwarder) handleRejection(attempt *attempt) (done bool) {
+	r, response := f.request, attempt.Response
 	switch {
 	case response.Status == http.StatusBadRequest && !response.Complete(): // the reason broke off: another host may give it
-		r.releaseSlot(t, balancer.ResponseBroken)
+		r.releaseSlot(attempt, balancer.ResponseBroken)
 	case response.Status == http.StatusBadRequest: // a fault of the request
-		r.releaseSlot(t, balancer.Success)
+		r.releaseSlot(attempt, balancer.Success)
 		if !f.mayHaveRun {
 			r.respondBuffered(response, response.RefusalBody)
 		} else {
@@ -186,26 +186,26 @@
 		}
 		return true
 	case response.Status == http.StatusMisdirectedRequest && r.get("Expect-Version") == "":
-		r.releaseSlot(t, balancer.Misdirected)
+		r.releaseSlot(attempt, balancer.Misdirected)
 	default:
-		r.releaseSlot(t, balancer.AtCapacity)
+		r.releaseSlot(attempt, balancer.AtCapacity)
 	}
 	return false
 }
 
 // handleNotSent ends an attempt whose request did not reach a host completely.
-func (f *forwarder) handleNotSent(t *attempt) {
+func (f *forwarder) handleNotSent(attempt *attempt) {
 	r := f.request
 	switch {
-	case errors.Is(t.Err, upstream.ErrConnect):
-		t.oracle.Cut()
-		r.releaseSlot(t, balancer.ConnectFailed)
-	case errors.Is(t.Err, upstream.ErrNotSent):
-		r.releaseSlot(t, balancer.ResponseBroken)
-	case errors.Is(t.Err, upstream.ErrConnectionLimit):
-		r.releaseSlot(t, balancer.AtCapacity)
+	case errors.Is(attempt.Err, upstream.ErrConnect):
+		attempt.oracle.Cut()
+		r.releaseSlot(attempt, balancer.ConnectFailed)
+	case errors.Is(attempt.Err, upstream.ErrNotSent):
+		r.releaseSlot(attempt, balancer.ResponseBroken)
+	case errors.Is(attempt.Err, upstream.ErrConnectionLimit):
+		r.releaseSlot(attempt, balancer.AtCapacity)
 	default:
-		r.releaseSlot(t, balancer.Inconclusive)
+		r.releaseSlot(attempt, balancer.Inconclusive)
 	}
 }
 
--- a/internal/tier/proxy/slots.go
+++ b/internal/tier/proxy/slots.go
@@ -31,7 +31,7 @@
 
 // acquire takes a slot at a host, and queues the call for one until the queue time-out or its cancellation. The caller must
 // release the slot. If there is none, acquire returns nil and the time for Retry-After, 0 if the call was cancelled.
-func (d *dispatcher) acquire(info balancer.PickInfo, a admissionRequest) (e *endpoint, retryAfter time.Duration) {
+func (d *dispatcher) acquire(info balancer.PickInfo, params admissionRequest) (e *endpoint, retryAfter time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
 	queue := d.queues[info.Service]
@@ -45,9 +45,9 @@
 			return e, 0
 		}
 	}
-	w := &waiter{info: info, granted: make(chan *endpoint, 1)}
-	entry := &admission.Entry{Class: admissionClass(info), Priority: a.priority, ProgramDeadline: a.programDeadline,
-		QueueDeadline: now.Add(a.queueTimeout), Value: w}
+	waiting := &waiter{info: info, granted: make(chan *endpoint, 1)}
+	entry := &admission.Entry{Class: admissionClass(info), Priority: params.priority, ProgramDeadline: params.programDeadline,
+		QueueDeadline: now.Add(params.queueTimeout), Value: waiting}
 	queue.Push(entry)
 	if !slices.Contains(d.backlogged, info.Service) {
 		d.backlogged = append(d.backlogged, info.Service)
@@ -55,15 +55,15 @@
 	d.grantAll(now)
 	d.scheduleRecheck()
 	d.mu.Unlock()
-	timer := time.NewTimer(a.queueTimeout)
+	timer := time.NewTimer(params.queueTimeout)
 	defer timer.Stop()
 	select {
-	case e := <-w.granted:
+	case e := <-waiting.granted:
 		return e, 0
 	case <-timer.C:
-	case <-a.cancelled:
+	case <-params.cancelled:
 	}
-	return d.leaveQueue(queue, entry, w, a)
+	return d.leaveQueue(queue, entry, waiting, params)
 }
 
 // admissionClass returns the class of a call for fairness: its route, with calls of programs as a class of their own.
@@ -75,33 +75,33 @@
 }
 
 // leaveQueue removes a call from its queue and offers it to the hosts' own queues, with the results of acquire.
-func (d *dispatcher) leaveQueue(queue *admission.Queue, entry *admission.Entry, w *waiter, a admissionRequest) (
-	e *endpoint, retryAfter time.Duration) {
+func (d *dispatcher) leaveQueue(queue *admission.Queue, entry *admission.Entry, waiting *waiter, params admissionRequest) (
+	endpoint *endpoint, retryAfter time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	queue.Remove(entry)
 	select {
-	case e := <-w.granted: // since the select of acquire
-		return e, 0
+	case endpoint := <-waiting.granted: // since the select of acquire
+		return endpoint, 0
 	default:
 	}
 	select {
-	case <-a.cancelled:
+	case <-params.cancelled:
 		return nil, 0
 	default:
 	}
-	info := w.info
+	info := waiting.info
 	info.AllowHostQueue = true
-	if e := d.tryAcquire(info, now); e != nil {
+	if endpoint := d.tryAcquire(info, now); endpoint != nil {
 		queue.CountAdmitted(entry)
-		return e, 0
+		return endpoint, 0
 	}
 	capacity, _ := d.balancer.Capacity(info.Service, now)
 	if capacity == 0 { // no host is known: this relay has just started, or all hosts are down
 		return nil, restartDelay()
 	}
-	return nil, admission.RetryAfter(a.latencyTarget, queue.Len(), capacity, rand.Float64())
+	return nil, admission.RetryAfter(params.latencyTarget, queue.Len(), capacity, rand.Float64())
 }
 
 // tryAcquire takes a slot if there is one, else returns nil. d.mu must be held.
@@ -115,14 +115,14 @@
 }
 
 // release gives a slot back with the outcome of its call, and grants free slots to queued calls.
-func (d *dispatcher) release(e *endpoint, outcome balancer.Outcome) {
+func (d *dispatcher) release(endpoint *endpoint, outcome balancer.Outcome) {
 	if outcome == balancer.Misdirected {
-		e.connections.CloseIdleConns()
+		endpoint.connections.CloseIdleConns()
 	}
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.CallEnded(e.host, outcome, now)
+	d.balancer.CallEnded(endpoint.host, outcome, now)
 	d.grantAll(now)
 }
 
@@ -141,15 +141,15 @@
 func (d *dispatcher) grantService(service string, now time.Time) {
 	queue := d.queues[service]
 	for entry := queue.Next(now); entry != nil; entry = queue.Next(now) {
-		w := entry.Value.(*waiter)
-		info := w.info
+		waiting := entry.Value.(*waiter)
+		info := waiting.info
 		info.Contended = queue.Len() > 1
-		e := d.tryAcquire(info, now)
-		if e == nil {
+		endpoint := d.tryAcquire(info, now)
+		if endpoint == nil {
 			return
 		}
 		queue.Admit(entry)
-		w.granted <- e
+		waiting.granted <- endpoint
 	}
 }
 
--- a/internal/tier/proxy/streaming.go
+++ b/internal/tier/proxy/streaming.go
@@ -29,28 +29,28 @@
 	if len(r.body) > 0 {
 		f.body = append(f.body, r.body)
 	}
-	t := f.forward()
+	attempt := f.forward()
 	switch {
-	case t == nil:
+	case attempt == nil:
 		r.settleTurn(&turn, 0)
-	case t.Response.Status != http.StatusOK:
-		r.relayNonStream(t, f)
+	case attempt.Response.Status != http.StatusOK:
+		r.relayNonStream(attempt, f)
 		r.settleTurn(&turn, 0)
 	default:
-		r.relayStream(&turn, t, f)
+		r.relayStream(&turn, attempt, f)
 	}
 }
 
 // relayStream relays an event stream. A turn is recorded before the end of its stream is passed on. A stream that breaks off
 // ends with the connection, so that it does not look complete.
-func (r *request) relayStream(turn *retainedTurn, t *attempt, f *forwarder) {
+func (r *request) relayStream(turn *retainedTurn, attempt *attempt, f *forwarder) {
 	parser := &eventParser{keepOutput: r.route.Retained}
 	p := bufferPool.Get().(*[]byte)
-	out := r.appendResponseHead((*p)[:0], t.Response, -1)
+	out := r.appendResponseHead((*p)[:0], attempt.Response, -1)
 	defer func() { putBuffer(p, out) }()
-	out, started, err := r.copyEvents(t.Response, parser, out)
+	out, started, err := r.copyEvents(attempt.Response, parser, out)
 	if err != nil {
-		r.streamFailed(t, err)
+		r.streamFailed(attempt, err)
 		if r.settleTurn(turn, r.usedTokens(parser)); started {
 			r.client.abort()
 		} else {
@@ -60,8 +60,8 @@
 		return
 	}
 	parser.finish()
-	r.attemptSucceeded(t)
-	if r.route.Retained && !r.closeTurn(turn, t, parser) {
+	r.attemptSucceeded(attempt)
+	if r.route.Retained && !r.closeTurn(turn, attempt, parser) {
 		r.client.abort()
 		return
 	}
@@ -99,26 +99,26 @@
 }
 
 // streamFailed ends an attempt whose stream broke off on either side.
-func (r *request) streamFailed(t *attempt, err error) {
+func (r *request) streamFailed(attempt *attempt, err error) {
 	if errors.Is(err, upstream.ErrCancelled) {
 		r.mu.Lock()
 		r.call.Cancel() // so that the host stops decoding
 		r.mu.Unlock()
 	}
-	r.attemptFailed(t, err)
+	r.attemptFailed(attempt, err)
 }
 
 // relayNonStream passes on a response that is no event stream, such as an error.
-func (r *request) relayNonStream(t *attempt, f *forwarder) {
-	body, err := io.ReadAll(io.LimitReader(t.Response, maxBufferedBody+1))
+func (r *request) relayNonStream(attempt *attempt, f *forwarder) {
+	body, err := io.ReadAll(io.LimitReader(attempt.Response, maxBufferedBody+1))
 	if err == nil && len(body) > maxBufferedBody {
-		r.relayLong(t, body)
+		r.relayLong(attempt, body)
 		return
 	}
 	if err != nil {
-		f.handleFailure(t, err)
+		f.handleFailure(attempt, err)
 		return
 	}
-	r.attemptSucceeded(t)
-	r.respondBuffered(t.Response, body)
+	r.attemptSucceeded(attempt)
+	r.respondBuffered(attempt.Response, body)
 }
--- a/internal/tier/proxy/turn.go
+++ b/internal/tier/proxy/turn.go
@@ -81,10 +81,10 @@
 
 // closeTurn records a turn before the end of its stream is passed on. It reports whether the record is durable; if not, the
 // tokens are settled.
-func (r *request) closeTurn(turn *retainedTurn, t *attempt, parser *eventParser) bool {
+func (r *request) closeTurn(turn *retainedTurn, attempt *attempt, parser *eventParser) bool {
 	used := r.usedTokens(parser)
 	record := turn.opened.Record(r.body, parser.output, used, r.route.Retain)
-	record.CacheHost, record.ContextTokens = t.endpoint.connections.ID, r.promptTokens+used
+	record.CacheHost, record.ContextTokens = attempt.endpoint.connections.ID, r.promptTokens+used
 	ctx, stop := context.WithDeadline(r.server().ctx, r.deadline)
 	defer stop()
 	if err := r.server().options.Ledger.Close(ctx, record); err != nil {
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -62,55 +62,55 @@
 // Do makes a call. The complete response has to be read by the deadline; Response.SetDeadline moves it.
 func (k *Call) Do(h *Host, r *Request, deadline time.Time) Result {
 	for {
-		c, err := h.acquire(r.PreferNewConn, deadline)
+		conn, err := h.acquire(r.PreferNewConn, deadline)
 		if err != nil {
 			return Result{Outcome: NotRun, Err: err}
 		}
-		if !k.bindConn(c) {
-			c.discard()
+		if !k.bindConn(conn) {
+			conn.discard()
 			return Result{Outcome: NotRun, Err: ErrCancelled}
 		}
 		if h.disabled.Load() { // since the connection was dialled
 			k.bindConn(nil)
-			c.discard()
+			conn.discard()
 			return Result{Outcome: NotRun, Err: ErrHostDisabled}
 		}
-		_ = c.SetDeadline(deadline)
-		e := c.exchange(r, deadline)
-		if e.requestSent || e.responseStarted {
-			return k.result(c, e, deadline)
+		_ = conn.SetDeadline(deadline)
+		exchanged := conn.exchange(r, deadline)
+		if exchanged.requestSent || exchanged.responseStarted {
+			return k.result(conn, exchanged, deadline)
 		}
-		reused := c.reused
+		reused := conn.reused
 		k.bindConn(nil)
-		c.discard()
+		conn.discard()
 		switch {
 		case k.cancelled():
 			return Result{Outcome: NotRun, Err: ErrCancelled}
-		case errors.Is(e.err, os.ErrDeadlineExceeded):
+		case errors.Is(exchanged.err, os.ErrDeadlineExceeded):
 			return Result{Outcome: NotRun, Err: ErrDeadline, ConnReused: reused}
 		case reused: // the host had closed it before: no call yet
 			continue
 		}
-		return Result{Outcome: NotRun, Err: errors.Mark(e.err, ErrNotSent)}
+		return Result{Outcome: NotRun, Err: errors.Mark(exchanged.err, ErrNotSent)}
 	}
 }
 
 // result returns what an exchange proves whose request was sent completely, or for which a response started.
-func (k *Call) result(c *conn, e exchange, deadline time.Time) Result {
-	reused := c.reused // read now: once the connection is kept, another call may have it
-	if e.response == nil {
+func (k *Call) result(conn *conn, exchanged exchange, deadline time.Time) Result {
+	reused := conn.reused // read now: once the connection is kept, another call may have it
+	if exchanged.response == nil {
 		k.bindConn(nil)
-		res := Result{Outcome: MayHaveRun, Err: errors.Mark(e.err, ErrBroken),
-			ResponseStarted: e.responseStarted, ConnReused: reused}
+		res := Result{Outcome: MayHaveRun, Err: errors.Mark(exchanged.err, ErrBroken),
+			ResponseStarted: exchanged.responseStarted, ConnReused: reused}
 		if k.cancelled() {
 			res.Err = ErrCancelled
-		} else if errors.Is(e.err, os.ErrDeadlineExceeded) {
+		} else if errors.Is(exchanged.err, os.ErrDeadlineExceeded) {
 			res.Err = ErrDeadline
 		}
-		c.discard()
+		conn.discard()
 		return res
 	}
-	response := e.response
+	response := exchanged.response
 	response.call, response.deadline = k, deadline
 	if response.Status == http.StatusMisdirectedRequest || response.Header.Get("X-Not-Executed") != "" {
 		// The head is the proof, also if the short body breaks off or stalls.
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -40,26 +40,26 @@
 	var received atomic.Bool // the reading goroutine has a response, or an error
 	result := make(chan exchange, 1)
 	go func() {
-		e := c.readResponse(r)
+		exchanged := c.readResponse(r)
 		received.Store(true)
 		_ = c.SetWriteDeadline(time.Unix(1, 0)) // ends a write in progress
-		result <- e
+		result <- exchanged
 	}()
 	sent, writeErr := r.writeLong(c, &received)
 	early := !sent && received.Load()
 	if !sent && !early { // a response ahead of the failure of the connection has been received by now
 		_ = c.SetReadDeadline(earlierOf(deadline, time.Now().Add(drainTimeout)))
 	}
-	e := <-result
-	e.requestSent = sent
+	exchanged := <-result
+	exchanged.requestSent = sent
 	if !sent && !early {
-		e.err = writeErr
+		exchanged.err = writeErr
 	}
-	if e.response != nil {
-		e.response.beforeRequestEnd = !sent
+	if exchanged.response != nil {
+		exchanged.response.beforeRequestEnd = !sent
 		_ = c.SetReadDeadline(deadline)
 	}
-	return e
+	return exchanged
 }
 
 func earlierOf(a, b time.Time) time.Time {
@@ -71,18 +71,18 @@
 
 // readResponse reads the head of the response to a request. Interim responses, and a few responses to other requests, are
 // skipped.
-func (c *conn) readResponse(r *Request) (e exchange) {
-	e.requestSent = true
+func (c *conn) readResponse(r *Request) (exchanged exchange) {
+	exchanged.requestSent = true
 	c.sentHead = c.sentHead || r.Method == http.MethodHead
 	c.limitedReader.N = maxHeadBytes // with the interim responses ahead
 	for surplus := 0; ; {
-		if _, e.err = c.reader.Peek(1); e.err != nil {
-			return e
+		if _, exchanged.err = c.reader.Peek(1); exchanged.err != nil {
+			return exchanged
 		}
-		e.responseStarted = true
+		exchanged.responseStarted = true
 		var response *http.Response
-		if response, e.err = c.readHead(r.Method); e.err != nil {
-			return e
+		if response, exchanged.err = c.readHead(r.Method); exchanged.err != nil {
+			return exchanged
 		}
 		if response.StatusCode/100 == 1 {
 			continue
@@ -90,16 +90,16 @@
 		c.limitedReader.N = math.MaxInt64
 		ids := response.Header["X-Attempt-Id"]
 		if len(ids) == 1 && ids[0] == r.ID {
-			e.response, e.err = c.newResponse(r, response)
-			return e
+			exchanged.response, exchanged.err = c.newResponse(r, response)
+			return exchanged
 		}
 		surplus++
 		if len(ids) != 1 || ids[0] == "" || surplus > maxSurplusResponses {
-			e.err = errors.New("response to another request")
-			return e
+			exchanged.err = errors.New("response to another request")
+			return exchanged
 		}
-		if e.err = c.discardSurplus(response); e.err != nil {
-			return e
+		if exchanged.err = c.discardSurplus(response); exchanged.err != nil {
+			return exchanged
 		}
 		c.limitedReader.N = maxHeadBytes
 	}
--- a/internal/tier/upstream/host.go
+++ b/internal/tier/upstream/host.go
@@ -98,25 +98,25 @@
 		if h.disabled.Load() {
 			return nil, ErrHostDisabled
 		}
-		c := h.takeIdle()
-		if c == nil {
+		conn := h.takeIdle()
+		if conn == nil {
 			break
 		}
-		age, limit := time.Since(c.idleSince), c.idleLimit
-		if age >= limit || !c.nothingReceived() {
-			c.discard()
+		age, limit := time.Since(conn.idleSince), conn.idleLimit
+		if age >= limit || !conn.nothingReceived() {
+			conn.discard()
 			continue
 		}
 		if preferNew {
-			if limit /= 2; !c.idleLimitAdvertised {
+			if limit /= 2; !conn.idleLimitAdvertised {
 				limit = preferNewAfter
 			}
-			if age >= limit && h.putBack(c) {
+			if age >= limit && h.putBack(conn) {
 				break // left for other calls
 			}
 		}
-		c.reused = true
-		return c, nil
+		conn.reused = true
+		return conn, nil
 	}
 	return h.connect(deadline)
 }
@@ -140,11 +140,11 @@
 		h.connFailed()
 		return nil, dialError(err, timeout)
 	}
-	c := &conn{Conn: nc, host: h}
-	c.limitedReader.R = nc
-	c.reader = readerPool.Get().(*bufio.Reader)
-	c.reader.Reset(&c.limitedReader)
-	return c, nil
+	conn := &conn{Conn: nc, host: h}
+	conn.limitedReader.R = nc
+	conn.reader = readerPool.Get().(*bufio.Reader)
+	conn.reader.Reset(&conn.limitedReader)
+	return conn, nil
 }
 
 // connFailed uncounts a connection that was not made.
