--- a/internal/tier/proxy/events.go
+++ b/internal/tier/proxy/events.go
@@ -1,73 +1,73 @@
 package proxy
 
-import (
-	"bytes"
-)
+import "bytes"
 
-// events counts the events of a stream and keeps their data.
-type events struct {
-	line  []byte // that has begun
-	data  []byte // of the event that has begun
-	has   bool   // it has data
-	part  bool   // it has begun
-	count int
-	out   []byte
-	keep  bool
+// eventParser parses an event stream (text/event-stream) in pieces of any size. It counts the events with data.
+type eventParser struct {
+	line       []byte // incomplete line
+	data       []byte // of the incomplete event
+	hasData    bool   // the incomplete event has a data field
+	inEvent    bool   // an event has begun
+	count      int    // complete events with data
+	output     []byte // data of the complete events, each followed by a line feed; if keepOutput
+	keepOutput bool
 }
 
-func (e *events) feed(b []byte) {
+// write parses the next bytes of the stream.
+func (p *eventParser) write(b []byte) {
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			e.line = append(e.line, b...)
+			p.line = append(p.line, b...)
 			return
 		}
 		line := b[:i]
-		if len(e.line) > 0 {
-			e.line = append(e.line, line...)
-			line = e.line
+		if len(p.line) > 0 {
+			p.line = append(p.line, line...)
+			line = p.line
 		}
-		e.take(bytes.TrimSuffix(line, []byte("\r")))
-		e.line = e.line[:0]
+		p.processLine(bytes.TrimSuffix(line, []byte("\r")))
+		p.line = p.line[:0]
 		b = b[i+1:]
 	}
 }
 
-func (e *events) take(line []byte) {
+// processLine processes a complete line without its end.
+func (p *eventParser) processLine(line []byte) {
 	if len(line) == 0 {
-		e.flush()
-		e.part = false
+		p.endEvent()
+		p.inEvent = false
 		return
 	}
-	e.part = true
+	p.inEvent = true
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	if string(name) != "data" {
 		return
 	}
-	if e.has {
-		e.data = append(e.data, '\n')
+	if p.hasData {
+		p.data = append(p.data, '\n')
 	}
-	e.has = true
-	e.data = append(e.data, bytes.TrimPrefix(value, []byte(" "))...)
+	p.hasData = true
+	p.data = append(p.data, bytes.TrimPrefix(value, []byte(" "))...)
 }
 
-// flush ends the event that has begun.
-func (e *events) flush() {
-	if !e.has {
+// endEvent counts the event that has begun, if it has data.
+func (p *eventParser) endEvent() {
+	if !p.hasData {
 		return
 	}
-	if e.count++; e.keep {
-		e.out = append(append(e.out, e.data...), '\n')
+	if p.count++; p.keepOutput {
+		p.output = append(append(p.output, p.data...), '\n')
 	}
-	e.data, e.has = e.data[:0], false
+	p.data, p.hasData = p.data[:0], false
 }
 
-// end takes in the end of the stream.
-func (e *events) end() {
-	if len(e.line) > 0 {
-		e.take(bytes.TrimSuffix(e.line, []byte("\r")))
-		e.line = e.line[:0]
+// finish processes the end of the stream, which ends a line and an event.
+func (p *eventParser) finish() {
+	if len(p.line) > 0 {
+		p.processLine(bytes.TrimSuffix(p.line, []byte("\r")))
+		p.line = p.line[:0]
 	}
-	e.flush()
-	e.part = false
+	p.endEvent()
+	p.inEvent = false
 }
--- a/internal/tier/proxy/exchange_drawn_test.go
+++ b/internal/tier/proxy/exchange_drawn_test.go
@@ -13,47 +13,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// drawn are the exchanges that a drawn course may hold: all but those that change what comes after them on purpose.
-func drawn() (all []*exchange) {
+// drawableExchanges returns the exchanges that may be drawn: all but those that change what comes after them on purpose.
+func drawableExchanges() (all []*exchange) {
 	for i := range exchanges {
-		if e := &exchanges[i]; e.act != nil && e.late == nil {
+		if e := &exchanges[i]; e.act != nil && e.precededBy == nil {
 			all = append(all, e)
 		}
 	}
 	return all
 }
 
-// drawnHost is a host that acts by an exchange for one request in three, drawn by the seed, the request and the host. As a
-// request ends, an extra answer to it may stay behind, which comes in the next one's place.
+// drawnHost returns a host that acts by an exchange for one request in three, drawn by the seed, the request and the host. An
+// extra response to a request may be sent as the next response on the connection.
 func drawnHost(t *testing.T, rec *record, id string, seed uint64) *host {
-	all := drawn()
-	x := &actor{host: id, record: rec}
+	all := drawableExchanges()
+	x := &exchangeHost{host: id, record: rec}
 	var mu sync.Mutex
 	extra := map[net.Conn]string{}
 	return newHost(t, id, func(c *call) bool {
-		x.got(c.id(), id)
+		x.recordReceived(c.id(), id)
 		h := xxhash.Sum64String(fmt.Sprint(seed, id, c.id()))
 		mu.Lock()
 		ahead := extra[c.Conn]
 		delete(extra, c.Conn)
 		if h%7 == 0 {
-			extra[c.Conn] = fmt.Sprintf(whole200, c.id())
+			extra[c.Conn] = fmt.Sprintf(forged200, c.id())
 		}
 		mu.Unlock()
 		c.raw(ahead)
 		if h>>8%3 != 0 {
-			x.runs(c)
-			return x.whole(c, 200, "Keep-Alive: timeout=20\r\n", "second")
+			x.recordRun(c)
+			return x.respond(c, 200, "Keep-Alive: timeout=20\r\n", "second")
 		}
 		e := all[h>>16%uint64(len(all))]
 		goesOn := e.act(x, c)
-		c.raw(e.behind)
+		c.raw(e.trailing)
 		return goesOn
 	})
 }
 
-// Drawn courses of many clients at once, each on a connection that it keeps, at four hosts that act by drawn exchanges: no
-// rule is broken, and no answer goes to another.
+// Drawn requests of many clients at once, each on a kept-alive connection, at four hosts that act by drawn exchanges: no rule
+// is violated, and no client gets the response to another request.
 func TestDrawnExchanges(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, rand.Uint64()} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -63,7 +63,7 @@
 				hosts = append(hosts, drawnHost(t, rec, fmt.Sprint("i-", i), seed))
 			}
 			f := newFront(t, hosts...)
-			f.oracle.edge = 60 * time.Millisecond
+			f.oracle.timeout = 60 * time.Millisecond
 			var clients sync.WaitGroup
 			for n := range 8 {
 				clients.Go(func() { drawnClient(f, rec, seed, n) })
@@ -73,7 +73,7 @@
 			for _, h := range hosts {
 				h.close()
 			}
-			for _, fault := range rec.faults() {
+			for _, fault := range rec.violations() {
 				t.Error(fault)
 			}
 			served := 0
@@ -82,26 +82,26 @@
 					served++
 				}
 			}
-			if served < len(rec.seen)/8 { // silences take most of the time on a busy machine
+			if served < len(rec.seen)/8 { // hosts that hang take most of the time on a busy machine
 				t.Errorf("%d of %d are served", served, len(rec.seen))
 			}
 		})
 	}
 }
 
-// drawnClient sends requests one after the other, and some of them in twos.
+// drawnClient sends requests one after the other, some of them pipelined in pairs.
 func drawnClient(f *front, rec *record, seed uint64, n int) {
 	draw := rand.New(rand.NewPCG(seed, uint64(n)))
 	c := f.dial()
 	for i := 0; i < 60; {
 		var text strings.Builder
-		var under []seen
+		var under []observed
 		for range 1 + draw.IntN(2) {
 			r := routes[draw.IntN(len(routes))]
 			id := fmt.Sprintf("d%d.%d", n, i)
 			i++
-			text.WriteString(request1("POST", r.path, id, "X-Time-Left-Ms: 400\r\n", "the body"))
-			under = append(under, seen{id: id, kind: r.kind, most: r.most})
+			text.WriteString(requestText("POST", r.path, id, "X-Time-Left-Ms: 400\r\n", "the body"))
+			under = append(under, observed{id: id, kind: r.kind, maxAttempts: r.maxAttempts})
 		}
 		c.send(text.String())
 		ended := false
@@ -110,7 +110,7 @@
 				s.answer = c.read()
 				ended = s.err != nil || s.close
 			}
-			rec.see(s)
+			rec.recordObserved(s)
 		}
 		if ended {
 			c.Close()
@@ -119,6 +119,6 @@
 	}
 	_ = c.Conn.(*net.TCPConn).CloseWrite()
 	if b, _ := io.ReadAll(c.in); len(b) > 0 {
-		f.t.Errorf("%q comes where no request waits", b)
+		f.t.Errorf("%q is received without a request", b)
 	}
 }
--- a/internal/tier/proxy/request.go
+++ b/internal/tier/proxy/request.go
@@ -12,114 +12,125 @@
 )
 
 const (
-	answerMargin = 15 * time.Millisecond  // before its deadline at which a request is answered at the latest
-	maxUnsent    = 4                      // tries that reached no host, beside those that did
-	writeGrace   = 200 * time.Millisecond // for the bytes of an answer to leave, past the deadline of its request
-
-	refusalGrace = 2 * time.Second         // for those of a refusal, where no deadline is known
-	staleAfter   = 1500 * time.Millisecond // without word of the core, from which on a route may have been added
+	responseMargin        = 15 * time.Millisecond   // before its deadline at which a request is answered at the latest
+	writeGrace            = 200 * time.Millisecond  // past the deadline, for the bytes of a response to be written
+	rejectionWriteTimeout = 2 * time.Second         // the same where no deadline is known
+	staleTimeout          = 1500 * time.Millisecond // without confirmation by the core, after which a route may be missing
 )
 
-// request is one of a client, from its first byte to its answer.
+// request is a request of a client, from its first byte to the end of its response.
 type request struct {
 	*head
-	client     *client
-	arrived    time.Time // when its first byte was seen, though one before it was still served
-	body       []byte
-	idle       time.Duration
-	closeAfter bool // the connection ends with the answer
-	keepAlive  bool // the answer was whole, and the connection serves on
+	client      *client
+	arrivedAt   time.Time // of its first byte, also while the request before it was served
+	body        []byte
+	idleTimeout time.Duration // by the configuration when it was read; for Keep-Alive
+	closeAfter  bool          // the connection ends with the response
+	keepAlive   bool          // the response is complete and the connection serves the next request
 
-	id      string
-	tables  *feed.Tables
-	route   *routing.Route
-	service routing.Service
-	until   time.Time // an answer is of use until then
-	finish  time.Time
-	tokens  int // the most that it sends out
-	prompt  int // tokens of its prompt
-	gone    chan struct{}
+	id              string // X-Attempt-Id
+	tables          *feed.Tables
+	route           *routing.Route
+	service         routing.Service
+	deadline        time.Time     // when it is answered at the latest
+	programDeadline time.Time     // when its program should be over; zero for none
+	maxTokens       int           // that it generates; 0 if unknown
+	promptTokens    int           // 0 if unknown
+	cancelled       chan struct{} // closed once the client has disconnected
 
-	mu         sync.Mutex
-	call       *upstream.Call
-	stop       func() // ends the opening of the turn; nil otherwise
-	clientGone bool   // the client has gone
+	mu          sync.Mutex
+	call        *upstream.Call // in flight, or the last one
+	cancelOpen  func()         // cancels the opening of the turn; nil if none is under way
+	isCancelled bool           // cancelled is closed
 }
 
-// cancel stops the work for a client that has gone.
+// cancel ends the work for a client that has disconnected.
 func (r *request) cancel() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.clientGone {
-		r.clientGone = true
-		close(r.gone)
+	if !r.isCancelled {
+		r.isCancelled = true
+		close(r.cancelled)
 	}
 	if r.call != nil {
 		r.call.Cancel()
 	}
-	if r.stop != nil {
-		r.stop()
+	if r.cancelOpen != nil {
+		r.cancelOpen()
 	}
 }
 
-// opening has stop called once the client has gone; nil ends that.
-func (r *request) opening(stop func()) {
+// setCancelOpen sets what cancel calls while the turn is opened; nil for nothing. If the request is cancelled already,
+// it is called at once.
+func (r *request) setCancelOpen(cancelOpen func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stop = stop; stop != nil && r.clientGone {
-		stop()
+	if r.cancelOpen = cancelOpen; cancelOpen != nil && r.isCancelled {
+		cancelOpen()
 	}
 }
 
+// newCall returns the next call to a host, which cancel cancels.
 func (r *request) newCall() *upstream.Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.call = new(upstream.Call)
-	if r.clientGone {
+	if r.isCancelled {
 		r.call.Cancel()
 	}
 	return r.call
 }
 
-func (r *request) hasGone() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.clientGone }
+// clientDisconnected reports whether the request was cancelled.
+func (r *request) clientDisconnected() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.isCancelled
+}
 
 func (r *request) server() *Server { return r.client.server }
 
-// handle serves a request that was read whole.
+// handle serves a request that was read completely.
 func (r *request) handle() {
 	r.closeAfter = r.close
-	r.tables = r.server().cfg.Source.Tables()
-	if r.tables.Config == nil {
-		r.fail(http.StatusServiceUnavailable, startsAgain(), "no configuration yet: come back")
-		return
-	}
-	r.route = r.tables.Config.Route(r.host, r.path())
-	if r.route == nil && stale(r.tables, time.Now()) {
-		r.fail(http.StatusServiceUnavailable, startsAgain(), "no such route in a configuration that may be old: come back after Retry-After")
-		return
-	}
-	if r.route == nil {
-		r.fail(http.StatusNotFound, 0, "no route for this host and path: send to one of the configuration")
+	if !r.findRoute() || !r.parseHeaders() {
 		return
 	}
-	if !r.read() {
-		return
-	}
-	shares := make([]int, len(r.route.Targets))
+	weights := make([]int, len(r.route.Targets))
 	for i, t := range r.route.Targets {
-		shares[i] = t.Weight
+		weights[i] = t.Weight
 	}
-	r.service = r.tables.Config.Services[r.route.Targets[balancer.Target(shares, r.id)].Service]
-	r.gone = make(chan struct{})
-	r.client.during(r.cancel)
+	r.service = r.tables.Config.Services[r.route.Targets[balancer.PickTarget(weights, r.id)].Service]
+	r.cancelled = make(chan struct{})
+	r.client.setOnDisconnect(r.cancel)
 	if r.route.Kind == routing.Streaming {
-		r.stream()
+		r.serveStream()
 	} else {
-		r.plain()
+		r.serveBuffered()
+	}
+}
+
+// findRoute sets the tables and the route. If it returns false the client has its error response.
+func (r *request) findRoute() bool {
+	r.tables = r.server().options.Source.Tables()
+	if r.tables.Config == nil {
+		r.respondError(http.StatusServiceUnavailable, restartDelay(), "no configuration yet: come back")
+		return false
+	}
+	r.route = r.tables.Config.Route(r.host, r.path())
+	if r.route == nil && isStale(r.tables, time.Now()) {
+		r.respondError(http.StatusServiceUnavailable, restartDelay(),
+			"no such route in a configuration that may be old: come back after Retry-After")
+		return false
+	}
+	if r.route == nil {
+		r.respondError(http.StatusNotFound, 0, "no route for this host and path: send to one of the configuration")
+		return false
 	}
+	return true
 }
 
-// stale tells whether the configuration may be an old one: no core node that hears a majority has answered for a while.
-func stale(t *feed.Tables, now time.Time) bool {
-	return !t.ConfirmedAt.IsZero() && now.Sub(t.ConfirmedAt) > staleAfter
+// isStale reports whether the configuration may be outdated: the core has not confirmed the tables for staleTimeout.
+func isStale(t *feed.Tables, now time.Time) bool {
+	return !t.ConfirmedAt.IsZero() && now.Sub(t.ConfirmedAt) > staleTimeout
 }
--- a/internal/tier/proxy/turn_test.go
+++ b/internal/tier/proxy/turn_test.go
@@ -28,17 +28,17 @@
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// streams answers with events.
+// streams responds with events.
 func streams(c *call, events ...string) bool {
 	c.raw(streamHead(c))
 	for _, e := range events {
 		c.raw(chunk(e))
 	}
-	c.raw(endChunk)
+	c.raw(lastChunk)
 	return true
 }
 
-// readPiece reads a stream until it has so much.
+// readPiece reads the next piece of a stream, which has to be text.
 func readPiece(t *testing.T, r io.Reader, text string) {
 	t.Helper()
 	b := make([]byte, len(text))
@@ -48,22 +48,23 @@
 	want(t, "piece", string(b), text)
 }
 
-// A turn: its host gets the history and the new input, events pass as they come, and the end is held until it is kept.
-func TestTurn(t *testing.T) {
+// The host gets the history and the new input of a turn; events are passed on as they come, and the end once the turn is
+// recorded.
+func TestTurnIsRecordedBeforeStreamEnds(t *testing.T) {
 	next := make(chan bool)
 	h := newHost(t, "i-1", func(c *call) bool {
 		c.raw(streamHead(c) + chunk(event(1, "one")))
 		<-next
 		c.raw(chunk("id: 2\nda") + chunk("ta: two\n\nversions: 4\nid: 3\ndata: th\ndata: ree\n\n"))
-		c.raw(endChunk)
+		c.raw(lastChunk)
 		return true
 	})
 	f := newFront(t, h)
 	closing, kept := make(chan bool), make(chan error)
 	f.ledger.history = map[string]string{"t0": "history;"}
-	f.ledger.closing = func(context.Context) error { closing <- true; return <-kept }
+	f.ledger.onClose = func(context.Context) error { closing <- true; return <-kept }
 	c := f.dial()
-	c.send(request1("POST", "/turn/x", "t1", turnHeader, "input"))
+	c.send(requestText("POST", "/turn/x", "t1", turnHeader, "input"))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +72,7 @@
 	want(t, "status", resp.StatusCode, 200)
 	want(t, "seal", resp.Header.Get("X-Host-Seal"), "seal")
 	want(t, "version", resp.Header.Get("Versions"), "3")
-	readPiece(t, resp.Body, event(1, "one")) // the host is still at work
+	readPiece(t, resp.Body, event(1, "one")) // the host is still decoding
 	close(next)
 	readPiece(t, resp.Body, event(2, "two")+"versions: 4\nid: 3\ndata: th\ndata: ree\n\n")
 	wait(t, closing, "close")
@@ -79,47 +80,48 @@
 	go func() { _, err := resp.Body.Read(make([]byte, 1)); ended <- err }()
 	select {
 	case err := <-ended:
-		t.Fatalf("the stream ends with %v before the turn is kept", err)
+		t.Fatalf("the stream ends with %v before the turn is recorded", err)
 	case <-time.After(20 * time.Millisecond):
 	}
 	kept <- nil
 	want(t, "end", wait(t, ended, "end"), io.EOF)
-	if got := h.gotten(); !strings.HasSuffix(got, "\r\n\r\nhistory;input") || !strings.Contains(got, "\r\nPrevious: t0\r\n") ||
+	if got := h.lastRequest(); !strings.HasSuffix(got, "\r\n\r\nhistory;input") || !strings.Contains(got, "\r\nPrevious: t0\r\n") ||
 		!strings.Contains(got, "\r\nContent-Length: 13\r\n") || !strings.Contains(got, "\r\nX-Target-Instance: i-1-e\r\n") {
 		t.Errorf("the host got %q", got)
 	}
-	want(t, "notes", f.ledger.told(), "open p1 t1<-t0 10/100; close t1 6")
-	k := f.ledger.kept[0]
+	want(t, "notes", f.ledger.log(), "open p1 t1<-t0 10/100; close t1 6")
+	k := f.ledger.recorded[0]
 	want(t, "key", k.Key, "p1")
 	want(t, "previous", k.Previous, "t0")
 	want(t, "input", string(k.Input), "input")
 	want(t, "output", string(k.Output), "one\ntwo\nth\nree\n")
 	want(t, "base", k.Base == nil, true)
 	want(t, "retained", k.RetainSeconds, 60)
-	// The connection serves on.
-	f.ledger.closing = nil
-	c.send(request1("POST", "/tool/x", "a", timeLeft, "x"))
+	// The connection is kept alive.
+	f.ledger.onClose = nil
+	c.send(requestText("POST", "/tool/x", "a", timeLeft, "x"))
 	want(t, "id of the next answer", c.read().header.Get("X-Attempt-Id"), "a")
 }
 
-func TestTurnUnderAnotherProgram(t *testing.T) {
+func TestTurnOfAnotherProgramRecordsBase(t *testing.T) {
 	f := newFront(t, newHost(t, "i-1", func(c *call) bool { return streams(c, event(1, "x")) }))
 	f.ledger.history, f.ledger.base = map[string]string{"t0": "history;"}, true
 	a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
 	want(t, "body", a.body, event(1, "x"))
 	want(t, "error", a.err, nil)
-	want(t, "base", string(f.ledger.kept[0].Base), "history;")
+	want(t, "base", string(f.ledger.recorded[0].Base), "history;")
 }
 
-// Answers to turns whose host breaks off or whose end cannot be kept are not complete, and what was handed out is settled.
-func TestTurnThatDoesNotEndWhole(t *testing.T) {
+// The stream of a turn whose host breaks off, or that cannot be recorded, does not look complete, and the tokens that were passed
+// on are settled.
+func TestIncompleteTurnIsSettled(t *testing.T) {
 	for name, c := range map[string]struct {
 		script func(c *call) bool
-		status int // 0 for an answer that must not look complete
+		status int // 0 for a response that must not look complete
 		notes  string
-		fails  bool // to be kept
+		fails  bool // to be recorded
 	}{
-		"no answer":     {func(c *call) bool { return false }, 502, "settle p1 t1 0", false},
+		"no response":   {func(c *call) bool { return false }, 502, "settle p1 t1 0", false},
 		"garbage":       {func(c *call) bool { c.raw("what\r\n\r\n"); return false }, 502, "settle p1 t1 0", false},
 		"no event":      {func(c *call) bool { c.raw(streamHead(c)); return false }, 502, "settle p1 t1 0", false},
 		"two events":    {func(c *call) bool { c.raw(streamHead(c) + chunk(event(1, "x")+event(2, "y"))); return false }, 0, "settle p1 t1 4", false},
@@ -130,24 +132,24 @@
 			c.raw("HTTP/1.1 200 OK\r\nX-Host-Seal: seal\r\nX-Attempt-Id: t1\r\nContent-Length: 90\r\n\r\n" + event(1, "x"))
 			return false
 		}, 0, "settle p1 t1 2", false},
-		"it is not kept":  {func(c *call) bool { return streams(c, event(1, "x"), event(2, "y")) }, 0, "close t1 4; settle p1 t1 4", true},
-		"over its need":   {func(c *call) bool { c.raw(streamHead(c) + chunk(strings.Repeat(event(1, "x"), 9))); return false }, 0, "settle p1 t1 10", false},
-		"500":             {func(c *call) bool { c.answer(500, "", "bad"); return true }, 500, "settle p1 t1 0", false},
-		"402 by the host": {func(c *call) bool { c.answer(402, "", "bad"); return true }, 502, "settle p1 t1 0", false},
+		"not recorded":    {func(c *call) bool { return streams(c, event(1, "x"), event(2, "y")) }, 0, "close t1 4; settle p1 t1 4", true},
+		"over MaxTokens":  {func(c *call) bool { c.raw(streamHead(c) + chunk(strings.Repeat(event(1, "x"), 9))); return false }, 0, "settle p1 t1 10", false},
+		"500":             {func(c *call) bool { c.respond(500, "", "bad"); return true }, 500, "settle p1 t1 0", false},
+		"402 by the host": {func(c *call) bool { c.respond(402, "", "bad"); return true }, 502, "settle p1 t1 0", false},
 		"half of a 500": {func(c *call) bool {
 			c.raw("HTTP/1.1 500 X\r\nX-Attempt-Id: t1\r\nContent-Length: 9\r\n\r\nba")
 			return false
 		}, 502, "settle p1 t1 0", false},
-		"full, everywhere": {func(c *call) bool { c.answer(503, "X-Not-Executed: 1\r\n", ""); return true }, 503, "settle p1 t1 0", false},
+		"at capacity": {func(c *call) bool { c.respond(503, "X-Not-Executed: 1\r\n", ""); return true }, 503, "settle p1 t1 0", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, "i-1", c.script)
 			f := newFront(t, h, newHost(t, "i-2", c.script))
 			if c.fails {
-				f.ledger.closing = func(context.Context) error { return turnstore.ErrUnavailable }
+				f.ledger.onClose = func(context.Context) error { return turnstore.ErrUnavailable }
 			}
 			k := f.dial()
-			k.send(request1("POST", "/turn/x", "t1", turnHeader, "input"))
+			k.send(requestText("POST", "/turn/x", "t1", turnHeader, "input"))
 			var a answer
 			if c.status == 0 {
 				raw, _ := io.ReadAll(k)
@@ -160,8 +162,8 @@
 				want(t, "status", a.status, c.status)
 				want(t, "error", a.err, nil)
 			}
-			eventually(t, "settled", func() bool { return strings.Contains(f.ledger.told(), "settle") })
-			want(t, "notes", f.ledger.told(), "open p1 t1<-t0 10/100; "+c.notes)
+			eventually(t, "settled", func() bool { return strings.Contains(f.ledger.log(), "settle") })
+			want(t, "notes", f.ledger.log(), "open p1 t1<-t0 10/100; "+c.notes)
 			if a.status != 503 {
 				want(t, "retry", a.header.Get("Retry-After"), "")
 			}
@@ -169,27 +171,27 @@
 	}
 }
 
-// What the ledger says decides, and no host is asked.
-func TestTurnThatMayNotRun(t *testing.T) {
+// An error of the ledger rejects the turn, and no host gets it.
+func TestTurnRejectedByLedger(t *testing.T) {
 	for kind, status := range map[error]int{turnstore.ErrBudget: 402, turnstore.ErrNoTurn: 404, turnstore.ErrUnavailable: 503, context.DeadlineExceeded: 503} {
-		h := newHost(t, "i-1", serves("ran"))
+		h := newHost(t, "i-1", respondsOK("ran"))
 		f := newFront(t, h)
 		f.ledger.openErr = errors.Mark(errors.New("as the test has it"), kind)
 		a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
 		want(t, "status", a.status, status)
-		want(t, "told when to come back", a.header.Get("Retry-After") != "", status == 503)
+		want(t, "Retry-After", a.header.Get("Retry-After") != "", status == 503)
 		want(t, "calls", h.calls.Load(), 0)
 	}
 }
 
-// A turn moves to another host only after a proof, and its reservation stays.
-func TestTurnOnAnotherHost(t *testing.T) {
+// A turn is retried on another host only after a proof that it has not run; its reservation stays.
+func TestTurnRetryKeepsReservation(t *testing.T) {
 	first := make(chan bool, 1)
 	first <- true
 	script := func(c *call) bool {
 		select {
 		case <-first:
-			c.answer(503, "X-Not-Executed: 1\r\n", "")
+			c.respond(503, "X-Not-Executed: 1\r\n", "")
 			return true
 		default:
 			return streams(c, event(1, "x"))
@@ -198,11 +200,11 @@
 	f := newFront(t, newHost(t, "i-1", script), newHost(t, "i-2", script))
 	a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
 	want(t, "body", a.body, event(1, "x"))
-	want(t, "notes", f.ledger.told(), "open p1 t1<-t0 10/100; close t1 2")
+	want(t, "notes", f.ledger.log(), "open p1 t1<-t0 10/100; close t1 2")
 }
 
-// The turns of a line go to the host that ran the one before, as the ledger remembers it, whichever that was.
-func TestTurnsOfALineGoToTheHostThatHasTheirPrompt(t *testing.T) {
+// A turn goes to the host that ran the turn before, which the ledger has recorded as its cache host.
+func TestTurnsGoToCacheHost(t *testing.T) {
 	var hosts []*host
 	for i := range 5 {
 		hosts = append(hosts, newHost(t, fmt.Sprint("i-", i), func(c *call) bool { return streams(c, event(1, "x")) }))
@@ -214,7 +216,7 @@
 		if i > 0 {
 			head += fmt.Sprintf("Previous: t%d\r\n", i-1)
 		}
-		c.send(request1("POST", "/turn/x", fmt.Sprint("t", i), head, "input"))
+		c.send(requestText("POST", "/turn/x", fmt.Sprint("t", i), head, "input"))
 		want(t, "status", c.read().status, 200)
 	}
 	for _, h := range hosts {
@@ -224,8 +226,8 @@
 	}
 }
 
-// The client goes in the middle of a stream: the host is told, and what was handed out is settled.
-func TestClientGoesAmidAStream(t *testing.T) {
+// A disconnect during a stream closes the connection to the host, and the tokens that were passed on are settled.
+func TestDisconnectDuringStream(t *testing.T) {
 	ended := make(chan bool, 1)
 	h := newHost(t, "i-1", func(c *call) bool {
 		c.raw(streamHead(c) + chunk(event(1, "x")))
@@ -235,7 +237,7 @@
 	})
 	f := newFront(t, h)
 	c := f.dial()
-	c.send(request1("POST", "/turn/x", "t1", turnHeader, "input"))
+	c.send(requestText("POST", "/turn/x", "t1", turnHeader, "input"))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -243,32 +245,32 @@
 	readPiece(t, resp.Body, event(1, "x"))
 	c.Close()
 	want(t, "end of the host's connection", wait(t, ended, "end"), true)
-	eventually(t, "settled", func() bool { return strings.HasSuffix(f.ledger.told(), "settle p1 t1 2") })
-	want(t, "kept", len(f.ledger.kept), 0)
+	eventually(t, "settled", func() bool { return strings.HasSuffix(f.ledger.log(), "settle p1 t1 2") })
+	want(t, "kept", len(f.ledger.recorded), 0)
 }
 
-// A stream that is no turn needs no ledger. One framed by length comes whole as well.
-func TestStreamWithoutALedger(t *testing.T) {
+// A stream that is no turn needs no ledger. It may be framed by its length.
+func TestStreamNeedsNoLedger(t *testing.T) {
 	for name, script := range map[string]func(c *call) bool{
 		"chunks": func(c *call) bool { return streams(c, event(1, "x"), event(2, "y")) },
-		"length": func(c *call) bool { c.answer(200, "", event(1, "x")+event(2, "y")); return true },
+		"length": func(c *call) bool { c.respond(200, "", event(1, "x")+event(2, "y")); return true },
 	} {
 		f := newFront(t, newHost(t, "i-1", script))
 		a := f.do("POST", "/stream/x", "a", timeLeft, "x")
 		want(t, name, fmt.Sprint(a.status, a.body, a.err), "200"+event(1, "x")+event(2, "y")+"<nil>")
-		want(t, "notes", f.ledger.told(), "")
+		want(t, "notes", f.ledger.log(), "")
 	}
 }
 
-func TestTurnWithoutItsHeaders(t *testing.T) {
+func TestTurnHeaderDefaults(t *testing.T) {
 	f := newFront(t, newHost(t, "i-1", func(c *call) bool { return streams(c, event(1, "x")) }))
 	a := f.do("POST", "/turn/x", "t1", "", "input")
 	want(t, "status", a.status, 200)
-	want(t, "notes", f.ledger.told(), fmt.Sprintf("open t1 t1<- 0/%d; close t1 2", Unlimited))
+	want(t, "notes", f.ledger.log(), fmt.Sprintf("open t1 t1<- 0/%d; close t1 2", Unlimited))
 }
 
-// Events are the same however their bytes are cut.
-func TestEventsHoweverCut(t *testing.T) {
+// Events are the same for all piece boundaries.
+func TestEventParserIgnoresPieceBoundaries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[a-z :]{0,6}`)
 		var text, out strings.Builder
@@ -289,20 +291,20 @@
 				out.WriteString(strings.Join(lines, "\n") + "\n")
 			}
 		}
-		e := &events{keep: true}
+		e := &eventParser{keepOutput: true}
 		for b := []byte(text.String()); len(b) > 0; {
 			n := rapid.IntRange(1, len(b)).Draw(t, "piece")
-			e.feed(b[:n])
+			e.write(b[:n])
 			b = b[n:]
 		}
-		e.end()
-		if e.count != count || string(e.out) != out.String() {
-			t.Fatalf("%q gives %d events with %q, want %d with %q", text.String(), e.count, e.out, count, out.String())
+		e.finish()
+		if e.count != count || string(e.output) != out.String() {
+			t.Fatalf("%q gives %d events with %q, want %d with %q", text.String(), e.count, e.output, count, out.String())
 		}
 	})
 }
 
-func TestEvents(t *testing.T) {
+func TestEventParser(t *testing.T) {
 	for text, c := range map[string]struct {
 		count int
 		out   string
@@ -319,16 +321,16 @@
 		"datax: 1\n\nversions: 2\n\n":     {0, ""},
 		"versions: 2\nid: 1\ndata: a\n\n": {1, "a\n"},
 	} {
-		e := &events{keep: true}
-		e.feed([]byte(text))
-		e.end()
+		e := &eventParser{keepOutput: true}
+		e.write([]byte(text))
+		e.finish()
 		want(t, fmt.Sprintf("events of %q", text), e.count, c.count)
-		want(t, fmt.Sprintf("data of %q", text), string(e.out), c.out)
+		want(t, fmt.Sprintf("data of %q", text), string(e.output), c.out)
 	}
 }
 
-// A client has few tries: where stores or hosts are away it is told to come back when what was killed has started again.
-func TestWhoComesAgainIsToldToWaitUntilMachinesHaveStarted(t *testing.T) {
+// A client has few attempts: with stores or hosts down, Retry-After is the time in which a killed process restarts.
+func TestRetryAfterCoversRestart(t *testing.T) {
 	after := func(f *front) float64 {
 		t.Helper()
 		a := f.do("POST", "/turn/x", "t1", turnHeader, "input")
@@ -341,7 +343,7 @@
 	}
 	unsure := newFront(t, newHost(t, "i-1", func(c *call) bool { return streams(c, event(1, "x")) }))
 	unsure.ledger.openErr = turnstore.ErrUnavailable
-	for name, s := range map[string]float64{"stores away": after(unsure), "no host": after(newFront(t))} {
+	for name, s := range map[string]float64{"stores down": after(unsure), "no host": after(newFront(t))} {
 		if s < 0.5 || s > 1 {
 			t.Errorf("%s: Retry-After %v s", name, s)
 		}
