--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -30,7 +30,7 @@
 	Peers      []string       // the addresses of all relays by number, this one's among them
 	Admin      string         // the second address; empty for none
 	Alone      *Alone         // nil under a platform
-	Heir       *handover.Heir // of the process whose place this one takes; nil for none
+	Heir       *handover.Successor // of the process whose place this one takes; nil for none
 	Unlock     func()         // lets go of the state folder once the relay is handed over; may be nil
 
 	file []byte // as it was read
--- a/internal/relay/handover/fixtures_test.go
+++ b/internal/relay/handover/fixtures_test.go
@@ -17,8 +17,8 @@
 
 // frozenState has a value of its own for every field.
 func frozenState() State {
-	return State{Out: []Out{{ID: "m1", Call: 0}, {ID: "m2", Call: 3}}, Waits: map[string]int64{"h1": 250}, Past: []Past{{ID: "p1", Sum: 0xfffffffe}},
-		List: json.RawMessage(`{"version":7,"full":true,"servers":null}`)}
+	return State{InFlight: []InFlight{{ID: "m1", Call: 0}, {ID: "m2", Call: 3}}, RetryAfter: map[string]int64{"h1": 250}, Ended: []Ended{{ID: "p1", Sum: 0xfffffffe}},
+		HostList: json.RawMessage(`{"version":7,"full":true,"servers":null}`)}
 }
 
 // frozenMessages are what the two processes say to each other in JSON, one message to a line.
@@ -26,15 +26,15 @@
 	name  string
 	value any
 }{
-	{"state", answer{State: frozenState()}},
-	{"state of a relay that holds nothing", answer{}},
-	{"refusal", answer{Error: "the disk is full"}},
-	{"outcome", Outcome{ID: "m1", Host: "h1", Outcome: 5, Took: 1234567 * time.Microsecond, Wait: 250 * time.Millisecond, Done: true}},
+	{"state", takeoverResponse{State: frozenState()}},
+	{"state of a relay that holds nothing", takeoverResponse{}},
+	{"refusal", takeoverResponse{Error: "the disk is full"}},
+	{"outcome", Outcome{ID: "m1", Host: "h1", Outcome: 5, Elapsed: 1234567 * time.Microsecond, RetryAfter: 250 * time.Millisecond, Done: true}},
 	{"outcome without what may be left out", Outcome{ID: "m2", Host: "h2"}},
 }
 
 // old reads the fixtures, and what precedes the JSON as a raw text: the request of an heir, its word that it serves.
-func oldMessages(t *testing.T) map[string]string {
+func frozenTexts(t *testing.T) map[string]string {
 	t.Helper()
 	present := []fixture.Line{{Name: "request", Text: fmt.Sprintf("%q", "POST /takeover HTTP/1.1\r\nHost: relay\r\nContent-Length: 0\r\n\r\n")},
 		{Name: "listener", Text: `"L"`}, {Name: "ready", Text: `"ready\n"`}}
@@ -58,8 +58,8 @@
 }
 
 // Guards against a change of what a process and its successor, which may be of different builds, say to each other.
-func TestMessagesAreAsFrozen(t *testing.T) {
-	old := oldMessages(t)
+func TestMessagesMatchFrozenFixtures(t *testing.T) {
+	old := frozenTexts(t)
 	var all []any
 	for _, m := range frozenMessages {
 		all = append(all, m.value)
@@ -83,8 +83,8 @@
 }
 
 // An heir of an earlier build, which says the frozen bytes, is handed the relay over by the present owner.
-func TestOwnerHandsOverToFrozenHeir(t *testing.T) {
-	old, dir := oldMessages(t), t.TempDir()
+func TestOwnerHandsOverToFrozenSuccessor(t *testing.T) {
+	old, dir := frozenTexts(t), t.TempDir()
 	o := newOwner(t, dir)
 	o.state = frozenState()
 	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: filepath.Join(dir, "handover"), Net: "unix"})
@@ -99,7 +99,7 @@
 	if err != nil || string(first[:n]) != unquoted(t, old["listener"]) {
 		t.Fatalf("the first byte is %q, %v", first[:n], err)
 	}
-	l, err := listenerOf(rights[:rn])
+	l, err := parseListener(rights[:rn])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,17 +113,17 @@
 	}
 	line("the state", old["state"])
 	io.WriteString(conn, unquoted(t, old["ready"]))
-	got(t, o.serves, "word that the heir serves")
+	receive(t, o.serves, "word that the heir serves")
 	line("an outcome from before", `{"i":"early","h":"","o":0,"t":0}`)
-	got(t, o.link, "link").Tell(frozenMessages[3].value.(Outcome))
+	receive(t, o.link, "link").Notify(frozenMessages[3].value.(Outcome))
 	line("an outcome", old["outcome"])
 	conn.Close()
-	got(t, o.orphaned, "word that the heir has gone")
+	receive(t, o.orphaned, "word that the heir has gone")
 }
 
 // An owner of an earlier build, which says the frozen bytes, hands the relay over to the present heir.
-func TestHeirTakesOverFromFrozenOwner(t *testing.T) {
-	old := oldMessages(t)
+func TestSuccessorTakesOverFromFrozenOwner(t *testing.T) {
+	old := frozenTexts(t)
 	for name, refuses := range map[string]bool{"hands over": false, "refuses": true} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -161,12 +161,12 @@
 				io.WriteString(conn, old["outcome"]+"\n"+old["outcome without what may be left out"]+"\n")
 				said <- string(first) + string(second)
 			}()
-			h, err := Ask(ctx(t), dir)
+			h, err := Request(testContext(t), dir)
 			if refuses {
-				if h != nil || !reflect.DeepEqual(err, &Refused{"the disk is full"}) {
+				if h != nil || !reflect.DeepEqual(err, &RefusedError{"the disk is full"}) {
 					t.Errorf("%v, %v, want the refusal", h, err)
 				}
-				if s := got(t, said, "request"); s != request {
+				if s := receive(t, said, "request"); s != request {
 					t.Errorf("the heir said %q", s)
 				}
 				return
@@ -181,11 +181,11 @@
 			var outcomes []Outcome
 			c, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 			defer cancel()
-			h.Follow(c, func(o Outcome) { outcomes = append(outcomes, o) })
+			h.ReceiveOutcomes(c, func(o Outcome) { outcomes = append(outcomes, o) })
 			if want := []Outcome{frozenMessages[3].value.(Outcome), frozenMessages[4].value.(Outcome)}; !reflect.DeepEqual(outcomes, want) {
 				t.Errorf("outcomes %+v, want %+v", outcomes, want)
 			}
-			if s := got(t, said, "what the heir said"); s != request+ready {
+			if s := receive(t, said, "what the heir said"); s != request+ready {
 				t.Errorf("the heir said %q", s)
 			}
 		})
--- a/internal/relay/handover/handover.go
+++ b/internal/relay/handover/handover.go
@@ -25,20 +25,20 @@
 
 // State is what an owner knows beside its journal.
 type State struct {
-	Out   []Out            `json:"out,omitempty"`
-	Waits map[string]int64 `json:"waits,omitempty"` // milliseconds left, by host
-	Past  []Past           `json:"past,omitempty"`
-	List  json.RawMessage  `json:"list,omitempty"` // of hosts, in discovery's form
+	InFlight   []InFlight            `json:"out,omitempty"`
+	RetryAfter map[string]int64 `json:"waits,omitempty"` // milliseconds left, by host
+	Ended  []Ended           `json:"past,omitempty"`
+	HostList  json.RawMessage  `json:"list,omitempty"` // of hosts, in discovery's form
 }
 
-// Out is a message with a call that is still out. Those of one call have the same number.
-type Out struct {
+// InFlight is a message with a call that is still out. Those of one call have the same number.
+type InFlight struct {
 	ID   string `json:"i"`
 	Call int    `json:"c"`
 }
 
-// Past is a message that has ended: its id may come again.
-type Past struct {
+// Ended is a message that has ended: its id may come again.
+type Ended struct {
 	ID  string `json:"i"`
 	Sum uint32 `json:"s"`
 }
@@ -48,8 +48,8 @@
 	ID      string        `json:"i"`
 	Host    string        `json:"h"`
 	Outcome int           `json:"o"` // a choice.Outcome
-	Took    time.Duration `json:"t"`
-	Wait    time.Duration `json:"w,omitempty"` // told by the host
+	Elapsed    time.Duration `json:"t"`
+	RetryAfter    time.Duration `json:"w,omitempty"` // told by the host
 	Done    bool          `json:"d,omitempty"` // the host holds the message to be over
 }
 
@@ -58,25 +58,25 @@
 	// Release gives the relay up: nothing is decided any more and all is recorded once it returns. Later outcomes
 	// go to the link. An error leaves the relay as it is.
 	Release(ctx context.Context, to *Link) (State, *net.TCPListener, error)
-	// Succeeded says that the heir serves.
-	Succeeded()
-	// Orphaned says that the heir has gone.
-	Orphaned()
+	// SuccessorServing says that the heir serves.
+	SuccessorServing()
+	// SuccessorLost says that the heir has gone.
+	SuccessorLost()
 	// Handler serves what an earlier owner passes on.
 	Handler() http.Handler
 }
 
 const (
 	socketName = "handover"
-	takeover   = "/takeover"
-	releaseIn  = 2 * time.Second // for the owner to give the relay up
-	readyIn    = 6 * time.Second // for the heir to serve; the platform gives it no longer
-	tellIn     = time.Second     // for a line to be taken
-	maxState   = 8 << 20
+	takeoverPath   = "/takeover"
+	releaseTimeout  = 2 * time.Second // for the owner to give the relay up
+	readyTimeout    = 6 * time.Second // for the heir to serve; the platform gives it no longer
+	writeTimeout     = time.Second     // for a line to be taken
+	maxStateBytes   = 8 << 20
 )
 
-// path is the socket's path by way of an open folder: the real one may be longer than a socket's may be.
-func path(dir *os.File) string { return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), socketName) }
+// socketPath is the socket's socketPath by way of an open folder: the real one may be longer than a socket's may be.
+func socketPath(dir *os.File) string { return fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), socketName) }
 
 // Server is where an heir finds the owner.
 type Server struct {
@@ -94,7 +94,7 @@
 		d.Close()
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path(d), Net: "unix"})
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(d), Net: "unix"})
 	if err != nil {
 		d.Close()
 		return nil, fmt.Errorf("handover: %w", err)
@@ -103,7 +103,7 @@
 	os.Chmod(filepath.Join(dir, socketName), 0o600)
 	mux := http.NewServeMux()
 	mux.Handle("/", owner.Handler())
-	mux.HandleFunc("POST "+takeover, func(w http.ResponseWriter, req *http.Request) {
+	mux.HandleFunc("POST "+takeoverPath, func(w http.ResponseWriter, req *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -111,9 +111,9 @@
 		}
 		defer conn.Close()
 		conn.SetDeadline(time.Time{})
-		release(conn.(*net.UnixConn), owner)
+		serveTakeover(conn.(*net.UnixConn), owner)
 	})
-	s := &Server{dir: d, server: &http.Server{Handler: mux, ReadHeaderTimeout: releaseIn}}
+	s := &Server{dir: d, server: &http.Server{Handler: mux, ReadHeaderTimeout: releaseTimeout}}
 	go s.server.Serve(l)
 	return s, nil
 }
@@ -124,41 +124,41 @@
 	s.dir.Close()
 }
 
-// answer precedes all else that an owner says.
-type answer struct {
+// takeoverResponse precedes all else that an owner says.
+type takeoverResponse struct {
 	Error string `json:"error,omitempty"`
 	State State  `json:"state"`
 }
 
-// release hands the relay over on a connection, and returns when the heir has gone.
-func release(conn *net.UnixConn, owner Owner) {
-	ctx, cancel := context.WithTimeout(context.Background(), releaseIn)
+// serveTakeover hands the relay over on a connection, and returns when the heir has gone.
+func serveTakeover(conn *net.UnixConn, owner Owner) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	link := newLink(conn)
 	state, listener, err := owner.Release(ctx, link)
 	if err != nil {
-		json.NewEncoder(conn).Encode(answer{Error: err.Error()})
+		json.NewEncoder(conn).Encode(takeoverResponse{Error: err.Error()})
 		return
 	}
-	defer owner.Orphaned()
-	defer link.close()
+	defer owner.SuccessorLost()
+	defer link.stop()
 	if err := sendListener(conn, listener); err != nil {
 		listener.Close()
 		return
 	}
 	listener.Close() // the heir's stays: no client's connection is refused between the two
-	conn.SetWriteDeadline(time.Now().Add(readyIn))
-	if json.NewEncoder(conn).Encode(answer{State: state}) != nil {
+	conn.SetWriteDeadline(time.Now().Add(readyTimeout))
+	if json.NewEncoder(conn).Encode(takeoverResponse{State: state}) != nil {
 		return
 	}
-	go link.write()
-	conn.SetReadDeadline(time.Now().Add(readyIn))
+	go link.writeLoop()
+	conn.SetReadDeadline(time.Now().Add(readyTimeout))
 	in := bufio.NewReaderSize(conn, 16)
 	if line, err := in.ReadString('\n'); err != nil || line != "ready\n" {
 		return
 	}
 	conn.SetReadDeadline(time.Time{})
-	owner.Succeeded()
+	owner.SuccessorServing()
 	io.Copy(io.Discard, in)
 }
 
--- a/internal/relay/handover/handover_test.go
+++ b/internal/relay/handover/handover_test.go
@@ -33,12 +33,12 @@
 	if o.refuses != nil {
 		return State{}, nil, o.refuses
 	}
-	to.Tell(Outcome{ID: "early"}) // before the heir knows the state
+	to.Notify(Outcome{ID: "early"}) // before the heir knows the state
 	o.link <- to
 	return o.state, o.listener, nil
 }
-func (o *owner) Succeeded() { o.serves <- true }
-func (o *owner) Orphaned()  { o.orphaned <- true }
+func (o *owner) SuccessorServing() { o.serves <- true }
+func (o *owner) SuccessorLost()  { o.orphaned <- true }
 func (o *owner) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { io.WriteString(w, "served "+req.URL.Path) })
 }
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	o := &owner{listener: l.(*net.TCPListener), link: make(chan *Link, 1), serves: make(chan bool, 1), orphaned: make(chan bool, 1),
-		state: State{Out: []Out{{"m", 0}}, Waits: map[string]int64{"h": 7}, Past: []Past{{"p", 9}}, List: []byte(`{"full":true}`)}}
+		state: State{InFlight: []InFlight{{"m", 0}}, RetryAfter: map[string]int64{"h": 7}, Ended: []Ended{{"p", 9}}, HostList: []byte(`{"full":true}`)}}
 	s, err := Listen(dir, o)
 	if err != nil {
 		t.Fatal(err)
@@ -59,13 +59,13 @@
 	return o
 }
 
-func ctx(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	t.Cleanup(cancel)
 	return c
 }
 
-func got[T any](t *testing.T, ch chan T, what string) T {
+func receive[T any](t *testing.T, ch chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-ch:
@@ -84,7 +84,7 @@
 	}
 	o := newOwner(t, dir)
 	addr := o.listener.Addr().String()
-	h, err := Ask(ctx(t), dir)
+	h, err := Request(testContext(t), dir)
 	if err != nil || h == nil {
 		t.Fatal(h, err)
 	}
@@ -101,22 +101,22 @@
 	} else {
 		c.Close()
 	}
-	link := got(t, o.link, "link")
+	link := receive(t, o.link, "link")
 	for i := range 1000 {
-		link.Tell(Outcome{ID: fmt.Sprint(i), Took: time.Duration(i)})
+		link.Notify(Outcome{ID: fmt.Sprint(i), Elapsed: time.Duration(i)})
 	}
 	outcomes, left := make(chan Outcome, 2000), make(chan bool, 1)
-	go func() { h.Follow(t.Context(), func(o Outcome) { outcomes <- o }); left <- true }()
-	got(t, o.serves, "word that the heir serves")
-	if first := got(t, outcomes, "outcome"); first.ID != "early" {
+	go func() { h.ReceiveOutcomes(t.Context(), func(o Outcome) { outcomes <- o }); left <- true }()
+	receive(t, o.serves, "word that the heir serves")
+	if first := receive(t, outcomes, "outcome"); first.ID != "early" {
 		t.Errorf("first outcome %+v", first)
 	}
 	for i := range 1000 {
-		if o := got(t, outcomes, "outcome"); o.ID != fmt.Sprint(i) || o.Took != time.Duration(i) {
+		if o := receive(t, outcomes, "outcome"); o.ID != fmt.Sprint(i) || o.Elapsed != time.Duration(i) {
 			t.Fatalf("outcome %d is %+v", i, o)
 		}
 	}
-	for !link.Told() { // it counts what is written, right after
+	for !link.Flushed() { // it counts what is written, right after
 		time.Sleep(time.Millisecond)
 	}
 	resp, err := (&http.Client{Transport: Forwarder(dir)}).Get("http://relay/api/x")
@@ -128,18 +128,18 @@
 	}
 	resp.Body.Close()
 	link.Close()
-	got(t, left, "end of following")
-	got(t, o.orphaned, "word that the link has ended")
+	receive(t, left, "end of following")
+	receive(t, o.orphaned, "word that the link has ended")
 	h.Listener.Close()
 	http.DefaultClient.CloseIdleConnections()
 }
 
-func TestNobodyToAsk(t *testing.T) {
+func TestRequestWithoutOwner(t *testing.T) {
 	dir := t.TempDir()
-	if h, err := Ask(ctx(t), filepath.Join(dir, "none")); h != nil || err != nil {
+	if h, err := Request(testContext(t), filepath.Join(dir, "none")); h != nil || err != nil {
 		t.Errorf("no folder: %v, %v", h, err)
 	}
-	if h, err := Ask(ctx(t), dir); h != nil || err != nil {
+	if h, err := Request(testContext(t), dir); h != nil || err != nil {
 		t.Errorf("no socket: %v, %v", h, err)
 	}
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, socketName), Net: "unix"})
@@ -148,43 +148,43 @@
 	}
 	l.SetUnlinkOnClose(false)
 	l.Close()
-	if h, err := Ask(ctx(t), dir); h != nil || err != nil {
+	if h, err := Request(testContext(t), dir); h != nil || err != nil {
 		t.Errorf("the socket of a dead process: %v, %v", h, err)
 	}
 	o := newOwner(t, dir) // takes its place
 	o.refuses = errors.New("the disk is full")
-	var refused *Refused
-	if h, err := Ask(ctx(t), dir); h != nil || !errors.As(err, &refused) || !strings.Contains(err.Error(), "the disk is full") {
+	var refused *RefusedError
+	if h, err := Request(testContext(t), dir); h != nil || !errors.As(err, &refused) || !strings.Contains(err.Error(), "the disk is full") {
 		t.Errorf("a refusal: %v, %v", h, err)
 	}
 }
 
 // An owner whose heir goes, before or after it serves, is told so.
-func TestHeirGoes(t *testing.T) {
+func TestOwnerLearnsThatSuccessorLeft(t *testing.T) {
 	for name, serves := range map[string]bool{"before it serves": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			o := newOwner(t, dir)
-			h, err := Ask(ctx(t), dir)
+			h, err := Request(testContext(t), dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if serves {
 				c, cancel := context.WithCancel(t.Context())
-				go h.Follow(c, func(Outcome) {})
-				got(t, o.serves, "word that the heir serves")
+				go h.ReceiveOutcomes(c, func(Outcome) {})
+				receive(t, o.serves, "word that the heir serves")
 				cancel()
 				h.Listener.Close()
 			} else {
 				h.Close()
 			}
-			got(t, o.orphaned, "word that the heir has gone")
+			receive(t, o.orphaned, "word that the heir has gone")
 		})
 	}
 }
 
 // An owner that breaks off in the middle is an error, not a state; so is noise.
-func TestOwnerBreaksOff(t *testing.T) {
+func TestRequestFailsOnBrokenConnection(t *testing.T) {
 	for name, says := range map[string]string{"nothing": "", "half a refusal": `{"error":`, "no listener": `L{"state":{}}`, "noise": "\x00\xff"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -201,7 +201,7 @@
 					c.Close()
 				}
 			}()
-			if h, err := Ask(ctx(t), dir); h != nil || err == nil {
+			if h, err := Request(testContext(t), dir); h != nil || err == nil {
 				t.Errorf("%v, %v, want an error", h, err)
 			}
 		})
--- a/internal/relay/handover/link.go
+++ b/internal/relay/handover/link.go
@@ -10,50 +10,50 @@
 // Link is an owner's way to its heir. Its methods are safe for concurrent use.
 type Link struct {
 	conn *net.UnixConn
-	come chan struct{} // one waits here when there is something to write
-	gone chan struct{} // closed when the heir has gone
+	wakeup chan struct{} // one waits here when there is something to write
+	closed chan struct{} // closed when the heir has gone
 	mu   sync.Mutex
-	list []Outcome
-	left int // in the list, or being written
+	queue []Outcome
+	unwritten int // in the list, or being written
 }
 
 func newLink(conn *net.UnixConn) *Link {
-	return &Link{conn: conn, come: make(chan struct{}, 1), gone: make(chan struct{})}
+	return &Link{conn: conn, wakeup: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// Tell has the heir told an outcome. It never waits.
-func (l *Link) Tell(o Outcome) {
+// Notify has the heir told an outcome. It never waits.
+func (l *Link) Notify(o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.list = append(l.list, o)
-	l.left++
+	l.queue = append(l.queue, o)
+	l.unwritten++
 	select {
-	case l.come <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Told tells whether all outcomes are with the heir.
-func (l *Link) Told() bool {
+// Flushed tells whether all outcomes are with the heir.
+func (l *Link) Flushed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.left == 0
+	return l.unwritten == 0
 }
 
-// write writes outcomes as they come, until the heir has gone.
-func (l *Link) write() {
+// writeLoop writes outcomes as they come, until the heir has gone.
+func (l *Link) writeLoop() {
 	out := json.NewEncoder(l.conn)
 	for {
 		select {
-		case <-l.come:
-		case <-l.gone:
+		case <-l.wakeup:
+		case <-l.closed:
 			return
 		}
 		l.mu.Lock()
-		list := l.list
-		l.list = nil
+		list := l.queue
+		l.queue = nil
 		l.mu.Unlock()
-		l.conn.SetWriteDeadline(time.Now().Add(tellIn))
+		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		for _, o := range list {
 			if out.Encode(o) != nil {
 				l.conn.Close() // what is not told counts as after a crash
@@ -61,7 +61,7 @@
 			}
 		}
 		l.mu.Lock()
-		l.left -= len(list)
+		l.unwritten -= len(list)
 		l.mu.Unlock()
 	}
 }
@@ -69,4 +69,4 @@
 // Close breaks off with the heir; what it was not told counts as after a crash.
 func (l *Link) Close() { l.conn.Close() }
 
-func (l *Link) close() { close(l.gone) }
+func (l *Link) stop() { close(l.closed) }
--- a/internal/relay/handover/heir.go
+++ b/internal/relay/handover/successor.go
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// Heir is what a process has got from the owner whose place it takes.
-type Heir struct {
+// Successor is what a process has got from the owner whose place it takes.
+type Successor struct {
 	State    State
 	Listener *net.TCPListener // where clients connect
 	conn     *net.UnixConn
-	in       *json.Decoder
+	decoder       *json.Decoder
 }
 
-// Refused is an owner's own word that it does not hand over.
-type Refused struct{ Reason string }
+// RefusedError is an owner's own word that it does not hand over.
+type RefusedError struct{ Reason string }
 
 // Error gives the owner's reason.
-func (e *Refused) Error() string {
+func (e *RefusedError) Error() string {
 	return "handover: the running relay does not hand over: " + e.Reason
 }
 
-// Ask has the owner of a state folder hand over. With no owner there it returns nil and no error.
-func Ask(ctx context.Context, dir string) (*Heir, error) {
+// Request has the owner of a state folder hand over. With no owner there it returns nil and no error.
+func Request(ctx context.Context, dir string) (*Successor, error) {
 	d, err := os.Open(dir)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -40,7 +40,7 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	defer d.Close()
-	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path(d), Net: "unix"})
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: socketPath(d), Net: "unix"})
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // none, or the socket of a dead one
 		return nil, nil
 	}
@@ -50,7 +50,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		conn.SetDeadline(deadline)
 	}
-	h, err := ask(conn)
+	h, err := requestTakeover(conn)
 	if err != nil {
 		conn.Close()
 		return nil, err
@@ -59,8 +59,8 @@
 	return h, nil
 }
 
-func ask(conn *net.UnixConn) (*Heir, error) {
-	if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: relay\r\nContent-Length: 0\r\n\r\n", takeover); err != nil {
+func requestTakeover(conn *net.UnixConn) (*Successor, error) {
+	if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: relay\r\nContent-Length: 0\r\n\r\n", takeoverPath); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	// The first byte comes alone, with the listener; or it begins a refusal.
@@ -69,19 +69,19 @@
 	if err != nil || n == 0 {
 		return nil, fmt.Errorf("handover: the running relay broke off: %w", errors.Join(err, io.ErrUnexpectedEOF))
 	}
-	h := &Heir{conn: conn}
-	var rest io.Reader = io.LimitReader(conn, maxState)
+	h := &Successor{conn: conn}
+	var rest io.Reader = io.LimitReader(conn, maxStateBytes)
 	if first[0] == 'L' {
-		if h.Listener, err = listenerOf(rights[:rn]); err != nil {
+		if h.Listener, err = parseListener(rights[:rn]); err != nil {
 			return nil, fmt.Errorf("handover: the listener: %w", err)
 		}
 	} else {
 		rest = io.MultiReader(bytes.NewReader(first), rest)
 	}
-	var a answer
-	h.in = json.NewDecoder(rest)
-	if err := h.in.Decode(&a); err == nil && h.Listener == nil {
-		return nil, &Refused{a.Error}
+	var a takeoverResponse
+	h.decoder = json.NewDecoder(rest)
+	if err := h.decoder.Decode(&a); err == nil && h.Listener == nil {
+		return nil, &RefusedError{a.Error}
 	} else if err != nil {
 		if h.Listener != nil {
 			h.Listener.Close()
@@ -92,7 +92,7 @@
 	return h, nil
 }
 
-func listenerOf(rights []byte) (*net.TCPListener, error) {
+func parseListener(rights []byte) (*net.TCPListener, error) {
 	msgs, err := syscall.ParseSocketControlMessage(rights)
 	if err != nil || len(msgs) != 1 {
 		return nil, fmt.Errorf("%d control messages, %w", len(msgs), errors.Join(err))
@@ -115,17 +115,17 @@
 	return tcp, nil
 }
 
-// Follow tells the owner that its heir serves, and hands on outcomes until the owner has left or the context ends.
-func (h *Heir) Follow(ctx context.Context, each func(Outcome)) {
+// ReceiveOutcomes tells the owner that its heir serves, and hands on outcomes until the owner has left or the context ends.
+func (h *Successor) ReceiveOutcomes(ctx context.Context, each func(Outcome)) {
 	defer h.conn.Close()
 	defer context.AfterFunc(ctx, func() { h.conn.Close() })()
 	if _, err := io.WriteString(h.conn, "ready\n"); err != nil {
 		return
 	}
-	h.in = json.NewDecoder(io.MultiReader(h.in.Buffered(), h.conn)) // no bound on all outcomes together
+	h.decoder = json.NewDecoder(io.MultiReader(h.decoder.Buffered(), h.conn)) // no bound on all outcomes together
 	for {
 		var o Outcome
-		if h.in.Decode(&o) != nil {
+		if h.decoder.Decode(&o) != nil {
 			return
 		}
 		each(o)
@@ -133,7 +133,7 @@
 }
 
 // Close gives up what was got; the owner takes the relay up again.
-func (h *Heir) Close() {
+func (h *Successor) Close() {
 	h.Listener.Close()
 	h.conn.Close()
 }
@@ -147,6 +147,6 @@
 				return nil, err
 			}
 			defer d.Close()
-			return (&net.Dialer{}).DialContext(ctx, "unix", path(d))
+			return (&net.Dialer{}).DialContext(ctx, "unix", socketPath(d))
 		}}
 }
--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -84,7 +84,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
-			heir.Follow(ctx, r.Told)
+			heir.ReceiveOutcomes(ctx, r.Told)
 			r.LeftAlone()
 		}()
 	}
@@ -93,19 +93,19 @@
 }
 
 // take makes the state folder this process's: another that runs hands over, one that is about to end is waited for.
-func take(dir string) (heir *handover.Heir, lock *os.File, err error) {
+func take(dir string) (heir *handover.Successor, lock *os.File, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), takeIn)
 	defer cancel()
 	for {
 		if heir == nil {
-			heir, err = handover.Ask(ctx, dir)
+			heir, err = handover.Request(ctx, dir)
 		}
 		if err == nil {
 			if lock, err = statedir.Lock(dir); err == nil {
 				return heir, lock, nil
 			}
 		}
-		if refused := (*handover.Refused)(nil); !errors.Is(err, statedir.ErrInUse) && !errors.As(err, &refused) {
+		if refused := (*handover.RefusedError)(nil); !errors.Is(err, statedir.ErrInUse) && !errors.As(err, &refused) {
 			return nil, nil, err
 		}
 		select {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -163,9 +163,9 @@
 		return nil, err
 	}
 	switch {
-	case conf.Heir != nil && conf.Heir.State.List != nil:
+	case conf.Heir != nil && conf.Heir.State.HostList != nil:
 		var l list
-		if err := json.Unmarshal(conf.Heir.State.List, &l); err != nil {
+		if err := json.Unmarshal(conf.Heir.State.HostList, &l); err != nil {
 			return nil, fmt.Errorf("the earlier process's list of hosts: %w", err)
 		}
 		r.version = l.Version
--- a/internal/relay/succession.go
+++ b/internal/relay/succession.go
@@ -42,7 +42,7 @@
 	if err = errors.Join(err, got.err); err != nil {
 		return handover.State{}, nil, err
 	}
-	slog.Info("handing over", "out", len(got.Out))
+	slog.Info("handing over", "out", len(got.InFlight))
 	return got.State, r.listener.TCPListener, nil
 }
 
@@ -65,23 +65,23 @@
 			if _, ok := calls[m.call]; !ok {
 				calls[m.call] = len(calls)
 			}
-			s.Out = append(s.Out, handover.Out{ID: id, Call: calls[m.call]})
+			s.InFlight = append(s.InFlight, handover.InFlight{ID: id, Call: calls[m.call]})
 		}
 	}
-	s.Waits = map[string]int64{}
+	s.RetryAfter = map[string]int64{}
 	for _, d := range r.chooser.Views() {
 		for _, h := range d.Hosts {
 			if h.Wait > 0 {
-				s.Waits[h.Addr] = h.Wait.Milliseconds() + 1
+				s.RetryAfter[h.Addr] = h.Wait.Milliseconds() + 1
 			}
 		}
 	}
-	r.past.each(func(id string, sum uint32) { s.Past = append(s.Past, handover.Past{ID: id, Sum: sum}) })
+	r.past.each(func(id string, sum uint32) { s.Ended = append(s.Ended, handover.Ended{ID: id, Sum: sum}) })
 	l := list{Version: r.version, Full: true}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		l.Servers = append(l.Servers, r.hosts[id].listed)
 	}
-	if s.List, err = json.Marshal(l); err != nil {
+	if s.HostList, err = json.Marshal(l); err != nil {
 		return s, err
 	}
 	r.heir.Store(&heir{link: to, serves: make(chan struct{}), way: handover.Forwarder(r.conf.State)})
@@ -106,8 +106,8 @@
 	h.way.CloseIdleConnections()
 }
 
-// Succeeded implements handover.Owner: clients are sent to the heir, and once no call is out the relay ends.
-func (r *Relay) Succeeded() {
+// SuccessorServing implements handover.Owner: clients are sent to the heir, and once no call is out the relay ends.
+func (r *Relay) SuccessorServing() {
 	h := r.heir.Load()
 	close(h.serves)
 	slog.Info("handed over")
@@ -115,7 +115,7 @@
 	go func() {
 		time.Sleep(leaveAfter)
 		for done := make(chan bool, 1); ; time.Sleep(leaveLook) {
-			r.post(func() { done <- r.out == 0 && h.link.Told() })
+			r.post(func() { done <- r.out == 0 && h.link.Flushed() })
 			select {
 			case over := <-done:
 				if !over {
@@ -130,8 +130,8 @@
 	}()
 }
 
-// Orphaned implements handover.Owner. Where the relay is still wanted, who runs it takes it up again.
-func (r *Relay) Orphaned() {
+// SuccessorLost implements handover.Owner. Where the relay is still wanted, who runs it takes it up again.
+func (r *Relay) SuccessorLost() {
 	select {
 	case <-r.quit:
 	default:
@@ -195,18 +195,18 @@
 
 // tellHeir is what becomes of a call's outcome after the relay has given way.
 func (r *Relay) tellHeir(c *call, m *message, e httpcall.End, took, wait time.Duration) {
-	r.heir.Load().link.Tell(handover.Outcome{ID: m.ID, Host: c.host.id, Outcome: int(e.Outcome), Took: took, Wait: wait, Done: e.Done})
+	r.heir.Load().link.Notify(handover.Outcome{ID: m.ID, Host: c.host.id, Outcome: int(e.Outcome), Elapsed: took, RetryAfter: wait, Done: e.Done})
 }
 
 // inherit takes over what the earlier process knew beside the journal. It precedes restore.
 func (r *Relay) inherit(s handover.State) {
-	for _, o := range s.Out {
+	for _, o := range s.InFlight {
 		r.abroad[o.ID] = o.Call
 	}
-	for host, ms := range s.Waits {
+	for host, ms := range s.RetryAfter {
 		r.tellWait(host, time.Duration(ms)*time.Millisecond)
 	}
-	for _, p := range s.Past {
+	for _, p := range s.Ended {
 		r.past.put(p.ID, p.Sum)
 	}
 	r.reslot()
@@ -238,8 +238,8 @@
 // Told takes in an outcome that the earlier process told.
 func (r *Relay) Told(o handover.Outcome) {
 	r.post(func() {
-		if o.Wait > 0 {
-			r.tellWait(o.Host, o.Wait)
+		if o.RetryAfter > 0 {
+			r.tellWait(o.Host, o.RetryAfter)
 		}
 		r.settleAbroad(httpcall.End{Outcome: choice.Outcome(o.Outcome), Done: o.Done}, o.ID)
 	})
--- a/internal/relay/succession_test.go
+++ b/internal/relay/succession_test.go
@@ -36,10 +36,10 @@
 	s.t.Cleanup(next.Close)
 }
 
-func (s *pair) ask() *handover.Heir {
+func (s *pair) ask() *handover.Successor {
 	ctx, cancel := context.WithTimeout(s.t.Context(), 30*time.Second)
 	defer cancel()
-	h, err := handover.Ask(ctx, s.conf.State)
+	h, err := handover.Request(ctx, s.conf.State)
 	if err != nil || h == nil {
 		s.t.Fatal(h, err)
 	}
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(s.t.Context())
 	s.t.Cleanup(cancel)
 	go func() {
-		h.Follow(ctx, second.Told)
+		h.ReceiveOutcomes(ctx, second.Told)
 		second.LeftAlone()
 	}()
 	return second
