--- a/internal/relay/handover/handover_test.go
+++ b/internal/relay/handover/handover_test.go
@@ -19,26 +19,26 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// owner notes what becomes of it.
+// owner records the calls of its methods.
 type owner struct {
 	state    State
 	listener *net.TCPListener
-	refuses  error
+	refusal  error
 	link     chan *Link
 	serves   chan bool
-	orphaned chan bool
+	lost     chan bool
 }
 
 func (o *owner) Release(_ context.Context, to *Link) (State, *net.TCPListener, error) {
-	if o.refuses != nil {
-		return State{}, nil, o.refuses
+	if o.refusal != nil {
+		return State{}, nil, o.refusal
 	}
-	to.Notify(Outcome{ID: "early"}) // before the heir knows the state
+	to.Notify(Outcome{ID: "early"}) // before the successor has the state
 	o.link <- to
 	return o.state, o.listener, nil
 }
 func (o *owner) SuccessorServing() { o.serves <- true }
-func (o *owner) SuccessorLost()  { o.orphaned <- true }
+func (o *owner) SuccessorLost()    { o.lost <- true }
 func (o *owner) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { io.WriteString(w, "served "+req.URL.Path) })
 }
@@ -49,8 +49,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &owner{listener: l.(*net.TCPListener), link: make(chan *Link, 1), serves: make(chan bool, 1), orphaned: make(chan bool, 1),
-		state: State{InFlight: []InFlight{{"m", 0}}, RetryAfter: map[string]int64{"h": 7}, Ended: []Ended{{"p", 9}}, HostList: []byte(`{"full":true}`)}}
+	o := &owner{
+		listener: l.(*net.TCPListener), link: make(chan *Link, 1), serves: make(chan bool, 1), lost: make(chan bool, 1),
+		state: State{
+			InFlight: []InFlight{{"m", 0}}, RetryAfter: map[string]int64{"h": 7}, Ended: []Ended{{"p", 9}},
+			HostList: []byte(`{"full":true}`),
+		},
+	}
 	s, err := Listen(dir, o)
 	if err != nil {
 		t.Fatal(err)
@@ -60,11 +65,13 @@
 }
 
 func testContext(t *testing.T) context.Context {
+	t.Helper()
 	c, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	t.Cleanup(cancel)
 	return c
 }
 
+// receive returns the next value of a channel, and fails the test if none comes in time.
 func receive[T any](t *testing.T, ch chan T, what string) T {
 	t.Helper()
 	select {
@@ -76,7 +83,7 @@
 	}
 }
 
-// Listener, state and outcomes reach the heir, in order; no client is refused in between; the longest path will do.
+// Listener, state and outcomes reach the successor in order, no client is refused in between, and a long path works.
 func TestHandover(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long/", 30))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -84,19 +91,19 @@
 	}
 	o := newOwner(t, dir)
 	addr := o.listener.Addr().String()
-	h, err := Request(testContext(t), dir)
-	if err != nil || h == nil {
-		t.Fatal(h, err)
+	successor, err := Request(testContext(t), dir)
+	if err != nil || successor == nil {
+		t.Fatal(successor, err)
 	}
-	if !reflect.DeepEqual(h.State, o.state) {
-		t.Errorf("state %+v, want %+v", h.State, o.state)
+	if !reflect.DeepEqual(successor.State, o.state) {
+		t.Errorf("state %+v, want %+v", successor.State, o.state)
 	}
 	client, err := net.Dial("tcp", addr) // the owner has closed its own
 	if err != nil {
 		t.Fatal(err)
 	}
 	client.Close()
-	if c, err := h.Listener.Accept(); err != nil {
+	if c, err := successor.Listener.Accept(); err != nil {
 		t.Error(err)
 	} else {
 		c.Close()
@@ -105,9 +112,9 @@
 	for i := range 1000 {
 		link.Notify(Outcome{ID: fmt.Sprint(i), Elapsed: time.Duration(i)})
 	}
-	outcomes, left := make(chan Outcome, 2000), make(chan bool, 1)
-	go func() { h.ReceiveOutcomes(t.Context(), func(o Outcome) { outcomes <- o }); left <- true }()
-	receive(t, o.serves, "word that the heir serves")
+	outcomes, done := make(chan Outcome, 2000), make(chan bool, 1)
+	go func() { successor.ReceiveOutcomes(t.Context(), func(o Outcome) { outcomes <- o }); done <- true }()
+	receive(t, o.serves, "call of SuccessorServing")
 	if first := receive(t, outcomes, "outcome"); first.ID != "early" {
 		t.Errorf("first outcome %+v", first)
 	}
@@ -116,7 +123,7 @@
 			t.Fatalf("outcome %d is %+v", i, o)
 		}
 	}
-	for !link.Flushed() { // it counts what is written, right after
+	for !link.Flushed() { // it is updated right after the write
 		time.Sleep(time.Millisecond)
 	}
 	resp, err := (&http.Client{Transport: Forwarder(dir)}).Get("http://relay/api/x")
@@ -128,19 +135,19 @@
 	}
 	resp.Body.Close()
 	link.Close()
-	receive(t, left, "end of following")
-	receive(t, o.orphaned, "word that the link has ended")
-	h.Listener.Close()
+	receive(t, done, "end of ReceiveOutcomes")
+	receive(t, o.lost, "call of SuccessorLost")
+	successor.Listener.Close()
 	http.DefaultClient.CloseIdleConnections()
 }
 
 func TestRequestWithoutOwner(t *testing.T) {
 	dir := t.TempDir()
-	if h, err := Request(testContext(t), filepath.Join(dir, "none")); h != nil || err != nil {
-		t.Errorf("no folder: %v, %v", h, err)
+	if successor, err := Request(testContext(t), filepath.Join(dir, "none")); successor != nil || err != nil {
+		t.Errorf("no folder: %v, %v", successor, err)
 	}
-	if h, err := Request(testContext(t), dir); h != nil || err != nil {
-		t.Errorf("no socket: %v, %v", h, err)
+	if successor, err := Request(testContext(t), dir); successor != nil || err != nil {
+		t.Errorf("no socket: %v, %v", successor, err)
 	}
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(dir, socketName), Net: "unix"})
 	if err != nil {
@@ -148,44 +155,47 @@
 	}
 	l.SetUnlinkOnClose(false)
 	l.Close()
-	if h, err := Request(testContext(t), dir); h != nil || err != nil {
-		t.Errorf("the socket of a dead process: %v, %v", h, err)
+	if successor, err := Request(testContext(t), dir); successor != nil || err != nil {
+		t.Errorf("socket of a dead process: %v, %v", successor, err)
 	}
-	o := newOwner(t, dir) // takes its place
-	o.refuses = errors.New("the disk is full")
+	o := newOwner(t, dir) // replaces the socket
+	o.refusal = errors.New("the disk is full")
 	var refused *RefusedError
-	if h, err := Request(testContext(t), dir); h != nil || !errors.As(err, &refused) || !strings.Contains(err.Error(), "the disk is full") {
-		t.Errorf("a refusal: %v, %v", h, err)
+	successor, err := Request(testContext(t), dir)
+	if successor != nil || !errors.As(err, &refused) || !strings.Contains(err.Error(), "the disk is full") {
+		t.Errorf("a refusal: %v, %v", successor, err)
 	}
 }
 
-// An owner whose heir goes, before or after it serves, is told so.
+// SuccessorLost is called if the successor leaves before or after it serves.
 func TestOwnerLearnsThatSuccessorLeft(t *testing.T) {
 	for name, serves := range map[string]bool{"before it serves": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			o := newOwner(t, dir)
-			h, err := Request(testContext(t), dir)
+			successor, err := Request(testContext(t), dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if serves {
 				c, cancel := context.WithCancel(t.Context())
-				go h.ReceiveOutcomes(c, func(Outcome) {})
-				receive(t, o.serves, "word that the heir serves")
+				go successor.ReceiveOutcomes(c, func(Outcome) {})
+				receive(t, o.serves, "call of SuccessorServing")
 				cancel()
-				h.Listener.Close()
+				successor.Listener.Close()
 			} else {
-				h.Close()
+				successor.Close()
 			}
-			receive(t, o.orphaned, "word that the heir has gone")
+			receive(t, o.lost, "call of SuccessorLost")
 		})
 	}
 }
 
-// An owner that breaks off in the middle is an error, not a state; so is noise.
+// A connection that breaks off, or carries something else, is an error and gives no state.
 func TestRequestFailsOnBrokenConnection(t *testing.T) {
-	for name, says := range map[string]string{"nothing": "", "half a refusal": `{"error":`, "no listener": `L{"state":{}}`, "noise": "\x00\xff"} {
+	for name, response := range map[string]string{
+		"nothing": "", "half a refusal": `{"error":`, "no listener": `L{"state":{}}`, "noise": "\x00\xff",
+	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			l, err := net.Listen("unix", filepath.Join(dir, socketName))
@@ -194,15 +204,15 @@
 			}
 			defer l.Close()
 			go func() {
-				c, err := l.Accept()
+				conn, err := l.Accept()
 				if err == nil {
-					c.Read(make([]byte, 100))
-					io.WriteString(c, says)
-					c.Close()
+					conn.Read(make([]byte, 100))
+					io.WriteString(conn, response)
+					conn.Close()
 				}
 			}()
-			if h, err := Request(testContext(t), dir); h != nil || err == nil {
-				t.Errorf("%v, %v, want an error", h, err)
+			if successor, err := Request(testContext(t), dir); successor != nil || err == nil {
+				t.Errorf("%v, %v, want an error", successor, err)
 			}
 		})
 	}
--- a/internal/relay/handover/link.go
+++ b/internal/relay/handover/link.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Link is an owner's way to its heir. Its methods are safe for concurrent use.
+// Link carries outcomes from an owner to its successor. Its methods are safe for concurrent use.
 type Link struct {
-	conn *net.UnixConn
-	wakeup chan struct{} // one waits here when there is something to write
-	closed chan struct{} // closed when the heir has gone
-	mu   sync.Mutex
-	queue []Outcome
-	unwritten int // in the list, or being written
+	conn      *net.UnixConn
+	wakeup    chan struct{} // holds a value while the queue may have something to write
+	closed    chan struct{} // closed once the successor has closed its connection
+	mu        sync.Mutex    // guards queue and unwritten
+	queue     []Outcome
+	unwritten int // in the queue, or being written
 }
 
 func newLink(conn *net.UnixConn) *Link {
 	return &Link{conn: conn, wakeup: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// Notify has the heir told an outcome. It never waits.
+// Notify queues an outcome for the successor. It never blocks.
 func (l *Link) Notify(o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,16 +33,16 @@
 	}
 }
 
-// Flushed tells whether all outcomes are with the heir.
+// Flushed reports whether all queued outcomes have been written.
 func (l *Link) Flushed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unwritten == 0
 }
 
-// writeLoop writes outcomes as they come, until the heir has gone.
+// writeLoop writes outcomes until the successor has closed its connection.
 func (l *Link) writeLoop() {
-	out := json.NewEncoder(l.conn)
+	encoder := json.NewEncoder(l.conn)
 	for {
 		select {
 		case <-l.wakeup:
@@ -50,23 +50,24 @@
 			return
 		}
 		l.mu.Lock()
-		list := l.queue
+		batch := l.queue
 		l.queue = nil
 		l.mu.Unlock()
 		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		for _, o := range list {
-			if out.Encode(o) != nil {
-				l.conn.Close() // what is not told counts as after a crash
+		for _, o := range batch {
+			if encoder.Encode(o) != nil {
+				l.conn.Close() // what was not sent counts as after a crash
 				return
 			}
 		}
 		l.mu.Lock()
-		l.unwritten -= len(list)
+		l.unwritten -= len(batch)
 		l.mu.Unlock()
 	}
 }
 
-// Close breaks off with the heir; what it was not told counts as after a crash.
+// Close closes the connection; outcomes that were not sent count as after a crash.
 func (l *Link) Close() { l.conn.Close() }
 
+// stop ends writeLoop.
 func (l *Link) stop() { close(l.closed) }
--- a/internal/relay/handover/successor.go
+++ b/internal/relay/handover/successor.go
@@ -14,34 +14,34 @@
 	"time"
 )
 
-// Successor is what a process has got from the owner whose place it takes.
+// Successor is what a process received from the owner that it replaces.
 type Successor struct {
 	State    State
 	Listener *net.TCPListener // where clients connect
 	conn     *net.UnixConn
-	decoder       *json.Decoder
+	decoder  *json.Decoder
 }
 
-// RefusedError is an owner's own word that it does not hand over.
+// RefusedError reports that the owner does not hand over.
 type RefusedError struct{ Reason string }
 
-// Error gives the owner's reason.
+// Error returns the owner's reason.
 func (e *RefusedError) Error() string {
 	return "handover: the running relay does not hand over: " + e.Reason
 }
 
-// Request has the owner of a state folder hand over. With no owner there it returns nil and no error.
+// Request asks the owner of a state folder to hand over. It returns nil and no error if there is no owner.
 func Request(ctx context.Context, dir string) (*Successor, error) {
-	d, err := os.Open(dir)
+	folder, err := os.Open(dir)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	defer d.Close()
-	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: socketPath(d), Net: "unix"})
-	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // none, or the socket of a dead one
+	defer folder.Close()
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: socketPath(folder), Net: "unix"})
+	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // no socket, or that of a dead process
 		return nil, nil
 	}
 	if err != nil {
@@ -50,103 +50,106 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		conn.SetDeadline(deadline)
 	}
-	h, err := requestTakeover(conn)
+	successor, err := requestTakeover(conn)
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
 	conn.SetDeadline(time.Time{})
-	return h, nil
+	return successor, nil
 }
 
+// requestTakeover sends the request and reads the listener and the state, or the refusal.
 func requestTakeover(conn *net.UnixConn) (*Successor, error) {
 	if _, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: relay\r\nContent-Length: 0\r\n\r\n", takeoverPath); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	// The first byte comes alone, with the listener; or it begins a refusal.
+	// The first byte comes alone, with the listener; otherwise it begins a refusal.
 	first, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
-	n, rn, _, _, err := conn.ReadMsgUnix(first, rights)
+	n, rightsLen, _, _, err := conn.ReadMsgUnix(first, rights)
 	if err != nil || n == 0 {
 		return nil, fmt.Errorf("handover: the running relay broke off: %w", errors.Join(err, io.ErrUnexpectedEOF))
 	}
-	h := &Successor{conn: conn}
+	successor := &Successor{conn: conn}
 	var rest io.Reader = io.LimitReader(conn, maxStateBytes)
-	if first[0] == 'L' {
-		if h.Listener, err = parseListener(rights[:rn]); err != nil {
+	if first[0] == listenerByte {
+		if successor.Listener, err = parseListener(rights[:rightsLen]); err != nil {
 			return nil, fmt.Errorf("handover: the listener: %w", err)
 		}
 	} else {
 		rest = io.MultiReader(bytes.NewReader(first), rest)
 	}
-	var a takeoverResponse
-	h.decoder = json.NewDecoder(rest)
-	if err := h.decoder.Decode(&a); err == nil && h.Listener == nil {
-		return nil, &RefusedError{a.Error}
+	var response takeoverResponse
+	successor.decoder = json.NewDecoder(rest)
+	if err := successor.decoder.Decode(&response); err == nil && successor.Listener == nil {
+		return nil, &RefusedError{response.Error}
 	} else if err != nil {
-		if h.Listener != nil {
-			h.Listener.Close()
+		if successor.Listener != nil {
+			successor.Listener.Close()
 		}
 		return nil, fmt.Errorf("handover: the running relay's state cannot be read: %w", err)
 	}
-	h.State = a.State
-	return h, nil
+	successor.State = response.State
+	return successor, nil
 }
 
+// parseListener returns the listener whose descriptor came in a control message.
 func parseListener(rights []byte) (*net.TCPListener, error) {
-	msgs, err := syscall.ParseSocketControlMessage(rights)
-	if err != nil || len(msgs) != 1 {
-		return nil, fmt.Errorf("%d control messages, %w", len(msgs), errors.Join(err))
+	messages, err := syscall.ParseSocketControlMessage(rights)
+	if err != nil || len(messages) != 1 {
+		return nil, fmt.Errorf("%d control messages, %w", len(messages), errors.Join(err))
 	}
-	fds, err := syscall.ParseUnixRights(&msgs[0])
-	if err != nil || len(fds) != 1 {
-		return nil, fmt.Errorf("%d descriptors, %w", len(fds), errors.Join(err))
+	descriptors, err := syscall.ParseUnixRights(&messages[0])
+	if err != nil || len(descriptors) != 1 {
+		return nil, fmt.Errorf("%d descriptors, %w", len(descriptors), errors.Join(err))
 	}
-	f := os.NewFile(uintptr(fds[0]), "listener")
-	defer f.Close() // FileListener has one of its own
-	l, err := net.FileListener(f)
+	file := os.NewFile(uintptr(descriptors[0]), "listener")
+	defer file.Close() // FileListener duplicates the descriptor
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		l.Close()
-		return nil, fmt.Errorf("%s is no TCP listener", l.Addr())
+		listener.Close()
+		return nil, fmt.Errorf("%s is no TCP listener", listener.Addr())
 	}
 	return tcp, nil
 }
 
-// ReceiveOutcomes tells the owner that its heir serves, and hands on outcomes until the owner has left or the context ends.
-func (h *Successor) ReceiveOutcomes(ctx context.Context, each func(Outcome)) {
-	defer h.conn.Close()
-	defer context.AfterFunc(ctx, func() { h.conn.Close() })()
-	if _, err := io.WriteString(h.conn, "ready\n"); err != nil {
+// ReceiveOutcomes reports to the owner that its successor serves, and calls handle with each outcome until the owner
+// has closed the connection or the context ends. It closes the connection.
+func (s *Successor) ReceiveOutcomes(ctx context.Context, handle func(Outcome)) {
+	defer s.conn.Close()
+	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
+	if _, err := io.WriteString(s.conn, readyLine); err != nil {
 		return
 	}
-	h.decoder = json.NewDecoder(io.MultiReader(h.decoder.Buffered(), h.conn)) // no bound on all outcomes together
+	s.decoder = json.NewDecoder(io.MultiReader(s.decoder.Buffered(), s.conn)) // outcomes together have no bound
 	for {
 		var o Outcome
-		if h.decoder.Decode(&o) != nil {
+		if s.decoder.Decode(&o) != nil {
 			return
 		}
-		each(o)
+		handle(o)
 	}
 }
 
-// Close gives up what was got; the owner takes the relay up again.
-func (h *Successor) Close() {
-	h.Listener.Close()
-	h.conn.Close()
+// Close gives up the relay; the owner resumes it.
+func (s *Successor) Close() {
+	s.Listener.Close()
+	s.conn.Close()
 }
 
-// Forwarder passes requests on to the owner of a state folder, as it is then.
+// Forwarder returns a transport that forwards requests to whichever process owns a state folder when it connects.
 func Forwarder(dir string) *http.Transport {
 	return &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Second,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			d, err := os.Open(dir)
+			folder, err := os.Open(dir)
 			if err != nil {
 				return nil, err
 			}
-			defer d.Close()
-			return (&net.Dialer{}).DialContext(ctx, "unix", socketPath(d))
+			defer folder.Close()
+			return (&net.Dialer{}).DialContext(ctx, "unix", socketPath(folder))
 		}}
 }
