--- a/internal/relay/alone.go
+++ b/internal/relay/alone.go
@@ -64,7 +64,7 @@
 type alone struct {
 	Alone
 	dir     atomic.Pointer[directory]
-	book    *drain.Book
+	book    *drain.StateTable
 	ends    *outcome.Store
 	count   counters
 	order   []*message     // held, as taken on; those over are dropped now and then
@@ -76,7 +76,7 @@
 }
 
 func newAlone(conf Alone) *alone {
-	a := &alone{Alone: conf, book: drain.NewBook(), ends: outcome.New(conf.EndsKeep, conf.EndsAge),
+	a := &alone{Alone: conf, book: drain.NewStateTable(), ends: outcome.New(conf.EndsKeep, conf.EndsAge),
 		looking: make(chan struct{}, 1)}
 	a.dir.Store(newDirectory(conf.Partners))
 	return a
@@ -91,8 +91,8 @@
 			slog.Error("a drain in the journal cannot be read", "target", id, "err", err)
 			continue
 		}
-		a.book.Restore(drain.Mark{Target: t, Since: time.UnixMilli(rec.At), By: rec.Status,
-			Within: time.Duration(rec.Wait) * time.Millisecond}, now)
+		a.book.Restore(drain.Entry{Target: t, Since: time.UnixMilli(rec.At), RequestedBy: rec.Status,
+			Timeout: time.Duration(rec.Wait) * time.Millisecond}, now)
 		slog.Info("still drained", "target", id, "since", time.UnixMilli(rec.At), "by", rec.Status)
 	}
 	if err := r.meetFleet(); err != nil {
@@ -113,7 +113,7 @@
 			members[p.Name] = append(members[p.Name], e.ID)
 		}
 	}
-	a.book.Members(members)
+	a.book.SetPartners(members)
 	for _, p := range a.dir.Load().all {
 		for _, e := range p.Endpoints {
 			s := server{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: p.Kind, Cell: p.Number, State: "active", Weight: 1}
@@ -297,9 +297,9 @@
 	var recs []journal.Record
 	for _, m := range c.Set {
 		recs = append(recs, journal.Record{Op: journal.OpDrain, ID: m.Target.String(), Ran: true, At: m.Since.UnixMilli(),
-			Status: m.By, Wait: m.Within.Milliseconds()})
+			Status: m.RequestedBy, Wait: m.Timeout.Milliseconds()})
 	}
-	for _, t := range c.Unset {
+	for _, t := range c.Removed {
 		recs = append(recs, journal.Record{Op: journal.OpDrain, ID: t.String()})
 	}
 	if len(recs) > 0 {
@@ -307,10 +307,10 @@
 			b.Revert(before)
 			return drain.Change{}, err
 		}
-		slog.Info("drains changed", "result", string(c.Result), "set", len(c.Set), "unset", len(c.Unset), "target", recs[0].ID)
+		slog.Info("drains changed", "result", string(c.Result), "set", len(c.Set), "unset", len(c.Removed), "target", recs[0].ID)
 		r.relist()
 	}
-	if r.alone.book.TakesOn() {
+	if r.alone.book.AcceptsMessages() {
 		r.alone.left = nil
 	}
 	return c, nil
--- a/internal/relay/company.go
+++ b/internal/relay/company.go
@@ -74,14 +74,14 @@
 // abide carries out what the words say.
 func (r *Relay) abide() {
 	f := r.company
-	var marks []drain.Mark
+	var marks []drain.Entry
 	f.lost = nil
 	for _, w := range f.talk.Book().All() {
 		if !w.On || plant.Is(plant.Word) {
 			continue
 		}
 		if t, err := drain.ParseTarget(w.Subject); err == nil && t.Scope != drain.Relay {
-			marks = append(marks, drain.Mark{Target: t, Since: time.UnixMilli(w.AtMs), By: w.By + " at " + w.Origin})
+			marks = append(marks, drain.Entry{Target: t, Since: time.UnixMilli(w.AtMs), RequestedBy: w.By + " at " + w.Origin})
 		}
 		if name, ok := strings.CutPrefix(w.Subject, goneSubject("")); ok {
 			if i := slices.Index(f.names, name); i >= 0 {
@@ -89,7 +89,7 @@
 			}
 		}
 	}
-	r.alone.book.Fleet(marks)
+	r.alone.book.SetFleetEntries(marks)
 	f.talk.Lose(f.lost)
 	r.divide(f.talk.Parts(r.now()))
 }
@@ -206,13 +206,13 @@
 	}
 	b := r.alone.book
 	if _, holds := r.company.talk.Book().Holds(t.String()); !holds || on {
-		if err := b.Known(t); err != nil {
+		if err := b.CheckKnown(t); err != nil {
 			return a, err
 		}
 	}
 	a = r.consequences(t)
-	if on && t.Scope == drain.Endpoint && b.Last(t.Name) && !q.AllowLast && !q.DryRun {
-		return a, drain.ErrLast
+	if on && t.Scope == drain.Endpoint && b.IsLastOpen(t.Name) && !q.AllowLast && !q.DryRun {
+		return a, drain.ErrLastEndpoint
 	}
 	if q.DryRun {
 		return a, nil
@@ -228,7 +228,7 @@
 	case already:
 		a.Result = "not drained for the fleet"
 	default:
-		if a.Result = "undrained for the fleet"; len(b.Closes(t)) == 0 {
+		if a.Result = "undrained for the fleet"; len(b.WouldClose(t)) == 0 {
 			a.Result += ", still drained here"
 		}
 	}
--- a/internal/relay/drain/drain.go
+++ b/internal/relay/drain/drain.go
@@ -25,11 +25,11 @@
 
 // The bounds of the time that a drain of the relay, or a stop, may take.
 const (
-	LeastWithin   = time.Second
-	DefaultWithin = 30 * time.Second
-	MostWithin    = 24 * time.Hour
-	// maxMarks bounds what operators may drain one by one, and with it what is recorded.
-	maxMarks = 10000
+	MinTimeout     = time.Second
+	DefaultTimeout = 30 * time.Second
+	MaxTimeout     = 24 * time.Hour
+	// maxEntries bounds what operators may drain one by one, and with it what is recorded.
+	maxEntries = 10000
 )
 
 // Scope is what a drain is about.
@@ -70,19 +70,19 @@
 
 // The errors of a Book. A target that is not known is wrapped with its name.
 var (
-	ErrUnknown  = errors.New("not in the operator's file")
-	ErrLast     = errors.New("the last open endpoint of its partner; drain the partner, or allow it")
-	ErrStopping = errors.New("the relay is stopping, which cannot be undone")
-	ErrMany     = fmt.Errorf("more than %d drains", maxMarks)
-	ErrWithin   = fmt.Errorf("the time allowed must be from %v to %v", LeastWithin, MostWithin)
+	ErrUnknownTarget  = errors.New("not in the operator's file")
+	ErrLastEndpoint   = errors.New("the last open endpoint of its partner; drain the partner, or allow it")
+	ErrStopping       = errors.New("the relay is stopping, which cannot be undone")
+	ErrTooMany        = fmt.Errorf("more than %d drains", maxEntries)
+	ErrInvalidTimeout = fmt.Errorf("the time allowed must be from %v to %v", MinTimeout, MaxTimeout)
 )
 
-// Mark is one drain in force.
-type Mark struct {
-	Target Target
-	Since  time.Time
-	By     string        // who asked, as they name themselves
-	Within time.Duration // of the relay's drain
+// Entry is one drain in force.
+type Entry struct {
+	Target      Target
+	Since       time.Time
+	RequestedBy string        // who asked, as they name themselves
+	Timeout     time.Duration // of the relay's drain
 }
 
 // Phase is how far a drain of the relay is.
@@ -101,160 +101,160 @@
 
 // The results. Those that changed nothing are no errors.
 const (
-	Begun     Result = "drained"         // the gate is closed
-	Already   Result = "already drained" // the first mark stands, with its time
-	Shortened Result = "bound shortened" // of the relay's drain under way
-	Undone    Result = "undrained"       // open again
-	Not       Result = "not drained"     // there was nothing to undo
-	StillBy   Result = "still drained"   // its own mark is gone, its partner's closes it
-	StillAll  Result = "still drained for the fleet"
-	StopBegun Result = "stopping"         // takes the place of a drain under way
-	StopAgain Result = "already stopping" // the sooner end stands
+	ResultDrained         Result = "drained"         // the gate is closed
+	ResultAlreadyDrained  Result = "already drained" // the first mark stands, with its time
+	ResultShortened       Result = "bound shortened" // of the relay's drain under way
+	ResultUndrained       Result = "undrained"       // open again
+	ResultNotDrained      Result = "not drained"     // there was nothing to undo
+	ResultPartnerDrained  Result = "still drained"   // its own mark is gone, its partner's closes it
+	ResultFleetDrained    Result = "still drained for the fleet"
+	ResultStopping        Result = "stopping"         // takes the place of a drain under way
+	ResultAlreadyStopping Result = "already stopping" // the sooner end stands
 )
 
 // Change is what a command asks the relay to make durable and carry out. Set and Unset are to be
 // recorded before the command is acknowledged; gates follow Book.Open.
 type Change struct {
-	Result Result
-	Set    []Mark
-	Unset  []Target
+	Result  Result
+	Set     []Entry
+	Removed []Target
 }
 
-// Book holds all drains of one relay. It is not safe for concurrent use.
-type Book struct {
-	partners map[string][]string // their endpoints
-	owner    map[string]string   // an endpoint's partner
-	marks    map[Target]Mark
-	fleet    map[Target]Mark // said for all relays of the fleet: they are kept, and taken back, elsewhere
-	phase    Phase
-	until    time.Time // of the phases Draining and Stopping
+// StateTable holds all drains of one relay. It is not safe for concurrent use.
+type StateTable struct {
+	endpointsOf  map[string][]string // their endpoints
+	partnerOf    map[string]string   // an endpoint's partner
+	entries      map[Target]Entry
+	fleetEntries map[Target]Entry // said for all relays of the fleet: they are kept, and taken back, elsewhere
+	phase        Phase
+	deadline     time.Time // of the phases Draining and Stopping
 }
 
-// NewBook returns the book of a relay that serves.
-func NewBook() *Book {
-	return &Book{marks: map[Target]Mark{}, phase: Serving}
+// NewStateTable returns the book of a relay that serves.
+func NewStateTable() *StateTable {
+	return &StateTable{entries: map[Target]Entry{}, phase: Serving}
 }
 
-// Members takes in the list of partners and their endpoints. A mark on something that the list no
+// SetPartners takes in the list of partners and their endpoints. A mark on something that the list no
 // longer has stays: if it comes back, it is still drained.
-func (b *Book) Members(partners map[string][]string) {
-	b.partners, b.owner = partners, map[string]string{}
+func (b *StateTable) SetPartners(partners map[string][]string) {
+	b.endpointsOf, b.partnerOf = partners, map[string]string{}
 	for p, all := range partners {
 		for _, e := range all {
-			b.owner[e] = p
+			b.partnerOf[e] = p
 		}
 	}
 }
 
 // Restore takes up a mark that an earlier process recorded. A drain of the relay goes on with what is
 // left of its time; a stop is never recorded, as the start after it is meant to serve.
-func (b *Book) Restore(m Mark, now time.Time) {
-	b.marks[m.Target] = m
+func (b *StateTable) Restore(m Entry, now time.Time) {
+	b.entries[m.Target] = m
 	if m.Target.Scope == Relay {
-		b.phase, b.until = Draining, m.Since.Add(m.Within)
-		if latest := now.Add(m.Within); b.until.After(latest) { // the clock was set back
-			b.until = latest
+		b.phase, b.deadline = Draining, m.Since.Add(m.Timeout)
+		if latest := now.Add(m.Timeout); b.deadline.After(latest) { // the clock was set back
+			b.deadline = latest
 		}
 	}
 }
 
-// Known tells whether the list has a target; nil if it does.
-func (b *Book) Known(t Target) error {
+// CheckKnown tells whether the list has a target; nil if it does.
+func (b *StateTable) CheckKnown(t Target) error {
 	ok := t.Scope == Relay
 	switch t.Scope {
 	case Endpoint:
-		_, ok = b.owner[t.Name]
+		_, ok = b.partnerOf[t.Name]
 	case Partner:
-		_, ok = b.partners[t.Name]
+		_, ok = b.endpointsOf[t.Name]
 	}
 	if !ok {
-		return fmt.Errorf("%s: %w", t, ErrUnknown)
+		return fmt.Errorf("%s: %w", t, ErrUnknownTarget)
 	}
 	return nil
 }
 
-// marked tells whether something is drained by itself.
-func (b *Book) marked(t Target) bool { _, ok := b.marks[t]; return ok }
+// hasEntry tells whether something is drained by itself.
+func (b *StateTable) hasEntry(t Target) bool { _, ok := b.entries[t]; return ok }
 
-// Fleet takes in which drains hold for all relays of the fleet, in place of those before. They close endpoints beside the
+// SetFleetEntries takes in which drains hold for all relays of the fleet, in place of those before. They close endpoints beside the
 // relay's own, each until it is taken back for itself.
-func (b *Book) Fleet(marks []Mark) {
-	b.fleet = map[Target]Mark{}
+func (b *StateTable) SetFleetEntries(marks []Entry) {
+	b.fleetEntries = map[Target]Entry{}
 	for _, m := range marks {
-		b.fleet[m.Target] = m
+		b.fleetEntries[m.Target] = m
 	}
 }
 
 // Open tells whether anything new may go to an endpoint. One that is in no partner is open as far as
 // drains go: that it is gone is another matter.
-func (b *Book) Open(endpoint string) bool {
-	return !b.closed(Target{Endpoint, endpoint}) && !b.closed(Target{Partner, b.owner[endpoint]})
+func (b *StateTable) Open(endpoint string) bool {
+	return !b.closed(Target{Endpoint, endpoint}) && !b.closed(Target{Partner, b.partnerOf[endpoint]})
 }
 
 // closed tells whether something is drained by itself, here or for the fleet.
-func (b *Book) closed(t Target) bool {
-	_, all := b.fleet[t]
-	return all || b.marked(t)
+func (b *StateTable) closed(t Target) bool {
+	_, all := b.fleetEntries[t]
+	return all || b.hasEntry(t)
 }
 
-// Why names the marks that close an endpoint, its partner's first.
-func (b *Book) Why(endpoint string) []Mark {
-	var why []Mark
-	for _, t := range []Target{{Partner, b.owner[endpoint]}, {Endpoint, endpoint}} {
-		if m, ok := b.marks[t]; ok {
+// ClosedBy names the marks that close an endpoint, its partner's first.
+func (b *StateTable) ClosedBy(endpoint string) []Entry {
+	var why []Entry
+	for _, t := range []Target{{Partner, b.partnerOf[endpoint]}, {Endpoint, endpoint}} {
+		if m, ok := b.entries[t]; ok {
 			why = append(why, m)
 		}
-		if m, ok := b.fleet[t]; ok {
-			m.By += ", for the fleet"
+		if m, ok := b.fleetEntries[t]; ok {
+			m.RequestedBy += ", for the fleet"
 			why = append(why, m)
 		}
 	}
 	return why
 }
 
-// TakesOn tells whether the relay takes new messages on.
-func (b *Book) TakesOn() bool { return b.phase == Serving }
+// AcceptsMessages tells whether the relay takes new messages on.
+func (b *StateTable) AcceptsMessages() bool { return b.phase == Serving }
 
 // Phase tells how far a drain of the relay is, and when its time is up at the latest; zero while it serves.
-func (b *Book) Phase() (Phase, time.Time) { return b.phase, b.until }
+func (b *StateTable) Phase() (Phase, time.Time) { return b.phase, b.deadline }
 
-// Marks are all drains in force, by time.
-func (b *Book) Marks() []Mark {
-	var all []Mark
-	for _, m := range b.marks {
+// Entries are all drains in force, by time.
+func (b *StateTable) Entries() []Entry {
+	var all []Entry
+	for _, m := range b.entries {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(x, y Mark) int {
+	slices.SortFunc(all, func(x, y Entry) int {
 		return cmp.Or(x.Since.Compare(y.Since), cmp.Compare(x.Target.String(), y.Target.String()))
 	})
 	return all
 }
 
-// Closes lists the endpoints that a drain of the target closes and that are open now, sorted.
-func (b *Book) Closes(t Target) []string {
+// WouldClose lists the endpoints that a drain of the target closes and that are open now, sorted.
+func (b *StateTable) WouldClose(t Target) []string {
 	var all []string
 	switch t.Scope {
 	case Endpoint:
 		all = []string{t.Name}
 	case Partner:
-		all = b.partners[t.Name]
+		all = b.endpointsOf[t.Name]
 	}
 	all = slices.DeleteFunc(slices.Clone(all), func(e string) bool { return !b.Open(e) })
 	slices.Sort(all)
 	return all
 }
 
-// Last tells whether a drain of the endpoint leaves its partner with no open one.
-func (b *Book) Last(endpoint string) bool {
-	p, ok := b.owner[endpoint]
-	return ok && b.Open(endpoint) && !slices.ContainsFunc(b.partners[p], func(e string) bool { return e != endpoint && b.Open(e) })
+// IsLastOpen tells whether a drain of the endpoint leaves its partner with no open one.
+func (b *StateTable) IsLastOpen(endpoint string) bool {
+	p, ok := b.partnerOf[endpoint]
+	return ok && b.Open(endpoint) && !slices.ContainsFunc(b.endpointsOf[p], func(e string) bool { return e != endpoint && b.Open(e) })
 }
 
 // Drain closes a target. A second drain of the same one changes nothing, but that a sooner end of the
 // relay's stands. The last open endpoint of a partner is refused unless allowed by name: that partner's
 // messages would wait until their time is up. Within is for the relay alone; 0 is DefaultWithin.
-func (b *Book) Drain(t Target, by string, within time.Duration, allowLast bool, now time.Time) (Change, error) {
-	if err := b.Known(t); err != nil {
+func (b *StateTable) Drain(t Target, by string, within time.Duration, allowLast bool, now time.Time) (Change, error) {
+	if err := b.CheckKnown(t); err != nil {
 		return Change{}, err
 	}
 	if b.phase == Stopping && t.Scope == Relay {
@@ -262,117 +262,117 @@
 	}
 	if t.Scope == Relay {
 		if within == 0 {
-			within = DefaultWithin
+			within = DefaultTimeout
 		}
-		if within < LeastWithin || within > MostWithin {
-			return Change{}, ErrWithin
+		if within < MinTimeout || within > MaxTimeout {
+			return Change{}, ErrInvalidTimeout
 		}
 	} else {
 		within = 0
 	}
-	m := Mark{t, now, by, within}
-	if old, ok := b.marks[t]; ok {
-		if t.Scope != Relay || b.phase == Drained || !now.Add(within).Before(b.until) {
-			return Change{Result: Already}, nil
+	m := Entry{t, now, by, within}
+	if old, ok := b.entries[t]; ok {
+		if t.Scope != Relay || b.phase == Drained || !now.Add(within).Before(b.deadline) {
+			return Change{Result: ResultAlreadyDrained}, nil
 		}
-		m.Since, m.By, b.until = old.Since, old.By, now.Add(within)
-		m.Within = b.until.Sub(m.Since)
-		b.marks[t] = m
-		return Change{Result: Shortened, Set: []Mark{m}}, nil
+		m.Since, m.RequestedBy, b.deadline = old.Since, old.RequestedBy, now.Add(within)
+		m.Timeout = b.deadline.Sub(m.Since)
+		b.entries[t] = m
+		return Change{Result: ResultShortened, Set: []Entry{m}}, nil
 	}
-	if t.Scope == Endpoint && !allowLast && b.Last(t.Name) {
-		return Change{}, fmt.Errorf("%s: %w", t, ErrLast)
+	if t.Scope == Endpoint && !allowLast && b.IsLastOpen(t.Name) {
+		return Change{}, fmt.Errorf("%s: %w", t, ErrLastEndpoint)
 	}
-	if len(b.marks) >= maxMarks {
-		return Change{}, ErrMany
+	if len(b.entries) >= maxEntries {
+		return Change{}, ErrTooMany
 	}
-	b.marks[t] = m
+	b.entries[t] = m
 	if t.Scope == Relay {
-		b.phase, b.until = Draining, now.Add(within)
+		b.phase, b.deadline = Draining, now.Add(within)
 	}
-	return Change{Result: Begun, Set: []Mark{m}}, nil
+	return Change{Result: ResultDrained, Set: []Entry{m}}, nil
 }
 
 // Undrain opens a target again, also in the middle of its drain: calls out are not touched. Opening a
 // partner leaves the marks of its endpoints; an endpoint whose partner is drained stays closed. What the
 // list no longer has can be undrained, so that no mark is there for ever.
-func (b *Book) Undrain(t Target, now time.Time) (Change, error) {
+func (b *StateTable) Undrain(t Target, now time.Time) (Change, error) {
 	if t.Scope == Relay && b.phase == Stopping {
 		return Change{}, ErrStopping
 	}
-	if !b.marked(t) {
-		if err := b.Known(t); err != nil {
+	if !b.hasEntry(t) {
+		if err := b.CheckKnown(t); err != nil {
 			return Change{}, err
 		}
-		return Change{Result: cmp.Or(b.still(t), Not)}, nil
+		return Change{Result: cmp.Or(b.remainingResult(t), ResultNotDrained)}, nil
 	}
-	delete(b.marks, t)
+	delete(b.entries, t)
 	if t.Scope == Relay {
-		b.phase, b.until = Serving, time.Time{}
+		b.phase, b.deadline = Serving, time.Time{}
 	}
-	return Change{Result: cmp.Or(b.still(t), Undone), Unset: []Target{t}}, nil
+	return Change{Result: cmp.Or(b.remainingResult(t), ResultUndrained), Removed: []Target{t}}, nil
 }
 
-// still tells what closes a target that has no mark of its own; empty if nothing does.
-func (b *Book) still(t Target) Result {
-	partner := Target{Partner, b.owner[t.Name]}
+// remainingResult tells what closes a target that has no mark of its own; empty if nothing does.
+func (b *StateTable) remainingResult(t Target) Result {
+	partner := Target{Partner, b.partnerOf[t.Name]}
 	switch {
 	case b.closed(t):
-		return StillAll
+		return ResultFleetDrained
 	case t.Scope != Endpoint:
-	case b.marked(partner):
-		return StillBy
+	case b.hasEntry(partner):
+		return ResultPartnerDrained
 	case b.closed(partner):
-		return StillAll
+		return ResultFleetDrained
 	}
 	return ""
 }
 
 // Stop begins an orderly stop; it takes the place of a drain of the relay under way, and the sooner of
 // the two ends stands. A drain's mark stays, so that the next start is still drained.
-func (b *Book) Stop(within time.Duration, now time.Time) (Change, error) {
-	if within < LeastWithin || within > MostWithin {
-		return Change{}, ErrWithin
+func (b *StateTable) Stop(within time.Duration, now time.Time) (Change, error) {
+	if within < MinTimeout || within > MaxTimeout {
+		return Change{}, ErrInvalidTimeout
 	}
 	end := now.Add(within)
-	if (b.phase == Stopping || b.phase == Draining) && b.until.Before(end) {
-		end = b.until
+	if (b.phase == Stopping || b.phase == Draining) && b.deadline.Before(end) {
+		end = b.deadline
 	}
 	again := b.phase == Stopping
 	if b.phase == Drained { // its time was up already: calls out may end, no more
-		end = now.Add(LeastWithin)
+		end = now.Add(MinTimeout)
 	}
-	b.phase, b.until = Stopping, end
+	b.phase, b.deadline = Stopping, end
 	if again {
-		return Change{Result: StopAgain}, nil
+		return Change{Result: ResultAlreadyStopping}, nil
 	}
-	return Change{Result: StopBegun}, nil
+	return Change{Result: ResultStopping}, nil
 }
 
 // Revert takes back a change that could not be recorded.
-func (b *Book) Revert(before Snapshot) {
-	b.marks, b.phase, b.until = before.marks, before.phase, before.until
+func (b *StateTable) Revert(before Snapshot) {
+	b.entries, b.phase, b.deadline = before.entries, before.phase, before.deadline
 }
 
 // Snapshot is the state of a Book at one time.
 type Snapshot struct {
-	marks map[Target]Mark
-	phase Phase
-	until time.Time
+	entries  map[Target]Entry
+	phase    Phase
+	deadline time.Time
 }
 
 // Snapshot returns what Revert goes back to.
-func (b *Book) Snapshot() Snapshot {
-	marks := make(map[Target]Mark, len(b.marks))
-	for t, m := range b.marks {
+func (b *StateTable) Snapshot() Snapshot {
+	marks := make(map[Target]Entry, len(b.entries))
+	for t, m := range b.entries {
 		marks[t] = m
 	}
-	return Snapshot{marks, b.phase, b.until}
+	return Snapshot{marks, b.phase, b.deadline}
 }
 
 // Tick tells whether a drain of the relay is over with so many messages held: that happens once.
-func (b *Book) Tick(held int, now time.Time) bool {
-	if b.phase != Draining || held > 0 && now.Before(b.until) {
+func (b *StateTable) Tick(held int, now time.Time) bool {
+	if b.phase != Draining || held > 0 && now.Before(b.deadline) {
 		return false
 	}
 	b.phase = Drained
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -138,8 +138,8 @@
 func TestTakesOverFrozenFolder(t *testing.T) {
 	r := newRelay(t, frozenConfig(t, fixture.Copy(t, frozenState(t))))
 	var marks []string
-	for _, m := range r.alone.book.Marks() {
-		marks = append(marks, fmt.Sprint(m.Target, " by ", m.By, " at ", m.Since.UnixMilli(), " within ", m.Within))
+	for _, m := range r.alone.book.Entries() {
+		marks = append(marks, fmt.Sprint(m.Target, " by ", m.RequestedBy, " at ", m.Since.UnixMilli(), " within ", m.Timeout))
 	}
 	want(t, "drains", fmt.Sprint(marks), "[endpoint:acme-1 by op of endpoint:acme-1 at 4102444800000 within 0s relay by op of relay at 4102444800000 within 30s]")
 	phase, _ := r.alone.book.Phase()
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -281,7 +281,7 @@
 		in.reply <- answer{status: http.StatusAccepted}
 	case !r.knows(in.entry.Dest):
 		in.reply <- answer{status: http.StatusNotFound, text: "unknown destination"}
-	case r.alone != nil && !r.alone.book.TakesOn():
+	case r.alone != nil && !r.alone.book.AcceptsMessages():
 		r.alone.count.turned()
 		refuse.text = "the relay is being drained"
 		in.reply <- refuse
--- a/internal/relay/query.go
+++ b/internal/relay/query.go
@@ -113,8 +113,8 @@
 	if !until.IsZero() {
 		s.UntilMs = until.UnixMilli()
 	}
-	for _, m := range a.book.Marks() {
-		s.Drains = append(s.Drains, adminapi.Drained{Target: m.Target.String(), SinceMs: m.Since.UnixMilli(), By: m.By})
+	for _, m := range a.book.Entries() {
+		s.Drains = append(s.Drains, adminapi.Drained{Target: m.Target.String(), SinceMs: m.Since.UnixMilli(), By: m.RequestedBy})
 	}
 	for _, m := range a.order {
 		if !m.over {
@@ -127,12 +127,12 @@
 	for _, p := range a.dir.Load().all {
 		dest := views[p.Number]
 		cp := adminapi.Partner{Name: p.Name, Kind: p.Kind, Classes: p.Classes, Waiting: dest.Waiting, Out: dest.Out,
-			PauseMs: dest.Pause.Milliseconds(), Drained: len(a.book.Closes(drain.Target{Scope: drain.Partner, Name: p.Name})) == 0}
+			PauseMs: dest.Pause.Milliseconds(), Drained: len(a.book.WouldClose(drain.Target{Scope: drain.Partner, Name: p.Name})) == 0}
 		for _, e := range p.Endpoints {
 			ce := adminapi.Endpoint{ID: e.ID, Address: e.Address, Zone: e.Zone, State: "open", Health: "healthy"}
 			var by []string
-			for _, m := range a.book.Why(e.ID) {
-				by = append(by, string(m.Target.Scope)+" by "+m.By)
+			for _, m := range a.book.ClosedBy(e.ID) {
+				by = append(by, string(m.Target.Scope)+" by "+m.RequestedBy)
 			}
 			if len(by) > 0 {
 				ce.State, ce.By = "drained", strings.Join(by, ", ")
@@ -391,11 +391,11 @@
 		return o.got, nil
 	case errors.As(err, new(*adminapi.Error)):
 		return o.got, err
-	case errors.Is(err, drain.ErrUnknown):
+	case errors.Is(err, drain.ErrUnknownTarget):
 		return o.got, adminapi.Errorf(adminapi.NotFound, "%v", err)
-	case errors.Is(err, drain.ErrLast), errors.Is(err, drain.ErrStopping), errors.Is(err, drain.ErrMany):
+	case errors.Is(err, drain.ErrLastEndpoint), errors.Is(err, drain.ErrStopping), errors.Is(err, drain.ErrTooMany):
 		return o.got, adminapi.Errorf(adminapi.Conflict, "%v", err)
-	case errors.Is(err, drain.ErrWithin):
+	case errors.Is(err, drain.ErrInvalidTimeout):
 		return o.got, adminapi.Errorf(adminapi.Invalid, "%v", err)
 	}
 	return o.got, adminapi.Errorf(adminapi.Failed, "not recorded, so nothing was changed: %v", err)
@@ -404,7 +404,7 @@
 // consequences are what a change of a target means now, in the loop.
 func (r *Relay) consequences(t drain.Target) adminapi.DrainAnswer {
 	b := r.alone.book
-	a := adminapi.DrainAnswer{Target: t.String(), Closes: b.Closes(t), GraceMs: drain.Grace.Milliseconds()}
+	a := adminapi.DrainAnswer{Target: t.String(), Closes: b.WouldClose(t), GraceMs: drain.Grace.Milliseconds()}
 	if t.Scope == drain.Relay {
 		a.Waiting, a.Out = len(r.held)-r.out, r.out
 		a.Waiting = max(0, a.Waiting)
@@ -413,7 +413,7 @@
 		}
 		return a
 	}
-	a.Last = t.Scope == drain.Endpoint && b.Last(t.Name)
+	a.Last = t.Scope == drain.Endpoint && b.IsLastOpen(t.Name)
 	views := r.chooser.Views()
 	for _, p := range r.alone.dir.Load().all {
 		for _, e := range p.Endpoints {
@@ -517,7 +517,7 @@
 			b.Revert(before)
 			return a, err
 		}
-		if a.Result = string(c.Result); c.Result == drain.StopBegun {
+		if a.Result = string(c.Result); c.Result == drain.ResultStopping {
 			slog.Info("stopping", "by", q.By, "until", at, "held", a.Left.Messages)
 			go r.settle(at)
 		}
