--- a/internal/relay/alone.go
+++ b/internal/relay/alone.go
@@ -21,15 +21,15 @@
 // and can be asked for, and operators drain and stop it. Everything here belongs to the loop but the
 // directory, which intake reads.
 
-// Alone is what a relay without a platform is told. The names of partners stand for the numbers of
+// Standalone is what a relay without a platform is told. The names of partners stand for the numbers of
 // destinations.
-type Alone struct {
-	Version    string
-	Partners   []Partner
-	EndsKeep   int
-	EndsAge    time.Duration
-	StopWithin time.Duration
-	Fleet      []string // the names of its relays, by number; nil for none
+type Standalone struct {
+	Version     string
+	Partners    []Partner
+	MaxEnds     int
+	EndsExpiry  time.Duration
+	StopTimeout time.Duration
+	Fleet       []string // the names of its relays, by number; nil for none
 }
 
 // Partner is a destination with a name.
@@ -60,70 +60,70 @@
 	return d
 }
 
-// alone is the state of a relay without a platform.
-type alone struct {
-	Alone
-	dir     atomic.Pointer[directory]
-	book    *drain.StateTable
-	ends    *outcome.Store
-	count   counters
-	order   []*message     // held, as taken on; those over are dropped now and then
-	number  uint64         // of the last message in order
-	left    *adminapi.Left // of the relay's drain, once it is over
-	version int64          // of the list
-	view    atomic.Pointer[cachedView]
-	looking chan struct{} // who asks the loop for a view
+// standalone is the state of a relay without a platform.
+type standalone struct {
+	Standalone
+	directory      atomic.Pointer[directory]
+	drains         *drain.StateTable
+	ends           *outcome.Store
+	counters       counters
+	pendingInOrder []*message     // held, as taken on; those over are dropped now and then
+	lastSequence   uint64         // of the last message in order
+	remaining      *adminapi.Left // of the relay's drain, once it is over
+	listVersion    int64          // of the list
+	view           atomic.Pointer[cachedView]
+	viewLock       chan struct{} // who asks the loop for a view
 }
 
-func newAlone(conf Alone) *alone {
-	a := &alone{Alone: conf, book: drain.NewStateTable(), ends: outcome.New(conf.EndsKeep, conf.EndsAge),
-		looking: make(chan struct{}, 1)}
-	a.dir.Store(newDirectory(conf.Partners))
+func newStandalone(conf Standalone) *standalone {
+	a := &standalone{Standalone: conf, drains: drain.NewStateTable(), ends: outcome.New(conf.MaxEnds, conf.EndsExpiry),
+		viewLock: make(chan struct{}, 1)}
+	a.directory.Store(newDirectory(conf.Partners))
 	return a
 }
 
-// begin takes up what the journal has of drains, and the operator's list. It precedes restore.
-func (r *Relay) begin() error {
-	a, now := r.alone, time.Now()
+// restoreDrains takes up what the journal has of drains, and the operator's list. It precedes restore.
+func (r *Relay) restoreDrains() error {
+	a, now := r.standalone, time.Now()
 	for id, rec := range r.journal.Drains {
 		t, err := drain.ParseTarget(id)
 		if err != nil {
 			slog.Error("a drain in the journal cannot be read", "target", id, "err", err)
 			continue
 		}
-		a.book.Restore(drain.Entry{Target: t, Since: time.UnixMilli(rec.At), RequestedBy: rec.Status,
+		a.drains.Restore(drain.Entry{Target: t, Since: time.UnixMilli(rec.At), RequestedBy: rec.Status,
 			Timeout: time.Duration(rec.Wait) * time.Millisecond}, now)
 		slog.Info("still drained", "target", id, "since", time.UnixMilli(rec.At), "by", rec.Status)
 	}
-	if err := r.meetFleet(); err != nil {
+	if err := r.restoreOverrides(); err != nil {
 		return err
 	}
-	r.relist()
+	r.applyPartnerList()
 	return nil
 }
 
-// relist tells gates and decisions the list of partners, with the drains in force.
-func (r *Relay) relist() {
-	a := r.alone
-	a.version++
-	l := list{Version: a.version, Full: true}
+// applyPartnerList tells gates and decisions the list of partners, with the drains in force.
+func (r *Relay) applyPartnerList() {
+	a := r.standalone
+	a.listVersion++
+	l := hostList{Version: a.listVersion, Full: true}
 	members := map[string][]string{}
-	for _, p := range a.dir.Load().all {
+	for _, p := range a.directory.Load().all {
 		for _, e := range p.Endpoints {
 			members[p.Name] = append(members[p.Name], e.ID)
 		}
 	}
-	a.book.SetPartners(members)
-	for _, p := range a.dir.Load().all {
+	a.drains.SetPartners(members)
+	for _, p := range a.directory.Load().all {
 		for _, e := range p.Endpoints {
-			s := server{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: p.Kind, Cell: p.Number, State: "active", Weight: 1}
-			if !a.book.Open(e.ID) {
+			s := hostEntry{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: p.Kind, Cell: p.Number, State: "active", Weight: 1}
+			if !a.drains.Open(e.ID) {
 				s.State = "leaving"
 			}
 			l.Servers = append(l.Servers, s)
 		}
 	}
-	r.listed(l)
+	r.applyHostList(l)
 }
 
 // Reload replaces the list of partners. Messages held for a partner that is not on it any more, or that no
@@ -133,16 +133,16 @@
 	done := make(chan struct{})
 	r.post(func() {
 		defer close(done)
-		r.alone.dir.Store(newDirectory(partners))
+		r.standalone.directory.Store(newDirectory(partners))
 		r.chooser.Tell(Limits(partners))
-		if r.company != nil {
-			r.act()
+		if r.cluster != nil {
+			r.publishVersions()
 		}
-		r.relist()
+		r.applyPartnerList()
 		ended := 0
-		for _, m := range r.alone.order {
-			if !m.over && m.call == nil && r.unwanted(m) != "" {
-				r.expel(m)
+		for _, m := range r.standalone.pendingInOrder {
+			if !m.ended && m.call == nil && r.rejectReason(m) != "" {
+				r.endRejected(m)
 				ended++
 			}
 		}
@@ -156,9 +156,9 @@
 	}
 }
 
-// unwanted tells why nobody takes a message any more; empty if somebody does.
-func (r *Relay) unwanted(m *message) string {
-	p := r.alone.dir.Load().byNumber[m.Dest]
+// rejectReason tells why nobody takes a message any more; empty if somebody does.
+func (r *Relay) rejectReason(m *message) string {
+	p := r.standalone.directory.Load().byNumber[m.Dest]
 	switch {
 	case p == nil:
 		return "its partner was taken out of the operator's file"
@@ -168,16 +168,16 @@
 	return ""
 }
 
-// expel ends a message that nobody takes any more.
-func (r *Relay) expel(m *message) {
+// endRejected ends a message that nobody takes any more.
+func (r *Relay) endRejected(m *message) {
 	r.events = append(r.events, choice.Withdrawn{ID: m.ID})
-	r.conclude(m, r.lawful(m), 0, r.unwanted(m))
+	r.conclude(m, r.undeliveredStatus(m), 0, r.rejectReason(m))
 }
 
-// lawful is the status of a message that ends undelivered outside the decisions, by the rule on effects.
-func (r *Relay) lawful(m *message) string {
-	k := r.set.Classes[m.class]
-	if !m.Ran && !m.ran || k.Effect == choice.Safe || k.Effect == choice.Keyed && !k.SameZone {
+// undeliveredStatus is the status of a message that ends undelivered outside the decisions, by the rule on effects.
+func (r *Relay) undeliveredStatus(m *message) string {
+	k := r.settings.Classes[m.class]
+	if !m.Ran && !m.mayHaveRun || k.Effect == choice.Safe || k.Effect == choice.Keyed && !k.SameZone {
 		return deferred
 	}
 	return undeliverable
@@ -187,38 +187,38 @@
 
 // conclude ends a message of a relay alone, and keeps its end.
 func (r *Relay) conclude(m *message, status string, again int64, why string) {
-	a, now := r.alone, time.Now()
+	a, now := r.standalone, time.Now()
 	// The entry is the journal's: what it says of the end is there once the record is written.
 	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: status, Again: again, At: now.UnixMilli(), Why: why,
 		Sum: m.Entry.Checksum()})
 	switch status {
 	case delivered:
-		a.count.delivered(now)
+		a.counters.countDelivered(now)
 	case deferred:
-		a.count.refused(now)
+		a.counters.countRefused(now)
 	default:
-		a.count.failed(now)
+		a.counters.countFailed(now)
 	}
-	r.drop(m)
-	r.concluded = append(r.concluded, m.Entry)
+	r.finish(m)
+	r.unstoredEnds = append(r.unstoredEnds, m.Entry)
 }
 
-// keepEnds takes ends that are recorded into the store, and records which it let go.
-func (r *Relay) keepEnds() {
-	if r.alone == nil {
+// storeEnds takes ends that are recorded into the store, and records which it let go.
+func (r *Relay) storeEnds() {
+	if r.standalone == nil {
 		return
 	}
 	now := time.Now()
-	for _, e := range r.concluded {
-		r.letGo(r.alone.ends.Add(e, now))
+	for _, e := range r.unstoredEnds {
+		r.forgetEnds(r.standalone.ends.Add(e, now))
 	}
-	r.concluded = r.concluded[:0]
+	r.unstoredEnds = r.unstoredEnds[:0]
 }
 
-func (r *Relay) letGo(ids []string) {
+func (r *Relay) forgetEnds(ids []string) {
 	for _, id := range ids {
 		r.record(journal.Record{Op: journal.OpForget, ID: id})
-		r.past.remove(id)
+		r.ended.remove(id)
 	}
 }
 
@@ -227,40 +227,40 @@
 	if e.EndAt == 0 { // recorded under a platform
 		e.EndAt = time.Now().UnixMilli()
 	}
-	r.past.add(e)
-	r.letGo(r.alone.ends.Add(e, time.Now()))
+	r.ended.add(e)
+	r.forgetEnds(r.standalone.ends.Add(e, time.Now()))
 }
 
-// named puts the partner's name into a line of the decisions, which know it by number.
-func (r *Relay) named(text string) string {
+// withPartnerName puts the partner's name into a line of the decisions, which know it by number.
+func (r *Relay) withPartnerName(text string) string {
 	rest, ok := strings.CutPrefix(text, "destination ")
-	if r.alone == nil || !ok {
+	if r.standalone == nil || !ok {
 		return text
 	}
 	number, rest, _ := strings.Cut(rest, " ")
 	n, _ := strconv.Atoi(number)
-	if p := r.alone.dir.Load().byNumber[n]; p != nil {
+	if p := r.standalone.directory.Load().byNumber[n]; p != nil {
 		return "partner " + p.Name + " " + rest
 	}
 	return text
 }
 
-// trackDrain looks whether a drain of the relay is over, and names what it left.
-func (r *Relay) trackDrain() {
-	a := r.alone
-	if a == nil || !a.book.Tick(len(r.held)+r.out, time.Now()) {
+// checkDrain looks whether a drain of the relay is over, and names what it left.
+func (r *Relay) checkDrain() {
+	a := r.standalone
+	if a == nil || !a.drains.Tick(len(r.pending)+r.callsInFlight, time.Now()) {
 		return
 	}
-	a.left = r.whatIsLeft()
-	slog.Info("the drain of the relay is over", "left", a.left.Messages, "calls_out", a.left.Calls, "partners", a.left.Partners,
-		"ids", a.left.IDs)
+	a.remaining = r.remainingMessages()
+	slog.Info("the drain of the relay is over", "left", a.remaining.Messages, "calls_out", a.remaining.Calls, "partners", a.remaining.Partners,
+		"ids", a.remaining.IDs)
 }
 
-// whatIsLeft counts what is held by partner, and names the oldest.
-func (r *Relay) whatIsLeft() *adminapi.Left {
-	l := &adminapi.Left{Calls: r.out, Partners: map[string]int{}}
-	for _, m := range r.alone.order {
-		if m.over {
+// remainingMessages counts what is held by partner, and names the oldest.
+func (r *Relay) remainingMessages() *adminapi.Left {
+	l := &adminapi.Left{Calls: r.callsInFlight, Partners: map[string]int{}}
+	for _, m := range r.standalone.pendingInOrder {
+		if m.ended {
 			continue
 		}
 		l.Messages++
@@ -272,23 +272,23 @@
 	return l
 }
 
-// enlist puts a message that is held into the order in which lists show them.
-func (r *Relay) enlist(m *message) {
-	a := r.alone
+// appendInOrder puts a message that is held into the order in which lists show them.
+func (r *Relay) appendInOrder(m *message) {
+	a := r.standalone
 	if a == nil {
 		return
 	}
-	a.number++
-	m.number = a.number
-	if len(a.order) >= 1024 && len(a.order) > 2*len(r.held) {
-		a.order = slices.DeleteFunc(a.order, func(o *message) bool { return o.over })
+	a.lastSequence++
+	m.sequence = a.lastSequence
+	if len(a.pendingInOrder) >= 1024 && len(a.pendingInOrder) > 2*len(r.pending) {
+		a.pendingInOrder = slices.DeleteFunc(a.pendingInOrder, func(o *message) bool { return o.ended })
 	}
-	a.order = append(a.order, m)
+	a.pendingInOrder = append(a.pendingInOrder, m)
 }
 
-// change carries out what the book decides: it records it, closes the gates, and only then returns.
-func (r *Relay) change(do func() (drain.Change, error)) (drain.Change, error) {
-	b := r.alone.book
+// applyDrainChange carries out what the book decides: it records it, closes the gates, and only then returns.
+func (r *Relay) applyDrainChange(do func() (drain.Change, error)) (drain.Change, error) {
+	b := r.standalone.drains
 	before := b.Snapshot()
 	c, err := do()
 	if err != nil {
@@ -308,10 +308,10 @@
 			return drain.Change{}, err
 		}
 		slog.Info("drains changed", "result", string(c.Result), "set", len(c.Set), "unset", len(c.Removed), "target", recs[0].ID)
-		r.relist()
+		r.applyPartnerList()
 	}
-	if r.alone.book.AcceptsMessages() {
-		r.alone.left = nil
+	if r.standalone.drains.AcceptsMessages() {
+		r.standalone.remaining = nil
 	}
 	return c, nil
 }
@@ -324,22 +324,22 @@
 // Abandon lets go of a relay that was never served.
 func (r *Relay) Abandon() {
 	r.stop()
-	r.end()
+	r.cancelBackground()
 	r.listener.Close()
 	r.journal.Close()
 }
 
-// settle waits for the end of a stop, and ends the relay.
-func (r *Relay) settle(at time.Time) {
+// awaitStop waits for the end of a stop, and ends the relay.
+func (r *Relay) awaitStop(at time.Time) {
 	sending := min(time.Second, time.Until(at)/4) // from then on no more calls go out
 	for over := false; !over; {
 		done := make(chan bool, 1)
 		r.post(func() {
-			_, at = r.alone.book.Phase() // a second stop may have brought it forward
+			_, at = r.standalone.drains.Phase() // a second stop may have brought it forward
 			r.stopped = r.stopped || time.Until(at) < sending
-			over := r.out == 0 && (r.stopped || len(r.held) == 0) || !time.Now().Before(at)
+			over := r.callsInFlight == 0 && (r.stopped || len(r.pending) == 0) || !time.Now().Before(at)
 			if over {
-				l := r.whatIsLeft()
+				l := r.remainingMessages()
 				slog.Info("stopping; what is left is taken up by the next start", "left", l.Messages, "calls_out", l.Calls,
 					"partners", l.Partners, "ids", l.IDs)
 			}
@@ -360,24 +360,24 @@
 // counters count messages in all, and by the second for the last minute.
 type counters struct {
 	totals struct{ taken, turned, delivered, refused, failed, calls uint64 }
-	ring   [61]second
+	ring   [61]secondCounts
 }
 
-type second struct {
-	at                      int64 // Unix time
-	taken, delivered, ended int
+type secondCounts struct {
+	at                         int64 // Unix time
+	accepted, delivered, ended int
 }
 
-func (c *counters) at(now time.Time) *second {
+func (c *counters) bucket(now time.Time) *secondCounts {
 	e := &c.ring[now.Unix()%int64(len(c.ring))]
 	if e.at != now.Unix() {
-		*e = second{at: now.Unix()}
+		*e = secondCounts{at: now.Unix()}
 	}
 	return e
 }
 
-func (c *counters) turned()                 { c.totals.turned++ }
-func (c *counters) taken(now time.Time)     { c.totals.taken++; c.at(now).taken++ }
-func (c *counters) delivered(now time.Time) { c.totals.delivered++; c.at(now).delivered++ }
-func (c *counters) refused(now time.Time)   { c.totals.refused++; c.at(now).ended++ }
-func (c *counters) failed(now time.Time)    { c.totals.failed++; c.at(now).ended++ }
+func (c *counters) countRejected()               { c.totals.turned++ }
+func (c *counters) countAccepted(now time.Time)  { c.totals.taken++; c.bucket(now).accepted++ }
+func (c *counters) countDelivered(now time.Time) { c.totals.delivered++; c.bucket(now).delivered++ }
+func (c *counters) countRefused(now time.Time)   { c.totals.refused++; c.bucket(now).ended++ }
+func (c *counters) countFailed(now time.Time)    { c.totals.failed++; c.bucket(now).ended++ }
--- a/internal/relay/appliance/appliance.go
+++ b/internal/relay/appliance/appliance.go
@@ -82,16 +82,16 @@
 	}
 	c := relay.Config{Listen: f.Listen, State: f.State, Seed: rand.Uint64(), Cores: float64(f.Limits.Cores),
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Descriptors, DiskMB: f.Limits.DiskMB, Power: f.Journal.Power, Settings: set,
-		Alone: &relay.Alone{Version: version, Partners: partners(f), EndsKeep: f.Ends.Keep, EndsAge: f.Ends.For, StopWithin: f.StopWithin}}
+		Standalone: &relay.Standalone{Version: version, Partners: partners(f), MaxEnds: f.Ends.Keep, EndsExpiry: f.Ends.For, StopTimeout: f.StopWithin}}
 	if f.Fleet != nil {
 		c.Settings.Index, c.Settings.Fleet = f.Fleet.Self(), len(f.Fleet.Relays)
-		c.PeerListen, c.Alone.Fleet = f.Fleet.Listen, f.Fleet.Names()
+		c.PeerListen, c.Standalone.Fleet = f.Fleet.Listen, f.Fleet.Names()
 		c.Settings.Weights = f.Fleet.Weights()
 		for _, m := range f.Fleet.Relays {
 			c.Peers = append(c.Peers, m.Address)
 		}
 	}
-	c.Settings.Limits, c.Settings.Shares = relay.Limits(c.Alone.Partners), shares(f)
+	c.Settings.Limits, c.Settings.Shares = relay.Limits(c.Standalone.Partners), shares(f)
 	return c
 }
 
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -17,7 +17,7 @@
 	"larchrouter/internal/relay/journal"
 )
 
-func TestBatch(t *testing.T) {
+func TestMessagesShareACall(t *testing.T) {
 	bodies := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		b, _ := io.ReadAll(req.Body)
@@ -26,17 +26,17 @@
 		io.WriteString(w, "a ok\r\nb error\r\nc later\r\nd gone\r\ne exhausted\r\nf ok\r\n")
 	}))
 	defer s.Close()
-	r := &Relay{conns: httpcall.NewPool(time.Second, time.Minute, 64)}
-	r.began, r.inbox = time.Now(), make(chan func(), 1)
-	r.calls = context.Background()
+	r := &Relay{pool: httpcall.NewPool(time.Second, time.Minute, 64)}
+	r.startedAt, r.inbox = time.Now(), make(chan func(), 1)
+	r.callsContext = context.Background()
 	c := &call{host: &host{Host: httpcall.Host{Addr: s.Listener.Addr().String()}}}
 	ids := []string{"a", "b", "c", "d", "e", "f"}
 	for _, id := range ids {
 		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id, Key: strings.Repeat("k", len(c.members)), Body: []byte("\r\n" + id)},
-			due: time.Hour, over: true})
+			deadline: time.Hour, ended: true})
 		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
-	r.start(c)
+	r.startCall(c)
 	want(t, "start of the request", strings.HasPrefix(wait(t, bodies, "call"), "/receive-many\na - 3\r\n\r\na\r\nb k 3\r\n"), true)
 	wait(t, r.inbox, "result")()
 	var got []choice.Outcome
@@ -53,7 +53,7 @@
 
 // A call with several messages begins with the one that has most time left, so that its first is the last whose time is
 // up; and one whose time is up before the call has its connection is neither sent nor taken for one that may have run.
-func TestTimeIsUpInACall(t *testing.T) {
+func TestDeadlineDuringSharedCall(t *testing.T) {
 	bodies := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		b, _ := io.ReadAll(req.Body)
@@ -61,25 +61,25 @@
 		<-req.Context().Done()
 	}))
 	defer s.Close()
-	r := &Relay{conns: httpcall.NewPool(time.Second, time.Minute, 64), began: time.Now(), inbox: make(chan func(), 10)}
+	r := &Relay{pool: httpcall.NewPool(time.Second, time.Minute, 64), startedAt: time.Now(), inbox: make(chan func(), 10)}
 	ctx, end := context.WithCancel(t.Context())
-	r.calls = ctx
+	r.callsContext = ctx
 	c := &call{host: &host{Host: httpcall.Host{Addr: s.Listener.Addr().String()}}}
 	for id, due := range map[string]time.Duration{"a": 2 * time.Hour, "b": time.Hour, "c": 4 * time.Hour, "d": 3 * time.Hour} {
-		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, due: due})
+		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, deadline: due})
 		c.sends = append(c.sends, choice.Send{ID: id, Timeout: due})
 	}
-	r.start(c)
+	r.startCall(c)
 	want(t, "request", wait(t, bodies, "call"), "c - 0\r\n\r\nd - 0\r\n\r\na - 0\r\n\r\nb - 0\r\n\r\n")
 	for i, m := range c.members {
 		want(t, "send beside its message", c.sends[i].ID, m.ID)
 	}
 
 	waits := httpcall.NewCall(&c.host.Host, time.Hour, make([]httpcall.Message, 4)...)
-	r.leave(waits, c, 3, time.Hour)
+	r.expireMember(waits, c, 3, time.Hour)
 	want(t, "outcome before the first byte", r.events[0].(choice.Result).Outcome, choice.NotSent)
-	want(t, "possibly run", c.members[3].ran, false)
-	r.leave(waits, c, 3, time.Hour) // it has no call any more
+	want(t, "possibly run", c.members[3].mayHaveRun, false)
+	r.expireMember(waits, c, 3, time.Hour) // it has no call any more
 	want(t, "outcomes", len(r.events), 1)
 	end()
 	wait(t, r.inbox, "end of the call")
@@ -87,11 +87,11 @@
 
 // Guards against a body over 64 KiB, which a host need not take: sends that do not fit one call go in another.
 func TestLargeMessagesDoNotShareACall(t *testing.T) {
-	r := &Relay{conns: httpcall.NewPool(time.Second, time.Minute, 64)}
-	r.began, r.inbox, r.calls = time.Now(), make(chan func(), 10), context.Background()
+	r := &Relay{pool: httpcall.NewPool(time.Second, time.Minute, 64)}
+	r.startedAt, r.inbox, r.callsContext = time.Now(), make(chan func(), 10), context.Background()
 	r.journal = newJournal(t)
 	h := &host{id: "s-1", Host: httpcall.Host{Addr: "127.0.0.1:1"}, dest: 7, perCall: 5}
-	r.hosts, r.held = map[string]*host{"s-1": h}, map[string]*message{}
+	r.hosts, r.pending = map[string]*host{"s-1": h}, map[string]*message{}
 	var sends []choice.Send
 	for i, size := range []int{maxBody, maxBody / 2, 10} {
 		id := fmt.Sprint("m", i)
@@ -99,17 +99,17 @@
 		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: e}); err != nil {
 			t.Fatal(err)
 		}
-		r.held[id] = &message{Entry: e, due: time.Hour}
+		r.pending[id] = &message{Entry: e, deadline: time.Hour}
 		sends = append(sends, choice.Send{ID: id, Host: "s-1", Timeout: time.Minute})
 	}
 	r.commit(sends)
-	want(t, "calls", r.out, 2)
-	want(t, "messages in the second", len(r.held["m1"].call.members), 2)
+	want(t, "calls", r.callsInFlight, 2)
+	want(t, "messages in the second", len(r.pending["m1"].call.members), 2)
 }
 
 // Guards against a new host that gets the connections of a gone one at its address, and against
 // connections of hosts that left.
-func TestConnectionsEndWithTheirHost(t *testing.T) {
+func TestConnectionsCloseWithTheirHost(t *testing.T) {
 	ended := make(chan bool, 10)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
@@ -120,29 +120,29 @@
 	s.Start()
 	defer s.Close()
 	addr := s.Listener.Addr().String()
-	r := &Relay{conns: httpcall.NewPool(time.Second, time.Minute, 64), hosts: map[string]*host{}, dests: map[int]time.Duration{},
-		waits:   map[int]*httpcall.Waits{},
-		journal: &journal.Journal{}}
+	r := &Relay{pool: httpcall.NewPool(time.Second, time.Minute, 64), hosts: map[string]*host{}, destinationSeen: map[int]time.Duration{},
+		sharedWaits: map[int]*httpcall.Waits{},
+		journal:     &journal.Journal{}}
 	for version, id := range []string{"s-1", "s-2"} {
-		r.listed(list{int64(version), true, []server{at(id, addr, "taller")}})
-		got, _, _ := r.conns.Exchange(t.Context(), httpcall.NewCall(&r.hosts[id].Host, 20*time.Second, httpcall.Message{ID: "m1"}))
+		r.applyHostList(hostList{int64(version), true, []hostEntry{at(id, addr, "taller")}})
+		got, _, _ := r.pool.Exchange(t.Context(), httpcall.NewCall(&r.hosts[id].Host, 20*time.Second, httpcall.Message{ID: "m1"}))
 		want(t, "outcome", got[0].Outcome, choice.Served)
-		want(t, "connections open", r.conns.Open(), 1)
+		want(t, "connections open", r.pool.Open(), 1)
 	}
 	wait(t, ended, "close of the gone one's connection")
-	r.listed(list{3, false, []server{{ID: "s-2", Addr: addr, Cell: 7, State: "leaving"}}})
+	r.applyHostList(hostList{3, false, []hostEntry{{ID: "s-2", Addr: addr, Cell: 7, State: "leaving"}}})
 	wait(t, ended, "close of the leaving one's connection")
-	want(t, "connections open", r.conns.Open(), 0)
+	want(t, "connections open", r.pool.Open(), 0)
 }
 
 // A keyed message that may have run goes again while its key is remembered, by what the journal says of its first such
 // attempt; others at any time.
-func TestRepeatsHaveAnEnd(t *testing.T) {
+func TestRetriesEndWithKeyWindow(t *testing.T) {
 	r := &Relay{}
 	r.classes.Store(newClasses([]choice.Class{{Name: "safe", Window: time.Second}, {Name: "keyed", Effect: choice.Keyed, Window: 6 * time.Second}}))
 	ran := time.Now().Add(-2 * time.Second)
 	for class, c := range []struct{ ran, bound bool }{{true, false}, {true, true}, {false, false}} {
-		at := r.until(&message{Entry: &journal.Entry{Ran: c.ran, RanAt: ran.UnixMilli()}, class: min(class, 1)})
+		at := r.keyExpiry(&message{Entry: &journal.Entry{Ran: c.ran, RanAt: ran.UnixMilli()}, class: min(class, 1)})
 		want(t, "bound", !at.IsZero(), c.bound)
 		if left := time.Until(at); c.bound && (left > 4*time.Second || left < 3*time.Second) {
 			t.Fatalf("%v are left of 6 s, 2 s after the first attempt", left)
@@ -152,30 +152,30 @@
 
 // An answer comes when its message's time may be up already, as its client may have sent it earlier than it came; or after
 // the time of another message of its call. It delivers, and an end is told all the same: one of the two counts.
-func TestAnswerAsTheTimeIsUp(t *testing.T) {
+func TestAnswerAtDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		left    time.Duration
 		overdue bool
 		notices int
-	}{"in time": {time.Hour, false, 0}, "late, perhaps": {clientWaits / 2, false, 1}, "after another's time": {time.Hour, true, 1}} {
+	}{"in time": {time.Hour, false, 0}, "late, perhaps": {clientTimeout / 2, false, 1}, "after another's time": {time.Hour, true, 1}} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"))
 			r := startRelay(t, p, nil)
 			told := make(chan int, 1)
 			r.post(func() {
-				m := &message{Entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, class: 2, due: r.now() + c.left}
-				r.hold(m)
+				m := &message{Entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, class: 2, deadline: r.now() + c.left}
+				r.addPending(m)
 				r.record(journal.Record{Op: journal.OpTaken, Entry: m.Entry})
 				m.call = &call{host: r.hosts["s-1"], members: []*message{m}, overdue: c.overdue}
-				r.ended(m.call, m, httpcall.End{Outcome: choice.Served}, time.Second, 0)
-				told <- r.owed
+				r.attemptEnded(m.call, m, httpcall.End{Outcome: choice.Served}, time.Second, 0)
+				told <- r.pendingNotices
 			})
 			want(t, "notices", wait(t, told, "count"), c.notices)
 			if c.notices > 0 {
 				want(t, "notice", wait(t, p.notices, "notice"), notice{"m1", undeliverable, 0})
 			}
 			over := make(chan bool, 1)
-			r.post(func() { over <- r.held["m1"] == nil && r.past.has("m1") })
+			r.post(func() { over <- r.pending["m1"] == nil && r.ended.has("m1") })
 			want(t, "over", wait(t, over, "end"), true)
 		})
 	}
--- a/internal/relay/company.go
+++ b/internal/relay/company.go
@@ -21,19 +21,19 @@
 // A relay of its own may be one of a fleet. What it then has to do with the others, beside grants, is to take over what
 // operators say at any of them (internal/relay/override). Everything here belongs to the loop.
 
-// company is a relay's part in its fleet.
-type company struct {
-	talk   *override.Talk
-	names  []string
-	self   int
-	timer  *time.Timer
-	parts  int
-	lost   []int
-	took   map[string]time.Duration // when a subject's word was taken in, by this process
-	ledger *versionaudit.Ledger
-	warned map[straggler]bool
-	lookAt time.Duration // for who is behind
-	full   bool          // words that come are not taken in, which was logged
+// cluster is a relay's part in its fleet.
+type cluster struct {
+	talk         *override.Talk
+	names        []string
+	self         int
+	timer        *time.Timer
+	parts        int
+	gone         []int
+	appliedAt    map[string]time.Duration // when a subject's word was taken in, by this process
+	ledger       *versionaudit.Ledger
+	warned       map[straggler]bool
+	checkAt      time.Duration // for who is behind
+	recordFailed bool          // words that come are not taken in, which was logged
 }
 
 // goneSubject names a relay that is gone for good.
@@ -50,9 +50,9 @@
 	return all
 }
 
-// meetFleet takes up what the journal has of the fleet's words. It precedes relist.
-func (r *Relay) meetFleet() error {
-	names := r.alone.Fleet
+// restoreOverrides takes up what the journal has of the fleet's words. It precedes relist.
+func (r *Relay) restoreOverrides() error {
+	names := r.standalone.Fleet
 	if len(names) == 0 {
 		return nil
 	}
@@ -60,22 +60,22 @@
 	for _, rec := range r.journal.Words {
 		kept = append(kept, override.Word{Subject: rec.ID, On: rec.Ran, Count: uint64(rec.Again), Origin: rec.Host, By: rec.Status, AtMs: rec.At})
 	}
-	talk, err := override.New(override.Settings{Names: names, Self: r.set.Index, Life: r.set.Life, Weights: r.set.Weights}, r.now(), kept)
+	talk, err := override.New(override.Settings{Names: names, Self: r.settings.Index, Life: r.settings.Life, Weights: r.settings.Weights}, r.now(), kept)
 	if err != nil {
 		return err
 	}
-	r.company = &company{talk: talk, names: names, self: r.set.Index, took: map[string]time.Duration{},
+	r.cluster = &cluster{talk: talk, names: names, self: r.settings.Index, appliedAt: map[string]time.Duration{},
 		ledger: versionaudit.New(len(names)), warned: map[straggler]bool{}}
-	r.act()
-	r.abide()
+	r.publishVersions()
+	r.applyOverrides()
 	return nil
 }
 
-// abide carries out what the words say.
-func (r *Relay) abide() {
-	f := r.company
+// applyOverrides carries out what the words say.
+func (r *Relay) applyOverrides() {
+	f := r.cluster
 	var marks []drain.Entry
-	f.lost = nil
+	f.gone = nil
 	for _, w := range f.talk.Book().All() {
 		if !w.On || plant.Is(plant.Word) {
 			continue
@@ -85,25 +85,25 @@
 		}
 		if name, ok := strings.CutPrefix(w.Subject, goneSubject("")); ok {
 			if i := slices.Index(f.names, name); i >= 0 {
-				f.lost = append(f.lost, i)
+				f.gone = append(f.gone, i)
 			}
 		}
 	}
-	r.alone.book.SetFleetEntries(marks)
-	f.talk.Lose(f.lost)
-	r.divide(f.talk.Parts(r.now()))
+	r.standalone.drains.SetFleetEntries(marks)
+	f.talk.Lose(f.gone)
+	r.divideLimits(f.talk.Parts(r.now()))
 }
 
-// divide has limits divided into so many parts.
-func (r *Relay) divide(parts int) {
-	r.company.parts = parts
-	r.chooser.Resize(parts, r.company.lost)
+// divideLimits has limits divided into so many parts.
+func (r *Relay) divideLimits(parts int) {
+	r.cluster.parts = parts
+	r.chooser.Resize(parts, r.cluster.gone)
 }
 
-// heed records words, carries them out, and only then has them count. Words that cannot be recorded are asked for again by
+// recordOverrides records words, carries them out, and only then has them count. Words that cannot be recorded are asked for again by
 // the digest.
-func (r *Relay) heed(words []override.Word) error {
-	f := r.company
+func (r *Relay) recordOverrides(words []override.Word) error {
+	f := r.cluster
 	var recs []journal.Record
 	for _, w := range words {
 		recs = append(recs, journal.Record{Op: journal.OpWord, ID: w.Subject, Ran: w.On, Again: int64(w.Count), Host: w.Origin, Status: w.By, At: w.AtMs})
@@ -113,37 +113,37 @@
 	}
 	f.talk.Take(r.now(), words...)
 	for _, w := range words {
-		f.took[w.Subject] = r.now()
+		f.appliedAt[w.Subject] = r.now()
 		slog.Info("the fleet was told", "subject", w.Subject, "holds", w.On, "by", w.By, "at", w.Origin)
 		if w.Subject == goneSubject(f.names[f.self]) && w.On {
 			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back", "by", w.By, "at", w.Origin)
 		}
 	}
-	r.abide()
-	r.relist() // closes the gates
-	r.alone.view.Store(nil)
+	r.applyOverrides()
+	r.applyPartnerList() // closes the gates
+	r.standalone.view.Store(nil)
 	return nil
 }
 
-// hearTalk takes in a note of another relay that carries words.
-func (r *Relay) hearTalk(from int, note []byte) {
-	f := r.company
+// receiveOverrides takes in a note of another relay that carries words.
+func (r *Relay) receiveOverrides(from int, note []byte) {
+	f := r.cluster
 	news := f.talk.Hear(r.now(), from, note)
-	r.heardActs(from)
-	r.warnBehind()
+	r.auditVersions(from)
+	r.warnStragglers()
 	if len(news) > 0 {
-		err := r.heed(news)
-		if err != nil && !f.full {
+		err := r.recordOverrides(news)
+		if err != nil && !f.recordFailed {
 			slog.Error("what the fleet was told is not taken in", "err", err)
 		}
-		f.full = err != nil
+		f.recordFailed = err != nil
 	}
-	r.talk()
+	r.sendOverrides()
 }
 
-// talk sends what is due, and sees that it is called again.
-func (r *Relay) talk() {
-	f := r.company
+// sendOverrides sends what is due, and sees that it is called again.
+func (r *Relay) sendOverrides() {
+	f := r.cluster
 	if r.peers == nil {
 		return
 	}
@@ -153,35 +153,35 @@
 		r.peers.Send(n.To, n.Data)
 	}
 	if n := f.talk.Parts(now); n != f.parts {
-		r.divide(n)
+		r.divideLimits(n)
 		slog.Info("limits are divided anew", "parts", n)
 	}
 	if f.timer == nil {
-		f.timer = time.AfterFunc(at-now, func() { r.post(r.talk) })
+		f.timer = time.AfterFunc(at-now, func() { r.post(r.sendOverrides) })
 	} else {
 		f.timer.Reset(at - now)
 	}
 }
 
-// tellSight tells the fleet how this relay sees an endpoint.
-func (r *Relay) tellSight(endpoint string, out bool) {
-	if r.company != nil {
-		r.company.talk.See(r.now(), "endpoint:"+endpoint, out)
-		r.talk()
+// reportHealth tells the fleet how this relay sees an endpoint.
+func (r *Relay) reportHealth(endpoint string, out bool) {
+	if r.cluster != nil {
+		r.cluster.talk.See(r.now(), "endpoint:"+endpoint, out)
+		r.sendOverrides()
 	}
 }
 
-// inFleet tells a command that there is no fleet, where there is none.
-func (r *Relay) inFleet() error {
-	if r.company == nil {
+// requireFleet tells a command that there is no fleet, where there is none.
+func (r *Relay) requireFleet() error {
+	if r.cluster == nil {
 		return adminapi.Errorf(adminapi.Conflict, "this relay is of no fleet: its file has no fleet block")
 	}
 	return nil
 }
 
-// tellFleet has the whole fleet heed something, from this relay on.
-func (r *Relay) tellFleet(subject string, on bool, by string) (already bool, err error) {
-	f := r.company
+// setOverride has the whole fleet heed something, from this relay on.
+func (r *Relay) setOverride(subject string, on bool, by string) (already bool, err error) {
+	f := r.cluster
 	w, err := f.talk.Book().Next(subject, on, f.names[f.self], by, time.Now().UnixMilli())
 	switch {
 	case errors.Is(err, override.ErrSame):
@@ -189,35 +189,35 @@
 	case err != nil:
 		return false, adminapi.Errorf(adminapi.Conflict, "%v", err)
 	}
-	if err := r.heed([]override.Word{w}); err != nil {
+	if err := r.recordOverrides([]override.Word{w}); err != nil {
 		return false, err
 	}
-	r.talk()
+	r.sendOverrides()
 	return false, nil
 }
 
 // drainFleet drains a target at all relays of the fleet, or takes that back.
 func (r *Relay) drainFleet(t drain.Target, q adminapi.DrainRequest, on bool) (a adminapi.DrainAnswer, err error) {
-	if err := r.inFleet(); err != nil {
+	if err := r.requireFleet(); err != nil {
 		return a, err
 	}
 	if t.Scope == drain.Relay {
 		return a, adminapi.Errorf(adminapi.Invalid, "a drain of the relay is of one relay: leave out fleet")
 	}
-	b := r.alone.book
-	if _, holds := r.company.talk.Book().Holds(t.String()); !holds || on {
+	b := r.standalone.drains
+	if _, holds := r.cluster.talk.Book().Holds(t.String()); !holds || on {
 		if err := b.CheckKnown(t); err != nil {
 			return a, err
 		}
 	}
-	a = r.consequences(t)
+	a = r.drainEffect(t)
 	if on && t.Scope == drain.Endpoint && b.IsLastOpen(t.Name) && !q.AllowLast && !q.DryRun {
 		return a, drain.ErrLastEndpoint
 	}
 	if q.DryRun {
 		return a, nil
 	}
-	already, err := r.tellFleet(t.String(), on, q.By)
+	already, err := r.setOverride(t.String(), on, q.By)
 	switch {
 	case err != nil:
 		return a, err
@@ -232,21 +232,21 @@
 			a.Result += ", still drained here"
 		}
 	}
-	f := r.showFleet()
+	f := r.fleetView()
 	a.Fleet = &f
 	return a, nil
 }
 
 // Gone implements control.Backend.
 func (r *Relay) Gone(ctx context.Context, q adminapi.GoneRequest) (adminapi.Fleet, error) {
-	if len(q.By) > mostBy {
-		return adminapi.Fleet{}, adminapi.Errorf(adminapi.Invalid, "by has %d bytes, %d at most", len(q.By), mostBy)
+	if len(q.By) > maxRequesterBytes {
+		return adminapi.Fleet{}, adminapi.Errorf(adminapi.Invalid, "by has %d bytes, %d at most", len(q.By), maxRequesterBytes)
 	}
 	return command(ctx, r, func() (v adminapi.Fleet, err error) {
-		if err := r.inFleet(); err != nil {
+		if err := r.requireFleet(); err != nil {
 			return v, err
 		}
-		f := r.company
+		f := r.cluster
 		i := slices.Index(f.names, q.Relay)
 		switch {
 		case i < 0 && !q.Back:
@@ -256,27 +256,27 @@
 		case i >= 0 && !q.Back && f.talk.Views(r.now())[i].There:
 			return v, adminapi.Errorf(adminapi.Conflict, "%s is heard: stop it first", q.Relay)
 		}
-		if _, err := r.tellFleet(goneSubject(q.Relay), !q.Back, q.By); err != nil {
+		if _, err := r.setOverride(goneSubject(q.Relay), !q.Back, q.By); err != nil {
 			return v, err
 		}
-		return r.showFleet(), nil
+		return r.fleetView(), nil
 	})
 }
 
 // Fleet implements control.Backend.
 func (r *Relay) Fleet(ctx context.Context) (adminapi.Fleet, error) {
-	return command(ctx, r, func() (adminapi.Fleet, error) { return r.showFleet(), nil })
+	return command(ctx, r, func() (adminapi.Fleet, error) { return r.fleetView(), nil })
 }
 
-// showFleet describes the fleet as this relay sees it, and the limits that it has a part of.
-func (r *Relay) showFleet() (v adminapi.Fleet) {
-	v = adminapi.Fleet{Parts: 1, Relays: []adminapi.FleetRelay{}, Limits: r.showLimits(), Words: []adminapi.FleetWord{}, Sights: []adminapi.FleetSight{}, Versions: []adminapi.FleetVersion{}, HeedMs: override.StatedHeed.Milliseconds(), HeedLossyMs: override.StatedLossy.Milliseconds(), LostAfterMs: override.LostAfter.Milliseconds()}
-	f, now := r.company, r.now()
+// fleetView describes the fleet as this relay sees it, and the limits that it has a part of.
+func (r *Relay) fleetView() (v adminapi.Fleet) {
+	v = adminapi.Fleet{Parts: 1, Relays: []adminapi.FleetRelay{}, Limits: r.limitViews(), Words: []adminapi.FleetWord{}, Sights: []adminapi.FleetSight{}, Versions: []adminapi.FleetVersion{}, HeedMs: override.StatedHeed.Milliseconds(), HeedLossyMs: override.StatedLossy.Milliseconds(), LostAfterMs: override.LostAfter.Milliseconds()}
+	f, now := r.cluster, r.now()
 	if f == nil {
 		return v
 	}
-	v.Versions = r.showVersions()
-	v.Name, v.Parts, v.Over = f.names[f.self], f.parts, fleetlimit.Over(max(1, len(f.names)-len(f.lost)))
+	v.Versions = r.versionViews()
+	v.Name, v.Parts, v.Over = f.names[f.self], f.parts, fleetlimit.Over(max(1, len(f.names)-len(f.gone)))
 	ms := func(d time.Duration) int64 {
 		if d < 0 {
 			return -1
@@ -285,12 +285,12 @@
 	}
 	views := f.talk.Views(now)
 	for i, p := range views {
-		v.Relays = append(v.Relays, adminapi.FleetRelay{Name: p.Name, Address: r.conf.Peers[i], Self: p.Self, There: p.There, HeardMs: ms(p.Heard), MetMs: ms(p.Met),
-			Agrees: p.Agrees, Gone: slices.Contains(f.lost, i), OtherList: p.Other})
+		v.Relays = append(v.Relays, adminapi.FleetRelay{Name: p.Name, Address: r.config.Peers[i], Self: p.Self, There: p.There, HeardMs: ms(p.Heard), MetMs: ms(p.Met),
+			Agrees: p.Agrees, Gone: slices.Contains(f.gone, i), OtherList: p.Other})
 	}
 	for _, w := range f.talk.Book().All() {
 		fw := adminapi.FleetWord{Subject: w.Subject, Holds: w.On, Count: w.Count, By: w.By, Origin: w.Origin, AtMs: w.AtMs, Heeded: []string{}, Missing: []string{}}
-		since := now - f.took[w.Subject]
+		since := now - f.appliedAt[w.Subject]
 		for _, p := range views {
 			if p.Agrees || p.Agreed >= 0 && p.Agreed <= since {
 				fw.Heeded = append(fw.Heeded, p.Name)
@@ -306,16 +306,16 @@
 	return v
 }
 
-// showLimits describes the limits that this relay has a part of.
-func (r *Relay) showLimits() []adminapi.FleetLimit {
+// limitViews describes the limits that this relay has a part of.
+func (r *Relay) limitViews() []adminapi.FleetLimit {
 	all := []adminapi.FleetLimit{}
 	routes := r.chooser.Routes()
 	for _, p := range r.chooser.Parts() {
 		l := adminapi.FleetLimit{LeftMs: p.For.Milliseconds(), Own: p.Own, Granted: p.Granted, Asks: p.Asks, Over: p.Over, Routes: []adminapi.FleetRoute{}}
-		if partner := r.alone.dir.Load().byNumber[p.Dest]; partner != nil {
+		if partner := r.standalone.directory.Load().byNumber[p.Dest]; partner != nil {
 			l.Partner = partner.Name
 		}
-		if f := r.company; f != nil && p.Steward >= 0 {
+		if f := r.cluster; f != nil && p.Steward >= 0 {
 			l.Steward = f.names[p.Steward]
 		} else if p.Steward >= 0 {
 			l.Steward = "this relay"
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -24,14 +24,14 @@
 	DiskMB     float64
 	Power      bool       // what is recorded outlasts a loss of power
 	Files      vfs.System // the journal's folder, nil for State
-	Known      list
+	Known      hostList
 	Settings   settings.Settings
-	PeerListen string         // where notes of other relays come; empty for none
-	Peers      []string       // the addresses of all relays by number, this one's among them
-	Admin      string         // the second address; empty for none
-	Alone      *Alone         // nil under a platform
-	Heir       *handover.Successor // of the process whose place this one takes; nil for none
-	Unlock     func()         // lets go of the state folder once the relay is handed over; may be nil
+	PeerListen string              // where notes of other relays come; empty for none
+	Peers      []string            // the addresses of all relays by number, this one's among them
+	Admin      string              // the second address; empty for none
+	Standalone *Standalone         // nil under a platform
+	Successor  *handover.Successor // of the process whose place this one takes; nil for none
+	Unlock     func()              // lets go of the state folder once the relay is handed over; may be nil
 
 	file []byte // as it was read
 }
@@ -61,7 +61,7 @@
 		} `json:"limits"`
 		PeerListen string          `json:"peer_listen"`
 		Peers      []string        `json:"peers"`
-		Known      list            `json:"known"`
+		Known      hostList        `json:"known"`
 		Settings   json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(data, &f); err != nil {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -20,8 +20,8 @@
 	"larchrouter/internal/relay/journal"
 )
 
-// server is one entry of discovery's list.
-type server struct {
+// hostEntry is one entry of discovery's list.
+type hostEntry struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
 	Zone   string  `json:"zone"`
@@ -31,17 +31,17 @@
 	Weight float64 `json:"weight"`
 }
 
-// list is an answer of discovery.
-type list struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []server `json:"servers"`
+// hostList is an answer of discovery.
+type hostList struct {
+	Version int64       `json:"version"`
+	Full    bool        `json:"full"`
+	Servers []hostEntry `json:"servers"`
 }
 
 // host is what the relay needs to call an endpoint.
 type host struct {
 	httpcall.Host
-	listed     server // as discovery last had it
+	listed     hostEntry // as discovery last had it
 	id         string
 	dest, zone int
 	perCall    int
@@ -50,57 +50,57 @@
 // agent is the platform's agent: discovery, and the taker of notices.
 type agent struct {
 	addrs  []string // where it may be; the first is in use
-	life   context.Context
-	leave  context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 	client *http.Client
 }
 
 const (
-	firstPause  = 50 * time.Millisecond
-	longPause   = time.Second
-	forgetDest  = time.Minute // one without hosts for so long is unknown again
-	forgetGone  = time.Minute // an outage of a host that left is over by then
-	maxListSize = 4 << 20
-	maxHead     = 32 << 10 // of an answer
+	minBackoff        = 50 * time.Millisecond
+	maxBackoff        = time.Second
+	destinationExpiry = time.Minute // one without hosts for so long is unknown again
+	goneHostExpiry    = time.Minute // an outage of a host that left is over by then
+	maxListSize       = 4 << 20
+	maxResponseHeader = 32 << 10 // of an answer
 )
 
 // Rediscover has the agent looked for at other addresses from now on. Watches and
 // notices on their way to the old one are broken off; the notices go to the new one.
-func (r *Relay) Rediscover(addrs []string) { r.agent.Swap(r.newAgent(addrs)).drop() }
+func (r *Relay) Rediscover(addrs []string) { r.agent.Swap(r.newAgent(addrs)).close() }
 
 func (r *Relay) newAgent(addrs []string) *agent {
 	a := &agent{addrs: addrs, client: &http.Client{Transport: &http.Transport{DisableCompression: true,
-		MaxResponseHeaderBytes: maxHead, MaxConnsPerHost: 4, IdleConnTimeout: 5 * discoverypoll.WatchFor}}}
-	a.life, a.leave = context.WithCancel(r.life)
+		MaxResponseHeaderBytes: maxResponseHeader, MaxConnsPerHost: 4, IdleConnTimeout: 5 * discoverypoll.WatchFor}}}
+	a.ctx, a.cancel = context.WithCancel(r.background)
 	return a
 }
 
-func (a *agent) drop() {
+func (a *agent) close() {
 	if a != nil {
-		a.leave()
+		a.cancel()
 		a.client.CloseIdleConnections()
 	}
 }
 
-// unreachable turns to the next address if a connection could not be made. It guards against an
+// tryNextAddress turns to the next address if a connection could not be made. It guards against an
 // environment that still names an old one after a restart. Silence proves nothing: discovery may be down.
-func (r *Relay) unreachable(a *agent, err error) {
+func (r *Relay) tryNextAddress(a *agent, err error) {
 	if op := (*net.OpError)(nil); len(a.addrs) > 1 && errors.As(err, &op) && op.Op == "dial" {
 		next := r.newAgent(append(slices.Clone(a.addrs[1:]), a.addrs[0]))
 		if r.agent.CompareAndSwap(a, next) {
 			slog.Info("turning to another address of discovery", "addr", next.addrs[0])
-			a.drop()
+			a.close()
 		} else {
-			next.drop()
+			next.close()
 		}
 	}
 }
 
-// errAway is discovery turning a question away.
-var errAway = errors.New("turned away")
+// errRejected is discovery turning a question away.
+var errRejected = errors.New("turned away")
 
-// follow follows discovery's list until the context ends.
-func (r *Relay) follow(ctx context.Context, at discoverypoll.Settings) {
+// followDiscovery follows discovery's list until the context ends.
+func (r *Relay) followDiscovery(ctx context.Context, at discoverypoll.Settings) {
 	a := r.agent.Load()
 	f := discoverypoll.New(at, r.now())
 	silence := rate.Sometimes{Interval: time.Second} // a silent agent is asked several times in one
@@ -112,35 +112,35 @@
 		q := f.Next()
 		if pause := q.At - r.now(); pause > 0 {
 			select {
-			case <-a.life.Done():
+			case <-a.ctx.Done():
 				continue // another took its place
 			case <-time.After(pause):
 			}
 		}
 		began := time.Now()
-		l, err := r.ask(a, q)
-		traceAsked(q, l, time.Since(began), err)
+		l, err := r.queryDiscovery(a, q)
+		traceDiscovery(q, l, time.Since(began), err)
 		switch {
-		case a.life.Err() != nil:
+		case a.ctx.Err() != nil:
 		case err != nil:
 			silence.Do(func() { slog.Warn("discovery does not answer", "err", err) })
-			f.Failed(r.now(), q, errors.Is(err, errAway))
-			r.unreachable(a, err)
+			f.Failed(r.now(), q, errors.Is(err, errRejected))
+			r.tryNextAddress(a, err)
 		case f.Answered(r.now(), q, l.Version, l.Full):
-			r.post(func() { r.version = l.Version })
+			r.post(func() { r.listVersion = l.Version })
 			if l.Full || len(l.Servers) > 0 {
-				r.post(func() { r.listed(l) })
+				r.post(func() { r.applyHostList(l) })
 			}
 		}
 	}
 }
 
-func (r *Relay) ask(a *agent, q discoverypoll.Question) (l list, err error) {
+func (r *Relay) queryDiscovery(a *agent, q discoverypoll.Question) (l hostList, err error) {
 	url := "http://" + a.addrs[0] + "/discovery/hosts"
 	if !q.Whole {
 		url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", url, q.Since, discoverypoll.WatchFor.Milliseconds())
 	}
-	ctx, cancel := context.WithTimeout(a.life, q.Within)
+	ctx, cancel := context.WithTimeout(a.ctx, q.Within)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -152,21 +152,21 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return l, fmt.Errorf("%w: status %d", errAway, resp.StatusCode)
+		return l, fmt.Errorf("%w: status %d", errRejected, resp.StatusCode)
 	}
 	return l, json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxListSize)).Decode(&l)
 }
 
-// listed takes in news of the list: at once for the calls that have not gone yet, and for the decisions.
-func (r *Relay) listed(l list) {
+// applyHostList takes in news of the list: at once for the calls that have not gone yet, and for the decisions.
+func (r *Relay) applyHostList(l hostList) {
 	ev := choice.Listing{Whole: l.Full}
 	old := r.hosts
 	if l.Full {
 		r.hosts = map[string]*host{}
 	}
 	for _, s := range l.Servers {
-		h := choice.Host{Addr: s.ID, Dest: s.Cell, Kind: slices.Index(r.set.KindNames, s.Kind),
-			Zone: r.zone(s.Zone), Rate: s.Weight}
+		h := choice.Host{Addr: s.ID, Dest: s.Cell, Kind: slices.Index(r.settings.KindNames, s.Kind),
+			Zone: r.zoneNumber(s.Zone), Rate: s.Weight}
 		switch s.State {
 		case "active":
 			h.State = choice.Ready
@@ -176,7 +176,7 @@
 		ev.Hosts = append(ev.Hosts, h)
 		was := old[s.ID]
 		if was != nil {
-			r.gate(was, h.State != choice.Ready)
+			r.setHostClosed(was, h.State != choice.Ready)
 		}
 		if h.State == choice.Gone {
 			delete(r.hosts, s.ID)
@@ -186,75 +186,75 @@
 		if was != nil && was.Addr == n.Addr && was.dest == n.dest {
 			n = was // calls that are out hold on to it
 		} else if was != nil {
-			r.gate(was, true)
+			r.setHostClosed(was, true)
 		}
 		apart := false
 		if h.Kind >= 0 {
-			n.perCall, apart = r.set.Kinds[h.Kind].PerCall, r.set.Kinds[h.Kind].Apart
+			n.perCall, apart = r.settings.Kinds[h.Kind].PerCall, r.settings.Kinds[h.Kind].Apart
 		}
 		if n != was && !apart {
-			n.Waits = r.waitsOf(s.Cell)
+			n.Waits = r.sharedWaitsOf(s.Cell)
 		}
 		n.listed = s
 		n.SetClosed(h.State != choice.Ready)
 		r.hosts[s.ID] = n
-		r.dests[s.Cell] = r.now()
+		r.destinationSeen[s.Cell] = r.now()
 	}
 	if l.Full { // only now: one that stays must not look closed for a moment to a call about to go
 		for id, h := range old {
 			if r.hosts[id] != h {
-				r.gate(h, true)
+				r.setHostClosed(h, true)
 			}
 		}
 	}
 	r.events = append(r.events, ev)
-	r.forget()
+	r.expireGone()
 }
 
-// waitsOf are the waits that the hosts of a destination share, unless they are routes apart.
-func (r *Relay) waitsOf(dest int) *httpcall.Waits {
-	w := r.waits[dest]
+// sharedWaitsOf are the waits that the hosts of a destination share, unless they are routes apart.
+func (r *Relay) sharedWaitsOf(dest int) *httpcall.Waits {
+	w := r.sharedWaits[dest]
 	if w == nil {
 		w = new(httpcall.Waits)
-		r.waits[dest] = w
+		r.sharedWaits[dest] = w
 	}
 	return w
 }
 
-// gate tells whether new calls may go to a host. One that gets none keeps no idle connections.
-func (r *Relay) gate(h *host, closed bool) {
+// setHostClosed tells whether new calls may go to a host. One that gets none keeps no idle connections.
+func (r *Relay) setHostClosed(h *host, closed bool) {
 	if h.SetClosed(closed); closed {
-		r.conns.Shut(&h.Host)
+		r.pool.Shut(&h.Host)
 	}
 }
 
-// knows tells whether a destination has hosts, or had some not long ago.
-func (r *Relay) knows(dest int) bool { _, ok := r.dests[dest]; return ok }
+// knownDestination tells whether a destination has hosts, or had some not long ago.
+func (r *Relay) knownDestination(dest int) bool { _, ok := r.destinationSeen[dest]; return ok }
 
-// forget sheds what hangs on hosts that are gone for good: ids are ever new.
-func (r *Relay) forget() {
+// expireGone sheds what hangs on hosts that are gone for good: ids are ever new.
+func (r *Relay) expireGone() {
 	now, wall := r.now(), time.Now().UnixMilli()
 	for _, h := range r.hosts {
-		r.dests[h.dest] = now
+		r.destinationSeen[h.dest] = now
 	}
-	for d, at := range r.dests {
-		if now-at > forgetDest {
-			delete(r.dests, d)
-			delete(r.waits, d)
+	for d, at := range r.destinationSeen {
+		if now-at > destinationExpiry {
+			delete(r.destinationSeen, d)
+			delete(r.sharedWaits, d)
 		}
 	}
 	for id, s := range r.journal.Unwell {
-		if r.hosts[id] == nil && time.Duration(wall-s.At)*time.Millisecond > forgetGone {
+		if r.hosts[id] == nil && time.Duration(wall-s.At)*time.Millisecond > goneHostExpiry {
 			r.record(journal.Record{Op: journal.OpHealth, ID: id})
 		}
 	}
 }
 
-// zone is the number of a zone. One that the settings do not name has the same number at any time, also
+// zoneNumber is the number of a zoneNumber. One that the settings do not name has the same number at any time, also
 // after a restart: the journal holds numbers.
-func (r *Relay) zone(name string) int {
-	if i := slices.Index(r.set.Zones, name); i >= 0 {
+func (r *Relay) zoneNumber(name string) int {
+	if i := slices.Index(r.settings.Zones, name); i >= 0 {
 		return i
 	}
-	return len(r.set.Zones) + int(crc32.ChecksumIEEE([]byte(name)))
+	return len(r.settings.Zones) + int(crc32.ChecksumIEEE([]byte(name)))
 }
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -20,7 +20,7 @@
 
 // Guards against a send to an endpoint of which the agent on this machine has been told that it drains, by a relay
 // whose turn to watch has not come, whose watches discovery turns away, or whose discovery has moved.
-func TestDrainHeardWithoutAWatch(t *testing.T) {
+func TestDrainIsSeenWithoutWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		index int
 		deny  bool
@@ -54,11 +54,11 @@
 }
 
 // A silent agent is asked again at once, and so is heard soon after it comes back.
-func TestSilentAgentIsLookedAt(t *testing.T) {
+func TestUnresponsiveAgentIsPolled(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	r := startRelay(t, p, func(c *Config) {
-		c.Known = list{}
+		c.Known = hostList{}
 		p.mu.Lock() // nothing is answered
 	})
 	for range 3 {
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -20,7 +20,7 @@
 // in runs something in the loop.
 func in(t *testing.T, r *Relay, f func()) {
 	t.Helper()
-	if _, err := inLoop(t.Context(), r, func() bool { f(); return true }); err != nil {
+	if _, err := onLoop(t.Context(), r, func() bool { f(); return true }); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -51,7 +51,7 @@
 		want(t, "id", c.id, held)
 		c.answer <- 200
 		for left := 1; left > 0; {
-			in(t, r, func() { left = len(r.held) })
+			in(t, r, func() { left = len(r.pending) })
 		}
 	}
 	in(t, r, func() { d.Space = -1 })
@@ -63,7 +63,7 @@
 }
 
 // A disk that can make nothing durable any more: the relay takes nothing on, sends nothing, and says why.
-func TestFailedSyncTakesNothing(t *testing.T) {
+func TestFailedSyncAdmitsNothing(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	d := faultfs.New(1)
@@ -72,7 +72,7 @@
 	want(t, "status", status, 202)
 	wait(t, calls, "call").answer <- 200
 	for left := 1; left > 0; {
-		in(t, r, func() { left = len(r.held) })
+		in(t, r, func() { left = len(r.pending) })
 	}
 	in(t, r, func() {
 		d.FailSync = map[int]error{}
@@ -87,12 +87,12 @@
 	}
 	want(t, "calls", len(calls), 0)
 	var trouble string
-	in(t, r, func() { trouble = r.showJournal().Trouble })
+	in(t, r, func() { trouble = r.journalView().Trouble })
 	want(t, "it says why", trouble != "", true)
 }
 
 // Guards against a message that is taken on anew when its client repeats it after a restart.
-func TestEndedIDsOutlastARestart(t *testing.T) {
+func TestEndedIDsSurviveRestart(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	state := t.TempDir()
@@ -124,7 +124,7 @@
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	state := t.TempDir()
 	p.mu.Lock()
-	p.now.Servers = []server{at("s-1", p.now.Servers[0].Addr, "taller")}
+	p.now.Servers = []hostEntry{at("s-1", p.now.Servers[0].Addr, "taller")}
 	p.now.Servers[0].State = "leaving" // nothing goes out yet
 	p.mu.Unlock()
 	cmd, addr := process(t, p, state)
--- a/internal/relay/doors_test.go
+++ b/internal/relay/doors_test.go
@@ -61,7 +61,7 @@
 }
 
 // Nothing is taken from a file that is broken, in whatever way.
-func TestBrokenFileIsNotTaken(t *testing.T) {
+func TestInvalidFileIsNotApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
 		return map[string]string{"BALANCER_CONFIG": path, "BALANCER_STATE": "s"}[name]
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestMissingNamesWhatIsMissing(t *testing.T) {
+func TestMissingKeysAreNamed(t *testing.T) {
 	got, err := settings.Missing([]byte(`{"a":{"b":1,"c":[{"x":1,"y":2},{"x":3}]},"free":{"k":1}}`), []byte(`{"a":{"c":[{"x":1},{"y":1}]}}`), "free")
 	if err != nil || strings.Join(got, " ") != "a.b a.c[1].x" {
 		t.Errorf("%v, %v", got, err)
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -49,13 +49,13 @@
 // The loop has taken a message on and has ended before its handler looks for the answer: both are there at one instant. The
 // answer counts: before, one of the two was picked by chance, and a client told to come again handed in what the next
 // process delivers.
-func TestTakenOnAsTheLoopEnds(t *testing.T) {
-	r := &Relay{over: make(chan struct{})}
-	close(r.over)
+func TestAdmissionAsLoopEnds(t *testing.T) {
+	r := &Relay{loopDone: make(chan struct{})}
+	close(r.loopDone)
 	for range 64 { // picked by chance, one of them is wrong
-		in := &intake{reply: make(chan answer, 1)}
-		in.reply <- answer{status: http.StatusAccepted}
-		want(t, "answer", r.await(in).status, http.StatusAccepted)
+		in := &admission{reply: make(chan response, 1)}
+		in.reply <- response{status: http.StatusAccepted}
+		want(t, "answer", r.awaitResponse(in).status, http.StatusAccepted)
 	}
 }
 
@@ -82,12 +82,12 @@
 
 // The end of the process crosses an answer that is decided and not yet written: a message that was taken on, and whose
 // client is cut off, is handed in again and delivered twice. The answer is held until all else has ended.
-func TestAnswerIsWrittenAsTheRelayEnds(t *testing.T) {
+func TestResponseIsWrittenAsRelayEnds(t *testing.T) {
 	for name, end := range map[string]func(*Relay){"ended": (*Relay).stop, "told to end": func(r *Relay) { go r.Terminate() }} {
 		t.Run(name, func(t *testing.T) {
 			written, free := make(chan struct{}), make(chan struct{})
 			r, calls, ended := ending(t, func(r *Relay) {
-				r.last = 30 * time.Second
+				r.finalAnswerWait = 30 * time.Second
 				r.server.Handler = slow{r.server.Handler, written, free}
 			})
 			conn := dial(t, r.Addr())
@@ -111,15 +111,15 @@
 }
 
 // The other way: a message that waits to be looked at as the loop ends is refused, and recorded nowhere.
-func TestNeverLookedAtAsTheLoopEnds(t *testing.T) {
+func TestUnprocessedAdmissionAsLoopEnds(t *testing.T) {
 	r, _, ended := ending(t)
 	conn := dial(t, r.Addr())
 	release := hold(t, r)
 	conn.Write([]byte(request("m1", "Content-Length: 1\r\n", "x")))
-	for len(r.intakes) == 0 {
+	for len(r.admissions) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	in := <-r.intakes // the loop does not get it
+	in := <-r.admissions // the loop does not get it
 	r.stop()
 	release()
 	status, header, _ := answered(t, conn)
@@ -127,13 +127,13 @@
 	want(t, "Retry-After", header.Get("Retry-After"), "1.000")
 	wait(t, ended, "end")
 	want(t, "answers of the loop", len(in.reply), 0)
-	want(t, "messages held", heldIn(t, r.conf.State), "")
+	want(t, "messages held", heldIn(t, r.config.State), "")
 }
 
 // A request comes in pieces while clients are sent away: its head begins before its connection is looked at for being
 // idle, and ends after. It guards against closing a connection on which a request has been read in part, which
 // net/http takes for idle.
-func TestRequestBegunIsAnsweredWhileClientsAreSentAway(t *testing.T) {
+func TestStartedRequestIsAnsweredWhileClientsDrain(t *testing.T) {
 	r, calls, _ := ending(t)
 	kept, idle, fresh := dial(t, r.Addr()), dial(t, r.Addr()), dial(t, r.Addr())
 	up := "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -176,7 +176,7 @@
 
 // A relay that is told to end answers clients as long as it runs: what comes on a connection that was accepted late, and
 // is sent late, is not left unread. It also guards against a second signal that ends it sooner or twice.
-func TestClientsAreAnsweredToTheEnd(t *testing.T) {
+func TestClientsAreAnsweredUntilExit(t *testing.T) {
 	r, calls, ended := ending(t)
 	hand(t, r.Addr(), "m0", "payment")
 	out := wait(t, calls, "call") // keeps the relay from ending
@@ -189,7 +189,7 @@
 	r.Terminate() // at once: the first goes on
 	for i, id := range []string{"m1", "m2"} {
 		if i == 1 {
-			time.Sleep(time.Until(begin.Add(stopTaking + 200*time.Millisecond))) // the relay's own time: nobody was accepted any more
+			time.Sleep(time.Until(begin.Add(exitIdleAfter + 200*time.Millisecond))) // the relay's own time: nobody was accepted any more
 		}
 		conn := dial(t, r.Addr())
 		conn.Write([]byte(request(id, "Content-Length: 1\r\n", "x")))
@@ -200,13 +200,13 @@
 	}
 	out.answer <- 200
 	wait(t, ended, "end")
-	want(t, "messages held", heldIn(t, r.conf.State), "")
+	want(t, "messages held", heldIn(t, r.config.State), "")
 }
 
 // An id that is forgotten, and ends again, is remembered as long as any: it guards against its earlier place, whose turn to
 // be forgotten comes first, and a repeat of it that passes as new.
-func TestForgottenIDIsRememberedAnew(t *testing.T) {
-	s := recent{most: 3}
+func TestRemovedIDIsRememberedAgain(t *testing.T) {
+	s := endedMessages{capacity: 3}
 	for i, id := range []string{"a", "b", "c"} {
 		s.put(id, uint32(i))
 	}
@@ -228,7 +228,7 @@
 // What a restart finds untried is tried: of 500 held, half of them untried, each untried one gets its call, also while fresh
 // ones come in, and those that cannot are counted by why. It holds for one process and for several, which take what the
 // platform hands them apart.
-func TestFoundUntriedIsTried(t *testing.T) {
+func TestUntriedMessagesAreAttemptedAfterRestart(t *testing.T) {
 	for _, processes := range []int{1, 5} {
 		calls := make(chan string, 20_000)
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -262,7 +262,9 @@
 			})
 			for {
 				state := make(chan [3]int, 1)
-				r.post(func() { state <- [3]int{len(r.found.left), r.found.tried, r.found.without["its time was up"]} })
+				r.post(func() {
+					state <- [3]int{len(r.untried.pending), r.untried.attempted, r.untried.endedByReason["its time was up"]}
+				})
 				now := wait(t, state, "state")
 				if now[0] == 0 {
 					want(t, "tried", now[1], 240)
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -46,15 +46,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Known = list{}
-	conf.Alone = &Alone{Version: "build-1", Partners: []Partner{frozenPartner}, EndsKeep: 10, EndsAge: time.Hour, StopWithin: time.Second,
+	conf.Known = hostList{}
+	conf.Standalone = &Standalone{Version: "build-1", Partners: []Partner{frozenPartner}, MaxEnds: 10, EndsExpiry: time.Hour, StopTimeout: time.Second,
 		Fleet: []string{"r1", "r2", "r3"}}
 	conf.Peers = []string{"127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"}
 	set := &conf.Settings
 	set.Index, set.Fleet, set.Weights = 0, 3, []int{1, 2, 3}
 	set.Classes, set.Kinds, set.KindNames = []choice.Class{frozenClass}, []choice.Kind{frozenKind}, []string{"bank"}
 	set.Rules, set.Zones, set.ZoneFee = frozenRules, []string{"north", "south"}, []float64{0, 0.125}
-	set.Limits = Limits(conf.Alone.Partners)
+	set.Limits = Limits(conf.Standalone.Partners)
 	return conf
 }
 
@@ -85,13 +85,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := r.change(func() (drain.Change, error) {
-			return r.alone.book.Drain(parsed, "op of "+target, 30*time.Second, true, time.UnixMilli(frozenTime))
+		if _, err := r.applyDrainChange(func() (drain.Change, error) {
+			return r.standalone.drains.Drain(parsed, "op of "+target, 30*time.Second, true, time.UnixMilli(frozenTime))
 		}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.heed(frozenWords); err != nil {
+	if err := r.recordOverrides(frozenWords); err != nil {
 		t.Fatal(err)
 	}
 	entry := func(id string) *journal.Entry {
@@ -126,7 +126,7 @@
 }
 
 // Guards against records that mean something else to the next build: drains, the fleet's words, messages and ends.
-func TestFolderIsWrittenAsFrozen(t *testing.T) {
+func TestStateFolderMatchesFrozenFixture(t *testing.T) {
 	dir, present := frozenState(t), t.TempDir()
 	writeFrozenState(t, present)
 	if got, want := fixture.Folder(t, present), fixture.Folder(t, dir); !reflect.DeepEqual(got, want) {
@@ -138,24 +138,24 @@
 func TestTakesOverFrozenFolder(t *testing.T) {
 	r := newRelay(t, frozenConfig(t, fixture.Copy(t, frozenState(t))))
 	var marks []string
-	for _, m := range r.alone.book.Entries() {
+	for _, m := range r.standalone.drains.Entries() {
 		marks = append(marks, fmt.Sprint(m.Target, " by ", m.RequestedBy, " at ", m.Since.UnixMilli(), " within ", m.Timeout))
 	}
 	want(t, "drains", fmt.Sprint(marks), "[endpoint:acme-1 by op of endpoint:acme-1 at 4102444800000 within 0s relay by op of relay at 4102444800000 within 30s]")
-	phase, _ := r.alone.book.Phase()
+	phase, _ := r.standalone.drains.Phase()
 	want(t, "phase", string(phase), "draining")
-	want(t, "endpoint that the fleet was told of is open", r.alone.book.Open("acme-2"), false)
-	if words := r.company.talk.Book().All(); !reflect.DeepEqual(words, frozenWords) {
+	want(t, "endpoint that the fleet was told of is open", r.standalone.drains.Open("acme-2"), false)
+	if words := r.cluster.talk.Book().All(); !reflect.DeepEqual(words, frozenWords) {
 		t.Errorf("words %+v, want %+v", words, frozenWords)
 	}
-	want(t, "relays that are gone", fmt.Sprint(r.company.lost), "[2]")
-	want(t, "messages held", len(r.held), 1)
-	e := *r.held["held"].Entry
+	want(t, "relays that are gone", fmt.Sprint(r.cluster.gone), "[2]")
+	want(t, "messages held", len(r.pending), 1)
+	e := *r.pending["held"].Entry
 	want(t, "one held", fmt.Sprintln(e.ID, e.Class, e.Dest, e.Key, e.Effect, e.Due, string(e.Body), e.Partner, e.TakenAt, e.Bytes, e.Tries, e.Wait, e.Ran, e.Out, e.Log),
 		"held payment 7 key of held 3 4102444860000 body of held acme 4102444800000 10 1 300 false false [{acme-1 4102444800001 12 refused false}]\n")
 	for id, text := range map[string]string{"refused": "deferred 4102444800002 4102444800003 its time was up", "failed": "undeliverable 0 4102444800004 it may have run",
 		"delivered": "delivered 0 4102444800005 "} {
-		e := r.alone.ends.Get(id)
+		e := r.standalone.ends.Get(id)
 		if e == nil {
 			t.Fatalf("the end of %s is not kept", id)
 		}
@@ -169,17 +169,17 @@
 // A relay under a platform owes notices for what one of its own keeps as ends.
 func TestPlatformRelayTakesOverFrozenFolder(t *testing.T) {
 	conf := frozenConfig(t, fixture.Copy(t, frozenState(t)))
-	conf.Alone = nil
+	conf.Standalone = nil
 	r := newRelay(t, conf)
-	want(t, "messages held", len(r.held), 1)
-	if owed := []notice{{ID: "refused", Status: "deferred", Again: frozenTime + 2}, {ID: "failed", Status: "undeliverable"}}; !reflect.DeepEqual(r.untold, owed) {
-		t.Errorf("notices owed %+v, want %+v", r.untold, owed)
+	want(t, "messages held", len(r.pending), 1)
+	if owed := []notice{{ID: "refused", Status: "deferred", Again: frozenTime + 2}, {ID: "failed", Status: "undeliverable"}}; !reflect.DeepEqual(r.unsentNotices, owed) {
+		t.Errorf("notices owed %+v, want %+v", r.unsentNotices, owed)
 	}
 }
 
 // Guards against relays of different builds that take each other for ones that act on other files: what the fleet compares are
 // digests of JSON, which has the names of the fields in Go.
-func TestDigestsAreAsFrozen(t *testing.T) {
+func TestDigestsMatchFrozenValues(t *testing.T) {
 	var present []fixture.Line
 	for _, d := range []struct {
 		name  string
@@ -201,7 +201,7 @@
 	if unset := fixture.Unset(frozenPartner, frozenClass, frozenKind, frozenRules); len(unset) > 0 {
 		t.Errorf("no value sets %v", unset)
 	}
-	acts := newRelay(t, frozenConfig(t, t.TempDir())).company.talk.Acts(0)
+	acts := newRelay(t, frozenConfig(t, t.TempDir())).cluster.talk.Acts(0)
 	wanted := []override.Acts{{Kind: 1, Version: 3837147583}, {Kind: 2, Version: 3183409465}, {Kind: 3, Version: 3447108203}, {Kind: 4, Version: 1943657945}}
 	if !reflect.DeepEqual(acts, wanted) {
 		t.Errorf("the relay says that it acts on %+v, want %+v", acts, wanted)
@@ -209,8 +209,8 @@
 }
 
 // What a relay and its platform say to each other, and the list of hosts in a handover.
-func TestPlatformFormsAreAsFrozen(t *testing.T) {
-	l := list{Version: 1, Full: true, Servers: []server{{ID: "s-2", Addr: "127.0.0.1:3", Zone: "north", Kind: "bank", Cell: 4, State: "active", Weight: 5.5}}}
+func TestPlatformMessagesMatchFrozenFixtures(t *testing.T) {
+	l := hostList{Version: 1, Full: true, Servers: []hostEntry{{ID: "s-2", Addr: "127.0.0.1:3", Zone: "north", Kind: "bank", Cell: 4, State: "active", Weight: 5.5}}}
 	notices := []notice{{ID: "m1", Status: "deferred", Again: 2}, {ID: "m3", Status: "undeliverable"}}
 	posted := make(chan string, 1)
 	agentServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -219,8 +219,8 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer agentServer.Close()
-	a := &agent{addrs: []string{agentServer.Listener.Addr().String()}, life: t.Context(), client: agentServer.Client()}
-	if status, err := postStatus(a, notices); status != http.StatusNoContent || err != nil {
+	a := &agent{addrs: []string{agentServer.Listener.Addr().String()}, ctx: t.Context(), client: agentServer.Client()}
+	if status, err := postNoticeBatch(a, notices); status != http.StatusNoContent || err != nil {
 		t.Fatal(status, err)
 	}
 	listText, err := json.Marshal(l)
@@ -233,7 +233,7 @@
 	for _, p := range present {
 		want(t, p.Name, p.Text, old[p.Name])
 	}
-	var got list
+	var got hostList
 	dec := json.NewDecoder(strings.NewReader(old["list"]))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&got); err != nil || !reflect.DeepEqual(got, l) {
@@ -245,7 +245,7 @@
 }
 
 // Guards against a key of the platform's configuration that is no longer read: what a file lacks is 0.
-func TestConfigIsReadAsFrozen(t *testing.T) {
+func TestConfigMatchesFrozenFile(t *testing.T) {
 	text := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","admin":"127.0.0.1:3","seed":"4a",
 		"limits":{"cores":5.5,"memory_mb":6.5,"sockets":64,"disk_mb":8.5},"peer_listen":"127.0.0.1:9","peers":["127.0.0.1:10","127.0.0.1:11"],
 		"known":{"version":12,"full":true,"servers":[{"id":"s-13"}]},"settings":` + testSettings + `}`
@@ -256,7 +256,7 @@
 	conf.file = nil
 	frozen := Config{Listen: "127.0.0.1:1", Discovery: []string{"127.0.0.1:2"}, Admin: "127.0.0.1:3", Seed: 0x4a, Cores: 5.5, MemoryMB: 6.5, Sockets: 64, DiskMB: 8.5,
 		PeerListen: "127.0.0.1:9", Peers: []string{"127.0.0.1:10", "127.0.0.1:11"}, State: "state-14", Settings: conf.Settings, // see package settings
-		Known: list{Version: 12, Full: true, Servers: []server{{ID: "s-13"}}}}
+		Known: hostList{Version: 12, Full: true, Servers: []hostEntry{{ID: "s-13"}}}}
 	if !reflect.DeepEqual(conf, frozen) {
 		t.Errorf("read as\n%+v, want\n%+v", conf, frozen)
 	}
@@ -273,7 +273,7 @@
 }
 
 // Names and numbers that are stored, or that others are told.
-func TestNamesAreAsFrozen(t *testing.T) {
+func TestNamesMatchFrozenTexts(t *testing.T) {
 	want(t, "statuses", strings.Join([]string{undeliverable, deferred, delivered}, " "), "undeliverable deferred delivered")
 	want(t, "subject of a relay that is gone", goneSubject("r1"), "gone:r1")
 	want(t, "effects", fmt.Sprint(int(choice.Safe), int(choice.Keyed), int(choice.Unsafe)), "0 1 2")
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -12,9 +12,9 @@
 // joinFleet listens for the notes of other relays until the context ends. A relay that cannot goes on without them:
 // then it grants its calls to itself.
 func (r *Relay) joinFleet(ctx context.Context) {
-	c, err := gossip.Listen(ctx, r.conf.PeerListen)
+	c, err := gossip.Listen(ctx, r.config.PeerListen)
 	if err == nil {
-		if err = c.Join(r.conf.Peers); err != nil {
+		if err = c.Join(r.config.Peers); err != nil {
 			c.Close()
 		}
 	}
@@ -26,32 +26,32 @@
 	}
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	defer c.Close()
-	words := r.company != nil
+	words := r.cluster != nil
 	r.post(func() {
 		r.peers = c
 		if words {
-			r.talk()
+			r.sendOverrides()
 		}
 	})
 	c.Receive(func(from int, note []byte) {
 		if words && len(note) > 0 && note[0] == override.Version {
-			r.post(func() { r.hearTalk(from, note) })
+			r.post(func() { r.receiveOverrides(from, note) })
 			return
 		}
 		r.post(func() { r.events = append(r.events, choice.Heard{From: from, Note: note}) })
 	})
 }
 
-// leaveFleet hears no more notes: another process takes this one's place. It runs in the loop.
-func (r *Relay) leaveFleet() {
+// closePeers hears no more notes: another process takes this one's place. It runs in the loop.
+func (r *Relay) closePeers() {
 	if r.peers != nil {
 		r.peers.Close()
 		r.peers = nil
 	}
 }
 
-// tellPeer sends a note.
-func (r *Relay) tellPeer(t choice.Tell) {
+// sendToPeer sends a note.
+func (r *Relay) sendToPeer(t choice.Tell) {
 	if r.peers != nil {
 		r.peers.Send(t.To, t.Note)
 	}
--- a/internal/relay/flood_test.go
+++ b/internal/relay/flood_test.go
@@ -21,81 +21,81 @@
 
 // Guards against clients that wait behind a flood until they leave: when as many wait as can be looked at in
 // time, the next is refused at once, although the loop does nothing.
-func TestFloodIsRefusedAtOnce(t *testing.T) {
+func TestFloodIsRejectedAtOnce(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
 	release := hold(t, r)
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	for range intakeRoom {
-		r.intakes <- &intake{ctx: gone, entry: &journal.Entry{}, reply: make(chan answer, 1)} // of clients that have left
+	for range admissionQueueLength {
+		r.admissions <- &admission{ctx: gone, entry: &journal.Entry{}, reply: make(chan response, 1)} // of clients that have left
 	}
 	status, after := hand(t, r.Addr(), "m1", "payment")
 	want(t, "status", status, http.StatusServiceUnavailable)
 	want(t, "Retry-After", after, "1.000")
 	release()
-	for len(r.intakes) > 0 { // each turn of the loop looks at some
+	for len(r.admissions) > 0 { // each turn of the loop looks at some
 		turn := make(chan bool, 1)
 		r.post(func() { turn <- true })
 		wait(t, turn, "turn of the loop")
 	}
 	status, _ = hand(t, r.Addr(), "m2", "payment")
 	want(t, "status once the flood is over", status, http.StatusAccepted)
-	want(t, "refused as busy", r.busy.Load(), 1)
+	want(t, "refused as busy", r.rejectedBusy.Load(), 1)
 }
 
 // Guards against handlers that wait for ever: each holds one of the clients' connections, and once all are held nobody is served.
-func TestClientThatLeftIsAnswered(t *testing.T) {
+func TestRequestOfGoneClientIsAnswered(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	in := &intake{ctx: gone, reply: make(chan answer, 1), came: r.now(), due: time.Hour, entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}}
-	r.intakes <- in
+	in := &admission{ctx: gone, reply: make(chan response, 1), arrivedAt: r.now(), deadline: time.Hour, entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}}
+	r.admissions <- in
 	want(t, "status", wait(t, in.reply, "answer").status, http.StatusServiceUnavailable)
-	want(t, "refused as busy", r.busy.Load(), 0)
+	want(t, "refused as busy", r.rejectedBusy.Load(), 0)
 }
 
 // Guards against a message that is taken on when its client is about to leave: it would be withdrawn again.
-func TestLateLookIsRefused(t *testing.T) {
+func TestLateAdmissionIsRejected(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
-	in := &intake{ctx: t.Context(), reply: make(chan answer, 1), came: r.now() - lookWithin - time.Millisecond, due: time.Hour,
+	in := &admission{ctx: t.Context(), reply: make(chan response, 1), arrivedAt: r.now() - maxAdmissionDelay - time.Millisecond, deadline: time.Hour,
 		entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}}
-	r.intakes <- in
+	r.admissions <- in
 	a := wait(t, in.reply, "answer")
 	want(t, "status", a.status, http.StatusServiceUnavailable)
-	want(t, "time to come again", a.after, comeBack)
+	want(t, "time to come again", a.after, defaultRetryAfter)
 }
 
 // Guards against outcomes that wait behind a flood of messages: a bounded number of these is looked at between
 // two Steps, after all else that has come.
-func TestOutcomesGoBeforeMessages(t *testing.T) {
-	r := &Relay{inbox: make(chan func(), batchMost), intakes: make(chan *intake, intakeRoom)}
+func TestOutcomesPrecedeAdmissions(t *testing.T) {
+	r := &Relay{inbox: make(chan func(), maxInboxBatch), admissions: make(chan *admission, admissionQueueLength)}
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	for range intakeRoom {
-		r.intakes <- &intake{ctx: gone, entry: &journal.Entry{}, reply: make(chan answer, 1)}
+	for range admissionQueueLength {
+		r.admissions <- &admission{ctx: gone, entry: &journal.Entry{}, reply: make(chan response, 1)}
 	}
 	waited := -1
-	for range batchMost {
-		r.inbox <- func() { waited = len(r.intakes) }
+	for range maxInboxBatch {
+		r.inbox <- func() { waited = len(r.admissions) }
 	}
-	r.gather()
-	want(t, "messages not looked at when the last outcome was", waited, intakeRoom)
-	want(t, "messages left after", len(r.intakes), intakeRoom-intakeMost)
+	r.receiveBatch()
+	want(t, "messages not looked at when the last outcome was", waited, admissionQueueLength)
+	want(t, "messages left after", len(r.admissions), admissionQueueLength-maxAdmissionBatch)
 }
 
 // All that a Step records is one write; where that finds no room, what has room is recorded all the same, and
 // only what has none is refused.
-func TestOneWriteAStep(t *testing.T) {
+func TestOneJournalWritePerStep(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 100)), "taller")), nil)
 	took := func(n, size int) (answers []int) {
-		var ins []*intake
+		var ins []*admission
 		release := hold(t, r)
 		for i := range n {
 			id := fmt.Sprintf("m%d-%d", size, i)
-			ins = append(ins, &intake{ctx: t.Context(), reply: make(chan answer, 1), came: r.now(), due: time.Hour,
-				entry: &journal.Entry{ID: id, Class: r.set.Classes[0].Name, Dest: 7, Body: make([]byte, size),
+			ins = append(ins, &admission{ctx: t.Context(), reply: make(chan response, 1), arrivedAt: r.now(), deadline: time.Hour,
+				entry: &journal.Entry{ID: id, Class: r.settings.Classes[0].Name, Dest: 7, Body: make([]byte, size),
 					Due: time.Now().Add(time.Hour).UnixMilli()}})
-			r.intakes <- ins[i]
+			r.admissions <- ins[i]
 		}
 		release()
 		for _, in := range ins {
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -31,11 +31,11 @@
 // outbox holds the notices that are to be posted. Putting one never blocks.
 type outbox struct {
 	*sync.Mutex
-	list []notice
-	come chan struct{} // one waits here when the list is not empty
+	queue []notice
+	ready chan struct{} // one waits here when the list is not empty
 }
 
-func newOutbox() outbox { return outbox{Mutex: new(sync.Mutex), come: make(chan struct{}, 1)} }
+func newOutbox() outbox { return outbox{Mutex: new(sync.Mutex), ready: make(chan struct{}, 1)} }
 
 func (o *outbox) put(more ...notice) {
 	if len(more) == 0 {
@@ -43,9 +43,9 @@
 	}
 	o.Lock()
 	defer o.Unlock()
-	o.list = append(o.list, more...)
+	o.queue = append(o.queue, more...)
 	select {
-	case o.come <- struct{}{}:
+	case o.ready <- struct{}{}:
 	default:
 	}
 }
@@ -54,44 +54,44 @@
 func (o *outbox) take() []notice {
 	o.Lock()
 	defer o.Unlock()
-	n := min(noticeBatch, len(o.list))
-	some := slices.Clone(o.list[:n])
-	if o.list = slices.Delete(o.list, 0, n); len(o.list) > 0 {
+	n := min(noticeBatch, len(o.queue))
+	some := slices.Clone(o.queue[:n])
+	if o.queue = slices.Delete(o.queue, 0, n); len(o.queue) > 0 {
 		select {
-		case o.come <- struct{}{}:
+		case o.ready <- struct{}{}:
 		default:
 		}
 	} else {
-		o.list = nil // a burst's memory is not kept
+		o.queue = nil // a burst's memory is not kept
 	}
 	return some
 }
 
-// tell posts notices until the context ends. Each is repeated until it is
+// postNotices posts notices until the context ends. Each is repeated until it is
 // acknowledged: a message that was taken on is lost without it.
-func (r *Relay) tell(ctx context.Context) {
+func (r *Relay) postNotices(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.notices.come:
+		case <-r.notices.ready:
 		}
 		some := r.notices.take()
-		if r.deliver(ctx, some) || len(some) == 1 {
+		if r.postUntilAcknowledged(ctx, some) || len(some) == 1 {
 			continue
 		}
 		for i := range some { // one of them is not taken: it must not hold up the others
-			r.deliver(ctx, some[i:i+1])
+			r.postUntilAcknowledged(ctx, some[i:i+1])
 		}
 	}
 }
 
-// deliver posts notices until they are acknowledged or turned away, and tells which. One that is
+// postUntilAcknowledged posts notices until they are acknowledged or turned away, and tells which. One that is
 // turned away alone comes back later.
-func (r *Relay) deliver(ctx context.Context, some []notice) bool {
-	for pause := firstPause; ; pause = min(2*pause, longPause) {
+func (r *Relay) postUntilAcknowledged(ctx context.Context, some []notice) bool {
+	for pause := minBackoff; ; pause = min(2*pause, maxBackoff) {
 		a := r.agent.Load()
-		status, err := postStatus(a, some)
+		status, err := postNoticeBatch(a, some)
 		switch {
 		case ctx.Err() != nil:
 			return true // the journal has them
@@ -99,32 +99,32 @@
 			r.post(func() {
 				for _, n := range some {
 					r.record(journal.Record{Op: journal.OpEnd, ID: n.ID})
-					r.heard(n.ID)
+					r.noticeAcknowledged(n.ID)
 				}
-				r.owed -= len(some)
+				r.pendingNotices -= len(some)
 			})
 			return true
-		case a.life.Err() != nil:
-			pause = firstPause / 2 // another took its place
+		case a.ctx.Err() != nil:
+			pause = minBackoff / 2 // another took its place
 			continue
 		}
 		slog.Warn("notices not taken", "count", len(some), "status", status, "err", err)
 		if err != nil {
-			r.unreachable(a, err)
+			r.tryNextAddress(a, err)
 		} else if status/100 == 4 {
 			if len(some) == 1 {
-				time.AfterFunc(longPause, func() { r.notices.put(some...) })
+				time.AfterFunc(maxBackoff, func() { r.notices.put(some...) })
 			}
 			return false
 		}
 		select {
-		case <-r.agent.Load().life.Done():
+		case <-r.agent.Load().ctx.Done():
 		case <-time.After(pause):
 		}
 	}
 }
 
-func postStatus(a *agent, some []notice) (status int, err error) {
+func postNoticeBatch(a *agent, some []notice) (status int, err error) {
 	var body bytes.Buffer
 	enc := json.NewEncoder(&body)
 	for _, n := range some {
@@ -132,7 +132,7 @@
 			return 0, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(a.life, noticeTimeout)
+	ctx, cancel := context.WithTimeout(a.ctx, noticeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.addrs[0]+"/status", &body)
 	if err != nil {
--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	held, began := make(chan []string, 1), time.Now()
 	for {
-		r.post(func() { held <- slices.Sorted(maps.Keys(r.held)) })
+		r.post(func() { held <- slices.Sorted(maps.Keys(r.pending)) })
 		now := wait(t, held, "list of messages held")
 		if slices.Equal(now, ids) {
 			return
@@ -63,7 +63,7 @@
 	want(t, "second of the key", c.id, "m2")
 	waitHeld(t, r, "m2", "m3") // its host has answered m5, but what the relay has not read of that it would try again
 	r.stop()                   // with m2 out and m3 waiting
-	wait(t, r.over, "end of the loop")
+	wait(t, r.loopDone, "end of the loop")
 	want(t, "further calls", len(calls), 0)
 	second := startRelay(t, p, func(c *Config) { ordered(c); c.State = conf.State })
 	status, _ := hand(t, second.Addr(), "m6", "payment", "Cookie", "thread=k1")
@@ -79,13 +79,13 @@
 	c = wait(t, calls, "call")
 	want(t, "last of the key", c.id, "m6")
 	c.answer <- 200
-	status, _ = hand(t, second.Addr(), "m7", "payment", "Cookie", "thread="+strings.Repeat("x", maxName+1))
+	status, _ = hand(t, second.Addr(), "m7", "payment", "Cookie", "thread="+strings.Repeat("x", maxTokenBytes+1))
 	want(t, "status with a malformed key", status, http.StatusBadRequest)
 }
 
 // A message is given up while the next of its key waits: that one goes only once the platform has acknowledged the end, as
 // until then the first is not over. The acknowledgement is held; meanwhile the notice is repeated.
-func TestNextOfAnOrderWaitsForTheNotice(t *testing.T) {
+func TestOrderedMessageWaitsForNotice(t *testing.T) {
 	t.Run("it is heard", func(t *testing.T) { nextOfAnOrder(t, false) })
 	t.Run("the relay ends meanwhile", func(t *testing.T) { nextOfAnOrder(t, true) }) // the next has not run, and is sent by its successor
 }
@@ -121,7 +121,7 @@
 	want(t, "calls before the end is heard", len(calls), 0)
 	if ends {
 		r.stop()
-		wait(t, r.over, "end of the loop")
+		wait(t, r.loopDone, "end of the loop")
 		r = startRelay(t, p, func(c *Config) { ordered(c); c.State = conf.State })
 	}
 	close(held)
@@ -130,6 +130,6 @@
 	want(t, "end of the first", wait(t, p.notices, "notice"), notice{"m1", undeliverable, 0})
 	c.answer <- 200
 	left := make(chan int, 1)
-	r.post(func() { left <- len(r.orders) + len(r.telling) + len(r.behind) })
+	r.post(func() { left <- len(r.noticeOrder) + len(r.noticesByOrder) + len(r.blockedCalls) })
 	want(t, "orders remembered", wait(t, left, "count"), 0)
 }
--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -67,7 +67,7 @@
 		return false, err
 	}
 	defer lock.Close()
-	conf.Heir, conf.Unlock = heir, func() { lock.Close() }
+	conf.Successor, conf.Unlock = heir, func() { lock.Close() }
 	r, err := relay.New(conf)
 	if err != nil {
 		return false, err
@@ -84,12 +84,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
-			heir.ReceiveOutcomes(ctx, r.Told)
-			r.LeftAlone()
+			heir.ReceiveOutcomes(ctx, r.AcceptOutcome)
+			r.PredecessorLost()
 		}()
 	}
 	r.Serve()
-	return r.Orphan(), nil
+	return r.Orphaned(), nil
 }
 
 // take makes the state folder this process's: another that runs hands over, one that is about to end is waited for.
@@ -138,7 +138,7 @@
 
 func (s *seat) retell(r *relay.Relay, c *relay.Config) {
 	r.Rediscover(c.Discovery)
-	r.Retune(c.Settings)
+	r.ReloadSettings(c.Settings)
 }
 
 // heed carries signals out.
--- a/internal/relay/query.go
+++ b/internal/relay/query.go
@@ -24,14 +24,14 @@
 // for who asked, as every answer goes into a channel with room for it.
 
 const (
-	viewAge   = 100 * time.Millisecond
-	scanMost  = 256 // messages looked at in one go: some 10 us
-	shownMost = 32  // messages made into answers in one go
+	maxViewAge   = 100 * time.Millisecond
+	maxScanned   = 256 // messages looked at in one go: some 10 us
+	maxDescribed = 32  // messages made into answers in one go
 )
 
-// inLoop has the loop run f, and returns what it gave. Where the context or the relay ends first, f may
+// onLoop has the loop run f, and returns what it gave. Where the context or the relay ends first, f may
 // still run: what it gave is dropped.
-func inLoop[T any](ctx context.Context, r *Relay, f func() T) (T, error) {
+func onLoop[T any](ctx context.Context, r *Relay, f func() T) (T, error) {
 	var none T
 	got := make(chan T, 1)
 	select {
@@ -58,10 +58,10 @@
 	partners []adminapi.Partner
 }
 
-// look returns a view that is not older than viewAge.
-func (r *Relay) look(ctx context.Context) (*cachedView, error) {
+// currentView returns a view that is not older than viewAge.
+func (r *Relay) currentView(ctx context.Context) (*cachedView, error) {
 	fresh := func() *cachedView {
-		if v := r.alone.view.Load(); v != nil && time.Since(v.at) < viewAge {
+		if v := r.standalone.view.Load(); v != nil && time.Since(v.at) < maxViewAge {
 			return v
 		}
 		return nil
@@ -70,25 +70,25 @@
 		return v, nil
 	}
 	select { // one asks the loop, the others wait for what it got
-	case r.alone.looking <- struct{}{}:
+	case r.standalone.viewLock <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	defer func() { <-r.alone.looking }()
+	defer func() { <-r.standalone.viewLock }()
 	if v := fresh(); v != nil {
 		return v, nil
 	}
-	return inLoop(ctx, r, func() *cachedView {
-		v := r.show()
-		r.alone.view.Store(v)
+	return onLoop(ctx, r, func() *cachedView {
+		v := r.buildView()
+		r.standalone.view.Store(v)
 		return v
 	})
 }
 
-// showJournal tells how the durable record is.
-func (r *Relay) showJournal() adminapi.Journal {
+// journalView tells how the durable record is.
+func (r *Relay) journalView() adminapi.Journal {
 	v := adminapi.Journal{Segments: r.journal.Segments(), MostBytes: r.journal.Budget(), Durability: "process"}
-	if r.conf.Power {
+	if r.config.Power {
 		v.Durability = "power"
 	}
 	switch {
@@ -100,38 +100,38 @@
 	return v
 }
 
-// show makes a view, in the loop.
-func (r *Relay) show() *cachedView {
-	a, now := r.alone, time.Now()
-	t := a.count.totals
-	phase, until := a.book.Phase()
+// buildView makes a view, in the loop.
+func (r *Relay) buildView() *cachedView {
+	a, now := r.standalone, time.Now()
+	t := a.counters.totals
+	phase, until := a.drains.Phase()
 	s := adminapi.Status{API: adminapi.Version, Version: a.Version, PID: os.Getpid(), NowMs: now.UnixMilli(),
-		UpMs: r.now().Milliseconds(), Listen: r.Addr(), State: r.conf.State, Phase: string(phase), Held: len(r.held),
-		HeldMost: r.set.MaxHeld, Out: r.out, Slots: r.set.Workers, Ends: a.ends.Len(), EndsMost: a.EndsKeep,
-		DiskBytes: r.journal.Size(), Journal: r.showJournal(), Totals: adminapi.Totals{Taken: t.taken, Turned: t.turned + r.busy.Load(), Delivered: t.delivered,
-			Refused: t.refused, Failed: t.failed, Calls: t.calls}, Series: a.count.series(now), Drains: []adminapi.Drained{}, Left: a.left}
+		UpMs: r.now().Milliseconds(), Listen: r.Addr(), State: r.config.State, Phase: string(phase), Held: len(r.pending),
+		HeldMost: r.settings.MaxHeld, Out: r.callsInFlight, Slots: r.settings.Workers, Ends: a.ends.Len(), EndsMost: a.MaxEnds,
+		DiskBytes: r.journal.Size(), Journal: r.journalView(), Totals: adminapi.Totals{Taken: t.taken, Turned: t.turned + r.rejectedBusy.Load(), Delivered: t.delivered,
+			Refused: t.refused, Failed: t.failed, Calls: t.calls}, Series: a.counters.series(now), Drains: []adminapi.Drained{}, Left: a.remaining}
 	if !until.IsZero() {
 		s.UntilMs = until.UnixMilli()
 	}
-	for _, m := range a.book.Entries() {
+	for _, m := range a.drains.Entries() {
 		s.Drains = append(s.Drains, adminapi.Drained{Target: m.Target.String(), SinceMs: m.Since.UnixMilli(), By: m.RequestedBy})
 	}
-	for _, m := range a.order {
-		if !m.over {
+	for _, m := range a.pendingInOrder {
+		if !m.ended {
 			s.OldestMs = max(0, now.UnixMilli()-m.TakenAt)
 			break
 		}
 	}
 	v := &cachedView{at: now}
 	views := r.chooser.Views()
-	for _, p := range a.dir.Load().all {
+	for _, p := range a.directory.Load().all {
 		dest := views[p.Number]
 		cp := adminapi.Partner{Name: p.Name, Kind: p.Kind, Classes: p.Classes, Waiting: dest.Waiting, Out: dest.Out,
-			PauseMs: dest.Pause.Milliseconds(), Drained: len(a.book.WouldClose(drain.Target{Scope: drain.Partner, Name: p.Name})) == 0}
+			PauseMs: dest.Pause.Milliseconds(), Drained: len(a.drains.WouldClose(drain.Target{Scope: drain.Partner, Name: p.Name})) == 0}
 		for _, e := range p.Endpoints {
 			ce := adminapi.Endpoint{ID: e.ID, Address: e.Address, Zone: e.Zone, State: "open", Health: "healthy"}
 			var by []string
-			for _, m := range a.book.ClosedBy(e.ID) {
+			for _, m := range a.drains.ClosedBy(e.ID) {
 				by = append(by, string(m.Target.Scope)+" by "+m.RequestedBy)
 			}
 			if len(by) > 0 {
@@ -161,7 +161,7 @@
 	for s := now.Unix() - int64(len(c.ring)) + 1; s < now.Unix(); s++ {
 		one := adminapi.Second{}
 		if e := c.ring[s%int64(len(c.ring))]; e.at == s {
-			one = adminapi.Second{Taken: e.taken, Delivered: e.delivered, Ended: e.ended}
+			one = adminapi.Second{Taken: e.accepted, Delivered: e.delivered, Ended: e.ended}
 		}
 		all = append(all, one)
 	}
@@ -170,7 +170,7 @@
 
 // Status implements control.Backend.
 func (r *Relay) Status(ctx context.Context) (adminapi.Status, error) {
-	v, err := r.look(ctx)
+	v, err := r.currentView(ctx)
 	if err != nil {
 		return adminapi.Status{}, err
 	}
@@ -179,7 +179,7 @@
 
 // Partners implements control.Backend.
 func (r *Relay) Partners(ctx context.Context) ([]adminapi.Partner, error) {
-	v, err := r.look(ctx)
+	v, err := r.currentView(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -188,8 +188,8 @@
 
 var stateNames = map[string]string{delivered: adminapi.Delivered, deferred: adminapi.Refused, undeliverable: adminapi.Fails}
 
-// message describes one, in the loop.
-func (r *Relay) message(e *journal.Entry, m *message, whole bool) adminapi.Message {
+// describeMessage describes one, in the loop.
+func (r *Relay) describeMessage(e *journal.Entry, m *message, whole bool) adminapi.Message {
 	c := adminapi.Message{ID: e.ID, Class: e.Class, Partner: e.Partner, Key: e.Key, Bytes: e.Bytes, TakenMs: e.TakenAt, DueMs: e.Due,
 		Ran: e.Ran, Tries: e.Tries, State: stateNames[e.Status], EndedMs: e.EndAt, AgainMs: e.Again, Why: e.Why}
 	if m != nil {
@@ -199,7 +199,7 @@
 		}
 	}
 	if c.State == adminapi.Waiting {
-		c.Why, c.NextMs = r.whyWaits(m)
+		c.Why, c.NextMs = r.waitReason(m)
 	}
 	if !whole {
 		return c
@@ -216,9 +216,9 @@
 	return c
 }
 
-// whyWaits tells why a message is not out, and when that changes by itself, in Unix milliseconds.
-func (r *Relay) whyWaits(m *message) (why string, next int64) {
-	p := r.alone.dir.Load().byNumber[m.Dest]
+// waitReason tells why a message is not out, and when that changes by itself, in Unix milliseconds.
+func (r *Relay) waitReason(m *message) (why string, next int64) {
+	p := r.standalone.directory.Load().byNumber[m.Dest]
 	v, ok := r.chooser.Waits(m.ID)
 	if !ok || p == nil {
 		return "", 0
@@ -231,7 +231,7 @@
 	}
 	var drained []string
 	for _, e := range p.Endpoints {
-		if !r.alone.book.Open(e.ID) {
+		if !r.standalone.drains.Open(e.ID) {
 			drained = append(drained, e.ID)
 		}
 	}
@@ -241,13 +241,13 @@
 	return why, next
 }
 
-// find describes a message by its id, in the loop; nil if nothing is known of it.
-func (r *Relay) find(id string) *adminapi.Message {
-	m, e := r.held[id], r.alone.ends.Get(id)
+// findMessage describes a message by its id, in the loop; nil if nothing is known of it.
+func (r *Relay) findMessage(id string) *adminapi.Message {
+	m, e := r.pending[id], r.standalone.ends.Get(id)
 	if m != nil {
 		e = m.Entry
 	}
-	for _, o := range r.concluded { // not recorded yet
+	for _, o := range r.unstoredEnds { // not recorded yet
 		if e == nil && o.ID == id {
 			e = o
 		}
@@ -255,13 +255,13 @@
 	if e == nil {
 		return nil
 	}
-	c := r.message(e, m, true)
+	c := r.describeMessage(e, m, true)
 	return &c
 }
 
 // Message implements control.Backend.
 func (r *Relay) Message(ctx context.Context, id string) (adminapi.Message, error) {
-	m, err := inLoop(ctx, r, func() *adminapi.Message { return r.find(id) })
+	m, err := onLoop(ctx, r, func() *adminapi.Message { return r.findMessage(id) })
 	if err != nil {
 		return adminapi.Message{}, err
 	}
@@ -297,7 +297,7 @@
 		}
 		from = n
 	}
-	scan := r.scanHeld
+	scan := r.scanPending
 	if ended {
 		scan = r.scanEnds
 	}
@@ -307,8 +307,8 @@
 	}
 	for {
 		// Each part is the loop's own until it is handed over: a request that ends early shares nothing with it.
-		most, at := min(shownMost, q.Limit-len(page.Messages)), from
-		p, err := inLoop(ctx, r, func() (p part) { p.found, p.from = scan(q, at, most); return p })
+		most, at := min(maxDescribed, q.Limit-len(page.Messages)), from
+		p, err := onLoop(ctx, r, func() (p part) { p.found, p.from = scan(q, at, most); return p })
 		if err != nil {
 			return page, err
 		}
@@ -323,39 +323,39 @@
 	return page, nil
 }
 
-// wanted tells whether a message is asked for; since is when it was taken on or ended.
-func wanted(q adminapi.Query, e *journal.Entry, state string, since int64) bool {
+// matchesQuery tells whether a message is asked for; since is when it was taken on or ended.
+func matchesQuery(q adminapi.Query, e *journal.Entry, state string, since int64) bool {
 	return (q.Partner == "" || e.Partner == q.Partner) && (q.Class == "" || e.Class == q.Class) &&
 		(q.State == "" || state == q.State) && strings.HasPrefix(e.ID, q.IDPrefix) &&
 		(q.Older <= 0 || time.Now().UnixMilli()-since > q.Older.Milliseconds())
 }
 
-// scanHeld looks at some messages held after the one with a number, or before it, and returns those that are
+// scanPending looks at some messages held after the one with a number, or before it, and returns those that are
 // wanted, and the number to go on from; 0 at the end.
-func (r *Relay) scanHeld(q adminapi.Query, from uint64, most int) (found []adminapi.Message, next uint64) {
-	all := r.alone.order
-	step, i := 1, sort.Search(len(all), func(i int) bool { return all[i].number > from })
+func (r *Relay) scanPending(q adminapi.Query, from uint64, most int) (found []adminapi.Message, next uint64) {
+	all := r.standalone.pendingInOrder
+	step, i := 1, sort.Search(len(all), func(i int) bool { return all[i].sequence > from })
 	if q.Newest {
 		step, i = -1, len(all)-1
 		if from > 0 {
-			i = sort.Search(len(all), func(i int) bool { return all[i].number >= from }) - 1
+			i = sort.Search(len(all), func(i int) bool { return all[i].sequence >= from }) - 1
 		}
 	}
 	for n := 0; i >= 0 && i < len(all); i += step {
-		if n++; n > scanMost || len(found) >= most {
+		if n++; n > maxScanned || len(found) >= most {
 			return found, from
 		}
 		m := all[i]
-		from = m.number
-		if m.over {
+		from = m.sequence
+		if m.ended {
 			continue
 		}
 		state := adminapi.Waiting
 		if m.call != nil {
 			state = adminapi.Out
 		}
-		if wanted(q, m.Entry, state, m.TakenAt) {
-			found = append(found, r.message(m.Entry, m, false))
+		if matchesQuery(q, m.Entry, state, m.TakenAt) {
+			found = append(found, r.describeMessage(m.Entry, m, false))
 		}
 	}
 	return found, 0
@@ -363,9 +363,9 @@
 
 // scanEnds does the same with the ends that are remembered, newest first.
 func (r *Relay) scanEnds(q adminapi.Query, from uint64, most int) (found []adminapi.Message, next uint64) {
-	next = r.alone.ends.Scan(from, scanMost, func(e *journal.Entry) bool {
-		if wanted(q, e, stateNames[e.Status], e.EndAt) {
-			found = append(found, r.message(e, nil, false))
+	next = r.standalone.ends.Scan(from, maxScanned, func(e *journal.Entry) bool {
+		if matchesQuery(q, e, stateNames[e.Status], e.EndAt) {
+			found = append(found, r.describeMessage(e, nil, false))
 		}
 		return len(found) < most
 	})
@@ -378,9 +378,9 @@
 		got T
 		err error
 	}
-	o, asked := inLoop(ctx, r, func() (o outcome) {
+	o, asked := onLoop(ctx, r, func() (o outcome) {
 		o.got, o.err = f()
-		r.alone.view.Store(nil)
+		r.standalone.view.Store(nil)
 		return o
 	})
 	err := o.err
@@ -401,12 +401,12 @@
 	return o.got, adminapi.Errorf(adminapi.Failed, "not recorded, so nothing was changed: %v", err)
 }
 
-// consequences are what a change of a target means now, in the loop.
-func (r *Relay) consequences(t drain.Target) adminapi.DrainAnswer {
-	b := r.alone.book
+// drainEffect are what a change of a target means now, in the loop.
+func (r *Relay) drainEffect(t drain.Target) adminapi.DrainAnswer {
+	b := r.standalone.drains
 	a := adminapi.DrainAnswer{Target: t.String(), Closes: b.WouldClose(t), GraceMs: drain.Grace.Milliseconds()}
 	if t.Scope == drain.Relay {
-		a.Waiting, a.Out = len(r.held)-r.out, r.out
+		a.Waiting, a.Out = len(r.pending)-r.callsInFlight, r.callsInFlight
 		a.Waiting = max(0, a.Waiting)
 		if phase, until := b.Phase(); phase != drain.Serving {
 			a.UntilMs = until.UnixMilli()
@@ -415,7 +415,7 @@
 	}
 	a.Last = t.Scope == drain.Endpoint && b.IsLastOpen(t.Name)
 	views := r.chooser.Views()
-	for _, p := range r.alone.dir.Load().all {
+	for _, p := range r.standalone.directory.Load().all {
 		for _, e := range p.Endpoints {
 			if t.Scope == drain.Partner && p.Name != t.Name || t.Scope == drain.Endpoint && e.ID != t.Name {
 				continue
@@ -432,23 +432,23 @@
 	return a
 }
 
-const mostBy = 100 // bytes of who asked
+const maxRequesterBytes = 100 // bytes of who asked
 
-// target reads a request for a change.
-func target(q adminapi.DrainRequest) (drain.Target, error) {
+// parseTarget reads a request for a change.
+func parseTarget(q adminapi.DrainRequest) (drain.Target, error) {
 	t, err := drain.ParseTarget(q.Target)
 	if err != nil {
 		return t, adminapi.Errorf(adminapi.Invalid, "%v", err)
 	}
-	if len(q.By) > mostBy {
-		return t, adminapi.Errorf(adminapi.Invalid, "by has %d bytes, %d at most", len(q.By), mostBy)
+	if len(q.By) > maxRequesterBytes {
+		return t, adminapi.Errorf(adminapi.Invalid, "by has %d bytes, %d at most", len(q.By), maxRequesterBytes)
 	}
 	return t, nil
 }
 
 // Drain implements control.Backend. When it returns, the drain is recorded and the gates are closed.
 func (r *Relay) Drain(ctx context.Context, q adminapi.DrainRequest) (adminapi.DrainAnswer, error) {
-	t, err := target(q)
+	t, err := parseTarget(q)
 	if err != nil {
 		return adminapi.DrainAnswer{}, err
 	}
@@ -457,14 +457,14 @@
 		if q.Fleet {
 			return r.drainFleet(t, q, true)
 		}
-		a, b := r.consequences(t), r.alone.book
+		a, b := r.drainEffect(t), r.standalone.drains
 		before := b.Snapshot()
 		var c drain.Change
 		var err error
 		if q.DryRun {
 			_, err = b.Drain(t, q.By, within, true, time.Now())
 		} else {
-			c, err = r.change(func() (drain.Change, error) { return b.Drain(t, q.By, within, q.AllowLast, time.Now()) })
+			c, err = r.applyDrainChange(func() (drain.Change, error) { return b.Drain(t, q.By, within, q.AllowLast, time.Now()) })
 		}
 		a.Result = string(c.Result)
 		if _, until := b.Phase(); t.Scope == drain.Relay && !until.IsZero() {
@@ -479,7 +479,7 @@
 
 // Undrain implements control.Backend.
 func (r *Relay) Undrain(ctx context.Context, q adminapi.DrainRequest) (adminapi.DrainAnswer, error) {
-	t, err := target(q)
+	t, err := parseTarget(q)
 	if err != nil {
 		return adminapi.DrainAnswer{}, err
 	}
@@ -487,7 +487,7 @@
 		if q.Fleet {
 			return r.drainFleet(t, q, false)
 		}
-		a, b := r.consequences(t), r.alone.book
+		a, b := r.drainEffect(t), r.standalone.drains
 		a.UntilMs = 0
 		if q.DryRun {
 			before := b.Snapshot()
@@ -495,7 +495,7 @@
 			b.Revert(before)
 			return a, err
 		}
-		c, err := r.change(func() (drain.Change, error) { return b.Undrain(t, time.Now()) })
+		c, err := r.applyDrainChange(func() (drain.Change, error) { return b.Undrain(t, time.Now()) })
 		a.Result = string(c.Result)
 		return a, err
 	})
@@ -505,28 +505,28 @@
 func (r *Relay) Stop(ctx context.Context, q adminapi.StopRequest) (adminapi.StopAnswer, error) {
 	within := time.Duration(q.WithinMs) * time.Millisecond
 	if within == 0 {
-		within = r.alone.StopWithin
+		within = r.standalone.StopTimeout
 	}
 	return command(ctx, r, func() (a adminapi.StopAnswer, err error) {
-		b := r.alone.book
+		b := r.standalone.drains
 		before := b.Snapshot()
 		c, err := b.Stop(within, time.Now())
 		_, at := b.Phase()
-		a.UntilMs, a.Left = at.UnixMilli(), *r.whatIsLeft()
+		a.UntilMs, a.Left = at.UnixMilli(), *r.remainingMessages()
 		if q.DryRun {
 			b.Revert(before)
 			return a, err
 		}
 		if a.Result = string(c.Result); c.Result == drain.ResultStopping {
 			slog.Info("stopping", "by", q.By, "until", at, "held", a.Left.Messages)
-			go r.settle(at)
+			go r.awaitStop(at)
 		}
 		return a, err
 	})
 }
 
-// serveEnd tells a client how its message is, or how it ended.
-func (r *Relay) serveEnd(w http.ResponseWriter, req *http.Request) {
+// serveMessage tells a client how its message is, or how it ended.
+func (r *Relay) serveMessage(w http.ResponseWriter, req *http.Request) {
 	m, err := r.Message(req.Context(), req.PathValue("id"))
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
@@ -541,12 +541,12 @@
 	json.NewEncoder(w).Encode(m)
 }
 
-// everySecond has the loop forget ends that are too old.
-func (r *Relay) everySecond(tick <-chan time.Time) {
+// expireEnds has the loop forget ends that are too old.
+func (r *Relay) expireEnds(tick <-chan time.Time) {
 	for {
 		select {
 		case <-tick:
-			r.post(func() { r.letGo(r.alone.ends.Expire(time.Now())) })
+			r.post(func() { r.forgetEnds(r.standalone.ends.Expire(time.Now())) })
 		case <-r.quit:
 			return
 		}
@@ -557,12 +557,12 @@
 	choice.Timeout: "timed out", choice.NoConnection: "no connection", choice.Reset: "reset", choice.Cancelled: "called off",
 	choice.NotSent: "not sent", choice.Spoilt: "spoilt answer"}
 
-// readAlone reads what a client of a relay alone says further: the partner's name, and perhaps a deadline.
-func (r *Relay) readAlone(req *http.Request, e *journal.Entry, class int, came time.Duration) (*intake, int, error) {
-	k, dir := r.classes.Load().all[class], r.alone.dir.Load()
-	bad := func(status int, text string) (*intake, int, error) { return nil, status, errors.New(text) }
+// parseStandaloneRequest reads what a client of a relay alone says further: the partner's name, and perhaps a deadline.
+func (r *Relay) parseStandaloneRequest(req *http.Request, e *journal.Entry, class int, came time.Duration) (*admission, int, error) {
+	k, dir := r.classes.Load().all[class], r.standalone.directory.Load()
+	bad := func(status int, text string) (*admission, int, error) { return nil, status, errors.New(text) }
 	p := dir.byName[req.Header.Get("X-Partner")]
-	if n, ok := destOf(req.Header.Get("X-Addressing")); p == nil && ok && req.Header.Get("X-Partner") == "" {
+	if n, ok := parseDestination(req.Header.Get("X-Addressing")); p == nil && ok && req.Header.Get("X-Partner") == "" {
 		p = dir.byNumber[n]
 	}
 	switch {
@@ -574,12 +574,12 @@
 	ms := k.Deadline.Milliseconds()
 	if text := req.Header.Get("X-Deadline-Ms"); text != "" {
 		var err error
-		if ms, err = strconv.ParseInt(text, 10, 64); err != nil || ms <= 0 || ms > maxLeft.Milliseconds() {
+		if ms, err = strconv.ParseInt(text, 10, 64); err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
 			return bad(http.StatusBadRequest, "X-Deadline-Ms is malformed")
 		}
 	}
 	// They are kept for long: not with all of the head that they came in.
 	e.ID, e.Key, e.Class = strings.Clone(e.ID), strings.Clone(e.Key), k.Name
 	e.Dest, e.Partner, e.TakenAt, e.Bytes = p.Number, p.Name, time.Now().UnixMilli(), int(req.ContentLength)
-	return r.readRest(req, e, class, came, ms)
+	return r.newAdmission(req, e, class, came, ms)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,166 +31,166 @@
 )
 
 const (
-	batchMost  = 256 // of what came in, other than messages, between two Steps
-	intakeMost = 64  // messages between two Steps: what is out and under way does not wait behind a flood
-	intakeRoom = 512 // messages that wait to be looked at; more are refused at once
-	maxOwed    = 8192
-	keptBack   = 16 // descriptors for all but clients and hosts; conf.Sockets is at least 64
+	maxInboxBatch        = 256 // of what came in, other than messages, between two Steps
+	maxAdmissionBatch    = 64  // messages between two Steps: what is out and under way does not wait behind a flood
+	admissionQueueLength = 512 // messages that wait to be looked at; more are refused at once
+	maxPendingNotices    = 8192
+	reservedDescriptors  = 16 // descriptors for all but clients and hosts; conf.Sockets is at least 64
 	// The ids of messages that are over are remembered for so long, across restarts: a client may repeat one.
-	pastMost  = 4096
-	pastBytes = 1 << 20
-	pastAge   = 15 * time.Minute
-	// forgetUnwell is when an outage last heard of is over for a restarted relay.
-	forgetUnwell = 5 * time.Minute
+	maxEnded      = 4096
+	maxEndedBytes = 1 << 20
+	endedExpiry   = 15 * time.Minute
+	// unhealthyExpiry is when an outage last heard of is over for a restarted relay.
+	unhealthyExpiry = 5 * time.Minute
 )
 
 // message is one that this relay owes its end.
 type message struct {
 	*journal.Entry
-	class int
-	due   time.Duration
-	call  *call     // out now
-	fresh []*intake // its client still waits for an answer; more than one if it sent it twice
-	twice bool      // its client sent it on a second connection
-	over  bool
-	bytes int64 // of its body, while it is held
-	// Where attempts are kept: number in the order of those held.
-	number uint64
-	ran    bool // an attempt may have run; the entry says so only once that is recorded
-}
-
-func (m *message) answer(a answer) {
-	for _, in := range m.fresh {
+	class     int
+	deadline  time.Duration
+	call      *call        // out now
+	waiting   []*admission // its client still waits for an answer; more than one if it sent it twice
+	resent    bool         // its client sent it on a second connection
+	ended     bool
+	bodyBytes int64 // of its body, while it is held
+	// Where attempts are kept: sequence in the order of those held.
+	sequence   uint64
+	mayHaveRun bool // an attempt may have run; the entry says so only once that is recorded
+}
+
+func (m *message) respond(a response) {
+	for _, in := range m.waiting {
 		in.reply <- a
 	}
-	m.fresh = nil
+	m.waiting = nil
 }
 
 // Relay is one relay. Fields below the channels belong to the loop.
 type Relay struct {
-	conf     Config
-	set      settings.Settings
-	began    time.Time
-	server   *http.Server
-	listener *httpapi.Listener
-	conns    *httpcall.Pool
-	life     context.Context // of discovery and notices
-	end      context.CancelFunc
-	agent    atomic.Pointer[agent]
-	calls    context.Context
-	endCalls context.CancelCauseFunc
-	inbox    chan func()
-	intakes  chan *intake
-	notices  outbox
-	bodies   int64         // bytes that bodies may hold; those being read as many again
-	reading  atomic.Int64  // bytes of those
-	busy     atomic.Uint64 // messages refused as it was too late to look at them
-	quit     chan struct{} // closed to end the loop
-	once     sync.Once
-	over     chan struct{} // closed when it has ended, and answers nobody any more
-	ending   atomic.Bool   // Terminate was called
-	last     time.Duration // for answers that are decided to be written at the end
-	doors    *httpapi.Doors
-	heir     atomic.Pointer[heir] // who has taken this relay's place; stored by the loop
-	orphan   atomic.Bool
-	classes  atomic.Pointer[classes] // stored by the loop, read by clients' requests
-
-	chooser   *engine.Core
-	peers     *gossip.Conn // nil without other relays to hear from
-	journal   *journal.Journal
-	held      map[string]*message
-	past      recent
-	found     found
-	abroad    map[string]int // messages with a call out in the process whose place this one has taken, and its number there
-	hosts     map[string]*host
-	bytes     int64                   // of the bodies held
-	version   int64                   // of discovery's list
-	dests     map[int]time.Duration   // when a host was last listed there
-	waits     map[int]*httpcall.Waits // of destinations whose hosts wait together
-	events    []choice.Event
-	fresh     []*message
-	records   []journal.Record
-	untold    []notice         // go out once they are recorded
-	alone     *alone           // nil under a platform
-	company   *company         // nil for a relay of no fleet, and under a platform
-	concluded []*journal.Entry // ends to be kept once they are recorded
-	wake      *time.Timer
-	wakeAt    time.Duration
-	woken     bool
-	out       int               // calls
-	owed      int               // notices
-	orders    map[string]string // of those, by id: the key of the order that the message was in
-	telling   map[string]int    // by that key, how many
-	behind    []*call           // wait until the end before them in their order is heard
-	stopped   bool              // no more decisions; outcomes are still recorded
-
-	tracedAt   time.Duration
-	unrecorded int // failures to record since the last line in the log
-	complainAt time.Duration
+	config           Config
+	settings         settings.Settings
+	startedAt        time.Time
+	server           *http.Server
+	listener         *httpapi.Listener
+	pool             *httpcall.Pool
+	background       context.Context // of discovery and notices
+	cancelBackground context.CancelFunc
+	agent            atomic.Pointer[agent]
+	callsContext     context.Context
+	cancelCalls      context.CancelCauseFunc
+	inbox            chan func()
+	admissions       chan *admission
+	notices          outbox
+	maxBodyBytes     int64         // bytes that bodies may hold; those being read as many again
+	readingBytes     atomic.Int64  // bytes of those
+	rejectedBusy     atomic.Uint64 // messages refused as it was too late to look at them
+	quit             chan struct{} // closed to end the loop
+	quitOnce         sync.Once
+	loopDone         chan struct{} // closed when it has ended, and answers nobody any more
+	terminating      atomic.Bool   // Terminate was called
+	finalAnswerWait  time.Duration // for answers that are decided to be written at the end
+	doors            *httpapi.Doors
+	successor        atomic.Pointer[successor] // who has taken this relay's place; stored by the loop
+	orphaned         atomic.Bool
+	classes          atomic.Pointer[classes] // stored by the loop, read by clients' requests
+
+	chooser          *engine.Core
+	peers            *gossip.Conn // nil without other relays to hear from
+	journal          *journal.Journal
+	pending          map[string]*message
+	ended            endedMessages
+	untried          untriedMessages
+	predecessorCalls map[string]int // messages with a call out in the process whose place this one has taken, and its number there
+	hosts            map[string]*host
+	pendingBytes     int64                   // of the bodies held
+	listVersion      int64                   // of discovery's list
+	destinationSeen  map[int]time.Duration   // when a host was last listed there
+	sharedWaits      map[int]*httpcall.Waits // of destinations whose hosts wait together
+	events           []choice.Event
+	admitted         []*message
+	records          []journal.Record
+	unsentNotices    []notice         // go out once they are recorded
+	standalone       *standalone      // nil under a platform
+	cluster          *cluster         // nil for a relay of no fleet, and under a platform
+	unstoredEnds     []*journal.Entry // ends to be kept once they are recorded
+	wakeTimer        *time.Timer
+	wakeAt           time.Duration
+	wakeFired        bool
+	callsInFlight    int               // calls
+	pendingNotices   int               // notices
+	noticeOrder      map[string]string // of those, by id: the key of the order that the message was in
+	noticesByOrder   map[string]int    // by that key, how many
+	blockedCalls     []*call           // wait until the end before them in their order is heard
+	stopped          bool              // no more decisions; outcomes are still recorded
+
+	tracedAt        time.Duration
+	writeErrors     int // failures to record since the last line in the log
+	logWriteErrorAt time.Duration
 }
 
 // New replays the journal and listens; Serve does the rest.
 func New(conf Config) (*Relay, error) {
 	set := conf.Settings
 	set.Life = rand.Uint32()
-	r := &Relay{conf: conf, set: set, began: time.Now(), held: map[string]*message{}, abroad: map[string]int{}, hosts: map[string]*host{},
-		dests: map[int]time.Duration{}, orders: map[string]string{}, telling: map[string]int{}, waits: map[int]*httpcall.Waits{}, inbox: make(chan func(), batchMost), intakes: make(chan *intake, intakeRoom), notices: newOutbox(),
-		quit: make(chan struct{}), over: make(chan struct{}), last: answerLast, wake: time.NewTimer(time.Hour), bodies: bodyBytes(conf.MemoryMB)}
-	r.past.most = pastMost
-	if conf.Alone != nil {
-		r.alone = newAlone(*conf.Alone)
-		r.past.most = max(r.past.most, conf.Alone.EndsKeep)
+	r := &Relay{config: conf, settings: set, startedAt: time.Now(), pending: map[string]*message{}, predecessorCalls: map[string]int{}, hosts: map[string]*host{},
+		destinationSeen: map[int]time.Duration{}, noticeOrder: map[string]string{}, noticesByOrder: map[string]int{}, sharedWaits: map[int]*httpcall.Waits{}, inbox: make(chan func(), maxInboxBatch), admissions: make(chan *admission, admissionQueueLength), notices: newOutbox(),
+		quit: make(chan struct{}), loopDone: make(chan struct{}), finalAnswerWait: finalAnswerTimeout, wakeTimer: time.NewTimer(time.Hour), maxBodyBytes: bodyBytes(conf.MemoryMB)}
+	r.ended.capacity = maxEnded
+	if conf.Standalone != nil {
+		r.standalone = newStandalone(*conf.Standalone)
+		r.ended.capacity = max(r.ended.capacity, conf.Standalone.MaxEnds)
 	}
 	rest := set.IdleConn - min(500*time.Millisecond, set.IdleConn/4) // hosts end idle ones; what crosses that is lost
 	// Descriptors: half for clients, a few for journal, discovery and the runtime, the rest for hosts.
-	back := keptBack
+	back := reservedDescriptors
 	if conf.Admin != "" {
 		back += admin.MostCalls
 	}
-	r.conns = httpcall.NewPool(set.DialTimeout, rest, conf.Sockets/2-back)
-	r.life, r.end = context.WithCancel(context.Background())
-	if r.alone == nil {
+	r.pool = httpcall.NewPool(set.DialTimeout, rest, conf.Sockets/2-back)
+	r.background, r.cancelBackground = context.WithCancel(context.Background())
+	if r.standalone == nil {
 		r.Rediscover(conf.Discovery)
 	}
-	r.calls, r.endCalls = context.WithCancelCause(context.Background())
+	r.callsContext, r.cancelCalls = context.WithCancelCause(context.Background())
 	r.classes.Store(newClasses(set.Classes))
 	var err error
 	if r.chooser, err = engine.New(set, conf.Seed); err != nil {
 		return nil, err
 	}
 	if r.journal, err = journal.Open(conf.State, journal.Options{Budget: int64(conf.DiskMB * 1e6), Power: conf.Power, Files: conf.Files,
-		Memory: journal.Memory{Most: r.past.most, Bytes: pastBytes, AgeMS: pastAge.Milliseconds()}}); err != nil {
+		Memory: journal.Memory{Most: r.ended.capacity, Bytes: maxEndedBytes, AgeMS: endedExpiry.Milliseconds()}}); err != nil {
 		return nil, err
 	}
 	switch {
-	case conf.Heir != nil && conf.Heir.State.HostList != nil:
-		var l list
-		if err := json.Unmarshal(conf.Heir.State.HostList, &l); err != nil {
+	case conf.Successor != nil && conf.Successor.State.HostList != nil:
+		var l hostList
+		if err := json.Unmarshal(conf.Successor.State.HostList, &l); err != nil {
 			return nil, fmt.Errorf("the earlier process's list of hosts: %w", err)
 		}
-		r.version = l.Version
-		r.listed(l)
+		r.listVersion = l.Version
+		r.applyHostList(l)
 	case conf.Known.Full || len(conf.Known.Servers) > 0:
-		r.version = conf.Known.Version
-		r.listed(conf.Known)
+		r.listVersion = conf.Known.Version
+		r.applyHostList(conf.Known)
 	}
-	if r.alone != nil {
-		if err := r.begin(); err != nil {
+	if r.standalone != nil {
+		if err := r.restoreDrains(); err != nil {
 			r.journal.Close()
 			return nil, err
 		}
 	}
-	if conf.Heir != nil {
-		r.inherit(conf.Heir.State)
-		r.listener = httpapi.Adopt(conf.Heir.Listener, conf.Sockets/2)
+	if conf.Successor != nil {
+		r.inheritState(conf.Successor.State)
+		r.listener = httpapi.Adopt(conf.Successor.Listener, conf.Sockets/2)
 	} else if r.listener, err = httpapi.Listen(conf.Listen, conf.Sockets/2); err != nil {
 		r.journal.Close()
 		return nil, err
 	}
 	r.restore()
-	r.server = &http.Server{ReadTimeout: requestIn, WriteTimeout: answerIn, IdleTimeout: idleIn, MaxHeaderBytes: 16 << 10,
+	r.server = &http.Server{ReadTimeout: readTimeout, WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
 		ConnContext: httpapi.WithClient, ConnState: httpapi.ClientState}
-	r.doors = httpapi.NewDoors(r.listener, stopKeeping)
+	r.doors = httpapi.NewDoors(r.listener, keepAliveFor)
 	r.server.Handler = r.doors.Behind(r.handler())
 	return r, nil
 }
@@ -208,32 +208,32 @@
 
 // Serve runs the relay until it is ended.
 func (r *Relay) Serve() {
-	if r.alone == nil {
-		go r.follow(r.life, discoverypoll.Settings{Index: r.set.Index, Fleet: r.set.Fleet, Seed: r.conf.Seed, Version: r.version, Listed: len(r.hosts) > 0})
-		go r.tell(r.life)
+	if r.standalone == nil {
+		go r.followDiscovery(r.background, discoverypoll.Settings{Index: r.settings.Index, Fleet: r.settings.Fleet, Seed: r.config.Seed, Version: r.listVersion, Listed: len(r.hosts) > 0})
+		go r.postNotices(r.background)
 	}
-	if r.chooser.Granted() && r.conf.PeerListen != "" {
-		go r.joinFleet(r.life)
+	if r.chooser.Granted() && r.config.PeerListen != "" {
+		go r.joinFleet(r.background)
 	}
 	go r.server.Serve(r.listener)
 	r.loop()
-	r.end()
-	close(r.over)
-	r.clientsLeave(r.last)
+	r.cancelBackground()
+	close(r.loopDone)
+	r.drainClients(r.finalAnswerWait)
 	r.server.Close()
-	r.endCalls(errStopping)
-	r.conns.CloseIdle()
+	r.cancelCalls(errStopping)
+	r.pool.CloseIdle()
 	r.journal.Close()
-	if h := r.heir.Load(); h != nil {
-		h.leave()
+	if h := r.successor.Load(); h != nil {
+		h.close()
 	}
 }
 
-// clientsLeave sends all clients away, those included that have not asked for anything yet, and waits for so long at
+// drainClients sends all clients away, those included that have not asked for anything yet, and waits for so long at
 // the most until each that has asked has its answer.
-func (r *Relay) clientsLeave(most time.Duration) {
+func (r *Relay) drainClients(most time.Duration) {
 	r.doors.Shut()
-	for end := time.Now().Add(most); ; time.Sleep(leaveLook) {
+	for end := time.Now().Add(most); ; time.Sleep(pollInterval) {
 		if r.listener.SendAway(true); r.listener.Len() == 0 || !time.Now().Before(end) {
 			return
 		}
@@ -243,41 +243,41 @@
 // The times of an orderly stop, from SIGTERM. New connections come for 0.4 s
 // more, SIGKILL after 3.7 s.
 const (
-	stopKeeping = 500 * time.Millisecond  // then connections end between requests
-	stopTaking  = 800 * time.Millisecond  // a relay that holds nothing, and has no clients, ends from here on
-	stopSending = 2600 * time.Millisecond // then no more calls go out, and no message is taken on
-	stopAll     = 3300 * time.Millisecond // then calls still out are left to the journal
-	answerLast  = 250 * time.Millisecond  // for answers that are decided to be written
+	keepAliveFor       = 500 * time.Millisecond  // then connections end between requests
+	exitIdleAfter      = 800 * time.Millisecond  // a relay that holds nothing, and has no clients, ends from here on
+	sendFor            = 2600 * time.Millisecond // then no more calls go out, and no message is taken on
+	terminateTimeout   = 3300 * time.Millisecond // then calls still out are left to the journal
+	finalAnswerTimeout = 250 * time.Millisecond  // for answers that are decided to be written
 )
 
 // Terminate stops the platform's relay in order: it takes on and delivers while clients still
 // come, lets calls out finish, and leaves the rest to the journal. Clients are accepted, and answered, to the end: one
 // whose request nobody reads has lost it.
 func (r *Relay) Terminate() {
-	if r.ending.Swap(true) {
+	if r.terminating.Swap(true) {
 		return // a second signal changes nothing
 	}
 	begin := time.Now()
-	time.Sleep(stopKeeping)
-	for idle := false; !idle && time.Since(begin) < stopAll; time.Sleep(leaveLook) {
+	time.Sleep(keepAliveFor)
+	for idle := false; !idle && time.Since(begin) < terminateTimeout; time.Sleep(pollInterval) {
 		r.doors.Shut() // again and again: an answer that was under way keeps its connection
-		sending := time.Since(begin) < stopSending
-		alone := time.Since(begin) >= stopTaking && r.listener.Len() == 0
-		idle, _ = inLoop(r.life, r, func() bool {
+		sending := time.Since(begin) < sendFor
+		alone := time.Since(begin) >= exitIdleAfter && r.listener.Len() == 0
+		idle, _ = onLoop(r.background, r, func() bool {
 			r.stopped = r.stopped || !sending
-			return r.out == 0 && (r.stopped || alone && (r.heir.Load() != nil || len(r.held)+r.owed == 0))
+			return r.callsInFlight == 0 && (r.stopped || alone && (r.successor.Load() != nil || len(r.pending)+r.pendingNotices == 0))
 		})
 	}
 	// No more is taken on, and who was taken on hears so, before the loop ends.
-	inLoop(r.life, r, func() bool { r.stopped = true; return true })
-	r.clientsLeave(r.last)
+	onLoop(r.background, r, func() bool { r.stopped = true; return true })
+	r.drainClients(r.finalAnswerWait)
 	r.stop()
 }
 
 // stop ends the relay as it is; the journal has the rest.
-func (r *Relay) stop() { r.once.Do(func() { close(r.quit) }) }
+func (r *Relay) stop() { r.quitOnce.Do(func() { close(r.quit) }) }
 
-func (r *Relay) now() time.Duration { return time.Since(r.began) }
+func (r *Relay) now() time.Duration { return time.Since(r.startedAt) }
 
 // post hands the loop something to do.
 func (r *Relay) post(f func()) {
@@ -287,46 +287,46 @@
 	}
 }
 
-// atOnce is always ready.
-var atOnce = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
+// alwaysReady is always ready.
+var alwaysReady = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 func (r *Relay) loop() {
-	if r.alone != nil {
+	if r.standalone != nil {
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
-		go r.everySecond(tick.C)
+		go r.expireEnds(tick.C)
 	}
 	for {
 		r.step()
-		r.trackDrain()
+		r.checkDrain()
 		// Where one processor is all there is, clients and loop could hand it to each other for ever: the runtime
 		// looks at sockets, and at those woken by them, only when nothing else can run. Yielding puts the loop
 		// behind the calls whose answers have come.
 		runtime.Gosched()
 		var again <-chan struct{}
 		if len(r.events) > 0 { // the step left some; nothing else may come in for long
-			again = atOnce
+			again = alwaysReady
 		}
 		select {
 		case f := <-r.inbox:
 			f()
-		case in := <-r.intakes:
-			r.take(in)
-		case <-r.wake.C:
-			r.woken = true
+		case in := <-r.admissions:
+			r.admit(in)
+		case <-r.wakeTimer.C:
+			r.wakeFired = true
 		case <-again:
 		case <-r.quit:
-			r.unsendAll()
+			r.cancelBlockedCalls()
 			r.flush()
 			return
 		}
-		r.gather()
+		r.receiveBatch()
 	}
 }
 
-// gather takes in what else has come, up to a bound for each kind.
-func (r *Relay) gather() {
-	for range batchMost {
+// receiveBatch takes in what else has come, up to a bound for each kind.
+func (r *Relay) receiveBatch() {
+	for range maxInboxBatch {
 		select {
 		case f := <-r.inbox:
 			f()
@@ -335,10 +335,10 @@
 		}
 		break
 	}
-	for range intakeMost {
+	for range maxAdmissionBatch {
 		select {
-		case in := <-r.intakes:
-			r.take(in)
+		case in := <-r.admissions:
+			r.admit(in)
 			continue
 		default:
 		}
@@ -351,12 +351,12 @@
 	wall := time.Now().UnixMilli()
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, e := range r.journal.Ended() {
-		r.past.put(e.ID, e.Sum)
+		r.ended.put(e.ID, e.Sum)
 	}
-	r.damage()
+	r.logJournalDamage()
 	for _, e := range r.journal.InOrder() {
 		id := e.ID
-		if e.Status != "" && r.alone != nil {
+		if e.Status != "" && r.standalone != nil {
 			r.restoreEnd(e)
 			continue
 		}
@@ -365,51 +365,51 @@
 			continue
 		}
 		if e.Status != "" {
-			r.past.add(e)
-			r.owe(notice{e.ID, e.Status, e.Again}, e.Order)
+			r.ended.add(e)
+			r.queueNotice(notice{e.ID, e.Status, e.Again}, e.Order)
 			continue
 		}
-		if _, out := r.abroad[id]; e.Out && !out {
+		if _, out := r.predecessorCalls[id]; e.Out && !out {
 			// The process died before the outcome was recorded: it may have run.
 			r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: true})
 		}
 		class, ok := r.classAs(e)
 		if !ok {
 			status := undeliverable
-			if r.alone != nil && !e.Ran && !e.Out {
+			if r.standalone != nil && !e.Ran && !e.Out {
 				status = deferred
 			}
-			r.give(&message{Entry: e}, notice{e.ID, status, 0}, "its class was taken out of the operator's file")
+			r.endUndelivered(&message{Entry: e}, notice{e.ID, status, 0}, "its class was taken out of the operator's file")
 			continue
 		}
-		m := &message{Entry: e, class: class, due: r.now() + ms(e.Due-wall)}
-		if r.alone != nil && r.unwanted(m) != "" {
-			m.ran = e.Out
-			r.conclude(m, r.lawful(m), 0, r.unwanted(m))
+		m := &message{Entry: e, class: class, deadline: r.now() + ms(e.Due-wall)}
+		if r.standalone != nil && r.rejectReason(m) != "" {
+			m.mayHaveRun = e.Out
+			r.conclude(m, r.undeliveredStatus(m), 0, r.rejectReason(m))
 			continue
 		}
-		r.hold(m)
-		if _, out := r.abroad[id]; out {
-			r.expect(m)
+		r.addPending(m)
+		if _, out := r.predecessorCalls[id]; out {
+			r.expectOutcome(m)
 			continue
 		}
 		if e.Tries == 0 {
-			r.found.add(id)
+			r.untried.add(id)
 		}
-		r.takeUp(m, e.Out)
+		r.restoreMessage(m, e.Out)
 	}
 	for id, s := range r.journal.Unwell {
-		if time.Duration(wall-s.At)*time.Millisecond < forgetUnwell {
+		if time.Duration(wall-s.At)*time.Millisecond < unhealthyExpiry {
 			r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
 		} else {
 			r.record(journal.Record{Op: journal.OpHealth, ID: id})
 		}
 	}
-	slog.Info("journal replayed", "held", len(r.held), "owed", r.owed)
+	slog.Info("journal replayed", "held", len(r.pending), "owed", r.pendingNotices)
 }
 
-// damage says what of the journal could not be read, and which messages it may concern.
-func (r *Relay) damage() {
+// logJournalDamage says what of the journal could not be read, and which messages it may concern.
+func (r *Relay) logJournalDamage() {
 	rep := r.journal.Report()
 	for _, d := range rep.Damage {
 		slog.Error("the journal is damaged", "where", d.String(), "kept", d.Saved)
@@ -433,87 +433,87 @@
 	r.records = append(r.records, rec)
 }
 
-// owe has a notice told once what it says is recorded. Order is the key of the order that its message was in.
-func (r *Relay) owe(n notice, order string) {
-	r.owed++
-	r.untold = append(r.untold, n)
+// queueNotice has a notice told once what it says is recorded. Order is the key of the order that its message was in.
+func (r *Relay) queueNotice(n notice, order string) {
+	r.pendingNotices++
+	r.unsentNotices = append(r.unsentNotices, n)
 	if order != "" {
-		r.orders[n.ID] = order
-		r.telling[order]++
+		r.noticeOrder[n.ID] = order
+		r.noticesByOrder[order]++
 	}
 }
 
-// give ends a message undelivered. Why is for people.
-func (r *Relay) give(m *message, n notice, why string) {
-	r.found.end(m.ID, why)
+// endUndelivered ends a message undelivered. Why is for people.
+func (r *Relay) endUndelivered(m *message, n notice, why string) {
+	r.untried.markEnded(m.ID, why)
 	traceEnd(m, n.Status, why)
-	if r.alone != nil {
+	if r.standalone != nil {
 		r.conclude(m, n.Status, n.Again, why)
 		return
 	}
 	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: n.Status, Again: n.Again})
-	r.owe(n, m.Order)
-	r.drop(m)
+	r.queueNotice(n, m.Order)
+	r.finish(m)
 }
 
-func (r *Relay) hold(m *message) {
-	m.bytes = int64(len(m.Body))
-	r.bytes += m.bytes
-	r.held[m.ID] = m
-	r.enlist(m)
+func (r *Relay) addPending(m *message) {
+	m.bodyBytes = int64(len(m.Body))
+	r.pendingBytes += m.bodyBytes
+	r.pending[m.ID] = m
+	r.appendInOrder(m)
 }
 
-func (r *Relay) free(m *message) {
-	m.over = true
-	delete(r.held, m.ID)
-	r.bytes -= m.bytes
-	m.bytes = 0
+func (r *Relay) removePending(m *message) {
+	m.ended = true
+	delete(r.pending, m.ID)
+	r.pendingBytes -= m.bodyBytes
+	m.bodyBytes = 0
 }
 
-// drop forgets a message that has ended.
-func (r *Relay) drop(m *message) {
-	r.free(m)
-	r.past.add(m.Entry)
+// finish forgets a message that has ended.
+func (r *Relay) finish(m *message) {
+	r.removePending(m)
+	r.ended.add(m.Entry)
 }
 
 // flush records what has ended. What cannot be written now is kept, and no notice
 // goes out before it is: a client told to come again, and a restart that takes the
 // message up again, would deliver it twice.
 func (r *Relay) flush() {
-	if r.heir.Load() != nil {
-		r.records, r.untold = nil, nil // the heir knows, or learns it as this process did
+	if r.successor.Load() != nil {
+		r.records, r.unsentNotices = nil, nil // the heir knows, or learns it as this process did
 		return
 	}
 	if len(r.records) > 0 {
 		if err := r.journal.Append(r.records...); err != nil {
-			r.complain("not recorded", err)
-			time.AfterFunc(longPause, func() { r.post(func() {}) })
+			r.logWriteError("not recorded", err)
+			time.AfterFunc(maxBackoff, func() { r.post(func() {}) })
 			return
 		}
 		r.records = r.records[:0]
 	}
-	r.keepEnds()
-	r.notices.put(r.untold...)
-	r.untold = r.untold[:0]
+	r.storeEnds()
+	r.notices.put(r.unsentNotices...)
+	r.unsentNotices = r.unsentNotices[:0]
 }
 
 // step lets the Chooser decide on what has come in, and carries its actions out.
 func (r *Relay) step() {
-	if r.heir.Load() != nil {
-		r.events, r.fresh = nil, nil
+	if r.successor.Load() != nil {
+		r.events, r.admitted = nil, nil
 		r.flush()
 		return
 	}
 	if r.stopped {
 		r.events = nil
-		for _, m := range r.fresh {
-			r.refuse(m, comeBack, "stopping")
+		for _, m := range r.admitted {
+			r.reject(m, defaultRetryAfter, "stopping")
 		}
-		r.fresh = nil
+		r.admitted = nil
 		r.flush()
 		return
 	}
-	if r.woken {
+	if r.wakeFired {
 		r.events = append(r.events, choice.Woken{})
 	}
 	if len(r.events) == 0 {
@@ -522,8 +522,8 @@
 	}
 	events, now := r.events, r.now()
 	r.events = nil
-	if r.woken {
-		r.woken, r.wakeAt = false, 0
+	if r.wakeFired {
+		r.wakeFired, r.wakeAt = false, 0
 	}
 	var sends []choice.Send
 	for _, a := range r.chooser.Step(now, events) {
@@ -531,22 +531,22 @@
 		case choice.Send:
 			sends = append(sends, a)
 		case choice.Refuse:
-			r.final(a.ID, deferred, min(a.After, r.set.MaxRetryAfter), a.Why)
+			r.giveUp(a.ID, deferred, min(a.After, r.settings.MaxRetryAfter), a.Why)
 		case choice.Fail:
-			r.final(a.ID, undeliverable, 0, a.Why)
+			r.giveUp(a.ID, undeliverable, 0, a.Why)
 		case choice.Cancel:
-			if m := r.held[a.ID]; m != nil && m.call != nil {
+			if m := r.pending[a.ID]; m != nil && m.call != nil {
 				m.call.cancel(httpcall.ErrCalledOff)
 			}
 		case choice.Wake:
-			r.arm(now, a.After)
+			r.armWakeTimer(now, a.After)
 		case choice.Health:
 			r.record(journal.Record{Op: journal.OpHealth, ID: a.Host, Ran: a.Unwell, Base: a.Base, At: time.Now().UnixMilli()})
-			r.tellSight(a.Host, a.Unwell)
+			r.reportHealth(a.Host, a.Unwell)
 		case choice.Tell:
-			r.tellPeer(a)
+			r.sendToPeer(a)
 		case choice.Log:
-			slog.Info(r.named(a.Text))
+			slog.Info(r.withPartnerName(a.Text))
 		}
 	}
 	r.traceFleet(now)
@@ -557,15 +557,15 @@
 // the platform are told, and calls begin. All of it is one write; if that fails, each part is recorded for
 // itself, so that what there is no room for holds up nothing else.
 func (r *Relay) commit(sends []choice.Send) {
-	calls, unsent := r.group(sends)
+	calls, unsent := r.groupCalls(sends)
 	ended := len(r.records)
-	for _, m := range r.fresh {
-		if !m.over {
+	for _, m := range r.admitted {
+		if !m.ended {
 			r.record(journal.Record{Op: journal.OpTaken, Entry: m.Entry})
 		}
 	}
 	for _, c := range calls {
-		r.records = append(r.records, r.tries(c)...)
+		r.records = append(r.records, r.attemptRecords(c)...)
 	}
 	var err error
 	if len(r.records) > 0 {
@@ -577,117 +577,117 @@
 		r.records = r.records[:ended]
 	}
 	r.flush()
-	for _, m := range r.fresh {
-		if m.over || err != nil && !r.takenOn(m) {
+	for _, m := range r.admitted {
+		if m.ended || err != nil && !r.recordAdmission(m) {
 			continue
 		}
-		m.answer(answer{status: http.StatusAccepted})
-		if r.alone != nil {
-			r.alone.count.taken(time.Now())
+		m.respond(response{status: http.StatusAccepted})
+		if r.standalone != nil {
+			r.standalone.counters.countAccepted(time.Now())
 		}
 	}
-	clear(r.fresh)
-	r.fresh = r.fresh[:0]
+	clear(r.admitted)
+	r.admitted = r.admitted[:0]
 	if err != nil {
-		calls, unsent = r.group(sends) // some may not be held any more
+		calls, unsent = r.groupCalls(sends) // some may not be held any more
 	}
 	for _, s := range unsent {
-		r.notSent(s)
+		r.reportNotSent(s)
 	}
 	for _, c := range calls {
 		switch {
-		case err != nil && !r.tried(c):
-		case r.mustWait(c):
-			r.behind = append(r.behind, c)
+		case err != nil && !r.recordAttempts(c):
+		case r.awaitsNotice(c):
+			r.blockedCalls = append(r.blockedCalls, c)
 		default:
-			r.start(c)
+			r.startCall(c)
 		}
 	}
 }
 
-// takenOn records a message for itself, or refuses it.
-func (r *Relay) takenOn(m *message) bool {
+// recordAdmission records a message for itself, or refuses it.
+func (r *Relay) recordAdmission(m *message) bool {
 	err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: m.Entry})
 	if err != nil {
-		r.complain("message not taken on", err)
+		r.logWriteError("message not taken on", err)
 		r.events = append(r.events, choice.Withdrawn{ID: m.ID})
-		r.refuse(m, comeBack, "no room on the disk")
+		r.reject(m, defaultRetryAfter, "no room on the disk")
 	}
 	return err == nil
 }
 
-// tried records the attempts of a call for themselves, or calls them off. An attempt that a restart would not
+// recordAttempts records the attempts of a call for themselves, or calls them off. An attempt that a restart would not
 // know of must not go out, nor one whose record would come before an outcome that could not be written yet.
-func (r *Relay) tried(c *call) bool {
+func (r *Relay) recordAttempts(c *call) bool {
 	err := journal.ErrUnwritten
 	if len(r.records) == 0 {
-		err = r.journal.Append(r.tries(c)...)
+		err = r.journal.Append(r.attemptRecords(c)...)
 	}
 	if err != nil {
-		r.complain("attempts not sent", err)
+		r.logWriteError("attempts not sent", err)
 		for _, s := range c.sends {
-			r.notSent(s)
+			r.reportNotSent(s)
 		}
 	}
 	return err == nil
 }
 
-func (r *Relay) notSent(s choice.Send) {
+func (r *Relay) reportNotSent(s choice.Send) {
 	r.events = append(r.events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.NotSent})
 }
 
-// arm sets the timer for the earliest wake-up asked for. One that fell due, but whose tick
+// armWakeTimer sets the timer for the earliest wake-up asked for. One that fell due, but whose tick
 // the loop has not read yet, no longer counts: the Chooser has asked anew, will not ask
 // again before that, and without the guard sleeps until something else comes in.
-func (r *Relay) arm(now, after time.Duration) {
+func (r *Relay) armWakeTimer(now, after time.Duration) {
 	if at := now + after; r.wakeAt <= now || at < r.wakeAt {
 		r.wakeAt = at
-		r.wake.Reset(after) // drops an unread tick
+		r.wakeTimer.Reset(after) // drops an unread tick
 	}
 }
 
-// complain logs that something could not be recorded, at most once a second: there may be thousands.
-func (r *Relay) complain(what string, err error) {
-	r.unrecorded++
-	if now := r.now(); now >= r.complainAt {
-		slog.Error(what, "err", err, "times", r.unrecorded)
-		r.unrecorded, r.complainAt = 0, now+time.Second
+// logWriteError logs that something could not be recorded, at most once a second: there may be thousands.
+func (r *Relay) logWriteError(what string, err error) {
+	r.writeErrors++
+	if now := r.now(); now >= r.logWriteErrorAt {
+		slog.Error(what, "err", err, "times", r.writeErrors)
+		r.writeErrors, r.logWriteErrorAt = 0, now+time.Second
 	}
 }
 
-// refuse ends a message that was never taken on.
-func (r *Relay) refuse(m *message, after time.Duration, text string) {
-	if r.alone != nil {
-		r.alone.count.turned()
+// reject ends a message that was never taken on.
+func (r *Relay) reject(m *message, after time.Duration, text string) {
+	if r.standalone != nil {
+		r.standalone.counters.countRejected()
 	}
 	traceEnd(m, "turned away", text)
-	r.free(m)
-	m.answer(answer{status: http.StatusServiceUnavailable, after: after, text: text})
+	r.removePending(m)
+	m.respond(response{status: http.StatusServiceUnavailable, after: after, text: text})
 }
 
-// final ends a message that the Chooser has given up, at once.
-func (r *Relay) final(id, status string, after time.Duration, why choice.Reason) {
-	switch m := r.held[id]; {
+// giveUp ends a message that the Chooser has given up, at once.
+func (r *Relay) giveUp(id, status string, after time.Duration, why choice.Reason) {
+	switch m := r.pending[id]; {
 	case m == nil:
-	case m.fresh != nil:
-		r.refuse(m, after, "refused: "+why.String())
+	case m.waiting != nil:
+		r.reject(m, after, "refused: "+why.String())
 	default:
-		r.give(m, notice{id, status, after.Milliseconds()}, why.String())
+		r.endUndelivered(m, notice{id, status, after.Milliseconds()}, why.String())
 	}
 }
 
-// group makes calls of the sends of one Step, and tells which cannot go: their host has gone or closed.
-func (r *Relay) group(sends []choice.Send) (calls []*call, unsent []choice.Send) {
+// groupCalls makes calls of the sends of one Step, and tells which cannot go: their host has gone or closed.
+func (r *Relay) groupCalls(sends []choice.Send) (calls []*call, unsent []choice.Send) {
 	open := map[string]*call{}
 	for _, s := range sends {
-		m, h := r.held[s.ID], r.hosts[s.Host]
+		m, h := r.pending[s.ID], r.hosts[s.Host]
 		if m == nil || h == nil || h.dest != m.Dest || h.Closed() {
 			unsent = append(unsent, s)
 			continue
 		}
 		c, size := open[s.Host], 0
 		if h.perCall > 1 {
-			size = len(frameOf(m))
+			size = len(messageFrame(m))
 		}
 		if c == nil || len(c.members) >= h.perCall || c.size+size > maxBody { // no body may be longer
 			c = &call{host: h}
@@ -700,12 +700,12 @@
 	return calls, unsent
 }
 
-// tries are the records of a call's attempts.
-func (r *Relay) tries(c *call) (recs []journal.Record) {
+// attemptRecords are the records of a call's attempts.
+func (r *Relay) attemptRecords(c *call) (recs []journal.Record) {
 	wall := time.Now().UnixMilli()
 	for i, m := range c.members {
 		rec := journal.Record{Op: journal.OpTry, ID: m.ID, At: wall, Wait: c.sends[i].Timeout.Milliseconds(), Zone: c.host.zone}
-		if r.alone != nil {
+		if r.standalone != nil {
 			rec.Host = c.host.id
 		}
 		recs = append(recs, rec)
@@ -718,36 +718,36 @@
 	return o != choice.Refused && o != choice.NoConnection && o != choice.NotSent
 }
 
-// ended takes in what became of one message's attempt.
-func (r *Relay) ended(c *call, m *message, e httpcall.End, took, wait time.Duration) {
+// attemptEnded takes in what became of one message's attempt.
+func (r *Relay) attemptEnded(c *call, m *message, e httpcall.End, took, wait time.Duration) {
 	if m.call != c {
 		return // its own time was up before the call's
 	}
 	m.call = nil
 	traceAttempt(c, m, e, took, wait)
-	if r.heir.Load() != nil {
-		r.tellHeir(c, m, e, took, wait)
+	if r.successor.Load() != nil {
+		r.notifySuccessor(c, m, e, took, wait)
 		return
 	}
-	expelled := r.alone != nil && r.unwanted(m) != ""
+	expelled := r.standalone != nil && r.rejectReason(m) != ""
 	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.Outcome, Took: took, Wait: wait,
 		Done: e.Done || e.Outcome == choice.Served || expelled})
-	if m.over {
+	if m.ended {
 		return
 	}
 	ran := mayHaveRun(e.Outcome)
-	m.ran = m.ran || ran
+	m.mayHaveRun = m.mayHaveRun || ran
 	out := journal.Record{Op: journal.OpOutcome, ID: m.ID, Ran: ran}
-	if r.alone != nil {
+	if r.standalone != nil {
 		out.Why, out.Wait = outcomeNames[e.Outcome], took.Milliseconds()
 	}
 	switch over := e.Done || e.Outcome == choice.Served; {
-	case r.alone == nil && e.Outcome == choice.Served && r.doubtful(c, m):
-		r.give(m, notice{m.ID, undeliverable, 0}, "delivered, perhaps after its time")
-	case r.alone == nil && over:
+	case r.standalone == nil && e.Outcome == choice.Served && r.maybeLate(c, m):
+		r.endUndelivered(m, notice{m.ID, undeliverable, 0}, "delivered, perhaps after its time")
+	case r.standalone == nil && over:
 		traceEnd(m, delivered, "")
 		r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
-		r.drop(m)
+		r.finish(m)
 	case !over && !expelled:
 		r.record(out)
 	default:
@@ -756,9 +756,9 @@
 		case e.Outcome == choice.Served:
 			r.conclude(m, delivered, 0, "")
 		case e.Done:
-			r.conclude(m, r.lawful(m), 0, "its partner holds it to be over")
+			r.conclude(m, r.undeliveredStatus(m), 0, "its partner holds it to be over")
 		default:
-			r.conclude(m, r.lawful(m), 0, r.unwanted(m))
+			r.conclude(m, r.undeliveredStatus(m), 0, r.rejectReason(m))
 		}
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -39,7 +39,7 @@
 type platform struct {
 	*httptest.Server
 	mu      sync.Mutex
-	now     list
+	now     hostList
 	changed chan struct{}
 	asked   chan string // raw queries, as far as a test reads them
 	notices chan notice
@@ -49,8 +49,8 @@
 	silent bool // notices are read and never answered
 }
 
-func newPlatform(t *testing.T, servers ...server) *platform {
-	p := &platform{now: list{1, true, servers}, changed: make(chan struct{}), asked: make(chan string, 100),
+func newPlatform(t *testing.T, servers ...hostEntry) *platform {
+	p := &platform{now: hostList{1, true, servers}, changed: make(chan struct{}), asked: make(chan string, 100),
 		notices: make(chan notice, 100)}
 	p.Server = httptest.NewServer(http.HandlerFunc(p.serve))
 	t.Cleanup(p.CloseClientConnections)
@@ -108,10 +108,10 @@
 	json.NewEncoder(w).Encode(l)
 }
 
-func (p *platform) publish(version int64, full bool, servers ...server) {
+func (p *platform) publish(version int64, full bool, servers ...hostEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.now = list{version, full, servers}
+	p.now = hostList{version, full, servers}
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -237,8 +237,8 @@
 	}
 }
 
-func at(id, addr, zone string) server {
-	return server{ID: id, Addr: addr, Zone: zone, Kind: "customer-system", Cell: 7, State: "active", Weight: 1}
+func at(id, addr, zone string) hostEntry {
+	return hostEntry{ID: id, Addr: addr, Zone: zone, Kind: "customer-system", Cell: 7, State: "active", Weight: 1}
 }
 
 func TestDeliversUnchanged(t *testing.T) {
@@ -254,7 +254,7 @@
 }
 
 // Guards against a second delivery when a client repeats an id after its connection broke.
-func TestRepeatedIDIsTakenOnOnce(t *testing.T) {
+func TestRepeatedIDIsAdmittedOnce(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	for range 2 {
@@ -276,28 +276,28 @@
 }
 
 // Guards against taking on a message whose client has already gone.
-func TestClientGoneIsNotTakenOn(t *testing.T) {
+func TestMessageOfGoneClientIsWithdrawn(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	held := make(chan int, 1)
-	in := &intake{entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, class: 2, due: r.now() + time.Second, ctx: ctx,
-		reply: make(chan answer, 1)}
-	r.post(func() { r.take(in); held <- len(r.held) })
+	in := &admission{entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, class: 2, deadline: r.now() + time.Second, ctx: ctx,
+		reply: make(chan response, 1)}
+	r.post(func() { r.admit(in); held <- len(r.pending) })
 	want(t, "messages held", wait(t, held, "count"), 0)
 }
 
 // Guards against losing a message that came on two connections when the first one broke.
-func TestWithdrawKeepsWhatCameTwice(t *testing.T) {
+func TestWithdrawKeepsResentMessage(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), nil)
 	held := make(chan int, 1)
 	r.post(func() {
 		for _, id := range []string{"once", "twice"} {
-			r.held[id] = &message{Entry: &journal.Entry{ID: id}, twice: id == "twice"}
+			r.pending[id] = &message{Entry: &journal.Entry{ID: id}, resent: id == "twice"}
 			r.withdraw(id)
 		}
-		held <- len(r.held)
-		delete(r.held, "twice")
+		held <- len(r.pending)
+		delete(r.pending, "twice")
 	})
 	want(t, "messages held", wait(t, held, "count"), 1)
 }
@@ -308,7 +308,7 @@
 	for _, c := range [][2]string{{"X-Request-Id", ""}, {"X-Request-Id", "a b"}, {"X-Class", "nothing"}, {"X-Class", ""},
 		{"X-Deadline-Ms", "0"}, {"X-Deadline-Ms", "-5"}, {"X-Deadline-Ms", "soon"}, {"X-Deadline-Ms", "99999999999999999999"},
 		{"X-Addressing", ""}, {"X-Addressing", "dest=x"}, {"X-Addressing", "dest=8"}, {"Idempotency-Key", ""},
-		{"X-Request-Id", strings.Repeat("x", maxName+1)}} {
+		{"X-Request-Id", strings.Repeat("x", maxTokenBytes+1)}} {
 		if status, _ := hand(t, r.Addr(), "m1", "job-order", c[0], c[1]); status < 400 || status > 499 {
 			t.Errorf("%s %q: status %d, want 4xx", c[0], c[1], status)
 		}
@@ -335,7 +335,7 @@
 }
 
 // Guards against taking on more than the settings allow, and against a refusal that says not when to come again.
-func TestFullRelayRefuses(t *testing.T) {
+func TestFullRelayRejects(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")),
 		func(c *Config) { c.Settings.MaxHeld = 1 })
 	var status int
@@ -350,7 +350,7 @@
 }
 
 // Guards against a call before the end of a wait, which has decimals.
-func TestWaitIsHeeded(t *testing.T) {
+func TestRetryAfterIsObserved(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	hand(t, r.Addr(), "m1", "status-update")
@@ -365,7 +365,7 @@
 }
 
 // Guards against sends to a host that the list withdraws while messages come in.
-func TestLeavingHostGetsNothingNew(t *testing.T) {
+func TestDrainingHostGetsNoNewCalls(t *testing.T) {
 	calls := make(chan *seen, 10)
 	a, b := at("s-1", fakeHost(t, "a", calls), "taller"), at("s-2", fakeHost(t, "b", calls), "almacen")
 	p := newPlatform(t, a, b)
@@ -387,13 +387,13 @@
 }
 
 // Guards against calls held back, or let through, by a whole list: it closes just the hosts it leaves out.
-func TestWholeListClosesWhatIsMissing(t *testing.T) {
-	r := &Relay{hosts: map[string]*host{}, dests: map[int]time.Duration{},
-		waits: map[int]*httpcall.Waits{}, journal: &journal.Journal{},
-		conns: httpcall.NewPool(time.Second, time.Minute, 64)}
-	r.listed(list{1, true, []server{at("s-1", "x:1", "taller"), at("s-2", "x:2", "taller"), at("s-3", "x:3", "taller")}})
+func TestFullListClosesMissingHosts(t *testing.T) {
+	r := &Relay{hosts: map[string]*host{}, destinationSeen: map[int]time.Duration{},
+		sharedWaits: map[int]*httpcall.Waits{}, journal: &journal.Journal{},
+		pool: httpcall.NewPool(time.Second, time.Minute, 64)}
+	r.applyHostList(hostList{1, true, []hostEntry{at("s-1", "x:1", "taller"), at("s-2", "x:2", "taller"), at("s-3", "x:3", "taller")}})
 	one, two, three := r.hosts["s-1"], r.hosts["s-2"], r.hosts["s-3"]
-	r.listed(list{2, true, []server{at("s-1", "x:1", "taller"), at("s-3", "x:9", "taller")}})
+	r.applyHostList(hostList{2, true, []hostEntry{at("s-1", "x:1", "taller"), at("s-3", "x:9", "taller")}})
 	want(t, "the one that stays is closed", one.Closed(), false)
 	want(t, "the one left out is closed", two.Closed(), true)
 	want(t, "the one that moved is closed at its old place", three.Closed(), true)
@@ -443,7 +443,7 @@
 	want(t, "notice", n, notice{"m1", undeliverable, 0})
 	owed := make(chan int)
 	for {
-		r.post(func() { owed <- r.owed + len(r.journal.Entries) })
+		r.post(func() { owed <- r.pendingNotices + len(r.journal.Entries) })
 		if wait(t, owed, "count") == 0 {
 			break
 		}
@@ -473,18 +473,18 @@
 
 // Guards against a relay that sleeps past a deadline: a step for another reason comes just after a
 // wake-up fell due and before its tick was read.
-func TestWakeThatFellDueIsReplaced(t *testing.T) {
-	r := &Relay{wake: time.NewTimer(time.Hour)}
-	r.arm(0, time.Nanosecond)
-	r.arm(time.Second, 50*time.Millisecond)
+func TestOverdueWakeIsReplaced(t *testing.T) {
+	r := &Relay{wakeTimer: time.NewTimer(time.Hour)}
+	r.armWakeTimer(0, time.Nanosecond)
+	r.armWakeTimer(time.Second, 50*time.Millisecond)
 	want(t, "next wake-up", r.wakeAt, time.Second+50*time.Millisecond)
 	begin := time.Now()
-	<-r.wake.C
+	<-r.wakeTimer.C
 	if early := time.Since(begin) < 40*time.Millisecond; early {
 		t.Fatal("the old tick came through")
 	}
-	r.arm(2*time.Second, time.Second)
-	r.arm(2*time.Second, time.Minute)
+	r.armWakeTimer(2*time.Second, time.Second)
+	r.armWakeTimer(2*time.Second, time.Minute)
 	want(t, "earlier wake-up", r.wakeAt, 3*time.Second)
 }
 
@@ -606,7 +606,7 @@
 }
 
 // Guards against a late notice for what ran out of time while the relay was down.
-func TestExpiredIsToldAtOnce(t *testing.T) {
+func TestExpiredMessageGetsNoticeAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		class, status string
 		tried         bool
--- a/internal/relay/retune.go
+++ b/internal/relay/retune.go
@@ -11,8 +11,8 @@
 	"larchrouter/internal/relay/settings"
 )
 
-// mostClasses that one process has known: each new meaning of a name takes a place for good. More need a restart.
-const mostClasses = 256
+// maxClasses that one process has known: each new meaning of a name takes a place for good. More need a restart.
+const maxClasses = 256
 
 // classes are all that the process has known, in the places by which decisions and messages know them, and those
 // that clients may use now. They are never changed, only replaced.
@@ -29,21 +29,21 @@
 	return c
 }
 
-// with gives clients other classes to use. A class that means what one has meant before takes its place; messages
+// withCurrent gives clients other classes to use. A class that means what one has meant before takes its place; messages
 // under way keep theirs, whether or not its name is in use.
-func (c *classes) with(now []choice.Class) (*classes, error) {
+func (c *classes) withCurrent(now []choice.Class) (*classes, error) {
 	n := &classes{all: slices.Clone(c.all), current: map[string]int{}}
 	for _, k := range now {
-		n.current[k.Name] = n.place(k)
+		n.current[k.Name] = n.index(k)
 	}
-	if len(n.all) > mostClasses {
-		return nil, fmt.Errorf("%d different classes since the start, %d at most: a restart takes the new file", len(n.all), mostClasses)
+	if len(n.all) > maxClasses {
+		return nil, fmt.Errorf("%d different classes since the start, %d at most: a restart takes the new file", len(n.all), maxClasses)
 	}
 	return n, nil
 }
 
-// place is where a class stands; a new one is put last.
-func (c *classes) place(k choice.Class) int {
+// index is where a class stands; a new one is put last.
+func (c *classes) index(k choice.Class) int {
 	i := slices.Index(c.all, k)
 	if i < 0 {
 		i = len(c.all)
@@ -52,28 +52,28 @@
 	return i
 }
 
-// Retune takes the settings of a file that was read again: classes, attempts, what may be held, slots, rules, and
+// ReloadSettings takes the settings of a file that was read again: classes, attempts, what may be held, slots, rules, and
 // how long clients heed advice. All else needs a restart. Messages under way keep their class.
-func (r *Relay) Retune(s settings.Settings) {
+func (r *Relay) ReloadSettings(s settings.Settings) {
 	r.post(func() {
-		n, err := r.classes.Load().with(s.Classes)
+		n, err := r.classes.Load().withCurrent(s.Classes)
 		if err != nil {
 			slog.Error("settings not taken", "err", err)
 			return
 		}
-		set := r.set
+		set := r.settings
 		set.Classes, set.MaxAttempts, set.MaxHeld, set.Workers = n.all, s.MaxAttempts, s.MaxHeld, s.Workers
 		set.Rules, set.MaxRetryAfter = s.Rules, s.MaxRetryAfter
-		r.adopt(n, set)
+		r.useSettings(n, set)
 		slog.Info("settings taken", "classes", slices.Sorted(maps.Keys(n.current)), "attempts", set.MaxAttempts)
 	})
 }
 
-// adopt has clients, decisions and the loop go by other settings, in the loop.
-func (r *Relay) adopt(n *classes, set settings.Settings) {
-	r.set = set
+// useSettings has clients, decisions and the loop go by other settings, in the loop.
+func (r *Relay) useSettings(n *classes, set settings.Settings) {
+	r.settings = set
 	r.classes.Store(n)
-	r.reslot()
+	r.adjustSlots()
 }
 
 // classAs is the class of a message that an earlier process took on: with the effect that it had then, since what a
@@ -82,24 +82,24 @@
 func (r *Relay) classAs(e *journal.Entry) (class int, ok bool) {
 	c := r.classes.Load()
 	class, ok = c.current[e.Class]
-	if e.Effect == 0 || ok && 1+int(c.all[class].Effect) == e.Effect || !ok && r.alone != nil {
+	if e.Effect == 0 || ok && 1+int(c.all[class].Effect) == e.Effect || !ok && r.standalone != nil {
 		return class, ok
 	}
-	k := careful(c.all)
+	k := mostRestrictive(c.all)
 	if ok {
 		k = c.all[class]
 	}
 	k.Name, k.Effect = e.Class, choice.Effect(e.Effect-1)
 	n := &classes{all: slices.Clone(c.all), current: c.current}
-	class = n.place(k)
-	set := r.set
+	class = n.index(k)
+	set := r.settings
 	set.Classes = n.all
-	r.adopt(n, set)
+	r.useSettings(n, set)
 	return class, true
 }
 
-// careful is a class with the shortest window and aim of some, bound to a zone, and the longest time.
-func careful(all []choice.Class) choice.Class {
+// mostRestrictive is a class with the shortest window and aim of some, bound to a zone, and the longest time.
+func mostRestrictive(all []choice.Class) choice.Class {
 	k := all[0]
 	for _, o := range all[1:] {
 		k.Aim, k.Window, k.Worth = min(k.Aim, o.Aim), min(k.Window, o.Window), min(k.Worth, o.Worth)
--- a/internal/relay/retune_test.go
+++ b/internal/relay/retune_test.go
@@ -22,7 +22,7 @@
 
 // A class that appears is taken on, one that vanishes is not, one under way keeps its effect; fewer attempts bind
 // what is held.
-func TestRetune(t *testing.T) {
+func TestReloadSettings(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	r := startRelay(t, p, nil)
@@ -33,7 +33,7 @@
 	safe := wait(t, calls, "call")
 
 	// status-update becomes at_most_once, job-order vanishes, parcel appears.
-	r.Retune(retuned(t, "status-update", "parcel", "job-order", "status-update", `"deduplicated"`, `"at_most_once"`))
+	r.ReloadSettings(retuned(t, "status-update", "parcel", "job-order", "status-update", `"deduplicated"`, `"at_most_once"`))
 	status, _ = hand(t, r.Addr(), "gone", "job-order")
 	want(t, "status of a class that vanished", status, 400)
 	status, _ = hand(t, r.Addr(), "new", "parcel")
@@ -49,7 +49,7 @@
 	again := wait(t, calls, "second try")
 	want(t, "id", again.id, "safe")
 
-	r.Retune(retuned(t, `"max-attempts":6`, `"max-attempts":2`))
+	r.ReloadSettings(retuned(t, `"max-attempts":6`, `"max-attempts":2`))
 	again.answer <- 500
 	n := wait(t, p.notices, "notice")
 	want(t, "id of what has used its attempts up", n.ID, "safe")
@@ -58,7 +58,7 @@
 	want(t, "status of a class that came back", status, 202)
 	wait(t, calls, "call").answer <- 200
 	got := make(chan int, 1)
-	r.post(func() { got <- len(r.set.Classes) })
+	r.post(func() { got <- len(r.settings.Classes) })
 	want(t, "classes known", wait(t, got, "number"), 5) // three, parcel, and the strict status-update
 }
 
@@ -102,16 +102,16 @@
 
 func TestClassesAreBounded(t *testing.T) {
 	c := newClasses([]choice.Class{{Name: "a"}})
-	for i := range 2 * mostClasses {
-		n, err := c.with([]choice.Class{{Name: "a", Worth: float64(i)}})
-		if (err != nil) != (i >= mostClasses) {
+	for i := range 2 * maxClasses {
+		n, err := c.withCurrent([]choice.Class{{Name: "a", Worth: float64(i)}})
+		if (err != nil) != (i >= maxClasses) {
 			t.Fatalf("after %d: %v", i, err)
 		}
 		if err == nil {
 			c = n
 		}
 	}
-	if n, err := c.with([]choice.Class{{Name: "a", Worth: 7}}); err != nil || n.current["a"] != 7 {
+	if n, err := c.withCurrent([]choice.Class{{Name: "a", Worth: 7}}); err != nil || n.current["a"] != 7 {
 		t.Errorf("one known before: %v", err)
 	}
 }
--- a/internal/relay/service.go
+++ b/internal/relay/service.go
@@ -9,7 +9,7 @@
 
 // Serving returns nil once the loop has shown that it decides.
 func (r *Relay) Serving(ctx context.Context) error {
-	stopped, err := inLoop(ctx, r, func() bool { return r.stopped })
+	stopped, err := onLoop(ctx, r, func() bool { return r.stopped })
 	if err == nil && stopped {
 		err = errors.New("the relay is stopping")
 	}
--- a/internal/relay/service_test.go
+++ b/internal/relay/service_test.go
@@ -55,7 +55,7 @@
 }
 
 // Guards against a request hidden in the body of another: whatever the stated lengths leave over is not served.
-func TestHiddenRequestIsNotServed(t *testing.T) {
+func TestSmuggledRequestIsNotServed(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	hidden := request("hidden", "Content-Length: 1\r\n", "x")
@@ -81,7 +81,7 @@
 }
 
 // Guards against a body that is waited for although its stated length is already too much.
-func TestLongBodyIsRefusedAtOnce(t *testing.T) {
+func TestLongBodyIsRejectedAtOnce(t *testing.T) {
 	r := startRelay(t, newPlatform(t), nil)
 	conn := dial(t, r.Addr())
 	io.WriteString(conn, request("m1", "Content-Length: 60000000\r\n", ""))
@@ -107,7 +107,7 @@
 }
 
 // Guards against silent and idle connections that keep others from being accepted.
-func TestSilentClientsMakeRoom(t *testing.T) {
+func TestIdleClientsAreEvicted(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), func(c *Config) { c.Sockets = 64 })
 	silent := make([]net.Conn, 40)
@@ -118,7 +118,7 @@
 	io.WriteString(conn, request("m1", "Content-Length: 1\r\n", "x"))
 	status, _, _ := answered(t, conn)
 	want(t, "status", status, 202)
-	silent[0].SetReadDeadline(time.Now().Add(requestIn / 2)) // it was closed to make room, not for its silence
+	silent[0].SetReadDeadline(time.Now().Add(readTimeout / 2)) // it was closed to make room, not for its silence
 	if _, err := silent[0].Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 		t.Fatalf("the oldest silent connection: %v, want its end", err)
 	}
@@ -126,7 +126,7 @@
 }
 
 // Guards against another client's message that passes for the one with its id, or harms it.
-func TestForeignMessageWithAHeldID(t *testing.T) {
+func TestForeignMessageWithPendingID(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	status, _ := hand(t, r.Addr(), "m1", "job-order")
@@ -168,14 +168,14 @@
 	}
 	wait(t, calls, "call").answer <- 200
 
-	r = &Relay{bodies: 5 << 10}
-	if _, err := r.readBody(strings.NewReader(body), len(body)); err != errNoRoom { //nolint:errorlint // as it is: clients get its text
+	r = &Relay{maxBodyBytes: 5 << 10}
+	if _, err := r.readBody(strings.NewReader(body), len(body)); err != errNoBodyMemory { //nolint:errorlint // as it is: clients get its text
 		t.Fatalf("error is %v, want no room", err)
 	}
 	if _, err := r.readBody(strings.NewReader("short"), 60<<10); err != io.ErrUnexpectedEOF { //nolint:errorlint // as it comes from the reader
 		t.Fatalf("error is %v, want an early end", err)
 	}
-	want(t, "bytes of bodies being read", r.reading.Load(), 0)
+	want(t, "bytes of bodies being read", r.readingBytes.Load(), 0)
 }
 
 // Guards against a loop that stands still while more notices are owed than fit anywhere.
@@ -185,15 +185,15 @@
 		o.put(notice{"m", deferred, 0})
 	}
 	n := 0
-	for len(o.come) > 0 {
-		<-o.come
+	for len(o.ready) > 0 {
+		<-o.ready
 		n += len(o.take())
 	}
 	want(t, "notices", n, 100_000)
 }
 
 // Guards against one notice that is never taken and holds up all others.
-func TestBadNoticeHoldsUpNoOther(t *testing.T) {
+func TestRejectedNoticeDoesNotBlockOthers(t *testing.T) {
 	told := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
@@ -214,7 +214,7 @@
 	r := startRelay(t, newPlatform(t), func(c *Config) { c.Discovery = []string{s.Listener.Addr().String()} })
 	r.post(func() {
 		for _, id := range []string{"a", "bad", "b"} {
-			r.owe(notice{id, undeliverable, 0}, "")
+			r.queueNotice(notice{id, undeliverable, 0}, "")
 		}
 	})
 	want(t, "first", wait(t, told, "notice"), "a")
@@ -224,22 +224,22 @@
 // Guards against growth where ids of hosts are ever new.
 func TestGoneHostsAreForgotten(t *testing.T) {
 	long := time.Now().Add(-time.Hour).UnixMilli()
-	r := &Relay{hosts: map[string]*host{}, dests: map[int]time.Duration{},
-		waits: map[int]*httpcall.Waits{},
+	r := &Relay{hosts: map[string]*host{}, destinationSeen: map[int]time.Duration{},
+		sharedWaits: map[int]*httpcall.Waits{},
 		journal: newJournal(t, journal.Record{Op: journal.OpHealth, ID: "s-0", Ran: true, At: long},
 			journal.Record{Op: journal.OpHealth, ID: "s-1", Ran: true, At: long}),
-		began: time.Now().Add(-time.Hour), conns: httpcall.NewPool(time.Second, time.Minute, 64)}
-	r.dests[6] = 0
-	r.listed(list{1, true, []server{at("s-1", "x:1", "nowhere")}})
+		startedAt: time.Now().Add(-time.Hour), pool: httpcall.NewPool(time.Second, time.Minute, 64)}
+	r.destinationSeen[6] = 0
+	r.applyHostList(hostList{1, true, []hostEntry{at("s-1", "x:1", "nowhere")}})
 	r.flush()
 	want(t, "the gone one's outage is kept", r.journal.Unwell["s-0"].Ran, false)
 	want(t, "the listed one's outage is kept", r.journal.Unwell["s-1"].Ran, true)
-	want(t, "destination 6 is known", r.knows(6), false)
-	want(t, "destination 7 is known", r.knows(7), true)
-	first, again := r.zone("nowhere"), r.zone("nowhere")
+	want(t, "destination 6 is known", r.knownDestination(6), false)
+	want(t, "destination 7 is known", r.knownDestination(7), true)
+	first, again := r.zoneNumber("nowhere"), r.zoneNumber("nowhere")
 	want(t, "the number of an unnamed zone, asked again", again, first)
-	want(t, "two unnamed zones share a number", r.zone("a") == r.zone("b"), false)
-	want(t, "zones", len(r.set.Zones), 0)
+	want(t, "two unnamed zones share a number", r.zoneNumber("a") == r.zoneNumber("b"), false)
+	want(t, "zones", len(r.settings.Zones), 0)
 }
 
 // Guards against an end by SIGHUP, and against list and notices from where discovery no longer is.
@@ -344,7 +344,7 @@
 	t.Helper()
 	for owed := -1; owed != 0; {
 		var err error
-		if owed, err = inLoop(t.Context(), r, func() int { return r.owed }); err != nil {
+		if owed, err = onLoop(t.Context(), r, func() int { return r.pendingNotices }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -355,7 +355,7 @@
 
 // Forces the crossing of an answer and a change of address: a notice that was read at the old address and not answered is
 // told at the new one, and one that was answered is not.
-func TestNoticeWithoutAnAnswerGoesToTheNewAddress(t *testing.T) {
+func TestUnansweredNoticeGoesToNewAddress(t *testing.T) {
 	calls := make(chan *seen, 10)
 	host := at("s-1", fakeHost(t, "a", calls), "taller")
 	old, next := newPlatform(t, host), newPlatform(t, host)
@@ -380,7 +380,7 @@
 }
 
 // Guards against a refusal that becomes a crash: a relay whose disk is full answers 503 and goes on.
-func TestFullDiskRefuses(t *testing.T) {
+func TestFullDiskRejects(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	set := func(budget int64) (old int64) {
--- a/internal/relay/succession.go
+++ b/internal/relay/succession.go
@@ -24,13 +24,13 @@
 // messages whose call is still out there). Package handover has the idea.
 
 const (
-	heirIn      = 350 * time.Millisecond // for an heir to serve what waits to be passed on; clients leave after 400
-	leaveAfter  = time.Second            // clients' connections have been closed by then
-	leaveLook   = 50 * time.Millisecond
-	abroadSlack = 50 * time.Millisecond // an owner tells a time-out at the message's time; the answer has 300 ms
+	successorTimeout  = 350 * time.Millisecond // for an heir to serve what waits to be passed on; clients leave after 400
+	drainClientsAfter = time.Second            // clients' connections have been closed by then
+	pollInterval      = 50 * time.Millisecond
+	predecessorSlack  = 50 * time.Millisecond // an owner tells a time-out at the message's time; the answer has 300 ms
 )
 
-var errNoHeir = errors.New("its successor does not serve")
+var errNoSuccessor = errors.New("its successor does not serve")
 
 // Release gives the relay up, as handover.Owner says.
 func (r *Relay) Release(ctx context.Context, to *handover.Link) (handover.State, *net.TCPListener, error) {
@@ -38,7 +38,7 @@
 		handover.State
 		err error
 	}
-	got, err := inLoop(ctx, r, func() released { s, err := r.release(to); return released{s, err} })
+	got, err := onLoop(ctx, r, func() released { s, err := r.release(to); return released{s, err} })
 	if err = errors.Join(err, got.err); err != nil {
 		return handover.State{}, nil, err
 	}
@@ -48,11 +48,11 @@
 
 // release runs in the loop.
 func (r *Relay) release(to *handover.Link) (s handover.State, err error) {
-	if r.heir.Load() != nil {
+	if r.successor.Load() != nil {
 		return s, errors.New("it has given way already")
 	}
-	r.gather()
-	r.unsendAll()
+	r.receiveBatch()
+	r.cancelBlockedCalls()
 	for turns := 0; len(r.events) > 0 || len(r.records) > 0; turns++ {
 		if turns == 64 {
 			return s, errors.New("not all can be recorded")
@@ -60,7 +60,7 @@
 		r.step()
 	}
 	calls := map[*call]int{}
-	for id, m := range r.held {
+	for id, m := range r.pending {
 		if m.call != nil {
 			if _, ok := calls[m.call]; !ok {
 				calls[m.call] = len(calls)
@@ -76,52 +76,52 @@
 			}
 		}
 	}
-	r.past.each(func(id string, sum uint32) { s.Ended = append(s.Ended, handover.Ended{ID: id, Sum: sum}) })
-	l := list{Version: r.version, Full: true}
+	r.ended.each(func(id string, sum uint32) { s.Ended = append(s.Ended, handover.Ended{ID: id, Sum: sum}) })
+	l := hostList{Version: r.listVersion, Full: true}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
 		l.Servers = append(l.Servers, r.hosts[id].listed)
 	}
 	if s.HostList, err = json.Marshal(l); err != nil {
 		return s, err
 	}
-	r.heir.Store(&heir{link: to, serves: make(chan struct{}), way: handover.Forwarder(r.conf.State)})
-	r.leaveFleet()
+	r.successor.Store(&successor{link: to, serving: make(chan struct{}), transport: handover.Forwarder(r.config.State)})
+	r.closePeers()
 	r.journal.Close()
-	if r.conf.Unlock != nil {
-		r.conf.Unlock()
+	if r.config.Unlock != nil {
+		r.config.Unlock()
 	}
 	return s, nil
 }
 
-// heir is who has taken a relay's place.
-type heir struct {
-	link   *handover.Link
-	serves chan struct{} // closed when it does
-	way    *http.Transport
+// successor is who has taken a relay's place.
+type successor struct {
+	link      *handover.Link
+	serving   chan struct{} // closed when it does
+	transport *http.Transport
 }
 
-// leave ends all ties.
-func (h *heir) leave() {
+// close ends all ties.
+func (h *successor) close() {
 	h.link.Close()
-	h.way.CloseIdleConnections()
+	h.transport.CloseIdleConnections()
 }
 
 // SuccessorServing implements handover.Owner: clients are sent to the heir, and once no call is out the relay ends.
 func (r *Relay) SuccessorServing() {
-	h := r.heir.Load()
-	close(h.serves)
+	h := r.successor.Load()
+	close(h.serving)
 	slog.Info("handed over")
 	r.doors.Close()
 	go func() {
-		time.Sleep(leaveAfter)
-		for done := make(chan bool, 1); ; time.Sleep(leaveLook) {
-			r.post(func() { done <- r.out == 0 && h.link.Flushed() })
+		time.Sleep(drainClientsAfter)
+		for done := make(chan bool, 1); ; time.Sleep(pollInterval) {
+			r.post(func() { done <- r.callsInFlight == 0 && h.link.Flushed() })
 			select {
 			case over := <-done:
 				if !over {
 					continue
 				}
-				r.clientsLeave(answerIn)
+				r.drainClients(writeTimeout)
 				r.stop()
 			case <-r.quit:
 			}
@@ -135,37 +135,37 @@
 	select {
 	case <-r.quit:
 	default:
-		r.orphan.Store(true)
+		r.orphaned.Store(true)
 		r.stop()
 	}
 }
 
-// Orphan tells whether the relay ended since its heir did.
-func (r *Relay) Orphan() bool { return r.orphan.Load() }
+// Orphaned tells whether the relay ended since its heir did.
+func (r *Relay) Orphaned() bool { return r.orphaned.Load() }
 
 // Handler implements handover.Owner.
 func (r *Relay) Handler() http.Handler { return r.handler() }
 
-// passOn reads a request as the relay itself would, and has the heir answer it.
-func (r *Relay) passOn(w http.ResponseWriter, req *http.Request) {
-	body, status, err := r.bodyOf(req)
+// forwardToSuccessor reads a request as the relay itself would, and has the heir answer it.
+func (r *Relay) forwardToSuccessor(w http.ResponseWriter, req *http.Request) {
+	body, status, err := r.readRequestBody(req)
 	if err != nil {
-		unread(w, status, err)
+		rejectUnread(w, status, err)
 		return
 	}
-	defer r.reading.Add(-int64(cap(body)))
+	defer r.readingBytes.Add(-int64(cap(body)))
 	httpapi.RequestRead(req.Context())
 	r.forward(w, req, body)
 }
 
 // forward has the heir answer.
 func (r *Relay) forward(w http.ResponseWriter, req *http.Request, body []byte) {
-	h := r.heir.Load()
+	h := r.successor.Load()
 	resp, err := h.ask(req, body)
 	if err != nil {
 		slog.Warn("not passed on", "err", err)
 		w.Header().Set("Retry-After", "1")
-		http.Error(w, errNoHeir.Error(), http.StatusServiceUnavailable)
+		http.Error(w, errNoSuccessor.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	defer resp.Body.Close()
@@ -176,11 +176,11 @@
 	io.Copy(w, resp.Body)
 }
 
-func (h *heir) ask(req *http.Request, body []byte) (*http.Response, error) {
+func (h *successor) ask(req *http.Request, body []byte) (*http.Response, error) {
 	select {
-	case <-h.serves:
-	case <-time.After(heirIn):
-		return nil, errNoHeir
+	case <-h.serving:
+	case <-time.After(successorTimeout):
+		return nil, errNoSuccessor
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	}
@@ -190,101 +190,101 @@
 	}
 	out.Header = req.Header.Clone()
 	out.Header.Del("Connection")
-	return h.way.RoundTrip(out)
+	return h.transport.RoundTrip(out)
 }
 
-// tellHeir is what becomes of a call's outcome after the relay has given way.
-func (r *Relay) tellHeir(c *call, m *message, e httpcall.End, took, wait time.Duration) {
-	r.heir.Load().link.Notify(handover.Outcome{ID: m.ID, Host: c.host.id, Outcome: int(e.Outcome), Elapsed: took, RetryAfter: wait, Done: e.Done})
+// notifySuccessor is what becomes of a call's outcome after the relay has given way.
+func (r *Relay) notifySuccessor(c *call, m *message, e httpcall.End, took, wait time.Duration) {
+	r.successor.Load().link.Notify(handover.Outcome{ID: m.ID, Host: c.host.id, Outcome: int(e.Outcome), Elapsed: took, RetryAfter: wait, Done: e.Done})
 }
 
-// inherit takes over what the earlier process knew beside the journal. It precedes restore.
-func (r *Relay) inherit(s handover.State) {
+// inheritState takes over what the earlier process knew beside the journal. It precedes restore.
+func (r *Relay) inheritState(s handover.State) {
 	for _, o := range s.InFlight {
-		r.abroad[o.ID] = o.Call
+		r.predecessorCalls[o.ID] = o.Call
 	}
 	for host, ms := range s.RetryAfter {
-		r.tellWait(host, time.Duration(ms)*time.Millisecond)
+		r.delayHost(host, time.Duration(ms)*time.Millisecond)
 	}
 	for _, p := range s.Ended {
-		r.past.put(p.ID, p.Sum)
+		r.ended.put(p.ID, p.Sum)
 	}
-	r.reslot()
+	r.adjustSlots()
 }
 
-// tellWait has nothing sent to a host for a while.
-func (r *Relay) tellWait(host string, wait time.Duration) {
+// delayHost has nothing sent to a host for a while.
+func (r *Relay) delayHost(host string, wait time.Duration) {
 	r.events = append(r.events, choice.Told{Host: host, Wait: wait})
 }
 
-// reslot leaves the decisions the slots that calls abroad do not take.
-func (r *Relay) reslot() {
+// adjustSlots leaves the decisions the slots that calls abroad do not take.
+func (r *Relay) adjustSlots() {
 	calls := map[int]bool{}
-	for _, c := range r.abroad {
+	for _, c := range r.predecessorCalls {
 		calls[c] = true
 	}
-	set := r.set.Settings
+	set := r.settings.Settings
 	set.Workers = max(1, set.Workers-len(calls))
 	r.events = append(r.events, choice.Retuned{Settings: set})
 }
 
-// expect has a message that is out abroad settled at its time at the latest.
-func (r *Relay) expect(m *message) {
-	time.AfterFunc(m.due-r.now()+abroadSlack, func() {
-		r.post(func() { r.settleAbroad(httpcall.End{Outcome: choice.Timeout}, m.ID) })
+// expectOutcome has a message that is out abroad settled at its time at the latest.
+func (r *Relay) expectOutcome(m *message) {
+	time.AfterFunc(m.deadline-r.now()+predecessorSlack, func() {
+		r.post(func() { r.settlePredecessorCalls(httpcall.End{Outcome: choice.Timeout}, m.ID) })
 	})
 }
 
-// Told takes in an outcome that the earlier process told.
-func (r *Relay) Told(o handover.Outcome) {
+// AcceptOutcome takes in an outcome that the earlier process told.
+func (r *Relay) AcceptOutcome(o handover.Outcome) {
 	r.post(func() {
 		if o.RetryAfter > 0 {
-			r.tellWait(o.Host, o.RetryAfter)
+			r.delayHost(o.Host, o.RetryAfter)
 		}
-		r.settleAbroad(httpcall.End{Outcome: choice.Outcome(o.Outcome), Done: o.Done}, o.ID)
+		r.settlePredecessorCalls(httpcall.End{Outcome: choice.Outcome(o.Outcome), Done: o.Done}, o.ID)
 	})
 }
 
-// LeftAlone says that the earlier process has gone: what it has not told may have run.
-func (r *Relay) LeftAlone() {
+// PredecessorLost says that the earlier process has gone: what it has not told may have run.
+func (r *Relay) PredecessorLost() {
 	r.post(func() {
-		ids := slices.Sorted(maps.Keys(r.abroad))
-		r.settleAbroad(httpcall.End{Outcome: choice.Reset}, ids...)
+		ids := slices.Sorted(maps.Keys(r.predecessorCalls))
+		r.settlePredecessorCalls(httpcall.End{Outcome: choice.Reset}, ids...)
 		slog.Info("the earlier process has left", "untold", len(ids))
 	})
 }
 
-// settleAbroad ends the attempts of messages that were out abroad, all alike: from now on each is as one that a
+// settlePredecessorCalls ends the attempts of messages that were out abroad, all alike: from now on each is as one that a
 // restart found. Those settled before are passed over.
-func (r *Relay) settleAbroad(e httpcall.End, ids ...string) {
-	before := len(r.abroad)
+func (r *Relay) settlePredecessorCalls(e httpcall.End, ids ...string) {
+	before := len(r.predecessorCalls)
 	for _, id := range ids {
-		if _, ok := r.abroad[id]; !ok {
+		if _, ok := r.predecessorCalls[id]; !ok {
 			continue
 		}
-		delete(r.abroad, id)
-		switch m := r.held[id]; {
+		delete(r.predecessorCalls, id)
+		switch m := r.pending[id]; {
 		case m == nil:
 		case e.Done || e.Outcome == choice.Served:
 			r.record(journal.Record{Op: journal.OpEnd, ID: id})
-			r.drop(m)
+			r.finish(m)
 		default:
 			ran := mayHaveRun(e.Outcome)
 			r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: ran})
-			r.takeUp(m, ran)
+			r.restoreMessage(m, ran)
 		}
 	}
-	if len(r.abroad) < before {
-		r.reslot()
+	if len(r.predecessorCalls) < before {
+		r.adjustSlots()
 	}
 }
 
-// takeUp hands the decisions a message that an earlier process took on. Ran says that its last attempt may have
+// restoreMessage hands the decisions a message that an earlier process took on. Ran says that its last attempt may have
 // run and is not recorded so yet.
-func (r *Relay) takeUp(m *message, ran bool) {
+func (r *Relay) restoreMessage(m *message, ran bool) {
 	e, wall := m.Entry, time.Now().UnixMilli()
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-	ev := choice.Restored{Arrival: choice.Arrival{ID: e.ID, Class: m.class, Dest: e.Dest, Left: m.due - r.now(), Key: e.Order},
+	ev := choice.Restored{Arrival: choice.Arrival{ID: e.ID, Class: m.class, Dest: e.Dest, Left: m.deadline - r.now(), Key: e.Order},
 		Attempts: e.Tries, Timeout: ms(e.Wait), Ran: e.Ran, RanAgo: ms(wall - e.RanAt), RanZone: e.Zone}
 	if ran && !e.Ran {
 		ev.Ran, ev.RanAgo, ev.RanZone = true, ms(wall-e.OutAt), e.OutTo
--- a/internal/relay/succession_test.go
+++ b/internal/relay/succession_test.go
@@ -50,20 +50,20 @@
 func (s *pair) succeed() *Relay {
 	s.t.Helper()
 	h := s.ask()
-	second := startRelay(s.t, s.p, func(c *Config) { c.State, c.Heir = s.conf.State, h })
+	second := startRelay(s.t, s.p, func(c *Config) { c.State, c.Successor = s.conf.State, h })
 	s.listen(second)
 	ctx, cancel := context.WithCancel(s.t.Context())
 	s.t.Cleanup(cancel)
 	go func() {
-		h.ReceiveOutcomes(ctx, second.Told)
-		second.LeftAlone()
+		h.ReceiveOutcomes(ctx, second.AcceptOutcome)
+		second.PredecessorLost()
 	}()
 	return second
 }
 
 // A message whose call is out in the first process is not sent by the second before that call has ended, and then
 // as its outcome allows.
-func TestOutcomeCrossesTheHandover(t *testing.T) {
+func TestOutcomeReachesSuccessor(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
 		status int    // of the first answer
@@ -110,7 +110,7 @@
 				want(t, "notice", wait(t, p.notices, "notice"), notice{"m1", c.notice, 0})
 			}
 			wait(t, s.done, "end of the first")
-			want(t, "first is wanted again", s.first.Orphan(), false)
+			want(t, "first is wanted again", s.first.Orphaned(), false)
 			status, _ = hand(t, second.Addr(), "m1", c.class)
 			want(t, "status of the same message once more", status, 202)
 			want(t, "further calls", len(calls), 0)
@@ -120,7 +120,7 @@
 }
 
 // What the first process has not told when it dies counts as after a crash.
-func TestFirstDiesBeforeItTells(t *testing.T) {
+func TestPredecessorDiesBeforeItReports(t *testing.T) {
 	for class, again := range map[string]bool{"payment": false, "status-update": true} {
 		t.Run(class, func(t *testing.T) {
 			calls := make(chan *seen, 10)
@@ -130,7 +130,7 @@
 			wait(t, calls, "call")
 			s.succeed()
 			s.first.stop()
-			s.first.heir.Load().leave()
+			s.first.successor.Load().close()
 			if !again {
 				want(t, "notice", wait(t, p.notices, "notice"), notice{"m1", undeliverable, 0})
 				return
@@ -143,7 +143,7 @@
 }
 
 // A message out in a first process that says nothing is answered when its time is up.
-func TestFirstStaysSilent(t *testing.T) {
+func TestPredecessorNeverReports(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	s := newPair(t, p)
@@ -151,7 +151,7 @@
 	hand(t, s.first.Addr(), "m1", "payment", "X-Deadline-Ms", "700")
 	wait(t, calls, "call")
 	h := s.ask()
-	startRelay(t, p, func(c *Config) { c.State, c.Heir = s.conf.State, h }) // and nobody follows the first
+	startRelay(t, p, func(c *Config) { c.State, c.Successor = s.conf.State, h }) // and nobody follows the first
 	want(t, "notice", wait(t, p.notices, "notice"), notice{"m1", undeliverable, 0})
 	if late := time.Since(begin) - 700*time.Millisecond; late < 0 || late > 5*time.Second {
 		t.Errorf("told %v after its time", late)
@@ -160,7 +160,7 @@
 }
 
 // A wait that a host told the first process binds the second; ids that have ended are known there.
-func TestSecondKnowsWaitsAndEnds(t *testing.T) {
+func TestSuccessorInheritsWaitsAndEndedIDs(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	s := newPair(t, p)
@@ -188,7 +188,7 @@
 	status, _ := hand(t, second.Addr(), "m1", "payment")
 	want(t, "status of what was delivered before", status, 202)
 	held := make(chan bool, 1)
-	second.post(func() { held <- second.held["m1"] != nil })
+	second.post(func() { held <- second.pending["m1"] != nil })
 	want(t, "it is taken on anew", wait(t, held, "look"), false)
 	c := wait(t, calls, "call")
 	want(t, "id", c.id, "m2")
@@ -200,7 +200,7 @@
 
 // If the heir goes before it serves, the first ends as one that is wanted again, with all in the journal; a client
 // that it could not pass on hears a refusal.
-func TestHeirNeverServes(t *testing.T) {
+func TestSuccessorNeverServes(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	s := newPair(t, p)
@@ -216,7 +216,7 @@
 	want(t, "Retry-After", header.Get("Retry-After"), "1")
 	h.Close()
 	wait(t, s.done, "end of the first")
-	want(t, "wanted again", s.first.Orphan(), true)
+	want(t, "wanted again", s.first.Orphaned(), true)
 	j, err := journal.Open(s.conf.State, journal.Options{Budget: 3e6})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/versions.go
+++ b/internal/relay/versions.go
@@ -13,8 +13,8 @@
 
 // What this relay acts on, told to the fleet, and what the others act on (internal/relay/versionaudit). Everything here belongs to the loop.
 
-// behindFor is how long a relay may be behind the newest version before the log says so, once.
-const behindFor = time.Minute
+// stragglerAfter is how long a relay may be behind the newest version before the log says so, once.
+const stragglerAfter = time.Minute
 
 // digestOf stands for what should be the same at all relays of a fleet.
 func digestOf(v any) versionaudit.Version {
@@ -27,41 +27,41 @@
 	return versionaudit.Version(max(1, h.Sum32()))
 }
 
-// act tells the fleet what this relay acts on now.
-func (r *Relay) act() {
-	f := r.company
+// publishVersions tells the fleet what this relay acts on now.
+func (r *Relay) publishVersions() {
+	f := r.cluster
 	on := map[versionaudit.Kind]versionaudit.Version{
-		versionaudit.Partners: digestOf(r.alone.dir.Load().all),
-		versionaudit.Fleet:    digestOf([]any{r.alone.Fleet, r.conf.Peers, r.set.Weights}),
-		versionaudit.Rules:    digestOf([]any{r.set.Classes, r.set.Rules, r.set.Zones, r.set.ZoneFee, r.set.KindNames, r.set.Kinds}),
-		versionaudit.Build:    digestOf(r.alone.Version),
+		versionaudit.Partners: digestOf(r.standalone.directory.Load().all),
+		versionaudit.Fleet:    digestOf([]any{r.standalone.Fleet, r.config.Peers, r.settings.Weights}),
+		versionaudit.Rules:    digestOf([]any{r.settings.Classes, r.settings.Rules, r.settings.Zones, r.settings.ZoneFee, r.settings.KindNames, r.settings.Kinds}),
+		versionaudit.Build:    digestOf(r.standalone.Version),
 	}
 	var acts []override.Acts
 	for _, k := range versionaudit.Kinds {
 		acts = append(acts, override.Acts{Kind: int(k), Version: uint32(on[k])})
 	}
 	f.talk.Act(acts)
-	r.heardActs(f.self)
+	r.auditVersions(f.self)
 }
 
-// heardActs enters what a relay says that it acts on.
-func (r *Relay) heardActs(relay int) {
-	f, now := r.company, r.now()
+// auditVersions enters what a relay says that it acts on.
+func (r *Relay) auditVersions(relay int) {
+	f, now := r.cluster, r.now()
 	for _, a := range f.talk.Acts(relay) {
 		f.ledger.Heard(now, relay, versionaudit.Kind(a.Kind), versionaudit.Version(a.Version))
 	}
 }
 
-// warnBehind logs, once for each, who has been behind for long.
-func (r *Relay) warnBehind() {
-	f := r.company
-	if f == nil || r.now() < f.lookAt {
+// warnStragglers logs, once for each, who has been behind for long.
+func (r *Relay) warnStragglers() {
+	f := r.cluster
+	if f == nil || r.now() < f.checkAt {
 		return
 	}
-	f.lookAt = r.now() + time.Second
+	f.checkAt = r.now() + time.Second
 	for _, row := range f.ledger.Rows(r.now()) {
 		key := straggler{row.Relay, row.Kind, row.Version}
-		if row.State != versionaudit.Behind || row.Behind < behindFor || row.Heard > override.LostAfter || f.warned[key] {
+		if row.State != versionaudit.Behind || row.Behind < stragglerAfter || row.Heard > override.LostAfter || f.warned[key] {
 			continue
 		}
 		f.warned[key] = true
@@ -77,9 +77,9 @@
 	version versionaudit.Version
 }
 
-// showVersions describes who acts on what.
-func (r *Relay) showVersions() []adminapi.FleetVersion {
-	f := r.company
+// versionViews describes who acts on what.
+func (r *Relay) versionViews() []adminapi.FleetVersion {
+	f := r.cluster
 	all := []adminapi.FleetVersion{}
 	for _, row := range f.ledger.Rows(r.now()) {
 		v := adminapi.FleetVersion{Relay: f.names[row.Relay], Kind: row.Kind.String(), State: string(row.State), Newest: row.Newest}
