--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -15,18 +15,18 @@
 
 var errStopping = errors.New("relay stops")
 
-// call is one call out, with one message or several.
+// call is one call to a host, with one message or several. It belongs to the loop.
 type call struct {
 	host    *host
 	members []*message
 	sends   []choice.Send
-	size    int           // of its members' frames
-	timeout time.Duration // the longest of its members', but no longer than one that keeps an order has left
+	size    int           // bytes of its members' frames
+	timeout time.Duration // the longest of its members', but at most what an ordered one has left
 	cancel  context.CancelCauseFunc
-	overdue bool // the time of one of its messages was up after it went out
+	overdue bool // the deadline of a member passed after it was sent
 }
 
-// startCall builds the call here in the loop, so that its goroutine shares nothing with it.
+// startCall builds the call on the loop, so that its goroutine shares nothing with the loop, and starts it.
 func (r *Relay) startCall(c *call) {
 	now, first := r.now(), time.Duration(math.MaxInt64)
 	c.sortByDeadline()
@@ -35,7 +35,7 @@
 		m.call = c
 		r.untried.markAttempted(m.ID)
 		c.timeout = max(c.timeout, c.sends[i].Timeout)
-		if m.Order != "" { // once it is given up, those behind it may go: then no call of it may be out any more
+		if m.Order != "" { // after its end the next of its order may go: no call of it may be in flight then
 			first = min(first, m.deadline-now)
 		}
 		messages[i] = httpcall.Message{ID: m.ID, Key: m.Key, Body: m.Body, Until: r.keyExpiry(m)}
@@ -43,8 +43,8 @@
 	c.timeout = min(c.timeout, first)
 	out := httpcall.NewCall(&c.host.Host, c.timeout, messages...)
 	if len(c.members) > 1 {
-		// The members share one connection, and one time-out. One whose own time is up before that gets its end
-		// then; before it, a restart would be a second copy. It must not go out after its end.
+		// The members share one connection and one time-out. A member whose own time-out is shorter ends then. Before,
+		// a further attempt would be a duplicate; after, it must not be sent any more.
 		for i, m := range c.members {
 			if left := m.deadline - now; left < c.timeout {
 				time.AfterFunc(left, func() { r.post(func() { r.expireMember(out, c, i, left) }) })
@@ -61,7 +61,7 @@
 		defer cancel(nil)
 		ends, took, wait := r.pool.Exchange(ctx, out)
 		if errors.Is(context.Cause(ctx), errStopping) {
-			r.post(func() { r.callsInFlight-- }) // no outcome: the journal has it as one that may have run
+			r.post(func() { r.callsInFlight-- }) // no outcome: the journal has the attempt as one that may have run
 			return
 		}
 		r.post(func() {
@@ -73,9 +73,9 @@
 	}()
 }
 
-// sortByDeadline puts the message with most time left first: the others may end while the call is out, it may not. Where a
-// host hung and the first message of a call had been given up meanwhile, the host's answer, complete and with an `ok`
-// for each, was not counted as the delivery of any of the others; where another than the first had, it was.
+// sortByDeadline puts the message with the latest deadline first: the others may end while the call is in flight, the first
+// may not. When a host hung and the first message of a call had been given up meanwhile, the host's complete answer with an
+// `ok` for each message was not counted as the delivery of any other; when another than the first had been, it was.
 func (c *call) sortByDeadline() {
 	type part struct {
 		m *message
@@ -91,8 +91,8 @@
 	}
 }
 
-// keyExpiry is when a message that may have run must be at a host again at the latest: while its key is remembered, counted from
-// when the first such attempt went out. Zero where that does not bind.
+// keyExpiry returns when a message that may have run must be at a host again at the latest: while the host remembers its
+// key, counted from the first attempt that may have run. It is zero for messages without such a limit.
 func (r *Relay) keyExpiry(m *message) (at time.Time) {
 	if all := r.classes.Load(); m.Ran && all.all[m.class].Effect == choice.Keyed {
 		at = time.Now().Add(time.Until(time.UnixMilli(m.RanAt)) + all.all[m.class].Window)
@@ -100,19 +100,19 @@
 	return at
 }
 
-// clientTimeout is how long a client waits for the answer whether its message is taken on.
+// clientTimeout is how long a client waits for the response whether its message is admitted.
 const clientTimeout = 400 * time.Millisecond
 
-// maybeLate tells whether the answer that delivered a message may have come after its time, as the platform counts it. A
-// message's time runs from when its client sent it; that may be earlier than it came here, where it was sent once more after a
-// connection closed under it, by up to the time that clients wait. And an answer that comes after the time of another
-// message of its call may count as late for all. Such a message is told of as undeliverable as well: a notice for one that
-// is over does no harm, and without it one that was late would have no end.
+// maybeLate reports whether the answer that delivered a message may have come after its deadline, as the platform counts it.
+// A message's time runs from when its client sent it, which may be earlier than it arrived here by up to clientTimeout if it
+// was sent again after a connection closed. An answer after the deadline of another message of its call may count as late
+// for all. Such a message gets a notice as undeliverable as well: a notice for a delivered message does no harm, and without
+// it a late one would have no end.
 func (r *Relay) maybeLate(c *call, m *message) bool {
 	return c.overdue || r.now() > m.deadline-clientTimeout
 }
 
-// expireMember ends the attempt of a message whose time is up while its call is out.
+// expireMember ends the attempt of a message whose deadline passes while its call is in flight.
 func (r *Relay) expireMember(out *httpcall.Call, c *call, i int, took time.Duration) {
 	m := c.members[i]
 	if m.call != c {
@@ -127,16 +127,17 @@
 	r.attemptEnded(c, m, e, took, 0)
 }
 
+// messageFrame returns the frame of a message in a call with several.
 func messageFrame(m *message) []byte { return httpcall.Frame(m.ID, m.Key, m.Body) }
 
-// awaitsNotice tells whether a message of a call is in an order in which the end of one before it has been decided and not
-// been heard: until the platform has acknowledged it, that one is not over, and nothing is sent for the next.
+// awaitsNotice reports whether a message of a call has an order key for which a notice is not acknowledged yet. The message
+// that the notice is for has not ended until then, and the next of its order is not sent.
 func (r *Relay) awaitsNotice(c *call) bool {
 	return slices.ContainsFunc(c.members, func(m *message) bool { return m.Order != "" && r.noticesByOrder[m.Order] > 0 })
 }
 
-// noticeAcknowledged takes in that a message's notice was acknowledged, and lets go what waited for it. What may not go any more was
-// not sent.
+// noticeAcknowledged starts the calls that waited for the acknowledgement of a message's notice. Those that may not go any
+// more were not sent.
 func (r *Relay) noticeAcknowledged(id string) {
 	order, in := r.noticeOrder[id]
 	if !in {
@@ -165,7 +166,7 @@
 	r.blockedCalls = still
 }
 
-// cancelBlockedCall calls off a call that is recorded and has not begun: its messages have not run.
+// cancelBlockedCall cancels a call that is recorded and has not begun: its messages have not run.
 func (r *Relay) cancelBlockedCall(c *call) {
 	for _, s := range c.sends {
 		if m := r.pending[s.ID]; m != nil {
@@ -175,7 +176,7 @@
 	}
 }
 
-// cancelBlockedCalls calls off all that waits for an end to be heard, as the relay ends or gives way.
+// cancelBlockedCalls cancels all calls that wait for an acknowledgement, when the relay ends or is released.
 func (r *Relay) cancelBlockedCalls() {
 	for _, c := range r.blockedCalls {
 		r.cancelBlockedCall(c)
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -51,8 +51,8 @@
 	want(t, "end of the fifth", r.events[4].(choice.Result).Done, false)
 }
 
-// A call with several messages begins with the one that has most time left, so that its first is the last whose time is
-// up; and one whose time is up before the call has its connection is neither sent nor taken for one that may have run.
+// The message with the latest deadline begins a shared call, so that the first member is the last to expire. A member whose
+// deadline passes before the call has its connection is not sent, and does not count as one that may have run.
 func TestDeadlineDuringSharedCall(t *testing.T) {
 	bodies := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -72,20 +72,20 @@
 	r.startCall(c)
 	want(t, "request", wait(t, bodies, "call"), "c - 0\r\n\r\nd - 0\r\n\r\na - 0\r\n\r\nb - 0\r\n\r\n")
 	for i, m := range c.members {
-		want(t, "send beside its message", c.sends[i].ID, m.ID)
+		want(t, "send of its message", c.sends[i].ID, m.ID)
 	}
 
 	waits := httpcall.NewCall(&c.host.Host, time.Hour, make([]httpcall.Message, 4)...)
 	r.expireMember(waits, c, 3, time.Hour)
 	want(t, "outcome before the first byte", r.events[0].(choice.Result).Outcome, choice.NotSent)
 	want(t, "possibly run", c.members[3].mayHaveRun, false)
-	r.expireMember(waits, c, 3, time.Hour) // it has no call any more
+	r.expireMember(waits, c, 3, time.Hour) // it is in no call any more
 	want(t, "outcomes", len(r.events), 1)
 	end()
 	wait(t, r.inbox, "end of the call")
 }
 
-// Guards against a body over 64 KiB, which a host need not take: sends that do not fit one call go in another.
+// A body over 64 KiB, which a host need not accept, is avoided: sends that do not fit one call go in another.
 func TestLargeMessagesDoNotShareACall(t *testing.T) {
 	r := &Relay{pool: httpcall.NewPool(time.Second, time.Minute, 64)}
 	r.startedAt, r.inbox, r.callsContext = time.Now(), make(chan func(), 10), context.Background()
@@ -107,8 +107,7 @@
 	want(t, "messages in the second", len(r.pending["m1"].call.members), 2)
 }
 
-// Guards against a new host that gets the connections of a gone one at its address, and against
-// connections of hosts that left.
+// A new host does not get the connections of a gone one at its address, and connections of gone hosts are closed.
 func TestConnectionsCloseWithTheirHost(t *testing.T) {
 	ended := make(chan bool, 10)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -135,8 +134,8 @@
 	want(t, "connections open", r.pool.Open(), 0)
 }
 
-// A keyed message that may have run goes again while its key is remembered, by what the journal says of its first such
-// attempt; others at any time.
+// A keyed message that may have run is retried while its key is remembered, by the journal's record of its first such
+// attempt; others are retried at any time.
 func TestRetriesEndWithKeyWindow(t *testing.T) {
 	r := &Relay{}
 	r.classes.Store(newClasses([]choice.Class{{Name: "safe", Window: time.Second}, {Name: "keyed", Effect: choice.Keyed, Window: 6 * time.Second}}))
@@ -150,27 +149,27 @@
 	}
 }
 
-// An answer comes when its message's time may be up already, as its client may have sent it earlier than it came; or after
-// the time of another message of its call. It delivers, and an end is told all the same: one of the two counts.
+// An answer may arrive when the message's deadline has passed already, as its client may have sent it earlier, or after the
+// deadline of another message of its call. It delivers, and a notice is sent as well: one of the two counts.
 func TestAnswerAtDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		left    time.Duration
 		overdue bool
 		notices int
-	}{"in time": {time.Hour, false, 0}, "late, perhaps": {clientTimeout / 2, false, 1}, "after another's time": {time.Hour, true, 1}} {
+	}{"in time": {time.Hour, false, 0}, "late, perhaps": {clientTimeout / 2, false, 1}, "after another's deadline": {time.Hour, true, 1}} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"))
 			r := startRelay(t, p, nil)
-			told := make(chan int, 1)
+			noticeCount := make(chan int, 1)
 			r.post(func() {
 				m := &message{Entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, class: 2, deadline: r.now() + c.left}
 				r.addPending(m)
 				r.record(journal.Record{Op: journal.OpTaken, Entry: m.Entry})
 				m.call = &call{host: r.hosts["s-1"], members: []*message{m}, overdue: c.overdue}
 				r.attemptEnded(m.call, m, httpcall.End{Outcome: choice.Served}, time.Second, 0)
-				told <- r.pendingNotices
+				noticeCount <- r.pendingNotices
 			})
-			want(t, "notices", wait(t, told, "count"), c.notices)
+			want(t, "notices", wait(t, noticeCount, "count"), c.notices)
 			if c.notices > 0 {
 				want(t, "notice", wait(t, p.notices, "notice"), notice{"m1", undeliverable, 0})
 			}
--- a/internal/relay/company.go
+++ b/internal/relay/cluster.go
@@ -18,28 +18,25 @@
 	"larchrouter/internal/relay/versionaudit"
 )
 
-// A relay of its own may be one of a fleet. What it then has to do with the others, beside grants, is to take over what
-// operators say at any of them (internal/relay/override). Everything here belongs to the loop.
-
-// cluster is a relay's part in its fleet.
+// cluster is a relay's part in its fleet. It belongs to the loop.
 type cluster struct {
 	talk         *override.Talk
-	names        []string
+	names        []string // of the relays, by number
 	self         int
 	timer        *time.Timer
-	parts        int
-	gone         []int
-	appliedAt    map[string]time.Duration // when a subject's word was taken in, by this process
+	parts        int                      // into which limits are divided
+	gone         []int                    // relays that are gone for good
+	appliedAt    map[string]time.Duration // when this process recorded the override of a subject
 	ledger       *versionaudit.Ledger
 	warned       map[straggler]bool
-	checkAt      time.Duration // for who is behind
-	recordFailed bool          // words that come are not taken in, which was logged
+	checkAt      time.Duration // next look for stragglers
+	recordFailed bool          // the last overrides received could not be recorded, which was logged
 }
 
-// goneSubject names a relay that is gone for good.
+// goneSubject is the subject of the override that a relay is gone for good.
 func goneSubject(name string) string { return "gone:" + name }
 
-// Limits are those that partners were told, by number.
+// Limits returns the configured limits of partners, by number.
 func Limits(partners []Partner) map[int]quota.Limit {
 	all := map[int]quota.Limit{}
 	for _, p := range partners {
@@ -50,7 +47,7 @@
 	return all
 }
 
-// restoreOverrides takes up what the journal has of the fleet's words. It precedes relist.
+// restoreOverrides takes over the overrides in the journal. It precedes applyPartnerList.
 func (r *Relay) restoreOverrides() error {
 	names := r.standalone.Fleet
 	if len(names) == 0 {
@@ -71,17 +68,17 @@
 	return nil
 }
 
-// applyOverrides carries out what the words say.
+// applyOverrides carries out the overrides in force.
 func (r *Relay) applyOverrides() {
 	f := r.cluster
-	var marks []drain.Entry
+	var entries []drain.Entry
 	f.gone = nil
 	for _, w := range f.talk.Book().All() {
 		if !w.On || plant.Is(plant.Word) {
 			continue
 		}
 		if t, err := drain.ParseTarget(w.Subject); err == nil && t.Scope != drain.Relay {
-			marks = append(marks, drain.Entry{Target: t, Since: time.UnixMilli(w.AtMs), RequestedBy: w.By + " at " + w.Origin})
+			entries = append(entries, drain.Entry{Target: t, Since: time.UnixMilli(w.AtMs), RequestedBy: w.By + " at " + w.Origin})
 		}
 		if name, ok := strings.CutPrefix(w.Subject, goneSubject("")); ok {
 			if i := slices.Index(f.names, name); i >= 0 {
@@ -89,7 +86,7 @@
 			}
 		}
 	}
-	r.standalone.drains.SetFleetEntries(marks)
+	r.standalone.drains.SetFleetEntries(entries)
 	f.talk.Lose(f.gone)
 	r.divideLimits(f.talk.Parts(r.now()))
 }
@@ -100,8 +97,8 @@
 	r.chooser.Resize(parts, r.cluster.gone)
 }
 
-// recordOverrides records words, carries them out, and only then has them count. Words that cannot be recorded are asked for again by
-// the digest.
+// recordOverrides records overrides, carries them out, and only then has them count. Overrides that cannot be recorded are
+// requested again by the digest.
 func (r *Relay) recordOverrides(words []override.Word) error {
 	f := r.cluster
 	var recs []journal.Record
@@ -114,34 +111,34 @@
 	f.talk.Take(r.now(), words...)
 	for _, w := range words {
 		f.appliedAt[w.Subject] = r.now()
-		slog.Info("the fleet was told", "subject", w.Subject, "holds", w.On, "by", w.By, "at", w.Origin)
+		slog.Info("override recorded", "subject", w.Subject, "holds", w.On, "by", w.By, "at", w.Origin)
 		if w.Subject == goneSubject(f.names[f.self]) && w.On {
 			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back", "by", w.By, "at", w.Origin)
 		}
 	}
 	r.applyOverrides()
-	r.applyPartnerList() // closes the gates
+	r.applyPartnerList() // closes the endpoints
 	r.standalone.view.Store(nil)
 	return nil
 }
 
-// receiveOverrides takes in a note of another relay that carries words.
+// receiveOverrides takes in a gossip message of another relay with overrides.
 func (r *Relay) receiveOverrides(from int, note []byte) {
 	f := r.cluster
-	news := f.talk.Hear(r.now(), from, note)
+	received := f.talk.Hear(r.now(), from, note)
 	r.auditVersions(from)
 	r.warnStragglers()
-	if len(news) > 0 {
-		err := r.recordOverrides(news)
+	if len(received) > 0 {
+		err := r.recordOverrides(received)
 		if err != nil && !f.recordFailed {
-			slog.Error("what the fleet was told is not taken in", "err", err)
+			slog.Error("overrides not recorded", "err", err)
 		}
 		f.recordFailed = err != nil
 	}
 	r.sendOverrides()
 }
 
-// sendOverrides sends what is due, and sees that it is called again.
+// sendOverrides sends the gossip that is due, and schedules its next call.
 func (r *Relay) sendOverrides() {
 	f := r.cluster
 	if r.peers == nil {
@@ -163,7 +160,7 @@
 	}
 }
 
-// reportHealth tells the fleet how this relay sees an endpoint.
+// reportHealth reports to the fleet whether this relay sees an endpoint as healthy.
 func (r *Relay) reportHealth(endpoint string, out bool) {
 	if r.cluster != nil {
 		r.cluster.talk.See(r.now(), "endpoint:"+endpoint, out)
@@ -171,7 +168,7 @@
 	}
 }
 
-// requireFleet tells a command that there is no fleet, where there is none.
+// requireFleet returns an error for the operator if the relay is not in a fleet.
 func (r *Relay) requireFleet() error {
 	if r.cluster == nil {
 		return adminapi.Errorf(adminapi.Conflict, "this relay is of no fleet: its file has no fleet block")
@@ -179,7 +176,7 @@
 	return nil
 }
 
-// setOverride has the whole fleet heed something, from this relay on.
+// setOverride makes an override at this relay and spreads it in the fleet. Already reports that it was in force.
 func (r *Relay) setOverride(subject string, on bool, by string) (already bool, err error) {
 	f := r.cluster
 	w, err := f.talk.Book().Next(subject, on, f.names[f.self], by, time.Now().UnixMilli())
@@ -237,7 +234,7 @@
 	return a, nil
 }
 
-// Gone implements control.Backend.
+// Gone implements adminapi.Backend.
 func (r *Relay) Gone(ctx context.Context, q adminapi.GoneRequest) (adminapi.Fleet, error) {
 	if len(q.By) > maxRequesterBytes {
 		return adminapi.Fleet{}, adminapi.Errorf(adminapi.Invalid, "by has %d bytes, %d at most", len(q.By), maxRequesterBytes)
@@ -263,7 +260,7 @@
 	})
 }
 
-// Fleet implements control.Backend.
+// Fleet implements adminapi.Backend.
 func (r *Relay) Fleet(ctx context.Context) (adminapi.Fleet, error) {
 	return command(ctx, r, func() (adminapi.Fleet, error) { return r.fleetView(), nil })
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -12,32 +12,32 @@
 	"larchrouter/internal/vfs"
 )
 
-// Config is what a relay is told at its start.
+// Config configures a relay.
 type Config struct {
 	Listen     string
 	Discovery  []string // addresses to try in turn
-	State      string   // folder that lasts
+	State      string   // folder of the journal
 	Seed       uint64
 	Cores      float64
 	MemoryMB   float64
 	Sockets    int
 	DiskMB     float64
-	Power      bool       // what is recorded outlasts a loss of power
+	Power      bool       // records survive a loss of power
 	Files      vfs.System // the journal's folder, nil for State
 	Known      hostList
 	Settings   settings.Settings
-	PeerListen string              // where notes of other relays come; empty for none
-	Peers      []string            // the addresses of all relays by number, this one's among them
+	PeerListen string              // address for messages of other relays; empty for none
+	Peers      []string            // addresses of all relays by number, including this one
 	Admin      string              // the second address; empty for none
 	Standalone *Standalone         // nil under a platform
-	Successor  *handover.Successor // of the process whose place this one takes; nil for none
-	Unlock     func()              // lets go of the state folder once the relay is handed over; may be nil
+	Successor  *handover.Successor // what the predecessor transferred; nil without one
+	Unlock     func()              // unlocks the state folder once the relay is released; may be nil
 
 	file []byte // as it was read
 }
 
-// ReadConfig reads the file that BALANCER_CONFIG names. The other variables win over it;
-// where BALANCER_DISCOVERY does, the file's address comes second, since it may be newer.
+// ReadConfig reads the file that BALANCER_CONFIG names. The other variables override it. If BALANCER_DISCOVERY does, the
+// file's address comes second, since it may be newer.
 func ReadConfig(env func(string) string) (Config, error) {
 	var c Config
 	path := env("BALANCER_CONFIG")
@@ -67,16 +67,16 @@
 	if err := json.Unmarshal(data, &f); err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
 	}
-	or := func(name, value string) string {
+	override := func(name, value string) string {
 		if v := env(name); v != "" {
 			return v
 		}
 		return value
 	}
-	c = Config{Listen: or("BALANCER_LISTEN", f.Listen), Discovery: []string{or("BALANCER_DISCOVERY", f.Discovery)},
+	c = Config{Listen: override("BALANCER_LISTEN", f.Listen), Discovery: []string{override("BALANCER_DISCOVERY", f.Discovery)},
 		State: env("BALANCER_STATE"), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
 		Sockets: f.Limits.Sockets, DiskMB: f.Limits.DiskMB, Known: f.Known, PeerListen: f.PeerListen, Peers: f.Peers,
-		Admin: or("BALANCER_ADMIN", f.Admin), file: data}
+		Admin: override("BALANCER_ADMIN", f.Admin), file: data}
 	for name, v := range map[string]string{"listen": c.Listen, "discovery": c.Discovery[0], "BALANCER_STATE": c.State} {
 		if v == "" {
 			return c, fmt.Errorf("%s: %s is missing", path, name)
@@ -103,12 +103,11 @@
 	return c, nil
 }
 
-// File is the configuration as it was read.
+// File returns the file as it was read.
 func (c Config) File() []byte { return c.file }
 
-// ReadAgain reads the file anew for a relay that runs with c. Its address of discovery now wins over
-// BALANCER_DISCOVERY. A file that a relay would not start with, or that lacks anything c's had, is an error:
-// nothing is taken from it.
+// ReadAgain reads the file again for a relay that runs with c. Its address of discovery overrides BALANCER_DISCOVERY now.
+// A file that a relay would not start with, or that lacks a key of c's file, is an error.
 func (c Config) ReadAgain(env func(string) string) (Config, error) {
 	n, err := ReadConfig(func(name string) string {
 		if name == "BALANCER_DISCOVERY" {
--- a/internal/relay/kills_test.go
+++ b/internal/relay/crash_test.go
@@ -17,14 +17,14 @@
 	killSeed = flag.Uint64("kills.seed", 1, "seed of TestKillsUnderLoad")
 )
 
-// The real program is killed again and again at any point under load, while its small journal is always being
-// compacted. After each kill every message is audited at the partners, at the platform and in the journal: none that
-// was taken on is missing, none that was told of is to be sent again, no payment ran twice, job orders in one building.
+// The real program is killed repeatedly at random points under load, while its small journal is always being compacted.
+// After each kill every message is audited at the partners, at the platform and in the journal: no admitted one is missing,
+// none with a notice is to be sent again, no payment ran twice, job orders ran in one building.
 func TestKillsUnderLoad(t *testing.T) {
 	t.Logf("seed %d", *killSeed)
 	draw := rand.New(rand.NewPCG(*killSeed, 0))
 	f := newEffects()
-	f.of = 12 // mostly well: hosts that fail by turns are spared for longer and longer
+	f.of = 12 // mostly healthy: hosts that fail in turn are avoided for longer and longer
 	s := &upgradeSite{t: t, state: t.TempDir(), addr: quietAddr(t),
 		p: newPlatform(t, at("s-1", f.host(t, "a"), "taller"), at("s-2", f.host(t, "b"), "almacen"))}
 	s.p.notices = make(chan notice, 1_000_000)
@@ -36,11 +36,11 @@
 	}
 	cmd := begin()
 	load := startLoad(s.addr, time.Millisecond, 3000)
-	told := map[string]bool{}
-	dropped := uint64(0) // segments that compaction let go
+	notified := map[string]bool{}
+	dropped := uint64(0) // segments that compaction removed
 	for n := range *kills {
 		wait(t, f.progress, "call")
-		time.Sleep(time.Duration(draw.IntN(60_000)) * time.Microsecond) // the point of the kill, no more
+		time.Sleep(time.Duration(draw.IntN(60_000)) * time.Microsecond) // the point of the kill only
 		s.end(cmd, syscall.SIGKILL)
 		j, err := journal.Inspect(s.state)
 		if err != nil {
@@ -57,15 +57,15 @@
 		f.mu.Lock()
 		for len(s.p.notices) > 0 {
 			id := (<-s.p.notices).ID
-			f.over[id], told[id] = true, true
+			f.over[id], notified[id] = true, true
 		}
-		for id, ok := range load.took {
+		for id, ok := range load.admitted {
 			e := j.Entries[id]
 			if ok && !f.over[id] && e == nil {
-				t.Errorf("kill %d: %s was taken on and has neither an end nor an entry", n, id)
+				t.Errorf("kill %d: %s was admitted and has neither an end nor an entry", n, id)
 			}
-			if told[id] && e != nil && e.Status == "" {
-				t.Errorf("kill %d: %s was told of and is to be sent again", n, id)
+			if notified[id] && e != nil && e.Status == "" {
+				t.Errorf("kill %d: %s has a notice and is to be sent again", n, id)
 			}
 		}
 		for len(f.progress) > 0 {
@@ -78,11 +78,12 @@
 		}
 		cmd = begin()
 	}
-	took := load.end(t)
-	f.ends(t, s.p, took)
+	admitted := load.end(t)
+	f.ends(t, s.p, admitted)
 	f.check(t)
 	if dropped < 2 {
 		t.Error("compaction let go of nothing")
 	}
-	t.Logf("%d kills; %d messages handed in, %d taken on, each with its end; the log let go of its first %d records", *kills, len(took), takenOn(took), dropped)
+	t.Logf("%d kills; %d messages submitted, %d admitted, each with its end; the log dropped its first %d records",
+		*kills, len(admitted), countAdmitted(admitted), dropped)
 }
--- a/internal/relay/deployments_test.go
+++ b/internal/relay/deployments_test.go
@@ -10,7 +10,7 @@
 
 // The settings of deployments unlike each other, as a platform gives them; testSettings is a fourth.
 var deployments = map[string]string{
-	"two classes, limits told, hosts that wait together": `{"bounds":{"cancel":true,"conn-idle":10,"dial-timeout":1.5,"max-attempts":8,"max-retry-after":3,"most-held":30},
+	"two classes, configured limits, shared waits": `{"bounds":{"cancel":true,"conn-idle":10,"dial-timeout":1.5,"max-attempts":8,"max-retry-after":3,"most-held":30},
 "classes":[{"aim":2.5,"effect":"deduplicated","give-up":24,"group":"all","late-share":0.3,"name":"entries","window":6,"worth":1},
 {"aim":1,"effect":"idempotent","give-up":5,"group":"all","late-share":0.1,"name":"scores","window":5,"worth":2}],
 "family-info":{"late":"linear","own-limits":[false,false,false],"per-call":[1,1,1],"workers":4},
@@ -25,7 +25,7 @@
 "fleet-size":4,"index":3,"load-report":{"columns":[],"how":"off"},"registry-mode":"automatic",
 "rules":{"cold":6,"cold-from":0.4,"drain-grace":0.4,"fall":1.5,"grace-to-answer":0.005,"overload-factor":2.5},
 "skus":["sirens","pagers"],"tick":0.005,"weights":"nominal","zones":["quay","tower"]}`,
-	"order kept, few slots": `{"bounds":{"cancel":true,"conn-idle":12,"dial-timeout":1.2,"max-attempts":10,"max-retry-after":4,"most-held":14},
+	"ordered class, few slots": `{"bounds":{"cancel":true,"conn-idle":12,"dial-timeout":1.2,"max-attempts":10,"max-retry-after":4,"most-held":14},
 "classes":[{"aim":5,"effect":"at_most_once","give-up":30,"group":"all","keep-order":true,"late-share":0.5,"name":"dose","window":5,"worth":4},
 {"aim":2.5,"effect":"idempotent","give-up":12,"group":"all","late-share":0.2,"name":"bed","window":5,"worth":1}],
 "family-info":{"late":"linear","own-limits":[false,false],"per-call":[1,1],"workers":2},
@@ -35,7 +35,7 @@
 	"as in other tests": testSettings,
 }
 
-// The relay starts with the settings of any deployment, serves each of its classes and no other's.
+// The relay starts with the settings of each deployment, and serves each of its classes and no others.
 func TestDeployments(t *testing.T) {
 	for name, text := range deployments {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -31,23 +31,23 @@
 	Weight float64 `json:"weight"`
 }
 
-// hostList is an answer of discovery.
+// hostList is an answer of discovery. Full reports that it is the complete list, not an update.
 type hostList struct {
 	Version int64       `json:"version"`
 	Full    bool        `json:"full"`
 	Servers []hostEntry `json:"servers"`
 }
 
-// host is what the relay needs to call an endpoint.
+// host is what the relay needs to call an endpoint. It belongs to the loop.
 type host struct {
 	httpcall.Host
-	listed     hostEntry // as discovery last had it
+	listed     hostEntry // as discovery last listed it
 	id         string
 	dest, zone int
 	perCall    int
 }
 
-// agent is the platform's agent: discovery, and the taker of notices.
+// agent is the platform's agent: discovery, and the receiver of notices. It is immutable.
 type agent struct {
 	addrs  []string // where it may be; the first is in use
 	ctx    context.Context
@@ -58,16 +58,17 @@
 const (
 	minBackoff        = 50 * time.Millisecond
 	maxBackoff        = time.Second
-	destinationExpiry = time.Minute // one without hosts for so long is unknown again
-	goneHostExpiry    = time.Minute // an outage of a host that left is over by then
+	destinationExpiry = time.Minute // a destination without hosts for so long is unknown again
+	goneHostExpiry    = time.Minute // an outage of a host that is gone is dropped then
 	maxListSize       = 4 << 20
 	maxResponseHeader = 32 << 10 // of an answer
 )
 
-// Rediscover has the agent looked for at other addresses from now on. Watches and
-// notices on their way to the old one are broken off; the notices go to the new one.
+// Rediscover has the agent reached at other addresses from now on. Requests in flight to the old address are cancelled;
+// their notices go to the new one.
 func (r *Relay) Rediscover(addrs []string) { r.agent.Swap(r.newAgent(addrs)).close() }
 
+// newAgent returns an agent that ends with the background context.
 func (r *Relay) newAgent(addrs []string) *agent {
 	a := &agent{addrs: addrs, client: &http.Client{Transport: &http.Transport{DisableCompression: true,
 		MaxResponseHeaderBytes: maxResponseHeader, MaxConnsPerHost: 4, IdleConnTimeout: 5 * discoverypoll.WatchFor}}}
@@ -75,6 +76,7 @@
 	return a
 }
 
+// close cancels the agent's requests. It accepts nil.
 func (a *agent) close() {
 	if a != nil {
 		a.cancel()
@@ -82,8 +84,8 @@
 	}
 }
 
-// tryNextAddress turns to the next address if a connection could not be made. It guards against an
-// environment that still names an old one after a restart. Silence proves nothing: discovery may be down.
+// tryNextAddress turns to the next address if a connection could not be made. It guards against an environment that still
+// names an old address after a restart. A time-out proves nothing: discovery may be down.
 func (r *Relay) tryNextAddress(a *agent, err error) {
 	if op := (*net.OpError)(nil); len(a.addrs) > 1 && errors.As(err, &op) && op.Op == "dial" {
 		next := r.newAgent(append(slices.Clone(a.addrs[1:]), a.addrs[0]))
@@ -96,14 +98,14 @@
 	}
 }
 
-// errRejected is discovery turning a question away.
+// errRejected reports that discovery rejected a request.
 var errRejected = errors.New("turned away")
 
-// followDiscovery follows discovery's list until the context ends.
+// followDiscovery keeps up with discovery's list until the context ends.
 func (r *Relay) followDiscovery(ctx context.Context, at discoverypoll.Settings) {
 	a := r.agent.Load()
 	f := discoverypoll.New(at, r.now())
-	silence := rate.Sometimes{Interval: time.Second} // a silent agent is asked several times in one
+	warning := rate.Sometimes{Interval: time.Second}
 	for ctx.Err() == nil {
 		if now := r.agent.Load(); now != a {
 			a = now
@@ -113,7 +115,7 @@
 		if pause := q.At - r.now(); pause > 0 {
 			select {
 			case <-a.ctx.Done():
-				continue // another took its place
+				continue // it was replaced
 			case <-time.After(pause):
 			}
 		}
@@ -123,7 +125,7 @@
 		switch {
 		case a.ctx.Err() != nil:
 		case err != nil:
-			silence.Do(func() { slog.Warn("discovery does not answer", "err", err) })
+			warning.Do(func() { slog.Warn("discovery does not answer", "err", err) })
 			f.Failed(r.now(), q, errors.Is(err, errRejected))
 			r.tryNextAddress(a, err)
 		case f.Answered(r.now(), q, l.Version, l.Full):
@@ -135,6 +137,7 @@
 	}
 }
 
+// queryDiscovery sends one request to discovery.
 func (r *Relay) queryDiscovery(a *agent, q discoverypoll.Question) (l hostList, err error) {
 	url := "http://" + a.addrs[0] + "/discovery/hosts"
 	if !q.Whole {
@@ -157,50 +160,17 @@
 	return l, json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxListSize)).Decode(&l)
 }
 
-// applyHostList takes in news of the list: at once for the calls that have not gone yet, and for the decisions.
+// applyHostList applies an update of the list: at once to calls that have not begun, and to the engine with the next step.
 func (r *Relay) applyHostList(l hostList) {
 	ev := choice.Listing{Whole: l.Full}
 	old := r.hosts
 	if l.Full {
 		r.hosts = map[string]*host{}
 	}
-	for _, s := range l.Servers {
-		h := choice.Host{Addr: s.ID, Dest: s.Cell, Kind: slices.Index(r.settings.KindNames, s.Kind),
-			Zone: r.zoneNumber(s.Zone), Rate: s.Weight}
-		switch s.State {
-		case "active":
-			h.State = choice.Ready
-		case "leaving":
-			h.State = choice.Draining
-		}
-		ev.Hosts = append(ev.Hosts, h)
-		was := old[s.ID]
-		if was != nil {
-			r.setHostClosed(was, h.State != choice.Ready)
-		}
-		if h.State == choice.Gone {
-			delete(r.hosts, s.ID)
-			continue
-		}
-		n := &host{id: s.ID, Host: httpcall.Host{Addr: s.Addr}, dest: s.Cell, zone: h.Zone, perCall: 1}
-		if was != nil && was.Addr == n.Addr && was.dest == n.dest {
-			n = was // calls that are out hold on to it
-		} else if was != nil {
-			r.setHostClosed(was, true)
-		}
-		apart := false
-		if h.Kind >= 0 {
-			n.perCall, apart = r.settings.Kinds[h.Kind].PerCall, r.settings.Kinds[h.Kind].Apart
-		}
-		if n != was && !apart {
-			n.Waits = r.sharedWaitsOf(s.Cell)
-		}
-		n.listed = s
-		n.SetClosed(h.State != choice.Ready)
-		r.hosts[s.ID] = n
-		r.destinationSeen[s.Cell] = r.now()
+	for _, entry := range l.Servers {
+		ev.Hosts = append(ev.Hosts, r.applyHostEntry(entry, old[entry.ID]))
 	}
-	if l.Full { // only now: one that stays must not look closed for a moment to a call about to go
+	if l.Full { // only now, since a host that stays must not appear closed to a call about to begin
 		for id, h := range old {
 			if r.hosts[id] != h {
 				r.setHostClosed(h, true)
@@ -211,7 +181,45 @@
 	r.expireGone()
 }
 
-// sharedWaitsOf are the waits that the hosts of a destination share, unless they are routes apart.
+// applyHostEntry applies one entry of discovery's list to the hosts, and returns it in the engine's form. Was is the host
+// that had the id so far; nil for none.
+func (r *Relay) applyHostEntry(entry hostEntry, was *host) choice.Host {
+	h := choice.Host{Addr: entry.ID, Dest: entry.Cell, Kind: slices.Index(r.settings.KindNames, entry.Kind),
+		Zone: r.zoneNumber(entry.Zone), Rate: entry.Weight}
+	switch entry.State {
+	case "active":
+		h.State = choice.Ready
+	case "leaving":
+		h.State = choice.Draining
+	}
+	if was != nil {
+		r.setHostClosed(was, h.State != choice.Ready)
+	}
+	if h.State == choice.Gone {
+		delete(r.hosts, entry.ID)
+		return h
+	}
+	current := &host{id: entry.ID, Host: httpcall.Host{Addr: entry.Addr}, dest: entry.Cell, zone: h.Zone, perCall: 1}
+	if was != nil && was.Addr == current.Addr && was.dest == current.dest {
+		current = was // calls in flight refer to it
+	} else if was != nil {
+		r.setHostClosed(was, true)
+	}
+	apart := false
+	if h.Kind >= 0 {
+		current.perCall, apart = r.settings.Kinds[h.Kind].PerCall, r.settings.Kinds[h.Kind].Apart
+	}
+	if current != was && !apart {
+		current.Waits = r.sharedWaitsOf(entry.Cell)
+	}
+	current.listed = entry
+	current.SetClosed(h.State != choice.Ready)
+	r.hosts[entry.ID] = current
+	r.destinationSeen[entry.Cell] = r.now()
+	return h
+}
+
+// sharedWaitsOf returns the waits that the hosts of a destination share, unless they are routes apart.
 func (r *Relay) sharedWaitsOf(dest int) *httpcall.Waits {
 	w := r.sharedWaits[dest]
 	if w == nil {
@@ -221,17 +229,17 @@
 	return w
 }
 
-// setHostClosed tells whether new calls may go to a host. One that gets none keeps no idle connections.
+// setHostClosed sets whether new calls may go to a host. A closed host keeps no idle connections.
 func (r *Relay) setHostClosed(h *host, closed bool) {
 	if h.SetClosed(closed); closed {
 		r.pool.Shut(&h.Host)
 	}
 }
 
-// knownDestination tells whether a destination has hosts, or had some not long ago.
+// knownDestination reports whether a destination has hosts, or had some not long ago.
 func (r *Relay) knownDestination(dest int) bool { _, ok := r.destinationSeen[dest]; return ok }
 
-// expireGone sheds what hangs on hosts that are gone for good: ids are ever new.
+// expireGone drops what belongs to hosts and destinations that are gone, since ids are not reused.
 func (r *Relay) expireGone() {
 	now, wall := r.now(), time.Now().UnixMilli()
 	for _, h := range r.hosts {
@@ -250,8 +258,8 @@
 	}
 }
 
-// zoneNumber is the number of a zoneNumber. One that the settings do not name has the same number at any time, also
-// after a restart: the journal holds numbers.
+// zoneNumber returns the number of a zone. A zone that the settings do not name has the same number at any time, also
+// after a restart, since the journal stores numbers.
 func (r *Relay) zoneNumber(name string) int {
 	if i := slices.Index(r.settings.Zones, name); i >= 0 {
 		return i
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// looked waits until a whole list has been asked for and taken in since now.
+// looked waits until a full list has been requested and applied from now on.
 func looked(t *testing.T, p *platform) {
 	t.Helper()
 	for len(p.asked) > 0 {
 		<-p.asked
 	}
-	for n := 0; n < 3; { // the first may have been answered before, the third comes when the second is taken in
+	for n := 0; n < 3; { // the first may have been answered before, the third comes once the second is applied
 		if wait(t, p.asked, "look") == "" {
 			n++
 		}
 	}
 }
 
-// Guards against a send to an endpoint of which the agent on this machine has been told that it drains, by a relay
-// whose turn to watch has not come, whose watches discovery turns away, or whose discovery has moved.
+// Nothing is sent to an endpoint that the agent reported as draining, by a relay whose turn to watch has not come, whose
+// watches discovery rejects, or whose discovery has moved.
 func TestDrainIsSeenWithoutWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		index int
@@ -53,7 +53,7 @@
 	}
 }
 
-// A silent agent is asked again at once, and so is heard soon after it comes back.
+// An unresponsive agent is polled at once, so that its return is noticed soon.
 func TestUnresponsiveAgentIsPolled(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -11,13 +11,13 @@
 	"larchrouter/internal/vfs/faultfs"
 )
 
-// startOn starts a relay whose journal is on a disk with faults, which the loop alone touches.
+// startOn starts a relay whose journal is on a disk with faults, which only the loop touches.
 func startOn(t *testing.T, p *platform, d *faultfs.Dir, power bool) *Relay {
 	t.Helper()
 	return startRelay(t, p, func(c *Config) { c.Files, c.Power = d, power })
 }
 
-// in runs something in the loop.
+// in runs a function on the loop.
 func in(t *testing.T, r *Relay, f func()) {
 	t.Helper()
 	if _, err := onLoop(t.Context(), r, func() bool { f(); return true }); err != nil {
@@ -25,9 +25,9 @@
 	}
 }
 
-// A disk that fills: new messages are refused plainly with a time to come again, what was taken on is tried, ends and
-// is told from the spare room; when there is room again the relay takes messages by itself. Again and again, and
-// nothing is lost at the start after it.
+// While the disk is full, new messages are rejected with Retry-After, and admitted ones are attempted, end and get their
+// notices from the spare room. When there is room again the relay admits messages by itself. It repeats that, and nothing is
+// lost at the next start.
 func TestDiskFillsAndFrees(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -35,20 +35,20 @@
 	r := startOn(t, p, d, false)
 	for round := range 5 {
 		in(t, r, func() { d.Space = -1 })
-		held := fmt.Sprint("held-", round)
-		status, _ := hand(t, r.Addr(), held, "status-update")
+		pending := fmt.Sprint("held-", round)
+		status, _ := hand(t, r.Addr(), pending, "status-update")
 		want(t, "status with room", status, 202)
 		in(t, r, func() { d.Space = d.Used() })
 		c := wait(t, calls, "call")
-		want(t, "id", c.id, held)
+		want(t, "id", c.id, pending)
 		for i := range 3 {
 			status, after := hand(t, r.Addr(), fmt.Sprint("new-", round, "-", i), "payment")
 			want(t, "status on a full disk", status, 503)
-			want(t, "told when to come again", after != "", true)
+			want(t, "Retry-After is set", after != "", true)
 		}
-		c.answer <- 429 // it is tried again: more records
+		c.answer <- 429 // it is retried: more records
 		c = wait(t, calls, "second call")
-		want(t, "id", c.id, held)
+		want(t, "id", c.id, pending)
 		c.answer <- 200
 		for left := 1; left > 0; {
 			in(t, r, func() { left = len(r.pending) })
@@ -62,7 +62,7 @@
 	c.answer <- 200
 }
 
-// A disk that can make nothing durable any more: the relay takes nothing on, sends nothing, and says why.
+// With a disk that cannot sync any more the relay admits nothing, sends nothing, and reports why.
 func TestFailedSyncAdmitsNothing(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -83,15 +83,15 @@
 	for i := range 3 {
 		status, _ = hand(t, r.Addr(), fmt.Sprint("new-", i), "payment")
 		want(t, "status after the sync had failed", status, 503)
-		in(t, r, func() { d.FailSync = nil }) // that the next one would go well changes nothing
+		in(t, r, func() { d.FailSync = nil }) // that the next sync would succeed changes nothing
 	}
 	want(t, "calls", len(calls), 0)
-	var trouble string
-	in(t, r, func() { trouble = r.journalView().Trouble })
-	want(t, "it says why", trouble != "", true)
+	var fault string
+	in(t, r, func() { fault = r.journalView().Trouble })
+	want(t, "it reports the reason", fault != "", true)
 }
 
-// Guards against a message that is taken on anew when its client repeats it after a restart.
+// A message that its client repeats after a restart is not admitted again.
 func TestEndedIDsSurviveRestart(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -117,15 +117,15 @@
 	c.answer <- 200
 }
 
-// A record that cannot be read may have been an attempt: a payment from before it is not sent again, what may be
-// repeated is, and what came after it is as it was.
+// An unreadable record may have been an attempt: a payment from before it is not sent again, a repeatable message is, and
+// what was recorded after it is unaffected.
 func TestDamagedJournalRepeatsNoPayment(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	state := t.TempDir()
 	p.mu.Lock()
 	p.now.Servers = []hostEntry{at("s-1", p.now.Servers[0].Addr, "taller")}
-	p.now.Servers[0].State = "leaving" // nothing goes out yet
+	p.now.Servers[0].State = "leaving" // nothing is sent yet
 	p.mu.Unlock()
 	cmd, addr := process(t, p, state)
 	for _, id := range []string{"pay", "status", "torn", "after"} {
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -21,7 +21,7 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// frozenTime is in the year 2100: what is held is not over, and what is remembered is not too old, whenever the test runs.
+// frozenTime is in the year 2100: pending messages have not expired, and ended ones are not too old, whenever the test runs.
 const frozenTime = 4102444800000
 
 var (
@@ -39,7 +39,7 @@
 		{Subject: "partner:other", Count: 6, Origin: "r1", By: "op-c", AtMs: frozenTime + 3}}
 )
 
-// frozenConfig is of a relay of its own, the first of a fleet of three.
+// frozenConfig configures a standalone relay, the first of a fleet of three.
 func frozenConfig(t *testing.T, state string) Config {
 	t.Helper()
 	conf, err := readTestConfig(t, testConfig(t, newPlatform(t)), state)
@@ -58,7 +58,7 @@
 	return conf
 }
 
-// newRelay is a relay that is not served: the test is its loop.
+// newRelay returns a relay that is not served: the test acts as its loop.
 func newRelay(t *testing.T, conf Config) *Relay {
 	t.Helper()
 	r, err := New(conf)
@@ -69,7 +69,7 @@
 	return r
 }
 
-// writeFrozenState has a relay record what operators say, and messages as it takes them on and ends them.
+// writeFrozenState has a relay record drains, overrides, and messages as it admits and ends them.
 func writeFrozenState(t *testing.T, dir string) {
 	t.Helper()
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// frozenState is the path of the fixture.
+// frozenState returns the path of the fixture.
 func frozenState(t *testing.T) string {
 	dir := filepath.Join("testdata", "state-format-2")
 	if fixture.Missing(t, dir) {
@@ -125,7 +125,7 @@
 	return dir
 }
 
-// Guards against records that mean something else to the next build: drains, the fleet's words, messages and ends.
+// Records mean the same to the next build: drains, overrides, messages and ends.
 func TestStateFolderMatchesFrozenFixture(t *testing.T) {
 	dir, present := frozenState(t), t.TempDir()
 	writeFrozenState(t, present)
@@ -134,7 +134,7 @@
 	}
 }
 
-// A relay of its own takes all of a folder over.
+// A standalone relay takes over everything in a state folder.
 func TestTakesOverFrozenFolder(t *testing.T) {
 	r := newRelay(t, frozenConfig(t, fixture.Copy(t, frozenState(t))))
 	var marks []string
@@ -144,14 +144,14 @@
 	want(t, "drains", fmt.Sprint(marks), "[endpoint:acme-1 by op of endpoint:acme-1 at 4102444800000 within 0s relay by op of relay at 4102444800000 within 30s]")
 	phase, _ := r.standalone.drains.Phase()
 	want(t, "phase", string(phase), "draining")
-	want(t, "endpoint that the fleet was told of is open", r.standalone.drains.Open("acme-2"), false)
+	want(t, "endpoint drained by the fleet is open", r.standalone.drains.Open("acme-2"), false)
 	if words := r.cluster.talk.Book().All(); !reflect.DeepEqual(words, frozenWords) {
 		t.Errorf("words %+v, want %+v", words, frozenWords)
 	}
 	want(t, "relays that are gone", fmt.Sprint(r.cluster.gone), "[2]")
-	want(t, "messages held", len(r.pending), 1)
+	want(t, "pending messages", len(r.pending), 1)
 	e := *r.pending["held"].Entry
-	want(t, "one held", fmt.Sprintln(e.ID, e.Class, e.Dest, e.Key, e.Effect, e.Due, string(e.Body), e.Partner, e.TakenAt, e.Bytes, e.Tries, e.Wait, e.Ran, e.Out, e.Log),
+	want(t, "pending message", fmt.Sprintln(e.ID, e.Class, e.Dest, e.Key, e.Effect, e.Due, string(e.Body), e.Partner, e.TakenAt, e.Bytes, e.Tries, e.Wait, e.Ran, e.Out, e.Log),
 		"held payment 7 key of held 3 4102444860000 body of held acme 4102444800000 10 1 300 false false [{acme-1 4102444800001 12 refused false}]\n")
 	for id, text := range map[string]string{"refused": "deferred 4102444800002 4102444800003 its time was up", "failed": "undeliverable 0 4102444800004 it may have run",
 		"delivered": "delivered 0 4102444800005 "} {
@@ -162,23 +162,22 @@
 		want(t, "end of "+id, fmt.Sprint(e.Status, " ", e.Again, e.EndAt, " ", e.Why), text)
 	}
 	ended := r.journal.Ended()
-	want(t, "ids that are over", fmt.Sprint(len(ended), " ", ended[0].ID, " ", ended[0].At), "1 over 4102444800006")
+	want(t, "ids that have ended", fmt.Sprint(len(ended), " ", ended[0].ID, " ", ended[0].At), "1 over 4102444800006")
 	want(t, "base of an endpoint in an outage", r.journal.Unwell["acme-2"].Base, 2.5)
 }
 
-// A relay under a platform owes notices for what one of its own keeps as ends.
+// A relay under a platform owes notices for what a standalone one stores as ends.
 func TestPlatformRelayTakesOverFrozenFolder(t *testing.T) {
 	conf := frozenConfig(t, fixture.Copy(t, frozenState(t)))
 	conf.Standalone = nil
 	r := newRelay(t, conf)
-	want(t, "messages held", len(r.pending), 1)
+	want(t, "pending messages", len(r.pending), 1)
 	if owed := []notice{{ID: "refused", Status: "deferred", Again: frozenTime + 2}, {ID: "failed", Status: "undeliverable"}}; !reflect.DeepEqual(r.unsentNotices, owed) {
 		t.Errorf("notices owed %+v, want %+v", r.unsentNotices, owed)
 	}
 }
 
-// Guards against relays of different builds that take each other for ones that act on other files: what the fleet compares are
-// digests of JSON, which has the names of the fields in Go.
+// Relays of different builds with the same files have the same digests. These are of JSON with the names of Go fields.
 func TestDigestsMatchFrozenValues(t *testing.T) {
 	var present []fixture.Line
 	for _, d := range []struct {
@@ -208,7 +207,7 @@
 	}
 }
 
-// What a relay and its platform say to each other, and the list of hosts in a handover.
+// The messages between a relay and its platform, and the list of hosts in a handover, do not change.
 func TestPlatformMessagesMatchFrozenFixtures(t *testing.T) {
 	l := hostList{Version: 1, Full: true, Servers: []hostEntry{{ID: "s-2", Addr: "127.0.0.1:3", Zone: "north", Kind: "bank", Cell: 4, State: "active", Weight: 5.5}}}
 	notices := []notice{{ID: "m1", Status: "deferred", Again: 2}, {ID: "m3", Status: "undeliverable"}}
@@ -244,7 +243,7 @@
 	}
 }
 
-// Guards against a key of the platform's configuration that is no longer read: what a file lacks is 0.
+// Every key of the platform's configuration is still read: a key that is not leaves its field at 0.
 func TestConfigMatchesFrozenFile(t *testing.T) {
 	text := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","admin":"127.0.0.1:3","seed":"4a",
 		"limits":{"cores":5.5,"memory_mb":6.5,"sockets":64,"disk_mb":8.5},"peer_listen":"127.0.0.1:9","peers":["127.0.0.1:10","127.0.0.1:11"],
@@ -269,10 +268,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "what the variables say", fmt.Sprint(conf.Listen, conf.Discovery, conf.Admin, conf.State), "127.0.0.1:15[127.0.0.1:16 127.0.0.1:2]127.0.0.1:17state-18")
+	want(t, "values of the variables", fmt.Sprint(conf.Listen, conf.Discovery, conf.Admin, conf.State), "127.0.0.1:15[127.0.0.1:16 127.0.0.1:2]127.0.0.1:17state-18")
 }
 
-// Names and numbers that are stored, or that others are told.
+// Names and numbers that are stored, or sent to others, do not change.
 func TestNamesMatchFrozenTexts(t *testing.T) {
 	want(t, "statuses", strings.Join([]string{undeliverable, deferred, delivered}, " "), "undeliverable deferred delivered")
 	want(t, "subject of a relay that is gone", goneSubject("r1"), "gone:r1")
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -9,8 +9,8 @@
 	"larchrouter/internal/relay/override"
 )
 
-// joinFleet listens for the notes of other relays until the context ends. A relay that cannot goes on without them:
-// then it grants its calls to itself.
+// joinFleet receives messages of other relays until the context ends. If that fails, the relay goes on without them and
+// grants its calls to itself.
 func (r *Relay) joinFleet(ctx context.Context) {
 	c, err := gossip.Listen(ctx, r.config.PeerListen)
 	if err == nil {
@@ -42,7 +42,7 @@
 	})
 }
 
-// closePeers hears no more notes: another process takes this one's place. It runs in the loop.
+// closePeers ends the exchange with other relays when a successor takes over. It runs on the loop.
 func (r *Relay) closePeers() {
 	if r.peers != nil {
 		r.peers.Close()
@@ -50,7 +50,7 @@
 	}
 }
 
-// sendToPeer sends a note.
+// sendToPeer sends a message to another relay.
 func (r *Relay) sendToPeer(t choice.Tell) {
 	if r.peers != nil {
 		r.peers.Send(t.To, t.Note)
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/relay/journal"
 )
 
-// notice tells the platform how a message ended that was not delivered.
+// notice reports to the platform how a message ended that was not delivered.
 type notice struct {
 	ID     string `json:"id"`
 	Status string `json:"status"`
@@ -25,18 +25,20 @@
 	undeliverable = "undeliverable"
 	deferred      = "deferred"
 	noticeBatch   = 64
-	noticeTimeout = 250 * time.Millisecond // it is answered at once, and overdue 300 ms after the message's time
+	noticeTimeout = 250 * time.Millisecond // it is answered at once, and late 300 ms after the message's deadline
 )
 
-// outbox holds the notices that are to be posted. Putting one never blocks.
+// outbox holds the notices to be posted. It is safe for concurrent use.
 type outbox struct {
 	*sync.Mutex
 	queue []notice
-	ready chan struct{} // one waits here when the list is not empty
+	ready chan struct{} // holds a value while the queue is not empty
 }
 
+// newOutbox returns an empty outbox.
 func newOutbox() outbox { return outbox{Mutex: new(sync.Mutex), ready: make(chan struct{}, 1)} }
 
+// put adds notices. It never blocks.
 func (o *outbox) put(more ...notice) {
 	if len(more) == 0 {
 		return
@@ -50,25 +52,25 @@
 	}
 }
 
-// take returns some of them, perhaps none.
+// take removes and returns up to noticeBatch notices, perhaps none.
 func (o *outbox) take() []notice {
 	o.Lock()
 	defer o.Unlock()
 	n := min(noticeBatch, len(o.queue))
-	some := slices.Clone(o.queue[:n])
+	batch := slices.Clone(o.queue[:n])
 	if o.queue = slices.Delete(o.queue, 0, n); len(o.queue) > 0 {
 		select {
 		case o.ready <- struct{}{}:
 		default:
 		}
 	} else {
-		o.queue = nil // a burst's memory is not kept
+		o.queue = nil // releases the memory of a burst
 	}
-	return some
+	return batch
 }
 
-// postNotices posts notices until the context ends. Each is repeated until it is
-// acknowledged: a message that was taken on is lost without it.
+// postNotices posts notices until the context ends. Each is repeated until it is acknowledged: an admitted message would be
+// lost without it.
 func (r *Relay) postNotices(ctx context.Context) {
 	for {
 		select {
@@ -76,44 +78,44 @@
 			return
 		case <-r.notices.ready:
 		}
-		some := r.notices.take()
-		if r.postUntilAcknowledged(ctx, some) || len(some) == 1 {
+		batch := r.notices.take()
+		if r.postUntilAcknowledged(ctx, batch) || len(batch) == 1 {
 			continue
 		}
-		for i := range some { // one of them is not taken: it must not hold up the others
-			r.postUntilAcknowledged(ctx, some[i:i+1])
+		for i := range batch { // one of them is rejected and must not hold up the others
+			r.postUntilAcknowledged(ctx, batch[i:i+1])
 		}
 	}
 }
 
-// postUntilAcknowledged posts notices until they are acknowledged or turned away, and tells which. One that is
-// turned away alone comes back later.
-func (r *Relay) postUntilAcknowledged(ctx context.Context, some []notice) bool {
+// postUntilAcknowledged posts notices until they are acknowledged or rejected, and reports whether they were acknowledged. A
+// notice that is rejected by itself is put back into the outbox later.
+func (r *Relay) postUntilAcknowledged(ctx context.Context, batch []notice) bool {
 	for pause := minBackoff; ; pause = min(2*pause, maxBackoff) {
 		a := r.agent.Load()
-		status, err := postNoticeBatch(a, some)
+		status, err := postNoticeBatch(a, batch)
 		switch {
 		case ctx.Err() != nil:
 			return true // the journal has them
 		case status == http.StatusNoContent:
 			r.post(func() {
-				for _, n := range some {
+				for _, n := range batch {
 					r.record(journal.Record{Op: journal.OpEnd, ID: n.ID})
 					r.noticeAcknowledged(n.ID)
 				}
-				r.pendingNotices -= len(some)
+				r.pendingNotices -= len(batch)
 			})
 			return true
 		case a.ctx.Err() != nil:
-			pause = minBackoff / 2 // another took its place
+			pause = minBackoff / 2 // it was replaced
 			continue
 		}
-		slog.Warn("notices not taken", "count", len(some), "status", status, "err", err)
+		slog.Warn("notices not taken", "count", len(batch), "status", status, "err", err)
 		if err != nil {
 			r.tryNextAddress(a, err)
 		} else if status/100 == 4 {
-			if len(some) == 1 {
-				time.AfterFunc(maxBackoff, func() { r.notices.put(some...) })
+			if len(batch) == 1 {
+				time.AfterFunc(maxBackoff, func() { r.notices.put(batch...) })
 			}
 			return false
 		}
@@ -124,10 +126,11 @@
 	}
 }
 
-func postNoticeBatch(a *agent, some []notice) (status int, err error) {
+// postNoticeBatch posts notices once, and returns the status of the answer.
+func postNoticeBatch(a *agent, batch []notice) (status int, err error) {
 	var body bytes.Buffer
 	enc := json.NewEncoder(&body)
-	for _, n := range some {
+	for _, n := range batch {
 		if err := enc.Encode(n); err != nil {
 			return 0, err
 		}
--- a/internal/relay/order_test.go
+++ b/internal/relay/order_test.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// ordered has payments keep an order.
+// ordered makes payments an ordered class.
 func ordered(c *Config) {
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].Ordered = c.Settings.Classes[i].Name == "payment"
 	}
 }
 
-// waitHeld asks the loop until it holds just these messages, sorted by id: the ends of all others are recorded or are in what
-// the loop records before it ends.
-func waitHeld(t *testing.T, r *Relay, ids ...string) {
+// waitPending waits until the loop has just these pending messages, sorted by id: the ends of all others are recorded, or will
+// be before the loop ends.
+func waitPending(t *testing.T, r *Relay, ids ...string) {
 	t.Helper()
-	held, began := make(chan []string, 1), time.Now()
+	pending, began := make(chan []string, 1), time.Now()
 	for {
-		r.post(func() { held <- slices.Sorted(maps.Keys(r.pending)) })
-		now := wait(t, held, "list of messages held")
+		r.post(func() { pending <- slices.Sorted(maps.Keys(r.pending)) })
+		now := wait(t, pending, "list of pending messages")
 		if slices.Equal(now, ids) {
 			return
 		}
 		if time.Since(began) > 30*time.Second {
-			t.Fatalf("held are %v, want %v", now, ids)
+			t.Fatalf("pending are %v, want %v", now, ids)
 		}
 	}
 }
 
-// Messages of one key go one at a time, in the order in which they were taken on, also those that a restart finds: one with
-// another key, or of a class that keeps no order, does not wait. It guards against a relay that does not read the key.
+// Messages of one order key go one at a time in the order of admission, also after a restart. One with another key, or of a
+// class that is not ordered, does not wait.
 func TestOrderIsKept(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -61,8 +61,8 @@
 	out["m1"].answer <- 200
 	c := wait(t, calls, "call")
 	want(t, "second of the key", c.id, "m2")
-	waitHeld(t, r, "m2", "m3") // its host has answered m5, but what the relay has not read of that it would try again
-	r.stop()                   // with m2 out and m3 waiting
+	waitPending(t, r, "m2", "m3") // its host has answered m5, but the relay would retry what it has not read
+	r.stop()                      // with m2 in flight and m3 waiting
 	wait(t, r.loopDone, "end of the loop")
 	want(t, "further calls", len(calls), 0)
 	second := startRelay(t, p, func(c *Config) { ordered(c); c.State = conf.State })
@@ -71,9 +71,9 @@
 	want(t, "end of the second, which may have run", wait(t, p.notices, "notice"), notice{"m2", undeliverable, 0})
 	c = wait(t, calls, "call")
 	want(t, "next of the key", c.id, "m3")
-	hand(t, second.Addr(), "m8", "payment", "Cookie", "thread=k3") // once it is called, m6 would have been as well
+	hand(t, second.Addr(), "m8", "payment", "Cookie", "thread=k3") // once it is called, m6 would have been too
 	other := wait(t, calls, "call")
-	want(t, "call beside it", other.id, "m8")
+	want(t, "call in parallel", other.id, "m8")
 	other.answer <- 200
 	c.answer <- 200
 	c = wait(t, calls, "call")
@@ -83,23 +83,24 @@
 	want(t, "status with a malformed key", status, http.StatusBadRequest)
 }
 
-// A message is given up while the next of its key waits: that one goes only once the platform has acknowledged the end, as
-// until then the first is not over. The acknowledgement is held; meanwhile the notice is repeated.
+// A message is given up while the next of its order waits: the next goes only once the platform has acknowledged the notice,
+// since the first has not ended until then. The acknowledgement is delayed; meanwhile the notice is repeated.
 func TestOrderedMessageWaitsForNotice(t *testing.T) {
-	t.Run("it is heard", func(t *testing.T) { nextOfAnOrder(t, false) })
-	t.Run("the relay ends meanwhile", func(t *testing.T) { nextOfAnOrder(t, true) }) // the next has not run, and is sent by its successor
+	t.Run("the notice is acknowledged", func(t *testing.T) { testOrderedMessageWaits(t, false) })
+	// the next has not run, and is sent by the next process
+	t.Run("the relay ends meanwhile", func(t *testing.T) { testOrderedMessageWaits(t, true) })
 }
 
-func nextOfAnOrder(t *testing.T, ends bool) {
+func testOrderedMessageWaits(t *testing.T, ends bool) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	posted, held := make(chan bool, 100), make(chan bool)
+	posted, acknowledge := make(chan bool, 100), make(chan bool)
 	plain := p.Config.Handler
 	p.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if req.URL.Path == "/status" {
 			posted <- true
 			select {
-			case <-held:
+			case <-acknowledge:
 			case <-req.Context().Done():
 				return
 			}
@@ -118,13 +119,13 @@
 	for range 3 { // the notice, and again
 		wait(t, posted, "notice")
 	}
-	want(t, "calls before the end is heard", len(calls), 0)
+	want(t, "calls before the notice is acknowledged", len(calls), 0)
 	if ends {
 		r.stop()
 		wait(t, r.loopDone, "end of the loop")
 		r = startRelay(t, p, func(c *Config) { ordered(c); c.State = conf.State })
 	}
-	close(held)
+	close(acknowledge)
 	c = wait(t, calls, "call")
 	want(t, "second", c.id, "m2")
 	want(t, "end of the first", wait(t, p.notices, "notice"), notice{"m1", undeliverable, 0})
--- a/internal/relay/flood_test.go
+++ b/internal/relay/overload_test.go
@@ -10,17 +10,16 @@
 	"larchrouter/internal/relay/journal"
 )
 
-// hold keeps the loop from doing anything until it is let go.
+// hold blocks the loop until release is called.
 func hold(t *testing.T, r *Relay) (release func()) {
 	t.Helper()
-	held, free := make(chan bool), make(chan bool)
-	r.post(func() { close(held); <-free })
-	wait(t, held, "loop")
+	blocked, free := make(chan bool), make(chan bool)
+	r.post(func() { close(blocked); <-free })
+	wait(t, blocked, "loop")
 	return func() { close(free) }
 }
 
-// Guards against clients that wait behind a flood until they leave: when as many wait as can be looked at in
-// time, the next is refused at once, although the loop does nothing.
+// When as many clients wait as the loop can serve in time, the next is rejected at once, although the loop is blocked.
 func TestFloodIsRejectedAtOnce(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
 	release := hold(t, r)
@@ -33,7 +32,7 @@
 	want(t, "status", status, http.StatusServiceUnavailable)
 	want(t, "Retry-After", after, "1.000")
 	release()
-	for len(r.admissions) > 0 { // each turn of the loop looks at some
+	for len(r.admissions) > 0 { // each turn of the loop admits some
 		turn := make(chan bool, 1)
 		r.post(func() { turn <- true })
 		wait(t, turn, "turn of the loop")
@@ -43,7 +42,7 @@
 	want(t, "refused as busy", r.rejectedBusy.Load(), 1)
 }
 
-// Guards against handlers that wait for ever: each holds one of the clients' connections, and once all are held nobody is served.
+// A handler does not wait for ever for a client that has gone: each has one of the clients' connections.
 func TestRequestOfGoneClientIsAnswered(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
 	gone, cancel := context.WithCancel(t.Context())
@@ -54,7 +53,7 @@
 	want(t, "refused as busy", r.rejectedBusy.Load(), 0)
 }
 
-// Guards against a message that is taken on when its client is about to leave: it would be withdrawn again.
+// A message whose client is about to leave is rejected, since it would only be withdrawn again.
 func TestLateAdmissionIsRejected(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
 	in := &admission{ctx: t.Context(), reply: make(chan response, 1), arrivedAt: r.now() - maxAdmissionDelay - time.Millisecond, deadline: time.Hour,
@@ -65,8 +64,8 @@
 	want(t, "time to come again", a.after, defaultRetryAfter)
 }
 
-// Guards against outcomes that wait behind a flood of messages: a bounded number of these is looked at between
-// two Steps, after all else that has come.
+// Outcomes do not wait behind a flood of messages: a bounded number of these is admitted between two steps, after
+// everything else that has arrived.
 func TestOutcomesPrecedeAdmissions(t *testing.T) {
 	r := &Relay{inbox: make(chan func(), maxInboxBatch), admissions: make(chan *admission, admissionQueueLength)}
 	gone, cancel := context.WithCancel(t.Context())
@@ -79,15 +78,14 @@
 		r.inbox <- func() { waited = len(r.admissions) }
 	}
 	r.receiveBatch()
-	want(t, "messages not looked at when the last outcome was", waited, admissionQueueLength)
+	want(t, "messages that waited when the last outcome was taken in", waited, admissionQueueLength)
 	want(t, "messages left after", len(r.admissions), admissionQueueLength-maxAdmissionBatch)
 }
 
-// All that a Step records is one write; where that finds no room, what has room is recorded all the same, and
-// only what has none is refused.
+// A step makes one write. If that does not fit, what fits is recorded by itself, and only the rest is rejected.
 func TestOneJournalWritePerStep(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 100)), "taller")), nil)
-	took := func(n, size int) (answers []int) {
+	submit := func(n, size int) (answers []int) {
 		var ins []*admission
 		release := hold(t, r)
 		for i := range n {
@@ -106,15 +104,15 @@
 	writes := make(chan int, 2)
 	count := func() int { r.post(func() { writes <- r.journal.Writes() }); return wait(t, writes, "count") }
 	before := count()
-	for i, status := range took(20, 10) {
+	for i, status := range submit(20, 10) {
 		want(t, fmt.Sprint("status of message ", i), status, http.StatusAccepted)
 	}
-	if n := count() - before; n > 6 { // outcomes come as they come; a write for each message would be 20 and more
+	if n := count() - before; n > 6 { // outcomes may arrive apart; a write for each message would be 20 and more
 		t.Errorf("%d writes for one Step's 20 messages and what followed", n)
 	}
 	r.post(func() { r.journal.SetBudget(240_000) })
 	refused := 0
-	for _, status := range took(10, 10_000) {
+	for _, status := range submit(10, 10_000) {
 		if status == http.StatusServiceUnavailable {
 			refused++
 		}
--- a/internal/relay/doors_test.go
+++ b/internal/relay/quiesce_test.go
@@ -12,8 +12,8 @@
 	"larchrouter/internal/relay/settings"
 )
 
-// While clients are sent away /up says no, messages are taken on and delivered, each answer ends its connection,
-// and idle connections are closed; after that all is as before.
+// While clients are sent away /up reports no, messages are admitted and delivered, each response ends its connection, and
+// idle connections are closed. After Resume all is as before.
 func TestQuiesceAndResume(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
@@ -51,7 +51,7 @@
 	r.Resume()
 	want(t, "/up", upIs(), 200)
 	again := dial(t, r.Addr())
-	for _, id := range []string{"m2", "m3"} { // connections are kept again
+	for _, id := range []string{"m2", "m3"} { // connections are kept open again
 		again.Write([]byte(request(id, "Content-Length: 1\r\n", "x")))
 		status, _, closed = answered(t, again)
 		want(t, "status", status, 202)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Nothing is taken from a file that is broken, in whatever way.
+// Nothing of an invalid file is applied.
 func TestInvalidFileIsNotApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
--- a/internal/relay/retune.go
+++ b/internal/relay/reload.go
@@ -11,11 +11,12 @@
 	"larchrouter/internal/relay/settings"
 )
 
-// maxClasses that one process has known: each new meaning of a name takes a place for good. More need a restart.
+// maxClasses bounds the classes that one process has known: each new meaning of a name takes an index for good. More need
+// a restart.
 const maxClasses = 256
 
-// classes are all that the process has known, in the places by which decisions and messages know them, and those
-// that clients may use now. They are never changed, only replaced.
+// classes are all that the process has known, by the index that messages and the engine use, and those that clients may use
+// now. They are immutable.
 type classes struct {
 	all     []choice.Class
 	current map[string]int
@@ -29,20 +30,21 @@
 	return c
 }
 
-// withCurrent gives clients other classes to use. A class that means what one has meant before takes its place; messages
-// under way keep theirs, whether or not its name is in use.
+// withCurrent returns classes of which clients may use those given. A class that equals an earlier one takes its index.
+// Messages under way keep their index, whether or not the name is in use.
 func (c *classes) withCurrent(now []choice.Class) (*classes, error) {
 	n := &classes{all: slices.Clone(c.all), current: map[string]int{}}
 	for _, k := range now {
 		n.current[k.Name] = n.index(k)
 	}
 	if len(n.all) > maxClasses {
-		return nil, fmt.Errorf("%d different classes since the start, %d at most: a restart takes the new file", len(n.all), maxClasses)
+		return nil, fmt.Errorf("%d different classes since the start, %d at most: a restart takes the new file",
+			len(n.all), maxClasses)
 	}
 	return n, nil
 }
 
-// index is where a class stands; a new one is put last.
+// index returns the index of a class, and appends it if it is new.
 func (c *classes) index(k choice.Class) int {
 	i := slices.Index(c.all, k)
 	if i < 0 {
@@ -52,8 +54,8 @@
 	return i
 }
 
-// ReloadSettings takes the settings of a file that was read again: classes, attempts, what may be held, slots, rules, and
-// how long clients heed advice. All else needs a restart. Messages under way keep their class.
+// ReloadSettings applies the settings of a file that was read again: classes, attempts, the limit of pending messages,
+// slots, rules, and the maximum of Retry-After. Other settings need a restart. Messages under way keep their class.
 func (r *Relay) ReloadSettings(s settings.Settings) {
 	r.post(func() {
 		n, err := r.classes.Load().withCurrent(s.Classes)
@@ -69,16 +71,16 @@
 	})
 }
 
-// useSettings has clients, decisions and the loop go by other settings, in the loop.
+// useSettings replaces the settings of clients' requests, the engine and the loop, on the loop.
 func (r *Relay) useSettings(n *classes, set settings.Settings) {
 	r.settings = set
 	r.classes.Store(n)
 	r.adjustSlots()
 }
 
-// classAs is the class of a message that an earlier process took on: with the effect that it had then, since what a
-// repeat does was settled with the first try; all else as the name means now. Where the name is no longer in use
-// the message goes on under the most careful figures of the others, unless a relay alone ends it.
+// classAs returns the class of a message that an earlier process admitted: with the effect that it had then, since the first
+// attempt settled what a repeat does, and everything else as the name means now. If the name is no longer in use, the
+// message continues under the most restrictive figures of the other classes; a standalone relay ends it.
 func (r *Relay) classAs(e *journal.Entry) (class int, ok bool) {
 	c := r.classes.Load()
 	class, ok = c.current[e.Class]
@@ -98,7 +100,8 @@
 	return class, true
 }
 
-// mostRestrictive is a class with the shortest window and aim of some, bound to a zone, and the longest time.
+// mostRestrictive returns a class with the shortest window and latency target of those given, bound to a zone, and the
+// longest deadline.
 func mostRestrictive(all []choice.Class) choice.Class {
 	k := all[0]
 	for _, o := range all[1:] {
--- a/internal/relay/retune_test.go
+++ b/internal/relay/reload_test.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/relay/settings"
 )
 
-// retuned are the test's settings with some text replaced.
+// retuned returns the test's settings with some text replaced.
 func retuned(t *testing.T, pairs ...string) settings.Settings {
 	t.Helper()
 	s, err := settings.Parse([]byte(strings.NewReplacer(pairs...).Replace(testSettings)))
@@ -20,8 +20,8 @@
 	return s
 }
 
-// A class that appears is taken on, one that vanishes is not, one under way keeps its effect; fewer attempts bind
-// what is held.
+// A class that appears is admitted, one that vanishes is not, a message under way keeps its effect; a lower limit of
+// attempts binds pending messages.
 func TestReloadSettings(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -45,7 +45,7 @@
 	want(t, "id", strict.id, "strict")
 	strict.answer <- 500
 	want(t, "notice", wait(t, p.notices, "notice"), notice{"strict", undeliverable, 0})
-	safe.answer <- 500 // it was taken on as one that may be repeated
+	safe.answer <- 500 // it was admitted as repeatable
 	again := wait(t, calls, "second try")
 	want(t, "id", again.id, "safe")
 
@@ -62,7 +62,7 @@
 	want(t, "classes known", wait(t, got, "number"), 5) // three, parcel, and the strict status-update
 }
 
-// What an earlier process took on keeps its effect, also where the name has another, or none, now.
+// A message of an earlier process keeps its effect, also if its class has another one, or does not exist, now.
 func TestRestoreKeepsEffects(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
--- a/internal/relay/service.go
+++ b/internal/relay/service.go
@@ -5,9 +5,7 @@
 	"errors"
 )
 
-// What the platform asks of a running relay at the second address.
-
-// Serving returns nil once the loop has shown that it decides.
+// Serving returns nil once the loop has run a function, and an error if the relay is stopping.
 func (r *Relay) Serving(ctx context.Context) error {
 	stopped, err := onLoop(ctx, r, func() bool { return r.stopped })
 	if err == nil && stopped {
@@ -16,8 +14,8 @@
 	return err
 }
 
-// Quiesce sends clients away until Resume. What is held is delivered, and the process goes on.
+// Quiesce sends clients away until Resume. Pending messages are delivered, and the process goes on.
 func (r *Relay) Quiesce() { r.doors.Close() }
 
-// Resume lets clients in again.
+// Resume admits clients again.
 func (r *Relay) Resume() { r.doors.Open() }
--- a/internal/relay/service_test.go
+++ b/internal/relay/service_test.go
@@ -33,7 +33,7 @@
 	return conn
 }
 
-// answered reads the answer to raw bytes, and whether the relay closed the connection after it.
+// answered reads the status and header of a raw response, and whether the relay closed the connection after it.
 func answered(t *testing.T, conn net.Conn) (status int, header http.Header, closed bool) {
 	t.Helper()
 	in := bufio.NewReader(conn)
@@ -54,7 +54,7 @@
 		"X-Addressing: dest=7\r\n" + more + "\r\n" + body
 }
 
-// Guards against a request hidden in the body of another: whatever the stated lengths leave over is not served.
+// A request hidden in the body of another is not served, whatever the stated lengths leave over.
 func TestSmuggledRequestIsNotServed(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
@@ -80,7 +80,7 @@
 	c.answer <- 200
 }
 
-// Guards against a body that is waited for although its stated length is already too much.
+// A body whose stated length is too large is not waited for.
 func TestLongBodyIsRejectedAtOnce(t *testing.T) {
 	r := startRelay(t, newPlatform(t), nil)
 	conn := dial(t, r.Addr())
@@ -90,7 +90,7 @@
 	want(t, "closed", closed, true)
 }
 
-// Guards against a half request that holds its connection for longer than a client is owed an answer in.
+// An incomplete request does not keep its connection for longer than a client is owed a response.
 func TestHalfRequestIsEndedSoon(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), nil)
 	begin := time.Now()
@@ -101,12 +101,12 @@
 	want(t, "status", status, 400)
 	want(t, "closed", closed, true)
 	io.Copy(io.Discard, head)
-	if took := time.Since(begin); took > 4*time.Second {
-		t.Fatalf("the connections were held for %v, 3 s are allowed", took)
+	if elapsed := time.Since(begin); elapsed > 4*time.Second {
+		t.Fatalf("the connections were open for %v, 3 s are allowed", elapsed)
 	}
 }
 
-// Guards against silent and idle connections that keep others from being accepted.
+// Silent and idle connections do not keep others from being accepted.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), func(c *Config) { c.Sockets = 64 })
@@ -118,14 +118,14 @@
 	io.WriteString(conn, request("m1", "Content-Length: 1\r\n", "x"))
 	status, _, _ := answered(t, conn)
 	want(t, "status", status, 202)
-	silent[0].SetReadDeadline(time.Now().Add(readTimeout / 2)) // it was closed to make room, not for its silence
+	silent[0].SetReadDeadline(time.Now().Add(readTimeout / 2)) // it was closed to make room, not by a time-out
 	if _, err := silent[0].Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 		t.Fatalf("the oldest silent connection: %v, want its end", err)
 	}
 	wait(t, calls, "call").answer <- 200
 }
 
-// Guards against another client's message that passes for the one with its id, or harms it.
+// Another client's message is neither taken for the one with its id, nor does it affect it.
 func TestForeignMessageWithPendingID(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
@@ -145,7 +145,7 @@
 	}
 }
 
-// Guards against memory that grows with the bodies held.
+// Memory for pending bodies is bounded.
 func TestBodiesHaveABudget(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), func(c *Config) { c.MemoryMB = 0.5 })
@@ -163,7 +163,7 @@
 	want(t, "status over the budget", status, 503)
 	want(t, "Retry-After", header.Get("Retry-After"), "1.000")
 	first.answer <- 200
-	for status != 202 { // as soon as the first one's end has come
+	for status != 202 { // as soon as the first has ended
 		status, _ = post("m3")
 	}
 	wait(t, calls, "call").answer <- 200
@@ -178,7 +178,7 @@
 	want(t, "bytes of bodies being read", r.readingBytes.Load(), 0)
 }
 
-// Guards against a loop that stands still while more notices are owed than fit anywhere.
+// The loop does not block when there are more notices than fit anywhere.
 func TestNoticesNeverBlock(t *testing.T) {
 	o := newOutbox()
 	for range 100_000 {
@@ -192,9 +192,9 @@
 	want(t, "notices", n, 100_000)
 }
 
-// Guards against one notice that is never taken and holds up all others.
+// A notice that is always rejected does not block the others.
 func TestRejectedNoticeDoesNotBlockOthers(t *testing.T) {
-	told := make(chan string, 10)
+	notified := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		if bytes.Contains(body, []byte(`"bad"`)) {
@@ -206,7 +206,7 @@
 			if dec.Decode(&n) != nil {
 				break
 			}
-			told <- n.ID
+			notified <- n.ID
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
@@ -217,11 +217,11 @@
 			r.queueNotice(notice{id, undeliverable, 0}, "")
 		}
 	})
-	want(t, "first", wait(t, told, "notice"), "a")
-	want(t, "second", wait(t, told, "notice"), "b")
+	want(t, "first", wait(t, notified, "notice"), "a")
+	want(t, "second", wait(t, notified, "notice"), "b")
 }
 
-// Guards against growth where ids of hosts are ever new.
+// State does not grow when ids of hosts are never reused.
 func TestGoneHostsAreForgotten(t *testing.T) {
 	long := time.Now().Add(-time.Hour).UnixMilli()
 	r := &Relay{hosts: map[string]*host{}, destinationSeen: map[int]time.Duration{},
@@ -242,7 +242,7 @@
 	want(t, "zones", len(r.settings.Zones), 0)
 }
 
-// Guards against an end by SIGHUP, and against list and notices from where discovery no longer is.
+// SIGHUP does not end the process, and moves the list and the notices to the new address of discovery.
 func TestReload(t *testing.T) {
 	calls := make(chan *seen, 10)
 	old := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -294,12 +294,12 @@
 		want(t, "status", status, 202)
 		c := wait(t, calls, "call")
 		want(t, "host", c.host, from)
-		c.answer <- 500 // its notice is owed
+		c.answer <- 500 // its notice is pending
 	}
 	for q := ""; !strings.Contains(q, "since=1&"); {
 		q = wait(t, old.asked, "watch")
 	}
-	told := func(p *platform, id, before string) { // the one before may come again, until the relay has read its answer
+	notified := func(p *platform, id, before string) { // the previous one may be repeated until the relay has read its answer
 		t.Helper()
 		for got := ""; got != id; {
 			if got = wait(t, p.notices, "notice").ID; got != id && got != before {
@@ -308,9 +308,9 @@
 		}
 	}
 	deliver("m0", "a")
-	told(old, "m0", "")
+	notified(old, "m0", "")
 	deliver("m1", "a")
-	told(old, "m1", "m0") // notices go out one after the other: m0's is acknowledged, and may not come again
+	notified(old, "m1", "m0") // notices are posted one after the other: m0's is acknowledged, and may not be repeated
 
 	write([]byte("{"))
 	hangup("not read again")
@@ -320,7 +320,7 @@
 		q = wait(t, next.asked, "watch at the new address")
 	}
 	deliver("m2", "b")
-	told(next, "m2", "m1")
+	notified(next, "m2", "m1")
 
 	// The environment still names the old address, where nobody listens any more.
 	cmd.Process.Kill()
@@ -335,11 +335,11 @@
 		q = wait(t, next.asked, "watch after the restart")
 	}
 	deliver("m3", "b")
-	for wait(t, next.notices, "notice").ID != "m3" { // m2's may come again: the kill came before its end was recorded
+	for wait(t, next.notices, "notice").ID != "m3" { // m2's may be repeated: the kill came before its end was recorded
 	}
 }
 
-// settled waits until all notices are acknowledged; all that came meanwhile must be one that came again.
+// settled waits until all notices are acknowledged; all that came meanwhile must be repetitions of one.
 func settled(t *testing.T, r *Relay, p *platform, again string) {
 	t.Helper()
 	for owed := -1; owed != 0; {
@@ -353,8 +353,7 @@
 	}
 }
 
-// Forces the crossing of an answer and a change of address: a notice that was read at the old address and not answered is
-// told at the new one, and one that was answered is not.
+// A notice that was read at the old address and not answered is posted at the new one, and one that was answered is not.
 func TestUnansweredNoticeGoesToNewAddress(t *testing.T) {
 	calls := make(chan *seen, 10)
 	host := at("s-1", fakeHost(t, "a", calls), "taller")
@@ -379,7 +378,7 @@
 	settled(t, r, next, "unanswered")
 }
 
-// Guards against a refusal that becomes a crash: a relay whose disk is full answers 503 and goes on.
+// A relay whose disk is full answers 503 and goes on.
 func TestFullDiskRejects(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
--- a/internal/relay/ending_test.go
+++ b/internal/relay/shutdown_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/relay/journal"
 )
 
-// ending is a relay of the test's own, the loop of which the test holds where it wants.
+// ending starts a relay whose loop the test can block.
 func ending(t *testing.T, change ...func(*Relay)) (r *Relay, calls chan *seen, ended chan struct{}) {
 	t.Helper()
 	calls = make(chan *seen, 10)
@@ -32,8 +32,8 @@
 	return r, calls, ended
 }
 
-// held are the ids that a state folder's journal holds.
-func heldIn(t *testing.T, dir string) (ids string) {
+// pendingIn returns the ids of the pending messages in the journal of a state folder.
+func pendingIn(t *testing.T, dir string) (ids string) {
 	t.Helper()
 	j, err := journal.Open(dir, journal.Options{Budget: 3e6})
 	if err != nil {
@@ -46,20 +46,19 @@
 	return ids
 }
 
-// The loop has taken a message on and has ended before its handler looks for the answer: both are there at one instant. The
-// answer counts: before, one of the two was picked by chance, and a client told to come again handed in what the next
-// process delivers.
+// The loop has admitted a message and ended before its handler reads the response: both are ready at once, and the response
+// counts. If the handler picked by chance, a client told to come again would repeat what the next process delivers.
 func TestAdmissionAsLoopEnds(t *testing.T) {
 	r := &Relay{loopDone: make(chan struct{})}
 	close(r.loopDone)
-	for range 64 { // picked by chance, one of them is wrong
+	for range 64 { // picked by chance, one of them would be wrong
 		in := &admission{reply: make(chan response, 1)}
 		in.reply <- response{status: http.StatusAccepted}
 		want(t, "answer", r.awaitResponse(in).status, http.StatusAccepted)
 	}
 }
 
-// slow holds the first status that a handler writes, once it is about to be.
+// slow blocks the first status that a handler writes.
 type slow struct {
 	http.Handler
 	written, free chan struct{}
@@ -80,10 +79,10 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// The end of the process crosses an answer that is decided and not yet written: a message that was taken on, and whose
-// client is cut off, is handed in again and delivered twice. The answer is held until all else has ended.
+// The process ends between the decision on a response and its write. If the client of an admitted message were cut off, it
+// would submit the message again and have it delivered twice. The response is blocked until all else has ended.
 func TestResponseIsWrittenAsRelayEnds(t *testing.T) {
-	for name, end := range map[string]func(*Relay){"ended": (*Relay).stop, "told to end": func(r *Relay) { go r.Terminate() }} {
+	for name, end := range map[string]func(*Relay){"ended": (*Relay).stop, "terminated": func(r *Relay) { go r.Terminate() }} {
 		t.Run(name, func(t *testing.T) {
 			written, free := make(chan struct{}), make(chan struct{})
 			r, calls, ended := ending(t, func(r *Relay) {
@@ -95,7 +94,7 @@
 			wait(t, written, "answer")
 			wait(t, calls, "call").answer <- 200
 			end(r)
-			for !r.doors.Closed() { // then it waits for its clients, and for nothing else
+			for !r.doors.Closed() { // then it waits for its clients only
 				select {
 				case <-ended:
 					t.Fatal("the relay ended with an answer unwritten")
@@ -110,7 +109,7 @@
 	}
 }
 
-// The other way: a message that waits to be looked at as the loop ends is refused, and recorded nowhere.
+// A message that waits for the loop as it ends is rejected, and recorded nowhere.
 func TestUnprocessedAdmissionAsLoopEnds(t *testing.T) {
 	r, _, ended := ending(t)
 	conn := dial(t, r.Addr())
@@ -127,12 +126,11 @@
 	want(t, "Retry-After", header.Get("Retry-After"), "1.000")
 	wait(t, ended, "end")
 	want(t, "answers of the loop", len(in.reply), 0)
-	want(t, "messages held", heldIn(t, r.config.State), "")
+	want(t, "pending messages", pendingIn(t, r.config.State), "")
 }
 
-// A request comes in pieces while clients are sent away: its head begins before its connection is looked at for being
-// idle, and ends after. It guards against closing a connection on which a request has been read in part, which
-// net/http takes for idle.
+// A request arrives in pieces while clients are sent away: its head begins before its connection is checked for being idle,
+// and ends after. A connection on which a request has been read in part, which net/http takes for idle, is not closed.
 func TestStartedRequestIsAnsweredWhileClientsDrain(t *testing.T) {
 	r, calls, _ := ending(t)
 	kept, idle, fresh := dial(t, r.Addr()), dial(t, r.Addr()), dial(t, r.Addr())
@@ -157,7 +155,7 @@
 	want(t, "status", status, http.StatusAccepted)
 	want(t, "closed", closed, true)
 	wait(t, calls, "call").answer <- 200
-	fresh.Write([]byte(request("m2", "Content-Length: 1\r\n", "x"))) // it had not asked for anything
+	fresh.Write([]byte(request("m2", "Content-Length: 1\r\n", "x"))) // it had not sent a request
 	status, _, closed = answered(t, fresh)
 	want(t, "status", status, http.StatusAccepted)
 	want(t, "closed", closed, true)
@@ -174,8 +172,8 @@
 	}
 }
 
-// A relay that is told to end answers clients as long as it runs: what comes on a connection that was accepted late, and
-// is sent late, is not left unread. It also guards against a second signal that ends it sooner or twice.
+// A relay that terminates answers clients as long as it runs: a request that comes late on a connection accepted late is
+// read. A second signal does not end it sooner or twice.
 func TestClientsAreAnsweredUntilExit(t *testing.T) {
 	r, calls, ended := ending(t)
 	hand(t, r.Addr(), "m0", "payment")
@@ -186,10 +184,10 @@
 	for !r.doors.Closed() {
 		time.Sleep(time.Millisecond)
 	}
-	r.Terminate() // at once: the first goes on
+	r.Terminate() // returns at once; the first call continues
 	for i, id := range []string{"m1", "m2"} {
 		if i == 1 {
-			time.Sleep(time.Until(begin.Add(exitIdleAfter + 200*time.Millisecond))) // the relay's own time: nobody was accepted any more
+			time.Sleep(time.Until(begin.Add(exitIdleAfter + 200*time.Millisecond))) // earlier versions accepted nobody by then
 		}
 		conn := dial(t, r.Addr())
 		conn.Write([]byte(request(id, "Content-Length: 1\r\n", "x")))
@@ -200,18 +198,18 @@
 	}
 	out.answer <- 200
 	wait(t, ended, "end")
-	want(t, "messages held", heldIn(t, r.config.State), "")
+	want(t, "pending messages", pendingIn(t, r.config.State), "")
 }
 
-// An id that is forgotten, and ends again, is remembered as long as any: it guards against its earlier place, whose turn to
-// be forgotten comes first, and a repeat of it that passes as new.
+// An id that is removed and added again is remembered as long as any other: its earlier slot, whose turn comes first, does
+// not remove it.
 func TestRemovedIDIsRememberedAgain(t *testing.T) {
 	s := endedMessages{capacity: 3}
 	for i, id := range []string{"a", "b", "c"} {
 		s.put(id, uint32(i))
 	}
 	s.remove("a")
-	s.put("a", 9) // takes the oldest place, its own
+	s.put("a", 9) // takes the oldest slot, its own
 	s.remove("b")
 	s.put("b", 8)
 	s.put("d", 7)
@@ -220,14 +218,13 @@
 	want(t, "remembered", all, "a9 b8 d7 ")
 	s.remove("b")
 	s.put("b", 6)
-	want(t, "an id after its new place", s.has("b") && s.has("d"), true)
-	s.put("e", 5) // at the place that b had before
-	want(t, "b at its earlier place's turn", s.has("b"), true)
+	want(t, "an id after its new slot", s.has("b") && s.has("d"), true)
+	s.put("e", 5) // in the slot that b had before
+	want(t, "b at the turn of its earlier slot", s.has("b"), true)
 }
 
-// What a restart finds untried is tried: of 500 held, half of them untried, each untried one gets its call, also while fresh
-// ones come in, and those that cannot are counted by why. It holds for one process and for several, which take what the
-// platform hands them apart.
+// Of 500 pending messages that a restart finds, half of them untried, each untried one gets its call, also while new ones
+// arrive, and those that cannot are counted by reason. That holds for one process and for several that share the messages.
 func TestUntriedMessagesAreAttemptedAfterRestart(t *testing.T) {
 	for _, processes := range []int{1, 5} {
 		calls := make(chan string, 20_000)
@@ -249,7 +246,7 @@
 				for i := range 500 {
 					e := &journal.Entry{ID: fmt.Sprintf("m%d-%d", n, i), Class: effectClasses[i%3], Key: "k", Dest: 7, Due: due}
 					if i%50 == 49 {
-						e.Due = now - 1 // out of time before the restart
+						e.Due = now - 1 // its deadline passed before the restart
 					}
 					recs := []journal.Record{{Op: journal.OpTaken, Entry: e}}
 					if i%2 == 0 {
--- a/internal/relay/succession_test.go
+++ b/internal/relay/succession_test.go
@@ -10,13 +10,13 @@
 	"larchrouter/internal/relay/journal"
 )
 
-// pair is a relay and the means to have another take its place in the same process.
+// pair is a relay and the means to have another replace it in the same process.
 type pair struct {
 	t     *testing.T
 	p     *platform
 	conf  Config
 	first *Relay
-	done  chan struct{} // closed when the first has ended
+	done  chan struct{} // closed once the first has ended
 }
 
 func newPair(t *testing.T, p *platform) *pair {
@@ -46,7 +46,7 @@
 	return h
 }
 
-// succeed has a second relay take the first one's place.
+// succeed has a second relay take over from the first.
 func (s *pair) succeed() *Relay {
 	s.t.Helper()
 	h := s.ask()
@@ -61,20 +61,20 @@
 	return second
 }
 
-// A message whose call is out in the first process is not sent by the second before that call has ended, and then
-// as its outcome allows.
+// A message in flight at the predecessor is not sent by the successor before that call has ended, and then as its outcome
+// allows.
 func TestOutcomeReachesSuccessor(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
 		status int    // of the first answer
 		again  bool   // a second call comes
-		notice string // or this
+		notice string // or a notice with this status
 	}{
 		"delivered":                       {"payment", 200, false, ""},
 		"over":                            {"payment", 410, false, ""},
 		"a payment that may have run":     {"payment", 500, false, undeliverable},
 		"a payment that never ran":        {"payment", 503, true, ""},
-		"a payment told to wait":          {"payment", 429, true, ""},
+		"a payment with Retry-After":      {"payment", 429, true, ""},
 		"a status update may be repeated": {"status-update", 500, true, ""},
 		"a job order in its window":       {"job-order", 500, true, ""},
 	} {
@@ -102,15 +102,15 @@
 			case c.again:
 				again := wait(t, calls, "second call")
 				want(t, "id", again.id, "m1")
-				if took := time.Since(answered); c.status == 429 && took < 290*time.Millisecond {
-					t.Errorf("sent again %v after a wait of 300 ms was told", took)
+				if elapsed := time.Since(answered); c.status == 429 && elapsed < 290*time.Millisecond {
+					t.Errorf("sent again %v after a Retry-After of 300 ms", elapsed)
 				}
 				again.answer <- 200
 			case c.notice != "":
 				want(t, "notice", wait(t, p.notices, "notice"), notice{"m1", c.notice, 0})
 			}
 			wait(t, s.done, "end of the first")
-			want(t, "first is wanted again", s.first.Orphaned(), false)
+			want(t, "first is orphaned", s.first.Orphaned(), false)
 			status, _ = hand(t, second.Addr(), "m1", c.class)
 			want(t, "status of the same message once more", status, 202)
 			want(t, "further calls", len(calls), 0)
@@ -119,7 +119,7 @@
 	}
 }
 
-// What the first process has not told when it dies counts as after a crash.
+// What the predecessor has not reported when it dies counts as after a crash.
 func TestPredecessorDiesBeforeItReports(t *testing.T) {
 	for class, again := range map[string]bool{"payment": false, "status-update": true} {
 		t.Run(class, func(t *testing.T) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// A message out in a first process that says nothing is answered when its time is up.
+// A message in flight at a predecessor that reports nothing ends at its deadline.
 func TestPredecessorNeverReports(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -151,15 +151,15 @@
 	hand(t, s.first.Addr(), "m1", "payment", "X-Deadline-Ms", "700")
 	wait(t, calls, "call")
 	h := s.ask()
-	startRelay(t, p, func(c *Config) { c.State, c.Successor = s.conf.State, h }) // and nobody follows the first
+	startRelay(t, p, func(c *Config) { c.State, c.Successor = s.conf.State, h }) // and nobody receives outcomes of the first
 	want(t, "notice", wait(t, p.notices, "notice"), notice{"m1", undeliverable, 0})
 	if late := time.Since(begin) - 700*time.Millisecond; late < 0 || late > 5*time.Second {
-		t.Errorf("told %v after its time", late)
+		t.Errorf("notified %v after its deadline", late)
 	}
 	h.Close()
 }
 
-// A wait that a host told the first process binds the second; ids that have ended are known there.
+// A Retry-After that the predecessor received binds the successor, which also knows the ids that have ended.
 func TestSuccessorInheritsWaitsAndEndedIDs(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -168,8 +168,8 @@
 	wait(t, calls, "call").answer <- 200
 	hand(t, s.first.Addr(), "m2", "payment")
 	wait(t, calls, "call").answer <- 429 // Retry-After 0.3
-	told := time.Now()
-	for waits := 0; waits == 0; { // until the first has taken it in
+	answeredAt := time.Now()
+	for waits := 0; waits == 0; { // until the first has applied it
 		n := make(chan int, 1)
 		s.first.post(func() {
 			k := 0
@@ -187,19 +187,19 @@
 	second := s.succeed()
 	status, _ := hand(t, second.Addr(), "m1", "payment")
 	want(t, "status of what was delivered before", status, 202)
-	held := make(chan bool, 1)
-	second.post(func() { held <- second.pending["m1"] != nil })
-	want(t, "it is taken on anew", wait(t, held, "look"), false)
+	pending := make(chan bool, 1)
+	second.post(func() { pending <- second.pending["m1"] != nil })
+	want(t, "it is admitted again", wait(t, pending, "look"), false)
 	c := wait(t, calls, "call")
 	want(t, "id", c.id, "m2")
-	if took := time.Since(told); took < 290*time.Millisecond {
-		t.Errorf("sent %v after a wait of 300 ms was told", took)
+	if elapsed := time.Since(answeredAt); elapsed < 290*time.Millisecond {
+		t.Errorf("sent %v after a Retry-After of 300 ms", elapsed)
 	}
 	c.answer <- 200
 }
 
-// If the heir goes before it serves, the first ends as one that is wanted again, with all in the journal; a client
-// that it could not pass on hears a refusal.
+// If the successor leaves before it serves, the predecessor ends as one to start again, with everything in the journal, and
+// rejects a client whose request it could not forward.
 func TestSuccessorNeverServes(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -212,17 +212,17 @@
 	h := s.ask()
 	kept.Write([]byte(request("m2", "Content-Length: 1\r\n", "x")))
 	status, header, _ := answered(t, kept)
-	want(t, "status of what nobody could take", status, http.StatusServiceUnavailable)
+	want(t, "status without a successor", status, http.StatusServiceUnavailable)
 	want(t, "Retry-After", header.Get("Retry-After"), "1")
 	h.Close()
 	wait(t, s.done, "end of the first")
-	want(t, "wanted again", s.first.Orphaned(), true)
+	want(t, "orphaned", s.first.Orphaned(), true)
 	j, err := journal.Open(s.conf.State, journal.Options{Budget: 3e6})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.Close()
 	if e := j.Entries["m1"]; len(j.Entries) != 1 || e == nil || e.Tries == 0 {
-		t.Errorf("the journal holds %v", j.Entries)
+		t.Errorf("the journal has %v", j.Entries)
 	}
 }
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -9,15 +9,12 @@
 	"larchrouter/internal/relay/httpcall"
 )
 
-// Lines at debug level, from which a day can be counted across a fleet: what was taken on or refused, each attempt
-// and its end, each message's end, and each question to discovery. They are off unless the log's level asks for them.
-
 const traceInterval = 500 * time.Millisecond
 
-// debugEnabled tells whether such lines are wanted; it is asked first, so that they cost nothing while they are not.
+// debugEnabled reports whether debug lines are logged. It is checked first, so that they cost nothing otherwise.
 func debugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
-// traceAttempt notes how one message's attempt ended.
+// traceAttempt logs the outcome of one message's attempt.
 func traceAttempt(c *call, m *message, e httpcall.End, took, wait time.Duration) {
 	if debugEnabled() {
 		slog.Debug("attempt", "id", m.ID, "class", m.class, "dest", c.host.dest, "host", c.host.id, "with", len(c.members),
@@ -25,14 +22,14 @@
 	}
 }
 
-// traceEnd notes how a message ended.
+// traceEnd logs how a message ended.
 func traceEnd(m *message, status, why string) {
 	if debugEnabled() {
 		slog.Debug("ended", "id", m.ID, "class", m.class, "dest", m.Dest, "status", status, "why", why, "tries", m.Tries)
 	}
 }
 
-// traceFleet notes, twice a second, what this relay as a steward holds of routes.
+// traceFleet logs, twice a second, the state of the routes that this relay coordinates.
 func (r *Relay) traceFleet(now time.Duration) {
 	if now < r.tracedAt+traceInterval || !debugEnabled() {
 		return
@@ -44,7 +41,7 @@
 	}
 }
 
-// traceDiscovery notes an answer of discovery, or its absence.
+// traceDiscovery logs an answer of discovery, or its error.
 func traceDiscovery(q discoverypoll.Question, l hostList, took time.Duration, err error) {
 	if debugEnabled() {
 		slog.Debug("asked", "full", q.Whole, "since", q.Since, "version", l.Version, "whole", l.Full, "lines", len(l.Servers),
--- a/internal/relay/found.go
+++ b/internal/relay/untried.go
@@ -4,15 +4,15 @@
 	"log/slog"
 )
 
-// untriedMessages are the messages that this process untriedMessages taken on and untried, until each has had its first call or has ended
-// without: they are owed a try, and what keeps them from it is told in the log.
+// untriedMessages are the messages that this process found admitted and without an attempt, until each has had its first
+// attempt or has ended without one. They are owed an attempt; the log says why one had none.
 type untriedMessages struct {
 	pending       map[string]bool
 	attempted     int
 	endedByReason map[string]int // by why
 }
 
-// add takes one in. It precedes the first Step.
+// add adds a message. It precedes the first step.
 func (f *untriedMessages) add(id string) {
 	if f.pending == nil {
 		f.pending, f.endedByReason = map[string]bool{}, map[string]int{}
@@ -20,7 +20,7 @@
 	f.pending[id] = true
 }
 
-// markAttempted notes that a message has its call.
+// markAttempted removes a message that is in a call.
 func (f *untriedMessages) markAttempted(id string) {
 	if f.pending[id] {
 		f.attempted++
@@ -28,7 +28,7 @@
 	}
 }
 
-// markEnded notes that a message has ended; why is for people.
+// markEnded removes a message that has ended; why is for people.
 func (f *untriedMessages) markEnded(id, why string) {
 	if f.pending[id] {
 		f.endedByReason[why]++
@@ -36,6 +36,7 @@
 	}
 }
 
+// remove removes a message, and logs the result after the last one.
 func (f *untriedMessages) remove(id string) {
 	if delete(f.pending, id); len(f.pending) == 0 {
 		slog.Info("what the restart found untried is over", "tried", f.attempted, "given up with no call", f.endedByReason)
--- a/internal/relay/upgrade_test.go
+++ b/internal/relay/upgrade_test.go
@@ -18,7 +18,7 @@
 	seed     = flag.Uint64("upgrades.seed", 1, "seed of TestUpgradesUnderLoad")
 )
 
-// upgradeSite is the program's process that serves at an address.
+// upgradeSite starts processes of the program that serve at one address.
 type upgradeSite struct {
 	t     *testing.T
 	p     *platform
@@ -27,11 +27,11 @@
 	cmd   *exec.Cmd
 }
 
-// start starts a second process beside the one that runs, which serves when the channel tells.
+// start starts another process; the channel reports its address once it serves.
 func (s *upgradeSite) start() (*exec.Cmd, chan string) { return processAt(s.t, s.p, s.state, s.addr) }
 
-// quietAddr is an address that nobody listens at, with a port that the system gives to no connection: it must be
-// free again whenever the process comes back to it.
+// quietAddr returns an address that nobody listens at, with a port that the system gives to no connection: it must be free
+// whenever the process returns to it.
 func quietAddr(t *testing.T) string {
 	t.Helper()
 	for range 1000 {
@@ -53,21 +53,21 @@
 	}
 }
 
-// load is four clients that hand in messages, one after the other, whatever becomes of the process.
+// load is four clients that submit messages one after the other, whatever happens to the process.
 type load struct {
-	results chan result
-	quit    chan struct{}
-	clients chan bool
-	took    map[string]bool // by id: whether it was taken on
+	results  chan result
+	quit     chan struct{}
+	clients  chan bool
+	admitted map[string]bool // whether it was admitted, by id
 }
 
 type result struct {
 	id     string
-	status int // 0 for no answer
+	status int // 0 for no response
 	began  time.Time
 }
 
-// startLoad has each client pause before each message. Bodies have so many bytes at least.
+// startLoad starts clients that pause before each message. Bodies have at least so many bytes.
 func startLoad(addr string, pause time.Duration, body int) *load {
 	l := &load{make(chan result, 1_000_000), make(chan struct{}), make(chan bool, 4), map[string]bool{}}
 	for k := range cap(l.clients) {
@@ -102,18 +102,18 @@
 	return l
 }
 
-// drain takes in the answers so far, and tells how many clients had none that began after a time.
+// drain takes in the results so far, and returns how many requests that began after a time had no response.
 func (l *load) drain(since time.Time) (unanswered int) {
 	for len(l.results) > 0 {
 		r := <-l.results
-		if l.took[r.id] = r.status == http.StatusAccepted; r.status == 0 && r.began.After(since) {
+		if l.admitted[r.id] = r.status == http.StatusAccepted; r.status == 0 && r.began.After(since) {
 			unanswered++
 		}
 	}
 	return unanswered
 }
 
-// end ends the clients, and tells which messages were taken on.
+// end stops the clients, and returns for each message whether it was admitted.
 func (l *load) end(t *testing.T) map[string]bool {
 	t.Helper()
 	close(l.quit)
@@ -121,12 +121,12 @@
 		wait(t, l.clients, "end of a client")
 	}
 	l.drain(time.Now())
-	return l.took
+	return l.admitted
 }
 
-// takenOn counts the messages that were.
-func takenOn(took map[string]bool) (n int) {
-	for _, ok := range took {
+// countAdmitted counts the admitted messages.
+func countAdmitted(admitted map[string]bool) (n int) {
+	for _, ok := range admitted {
 		if ok {
 			n++
 		}
@@ -134,9 +134,8 @@
 	return n
 }
 
-// Messages keep coming while the process is replaced again and again, in order and by kills of either process at
-// any point of the handover: each message taken on has one end, no payment runs twice, and in order no client is
-// turned away.
+// Messages keep coming while the process is replaced repeatedly, gracefully and by kills of either process at random points
+// of the handover: each admitted message has one end, no payment runs twice, and no client is rejected by a graceful one.
 func TestUpgradesUnderLoad(t *testing.T) {
 	t.Logf("seed %d", *seed)
 	draw := rand.New(rand.NewPCG(*seed, 0))
@@ -155,7 +154,7 @@
 		since := time.Now()
 		next, serves := s.start()
 		switch how := draw.IntN(4); how {
-		case 0, 1: // in order: no client goes without an answer
+		case 0, 1: // gracefully: no client goes without a response
 			kinds["in order"]++
 			wait(t, serves, "address")
 			s.end(s.cmd, syscall.SIGTERM)
@@ -163,12 +162,12 @@
 				t.Errorf("%d clients without an answer while the process was replaced in order", n)
 			}
 			s.cmd = next
-		case 2: // the first dies as soon as the second serves: what it had out may have run
+		case 2: // the first dies as soon as the second serves: its calls in flight may have run
 			kinds["first killed"]++
 			wait(t, serves, "address")
 			s.end(s.cmd, syscall.SIGKILL)
 			s.cmd = next
-		case 3: // the second dies at any point; the first takes the relay up again
+		case 3: // the second dies at a random point; the first resumes the relay
 			kinds["second killed"]++
 			select {
 			case <-serves:
@@ -178,17 +177,17 @@
 			load.drain(since)
 			for serving := false; !serving; {
 				select {
-				case r := <-load.results: // answers show that it serves
-					load.took[r.id] = r.status == http.StatusAccepted
-					serving = load.took[r.id]
+				case r := <-load.results: // responses show that it serves
+					load.admitted[r.id] = r.status == http.StatusAccepted
+					serving = load.admitted[r.id]
 				case <-time.After(30 * time.Second):
 					t.Fatal("nobody takes messages after the second process was killed")
 				}
 			}
 		}
 	}
-	took := load.end(t)
-	f.ends(t, s.p, took)
+	admitted := load.end(t)
+	f.ends(t, s.p, admitted)
 	f.check(t)
-	t.Logf("%v; %d messages handed in, %d taken on, each with its end", kinds, len(took), takenOn(took))
+	t.Logf("%v; %d messages submitted, %d admitted, each with its end", kinds, len(admitted), countAdmitted(admitted))
 }
--- a/internal/relay/versions.go
+++ b/internal/relay/versions.go
@@ -11,23 +11,22 @@
 	"larchrouter/internal/relay/versionaudit"
 )
 
-// What this relay acts on, told to the fleet, and what the others act on (internal/relay/versionaudit). Everything here belongs to the loop.
-
-// stragglerAfter is how long a relay may be behind the newest version before the log says so, once.
+// stragglerAfter is how long a relay may be behind the newest version before the log reports it, once.
 const stragglerAfter = time.Minute
 
-// digestOf stands for what should be the same at all relays of a fleet.
+// digestOf returns a digest of what should be the same at all relays of a fleet. It hashes JSON with the names of Go fields:
+// renaming a field of a digested type makes relays of different builds differ (TestDigestsMatchFrozenValues).
 func digestOf(v any) versionaudit.Version {
 	data, err := json.Marshal(v)
 	if err != nil {
-		return 0 // none: the settings are plain values
+		return 0 // never: the settings are plain values
 	}
 	h := fnv.New32a()
 	h.Write(data)
 	return versionaudit.Version(max(1, h.Sum32()))
 }
 
-// publishVersions tells the fleet what this relay acts on now.
+// publishVersions has the fleet learn which versions this relay acts on now.
 func (r *Relay) publishVersions() {
 	f := r.cluster
 	on := map[versionaudit.Kind]versionaudit.Version{
@@ -44,7 +43,7 @@
 	r.auditVersions(f.self)
 }
 
-// auditVersions enters what a relay says that it acts on.
+// auditVersions enters the versions that a relay reports.
 func (r *Relay) auditVersions(relay int) {
 	f, now := r.cluster, r.now()
 	for _, a := range f.talk.Acts(relay) {
@@ -52,7 +51,7 @@
 	}
 }
 
-// warnStragglers logs, once for each, who has been behind for long.
+// warnStragglers logs, once for each, which relays have been behind for long.
 func (r *Relay) warnStragglers() {
 	f := r.cluster
 	if f == nil || r.now() < f.checkAt {
@@ -70,14 +69,14 @@
 	}
 }
 
-// straggler is a relay that is behind.
+// straggler identifies a relay that is behind, and the version that it acts on.
 type straggler struct {
 	relay   int
 	kind    versionaudit.Kind
 	version versionaudit.Version
 }
 
-// versionViews describes who acts on what.
+// versionViews describes which relay acts on which version.
 func (r *Relay) versionViews() []adminapi.FleetVersion {
 	f := r.cluster
 	all := []adminapi.FleetVersion{}
