--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -13,32 +13,32 @@
 const maxRequesterBytes = 100 // bytes of who asked
 
 // command makes a change on the loop, and turns errors of package drain into errors of the admin API.
-func command[T any](ctx context.Context, r *Relay, f func() (T, error)) (T, error) {
+func command[T any](ctx context.Context, r *Relay, run func() (T, error)) (T, error) {
 	type outcome struct {
 		got T
 		err error
 	}
-	o, asked := onLoop(ctx, r, func() (o outcome) {
-		o.got, o.err = f()
+	result, asked := onLoop(ctx, r, func() (result outcome) {
+		result.got, result.err = run()
 		r.standalone.view.Store(nil)
-		return o
+		return result
 	})
-	err := o.err
+	err := result.err
 	switch {
 	case asked != nil:
-		return o.got, asked
+		return result.got, asked
 	case err == nil:
-		return o.got, nil
+		return result.got, nil
 	case errors.As(err, new(*adminapi.Error)):
-		return o.got, err
+		return result.got, err
 	case errors.Is(err, drain.ErrUnknownTarget):
-		return o.got, adminapi.Errorf(adminapi.NotFound, "%v", err)
+		return result.got, adminapi.Errorf(adminapi.NotFound, "%v", err)
 	case errors.Is(err, drain.ErrLastEndpoint), errors.Is(err, drain.ErrStopping), errors.Is(err, drain.ErrTooMany):
-		return o.got, adminapi.Errorf(adminapi.Conflict, "%v", err)
+		return result.got, adminapi.Errorf(adminapi.Conflict, "%v", err)
 	case errors.Is(err, drain.ErrInvalidTimeout):
-		return o.got, adminapi.Errorf(adminapi.Invalid, "%v", err)
+		return result.got, adminapi.Errorf(adminapi.Invalid, "%v", err)
 	}
-	return o.got, adminapi.Errorf(adminapi.Failed, "not recorded, so nothing was changed: %v", err)
+	return result.got, adminapi.Errorf(adminapi.Failed, "not recorded, so nothing was changed: %v", err)
 }
 
 // parseTarget returns the target of a drain request.
@@ -54,111 +54,114 @@
 }
 
 // drainEffect describes what a change of a target means now, on the loop.
-func (r *Relay) drainEffect(t drain.Target) adminapi.DrainAnswer {
-	b := r.standalone.drains
-	a := adminapi.DrainAnswer{Target: t.String(), Closes: b.WouldClose(t), GraceMs: drain.Grace.Milliseconds()}
-	if t.Scope == drain.Relay {
-		a.Waiting, a.Out = len(r.pending)-r.callsInFlight, r.callsInFlight
-		a.Waiting = max(0, a.Waiting)
-		if phase, until := b.Phase(); phase != drain.Serving {
-			a.UntilMs = until.UnixMilli()
+func (r *Relay) drainEffect(target drain.Target) adminapi.DrainAnswer {
+	drains := r.standalone.drains
+	answer := adminapi.DrainAnswer{Target: target.String(), Closes: drains.WouldClose(target), GraceMs: drain.Grace.Milliseconds()}
+	if target.Scope == drain.Relay {
+		answer.Waiting, answer.Out = len(r.pending)-r.callsInFlight, r.callsInFlight
+		answer.Waiting = max(0, answer.Waiting)
+		if phase, until := drains.Phase(); phase != drain.Serving {
+			answer.UntilMs = until.UnixMilli()
 		}
-		return a
+		return answer
 	}
-	a.Last = t.Scope == drain.Endpoint && b.IsLastOpen(t.Name)
+	answer.Last = target.Scope == drain.Endpoint && drains.IsLastOpen(target.Name)
 	views := r.chooser.Views()
-	for _, p := range r.standalone.directory.Load().all {
-		for _, e := range p.Endpoints {
-			if t.Scope == drain.Partner && p.Name != t.Name || t.Scope == drain.Endpoint && e.ID != t.Name {
+	for _, partner := range r.standalone.directory.Load().all {
+		for _, endpoint := range partner.Endpoints {
+			if target.Scope == drain.Partner && partner.Name != target.Name ||
+				target.Scope == drain.Endpoint && endpoint.ID != target.Name {
 				continue
 			}
-			a.Waiting = views[p.Number].Waiting
-			for _, h := range views[p.Number].Hosts {
-				if h.Addr == e.ID {
-					a.Out += h.Out
-					a.Unhealthy = a.Unhealthy || h.Health != "healthy"
+			answer.Waiting = views[partner.Number].Waiting
+			for _, hostView := range views[partner.Number].Hosts {
+				if hostView.Addr == endpoint.ID {
+					answer.Out += hostView.Out
+					answer.Unhealthy = answer.Unhealthy || hostView.Health != "healthy"
 				}
 			}
 		}
 	}
-	return a
+	return answer
 }
 
 // Drain implements adminapi.Backend. When it returns, the drain is recorded and the endpoints are closed.
-func (r *Relay) Drain(ctx context.Context, q adminapi.DrainRequest) (adminapi.DrainAnswer, error) {
-	t, err := parseTarget(q)
+func (r *Relay) Drain(ctx context.Context, request adminapi.DrainRequest) (adminapi.DrainAnswer, error) {
+	target, err := parseTarget(request)
 	if err != nil {
 		return adminapi.DrainAnswer{}, err
 	}
-	within := time.Duration(q.WithinMs) * time.Millisecond
+	within := time.Duration(request.WithinMs) * time.Millisecond
 	return command(ctx, r, func() (adminapi.DrainAnswer, error) {
-		if q.Fleet {
-			return r.drainFleet(t, q, true)
+		if request.Fleet {
+			return r.drainFleet(target, request, true)
 		}
-		a, b := r.drainEffect(t), r.standalone.drains
-		before := b.Snapshot()
-		var c drain.Change
+		answer, drains := r.drainEffect(target), r.standalone.drains
+		before := drains.Snapshot()
+		var change drain.Change
 		var err error
-		if q.DryRun {
-			_, err = b.Drain(t, q.By, within, true, time.Now())
+		if request.DryRun {
+			_, err = drains.Drain(target, request.By, within, true, time.Now())
 		} else {
-			c, err = r.applyDrainChange(func() (drain.Change, error) { return b.Drain(t, q.By, within, q.AllowLast, time.Now()) })
+			change, err = r.applyDrainChange(func() (drain.Change, error) {
+				return drains.Drain(target, request.By, within, request.AllowLast, time.Now())
+			})
 		}
-		a.Result = string(c.Result)
-		if _, until := b.Phase(); t.Scope == drain.Relay && !until.IsZero() {
-			a.UntilMs = until.UnixMilli()
+		answer.Result = string(change.Result)
+		if _, until := drains.Phase(); target.Scope == drain.Relay && !until.IsZero() {
+			answer.UntilMs = until.UnixMilli()
 		}
-		if q.DryRun {
-			b.Revert(before)
+		if request.DryRun {
+			drains.Revert(before)
 		}
-		return a, err
+		return answer, err
 	})
 }
 
 // Undrain implements adminapi.Backend.
-func (r *Relay) Undrain(ctx context.Context, q adminapi.DrainRequest) (adminapi.DrainAnswer, error) {
-	t, err := parseTarget(q)
+func (r *Relay) Undrain(ctx context.Context, request adminapi.DrainRequest) (adminapi.DrainAnswer, error) {
+	target, err := parseTarget(request)
 	if err != nil {
 		return adminapi.DrainAnswer{}, err
 	}
 	return command(ctx, r, func() (adminapi.DrainAnswer, error) {
-		if q.Fleet {
-			return r.drainFleet(t, q, false)
+		if request.Fleet {
+			return r.drainFleet(target, request, false)
 		}
-		a, b := r.drainEffect(t), r.standalone.drains
-		a.UntilMs = 0
-		if q.DryRun {
-			before := b.Snapshot()
-			_, err := b.Undrain(t, time.Now())
-			b.Revert(before)
-			return a, err
+		answer, drains := r.drainEffect(target), r.standalone.drains
+		answer.UntilMs = 0
+		if request.DryRun {
+			before := drains.Snapshot()
+			_, err := drains.Undrain(target, time.Now())
+			drains.Revert(before)
+			return answer, err
 		}
-		c, err := r.applyDrainChange(func() (drain.Change, error) { return b.Undrain(t, time.Now()) })
-		a.Result = string(c.Result)
-		return a, err
+		change, err := r.applyDrainChange(func() (drain.Change, error) { return drains.Undrain(target, time.Now()) })
+		answer.Result = string(change.Result)
+		return answer, err
 	})
 }
 
 // Stop implements adminapi.Backend. It returns once the stop has begun; the relay ends by itself.
-func (r *Relay) Stop(ctx context.Context, q adminapi.StopRequest) (adminapi.StopAnswer, error) {
-	within := time.Duration(q.WithinMs) * time.Millisecond
+func (r *Relay) Stop(ctx context.Context, request adminapi.StopRequest) (adminapi.StopAnswer, error) {
+	within := time.Duration(request.WithinMs) * time.Millisecond
 	if within == 0 {
 		within = r.standalone.StopTimeout
 	}
-	return command(ctx, r, func() (a adminapi.StopAnswer, err error) {
-		b := r.standalone.drains
-		before := b.Snapshot()
-		c, err := b.Stop(within, time.Now())
-		_, at := b.Phase()
-		a.UntilMs, a.Left = at.UnixMilli(), *r.remainingMessages()
-		if q.DryRun {
-			b.Revert(before)
-			return a, err
+	return command(ctx, r, func() (answer adminapi.StopAnswer, err error) {
+		drains := r.standalone.drains
+		before := drains.Snapshot()
+		change, err := drains.Stop(within, time.Now())
+		_, at := drains.Phase()
+		answer.UntilMs, answer.Left = at.UnixMilli(), *r.remainingMessages()
+		if request.DryRun {
+			drains.Revert(before)
+			return answer, err
 		}
-		if a.Result = string(c.Result); c.Result == drain.ResultStopping {
-			slog.Info("stopping", "by", q.By, "until", at, "held", a.Left.Messages)
+		if answer.Result = string(change.Result); change.Result == drain.ResultStopping {
+			slog.Info("stopping", "by", request.By, "until", at, "held", answer.Left.Messages)
 			go r.awaitStop(at)
 		}
-		return a, err
+		return answer, err
 	})
 }
--- a/internal/relay/admission.go
+++ b/internal/relay/admission.go
@@ -106,13 +106,13 @@
 // after the loop's end there is none.
 func (r *Relay) awaitResponse(in *admission) response {
 	select {
-	case a := <-in.reply:
-		return a
+	case answer := <-in.reply:
+		return answer
 	case <-r.loopDone:
 	}
 	select {
-	case a := <-in.reply:
-		return a
+	case answer := <-in.reply:
+		return answer
 	default:
 		return response{status: http.StatusServiceUnavailable, after: defaultRetryAfter, text: "stopping"}
 	}
@@ -131,12 +131,12 @@
 		// Another client's message: it must not be taken for the one that has this id.
 		in.reply <- response{status: http.StatusConflict, text: "X-Request-Id is in use"}
 	case r.pending[id] != nil: // the client sent it again after its connection broke
-		m := r.pending[id]
-		m.resent = true
-		if m.waiting == nil {
+		msg := r.pending[id]
+		msg.resent = true
+		if msg.waiting == nil {
 			in.reply <- response{status: http.StatusAccepted}
 		} else {
-			m.waiting = append(m.waiting, in)
+			msg.waiting = append(msg.waiting, in)
 		}
 	case r.ended.has(id):
 		in.reply <- response{status: http.StatusAccepted}
@@ -157,9 +157,9 @@
 		}
 		in.reply <- refuse
 	default:
-		m := &message{Entry: in.entry, class: in.class, deadline: in.deadline, waiting: []*admission{in}}
-		r.addPending(m)
-		r.admitted = append(r.admitted, m)
+		msg := &message{Entry: in.entry, class: in.class, deadline: in.deadline, waiting: []*admission{in}}
+		r.addPending(msg)
+		r.admitted = append(r.admitted, msg)
 		r.events = append(r.events, choice.Arrival{ID: id, Class: in.class, Dest: in.entry.Dest,
 			Left: in.deadline - r.now(), Key: in.entry.Order})
 	}
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -27,32 +27,32 @@
 }
 
 // startCall builds the call on the loop, so that its goroutine shares nothing with the loop, and starts it.
-func (r *Relay) startCall(c *call) {
+func (r *Relay) startCall(hostCall *call) {
 	now, first := r.now(), time.Duration(math.MaxInt64)
-	c.sortByDeadline()
-	messages := make([]httpcall.Message, len(c.members))
-	for i, m := range c.members {
-		m.call = c
-		r.untried.markAttempted(m.ID)
-		c.timeout = max(c.timeout, c.sends[i].Timeout)
-		if m.Order != "" { // after its end the next of its order may go: no call of it may be in flight then
-			first = min(first, m.deadline-now)
+	hostCall.sortByDeadline()
+	messages := make([]httpcall.Message, len(hostCall.members))
+	for i, msg := range hostCall.members {
+		msg.call = hostCall
+		r.untried.markAttempted(msg.ID)
+		hostCall.timeout = max(hostCall.timeout, hostCall.sends[i].Timeout)
+		if msg.Order != "" { // after its end the next of its order may go: no call of it may be in flight then
+			first = min(first, msg.deadline-now)
 		}
-		messages[i] = httpcall.Message{ID: m.ID, Key: m.Key, Body: m.Body, Until: r.keyExpiry(m)}
+		messages[i] = httpcall.Message{ID: msg.ID, Key: msg.Key, Body: msg.Body, Until: r.keyExpiry(msg)}
 	}
-	c.timeout = min(c.timeout, first)
-	out := httpcall.NewCall(&c.host.Host, c.timeout, messages...)
-	if len(c.members) > 1 {
+	hostCall.timeout = min(hostCall.timeout, first)
+	out := httpcall.NewCall(&hostCall.host.Host, hostCall.timeout, messages...)
+	if len(hostCall.members) > 1 {
 		// The members share one connection and one time-out. A member whose own time-out is shorter ends then. Before,
 		// a further attempt would be a duplicate; after, it must not be sent any more.
-		for i, m := range c.members {
-			if left := m.deadline - now; left < c.timeout {
-				time.AfterFunc(left, func() { r.post(func() { r.expireMember(out, c, i, left) }) })
+		for i, msg := range hostCall.members {
+			if left := msg.deadline - now; left < hostCall.timeout {
+				time.AfterFunc(left, func() { r.post(func() { r.expireMember(out, hostCall, i, left) }) })
 			}
 		}
 	}
 	ctx, cancel := context.WithCancelCause(r.callsContext)
-	c.cancel = cancel
+	hostCall.cancel = cancel
 	r.callsInFlight++
 	if r.standalone != nil {
 		r.standalone.counters.totals.calls++
@@ -66,8 +66,8 @@
 		}
 		r.post(func() {
 			r.callsInFlight--
-			for i, m := range c.members {
-				r.attemptEnded(c, m, ends[i], took, wait)
+			for i, msg := range hostCall.members {
+				r.attemptEnded(hostCall, msg, ends[i], took, wait)
 			}
 		})
 	}()
@@ -82,8 +82,8 @@
 		s choice.Send
 	}
 	parts := make([]part, len(c.members))
-	for i, m := range c.members {
-		parts[i] = part{m, c.sends[i]}
+	for i, msg := range c.members {
+		parts[i] = part{msg, c.sends[i]}
 	}
 	slices.SortStableFunc(parts, func(a, b part) int { return cmp.Compare(b.m.deadline, a.m.deadline) })
 	for i, p := range parts {
@@ -113,18 +113,18 @@
 }
 
 // expireMember ends the attempt of a message whose deadline passes while its call is in flight.
-func (r *Relay) expireMember(out *httpcall.Call, c *call, i int, took time.Duration) {
-	m := c.members[i]
-	if m.call != c {
+func (r *Relay) expireMember(out *httpcall.Call, hostCall *call, i int, took time.Duration) {
+	msg := hostCall.members[i]
+	if msg.call != hostCall {
 		return
 	}
-	e := httpcall.End{Outcome: choice.Timeout}
+	end := httpcall.End{Outcome: choice.Timeout}
 	if out.Leave(i) {
-		e.Outcome = choice.NotSent
+		end.Outcome = choice.NotSent
 	} else {
-		c.overdue = true
+		hostCall.overdue = true
 	}
-	r.attemptEnded(c, m, e, took, 0)
+	r.attemptEnded(hostCall, msg, end, took, 0)
 }
 
 // messageFrame returns the frame of a message in a call with several.
@@ -148,18 +148,18 @@
 		delete(r.noticesByOrder, order)
 	}
 	still := r.blockedCalls[:0]
-	for _, c := range r.blockedCalls {
-		late := r.stopped || r.successor.Load() != nil || c.host.Closed()
-		for _, m := range c.members {
-			late = late || m.ended || m.deadline <= r.now()
+	for _, hostCall := range r.blockedCalls {
+		late := r.stopped || r.successor.Load() != nil || hostCall.host.Closed()
+		for _, msg := range hostCall.members {
+			late = late || msg.ended || msg.deadline <= r.now()
 		}
 		switch {
-		case r.awaitsNotice(c):
-			still = append(still, c)
+		case r.awaitsNotice(hostCall):
+			still = append(still, hostCall)
 		case late:
-			r.cancelBlockedCall(c)
+			r.cancelBlockedCall(hostCall)
 		default:
-			r.startCall(c)
+			r.startCall(hostCall)
 		}
 	}
 	clear(r.blockedCalls[len(still):])
--- a/internal/relay/commit.go
+++ b/internal/relay/commit.go
@@ -23,13 +23,13 @@
 func (r *Relay) commit(sends []choice.Send) {
 	calls, unsent := r.groupCalls(sends)
 	ended := len(r.records)
-	for _, m := range r.admitted {
-		if !m.ended {
-			r.record(journal.Record{Op: journal.OpTaken, Entry: m.Entry})
+	for _, msg := range r.admitted {
+		if !msg.ended {
+			r.record(journal.Record{Op: journal.OpTaken, Entry: msg.Entry})
 		}
 	}
-	for _, c := range calls {
-		r.records = append(r.records, r.attemptRecords(c)...)
+	for _, hostCall := range calls {
+		r.records = append(r.records, r.attemptRecords(hostCall)...)
 	}
 	var err error
 	if len(r.records) > 0 {
@@ -41,11 +41,11 @@
 		r.records = r.records[:ended]
 	}
 	r.flush()
-	for _, m := range r.admitted {
-		if m.ended || err != nil && !r.recordAdmission(m) {
+	for _, msg := range r.admitted {
+		if msg.ended || err != nil && !r.recordAdmission(msg) {
 			continue
 		}
-		m.respond(response{status: http.StatusAccepted})
+		msg.respond(response{status: http.StatusAccepted})
 		if r.standalone != nil {
 			r.standalone.counters.countAccepted(time.Now())
 		}
@@ -55,16 +55,16 @@
 	if err != nil {
 		calls, unsent = r.groupCalls(sends) // some messages may not be pending any more
 	}
-	for _, s := range unsent {
-		r.reportNotSent(s)
+	for _, send := range unsent {
+		r.reportNotSent(send)
 	}
-	for _, c := range calls {
+	for _, hostCall := range calls {
 		switch {
-		case err != nil && !r.recordAttempts(c):
-		case r.awaitsNotice(c):
-			r.blockedCalls = append(r.blockedCalls, c)
+		case err != nil && !r.recordAttempts(hostCall):
+		case r.awaitsNotice(hostCall):
+			r.blockedCalls = append(r.blockedCalls, hostCall)
 		default:
-			r.startCall(c)
+			r.startCall(hostCall)
 		}
 	}
 }
@@ -103,15 +103,15 @@
 // recordAttempts records the attempts of a call by themselves, or cancels them, and reports whether they are recorded. An
 // attempt that a restart would not know of must not go out, nor one whose record would precede an outcome that could not be
 // written yet.
-func (r *Relay) recordAttempts(c *call) bool {
+func (r *Relay) recordAttempts(hostCall *call) bool {
 	err := journal.ErrUnwritten
 	if len(r.records) == 0 {
-		err = r.journal.Append(r.attemptRecords(c)...)
+		err = r.journal.Append(r.attemptRecords(hostCall)...)
 	}
 	if err != nil {
 		r.logWriteError("attempts not sent", err)
-		for _, s := range c.sends {
-			r.reportNotSent(s)
+		for _, send := range hostCall.sends {
+			r.reportNotSent(send)
 		}
 	}
 	return err == nil
@@ -134,23 +134,23 @@
 // or its host is gone or closed.
 func (r *Relay) groupCalls(sends []choice.Send) (calls []*call, unsent []choice.Send) {
 	open := map[string]*call{}
-	for _, s := range sends {
-		m, h := r.pending[s.ID], r.hosts[s.Host]
-		if m == nil || h == nil || h.dest != m.Dest || h.Closed() {
-			unsent = append(unsent, s)
+	for _, send := range sends {
+		msg, target := r.pending[send.ID], r.hosts[send.Host]
+		if msg == nil || target == nil || target.dest != msg.Dest || target.Closed() {
+			unsent = append(unsent, send)
 			continue
 		}
-		c, size := open[s.Host], 0
-		if h.perCall > 1 {
-			size = len(messageFrame(m))
+		hostCall, size := open[send.Host], 0
+		if target.perCall > 1 {
+			size = len(messageFrame(msg))
 		}
-		if c == nil || len(c.members) >= h.perCall || c.size+size > maxBody { // no body may be longer
-			c = &call{host: h}
-			open[s.Host] = c
-			calls = append(calls, c)
+		if hostCall == nil || len(hostCall.members) >= target.perCall || hostCall.size+size > maxBody { // no body may be longer
+			hostCall = &call{host: target}
+			open[send.Host] = hostCall
+			calls = append(calls, hostCall)
 		}
-		c.size += size
-		c.members, c.sends = append(c.members, m), append(c.sends, s)
+		hostCall.size += size
+		hostCall.members, hostCall.sends = append(hostCall.members, msg), append(hostCall.sends, send)
 	}
 	return calls, unsent
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -39,16 +39,16 @@
 // ReadConfig reads the file that BALANCER_CONFIG names. The other variables override it. If BALANCER_DISCOVERY does, the
 // file's address comes second, since it may be newer.
 func ReadConfig(env func(string) string) (Config, error) {
-	var c Config
+	var config Config
 	path := env("BALANCER_CONFIG")
 	if path == "" {
-		return c, fmt.Errorf("BALANCER_CONFIG is not set")
+		return config, fmt.Errorf("BALANCER_CONFIG is not set")
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return c, fmt.Errorf("BALANCER_CONFIG: %w", err)
+		return config, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	var f struct {
+	var file struct {
 		Listen    string `json:"listen"`
 		Discovery string `json:"discovery"`
 		Admin     string `json:"admin"`
@@ -64,8 +64,8 @@
 		Known      hostList        `json:"known"`
 		Settings   json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(data, &f); err != nil {
-		return c, fmt.Errorf("%s: %w", path, err)
+	if err := json.Unmarshal(data, &file); err != nil {
+		return config, fmt.Errorf("%s: %w", path, err)
 	}
 	override := func(name, value string) string {
 		if v := env(name); v != "" {
@@ -73,34 +73,37 @@
 		}
 		return value
 	}
-	c = Config{Listen: override("BALANCER_LISTEN", f.Listen), Discovery: []string{override("BALANCER_DISCOVERY", f.Discovery)},
-		State: env("BALANCER_STATE"), Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, DiskMB: f.Limits.DiskMB, Known: f.Known, PeerListen: f.PeerListen, Peers: f.Peers,
-		Admin: override("BALANCER_ADMIN", f.Admin), file: data}
-	for name, v := range map[string]string{"listen": c.Listen, "discovery": c.Discovery[0], "BALANCER_STATE": c.State} {
+	config = Config{Listen: override("BALANCER_LISTEN", file.Listen),
+		Discovery: []string{override("BALANCER_DISCOVERY", file.Discovery)},
+		State: env("BALANCER_STATE"), Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB,
+		Sockets: file.Limits.Sockets, DiskMB: file.Limits.DiskMB, Known: file.Known, PeerListen: file.PeerListen, Peers: file.Peers,
+		Admin: override("BALANCER_ADMIN", file.Admin), file: data}
+	for name, v := range map[string]string{
+		"listen": config.Listen, "discovery": config.Discovery[0], "BALANCER_STATE": config.State,
+	} {
 		if v == "" {
-			return c, fmt.Errorf("%s: %s is missing", path, name)
+			return config, fmt.Errorf("%s: %s is missing", path, name)
 		}
 	}
-	if f.Discovery != "" && f.Discovery != c.Discovery[0] {
-		c.Discovery = append(c.Discovery, f.Discovery)
+	if file.Discovery != "" && file.Discovery != config.Discovery[0] {
+		config.Discovery = append(config.Discovery, file.Discovery)
 	}
-	if c.Sockets < 64 || c.DiskMB <= 0 {
-		return c, fmt.Errorf("%s: limits: sockets is %d and disk_mb %g, must be at least 64 and above 0",
-			path, c.Sockets, c.DiskMB)
+	if config.Sockets < 64 || config.DiskMB <= 0 {
+		return config, fmt.Errorf("%s: limits: sockets is %d and disk_mb %g, must be at least 64 and above 0",
+			path, config.Sockets, config.DiskMB)
 	}
-	if f.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return c, fmt.Errorf("%s: seed: %w", path, err)
+	if file.Seed != "" {
+		if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+			return config, fmt.Errorf("%s: seed: %w", path, err)
 		}
 	}
-	if c.Settings, err = settings.Parse(f.Settings); err != nil {
-		return c, fmt.Errorf("%s: settings: %w", path, err)
+	if config.Settings, err = settings.Parse(file.Settings); err != nil {
+		return config, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	if err := c.Settings.Check(); err != nil {
-		return c, fmt.Errorf("%s: settings: %w", path, err)
+	if err := config.Settings.Check(); err != nil {
+		return config, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
 // File returns the file as it was read.
@@ -109,18 +112,18 @@
 // ReadAgain reads the file again for a relay that runs with c. Its address of discovery overrides BALANCER_DISCOVERY now.
 // A file that a relay would not start with, or that lacks a key of c's file, is an error.
 func (c Config) ReadAgain(env func(string) string) (Config, error) {
-	n, err := ReadConfig(func(name string) string {
+	again, err := ReadConfig(func(name string) string {
 		if name == "BALANCER_DISCOVERY" {
 			return ""
 		}
 		return env(name)
 	})
 	if err != nil {
-		return n, err
+		return again, err
 	}
-	missing, err := settings.Missing(c.file, n.file, "known", "seed", "admin")
+	missing, err := settings.Missing(c.file, again.file, "known", "seed", "admin")
 	if err == nil && len(missing) > 0 {
 		err = fmt.Errorf("%s: %s is missing", env("BALANCER_CONFIG"), strings.Join(missing, ", "))
 	}
-	return n, err
+	return again, err
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -103,77 +103,77 @@
 
 // followDiscovery keeps up with discovery's list until the context ends.
 func (r *Relay) followDiscovery(ctx context.Context, at discoverypoll.Settings) {
-	a := r.agent.Load()
-	f := discoverypoll.New(at, r.now())
+	current := r.agent.Load()
+	follower := discoverypoll.New(at, r.now())
 	warning := rate.Sometimes{Interval: time.Second}
 	for ctx.Err() == nil {
-		if now := r.agent.Load(); now != a {
-			a = now
-			f.Moved(r.now())
+		if now := r.agent.Load(); now != current {
+			current = now
+			follower.Moved(r.now())
 		}
-		q := f.Next()
-		if pause := q.At - r.now(); pause > 0 {
+		question := follower.Next()
+		if pause := question.At - r.now(); pause > 0 {
 			select {
-			case <-a.ctx.Done():
+			case <-current.ctx.Done():
 				continue // it was replaced
 			case <-time.After(pause):
 			}
 		}
 		began := time.Now()
-		l, err := r.queryDiscovery(a, q)
-		traceDiscovery(q, l, time.Since(began), err)
+		list, err := r.queryDiscovery(current, question)
+		traceDiscovery(question, list, time.Since(began), err)
 		switch {
-		case a.ctx.Err() != nil:
+		case current.ctx.Err() != nil:
 		case err != nil:
 			warning.Do(func() { slog.Warn("discovery does not answer", "err", err) })
-			f.Failed(r.now(), q, errors.Is(err, errRejected))
-			r.tryNextAddress(a, err)
-		case f.Answered(r.now(), q, l.Version, l.Full):
-			r.post(func() { r.listVersion = l.Version })
-			if l.Full || len(l.Servers) > 0 {
-				r.post(func() { r.applyHostList(l) })
+			follower.Failed(r.now(), question, errors.Is(err, errRejected))
+			r.tryNextAddress(current, err)
+		case follower.Answered(r.now(), question, list.Version, list.Full):
+			r.post(func() { r.listVersion = list.Version })
+			if list.Full || len(list.Servers) > 0 {
+				r.post(func() { r.applyHostList(list) })
 			}
 		}
 	}
 }
 
 // queryDiscovery sends one request to discovery.
-func (r *Relay) queryDiscovery(a *agent, q discoverypoll.Question) (l hostList, err error) {
-	url := "http://" + a.addrs[0] + "/discovery/hosts"
-	if !q.Whole {
-		url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", url, q.Since, discoverypoll.WatchFor.Milliseconds())
+func (r *Relay) queryDiscovery(current *agent, question discoverypoll.Question) (list hostList, err error) {
+	url := "http://" + current.addrs[0] + "/discovery/hosts"
+	if !question.Whole {
+		url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", url, question.Since, discoverypoll.WatchFor.Milliseconds())
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, q.Within)
+	ctx, cancel := context.WithTimeout(current.ctx, question.Within)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return l, err
+		return list, err
 	}
-	resp, err := a.client.Do(req)
+	resp, err := current.client.Do(req)
 	if err != nil {
-		return l, err
+		return list, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return l, fmt.Errorf("%w: status %d", errRejected, resp.StatusCode)
+		return list, fmt.Errorf("%w: status %d", errRejected, resp.StatusCode)
 	}
-	return l, json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxListSize)).Decode(&l)
+	return list, json.NewDecoder(http.MaxBytesReader(nil, resp.Body, maxListSize)).Decode(&list)
 }
 
 // applyHostList applies an update of the list: at once to calls that have not begun, and to the engine with the next step.
-func (r *Relay) applyHostList(l hostList) {
-	ev := choice.Listing{Whole: l.Full}
+func (r *Relay) applyHostList(list hostList) {
+	ev := choice.Listing{Whole: list.Full}
 	old := r.hosts
-	if l.Full {
+	if list.Full {
 		r.hosts = map[string]*host{}
 	}
-	for _, entry := range l.Servers {
+	for _, entry := range list.Servers {
 		ev.Hosts = append(ev.Hosts, r.applyHostEntry(entry, old[entry.ID]))
 	}
-	if l.Full { // only now, since a host that stays must not appear closed to a call about to begin
-		for id, h := range old {
-			if r.hosts[id] != h {
-				r.setHostClosed(h, true)
+	if list.Full { // only now, since a host that stays must not appear closed to a call about to begin
+		for id, target := range old {
+			if r.hosts[id] != target {
+				r.setHostClosed(target, true)
 			}
 		}
 	}
@@ -184,39 +184,39 @@
 // applyHostEntry applies one entry of discovery's list to the hosts, and returns it in the engine's form. Was is the host
 // that had the id so far; nil for none.
 func (r *Relay) applyHostEntry(entry hostEntry, was *host) choice.Host {
-	h := choice.Host{Addr: entry.ID, Dest: entry.Cell, Kind: slices.Index(r.settings.KindNames, entry.Kind),
+	listed := choice.Host{Addr: entry.ID, Dest: entry.Cell, Kind: slices.Index(r.settings.KindNames, entry.Kind),
 		Zone: r.zoneNumber(entry.Zone), Rate: entry.Weight}
 	switch entry.State {
 	case "active":
-		h.State = choice.Ready
+		listed.State = choice.Ready
 	case "leaving":
-		h.State = choice.Draining
+		listed.State = choice.Draining
 	}
 	if was != nil {
-		r.setHostClosed(was, h.State != choice.Ready)
+		r.setHostClosed(was, listed.State != choice.Ready)
 	}
-	if h.State == choice.Gone {
+	if listed.State == choice.Gone {
 		delete(r.hosts, entry.ID)
-		return h
+		return listed
 	}
-	current := &host{id: entry.ID, Host: httpcall.Host{Addr: entry.Addr}, dest: entry.Cell, zone: h.Zone, perCall: 1}
+	current := &host{id: entry.ID, Host: httpcall.Host{Addr: entry.Addr}, dest: entry.Cell, zone: listed.Zone, perCall: 1}
 	if was != nil && was.Addr == current.Addr && was.dest == current.dest {
 		current = was // calls in flight refer to it
 	} else if was != nil {
 		r.setHostClosed(was, true)
 	}
 	apart := false
-	if h.Kind >= 0 {
-		current.perCall, apart = r.settings.Kinds[h.Kind].PerCall, r.settings.Kinds[h.Kind].Apart
+	if listed.Kind >= 0 {
+		current.perCall, apart = r.settings.Kinds[listed.Kind].PerCall, r.settings.Kinds[listed.Kind].Apart
 	}
 	if current != was && !apart {
 		current.Waits = r.sharedWaitsOf(entry.Cell)
 	}
 	current.listed = entry
-	current.SetClosed(h.State != choice.Ready)
+	current.SetClosed(listed.State != choice.Ready)
 	r.hosts[entry.ID] = current
 	r.destinationSeen[entry.Cell] = r.now()
-	return h
+	return listed
 }
 
 // sharedWaitsOf returns the waits that the hosts of a destination share, unless they are routes apart.
@@ -242,17 +242,17 @@
 // expireGone drops what belongs to hosts and destinations that are gone, since ids are not reused.
 func (r *Relay) expireGone() {
 	now, wall := r.now(), time.Now().UnixMilli()
-	for _, h := range r.hosts {
-		r.destinationSeen[h.dest] = now
+	for _, target := range r.hosts {
+		r.destinationSeen[target.dest] = now
 	}
-	for d, at := range r.destinationSeen {
+	for dest, at := range r.destinationSeen {
 		if now-at > destinationExpiry {
-			delete(r.destinationSeen, d)
-			delete(r.sharedWaits, d)
+			delete(r.destinationSeen, dest)
+			delete(r.sharedWaits, dest)
 		}
 	}
-	for id, s := range r.journal.Unwell {
-		if r.hosts[id] == nil && time.Duration(wall-s.At)*time.Millisecond > goneHostExpiry {
+	for id, record := range r.journal.Unwell {
+		if r.hosts[id] == nil && time.Duration(wall-record.At)*time.Millisecond > goneHostExpiry {
 			r.record(journal.Record{Op: journal.OpHealth, ID: id})
 		}
 	}
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -23,49 +23,50 @@
 
 // remainingMessages counts what is pending by partner, and names the oldest messages.
 func (r *Relay) remainingMessages() *adminapi.Left {
-	l := &adminapi.Left{Calls: r.callsInFlight, Partners: map[string]int{}}
-	for _, m := range r.standalone.pendingInOrder {
-		if m.ended {
+	left := &adminapi.Left{Calls: r.callsInFlight, Partners: map[string]int{}}
+	for _, msg := range r.standalone.pendingInOrder {
+		if msg.ended {
 			continue
 		}
-		l.Messages++
-		l.Partners[m.Partner]++
-		if len(l.IDs) < 10 {
-			l.IDs = append(l.IDs, m.ID)
+		left.Messages++
+		left.Partners[msg.Partner]++
+		if len(left.IDs) < 10 {
+			left.IDs = append(left.IDs, msg.ID)
 		}
 	}
-	return l
+	return left
 }
 
 // applyDrainChange carries out a command on the drains: it records the change, applies it to the hosts, and only then
 // returns. A change that cannot be recorded is reverted.
 func (r *Relay) applyDrainChange(do func() (drain.Change, error)) (drain.Change, error) {
-	b := r.standalone.drains
-	before := b.Snapshot()
-	c, err := do()
+	drains := r.standalone.drains
+	before := drains.Snapshot()
+	change, err := do()
 	if err != nil {
-		return c, err
+		return change, err
 	}
 	var recs []journal.Record
-	for _, m := range c.Set {
-		recs = append(recs, journal.Record{Op: journal.OpDrain, ID: m.Target.String(), Ran: true, At: m.Since.UnixMilli(),
-			Status: m.RequestedBy, Wait: m.Timeout.Milliseconds()})
+	for _, drained := range change.Set {
+		recs = append(recs, journal.Record{Op: journal.OpDrain, ID: drained.Target.String(), Ran: true, At: drained.Since.UnixMilli(),
+			Status: drained.RequestedBy, Wait: drained.Timeout.Milliseconds()})
 	}
-	for _, t := range c.Removed {
-		recs = append(recs, journal.Record{Op: journal.OpDrain, ID: t.String()})
+	for _, target := range change.Removed {
+		recs = append(recs, journal.Record{Op: journal.OpDrain, ID: target.String()})
 	}
 	if len(recs) > 0 {
 		if err := r.journal.Append(recs...); err != nil {
-			b.Revert(before)
+			drains.Revert(before)
 			return drain.Change{}, err
 		}
-		slog.Info("drains changed", "result", string(c.Result), "set", len(c.Set), "unset", len(c.Removed), "target", recs[0].ID)
+		slog.Info("drains changed", "result", string(change.Result), "set", len(change.Set), "unset", len(change.Removed),
+			"target", recs[0].ID)
 		r.applyPartnerList()
 	}
 	if r.standalone.drains.AcceptsMessages() {
 		r.standalone.remaining = nil
 	}
-	return c, nil
+	return change, nil
 }
 
 // Shutdown begins a graceful stop, as Stop does, with the time-out of the operator's file.
@@ -83,9 +84,9 @@
 			r.stopped = r.stopped || time.Until(at) < sending
 			over := r.callsInFlight == 0 && (r.stopped || len(r.pending) == 0) || !time.Now().Before(at)
 			if over {
-				l := r.remainingMessages()
-				slog.Info("stopping; what is left is taken up by the next start", "left", l.Messages, "calls_out", l.Calls,
-					"partners", l.Partners, "ids", l.IDs)
+				left := r.remainingMessages()
+				slog.Info("stopping; what is left is taken up by the next start", "left", left.Messages, "calls_out", left.Calls,
+					"partners", left.Partners, "ids", left.IDs)
 			}
 			done <- over
 		})
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -61,8 +61,8 @@
 	if s.byID == nil {
 		s.byID = map[string]endedMessage{}
 	}
-	if e, again := s.byID[id]; again {
-		s.byID[id] = endedMessage{sum, e.sequence}
+	if known, again := s.byID[id]; again {
+		s.byID[id] = endedMessage{sum, known.sequence}
 		return
 	}
 	s.lastSequence++
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -22,19 +22,19 @@
 
 // onLoop has the loop run f and returns its result. If the context or the relay ends first, f may still run and its result
 // is dropped.
-func onLoop[T any](ctx context.Context, r *Relay, f func() T) (T, error) {
+func onLoop[T any](ctx context.Context, r *Relay, run func() T) (T, error) {
 	var none T
 	got := make(chan T, 1)
 	select {
-	case r.inbox <- func() { got <- f() }:
+	case r.inbox <- func() { got <- run() }:
 	case <-r.quit:
 		return none, adminapi.Errorf(adminapi.Stopped, "the relay has ended")
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 	select {
-	case v := <-got:
-		return v, nil
+	case result := <-got:
+		return result, nil
 	case <-r.quit:
 		return none, adminapi.Errorf(adminapi.Stopped, "the relay has ended")
 	case <-ctx.Done():
@@ -64,8 +64,8 @@
 			again = alwaysReady
 		}
 		select {
-		case f := <-r.inbox:
-			f()
+		case run := <-r.inbox:
+			run()
 		case in := <-r.admissions:
 			r.admit(in)
 		case <-r.wakeTimer.C:
@@ -84,8 +84,8 @@
 func (r *Relay) receiveBatch() {
 	for range maxInboxBatch {
 		select {
-		case f := <-r.inbox:
-			f()
+		case run := <-r.inbox:
+			run()
 			continue
 		default:
 		}
@@ -111,8 +111,8 @@
 	}
 	if r.stopped {
 		r.events = nil
-		for _, m := range r.admitted {
-			r.reject(m, defaultRetryAfter, "stopping")
+		for _, msg := range r.admitted {
+			r.reject(msg, defaultRetryAfter, "stopping")
 		}
 		r.admitted = nil
 		r.flush()
@@ -150,8 +150,8 @@
 	case choice.Fail:
 		r.giveUp(a.ID, undeliverable, 0, a.Why)
 	case choice.Cancel:
-		if m := r.pending[a.ID]; m != nil && m.call != nil {
-			m.call.cancel(httpcall.ErrCalledOff)
+		if msg := r.pending[a.ID]; msg != nil && msg.call != nil {
+			msg.call.cancel(httpcall.ErrCalledOff)
 		}
 	case choice.Wake:
 		r.armWakeTimer(now, a.After)
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -81,46 +81,46 @@
 }
 
 // attemptEnded takes in the outcome of one message's attempt.
-func (r *Relay) attemptEnded(c *call, m *message, e httpcall.End, took, wait time.Duration) {
-	if m.call != c {
-		return // its own time was up before the call's
+func (r *Relay) attemptEnded(hostCall *call, msg *message, end httpcall.End, took, wait time.Duration) {
+	if msg.call != hostCall {
+		return // its own time-out was before that of the call
 	}
-	m.call = nil
-	traceAttempt(c, m, e, took, wait)
+	msg.call = nil
+	traceAttempt(hostCall, msg, end, took, wait)
 	if r.successor.Load() != nil {
-		r.notifySuccessor(c, m, e, took, wait)
+		r.notifySuccessor(hostCall, msg, end, took, wait)
 		return
 	}
-	expelled := r.standalone != nil && r.rejectReason(m) != ""
-	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.Outcome, Took: took, Wait: wait,
-		Done: e.Done || e.Outcome == choice.Served || expelled})
-	if m.ended {
+	rejected := r.standalone != nil && r.rejectReason(msg) != ""
+	r.events = append(r.events, choice.Result{ID: msg.ID, Host: hostCall.host.id, Outcome: end.Outcome, Took: took, Wait: wait,
+		Done: end.Done || end.Outcome == choice.Served || rejected})
+	if msg.ended {
 		return
 	}
-	ran := mayHaveRun(e.Outcome)
-	m.mayHaveRun = m.mayHaveRun || ran
-	out := journal.Record{Op: journal.OpOutcome, ID: m.ID, Ran: ran}
+	ran := mayHaveRun(end.Outcome)
+	msg.mayHaveRun = msg.mayHaveRun || ran
+	out := journal.Record{Op: journal.OpOutcome, ID: msg.ID, Ran: ran}
 	if r.standalone != nil {
-		out.Why, out.Wait = outcomeNames[e.Outcome], took.Milliseconds()
+		out.Why, out.Wait = outcomeNames[end.Outcome], took.Milliseconds()
 	}
-	switch over := e.Done || e.Outcome == choice.Served; {
-	case r.standalone == nil && e.Outcome == choice.Served && r.maybeLate(c, m):
-		r.endUndelivered(m, notice{m.ID, undeliverable, 0}, "delivered, perhaps after its time")
+	switch over := end.Done || end.Outcome == choice.Served; {
+	case r.standalone == nil && end.Outcome == choice.Served && r.maybeLate(hostCall, msg):
+		r.endUndelivered(msg, notice{msg.ID, undeliverable, 0}, "delivered, perhaps after its time")
 	case r.standalone == nil && over:
-		traceEnd(m, delivered, "")
-		r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
-		r.finish(m)
-	case !over && !expelled:
+		traceEnd(msg, delivered, "")
+		r.record(journal.Record{Op: journal.OpEnd, ID: msg.ID})
+		r.finish(msg)
+	case !over && !rejected:
 		r.record(out)
 	default:
 		r.record(out)
 		switch {
-		case e.Outcome == choice.Served:
-			r.conclude(m, delivered, 0, "")
-		case e.Done:
-			r.conclude(m, r.undeliveredStatus(m), 0, "its partner holds it to be over")
+		case end.Outcome == choice.Served:
+			r.conclude(msg, delivered, 0, "")
+		case end.Done:
+			r.conclude(msg, r.undeliveredStatus(msg), 0, "its partner holds it to be over")
 		default:
-			r.conclude(m, r.undeliveredStatus(m), 0, r.rejectReason(m))
+			r.conclude(msg, r.undeliveredStatus(msg), 0, r.rejectReason(msg))
 		}
 	}
 }
--- a/internal/relay/messagequery.go
+++ b/internal/relay/messagequery.go
@@ -23,51 +23,53 @@
 	choice.Timeout: "timed out", choice.NoConnection: "no connection", choice.Reset: "reset", choice.Cancelled: "called off",
 	choice.NotSent: "not sent", choice.Spoilt: "spoilt answer"}
 
-// describeMessage describes a message, on the loop; m is nil if it has ended. Attempts are included if complete is set.
-func (r *Relay) describeMessage(e *journal.Entry, m *message, complete bool) adminapi.Message {
-	c := adminapi.Message{ID: e.ID, Class: e.Class, Partner: e.Partner, Key: e.Key, Bytes: e.Bytes, TakenMs: e.TakenAt, DueMs: e.Due,
-		Ran: e.Ran, Tries: e.Tries, State: stateNames[e.Status], EndedMs: e.EndAt, AgainMs: e.Again, Why: e.Why}
-	if m != nil {
-		c.State = adminapi.Waiting
-		if m.call != nil {
-			c.State = adminapi.Out
+// describeMessage describes a message, on the loop; msg is nil if it has ended. Attempts are included if complete is set.
+func (r *Relay) describeMessage(entry *journal.Entry, msg *message, complete bool) adminapi.Message {
+	described := adminapi.Message{ID: entry.ID, Class: entry.Class, Partner: entry.Partner, Key: entry.Key,
+		Bytes: entry.Bytes, TakenMs: entry.TakenAt, DueMs: entry.Due, Ran: entry.Ran, Tries: entry.Tries,
+		State: stateNames[entry.Status], EndedMs: entry.EndAt, AgainMs: entry.Again, Why: entry.Why}
+	if msg != nil {
+		described.State = adminapi.Waiting
+		if msg.call != nil {
+			described.State = adminapi.Out
 		}
 	}
-	if c.State == adminapi.Waiting {
-		c.Why, c.NextMs = r.waitReason(m)
+	if described.State == adminapi.Waiting {
+		described.Why, described.NextMs = r.waitReason(msg)
 	}
 	if !complete {
-		return c
+		return described
 	}
-	for i, a := range e.Log {
-		ca := adminapi.Attempt{Endpoint: a.Host, AtMs: a.At, TookMs: a.Took, Outcome: a.Outcome, Ran: a.Ran}
-		if ca.Outcome == "" && m != nil && m.call != nil && i == len(e.Log)-1 {
-			ca.Outcome, ca.TookMs = "out", time.Now().UnixMilli()-a.At
+	for i, attempt := range entry.Log {
+		ca := adminapi.Attempt{Endpoint: attempt.Host, AtMs: attempt.At, TookMs: attempt.Took,
+			Outcome: attempt.Outcome, Ran: attempt.Ran}
+		if ca.Outcome == "" && msg != nil && msg.call != nil && i == len(entry.Log)-1 {
+			ca.Outcome, ca.TookMs = "out", time.Now().UnixMilli()-attempt.At
 		} else if ca.Outcome == "" {
 			ca.Outcome, ca.Ran = "not recorded: the relay ended under it", true
 		}
-		c.Attempts = append(c.Attempts, ca)
+		described.Attempts = append(described.Attempts, ca)
 	}
-	return c
+	return described
 }
 
 // waitReason returns why a message is not in flight, and when that changes by itself, in Unix milliseconds.
-func (r *Relay) waitReason(m *message) (why string, next int64) {
-	p := r.standalone.directory.Load().byNumber[m.Dest]
-	v, ok := r.chooser.Waits(m.ID)
-	if !ok || p == nil {
+func (r *Relay) waitReason(msg *message) (why string, next int64) {
+	partner := r.standalone.directory.Load().byNumber[msg.Dest]
+	waits, ok := r.chooser.Waits(msg.ID)
+	if !ok || partner == nil {
 		return "", 0
 	}
-	if v.Again > 0 {
-		next = time.Now().Add(v.Again).UnixMilli()
+	if waits.Again > 0 {
+		next = time.Now().Add(waits.Again).UnixMilli()
 	}
-	if why = v.Why; v.Host != "" {
-		why = v.Host + " " + why
+	if why = waits.Why; waits.Host != "" {
+		why = waits.Host + " " + why
 	}
 	var drained []string
-	for _, e := range p.Endpoints {
-		if !r.standalone.drains.Open(e.ID) {
-			drained = append(drained, e.ID)
+	for _, endpoint := range partner.Endpoints {
+		if !r.standalone.drains.Open(endpoint.ID) {
+			drained = append(drained, endpoint.ID)
 		}
 	}
 	if len(drained) > 0 {
@@ -78,20 +80,20 @@
 
 // findMessage describes a message by its id, on the loop; nil if it is unknown.
 func (r *Relay) findMessage(id string) *adminapi.Message {
-	m, e := r.pending[id], r.standalone.ends.Get(id)
-	if m != nil {
-		e = m.Entry
+	msg, entry := r.pending[id], r.standalone.ends.Get(id)
+	if msg != nil {
+		entry = msg.Entry
 	}
-	for _, o := range r.unstoredEnds { // not recorded yet
-		if e == nil && o.ID == id {
-			e = o
+	for _, ended := range r.unstoredEnds { // not recorded yet
+		if entry == nil && ended.ID == id {
+			entry = ended
 		}
 	}
-	if e == nil {
+	if entry == nil {
 		return nil
 	}
-	c := r.describeMessage(e, m, true)
-	return &c
+	described := r.describeMessage(entry, msg, true)
+	return &described
 }
 
 // Message implements adminapi.Backend.
@@ -109,9 +111,9 @@
 
 // Messages implements adminapi.Backend. The cursor is the number of the last message returned, after a letter that
 // identifies the list.
-func (r *Relay) Messages(ctx context.Context, q adminapi.Query) (adminapi.Page, error) {
+func (r *Relay) Messages(ctx context.Context, query adminapi.Query) (adminapi.Page, error) {
 	page := adminapi.Page{Messages: []adminapi.Message{}}
-	letter, from, err := parseQuery(&q)
+	letter, from, err := parseQuery(&query)
 	if err != nil {
 		return page, err
 	}
@@ -125,13 +127,13 @@
 	}
 	for {
 		// Each part belongs to the loop until it is returned: a request that ends early shares nothing with it.
-		most, at := min(maxDescribed, q.Limit-len(page.Messages)), from
-		p, err := onLoop(ctx, r, func() (p part) { p.found, p.from = scan(q, at, most); return p })
+		most, at := min(maxDescribed, query.Limit-len(page.Messages)), from
+		p, err := onLoop(ctx, r, func() (p part) { p.found, p.from = scan(query, at, most); return p })
 		if err != nil {
 			return page, err
 		}
 		page.Messages, from = append(page.Messages, p.found...), p.from
-		if from == 0 || len(page.Messages) >= q.Limit {
+		if from == 0 || len(page.Messages) >= query.Limit {
 			break
 		}
 	}
@@ -150,30 +152,31 @@
 
 // parseQuery checks a query and sets its default limit. It returns the letter of the list that is asked for, and the number
 // in the cursor; 0 for the beginning.
-func parseQuery(q *adminapi.Query) (letter string, from uint64, err error) {
-	if q.Limit == 0 {
-		q.Limit = adminapi.PageDefault
+func parseQuery(query *adminapi.Query) (letter string, from uint64, err error) {
+	if query.Limit == 0 {
+		query.Limit = adminapi.PageDefault
 	}
-	if q.Limit < 0 || q.Limit > adminapi.PageMost {
-		return "", 0, adminapi.Errorf(adminapi.Invalid, "limit is %d, must be from 1 to %d", q.Limit, adminapi.PageMost)
+	if query.Limit < 0 || query.Limit > adminapi.PageMost {
+		return "", 0, adminapi.Errorf(adminapi.Invalid, "limit is %d, must be from 1 to %d", query.Limit, adminapi.PageMost)
 	}
-	if q.State != "" && !slices.Contains(adminapi.States, q.State) {
-		return "", 0, adminapi.Errorf(adminapi.Invalid, "state is %q, must be one of %s", q.State, strings.Join(adminapi.States, ", "))
+	if query.State != "" && !slices.Contains(adminapi.States, query.State) {
+		return "", 0, adminapi.Errorf(adminapi.Invalid, "state is %q, must be one of %s",
+			query.State, strings.Join(adminapi.States, ", "))
 	}
 	switch {
-	case q.Ended || q.State != "" && q.State != adminapi.Waiting && q.State != adminapi.Out:
+	case query.Ended || query.State != "" && query.State != adminapi.Waiting && query.State != adminapi.Out:
 		letter = endedLetter
-	case q.Newest:
+	case query.Newest:
 		letter = newestLetter
 	default:
 		letter = pendingLetter
 	}
-	if q.Cursor == "" {
+	if query.Cursor == "" {
 		return letter, 0, nil
 	}
-	from, err = strconv.ParseUint(strings.TrimPrefix(q.Cursor, letter), 10, 64)
-	if err != nil || !strings.HasPrefix(q.Cursor, letter) || from == 0 {
-		return "", 0, adminapi.Errorf(adminapi.Invalid, "cursor %q is not of this list", q.Cursor)
+	from, err = strconv.ParseUint(strings.TrimPrefix(query.Cursor, letter), 10, 64)
+	if err != nil || !strings.HasPrefix(query.Cursor, letter) || from == 0 {
+		return "", 0, adminapi.Errorf(adminapi.Invalid, "cursor %q is not of this list", query.Cursor)
 	}
 	return letter, from, nil
 }
@@ -187,30 +190,30 @@
 
 // scanPending looks at some pending messages after the one with a number, or before it if the newest come first. It returns
 // those that match and the number to continue from; 0 at the end.
-func (r *Relay) scanPending(q adminapi.Query, from uint64, most int) (found []adminapi.Message, next uint64) {
+func (r *Relay) scanPending(query adminapi.Query, from uint64, most int) (found []adminapi.Message, next uint64) {
 	all := r.standalone.pendingInOrder
 	step, i := 1, sort.Search(len(all), func(i int) bool { return all[i].sequence > from })
-	if q.Newest {
+	if query.Newest {
 		step, i = -1, len(all)-1
 		if from > 0 {
 			i = sort.Search(len(all), func(i int) bool { return all[i].sequence >= from }) - 1
 		}
 	}
-	for n := 0; i >= 0 && i < len(all); i += step {
-		if n++; n > maxScanned || len(found) >= most {
+	for count := 0; i >= 0 && i < len(all); i += step {
+		if count++; count > maxScanned || len(found) >= most {
 			return found, from
 		}
-		m := all[i]
-		from = m.sequence
-		if m.ended {
+		msg := all[i]
+		from = msg.sequence
+		if msg.ended {
 			continue
 		}
 		state := adminapi.Waiting
-		if m.call != nil {
+		if msg.call != nil {
 			state = adminapi.Out
 		}
-		if matchesQuery(q, m.Entry, state, m.TakenAt) {
-			found = append(found, r.describeMessage(m.Entry, m, false))
+		if matchesQuery(query, msg.Entry, state, msg.TakenAt) {
+			found = append(found, r.describeMessage(msg.Entry, msg, false))
 		}
 	}
 	return found, 0
@@ -229,7 +232,7 @@
 
 // serveMessage answers a client's query for the state of its message.
 func (r *Relay) serveMessage(w http.ResponseWriter, req *http.Request) {
-	m, err := r.Message(req.Context(), req.PathValue("id"))
+	described, err := r.Message(req.Context(), req.PathValue("id"))
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		status := http.StatusServiceUnavailable
@@ -240,5 +243,5 @@
 		json.NewEncoder(w).Encode(map[string]string{"error": err.Error()})
 		return
 	}
-	json.NewEncoder(w).Encode(m)
+	json.NewEncoder(w).Encode(described)
 }
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -56,9 +56,9 @@
 func (o *outbox) take() []notice {
 	o.Lock()
 	defer o.Unlock()
-	n := min(noticeBatch, len(o.queue))
-	batch := slices.Clone(o.queue[:n])
-	if o.queue = slices.Delete(o.queue, 0, n); len(o.queue) > 0 {
+	count := min(noticeBatch, len(o.queue))
+	batch := slices.Clone(o.queue[:count])
+	if o.queue = slices.Delete(o.queue, 0, count); len(o.queue) > 0 {
 		select {
 		case o.ready <- struct{}{}:
 		default:
@@ -92,8 +92,8 @@
 // notice that is rejected by itself is put back into the outbox later.
 func (r *Relay) postUntilAcknowledged(ctx context.Context, batch []notice) bool {
 	for pause := minBackoff; ; pause = min(2*pause, maxBackoff) {
-		a := r.agent.Load()
-		status, err := postNoticeBatch(a, batch)
+		current := r.agent.Load()
+		status, err := postNoticeBatch(current, batch)
 		switch {
 		case ctx.Err() != nil:
 			return true // the journal has them
@@ -106,13 +106,13 @@
 				r.pendingNotices -= len(batch)
 			})
 			return true
-		case a.ctx.Err() != nil:
+		case current.ctx.Err() != nil:
 			pause = minBackoff / 2 // it was replaced
 			continue
 		}
 		slog.Warn("notices not taken", "count", len(batch), "status", status, "err", err)
 		if err != nil {
-			r.tryNextAddress(a, err)
+			r.tryNextAddress(current, err)
 		} else if status/100 == 4 {
 			if len(batch) == 1 {
 				time.AfterFunc(maxBackoff, func() { r.notices.put(batch...) })
@@ -127,7 +127,7 @@
 }
 
 // postNoticeBatch posts notices once, and returns the status of the answer.
-func postNoticeBatch(a *agent, batch []notice) (status int, err error) {
+func postNoticeBatch(current *agent, batch []notice) (status int, err error) {
 	var body bytes.Buffer
 	enc := json.NewEncoder(&body)
 	for _, n := range batch {
@@ -135,13 +135,13 @@
 			return 0, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, noticeTimeout)
+	ctx, cancel := context.WithTimeout(current.ctx, noticeTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.addrs[0]+"/status", &body)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+current.addrs[0]+"/status", &body)
 	if err != nil {
 		return 0, err
 	}
-	resp, err := a.client.Do(req)
+	resp, err := current.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -70,22 +70,22 @@
 
 // settlePredecessorCalls ends the attempts of messages that were in flight at the predecessor, all with one outcome. Each
 // message is then like one that a restart found. Attempts that were settled before are ignored.
-func (r *Relay) settlePredecessorCalls(e httpcall.End, ids ...string) {
+func (r *Relay) settlePredecessorCalls(end httpcall.End, ids ...string) {
 	before := len(r.predecessorCalls)
 	for _, id := range ids {
 		if _, ok := r.predecessorCalls[id]; !ok {
 			continue
 		}
 		delete(r.predecessorCalls, id)
-		switch m := r.pending[id]; {
-		case m == nil:
-		case e.Done || e.Outcome == choice.Served:
+		switch msg := r.pending[id]; {
+		case msg == nil:
+		case end.Done || end.Outcome == choice.Served:
 			r.record(journal.Record{Op: journal.OpEnd, ID: id})
-			r.finish(m)
+			r.finish(msg)
 		default:
-			ran := mayHaveRun(e.Outcome)
+			ran := mayHaveRun(end.Outcome)
 			r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: ran})
-			r.restoreMessage(m, ran)
+			r.restoreMessage(msg, ran)
 		}
 	}
 	if len(r.predecessorCalls) < before {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -195,12 +195,12 @@
 func (r *Relay) initialHosts() error {
 	switch {
 	case r.config.Successor != nil && r.config.Successor.State.HostList != nil:
-		var l hostList
-		if err := json.Unmarshal(r.config.Successor.State.HostList, &l); err != nil {
+		var list hostList
+		if err := json.Unmarshal(r.config.Successor.State.HostList, &list); err != nil {
 			return fmt.Errorf("the earlier process's list of hosts: %w", err)
 		}
-		r.listVersion = l.Version
-		r.applyHostList(l)
+		r.listVersion = list.Version
+		r.applyHostList(list)
 	case r.config.Known.Full || len(r.config.Known.Servers) > 0:
 		r.listVersion = r.config.Known.Version
 		r.applyHostList(r.config.Known)
@@ -250,8 +250,8 @@
 	r.cancelCalls(errStopping)
 	r.pool.CloseIdle()
 	r.journal.Close()
-	if h := r.successor.Load(); h != nil {
-		h.close()
+	if next := r.successor.Load(); next != nil {
+		next.close()
 	}
 }
 
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -56,18 +56,18 @@
 
 // ReloadSettings applies the settings of a file that was read again: classes, attempts, the limit of pending messages,
 // slots, rules, and the maximum of Retry-After. Other settings need a restart. Messages under way keep their class.
-func (r *Relay) ReloadSettings(s settings.Settings) {
+func (r *Relay) ReloadSettings(read settings.Settings) {
 	r.post(func() {
-		n, err := r.classes.Load().withCurrent(s.Classes)
+		next, err := r.classes.Load().withCurrent(read.Classes)
 		if err != nil {
 			slog.Error("settings not taken", "err", err)
 			return
 		}
 		set := r.settings
-		set.Classes, set.MaxAttempts, set.MaxHeld, set.Workers = n.all, s.MaxAttempts, s.MaxHeld, s.Workers
-		set.Rules, set.MaxRetryAfter = s.Rules, s.MaxRetryAfter
-		r.useSettings(n, set)
-		slog.Info("settings taken", "classes", slices.Sorted(maps.Keys(n.current)), "attempts", set.MaxAttempts)
+		set.Classes, set.MaxAttempts, set.MaxHeld, set.Workers = next.all, read.MaxAttempts, read.MaxHeld, read.Workers
+		set.Rules, set.MaxRetryAfter = read.Rules, read.MaxRetryAfter
+		r.useSettings(next, set)
+		slog.Info("settings taken", "classes", slices.Sorted(maps.Keys(next.current)), "attempts", set.MaxAttempts)
 	})
 }
 
@@ -81,22 +81,22 @@
 // classAs returns the class of a message that an earlier process admitted: with the effect that it had then, since the first
 // attempt settled what a repeat does, and everything else as the name means now. If the name is no longer in use, the
 // message continues under the most restrictive figures of the other classes; a standalone relay ends it.
-func (r *Relay) classAs(e *journal.Entry) (class int, ok bool) {
-	c := r.classes.Load()
-	class, ok = c.current[e.Class]
-	if e.Effect == 0 || ok && 1+int(c.all[class].Effect) == e.Effect || !ok && r.standalone != nil {
+func (r *Relay) classAs(entry *journal.Entry) (class int, ok bool) {
+	known := r.classes.Load()
+	class, ok = known.current[entry.Class]
+	if entry.Effect == 0 || ok && 1+int(known.all[class].Effect) == entry.Effect || !ok && r.standalone != nil {
 		return class, ok
 	}
-	k := mostRestrictive(c.all)
+	merged := mostRestrictive(known.all)
 	if ok {
-		k = c.all[class]
+		merged = known.all[class]
 	}
-	k.Name, k.Effect = e.Class, choice.Effect(e.Effect-1)
-	n := &classes{all: slices.Clone(c.all), current: c.current}
-	class = n.index(k)
+	merged.Name, merged.Effect = entry.Class, choice.Effect(entry.Effect-1)
+	next := &classes{all: slices.Clone(known.all), current: known.current}
+	class = next.index(merged)
 	set := r.settings
-	set.Classes = n.all
-	r.useSettings(n, set)
+	set.Classes = next.all
+	r.useSettings(next, set)
 	return class, true
 }
 
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -42,25 +42,25 @@
 // parseRequest checks a request and reads its body. The error is the client's, with the status to answer.
 func (r *Relay) parseRequest(req *http.Request, arrivedAt time.Duration) (*admission, int, error) {
 	bad := func(text string) (*admission, int, error) { return nil, http.StatusBadRequest, errors.New(text) }
-	e := &journal.Entry{ID: req.Header.Get("X-Request-Id"), Class: req.Header.Get("X-Class"),
+	entry := &journal.Entry{ID: req.Header.Get("X-Request-Id"), Class: req.Header.Get("X-Class"),
 		Key: req.Header.Get("Idempotency-Key")}
-	if !validToken(e.ID) {
+	if !validToken(entry.ID) {
 		return bad("X-Request-Id is missing or malformed")
 	}
 	classes := r.classes.Load()
-	class, ok := classes.current[e.Class]
+	class, ok := classes.current[entry.Class]
 	if !ok {
 		return bad("X-Class is missing or unknown")
 	}
 	effect := classes.all[class].Effect
-	if e.Effect = 1 + int(effect); e.Key != "" && !validToken(e.Key) || e.Key == "" && effect == choice.Keyed {
+	if entry.Effect = 1 + int(effect); entry.Key != "" && !validToken(entry.Key) || entry.Key == "" && effect == choice.Keyed {
 		return bad("Idempotency-Key is missing or malformed")
 	}
 	if r.standalone != nil {
-		return r.parseStandaloneRequest(req, e, class, arrivedAt)
+		return r.parseStandaloneRequest(req, entry, class, arrivedAt)
 	}
 	if classes.all[class].Ordered {
-		if e.Order = parseOrderKey(req); e.Order != "" && !validToken(e.Order) {
+		if entry.Order = parseOrderKey(req); entry.Order != "" && !validToken(entry.Order) {
 			return bad("the key of the order is malformed")
 		}
 	}
@@ -72,28 +72,28 @@
 	if !ok {
 		return bad("X-Addressing is missing or malformed")
 	}
-	e.Dest = dest
-	return r.newAdmission(req, e, class, arrivedAt, ms)
+	entry.Dest = dest
+	return r.newAdmission(req, entry, class, arrivedAt, ms)
 }
 
 // parseStandaloneRequest reads what a client of a standalone relay states further: the partner's name, and optionally a
 // deadline.
 func (r *Relay) parseStandaloneRequest(
-	req *http.Request, e *journal.Entry, class int, arrivedAt time.Duration,
+	req *http.Request, entry *journal.Entry, class int, arrivedAt time.Duration,
 ) (*admission, int, error) {
-	k, dir := r.classes.Load().all[class], r.standalone.directory.Load()
+	settings, dir := r.classes.Load().all[class], r.standalone.directory.Load()
 	bad := func(status int, text string) (*admission, int, error) { return nil, status, errors.New(text) }
-	p := dir.byName[req.Header.Get("X-Partner")]
-	if n, ok := parseDestination(req.Header.Get("X-Addressing")); p == nil && ok && req.Header.Get("X-Partner") == "" {
-		p = dir.byNumber[n]
+	partner := dir.byName[req.Header.Get("X-Partner")]
+	if number, ok := parseDestination(req.Header.Get("X-Addressing")); partner == nil && ok && req.Header.Get("X-Partner") == "" {
+		partner = dir.byNumber[number]
 	}
 	switch {
-	case p == nil:
+	case partner == nil:
 		return bad(http.StatusNotFound, "X-Partner is missing, or no partner of the operator's file")
-	case !slices.Contains(p.Classes, k.Name):
-		return bad(http.StatusBadRequest, "partner "+p.Name+" takes no messages of class "+k.Name)
+	case !slices.Contains(partner.Classes, settings.Name):
+		return bad(http.StatusBadRequest, "partner "+partner.Name+" takes no messages of class "+settings.Name)
 	}
-	ms := k.Deadline.Milliseconds()
+	ms := settings.Deadline.Milliseconds()
 	if text := req.Header.Get("X-Deadline-Ms"); text != "" {
 		var err error
 		if ms, err = strconv.ParseInt(text, 10, 64); err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
@@ -101,9 +101,10 @@
 		}
 	}
 	// They are kept for long and must not retain the whole header.
-	e.ID, e.Key, e.Class = strings.Clone(e.ID), strings.Clone(e.Key), k.Name
-	e.Dest, e.Partner, e.TakenAt, e.Bytes = p.Number, p.Name, time.Now().UnixMilli(), int(req.ContentLength)
-	return r.newAdmission(req, e, class, arrivedAt, ms)
+	entry.ID, entry.Key, entry.Class = strings.Clone(entry.ID), strings.Clone(entry.Key), settings.Name
+	entry.Dest, entry.Partner = partner.Number, partner.Name
+	entry.TakenAt, entry.Bytes = time.Now().UnixMilli(), int(req.ContentLength)
+	return r.newAdmission(req, entry, class, arrivedAt, ms)
 }
 
 // newAdmission reads the body and makes the admission. Ms is the time that the client gives the message, in milliseconds.
@@ -148,8 +149,8 @@
 			}
 			body = append(make([]byte, 0, grown), body...)
 		}
-		n, err := io.ReadFull(from, body[len(body):cap(body)])
-		if body = body[:len(body)+n]; err != nil {
+		count, err := io.ReadFull(from, body[len(body):cap(body)])
+		if body = body[:len(body)+count]; err != nil {
 			r.readingBytes.Add(-int64(cap(body)))
 			return nil, err
 		}
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -11,16 +11,16 @@
 // restore takes over the messages and outages in the journal.
 func (r *Relay) restore() {
 	wall := time.Now().UnixMilli()
-	for _, e := range r.journal.Ended() {
-		r.ended.put(e.ID, e.Sum)
+	for _, ended := range r.journal.Ended() {
+		r.ended.put(ended.ID, ended.Sum)
 	}
 	r.logJournalDamage()
-	for _, e := range r.journal.InOrder() {
-		r.restoreEntry(e, wall)
+	for _, entry := range r.journal.InOrder() {
+		r.restoreEntry(entry, wall)
 	}
-	for id, s := range r.journal.Unwell {
-		if time.Duration(wall-s.At)*time.Millisecond < unhealthyExpiry {
-			r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
+	for id, record := range r.journal.Unwell {
+		if time.Duration(wall-record.At)*time.Millisecond < unhealthyExpiry {
+			r.events = append(r.events, choice.Unwell{Host: id, Base: record.Base})
 		} else {
 			r.record(journal.Record{Op: journal.OpHealth, ID: id})
 		}
@@ -29,56 +29,56 @@
 }
 
 // restoreEntry takes over one message in the journal: what it is owed depends on how far the earlier process came.
-func (r *Relay) restoreEntry(e *journal.Entry, wall int64) {
-	id := e.ID
-	if e.Status != "" && r.standalone != nil {
-		r.restoreEnd(e)
+func (r *Relay) restoreEntry(entry *journal.Entry, wall int64) {
+	id := entry.ID
+	if entry.Status != "" && r.standalone != nil {
+		r.restoreEnd(entry)
 		return
 	}
-	if e.Status == delivered { // the end of a standalone relay: nothing is owed
+	if entry.Status == delivered { // the end of a standalone relay: nothing is owed
 		r.record(journal.Record{Op: journal.OpEnd, ID: id})
 		return
 	}
-	if e.Status != "" {
-		r.ended.add(e)
-		r.queueNotice(notice{e.ID, e.Status, e.Again}, e.Order)
+	if entry.Status != "" {
+		r.ended.add(entry)
+		r.queueNotice(notice{entry.ID, entry.Status, entry.Again}, entry.Order)
 		return
 	}
-	if _, out := r.predecessorCalls[id]; e.Out && !out {
+	if _, out := r.predecessorCalls[id]; entry.Out && !out {
 		// The process died before the outcome was recorded: it may have run.
 		r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: true})
 	}
-	class, ok := r.classAs(e)
+	class, ok := r.classAs(entry)
 	if !ok {
 		status := undeliverable
-		if r.standalone != nil && !e.Ran && !e.Out {
+		if r.standalone != nil && !entry.Ran && !entry.Out {
 			status = deferred
 		}
-		r.endUndelivered(&message{Entry: e}, notice{e.ID, status, 0}, "its class was taken out of the operator's file")
+		r.endUndelivered(&message{Entry: entry}, notice{entry.ID, status, 0}, "its class was taken out of the operator's file")
 		return
 	}
-	m := &message{Entry: e, class: class, deadline: r.now() + time.Duration(e.Due-wall)*time.Millisecond}
-	if r.standalone != nil && r.rejectReason(m) != "" {
-		m.mayHaveRun = e.Out
-		r.conclude(m, r.undeliveredStatus(m), 0, r.rejectReason(m))
+	msg := &message{Entry: entry, class: class, deadline: r.now() + time.Duration(entry.Due-wall)*time.Millisecond}
+	if r.standalone != nil && r.rejectReason(msg) != "" {
+		msg.mayHaveRun = entry.Out
+		r.conclude(msg, r.undeliveredStatus(msg), 0, r.rejectReason(msg))
 		return
 	}
-	r.addPending(m)
+	r.addPending(msg)
 	if _, out := r.predecessorCalls[id]; out {
-		r.expectOutcome(m)
+		r.expectOutcome(msg)
 		return
 	}
-	if e.Tries == 0 {
+	if entry.Tries == 0 {
 		r.untried.add(id)
 	}
-	r.restoreMessage(m, e.Out)
+	r.restoreMessage(msg, entry.Out)
 }
 
 // logJournalDamage logs what of the journal could not be read, and which messages it may concern.
 func (r *Relay) logJournalDamage() {
 	rep := r.journal.Report()
-	for _, d := range rep.Damage {
-		slog.Error("the journal is damaged", "where", d.String(), "kept", d.Saved)
+	for _, damage := range rep.Damage {
+		slog.Error("the journal is damaged", "where", damage.String(), "kept", damage.Saved)
 	}
 	if rep.LegacyUnread > 0 {
 		slog.Warn("the end of the earlier journal could not be read", "bytes", rep.LegacyUnread)
--- a/internal/relay/standalone.go
+++ b/internal/relay/standalone.go
@@ -81,14 +81,14 @@
 
 // restoreDrains takes over the drains in the journal and applies the operator's list. It precedes restore.
 func (r *Relay) restoreDrains() error {
-	a, now := r.standalone, time.Now()
+	state, now := r.standalone, time.Now()
 	for id, rec := range r.journal.Drains {
-		t, err := drain.ParseTarget(id)
+		target, err := drain.ParseTarget(id)
 		if err != nil {
 			slog.Error("a drain in the journal cannot be read", "target", id, "err", err)
 			continue
 		}
-		a.drains.Restore(drain.Entry{Target: t, Since: time.UnixMilli(rec.At), RequestedBy: rec.Status,
+		state.drains.Restore(drain.Entry{Target: target, Since: time.UnixMilli(rec.At), RequestedBy: rec.Status,
 			Timeout: time.Duration(rec.Wait) * time.Millisecond}, now)
 		slog.Info("still drained", "target", id, "since", time.UnixMilli(rec.At), "by", rec.Status)
 	}
@@ -101,26 +101,27 @@
 
 // applyPartnerList applies the list of partners and the drains in force to the hosts and to the engine.
 func (r *Relay) applyPartnerList() {
-	a := r.standalone
-	a.listVersion++
-	l := hostList{Version: a.listVersion, Full: true}
+	state := r.standalone
+	state.listVersion++
+	list := hostList{Version: state.listVersion, Full: true}
 	members := map[string][]string{}
-	for _, p := range a.directory.Load().all {
-		for _, e := range p.Endpoints {
-			members[p.Name] = append(members[p.Name], e.ID)
+	for _, partner := range state.directory.Load().all {
+		for _, endpoint := range partner.Endpoints {
+			members[partner.Name] = append(members[partner.Name], endpoint.ID)
 		}
 	}
-	a.drains.SetPartners(members)
-	for _, p := range a.directory.Load().all {
-		for _, e := range p.Endpoints {
-			s := hostEntry{ID: e.ID, Addr: e.Address, Zone: e.Zone, Kind: p.Kind, Cell: p.Number, State: "active", Weight: 1}
-			if !a.drains.Open(e.ID) {
-				s.State = "leaving"
+	state.drains.SetPartners(members)
+	for _, partner := range state.directory.Load().all {
+		for _, endpoint := range partner.Endpoints {
+			listed := hostEntry{ID: endpoint.ID, Addr: endpoint.Address, Zone: endpoint.Zone, Kind: partner.Kind,
+				Cell: partner.Number, State: "active", Weight: 1}
+			if !state.drains.Open(endpoint.ID) {
+				listed.State = "leaving"
 			}
-			l.Servers = append(l.Servers, s)
+			list.Servers = append(list.Servers, listed)
 		}
 	}
-	r.applyHostList(l)
+	r.applyHostList(list)
 }
 
 // Reload replaces the list of partners. Pending messages of a partner that is no longer listed, or no longer accepts their
@@ -137,9 +138,9 @@
 		}
 		r.applyPartnerList()
 		ended := 0
-		for _, m := range r.standalone.pendingInOrder {
-			if !m.ended && m.call == nil && r.rejectReason(m) != "" {
-				r.endRejected(m)
+		for _, msg := range r.standalone.pendingInOrder {
+			if !msg.ended && msg.call == nil && r.rejectReason(msg) != "" {
+				r.endRejected(msg)
 				ended++
 			}
 		}
@@ -184,21 +185,21 @@
 const delivered = "delivered"
 
 // conclude ends a message of a standalone relay and queues its end for the store.
-func (r *Relay) conclude(m *message, status string, again int64, why string) {
-	a, now := r.standalone, time.Now()
+func (r *Relay) conclude(msg *message, status string, again int64, why string) {
+	state, now := r.standalone, time.Now()
 	// The journal sets the end in the entry, which it owns, when it writes the record.
-	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: status, Again: again, At: now.UnixMilli(), Why: why,
-		Sum: m.Entry.Checksum()})
+	r.record(journal.Record{Op: journal.OpNotice, ID: msg.ID, Status: status, Again: again, At: now.UnixMilli(), Why: why,
+		Sum: msg.Entry.Checksum()})
 	switch status {
 	case delivered:
-		a.counters.countDelivered(now)
+		state.counters.countDelivered(now)
 	case deferred:
-		a.counters.countRefused(now)
+		state.counters.countRefused(now)
 	default:
-		a.counters.countFailed(now)
+		state.counters.countFailed(now)
 	}
-	r.finish(m)
-	r.unstoredEnds = append(r.unstoredEnds, m.Entry)
+	r.finish(msg)
+	r.unstoredEnds = append(r.unstoredEnds, msg.Entry)
 }
 
 // storeEnds adds recorded ends to the store, and records which ones the store dropped.
--- a/internal/relay/statusview.go
+++ b/internal/relay/statusview.go
@@ -27,13 +27,13 @@
 // currentView returns a view that is not older than maxViewAge.
 func (r *Relay) currentView(ctx context.Context) (*cachedView, error) {
 	fresh := func() *cachedView {
-		if v := r.standalone.view.Load(); v != nil && time.Since(v.at) < maxViewAge {
-			return v
+		if view := r.standalone.view.Load(); view != nil && time.Since(view.at) < maxViewAge {
+			return view
 		}
 		return nil
 	}
-	if v := fresh(); v != nil {
-		return v, nil
+	if view := fresh(); view != nil {
+		return view, nil
 	}
 	select { // one request asks the loop, the others wait for its view
 	case r.standalone.viewLock <- struct{}{}:
@@ -41,68 +41,69 @@
 		return nil, ctx.Err()
 	}
 	defer func() { <-r.standalone.viewLock }()
-	if v := fresh(); v != nil {
-		return v, nil
+	if view := fresh(); view != nil {
+		return view, nil
 	}
 	return onLoop(ctx, r, func() *cachedView {
-		v := r.buildView()
-		r.standalone.view.Store(v)
-		return v
+		view := r.buildView()
+		r.standalone.view.Store(view)
+		return view
 	})
 }
 
 // journalView describes the state of the journal.
 func (r *Relay) journalView() adminapi.Journal {
-	v := adminapi.Journal{Segments: r.journal.Segments(), MostBytes: r.journal.Budget(), Durability: "process"}
+	view := adminapi.Journal{Segments: r.journal.Segments(), MostBytes: r.journal.Budget(), Durability: "process"}
 	if r.config.Power {
-		v.Durability = "power"
+		view.Durability = "power"
 	}
 	switch {
 	case r.journal.Broken != nil:
-		v.Trouble = r.journal.Broken.Error()
+		view.Trouble = r.journal.Broken.Error()
 	case r.journal.Full():
-		v.Trouble = "the disk is full: what is held is recorded from spare room"
+		view.Trouble = "the disk is full: what is held is recorded from spare room"
 	}
-	return v
+	return view
 }
 
 // buildView describes the relay, on the loop.
 func (r *Relay) buildView() *cachedView {
-	a, now := r.standalone, time.Now()
-	t := a.counters.totals
-	phase, until := a.drains.Phase()
-	s := adminapi.Status{API: adminapi.Version, Version: a.Version, PID: os.Getpid(), NowMs: now.UnixMilli(),
+	state, now := r.standalone, time.Now()
+	t := state.counters.totals
+	phase, until := state.drains.Phase()
+	status := adminapi.Status{API: adminapi.Version, Version: state.Version, PID: os.Getpid(), NowMs: now.UnixMilli(),
 		UpMs: r.now().Milliseconds(), Listen: r.Addr(), State: r.config.State, Phase: string(phase), Held: len(r.pending),
-		HeldMost: r.settings.MaxHeld, Out: r.callsInFlight, Slots: r.settings.Workers, Ends: a.ends.Len(), EndsMost: a.MaxEnds,
+		HeldMost: r.settings.MaxHeld, Out: r.callsInFlight, Slots: r.settings.Workers, Ends: state.ends.Len(), EndsMost: state.MaxEnds,
 		DiskBytes: r.journal.Size(), Journal: r.journalView(),
 		Totals: adminapi.Totals{Taken: t.taken, Turned: t.turned + r.rejectedBusy.Load(), Delivered: t.delivered,
 			Refused: t.refused, Failed: t.failed, Calls: t.calls},
-		Series: a.counters.series(now), Drains: []adminapi.Drained{}, Left: a.remaining}
+		Series: state.counters.series(now), Drains: []adminapi.Drained{}, Left: state.remaining}
 	if !until.IsZero() {
-		s.UntilMs = until.UnixMilli()
+		status.UntilMs = until.UnixMilli()
 	}
-	for _, m := range a.drains.Entries() {
-		s.Drains = append(s.Drains, adminapi.Drained{Target: m.Target.String(), SinceMs: m.Since.UnixMilli(), By: m.RequestedBy})
+	for _, drained := range state.drains.Entries() {
+		status.Drains = append(status.Drains, adminapi.Drained{Target: drained.Target.String(),
+			SinceMs: drained.Since.UnixMilli(), By: drained.RequestedBy})
 	}
-	for _, m := range a.pendingInOrder {
-		if !m.ended {
-			s.OldestMs = max(0, now.UnixMilli()-m.TakenAt)
+	for _, msg := range state.pendingInOrder {
+		if !msg.ended {
+			status.OldestMs = max(0, now.UnixMilli()-msg.TakenAt)
 			break
 		}
 	}
-	v := &cachedView{at: now}
+	view := &cachedView{at: now}
 	views := r.chooser.Views()
-	for _, p := range a.directory.Load().all {
+	for _, p := range state.directory.Load().all {
 		partner := r.partnerView(p, views[p.Number])
 		for _, endpoint := range partner.Endpoints {
-			if s.Endpoints++; endpoint.Health != "healthy" {
-				s.Unhealthy++
+			if status.Endpoints++; endpoint.Health != "healthy" {
+				status.Unhealthy++
 			}
 		}
-		v.partners = append(v.partners, partner)
+		view.partners = append(view.partners, partner)
 	}
-	v.status = s
-	return v
+	view.status = status
+	return view
 }
 
 // partnerView describes a partner and its endpoints. Dest is the engine's view of it.
@@ -120,12 +121,13 @@
 		if len(by) > 0 {
 			endpoint.State, endpoint.By = "drained", strings.Join(by, ", ")
 		}
-		for _, h := range dest.Hosts {
-			if h.Addr == e.ID {
-				endpoint.Health, endpoint.Why = h.Health, h.Why
-				endpoint.ForMs, endpoint.WaitMs = h.For.Milliseconds(), h.Wait.Milliseconds()
-				endpoint.PauseMs, endpoint.TrialMs, endpoint.Out = h.Pause.Milliseconds(), h.Trial.Milliseconds(), h.Out
-				endpoint.LatencyMs, endpoint.Rate, endpoint.Limit = float64(h.Latency.Microseconds())/1000, h.Rate, h.Limit
+		for _, hostView := range dest.Hosts {
+			if hostView.Addr == e.ID {
+				endpoint.Health, endpoint.Why = hostView.Health, hostView.Why
+				endpoint.ForMs, endpoint.WaitMs = hostView.For.Milliseconds(), hostView.Wait.Milliseconds()
+				endpoint.PauseMs, endpoint.TrialMs, endpoint.Out = hostView.Pause.Milliseconds(), hostView.Trial.Milliseconds(), hostView.Out
+				endpoint.LatencyMs = float64(hostView.Latency.Microseconds()) / 1000
+				endpoint.Rate, endpoint.Limit = hostView.Rate, hostView.Limit
 			}
 		}
 		partner.Endpoints = append(partner.Endpoints, endpoint)
--- a/internal/relay/succession.go
+++ b/internal/relay/succession.go
@@ -42,42 +42,42 @@
 }
 
 // release gives the relay up, on the loop.
-func (r *Relay) release(to *handover.Link) (s handover.State, err error) {
+func (r *Relay) release(to *handover.Link) (state handover.State, err error) {
 	if r.successor.Load() != nil {
-		return s, errors.New("it has given way already")
+		return state, errors.New("it has given way already")
 	}
 	r.receiveBatch()
 	r.cancelBlockedCalls()
 	for turns := 0; len(r.events) > 0 || len(r.records) > 0; turns++ {
 		if turns == 64 {
-			return s, errors.New("not all can be recorded")
+			return state, errors.New("not all can be recorded")
 		}
 		r.step()
 	}
 	calls := map[*call]int{}
-	for id, m := range r.pending {
-		if m.call != nil {
-			if _, ok := calls[m.call]; !ok {
-				calls[m.call] = len(calls)
+	for id, msg := range r.pending {
+		if msg.call != nil {
+			if _, ok := calls[msg.call]; !ok {
+				calls[msg.call] = len(calls)
 			}
-			s.InFlight = append(s.InFlight, handover.InFlight{ID: id, Call: calls[m.call]})
+			state.InFlight = append(state.InFlight, handover.InFlight{ID: id, Call: calls[msg.call]})
 		}
 	}
-	s.RetryAfter = map[string]int64{}
-	for _, d := range r.chooser.Views() {
-		for _, h := range d.Hosts {
-			if h.Wait > 0 {
-				s.RetryAfter[h.Addr] = h.Wait.Milliseconds() + 1
+	state.RetryAfter = map[string]int64{}
+	for _, dest := range r.chooser.Views() {
+		for _, hostView := range dest.Hosts {
+			if hostView.Wait > 0 {
+				state.RetryAfter[hostView.Addr] = hostView.Wait.Milliseconds() + 1
 			}
 		}
 	}
-	r.ended.each(func(id string, sum uint32) { s.Ended = append(s.Ended, handover.Ended{ID: id, Sum: sum}) })
-	l := hostList{Version: r.listVersion, Full: true}
+	r.ended.each(func(id string, sum uint32) { state.Ended = append(state.Ended, handover.Ended{ID: id, Sum: sum}) })
+	list := hostList{Version: r.listVersion, Full: true}
 	for _, id := range slices.Sorted(maps.Keys(r.hosts)) {
-		l.Servers = append(l.Servers, r.hosts[id].listed)
+		list.Servers = append(list.Servers, r.hosts[id].listed)
 	}
-	if s.HostList, err = json.Marshal(l); err != nil {
-		return s, err
+	if state.HostList, err = json.Marshal(list); err != nil {
+		return state, err
 	}
 	r.successor.Store(&successor{link: to, serving: make(chan struct{}), transport: handover.Forwarder(r.config.State)})
 	r.closePeers()
@@ -85,7 +85,7 @@
 	if r.config.Unlock != nil {
 		r.config.Unlock()
 	}
-	return s, nil
+	return state, nil
 }
 
 // successor is the process that has replaced this relay.
@@ -103,14 +103,14 @@
 
 // SuccessorServing implements handover.Owner. Clients are sent to the successor; once no call is in flight the relay ends.
 func (r *Relay) SuccessorServing() {
-	h := r.successor.Load()
-	close(h.serving)
+	next := r.successor.Load()
+	close(next.serving)
 	slog.Info("handed over")
 	r.doors.Close()
 	go func() {
 		time.Sleep(drainClientsAfter)
 		for done := make(chan bool, 1); ; time.Sleep(pollInterval) {
-			r.post(func() { done <- r.callsInFlight == 0 && h.link.Flushed() })
+			r.post(func() { done <- r.callsInFlight == 0 && next.link.Flushed() })
 			select {
 			case over := <-done:
 				if !over {
@@ -155,8 +155,8 @@
 
 // forward has the successor answer a request.
 func (r *Relay) forward(w http.ResponseWriter, req *http.Request, body []byte) {
-	h := r.successor.Load()
-	resp, err := h.ask(req, body)
+	next := r.successor.Load()
+	resp, err := next.ask(req, body)
 	if err != nil {
 		slog.Warn("not passed on", "err", err)
 		w.Header().Set("Retry-After", "1")
