--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -75,7 +75,7 @@
 	}
 	config = Config{Listen: override("BALANCER_LISTEN", file.Listen),
 		Discovery: []string{override("BALANCER_DISCOVERY", file.Discovery)},
-		State: env("BALANCER_STATE"), Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB,
+		State:     env("BALANCER_STATE"), Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB,
 		Sockets: file.Limits.Sockets, DiskMB: file.Limits.DiskMB, Known: file.Known, PeerListen: file.PeerListen, Peers: file.Peers,
 		Admin: override("BALANCER_ADMIN", file.Admin), file: data}
 	for name, v := range map[string]string{
