--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -29,7 +29,7 @@
 // (admission.go). Each call to a host has a goroutine that posts the outcome to the loop (calls.go). One goroutine
 // follows discovery, one posts notices, one receives messages from other relays; each ends with the background context.
 // They share with the loop only channels, atomics and values that are replaced and never changed (classes, directory,
-// statusView).
+// cachedView).
 //
 // # Modes
 //
