--- a/internal/relay/cluster.go
+++ b/internal/relay/cluster.go
@@ -20,14 +20,14 @@
 
 // cluster is a relay's part in its fleet. It belongs to the loop.
 type cluster struct {
-	talk         *override.Talk
+	talk         *override.Gossiper
 	names        []string // of the relays, by number
 	self         int
 	timer        *time.Timer
 	parts        int                      // into which limits are divided
 	gone         []int                    // relays that are gone for good
 	appliedAt    map[string]time.Duration // when this process recorded the override of a subject
-	ledger       *versionaudit.Ledger
+	ledger       *versionaudit.Auditor
 	warned       map[straggler]bool
 	checkAt      time.Duration // next look for stragglers
 	recordFailed bool          // the last overrides received could not be recorded, which was logged
@@ -53,11 +53,11 @@
 	if len(names) == 0 {
 		return nil
 	}
-	var kept []override.Word
+	var kept []override.Override
 	for _, rec := range r.journal.Words {
-		kept = append(kept, override.Word{Subject: rec.ID, On: rec.Ran, Count: uint64(rec.Again), Origin: rec.Host, By: rec.Status, AtMs: rec.At})
+		kept = append(kept, override.Override{Subject: rec.ID, Active: rec.Ran, Counter: uint64(rec.Again), Origin: rec.Host, Author: rec.Status, AtMs: rec.At})
 	}
-	talk, err := override.New(override.Settings{Names: names, Self: r.settings.Index, Life: r.settings.Life, Weights: r.settings.Weights}, r.now(), kept)
+	talk, err := override.New(override.Settings{Names: names, Self: r.settings.Index, Incarnation: r.settings.Life, Weights: r.settings.Weights}, r.now(), kept)
 	if err != nil {
 		return err
 	}
@@ -73,12 +73,12 @@
 	f := r.cluster
 	var entries []drain.Entry
 	f.gone = nil
-	for _, w := range f.talk.Book().All() {
-		if !w.On || plant.Is(plant.Word) {
+	for _, w := range f.talk.Store().All() {
+		if !w.Active || plant.Is(plant.Word) {
 			continue
 		}
 		if t, err := drain.ParseTarget(w.Subject); err == nil && t.Scope != drain.Relay {
-			entries = append(entries, drain.Entry{Target: t, Since: time.UnixMilli(w.AtMs), RequestedBy: w.By + " at " + w.Origin})
+			entries = append(entries, drain.Entry{Target: t, Since: time.UnixMilli(w.AtMs), RequestedBy: w.Author + " at " + w.Origin})
 		}
 		if name, ok := strings.CutPrefix(w.Subject, goneSubject("")); ok {
 			if i := slices.Index(f.names, name); i >= 0 {
@@ -87,8 +87,8 @@
 		}
 	}
 	r.standalone.drains.SetFleetEntries(entries)
-	f.talk.Lose(f.gone)
-	r.divideLimits(f.talk.Parts(r.now()))
+	f.talk.SetRemoved(f.gone)
+	r.divideLimits(f.talk.TotalWeight(r.now()))
 }
 
 // divideLimits has limits divided into so many parts.
@@ -99,21 +99,21 @@
 
 // recordOverrides records overrides, carries them out, and only then has them count. Overrides that cannot be recorded are
 // requested again by the digest.
-func (r *Relay) recordOverrides(words []override.Word) error {
+func (r *Relay) recordOverrides(words []override.Override) error {
 	f := r.cluster
 	var recs []journal.Record
 	for _, w := range words {
-		recs = append(recs, journal.Record{Op: journal.OpWord, ID: w.Subject, Ran: w.On, Again: int64(w.Count), Host: w.Origin, Status: w.By, At: w.AtMs})
+		recs = append(recs, journal.Record{Op: journal.OpWord, ID: w.Subject, Ran: w.Active, Again: int64(w.Counter), Host: w.Origin, Status: w.Author, At: w.AtMs})
 	}
 	if err := r.journal.Append(recs...); err != nil {
 		return err
 	}
-	f.talk.Take(r.now(), words...)
+	f.talk.Apply(r.now(), words...)
 	for _, w := range words {
 		f.appliedAt[w.Subject] = r.now()
-		slog.Info("override recorded", "subject", w.Subject, "holds", w.On, "by", w.By, "at", w.Origin)
-		if w.Subject == goneSubject(f.names[f.self]) && w.On {
-			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back", "by", w.By, "at", w.Origin)
+		slog.Info("override recorded", "subject", w.Subject, "holds", w.Active, "by", w.Author, "at", w.Origin)
+		if w.Subject == goneSubject(f.names[f.self]) && w.Active {
+			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back", "by", w.Author, "at", w.Origin)
 		}
 	}
 	r.applyOverrides()
@@ -125,7 +125,7 @@
 // receiveOverrides takes in a gossip message of another relay with overrides.
 func (r *Relay) receiveOverrides(from int, note []byte) {
 	f := r.cluster
-	received := f.talk.Hear(r.now(), from, note)
+	received := f.talk.Receive(r.now(), from, note)
 	r.auditVersions(from)
 	r.warnStragglers()
 	if len(received) > 0 {
@@ -149,7 +149,7 @@
 	for _, n := range notes {
 		r.peers.Send(n.To, n.Data)
 	}
-	if n := f.talk.Parts(now); n != f.parts {
+	if n := f.talk.TotalWeight(now); n != f.parts {
 		r.divideLimits(n)
 		slog.Info("limits are divided anew", "parts", n)
 	}
@@ -163,7 +163,7 @@
 // reportHealth reports to the fleet whether this relay sees an endpoint as healthy.
 func (r *Relay) reportHealth(endpoint string, out bool) {
 	if r.cluster != nil {
-		r.cluster.talk.See(r.now(), "endpoint:"+endpoint, out)
+		r.cluster.talk.Observe(r.now(), "endpoint:"+endpoint, out)
 		r.sendOverrides()
 	}
 }
@@ -179,14 +179,14 @@
 // setOverride makes an override at this relay and spreads it in the fleet. Already reports that it was in force.
 func (r *Relay) setOverride(subject string, on bool, by string) (already bool, err error) {
 	f := r.cluster
-	w, err := f.talk.Book().Next(subject, on, f.names[f.self], by, time.Now().UnixMilli())
+	w, err := f.talk.Store().Next(subject, on, f.names[f.self], by, time.Now().UnixMilli())
 	switch {
-	case errors.Is(err, override.ErrSame):
+	case errors.Is(err, override.ErrUnchanged):
 		return true, nil
 	case err != nil:
 		return false, adminapi.Errorf(adminapi.Conflict, "%v", err)
 	}
-	if err := r.recordOverrides([]override.Word{w}); err != nil {
+	if err := r.recordOverrides([]override.Override{w}); err != nil {
 		return false, err
 	}
 	r.sendOverrides()
@@ -202,7 +202,7 @@
 		return a, adminapi.Errorf(adminapi.Invalid, "a drain of the relay is of one relay: leave out fleet")
 	}
 	b := r.standalone.drains
-	if _, holds := r.cluster.talk.Book().Holds(t.String()); !holds || on {
+	if _, holds := r.cluster.talk.Store().Get(t.String()); !holds || on {
 		if err := b.CheckKnown(t); err != nil {
 			return a, err
 		}
@@ -250,7 +250,7 @@
 			return v, adminapi.Errorf(adminapi.NotFound, "relay %q is not in the fleet block; it has: %s", q.Relay, strings.Join(f.names, ", "))
 		case i == f.self && !q.Back:
 			return v, adminapi.Errorf(adminapi.Conflict, "%s is this relay, which is there", q.Relay)
-		case i >= 0 && !q.Back && f.talk.Views(r.now())[i].There:
+		case i >= 0 && !q.Back && f.talk.PeerViews(r.now())[i].Reachable:
 			return v, adminapi.Errorf(adminapi.Conflict, "%s is heard: stop it first", q.Relay)
 		}
 		if _, err := r.setOverride(goneSubject(q.Relay), !q.Back, q.By); err != nil {
@@ -267,29 +267,29 @@
 
 // fleetView describes the fleet as this relay sees it, and the limits that it has a part of.
 func (r *Relay) fleetView() (v adminapi.Fleet) {
-	v = adminapi.Fleet{Parts: 1, Relays: []adminapi.FleetRelay{}, Limits: r.limitViews(), Words: []adminapi.FleetWord{}, Sights: []adminapi.FleetSight{}, Versions: []adminapi.FleetVersion{}, HeedMs: override.StatedHeed.Milliseconds(), HeedLossyMs: override.StatedLossy.Milliseconds(), LostAfterMs: override.LostAfter.Milliseconds()}
+	v = adminapi.Fleet{Parts: 1, Relays: []adminapi.FleetRelay{}, Limits: r.limitViews(), Words: []adminapi.FleetWord{}, Sights: []adminapi.FleetSight{}, Versions: []adminapi.FleetVersion{}, HeedMs: override.StatedConvergence.Milliseconds(), HeedLossyMs: override.StatedLossyConvergence.Milliseconds(), LostAfterMs: override.UnreachableAfter.Milliseconds()}
 	f, now := r.cluster, r.now()
 	if f == nil {
 		return v
 	}
 	v.Versions = r.versionViews()
-	v.Name, v.Parts, v.Over = f.names[f.self], f.parts, fleetlimit.Over(max(1, len(f.names)-len(f.gone)))
+	v.Name, v.Parts, v.Over = f.names[f.self], f.parts, fleetlimit.OvergrantBound(max(1, len(f.names)-len(f.gone)))
 	ms := func(d time.Duration) int64 {
 		if d < 0 {
 			return -1
 		}
 		return d.Milliseconds()
 	}
-	views := f.talk.Views(now)
+	views := f.talk.PeerViews(now)
 	for i, p := range views {
-		v.Relays = append(v.Relays, adminapi.FleetRelay{Name: p.Name, Address: r.config.Peers[i], Self: p.Self, There: p.There, HeardMs: ms(p.Heard), MetMs: ms(p.Met),
-			Agrees: p.Agrees, Gone: slices.Contains(f.gone, i), OtherList: p.Other})
+		v.Relays = append(v.Relays, adminapi.FleetRelay{Name: p.Name, Address: r.config.Peers[i], Self: p.Self, There: p.Reachable, HeardMs: ms(p.SinceHeartbeat), MetMs: ms(p.SinceMessage),
+			Agrees: p.InSync, Gone: slices.Contains(f.gone, i), OtherList: p.ListDiffers})
 	}
-	for _, w := range f.talk.Book().All() {
-		fw := adminapi.FleetWord{Subject: w.Subject, Holds: w.On, Count: w.Count, By: w.By, Origin: w.Origin, AtMs: w.AtMs, Heeded: []string{}, Missing: []string{}}
+	for _, w := range f.talk.Store().All() {
+		fw := adminapi.FleetWord{Subject: w.Subject, Holds: w.Active, Count: w.Counter, By: w.Author, Origin: w.Origin, AtMs: w.AtMs, Heeded: []string{}, Missing: []string{}}
 		since := now - f.appliedAt[w.Subject]
 		for _, p := range views {
-			if p.Agrees || p.Agreed >= 0 && p.Agreed <= since {
+			if p.InSync || p.SinceInSync >= 0 && p.SinceInSync <= since {
 				fw.Heeded = append(fw.Heeded, p.Name)
 			} else {
 				fw.Missing = append(fw.Missing, p.Name)
@@ -297,8 +297,8 @@
 		}
 		v.Words = append(v.Words, fw)
 	}
-	for _, s := range f.talk.Sights(now) {
-		v.Sights = append(v.Sights, adminapi.FleetSight{Subject: s.Subject, Out: s.Bad, Relay: f.names[s.Origin], ForMs: ms(s.Since), SaidMs: ms(s.Said)})
+	for _, s := range f.talk.Observations(now) {
+		v.Sights = append(v.Sights, adminapi.FleetSight{Subject: s.Subject, Out: s.Unhealthy, Relay: f.names[s.Origin], ForMs: ms(s.Since), SaidMs: ms(s.Renewed)})
 	}
 	return v
 }
@@ -307,22 +307,22 @@
 func (r *Relay) limitViews() []adminapi.FleetLimit {
 	all := []adminapi.FleetLimit{}
 	routes := r.chooser.Routes()
-	for _, p := range r.chooser.Parts() {
-		l := adminapi.FleetLimit{LeftMs: p.For.Milliseconds(), Own: p.Own, Granted: p.Granted, Asks: p.Asks, Over: p.Over, Routes: []adminapi.FleetRoute{}}
+	for _, p := range r.chooser.Shares() {
+		l := adminapi.FleetLimit{LeftMs: p.ExpiresIn.Milliseconds(), Own: p.OwnShare, Granted: p.GrantableShare, Asks: p.PendingRequests, Over: p.OvergrantBound, Routes: []adminapi.FleetRoute{}}
 		if partner := r.standalone.directory.Load().byNumber[p.Dest]; partner != nil {
 			l.Partner = partner.Name
 		}
-		if f := r.cluster; f != nil && p.Steward >= 0 {
-			l.Steward = f.names[p.Steward]
-		} else if p.Steward >= 0 {
+		if f := r.cluster; f != nil && p.Coordinator >= 0 {
+			l.Steward = f.names[p.Coordinator]
+		} else if p.Coordinator >= 0 {
 			l.Steward = "this relay"
 		}
-		if p.Told != nil {
-			l.Rate, l.Burst, l.AtOnce = p.Told.Rate, p.Told.Burst, p.Told.AtOnce
+		if p.ConfiguredLimit != nil {
+			l.Rate, l.Burst, l.AtOnce = p.ConfiguredLimit.Rate, p.ConfiguredLimit.Burst, p.ConfiguredLimit.MaxConcurrent
 		}
 		for _, route := range routes {
 			if route.Dest == p.Dest {
-				l.Routes = append(l.Routes, adminapi.FleetRoute{Route: route.Route, State: route.State, ForMs: route.For.Milliseconds(), Rate: route.Rate, Used: route.Used, Out: route.Out})
+				l.Routes = append(l.Routes, adminapi.FleetRoute{Route: route.Route, State: route.State, ForMs: route.InState.Milliseconds(), Rate: route.Rate, Used: route.UsedRate, Out: route.InFlight})
 			}
 		}
 		all = append(all, l)
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -71,7 +71,7 @@
 // newAgent returns an agent that ends with the background context.
 func (r *Relay) newAgent(addrs []string) *agent {
 	a := &agent{addrs: addrs, client: &http.Client{Transport: &http.Transport{DisableCompression: true,
-		MaxResponseHeaderBytes: maxResponseHeader, MaxConnsPerHost: 4, IdleConnTimeout: 5 * discoverypoll.WatchFor}}}
+		MaxResponseHeaderBytes: maxResponseHeader, MaxConnsPerHost: 4, IdleConnTimeout: 5 * discoverypoll.WatchTimeout}}}
 	a.ctx, a.cancel = context.WithCancel(r.background)
 	return a
 }
@@ -109,7 +109,7 @@
 	for ctx.Err() == nil {
 		if now := r.agent.Load(); now != current {
 			current = now
-			follower.Moved(r.now())
+			follower.SourceChanged(r.now())
 		}
 		question := follower.Next()
 		if pause := question.At - r.now(); pause > 0 {
@@ -138,12 +138,12 @@
 }
 
 // queryDiscovery sends one request to discovery.
-func (r *Relay) queryDiscovery(current *agent, question discoverypoll.Question) (list hostList, err error) {
+func (r *Relay) queryDiscovery(current *agent, question discoverypoll.Request) (list hostList, err error) {
 	url := "http://" + current.addrs[0] + "/discovery/hosts"
-	if !question.Whole {
-		url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", url, question.Since, discoverypoll.WatchFor.Milliseconds())
+	if !question.FullList {
+		url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", url, question.Since, discoverypoll.WatchTimeout.Milliseconds())
 	}
-	ctx, cancel := context.WithTimeout(current.ctx, question.Within)
+	ctx, cancel := context.WithTimeout(current.ctx, question.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -14,7 +14,7 @@
 func (r *Relay) joinFleet(ctx context.Context) {
 	c, err := gossip.Listen(ctx, r.config.PeerListen)
 	if err == nil {
-		if err = c.Join(r.config.Peers); err != nil {
+		if err = c.SetPeers(r.config.Peers); err != nil {
 			c.Close()
 		}
 	}
--- a/internal/relay/override/gossiper.go
+++ b/internal/relay/override/gossiper.go
@@ -8,378 +8,322 @@
 	"time"
 )
 
-// How relays talk: each tells each other every BeatEvery that it is there, with a count that goes up and those that it has
-// heard of others, so that one is known to be there whom any chain of links reaches. With it goes a digest of the book.
-// Relays whose digests are the same have nothing more to say. Where they differ, each sends the other words from the parts
-// that differ, every again, until they agree; a new word goes to all at once.
+// Each relay sends each other a message every HeartbeatInterval, with its heartbeat counter and those that it
+// has heard of others, so that a relay is known to be reachable that any chain of links reaches. The message has
+// a digest of the store. Relays whose digests are equal are in sync. Where they differ, each sends the other the
+// overrides of the buckets that differ, every resendInterval, until the digests are equal; a new override is
+// sent to all at once.
 //
-// So over a link that loses a share p of the notes and takes d, a word is taken over within d + again*(n-1) but for one time
-// in 1/p^n, and over a chain of k links within k times that. A relay that no chain joins is known to be cut off LostAfter
-// after its last beat that came through. A link that works one way only carries words that way: newest first, with the beats.
+// So over a link that loses a share p of the messages and takes d, an override arrives within d +
+// resendInterval*(n-1) except with a probability of p^n, and over a chain of k links within k times that. A
+// relay that no chain joins is known to be unreachable UnreachableAfter after its last heartbeat that arrived. A
+// link that works one way only carries overrides that way: newest first, with the heartbeats.
 const (
-	BeatEvery = 200 * time.Millisecond
-	LostAfter = 600 * time.Millisecond // three beats
-	// StatedHeed is within what a word is heeded by all that a chain of working links joins to its origin, and StatedLossy where
-	// links lose three notes in ten (docs/design/008-words.md).
-	StatedHeed  = time.Second
-	StatedLossy = 3 * time.Second
-	again       = 100 * time.Millisecond
-	replyIn     = 20 * time.Millisecond // a relay is sent no more often than that, whatever it says
-	// sizeFor is how long after it was heard last a relay's word counts on how many relays there are.
-	sizeFor  = 5 * time.Second
-	mostBeat = 1 << 56 // a higher one is made up: no relay lives so long
-	blind    = 2       // words that go with a beat to one that is not heard
-	never    = time.Duration(math.MaxInt64)
+	HeartbeatInterval = 200 * time.Millisecond
+	UnreachableAfter  = 600 * time.Millisecond // three heartbeats
+	// StatedConvergence is the time within which an override is applied by all relays that a chain of working
+	// links joins to its origin, and StatedLossyConvergence where links lose three messages in ten
+	// (docs/design/008-words.md).
+	StatedConvergence      = time.Second
+	StatedLossyConvergence = 3 * time.Second
+	resendInterval         = 100 * time.Millisecond
+	replyInterval          = 20 * time.Millisecond // least time between two messages to a peer
+	// weightTTL is how long after its last message a relay's statement of the total weight counts.
+	weightTTL         = 5 * time.Second
+	maxHeartbeat      = 1 << 56 // a higher one is forged: no relay runs so long
+	maxActiveVersions = 8
+	maxBlindOverrides = 2 // sent with a heartbeat to a peer that is not received
+	never             = time.Duration(math.MaxInt64)
 )
 
-// Settings of one relay's part.
+// Settings of one relay's gossiper.
 type Settings struct {
-	Names []string // of all relays of the fleet, this one's among them, in the order that all have
-	Self  int      // this one's place in it
-	Life  uint32   // drawn at each start: notes of one life that come late are told from those of the next
-	// Weights are the parts that relays have of each limit; nil where all have one.
+	// Names of all relays of the fleet, this one included, in the order that all use.
+	Names []string
+	Self  int // index of this relay in Names
+	// Incarnation is drawn at each start: it separates delayed messages of an earlier incarnation
+	Incarnation uint32
+	// Weights are the relays' weights in the division of limits; nil if all are equal.
 	Weights []int
 }
 
-// Talk is one relay's part in spreading words. It is not safe for concurrent use.
-type Talk struct {
-	set   Settings
-	list  uint64
-	book  *Book
-	beat  uint64
-	peers []peer
-	fresh []string // subjects, the last one taken in first; at most so many as can matter
-	lost  []int    // gone for good
-	acts  []Acts
-	own   uint64 // digest of the book
+// Gossiper spreads the overrides, heartbeats, observations and active versions of one relay. It is not safe for
+// concurrent use.
+type Gossiper struct {
+	settings    Settings
+	listDigest  uint64
+	store       *Store
+	heartbeat   uint64
+	peers       []peer   // by number; that of this relay is unused
+	recent      []string // subjects, last applied first; at most maxBlindOverrides
+	removed     []int    // for good
+	versions    []ActiveVersion
+	storeDigest uint64 // combined digest of the store
 
-	sights  sights
-	counted uint64 // of this relay's sights
+	observations       observationSet
+	observationCounter uint64 // of this relay's observations
 }
 
-// peer is another relay as this one knows it.
-type peer struct {
-	metAt    time.Duration // a note came from it; below 0 before the first
-	life     uint32
-	said     uint64        // its beat, as it said last in that life
-	beat     uint64        // the highest heard of
-	beatAt   time.Duration // when it was; below 0 before
-	digest   uint64        // of its book, as it said last
-	detail   *Digest
-	agreedAt time.Duration // last known to hold the same book; below 0 before
-	list     uint64
-	total    int // of the weights in its list
-	weight   int // of itself, by that
-	acts     []Acts
-	sentAt   time.Duration
-	nextBeat time.Duration
-	cursor   string // the last subject sent of those that differ
-	news     []string
-	owed     bool // it said what differs: it is answered
-	seen     uint32
-	sights   bool // there is a sight that it may not have been told of
-}
-
-// Note is to be sent to a relay.
-type Note struct {
-	To   int
+// Message is to be sent to a relay.
+type Message struct {
+	To   int // number of the relay
 	Data []byte
 }
 
-// New returns a relay's part, with the words that it recorded before.
-func New(s Settings, now time.Duration, kept []Word) (*Talk, error) {
+// New returns a relay's gossiper, with the overrides that it recorded before.
+func New(s Settings, now time.Duration, recorded []Override) (*Gossiper, error) {
 	if s.Weights != nil && len(s.Weights) != len(s.Names) {
-		return nil, fmt.Errorf("verdict: %d weights of %d relays", len(s.Weights), len(s.Names))
+		return nil, fmt.Errorf("override: %d weights of %d relays", len(s.Weights), len(s.Names))
 	}
 	if s.Self < 0 || s.Self >= len(s.Names) {
-		return nil, fmt.Errorf("verdict: this relay has number %d of %d; numbers begin at 0", s.Self, len(s.Names))
+		return nil, fmt.Errorf("override: this relay has number %d of %d; numbers begin at 0", s.Self, len(s.Names))
+	}
+	g := &Gossiper{
+		settings:     s,
+		listDigest:   listDigest(s.Names),
+		store:        NewStore(),
+		heartbeat:    1,
+		observations: newObservationSet(),
 	}
-	t := &Talk{set: s, list: listOf(s.Names), book: NewBook(), beat: 1, sights: newSights()}
 	for i := range s.Names {
-		// Beats are spread, so that the notes of a fleet that starts together do not come together.
-		t.peers = append(t.peers, peer{metAt: -1, beatAt: -1, agreedAt: -1, sentAt: now - BeatEvery,
-			nextBeat: now + BeatEvery*time.Duration((i+s.Self)%len(s.Names))/time.Duration(len(s.Names))})
+		// Heartbeats are spread, so that the messages of a fleet that starts together do not arrive together.
+		g.peers = append(g.peers, peer{receivedAt: -1, heartbeatAt: -1, inSyncAt: -1, sentAt: now - HeartbeatInterval,
+			nextHeartbeat: now + HeartbeatInterval*time.Duration((i+s.Self)%len(s.Names))/time.Duration(len(s.Names))})
 	}
-	for _, w := range kept {
-		t.book.Merge(w)
+	for _, o := range recorded {
+		g.store.Merge(o)
 	}
-	t.own = t.book.digest.whole()
-	return t, nil
+	g.storeDigest = g.store.digest.combined()
+	return g, nil
 }
 
-// Book is what this relay holds. It changes by Take alone.
-func (t *Talk) Book() *Book { return t.book }
+// Store returns the overrides of this relay. Only Apply changes them.
+func (g *Gossiper) Store() *Store { return g.store }
 
-// Hear takes in a note. The words returned are news: they count once they are handed to Take.
-func (t *Talk) Hear(now time.Duration, from int, data []byte) (news []Word) {
-	if from < 0 || from >= len(t.peers) || from == t.set.Self {
+// Receive processes a message, and returns the overrides in it that would change the store. They count only
+// after the caller made them durable and passed them to Apply.
+func (g *Gossiper) Receive(now time.Duration, from int, data []byte) (changes []Override) {
+	if from < 0 || from >= len(g.peers) || from == g.settings.Self {
 		return nil
 	}
-	n, err := decode(data)
+	m, err := decode(data)
 	if err != nil {
 		return nil
 	}
-	for _, w := range n.words { // they may be old; that is told by their counts
-		if t.book.News(w) {
-			news = append(news, w)
+	for _, o := range m.overrides { // also of a delayed message: counters order them
+		if g.store.Changes(o) {
+			changes = append(changes, o)
 		}
 	}
-	p := &t.peers[from]
-	if n.beat > mostBeat || n.life == p.life && n.beat < p.said {
-		return news // what else it says was so before what was heard since
+	p := &g.peers[from]
+	if m.heartbeat > maxHeartbeat || m.incarnation == p.incarnation && m.heartbeat < p.ownHeartbeat {
+		return changes // the rest of the message is older than what was received since
 	}
-	p.life, p.said = n.life, n.beat
-	p.metAt, p.digest, p.detail, p.list, p.total, p.weight = now, n.digest, n.detail, n.list, n.total, n.weight
-	p.seen = n.seen
-	if len(n.acts) > 0 {
-		p.acts = n.acts
-	}
-	p.beat, p.beatAt = n.beat, now // its own word on itself, also where it began anew
-	if n.list == t.list {
-		for _, h := range n.heard {
-			t.heardOf(now, h)
+	p.update(now, m)
+	if m.listDigest == g.listDigest { // relays are identified by number
+		for _, h := range m.heartbeats {
+			g.receiveHeartbeat(now, h)
 		}
-		for _, s := range n.sights { // their origins are told by number
-			t.hearSight(now, s)
+		for _, o := range m.observations {
+			g.receiveObservation(now, o)
 		}
 	}
-	if p.digest == t.own {
-		p.agreedAt, p.news = now, nil
+	if p.storeDigest == g.storeDigest {
+		p.inSyncAt, p.unsent = now, nil
 	} else {
-		p.owed = p.owed || n.answers
+		p.owesReply = p.owesReply || m.wantsReply
+	}
+	return changes
+}
+
+// update records what a message reports of its sender.
+func (p *peer) update(now time.Duration, m message) {
+	p.incarnation, p.ownHeartbeat, p.receivedAt = m.incarnation, m.heartbeat, now
+	p.storeDigest, p.bucketDigest, p.observationDigest = m.storeDigest, m.bucketDigest, m.observationDigest
+	p.listDigest, p.totalWeight, p.weight = m.listDigest, m.totalWeight, m.weight
+	if len(m.versions) > 0 {
+		p.versions = m.versions
 	}
-	return news
+	p.heartbeat, p.heartbeatAt = m.heartbeat, now // authoritative, also if it restarted
 }
 
-// heardOf takes in what another relay heard of one.
-func (t *Talk) heardOf(now time.Duration, h heard) {
+// receiveHeartbeat processes the heartbeat of a relay that another one heard of.
+func (g *Gossiper) receiveHeartbeat(now time.Duration, h relayHeartbeat) {
 	switch {
-	case h.relay >= len(t.peers) || h.beat > mostBeat:
-	case h.relay == t.set.Self:
-		t.beat = max(t.beat, h.beat) // from before this one began anew: what it says must be newer
-	case h.beat > t.peers[h.relay].beat:
-		p := &t.peers[h.relay]
-		p.beat, p.beatAt = h.beat, now
+	case h.relay >= len(g.peers) || h.heartbeat > maxHeartbeat:
+	case h.relay == g.settings.Self:
+		g.heartbeat = max(g.heartbeat, h.heartbeat) // from before a restart: the next one must be higher
+	case h.heartbeat > g.peers[h.relay].heartbeat:
+		p := &g.peers[h.relay]
+		p.heartbeat, p.heartbeatAt = h.heartbeat, now
 	}
 }
 
-// Take takes words in that are durable and carried out here.
-func (t *Talk) Take(now time.Duration, words ...Word) {
-	for _, w := range words {
-		if !t.book.Merge(w) {
+// Apply adds overrides that are durable and carried out here.
+func (g *Gossiper) Apply(now time.Duration, overrides ...Override) {
+	for _, o := range overrides {
+		if !g.store.Merge(o) {
 			continue
 		}
-		t.fresh = slices.DeleteFunc(t.fresh, func(s string) bool { return s == w.Subject })
-		t.fresh = slices.Insert(t.fresh, 0, w.Subject)
-		t.fresh = t.fresh[:min(len(t.fresh), blind)]
-		for i := range t.peers {
-			if p := &t.peers[i]; !slices.Contains(p.news, w.Subject) {
-				p.news = append(p.news, w.Subject)
+		g.recent = slices.DeleteFunc(g.recent, func(subject string) bool { return subject == o.Subject })
+		g.recent = slices.Insert(g.recent, 0, o.Subject)
+		g.recent = g.recent[:min(len(g.recent), maxBlindOverrides)]
+		for i := range g.peers {
+			if p := &g.peers[i]; !slices.Contains(p.unsent, o.Subject) {
+				p.unsent = append(p.unsent, o.Subject)
 			}
 		}
 	}
-	if t.own = t.book.digest.whole(); len(words) > 0 {
-		for i := range t.peers {
-			if p := &t.peers[i]; p.digest == t.own && p.metAt >= 0 {
-				p.agreedAt, p.news = now, nil
+	if g.storeDigest = g.store.digest.combined(); len(overrides) > 0 {
+		for i := range g.peers {
+			if p := &g.peers[i]; p.storeDigest == g.storeDigest && p.receivedAt >= 0 {
+				p.inSyncAt, p.unsent = now, nil
 			}
 		}
 	}
 }
 
-// Act says what this relay acts on, eight things at most; others are told with the next beat.
-func (t *Talk) Act(on []Acts) { t.acts = on[:min(len(on), 8)] }
-
-// Acts is what a relay said of itself last that it acts on.
-func (t *Talk) Acts(relay int) []Acts {
-	if relay == t.set.Self {
-		return t.acts
-	}
-	return t.peers[relay].acts
-}
-
-// Lose says which relays are gone for good.
-func (t *Talk) Lose(lost []int) { t.lost = lost }
-
-func (t *Talk) weight(i int) int {
-	switch {
-	case slices.Contains(t.lost, i):
-		return 0
-	case t.set.Weights == nil:
-		return 1
-	}
-	return t.set.Weights[i]
+// SetActiveVersions sets the versions that this relay acts on, at most maxActiveVersions. They are sent with the
+// next heartbeat.
+func (g *Gossiper) SetActiveVersions(versions []ActiveVersion) {
+	g.versions = versions[:min(len(versions), maxActiveVersions)]
 }
 
-// listed is the sum of the weights in this relay's list, without those that are gone.
-func (t *Talk) listed() (n int) {
-	for i := range t.peers {
-		n += t.weight(i)
+// ActiveVersions returns the versions that a relay reported last for itself.
+func (g *Gossiper) ActiveVersions(relay int) []ActiveVersion {
+	if relay == g.settings.Self {
+		return g.versions
 	}
-	return n
+	return g.peers[relay].versions
 }
 
-// met tells whether a relay itself was heard of late.
-func (p *peer) met(now time.Duration) bool { return p.metAt >= 0 && now-p.metAt < LostAfter }
-
-// due is when a relay is to be sent a note.
-func (t *Talk) due(now time.Duration, p *peer) time.Duration {
-	at := p.nextBeat
-	if p.met(now) && p.digest != t.own || len(p.news) > 0 && p.metAt >= 0 {
-		wait := again
-		if p.owed {
-			wait = replyIn
+// due returns when a message to a relay is due.
+func (g *Gossiper) due(now time.Duration, p *peer) time.Duration {
+	at := p.nextHeartbeat
+	if p.receivedRecently(now) && p.storeDigest != g.storeDigest || len(p.unsent) > 0 && p.receivedAt >= 0 {
+		wait := resendInterval
+		if p.owesReply {
+			wait = replyInterval
 		}
-		if len(p.news) > 0 && p.cursor != p.news[0] { // not sent yet
+		if len(p.unsent) > 0 && p.cursor != p.unsent[0] { // not sent yet
 			wait = 0
 		}
 		at = min(at, p.sentAt+wait)
 	}
-	if p.met(now) && p.list == t.list && p.seen != t.sights.digest {
-		wait := again
-		if p.sights {
-			wait = replyIn
+	if p.receivedRecently(now) && p.listDigest == g.listDigest && p.observationDigest != g.observations.digest {
+		wait := resendInterval
+		if p.observationsUnsent {
+			wait = replyInterval
 		}
 		at = min(at, p.sentAt+wait)
 	}
 	return at
 }
 
-// Due returns the notes that are to go now, and when to ask again.
-func (t *Talk) Due(now time.Duration) (notes []Note, at time.Duration) {
+// Due returns the messages to send now, and when to call it again.
+func (g *Gossiper) Due(now time.Duration) (messages []Message, at time.Duration) {
 	at = never
-	beaten := false
-	t.keepSights(now)
-	for i := range t.peers {
-		if i == t.set.Self {
+	counted := false
+	g.renewObservations(now)
+	for i := range g.peers {
+		if i == g.settings.Self {
 			continue
 		}
-		p := &t.peers[i]
-		if t.due(now, p) <= now {
-			if p.nextBeat <= now {
-				if p.nextBeat = max(p.nextBeat+BeatEvery, now+BeatEvery/2); !beaten {
-					t.beat, beaten = t.beat+1, true
+		p := &g.peers[i]
+		if g.due(now, p) <= now {
+			if p.nextHeartbeat <= now {
+				if p.nextHeartbeat = max(p.nextHeartbeat+HeartbeatInterval, now+HeartbeatInterval/2); !counted {
+					g.heartbeat, counted = g.heartbeat+1, true
 				}
 			}
-			notes = append(notes, Note{i, t.note(now, i)})
+			messages = append(messages, Message{i, g.messageTo(now, i)})
 		}
-		at = min(at, max(t.due(now, p), now+time.Millisecond))
+		at = min(at, max(g.due(now, p), now+time.Millisecond))
 	}
-	return notes, at
+	return messages, at
 }
 
-// note is what a relay is told now.
-func (t *Talk) note(now time.Duration, to int) []byte {
-	p := &t.peers[to]
-	n := note{life: t.set.Life, beat: t.beat, list: t.list, total: t.listed(), weight: t.weight(t.set.Self), acts: t.acts, digest: t.own, seen: t.sights.digest, heard: t.beats(now)}
-	if !p.met(now) || p.seen != t.sights.digest {
-		n.sights = t.differingSights(now, to)
+// messageTo returns the encoded message for a relay, and records what is sent with it.
+func (g *Gossiper) messageTo(now time.Duration, to int) []byte {
+	p := &g.peers[to]
+	m := message{
+		incarnation:       g.settings.Incarnation,
+		heartbeat:         g.heartbeat,
+		listDigest:        g.listDigest,
+		totalWeight:       g.listedWeight(),
+		weight:            g.weight(g.settings.Self),
+		versions:          g.versions,
+		storeDigest:       g.storeDigest,
+		observationDigest: g.observations.digest,
+		heartbeats:        g.recentHeartbeats(now),
+	}
+	if !p.receivedRecently(now) || p.observationDigest != g.observations.digest {
+		m.observations = g.observationsFor(now, to)
 	}
 	switch {
-	case !p.met(now): // it may hear this one all the same
-		for _, s := range t.fresh {
-			n.words = append(n.words, t.book.words[s])
+	case !p.receivedRecently(now): // it may receive this relay all the same
+		for _, subject := range g.recent {
+			m.overrides = append(m.overrides, g.store.overrides[subject])
 		}
-	case p.digest != t.own:
-		n.answers, n.detail = !p.owed || len(p.news) > 0, &t.book.digest
-		n.words = t.differing(p)
+	case p.storeDigest != g.storeDigest:
+		m.wantsReply, m.bucketDigest = !p.owesReply || len(p.unsent) > 0, &g.store.digest
+		m.overrides = g.overridesFor(p)
 	}
-	data, words, sights := n.encode()
-	if sights > 0 {
-		t.sights.cursor[to] = sighted{n.sights[sights-1].Origin, n.sights[sights-1].Subject}
+	data, overrides, observations := m.encode()
+	g.recordSent(now, to, m, overrides, observations)
+	return data
+}
+
+// recordSent records that a message with so many of its overrides and observations was sent to a relay.
+func (g *Gossiper) recordSent(now time.Duration, to int, m message, overrides, observations int) {
+	p := &g.peers[to]
+	if observations > 0 {
+		last := m.observations[observations-1]
+		g.observations.lastSent[to] = observationKey{last.Origin, last.Subject}
 	}
-	p.sights = p.sights && len(n.sights) > 0 && sights < len(n.sights)
-	if words > 0 && p.met(now) {
-		p.cursor = n.words[words-1].Subject
+	p.observationsUnsent = p.observationsUnsent && len(m.observations) > 0 && observations < len(m.observations)
+	if overrides > 0 && p.receivedRecently(now) {
+		p.cursor = m.overrides[overrides-1].Subject
 	}
-	p.sentAt, p.owed = now, false
-	p.news = slices.DeleteFunc(p.news, func(s string) bool { // they go again by the digest
-		return slices.ContainsFunc(n.words[:words], func(w Word) bool { return w.Subject == s })
+	p.sentAt, p.owesReply = now, false
+	p.unsent = slices.DeleteFunc(p.unsent, func(subject string) bool { // they are sent again if the digests differ
+		return slices.ContainsFunc(m.overrides[:overrides], func(o Override) bool { return o.Subject == subject })
 	})
-	return data
 }
 
-// differing are words that a relay may lack: those taken in since it agreed first, then those of the parts that differ, from
-// where the last note to it ended.
-func (t *Talk) differing(p *peer) (words []Word) {
-	for _, s := range p.news {
-		words = append(words, t.book.words[s])
+// overridesFor returns the overrides that a relay may lack: first those applied since it was in sync, then those
+// of the buckets that differ, continued where the last message to it ended.
+func (g *Gossiper) overridesFor(p *peer) (overrides []Override) {
+	for _, subject := range p.unsent {
+		overrides = append(overrides, g.store.overrides[subject])
 	}
-	var rest []Word
-	for _, w := range t.book.All() {
-		if p.detail != nil && p.detail[bucketOf(w.Subject)] == t.book.digest[bucketOf(w.Subject)] || slices.Contains(p.news, w.Subject) {
+	var rest []Override
+	for _, o := range g.store.All() {
+		bucket := bucketOf(o.Subject)
+		inSync := p.bucketDigest != nil && p.bucketDigest[bucket] == g.store.digest[bucket]
+		if inSync || slices.Contains(p.unsent, o.Subject) {
 			continue
 		}
-		rest = append(rest, w)
+		rest = append(rest, o)
 	}
-	first, _ := slices.BinarySearchFunc(rest, p.cursor, func(w Word, s string) int { return cmp.Compare(w.Subject, s) })
+	first, _ := slices.BinarySearchFunc(rest, p.cursor, func(o Override, subject string) int {
+		return cmp.Compare(o.Subject, subject)
+	})
 	if first < len(rest) && rest[first].Subject == p.cursor {
 		first++
 	}
-	return append(append(words, rest[first:]...), rest[:first]...)
-}
-
-// beats are those heard of late, the latest first.
-func (t *Talk) beats(now time.Duration) (all []heard) {
-	for i := range t.peers {
-		if p := &t.peers[i]; i != t.set.Self && p.beatAt >= 0 && now-p.beatAt < LostAfter {
-			all = append(all, heard{i, p.beat})
-		}
-	}
-	slices.SortStableFunc(all, func(a, b heard) int { return cmp.Compare(t.peers[b.relay].beatAt, t.peers[a.relay].beatAt) })
-	return all
+	return append(append(overrides, rest[first:]...), rest[:first]...)
 }
 
-// Parts is into how many parts limits are divided: the largest sum of weights that a relay says of its list, of those that were
-// heard of late, or that those have together by what each says of itself. While lists differ, as they do while relays are
-// restarted with a new one, who goes by that takes no more than is its own.
-func (t *Talk) Parts(now time.Duration) int {
-	listed := t.listed()
-	most, sum, believed := listed, 0, max(MostSize, 4*listed)
-	for i := range t.peers {
-		p, w := &t.peers[i], t.weight(i)
-		if i != t.set.Self && p.metAt >= 0 && now-p.metAt < sizeFor && !slices.Contains(t.lost, i) {
-			most, w = max(most, min(p.total, believed)), max(0, min(p.weight, MostWeight))
+// recentHeartbeats returns the heartbeats heard of recently, the latest first.
+func (g *Gossiper) recentHeartbeats(now time.Duration) (all []relayHeartbeat) {
+	for i := range g.peers {
+		if p := &g.peers[i]; i != g.settings.Self && p.heartbeatAt >= 0 && now-p.heartbeatAt < UnreachableAfter {
+			all = append(all, relayHeartbeat{i, p.heartbeat})
 		}
-		sum += w
-	}
-	return max(1, most, min(sum, believed))
-}
-
-// The bounds of what is believed of another relay's list, which bound the harm that a wrong one can do.
-const (
-	MostSize   = 64 // relays, or parts if a list has less than a quarter of them
-	MostWeight = 100
-)
-
-// View is another relay as this one knows it, for people.
-type View struct {
-	Name   string
-	Self   bool
-	Met    time.Duration // since a note of its own came; below 0 for never
-	Heard  time.Duration // since a beat of it came, by whatever way; below 0 for never
-	There  bool          // some chain of links joins it to this relay
-	Agrees bool          // it held the same words when it was heard last
-	Agreed time.Duration // since it did last, as far as is known here; below 0 for never
-	Other  bool          // its list of relays, or its own weight in it, is another
-}
-
-// Views are all relays, in the order of the list.
-func (t *Talk) Views(now time.Duration) (all []View) {
-	ago := func(at time.Duration) time.Duration {
-		if at < 0 {
-			return -1
-		}
-		return now - at
-	}
-	for i, name := range t.set.Names {
-		p := &t.peers[i]
-		if i == t.set.Self {
-			all = append(all, View{Name: name, Self: true, There: true, Agrees: true})
-			continue
-		}
-		all = append(all, View{Name: name, Met: ago(p.metAt), Heard: ago(p.beatAt), There: p.beatAt >= 0 && now-p.beatAt < LostAfter,
-			Agrees: p.metAt >= 0 && p.digest == t.own, Agreed: ago(p.agreedAt), Other: p.metAt >= 0 && (p.list != t.list || p.weight != t.weight(i) && !slices.Contains(t.lost, i))})
 	}
+	slices.SortStableFunc(all, func(a, b relayHeartbeat) int {
+		return cmp.Compare(g.peers[b.relay].heartbeatAt, g.peers[a.relay].heartbeatAt)
+	})
 	return all
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -234,11 +234,11 @@
 // Serve runs the relay until it has ended.
 func (r *Relay) Serve() {
 	if r.standalone == nil {
-		go r.followDiscovery(r.background, discoverypoll.Settings{Index: r.settings.Index, Fleet: r.settings.Fleet,
+		go r.followDiscovery(r.background, discoverypoll.Settings{Index: r.settings.Index, FleetSize: r.settings.Fleet,
 			Seed: r.config.Seed, Version: r.listVersion, Listed: len(r.hosts) > 0})
 		go r.postNotices(r.background)
 	}
-	if r.chooser.Granted() && r.config.PeerListen != "" {
+	if r.chooser.UsesGrants() && r.config.PeerListen != "" {
 		go r.joinFleet(r.background)
 	}
 	go r.server.Serve(r.listener)
--- a/internal/relay/standalone.go
+++ b/internal/relay/standalone.go
@@ -132,7 +132,7 @@
 	r.post(func() {
 		defer close(done)
 		r.standalone.directory.Store(newDirectory(partners))
-		r.chooser.Tell(Limits(partners))
+		r.chooser.SetLimits(Limits(partners))
 		if r.cluster != nil {
 			r.publishVersions()
 		}
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -36,15 +36,15 @@
 	}
 	r.tracedAt = now
 	for _, v := range r.chooser.Routes() {
-		slog.Debug("steward", "dest", v.Dest, "route", v.Route, "state", v.State, "for", v.For.Milliseconds(), "rate", v.Rate, "used", v.Used,
-			"out", v.Out, "asks", v.Asks, "calls", v.Calls, "share", v.Share)
+		slog.Debug("steward", "dest", v.Dest, "route", v.Route, "state", v.State, "for", v.InState.Milliseconds(), "rate", v.Rate, "used", v.UsedRate,
+			"out", v.InFlight, "asks", v.PendingRequests, "calls", v.PendingCalls, "share", v.Share)
 	}
 }
 
 // traceDiscovery logs an answer of discovery, or its error.
-func traceDiscovery(q discoverypoll.Question, l hostList, took time.Duration, err error) {
+func traceDiscovery(q discoverypoll.Request, l hostList, took time.Duration, err error) {
 	if debugEnabled() {
-		slog.Debug("asked", "full", q.Whole, "since", q.Since, "version", l.Version, "whole", l.Full, "lines", len(l.Servers),
+		slog.Debug("asked", "full", q.FullList, "since", q.Since, "version", l.Version, "whole", l.Full, "lines", len(l.Servers),
 			"took", took.Milliseconds(), "err", err)
 	}
 }
--- a/internal/relay/versions.go
+++ b/internal/relay/versions.go
@@ -35,19 +35,19 @@
 		versionaudit.Rules:    digestOf([]any{r.settings.Classes, r.settings.Rules, r.settings.Zones, r.settings.ZoneFee, r.settings.KindNames, r.settings.Kinds}),
 		versionaudit.Build:    digestOf(r.standalone.Version),
 	}
-	var acts []override.Acts
+	var acts []override.ActiveVersion
 	for _, k := range versionaudit.Kinds {
-		acts = append(acts, override.Acts{Kind: int(k), Version: uint32(on[k])})
+		acts = append(acts, override.ActiveVersion{Kind: int(k), Version: uint32(on[k])})
 	}
-	f.talk.Act(acts)
+	f.talk.SetActiveVersions(acts)
 	r.auditVersions(f.self)
 }
 
 // auditVersions enters the versions that a relay reports.
 func (r *Relay) auditVersions(relay int) {
 	f, now := r.cluster, r.now()
-	for _, a := range f.talk.Acts(relay) {
-		f.ledger.Heard(now, relay, versionaudit.Kind(a.Kind), versionaudit.Version(a.Version))
+	for _, a := range f.talk.ActiveVersions(relay) {
+		f.ledger.Record(now, relay, versionaudit.Kind(a.Kind), versionaudit.Version(a.Version))
 	}
 }
 
@@ -60,11 +60,11 @@
 	f.checkAt = r.now() + time.Second
 	for _, row := range f.ledger.Rows(r.now()) {
 		key := straggler{row.Relay, row.Kind, row.Version}
-		if row.State != versionaudit.Behind || row.Behind < stragglerAfter || row.Heard > override.LostAfter || f.warned[key] {
+		if row.State != versionaudit.Behind || row.BehindFor < stragglerAfter || row.SinceReport > override.UnreachableAfter || f.warned[key] {
 			continue
 		}
 		f.warned[key] = true
-		slog.Warn("a relay acts on an older version", "relay", f.names[row.Relay], "of", row.Kind.String(), "for", row.Behind.Round(time.Second), "newest_at", row.Newest,
+		slog.Warn("a relay acts on an older version", "relay", f.names[row.Relay], "of", row.Kind.String(), "for", row.BehindFor.Round(time.Second), "newest_at", row.OnNewest,
 			"relays", len(f.names))
 	}
 }
@@ -81,9 +81,9 @@
 	f := r.cluster
 	all := []adminapi.FleetVersion{}
 	for _, row := range f.ledger.Rows(r.now()) {
-		v := adminapi.FleetVersion{Relay: f.names[row.Relay], Kind: row.Kind.String(), State: string(row.State), Newest: row.Newest}
+		v := adminapi.FleetVersion{Relay: f.names[row.Relay], Kind: row.Kind.String(), State: string(row.State), Newest: row.OnNewest}
 		if row.State != versionaudit.Unknown {
-			v.Version, v.ForMs, v.HeardMs, v.BehindMs = uint32(row.Version), row.For.Milliseconds(), row.Heard.Milliseconds(), row.Behind.Milliseconds()
+			v.Version, v.ForMs, v.HeardMs, v.BehindMs = uint32(row.Version), row.ActiveFor.Milliseconds(), row.SinceReport.Milliseconds(), row.BehindFor.Milliseconds()
 		}
 		all = append(all, v)
 	}
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -97,18 +97,18 @@
 		{0, "earlier orders", sideStored, &orders.LegacyHistory{Version: big + 1, Digests: [][]byte{[]byte("digest-1"), []byte("digest-2")}, Complete: true}},
 		{0, "entry", sideStored, &entry},
 		{0, "acceptor", sideStored, &view.Acceptor{View: fullView("a", 100), Promised: view.Ballot{Number: big + 1, Proposer: "promised"}, AcceptedAt: view.Ballot{Number: big + 2, Proposer: "accepted"}, Accepted: fullView("b", 200)}},
-		{0, "meta", sideStored, &meta{Activated: big + 1, Place: big + 2, Commit: big + 3}},
+		{0, "meta", sideStored, &chainMeta{ActivatedEpoch: big + 1, LastIndex: big + 2, Commit: big + 3}},
 	}
 	for number, kind := range messageKinds {
 		all = append(all, encoded{1, "peer, " + kind, sideRequest, &Message{
-			Kind: number, From: view.Member{ID: "from-id", Name: "from-name", Addr: "from-addr"}, Life: big + 1, Epoch: big + 2, Sealed: true, Leaving: true, Round: big + 3,
-			Echoes: []Echo{{ID: "echo-1", Life: big + 4, Round: big + 5}, {ID: "echo-2", Life: big + 6, Round: big + 7}},
-			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedAt: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), Activated: big + 10,
+			Kind: number, From: view.Member{ID: "from-id", Name: "from-name", Addr: "from-addr"}, Incarnation: big + 1, Epoch: big + 2, Promised: true, Leaving: true, ConfirmationRound: big + 3,
+			Echoes: []Echo{{ID: "echo-1", Incarnation: big + 4, ConfirmationRound: big + 5}, {ID: "echo-2", Incarnation: big + 6, ConfirmationRound: big + 7}},
+			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedAt: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), ActivatedEpoch: big + 10,
 			Update: chain.Update{Epoch: big + 11, Base: big + 12, After: chain.Position{LastIndex: big + 13, PartialIndex: big + 14, PartialBytes: big + 15},
 				Fragments: []chain.Fragment{{Index: big + 16, Key: "fragment-key", ValueSize: big + 17, Checksum: big + 18, Offset: big + 19, Data: []byte("data")}},
 				Complete:  true, Through: big + 20, Commit: big + 21},
 			Ack:   chain.Ack{Epoch: big + 22, LastIndex: big + 23, Commit: big + 24, CommitIsCurrent: true, Active: true, Received: chain.Position{LastIndex: big + 25, PartialIndex: big + 26, PartialBytes: big + 27}},
-			Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, Term: big + 61, Number: big + 62,
+			Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, HostListTerm: big + 61, HostListNumber: big + 62,
 			Handover: []placement.Observations{{Generation: big + 63, GenerationAge: big + 64, Unresponsive: []placement.UnresponsiveStore{{ID: "silent-1", Elapsed: big + 65}, {ID: "silent-2", Elapsed: big + 66}}}},
 		}})
 	}
@@ -117,7 +117,7 @@
 
 // boolMessages tell booleans of one struct apart, each of which is true in allEncoded.
 var boolMessages = []encoded{
-	{1, "peer, sealed", sideRequest, &Message{Sealed: true}},
+	{1, "peer, sealed", sideRequest, &Message{Promised: true}},
 	{1, "peer, leaving", sideRequest, &Message{Leaving: true}},
 	{1, "peer, known", sideRequest, &Message{Ack: chain.Ack{CommitIsCurrent: true}}},
 	{1, "peer, active", sideRequest, &Message{Ack: chain.Ack{Active: true}}},
@@ -182,7 +182,7 @@
 }
 
 // loneCore is a core node that is the only one, so that it decides by itself. It serves no port.
-func loneCore(t *testing.T) *Core {
+func loneCore(t *testing.T) *Server {
 	t.Helper()
 	text := fmt.Sprintf("node_name: core-1\nip_addr: 127.0.0.1\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '127.0.0.1:20000'}\n"+
 		"port_range: [20001, 20010]\nseed_nodes: ['127.0.0.1:20000']\nbootstrap: true\ndata_dir: '%s'\nlimits: {memory_mb: 64, max_fds: 256, disk_mb: 64}\n", t.TempDir())
@@ -194,14 +194,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.wg.Go(func() { _ = c.loop() })
+	c.wg.Go(func() { _ = c.eventLoop() })
 	t.Cleanup(func() {
 		c.stop()
-		c.calls.Close()
+		c.clients.Close()
 		c.wg.Wait()
 		_ = c.db.Close()
 	})
-	for end := time.Now().Add(5 * time.Second); !c.head.Load(); c.wait(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !c.isHead.Load(); c.sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the only core node is not the head after 5 s")
 		}
@@ -256,7 +256,7 @@
 	if want := []rpc.Method{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}; !reflect.DeepEqual(methods, want) {
 		t.Errorf("methods are %v, want %v", methods, want)
 	}
-	kinds := []int{heartbeat, prepare, promise, accept, accepted, decide, update, ack, confirm, confirmed, hostList, learn, learned}
+	kinds := []int{msgHeartbeat, msgPrepare, msgPromise, msgAccept, msgAccepted, msgDecide, msgChainUpdate, msgChainAck, msgConfirm, msgConfirmed, msgHostList, msgLearnerUpdate, msgLearnerAck}
 	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !reflect.DeepEqual(kinds, want) {
 		t.Errorf("kinds of messages are %v, want %v", kinds, want)
 	}
@@ -299,11 +299,11 @@
 		want  string
 	}{
 		{feed.Reply{Status: 409, Text: "a reason"}, `{"message":"a reason"}`},
-		{*replyTo(orders.Decision{Kind: orders.Serving}), `{"phase":"serving"}`},
-		{*replyTo(orders.Decision{Kind: orders.Complete}), `{"phase":"complete"}`},
+		{*replyFor(orders.Decision{Kind: orders.Serving}), `{"phase":"serving"}`},
+		{*replyFor(orders.Decision{Kind: orders.Complete}), `{"phase":"complete"}`},
 	} {
 		w := httptest.NewRecorder()
-		tell(w, &one.reply)
+		writeReply(w, &one.reply)
 		if got := w.Body.String(); got != one.want || w.Code != one.reply.Status {
 			t.Errorf("told %d %s, want %s", w.Code, got, one.want)
 		}
--- /dev/null
+++ b/internal/tier/placement/retirement.go
@@ -0,0 +1,73 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"larchrouter/internal/tier/turnstore"
+)
+
+// CanRetire reports whether enough stores remain in the placement if one more is retired.
+func CanRetire(p *turnstore.Placement, retired map[string]bool, faultTolerance int) bool {
+	remaining := -1
+	target := p.Old
+	if len(p.New) > 0 {
+		target = p.New
+	}
+	for _, store := range target {
+		if !retired[store.ID] {
+			remaining++
+		}
+	}
+	return remaining >= 2*faultTolerance+1
+}
+
+// LostWhileRetiring returns the stores to which the retirement of another one extends: the machine lost its disk while it was
+// being retired, and registered under a new identity. The caller records their retirement before the next placement. Such a
+// store has no data that others lack, and is not needed, since CanRetire held when the order was accepted. Once the store that
+// was ordered to retire has left the placement the order is complete, and a store of its name is a new one.
+func LostWhileRetiring(in Input) (stores []turnstore.Store) {
+	if in.Current == nil {
+		return nil
+	}
+	placed := in.Current.Stores()
+	for id, status := range in.Stores {
+		listed := slices.ContainsFunc(placed, func(o turnstore.Store) bool { return o.ID == id })
+		if listed || in.Retired[id] || status.ConfirmedAt == 0 {
+			continue
+		}
+		predecessorRetired := slices.ContainsFunc(placed, func(o turnstore.Store) bool {
+			return in.Retired[o.ID] && o.Name == status.Store.Name && o.Addr == status.Store.Addr
+		})
+		if predecessorRetired {
+			stores = append(stores, status.Store)
+		}
+	}
+	slices.SortFunc(stores, func(a, b turnstore.Store) int { return cmp.Compare(a.ID, b.ID) })
+	return stores
+}
+
+// Departures are the names of the retired stores that have left the placement, with the time when the head saw it.
+type Departures map[string]time.Duration
+
+// Record adds the retired stores that are in the placement before a change and not in the one after it.
+func (d Departures) Record(before, after *turnstore.Placement, retired map[string]bool, now time.Duration) {
+	if before == nil || after == nil {
+		return
+	}
+	remaining := after.Stores()
+	for _, store := range before.Stores() {
+		if retired[store.ID] && !slices.ContainsFunc(remaining, func(o turnstore.Store) bool { return o.ID == store.ID }) {
+			d[store.Name] = now
+		}
+	}
+}
+
+// recentlyRetired reports whether a retired store of the name left the placement less than the contact time ago. No store of
+// the name is a candidate for so long: the operator removes the machine once the order is complete, and the machine may have
+// lost its disk just before and register under a new identity meanwhile.
+func (in *Input) recentlyRetired(name string, t Timings) bool {
+	departedAt, known := in.Departures[name]
+	return known && in.Now-departedAt < 2*t.FailureTimeout
+}
--- a/internal/tier/turnstore/bench_test.go
+++ b/internal/tier/turnstore/bench_test.go
@@ -15,16 +15,16 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// processorTime is what this process has used.
+// processorTime returns the CPU time of this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkTurn is one turn on three stores and one front, all in this process; its history is 20 turns.
+// BenchmarkTurn measures a turn on three stores and one client, all in this process; histories have up to 20 turns.
 func BenchmarkTurn(b *testing.B) {
-	tr := tierOf(b, 3, true)
+	tr := startTier(b, 3, true)
 	c := tr.client()
 	input, output := bytes.Repeat([]byte("i"), 2000), bytes.Repeat([]byte("token\n"), 100)
 	syncs := func() (n int64) {
@@ -45,7 +45,8 @@
 				program, previous = fmt.Sprintf("%p-%d", pb, n), ""
 			}
 			id := fmt.Sprintf("%s-%d", program, n)
-			opened, err := c.Open(context.Background(), OpenRequest{Program: program, Turn: id, Previous: previous, MaxTokens: 10, Budget: 10_000})
+			opened, err := c.Open(context.Background(), OpenRequest{Program: program, Turn: id, Previous: previous,
+				MaxTokens: 10, Budget: 10_000})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -59,8 +60,8 @@
 	b.ReportMetric(float64(syncs()-before)/float64(b.N), "syncs/op")
 }
 
-// BenchmarkCommits is one turn's rows on one file, by eighty callers at once: with group commit, and with one sync a
-// turn as each waits until the one before is through.
+// BenchmarkCommits measures the rows of a turn on one file, from eighty concurrent callers: with group commit, and with one sync
+// a turn, where each caller waits for the one before.
 func BenchmarkCommits(b *testing.B) {
 	for _, one := range []bool{false, true} {
 		b.Run(map[bool]string{false: "group", true: "one sync a turn"}[one], func(b *testing.B) {
@@ -78,7 +79,7 @@
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					r := &Record{Key: "program", ID: fmt.Sprint(n.Add(1)), Root: true, RetainSeconds: 30, Increment: make([]byte, 2600)}
-					writes := append(turnWrites(r), entryWrite(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}))
+					writes := append(encodeTurn(r), encodeEntry(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}))
 					if one {
 						turn.Lock()
 					}
@@ -97,23 +98,24 @@
 	}
 }
 
-// BenchmarkRebuild brings 100 MB of turns into a store whose disk was lost: three other stores have them.
+// BenchmarkRebuild measures the sweep of 100 MB of turns into a store whose disk was lost.
 func BenchmarkRebuild(b *testing.B) {
 	const programs, turns, size = 500, 40, 5000 // 100 MB
-	tr := tierOf(b, 3, true)
+	tr := startTier(b, 3, true)
 	for _, n := range tr.nodes {
 		for p := range programs {
 			var writes []sqlitelog.Write
 			now := time.Now()
 			n.store.mu.Lock()
 			for t := range turns {
-				r := &Record{Key: fmt.Sprintf("p%d", p), ID: fmt.Sprintf("p%d-t%d", p, t), Root: t == 0, RetainSeconds: 3600, Increment: make([]byte, size)}
+				r := &Record{Key: fmt.Sprintf("p%d", p), ID: fmt.Sprintf("p%d-t%d", p, t), Root: t == 0,
+					RetainSeconds: 3600, Increment: make([]byte, size)}
 				if t > 0 {
 					r.Previous = fmt.Sprintf("p%d-t%d", p, t-1)
 				}
-				e, _ := n.store.index.join(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}, now)
-				writes = append(append(writes, turnWrites(r)...), entryWrite(r.Key, e))
-				n.store.index.add(r.Key, r.ID, indexRow{Previous: r.Previous, Root: r.Root, Retain: r.RetainSeconds}, -1, now)
+				e, _ := n.store.index.joinEntry(r.Key, budget.Entry{Turn: r.ID, Tokens: 5, Settled: true}, now)
+				writes = append(append(writes, encodeTurn(r)...), encodeEntry(r.Key, e))
+				n.store.index.addTurn(r.Key, r.ID, indexRow{Previous: r.Previous, Root: r.Root, RetainSeconds: r.RetainSeconds}, -1, now)
 			}
 			n.store.mu.Unlock()
 			if err := n.db.Commit(context.Background(), writes); err != nil {
@@ -128,7 +130,7 @@
 		lost.wipe()
 		lost.start()
 		was := tr.stores(tr.nodes[1:]...)
-		tr.place(&Placement{Generation: gen, Old: append([]Store{old[0]}, was...), New: append(tr.stores(lost), was...)})
+		tr.setPlacement(&Placement{Generation: gen, Old: append([]Store{old[0]}, was...), New: append(tr.stores(lost), was...)})
 		b.StartTimer()
 		if !lost.store.sweep(context.Background(), tr.placed.Load()) {
 			b.Fatal("the sweep is not complete")
--- a/internal/tier/turnstore/client.go
+++ b/internal/tier/turnstore/client.go
@@ -9,64 +9,70 @@
 	"larchrouter/internal/rpc"
 )
 
-// Bounds of a client.
+// Limits and time-outs of a client.
 const (
-	callTime     = 700 * time.Millisecond // a store that is cut off says nothing
-	closeTime    = 1200 * time.Millisecond
-	tryPause     = 50 * time.Millisecond  // after a call that failed at once; it doubles
-	newerWait    = 300 * time.Millisecond // for a newer placement
-	newerLook    = 10 * time.Millisecond
-	hedgeAfter   = 40 * time.Millisecond // a second store is asked for the history
-	suspectFor   = 1500 * time.Millisecond
-	chainHops    = 64 // stores' parts that one history is put together from
-	clientPieces = 16 << 20
-	laterMost    = 4096 // things done in the background at once
-	storeMost    = 1024 // calls of one store under way at once: one that stands still leaves room for the others
-	repairMost   = 16
+	callTimeout           = 700 * time.Millisecond  // of a call to one store; a partitioned one does not respond
+	closeTimeout          = 1200 * time.Millisecond // of a call that stores a turn
+	retryBackoff          = 50 * time.Millisecond   // before the first retry of a call that failed at once; doubles
+	newerPlacementTimeout = 300 * time.Millisecond  // to receive a placement that a store has adopted already
+	newerPlacementPoll    = 10 * time.Millisecond
+	hedgeDelay            = 40 * time.Millisecond   // until a second store is asked for a history
+	suspectDuration       = 1500 * time.Millisecond // for which a store that did not respond is asked last
+	maxHistorySegments    = 64                      // segments from different stores in one history
+	clientCacheBytes      = 16 << 20
+	maxBackground         = 4096 // calls and background operations at a time
+	maxCallsPerStore      = 1024 // calls in flight to one store, so that a stalled one does not use up maxBackground
+	maxRepairNotices      = 16   // in flight
+	maxSuspects           = 1000 // remembered at a time
 )
 
-// settlePauses lie between the tries to settle in the background.
-var settlePauses = []time.Duration{0, 150 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second, 5 * time.Second}
+// settleBackoff are the delays before each attempt to settle a turn in the background.
+var settleBackoff = []time.Duration{0, 150 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second, 5 * time.Second}
 
-// Client is a front's side of the turn store. It is safe for concurrent use.
+// Client is the coordinator of reads and writes: it runs in a front and talks to the replicas of each program. It is
+// safe for concurrent use.
 type Client struct {
-	placement func() *Placement
-	calls     network
-	zone      string
-	log       *slog.Logger
-	pieces    *pieces
-	callTime  time.Duration
-	closeTime time.Duration
+	placement    func() *Placement
+	transport    transport
+	zone         string
+	log          *slog.Logger
+	cache        *incrementCache
+	callTimeout  time.Duration
+	closeTimeout time.Duration
 
-	ctx     context.Context // of all that outlives an operation
-	stop    context.CancelFunc
-	mu      sync.Mutex
-	closed  bool           // no operation begins any more
-	later   int            // calls and operations in the background
-	calling map[string]int // of these, the calls to each store
-	idle    chan struct{}  // closed once there is none and closed is set
-	repairs int
-	suspect map[string]time.Time // stores that said nothing, until then
+	ctx    context.Context // of all calls and background operations: they outlive the operation that began them
+	cancel context.CancelFunc
+
+	mu            sync.Mutex
+	closed        bool                 // Shutdown was called: no operation begins any more
+	background    int                  // calls in flight and background operations
+	inFlight      map[string]int       // calls in flight by store ID; included in background
+	idle          chan struct{}        // closed once closed is set and background is 0
+	repairNotices int                  // in flight; included in background
+	suspects      map[string]time.Time // store ID to the end of its suspicion
 }
 
-// NewClient makes a client by the placement in force, which is nil before it was heard of.
+// NewClient returns a client. placement returns the placement in force, nil before the first was received; zone is the
+// client's own, whose stores it prefers for reads.
 func NewClient(placement func() *Placement, calls *rpc.Clients, zone string, log *slog.Logger) *Client {
-	return newClient(placement, connections{calls}, zone, log)
+	return newClient(placement, rpcTransport{calls}, zone, log)
 }
 
-func newClient(placement func() *Placement, calls network, zone string, log *slog.Logger) *Client {
-	c := &Client{placement: placement, calls: calls, zone: zone, log: log, pieces: newPieces(clientPieces),
-		callTime: callTime, closeTime: closeTime, calling: map[string]int{}, suspect: map[string]time.Time{}, idle: make(chan struct{})}
-	c.ctx, c.stop = context.WithCancel(context.Background())
+func newClient(placement func() *Placement, calls transport, zone string, log *slog.Logger) *Client {
+	c := &Client{placement: placement, transport: calls, zone: zone, log: log, cache: newIncrementCache(clientCacheBytes),
+		callTimeout: callTimeout, closeTimeout: closeTimeout, inFlight: map[string]int{}, suspects: map[string]time.Time{},
+		idle: make(chan struct{})}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// Shutdown takes no operations any more, gives what is done in the background until ctx ends, then ends it.
+// Shutdown stops the client gracefully: it begins no further operations, waits for background operations until ctx
+// ends, then cancels them. It returns once all goroutines of the client have ended.
 func (c *Client) Shutdown(ctx context.Context) {
 	c.mu.Lock()
 	if !c.closed {
 		c.closed = true
-		if c.later == 0 {
+		if c.background == 0 {
 			close(c.idle)
 		}
 	}
@@ -75,47 +81,48 @@
 	case <-c.idle:
 	case <-ctx.Done():
 	}
-	c.stop()
+	c.cancel()
 	<-c.idle
 }
 
-// begin takes a place for an operation in the background.
-func (c *Client) begin(most int) bool {
+// beginBackground counts a background operation, if fewer than limit calls and operations are in flight. The caller
+// must call endBackground if it returns true.
+func (c *Client) beginBackground(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.later >= most {
+	if c.closed || c.background >= limit {
 		return false
 	}
-	c.later++
+	c.background++
 	return true
 }
 
-// call takes a place for one call to a store; what goes on in the background may make calls until it ends.
-func (c *Client) call(store string) bool {
+// beginCall counts a call to a store. Operations that began before Shutdown may make calls until they end. The caller
+// must call endCall if it returns true.
+func (c *Client) beginCall(store string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed && c.later == 0 || c.later >= laterMost || c.calling[store] >= storeMost {
+	if c.closed && c.background == 0 || c.background >= maxBackground || c.inFlight[store] >= maxCallsPerStore {
 		return false
 	}
-	c.later++
-	c.calling[store]++
+	c.background++
+	c.inFlight[store]++
 	return true
 }
 
-// called gives the place of a call back.
-func (c *Client) called(store string) {
+func (c *Client) endCall(store string) {
 	c.mu.Lock()
-	if c.calling[store]--; c.calling[store] == 0 {
-		delete(c.calling, store)
+	if c.inFlight[store]--; c.inFlight[store] == 0 {
+		delete(c.inFlight, store)
 	}
 	c.mu.Unlock()
-	c.end()
+	c.endBackground()
 }
 
-func (c *Client) end() {
+func (c *Client) endBackground() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.later--; c.later == 0 && c.closed {
+	if c.background--; c.background == 0 && c.closed {
 		close(c.idle)
 	}
 }
