--- a/internal/relay/cluster.go
+++ b/internal/relay/cluster.go
@@ -11,7 +11,6 @@
 	"larchrouter/internal/relay/adminapi"
 	"larchrouter/internal/relay/drain"
 	"larchrouter/internal/relay/faultinject"
-	"larchrouter/internal/relay/fleetlimit"
 	"larchrouter/internal/relay/journal"
 	"larchrouter/internal/relay/override"
 	"larchrouter/internal/relay/quota"
@@ -20,14 +19,14 @@
 
 // cluster is a relay's part in its fleet. It belongs to the loop.
 type cluster struct {
-	talk         *override.Gossiper
+	gossiper     *override.Gossiper
 	names        []string // of the relays, by number
 	self         int
 	timer        *time.Timer
 	parts        int                      // into which limits are divided
 	gone         []int                    // relays that are gone for good
 	appliedAt    map[string]time.Duration // when this process recorded the override of a subject
-	ledger       *versionaudit.Auditor
+	auditor      *versionaudit.Auditor
 	warned       map[straggler]bool
 	checkAt      time.Duration // next look for stragglers
 	recordFailed bool          // the last overrides received could not be recorded, which was logged
@@ -55,14 +54,16 @@
 	}
 	var kept []override.Override
 	for _, rec := range r.journal.Words {
-		kept = append(kept, override.Override{Subject: rec.ID, Active: rec.Ran, Counter: uint64(rec.Again), Origin: rec.Host, Author: rec.Status, AtMs: rec.At})
+		kept = append(kept, override.Override{Subject: rec.ID, Active: rec.Ran, Counter: uint64(rec.Again),
+			Origin: rec.Host, Author: rec.Status, AtMs: rec.At})
 	}
-	talk, err := override.New(override.Settings{Names: names, Self: r.settings.Index, Incarnation: r.settings.Life, Weights: r.settings.Weights}, r.now(), kept)
+	gossiper, err := override.New(override.Settings{Names: names, Self: r.settings.Index, Incarnation: r.settings.Life,
+		Weights: r.settings.Weights}, r.now(), kept)
 	if err != nil {
 		return err
 	}
-	r.cluster = &cluster{talk: talk, names: names, self: r.settings.Index, appliedAt: map[string]time.Duration{},
-		ledger: versionaudit.New(len(names)), warned: map[straggler]bool{}}
+	r.cluster = &cluster{gossiper: gossiper, names: names, self: r.settings.Index, appliedAt: map[string]time.Duration{},
+		auditor: versionaudit.New(len(names)), warned: map[straggler]bool{}}
 	r.publishVersions()
 	r.applyOverrides()
 	return nil
@@ -70,25 +71,26 @@
 
 // applyOverrides carries out the overrides in force.
 func (r *Relay) applyOverrides() {
-	f := r.cluster
+	fleet := r.cluster
 	var entries []drain.Entry
-	f.gone = nil
-	for _, w := range f.talk.Store().All() {
-		if !w.Active || plant.Is(plant.Word) {
+	fleet.gone = nil
+	for _, item := range fleet.gossiper.Store().All() {
+		if !item.Active || plant.Is(plant.Word) {
 			continue
 		}
-		if t, err := drain.ParseTarget(w.Subject); err == nil && t.Scope != drain.Relay {
-			entries = append(entries, drain.Entry{Target: t, Since: time.UnixMilli(w.AtMs), RequestedBy: w.Author + " at " + w.Origin})
+		if target, err := drain.ParseTarget(item.Subject); err == nil && target.Scope != drain.Relay {
+			entries = append(entries, drain.Entry{Target: target, Since: time.UnixMilli(item.AtMs),
+				RequestedBy: item.Author + " at " + item.Origin})
 		}
-		if name, ok := strings.CutPrefix(w.Subject, goneSubject("")); ok {
-			if i := slices.Index(f.names, name); i >= 0 {
-				f.gone = append(f.gone, i)
+		if name, ok := strings.CutPrefix(item.Subject, goneSubject("")); ok {
+			if i := slices.Index(fleet.names, name); i >= 0 {
+				fleet.gone = append(fleet.gone, i)
 			}
 		}
 	}
 	r.standalone.drains.SetFleetEntries(entries)
-	f.talk.SetRemoved(f.gone)
-	r.divideLimits(f.talk.TotalWeight(r.now()))
+	fleet.gossiper.SetRemoved(fleet.gone)
+	r.divideLimits(fleet.gossiper.TotalWeight(r.now()))
 }
 
 // divideLimits has limits divided into so many parts.
@@ -99,21 +101,23 @@
 
 // recordOverrides records overrides, carries them out, and only then has them count. Overrides that cannot be recorded are
 // requested again by the digest.
-func (r *Relay) recordOverrides(words []override.Override) error {
-	f := r.cluster
+func (r *Relay) recordOverrides(overrides []override.Override) error {
+	fleet := r.cluster
 	var recs []journal.Record
-	for _, w := range words {
-		recs = append(recs, journal.Record{Op: journal.OpWord, ID: w.Subject, Ran: w.Active, Again: int64(w.Counter), Host: w.Origin, Status: w.Author, At: w.AtMs})
+	for _, item := range overrides {
+		recs = append(recs, journal.Record{Op: journal.OpWord, ID: item.Subject, Ran: item.Active,
+			Again: int64(item.Counter), Host: item.Origin, Status: item.Author, At: item.AtMs})
 	}
 	if err := r.journal.Append(recs...); err != nil {
 		return err
 	}
-	f.talk.Apply(r.now(), words...)
-	for _, w := range words {
-		f.appliedAt[w.Subject] = r.now()
-		slog.Info("override recorded", "subject", w.Subject, "holds", w.Active, "by", w.Author, "at", w.Origin)
-		if w.Subject == goneSubject(f.names[f.self]) && w.Active {
-			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back", "by", w.Author, "at", w.Origin)
+	fleet.gossiper.Apply(r.now(), overrides...)
+	for _, item := range overrides {
+		fleet.appliedAt[item.Subject] = r.now()
+		slog.Info("override recorded", "subject", item.Subject, "holds", item.Active, "by", item.Author, "at", item.Origin)
+		if item.Subject == goneSubject(fleet.names[fleet.self]) && item.Active {
+			slog.Error("this relay is said to be gone for good: it has no part of any limit until that is taken back",
+				"by", item.Author, "at", item.Origin)
 		}
 	}
 	r.applyOverrides()
@@ -124,46 +128,46 @@
 
 // receiveOverrides takes in a gossip message of another relay with overrides.
 func (r *Relay) receiveOverrides(from int, note []byte) {
-	f := r.cluster
-	received := f.talk.Receive(r.now(), from, note)
+	fleet := r.cluster
+	received := fleet.gossiper.Receive(r.now(), from, note)
 	r.auditVersions(from)
 	r.warnStragglers()
 	if len(received) > 0 {
 		err := r.recordOverrides(received)
-		if err != nil && !f.recordFailed {
+		if err != nil && !fleet.recordFailed {
 			slog.Error("overrides not recorded", "err", err)
 		}
-		f.recordFailed = err != nil
+		fleet.recordFailed = err != nil
 	}
 	r.sendOverrides()
 }
 
 // sendOverrides sends the gossip that is due, and schedules its next call.
 func (r *Relay) sendOverrides() {
-	f := r.cluster
+	fleet := r.cluster
 	if r.peers == nil {
 		return
 	}
 	now := r.now()
-	notes, at := f.talk.Due(now)
-	for _, n := range notes {
-		r.peers.Send(n.To, n.Data)
+	notes, at := fleet.gossiper.Due(now)
+	for _, message := range notes {
+		r.peers.Send(message.To, message.Data)
 	}
-	if n := f.talk.TotalWeight(now); n != f.parts {
-		r.divideLimits(n)
-		slog.Info("limits are divided anew", "parts", n)
+	if count := fleet.gossiper.TotalWeight(now); count != fleet.parts {
+		r.divideLimits(count)
+		slog.Info("limits are divided anew", "parts", count)
 	}
-	if f.timer == nil {
-		f.timer = time.AfterFunc(at-now, func() { r.post(r.sendOverrides) })
+	if fleet.timer == nil {
+		fleet.timer = time.AfterFunc(at-now, func() { r.post(r.sendOverrides) })
 	} else {
-		f.timer.Reset(at - now)
+		fleet.timer.Reset(at - now)
 	}
 }
 
 // reportHealth reports to the fleet whether this relay sees an endpoint as healthy.
 func (r *Relay) reportHealth(endpoint string, out bool) {
 	if r.cluster != nil {
-		r.cluster.talk.Observe(r.now(), "endpoint:"+endpoint, out)
+		r.cluster.gossiper.Observe(r.now(), "endpoint:"+endpoint, out)
 		r.sendOverrides()
 	}
 }
@@ -178,15 +182,15 @@
 
 // setOverride makes an override at this relay and spreads it in the fleet. Already reports that it was in force.
 func (r *Relay) setOverride(subject string, on bool, by string) (already bool, err error) {
-	f := r.cluster
-	w, err := f.talk.Store().Next(subject, on, f.names[f.self], by, time.Now().UnixMilli())
+	fleet := r.cluster
+	item, err := fleet.gossiper.Store().Next(subject, on, fleet.names[fleet.self], by, time.Now().UnixMilli())
 	switch {
 	case errors.Is(err, override.ErrUnchanged):
 		return true, nil
 	case err != nil:
 		return false, adminapi.Errorf(adminapi.Conflict, "%v", err)
 	}
-	if err := r.recordOverrides([]override.Override{w}); err != nil {
+	if err := r.recordOverrides([]override.Override{item}); err != nil {
 		return false, err
 	}
 	r.sendOverrides()
@@ -194,138 +198,71 @@
 }
 
 // drainFleet drains a target at all relays of the fleet, or takes that back.
-func (r *Relay) drainFleet(t drain.Target, q adminapi.DrainRequest, on bool) (a adminapi.DrainAnswer, err error) {
+func (r *Relay) drainFleet(
+	target drain.Target, request adminapi.DrainRequest, on bool,
+) (answer adminapi.DrainAnswer, err error) {
 	if err := r.requireFleet(); err != nil {
-		return a, err
+		return answer, err
 	}
-	if t.Scope == drain.Relay {
-		return a, adminapi.Errorf(adminapi.Invalid, "a drain of the relay is of one relay: leave out fleet")
+	if target.Scope == drain.Relay {
+		return answer, adminapi.Errorf(adminapi.Invalid, "a drain of the relay is of one relay: leave out fleet")
 	}
-	b := r.standalone.drains
-	if _, holds := r.cluster.talk.Store().Get(t.String()); !holds || on {
-		if err := b.CheckKnown(t); err != nil {
-			return a, err
+	drains := r.standalone.drains
+	if _, holds := r.cluster.gossiper.Store().Get(target.String()); !holds || on {
+		if err := drains.CheckKnown(target); err != nil {
+			return answer, err
 		}
 	}
-	a = r.drainEffect(t)
-	if on && t.Scope == drain.Endpoint && b.IsLastOpen(t.Name) && !q.AllowLast && !q.DryRun {
-		return a, drain.ErrLastEndpoint
+	answer = r.drainEffect(target)
+	if on && target.Scope == drain.Endpoint && drains.IsLastOpen(target.Name) && !request.AllowLast && !request.DryRun {
+		return answer, drain.ErrLastEndpoint
 	}
-	if q.DryRun {
-		return a, nil
+	if request.DryRun {
+		return answer, nil
 	}
-	already, err := r.setOverride(t.String(), on, q.By)
+	already, err := r.setOverride(target.String(), on, request.By)
 	switch {
 	case err != nil:
-		return a, err
+		return answer, err
 	case on && already:
-		a.Result = "already drained for the fleet"
+		answer.Result = "already drained for the fleet"
 	case on:
-		a.Result = "drained for the fleet"
+		answer.Result = "drained for the fleet"
 	case already:
-		a.Result = "not drained for the fleet"
+		answer.Result = "not drained for the fleet"
 	default:
-		if a.Result = "undrained for the fleet"; len(b.WouldClose(t)) == 0 {
-			a.Result += ", still drained here"
+		if answer.Result = "undrained for the fleet"; len(drains.WouldClose(target)) == 0 {
+			answer.Result += ", still drained here"
 		}
 	}
-	f := r.fleetView()
-	a.Fleet = &f
-	return a, nil
+	view := r.fleetView()
+	answer.Fleet = &view
+	return answer, nil
 }
 
 // Gone implements adminapi.Backend.
-func (r *Relay) Gone(ctx context.Context, q adminapi.GoneRequest) (adminapi.Fleet, error) {
-	if len(q.By) > maxRequesterBytes {
-		return adminapi.Fleet{}, adminapi.Errorf(adminapi.Invalid, "by has %d bytes, %d at most", len(q.By), maxRequesterBytes)
+func (r *Relay) Gone(ctx context.Context, request adminapi.GoneRequest) (adminapi.Fleet, error) {
+	if len(request.By) > maxRequesterBytes {
+		return adminapi.Fleet{}, adminapi.Errorf(adminapi.Invalid, "by has %d bytes, %d at most", len(request.By), maxRequesterBytes)
 	}
-	return command(ctx, r, func() (v adminapi.Fleet, err error) {
+	return command(ctx, r, func() (view adminapi.Fleet, err error) {
 		if err := r.requireFleet(); err != nil {
-			return v, err
+			return view, err
 		}
-		f := r.cluster
-		i := slices.Index(f.names, q.Relay)
+		fleet := r.cluster
+		i := slices.Index(fleet.names, request.Relay)
 		switch {
-		case i < 0 && !q.Back:
-			return v, adminapi.Errorf(adminapi.NotFound, "relay %q is not in the fleet block; it has: %s", q.Relay, strings.Join(f.names, ", "))
-		case i == f.self && !q.Back:
-			return v, adminapi.Errorf(adminapi.Conflict, "%s is this relay, which is there", q.Relay)
-		case i >= 0 && !q.Back && f.talk.PeerViews(r.now())[i].Reachable:
-			return v, adminapi.Errorf(adminapi.Conflict, "%s is heard: stop it first", q.Relay)
+		case i < 0 && !request.Back:
+			return view, adminapi.Errorf(adminapi.NotFound, "relay %q is not in the fleet block; it has: %s",
+				request.Relay, strings.Join(fleet.names, ", "))
+		case i == fleet.self && !request.Back:
+			return view, adminapi.Errorf(adminapi.Conflict, "%s is this relay, which is there", request.Relay)
+		case i >= 0 && !request.Back && fleet.gossiper.PeerViews(r.now())[i].Reachable:
+			return view, adminapi.Errorf(adminapi.Conflict, "%s is heard: stop it first", request.Relay)
 		}
-		if _, err := r.setOverride(goneSubject(q.Relay), !q.Back, q.By); err != nil {
-			return v, err
+		if _, err := r.setOverride(goneSubject(request.Relay), !request.Back, request.By); err != nil {
+			return view, err
 		}
 		return r.fleetView(), nil
 	})
 }
-
-// Fleet implements adminapi.Backend.
-func (r *Relay) Fleet(ctx context.Context) (adminapi.Fleet, error) {
-	return command(ctx, r, func() (adminapi.Fleet, error) { return r.fleetView(), nil })
-}
-
-// fleetView describes the fleet as this relay sees it, and the limits that it has a part of.
-func (r *Relay) fleetView() (v adminapi.Fleet) {
-	v = adminapi.Fleet{Parts: 1, Relays: []adminapi.FleetRelay{}, Limits: r.limitViews(), Words: []adminapi.FleetWord{}, Sights: []adminapi.FleetSight{}, Versions: []adminapi.FleetVersion{}, HeedMs: override.StatedConvergence.Milliseconds(), HeedLossyMs: override.StatedLossyConvergence.Milliseconds(), LostAfterMs: override.UnreachableAfter.Milliseconds()}
-	f, now := r.cluster, r.now()
-	if f == nil {
-		return v
-	}
-	v.Versions = r.versionViews()
-	v.Name, v.Parts, v.Over = f.names[f.self], f.parts, fleetlimit.OvergrantBound(max(1, len(f.names)-len(f.gone)))
-	ms := func(d time.Duration) int64 {
-		if d < 0 {
-			return -1
-		}
-		return d.Milliseconds()
-	}
-	views := f.talk.PeerViews(now)
-	for i, p := range views {
-		v.Relays = append(v.Relays, adminapi.FleetRelay{Name: p.Name, Address: r.config.Peers[i], Self: p.Self, There: p.Reachable, HeardMs: ms(p.SinceHeartbeat), MetMs: ms(p.SinceMessage),
-			Agrees: p.InSync, Gone: slices.Contains(f.gone, i), OtherList: p.ListDiffers})
-	}
-	for _, w := range f.talk.Store().All() {
-		fw := adminapi.FleetWord{Subject: w.Subject, Holds: w.Active, Count: w.Counter, By: w.Author, Origin: w.Origin, AtMs: w.AtMs, Heeded: []string{}, Missing: []string{}}
-		since := now - f.appliedAt[w.Subject]
-		for _, p := range views {
-			if p.InSync || p.SinceInSync >= 0 && p.SinceInSync <= since {
-				fw.Heeded = append(fw.Heeded, p.Name)
-			} else {
-				fw.Missing = append(fw.Missing, p.Name)
-			}
-		}
-		v.Words = append(v.Words, fw)
-	}
-	for _, s := range f.talk.Observations(now) {
-		v.Sights = append(v.Sights, adminapi.FleetSight{Subject: s.Subject, Out: s.Unhealthy, Relay: f.names[s.Origin], ForMs: ms(s.Since), SaidMs: ms(s.Renewed)})
-	}
-	return v
-}
-
-// limitViews describes the limits that this relay has a part of.
-func (r *Relay) limitViews() []adminapi.FleetLimit {
-	all := []adminapi.FleetLimit{}
-	routes := r.chooser.Routes()
-	for _, p := range r.chooser.Shares() {
-		l := adminapi.FleetLimit{LeftMs: p.ExpiresIn.Milliseconds(), Own: p.OwnShare, Granted: p.GrantableShare, Asks: p.PendingRequests, Over: p.OvergrantBound, Routes: []adminapi.FleetRoute{}}
-		if partner := r.standalone.directory.Load().byNumber[p.Dest]; partner != nil {
-			l.Partner = partner.Name
-		}
-		if f := r.cluster; f != nil && p.Coordinator >= 0 {
-			l.Steward = f.names[p.Coordinator]
-		} else if p.Coordinator >= 0 {
-			l.Steward = "this relay"
-		}
-		if p.ConfiguredLimit != nil {
-			l.Rate, l.Burst, l.AtOnce = p.ConfiguredLimit.Rate, p.ConfiguredLimit.Burst, p.ConfiguredLimit.MaxConcurrent
-		}
-		for _, route := range routes {
-			if route.Dest == p.Dest {
-				l.Routes = append(l.Routes, adminapi.FleetRoute{Route: route.Route, State: route.State, ForMs: route.InState.Milliseconds(), Rate: route.Rate, Used: route.UsedRate, Out: route.InFlight})
-			}
-		}
-		all = append(all, l)
-	}
-	return all
-}
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -145,7 +145,7 @@
 	phase, _ := r.standalone.drains.Phase()
 	want(t, "phase", string(phase), "draining")
 	want(t, "endpoint drained by the fleet is open", r.standalone.drains.Open("acme-2"), false)
-	if words := r.cluster.talk.Store().All(); !reflect.DeepEqual(words, frozenWords) {
+	if words := r.cluster.gossiper.Store().All(); !reflect.DeepEqual(words, frozenWords) {
 		t.Errorf("words %+v, want %+v", words, frozenWords)
 	}
 	want(t, "relays that are gone", fmt.Sprint(r.cluster.gone), "[2]")
@@ -200,7 +200,7 @@
 	if unset := fixture.Unset(frozenPartner, frozenClass, frozenKind, frozenRules); len(unset) > 0 {
 		t.Errorf("no value sets %v", unset)
 	}
-	acts := newRelay(t, frozenConfig(t, t.TempDir())).cluster.talk.ActiveVersions(0)
+	acts := newRelay(t, frozenConfig(t, t.TempDir())).cluster.gossiper.ActiveVersions(0)
 	wanted := []override.ActiveVersion{{Kind: 1, Version: 3837147583}, {Kind: 2, Version: 3183409465}, {Kind: 3, Version: 3447108203}, {Kind: 4, Version: 1943657945}}
 	if !reflect.DeepEqual(acts, wanted) {
 		t.Errorf("the relay says that it acts on %+v, want %+v", acts, wanted)
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -12,10 +12,10 @@
 // joinFleet receives messages of other relays until the context ends. If that fails, the relay goes on without them and
 // grants its calls to itself.
 func (r *Relay) joinFleet(ctx context.Context) {
-	c, err := gossip.Listen(ctx, r.config.PeerListen)
+	conn, err := gossip.Listen(ctx, r.config.PeerListen)
 	if err == nil {
-		if err = c.SetPeers(r.config.Peers); err != nil {
-			c.Close()
+		if err = conn.SetPeers(r.config.Peers); err != nil {
+			conn.Close()
 		}
 	}
 	if err != nil {
@@ -24,17 +24,17 @@
 		}
 		return
 	}
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	defer c.Close()
-	words := r.cluster != nil
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	defer conn.Close()
+	inCluster := r.cluster != nil
 	r.post(func() {
-		r.peers = c
-		if words {
+		r.peers = conn
+		if inCluster {
 			r.sendOverrides()
 		}
 	})
-	c.Receive(func(from int, note []byte) {
-		if words && len(note) > 0 && note[0] == override.Version {
+	conn.Receive(func(from int, note []byte) {
+		if inCluster && len(note) > 0 && note[0] == override.Version {
 			r.post(func() { r.receiveOverrides(from, note) })
 			return
 		}
--- a/internal/relay/trace.go
+++ b/internal/relay/trace.go
@@ -36,7 +36,8 @@
 	}
 	r.tracedAt = now
 	for _, v := range r.chooser.Routes() {
-		slog.Debug("steward", "dest", v.Dest, "route", v.Route, "state", v.State, "for", v.InState.Milliseconds(), "rate", v.Rate, "used", v.UsedRate,
+		slog.Debug("steward", "dest", v.Dest, "route", v.Route, "state", v.State,
+			"for", v.InState.Milliseconds(), "rate", v.Rate, "used", v.UsedRate,
 			"out", v.InFlight, "asks", v.PendingRequests, "calls", v.PendingCalls, "share", v.Share)
 	}
 }
--- a/internal/relay/versions.go
+++ b/internal/relay/versions.go
@@ -28,44 +28,47 @@
 
 // publishVersions has the fleet learn which versions this relay acts on now.
 func (r *Relay) publishVersions() {
-	f := r.cluster
+	fleet := r.cluster
 	on := map[versionaudit.Kind]versionaudit.Version{
 		versionaudit.Partners: digestOf(r.standalone.directory.Load().all),
 		versionaudit.Fleet:    digestOf([]any{r.standalone.Fleet, r.config.Peers, r.settings.Weights}),
-		versionaudit.Rules:    digestOf([]any{r.settings.Classes, r.settings.Rules, r.settings.Zones, r.settings.ZoneFee, r.settings.KindNames, r.settings.Kinds}),
-		versionaudit.Build:    digestOf(r.standalone.Version),
+		versionaudit.Rules: digestOf([]any{r.settings.Classes, r.settings.Rules, r.settings.Zones, r.settings.ZoneFee,
+			r.settings.KindNames, r.settings.Kinds}),
+		versionaudit.Build: digestOf(r.standalone.Version),
 	}
 	var acts []override.ActiveVersion
-	for _, k := range versionaudit.Kinds {
-		acts = append(acts, override.ActiveVersion{Kind: int(k), Version: uint32(on[k])})
+	for _, kind := range versionaudit.Kinds {
+		acts = append(acts, override.ActiveVersion{Kind: int(kind), Version: uint32(on[kind])})
 	}
-	f.talk.SetActiveVersions(acts)
-	r.auditVersions(f.self)
+	fleet.gossiper.SetActiveVersions(acts)
+	r.auditVersions(fleet.self)
 }
 
 // auditVersions enters the versions that a relay reports.
 func (r *Relay) auditVersions(relay int) {
 	f, now := r.cluster, r.now()
-	for _, a := range f.talk.ActiveVersions(relay) {
-		f.ledger.Record(now, relay, versionaudit.Kind(a.Kind), versionaudit.Version(a.Version))
+	for _, a := range f.gossiper.ActiveVersions(relay) {
+		f.auditor.Record(now, relay, versionaudit.Kind(a.Kind), versionaudit.Version(a.Version))
 	}
 }
 
 // warnStragglers logs, once for each, which relays have been behind for long.
 func (r *Relay) warnStragglers() {
-	f := r.cluster
-	if f == nil || r.now() < f.checkAt {
+	fleet := r.cluster
+	if fleet == nil || r.now() < fleet.checkAt {
 		return
 	}
-	f.checkAt = r.now() + time.Second
-	for _, row := range f.ledger.Rows(r.now()) {
+	fleet.checkAt = r.now() + time.Second
+	for _, row := range fleet.auditor.Rows(r.now()) {
 		key := straggler{row.Relay, row.Kind, row.Version}
-		if row.State != versionaudit.Behind || row.BehindFor < stragglerAfter || row.SinceReport > override.UnreachableAfter || f.warned[key] {
+		if row.State != versionaudit.Behind || row.BehindFor < stragglerAfter ||
+			row.SinceReport > override.UnreachableAfter || fleet.warned[key] {
 			continue
 		}
-		f.warned[key] = true
-		slog.Warn("a relay acts on an older version", "relay", f.names[row.Relay], "of", row.Kind.String(), "for", row.BehindFor.Round(time.Second), "newest_at", row.OnNewest,
-			"relays", len(f.names))
+		fleet.warned[key] = true
+		slog.Warn("a relay acts on an older version", "relay", fleet.names[row.Relay], "of", row.Kind.String(),
+			"for", row.BehindFor.Round(time.Second), "newest_at", row.OnNewest,
+			"relays", len(fleet.names))
 	}
 }
 
@@ -80,10 +83,11 @@
 func (r *Relay) versionViews() []adminapi.FleetVersion {
 	f := r.cluster
 	all := []adminapi.FleetVersion{}
-	for _, row := range f.ledger.Rows(r.now()) {
+	for _, row := range f.auditor.Rows(r.now()) {
 		v := adminapi.FleetVersion{Relay: f.names[row.Relay], Kind: row.Kind.String(), State: string(row.State), Newest: row.OnNewest}
 		if row.State != versionaudit.Unknown {
-			v.Version, v.ForMs, v.HeardMs, v.BehindMs = uint32(row.Version), row.ActiveFor.Milliseconds(), row.SinceReport.Milliseconds(), row.BehindFor.Milliseconds()
+			v.Version, v.ForMs = uint32(row.Version), row.ActiveFor.Milliseconds()
+			v.HeardMs, v.BehindMs = row.SinceReport.Milliseconds(), row.BehindFor.Milliseconds()
 		}
 		all = append(all, v)
 	}
