--- /dev/null
+++ b/internal/tier/proxy/attempt.go
@@ -0,0 +1,59 @@
+package proxy
+
+import (
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"larchrouter/internal/tier/balancer"
+	"larchrouter/internal/tier/upstream"
+)
+
+// attempt is one call to a host. It owns a slot, which attemptSucceeded, attemptFailed or releaseSlot gives back.
+type attempt struct {
+	endpoint  *endpoint
+	oracle    balancer.Oracle
+	startedAt time.Time
+	upstream.Result
+}
+
+// releaseSlot gives the slot of an attempt back.
+func (r *request) releaseSlot(attempt *attempt, outcome balancer.Outcome) {
+	r.server().dispatcher.release(attempt.endpoint, outcome)
+}
+
+// attemptSucceeded ends an attempt whose response is complete.
+func (r *request) attemptSucceeded(attempt *attempt) {
+	if attempt.Response.Status < 400 {
+		attempt.oracle.Served(time.Since(attempt.startedAt))
+	}
+	attempt.Response.Finish()
+	r.releaseSlot(attempt, balancer.Success)
+}
+
+// attemptFailed ends an attempt whose call failed or whose response broke off.
+func (r *request) attemptFailed(attempt *attempt, err error) {
+	if !errors.Is(err, upstream.ErrCancelled) {
+		r.server().options.Log.Debug("attempt failed", "attempt", r.id, "host", attempt.endpoint.connections.ID,
+			"route", r.route.Name, "after", time.Since(attempt.startedAt), "broke", err)
+	}
+	if attempt.Response != nil {
+		attempt.Response.Finish()
+	}
+	switch {
+	case errors.Is(err, upstream.ErrCancelled):
+		r.releaseSlot(attempt, balancer.Inconclusive)
+	case errors.Is(err, upstream.ErrDeadline):
+		attempt.oracle.Cut()
+		if attempt.ResponseStarted {
+			r.releaseSlot(attempt, balancer.Inconclusive)
+		} else {
+			r.releaseSlot(attempt, balancer.TimedOut)
+		}
+	case attempt.ConnReused && !attempt.ResponseStarted:
+		// The network may have dropped the idle connection: no sign of the host's health.
+		r.releaseSlot(attempt, balancer.Inconclusive)
+	default:
+		r.releaseSlot(attempt, balancer.ResponseBroken)
+	}
+}
--- a/internal/tier/upstream/call.go
+++ b/internal/tier/upstream/call.go
@@ -10,101 +10,114 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Call is one call to a host. Cancel may come from another goroutine.
+// Call is one call to a host. The zero value is ready for use; it is used once.
 type Call struct {
-	mu          sync.Mutex
-	conn        *conn
-	isCancelled bool
+	mu            sync.Mutex
+	conn          *conn // that the call has now; nil for none
+	cancelledFlag bool
 }
 
-// Cancel gives the call up: its connection is closed, so that the host stops work.
+// Cancel cancels the call: its connection is closed, so that the host stops its work. It may be called from any goroutine,
+// at any time; after the end of the call it does nothing.
 func (k *Call) Cancel() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.isCancelled = true; k.conn != nil {
+	if k.cancelledFlag = true; k.conn != nil {
 		k.conn.close()
 	}
 }
 
-func (k *Call) bind(c *conn) bool {
+// bindConn sets the connection that Cancel closes; nil for none. It returns false, and sets nothing, if the call is cancelled.
+func (k *Call) bindConn(c *conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.isCancelled && c != nil {
+	if k.cancelledFlag && c != nil {
 		return false
 	}
 	k.conn = c
 	return true
 }
 
-func (k *Call) cancelled() bool { k.mu.Lock(); defer k.mu.Unlock(); return k.isCancelled }
+func (k *Call) cancelled() bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.cancelledFlag
+}
 
-// Result is the end of a call, or the head of its answer.
+// Result is the end of a call, or the head of its response.
 type Result struct {
-	Outcome  Outcome
-	Err      error     // its kind; nil where there is an answer
-	Response *Response // where Answered; with NotRun, what the host said instead, read whole, or nil
-	Begun    bool      // something of an answer came
-	Reused   bool      // the call went out on a kept connection
+	// Outcome is what the result proves.
+	Outcome Outcome
+	// Err is marked with one of the kinds of errors; nil if there is a Response.
+	Err error
+	// Response is not nil with Answered, and with NotRun if the host rejected the request; then it is finished and has the
+	// RefusalBody.
+	Response *Response
+	// ResponseStarted reports whether any byte of a response came.
+	ResponseStarted bool
+	// ConnReused reports whether the call went out on a connection that was used before.
+	ConnReused bool
 }
 
-// Do makes a call. The whole answer is in by until or it is cut; more time may be given with Response.SetDeadline.
-func (k *Call) Do(h *Host, r *Request, until time.Time) Result {
+// Do makes a call. The complete response has to be read by the deadline; Response.SetDeadline moves it.
+func (k *Call) Do(h *Host, r *Request, deadline time.Time) Result {
 	for {
-		c, err := h.get(r.PreferNew, until)
+		conn, err := h.acquire(r.PreferNewConn, deadline)
 		if err != nil {
 			return Result{Outcome: NotRun, Err: err}
 		}
-		if !k.bind(c) {
-			c.release()
+		if !k.bindConn(conn) {
+			conn.discard()
 			return Result{Outcome: NotRun, Err: ErrCancelled}
 		}
-		if h.closed.Load() { // while the connection came up
-			k.bind(nil)
-			c.release()
-			return Result{Outcome: NotRun, Err: ErrHostClosed}
+		if h.disabled.Load() { // since the connection was dialled
+			k.bindConn(nil)
+			conn.discard()
+			return Result{Outcome: NotRun, Err: ErrHostDisabled}
 		}
-		_ = c.SetDeadline(until)
-		e := c.exchange(r, until)
-		if e.whole || e.begun {
-			return k.conclude(c, e, until)
+		_ = conn.SetDeadline(deadline)
+		exchanged := conn.exchange(r, deadline)
+		if exchanged.requestSent || exchanged.responseStarted {
+			return k.result(conn, exchanged, deadline)
 		}
-		kept := c.kept
-		k.bind(nil)
-		c.release()
+		reused := conn.reused
+		k.bindConn(nil)
+		conn.discard()
 		switch {
 		case k.cancelled():
 			return Result{Outcome: NotRun, Err: ErrCancelled}
-		case errors.Is(e.err, os.ErrDeadlineExceeded):
-			return Result{Outcome: NotRun, Err: ErrDeadline, Reused: kept}
-		case kept: // it had ended before: no call yet, once more on another
+		case errors.Is(exchanged.err, os.ErrDeadlineExceeded):
+			return Result{Outcome: NotRun, Err: ErrDeadline, ConnReused: reused}
+		case reused: // the host had closed it before: no call yet
 			continue
 		}
-		return Result{Outcome: NotRun, Err: errors.Mark(e.err, ErrNotSent)}
+		return Result{Outcome: NotRun, Err: errors.Mark(exchanged.err, ErrNotSent)}
 	}
 }
 
-// conclude tells what an exchange proves whose request was sent whole, or to which something came.
-func (k *Call) conclude(c *conn, e exchange, until time.Time) Result {
-	kept := c.kept // read now: once it is put back, another call may have the connection
-	if e.answer == nil {
-		k.bind(nil)
-		res := Result{Outcome: MayHaveRun, Err: errors.Mark(e.err, ErrBroken), Begun: e.begun, Reused: kept}
+// result returns what an exchange proves whose request was sent completely, or for which a response started.
+func (k *Call) result(conn *conn, exchanged exchange, deadline time.Time) Result {
+	reused := conn.reused // read now: once the connection is kept, another call may have it
+	if exchanged.response == nil {
+		k.bindConn(nil)
+		res := Result{Outcome: MayHaveRun, Err: errors.Mark(exchanged.err, ErrBroken),
+			ResponseStarted: exchanged.responseStarted, ConnReused: reused}
 		if k.cancelled() {
 			res.Err = ErrCancelled
-		} else if errors.Is(e.err, os.ErrDeadlineExceeded) {
+		} else if errors.Is(exchanged.err, os.ErrDeadlineExceeded) {
 			res.Err = ErrDeadline
 		}
-		c.release()
+		conn.discard()
 		return res
 	}
-	a := e.answer
-	a.call, a.until = k, until
-	if a.Status == http.StatusMisdirectedRequest || a.Header.Get("X-Not-Executed") != "" {
-		// The head proves it. The body is short; where it breaks off or stalls, the proof stands.
-		a.limitDrain()
-		a.RefusalBody, _ = io.ReadAll(io.LimitReader(a, maxSurplusBytes))
-		a.Finish()
-		return Result{Outcome: NotRun, Response: a, Begun: true, Reused: kept}
+	response := exchanged.response
+	response.call, response.deadline = k, deadline
+	if response.Status == http.StatusMisdirectedRequest || response.Header.Get("X-Not-Executed") != "" {
+		// The head is the proof, also if the short body breaks off or stalls.
+		response.limitDrain()
+		response.RefusalBody, _ = io.ReadAll(io.LimitReader(response, maxSurplusBytes))
+		response.Finish()
+		return Result{Outcome: NotRun, Response: response, ResponseStarted: true, ConnReused: reused}
 	}
-	return Result{Outcome: Answered, Response: a, Begun: true, Reused: kept}
+	return Result{Outcome: Answered, Response: response, ResponseStarted: true, ConnReused: reused}
 }
--- a/internal/tier/upstream/conn.go
+++ b/internal/tier/upstream/conn.go
@@ -11,25 +11,27 @@
 	"larchrouter/internal/peek"
 )
 
-// conn is a connection to a host.
+// conn is a connection to a host. It belongs to one call at a time, or is in Host.idle.
 type conn struct {
 	net.Conn
-	raw       syscall.RawConn // made with its second use
-	host      *Host
-	bound     io.LimitedReader // bounds what in reads
-	in        *bufio.Reader
-	kept      bool // from an earlier call
-	sentHead  bool // a HEAD request went out on it
-	idleSince time.Time
-	idleLimit time.Duration // that it may be idle
-	limitTold bool          // by its host
-	once      sync.Once
+	raw                 syscall.RawConn // of Conn; set with the second use
+	host                *Host
+	limitedReader       io.LimitedReader // of Conn; bounds the heads that reader reads
+	reader              *bufio.Reader    // of limitedReader; nil once discarded
+	reused              bool             // used by an earlier call
+	sentHead            bool             // some request on it was HEAD
+	idleSince           time.Time
+	idleLimit           time.Duration // for which it may be idle and still be used
+	idleLimitAdvertised bool          // idleLimit is by the host's Keep-Alive
+	closeOnce           sync.Once
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
+// readerPool has readers of connections, of *bufio.Reader.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
+// close closes the connection. It may be called from any goroutine and more than once.
 func (c *conn) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		_ = c.Conn.Close()
 		c.host.mu.Lock()
 		c.host.open--
@@ -37,19 +39,19 @@
 	})
 }
 
-// release closes the connection; its reader is not used any more.
-func (c *conn) release() {
+// discard closes the connection and returns its reader to the pool. Only the owner of the connection may call it.
+func (c *conn) discard() {
 	c.close()
-	if c.in != nil {
-		c.in.Reset(nil)
-		readers.Put(c.in)
-		c.in = nil
+	if c.reader != nil {
+		c.reader.Reset(nil)
+		readerPool.Put(c.reader)
+		c.reader = nil
 	}
 }
 
-// quiet tells whether nothing has come on an idle connection: neither its end, nor bytes that would pass for the next
-// answer.
-func (c *conn) quiet() bool {
+// nothingReceived reports whether an idle connection is usable: neither its end was received, nor bytes that would be taken
+// for the next response.
+func (c *conn) nothingReceived() bool {
 	if c.raw == nil {
 		sys, ok := c.Conn.(syscall.Conn)
 		if !ok {
--- a/internal/tier/upstream/exchange.go
+++ b/internal/tier/upstream/exchange.go
@@ -12,131 +12,133 @@
 	"larchrouter/internal/peek"
 )
 
-var errAhead = errors.New("the host answered, or ended the connection, ahead of the end of the request")
+var errEarlyResponse = errors.New("response or end of the connection before the end of the request")
 
-// exchange is a request that went out, and the head of what came.
+// exchange is a request that was written and the head of its response.
 type exchange struct {
-	whole  bool // the last byte of the request was handed over
-	answer *Response
-	begun  bool  // something of an answer came
-	err    error // where there is no answer
+	requestSent     bool      // the last byte of the request was written
+	response        *Response // nil if there is none
+	responseStarted bool      // some byte of a response came
+	err             error     // if there is no response
 }
 
-// exchange sends a request and reads the head of its answer.
-func (c *conn) exchange(r *Request, until time.Time) exchange {
-	if r.size() > maxJoinedBody {
-		return c.longExchange(r, until)
+// exchange sends a request and reads the head of its response.
+func (c *conn) exchange(r *Request, deadline time.Time) exchange {
+	if r.bodySize() > maxJoinedBody {
+		return c.exchangeLong(r, deadline)
 	}
-	whole, err := r.write(c)
-	if !whole {
+	sent, err := r.write(c)
+	if !sent {
 		return exchange{err: err}
 	}
-	return c.read(r)
+	return c.readResponse(r)
 }
 
-// longExchange reads while a long request is written: a host may answer, or end its connection, when it has read a part.
-// Nothing more is sent then, and the connection serves no other request, since the host may wait for the rest of this one.
-func (c *conn) longExchange(r *Request, until time.Time) exchange {
-	var ahead atomic.Bool
-	come := make(chan exchange, 1)
+// exchangeLong reads while it writes a long request: a host may respond, or close its connection, when it has read a part.
+// Then nothing more is written, and the connection serves no other request, since the host may expect the rest of this one.
+func (c *conn) exchangeLong(r *Request, deadline time.Time) exchange {
+	var received atomic.Bool // the reading goroutine has a response, or an error
+	result := make(chan exchange, 1)
 	go func() {
-		e := c.read(r)
-		ahead.Store(true)
-		_ = c.SetWriteDeadline(time.Unix(1, 0)) // a write under way ends
-		come <- e
+		exchanged := c.readResponse(r)
+		received.Store(true)
+		_ = c.SetWriteDeadline(time.Unix(1, 0)) // ends a write in progress
+		result <- exchanged
 	}()
-	whole, writeErr := r.writeLong(c, &ahead)
-	early := !whole && ahead.Load()
-	if !whole && !early { // what came ahead of the end of the connection is there by now
-		_ = c.SetReadDeadline(earlier(until, time.Now().Add(drainTimeout)))
+	sent, writeErr := r.writeLong(c, &received)
+	early := !sent && received.Load()
+	if !sent && !early { // a response ahead of the failure of the connection has been received by now
+		_ = c.SetReadDeadline(earlierOf(deadline, time.Now().Add(drainTimeout)))
 	}
-	e := <-come
-	e.whole = whole
-	if !whole && !early {
-		e.err = writeErr
+	exchanged := <-result
+	exchanged.requestSent = sent
+	if !sent && !early {
+		exchanged.err = writeErr
 	}
-	if e.answer != nil {
-		e.answer.early = !whole
-		_ = c.SetReadDeadline(until)
+	if exchanged.response != nil {
+		exchanged.response.beforeRequestEnd = !sent
+		_ = c.SetReadDeadline(deadline)
 	}
-	return e
+	return exchanged
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// read reads the head of the answer to a request, past interim answers and those of other requests.
-func (c *conn) read(r *Request) (e exchange) {
-	e.whole = true
+// readResponse reads the head of the response to a request. Interim responses, and a few responses to other requests, are
+// skipped.
+func (c *conn) readResponse(r *Request) (exchanged exchange) {
+	exchanged.requestSent = true
 	c.sentHead = c.sentHead || r.Method == http.MethodHead
-	c.bound.N = maxHeadBytes // the interim answers ahead count, too
+	c.limitedReader.N = maxHeadBytes // with the interim responses ahead
 	for surplus := 0; ; {
-		if _, e.err = c.in.Peek(1); e.err != nil {
-			return e
+		if _, exchanged.err = c.reader.Peek(1); exchanged.err != nil {
+			return exchanged
 		}
-		e.begun = true
+		exchanged.responseStarted = true
 		var response *http.Response
-		if response, e.err = c.readHead(r.Method); e.err != nil {
-			return e
+		if response, exchanged.err = c.readHead(r.Method); exchanged.err != nil {
+			return exchanged
 		}
 		if response.StatusCode/100 == 1 {
 			continue
 		}
-		c.bound.N = math.MaxInt64
+		c.limitedReader.N = math.MaxInt64
 		ids := response.Header["X-Attempt-Id"]
 		if len(ids) == 1 && ids[0] == r.ID {
-			e.answer, e.err = c.answer(r, response)
-			return e
+			exchanged.response, exchanged.err = c.newResponse(r, response)
+			return exchanged
 		}
 		surplus++
-		if len(ids) != 1 || ids[0] == "" || surplus > maxSurplus {
-			e.err = errors.New("an answer to no request of ours")
-			return e
+		if len(ids) != 1 || ids[0] == "" || surplus > maxSurplusResponses {
+			exchanged.err = errors.New("response to another request")
+			return exchanged
 		}
-		if e.err = c.skip(response); e.err != nil {
-			return e
+		if exchanged.err = c.discardSurplus(response); exchanged.err != nil {
+			return exchanged
 		}
-		c.bound.N = maxHeadBytes
+		c.limitedReader.N = maxHeadBytes
 	}
 }
 
-// readHead reads the head of one answer.
+// readHead reads the head of one response.
 func (c *conn) readHead(method string) (*http.Response, error) {
-	status := peek.Status(peek.FirstLine(c.in))
+	status := peek.Status(peek.FirstLine(c.reader))
 	switch status {
 	case 0:
-		return nil, errors.New("bytes that are no answer")
+		return nil, errors.New("no HTTP response")
 	case http.StatusSwitchingProtocols:
-		return nil, errors.New("the host switched protocols unasked")
+		return nil, errors.New("unexpected protocol switch")
 	}
-	return http.ReadResponse(c.in, &http.Request{Method: method})
+	return http.ReadResponse(c.reader, &http.Request{Method: method})
 }
 
-// skip reads away the answer to another request. Whether a body follows its head depends on the method of that request,
-// so that none is skipped where it may have been HEAD.
-func (c *conn) skip(response *http.Response) error {
+// discardSurplus reads the response to another request. Whether a body follows its head depends on the method of that request,
+// so it is an error if any request on the connection was HEAD.
+func (c *conn) discardSurplus(response *http.Response) error {
 	if c.sentHead || response.ContentLength > maxSurplusBytes {
-		return errors.New("an answer to no request of ours")
+		return errors.New("response to another request")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBytes+1))
 	if err != nil || n > maxSurplusBytes || response.Close {
-		return errors.Newf("a surplus answer that does not end: %v", err)
+		return errors.Newf("surplus response is incomplete: %v", err)
 	}
 	return nil
 }
 
-// answer is the answer by its head; its end has to be known.
-func (c *conn) answer(r *Request, response *http.Response) (*Response, error) {
-	a := &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, body: response.Body, conn: c, Close: response.Close}
+// newResponse returns the response by its head. It is an error if the end of its body is not known by its framing.
+func (c *conn) newResponse(r *Request, response *http.Response) (*Response, error) {
+	res := &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+		ConnClose: response.Close, body: response.Body, conn: c}
 	switch {
-	case r.Method == http.MethodHead || a.Status == http.StatusNoContent || a.Status == http.StatusNotModified:
-		a.Length, a.body = 0, http.NoBody
+	case r.Method == http.MethodHead || res.Status == http.StatusNoContent || res.Status == http.StatusNotModified:
+		res.Length, res.body = 0, http.NoBody
 	case response.ContentLength < 0 && len(response.TransferEncoding) == 0:
-		return nil, errors.New("an answer whose end would not be known")
+		return nil, errors.New("response without a known end")
 	}
-	return a, nil
+	return res, nil
 }
--- a/internal/tier/upstream/host.go
+++ b/internal/tier/upstream/host.go
@@ -4,78 +4,82 @@
 	"bufio"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
-
-	"github.com/cockroachdb/errors"
 )
 
-// Host is one incarnation. Its connections are its own: another at the same address gets none of them.
+// Host is one incarnation of a host with its connections. It is safe for concurrent use.
 type Host struct {
-	ID     string
-	Addr   string
-	limit  atomic.Int32
-	closed atomic.Bool
-	dial   Dial
+	ID        string
+	Addr      string
+	connLimit atomic.Int32
+	disabled  atomic.Bool
+	dial      Dial
 
 	mu   sync.Mutex
-	open int
+	open int     // connections that are open or being dialled
 	idle []*conn // the one used last at the end
 }
 
-// NewHost is a host with so many connections from here at most.
-func NewHost(id, addr string, limit int) *Host { return NewHostWith(dial, id, addr, limit) }
+// NewHost returns a host with at most connLimit connections, by TCP.
+func NewHost(id, addr string, connLimit int) *Host {
+	return NewHostWithDial(dial, id, addr, connLimit)
+}
 
-// NewHostWith is one whose connections are made in another way than by TCP.
-func NewHostWith(dial Dial, id, addr string, limit int) *Host {
+// NewHostWithDial returns a host whose connections are made by dial.
+func NewHostWithDial(dial Dial, id, addr string, connLimit int) *Host {
 	h := &Host{ID: id, Addr: addr, dial: dial}
-	h.SetLimit(limit)
+	h.SetConnLimit(connLimit)
 	return h
 }
 
-// SetLimit bounds the connections.
-func (h *Host) SetLimit(limit int) { h.limit.Store(int32(max(1, limit))) }
+// SetConnLimit sets the number of connections, at most; no less than 1. Open connections stay.
+func (h *Host) SetConnLimit(connLimit int) { h.connLimit.Store(int32(max(1, connLimit))) }
 
-// SetClosed has nothing new go there from now on, and closes the idle connections; or has it go again. It binds calls
-// that wait for their connection as well.
-func (h *Host) SetClosed(closed bool) {
-	h.closed.Store(closed)
-	if closed {
-		h.CloseIdle()
+// SetDisabled disables or enables the host. A disabled host gets no new calls, also not on connections that are being dialled;
+// its idle connections are closed, others with the end of their call.
+func (h *Host) SetDisabled(disabled bool) {
+	h.disabled.Store(disabled)
+	if disabled {
+		h.CloseIdleConns()
 	}
 }
 
-// CloseIdle closes the idle connections.
-func (h *Host) CloseIdle() {
-	for c := h.pop(); c != nil; c = h.pop() {
-		c.release()
+// CloseIdleConns closes the idle connections.
+func (h *Host) CloseIdleConns() {
+	for c := h.takeIdle(); c != nil; c = h.takeIdle() {
+		c.discard()
 	}
 }
 
-// Sweep closes connections that have been idle for too long to be used.
-func (h *Host) Sweep(now time.Time) {
+// CloseExpiredConns closes connections that have been idle for too long to be used.
+func (h *Host) CloseExpiredConns(now time.Time) {
 	h.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	keep := h.idle[:0]
 	for _, c := range h.idle {
 		if now.Sub(c.idleSince) < c.idleLimit {
 			keep = append(keep, c)
 		} else {
-			old = append(old, c)
+			expired = append(expired, c)
 		}
 	}
 	clear(h.idle[len(keep):])
 	h.idle = keep
 	h.mu.Unlock()
-	for _, c := range old {
-		c.release()
+	for _, c := range expired {
+		c.discard()
 	}
 }
 
-// Open is how many connections are open or coming up.
-func (h *Host) Open() int { h.mu.Lock(); defer h.mu.Unlock(); return h.open }
+// OpenConns returns the number of connections that are open or being dialled.
+func (h *Host) OpenConns() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.open
+}
 
-func (h *Host) pop() *conn {
+// takeIdle takes the idle connection that was used last; nil for none.
+func (h *Host) takeIdle() *conn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := len(h.idle)
@@ -88,88 +92,90 @@
 	return c
 }
 
-// get returns a kept connection, or a new one.
-func (h *Host) get(preferNew bool, until time.Time) (*conn, error) {
+// acquire returns an idle connection or else a new one. Errors are marked with their kind.
+func (h *Host) acquire(preferNew bool, deadline time.Time) (*conn, error) {
 	for {
-		if h.closed.Load() {
-			return nil, ErrHostClosed
+		if h.disabled.Load() {
+			return nil, ErrHostDisabled
 		}
-		c := h.pop()
-		if c == nil {
+		conn := h.takeIdle()
+		if conn == nil {
 			break
 		}
-		age, life := time.Since(c.idleSince), c.idleLimit
-		if age >= life || !c.quiet() {
-			c.release()
+		age, limit := time.Since(conn.idleSince), conn.idleLimit
+		if age >= limit || !conn.nothingReceived() {
+			conn.discard()
 			continue
 		}
 		if preferNew {
-			if life /= 2; !c.limitTold {
-				life = preferNewAfter
+			if limit /= 2; !conn.idleLimitAdvertised {
+				limit = preferNewAfter
 			}
-			if age >= life && h.putBack(c) {
-				break // it is for others: a new one
+			if age >= limit && h.putBack(conn) {
+				break // left for other calls
 			}
 		}
-		c.kept = true
-		return c, nil
+		conn.reused = true
+		return conn, nil
 	}
+	return h.connect(deadline)
+}
+
+// connect returns a new connection.
+func (h *Host) connect(deadline time.Time) (*conn, error) {
 	h.mu.Lock()
-	if h.open >= int(h.limit.Load()) {
+	if h.open >= int(h.connLimit.Load()) {
 		h.mu.Unlock()
 		return nil, ErrConnectionLimit
 	}
 	h.open++
 	h.mu.Unlock()
-	within := min(dialTimeout, time.Until(until))
-	if within <= 0 {
-		h.forget()
+	timeout := min(dialTimeout, time.Until(deadline))
+	if timeout <= 0 {
+		h.connFailed()
 		return nil, ErrDeadline
 	}
-	nc, err := h.dial(h.Addr, within)
+	nc, err := h.dial(h.Addr, timeout)
 	if err != nil {
-		h.forget()
-		for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
-			if errors.Is(err, own) {
-				return nil, errors.Mark(err, ErrConnectionLimit)
-			}
-		}
-		if within < dialTimeout && timedOut(err) { // for a while that says nothing about the host
-			return nil, errors.Mark(err, ErrDeadline)
-		}
-		return nil, errors.Mark(err, ErrConnect)
+		h.connFailed()
+		return nil, dialError(err, timeout)
 	}
-	c := &conn{Conn: nc, host: h}
-	c.bound.R = nc
-	c.in = readers.Get().(*bufio.Reader)
-	c.in.Reset(&c.bound)
-	return c, nil
+	conn := &conn{Conn: nc, host: h}
+	conn.limitedReader.R = nc
+	conn.reader = readerPool.Get().(*bufio.Reader)
+	conn.reader.Reset(&conn.limitedReader)
+	return conn, nil
 }
 
-// putBack puts an idle connection back where there is room for a new one.
+// connFailed uncounts a connection that was not made.
+func (h *Host) connFailed() {
+	h.mu.Lock()
+	h.open--
+	h.mu.Unlock()
+}
+
+// putBack puts a connection that takeIdle returned back, if a new one may be made instead. It reports whether it did.
 func (h *Host) putBack(c *conn) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.open >= int(h.limit.Load()) || h.closed.Load() {
+	if h.open >= int(h.connLimit.Load()) || h.disabled.Load() {
 		return false
 	}
 	h.idle = append(h.idle, c)
 	return true
 }
 
-func (h *Host) forget() { h.mu.Lock(); h.open--; h.mu.Unlock() }
-
-// put keeps a connection whose answer was read whole, with nothing behind it.
-func (h *Host) put(c *conn) {
-	if c.SetDeadline(time.Time{}) != nil || h.closed.Load() {
-		c.release()
+// keepIdle keeps a connection whose response was read to its end, with no bytes behind it.
+func (h *Host) keepIdle(c *conn) {
+	if c.SetDeadline(time.Time{}) != nil || h.disabled.Load() {
+		c.discard()
 		return
 	}
 	c.idleSince = time.Now()
 	h.mu.Lock()
 	h.idle = append(h.idle, c)
 	h.mu.Unlock()
-	if h.closed.Load() { // closed meanwhile
-		h.SetClosed(true)
+	if h.disabled.Load() { // since the look above: SetDisabled may have missed the connection
+		h.SetDisabled(true)
 	}
 }
--- a/internal/tier/upstream/cut_test.go
+++ b/internal/tier/upstream/truncation_test.go
@@ -10,12 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A request that is cut behind any of its bytes but the last has not run: on a new connection that is told, from a kept
-// one it goes once more on another. Cut behind the last byte it may have run.
-func TestRequestCutBehindEachByte(t *testing.T) {
+// A request that is truncated after any of its bytes but the last has not run: on a new connection that is the outcome, on a
+// reused one it is sent again on another. Truncated after the last byte it may have run.
+func TestTruncatedRequestNotRun(t *testing.T) {
 	r := get("b")
 	r.Body = [][]byte{[]byte("history,"), []byte("input")}
-	size := len(r.head(nil, "i-1", 13)) + 13
+	size := len(r.appendHead(nil, "i-1", 13)) + 13
 	for _, kept := range []bool{false, true} {
 		for cut := range size + 1 {
 			ran := make(chan string, 4)
@@ -47,22 +47,22 @@
 				want(t, "outcome", res.Outcome, NotRun)
 				want(t, "of its kind", errors.Is(err, ErrNotSent), true)
 			}
-			s.CloseIdle()
+			s.CloseIdleConns()
 			want(t, "calls", s.calls.Load(), calls)
 			if t.Failed() {
-				t.Fatalf("cut behind byte %d of %d, kept %v", cut, size, kept)
+				t.Fatalf("truncated after byte %d of %d, kept %v", cut, size, kept)
 			}
 		}
 	}
 }
 
-// The same of a long request, cut around the ends of its pieces: only with its last byte it may have run.
-func TestLongRequestCut(t *testing.T) {
+// The same for a long request, truncated around the ends of its writes.
+func TestTruncatedLongRequestNotRun(t *testing.T) {
 	r := get("b")
-	r.Body = [][]byte{[]byte(strings.Repeat("h", maxJoinedBody)), []byte(strings.Repeat("i", lastPieceBytes/2))}
-	size := r.size()
-	head := len(r.head(nil, "i-1", size))
-	for _, cut := range []int{0, head - 1, head, head + 1, head + maxJoinedBody, head + size - lastPieceBytes, head + size - lastPieceBytes + 1, head + size - 1, head + size} {
+	r.Body = [][]byte{[]byte(strings.Repeat("h", maxJoinedBody)), []byte(strings.Repeat("i", lastWriteBytes/2))}
+	size := r.bodySize()
+	head := len(r.appendHead(nil, "i-1", size))
+	for _, cut := range []int{0, head - 1, head, head + 1, head + maxJoinedBody, head + size - lastWriteBytes, head + size - lastWriteBytes + 1, head + size - 1, head + size} {
 		s := newStandin(t, func(l *line) bool { l.ok(l.body); return false })
 		s.dial = func(addr string, within time.Duration) (net.Conn, error) {
 			nc, err := dial(addr, within)
@@ -81,13 +81,13 @@
 			want(t, "calls", s.calls.Load(), 0)
 		}
 		if t.Failed() {
-			t.Fatalf("cut behind byte %d of %d", cut, head+size)
+			t.Fatalf("truncated after byte %d of %d", cut, head+size)
 		}
 	}
 }
 
-// A host that takes nothing in does not hold a call up past its time, and has no whole request.
-func TestHostThatDoesNotRead(t *testing.T) {
+// A host that does not read does not delay a call beyond its deadline, and does not get the complete request.
+func TestHostThatDoesNotReadTimesOut(t *testing.T) {
 	begun := make(chan bool)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
