--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -9,13 +9,13 @@
 	"larchrouter/internal/relay/override"
 )
 
-// joinFleet listens for the notes of other relays until the context ends. A relay that cannot goes on without them:
-// then it grants its calls to itself.
+// joinFleet receives messages of other relays until the context ends. If that fails, the relay goes on without them and
+// grants its calls to itself.
 func (r *Relay) joinFleet(ctx context.Context) {
-	c, err := gossip.Listen(ctx, r.conf.PeerListen)
+	conn, err := gossip.Listen(ctx, r.config.PeerListen)
 	if err == nil {
-		if err = c.SetPeers(r.conf.Peers); err != nil {
-			c.Close()
+		if err = conn.SetPeers(r.config.Peers); err != nil {
+			conn.Close()
 		}
 	}
 	if err != nil {
@@ -24,34 +24,34 @@
 		}
 		return
 	}
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	defer c.Close()
-	words := r.company != nil
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	defer conn.Close()
+	inCluster := r.cluster != nil
 	r.post(func() {
-		r.peers = c
-		if words {
-			r.talk()
+		r.peers = conn
+		if inCluster {
+			r.sendOverrides()
 		}
 	})
-	c.Receive(func(from int, note []byte) {
-		if words && len(note) > 0 && note[0] == override.Version {
-			r.post(func() { r.hearTalk(from, note) })
+	conn.Receive(func(from int, note []byte) {
+		if inCluster && len(note) > 0 && note[0] == override.Version {
+			r.post(func() { r.receiveOverrides(from, note) })
 			return
 		}
 		r.post(func() { r.events = append(r.events, choice.Heard{From: from, Note: note}) })
 	})
 }
 
-// leaveFleet hears no more notes: another process takes this one's place. It runs in the loop.
-func (r *Relay) leaveFleet() {
+// closePeers ends the exchange with other relays when a successor takes over. It runs on the loop.
+func (r *Relay) closePeers() {
 	if r.peers != nil {
 		r.peers.Close()
 		r.peers = nil
 	}
 }
 
-// tellPeer sends a note.
-func (r *Relay) tellPeer(t choice.Tell) {
+// sendToPeer sends a message to another relay.
+func (r *Relay) sendToPeer(t choice.Tell) {
 	if r.peers != nil {
 		r.peers.Send(t.To, t.Note)
 	}
--- a/internal/relay/handover/link.go
+++ b/internal/relay/handover/link.go
@@ -7,66 +7,67 @@
 	"time"
 )
 
-// Link is an owner's way to its heir. Its methods are safe for concurrent use.
+// Link carries outcomes from an owner to its successor. Its methods are safe for concurrent use.
 type Link struct {
-	conn *net.UnixConn
-	come chan struct{} // one waits here when there is something to write
-	gone chan struct{} // closed when the heir has gone
-	mu   sync.Mutex
-	list []Outcome
-	left int // in the list, or being written
+	conn      *net.UnixConn
+	wakeup    chan struct{} // holds a value while the queue may have something to write
+	closed    chan struct{} // closed once the successor has closed its connection
+	mu        sync.Mutex    // guards queue and unwritten
+	queue     []Outcome
+	unwritten int // in the queue, or being written
 }
 
 func newLink(conn *net.UnixConn) *Link {
-	return &Link{conn: conn, come: make(chan struct{}, 1), gone: make(chan struct{})}
+	return &Link{conn: conn, wakeup: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// Tell has the heir told an outcome. It never waits.
-func (l *Link) Tell(o Outcome) {
+// Notify queues an outcome for the successor. It never blocks.
+func (l *Link) Notify(o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.list = append(l.list, o)
-	l.left++
+	l.queue = append(l.queue, o)
+	l.unwritten++
 	select {
-	case l.come <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Told tells whether all outcomes are with the heir.
-func (l *Link) Told() bool {
+// Flushed reports whether all queued outcomes have been written.
+func (l *Link) Flushed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.left == 0
+	return l.unwritten == 0
 }
 
-// write writes outcomes as they come, until the heir has gone.
-func (l *Link) write() {
-	out := json.NewEncoder(l.conn)
+// writeLoop writes outcomes until the successor has closed its connection.
+func (l *Link) writeLoop() {
+	encoder := json.NewEncoder(l.conn)
 	for {
 		select {
-		case <-l.come:
-		case <-l.gone:
+		case <-l.wakeup:
+		case <-l.closed:
 			return
 		}
 		l.mu.Lock()
-		list := l.list
-		l.list = nil
+		batch := l.queue
+		l.queue = nil
 		l.mu.Unlock()
-		l.conn.SetWriteDeadline(time.Now().Add(tellIn))
-		for _, o := range list {
-			if out.Encode(o) != nil {
-				l.conn.Close() // what is not told counts as after a crash
+		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		for _, o := range batch {
+			if encoder.Encode(o) != nil {
+				l.conn.Close() // what was not sent counts as after a crash
 				return
 			}
 		}
 		l.mu.Lock()
-		l.left -= len(list)
+		l.unwritten -= len(batch)
 		l.mu.Unlock()
 	}
 }
 
-// Close breaks off with the heir; what it was not told counts as after a crash.
+// Close closes the connection; outcomes that were not sent count as after a crash.
 func (l *Link) Close() { l.conn.Close() }
 
-func (l *Link) close() { close(l.gone) }
+// stop ends writeLoop.
+func (l *Link) stop() { close(l.closed) }
--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -67,7 +67,7 @@
 		return false, err
 	}
 	defer lock.Close()
-	conf.Heir, conf.Unlock = heir, func() { lock.Close() }
+	conf.Successor, conf.Unlock = heir, func() { lock.Close() }
 	r, err := relay.New(conf)
 	if err != nil {
 		return false, err
@@ -84,28 +84,28 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
-			heir.Follow(ctx, r.Told)
-			r.LeftAlone()
+			heir.ReceiveOutcomes(ctx, r.AcceptOutcome)
+			r.PredecessorLost()
 		}()
 	}
 	r.Serve()
-	return r.Orphan(), nil
+	return r.Orphaned(), nil
 }
 
 // take makes the state folder this process's: another that runs hands over, one that is about to end is waited for.
-func take(dir string) (heir *handover.Heir, lock *os.File, err error) {
+func take(dir string) (heir *handover.Successor, lock *os.File, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), takeIn)
 	defer cancel()
 	for {
 		if heir == nil {
-			heir, err = handover.Ask(ctx, dir)
+			heir, err = handover.Request(ctx, dir)
 		}
 		if err == nil {
 			if lock, err = statedir.Lock(dir); err == nil {
 				return heir, lock, nil
 			}
 		}
-		if refused := (*handover.Refused)(nil); !errors.Is(err, statedir.ErrInUse) && !errors.As(err, &refused) {
+		if refused := (*handover.RefusedError)(nil); !errors.Is(err, statedir.ErrInUse) && !errors.As(err, &refused) {
 			return nil, nil, err
 		}
 		select {
@@ -138,7 +138,7 @@
 
 func (s *seat) retell(r *relay.Relay, c *relay.Config) {
 	r.Rediscover(c.Discovery)
-	r.Retune(c.Settings)
+	r.ReloadSettings(c.Settings)
 }
 
 // heed carries signals out.
--- a/internal/relay/service_test.go
+++ b/internal/relay/service_test.go
@@ -33,7 +33,7 @@
 	return conn
 }
 
-// answered reads the answer to raw bytes, and whether the relay closed the connection after it.
+// answered reads the status and header of a raw response, and whether the relay closed the connection after it.
 func answered(t *testing.T, conn net.Conn) (status int, header http.Header, closed bool) {
 	t.Helper()
 	in := bufio.NewReader(conn)
@@ -54,8 +54,8 @@
 		"X-Addressing: dest=7\r\n" + more + "\r\n" + body
 }
 
-// Guards against a request hidden in the body of another: whatever the stated lengths leave over is not served.
-func TestHiddenRequestIsNotServed(t *testing.T) {
+// A request hidden in the body of another is not served, whatever the stated lengths leave over.
+func TestSmuggledRequestIsNotServed(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	hidden := request("hidden", "Content-Length: 1\r\n", "x")
@@ -80,8 +80,8 @@
 	c.answer <- 200
 }
 
-// Guards against a body that is waited for although its stated length is already too much.
-func TestLongBodyIsRefusedAtOnce(t *testing.T) {
+// A body whose stated length is too large is not waited for.
+func TestLongBodyIsRejectedAtOnce(t *testing.T) {
 	r := startRelay(t, newPlatform(t), nil)
 	conn := dial(t, r.Addr())
 	io.WriteString(conn, request("m1", "Content-Length: 60000000\r\n", ""))
@@ -90,7 +90,7 @@
 	want(t, "closed", closed, true)
 }
 
-// Guards against a half request that holds its connection for longer than a client is owed an answer in.
+// An incomplete request does not keep its connection for longer than a client is owed a response.
 func TestHalfRequestIsEndedSoon(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), nil)
 	begin := time.Now()
@@ -101,13 +101,13 @@
 	want(t, "status", status, 400)
 	want(t, "closed", closed, true)
 	io.Copy(io.Discard, head)
-	if took := time.Since(begin); took > 4*time.Second {
-		t.Fatalf("the connections were held for %v, 3 s are allowed", took)
+	if elapsed := time.Since(begin); elapsed > 4*time.Second {
+		t.Fatalf("the connections were open for %v, 3 s are allowed", elapsed)
 	}
 }
 
-// Guards against silent and idle connections that keep others from being accepted.
-func TestSilentClientsMakeRoom(t *testing.T) {
+// Silent and idle connections do not keep others from being accepted.
+func TestIdleClientsAreEvicted(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), func(c *Config) { c.Sockets = 64 })
 	silent := make([]net.Conn, 40)
@@ -118,15 +118,15 @@
 	io.WriteString(conn, request("m1", "Content-Length: 1\r\n", "x"))
 	status, _, _ := answered(t, conn)
 	want(t, "status", status, 202)
-	silent[0].SetReadDeadline(time.Now().Add(requestIn / 2)) // it was closed to make room, not for its silence
+	silent[0].SetReadDeadline(time.Now().Add(readTimeout / 2)) // it was closed to make room, not by a time-out
 	if _, err := silent[0].Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 		t.Fatalf("the oldest silent connection: %v, want its end", err)
 	}
 	wait(t, calls, "call").answer <- 200
 }
 
-// Guards against another client's message that passes for the one with its id, or harms it.
-func TestForeignMessageWithAHeldID(t *testing.T) {
+// Another client's message is neither taken for the one with its id, nor does it affect it.
+func TestForeignMessageWithPendingID(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	status, _ := hand(t, r.Addr(), "m1", "job-order")
@@ -145,7 +145,7 @@
 	}
 }
 
-// Guards against memory that grows with the bodies held.
+// Memory for pending bodies is bounded.
 func TestBodiesHaveABudget(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), func(c *Config) { c.MemoryMB = 0.5 })
@@ -163,38 +163,38 @@
 	want(t, "status over the budget", status, 503)
 	want(t, "Retry-After", header.Get("Retry-After"), "1.000")
 	first.answer <- 200
-	for status != 202 { // as soon as the first one's end has come
+	for status != 202 { // as soon as the first has ended
 		status, _ = post("m3")
 	}
 	wait(t, calls, "call").answer <- 200
 
-	r = &Relay{bodies: 5 << 10}
-	if _, err := r.readBody(strings.NewReader(body), len(body)); err != errNoRoom { //nolint:errorlint // as it is: clients get its text
+	r = &Relay{maxBodyBytes: 5 << 10}
+	if _, err := r.readBody(strings.NewReader(body), len(body)); err != errNoBodyMemory { //nolint:errorlint // as it is: clients get its text
 		t.Fatalf("error is %v, want no room", err)
 	}
 	if _, err := r.readBody(strings.NewReader("short"), 60<<10); err != io.ErrUnexpectedEOF { //nolint:errorlint // as it comes from the reader
 		t.Fatalf("error is %v, want an early end", err)
 	}
-	want(t, "bytes of bodies being read", r.reading.Load(), 0)
+	want(t, "bytes of bodies being read", r.readingBytes.Load(), 0)
 }
 
-// Guards against a loop that stands still while more notices are owed than fit anywhere.
+// The loop does not block when there are more notices than fit anywhere.
 func TestNoticesNeverBlock(t *testing.T) {
 	o := newOutbox()
 	for range 100_000 {
 		o.put(notice{"m", deferred, 0})
 	}
 	n := 0
-	for len(o.come) > 0 {
-		<-o.come
+	for len(o.ready) > 0 {
+		<-o.ready
 		n += len(o.take())
 	}
 	want(t, "notices", n, 100_000)
 }
 
-// Guards against one notice that is never taken and holds up all others.
-func TestBadNoticeHoldsUpNoOther(t *testing.T) {
-	told := make(chan string, 10)
+// A notice that is always rejected does not block the others.
+func TestRejectedNoticeDoesNotBlockOthers(t *testing.T) {
+	notified := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		if bytes.Contains(body, []byte(`"bad"`)) {
@@ -206,7 +206,7 @@
 			if dec.Decode(&n) != nil {
 				break
 			}
-			told <- n.ID
+			notified <- n.ID
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
@@ -214,35 +214,35 @@
 	r := startRelay(t, newPlatform(t), func(c *Config) { c.Discovery = []string{s.Listener.Addr().String()} })
 	r.post(func() {
 		for _, id := range []string{"a", "bad", "b"} {
-			r.owe(notice{id, undeliverable, 0}, "")
+			r.queueNotice(notice{id, undeliverable, 0}, "")
 		}
 	})
-	want(t, "first", wait(t, told, "notice"), "a")
-	want(t, "second", wait(t, told, "notice"), "b")
+	want(t, "first", wait(t, notified, "notice"), "a")
+	want(t, "second", wait(t, notified, "notice"), "b")
 }
 
-// Guards against growth where ids of hosts are ever new.
+// State does not grow when ids of hosts are never reused.
 func TestGoneHostsAreForgotten(t *testing.T) {
 	long := time.Now().Add(-time.Hour).UnixMilli()
-	r := &Relay{hosts: map[string]*host{}, dests: map[int]time.Duration{},
-		waits: map[int]*httpcall.Waits{},
+	r := &Relay{hosts: map[string]*host{}, destinationSeen: map[int]time.Duration{},
+		sharedWaits: map[int]*httpcall.Waits{},
 		journal: newJournal(t, journal.Record{Op: journal.OpHealth, ID: "s-0", Ran: true, At: long},
 			journal.Record{Op: journal.OpHealth, ID: "s-1", Ran: true, At: long}),
-		began: time.Now().Add(-time.Hour), conns: httpcall.NewPool(time.Second, time.Minute, 64)}
-	r.dests[6] = 0
-	r.listed(list{1, true, []server{at("s-1", "x:1", "nowhere")}})
+		startedAt: time.Now().Add(-time.Hour), pool: httpcall.NewPool(time.Second, time.Minute, 64)}
+	r.destinationSeen[6] = 0
+	r.applyHostList(hostList{1, true, []hostEntry{at("s-1", "x:1", "nowhere")}})
 	r.flush()
 	want(t, "the gone one's outage is kept", r.journal.Unwell["s-0"].Ran, false)
 	want(t, "the listed one's outage is kept", r.journal.Unwell["s-1"].Ran, true)
-	want(t, "destination 6 is known", r.knows(6), false)
-	want(t, "destination 7 is known", r.knows(7), true)
-	first, again := r.zone("nowhere"), r.zone("nowhere")
+	want(t, "destination 6 is known", r.knownDestination(6), false)
+	want(t, "destination 7 is known", r.knownDestination(7), true)
+	first, again := r.zoneNumber("nowhere"), r.zoneNumber("nowhere")
 	want(t, "the number of an unnamed zone, asked again", again, first)
-	want(t, "two unnamed zones share a number", r.zone("a") == r.zone("b"), false)
-	want(t, "zones", len(r.set.Zones), 0)
+	want(t, "two unnamed zones share a number", r.zoneNumber("a") == r.zoneNumber("b"), false)
+	want(t, "zones", len(r.settings.Zones), 0)
 }
 
-// Guards against an end by SIGHUP, and against list and notices from where discovery no longer is.
+// SIGHUP does not end the process, and moves the list and the notices to the new address of discovery.
 func TestReload(t *testing.T) {
 	calls := make(chan *seen, 10)
 	old := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -294,12 +294,12 @@
 		want(t, "status", status, 202)
 		c := wait(t, calls, "call")
 		want(t, "host", c.host, from)
-		c.answer <- 500 // its notice is owed
+		c.answer <- 500 // its notice is pending
 	}
 	for q := ""; !strings.Contains(q, "since=1&"); {
 		q = wait(t, old.asked, "watch")
 	}
-	told := func(p *platform, id, before string) { // the one before may come again, until the relay has read its answer
+	notified := func(p *platform, id, before string) { // the previous one may be repeated until the relay has read its answer
 		t.Helper()
 		for got := ""; got != id; {
 			if got = wait(t, p.notices, "notice").ID; got != id && got != before {
@@ -308,9 +308,9 @@
 		}
 	}
 	deliver("m0", "a")
-	told(old, "m0", "")
+	notified(old, "m0", "")
 	deliver("m1", "a")
-	told(old, "m1", "m0") // notices go out one after the other: m0's is acknowledged, and may not come again
+	notified(old, "m1", "m0") // notices are posted one after the other: m0's is acknowledged, and may not be repeated
 
 	write([]byte("{"))
 	hangup("not read again")
@@ -320,7 +320,7 @@
 		q = wait(t, next.asked, "watch at the new address")
 	}
 	deliver("m2", "b")
-	told(next, "m2", "m1")
+	notified(next, "m2", "m1")
 
 	// The environment still names the old address, where nobody listens any more.
 	cmd.Process.Kill()
@@ -335,16 +335,16 @@
 		q = wait(t, next.asked, "watch after the restart")
 	}
 	deliver("m3", "b")
-	for wait(t, next.notices, "notice").ID != "m3" { // m2's may come again: the kill came before its end was recorded
+	for wait(t, next.notices, "notice").ID != "m3" { // m2's may be repeated: the kill came before its end was recorded
 	}
 }
 
-// settled waits until all notices are acknowledged; all that came meanwhile must be one that came again.
+// settled waits until all notices are acknowledged; all that came meanwhile must be repetitions of one.
 func settled(t *testing.T, r *Relay, p *platform, again string) {
 	t.Helper()
 	for owed := -1; owed != 0; {
 		var err error
-		if owed, err = inLoop(t.Context(), r, func() int { return r.owed }); err != nil {
+		if owed, err = onLoop(t.Context(), r, func() int { return r.pendingNotices }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -353,9 +353,8 @@
 	}
 }
 
-// Forces the crossing of an answer and a change of address: a notice that was read at the old address and not answered is
-// told at the new one, and one that was answered is not.
-func TestNoticeWithoutAnAnswerGoesToTheNewAddress(t *testing.T) {
+// A notice that was read at the old address and not answered is posted at the new one, and one that was answered is not.
+func TestUnansweredNoticeGoesToNewAddress(t *testing.T) {
 	calls := make(chan *seen, 10)
 	host := at("s-1", fakeHost(t, "a", calls), "taller")
 	old, next := newPlatform(t, host), newPlatform(t, host)
@@ -379,8 +378,8 @@
 	settled(t, r, next, "unanswered")
 }
 
-// Guards against a refusal that becomes a crash: a relay whose disk is full answers 503 and goes on.
-func TestFullDiskRefuses(t *testing.T) {
+// A relay whose disk is full answers 503 and goes on.
+func TestFullDiskRejects(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	set := func(budget int64) (old int64) {
