--- a/internal/relay/chaostest/appliance_test.go
+++ b/internal/relay/chaostest/appliance_test.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for fault, c := range map[string]struct{ text, rule string }{plant.Contract: {contract, "told"}, plant.Word: {words, "stale"}} {
+	for fault, c := range map[string]struct{ text, rule string }{faultinject.Contract: {contract, "told"}, faultinject.Word: {words, "stale"}} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			s, err := scenario.Parse([]byte(c.text), fault)
--- a/internal/relay/chaostest/chaostest_test.go
+++ b/internal/relay/chaostest/chaostest_test.go
@@ -212,7 +212,7 @@
 		t.Fatal(err)
 	}
 	judge(t, func() (*Book, []string) {
-		b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Plant: plant.Lease})
+		b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Plant: faultinject.Lease})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/cluster.go
+++ b/internal/relay/cluster.go
@@ -75,7 +75,7 @@
 	var entries []drain.Entry
 	fleet.gone = nil
 	for _, item := range fleet.gossiper.Store().All() {
-		if !item.Active || plant.Is(plant.Word) {
+		if !item.Active || faultinject.Is(faultinject.Word) {
 			continue
 		}
 		if target, err := drain.ParseTarget(item.Subject); err == nil && target.Scope != drain.Relay {
--- a/internal/relay/faultinject/off.go
+++ b/internal/relay/faultinject/off.go
@@ -1,8 +1,8 @@
 //go:build !planted
 
-// Package plant has faults that can be switched into the program for trials which show that their bounds fail with them. The
+// Package faultinject has faults that can be switched into the program for trials which show that their bounds fail with them. The
 // program that is built without the tag "planted" has none: Is is false there, and what hangs on it is left out.
-package plant
+package faultinject
 
 // The faults.
 const (
--- a/internal/relay/faultinject/on.go
+++ b/internal/relay/faultinject/on.go
@@ -1,7 +1,7 @@
 //go:build planted
 
-// Package plant has faults that can be switched into the program for trials which show that their bounds fail with them.
-package plant
+// Package faultinject has faults that can be switched into the program for trials which show that their bounds fail with them.
+package faultinject
 
 import "os"
 
--- a/internal/relay/fleetlimit/configured.go
+++ b/internal/relay/fleetlimit/configured.go
@@ -46,7 +46,7 @@
 
 // advance adds the tokens since the last call. Between the two the share was no less than the smaller of both.
 func (c *configuredLimit) advance(now time.Duration, share float64) {
-	if plant.Is(plant.Contract) {
+	if faultinject.Is(faultinject.Contract) {
 		share = 1
 	}
 	c.tokens += c.limit.Rate * min(c.share, share) * max(0, now-c.updatedAt).Seconds()
--- a/internal/relay/fleetlimit/shares.go
+++ b/internal/relay/fleetlimit/shares.go
@@ -210,7 +210,7 @@
 	switch {
 	case l.settings.QuotaShares:
 		at := l.now
-		if plant.Is(plant.Lease) {
+		if faultinject.Is(faultinject.Lease) {
 			at = 0
 		}
 		each := 1 / float64(l.totalWeight)
