--- a/cmd/larchrouter/journal.go
+++ b/cmd/larchrouter/journal.go
@@ -78,8 +78,8 @@
 		return v, coded{err, exitFailed}
 	}
 	rep := j.Report()
-	v = journalView{State: dir, InUse: statedir.InUse(dir), Bytes: j.Size(), Ended: len(j.Ended()), Damage: rep.Damage, Suspects: rep.Suspects, Lost: rep.Lost,
-		Torn: rep.Torn, Unread: rep.LegacyUnread, Foreign: rep.Foreign}
+	v = journalView{State: dir, InUse: statedir.InUse(dir), Bytes: j.Size(), Ended: len(j.CompletedIDs()), Damage: rep.Damage, Suspects: rep.Suspects, Lost: rep.Lost,
+		Torn: rep.TornBytes, Unread: rep.LegacyUnread, Foreign: rep.Foreign}
 	for _, s := range rep.Segments {
 		v.Segments = append(v.Segments, segmentView(s))
 	}
@@ -89,7 +89,7 @@
 	for id := range j.Drains {
 		v.Drains = append(v.Drains, id)
 	}
-	for id := range j.Unwell {
+	for id := range j.Unhealthy {
 		v.Unwell = append(v.Unwell, id)
 	}
 	return v, nil
--- a/cmd/larchrouter/journal_test.go
+++ b/cmd/larchrouter/journal_test.go
@@ -14,7 +14,7 @@
 // The journal commands read a folder without a relay, tell what each message is owed, and name what is damaged.
 func TestJournalCommands(t *testing.T) {
 	dir := t.TempDir()
-	j, err := journal.Open(dir, journal.Options{Budget: 3e6, Memory: journal.Memory{Most: 10, Bytes: 1 << 20, AgeMS: 1e6}})
+	j, err := journal.Open(dir, journal.Options{Budget: 3e6, Retention: journal.Retention{MaxIDs: 10, MaxBytes: 1 << 20, MaxAgeMs: 1e6}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/compaction/compaction.go
+++ b/internal/relay/compaction/compaction.go
@@ -12,13 +12,13 @@
 
 // Bounds of what a segment takes, and of what is carried at a time.
 const (
-	leastSegment = 16 << 10
-	mostSegment  = 4 << 20
-	leastCarried = 16 << 10
-	MostCarried  = 128 << 10 // or as much as was written
-	mostPaced    = 2 << 20   // by pace, for what was written at once
-	pace         = 4         // bytes carried for each one written, at most
-	mostSegments = 64        // more small ones than that are compacted whatever they take
+	minSegmentSize  = 16 << 10
+	maxSegmentSize  = 4 << 20
+	minRewrite      = 16 << 10
+	MaxRewrite      = 128 << 10 // or as much as was written
+	maxPacedRewrite = 2 << 20   // by pace, for what was written at once
+	rewriteRatio    = 4         // bytes carried for each one written, at most
+	maxSegments     = 64        // more small ones than that are compacted whatever they take
 )
 
 // Limits follow from a budget in bytes for all files of a journal.
@@ -29,10 +29,10 @@
 	reserve int64 // of the budget: for records of what is held already, and for what is carried
 }
 
-// For are the limits for a budget.
-func For(budget int64) Limits {
-	l := Limits{Budget: budget, Segment: min(max(budget/16, leastSegment), mostSegment)}
-	l.Spare = min(max(budget/32, leastSegment), 1<<20)
+// ForBudget are the limits for a budget.
+func ForBudget(budget int64) Limits {
+	l := Limits{Budget: budget, Segment: min(max(budget/16, minSegmentSize), maxSegmentSize)}
+	l.Spare = min(max(budget/32, minSegmentSize), 1<<20)
 	l.reserve = max(budget/8, 3*l.Segment) + l.Spare
 	return l
 }
@@ -44,30 +44,30 @@
 	Segments int
 }
 
-// ceiling is what the log may take with new messages.
-func (l Limits) ceiling() int64 { return l.Budget - l.reserve }
+// maxTotal is what the log may take with new messages.
+func (l Limits) maxTotal() int64 { return l.Budget - l.reserve }
 
-// MostLive is how many bytes may be live with new messages.
-func (l Limits) MostLive() int64 { return max(0, l.ceiling()/3*2) }
+// MaxLive is how many bytes may be live with new messages.
+func (l Limits) MaxLive() int64 { return max(0, l.maxTotal()/3*2) }
 
 // Admits tells whether there is room for new messages: n bytes to be written, by which the live ones grow by grows.
 func (l Limits) Admits(g Log, n, grows int64) bool {
-	return g.Live+grows <= l.MostLive() && g.Total+n <= l.ceiling()
+	return g.Live+grows <= l.MaxLive() && g.Total+n <= l.maxTotal()
 }
 
 // Fits tells whether n bytes of records of what is held already can be written before anything is carried.
 func (l Limits) Fits(g Log, n int64) bool { return g.Total+n+l.Spare+l.Segment <= l.Budget }
 
-// Carry is how many bytes are to be carried now, after so many were written; 0 for none. They are to be carried in
+// RewriteBytes is how many bytes are to be carried now, after so many were written; 0 for none. They are to be carried in
 // pieces of a segment at most, and segments that have nothing live let go between them.
-func (l Limits) Carry(g Log, written int64) int64 {
-	goal := min(2*g.Live+4*l.Segment, l.ceiling()-3*l.Segment)
-	most := max(MostCarried, written, min(pace*written, mostPaced)) // what was written took its time as well
+func (l Limits) RewriteBytes(g Log, written int64) int64 {
+	goal := min(2*g.Live+4*l.Segment, l.maxTotal()-3*l.Segment)
+	most := max(MaxRewrite, written, min(rewriteRatio*written, maxPacedRewrite)) // what was written took its time as well
 	switch {
-	case g.Segments < 2 || g.Total <= goal && g.Segments <= mostSegments:
+	case g.Segments < 2 || g.Total <= goal && g.Segments <= maxSegments:
 		return 0
-	case g.Total > l.ceiling()-l.Segment: // new messages are about to be refused
+	case g.Total > l.maxTotal()-l.Segment: // new messages are about to be refused
 		return most
 	}
-	return min(max(pace*written, leastCarried), most)
+	return min(max(rewriteRatio*written, minRewrite), most)
 }
--- a/internal/relay/company.go
+++ b/internal/relay/company.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	var kept []override.Word
-	for _, rec := range r.journal.Words {
+	for _, rec := range r.journal.Overrides {
 		kept = append(kept, override.Word{Subject: rec.ID, On: rec.Ran, Count: uint64(rec.Again), Origin: rec.Host, By: rec.Status, AtMs: rec.At})
 	}
 	talk, err := override.New(override.Settings{Names: names, Self: r.set.Index, Life: r.set.Life, Weights: r.set.Weights}, r.now(), kept)
@@ -106,7 +106,7 @@
 	f := r.company
 	var recs []journal.Record
 	for _, w := range words {
-		recs = append(recs, journal.Record{Op: journal.OpWord, ID: w.Subject, Ran: w.On, Again: int64(w.Count), Host: w.Origin, Status: w.By, At: w.AtMs})
+		recs = append(recs, journal.Record{Op: journal.OpOverride, ID: w.Subject, Ran: w.On, Again: int64(w.Count), Host: w.Origin, Status: w.By, At: w.AtMs})
 	}
 	if err := r.journal.Append(recs...); err != nil {
 		return err
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -243,7 +243,7 @@
 			delete(r.waits, d)
 		}
 	}
-	for id, s := range r.journal.Unwell {
+	for id, s := range r.journal.Unhealthy {
 		if r.hosts[id] == nil && time.Duration(wall-s.At)*time.Millisecond > forgetGone {
 			r.record(journal.Record{Op: journal.OpHealth, ID: id})
 		}
--- a/internal/relay/fixtures_test.go
+++ b/internal/relay/fixtures_test.go
@@ -161,9 +161,9 @@
 		}
 		want(t, "end of "+id, fmt.Sprint(e.Status, " ", e.Again, e.EndAt, " ", e.Why), text)
 	}
-	ended := r.journal.Ended()
+	ended := r.journal.CompletedIDs()
 	want(t, "ids that are over", fmt.Sprint(len(ended), " ", ended[0].ID, " ", ended[0].At), "1 over 4102444800006")
-	want(t, "base of an endpoint in an outage", r.journal.Unwell["acme-2"].Base, 2.5)
+	want(t, "base of an endpoint in an outage", r.journal.Unhealthy["acme-2"].Base, 2.5)
 }
 
 // A relay under a platform owes notices for what one of its own keeps as ends.
--- a/internal/relay/journal/bench_test.go
+++ b/internal/relay/journal/bench_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// filled is a journal that holds so many messages of 1 kB.
-func filled(b testing.TB, dir string, held int, o Options) *Journal {
+// filledJournal is a journal that holds so many messages of 1 kB.
+func filledJournal(b testing.TB, dir string, held int, o Options) *Journal {
 	b.Helper()
 	j, err := Open(dir, o)
 	if err != nil {
@@ -21,9 +21,9 @@
 	for i := 0; i < held; i += 50 {
 		var recs []Record
 		for k := i; k < min(i+50, held); k++ {
-			recs = append(recs, taken(fmt.Sprint("held-", k), 1000))
+			recs = append(recs, takenRecord(fmt.Sprint("held-", k), 1000))
 		}
-		put(b, j, recs...)
+		mustAppend(b, j, recs...)
 	}
 	return j
 }
@@ -36,7 +36,7 @@
 		return Record{Op: OpTaken, Entry: &Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: body}}
 	}
 	b.Run("journal", func(b *testing.B) {
-		j := filled(b, b.TempDir(), 1000, Options{Budget: 64 << 20, Memory: Memory{Most: 4096, Bytes: 1 << 20, AgeMS: 1e6}})
+		j := filledJournal(b, b.TempDir(), 1000, Options{Budget: 64 << 20, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}})
 		defer j.Close()
 		b.ResetTimer()
 		for i := range b.N {
@@ -50,7 +50,7 @@
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(3*b.N), "ns/record")
 	})
 	b.Run("journal-steps-of-10", func(b *testing.B) { // as a loaded relay writes them
-		j := filled(b, b.TempDir(), 1000, Options{Budget: 64 << 20, Memory: Memory{Most: 4096, Bytes: 1 << 20, AgeMS: 1e6}})
+		j := filledJournal(b, b.TempDir(), 1000, Options{Budget: 64 << 20, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}})
 		defer j.Close()
 		b.ResetTimer()
 		for i := 0; i < b.N; i += 10 {
@@ -85,13 +85,13 @@
 	})
 }
 
-// BenchmarkPause is the longest Append, each with the records of 20 messages, while compaction goes several times
+// BenchmarkLongestAppend is the longest Append, each with the records of 20 messages, while compaction goes several times
 // round the log; and how many bytes were written for each one appended.
-func BenchmarkPause(b *testing.B) {
+func BenchmarkLongestAppend(b *testing.B) {
 	for _, held := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint("held-", held), func(b *testing.B) {
 			for range b.N {
-				j := filled(b, b.TempDir(), held, Options{Budget: 1 << 30})
+				j := filledJournal(b, b.TempDir(), held, Options{Budget: 1 << 30})
 				before := j.seq
 				var all []time.Duration
 				rounds := max(2000, held/10)
@@ -99,10 +99,10 @@
 					var recs []Record
 					for i := range 20 {
 						id := fmt.Sprint("m", n, "-", i)
-						recs = append(recs, taken(id, 1000), Record{Op: OpTry, ID: id}, Record{Op: OpForget, ID: id})
+						recs = append(recs, takenRecord(id, 1000), Record{Op: OpTry, ID: id}, Record{Op: OpForget, ID: id})
 					}
 					begin := time.Now()
-					put(b, j, recs...)
+					mustAppend(b, j, recs...)
 					all = append(all, time.Since(begin))
 				}
 				slices.Sort(all)
@@ -121,15 +121,15 @@
 	for _, n := range [][2]int{{1000, 0}, {100_000, 0}, {100_000, 1_000_000}} {
 		b.Run(fmt.Sprint("held-", n[0], "-ended-", n[1]), func(b *testing.B) {
 			held := n[0]
-			dir, o := b.TempDir(), Options{Budget: 1 << 30, Memory: Memory{Most: 4096, Bytes: 1 << 20, AgeMS: 1e6}}
-			j := filled(b, dir, held, o)
+			dir, o := b.TempDir(), Options{Budget: 1 << 30, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}}
+			j := filledJournal(b, dir, held, o)
 			for n := range n[1] / 20 {
 				var recs []Record
 				for i := range 20 {
 					id := fmt.Sprint("m", n, "-", i)
-					recs = append(recs, taken(id, 100), Record{Op: OpEnd, ID: id, At: int64(n)})
+					recs = append(recs, takenRecord(id, 100), Record{Op: OpEnd, ID: id, At: int64(n)})
 				}
-				put(b, j, recs...)
+				mustAppend(b, j, recs...)
 			}
 			j.Close()
 			b.ResetTimer()
@@ -145,9 +145,9 @@
 	}
 }
 
-// BenchmarkPower is what clients together get recorded with each of them waiting for the disk: one Append for all that
+// BenchmarkGroupCommit is what clients together get recorded with each of them waiting for the disk: one Append for all that
 // wait, as the relay does, and one sync for each message.
-func BenchmarkPower(b *testing.B) {
+func BenchmarkGroupCommit(b *testing.B) {
 	for _, clients := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint("clients-", clients), func(b *testing.B) {
 			j, err := Open(b.TempDir(), Options{Budget: 64 << 20, Power: true})
@@ -174,7 +174,7 @@
 					for range waiting {
 						id := fmt.Sprint("m", n)
 						n++
-						recs = append(recs, taken(id, 300), Record{Op: OpForget, ID: id})
+						recs = append(recs, takenRecord(id, 300), Record{Op: OpForget, ID: id})
 					}
 					err := j.Append(recs...)
 					for _, w := range waiting {
--- a/internal/relay/journal/codec.go
+++ b/internal/relay/journal/codec.go
@@ -29,7 +29,7 @@
 
 // encode appends a record.
 func (r *Record) encode(buf []byte) []byte {
-	buf = putNumber(buf, recOp, codes[r.Op])
+	buf = putNumber(buf, recOp, opCodes[r.Op])
 	buf = putText(buf, recID, r.ID)
 	buf = putSigned(buf, recAt, r.At)
 	buf = putSigned(buf, recWait, r.Wait)
@@ -44,13 +44,13 @@
 	buf = putText(buf, recWhy, r.Why)
 	buf = putNumber(buf, recSum, uint64(r.Sum))
 	if r.Entry != nil {
-		buf = nested(buf, recEntry, r.Entry.encode)
+		buf = putMessage(buf, recEntry, r.Entry.encode)
 	}
 	return buf
 }
 
-// nested appends a message within one. Its length takes three bytes always, so that it can be set afterwards.
-func nested(buf []byte, n protowire.Number, put func([]byte) []byte) []byte {
+// putMessage appends a message within one. Its length takes three bytes always, so that it can be set afterwards.
+func putMessage(buf []byte, n protowire.Number, put func([]byte) []byte) []byte {
 	buf = protowire.AppendTag(buf, n, protowire.BytesType)
 	at := len(buf)
 	buf = put(append(buf, 0, 0, 0))
@@ -62,7 +62,7 @@
 	return buf
 }
 
-var errOp = errors.New("an operation that is not known")
+var errUnknownOp = errors.New("an operation that is not known")
 
 // decode reads a record. What it returns shares nothing with data.
 func decode(data []byte) (r Record, err error) {
@@ -70,7 +70,7 @@
 		switch n {
 		case recOp:
 			if f.Number == 0 || f.Number >= uint64(len(ops)) {
-				return errOp
+				return errUnknownOp
 			}
 			r.Op = ops[f.Number]
 		case recID:
@@ -104,8 +104,8 @@
 	switch {
 	case err != nil:
 	case r.Op == "":
-		err = errOp
-	case (r.Op == OpTaken || r.Op == opCarried) && r.Entry == nil:
+		err = errUnknownOp
+	case (r.Op == OpTaken || r.Op == opRewritten) && r.Entry == nil:
 		err = fmt.Errorf("a record %q without a message", r.Op)
 	}
 	return r, err
@@ -165,9 +165,9 @@
 	buf = putText(buf, entWhy, e.Why)
 	buf = putNumber(buf, entSum, uint64(e.Sum))
 	buf = putSigned(buf, entBytes, int64(e.Bytes))
-	buf = putNumber(buf, entNumber, e.number)
+	buf = putNumber(buf, entNumber, e.acceptedSeq)
 	for i := range e.Log {
-		buf = nested(buf, entAttempt, e.Log[i].encode)
+		buf = putMessage(buf, entAttempt, e.Log[i].encode)
 	}
 	return putBytes(buf, entBody, e.Body)
 }
@@ -224,7 +224,7 @@
 		case entBytes:
 			e.Bytes = int(f.Signed())
 		case entNumber:
-			e.number = f.Number
+			e.acceptedSeq = f.Number
 		case entAttempt:
 			var a Attempt
 			if err := a.decode(f.Bytes); err != nil {
--- a/internal/relay/journal/crash_test.go
+++ b/internal/relay/journal/crash_test.go
@@ -13,20 +13,20 @@
 )
 
 var (
-	histories = flag.Int("histories", 2, "random histories that are cut at every operation, at each level of durability")
-	first     = flag.Uint64("histories.seed", 1, "seed of the first")
+	historyCount = flag.Int("histories", 2, "random histories that are cut at every operation, at each level of durability")
+	firstSeed    = flag.Uint64("histories.seed", 1, "seed of the first")
 )
 
 const smallBudget = 256 << 10
 
 // history is a random life of a journal, in which compaction is always under way.
 type history struct {
-	r     *rand.Rand
-	open  []string // messages that are held
-	out   map[string]bool
-	told  []string // those whose notice is owed
-	next  int
-	clock int64
+	r       *rand.Rand
+	open    []string // messages that are held
+	out     map[string]bool
+	noticed []string // those whose notice is owed
+	next    int
+	clock   int64
 }
 
 func newHistory(seed uint64) *history {
@@ -45,7 +45,7 @@
 				id += string(make([]byte, 0, 200)) + fmt.Sprintf("%0190d", h.next)
 			}
 			size := []int{0, 10, 300, 2000, 4000}[h.r.IntN(5)]
-			e := taken(id, size)
+			e := takenRecord(id, size)
 			e.Entry.Key, e.Entry.TakenAt = "k"+id, h.clock
 			h.open = append(h.open, id)
 			recs = append(recs, e)
@@ -66,13 +66,13 @@
 			id := h.open[i]
 			h.open = append(h.open[:i], h.open[i+1:]...)
 			delete(h.out, id)
-			h.told = append(h.told, id)
+			h.noticed = append(h.noticed, id)
 			recs = append(recs, Record{Op: OpNotice, ID: id, Status: "deferred", Again: 10, At: h.clock, Why: "its time was up"})
-		case k < 9 && len(h.told) > 0:
-			recs = append(recs, Record{Op: OpEnd, ID: h.told[0], At: h.clock})
-			h.told = h.told[1:]
+		case k < 9 && len(h.noticed) > 0:
+			recs = append(recs, Record{Op: OpEnd, ID: h.noticed[0], At: h.clock})
+			h.noticed = h.noticed[1:]
 		default:
-			op := []string{OpHealth, OpDrain, OpWord}[h.r.IntN(3)]
+			op := []string{OpHealth, OpDrain, OpOverride}[h.r.IntN(3)]
 			recs = append(recs, Record{Op: op, ID: fmt.Sprint("h", h.r.IntN(4)), Ran: h.r.IntN(2) == 0, At: h.clock, Base: 1.5})
 		}
 	}
@@ -96,8 +96,8 @@
 type model struct{ state }
 
 func newModel() *model {
-	m := memory
-	m.Bytes = smallBudget / 16
+	m := testRetention
+	m.MaxBytes = smallBudget / 16
 	return &model{newState(m)}
 }
 
@@ -112,25 +112,25 @@
 	for _, e := range m.InOrder() {
 		n := *e
 		n.Log = append([]Attempt(nil), e.Log...)
-		c.state.apply(c.seq+1, &Record{Op: opCarried, Entry: &n}, 0, 100)
+		c.state.apply(c.seq+1, &Record{Op: opRewritten, Entry: &n}, 0, 100)
 	}
-	for _, all := range []map[string]Record{m.Unwell, m.Drains, m.Words} {
+	for _, all := range []map[string]Record{m.Unhealthy, m.Drains, m.Overrides} {
 		for _, r := range all {
 			c.state.apply(c.seq+1, &r, 0, 100)
 		}
 	}
-	for _, e := range m.Ended() {
-		c.state.apply(c.seq+1, &Record{Op: opEnded, ID: e.ID, Sum: e.Sum, At: e.At}, 0, 100)
+	for _, e := range m.CompletedIDs() {
+		c.state.apply(c.seq+1, &Record{Op: opCompleted, ID: e.ID, Sum: e.Sum, At: e.At}, 0, 100)
 	}
 	c.seq = m.seq
 	return c
 }
 
-// live plays a history on a folder until it is cut. It returns what was acknowledged, and what was under way.
-func live(t *testing.T, d *faultfs.Dir, seed uint64, power bool, appends int) (acked *model, underWay []Record) {
+// runHistory plays a history on a folder until it is cut. It returns what was acknowledged, and what was under way.
+func runHistory(t *testing.T, d *faultfs.Dir, seed uint64, power bool, appends int) (acked *model, underWay []Record) {
 	t.Helper()
 	h, acked := newHistory(seed), newModel()
-	j, err := Open("", Options{Budget: smallBudget, Power: power, Memory: memory, Files: d})
+	j, err := Open("", Options{Budget: smallBudget, Power: power, Retention: testRetention, Files: d})
 	if err != nil {
 		if d.Crashed() {
 			return acked, nil
@@ -165,16 +165,16 @@
 // more than a beginning.
 func TestCrashAtEveryOperation(t *testing.T) {
 	appends := 220
-	for seed := *first; seed < *first+uint64(*histories); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*historyCount); seed++ {
 		for _, power := range []bool{false, true} {
 			t.Run(fmt.Sprint("power ", power, " seed ", seed), func(t *testing.T) {
 				t.Parallel()
 				whole := faultfs.New(seed)
-				live(t, whole, seed, power, appends)
+				runHistory(t, whole, seed, power, appends)
 				for at := 1; at <= whole.Ops(); at++ {
 					d := faultfs.New(seed*1_000_000 + uint64(at))
 					d.CrashAt = at
-					acked, underWay := live(t, d, seed, power, appends)
+					acked, underWay := runHistory(t, d, seed, power, appends)
 					if !d.Crashed() {
 						t.Fatalf("operation %d of %d was not reached", at, whole.Ops())
 					}
@@ -188,28 +188,28 @@
 // checkPrefix opens a folder after a crash, twice, the second time after another crash in the middle of that start.
 func checkPrefix(t *testing.T, what string, d *faultfs.Dir, power bool, acked *model, underWay []Record) {
 	t.Helper()
-	allowed := map[string]int{acked.everything(): 0}
+	allowed := map[string]int{acked.dump(): 0}
 	for n := range underWay {
 		m := acked.clone()
 		m.apply(underWay[:n+1])
-		allowed[m.everything()] = n + 1
+		allowed[m.dump()] = n + 1
 	}
 	d.CrashAt = d.Ops() + 3
-	Open("", Options{Budget: smallBudget, Power: power, Memory: memory, Files: d})
+	Open("", Options{Budget: smallBudget, Power: power, Retention: testRetention, Files: d})
 	d = d.Restart(power)
 	for round := range 2 {
-		j, err := Open("", Options{Budget: smallBudget, Power: power, Memory: memory, Files: d})
+		j, err := Open("", Options{Budget: smallBudget, Power: power, Retention: testRetention, Files: d})
 		if err != nil {
 			t.Fatalf("%s, start %d: %v", what, round, err)
 		}
 		if dmg := j.Report().Damage; len(dmg) > 0 {
 			t.Fatalf("%s, start %d: %v", what, round, dmg)
 		}
-		if _, ok := allowed[j.everything()]; !ok {
+		if _, ok := allowed[j.dump()]; !ok {
 			t.Fatalf("%s, start %d: found, other than what was acknowledged and a beginning of %+v:\n%s", what, round, underWay,
-				difference(j.everything(), acked.everything()))
+				difference(j.dump(), acked.dump()))
 		}
-		put(t, j, taken("new", 10), Record{Op: OpForget, ID: "new"})
+		mustAppend(t, j, takenRecord("new", 10), Record{Op: OpForget, ID: "new"})
 		j.Close()
 		d = d.Restart(power)
 	}
@@ -230,12 +230,12 @@
 
 // A disk that fills at any point, in compaction too, and then has room again: what is held is recorded from the spare
 // room, new messages are refused, nothing that was acknowledged is lost.
-func TestDiskFills(t *testing.T) {
-	for seed := *first; seed < *first+20*uint64(*histories); seed++ {
+func TestFullDiskKeepsRoomForAcceptedMessages(t *testing.T) {
+	for seed := *firstSeed; seed < *firstSeed+20*uint64(*historyCount); seed++ {
 		d := faultfs.New(seed)
 		r := rand.New(rand.NewPCG(seed, 9))
 		h, acked := newHistory(seed), newModel()
-		j, err := Open("", Options{Budget: smallBudget, Memory: memory, Files: d})
+		j, err := Open("", Options{Budget: smallBudget, Retention: testRetention, Files: d})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -267,8 +267,8 @@
 		if d.Space = -1; refused == 0 || held == 0 {
 			t.Errorf("seed %d: %d messages refused and %d records of others made on a full disk; want some of both", seed, refused, held)
 		}
-		put(t, j, taken("once more", 10)) // it has recovered by itself
-		acked.apply([]Record{taken("once more", 10)})
+		mustAppend(t, j, takenRecord("once more", 10)) // it has recovered by itself
+		acked.apply([]Record{takenRecord("once more", 10)})
 		checkPrefix(t, fmt.Sprint("seed ", seed), d.Restart(false), false, acked, nil)
 	}
 }
@@ -286,10 +286,10 @@
 
 // Any operation that fails once, as a disk with EIO does, and also if what a write left cannot be cut off: what was
 // acknowledged is there, and what was not is not.
-func TestAnyOperationFails(t *testing.T) {
-	seed := *first
+func TestErrorAtEveryOperation(t *testing.T) {
+	seed := *firstSeed
 	whole := faultfs.New(seed)
-	live(t, whole, seed, false, 120)
+	runHistory(t, whole, seed, false, 120)
 	for at := 1; at <= whole.Ops(); at++ {
 		for _, more := range []int{0, 1, 2} { // operations after it fail too
 			d := faultfs.New(seed + uint64(at))
@@ -298,12 +298,12 @@
 				d.Fail[at+i] = syscall.EIO
 			}
 			h, acked := newHistory(seed), newModel()
-			j, err := Open("", Options{Budget: smallBudget, Memory: memory, Files: d})
+			j, err := Open("", Options{Budget: smallBudget, Retention: testRetention, Files: d})
 			for range 5 {
 				if err == nil {
 					break
 				}
-				j, err = Open("", Options{Budget: smallBudget, Memory: memory, Files: d})
+				j, err = Open("", Options{Budget: smallBudget, Retention: testRetention, Files: d})
 			}
 			if err != nil {
 				t.Fatal(err)
@@ -331,7 +331,7 @@
 	for at := 1; at <= 12; at++ {
 		d := faultfs.New(uint64(at))
 		d.FailSync = map[int]error{at: syscall.EIO}
-		j, err := Open("", Options{Budget: smallBudget, Power: true, Memory: memory, Files: d})
+		j, err := Open("", Options{Budget: smallBudget, Power: true, Retention: testRetention, Files: d})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -352,7 +352,7 @@
 		}
 		want(t, "failed", failed, true)
 		d.FailSync = nil
-		found, err := Open("", Options{Budget: smallBudget, Power: true, Memory: memory, Files: d.Restart(true)})
+		found, err := Open("", Options{Budget: smallBudget, Power: true, Retention: testRetention, Files: d.Restart(true)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -365,9 +365,9 @@
 }
 
 // A crash at every operation of the start that takes over a file of format 1: the next start has all of it.
-func TestCrashInUpgrade(t *testing.T) {
+func TestCrashAtEveryOperationOfMigration(t *testing.T) {
 	plain := newModel()
-	h := newHistory(*first)
+	h := newHistory(*firstSeed)
 	var old []Record
 	for range 150 {
 		recs := h.batch()
@@ -386,7 +386,7 @@
 			f.Sync()
 			d.SyncDir()
 			d.CrashAt = d.Ops() + at
-			_, err = Open("", Options{Budget: 8 * smallBudget, Power: power, Memory: plain.memory, Files: d})
+			_, err = Open("", Options{Budget: 8 * smallBudget, Power: power, Retention: plain.retention, Files: d})
 			if !d.Crashed() {
 				if err != nil {
 					t.Fatal(err)
@@ -403,16 +403,16 @@
 
 // A process that dies again and again after little work, as under a watchdog: what is held always finds room, and each
 // start finds all of it.
-func TestManyShortLives(t *testing.T) {
-	d := faultfs.New(*first)
-	h, acked := newHistory(*first), newModel()
+func TestRepeatedCrashesAfterFewAppends(t *testing.T) {
+	d := faultfs.New(*firstSeed)
+	h, acked := newHistory(*firstSeed), newModel()
 	for life := range 400 {
-		j, err := Open("", Options{Budget: smallBudget, Memory: memory, Files: d})
+		j, err := Open("", Options{Budget: smallBudget, Retention: testRetention, Files: d})
 		if err != nil {
 			t.Fatalf("life %d: %v", life, err)
 		}
-		if j.everything() != acked.everything() {
-			t.Fatalf("life %d: found, other than what was acknowledged:\n%s", life, difference(j.everything(), acked.everything()))
+		if j.dump() != acked.dump() {
+			t.Fatalf("life %d: found, other than what was acknowledged:\n%s", life, difference(j.dump(), acked.dump()))
 		}
 		for range h.r.IntN(12) {
 			for _, rec := range h.batch() {
@@ -423,7 +423,7 @@
 				case rec.Op == OpTaken:
 					h.drop(rec.Entry.ID)
 				default:
-					t.Fatalf("life %d: %q found no room: %v; %+v of %d", life, rec.Op, err, j.log(), smallBudget)
+					t.Fatalf("life %d: %q found no room: %v; %+v of %d", life, rec.Op, err, j.usage(), smallBudget)
 				}
 			}
 		}
--- a/internal/relay/journal/fixtures_test.go
+++ b/internal/relay/journal/fixtures_test.go
@@ -33,13 +33,13 @@
 		Status: "deferred", Again: 1700000021000, Partner: "acme", TakenAt: 1700000022000, EndAt: 1700000023000, Why: "its time was up",
 		Sum: 0x24252627, Bytes: 28, Log: []Attempt{
 			{Host: "host-29", At: 1700000030000, Took: 31, Outcome: "reset", Ran: true},
-			{Host: "host-32", At: 1700000033000}}, number: 3}
+			{Host: "host-32", At: 1700000033000}}, acceptedSeq: 3}
 }
 
 // processFrames are the records of the first segment.
 func processFrames() []frozenFrame {
 	small := func(id string, number uint64) *Entry {
-		return &Entry{ID: id, Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of " + id), number: number}
+		return &Entry{ID: id, Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of " + id), acceptedSeq: number}
 	}
 	return []frozenFrame{
 		{1, 0, Record{Op: OpTaken, Entry: small("over", 1)}},
@@ -58,8 +58,8 @@
 		{14, 0, Record{Op: OpDrain, ID: "partner:acme", Ran: true, At: 1700000014000, Status: "op", Wait: 30000}},
 		{15, 0, Record{Op: OpDrain, ID: "relay", Ran: true, At: 1700000015000, Status: "op", Wait: 60000}},
 		{16, 0, Record{Op: OpDrain, ID: "relay"}},
-		{17, 0, Record{Op: OpWord, ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000}},
-		{18, 0, Record{Op: OpWord, ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
+		{17, 0, Record{Op: OpOverride, ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000}},
+		{18, 0, Record{Op: OpOverride, ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
 		{19, 0, Record{Op: OpForget, ID: "gone"}},
 	}
 }
@@ -67,9 +67,9 @@
 // powerFrames are the records of the second segment: first what was carried there.
 func powerFrames() []frozenFrame {
 	return []frozenFrame{
-		{20, 0, Record{Op: opEnded, ID: "over", At: 1700000002000, Sum: 0x257e0630}},
-		{21, 1, Record{Op: opCarried, Entry: fullEntry()}},
-		{22, 2, Record{Op: OpTaken, Entry: &Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"), number: 22}}},
+		{20, 0, Record{Op: opCompleted, ID: "over", At: 1700000002000, Sum: 0x257e0630}},
+		{21, 1, Record{Op: opRewritten, Entry: fullEntry()}},
+		{22, 2, Record{Op: OpTaken, Entry: &Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"), acceptedSeq: 22}}},
 		{23, 3, Record{Op: OpTry, ID: "late", At: 1700000023000, Wait: 400, Zone: 1}},
 		{24, 4, Record{Op: OpOutcome, ID: "late"}},
 	}
@@ -82,7 +82,7 @@
 			continue
 		}
 		if e := f.record.Entry; e != nil {
-			e.Order, e.number = "", 0
+			e.Order, e.acceptedSeq = "", 0
 		}
 		all = append(all, f.record)
 	}
@@ -102,19 +102,19 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	j := open(t, dir, 3e6)
+	j := mustOpen(t, dir, 3e6)
 	for _, r := range records(processFrames()) {
-		put(t, j, r)
+		mustAppend(t, j, r)
 	}
 	j.Close()
-	j, err := Open(dir, Options{Budget: 3e6, Memory: memory, Power: true})
+	j, err := Open(dir, Options{Budget: 3e6, Retention: testRetention, Power: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := j.carryTo(64); err != nil { // the first two that are live
+	if err := j.rewriteOldest(64); err != nil { // the first two that are live
 		t.Fatal(err)
 	}
-	put(t, j, records(powerFrames())[2:]...)
+	mustAppend(t, j, records(powerFrames())[2:]...)
 	j.Close()
 	// What else is found there: the lock with the number of a process, room on the disk that it took, damaged bytes that it kept.
 	for name, text := range map[string]string{"lock": "4711\n", "journal.spare": "room that the process took\n",
@@ -171,12 +171,12 @@
 			t.Fatal(err)
 		}
 		want(t, "first bytes", string(data[:12]), "larchlog\x02\x00\x00\x00")
-		first, err := readHeader(data)
+		first, err := decodeSegmentHeader(data)
 		if err != nil || first != tc.first {
 			t.Errorf("%s: first sequence %d, %v, want %d", tc.name, first, err, tc.first)
 		}
 		var got []frozenFrame
-		end, tail := frames(data, 32, func(at int, f frame, damage *stretch) {
+		end, tail := readFrames(data, 32, func(at int, f frame, damage *byteRange) {
 			got = append(got, frozenFrame{f.seq, f.unsynced, f.record})
 			if again := appendFrame(nil, f.seq, f.unsynced, &f.record); string(again) != string(data[at:at+f.size]) {
 				t.Errorf("%s: record %d is encoded as\n%swant\n%s", tc.name, f.seq, hex.Dump(again), hex.Dump(data[at:at+f.size]))
@@ -203,7 +203,7 @@
 			t.Errorf("no record %q in the fixture", op)
 		}
 	}
-	all = append(all, Entry{size: 1, place: 1}) // which are not stored
+	all = append(all, Entry{size: 1, position: 1}) // which are not stored
 	if unset := fixture.Unset(all...); len(unset) > 0 {
 		t.Errorf("no record sets %v", unset)
 	}
@@ -219,7 +219,7 @@
 	}
 	var got []Record
 	for len(data) > 0 {
-		r, n, err := legacyRecord(data)
+		r, n, err := readLegacyRecord(data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -230,31 +230,31 @@
 	}
 }
 
-// knows is all that an open journal knows.
-type knows struct {
+// contents is all that an open journal contents.
+type contents struct {
 	entries               []Entry // in the order in which they were taken on
 	unwell, drains, words map[string]Record
-	ended                 []Ended
+	ended                 []CompletedID
 }
 
-func known(j *Journal) knows {
-	k := knows{unwell: maps.Clone(j.Unwell), drains: maps.Clone(j.Drains), words: maps.Clone(j.Words)}
+func contentsOf(j *Journal) contents {
+	k := contents{unwell: maps.Clone(j.Unhealthy), drains: maps.Clone(j.Drains), words: maps.Clone(j.Overrides)}
 	for _, e := range j.InOrder() {
 		c := *e
-		c.number, c.size, c.place = 0, 0, 0 // where it stands, which compaction changes
+		c.acceptedSeq, c.size, c.position = 0, 0, 0 // where it stands, which compaction changes
 		k.entries = append(k.entries, c)
 	}
-	for _, e := range j.Ended() {
-		k.ended = append(k.ended, Ended{ID: e.ID, Sum: e.Sum, At: e.At})
+	for _, e := range j.CompletedIDs() {
+		k.ended = append(k.ended, CompletedID{ID: e.ID, Sum: e.Sum, At: e.At})
 	}
 	return k
 }
 
-// frozenKnows is what the records of the first segment amount to.
-func frozenKnows() knows {
+// frozenContents is what the records of the first segment amount to.
+func frozenContents() contents {
 	full := *fullEntry()
-	full.number = 0
-	return knows{
+	full.acceptedSeq = 0
+	return contents{
 		entries: []Entry{
 			full,
 			{ID: "tried", Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of tried"), Tries: 2, Wait: 301, Ran: true, RanAt: 1700000005000, Zone: 2,
@@ -266,23 +266,23 @@
 		words: map[string]Record{
 			"endpoint:pay-1": {Op: "word", ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000},
 			"gone:r3":        {Op: "word", ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
-		ended: []Ended{{ID: "over", Sum: 0x257e0630, At: 1700000002000}},
+		ended: []CompletedID{{ID: "over", Sum: 0x257e0630, At: 1700000002000}},
 	}
 }
 
 // Guards against a state folder of an earlier build that is not taken over whole, or from which a relay cannot go on.
-func TestGoesOnFromFrozenFolders(t *testing.T) {
-	of1 := frozenKnows()
+func TestContinuesFromFrozenDirectories(t *testing.T) {
+	of1 := frozenContents()
 	of1.entries[0].Order = ""                                             // format 1 had none
 	of1.entries = append(of1.entries, Entry{ID: "gone", Class: "payment", // nor a record that forgets it
 		Dest: 7, Due: 1700000001000, Body: []byte("body of gone")})
-	of2 := frozenKnows()
+	of2 := frozenContents()
 	of2.entries = append(of2.entries, Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"),
 		Tries: 1, Wait: 400, OutAt: 1700000023000, OutTo: 1})
 	for name, tc := range map[string]struct {
 		write    func(*testing.T, string)
 		segments []SegmentReport
-		knows    knows
+		knows    contents
 	}{
 		"state-format-1": {writeFormat1, nil, of1},
 		"state-format-2": {writeFormat2, []SegmentReport{
@@ -295,30 +295,30 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := known(inspected); !reflect.DeepEqual(got, tc.knows) {
+			if got := contentsOf(inspected); !reflect.DeepEqual(got, tc.knows) {
 				t.Errorf("Inspect finds\n%+v, want\n%+v", got, tc.knows)
 			}
-			j := open(t, dir, 3e6)
-			if got := known(j); !reflect.DeepEqual(got, tc.knows) {
+			j := mustOpen(t, dir, 3e6)
+			if got := contentsOf(j); !reflect.DeepEqual(got, tc.knows) {
 				t.Errorf("Open finds\n%+v, want\n%+v", got, tc.knows)
 			}
 			if got, want := j.Report(), (Report{Segments: tc.segments, Foreign: []string{"lock"}}); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
 				t.Errorf("Open reports\n%+v, want\n%+v", got, want)
 			}
 
-			put(t, j, taken("new", 2), Record{Op: OpTry, ID: "new", At: 1700000099000, Zone: 5}, Record{Op: OpEnd, ID: "new", At: 1700000099500})
-			put(t, j, Record{Op: OpHealth, ID: "host-1"}, taken("newer", 2))
+			mustAppend(t, j, takenRecord("new", 2), Record{Op: OpTry, ID: "new", At: 1700000099000, Zone: 5}, Record{Op: OpEnd, ID: "new", At: 1700000099500})
+			mustAppend(t, j, Record{Op: OpHealth, ID: "host-1"}, takenRecord("newer", 2))
 			j.Close()
 			oldAndNew := tc.knows
 			oldAndNew.entries = append(slices.Clone(oldAndNew.entries), Entry{ID: "newer", Class: "payment", Dest: 7, Due: 99, Body: []byte{7, 7}})
 			oldAndNew.unwell = map[string]Record{}
-			oldAndNew.ended = append(slices.Clone(oldAndNew.ended), Ended{ID: "new", Sum: 0x3144f097, At: 1700000099500})
+			oldAndNew.ended = append(slices.Clone(oldAndNew.ended), CompletedID{ID: "new", Sum: 0x3144f097, At: 1700000099500})
 			for range 2 {
-				j = open(t, dir, 3e6)
-				if got := known(j); !reflect.DeepEqual(got, oldAndNew) {
+				j = mustOpen(t, dir, 3e6)
+				if got := contentsOf(j); !reflect.DeepEqual(got, oldAndNew) {
 					t.Errorf("opened again it finds\n%+v, want\n%+v", got, oldAndNew)
 				}
-				want(t, "damage", fmt.Sprint(j.Report().Damage, j.Report().Torn), "[] 0")
+				want(t, "damage", fmt.Sprint(j.Report().Damage, j.Report().TornBytes), "[] 0")
 				j.Close()
 			}
 			left := fixture.Folder(t, dir)
--- a/internal/relay/journal/journal.go
+++ b/internal/relay/journal/journal.go
@@ -27,9 +27,9 @@
 var ErrSync = errors.New("journal: the disk could not make records durable; nothing more is taken on here")
 
 const (
-	spareName = "journal.spare" // room on the disk for when it is full
-	blockSize = 4096
-	passMost  = 1 << 12 // places passed over in one Append that are no longer live
+	spareName       = "journal.spare" // room on the disk for when it is full
+	blockSize       = 4096
+	maxSkippedItems = 1 << 12 // places passed over in one Append that are no longer live
 )
 
 // Options of a journal.
@@ -38,8 +38,8 @@
 	Budget int64
 	// Power has Append return only when its records outlast a loss of power, not just the end of the process.
 	Power bool
-	// Memory bounds what is remembered of ended ids; its Bytes are a sixteenth of the budget at most.
-	Memory Memory
+	// Retention bounds what is remembered of ended ids; its Bytes are a sixteenth of the budget at most.
+	Retention Retention
 	// Files is the folder; nil for that of the operating system.
 	Files vfs.System
 }
@@ -50,21 +50,21 @@
 	// Broken fails every further Append; it is set when a sync failed, and by tests.
 	Broken error
 
-	dir      vfs.System
-	power    bool
-	limits   compaction.Limits
-	segments []segment // as written; the last is written to
-	total    int64     // bytes of them
-	f        vfs.File
-	synced   uint64   // the last record known to outlast a loss of power
-	spare    vfs.File // nil while it is used up
-	torn     bool     // the active segment has bytes behind its end that could not be cut off
-	writes   int
-	report   Report
+	dir        vfs.System
+	power      bool
+	limits     compaction.Limits
+	segments   []segment // as written; the last is written to
+	total      int64     // bytes of them
+	file       vfs.File
+	synced     uint64   // the last record known to outlast a loss of power
+	spare      vfs.File // nil while it is used up
+	activeTorn bool     // the active segment has bytes behind its end that could not be cut off
+	writes     int
+	report     Report
 	// Kept for the next time:
-	buf, carryBuf     []byte
-	sizes, carrySizes []int64
-	moved             []Record
+	buf, rewriteBuf     []byte
+	sizes, rewriteSizes []int64
+	rewritten           []Record
 }
 
 type segment struct {
@@ -78,8 +78,8 @@
 	if o.Files == nil {
 		o.Files = vfs.Dir(dir)
 	}
-	o.Memory.Bytes = min(o.Memory.Bytes, o.Budget/16)
-	j := &Journal{state: newState(o.Memory), dir: o.Files, power: o.Power, limits: limitsFor(o.Budget)}
+	o.Retention.MaxBytes = min(o.Retention.MaxBytes, o.Budget/16)
+	j := &Journal{state: newState(o.Retention), dir: o.Files, power: o.Power, limits: limitsFor(o.Budget)}
 	if err := j.open(); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -87,12 +87,12 @@
 }
 
 func (j *Journal) open() error {
-	l, err := read(j.dir, &j.state)
+	l, err := replay(j.dir, &j.state)
 	if err != nil {
 		return err
 	}
 	j.report = l.report
-	if err := l.mend(j.dir); err != nil {
+	if err := l.repair(j.dir); err != nil {
 		return err
 	}
 	j.segments = l.segments
@@ -101,40 +101,40 @@
 	}
 	if j.power { // they may be of a process that did not get to it
 		for _, s := range j.segments {
-			if err := j.dir.SyncFile(segName(s.number)); err != nil {
+			if err := j.dir.SyncFile(segmentName(s.number)); err != nil {
 				return err
 			}
 		}
 	}
 	if l.legacy != nil {
-		j.report.LegacyUnread = j.legacy(l.legacy)
+		j.report.LegacyUnread = j.replayLegacy(l.legacy)
 	}
 	j.synced = j.seq
-	if err := j.roll(l.last + 1); err != nil {
+	if err := j.startSegment(l.lastSegment + 1); err != nil {
 		return err
 	}
 	if l.legacy != nil {
-		if err := j.convert(); err != nil {
+		if err := j.migrateLegacy(); err != nil {
 			return err
 		}
 	}
-	for j.trim() {
+	for j.removeOldestSegment() {
 	}
-	j.regain()
+	j.allocateSpare()
 	return nil
 }
 
-// convert writes what was read from a file of format 1, and removes that.
-func (j *Journal) convert() error {
+// migrateLegacy writes what was read from a file of format 1, and removes that.
+func (j *Journal) migrateLegacy() error {
 	for {
-		if _, ok := j.oldest(j.items.Len()); !ok || j.items.At(0).segment > 0 {
+		if _, ok := j.oldestLive(j.items.Len()); !ok || j.items.At(0).segment > 0 {
 			break
 		}
-		if err := j.carryTo(compaction.MostCarried); err != nil {
+		if err := j.rewriteOldest(compaction.MaxRewrite); err != nil {
 			return err
 		}
 	}
-	if err := j.f.Sync(); err != nil {
+	if err := j.file.Sync(); err != nil {
 		return err
 	}
 	if err := j.dir.Remove(legacyName); err != nil {
@@ -145,8 +145,8 @@
 
 func (j *Journal) active() *segment { return &j.segments[len(j.segments)-1] }
 
-// log is how much there is, for package compaction.
-func (j *Journal) log() compaction.Log {
+// usage is how much there is, for package compaction.
+func (j *Journal) usage() compaction.Log {
 	return compaction.Log{Total: j.total, Live: j.live, Segments: len(j.segments)}
 }
 
@@ -155,8 +155,8 @@
 
 // limitsFor are the limits for a budget, less what files take beyond their size: whole blocks.
 func limitsFor(budget int64) compaction.Limits {
-	l := compaction.For(budget)
-	return compaction.For(budget - (budget/l.Segment+4)*blockSize)
+	l := compaction.ForBudget(budget)
+	return compaction.ForBudget(budget - (budget/l.Segment+4)*blockSize)
 }
 
 // Budget is what the files may take now, in bytes.
@@ -174,26 +174,26 @@
 	buf, sizes, grows, takes := j.encode(recs)
 	n := int64(len(buf))
 	seq := j.seq
-	if err := j.room(n, grows, takes); err != nil {
+	if err := j.makeRoom(n, grows, takes); err != nil {
 		return err
 	}
 	if j.seq != seq { // others have come before them
 		buf, sizes, _, _ = j.encode(recs)
 	}
 	j.writes++
-	if err := j.write(buf, len(recs), takes); err != nil {
+	if err := j.writeDurably(buf, len(recs), takes); err != nil {
 		return err
 	}
 	number := j.active().number
 	for i := range recs {
 		j.apply(j.seq+1, &recs[i], number, sizes[i])
 	}
-	j.buf = kept(j.buf)
+	j.buf = reusable(j.buf)
 	if j.spare == nil { // what room there is now is for records
-		j.trim()
+		j.removeOldestSegment()
 		return nil
 	}
-	for carry := j.limits.Carry(j.log(), n); carry > 0 && len(j.segments) > 1; {
+	for carry := j.limits.RewriteBytes(j.usage(), n); carry > 0 && len(j.segments) > 1; {
 		if j.compact(&carry) != nil {
 			break // the next Append tries again
 		}
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// kept is a buffer that is kept for the next time; a burst's memory is not.
-func kept(buf []byte) []byte {
+// reusable is a buffer that is reusable for the next time; a burst's memory is not.
+func reusable(buf []byte) []byte {
 	if cap(buf) > 1<<20 {
 		return nil
 	}
@@ -217,7 +217,7 @@
 		before, seq := len(buf), j.seq+1+uint64(i)
 		switch recs[i].Op {
 		case OpTaken:
-			takes, recs[i].Entry.number = true, seq
+			takes, recs[i].Entry.acceptedSeq = true, seq
 		case OpEnd: // it outlasts what is before it
 			if e := j.Entries[recs[i].ID]; e != nil {
 				recs[i].Sum = e.Checksum()
@@ -225,7 +225,7 @@
 		}
 		buf = appendFrame(buf, seq, j.unsynced(seq), &recs[i])
 		sizes = append(sizes, int64(len(buf)-before))
-		grows += recs[i].growth(sizes[i])
+		grows += recs[i].liveGrowth(sizes[i])
 	}
 	j.buf, j.sizes = buf, sizes
 	return buf, sizes, grows, takes
@@ -239,19 +239,19 @@
 	return uint32(seq - 1 - j.synced)
 }
 
-// room makes room for n bytes of records.
-func (j *Journal) room(n, grows int64, takes bool) error {
+// makeRoom makes makeRoom for n bytes of records.
+func (j *Journal) makeRoom(n, grows int64, takes bool) error {
 	if takes {
-		admits := func() bool { return j.limits.Admits(j.log(), n, grows) && j.regain() }
-		for left := max(compaction.MostCarried, 4*n); !admits(); { // as much as n takes to write, and more
-			if left <= 0 || j.live+grows > j.limits.MostLive() || j.compact(&left) != nil {
+		admits := func() bool { return j.limits.Admits(j.usage(), n, grows) && j.allocateSpare() }
+		for left := max(compaction.MaxRewrite, 4*n); !admits(); { // as much as n takes to write, and more
+			if left <= 0 || j.live+grows > j.limits.MaxLive() || j.compact(&left) != nil {
 				return ErrFull
 			}
 		}
 		return nil
 	}
 	// This is not bounded in time: what is held has to be recorded, and pacing has it happen hardly ever.
-	for left := 4 * (j.total + j.limits.Budget); !j.limits.Fits(j.log(), n); {
+	for left := 4 * (j.total + j.limits.Budget); !j.limits.Fits(j.usage(), n); {
 		if left <= 0 || j.compact(&left) != nil {
 			return ErrFull
 		}
@@ -259,11 +259,11 @@
 	return nil
 }
 
-// write puts bytes at the end of the log, durable as the journal is. Takes says that they need not go if the disk is
+// writeDurably puts bytes at the end of the log, durable as the journal is. Takes says that they need not go if the disk is
 // full.
-func (j *Journal) write(buf []byte, records int, takes bool) error {
+func (j *Journal) writeDurably(buf []byte, records int, takes bool) error {
 	err := j.writeOnce(buf)
-	if vfs.Full(err) && !takes && (j.release() || j.trim()) {
+	if vfs.IsNoSpace(err) && !takes && (j.releaseSpare() || j.removeOldestSegment()) {
 		err = j.writeOnce(buf)
 	}
 	if err != nil {
@@ -272,12 +272,12 @@
 	if !j.power {
 		return nil
 	}
-	if err := j.f.Sync(); err != nil {
+	if err := j.file.Sync(); err != nil {
 		j.Broken = fmt.Errorf("%w: %w", ErrSync, err)
 		s := j.active()
 		s.size -= int64(len(buf))
 		j.total -= int64(len(buf))
-		j.f.Truncate(s.size) // whether it helps is not known, and nothing hangs on it
+		j.file.Truncate(s.size) // whether it helps is not known, and nothing hangs on it
 		return j.Broken
 	}
 	j.synced = j.seq + uint64(records)
@@ -285,16 +285,16 @@
 }
 
 func (j *Journal) writeOnce(buf []byte) error {
-	if s := j.active(); s.size >= j.limits.Segment || j.torn {
-		if err := j.roll(s.number + 1); err != nil {
+	if s := j.active(); s.size >= j.limits.Segment || j.activeTorn {
+		if err := j.startSegment(s.number + 1); err != nil {
 			return err
 		}
 	}
 	s := j.active()
-	if _, err := j.f.WriteAt(buf, s.size); err != nil {
+	if _, err := j.file.WriteAt(buf, s.size); err != nil {
 		// What was written of it must not be taken for records. Where it cannot be cut off, the next segment says
 		// where this one ends.
-		j.torn = j.f.Truncate(s.size) != nil
+		j.activeTorn = j.file.Truncate(s.size) != nil
 		return fmt.Errorf("journal: %w", err)
 	}
 	s.size += int64(len(buf))
@@ -302,14 +302,14 @@
 	return nil
 }
 
-// roll begins a new segment.
-func (j *Journal) roll(number uint64) error {
-	if j.power && j.f != nil {
+// startSegment begins a new segment.
+func (j *Journal) startSegment(number uint64) error {
+	if j.power && j.file != nil {
 		if err := j.sync(); err != nil {
 			return err
 		}
 	}
-	name := segName(number)
+	name := segmentName(number)
 	f, err := j.dir.Create(name)
 	if errors.Is(err, fs.ErrExist) { // left by a try that failed and could not remove it
 		if err = j.dir.Remove(name); err == nil {
@@ -317,16 +317,16 @@
 		}
 	}
 	if err == nil {
-		head := segHeader(number, j.seq+1)
+		head := encodeSegmentHeader(number, j.seq+1)
 		if _, err = f.WriteAt(head, 0); err == nil && j.power {
 			err = j.dir.SyncDir()
 		}
 		if err == nil {
-			if j.f != nil {
-				j.f.Close()
+			if j.file != nil {
+				j.file.Close()
 			}
-			j.f, j.segments, j.total = f, append(j.segments, segment{number, segHead}), j.total+segHead
-			j.torn = false
+			j.file, j.segments, j.total = f, append(j.segments, segment{number, segmentHeaderSize}), j.total+segmentHeaderSize
+			j.activeTorn = false
 			return nil
 		}
 		f.Close()
@@ -340,7 +340,7 @@
 	if j.synced == j.seq {
 		return nil
 	}
-	if err := j.f.Sync(); err != nil {
+	if err := j.file.Sync(); err != nil {
 		j.Broken = fmt.Errorf("%w: %w", ErrSync, err)
 		return j.Broken
 	}
@@ -351,24 +351,24 @@
 // compact lets go of the oldest segment, or else carries a piece of it to the end of the log, and takes what that cost
 // off the bytes that may be carried.
 func (j *Journal) compact(left *int64) error {
-	if size := j.segments[0].size; j.trim() {
+	if size := j.segments[0].size; j.removeOldestSegment() {
 		*left -= 4<<10 + size/32 // what could be carried in that time
 		return nil
 	}
 	piece := min(*left, j.limits.Segment)
 	*left -= piece
-	return j.carryTo(piece)
+	return j.rewriteOldest(piece)
 }
 
-// carryTo carries items from the oldest segments to the end of the log, up to a number of bytes or a little over it.
-func (j *Journal) carryTo(most int64) error {
-	buf, sizes, moved := j.carryBuf[:0], j.carrySizes[:0], j.moved[:0]
+// rewriteOldest carries items from the oldest segments to the end of the log, up to a number of bytes or a little over it.
+func (j *Journal) rewriteOldest(most int64) error {
+	buf, sizes, moved := j.rewriteBuf[:0], j.rewriteSizes[:0], j.rewritten[:0]
 	defer func() {
 		clear(moved) // it must not hold on to bodies
-		j.carryBuf, j.carrySizes, j.moved = kept(buf), sizes, moved
+		j.rewriteBuf, j.rewriteSizes, j.rewritten = reusable(buf), sizes, moved
 	}()
 	seq, active, passed := j.seq, j.active().number, 0
-	for ; passed < min(j.items.Len(), passMost) && int64(len(buf)) < most; passed++ {
+	for ; passed < min(j.items.Len(), maxSkippedItems) && int64(len(buf)) < most; passed++ {
 		i := j.items.At(passed)
 		if i.segment >= active {
 			break
@@ -376,7 +376,7 @@
 		if !j.isLive(i) {
 			continue
 		}
-		r, before := j.carried(i), len(buf)
+		r, before := j.rewriteRecord(i), len(buf)
 		seq++
 		buf = appendFrame(buf, seq, j.unsynced(seq), &r)
 		sizes, moved = append(sizes, int64(len(buf)-before)), append(moved, r)
@@ -396,20 +396,20 @@
 	return nil
 }
 
-// trim lets go of the oldest segment if nothing in it is live, and tells whether it did. It is one at a time, as a file
+// removeOldestSegment lets go of the oldest segment if nothing in it is live, and tells whether it did. It is one at a time, as a file
 // system takes a while for each.
-func (j *Journal) trim() bool {
+func (j *Journal) removeOldestSegment() bool {
 	first := j.segments[0]
 	if len(j.segments) == 1 {
 		return false
 	}
-	if i, ok := j.oldest(passMost); !ok && j.items.Len() > 0 || ok && i.segment <= first.number {
+	if i, ok := j.oldestLive(maxSkippedItems); !ok && j.items.Len() > 0 || ok && i.segment <= first.number {
 		return false
 	}
 	if j.power && j.sync() != nil { // what was carried from it has to be as durable as it was
 		return false
 	}
-	if err := j.dir.Remove(segName(first.number)); err != nil {
+	if err := j.dir.Remove(segmentName(first.number)); err != nil {
 		return false // the next Append tries again
 	}
 	j.segments = slices.Delete(j.segments, 0, 1)
@@ -419,8 +419,8 @@
 	return true
 }
 
-// release gives the spare room on the disk back, and tells whether there was some.
-func (j *Journal) release() bool {
+// releaseSpare gives the spare room on the disk back, and tells whether there was some.
+func (j *Journal) releaseSpare() bool {
 	if j.spare == nil {
 		return false
 	}
@@ -429,12 +429,12 @@
 	return j.dir.Remove(spareName) == nil
 }
 
-// regain takes spare room on the disk again, and tells whether there is some.
-func (j *Journal) regain() bool {
+// allocateSpare takes spare room on the disk again, and tells whether there is some.
+func (j *Journal) allocateSpare() bool {
 	if j.spare != nil {
 		return true
 	}
-	if j.dir.Room() < j.limits.Spare { // asked for each new message on a full disk: it is cheap
+	if j.dir.Available() < j.limits.Spare { // asked for each new message on a full disk: it is cheap
 		return false
 	}
 	if j.dir.Remove(spareName) != nil { // what an earlier try may have left
@@ -463,10 +463,10 @@
 		j.dir.Remove(spareName)
 		j.spare = nil
 	}
-	if j.f == nil {
+	if j.file == nil {
 		return nil
 	}
-	return j.f.Close()
+	return j.file.Close()
 }
 
 // Writes is how many times records were written, as many as there were at a time; what was carried does not count.
--- a/internal/relay/journal/legacy.go
+++ b/internal/relay/journal/legacy.go
@@ -9,35 +9,35 @@
 
 // Format 1 was one file of records: length, CRC-32, JSON. It is read once, and written anew in the present format.
 const (
-	legacyName = "journal"
-	legacyCopy = "journal.tmp" // of a compaction that a kill cut short: the file itself still holds all
-	legacyHead = 8
+	legacyName       = "journal"
+	legacyTempName   = "journal.tmp" // of a compaction that a kill cut short: the file itself still holds all
+	legacyHeaderSize = 8
 )
 
-// legacyRecord reads the record at the start of data and tells how long it is. A torn or damaged one is an error:
+// readLegacyRecord reads the record at the start of data and tells how long it is. A torn or damaged one is an error:
 // nothing in that format tells where the next begins.
-func legacyRecord(data []byte) (r Record, n int, err error) {
-	if len(data) < legacyHead {
+func readLegacyRecord(data []byte) (r Record, n int, err error) {
+	if len(data) < legacyHeaderSize {
 		return r, 0, errors.New("torn header")
 	}
 	size := binary.LittleEndian.Uint32(data)
-	if size > maxRecord || int(size) > len(data)-legacyHead {
+	if size > maxRecordSize || int(size) > len(data)-legacyHeaderSize {
 		return r, 0, errors.New("torn record")
 	}
-	payload := data[legacyHead : legacyHead+int(size)]
+	payload := data[legacyHeaderSize : legacyHeaderSize+int(size)]
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(data[4:]) {
 		return r, 0, errors.New("checksum differs")
 	}
 	if err := json.Unmarshal(payload, &r); err != nil {
 		return r, 0, err
 	}
-	return r, legacyHead + int(size), nil
+	return r, legacyHeaderSize + int(size), nil
 }
 
-// legacy applies the records of a file of format 1, and returns how many bytes of it could not be read.
-func (s *state) legacy(data []byte) (unread int) {
+// replayLegacy applies the records of a file of format 1, and returns how many bytes of it could not be read.
+func (s *state) replayLegacy(data []byte) (unread int) {
 	for at := 0; at < len(data); {
-		r, n, err := legacyRecord(data[at:])
+		r, n, err := readLegacyRecord(data[at:])
 		if err != nil {
 			return len(data) - at // the tail was being written when the process died
 		}
--- a/internal/relay/journal/record.go
+++ b/internal/relay/journal/record.go
@@ -39,9 +39,9 @@
 	Bytes   int       `json:"bytes,omitempty"`
 	Log     []Attempt `json:"log,omitempty"`
 
-	number uint64 // of the record by which it was taken on: the order in which messages were
-	size   int64  // bytes that it takes at most when it is carried
-	place  uint64 // where it stands in the log
+	acceptedSeq uint64 // of the record by which it was taken on: the order in which messages were
+	size        int64  // bytes that it takes at most when it is carried
+	position    uint64 // where it stands in the log
 }
 
 // Attempt is one try of a message, where they are kept.
@@ -71,18 +71,18 @@
 
 // What a record tells of a message.
 const (
-	OpTaken   = "taken"   // Entry: taken on
-	OpTry     = "try"     // an attempt is about to go
-	OpOutcome = "outcome" // it ended
-	OpNotice  = "notice"  // the message ended undelivered; its notice is owed
-	OpEnd     = "end"     // nothing more is owed; its id is remembered for a while
-	OpForget  = "forget"  // nothing more is owed, and its id may be used anew
-	OpHealth  = "health"  // ID is a host: an outage was seen there (Ran), or has passed
-	OpDrain   = "drain"   // ID is a target of a drain: it is in force (Ran), or was undone
-	OpWord    = "word"    // ID is a subject of the fleet: what an operator said of it last (internal/relay/override), kept for ever
-
-	opCarried = "carried" // Entry: all that is known of a message, carried to the end of the log
-	opEnded   = "ended"   // an id that is remembered, carried to the end of the log
+	OpTaken    = "taken"   // Entry: taken on
+	OpTry      = "try"     // an attempt is about to go
+	OpOutcome  = "outcome" // it ended
+	OpNotice   = "notice"  // the message ended undelivered; its notice is owed
+	OpEnd      = "end"     // nothing more is owed; its id is remembered for a while
+	OpForget   = "forget"  // nothing more is owed, and its id may be used anew
+	OpHealth   = "health"  // ID is a host: an outage was seen there (Ran), or has passed
+	OpDrain    = "drain"   // ID is a target of a drain: it is in force (Ran), or was undone
+	OpOverride = "word"    // ID is a subject of the fleet: what an operator said of it last (internal/relay/override), kept for ever
+
+	opRewritten = "carried" // Entry: all that is known of a message, carried to the end of the log
+	opCompleted = "ended"   // an id that is remembered, carried to the end of the log
 )
 
 // Record is one line of a message's life; its Op says which, and which fields count.
@@ -103,9 +103,9 @@
 }
 
 // ops are the codes of the operations in format 2. A code is never used anew.
-var ops = [...]string{1: OpTaken, 2: OpTry, 3: OpOutcome, 4: OpNotice, 5: OpEnd, 6: OpHealth, 7: OpDrain, 8: opCarried, 9: opEnded, 10: OpForget, 11: OpWord}
+var ops = [...]string{1: OpTaken, 2: OpTry, 3: OpOutcome, 4: OpNotice, 5: OpEnd, 6: OpHealth, 7: OpDrain, 8: opRewritten, 9: opCompleted, 10: OpForget, 11: OpOverride}
 
-var codes = func() map[string]uint64 {
+var opCodes = func() map[string]uint64 {
 	all := map[string]uint64{}
 	for i, op := range ops {
 		all[op] = uint64(i)
--- a/internal/relay/journal/state.go
+++ b/internal/relay/journal/state.go
@@ -8,77 +8,77 @@
 )
 
 const (
-	slack       = 256 // room for what comes to be known of an entry beyond what it was taken on with
-	attemptRoom = 96  // what an attempt takes at most when its entry is carried, beside its host's name
-	endedRoom   = frameHead + 32
+	entryGrowthReserve = 256 // room for what comes to be known of an entry beyond what it was taken on with
+	maxAttemptSize     = 96  // what an attempt takes at most when its entry is carried, beside its host's name
+	maxCompletedSize   = frameHeaderSize + 32
 )
 
-// Ended is a message that is over: its id may come again.
-type Ended struct {
+// CompletedID is a message that is over: its id may come again.
+type CompletedID struct {
 	ID  string
 	Sum uint32 // as Entry.Checksum
 	At  int64  // Unix milliseconds; 0 if it is not known
 
-	turn    uint64 // no other that was remembered has the same
-	place   uint64
-	segment uint64 // while a log is read
+	ordinal  uint64 // no other that was remembered has the same
+	position uint64
+	segment  uint64 // while a log is read
 }
 
-// Memory bounds what is remembered of messages that are over. Where one is passed the oldest are forgotten.
-type Memory struct {
-	Most  int
-	Bytes int64 // on the disk
-	AgeMS int64 // between an end and the last one recorded
+// Retention bounds what is remembered of messages that are over. Where one is passed the oldest are forgotten.
+type Retention struct {
+	MaxIDs   int
+	MaxBytes int64 // on the disk
+	MaxAgeMs int64 // between an end and the last one recorded
 }
 
-// kind of what is kept in the log until it is over.
-type kind uint8
+// itemKind of what is kept in the log until it is over.
+type itemKind uint8
 
 const (
-	entryKind kind = iota
-	unwellKind
+	entryKind itemKind = iota
+	outageKind
 	drainKind
-	wordKind
-	endedKind
+	overrideKind
+	completedKind
 )
 
 // item is a place in the log at which something stands that is carried when its segment is the oldest; unless it has
 // come to stand elsewhere since, or is over.
 type item struct {
-	kind    kind
-	id      string
-	segment uint64
-	place   uint64
+	kind     itemKind
+	id       string
+	segment  uint64
+	position uint64
 }
 
-// mark names what is kept, entries apart.
-type mark struct {
-	kind kind
+// statusKey names what is kept, entries apart.
+type statusKey struct {
+	kind itemKind
 	id   string
 }
 
 // state is what records amount to. It does no I/O.
 type state struct {
-	Entries map[string]*Entry
-	Unwell  map[string]Record // hosts in an outage, or cold after it
-	Drains  map[string]Record // in force
-	Words   map[string]Record // the last one on each subject
-
-	memory     Memory
-	ended      map[string]Ended
-	endedIDs   []Ended // as they ended; some of them may be forgotten
-	endedBytes int64
-	turns      uint64
-	lastEnd    int64 // Unix milliseconds
-	replaying  bool  // a log is read
-	replayed   []Ended
-	forgot     map[string]uint64 // place from which on an id that was remembered is not
-
-	seq    uint64 // of the last record
-	live   int64  // bytes that carrying all of it takes at most
-	places map[mark]uint64
-	placed uint64
-	items  queue.FIFO[item] // in the order of the log
+	Entries   map[string]*Entry
+	Unhealthy map[string]Record // hosts in an outage, or cold after it
+	Drains    map[string]Record // in force
+	Overrides map[string]Record // the last one on each subject
+
+	retention       Retention
+	completed       map[string]CompletedID
+	completionOrder []CompletedID // as they ended; some of them may be forgotten
+	completedBytes  int64
+	lastOrdinal     uint64
+	lastCompletedAt int64 // Unix milliseconds
+	replaying       bool  // a log is read
+	replayed        []CompletedID
+	forgottenAt     map[string]uint64 // place from which on an id that was remembered is not
+
+	seq             uint64 // of the last record
+	live            int64  // bytes that carrying all of it takes at most
+	statusPositions map[statusKey]uint64
+	lastPosition    uint64
+	items           queue.FIFO[item] // in the order of the log
 
 	// While a damaged log is read:
 	damaged  bool
@@ -86,32 +86,32 @@
 	orphans  map[string]bool // ids with records of a message that is missing
 }
 
-func newState(m Memory) state {
-	return state{Entries: map[string]*Entry{}, Unwell: map[string]Record{}, Drains: map[string]Record{}, Words: map[string]Record{}, memory: m,
-		ended: map[string]Ended{}, places: map[mark]uint64{}, suspects: map[string]bool{}, orphans: map[string]bool{}}
+func newState(m Retention) state {
+	return state{Entries: map[string]*Entry{}, Unhealthy: map[string]Record{}, Drains: map[string]Record{}, Overrides: map[string]Record{}, retention: m,
+		completed: map[string]CompletedID{}, statusPositions: map[statusKey]uint64{}, suspects: map[string]bool{}, orphans: map[string]bool{}}
 }
 
-// settle puts something at a place in a segment.
-func (s *state) settle(k kind, id string, segment uint64) (place uint64) {
-	s.placed++
-	s.items.Push(item{k, id, segment, s.placed})
-	return s.placed
+// appendItem puts something at a place in a segment.
+func (s *state) appendItem(k itemKind, id string, segment uint64) (place uint64) {
+	s.lastPosition++
+	s.items.Push(item{k, id, segment, s.lastPosition})
+	return s.lastPosition
 }
 
 // isLive tells whether what stood at a place still does.
 func (s *state) isLive(i item) bool {
 	if i.kind == entryKind {
 		e := s.Entries[i.id]
-		return e != nil && e.place == i.place
+		return e != nil && e.position == i.position
 	}
-	if i.kind == endedKind {
-		return s.ended[i.id].place == i.place
+	if i.kind == completedKind {
+		return s.completed[i.id].position == i.position
 	}
-	return s.places[mark{i.kind, i.id}] == i.place
+	return s.statusPositions[statusKey{i.kind, i.id}] == i.position
 }
 
-// oldest is the first item that is live; at most so many that are not are passed over.
-func (s *state) oldest(most int) (i item, ok bool) {
+// oldestLive is the first item that is live; at most so many that are not are passed over.
+func (s *state) oldestLive(most int) (i item, ok bool) {
 	for ; s.items.Len() > 0 && most > 0; most-- {
 		if i = s.items.At(0); s.isLive(i) {
 			return i, true
@@ -121,37 +121,37 @@
 	return i, false
 }
 
-// carried is the record that says all that is known of an item.
-func (s *state) carried(i item) Record {
+// rewriteRecord is the record that says all that is known of an item.
+func (s *state) rewriteRecord(i item) Record {
 	switch i.kind {
 	case entryKind:
-		return Record{Op: opCarried, Entry: s.Entries[i.id]}
-	case unwellKind:
-		return s.Unwell[i.id]
+		return Record{Op: opRewritten, Entry: s.Entries[i.id]}
+	case outageKind:
+		return s.Unhealthy[i.id]
 	case drainKind:
 		return s.Drains[i.id]
-	case wordKind:
-		return s.Words[i.id]
+	case overrideKind:
+		return s.Overrides[i.id]
 	}
-	e := s.ended[i.id]
-	return Record{Op: opEnded, ID: e.ID, Sum: e.Sum, At: e.At}
+	e := s.completed[i.id]
+	return Record{Op: opCompleted, ID: e.ID, Sum: e.Sum, At: e.At}
 }
 
-// growth is by how many bytes a record that takes n makes what is live grow at most.
-func (r *Record) growth(n int64) int64 {
+// liveGrowth is by how many bytes a record that takes n makes what is live grow at most.
+func (r *Record) liveGrowth(n int64) int64 {
 	switch r.Op {
 	case OpTaken:
-		return n + slack
-	case OpHealth, OpDrain, OpWord:
-		return slack
+		return n + entryGrowthReserve
+	case OpHealth, OpDrain, OpOverride:
+		return entryGrowthReserve
 	case OpTry:
 		if r.Host != "" {
-			return int64(attemptRoom + len(r.Host))
+			return int64(maxAttemptSize + len(r.Host))
 		}
 	case OpNotice:
 		return int64(len(r.Why))
 	case OpEnd:
-		return int64(endedRoom + len(r.ID))
+		return int64(maxCompletedSize + len(r.ID))
 	}
 	return 0
 }
@@ -160,42 +160,42 @@
 func (s *state) apply(seq uint64, r *Record, segment uint64, n int64) {
 	s.seq = seq
 	switch r.Op {
-	case OpTaken, opCarried:
-		s.take(r, segment, n)
+	case OpTaken, opRewritten:
+		s.acceptEntry(r, segment, n)
 	case OpHealth:
-		s.keep(unwellKind, s.Unwell, r, segment)
+		s.setStatus(outageKind, s.Unhealthy, r, segment)
 	case OpDrain:
-		s.keep(drainKind, s.Drains, r, segment)
-	case OpWord:
-		s.keep(wordKind, s.Words, r, segment)
-	case opEnded:
-		s.remember(Ended{ID: r.ID, Sum: r.Sum, At: r.At}, segment)
+		s.setStatus(drainKind, s.Drains, r, segment)
+	case OpOverride:
+		s.setStatus(overrideKind, s.Overrides, r, segment)
+	case opCompleted:
+		s.retain(CompletedID{ID: r.ID, Sum: r.Sum, At: r.At}, segment)
 	default:
-		s.applyTo(s.Entries[r.ID], r, segment)
+		s.applyToEntry(s.Entries[r.ID], r, segment)
 	}
 }
 
-// keep takes in what is true of a host, of a target of a drain, or of a subject of the fleet.
-func (s *state) keep(k kind, all map[string]Record, r *Record, segment uint64) {
-	m := mark{k, r.ID}
+// setStatus takes in what is true of a host, of a target of a drain, or of a subject of the fleet.
+func (s *state) setStatus(k itemKind, all map[string]Record, r *Record, segment uint64) {
+	m := statusKey{k, r.ID}
 	if _, ok := all[r.ID]; ok {
-		s.live -= slack
+		s.live -= entryGrowthReserve
 		delete(all, r.ID)
-		delete(s.places, m)
+		delete(s.statusPositions, m)
 	}
-	if r.Ran || k == wordKind {
-		s.live += slack
+	if r.Ran || k == overrideKind {
+		s.live += entryGrowthReserve
 		all[r.ID] = *r
-		s.places[m] = s.settle(k, r.ID, segment)
+		s.statusPositions[m] = s.appendItem(k, r.ID, segment)
 	}
 }
 
-// take takes in a message, or all that is known of one.
-func (s *state) take(r *Record, segment uint64, n int64) {
+// acceptEntry takes in a message, or all that is known of one.
+func (s *state) acceptEntry(r *Record, segment uint64, n int64) {
 	e := r.Entry
 	was := s.Entries[e.ID]
 	if was == e { // carried by this process: it stands elsewhere now
-		e.place = s.settle(entryKind, e.ID, segment)
+		e.position = s.appendItem(entryKind, e.ID, segment)
 		return
 	}
 	if was != nil && r.Op == OpTaken {
@@ -204,31 +204,31 @@
 	if was != nil {
 		s.live -= was.size
 	}
-	if e.number == 0 {
-		e.number = s.seq
+	if e.acceptedSeq == 0 {
+		e.acceptedSeq = s.seq
 	}
 	if e.size = n; e.Status == "" {
-		e.size += slack
+		e.size += entryGrowthReserve
 	}
 	s.live += e.size
-	e.place = s.settle(entryKind, e.ID, segment)
+	e.position = s.appendItem(entryKind, e.ID, segment)
 	s.Entries[e.ID] = e
-	s.forget(e.ID)
+	s.dropCompleted(e.ID)
 	if s.replaying {
-		s.sift()
+		s.dropDeadItems()
 	}
 	delete(s.suspects, e.ID)
 	delete(s.orphans, e.ID)
 }
 
-// applyTo takes in what a record says of a message that was taken on before.
-func (s *state) applyTo(e *Entry, r *Record, segment uint64) {
+// applyToEntry takes in what a record says of a message that was taken on before.
+func (s *state) applyToEntry(e *Entry, r *Record, segment uint64) {
 	over := r.Op == OpEnd || r.Op == OpForget
 	if e == nil {
 		if over {
 			delete(s.orphans, r.ID)
 			if r.Sum != 0 { // what was before it has been let go
-				s.remember(Ended{ID: r.ID, Sum: r.Sum, At: r.At}, segment)
+				s.retain(CompletedID{ID: r.ID, Sum: r.Sum, At: r.At}, segment)
 			}
 		} else if s.damaged {
 			s.orphans[r.ID] = true
@@ -242,7 +242,7 @@
 		e.Out, e.OutAt, e.OutTo, e.Wait = true, r.At, r.Zone, r.Wait
 		if r.Host != "" {
 			e.Log = append(e.Log, Attempt{Host: r.Host, At: r.At})
-			grow(r.growth(0))
+			grow(r.liveGrowth(0))
 		}
 	case r.Op == OpOutcome && e.Out:
 		e.Out = false
@@ -266,9 +266,9 @@
 			if sum == 0 {
 				sum = e.Checksum()
 			}
-			s.remember(Ended{ID: r.ID, Sum: sum, At: r.At}, segment)
+			s.retain(CompletedID{ID: r.ID, Sum: sum, At: r.At}, segment)
 		} else if s.replaying {
-			s.forgot[r.ID] = s.placed
+			s.forgottenAt[r.ID] = s.lastPosition
 		}
 	}
 }
@@ -280,71 +280,71 @@
 	}
 }
 
-// remember keeps an id that may come again, and forgets those that are too many or too old.
-func (s *state) remember(e Ended, segment uint64) {
-	if s.memory.Most <= 0 {
+// retain keeps an id that may come again, and forgets those that are too many or too old.
+func (s *state) retain(e CompletedID, segment uint64) {
+	if s.retention.MaxIDs <= 0 {
 		return
 	}
-	s.placed++
-	e.place = s.placed
+	s.lastPosition++
+	e.position = s.lastPosition
 	if s.replaying {
 		e.segment = segment
 		s.replayed = append(s.replayed, e)
-		if len(s.replayed) > 4*s.memory.Most+4096 {
-			s.thin()
+		if len(s.replayed) > 4*s.retention.MaxIDs+4096 {
+			s.limitReplayed()
 		}
 		return
 	}
-	s.items.Push(item{endedKind, e.ID, segment, e.place})
-	s.enroll(e)
+	s.items.Push(item{completedKind, e.ID, segment, e.position})
+	s.addCompleted(e)
 }
 
-// enroll takes an id that has a place into the order of those that are remembered.
-func (s *state) enroll(e Ended) {
-	if was, ok := s.ended[e.ID]; ok { // it was carried
-		e.turn = was.turn
+// addCompleted takes an id that has a place into the order of those that are remembered.
+func (s *state) addCompleted(e CompletedID) {
+	if was, ok := s.completed[e.ID]; ok { // it was carried
+		e.ordinal = was.ordinal
 	} else {
-		s.turns++
-		e.turn = s.turns
-		s.endedIDs = append(s.endedIDs, e)
-		s.endedBytes += int64(endedRoom + len(e.ID))
-		s.live += int64(endedRoom + len(e.ID))
+		s.lastOrdinal++
+		e.ordinal = s.lastOrdinal
+		s.completionOrder = append(s.completionOrder, e)
+		s.completedBytes += int64(maxCompletedSize + len(e.ID))
+		s.live += int64(maxCompletedSize + len(e.ID))
 	}
-	s.ended[e.ID] = e
-	s.lastEnd = max(s.lastEnd, e.At)
-	for len(s.endedIDs) > 0 {
-		old := s.endedIDs[0]
-		remembered := s.ended[old.ID].turn == old.turn
-		if remembered && len(s.ended) <= s.memory.Most && s.endedBytes <= s.memory.Bytes &&
-			(s.lastEnd == 0 || s.lastEnd-old.At <= s.memory.AgeMS) {
+	s.completed[e.ID] = e
+	s.lastCompletedAt = max(s.lastCompletedAt, e.At)
+	for len(s.completionOrder) > 0 {
+		old := s.completionOrder[0]
+		remembered := s.completed[old.ID].ordinal == old.ordinal
+		if remembered && len(s.completed) <= s.retention.MaxIDs && s.completedBytes <= s.retention.MaxBytes &&
+			(s.lastCompletedAt == 0 || s.lastCompletedAt-old.At <= s.retention.MaxAgeMs) {
 			break
 		}
-		s.endedIDs = s.endedIDs[1:]
+		s.completionOrder = s.completionOrder[1:]
 		if remembered {
-			s.forget(old.ID)
+			s.dropCompleted(old.ID)
 		}
 	}
 }
 
-// forget forgets an id that was remembered.
-func (s *state) forget(id string) {
-	if _, ok := s.ended[id]; !ok {
+// dropCompleted forgets an id that was remembered.
+func (s *state) dropCompleted(id string) {
+	if _, ok := s.completed[id]; !ok {
 		return
 	}
-	delete(s.ended, id)
-	s.endedBytes -= int64(endedRoom + len(id))
-	s.live -= int64(endedRoom + len(id))
+	delete(s.completed, id)
+	s.completedBytes -= int64(maxCompletedSize + len(id))
+	s.live -= int64(maxCompletedSize + len(id))
 }
 
-// thin drops of what was read of ended ids all but the last ones to end. A log has them in the order in which they
+// limitReplayed drops of what was read of ended ids all but the last ones to end. A log has them in the order in which they
 // were carried.
-func (s *state) thin() {
-	slices.SortStableFunc(s.replayed, func(a, b Ended) int { return cmp.Compare(a.At, b.At) })
-	s.replayed = append(s.replayed[:0], s.replayed[len(s.replayed)-s.memory.Most:]...)
+func (s *state) limitReplayed() {
+	slices.SortStableFunc(s.replayed, func(a, b CompletedID) int { return cmp.Compare(a.At, b.At) })
+	s.replayed = append(s.replayed[:0], s.replayed[len(s.replayed)-s.retention.MaxIDs:]...)
 }
 
-// sift drops places at which nothing is live any more while a log is read, in which most are.
-func (s *state) sift() {
+// dropDeadItems drops places at which nothing is live any more while a log is read, in which most are.
+func (s *state) dropDeadItems() {
 	if s.items.Len() <= 2*len(s.Entries)+1<<16 {
 		return
 	}
@@ -355,29 +355,29 @@
 	}
 }
 
-// replayedAll ends the reading of a log: what is remembered is what would have been by the process that wrote it.
-func (s *state) replayedAll() {
+// finishReplay ends the reading of a log: what is remembered is what would have been by the process that wrote it.
+func (s *state) finishReplay() {
 	s.replaying = false
-	slices.SortStableFunc(s.replayed, func(a, b Ended) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(s.replayed, func(a, b CompletedID) int { return cmp.Compare(a.At, b.At) })
 	var all []item
 	for s.items.Len() > 0 {
 		all = append(all, s.items.Pop())
 	}
 	for _, e := range s.replayed {
-		if s.Entries[e.ID] == nil && e.place > s.forgot[e.ID] {
-			all = append(all, item{endedKind, e.ID, e.segment, e.place})
-			s.enroll(e)
+		if s.Entries[e.ID] == nil && e.position > s.forgottenAt[e.ID] {
+			all = append(all, item{completedKind, e.ID, e.segment, e.position})
+			s.addCompleted(e)
 		}
 	}
-	s.replayed, s.forgot = nil, nil
-	slices.SortFunc(all, func(a, b item) int { return cmp.Compare(a.place, b.place) })
+	s.replayed, s.forgottenAt = nil, nil
+	slices.SortFunc(all, func(a, b item) int { return cmp.Compare(a.position, b.position) })
 	for _, i := range all {
 		s.items.Push(i)
 	}
 }
 
-// hole notes that records are missing here.
-func (s *state) hole() {
+// markSuspects notes that records are missing here.
+func (s *state) markSuspects() {
 	s.damaged = true
 	for id := range s.Entries {
 		s.suspects[id] = true
@@ -390,15 +390,15 @@
 	for _, e := range s.Entries {
 		all = append(all, e)
 	}
-	slices.SortFunc(all, func(a, b *Entry) int { return cmp.Compare(a.number, b.number) })
+	slices.SortFunc(all, func(a, b *Entry) int { return cmp.Compare(a.acceptedSeq, b.acceptedSeq) })
 	return all
 }
 
-// Ended are the messages over that are remembered, in the order in which they ended.
-func (s *state) Ended() []Ended {
-	all := make([]Ended, 0, len(s.ended))
-	for _, e := range s.endedIDs {
-		if s.ended[e.ID].turn == e.turn {
+// CompletedIDs are the messages over that are remembered, in the order in which they ended.
+func (s *state) CompletedIDs() []CompletedID {
+	all := make([]CompletedID, 0, len(s.completed))
+	for _, e := range s.completionOrder {
+		if s.completed[e.ID].ordinal == e.ordinal {
 			all = append(all, e)
 		}
 	}
--- a/internal/relay/queue/queue.go
+++ b/internal/relay/queue/queue.go
@@ -14,34 +14,34 @@
 // Heap is a binary heap (Williams 1964) that finds the least element at once, and adds, moves or removes any
 // in a time that grows with the logarithm of their number. It needs a word for each.
 type Heap[T any] struct {
-	all   []T
-	less  func(a, b T) bool
-	place func(T) *Place
+	elements []T
+	less     func(a, b T) bool
+	position func(T) *Place
 }
 
 // NewHeap returns an empty heap. Less is a strict order; place names the field of an element in which this
 // heap keeps where it stands, and which nothing else may write.
 func NewHeap[T any](less func(a, b T) bool, place func(T) *Place) *Heap[T] {
-	return &Heap[T]{less: less, place: place}
+	return &Heap[T]{less: less, position: place}
 }
 
 // Len is the number of elements.
-func (h *Heap[T]) Len() int { return len(h.all) }
+func (h *Heap[T]) Len() int { return len(h.elements) }
 
 // Min is the least element; false if there is none. It costs the same for any number.
 func (h *Heap[T]) Min() (least T, ok bool) {
-	if len(h.all) == 0 {
+	if len(h.elements) == 0 {
 		return least, false
 	}
-	return h.all[0], true
+	return h.elements[0], true
 }
 
 // Set puts an element where it belongs, whether it is new or its order has changed.
 func (h *Heap[T]) Set(e T) {
-	p := h.place(e)
+	p := h.position(e)
 	if !p.In() {
-		h.all = append(h.all, e)
-		*p = Place(len(h.all))
+		h.elements = append(h.elements, e)
+		*p = Place(len(h.elements))
 	}
 	i := int(*p) - 1
 	if !h.up(i) {
@@ -51,29 +51,29 @@
 
 // Remove takes an element out; one that is not in does nothing.
 func (h *Heap[T]) Remove(e T) {
-	p := h.place(e)
+	p := h.position(e)
 	if !p.In() {
 		return
 	}
-	i, last := int(*p)-1, len(h.all)-1
+	i, last := int(*p)-1, len(h.elements)-1
 	h.swap(i, last)
 	var none T
-	h.all[last] = none
-	h.all = h.all[:last]
+	h.elements[last] = none
+	h.elements = h.elements[:last]
 	if *p = 0; i < last && !h.up(i) {
 		h.down(i)
 	}
 }
 
 func (h *Heap[T]) swap(i, j int) {
-	h.all[i], h.all[j] = h.all[j], h.all[i]
-	*h.place(h.all[i]), *h.place(h.all[j]) = Place(i+1), Place(j+1)
+	h.elements[i], h.elements[j] = h.elements[j], h.elements[i]
+	*h.position(h.elements[i]), *h.position(h.elements[j]) = Place(i+1), Place(j+1)
 }
 
 // up moves an element towards the least, and tells whether it moved.
 func (h *Heap[T]) up(i int) bool {
 	from := i
-	for i > 0 && h.less(h.all[i], h.all[(i-1)/2]) {
+	for i > 0 && h.less(h.elements[i], h.elements[(i-1)/2]) {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
@@ -83,13 +83,13 @@
 func (h *Heap[T]) down(i int) {
 	for {
 		next := 2*i + 1
-		if next >= len(h.all) {
+		if next >= len(h.elements) {
 			return
 		}
-		if next+1 < len(h.all) && h.less(h.all[next+1], h.all[next]) {
+		if next+1 < len(h.elements) && h.less(h.elements[next+1], h.elements[next]) {
 			next++
 		}
-		if !h.less(h.all[next], h.all[i]) {
+		if !h.less(h.elements[next], h.elements[i]) {
 			return
 		}
 		h.swap(i, next)
@@ -104,13 +104,13 @@
 	less func(a, b T) bool
 }
 
-// degree of the trees: nodes of 16 to 31 elements, some 300 bytes of pointers.
-const degree = 16
+// treeDegree of the trees: nodes of 16 to 31 elements, some 300 bytes of pointers.
+const treeDegree = 16
 
 // NewSorted returns an empty set. Less is a strict order in which no two elements of the set are equal, and
 // that of an element must not change while it is in.
 func NewSorted[T any](less func(a, b T) bool) *Sorted[T] {
-	return &Sorted[T]{btree.NewWithFreeListG(degree, less, btree.NewFreeListG[T](0)), less}
+	return &Sorted[T]{btree.NewWithFreeListG(treeDegree, less, btree.NewFreeListG[T](0)), less}
 }
 
 // Len is the number of elements.
--- a/internal/relay/queue/queue_test.go
+++ b/internal/relay/queue/queue_test.go
@@ -18,7 +18,7 @@
 func less(a, b *element) bool { return order(a, b) < 0 }
 
 // Both structures, driven by random commands, hold what a plain slice holds, in its order.
-func TestAgainstSlices(t *testing.T) {
+func TestHeapAndSortedMatchSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heap := NewHeap(less, func(e *element) *Place { return &e.place })
 		sorted := NewSorted(less)
@@ -118,13 +118,13 @@
 }
 
 // A FIFO is a slice that is pushed to and popped from.
-func TestFIFO(t *testing.T) {
+func TestFIFOMatchesSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FIFO[int]
 		var plain []int
 		next := 0
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
-			for range rapid.IntRange(0, 2*chunk).Draw(t, "pushes") {
+			for range rapid.IntRange(0, 2*chunkSize).Draw(t, "pushes") {
 				q.Push(next)
 				plain = append(plain, next)
 				next++
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	if r.journal, err = journal.Open(conf.State, journal.Options{Budget: int64(conf.DiskMB * 1e6), Power: conf.Power, Files: conf.Files,
-		Memory: journal.Memory{Most: r.past.most, Bytes: pastBytes, AgeMS: pastAge.Milliseconds()}}); err != nil {
+		Retention: journal.Retention{MaxIDs: r.past.most, MaxBytes: pastBytes, MaxAgeMs: pastAge.Milliseconds()}}); err != nil {
 		return nil, err
 	}
 	switch {
@@ -350,7 +350,7 @@
 func (r *Relay) restore() {
 	wall := time.Now().UnixMilli()
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-	for _, e := range r.journal.Ended() {
+	for _, e := range r.journal.CompletedIDs() {
 		r.past.put(e.ID, e.Sum)
 	}
 	r.damage()
@@ -398,7 +398,7 @@
 		}
 		r.takeUp(m, e.Out)
 	}
-	for id, s := range r.journal.Unwell {
+	for id, s := range r.journal.Unhealthy {
 		if time.Duration(wall-s.At)*time.Millisecond < forgetUnwell {
 			r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
 		} else {
--- a/internal/relay/service_test.go
+++ b/internal/relay/service_test.go
@@ -232,8 +232,8 @@
 	r.dests[6] = 0
 	r.listed(list{1, true, []server{at("s-1", "x:1", "nowhere")}})
 	r.flush()
-	want(t, "the gone one's outage is kept", r.journal.Unwell["s-0"].Ran, false)
-	want(t, "the listed one's outage is kept", r.journal.Unwell["s-1"].Ran, true)
+	want(t, "the gone one's outage is kept", r.journal.Unhealthy["s-0"].Ran, false)
+	want(t, "the listed one's outage is kept", r.journal.Unhealthy["s-1"].Ran, true)
 	want(t, "destination 6 is known", r.knows(6), false)
 	want(t, "destination 7 is known", r.knows(7), true)
 	first, again := r.zone("nowhere"), r.zone("nowhere")
--- a/internal/relay/statedir/fixtures_test.go
+++ b/internal/relay/statedir/fixtures_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against two builds that both take a folder for theirs: the file that is locked has one name for all of them.
-func TestLockIsAsFrozen(t *testing.T) {
+func TestLockFileIsAsFrozen(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "lock")
 	if err := os.WriteFile(path, []byte("12345678901234567890\n"), 0o600); err != nil { // of an earlier process
--- a/internal/sqlitelog/open.go
+++ b/internal/sqlitelog/open.go
@@ -41,7 +41,7 @@
 		done:     make(chan struct{}),
 		failure:  make(chan struct{}),
 		tables:   map[string]*table{},
-		diskFree: vfs.Dir(dir).Room,
+		diskFree: vfs.Dir(dir).Available,
 	}
 	if err := d.prepare(limit, tables); err != nil {
 		_ = d.conn.Close()
--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -25,8 +25,8 @@
 	Remove(name string) error
 	// Truncate cuts a file.
 	Truncate(name string, size int64) error
-	// Room is how many bytes the disk has left, as far as can be told at little cost; a quota may be less.
-	Room() int64
+	// Available is how many bytes the disk has left, as far as can be told at little cost; a quota may be less.
+	Available() int64
 	// SyncFile has a file's bytes, whoever wrote them, outlast a loss of power.
 	SyncFile(name string) error
 	// SyncDir has the folder's entries outlast a loss of power.
@@ -44,8 +44,10 @@
 	Sync() error
 }
 
-// Full tells whether an error says that there is no room: ENOSPC, or a quota used up.
-func Full(err error) bool { return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) }
+// IsNoSpace tells whether an error says that there is no room: ENOSPC, or a quota used up.
+func IsNoSpace(err error) bool {
+	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+}
 
 // Dir is a folder of the operating system.
 type Dir string
@@ -85,8 +87,8 @@
 	return os.Truncate(filepath.Join(string(d), name), size)
 }
 
-// Room implements System.
-func (d Dir) Room() int64 {
+// Available implements System.
+func (d Dir) Available() int64 {
 	var s unix.Statfs_t
 	if unix.Statfs(string(d), &s) != nil {
 		return math.MaxInt64
