--- a/internal/relay/journal/bench_test.go
+++ b/internal/relay/journal/bench_test.go
@@ -11,37 +11,39 @@
 	"time"
 )
 
-// filledJournal is a journal that holds so many messages of 1 kB.
-func filledJournal(b testing.TB, dir string, held int, o Options) *Journal {
+// filledJournal returns a journal with a number of pending messages of 1 kB.
+func filledJournal(b testing.TB, dir string, pending int, options Options) *Journal {
 	b.Helper()
-	j, err := Open(dir, o)
+	j, err := Open(dir, options)
 	if err != nil {
 		b.Fatal(err)
 	}
-	for i := 0; i < held; i += 50 {
+	for i := 0; i < pending; i += 50 {
 		var recs []Record
-		for k := i; k < min(i+50, held); k++ {
-			recs = append(recs, takenRecord(fmt.Sprint("held-", k), 1000))
+		for k := i; k < min(i+50, pending); k++ {
+			recs = append(recs, takenRecord(fmt.Sprint("pending-", k), 1000))
 		}
 		mustAppend(b, j, recs...)
 	}
 	return j
 }
 
-// BenchmarkAppend is the life of a message that is delivered at once, a record at a time, with 1,000 others held, so
-// that compaction is always under way; and the same bytes by write(2) alone.
+// BenchmarkAppend appends the records of a message that is delivered at once, one by one, with 1,000 others pending, so
+// that compaction is always running; and writes the same bytes by write(2) alone.
 func BenchmarkAppend(b *testing.B) {
 	body := make([]byte, 300)
 	taken := func(id string, _ int) Record {
 		return Record{Op: OpTaken, Entry: &Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: body}}
 	}
 	b.Run("journal", func(b *testing.B) {
-		j := filledJournal(b, b.TempDir(), 1000, Options{Budget: 64 << 20, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}})
+		j := filledJournal(b, b.TempDir(), 1000,
+			Options{Budget: 64 << 20, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}})
 		defer j.Close()
 		b.ResetTimer()
 		for i := range b.N {
 			id := "m" + strconv.Itoa(i)
-			for _, r := range []Record{taken(id, 300), {Op: OpTry, ID: id, At: int64(i), Wait: 300}, {Op: OpEnd, ID: id, At: int64(i)}} {
+			for _, r := range []Record{taken(id, 300), {Op: OpTry, ID: id, At: int64(i), Wait: 300},
+				{Op: OpEnd, ID: id, At: int64(i)}} {
 				if err := j.Append(r); err != nil {
 					b.Fatal(err)
 				}
@@ -50,7 +52,8 @@
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(3*b.N), "ns/record")
 	})
 	b.Run("journal-steps-of-10", func(b *testing.B) { // as a loaded relay writes them
-		j := filledJournal(b, b.TempDir(), 1000, Options{Budget: 64 << 20, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}})
+		j := filledJournal(b, b.TempDir(), 1000,
+			Options{Budget: 64 << 20, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}})
 		defer j.Close()
 		b.ResetTimer()
 		for i := 0; i < b.N; i += 10 {
@@ -85,16 +88,16 @@
 	})
 }
 
-// BenchmarkLongestAppend is the longest Append, each with the records of 20 messages, while compaction goes several times
-// round the log; and how many bytes were written for each one appended.
+// BenchmarkLongestAppend measures the longest Append, each with the records of 20 messages, while compaction rewrites the
+// log several times; and the number of records written for each one appended.
 func BenchmarkLongestAppend(b *testing.B) {
-	for _, held := range []int{1000, 10_000, 100_000} {
-		b.Run(fmt.Sprint("held-", held), func(b *testing.B) {
+	for _, pending := range []int{1000, 10_000, 100_000} {
+		b.Run(fmt.Sprint("pending-", pending), func(b *testing.B) {
 			for range b.N {
-				j := filledJournal(b, b.TempDir(), held, Options{Budget: 1 << 30})
+				j := filledJournal(b, b.TempDir(), pending, Options{Budget: 1 << 30})
 				before := j.seq
 				var all []time.Duration
-				rounds := max(2000, held/10)
+				rounds := max(2000, pending/10)
 				for n := range rounds {
 					var recs []Record
 					for i := range 20 {
@@ -116,13 +119,14 @@
 	}
 }
 
-// BenchmarkOpen reads a journal with so many live messages of 1 kB, and ended ones.
+// BenchmarkOpen replays a journal with pending messages of 1 kB, and completed ones.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range [][2]int{{1000, 0}, {100_000, 0}, {100_000, 1_000_000}} {
-		b.Run(fmt.Sprint("held-", n[0], "-ended-", n[1]), func(b *testing.B) {
-			held := n[0]
-			dir, o := b.TempDir(), Options{Budget: 1 << 30, Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}}
-			j := filledJournal(b, dir, held, o)
+		b.Run(fmt.Sprint("pending-", n[0], "-completed-", n[1]), func(b *testing.B) {
+			pending := n[0]
+			dir, options := b.TempDir(), Options{Budget: 1 << 30,
+				Retention: Retention{MaxIDs: 4096, MaxBytes: 1 << 20, MaxAgeMs: 1e6}}
+			j := filledJournal(b, dir, pending, options)
 			for n := range n[1] / 20 {
 				var recs []Record
 				for i := range 20 {
@@ -134,19 +138,19 @@
 			j.Close()
 			b.ResetTimer()
 			for range b.N {
-				j, err := Open(dir, o)
+				j, err := Open(dir, options)
 				if err != nil {
 					b.Fatal(err)
 				}
-				want(b, "entries", len(j.Entries), held)
+				want(b, "entries", len(j.Entries), pending)
 				j.Close()
 			}
 		})
 	}
 }
 
-// BenchmarkGroupCommit is what clients together get recorded with each of them waiting for the disk: one Append for all that
-// wait, as the relay does, and one sync for each message.
+// BenchmarkGroupCommit measures the rate of messages that clients get recorded at level power, when all waiting ones share
+// one Append and its sync, as in the relay.
 func BenchmarkGroupCommit(b *testing.B) {
 	for _, clients := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint("clients-", clients), func(b *testing.B) {
--- a/internal/relay/journal/codec.go
+++ b/internal/relay/journal/codec.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/relay/protofields"
 )
 
-// The numbers of the fields of a record.
+// Field numbers of a record. A number is never reused.
 const (
 	recOp protowire.Number = iota + 1
 	recID
@@ -27,7 +27,7 @@
 	recSum
 )
 
-// encode appends a record.
+// encode appends the record in the wire format of Protocol Buffers. The order of the fields is part of the frozen format.
 func (r *Record) encode(buf []byte) []byte {
 	buf = putNumber(buf, recOp, opCodes[r.Op])
 	buf = putText(buf, recID, r.ID)
@@ -49,22 +49,9 @@
 	return buf
 }
 
-// putMessage appends a message within one. Its length takes three bytes always, so that it can be set afterwards.
-func putMessage(buf []byte, n protowire.Number, put func([]byte) []byte) []byte {
-	buf = protowire.AppendTag(buf, n, protowire.BytesType)
-	at := len(buf)
-	buf = put(append(buf, 0, 0, 0))
-	size := len(buf) - at - 3
-	if size >= 1<<21 {
-		panic("journal: a record over 2 MB") // bodies, names and attempts are bounded far below
-	}
-	buf[at], buf[at+1], buf[at+2] = byte(size)|0x80, byte(size>>7)|0x80, byte(size>>14)
-	return buf
-}
-
 var errUnknownOp = errors.New("an operation that is not known")
 
-// decode reads a record. What it returns shares nothing with data.
+// decode returns the record encoded in data; unknown fields are skipped. The result does not alias data.
 func decode(data []byte) (r Record, err error) {
 	err = protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
@@ -111,7 +98,7 @@
 	return r, err
 }
 
-// The numbers of the fields of an entry.
+// Field numbers of an entry. A number is never reused.
 const (
 	entID protowire.Number = iota + 1
 	entClass
@@ -141,6 +128,7 @@
 	entOrder
 )
 
+// encode appends the entry, its body last.
 func (e *Entry) encode(buf []byte) []byte {
 	buf = putText(buf, entID, e.ID)
 	buf = putText(buf, entClass, e.Class)
@@ -172,6 +160,7 @@
 	return putBytes(buf, entBody, e.Body)
 }
 
+// decode sets the entry from its encoding; unknown fields are skipped.
 func (e *Entry) decode(data []byte) error {
 	return protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
@@ -236,7 +225,7 @@
 	})
 }
 
-// The numbers of the fields of an attempt.
+// Field numbers of an attempt. A number is never reused.
 const (
 	attHost protowire.Number = iota + 1
 	attAt
@@ -245,6 +234,7 @@
 	attRan
 )
 
+// encode appends the attempt.
 func (a *Attempt) encode(buf []byte) []byte {
 	buf = putText(buf, attHost, a.Host)
 	buf = putSigned(buf, attAt, a.At)
@@ -253,6 +243,7 @@
 	return putNumber(buf, attRan, bit(a.Ran))
 }
 
+// decode sets the attempt from its encoding; unknown fields are skipped.
 func (a *Attempt) decode(data []byte) error {
 	return protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
--- a/internal/relay/journal/compare/compare_test.go
+++ b/internal/relay/journal/compare/compare_test.go
@@ -1,4 +1,4 @@
-// Package compare holds the journal against libraries that could do its work, on the same records.
+// Package compare benchmarks the journal and libraries that could replace it, on the same records.
 package compare
 
 import (
@@ -18,7 +18,7 @@
 	"larchrouter/internal/relay/journal"
 )
 
-// store records the lives of messages as a relay does: in each step ten are taken on, tried, and end. Nothing is synced:
+// store records messages as a relay does: each step accepts, attempts and completes ten of them. Nothing is synced:
 // what write(2) took is what the platform's level asks for.
 type store interface {
 	take(n int, ids []string, body []byte) error
@@ -53,7 +53,7 @@
 
 func (s journalStore) close() error { return s.Close() }
 
-// The others keep an entry under its id, and beside it what an attempt changes.
+// The other stores keep an entry under its id, and under a second key what an attempt changes.
 var tried = []byte("tried 5 300")
 
 type boltStore struct{ db *bbolt.DB }
@@ -193,7 +193,7 @@
 	return sum
 }
 
-// BenchmarkStores is one step of ten messages, others held: small bodies, and large ones of changing sizes. It tells the
+// BenchmarkStores runs steps of ten messages with others pending: small bodies, and large ones of changing sizes. It reports the
 // time for a record, the longest step, the most that the files took, and the heap in use at the end.
 func BenchmarkStores(b *testing.B) {
 	for _, load := range []struct{ held, least, most int }{{1000, 300, 300}, {50, 1000, 40_000}} {
--- a/internal/relay/journal/fixtures_test.go
+++ b/internal/relay/journal/fixtures_test.go
@@ -14,19 +14,19 @@
 	"larchrouter/internal/fixture"
 )
 
-// The fixtures are state folders as a process leaves them that was killed: one for each format of the journal that is read.
+// The fixtures are state directories of a killed process: one for each format of the journal that is read.
 //
-//	testdata/state-format-1  the one file of JSON records, with a compaction of it that was cut short
-//	testdata/state-format-2  two segments: the first of a process that did not sync ("process"), the second of one that did ("power")
+//	testdata/state-format-1  the one file of JSON records, with an interrupted compaction
+//	testdata/state-format-2  two segments, the first written at level process and the second at level power
 
-// frozenFrame is a record as it stands in a segment.
+// frozenFrame is a frame of a segment.
 type frozenFrame struct {
 	seq      uint64
 	unsynced uint32
 	record   Record
 }
 
-// fullEntry has a value of its own for every field that is stored.
+// fullEntry has a distinct value in every stored field.
 func fullEntry() *Entry {
 	return &Entry{ID: "full", Class: "job-order", Dest: 11, Key: "key-12", Order: "order-13", Effect: 3, Due: 1700000014000,
 		Body: []byte("body\x00\xff"), Tries: 15, Wait: 16, Ran: true, RanAt: 1700000017000, Zone: 18, Out: true, OutAt: 1700000019000, OutTo: 20,
@@ -50,7 +50,8 @@
 		{6, 0, Record{Op: OpOutcome, ID: "tried", Ran: true, Wait: 12, Why: "timed out"}},
 		{7, 0, Record{Op: OpTry, ID: "tried", At: 1700000007000, Wait: 301, Zone: -1}},
 		{8, 0, Record{Op: OpTaken, Entry: small("owed", 8)}},
-		{9, 0, Record{Op: OpNotice, ID: "owed", Status: "undeliverable", Again: 1700000009500, At: 1700000009000, Why: "refused", Sum: 0x51525354}},
+		{9, 0, Record{Op: OpNotice, ID: "owed", Status: "undeliverable", Again: 1700000009500, At: 1700000009000,
+			Why: "refused", Sum: 0x51525354}},
 		{10, 0, Record{Op: OpTaken, Entry: small("gone", 10)}},
 		{11, 0, Record{Op: OpHealth, ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
 		{12, 0, Record{Op: OpHealth, ID: "host-2", Ran: true, Base: 0.125, At: 1700000012000}},
@@ -64,18 +65,19 @@
 	}
 }
 
-// powerFrames are the records of the second segment: first what was carried there.
+// powerFrames are the records of the second segment: first the rewritten ones.
 func powerFrames() []frozenFrame {
 	return []frozenFrame{
 		{20, 0, Record{Op: opCompleted, ID: "over", At: 1700000002000, Sum: 0x257e0630}},
 		{21, 1, Record{Op: opRewritten, Entry: fullEntry()}},
-		{22, 2, Record{Op: OpTaken, Entry: &Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"), acceptedSeq: 22}}},
+		{22, 2, Record{Op: OpTaken, Entry: &Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000,
+			Body: []byte("late"), acceptedSeq: 22}}},
 		{23, 3, Record{Op: OpTry, ID: "late", At: 1700000023000, Wait: 400, Zone: 1}},
 		{24, 4, Record{Op: OpOutcome, ID: "late"}},
 	}
 }
 
-// format1Records are those of the first segment that format 1 had. It had no Order.
+// format1Records are those of the first segment that existed in format 1, which had no Order.
 func format1Records() (all []Record) {
 	for _, f := range processFrames() {
 		if f.record.Op == OpForget {
@@ -89,7 +91,7 @@
 	return all
 }
 
-// records are those of frames.
+// records returns the records of frames.
 func records(all []frozenFrame) (recs []Record) {
 	for _, f := range all {
 		recs = append(recs, f.record)
@@ -97,7 +99,7 @@
 	return recs
 }
 
-// writeFormat2 writes the folder with the present code, through the calls that a relay makes.
+// writeFormat2 writes the directory with the present code, through the calls that a relay makes.
 func writeFormat2(t *testing.T, dir string) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
@@ -111,26 +113,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := j.rewriteOldest(64); err != nil { // the first two that are live
+	if err := j.rewriteOldest(64); err != nil { // the first two live items
 		t.Fatal(err)
 	}
 	mustAppend(t, j, records(powerFrames())[2:]...)
 	j.Close()
-	// What else is found there: the lock with the number of a process, room on the disk that it took, damaged bytes that it kept.
+	// Other files: the lock with the id of a process, its spare file, damaged bytes that it saved.
 	for name, text := range map[string]string{"lock": "4711\n", "journal.spare": "room that the process took\n",
 		"journal-damaged-00000001-100": "bytes that could not be read\n"} {
 		fixture.File(t, filepath.Join(dir, name), []byte(text))
 	}
 }
 
-// writeFormat1 writes what a program of that time left.
+// writeFormat1 writes the directory of a program that used format 1.
 func writeFormat1(t *testing.T, dir string) {
 	fixture.File(t, filepath.Join(dir, "journal"), legacyFile(format1Records()...))
 	fixture.File(t, filepath.Join(dir, "journal.tmp"), legacyFile(format1Records()[:3]...))
 	fixture.File(t, filepath.Join(dir, "lock"), []byte("4711\n"))
 }
 
-// stateFixture is the path of a fixture, which is written if that was asked for.
+// stateFixture returns the path of a fixture, which is written if requested.
 func stateFixture(t *testing.T, name string, write func(*testing.T, string)) string {
 	dir := filepath.Join("testdata", name)
 	if fixture.Missing(t, dir) {
@@ -147,7 +149,8 @@
 	got, want := fixture.Folder(t, present), fixture.Folder(t, dir)
 	for name := range want {
 		if got[name] != want[name] {
-			t.Errorf("%s/%s: the present code writes\n%swant\n%s", dir, name, hex.Dump([]byte(got[name])), hex.Dump([]byte(want[name])))
+			t.Errorf("%s/%s: the present code writes\n%swant\n%s", dir, name, hex.Dump([]byte(got[name])),
+				hex.Dump([]byte(want[name])))
 		}
 	}
 	if len(got) != len(want) {
@@ -155,7 +158,7 @@
 	}
 }
 
-// Guards against a change of the segments, the frames and the records.
+// The encoding of segments, frames and records does not change.
 func TestFormat2IsAsFrozen(t *testing.T) {
 	dir := stateFixture(t, "state-format-2", writeFormat2)
 	sameFiles(t, dir, writeFormat2)
@@ -179,7 +182,8 @@
 		end, tail := readFrames(data, 32, func(at int, f frame, damage *byteRange) {
 			got = append(got, frozenFrame{f.seq, f.unsynced, f.record})
 			if again := appendFrame(nil, f.seq, f.unsynced, &f.record); string(again) != string(data[at:at+f.size]) {
-				t.Errorf("%s: record %d is encoded as\n%swant\n%s", tc.name, f.seq, hex.Dump(again), hex.Dump(data[at:at+f.size]))
+				t.Errorf("%s: record %d is encoded as\n%swant\n%s", tc.name, f.seq, hex.Dump(again),
+					hex.Dump(data[at:at+f.size]))
 			}
 			if damage != nil {
 				t.Errorf("%s: damage before record %d", tc.name, f.seq)
@@ -209,7 +213,7 @@
 	}
 }
 
-// Guards against a change of the JSON names of format 1.
+// The JSON names of format 1 do not change.
 func TestFormat1IsAsFrozen(t *testing.T) {
 	dir := stateFixture(t, "state-format-1", writeFormat1)
 	sameFiles(t, dir, writeFormat1)
@@ -230,51 +234,57 @@
 	}
 }
 
-// contents is all that an open journal contents.
+// contents is the state of an open journal.
 type contents struct {
-	entries               []Entry // in the order in which they were taken on
-	unwell, drains, words map[string]Record
-	ended                 []CompletedID
+	entries                      []Entry // in the order of acceptance
+	unhealthy, drains, overrides map[string]Record
+	ended                        []CompletedID
 }
 
+// contentsOf returns the contents without positions in the log.
 func contentsOf(j *Journal) contents {
-	k := contents{unwell: maps.Clone(j.Unhealthy), drains: maps.Clone(j.Drains), words: maps.Clone(j.Overrides)}
+	found := contents{unhealthy: maps.Clone(j.Unhealthy), drains: maps.Clone(j.Drains), overrides: maps.Clone(j.Overrides)}
 	for _, e := range j.InOrder() {
 		c := *e
-		c.acceptedSeq, c.size, c.position = 0, 0, 0 // where it stands, which compaction changes
-		k.entries = append(k.entries, c)
+		c.acceptedSeq, c.size, c.position = 0, 0, 0 // which compaction changes
+		found.entries = append(found.entries, c)
 	}
 	for _, e := range j.CompletedIDs() {
-		k.ended = append(k.ended, CompletedID{ID: e.ID, Sum: e.Sum, At: e.At})
+		found.ended = append(found.ended, CompletedID{ID: e.ID, Sum: e.Sum, At: e.At})
 	}
-	return k
+	return found
 }
 
-// frozenContents is what the records of the first segment amount to.
+// frozenContents is the state after the records of the first segment.
 func frozenContents() contents {
 	full := *fullEntry()
 	full.acceptedSeq = 0
 	return contents{
 		entries: []Entry{
 			full,
-			{ID: "tried", Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of tried"), Tries: 2, Wait: 301, Ran: true, RanAt: 1700000005000, Zone: 2,
-				Out: true, OutAt: 1700000007000, OutTo: -1, Log: []Attempt{{Host: "host-1", At: 1700000005000, Took: 12, Outcome: "timed out", Ran: true}}},
-			{ID: "owed", Class: "payment", Dest: 7, Due: 1700000001000, Status: "undeliverable", Again: 1700000009500, EndAt: 1700000009000, Why: "refused", Sum: 0x51525354},
+			{ID: "tried", Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of tried"), Tries: 2, Wait: 301,
+				Ran: true, RanAt: 1700000005000, Zone: 2,
+				Out: true, OutAt: 1700000007000, OutTo: -1, Log: []Attempt{{Host: "host-1", At: 1700000005000, Took: 12,
+					Outcome: "timed out", Ran: true}}},
+			{ID: "owed", Class: "payment", Dest: 7, Due: 1700000001000, Status: "undeliverable", Again: 1700000009500,
+				EndAt: 1700000009000, Why: "refused", Sum: 0x51525354},
 		},
-		unwell: map[string]Record{"host-1": {Op: "health", ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
-		drains: map[string]Record{"partner:acme": {Op: "drain", ID: "partner:acme", Ran: true, At: 1700000014000, Status: "op", Wait: 30000}},
-		words: map[string]Record{
-			"endpoint:pay-1": {Op: "word", ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000},
-			"gone:r3":        {Op: "word", ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
+		unhealthy: map[string]Record{"host-1": {Op: "health", ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
+		drains: map[string]Record{"partner:acme": {Op: "drain", ID: "partner:acme", Ran: true, At: 1700000014000,
+			Status: "op", Wait: 30000}},
+		overrides: map[string]Record{
+			"endpoint:pay-1": {Op: "word", ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op",
+				At: 1700000017000},
+			"gone:r3": {Op: "word", ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
 		ended: []CompletedID{{ID: "over", Sum: 0x257e0630, At: 1700000002000}},
 	}
 }
 
-// Guards against a state folder of an earlier build that is not taken over whole, or from which a relay cannot go on.
+// A state directory of an earlier build is restored completely, and records can be appended to it.
 func TestContinuesFromFrozenDirectories(t *testing.T) {
 	of1 := frozenContents()
 	of1.entries[0].Order = ""                                             // format 1 had none
-	of1.entries = append(of1.entries, Entry{ID: "gone", Class: "payment", // nor a record that forgets it
+	of1.entries = append(of1.entries, Entry{ID: "gone", Class: "payment", // nor OpForget
 		Dest: 7, Due: 1700000001000, Body: []byte("body of gone")})
 	of2 := frozenContents()
 	of2.entries = append(of2.entries, Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"),
@@ -282,7 +292,7 @@
 	for name, tc := range map[string]struct {
 		write    func(*testing.T, string)
 		segments []SegmentReport
-		knows    contents
+		contents contents
 	}{
 		"state-format-1": {writeFormat1, nil, of1},
 		"state-format-2": {writeFormat2, []SegmentReport{
@@ -295,23 +305,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := contentsOf(inspected); !reflect.DeepEqual(got, tc.knows) {
-				t.Errorf("Inspect finds\n%+v, want\n%+v", got, tc.knows)
+			if got := contentsOf(inspected); !reflect.DeepEqual(got, tc.contents) {
+				t.Errorf("Inspect finds\n%+v, want\n%+v", got, tc.contents)
 			}
 			j := mustOpen(t, dir, 3e6)
-			if got := contentsOf(j); !reflect.DeepEqual(got, tc.knows) {
-				t.Errorf("Open finds\n%+v, want\n%+v", got, tc.knows)
+			if got := contentsOf(j); !reflect.DeepEqual(got, tc.contents) {
+				t.Errorf("Open finds\n%+v, want\n%+v", got, tc.contents)
 			}
-			if got, want := j.Report(), (Report{Segments: tc.segments, Foreign: []string{"lock"}}); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
+			if got, want := j.Report(), (Report{Segments: tc.segments, Foreign: []string{"lock"}}); fmt.Sprintf("%+v",
+				got) != fmt.Sprintf("%+v", want) {
 				t.Errorf("Open reports\n%+v, want\n%+v", got, want)
 			}
 
-			mustAppend(t, j, takenRecord("new", 2), Record{Op: OpTry, ID: "new", At: 1700000099000, Zone: 5}, Record{Op: OpEnd, ID: "new", At: 1700000099500})
+			mustAppend(t, j, takenRecord("new", 2), Record{Op: OpTry, ID: "new", At: 1700000099000, Zone: 5},
+				Record{Op: OpEnd, ID: "new", At: 1700000099500})
 			mustAppend(t, j, Record{Op: OpHealth, ID: "host-1"}, takenRecord("newer", 2))
 			j.Close()
-			oldAndNew := tc.knows
-			oldAndNew.entries = append(slices.Clone(oldAndNew.entries), Entry{ID: "newer", Class: "payment", Dest: 7, Due: 99, Body: []byte{7, 7}})
-			oldAndNew.unwell = map[string]Record{}
+			oldAndNew := tc.contents
+			oldAndNew.entries = append(slices.Clone(oldAndNew.entries),
+				Entry{ID: "newer", Class: "payment", Dest: 7, Due: 99, Body: []byte{7, 7}})
+			oldAndNew.unhealthy = map[string]Record{}
 			oldAndNew.ended = append(slices.Clone(oldAndNew.ended), CompletedID{ID: "new", Sum: 0x3144f097, At: 1700000099500})
 			for range 2 {
 				j = mustOpen(t, dir, 3e6)
@@ -322,9 +335,9 @@
 				j.Close()
 			}
 			left := fixture.Folder(t, dir)
-			for _, gone := range []string{"journal", "journal.tmp", "journal.spare"} {
-				if _, is := left[gone]; is {
-					t.Errorf("%s is still there", gone)
+			for _, name := range []string{"journal", "journal.tmp", "journal.spare"} {
+				if _, ok := left[name]; ok {
+					t.Errorf("%s was not removed", name)
 				}
 			}
 			for kept, text := range fixture.Folder(t, filepath.Join("testdata", name)) {
