--- a/internal/relay/compaction/compaction.go
+++ b/internal/relay/compaction/compaction.go
@@ -1,35 +1,39 @@
-// Package compaction decides when a journal of segments is compacted, and how much of that is done at a time. It does
-// no I/O.
+// Package compaction decides when a segmented log is compacted, and how much of it at a time. It does no I/O; its functions
+// are pure and safe for concurrent use.
 //
-// The journal is a log: records go to its end, and compaction carries what is still live in the oldest segment to the
-// end, whole, and then lets that segment go. Segments go in the order in which they were written (Rosenblum and
-// Ousterhout, "The design and implementation of a log-structured file system", 1992, without their choice of victims):
-// what says that a message is over is then never let go before what it is over for.
+// Compaction rewrites the live records of the oldest segment at the end of the log, and then removes that segment.
+// Segments are removed in the order in which they were written (Rosenblum and Ousterhout, "The design and implementation
+// of a log-structured file system", 1992, without their choice of segments): a record that completes a message is then
+// never removed before the records that it completes, and no tombstones are needed.
 //
-// Work is paced by what is written, as an incremental collector's is (Baker 1978): with live bytes at most two thirds
-// of what the log may take, four bytes carried for each one written are more than enough, and no single piece is long.
+// Work is proportional to what is written, as in an incremental garbage collector (Baker 1978): while at most two thirds of
+// the log may be live, rewriting four bytes for each one written keeps up, and no single step is long.
+//
+// The caller asks Admits or Fits before it writes, RewriteBytes after it has written, and rewrites that many bytes in
+// pieces of at most a segment. Then all files together never exceed the budget.
 package compaction
 
-// Bounds of what a segment takes, and of what is carried at a time.
+// Sizes in bytes, unless noted.
 const (
-	minSegmentSize  = 16 << 10
-	maxSegmentSize  = 4 << 20
-	minRewrite      = 16 << 10
-	MaxRewrite      = 128 << 10 // or as much as was written
-	maxPacedRewrite = 2 << 20   // by pace, for what was written at once
-	rewriteRatio    = 4         // bytes carried for each one written, at most
-	maxSegments     = 64        // more small ones than that are compacted whatever they take
+	minSegmentSize = 16 << 10
+	maxSegmentSize = 4 << 20
+	minRewrite     = 16 << 10
+	// MaxRewrite limits what is rewritten after a write of at most that size.
+	MaxRewrite      = 128 << 10
+	maxPacedRewrite = 2 << 20 // limit of what rewriteRatio demands after a larger write
+	rewriteRatio    = 4       // bytes rewritten for each one written
+	maxSegments     = 64      // number of segments above which the log is compacted whatever its size
 )
 
-// Limits follow from a budget in bytes for all files of a journal.
+// Limits are derived from the budget of a log. All are in bytes.
 type Limits struct {
-	Budget  int64
-	Segment int64 // one is closed at this size, and may be over it by one write
-	Spare   int64 // on the disk itself, held in a file for when the disk is full
-	reserve int64 // of the budget: for records of what is held already, and for what is carried
+	Budget  int64 // for all files together
+	Segment int64 // size at which a segment is complete; the last write may exceed it
+	Spare   int64 // size of the file that reserves space on the disk
+	reserve int64 // part of the budget for records of accepted messages and for rewriting
 }
 
-// ForBudget are the limits for a budget.
+// ForBudget returns the limits for a budget in bytes.
 func ForBudget(budget int64) Limits {
 	l := Limits{Budget: budget, Segment: min(max(budget/16, minSegmentSize), maxSegmentSize)}
 	l.Spare = min(max(budget/32, minSegmentSize), 1<<20)
@@ -37,37 +41,37 @@
 	return l
 }
 
-// Log is what a journal has on the disk, in bytes.
+// Log is the size of a log, in bytes.
 type Log struct {
 	Total    int64 // of all segments
-	Live     int64 // what carrying all that is live takes at most
-	Segments int
+	Live     int64 // upper bound of rewriting everything that is live
+	Segments int   // their number
 }
 
-// maxTotal is what the log may take with new messages.
+// maxTotal returns the size up to which the log accepts new messages.
 func (l Limits) maxTotal() int64 { return l.Budget - l.reserve }
 
-// MaxLive is how many bytes may be live with new messages.
+// MaxLive returns the number of live bytes up to which the log accepts new messages.
 func (l Limits) MaxLive() int64 { return max(0, l.maxTotal()/3*2) }
 
-// Admits tells whether there is room for new messages: n bytes to be written, by which the live ones grow by grows.
-func (l Limits) Admits(g Log, n, grows int64) bool {
-	return g.Live+grows <= l.MaxLive() && g.Total+n <= l.maxTotal()
+// Admits reports whether new messages can be accepted whose records have n bytes and add growth live bytes at most.
+func (l Limits) Admits(log Log, n, growth int64) bool {
+	return log.Live+growth <= l.MaxLive() && log.Total+n <= l.maxTotal()
 }
 
-// Fits tells whether n bytes of records of what is held already can be written before anything is carried.
-func (l Limits) Fits(g Log, n int64) bool { return g.Total+n+l.Spare+l.Segment <= l.Budget }
+// Fits reports whether n bytes of records of accepted messages can be written before anything is rewritten.
+func (l Limits) Fits(log Log, n int64) bool { return log.Total+n+l.Spare+l.Segment <= l.Budget }
 
-// RewriteBytes is how many bytes are to be carried now, after so many were written; 0 for none. They are to be carried in
-// pieces of a segment at most, and segments that have nothing live let go between them.
-func (l Limits) RewriteBytes(g Log, written int64) int64 {
-	goal := min(2*g.Live+4*l.Segment, l.maxTotal()-3*l.Segment)
-	most := max(MaxRewrite, written, min(rewriteRatio*written, maxPacedRewrite)) // what was written took its time as well
+// RewriteBytes returns how many bytes to rewrite after a number of bytes was written, or 0. They are rewritten in pieces of
+// at most a segment, and segments without live records are removed in between.
+func (l Limits) RewriteBytes(log Log, written int64) int64 {
+	target := min(2*log.Live+4*l.Segment, l.maxTotal()-3*l.Segment)
+	limit := max(MaxRewrite, written, min(rewriteRatio*written, maxPacedRewrite)) // at most the time of the write itself
 	switch {
-	case g.Segments < 2 || g.Total <= goal && g.Segments <= maxSegments:
+	case log.Segments < 2 || log.Total <= target && log.Segments <= maxSegments:
 		return 0
-	case g.Total > l.maxTotal()-l.Segment: // new messages are about to be refused
-		return most
+	case log.Total > l.maxTotal()-l.Segment: // new messages are about to be refused
+		return limit
 	}
-	return min(max(rewriteRatio*written, minRewrite), most)
+	return min(max(rewriteRatio*written, minRewrite), limit)
 }
--- a/internal/relay/compaction/compaction_test.go
+++ b/internal/relay/compaction/compaction_test.go
@@ -7,134 +7,135 @@
 	"pgregory.net/rapid"
 )
 
-// segmentLog is a journal as the package sees it: sizes and what of them is live.
+// segmentLog models a log by the total and live bytes of its segments.
 type segmentLog struct {
 	segments  []struct{ total, live int64 }
 	rewritten int64
 }
 
-func (g *segmentLog) usage() (s Log) {
-	for _, x := range g.segments {
+// usage returns the size of the log.
+func (log *segmentLog) usage() (s Log) {
+	for _, x := range log.segments {
 		s.Total += x.total
 		s.Live += x.live
 	}
-	s.Segments = len(g.segments)
+	s.Segments = len(log.segments)
 	return s
 }
 
-// write puts bytes at the end, some of them live.
-func (g *segmentLog) write(l Limits, n, live int64) {
-	if k := len(g.segments); k == 0 || g.segments[k-1].total >= l.Segment {
-		g.segments = append(g.segments, struct{ total, live int64 }{})
+// write appends n bytes, some of them live.
+func (log *segmentLog) write(limits Limits, n, live int64) {
+	if k := len(log.segments); k == 0 || log.segments[k-1].total >= limits.Segment {
+		log.segments = append(log.segments, struct{ total, live int64 }{})
 	}
-	last := &g.segments[len(g.segments)-1]
+	last := &log.segments[len(log.segments)-1]
 	last.total, last.live = last.total+n, last.live+live
 }
 
-// rewrite moves live bytes from the oldest segments to the end, in pieces.
-func (g *segmentLog) rewrite(l Limits, most int64) {
-	for ; most > l.Segment; most -= l.Segment {
-		g.rewrite(l, l.Segment)
+// rewrite moves live bytes from the oldest segments to the end, in pieces of at most a segment.
+func (log *segmentLog) rewrite(limits Limits, left int64) {
+	for ; left > limits.Segment; left -= limits.Segment {
+		log.rewrite(limits, limits.Segment)
 	}
-	for most > 0 && len(g.segments) > 1 {
-		n := min(most, g.segments[0].live)
-		g.segments[0].live -= n
-		g.write(l, n, n)
-		g.rewritten += n
-		most -= n
-		if g.segments[0].live > 0 {
+	for left > 0 && len(log.segments) > 1 {
+		n := min(left, log.segments[0].live)
+		log.segments[0].live -= n
+		log.write(limits, n, n)
+		log.rewritten += n
+		left -= n
+		if log.segments[0].live > 0 {
 			return
 		}
-		g.segments = g.segments[1:]
+		log.segments = log.segments[1:]
 	}
 }
 
-// expire makes bytes that were live dead, somewhere.
-func (g *segmentLog) expire(t *rapid.T, n int64) {
-	for n > 0 && len(g.segments) > 0 && g.usage().Live > 0 {
-		s := &g.segments[rapid.IntRange(0, len(g.segments)-1).Draw(t, "where")]
+// expire makes n live bytes dead in drawn segments.
+func (log *segmentLog) expire(t *rapid.T, n int64) {
+	for n > 0 && len(log.segments) > 0 && log.usage().Live > 0 {
+		s := &log.segments[rapid.IntRange(0, len(log.segments)-1).Draw(t, "where")]
 		k := min(n, s.live)
 		s.live -= k
 		n -= max(k, 1)
 	}
 }
 
-// Whatever is written and dies in whatever order: the files never take more than the budget, a record of what is held
-// always finds room, and one Append never carries more than its bound.
+// For drawn writes and completions the files never exceed the budget, a record of an accepted message always fits after
+// rewriting, and one Append never rewrites more than its limit.
 func TestFilesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.SampledFrom([]int64{700 << 10, 3_000_000, 20 << 20}).Draw(t, "budget")
-		l, g := ForBudget(budget), new(segmentLog)
+		limits, log := ForBudget(budget), new(segmentLog)
 		admitted, refused := 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "appends") {
 			n := rapid.SampledFrom([]int64{100, 400, 5000, 66_000}).Draw(t, "bytes")
-			takes := rapid.IntRange(0, 3).Draw(t, "kind") > 0
+			accepts := rapid.IntRange(0, 3).Draw(t, "kind") > 0
 			switch {
-			case takes && l.Admits(g.usage(), n, n+256):
-				g.write(l, n, n)
+			case accepts && limits.Admits(log.usage(), n, n+256):
+				log.write(limits, n, n)
 				admitted++
-			case takes:
-				g.rewrite(l, min(MaxRewrite, l.Segment))
+			case accepts:
+				log.rewrite(limits, min(MaxRewrite, limits.Segment))
 				refused++
 				continue
 			default:
-				n = min(n, 5000) // records of what is held are small
-				for rounds := 0; !l.Fits(g.usage(), n); rounds++ {
-					if rounds > 2*len(g.segments)+2 {
-						t.Fatalf("no room for %d bytes of what is held: %+v of %d", n, g.usage(), budget)
+				n = min(n, 5000) // records of accepted messages are small
+				for rounds := 0; !limits.Fits(log.usage(), n); rounds++ {
+					if rounds > 2*len(log.segments)+2 {
+						t.Fatalf("no room for %d bytes of an accepted message: %+v of %d", n, log.usage(), budget)
 					}
-					g.rewrite(l, l.Segment)
+					log.rewrite(limits, limits.Segment)
 				}
-				g.write(l, n, 0)
-				g.expire(t, rapid.Int64Range(0, 40_000).Draw(t, "dies"))
+				log.write(limits, n, 0)
+				log.expire(t, rapid.Int64Range(0, 40_000).Draw(t, "dies"))
 			}
-			if most := l.RewriteBytes(g.usage(), n); most > 0 {
-				if most > max(MaxRewrite, rewriteRatio*n) {
-					t.Fatalf("%d bytes are to be carried at once", most)
+			if limit := limits.RewriteBytes(log.usage(), n); limit > 0 {
+				if limit > max(MaxRewrite, rewriteRatio*n) {
+					t.Fatalf("%d bytes are to be rewritten at once", limit)
 				}
-				g.rewrite(l, most)
+				log.rewrite(limits, limit)
 			}
-			if s := g.usage(); s.Total+l.Spare > budget {
-				t.Fatalf("%d bytes and %d spare of %d", s.Total, l.Spare, budget)
+			if s := log.usage(); s.Total+limits.Spare > budget {
+				t.Fatalf("%d bytes and %d spare of %d", s.Total, limits.Spare, budget)
 			}
 		}
-		if admitted+refused > 0 && g.usage().Live < l.MaxLive()/4 && admitted == 0 {
-			t.Fatal("nothing was admitted in an empty journal")
+		if admitted+refused > 0 && log.usage().Live < limits.MaxLive()/4 && admitted == 0 {
+			t.Fatal("nothing was admitted to an empty log")
 		}
 	})
 }
 
-// In a steady state with the log as full as may be, pacing alone keeps up: new messages are refused for what is live,
-// never for want of compaction.
+// In a steady state with a full log, rewriteRatio keeps up: new messages are refused for the live bytes, never because
+// compaction is behind.
 func TestRewriteRatioKeepsUp(t *testing.T) {
 	for _, budget := range []int64{700 << 10, 3_000_000, 10 << 30} {
-		l, g := ForBudget(budget), new(segmentLog)
+		limits, log := ForBudget(budget), new(segmentLog)
 		const n = 2000
-		step := max(n, l.MaxLive()/2000) // as one message, or many in one Append
-		for g.usage().Live+2*step+256 < l.MaxLive()*9/10 {
-			g.write(l, step, step)
+		step := max(n, limits.MaxLive()/2000) // as one message, or many in one Append
+		for log.usage().Live+2*step+256 < limits.MaxLive()*9/10 {
+			log.write(limits, step, step)
 		}
-		refused, r := 0, rand.New(rand.NewPCG(1, 1))
+		refused, random := 0, rand.New(rand.NewPCG(1, 1))
 		for range 20_000 {
-			for range 100 { // any one of those that are live ends
-				if s := &g.segments[r.IntN(len(g.segments))]; s.live >= step {
+			for range 100 { // a random live message completes
+				if s := &log.segments[random.IntN(len(log.segments))]; s.live >= step {
 					s.live -= step
 					break
 				}
 			}
-			if !l.Admits(g.usage(), step, step) {
+			if !limits.Admits(log.usage(), step, step) {
 				refused++
-				g.rewrite(l, min(MaxRewrite, l.Segment))
+				log.rewrite(limits, min(MaxRewrite, limits.Segment))
 				continue
 			}
-			g.write(l, step, step)
-			if most := l.RewriteBytes(g.usage(), step); most > 0 {
-				g.rewrite(l, most)
+			log.write(limits, step, step)
+			if limit := limits.RewriteBytes(log.usage(), step); limit > 0 {
+				log.rewrite(limits, limit)
 			}
 		}
 		if refused > 0 {
 			t.Errorf("budget %d: %d of 20,000 were refused while compaction was behind", budget, refused)
 		}
-		t.Logf("budget %d: %.2f bytes carried for each one written", budget, float64(g.rewritten)/float64(20_000*step))
+		t.Logf("budget %d: %.2f bytes rewritten for each one written", budget, float64(log.rewritten)/float64(20_000*step))
 	}
 }
