--- a/internal/relay/queue/fifo.go
+++ b/internal/relay/queue/fifo.go
@@ -1,20 +1,20 @@
 package queue
 
-// chunkSize is how many elements of a FIFO share a piece of memory.
+// chunkSize is the number of elements in one chunk of a FIFO.
 const chunkSize = 512
 
-// FIFO is a queue that is read anywhere and never moves its elements: no Push takes longer than making one chunk, and
-// what is popped is let go of. The zero value is empty.
+// FIFO is a queue with access by index. It never moves its elements, so that a Push allocates one chunk at most, and it keeps
+// no reference to popped elements. The zero value is an empty queue.
 type FIFO[T any] struct {
-	chunks [][]T // the first is short of its first gone elements
+	chunks [][]T // the first popped elements of the first chunk are zero
 	popped int
 	count  int
 }
 
-// Len is the number of elements.
+// Len returns the number of elements.
 func (q *FIFO[T]) Len() int { return q.count }
 
-// Push adds an element at the end.
+// Push appends an element.
 func (q *FIFO[T]) Push(e T) {
 	if n := len(q.chunks); n == 0 || len(q.chunks[n-1]) == chunkSize {
 		q.chunks = append(q.chunks, make([]T, 0, chunkSize))
@@ -24,7 +24,7 @@
 	q.count++
 }
 
-// At is the element that i others are before; it panics if there is none.
+// At returns the element at index i from the front, and panics if there is none.
 func (q *FIFO[T]) At(i int) T {
 	if i < 0 || i >= q.count {
 		panic("queue: no such element")
@@ -33,7 +33,7 @@
 	return q.chunks[i/chunkSize][i%chunkSize]
 }
 
-// Pop takes the first element out, and panics if there is none.
+// Pop removes the first element and returns it, and panics if there is none.
 func (q *FIFO[T]) Pop() T {
 	first := q.At(0)
 	var none T
--- a/internal/relay/queue/queue_test.go
+++ b/internal/relay/queue/queue_test.go
@@ -17,7 +17,7 @@
 func order(a, b *element) int { return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.id, b.id)) }
 func less(a, b *element) bool { return order(a, b) < 0 }
 
-// Both structures, driven by random commands, hold what a plain slice holds, in its order.
+// Heap and Sorted have the same elements in the same order as a sorted slice, after any sequence of operations.
 func TestHeapAndSortedMatchSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		heap := NewHeap(less, func(e *element) *Place { return &e.place })
@@ -25,7 +25,7 @@
 		var plain []*element
 		key := rapid.IntRange(0, 40)
 		some := func(t *rapid.T) *element { return rapid.SampledFrom(plain).Draw(t, "element") }
-		ids := rapid.IntRange(0, 300).Draw(t, "elements at first") // more than a node holds
+		ids := rapid.IntRange(0, 300).Draw(t, "elements at first") // more than fit in one node
 		for id := range ids {
 			e := &element{key: id % 40, id: id + 1}
 			plain = append(plain, e)
@@ -56,7 +56,7 @@
 				}
 				e := some(t)
 				plain = slices.DeleteFunc(plain, func(o *element) bool { return o == e })
-				for range 2 { // the second time it is not in
+				for range 2 { // the second time it is absent
 					heap.Remove(e)
 					sorted.Remove(e)
 				}
@@ -99,7 +99,7 @@
 	})
 }
 
-// One insertion and one removal among so many.
+// BenchmarkHeap measures one removal and one insertion among n elements.
 func BenchmarkHeap(b *testing.B) {
 	for _, n := range []int{100, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// A FIFO is a slice that is pushed to and popped from.
+// A FIFO has the same elements as a slice, after any sequence of pushes and pops.
 func TestFIFOMatchesSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q FIFO[int]
--- a/internal/relay/statedir/fixtures_test.go
+++ b/internal/relay/statedir/fixtures_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Guards against two builds that both take a folder for theirs: the file that is locked has one name for all of them.
+// All builds lock the same file, so that no two of them use a directory at the same time.
 func TestLockFileIsAsFrozen(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "lock")
@@ -21,10 +21,10 @@
 		t.Fatal(err)
 	}
 	if data, err := os.ReadFile(path); err != nil || string(data) != strconv.Itoa(os.Getpid())+"\n" {
-		t.Errorf("the lock says %q, %v, want the number of this process", data, err)
+		t.Errorf("the lock file contains %q, %v, want the id of this process", data, err)
 	}
 	f.Close()
-	old, err := os.Open(path) // as another build holds it
+	old, err := os.Open(path) // as another build locks it
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,9 +33,9 @@
 		t.Fatal(err)
 	}
 	if f, err := Lock(dir); !errors.Is(err, ErrInUse) {
-		t.Errorf("a folder that another process holds: %v, %v, want %v", f, err, ErrInUse)
+		t.Errorf("a directory locked by another process: %v, %v, want %v", f, err, ErrInUse)
 	}
 	if !InUse(dir) {
-		t.Error("a folder that another process holds counts as free")
+		t.Error("a directory locked by another process is reported as free")
 	}
 }
--- a/internal/vfs/faultfs/faultfs.go
+++ b/internal/vfs/faultfs/faultfs.go
@@ -1,5 +1,5 @@
-// Package faultfs is a folder in memory that fails as disks and machines do: short writes, no room, errors, a process
-// that ends at any operation, and power that goes while not all is synced. Everything it does follows from a seed.
+// Package faultfs is a vfs.System in memory with injected faults: errors and short writes, a full disk, a crash of the process
+// at any operation, and a loss of power after which unsynced data is lost in part. All random choices follow from a seed.
 package faultfs
 
 import (
@@ -9,54 +9,54 @@
 	"math"
 	"math/rand/v2"
 	"slices"
-	"syscall"
 
 	"larchrouter/internal/vfs"
 )
 
-// ErrCrashed is what every operation returns once the process is held to have ended.
+// ErrCrashed is returned by every operation after the injected crash.
 var ErrCrashed = errors.New("faulty: the process has ended")
 
-// sectorSize is what a disk writes whole, mostly.
+// sectorSize is the unit that a disk writes atomically in most cases, in bytes.
 const sectorSize = 512
 
-// Dir is a folder. It is not safe for concurrent use.
+// Dir is a directory. It is not safe for concurrent use. Operations are numbered from 1.
 type Dir struct {
-	// CrashAt ends the process in the operation with this number, the first being 1; 0 for never. A write that it
-	// ends in is done in part.
+	// CrashAt is the number of the operation during which the process crashes; 0 for never. A write in progress is done
+	// in part.
 	CrashAt int
-	// Fail gives an operation an error; a write is done in part before.
+	// Fail has the errors of operations by their number. A write that fails is done in part.
 	Fail map[int]error
-	// FailSync gives the sync of a file with this number an error; its bytes are lost with the power.
+	// FailSync has the errors of file syncs by their own number, from 1. A failed sync leaves the data unsynced.
 	FailSync map[int]error
-	// Space is how many bytes the files may take together; below 0 for no limit.
+	// Space is the size of the disk in bytes; negative for no limit.
 	Space int64
 
 	opCount, syncCount int
 	crashed            bool
 	random             *rand.Rand
 	current            map[string]*inode
-	durable            map[string]*inode // entries that outlast a loss of power
+	durable            map[string]*inode // names that survive a loss of power
 }
 
+// inode is the contents of a file: as written, and as synced.
 type inode struct {
 	data      []byte
 	synced    []byte
-	allocated int64 // allocated beyond data
+	allocated int64 // reserved size in bytes, from the start of the file
 }
 
-// New is an empty folder.
+// New returns an empty directory whose random choices follow from a seed.
 func New(seed uint64) *Dir {
 	return &Dir{Space: -1, random: rand.New(rand.NewPCG(seed, 7)), current: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// Ops is how many operations there were.
+// Ops returns the number of operations so far.
 func (d *Dir) Ops() int { return d.opCount }
 
-// Crashed tells whether the process has ended.
+// Crashed reports whether the injected crash happened.
 func (d *Dir) Crashed() bool { return d.crashed }
 
-// Used is what the files take, in bytes.
+// Used returns the size of all files, in bytes.
 func (d *Dir) Used() (sum int64) {
 	for _, n := range d.current {
 		sum += max(int64(len(n.data)), n.allocated)
@@ -64,8 +64,8 @@
 	return sum
 }
 
-// Restart is the folder as the next process finds it. If power was lost, of what was not synced any part may be there:
-// entries made or removed, sectors whole or torn, and sizes without their bytes.
+// Restart returns the directory as the next process finds it. After a loss of power, unsynced changes are there in part:
+// created or removed names, complete or torn sectors, and sizes without their data.
 func (d *Dir) Restart(power bool) *Dir {
 	next := New(d.random.Uint64())
 	next.Space = d.Space
@@ -76,30 +76,30 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		n, m := d.current[name], d.durable[name]
-		if power && m != n && d.random.IntN(2) == 0 {
-			n = m
+		n, durable := d.current[name], d.durable[name]
+		if power && durable != n && d.random.IntN(2) == 0 {
+			n = durable
 		}
 		if n == nil {
 			continue
 		}
-		kept := &inode{data: slices.Clone(n.data), allocated: n.allocated}
+		survivor := &inode{data: slices.Clone(n.data), allocated: n.allocated}
 		if power {
-			kept.data = d.tornContents(n)
+			survivor.data = d.tornContents(n)
 		}
-		kept.synced = slices.Clone(kept.data)
-		next.current[name], next.durable[name] = kept, kept
+		survivor.synced = slices.Clone(survivor.data)
+		next.current[name], next.durable[name] = survivor, survivor
 	}
 	return next
 }
 
-// tornContents is what a loss of power leaves of a file.
+// tornContents returns the contents that a loss of power leaves of a file.
 func (d *Dir) tornContents(n *inode) []byte {
 	size := len(n.synced)
 	if len(n.data) != size {
 		size = min(size, len(n.data)) + d.random.IntN(max(len(n.data), size)-min(size, len(n.data))+1)
 	}
-	out := make([]byte, size) // where a size was written and the bytes were not, there are zeros
+	out := make([]byte, size) // zeros where the size was written and the data was not
 	copy(out, n.synced)
 	for at := 0; at < size; at += sectorSize {
 		end := min(at+sectorSize, size, len(n.data))
@@ -109,13 +109,13 @@
 		if d.random.IntN(8) == 0 {
 			end = at + d.random.IntN(end-at+1)
 		}
-		// What was synced and not written since is there in any case, as it is the same in both.
+		// Synced data that was not written since is equal in both, and survives.
 		copy(out[at:end], n.data[at:end])
 	}
 	return out
 }
 
-// nextOp counts an operation, and says how it fails.
+// nextOp counts an operation and returns its injected error.
 func (d *Dir) nextOp() error {
 	if d.crashed {
 		return ErrCrashed
@@ -128,10 +128,10 @@
 	return d.Fail[d.opCount]
 }
 
-// Names implements files.System.
+// Names implements vfs.System.
 func (d *Dir) Names() ([]string, error) { return slices.Sorted(maps.Keys(d.current)), d.nextOp() }
 
-// Read implements files.System.
+// Read implements vfs.System.
 func (d *Dir) Read(name string) ([]byte, error) {
 	if err := d.nextOp(); err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 	return slices.Clone(n.data), nil
 }
 
-// Create implements files.System.
+// Create implements vfs.System.
 func (d *Dir) Create(name string) (vfs.File, error) {
 	if err := d.nextOp(); err != nil {
 		return nil, err
@@ -156,7 +156,7 @@
 	return &file{d, n}, nil
 }
 
-// Remove implements files.System.
+// Remove implements vfs.System.
 func (d *Dir) Remove(name string) error {
 	if err := d.nextOp(); err != nil {
 		return err
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// Truncate implements files.System.
+// Truncate implements vfs.System.
 func (d *Dir) Truncate(name string, size int64) error {
 	if n := d.current[name]; n != nil {
 		return (&file{d, n}).Truncate(size)
@@ -173,7 +173,7 @@
 	return fs.ErrNotExist
 }
 
-// Available implements files.System.
+// Available implements vfs.System.
 func (d *Dir) Available() int64 {
 	if d.Space < 0 {
 		return math.MaxInt64
@@ -181,7 +181,7 @@
 	return max(0, d.Space-d.Used())
 }
 
-// SyncFile implements files.System.
+// SyncFile implements vfs.System.
 func (d *Dir) SyncFile(name string) error {
 	if n := d.current[name]; n != nil {
 		return (&file{d, n}).Sync()
@@ -189,7 +189,7 @@
 	return fs.ErrNotExist
 }
 
-// SyncDir implements files.System.
+// SyncDir implements vfs.System.
 func (d *Dir) SyncDir() error {
 	if err := d.nextOp(); err != nil {
 		return err
@@ -197,68 +197,3 @@
 	d.durable = maps.Clone(d.current)
 	return nil
 }
-
-type file struct {
-	dir   *Dir
-	inode *inode
-}
-
-func (f *file) WriteAt(p []byte, at int64) (int, error) {
-	before := f.dir.crashed
-	err := f.dir.nextOp()
-	if before {
-		return 0, err
-	}
-	n := len(p)
-	if err != nil {
-		n = f.dir.random.IntN(n + 1)
-	}
-	grow := at + int64(n) - max(int64(len(f.inode.data)), f.inode.allocated)
-	if room := f.dir.Space - f.dir.Used(); f.dir.Space >= 0 && grow > room && grow > 0 {
-		n = max(0, n-int(grow-max(0, room)))
-		if err == nil {
-			err = syscall.ENOSPC
-		}
-	}
-	if end := int(at) + n; end > len(f.inode.data) && n > 0 {
-		f.inode.data = append(f.inode.data, make([]byte, end-len(f.inode.data))...)
-	}
-	copy(f.inode.data[min(int(at), len(f.inode.data)):], p[:n])
-	return n, err
-}
-
-func (f *file) Truncate(size int64) error {
-	if err := f.dir.nextOp(); err != nil {
-		return err
-	}
-	if int(size) < len(f.inode.data) {
-		f.inode.data = slices.Clip(f.inode.data[:size])
-	}
-	f.inode.allocated = 0
-	return nil
-}
-
-func (f *file) Allocate(size int64) error {
-	if err := f.dir.nextOp(); err != nil {
-		return err
-	}
-	if room := f.dir.Space - f.dir.Used(); f.dir.Space >= 0 && size > room {
-		return syscall.ENOSPC
-	}
-	f.inode.allocated = size
-	return nil
-}
-
-func (f *file) Sync() error {
-	if err := f.dir.nextOp(); err != nil {
-		return err
-	}
-	f.dir.syncCount++
-	if err := f.dir.FailSync[f.dir.syncCount]; err != nil {
-		return err
-	}
-	f.inode.synced = slices.Clone(f.inode.data)
-	return nil
-}
-
-func (f *file) Close() error { return nil }
--- a/internal/vfs/vfs.go
+++ b/internal/vfs/vfs.go
@@ -1,5 +1,5 @@
-// Package vfs is the layer between durable records and a file system: the few operations that a journal needs, so
-// that tests can put one with faults in its place (package faultfs).
+// Package vfs has the few file operations that durable logs need, as an interface, so that tests can replace the file system
+// by one with faults (package faultfs).
 package vfs
 
 import (
@@ -13,43 +13,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// System is a folder's files. Names have no separators.
+// System is the files of one directory. Names have no path separators. An implementation need not be safe for concurrent use.
 type System interface {
-	// Names are those of all files in the folder, in order.
+	// Names returns the names of all files in order.
 	Names() ([]string, error)
-	// Read returns all of a file.
+	// Read returns the contents of a file.
 	Read(name string) ([]byte, error)
-	// Create makes a file that did not exist, for writing.
+	// Create creates a file for writing; it fails with fs.ErrExist if the file exists.
 	Create(name string) (File, error)
-	// Remove removes a file; one that does not exist is no error.
+	// Remove removes a file. It is no error if the file does not exist.
 	Remove(name string) error
-	// Truncate cuts a file.
+	// Truncate cuts a file to a smaller size, in bytes.
 	Truncate(name string, size int64) error
-	// Available is how many bytes the disk has left, as far as can be told at little cost; a quota may be less.
+	// Available returns the free bytes of the disk, or more if that is not known; a quota may allow less.
 	Available() int64
-	// SyncFile has a file's bytes, whoever wrote them, outlast a loss of power.
+	// SyncFile makes the contents of a file survive a loss of power, whichever process wrote them.
 	SyncFile(name string) error
-	// SyncDir has the folder's entries outlast a loss of power.
+	// SyncDir makes the created and removed names survive a loss of power.
 	SyncDir() error
 }
 
-// File is a file open for writing.
+// File is a file that is open for writing.
 type File interface {
 	io.WriterAt
 	io.Closer
+	// Truncate cuts the file to a smaller size, in bytes.
 	Truncate(size int64) error
-	// Allocate takes so many bytes on the disk without writing them.
+	// Allocate reserves size bytes on the disk without writing them.
 	Allocate(size int64) error
-	// Sync has what was written outlast a loss of power: fdatasync(2). After an error nothing is known of it.
+	// Sync makes what was written survive a loss of power, as fdatasync(2). After an error the contents on the disk are
+	// unknown, and a later success proves nothing about them.
 	Sync() error
 }
 
-// IsNoSpace tells whether an error says that there is no room: ENOSPC, or a quota used up.
+// IsNoSpace reports whether an error is caused by a full disk or an exhausted quota.
 func IsNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// Dir is a folder of the operating system.
+// Dir is the path of a directory of the operating system.
 type Dir string
 
 // Names implements System.
@@ -102,6 +104,7 @@
 // SyncDir implements System.
 func (d Dir) SyncDir() error { return d.sync("") }
 
+// sync syncs a file, or the directory itself if name is empty.
 func (d Dir) sync(name string) error {
 	f, err := os.Open(filepath.Join(string(d), name))
 	if err != nil {
@@ -111,13 +114,16 @@
 	return f.Sync()
 }
 
+// osFile is an open file of the operating system.
 type osFile struct{ *os.File }
 
+// Sync implements File.
 func (f osFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
 
+// Allocate implements File. Where the file system cannot reserve space it writes zeros.
 func (f osFile) Allocate(size int64) error {
 	err := unix.Fallocate(int(f.Fd()), 0, 0, size)
-	if errors.Is(err, unix.EOPNOTSUPP) { // then it is written
+	if errors.Is(err, unix.EOPNOTSUPP) { // the file system cannot reserve: write zeros
 		_, err = f.WriteAt(make([]byte, size), 0)
 	}
 	return err
