--- a/cmd/larchrouter/fleet.go
+++ b/cmd/larchrouter/fleet.go
@@ -85,7 +85,7 @@
 func (a *app) printLimits(f adminapi.Fleet) {
 	a.table("PARTNER\tLIMIT\tOWN PART\tPLEDGED TO\tFOR\tGRANTS HERE\tROUTE\tSTATE\tRATE/S\tUSED/S\tOUT\tAT MOST", func(line func(string, ...any)) {
 		for _, l := range f.Limits {
-			head := fmt.Sprintf("%s\t%s\t%.3f\t%s\t%s\t%.3f", l.Partner, console.Told(l), l.Own, dash(l.Steward), console.Span(l.LeftMs), l.Granted)
+			head := fmt.Sprintf("%s\t%s\t%.3f\t%s\t%s\t%.3f", l.Partner, console.FormatLimit(l), l.Own, dash(l.Steward), console.Span(l.LeftMs), l.Granted)
 			for _, r := range l.Routes {
 				line("%s\t%s\t%s\t%.1f\t%.1f\t%d\t%.2f", head, dash(r.Route), r.State, r.Rate, r.Used, r.Out, l.Over)
 				head = "\t\t\t\t\t"
@@ -125,7 +125,7 @@
 	fmt.Fprintln(a.out)
 	a.table("ENDPOINT	SEEN	BY	FOR	SAID", func(line func(string, ...any)) {
 		for _, s := range f.Sights {
-			line("%s	%s	%s	%s	%s", strings.TrimPrefix(s.Subject, "endpoint:"), console.Seen(s), s.Relay, console.Span(s.ForMs), console.Ago(s.SaidMs, false))
+			line("%s	%s	%s	%s	%s", strings.TrimPrefix(s.Subject, "endpoint:"), console.FormatSight(s), s.Relay, console.Span(s.ForMs), console.Ago(s.SaidMs, false))
 		}
 	})
 }
--- a/internal/relay/console/console.go
+++ b/internal/relay/console/console.go
@@ -30,10 +30,10 @@
 }
 
 const (
-	pollEvery = time.Second
-	callFor   = 2 * time.Second // for one round of questions
-	oldAfter  = 3 * time.Second // what is shown is called old
-	logKept   = 200
+	pollInterval = time.Second
+	callTimeout   = 2 * time.Second // for one round of questions
+	staleAfter  = 3 * time.Second // what is shown is called old
+	maxLogLines   = 200
 	pageSize  = 100
 )
 
@@ -65,8 +65,8 @@
 	detail // of one message
 )
 
-// sorts are the orders of messages; those beyond the first two are of the page that is shown.
-var sorts = []string{"oldest first", "newest first", "most tries first", "due soonest first"}
+// sortOrders are the orders of messages; those beyond the first two are of the page that is shown.
+var sortOrders = []string{"oldest first", "newest first", "most tries first", "due soonest first"}
 
 // Model is the console's state. Time comes in with messages.
 type Model struct {
@@ -83,36 +83,36 @@
 	status   adminapi.Status
 	partners []adminapi.Partner
 	page     adminapi.Page
-	asked    adminapi.Query // that page answers
+	answeredQuery    adminapi.Query // that page answers
 	message  adminapi.Message
 	fleet    adminapi.Fleet
 	log      []adminapi.LogLine
-	began    int64     // the relay's start, Unix milliseconds
-	heard    time.Time // last answer
-	problem  string    // why there is none since
+	relayStartedMs    int64     // the relay's start, Unix milliseconds
+	lastAnswerAt    time.Time // last answer
+	pollError  string    // why there is none since
 
-	row     int // chosen: of partners or messages
-	top     int // first row shown
+	selected     int // chosen: of partners or messages
+	firstVisible     int // first row shown
 	query   adminapi.Query
-	ended   bool
-	sort    int
+	showCompleted   bool
+	sortOrder    int
 	filter  string
-	typing  bool // the filter is being typed
-	typed   string
-	cursors []string // of the pages before this one
-	id      string   // of the message in detail
+	editingFilter  bool // the filter is being typed
+	filterInput   string
+	pageCursors []string // of the pages before this one
+	messageID      string   // of the message in detail
 
-	ask    *question
+	confirm    *confirmation
 	notice string
-	watch  string // target whose drain is being followed
+	watchedDrain  string // target whose drain is being followed
 }
 
-// question is an action that waits for a yes.
-type question struct {
+// confirmation is an action that waits for a yes.
+type confirmation struct {
 	title string
 	lines []string
 	ready bool // the consequences are there
-	do    func() tea.Msg
+	action    func() tea.Msg
 }
 
 // NewModel returns a console that has shown nothing yet.
@@ -137,15 +137,15 @@
 		id         string
 		query      adminapi.Query
 	}
-	askMsg struct { // the consequences of an action
+	confirmMsg struct { // the consequences of an action
 		title string
 		lines []string
 		err   error
-		do    func() tea.Msg
+		action    func() tea.Msg
 	}
 	doneMsg struct { // what an action did
 		text  string
-		watch string
+		watchedDrain string
 		err   error
 	}
 )
@@ -160,14 +160,14 @@
 }
 
 func (m *Model) call(generation int) tea.Cmd {
-	d := dataMsg{generation: generation, screen: m.screen, id: m.id, query: m.wanted()}
+	d := dataMsg{generation: generation, screen: m.screen, id: m.messageID, query: m.pageQuery()}
 	after := uint64(0)
 	if n := len(m.log); n > 0 {
 		after = m.log[n-1].N
 	}
 	ctx, api := m.ctx, m.api
 	return func() tea.Msg {
-		ctx, cancel := context.WithTimeout(ctx, callFor)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var o adminapi.Overview
 		o, d.err = api.Overview(ctx, after)
@@ -196,12 +196,12 @@
 	}
 }
 
-// wanted is the query of the page that is shown.
-func (m *Model) wanted() adminapi.Query {
+// pageQuery is the query of the page that is shown.
+func (m *Model) pageQuery() adminapi.Query {
 	q := m.query
-	q.Ended, q.Newest, q.Limit = m.ended, m.sort == 1, pageSize
-	if n := len(m.cursors); n > 0 {
-		q.Cursor = m.cursors[n-1]
+	q.Ended, q.Newest, q.Limit = m.showCompleted, m.sortOrder == 1, pageSize
+	if n := len(m.pageCursors); n > 0 {
+		q.Cursor = m.pageCursors[n-1]
 	}
 	return q
 }
@@ -212,27 +212,27 @@
 	case tea.WindowSizeMsg:
 		m.width, m.height = msg.Width, msg.Height
 	case tea.KeyPressMsg:
-		return m, m.key(msg.String())
+		return m, m.handleKey(msg.String())
 	case tea.PasteMsg:
-		if m.typing {
-			m.typed += strings.Join(strings.Fields(msg.Content), " ")
+		if m.editingFilter {
+			m.filterInput += strings.Join(strings.Fields(msg.Content), " ")
 		}
 	case pollMsg:
 		if msg.generation == m.generation {
 			return m, m.call(msg.generation)
 		}
 	case dataMsg:
-		return m, m.take(msg)
-	case askMsg:
+		return m, m.applyData(msg)
+	case confirmMsg:
 		switch {
-		case m.ask == nil: // called off meanwhile
+		case m.confirm == nil: // called off meanwhile
 		case msg.err != nil:
-			m.ask, m.notice = nil, msg.title+": "+msg.err.Error()
+			m.confirm, m.notice = nil, msg.title+": "+msg.err.Error()
 		default:
-			m.ask.lines, m.ask.do, m.ask.ready = msg.lines, msg.do, true
+			m.confirm.lines, m.confirm.action, m.confirm.ready = msg.lines, msg.action, true
 		}
 	case doneMsg:
-		if m.notice, m.watch = msg.text, msg.watch; msg.err != nil {
+		if m.notice, m.watchedDrain = msg.text, msg.watchedDrain; msg.err != nil {
 			m.notice = msg.text + ": " + msg.err.Error()
 		}
 		return m, m.fetch()
@@ -240,32 +240,32 @@
 	return m, nil
 }
 
-// take takes in an answer, and goes on with the chain that it belongs to.
-func (m *Model) take(d dataMsg) tea.Cmd {
+// applyData takes in an answer, and goes on with the chain that it belongs to.
+func (m *Model) applyData(d dataMsg) tea.Cmd {
 	if m.now = time.Now(); d.at.After(m.now) {
 		m.now = d.at
 	}
 	var e *adminapi.Error
 	switch {
 	case errors.As(d.err, &e) && d.screen == detail && d.status.API > 0: // the relay answers: of that message nothing is known
-		m.heard, m.problem, m.status = d.at, "", d.status
-		if m.screen == detail && d.id == m.id {
+		m.lastAnswerAt, m.pollError, m.status = d.at, "", d.status
+		if m.screen == detail && d.id == m.messageID {
 			m.message = adminapi.Message{ID: d.id, State: "unknown", Why: e.Text}
 		}
 	case errors.As(d.err, &e) && e.Code == adminapi.Invalid:
 		m.notice = e.Text
-		m.cursors = nil
+		m.pageCursors = nil
 	case d.err != nil:
-		m.problem = d.err.Error()
+		m.pollError = d.err.Error()
 		if errors.Is(d.err, adminapi.ErrNoRelay) {
-			m.problem = "no relay runs there"
+			m.pollError = "no relay runs there"
 		}
 	default:
-		if began := d.status.NowMs - d.status.UpMs; began > m.began+1000 { // another process: its log has numbers of its own
-			m.log, m.began = nil, began
+		if began := d.status.NowMs - d.status.UpMs; began > m.relayStartedMs+1000 { // another process: its log has numbers of its own
+			m.log, m.relayStartedMs = nil, began
 			d.log = nil
 		}
-		m.heard, m.problem, m.status = d.at, "", d.status
+		m.lastAnswerAt, m.pollError, m.status = d.at, "", d.status
 		if d.fleet != nil {
 			m.fleet = *d.fleet
 		}
@@ -276,26 +276,26 @@
 			m.log = nil
 		}
 		m.log = append(m.log, d.log...)
-		m.log = m.log[max(0, len(m.log)-logKept):]
-		if d.page != nil && d.query == m.wanted() {
-			m.page, m.asked = *d.page, d.query
+		m.log = m.log[max(0, len(m.log)-maxLogLines):]
+		if d.page != nil && d.query == m.pageQuery() {
+			m.page, m.answeredQuery = *d.page, d.query
 			m.sortPage()
 		}
-		if d.message != nil && d.id == m.id {
+		if d.message != nil && d.id == m.messageID {
 			m.message = *d.message
 		}
 	}
-	m.clamp()
+	m.clampSelection()
 	if d.generation != m.generation {
 		return nil
 	}
 	g := d.generation
-	return tea.Tick(pollEvery, func(time.Time) tea.Msg { return pollMsg{g} })
+	return tea.Tick(pollInterval, func(time.Time) tea.Msg { return pollMsg{g} })
 }
 
 // sortPage puts the page in the order chosen, where the relay does not.
 func (m *Model) sortPage() {
-	switch m.sort {
+	switch m.sortOrder {
 	case 2:
 		slices.SortStableFunc(m.page.Messages, func(a, b adminapi.Message) int { return cmp.Compare(b.Tries, a.Tries) })
 	case 3:
@@ -303,21 +303,21 @@
 	}
 }
 
-// shown are the messages of the page; none while the answer to another question is all there is.
-func (m *Model) shown() []adminapi.Message {
-	if m.asked != m.wanted() {
+// pageMessages are the messages of the page; none while the answer to another question is all there is.
+func (m *Model) pageMessages() []adminapi.Message {
+	if m.answeredQuery != m.pageQuery() {
 		return nil
 	}
 	return m.page.Messages
 }
 
-// rows are how many lines can be chosen on a screen.
-func (m *Model) rows() int {
+// rowCount are how many lines can be chosen on a screen.
+func (m *Model) rowCount() int {
 	switch m.screen {
 	case partners:
 		return len(m.targets())
 	case messages:
-		return len(m.shown())
+		return len(m.pageMessages())
 	}
 	return 0
 }
@@ -346,45 +346,45 @@
 	return all
 }
 
-// clamp keeps the chosen row there, and in sight.
-func (m *Model) clamp() {
-	m.row = max(0, min(m.row, m.rows()-1))
-	room := m.room()
-	m.top = max(0, min(m.top, m.rows()-room))
-	if m.row < m.top {
-		m.top = m.row
+// clampSelection keeps the chosen row there, and in sight.
+func (m *Model) clampSelection() {
+	m.selected = max(0, min(m.selected, m.rowCount()-1))
+	room := m.visibleRows()
+	m.firstVisible = max(0, min(m.firstVisible, m.rowCount()-room))
+	if m.selected < m.firstVisible {
+		m.firstVisible = m.selected
 	}
-	if m.row >= m.top+room {
-		m.top = m.row - room + 1
+	if m.selected >= m.firstVisible+room {
+		m.firstVisible = m.selected - room + 1
 	}
 }
 
-// room is how many rows of a list are in sight.
-func (m *Model) room() int {
+// visibleRows is how many rows of a list are in sight.
+func (m *Model) visibleRows() int {
 	if m.screen == partners { // three lines for the remark of the chosen one
 		return max(1, m.height-8)
 	}
 	return max(1, m.height-6)
 }
 
-// show turns to a screen.
-func (m *Model) show(s screen) tea.Cmd {
+// switchTo turns to a screen.
+func (m *Model) switchTo(s screen) tea.Cmd {
 	if s != m.screen {
-		m.screen, m.row, m.top, m.help = s, 0, 0, false
+		m.screen, m.selected, m.firstVisible, m.help = s, 0, 0, false
 	}
 	return m.fetch()
 }
 
-// key takes in a key.
-func (m *Model) key(k string) tea.Cmd {
+// handleKey takes in a handleKey.
+func (m *Model) handleKey(k string) tea.Cmd {
 	if k == "ctrl+c" {
 		return tea.Quit
 	}
 	switch {
-	case m.ask != nil:
-		return m.answer(k)
-	case m.typing:
-		return m.typeKey(k)
+	case m.confirm != nil:
+		return m.handleConfirmKey(k)
+	case m.editingFilter:
+		return m.handleFilterKey(k)
 	case m.help:
 		m.help = false
 		return nil
@@ -395,140 +395,140 @@
 	case "?", "h":
 		m.help = true
 	case "1":
-		return m.show(overview)
+		return m.switchTo(overview)
 	case "2":
-		return m.show(partners)
+		return m.switchTo(partners)
 	case "3":
-		return m.show(messages)
+		return m.switchTo(messages)
 	case "4":
-		return m.show(fleet)
+		return m.switchTo(fleet)
 	case "tab":
-		return m.show((m.screen%detail + 1) % detail)
+		return m.switchTo((m.screen%detail + 1) % detail)
 	case "esc", "backspace", "left":
 		if m.screen == detail {
-			return m.show(messages)
+			return m.switchTo(messages)
 		}
-		m.notice, m.watch = "", ""
+		m.notice, m.watchedDrain = "", ""
 	case "r":
 		return m.fetch()
 	case "up", "k":
-		m.row--
+		m.selected--
 	case "down", "j":
-		m.row++
+		m.selected++
 	case "pgup":
-		m.row -= m.room()
+		m.selected -= m.visibleRows()
 	case "pgdown", "space":
-		m.row += m.room()
+		m.selected += m.visibleRows()
 	case "home", "g":
-		m.row = 0
+		m.selected = 0
 	case "end", "G":
-		m.row = m.rows() - 1
+		m.selected = m.rowCount() - 1
 	case "D":
-		return m.drain("relay", false)
+		return m.confirmDrain("relay", false)
 	case "U":
-		return m.drain("relay", true)
+		return m.confirmDrain("relay", true)
 	case "S":
-		return m.stop()
+		return m.confirmStop()
 	default:
-		return m.listKey(k)
+		return m.handleListKey(k)
 	}
-	m.clamp()
+	m.clampSelection()
 	return nil
 }
 
-// listKey takes in a key that means something on one screen.
-func (m *Model) listKey(k string) tea.Cmd {
+// handleListKey takes in a key that means something on one screen.
+func (m *Model) handleListKey(k string) tea.Cmd {
 	switch {
 	case m.screen == partners && (k == "d" || k == "u"):
-		if all := m.targets(); m.row < len(all) {
-			return m.drain(all[m.row].String(), k == "u")
+		if all := m.targets(); m.selected < len(all) {
+			return m.confirmDrain(all[m.selected].String(), k == "u")
 		}
 	case m.screen == partners && (k == "enter" || k == "right"): // what waits for it
-		if all := m.targets(); m.row < len(all) {
-			m.query, m.filter, m.ended, m.cursors = adminapi.Query{Partner: all[m.row].partner.Name}, "partner="+all[m.row].partner.Name, false, nil
-			return m.show(messages)
+		if all := m.targets(); m.selected < len(all) {
+			m.query, m.filter, m.showCompleted, m.pageCursors = adminapi.Query{Partner: all[m.selected].partner.Name}, "partner="+all[m.selected].partner.Name, false, nil
+			return m.switchTo(messages)
 		}
 	case m.screen != messages:
 	case k == "enter" || k == "right":
-		if all := m.shown(); m.row < len(all) {
-			m.id = all[m.row].ID
-			m.message = adminapi.Message{ID: m.id}
-			return m.show(detail)
+		if all := m.pageMessages(); m.selected < len(all) {
+			m.messageID = all[m.selected].ID
+			m.message = adminapi.Message{ID: m.messageID}
+			return m.switchTo(detail)
 		}
 	case k == "/":
-		m.typing, m.typed = true, m.filter
+		m.editingFilter, m.filterInput = true, m.filter
 	case k == "e":
-		m.ended, m.cursors, m.row = !m.ended, nil, 0
+		m.showCompleted, m.pageCursors, m.selected = !m.showCompleted, nil, 0
 		return m.fetch()
 	case k == "s":
-		m.sort, m.cursors, m.row = (m.sort+1)%len(sorts), nil, 0
+		m.sortOrder, m.pageCursors, m.selected = (m.sortOrder+1)%len(sortOrders), nil, 0
 		return m.fetch()
-	case k == "n" && m.page.Next != "" && m.asked == m.wanted():
-		m.cursors, m.row = append(m.cursors, m.page.Next), 0
+	case k == "n" && m.page.Next != "" && m.answeredQuery == m.pageQuery():
+		m.pageCursors, m.selected = append(m.pageCursors, m.page.Next), 0
 		return m.fetch()
-	case k == "p" && len(m.cursors) > 0:
-		m.cursors, m.row = m.cursors[:len(m.cursors)-1], 0
+	case k == "p" && len(m.pageCursors) > 0:
+		m.pageCursors, m.selected = m.pageCursors[:len(m.pageCursors)-1], 0
 		return m.fetch()
 	}
 	return nil
 }
 
-// typeKey takes in a key while the filter is typed.
-func (m *Model) typeKey(k string) tea.Cmd {
+// handleFilterKey takes in a key while the filter is typed.
+func (m *Model) handleFilterKey(k string) tea.Cmd {
 	switch k {
 	case "esc":
-		m.typing = false
+		m.editingFilter = false
 	case "enter":
-		q, err := parseFilter(m.typed, m.query)
+		q, err := parseFilter(m.filterInput, m.query)
 		if err != nil {
 			m.notice = err.Error()
 			return nil
 		}
-		m.typing, m.filter, m.query, m.cursors, m.row, m.notice = false, m.typed, q, nil, 0, ""
+		m.editingFilter, m.filter, m.query, m.pageCursors, m.selected, m.notice = false, m.filterInput, q, nil, 0, ""
 		return m.fetch()
 	case "backspace":
-		if r := []rune(m.typed); len(r) > 0 {
-			m.typed = string(r[:len(r)-1])
+		if r := []rune(m.filterInput); len(r) > 0 {
+			m.filterInput = string(r[:len(r)-1])
 		}
 	case "ctrl+u":
-		m.typed = ""
+		m.filterInput = ""
 	case "space":
-		m.typed += " "
+		m.filterInput += " "
 	default:
-		if r := []rune(k); len(r) == 1 && r[0] >= ' ' && len(m.typed) < 200 {
-			m.typed += k
+		if r := []rune(k); len(r) == 1 && r[0] >= ' ' && len(m.filterInput) < 200 {
+			m.filterInput += k
 		}
 	}
 	return nil
 }
 
-// answer takes in a key while a question is open.
-func (m *Model) answer(k string) tea.Cmd {
+// handleConfirmKey takes in a key while a question is open.
+func (m *Model) handleConfirmKey(k string) tea.Cmd {
 	switch k {
 	case "y", "Y":
-		if !m.ask.ready {
+		if !m.confirm.ready {
 			return nil
 		}
-		do := m.ask.do
-		m.notice, m.ask = m.ask.title+" ...", nil
+		do := m.confirm.action
+		m.notice, m.confirm = m.confirm.title+" ...", nil
 		return do
 	case "n", "N", "esc", "q":
-		m.ask, m.notice = nil, "called off, nothing was done"
+		m.confirm, m.notice = nil, "called off, nothing was done"
 	}
 	return nil
 }
 
-// drain asks what a drain, or an undrain, would mean.
-func (m *Model) drain(target string, undrain bool) tea.Cmd {
+// confirmDrain asks what a confirmDrain, or an undrain, would mean.
+func (m *Model) confirmDrain(target string, undrain bool) tea.Cmd {
 	name, do := "drain ", m.api.Drain
 	if undrain {
 		name, do = "undrain ", m.api.Undrain
 	}
 	title := name + target
-	m.ask, m.notice, m.watch = &question{title: title}, "", ""
+	m.confirm, m.notice, m.watchedDrain = &confirmation{title: title}, "", ""
 	ctx, by := m.ctx, m.by
 	call := func(q adminapi.DrainRequest) (adminapi.DrainAnswer, error) {
-		ctx, cancel := context.WithTimeout(ctx, callFor)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		return do(ctx, q)
 	}
@@ -537,33 +537,33 @@
 		dry := q
 		dry.DryRun = true
 		d, err := call(dry)
-		return askMsg{title, Consequences(d, undrain), err, func() tea.Msg {
+		return confirmMsg{title, Consequences(d, undrain), err, func() tea.Msg {
 			d, err := call(q)
 			if err != nil {
 				return doneMsg{text: title, err: err}
 			}
 			done := doneMsg{text: fmt.Sprintf("%s: %s at %s", target, d.Result, time.Now().Format(time.TimeOnly))}
 			if !undrain {
-				done.watch = target
+				done.watchedDrain = target
 			}
 			return done
 		}}
 	}
 }
 
-// stop asks what a stop would mean.
-func (m *Model) stop() tea.Cmd {
+// confirmStop asks what a confirmStop would mean.
+func (m *Model) confirmStop() tea.Cmd {
 	const title = "stop the relay"
-	m.ask, m.notice, m.watch = &question{title: title}, "", ""
+	m.confirm, m.notice, m.watchedDrain = &confirmation{title: title}, "", ""
 	ctx, by, api := m.ctx, m.by, m.api
 	call := func(dry bool) (adminapi.StopAnswer, error) {
-		ctx, cancel := context.WithTimeout(ctx, callFor)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		return api.Stop(ctx, adminapi.StopRequest{By: by, DryRun: dry})
 	}
 	return func() tea.Msg {
 		s, err := call(true)
-		return askMsg{title, []string{Stopping(s), "a stop cannot be undone; start the relay again with larchrouter run"}, err, func() tea.Msg {
+		return confirmMsg{title, []string{Stopping(s), "a stop cannot be undone; start the relay again with larchrouter run"}, err, func() tea.Msg {
 			s, err := call(false)
 			if err != nil {
 				return doneMsg{text: title, err: err}
@@ -573,12 +573,12 @@
 	}
 }
 
-// following tells how the drain that was begun here goes on.
-func (m *Model) following() string {
-	if m.watch == "" {
+// drainProgress tells how the drain that was begun here goes on.
+func (m *Model) drainProgress() string {
+	if m.watchedDrain == "" {
 		return ""
 	}
-	if m.watch == "relay" {
+	if m.watchedDrain == "relay" {
 		switch m.status.Phase {
 		case "draining":
 			return fmt.Sprintf("%d still held, %s left", m.status.Held, Span(m.status.UntilMs-m.status.NowMs))
@@ -592,7 +592,7 @@
 	}
 	out, found := 0, false
 	for _, t := range m.targets() {
-		if t.endpoint != nil && ("endpoint:"+t.endpoint.ID == m.watch || "partner:"+t.partner.Name == m.watch) {
+		if t.endpoint != nil && ("endpoint:"+t.endpoint.ID == m.watchedDrain || "partner:"+t.partner.Name == m.watchedDrain) {
 			out, found = out+t.endpoint.Out, true
 		}
 	}
--- a/internal/relay/console/console_test.go
+++ b/internal/relay/console/console_test.go
@@ -283,7 +283,7 @@
 	d.until("OLD: shown as of", "the answer cannot be read; trying again", "held")
 	set("")
 	d.until("serving on")
-	d.m.heard = d.m.heard.Add(-4 * time.Second) // an answer that is late without an error
+	d.m.lastAnswerAt = d.m.lastAnswerAt.Add(-4 * time.Second) // an answer that is late without an error
 	d.until("OLD: shown as of", "4.0s ago")
 }
 
@@ -298,10 +298,10 @@
 		m.screen = screen(rapid.IntRange(0, 3).Draw(t, "screen"))
 		m.help = rapid.Bool().Draw(t, "help")
 		if rapid.Bool().Draw(t, "ask") {
-			m.ask = &question{title: name.Draw(t, "title"), lines: []string{name.Draw(t, "line")}, ready: rapid.Bool().Draw(t, "ready")}
+			m.confirm = &confirmation{title: name.Draw(t, "title"), lines: []string{name.Draw(t, "line")}, ready: rapid.Bool().Draw(t, "ready")}
 		}
-		m.typing, m.typed, m.notice = rapid.Bool().Draw(t, "typing"), name.Draw(t, "typed"), name.Draw(t, "notice")
-		d := dataMsg{screen: m.screen, at: m.now, page: &adminapi.Page{}, query: m.wanted()}
+		m.editingFilter, m.filterInput, m.notice = rapid.Bool().Draw(t, "typing"), name.Draw(t, "typed"), name.Draw(t, "notice")
+		d := dataMsg{screen: m.screen, at: m.now, page: &adminapi.Page{}, query: m.pageQuery()}
 		d.status = adminapi.Status{API: 1, Phase: rapid.SampledFrom([]string{"", "serving", "draining", "drained", "stopping"}).Draw(t, "phase"),
 			Held: n.Draw(t, "held"), HeldMost: 10, Series: make([]adminapi.Second, n.Draw(t, "seconds")), Left: &adminapi.Left{Messages: 3, IDs: []string{"a"}}}
 		for range n.Draw(t, "drains") {
@@ -335,7 +335,7 @@
 				}
 			}
 			plain := ansi.Strip(strings.Join(lines, "\n"))
-			if list := m.screen == partners || m.screen == messages; list && m.rows() > 0 && m.ask == nil && !m.help && !m.typing &&
+			if list := m.screen == partners || m.screen == messages; list && m.rowCount() > 0 && m.confirm == nil && !m.help && !m.editingFilter &&
 				m.width >= 60 && m.height >= 12 && !strings.Contains(plain, "\n> ") {
 				t.Fatalf("what is chosen is not in sight:\n%s", plain)
 			}
--- a/internal/relay/console/text.go
+++ b/internal/relay/console/text.go
@@ -242,8 +242,8 @@
 	return Span(ms) + " ago"
 }
 
-// Told is a limit that was told.
-func Told(l adminapi.FleetLimit) string {
+// FormatLimit is a limit that was told.
+func FormatLimit(l adminapi.FleetLimit) string {
 	if l.Rate == 0 {
 		return "found out"
 	}
@@ -287,8 +287,8 @@
 		f.Name, there, len(f.Relays), f.Parts, f.Over)
 }
 
-// Seen is how a relay sees an endpoint.
-func Seen(s adminapi.FleetSight) string {
+// FormatSight is how a relay sees an endpoint.
+func FormatSight(s adminapi.FleetSight) string {
 	if s.Out {
 		return "out"
 	}
--- a/internal/relay/console/view.go
+++ b/internal/relay/console/view.go
@@ -36,7 +36,7 @@
 		return []string{ansi.Truncate("too small", max(1, m.width), "")}
 	}
 	body := m.body()
-	out := []string{m.head(), m.banner()}
+	out := []string{m.header(), m.banner()}
 	room := m.height - len(out) - 2
 	if len(body) > room {
 		body = body[:room]
@@ -45,14 +45,14 @@
 	for len(out) < m.height-2 {
 		out = append(out, "")
 	}
-	out = append(out, m.foot(), m.keys())
+	out = append(out, m.footer(), m.keyHelp())
 	for i := range out {
 		out[i] = ansi.Truncate(out[i], m.width, "~")
 	}
 	return out
 }
 
-func (m *Model) head() string {
+func (m *Model) header() string {
 	tabs := ""
 	for s, name := range []string{"1 overview", "2 partners", "3 messages", "4 fleet"} {
 		if screen(s) == m.screen || m.screen == detail && screen(s) == messages {
@@ -67,16 +67,16 @@
 
 // banner says how the relay is, and plainly when what is shown is old.
 func (m *Model) banner() string {
-	old := m.now.Sub(m.heard)
+	old := m.now.Sub(m.lastAnswerAt)
 	switch {
-	case m.heard.IsZero() && m.problem == "":
+	case m.lastAnswerAt.IsZero() && m.pollError == "":
 		return "connecting ..."
-	case m.heard.IsZero():
-		return bad.Render("NOT CONNECTED: " + m.problem + "; trying again")
-	case m.problem != "":
-		return bad.Render(fmt.Sprintf("OLD: shown as of %s, %s ago: %s; trying again", m.heard.Format(time.TimeOnly), Span(old.Milliseconds()), m.problem))
-	case old > oldAfter:
-		return bad.Render(fmt.Sprintf("OLD: shown as of %s, %s ago", m.heard.Format(time.TimeOnly), Span(old.Milliseconds())))
+	case m.lastAnswerAt.IsZero():
+		return bad.Render("NOT CONNECTED: " + m.pollError + "; trying again")
+	case m.pollError != "":
+		return bad.Render(fmt.Sprintf("OLD: shown as of %s, %s ago: %s; trying again", m.lastAnswerAt.Format(time.TimeOnly), Span(old.Milliseconds()), m.pollError))
+	case old > staleAfter:
+		return bad.Render(fmt.Sprintf("OLD: shown as of %s, %s ago", m.lastAnswerAt.Format(time.TimeOnly), Span(old.Milliseconds())))
 	}
 	s := m.status
 	phase := good.Render(Phase(s))
@@ -98,11 +98,11 @@
 
 func (m *Model) body() []string {
 	switch {
-	case m.ask != nil:
-		return m.asking()
+	case m.confirm != nil:
+		return m.confirmationLines()
 	case m.help:
 		return helpLines(m.screen)
-	case m.heard.IsZero():
+	case m.lastAnswerAt.IsZero():
 		return nil
 	}
 	switch m.screen {
@@ -118,28 +118,28 @@
 	return m.overviewLines()
 }
 
-// foot shows the outcome of the last action, or the filter that is being typed.
-func (m *Model) foot() string {
-	if m.typing {
-		text := "filter: " + m.typed + "_"
+// footer shows the outcome of the last action, or the filter that is being typed.
+func (m *Model) footer() string {
+	if m.editingFilter {
+		text := "filter: " + m.filterInput + "_"
 		if m.notice != "" {
 			text += "   " + bad.Render(m.notice)
 		}
 		return text
 	}
 	text := m.notice
-	if f := m.following(); f != "" {
+	if f := m.drainProgress(); f != "" {
 		text += "; " + f
 	}
 	return bold.Render(text)
 }
 
-func (m *Model) keys() string {
+func (m *Model) keyHelp() string {
 	text := "q quit  tab next screen  D drain relay  U undrain it  S stop"
 	switch {
-	case m.ask != nil:
+	case m.confirm != nil:
 		text = "y yes, do it   n no"
-	case m.typing:
+	case m.editingFilter:
 		text = "enter apply  esc leave it  ctrl+u clear    partner= class= state= older= or an id's beginning"
 	case m.help:
 		text = "any key: back"
@@ -153,12 +153,12 @@
 	return dim.Render(text)
 }
 
-func (m *Model) asking() []string {
-	all := []string{"", bold.Render("  " + m.ask.title + "?"), ""}
-	if !m.ask.ready {
+func (m *Model) confirmationLines() []string {
+	all := []string{"", bold.Render("  " + m.confirm.title + "?"), ""}
+	if !m.confirm.ready {
 		return append(all, "  asking what that would mean ...")
 	}
-	for _, l := range m.ask.lines {
+	for _, l := range m.confirm.lines {
 		for _, part := range strings.Split(ansi.Wordwrap(l, max(10, m.width-4), ""), "\n") {
 			all = append(all, "  "+part)
 		}
@@ -258,7 +258,7 @@
 func (m *Model) partnerLines() []string {
 	all := []string{bold.Render(fmt.Sprintf("  %-16s %-8s %-11s %4s %8s %8s  %s", "partner/endpoint", "state", "health", "out", "rate/s", "latency", "remark"))}
 	rows := m.targets()
-	for i := m.top; i < len(rows) && i < m.top+m.room(); i++ {
+	for i := m.firstVisible; i < len(rows) && i < m.firstVisible+m.visibleRows(); i++ {
 		t := rows[i]
 		if t.endpoint == nil {
 			text := fmt.Sprintf("%-16s %d waiting, %d calls out, %s, takes %s", t.partner.Name, t.partner.Waiting, t.partner.Out, t.partner.Kind,
@@ -266,18 +266,18 @@
 			if t.partner.Drained {
 				text += ", DRAINED"
 			}
-			all = append(all, pick(i == m.row, text))
+			all = append(all, pick(i == m.selected, text))
 			continue
 		}
 		e := t.endpoint
 		text := fmt.Sprintf("  %-14s %-8s %-11s %4d %8.1f %6.0fms  %s", e.ID, e.State, e.Health, e.Out, e.Rate, e.LatencyMs, Remark(*e))
-		if i != m.row && (e.Health != "healthy" || e.State != "open") {
+		if i != m.selected && (e.Health != "healthy" || e.State != "open") {
 			text = warn.Render(text)
 		}
-		all = append(all, pick(i == m.row, text))
+		all = append(all, pick(i == m.selected, text))
 	}
-	if m.row < len(rows) && rows[m.row].endpoint != nil { // the whole remark, which a narrow terminal cuts
-		e := rows[m.row].endpoint
+	if m.selected < len(rows) && rows[m.selected].endpoint != nil { // the whole remark, which a narrow terminal cuts
+		e := rows[m.selected].endpoint
 		if r := Remark(*e); r != "" {
 			all = append(all, "", "  "+e.ID+" at "+e.Address+" in "+e.Zone+":")
 			all = append(all, strings.Split(ansi.Wordwrap("  "+r, max(10, m.width-2), ""), "\n")...)
@@ -288,28 +288,28 @@
 
 func (m *Model) messageLines() []string {
 	what := "held"
-	if m.ended || isEnd(m.query.State) {
+	if m.showCompleted || isEnd(m.query.State) {
 		what = "ended"
 	}
-	title := fmt.Sprintf("%s, %s, page %d", what, sorts[m.sort], len(m.cursors)+1)
-	if what == "ended" && m.sort < 2 {
-		title = fmt.Sprintf("ended, newest first, page %d", len(m.cursors)+1)
+	title := fmt.Sprintf("%s, %s, page %d", what, sortOrders[m.sortOrder], len(m.pageCursors)+1)
+	if what == "ended" && m.sortOrder < 2 {
+		title = fmt.Sprintf("ended, newest first, page %d", len(m.pageCursors)+1)
 	}
 	if m.filter != "" {
 		title += ", filter " + m.filter
 	}
-	if m.page.Next != "" && m.asked == m.wanted() {
+	if m.page.Next != "" && m.answeredQuery == m.pageQuery() {
 		title += ", more on the next"
 	}
 	all := []string{title, bold.Render(fmt.Sprintf("  %-20s %-14s %-12s %-9s %5s %7s  %s", "id", "class", "partner", "state", "tries", "age", "why"))}
-	shown := m.shown()
-	for i := m.top; i < len(shown) && i < m.top+m.room(); i++ {
+	shown := m.pageMessages()
+	for i := m.firstVisible; i < len(shown) && i < m.firstVisible+m.visibleRows(); i++ {
 		one := shown[i]
-		all = append(all, pick(i == m.row, fmt.Sprintf("%-20s %-14s %-12s %-9s %5d %7s  %s", ansi.Truncate(one.ID, 20, "~"), ansi.Truncate(one.Class, 14, "~"),
+		all = append(all, pick(i == m.selected, fmt.Sprintf("%-20s %-14s %-12s %-9s %5d %7s  %s", ansi.Truncate(one.ID, 20, "~"), ansi.Truncate(one.Class, 14, "~"),
 			ansi.Truncate(one.Partner, 12, "~"), one.State, one.Tries, Span(m.status.NowMs-one.TakenMs), Why(one, m.status.NowMs))))
 	}
 	switch {
-	case m.asked != m.wanted():
+	case m.answeredQuery != m.pageQuery():
 		all = append(all, "  asking ...")
 	case len(shown) == 0:
 		all = append(all, "  none")
@@ -323,7 +323,7 @@
 
 func (m *Model) detailLines() []string {
 	if m.message.State == "" {
-		return []string{"asking for " + m.id + " ..."}
+		return []string{"asking for " + m.messageID + " ..."}
 	}
 	var all []string
 	for _, l := range Describe(m.message, time.UnixMilli(m.status.NowMs)) {
@@ -355,7 +355,7 @@
 	}
 	all = append(all, "", bold.Render(fmt.Sprintf("  %-16s %-22s %6s %-12s %11s %8s", "limit of", "told", "part", "pledged to", "grants here", "at most")))
 	for _, l := range f.Limits {
-		all = append(all, fmt.Sprintf("  %-16s %-22s %6.3f %-12s %11.3f %8.2f", l.Partner, Told(l), l.Own, l.Steward, l.Granted, l.Over))
+		all = append(all, fmt.Sprintf("  %-16s %-22s %6.3f %-12s %11.3f %8.2f", l.Partner, FormatLimit(l), l.Own, l.Steward, l.Granted, l.Over))
 	}
 	if len(f.Words) > 0 {
 		all = append(all, "", bold.Render(fmt.Sprintf("  %-24s %-6s %-28s %s", "words", "holds", "said by", "not heeded yet by")))
@@ -371,7 +371,7 @@
 		all = append(all, "", bold.Render(fmt.Sprintf("  %-24s %-10s %-16s %8s", "endpoint", "seen", "by", "for")))
 	}
 	for _, s := range f.Sights {
-		all = append(all, fmt.Sprintf("  %-24s %-10s %-16s %8s", strings.TrimPrefix(s.Subject, "endpoint:"), Seen(s), s.Relay, Span(s.ForMs)))
+		all = append(all, fmt.Sprintf("  %-24s %-10s %-16s %8s", strings.TrimPrefix(s.Subject, "endpoint:"), FormatSight(s), s.Relay, Span(s.ForMs)))
 	}
 	return all
 }
