--- a/internal/relay/console/text.go
+++ b/internal/relay/console/text.go
@@ -10,9 +10,7 @@
 	"larchrouter/internal/relay/adminapi"
 )
 
-// What the command line and the console say alike.
-
-// Span shows milliseconds as people say them, such as 30ms, 1.5s or 2h05m.
+// Span formats milliseconds, such as 30ms, 1.5s or 2h05m.
 func Span(ms int64) string {
 	d := time.Duration(max(0, ms)) * time.Millisecond
 	switch {
@@ -28,7 +26,7 @@
 	return fmt.Sprintf("%dh%02dm", int(d.Hours()), int(d.Minutes())%60)
 }
 
-// Phase tells how far the relay is, with the time that is left for it.
+// Phase formats the phase of the relay, with the time left in it.
 func Phase(s adminapi.Status) string {
 	if s.Phase == "draining" || s.Phase == "stopping" {
 		return fmt.Sprintf("%s (%s left)", s.Phase, Span(s.UntilMs-s.NowMs))
@@ -36,7 +34,7 @@
 	return s.Phase
 }
 
-// Remark tells why an endpoint gets less than it could.
+// Remark returns why an endpoint gets fewer messages than it could, or "".
 func Remark(e adminapi.Endpoint) string {
 	var all []string
 	if e.By != "" {
@@ -60,7 +58,7 @@
 	return strings.Join(all, "; ")
 }
 
-// Describe tells all of one message, a line each.
+// Describe returns all details of a message, one per line.
 func Describe(m adminapi.Message, now time.Time) []string {
 	clock := func(ms int64) string { return time.UnixMilli(ms).Format("15:04:05.000") }
 	all := []string{
@@ -90,12 +88,13 @@
 		if a.Ran && a.Outcome != "delivered" {
 			ran = ", may have run"
 		}
-		all = append(all, fmt.Sprintf("  %2d  %s  %-20s %s after %s%s", i+1, clock(a.AtMs), a.Endpoint, a.Outcome, Span(a.TookMs), ran))
+		all = append(all, fmt.Sprintf("  %2d  %s  %-20s %s after %s%s", i+1, clock(a.AtMs), a.Endpoint, a.Outcome,
+			Span(a.TookMs), ran))
 	}
 	return all
 }
 
-// Consequences tell what a drain or an undrain means, or did, in numbers.
+// Consequences describes what a drain or undrain would do, or did.
 func Consequences(d adminapi.DrainAnswer, undrain bool) []string {
 	did := d.Result != ""
 	all := []string{}
@@ -105,7 +104,8 @@
 	if d.Fleet != nil {
 		for _, w := range d.Fleet.Words {
 			if w.Subject == d.Target && len(w.Missing) > 0 {
-				all = append(all, fmt.Sprintf("heeded by %d of %d relays so far, not yet by %s; see fleet verdicts", len(w.Heeded), len(w.Heeded)+len(w.Missing), strings.Join(w.Missing, ", ")))
+				all = append(all, fmt.Sprintf("heeded by %d of %d relays so far, not yet by %s; see fleet verdicts", len(w.Heeded),
+					len(w.Heeded)+len(w.Missing), strings.Join(w.Missing, ", ")))
 			}
 		}
 	}
@@ -120,12 +120,14 @@
 			all = append(all, "it was out, and is treated as one that comes back cold")
 		}
 	case d.Target == "relay":
-		all = append(all, fmt.Sprintf("%d messages are held, %d calls are out; nothing new is taken on", d.Waiting+d.Out, d.Out))
+		all = append(all, fmt.Sprintf("%d messages are held, %d calls are out; nothing new is taken on", d.Waiting+d.Out,
+			d.Out))
 		if d.UntilMs > 0 {
 			all = append(all, "they are delivered until "+time.UnixMilli(d.UntilMs).Format(time.TimeOnly)+"; what is left then is named")
 		}
 	default:
-		all = append(all, fmt.Sprintf("%d messages wait for its partner, %d calls are out; nothing new goes to it after %d ms", d.Waiting, d.Out, d.GraceMs))
+		all = append(all, fmt.Sprintf("%d messages wait for its partner, %d calls are out; nothing new goes to it after %d ms",
+			d.Waiting, d.Out, d.GraceMs))
 		if d.Last {
 			all = append(all, "it is the last open endpoint of its partner: messages for it wait, and end when their time is up")
 		}
@@ -133,20 +135,23 @@
 	return all
 }
 
-// Stopping tells what a stop means, or did.
+// Stopping describes what a stop would do, or did.
 func Stopping(s adminapi.StopAnswer) string {
 	return fmt.Sprintf("%d messages are held, %d calls are out; it ends by %s at the latest, and its next start takes up what is left",
 		s.Left.Messages, s.Left.Calls, time.UnixMilli(s.UntilMs).Format(time.TimeOnly))
 }
 
-// Left tells what a drain of the relay left.
+// Left describes what a drain of the relay left over.
 func Left(l adminapi.Left) string {
 	s := fmt.Sprintf("%d messages, %d calls out", l.Messages, l.Calls)
 	var names []string
 	for p := range l.Partners {
 		names = append(names, p)
 	}
-	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(l.Partners[b], l.Partners[a]), cmp.Compare(a, b)) })
+	slices.SortFunc(names, func(a, b string) int {
+		return cmp.Or(cmp.Compare(l.Partners[b], l.Partners[a]),
+			cmp.Compare(a, b))
+	})
 	for _, p := range names {
 		s += fmt.Sprintf("; %s %d", p, l.Partners[p])
 	}
@@ -156,66 +161,7 @@
 	return s
 }
 
-// bars are the heights of a sparkline.
-var bars = []rune("▁▂▃▄▅▆▇█")
-
-// spark draws the last values, each as high as its share of the largest.
-func spark(values []int, width int) string {
-	if width <= 0 {
-		return ""
-	}
-	values = values[max(0, len(values)-width):]
-	most := 1
-	for _, v := range values {
-		most = max(most, v)
-	}
-	var b strings.Builder
-	for _, v := range values {
-		b.WriteRune(bars[v*(len(bars)-1)/most])
-	}
-	return b.String()
-}
-
-// gauge draws a share as a bar of text.
-func gauge(part, whole, width int) string {
-	n := 0
-	if whole > 0 {
-		n = min(width, (part*width+whole-1)/whole)
-	}
-	return "[" + strings.Repeat("#", n) + strings.Repeat(".", width-n) + "]"
-}
-
-// parseFilter reads a filter as it is typed: words such as partner=pay state=waiting older=5s; a word without
-// "=" is the beginning of an id.
-func parseFilter(text string, q adminapi.Query) (adminapi.Query, error) {
-	q.Partner, q.Class, q.State, q.Older, q.IDPrefix = "", "", "", 0, ""
-	for _, word := range strings.Fields(text) {
-		name, value, is := strings.Cut(word, "=")
-		switch {
-		case !is:
-			q.IDPrefix = word
-		case name == "partner":
-			q.Partner = value
-		case name == "class":
-			q.Class = value
-		case name == "state" && slices.Contains(adminapi.States, value):
-			q.State = value
-		case name == "state":
-			return q, fmt.Errorf("state is %q, must be one of %s", value, strings.Join(adminapi.States, ", "))
-		case name == "older":
-			d, err := time.ParseDuration(value)
-			if err != nil || d < 0 {
-				return q, fmt.Errorf("older is %q, must be a time such as 5s", value)
-			}
-			q.Older = d
-		default:
-			return q, fmt.Errorf("%q is no filter: partner=, class=, state=, older= and the beginning of an id are", word)
-		}
-	}
-	return q, nil
-}
-
-// Why tells why a message ended undelivered, or waits, and in how long that changes by itself.
+// Why returns why a message was not delivered or is waiting, with the time until the next change.
 func Why(m adminapi.Message, nowMs int64) string {
 	if m.NextMs == 0 {
 		return m.Why
@@ -223,7 +169,7 @@
 	return m.Why + ", in " + Span(max(0, m.NextMs-nowMs))
 }
 
-// YesNo says it in a word.
+// YesNo returns "yes" or "no".
 func YesNo(b bool) string {
 	if b {
 		return "yes"
@@ -231,7 +177,7 @@
 	return "no"
 }
 
-// Ago tells how long ago something was, in milliseconds below 0 for never; a relay hears itself.
+// Ago formats the milliseconds since a contact with a relay; negative means never. self marks the relay itself.
 func Ago(ms int64, self bool) string {
 	switch {
 	case self:
@@ -241,72 +187,3 @@
 	}
 	return Span(ms) + " ago"
 }
-
-// FormatLimit is a limit that was told.
-func FormatLimit(l adminapi.FleetLimit) string {
-	if l.Rate == 0 {
-		return "found out"
-	}
-	text := fmt.Sprintf("%g/s, burst %g", l.Rate, l.Burst)
-	if l.AtOnce > 0 {
-		text += fmt.Sprintf(", %d at once", l.AtOnce)
-	}
-	return text
-}
-
-// RelayRemark tells what is wrong with a relay of the fleet.
-func RelayRemark(r adminapi.FleetRelay) string {
-	var all []string
-	if r.Gone {
-		all = append(all, "said to be gone for good")
-	}
-	if !r.There && !r.Gone {
-		all = append(all, "no chain of links joins it to this one")
-	}
-	if r.There && r.MetMs < 0 {
-		all = append(all, "heard of through others only")
-	}
-	if r.OtherList {
-		all = append(all, "its file has other relays")
-	}
-	if r.There && !r.Agrees && !r.Self {
-		all = append(all, "holds other words")
-	}
-	return strings.Join(all, "; ")
-}
-
-// FleetLine is the fleet in one line.
-func FleetLine(f adminapi.Fleet) string {
-	there := 0
-	for _, r := range f.Relays {
-		if r.There {
-			there++
-		}
-	}
-	return fmt.Sprintf("%s: %d of %d relays are there; limits are divided into %d parts; in a cut all sides together grant at most what was told, and %.2f times what was found out",
-		f.Name, there, len(f.Relays), f.Parts, f.Over)
-}
-
-// FormatSight is how a relay sees an endpoint.
-func FormatSight(s adminapi.FleetSight) string {
-	if s.Out {
-		return "out"
-	}
-	return "well again"
-}
-
-// Version is a version as people compare it.
-func Version(v adminapi.FleetVersion) string {
-	if v.Version == 0 {
-		return "-"
-	}
-	return fmt.Sprintf("%08x", v.Version)
-}
-
-// Lag tells how far behind a relay is.
-func Lag(v adminapi.FleetVersion, relays int) string {
-	if v.State != "behind" {
-		return ""
-	}
-	return fmt.Sprintf("its %s is older than that of %d of %d relays, for %s", v.Kind, v.Newest, relays, Span(v.BehindMs))
-}
