--- a/internal/relay/adminapi/adminapi_test.go
+++ b/internal/relay/adminapi/adminapi_test.go
@@ -71,7 +71,7 @@
 func TestErrors(t *testing.T) {
 	var give error
 	c := listen(t, fake{status: func(context.Context) (Status, error) { return Status{}, give }})
-	for code, status := range statuses {
+	for code, status := range statusByCode {
 		if code == Busy {
 			continue // the client comes again
 		}
@@ -114,7 +114,7 @@
 		}
 	}})
 	var wg sync.WaitGroup
-	for range 3 * maxAtOnce {
+	for range 3 * maxConcurrent {
 		other := Dial(c.Path())
 		wg.Go(func() {
 			defer other.Close()
@@ -125,13 +125,13 @@
 	}
 	for full := false; !full; time.Sleep(time.Millisecond) {
 		mu.Lock()
-		full = inside == maxAtOnce
+		full = inside == maxConcurrent
 		mu.Unlock()
 	}
 	close(stuck)
 	wg.Wait()
-	if most != maxAtOnce {
-		t.Errorf("%d at once, want %d", most, maxAtOnce)
+	if most != maxConcurrent {
+		t.Errorf("%d at once, want %d", most, maxConcurrent)
 	}
 }
 
@@ -185,12 +185,12 @@
 	tail := NewTail(slog.DiscardHandler)
 	log := slog.New(tail).With("a", 1).WithGroup("g")
 	log.Debug("not kept")
-	for i := range tailLines + 50 {
+	for i := range maxLines + 50 {
 		log.Info("line", "n", i)
 	}
 	log.Warn("escape \x1b[2J\r\n\u009b1m", "b", "x\ny")
 	all := tail.After(0)
-	if len(all) != tailLines || all[0].N != 52 || all[len(all)-1].N != tailLines+51 {
+	if len(all) != maxLines || all[0].N != 52 || all[len(all)-1].N != maxLines+51 {
 		t.Fatalf("%d lines, from %d to %d", len(all), all[0].N, all[len(all)-1].N)
 	}
 	last := all[len(all)-1]
@@ -200,8 +200,8 @@
 	if more := tail.After(last.N - 2); len(more) != 2 {
 		t.Errorf("%d lines after the last but two", len(more))
 	}
-	log.Info(strings.Repeat("ü", tailText))
-	if got := tail.After(last.N)[0].Text; len(got) > tailText+10 {
+	log.Info(strings.Repeat("ü", maxLineBytes))
+	if got := tail.After(last.N)[0].Text; len(got) > maxLineBytes+10 {
 		t.Errorf("a line of %d bytes is kept", len(got))
 	}
 	if got := (*Tail)(nil).After(0); got == nil || len(got) != 0 {
--- a/internal/relay/adminapi/client.go
+++ b/internal/relay/adminapi/client.go
@@ -17,25 +17,25 @@
 	"time"
 )
 
-// maxAnswer bounds what a client reads of one answer.
+// maxAnswer is the size up to which a client reads an answer, in bytes.
 const maxAnswer = 16 << 20
 
-// The pauses of a client that is told that the relay is busy; each is drawn from half to one and a half.
+// Backoff of a client while the relay is busy. Each pause is drawn from half to one and a half times its nominal length.
 const (
 	firstPause = 40 * time.Millisecond
 	longPause  = 500 * time.Millisecond
 )
 
-// ErrNoRelay says that nobody serves the socket.
+// ErrNoRelay reports that no process serves the socket.
 var ErrNoRelay = errors.New("no relay runs there")
 
-// Client talks to a relay. It is safe for concurrent use.
+// Client calls the API of a relay. It is safe for concurrent use.
 type Client struct {
 	path string
 	http http.Client
 }
 
-// Dial returns a client for a socket. It connects with the first call, and anew when a connection is lost.
+// Dial returns a client for a socket. It connects on the first call, and again when a connection is lost.
 func Dial(path string) *Client {
 	c := &Client{path: path}
 	c.http.Transport = &http.Transport{DisableCompression: true, MaxConnsPerHost: 4, IdleConnTimeout: 20 * time.Second,
@@ -45,13 +45,13 @@
 	return c
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Path is the socket's.
+// Path returns the path of the socket.
 func (c *Client) Path() string { return c.path }
 
-// call makes one request. A relay that is busy is asked again, until the context ends.
+// call makes a request, and retries it while the relay is busy until the context ends.
 func call[A any](ctx context.Context, c *Client, method, path string, query url.Values, body any) (A, error) {
 	var a A
 	for pause := firstPause; ; pause = min(2*pause, longPause) {
@@ -67,6 +67,7 @@
 	}
 }
 
+// once makes one request and decodes the answer.
 func (c *Client) once(ctx context.Context, method, path string, query url.Values, body, into any) error {
 	u := url.URL{Scheme: "http", Host: "relay", Path: fmt.Sprintf("/v%d%s", Version, path), RawQuery: query.Encode()}
 	var data io.Reader
@@ -107,27 +108,27 @@
 	return nil
 }
 
-// Status asks for the relay as a whole.
+// Status returns the state of the relay.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	return call[Status](ctx, c, http.MethodGet, "/status", nil, nil)
 }
 
-// Partners asks for all partners.
+// Partners returns all partners.
 func (c *Client) Partners(ctx context.Context) ([]Partner, error) {
 	return call[[]Partner](ctx, c, http.MethodGet, "/partners", nil, nil)
 }
 
-// Overview asks for the relay as a whole, all partners, and the log's lines after a number.
+// Overview returns the state of the relay, all partners, and the log lines after a number.
 func (c *Client) Overview(ctx context.Context, after uint64) (Overview, error) {
 	return call[Overview](ctx, c, http.MethodGet, "/overview", url.Values{"after": {strconv.FormatUint(after, 10)}}, nil)
 }
 
-// Messages asks for one page of messages.
+// Messages returns a page of messages.
 func (c *Client) Messages(ctx context.Context, q Query) (Page, error) {
 	return call[Page](ctx, c, http.MethodGet, "/messages", q.encode(), nil)
 }
 
-// Message asks for one message with its attempts.
+// Message returns a message with its attempts.
 func (c *Client) Message(ctx context.Context, id string) (Message, error) {
 	if id == "" {
 		return Message{}, Errorf(Invalid, "the id is empty")
@@ -135,32 +136,32 @@
 	return call[Message](ctx, c, http.MethodGet, "/message", url.Values{"id": {id}}, nil)
 }
 
-// Log asks for the log's lines after a number; 0 for all that are remembered.
+// Log returns the log lines after a number; 0 for all that are retained.
 func (c *Client) Log(ctx context.Context, after uint64) ([]LogLine, error) {
 	return call[[]LogLine](ctx, c, http.MethodGet, "/log", url.Values{"after": {strconv.FormatUint(after, 10)}}, nil)
 }
 
-// Drain drains something, or tells with DryRun what that would mean.
+// Drain drains a target, or with DryRun only returns the consequences.
 func (c *Client) Drain(ctx context.Context, q DrainRequest) (DrainAnswer, error) {
 	return call[DrainAnswer](ctx, c, http.MethodPost, "/drain", nil, q)
 }
 
-// Undrain opens something again.
+// Undrain cancels the drain of a target.
 func (c *Client) Undrain(ctx context.Context, q DrainRequest) (DrainAnswer, error) {
 	return call[DrainAnswer](ctx, c, http.MethodPost, "/undrain", nil, q)
 }
 
-// Stop begins an orderly stop.
+// Stop starts a graceful stop.
 func (c *Client) Stop(ctx context.Context, q StopRequest) (StopAnswer, error) {
 	return call[StopAnswer](ctx, c, http.MethodPost, "/stop", nil, q)
 }
 
-// Fleet asks for the fleet and the limits that the relay has a part of.
+// Fleet returns the fleet, and the limits of which the relay has a share.
 func (c *Client) Fleet(ctx context.Context) (Fleet, error) {
 	return call[Fleet](ctx, c, http.MethodGet, "/fleet", nil, nil)
 }
 
-// Gone says that a relay is gone for good, or back.
+// Gone declares a relay as gone for good, or as back.
 func (c *Client) Gone(ctx context.Context, q GoneRequest) (Fleet, error) {
 	return call[Fleet](ctx, c, http.MethodPost, "/fleet/gone", nil, q)
 }
--- a/internal/relay/adminapi/fixtures_test.go
+++ b/internal/relay/adminapi/fixtures_test.go
@@ -259,7 +259,7 @@
 func TestServerAnswersFrozenRequests(t *testing.T) {
 	old, path := oldForms(t), filepath.Join(t.TempDir(), "s")
 	tail := NewTail(slog.DiscardHandler)
-	tail.mem.add(frozenLog[0])
+	tail.buffer.add(frozenLog[0])
 	backend := frozenBackend{make(chan any, 1)}
 	s, err := Listen(path, backend, tail)
 	if err != nil {
@@ -349,16 +349,16 @@
 		text   string
 		status int
 	}{NotFound: {"not_found", 404}, Invalid: {"invalid", 400}, Conflict: {"conflict", 409}, Busy: {"busy", 429}, Failed: {"failed", 500}, Stopped: {"stopped", 503}} {
-		if code != want.text || statuses[code] != want.status {
-			t.Errorf("code %q has status %d, want %q with %d", code, statuses[code], want.text, want.status)
+		if code != want.text || statusByCode[code] != want.status {
+			t.Errorf("code %q has status %d, want %q with %d", code, statusByCode[code], want.text, want.status)
 		}
-		data := mustMarshal(map[string]*Error{"error": asError(Errorf(code, "t"))})
+		data := mustMarshal(map[string]*Error{"error": toError(Errorf(code, "t"))})
 		if !bytes.Equal(data, []byte(`{"error":{"code":"`+want.text+`","text":"t"}}`)) {
 			t.Errorf("code %q is answered as %s", code, data)
 		}
 	}
-	if len(statuses) != 6 {
-		t.Errorf("%d codes, 6 are in this test", len(statuses))
+	if len(statusByCode) != 6 {
+		t.Errorf("%d codes, 6 are in this test", len(statusByCode))
 	}
 	if want := []string{"waiting", "out", "delivered", "refused", "failed"}; !slices.Equal(States, want) {
 		t.Errorf("states %q, want %q", States, want)
--- a/internal/relay/adminapi/tail.go
+++ b/internal/relay/adminapi/tail.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	tailLines = 200
-	tailText  = 500 // bytes of a line
+	maxLines     = 200
+	maxLineBytes = 500 // limit of a line
 )
 
-// Tail is a slog.Handler that remembers the last lines, and hands each on to another handler.
+// Tail is a slog.Handler that retains the last lines and passes each on to another handler. It is safe for concurrent use.
 type Tail struct {
-	next  slog.Handler
-	attrs string // of With, as text
-	group string
-	mem   *memory
+	next   slog.Handler
+	attrs  string // of WithAttrs, as text
+	group  string
+	buffer *lineBuffer
 }
 
-type memory struct {
+// lineBuffer has the last lines, which all handlers derived from one Tail share.
+type lineBuffer struct {
 	sync.Mutex
 	lines []LogLine
 	n     uint64
 }
 
-// NewTail returns one that hands on to next.
-func NewTail(next slog.Handler) *Tail { return &Tail{next: next, mem: &memory{}} }
+// NewTail returns a Tail that passes lines on to next.
+func NewTail(next slog.Handler) *Tail { return &Tail{next: next, buffer: &lineBuffer{}} }
 
 // Enabled implements slog.Handler.
 func (t *Tail) Enabled(ctx context.Context, l slog.Level) bool {
@@ -41,7 +42,7 @@
 		b.WriteString(r.Message)
 		b.WriteString(t.attrs)
 		r.Attrs(func(a slog.Attr) bool { writeAttr(&b, t.group, a); return true })
-		t.mem.add(LogLine{AtMs: r.Time.UnixMilli(), Level: r.Level.String(), Text: clean(b.String())})
+		t.buffer.add(LogLine{AtMs: r.Time.UnixMilli(), Level: r.Level.String(), Text: sanitize(b.String())})
 	}
 	if !t.next.Enabled(ctx, r.Level) {
 		return nil
@@ -49,20 +50,21 @@
 	return t.next.Handle(ctx, r)
 }
 
+// writeAttr writes an attribute as text.
 func writeAttr(b *strings.Builder, group string, a slog.Attr) {
 	b.WriteString(" " + group + a.Key + "=" + a.Value.String())
 }
 
-// clean keeps what a line says from doing anything to a terminal.
-func clean(s string) string {
+// sanitize replaces control characters, which a terminal would interpret, and limits the length of a line.
+func sanitize(s string) string {
 	s = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0 {
 			return ' '
 		}
 		return r
 	}, s)
-	if len(s) > tailText {
-		s = strings.ToValidUTF8(s[:tailText], "") + "..."
+	if len(s) > maxLineBytes {
+		s = strings.ToValidUTF8(s[:maxLineBytes], "") + "..."
 	}
 	return s
 }
@@ -73,35 +75,36 @@
 	for _, a := range attrs {
 		writeAttr(&b, t.group, a)
 	}
-	return &Tail{t.next.WithAttrs(attrs), t.attrs + b.String(), t.group, t.mem}
+	return &Tail{t.next.WithAttrs(attrs), t.attrs + b.String(), t.group, t.buffer}
 }
 
 // WithGroup implements slog.Handler.
 func (t *Tail) WithGroup(name string) slog.Handler {
-	return &Tail{t.next.WithGroup(name), t.attrs, t.group + name + ".", t.mem}
+	return &Tail{t.next.WithGroup(name), t.attrs, t.group + name + ".", t.buffer}
 }
 
-func (m *memory) add(l LogLine) {
+// add appends a line and drops the oldest one if the buffer is full.
+func (m *lineBuffer) add(l LogLine) {
 	m.Lock()
 	defer m.Unlock()
 	m.n++
 	l.N = m.n
-	if len(m.lines) == tailLines {
+	if len(m.lines) == maxLines {
 		copy(m.lines, m.lines[1:])
-		m.lines = m.lines[:tailLines-1]
+		m.lines = m.lines[:maxLines-1]
 	}
 	m.lines = append(m.lines, l)
 }
 
-// After returns the lines that are remembered after one with a number.
+// After returns the retained lines after the one with number n. A nil Tail has none.
 func (t *Tail) After(n uint64) []LogLine {
 	all := []LogLine{}
 	if t == nil {
 		return all
 	}
-	t.mem.Lock()
-	defer t.mem.Unlock()
-	for _, l := range t.mem.lines {
+	t.buffer.Lock()
+	defer t.buffer.Unlock()
+	for _, l := range t.buffer.lines {
 		if l.N > n {
 			all = append(all, l)
 		}
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A fleet's relays have one order, whatever that of the file is.
+// The relays of a fleet are sorted, whatever their order in the file.
 func TestFleet(t *testing.T) {
 	f, err := parse(smallest + `fleet {
   name = "b"
@@ -84,7 +84,7 @@
 	}
 }
 
-// The example is read, and what it says are defaults are those of a file that leaves them out.
+// The example is valid, and its documented defaults are those of a file that omits them.
 func TestExample(t *testing.T) {
 	f, err := Read("../../../deploy/appliance.hcl")
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Every fault has its place, says what is wrong and what is allowed; nothing comes of such a file.
+// Every fault has a position, a description and the allowed values; such a file yields no File.
 func TestFaults(t *testing.T) {
 	with := func(s string) string { return smallest + s }
 	class := func(s string) string { return with("class \"a\" {\n" + s + "\n}\n") }
@@ -180,7 +180,7 @@
 	}
 }
 
-// Guards against an operator who mends a file one fault at a time.
+// All faults of a file are reported at once.
 func TestAllFaultsAtOnce(t *testing.T) {
 	_, err := parse(`listen = "nowhere"
 typo   = 1
@@ -218,7 +218,7 @@
 	}
 }
 
-// Whatever a file holds: it is read whole or refused with a place, and what is read suits the decisions.
+// Any bytes are either a valid file, which the decisions accept, or refused with a position.
 func FuzzParse(f *testing.F) {
 	f.Add(smallest)
 	if data, err := os.ReadFile("../../../deploy/appliance.hcl"); err == nil {
