--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,9 +7,9 @@
 	"larchrouter/choice"
 )
 
-// A relay's own loop: hand in what happened, carry out what comes back.
+// The event loop of a relay: pass in events, carry out actions.
 func Example() {
-	c, err := choice.New(choice.Settings{
+	chooser, err := choice.New(choice.Settings{
 		Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond,
 		Classes: []choice.Class{{Name: "status", Aim: 2 * time.Second, Deadline: 10 * time.Second,
 			Worth: 1, LateShare: 0.5, Effect: choice.Safe}},
@@ -26,16 +26,16 @@
 		choice.Arrival{ID: "m1", Class: 0, Dest: 7, Left: 10 * time.Second},
 	}
 	for len(inbox) > 0 {
-		actions := c.Step(now, inbox)
+		actions := chooser.Step(now, inbox)
 		inbox = nil
-		for _, a := range actions {
-			switch a := a.(type) {
+		for _, action := range actions {
+			switch action := action.(type) {
 			case choice.Send: // a relay would call a.Host here; this one pretends that it answered
-				fmt.Printf("send %s to %s, time-out %v\n", a.ID, a.Host, a.Timeout)
-				inbox = append(inbox, choice.Result{ID: a.ID, Host: a.Host, Outcome: choice.Served,
+				fmt.Printf("send %s to %s, time-out %v\n", action.ID, action.Host, action.Timeout)
+				inbox = append(inbox, choice.Result{ID: action.ID, Host: action.Host, Outcome: choice.Served,
 					Took: 80 * time.Millisecond, Done: true})
 			case choice.Wake:
-				fmt.Println("step again after", a.After)
+				fmt.Println("step again after", action.After)
 			}
 		}
 		now += 80 * time.Millisecond
--- a/choice/internal/reference/order.go
+++ b/choice/internal/reference/order.go
@@ -1,23 +1,24 @@
 package reference
 
-import "slices"
+// Ordering keys: messages with the same key are sent one at a time.
 
-// Order of keys.
+import "slices"
 
-// hasTurn tells whether the order of its key lets a message go.
-func (c *Chooser) hasTurn(m *message) bool {
-	if !m.class.Ordered || m.Key == "" {
+// keyAllows reports whether a message may be sent as far as its ordering key is concerned.
+func (c *Chooser) keyAllows(msg *message) bool {
+	if !msg.class.Ordered || msg.Key == "" {
 		return true
 	}
-	l := c.lines[m.Key]
-	return l.queue[0] == m && c.now >= l.rest
+	order := c.keyOrders[msg.Key]
+	return order.messages[0] == msg && c.now >= order.settledAt
 }
 
-func (c *Chooser) freeLines() {
-	c.resting = slices.DeleteFunc(c.resting, func(l *line) bool {
-		if len(l.queue) == 0 && c.now >= l.rest {
-			delete(c.lines, l.key)
+// releaseSettledKeys removes the keys without messages whose pause after an unknown outcome is over.
+func (c *Chooser) releaseSettledKeys() {
+	c.settling = slices.DeleteFunc(c.settling, func(order *keyOrder) bool {
+		if len(order.messages) == 0 && c.now >= order.settledAt {
+			delete(c.keyOrders, order.key)
 		}
-		return len(l.queue) > 0 || c.now >= l.rest
+		return len(order.messages) > 0 || c.now >= order.settledAt
 	})
 }
--- a/choice/retune.go
+++ b/choice/retune.go
@@ -1,7 +1,7 @@
 package choice
 
-// Settings that change while messages are under way. This file only brings what is derived from the settings up
-// to date; what they mean for a message is decided where it ever was.
+// Changes of settings while messages are pending. This file updates what is derived from the settings; their
+// meaning for a message is decided in the other files.
 
 import (
 	"maps"
@@ -13,68 +13,72 @@
 	"larchrouter/internal/relay/batching"
 )
 
-// What falls due together is answered at this pace, begun sooner by half of ahead at most. A relay on one core can
-// record and tell some 20,000 ends a second beside its other work.
+// Messages that expire together are answered in batches, at a rate that leaves a relay on one core time for
+// its other work: it can record and send some 20,000 final answers a second.
 const (
-	answersASecond = 12_800
-	leastPiece     = 64
-	ahead          = 5 * time.Second
+	answersPerSecond = 12_800
+	minBatch         = 64              // messages
+	batchLead        = 5 * time.Second // horizon of the schedule; answers are early by half of it at most
 )
 
-// measure derives from the settings what the decisions go by.
-func (c *Chooser) measure() {
-	c.bound, c.minAim, c.mostWorth = 0, math.MaxInt64, 1e-9
-	for _, k := range c.set.Classes {
-		c.bound, c.minAim = max(c.bound, k.Aim), min(c.minAim, k.Aim)
-		c.mostWorth = max(c.mostWorth, k.Worth)
+// deriveSettings updates the values that are derived from the settings.
+func (c *Chooser) deriveSettings() {
+	c.maxTimeout, c.minTarget, c.maxValue = 0, math.MaxInt64, 1e-9
+	for _, class := range c.cfg.Classes {
+		c.maxTimeout, c.minTarget = max(c.maxTimeout, class.Aim), min(c.minTarget, class.Aim)
+		c.maxValue = max(c.maxValue, class.Worth)
 	}
-	c.nap = max(c.set.Tick, c.minAim/glance)
-	c.cut()
-	c.pool.Rescale(c.bound / oracle.Buckets)
-	for _, d := range c.dests {
-		d.table.Rescale(c.bound / oracle.Buckets)
+	c.wakeInterval = max(c.cfg.Tick, c.minTarget/wakesPerTarget)
+	c.resizeBatches()
+	c.pooledLatencies.Rescale(c.maxTimeout / oracle.Buckets)
+	for _, dest := range c.destinations {
+		dest.latencies.Rescale(c.maxTimeout / oracle.Buckets)
 	}
 }
 
-// cut cuts the ends of what waits into pieces anew if the time between looks has changed.
-func (c *Chooser) cut() {
-	if c.pieces != nil && c.pieces.Slot() == c.nap {
+// resizeBatches rebuilds the schedule of expiries if wakeInterval has changed.
+func (c *Chooser) resizeBatches() {
+	if c.batches != nil && c.batches.Slot() == c.wakeInterval {
 		return
 	}
-	c.pieces = batching.New(c.nap, max(leastPiece, int(answersASecond*c.nap.Seconds())), int(ahead/c.nap))
-	for _, m := range c.msgs {
-		if m.group != nil {
-			c.pieces.Add(m.endAt)
+	batch := max(minBatch, int(answersPerSecond*c.wakeInterval.Seconds()))
+	c.batches = batching.New(c.wakeInterval, batch, int(batchLead/c.wakeInterval))
+	for _, msg := range c.messages {
+		if msg.group != nil {
+			c.batches.Add(msg.expiresAt)
 		}
 	}
 }
 
-// retune takes other settings, or logs why not.
-func (c *Chooser) retune(s Settings) {
-	set := c.set
-	set.Classes, set.MaxAttempts, set.MaxHeld, set.Workers, set.Rules = s.Classes, s.MaxAttempts, s.MaxHeld, s.Workers, s.Rules
-	if err := set.Check(); err != nil {
-		c.log("settings not taken: %v", err)
+// applySettings changes the settings, or logs why they are invalid. Messages that may not be sent again under
+// the new ones are answered.
+func (c *Chooser) applySettings(changed Settings) {
+	cfg := c.cfg
+	cfg.Classes, cfg.MaxAttempts, cfg.MaxHeld = changed.Classes, changed.MaxAttempts, changed.MaxHeld
+	cfg.Workers, cfg.Rules = changed.Workers, changed.Rules
+	if err := cfg.Check(); err != nil {
+		c.logf("settings not taken: %v", err)
 		return
 	}
-	if n := len(c.set.Classes); len(set.Classes) < n || !slices.Equal(set.Classes[:n], c.set.Classes) {
-		c.log("settings not taken: classes that messages may have were changed")
+	classes := len(c.cfg.Classes)
+	if len(cfg.Classes) < classes || !slices.Equal(cfg.Classes[:classes], c.cfg.Classes) {
+		c.logf("settings not taken: classes that messages may have were changed")
 		return
 	}
-	c.set = set
-	c.measure()
-	c.moreClasses()
-	var spent []*message
-	for _, m := range c.msgs {
-		if m.group != nil && c.spent(m) {
-			spent = append(spent, m)
+	c.cfg = cfg
+	c.deriveSettings()
+	c.addShedOrders()
+	var exhausted []*message
+	for _, msg := range c.messages {
+		if msg.group != nil && c.exhausted(msg) {
+			exhausted = append(exhausted, msg)
 		}
 	}
-	slices.SortFunc(spent, func(a, b *message) int { return byEnd(a, b) })
-	for _, m := range spent {
-		c.final(m, c.whySpent(m))
+	slices.SortFunc(exhausted, compareExpiry)
+	for _, msg := range exhausted {
+		c.answer(msg, c.exhaustedReason(msg))
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.dests)) {
-		c.touch(c.dests[id]) // more may go now, or at other times
+	for _, id := range slices.Sorted(maps.Keys(c.destinations)) {
+		c.markDirty(c.destinations[id]) // it may be sent to now, or at other times
 	}
 }
--- a/cmd/larch-control/store.go
+++ b/cmd/larch-control/store.go
@@ -17,9 +17,16 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
+// storeCommand runs a store.
 type storeCommand struct{}
 
-const registerTime = 800 * time.Millisecond
+// The times of registrations. The owner of the placement role does not rely on a store before its second registration.
+const (
+	registerTick             = 100 * time.Millisecond // between two checks whether a registration is due
+	registerInterval         = 400 * time.Millisecond
+	registerIntervalUnplaced = 90 * time.Millisecond // less than a tick: at each of them
+	registerTimeout          = 800 * time.Millisecond
+)
 
 func (storeCommand) Run() error {
 	s, ring, err := start()
@@ -32,16 +39,21 @@
 	log := slog.New(ring)
 	calls := &rpc.Clients{}
 	follower := feed.NewFollower(s, calls, log)
-	return untilTold(ring, log, follower.UpdateSeeds, func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) })
+	run := func(ctx context.Context) error { return runStore(ctx, s, log, follower, calls) }
+	return runUntilSignal(ring, log, follower.UpdateSeeds, run)
 }
 
-func runStore(ctx context.Context, s *process.Settings, log *slog.Logger, follower *feed.Follower, calls *rpc.Clients) (err error) {
+// runStore runs a store until the context ends or its disk fails.
+func runStore(ctx context.Context, s *process.Settings, log *slog.Logger, follower *feed.Follower, calls *rpc.Clients) (
+	err error,
+) {
 	db, err := sqlitelog.Open(s.DataDir, "store.db", int64(s.Limits.DiskMB*0.9)<<20, turnstore.StoreTables...)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.CombineErrors(err, db.Close()) }()
-	store, err := turnstore.NewServer(turnstore.ServerOptions{DB: db, Placement: follower.Placement, Changed: follower.Changed, Calls: calls, Log: log})
+	store, err := turnstore.NewServer(turnstore.ServerOptions{DB: db, Placement: follower.Placement, Changed: follower.Changed,
+		Calls: calls, Log: log})
 	if err != nil {
 		return err
 	}
@@ -70,29 +82,31 @@
 	return err
 }
 
-// register tells the core of this store, again and again, and at once when a sweep has ended.
+// register registers the store at the core periodically, and at the next tick after its registration has changed, such as
+// at the end of a sweep, until the context ends.
 func register(ctx context.Context, follower *feed.Follower, calls *rpc.Clients, store *turnstore.Server, self turnstore.Store) {
-	tick := time.NewTicker(100 * time.Millisecond)
+	tick := time.NewTicker(registerTick)
 	defer tick.Stop()
-	var told feed.Registration
-	var at time.Time
+	var acknowledged feed.Registration
+	var answeredAt time.Time
 	for {
-		now := feed.Registration{Store: self, SweptGeneration: store.SweptGeneration(), Generation: store.AdoptedGeneration(), Full: store.Full()}
-		every := registerUnplaced
+		current := feed.Registration{Store: self, SweptGeneration: store.SweptGeneration(),
+			Generation: store.AdoptedGeneration(), Full: store.Full()}
+		interval := registerIntervalUnplaced
 		if p := follower.Placement(); p != nil {
-			now.Generation = max(now.Generation, p.Generation)
-			if slices.ContainsFunc(p.Stores(), func(o turnstore.Store) bool { return o.ID == self.ID }) {
-				every = registerEvery
+			current.Generation = max(current.Generation, p.Generation)
+			if slices.ContainsFunc(p.Stores(), func(other turnstore.Store) bool { return other.ID == self.ID }) {
+				interval = registerInterval
 			}
 		}
-		if now != told || time.Since(at) > every {
-			one, done := context.WithTimeout(ctx, registerTime)
-			err := calls.To(follower.Core()).Call(one, feed.RegisterCall, &now, nil)
-			done()
-			if at = time.Now(); err == nil {
-				told = now
+		if current != acknowledged || time.Since(answeredAt) > interval {
+			callCtx, stop := context.WithTimeout(ctx, registerTimeout)
+			err := calls.To(follower.Core()).Call(callCtx, feed.RegisterCall, &current, nil)
+			stop()
+			if answeredAt = time.Now(); err == nil {
+				acknowledged = current
 			} else {
-				told = feed.Registration{}
+				acknowledged = feed.Registration{}
 			}
 		}
 		select {
@@ -102,9 +116,3 @@
 		}
 	}
 }
-
-// Pauses between registrations. One proves nothing to the holder of the duty before another follows.
-const (
-	registerEvery    = 400 * time.Millisecond
-	registerUnplaced = 90 * time.Millisecond // at each tick
-)
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -101,7 +101,7 @@
 	maxSocket           = 107     // bytes of a Unix socket's path, after unix(7)
 	maxHeld             = 1_000_000
 	maxSlots            = 10_000
-	maxRelays           = fleetlimit.MostRights
+	maxRelays           = fleetlimit.MaxQuotaRelays
 	bytesPerMessage     = 1 << 10 // on the disk, for a pending message with a small body; half of it for compaction
 	bytesPerOutcome     = 512     // on the disk, for a retained outcome; half of it for compaction
 	reservedDescriptors = 16      // descriptors used for neither clients nor partners
--- a/internal/relay/config/fleet.go
+++ b/internal/relay/config/fleet.go
@@ -59,8 +59,8 @@
 	seen, addrs := map[string]hcl.Range{}, map[string]string{}
 	for _, c := range b.Blocks {
 		n, _ := b.Label("relay", c, seen)
-		if len(n) > override.MostBy {
-			b.Fault(c.LabelRanges[0], "relay %q: a name has at most %d bytes", n, override.MostBy)
+		if len(n) > override.MaxNameBytes {
+			b.Fault(c.LabelRanges[0], "relay %q: a name has at most %d bytes", n, override.MaxNameBytes)
 		}
 		m := b.Open(c.Body, c.DefRange, []string{"address", "weight"}, nil)
 		m.Need("address", `where the others send notes for it, such as address = "10.0.0.1:7946"`)
@@ -70,7 +70,7 @@
 				m.Fault(m.Where("address"), "address %s is that of relay %q already", addr, other)
 			}
 			addrs[addr] = n
-			fleet.Relays = append(fleet.Relays, Member{n, addr, m.Whole("weight", 1, 1, override.MostWeight)})
+			fleet.Relays = append(fleet.Relays, Member{n, addr, m.Whole("weight", 1, 1, override.MaxWeight)})
 		}
 	}
 	slices.SortFunc(fleet.Relays, func(x, y Member) int { return strings.Compare(x.Name, y.Name) })
--- a/internal/rpc/bytes_test.go
+++ b/internal/rpc/bytes_test.go
@@ -15,18 +15,18 @@
 func TestFramesKeepTheirBytes(t *testing.T) {
 	for _, one := range []struct {
 		name   string
-		kind   byte
+		kind   kind
 		method Method
 		number uint64
 		body   string
 		want   string
 	}{
 		{"call", kindCall, 20, 0x0102030405060708, "body", "0000000e00140102030405060708626f6479"},
-		{"answer", kindAnswer, 21, 0x1112131415161718, "", "0000000a01151112131415161718"},
+		{"response", kindResponse, 21, 0x1112131415161718, "", "0000000a01151112131415161718"},
 		{"error", kindError, 255, 0x2122232425262728, "text", "0000000e02ff212223242526272874657874"},
-		{"notice", kindNotice, 1, 0, "b", "0000000b0301000000000000000062"},
+		{"notification", kindNotification, 1, 0, "b", "0000000b0301000000000000000062"},
 	} {
-		b := frame(one.kind, one.method, one.number, []byte(one.body))
+		b := frame{one.kind, one.method, one.number, []byte(one.body)}.encode()
 		if got := hex.EncodeToString(b); got != one.want {
 			t.Errorf("%s is %s, was %s", one.name, got, one.want)
 		}
@@ -34,9 +34,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		kind, method, number, body, err := readFrame(bufio.NewReader(bytes.NewReader(old)))
-		if err != nil || kind != one.kind || method != one.method || number != one.number || string(body) != one.body {
-			t.Errorf("%s is read as kind %d, method %d, number %x, body %q (%v)", one.name, kind, method, number, body, err)
+		f, err := readFrame(bufio.NewReader(bytes.NewReader(old)))
+		if err != nil || f.kind != one.kind || f.method != one.method || f.number != one.number || string(f.body) != one.body {
+			t.Errorf("%s is read as kind %d, method %d, number %x, body %q (%v)", one.name, f.kind, f.method, f.number, f.body, err)
 		}
 	}
 }
--- a/internal/rpc/codec_test.go
+++ b/internal/rpc/codec_test.go
@@ -53,7 +53,8 @@
 			rapid.Int32().Draw(t, "i32"), rapid.Int64().Draw(t, "i64"), rapid.Uint8().Draw(t, "u8"), rapid.Uint16().Draw(t, "u16"),
 			rapid.Uint32().Draw(t, "u32"), rapid.Float64().Draw(t, "f"), drawLeaf(t), drawLeaf(t),
 			rapid.SliceOfN(leaves, 1, 5).Draw(t, "many"), rapid.MapOf(rapid.String(), leaves).Draw(t, "by name"),
-			rapid.MapOf(rapid.Map(rapid.String(), func(s string) phase { return phase(s) }), rapid.SliceOfN(rapid.String(), 1, 3)).Draw(t, "lists"),
+			rapid.MapOf(rapid.Map(rapid.String(), func(s string) phase { return phase(s) }),
+				rapid.SliceOfN(rapid.String(), 1, 3)).Draw(t, "lists"),
 			[]map[string][]tree{},
 		}
 		if depth > 0 {
@@ -63,7 +64,7 @@
 	})
 }
 
-func TestWhatIsEncodedIsDecoded(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawTree(2).Draw(t, "value")
 		for _, form := range [][]byte{Encode(want), Encode(&want)} {
@@ -72,13 +73,13 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Fatalf("%+v came as %+v", want, got)
+				t.Fatalf("%+v was decoded as %+v", want, got)
 			}
 		}
 	})
 }
 
-func TestEnds(t *testing.T) {
+func TestEncodeExtremeValues(t *testing.T) {
 	want := tree{I: math.MinInt, I8: math.MinInt8, I16: math.MinInt16, I32: math.MinInt32, I64: math.MaxInt64, U8: math.MaxUint8,
 		U16: math.MaxUint16, U32: math.MaxUint32, F: math.Inf(-1), One: leaf{Wait: math.MaxInt64}}
 	var got tree
@@ -100,7 +101,7 @@
 	}
 }
 
-func TestNothingIsSharedWithTheForm(t *testing.T) {
+func TestDecodedStructDoesNotAliasInput(t *testing.T) {
 	form := Encode(leaf{Name: "name", Data: []byte("data")})
 	var got leaf
 	if err := Decode(form, &got); err != nil {
@@ -112,17 +113,17 @@
 	}
 }
 
-func TestAppendsStayApart(t *testing.T) {
-	type bearer struct {
+func TestAppendToDecodedBytesOverwritesNothing(t *testing.T) {
+	type record struct {
 		A, B   []byte
 		List   []leaf
 		ByName map[string]leaf
 		Deep   []map[string][][]byte
 	}
 	one := func(b byte) leaf { return leaf{Data: []byte{b}} }
-	form := Encode(bearer{[]byte{1}, []byte{2}, []leaf{one(3), one(4)}, map[string]leaf{"x": one(5), "y": one(6)},
+	form := Encode(record{[]byte{1}, []byte{2}, []leaf{one(3), one(4)}, map[string]leaf{"x": one(5), "y": one(6)},
 		[]map[string][][]byte{{"z": {{7}, {8}}}}})
-	var got bearer
+	var got record
 	if err := Decode(form, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +135,7 @@
 	for _, b := range all() {
 		_ = append(b, 99)
 	}
-	if err := Decode(Encode(one(9)), &next); err != nil { // by the same reader, as a rule
+	if err := Decode(Encode(one(9)), &next); err != nil { // by the same reader, usually
 		t.Fatal(err)
 	}
 	for i, b := range append(all(), next.Data) {
@@ -144,18 +145,18 @@
 	}
 }
 
-func TestLargeBytes(t *testing.T) {
+func TestEncodeLargeFields(t *testing.T) {
 	want := leaf{Name: strings.Repeat("n", 3<<20), Data: bytes.Repeat([]byte{7}, 9<<20)}
 	var got leaf
 	if err := Decode(Encode(want), &got); err != nil {
 		t.Fatal(err)
 	}
 	if got.Name != want.Name || !bytes.Equal(got.Data, want.Data) {
-		t.Fatalf("%d and %d bytes came", len(got.Name), len(got.Data))
+		t.Fatalf("%d and %d bytes were decoded", len(got.Name), len(got.Data))
 	}
 }
 
-func TestEmptyRecord(t *testing.T) {
+func TestEncodeEmptyStruct(t *testing.T) {
 	type ack struct{}
 	var got ack
 	if err := Decode(Encode(ack{}), &got); err != nil {
@@ -166,29 +167,29 @@
 	}
 }
 
-func TestFormsThatCannotBeRead(t *testing.T) {
-	whole := Encode(leaf{Name: "name", Data: []byte("data"), Wait: 5, Phase: "p"})
-	for i := range whole {
-		if err := Decode(whole[:i], new(leaf)); err == nil || !strings.Contains(err.Error(), "version") {
-			t.Errorf("the first %d of %d bytes: %v", i, len(whole), err)
+func TestDecodeInvalidBytes(t *testing.T) {
+	form := Encode(leaf{Name: "name", Data: []byte("data"), Wait: 5, Phase: "p"})
+	for i := range form {
+		if err := Decode(form[:i], new(leaf)); err == nil || !strings.Contains(err.Error(), "version") {
+			t.Errorf("the first %d of %d bytes: %v", i, len(form), err)
 		}
 	}
-	if err := Decode(append(whole, 0), new(leaf)); err == nil || !strings.Contains(err.Error(), "left over") {
+	if err := Decode(append(form, 0), new(leaf)); err == nil || !strings.Contains(err.Error(), "left over") {
 		t.Errorf("one byte more: %v", err)
 	}
 	if err := Decode(nil, new(leaf)); err == nil {
 		t.Error("nothing was read as a record")
 	}
 	var got leaf
-	if err := Decode(whole, &got); err != nil || got.Name != "name" {
-		t.Error("after forms that cannot be read:", got, err)
+	if err := Decode(form, &got); err != nil || got.Name != "name" {
+		t.Error("after invalid forms:", got, err)
 	}
 	if err := Decode([]byte{0xfe, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}, new(leaf)); err == nil {
 		t.Error("a string of petabytes was read")
 	}
 }
 
-func TestSameNamesInTwoFunctions(t *testing.T) {
+func TestEncodeLocalTypesOfEqualName(t *testing.T) {
 	one := func() {
 		type local struct{ A string }
 		var got local
@@ -208,7 +209,7 @@
 	one()
 }
 
-func TestFirstUseByMany(t *testing.T) {
+func TestConcurrentFirstEncode(t *testing.T) {
 	type fresh struct{ L []leaf }
 	var all sync.WaitGroup
 	for range 16 {
@@ -222,13 +223,13 @@
 	all.Wait()
 }
 
-func TestTypesWithoutASchema(t *testing.T) {
+func TestEncodeUnsupportedTypes(t *testing.T) {
 	for _, v := range []any{struct{ U uint64 }{}, struct{ U uint }{}, struct{ F float32 }{}, struct{ M map[int]string }{},
 		struct{ P *leaf }{}, struct{ A any }{}, struct{ E [2]int }{}, struct{ hidden int }{}} {
 		func() {
 			defer func() {
-				if told, _ := recover().(string); !strings.HasPrefix(told, "rpc: ") {
-					t.Errorf("%T: %q", v, told)
+				if message, _ := recover().(string); !strings.HasPrefix(message, "rpc: ") {
+					t.Errorf("%T: %q", v, message)
 				}
 			}()
 			t.Errorf("%T was encoded as %x", v, Encode(v))
--- a/internal/tier/controlnode/disk_test.go
+++ b/internal/tier/controlnode/disk_test.go
@@ -12,7 +12,7 @@
 )
 
 // Hundreds of large changes leave a folder of the size of a few: what is superseded is given back or used again.
-func TestTheDiskStaysBoundedOverHundredsOfLargeChanges(t *testing.T) {
+func TestDiskUsageIsBounded(t *testing.T) {
 	const changes, size = 300, 256 << 10
 	c := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
 	core, err := Open(c.settings(0, true), process.NewLogger(io.Discard))
@@ -25,7 +25,7 @@
 		value[index%size] = byte(index)
 		d.State.LastIndex, d.State.Commit = index, index-1
 		d.State.Entries = append(chain.EntriesAfter(d.State.Entries, index-2), chain.Entry{Index: index, Key: "config", Value: value})
-		if err := core.db.Commit(context.Background(), core.rows(d)); err != nil {
+		if err := core.db.Commit(context.Background(), core.changedRows(d)); err != nil {
 			t.Fatalf("change %d: %v", index, err)
 		}
 	}
--- /dev/null
+++ b/internal/tier/controlnode/election.go
@@ -0,0 +1,248 @@
+package controlnode
+
+import (
+	"time"
+
+	"larchrouter/internal/tier/chain"
+	"larchrouter/internal/tier/view"
+)
+
+// election is the proposer of the next view, and when it may propose. Views are decided by the voters of the
+// view before with single-decree Paxos (package view); the acceptor is in Node.acceptor and durable, this
+// part is not.
+//
+// Invariants: a ballot of this node is used once, as ballotNumber only rises and the promise to it is synced
+// before it is sent; a proposal is for the epoch after the view, and is dropped with it.
+type election struct {
+	ballotNumber      int64         // the highest that this node has used or seen
+	proposal          *proposal     // in progress; nil for none
+	failedProposals   int           // in this epoch; each gives the next one more time
+	nextProposalAt    time.Duration // no proposal before it
+	changeWantedSince time.Duration // 0 while the view suits
+	promisedAt        time.Duration // when this node promised to the epoch after its view
+}
+
+// proposal is a ballot of this node: it collects promises until a view can be chosen, then accepts.
+type proposal struct {
+	epoch     int64
+	ballot    view.Ballot
+	startedAt time.Duration
+	promises  map[string]view.Promise
+	view      view.View // Epoch 0 until it is chosen
+	accepts   map[string]bool
+}
+
+// maybePropose drives the proposal in progress. Without one it starts one if another view is wanted, this
+// node's turn has come, and a majority is alive.
+func (n *Node) maybePropose() {
+	if p := n.election.proposal; p != nil {
+		switch {
+		case p.epoch != n.acceptor.View.Epoch+1 || n.now-p.startedAt > n.proposalTimeout():
+			n.election.proposal = nil
+			n.election.failedProposals++
+			n.election.nextProposalAt = n.now + n.settings.Timings.HeartbeatInterval
+		case p.view.Epoch == 0:
+			n.chooseView()
+		}
+		return
+	}
+	v := &n.acceptor.View
+	if v.Epoch == 0 || !v.IsVoter(n.settings.Self.ID) || n.now < n.election.nextProposalAt {
+		return
+	}
+	cond := n.conditions()
+	if !n.majorityAlive(cond) || !n.wantsChange(cond) {
+		n.election.changeWantedSince = 0
+		return
+	}
+	if n.election.changeWantedSince == 0 {
+		n.election.changeWantedSince = max(n.now, 1)
+	}
+	turn := time.Duration(n.proposalRank(cond)) * 2 * n.settings.Timings.HeartbeatInterval
+	if n.now-n.election.changeWantedSince < turn { // those with an earlier turn go first
+		return
+	}
+	n.startProposal()
+}
+
+// Bounds of the time in which a proposal has to be decided. It takes four messages in sequence and a sync
+// before each, which may take long where the processor or the disk is slow: the time doubles with each
+// proposal that failed.
+const (
+	proposalHeartbeats  = 3 // heartbeat intervals, for the first proposal of an epoch
+	maxTimeoutDoublings = 3
+)
+
+// proposalTimeout returns how long a proposal may take now.
+func (n *Node) proposalTimeout() time.Duration {
+	return proposalHeartbeats * n.settings.Timings.HeartbeatInterval << min(n.election.failedProposals, maxTimeoutDoublings)
+}
+
+// startProposal begins a new ballot and asks the voters for their promises.
+func (n *Node) startProposal() {
+	v := &n.acceptor.View
+	n.election.ballotNumber++
+	ballot := view.Ballot{Number: n.election.ballotNumber, Proposer: n.settings.Self.ID}
+	firstPromise := !n.acceptor.HasPromised()
+	if !n.acceptor.Prepare(v.Epoch+1, ballot) {
+		return
+	}
+	if firstPromise {
+		n.election.promisedAt = n.now
+	}
+	n.ready.MustSync = true
+	n.election.proposal = &proposal{epoch: v.Epoch + 1, ballot: ballot, startedAt: n.now, promises: map[string]view.Promise{
+		n.settings.Self.ID: {
+			From:           n.settings.Self,
+			AcceptedAt:     n.acceptor.AcceptedAt,
+			Accepted:       n.acceptor.Accepted,
+			ActivatedEpoch: n.chain.State().ActivatedEpoch,
+		}}}
+	n.sendToVoters(Message{Kind: msgPrepare, Epoch: v.Epoch + 1, Ballot: ballot})
+	n.chooseView()
+}
+
+// handlePrepare answers a prepare with a promise, or with the decided view if the sender is behind it.
+func (n *Node) handlePrepare(m Message) {
+	if n.acceptor.View.Epoch == 0 {
+		return // it votes on nothing before it knows a view
+	}
+	firstPromise := !n.acceptor.HasPromised()
+	if !n.acceptor.Prepare(m.Epoch, m.Ballot) {
+		n.election.ballotNumber = max(n.election.ballotNumber, n.acceptor.Promised.Number)
+		n.sendDecidedView(m)
+		return
+	}
+	if firstPromise {
+		n.election.promisedAt = n.now
+	}
+	if n.election.proposal != nil && n.election.proposal.ballot.Less(m.Ballot) {
+		n.election.proposal = nil
+		n.election.failedProposals++
+	}
+	extra := n.proposalTimeout() - proposalHeartbeats*n.settings.Timings.HeartbeatInterval
+	n.election.nextProposalAt = max(n.election.nextProposalAt, n.now+extra) // time for the other proposer to finish
+	n.election.ballotNumber = max(n.election.ballotNumber, m.Ballot.Number)
+	n.ready.MustSync = true
+	n.send(m.From.Addr, Message{
+		Kind:           msgPromise,
+		Epoch:          m.Epoch,
+		Ballot:         m.Ballot,
+		AcceptedAt:     n.acceptor.AcceptedAt,
+		View:           n.acceptor.Accepted,
+		ActivatedEpoch: n.chain.State().ActivatedEpoch,
+	})
+}
+
+// handlePromise counts a promise for the proposal in progress.
+func (n *Node) handlePromise(m Message) {
+	p := n.election.proposal
+	if p == nil || m.Epoch != p.epoch || m.Ballot != p.ballot || p.view.Epoch > 0 || !n.acceptor.View.IsVoter(m.From.ID) {
+		return
+	}
+	p.promises[m.From.ID] = view.Promise{From: m.From, AcceptedAt: m.AcceptedAt, Accepted: m.View, ActivatedEpoch: m.ActivatedEpoch}
+	n.chooseView()
+}
+
+// chooseView proposes a view once all voters that are alive have promised, or a majority has and the others
+// took longer than a heartbeat interval.
+func (n *Node) chooseView() {
+	p := n.election.proposal
+	cond := n.conditions()
+	for _, v := range n.acceptor.View.Voters {
+		if _, has := p.promises[v.ID]; !has && cond.Alive[v.ID] && n.now-p.startedAt < n.settings.Timings.HeartbeatInterval {
+			return
+		}
+	}
+	var promises []view.Promise
+	for _, v := range n.acceptor.View.Voters {
+		if promised, has := p.promises[v.ID]; has {
+			promises = append(promises, promised)
+		}
+	}
+	next, ok := view.ChooseView(&n.acceptor.View, promises, cond)
+	if !ok || !n.acceptor.Accept(p.ballot, next) {
+		return
+	}
+	n.ready.MustSync = true
+	p.view, p.accepts = next, map[string]bool{n.settings.Self.ID: true}
+	n.sendToVoters(Message{Kind: msgAccept, Epoch: p.epoch, Ballot: p.ballot, View: next})
+	n.adoptIfAccepted()
+}
+
+// handleAccept accepts a proposed view, unless this node has promised to a higher ballot.
+func (n *Node) handleAccept(m Message) {
+	if !n.acceptor.Accept(m.Ballot, m.View) {
+		n.sendDecidedView(m)
+		return
+	}
+	n.ready.MustSync = true
+	n.send(m.From.Addr, Message{Kind: msgAccepted, Epoch: m.Epoch, Ballot: m.Ballot})
+}
+
+// handleAccepted counts an accept for the proposal in progress.
+func (n *Node) handleAccepted(m Message) {
+	p := n.election.proposal
+	if p != nil && p.view.Epoch > 0 && m.Epoch == p.epoch && m.Ballot == p.ballot && n.acceptor.View.IsVoter(m.From.ID) {
+		p.accepts[m.From.ID] = true
+		n.adoptIfAccepted()
+	}
+}
+
+// adoptIfAccepted adopts the proposed view once a majority has accepted it, and sends it to the members of
+// the view before and after.
+func (n *Node) adoptIfAccepted() {
+	p := n.election.proposal
+	if len(p.accepts) < n.acceptor.View.Majority() {
+		return
+	}
+	before := n.acceptor.View
+	v := p.view
+	n.adopt(v)
+	for _, m := range before.Voters { // removed voters are notified as well
+		if m.ID != n.settings.Self.ID {
+			n.send(n.addr(m.ID), Message{Kind: msgDecide, View: v})
+		}
+	}
+	for _, m := range v.Voters {
+		if !before.IsVoter(m.ID) {
+			n.send(m.Addr, Message{Kind: msgDecide, View: v})
+		}
+	}
+}
+
+// adopt makes a decided view the view of this node, if it is newer. It resets what counts for one epoch only:
+// the proposal, confirmations, the learner; a node that is not head any more completes its writes with
+// OutcomeUnknown.
+func (n *Node) adopt(v view.View) {
+	if !n.acceptor.Adopt(v) {
+		return
+	}
+	n.ready.MustSync = true
+	n.election.proposal, n.election.changeWantedSince, n.election.failedProposals = nil, 0, 0
+	n.chain.Adopt(v)
+	n.replication.learner, n.replication.updateReceived = "", false
+	for _, m := range v.Voters {
+		n.ensurePeer(m)
+	}
+	for id, p := range n.peers {
+		p.confirmedRound, p.commitReported, p.reportedCommit = 0, false, 0 // nothing was confirmed in this epoch yet
+		p.echoedInView = false                                             // an excluded member has to answer anew
+		if !v.IsVoter(id) && n.now-p.lastHeard > 10*n.settings.Timings.FailureTimeout {
+			delete(n.peers, id)
+		}
+	}
+	if v.Head() != n.settings.Self.ID {
+		for _, w := range n.replication.pendingWrites {
+			n.complete(Completion{RequestID: w.requestID, Outcome: OutcomeUnknown})
+		}
+		n.replication.pendingWrites = nil
+		n.handover.outgoing = nil
+	}
+	n.readIndex.roundAtAdoption, n.readIndex.requestedRound = n.readIndex.rounds.number, n.readIndex.rounds.number+1
+	n.sendChainAck() // the predecessor needs this member's position
+	if next := v.Successor(n.settings.Self.ID); next != "" {
+		// The successor answers with its position, if it adopted the view first.
+		n.send(n.addr(next), Message{Kind: msgChainUpdate, Update: chain.Update{Epoch: v.Epoch}})
+	}
+}
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -47,14 +47,14 @@
 // network is a core node with its disk, and two nodes in memory that it exchanges messages with. Time is a count.
 type network struct {
 	t     *testing.T
-	core  *Core
+	core  *Server
 	peers map[string]*Node // by address
 	cut   map[string]bool  // addresses that get and send nothing
 	now   time.Duration
 	sent  []Envelope
 }
 
-func openNetwork(t *testing.T, dir string, peers func(core *Core) Durable) *network {
+func openNetwork(t *testing.T, dir string, peers func(core *Server) Durable) *network {
 	t.Helper()
 	c := &cluster{t: t, base: 21000, n: 3, dirs: []string{dir}}
 	core, err := Open(c.settings(0, true), process.NewLogger(io.Discard))
@@ -68,43 +68,43 @@
 	return n
 }
 
-// start has a node in memory take the place of the one at its address.
+// start replaces the node in memory at an address.
 func (n *network) start(self view.Member, d Durable) {
 	seeds := []string{storedMembers[0].Addr, storedMembers[1].Addr}
-	n.peers[self.Addr] = NewNode(NodeSettings{Self: self, Life: 1, Seeds: seeds, Losses: 1, Timings: DefaultTimings()}, d, n.now)
+	n.peers[self.Addr] = NewNode(NodeSettings{Self: self, Incarnation: 1, Seeds: seeds, FaultTolerance: 1, Timings: DefaultTimings()}, d, n.now)
 }
 
 func (n *network) close() {
 	n.t.Helper()
 	n.core.stop()
-	n.core.calls.Close()
+	n.core.clients.Close()
 	if err := n.core.db.Close(); err != nil {
 		n.t.Fatal(err)
 	}
 }
 
-// take carries out what a step of the core node asks for, as its loop does.
-func (n *network) take(o Output) []Done {
+// handleReady carries out what a step of the core node asks for, as its loop does.
+func (n *network) handleReady(o Ready) []Completion {
 	n.t.Helper()
-	n.core.add(o)
+	n.core.mergeReady(o)
 	if err := n.core.syncChanges(); err != nil {
 		n.t.Fatal(err)
 	}
-	o, n.core.out = n.core.out, Output{}
-	n.sent = append(n.sent, o.Send...)
-	return o.Done
+	o, n.core.ready = n.core.ready, Ready{}
+	n.sent = append(n.sent, o.Messages...)
+	return o.Completed
 }
 
 // until passes time and messages until something is so.
 func (n *network) until(what string, is func() bool) {
 	n.t.Helper()
 	for end := n.now + time.Minute; !is(); {
-		if n.now += tickEvery; n.now > end {
+		if n.now += tickInterval; n.now > end {
 			n.t.Fatalf("not within a minute of the nodes' time: %s (%+v)", what, n.core.node.Durable())
 		}
-		n.take(n.core.node.Tick(n.now))
+		n.handleReady(n.core.node.Tick(n.now))
 		for _, m := range storedMembers[1:] {
-			n.sent = append(n.sent, n.peers[m.Addr].Tick(n.now).Send...)
+			n.sent = append(n.sent, n.peers[m.Addr].Tick(n.now).Messages...)
 		}
 		for len(n.sent) > 0 {
 			e := n.sent[0]
@@ -113,18 +113,18 @@
 				continue
 			}
 			if e.To == n.core.self.Addr {
-				n.take(n.core.node.Receive(n.now, e.Message))
+				n.handleReady(n.core.node.Receive(n.now, e.Message))
 			} else if p := n.peers[e.To]; p != nil {
-				n.sent = append(n.sent, p.Receive(n.now, e.Message).Send...)
+				n.sent = append(n.sent, p.Receive(n.now, e.Message).Messages...)
 			}
 		}
 	}
 }
 
-// whole tells whether all three are in the chain and all that was written is committed.
-func (n *network) whole() bool {
+// allCaughtUp reports whether all three are in the chain and all that was written is committed.
+func (n *network) allCaughtUp() bool {
 	s := n.core.node.Chain().State()
-	return n.core.node.Head() && len(n.core.node.View().Chain) == 3 && s.Commit == s.LastIndex
+	return n.core.node.IsConfirmedHead() && len(n.core.node.View().Chain) == 3 && s.Commit == s.LastIndex
 }
 
 // order decides an order at the head and appends what it asks for.
@@ -134,11 +134,13 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.take(n.core.appendAll(1, d.Append))
+	n.handleReady(n.core.appendEntries(1, d.Append))
 	return d
 }
 
-func (n *network) write(key string, value []byte) { n.take(n.core.node.Write(n.now, 1, key, value)) }
+func (n *network) write(key string, value []byte) {
+	n.handleReady(n.core.node.Write(n.now, 1, key, value))
+}
 
 func putOf(version int64) orders.PutConfig {
 	body := storedBody(version)
@@ -149,18 +151,20 @@
 // before records of orders too, which are read but not written any more.
 func writeCoreFolder(t *testing.T, dir string) {
 	t.Helper()
-	founding := func(core *Core) Durable { return Durable{Acceptor: core.node.vote, State: *core.node.chain.State()} }
+	founding := func(core *Server) Durable {
+		return Durable{Acceptor: core.node.acceptor, State: *core.node.chain.State()}
+	}
 	openNetwork(t, dir, founding).close()
 	openNetwork(t, dir, founding).close()
 	n := openNetwork(t, dir, founding)
 	last := storedMembers[2]
 	n.start(view.Member{ID: "seed-" + last.Addr, Name: last.Name, Addr: last.Addr}, founding(n.core))
-	n.until("the chain is whole", n.whole)
+	n.until("the chain is complete", n.allCaughtUp)
 	before := &feed.ConfigEntry{Version: 3, Body: storedBody(3), RecentDigests: [][]byte{orders.Digest(storedBody(2)), orders.Digest(storedBody(3))}}
 	n.write(feed.ConfigKey, rpc.Encode(before))
 	n.write(feed.RetirePrefix+"store-0", rpc.Encode(&feed.RetireEntry{ID: "store-id-0"}))
 	n.write("deleted", nil)
-	n.until("what the format before wrote is committed", n.whole)
+	n.until("what the format before wrote is committed", n.allCaughtUp)
 	for version := int64(4); version <= 21; version++ {
 		if d := n.order(putOf(version)); d.Kind != orders.Accept {
 			t.Fatalf("version %d: %+v", version, d)
@@ -170,12 +174,12 @@
 	if d := n.order(orders.RetireStore{Name: "store-5"}); d.Kind != orders.Accept {
 		t.Fatalf("%+v", d)
 	}
-	n.until("all is committed", n.whole)
+	n.until("all is committed", n.allCaughtUp)
 	n.cut[last.Addr] = true
 	n.until("the last is out of the chain", func() bool { return len(n.core.node.View().Chain) == 2 })
 	n.cut[last.Addr] = false
 	n.start(last, Durable{})
-	n.until("the last is back under another identity", func() bool { return n.whole() && n.core.node.vote.View.IsVoter(last.ID) })
+	n.until("the last is back under another identity", func() bool { return n.allCaughtUp() && n.core.node.acceptor.View.IsVoter(last.ID) })
 
 	// What is not committed, and a vote on a view that is not decided.
 	if d := n.order(putOf(22)); d.Kind != orders.Accept {
@@ -185,13 +189,13 @@
 	next := n.core.node.View()
 	next.Epoch++
 	ask := func(from view.Member, m Message) {
-		m.From, m.Life, m.Epoch = from, 1, next.Epoch
-		n.take(n.core.node.Receive(n.now, m))
+		m.From, m.Incarnation, m.Epoch = from, 1, next.Epoch
+		n.handleReady(n.core.node.Receive(n.now, m))
 	}
 	one := view.Ballot{Number: 101, Proposer: storedMembers[1].ID}
-	ask(storedMembers[1], Message{Kind: prepare, Ballot: one})
-	ask(storedMembers[1], Message{Kind: accept, Ballot: one, View: next})
-	ask(storedMembers[2], Message{Kind: prepare, Ballot: view.Ballot{Number: 102, Proposer: storedMembers[2].ID}})
+	ask(storedMembers[1], Message{Kind: msgPrepare, Ballot: one})
+	ask(storedMembers[1], Message{Kind: msgAccept, Ballot: one, View: next})
+	ask(storedMembers[2], Message{Kind: msgPrepare, Ballot: view.Ballot{Number: 102, Proposer: storedMembers[2].ID}})
 	n.close()
 }
 
@@ -305,7 +309,7 @@
 	}
 }
 
-// requireDecided checks what the state says of orders.
+// requireDecided checks the decision of an order in the state.
 func requireDecided(t *testing.T, entries []chain.Entry, o orders.Order, want orders.Kind) {
 	t.Helper()
 	if d, err := orders.Decide(entries, 1, o); err != nil || d.Kind != want {
@@ -313,7 +317,7 @@
 	}
 }
 
-// A folder that the code wrote before it was renamed is read whole, row by row, and the node goes on from it.
+// A folder that the code wrote before it was renamed is read completely, row by row, and the node goes on from it.
 func TestFolderOfBeforeTheRenameGoesOn(t *testing.T) {
 	if _, err := os.Stat(storedFolder); *writeFixtures && os.IsNotExist(err) {
 		writeCoreFolder(t, storedFolder)
@@ -322,7 +326,7 @@
 	if err := os.CopyFS(dir, os.DirFS(storedFolder)); err != nil {
 		t.Fatal(err)
 	}
-	peers := func(core *Core) Durable { // those that hold what is committed in the fixture
+	peers := func(core *Server) Durable { // those that hold what is committed in the fixture
 		state := *core.node.chain.State()
 		state.Entries, state.LastIndex = core.node.chain.Committed(0), state.Commit
 		return Durable{Acceptor: view.Acceptor{View: core.node.View()}, State: state}
@@ -331,8 +335,8 @@
 	if id, fresh := n.core.db.Identity(); id != "277d5f06a3340b8f56797461e73ebd0a" || fresh {
 		t.Errorf("the file's identity is %s, fresh %v", id, fresh)
 	}
-	if n.core.self != storedMembers[0] || n.core.life != 4 {
-		t.Errorf("the node is %+v in life %d, want %+v in life 4", n.core.self, n.core.life, storedMembers[0])
+	if n.core.self != storedMembers[0] || n.core.incarnation != 4 {
+		t.Errorf("the node is %+v in incarnation %d, want %+v in incarnation 4", n.core.self, n.core.incarnation, storedMembers[0])
 	}
 	rows := map[string]bool{}
 	if err := n.core.db.Range("vote", nil, nil, func(k, _ []byte) error { rows[string(k)] = true; return nil }); err != nil {
@@ -346,7 +350,7 @@
 		t.Errorf("the vote is %+v, want %+v", d.Acceptor, storedAcceptor())
 	}
 	if got, want := [3]int64{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit}, [3]int64{3, 44, 42}; got != want {
-		t.Errorf("activated, place, commit are %v, want %v", got, want)
+		t.Errorf("activated epoch, last index, commit are %v, want %v", got, want)
 	}
 	requireEntries(t, "as it was", d.State.Entries, storedEntries())
 	committed := n.core.node.Chain().Committed(0)
@@ -360,7 +364,7 @@
 	requireDecided(t, committed, orders.StorePhase{Name: "store-1"}, orders.Serving)
 	requireDecided(t, committed, orders.RetireStore{Name: "store-5"}, orders.InProgress)
 
-	n.until("the view that was voted on, or one after it, is decided and all is committed", n.whole)
+	n.until("the view that was voted on, or one after it, is decided and all is committed", n.allCaughtUp)
 	epoch := n.core.node.View().Epoch
 	if epoch <= d.Acceptor.View.Epoch {
 		t.Errorf("epoch %d after epoch %d", epoch, d.Acceptor.View.Epoch)
@@ -368,15 +372,15 @@
 	if d := n.order(putOf(23)); d.Kind != orders.Accept {
 		t.Errorf("a new configuration: %+v", d)
 	}
-	n.until("the new configuration is committed", n.whole)
+	n.until("the new configuration is committed", n.allCaughtUp)
 	n.close()
 
 	n = openNetwork(t, dir, peers)
 	defer n.close()
 	d = n.core.node.Durable()
 	place := storedEntries()[len(storedEntries())-1].index
-	if d.Acceptor.View.Epoch != epoch || d.State.LastIndex != place+2 || n.core.life != 5 {
-		t.Errorf("opened again in life %d: epoch %d, place %d; want 5, %d, %d", n.core.life, d.Acceptor.View.Epoch, d.State.LastIndex, epoch, place+2)
+	if d.Acceptor.View.Epoch != epoch || d.State.LastIndex != place+2 || n.core.incarnation != 5 {
+		t.Errorf("opened again in incarnation %d: epoch %d, index %d; want 5, %d, %d", n.core.incarnation, d.Acceptor.View.Epoch, d.State.LastIndex, epoch, place+2)
 	}
 	requireDecided(t, d.State.Entries, putOf(4), orders.AlreadyApplied)
 	requireDecided(t, d.State.Entries, putOf(23), orders.AlreadyApplied)
--- a/internal/tier/proxy/many_test.go
+++ b/internal/tier/proxy/concurrency_test.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Many clients at once, with hosts that do whatever hosts do: an answer is never another request's nor looks complete when
-// it is not, what may not be repeated runs once at most, a promise is kept, and at the end nothing is out.
-func TestManyAtOnce(t *testing.T) {
+// Many clients at once, with hosts of many faults: a response is never that of another request and does not look complete if it
+// is not, a request that is not idempotent runs once at most, 503 means that it has not run, and no slot leaks.
+func TestConcurrentClientsWithFaultyHosts(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
 	script := func(c *call) bool {
@@ -20,21 +20,21 @@
 		run := func() { mu.Lock(); ran[id]++; mu.Unlock() }
 		h := xxhash.Sum64String(fmt.Sprint(id, c.req.Header.Get("X-Target-Instance")))
 		stream := strings.HasPrefix(c.req.URL.Path, "/turn/")
-		whole := func() bool {
+		respondCompletely := func() bool {
 			if run(); stream {
 				return streams(c, event(1, id), event(2, id))
 			}
-			c.answer(200, "X-Host-Load: 3,0,4\r\n", id)
+			c.respond(200, "X-Host-Load: 3,0,4\r\n", id)
 			return true
 		}
 		switch h % 16 {
 		case 0:
-			c.answer(503, "X-Not-Executed: 1\r\n", "full")
+			c.respond(503, "X-Not-Executed: 1\r\n", "full")
 			return true
 		case 1:
-			c.answer(421, "", "")
+			c.respond(421, "", "")
 			return true
-		case 2: // the answer is lost
+		case 2: // the response is lost
 			run()
 			return false
 		case 3:
@@ -45,35 +45,35 @@
 			run()
 			c.raw("HTTP/1.1 200 OK\r\nX-Host-Seal: seal\r\nX-Attempt-Id: " + id + "\r\nContent-Length: 99\r\n\r\n" + event(1, id))
 			return false
-		case 5: // a surplus answer first
+		case 5: // a surplus response first
 			c.raw(reply("somebody", 200, "", "not yours"))
-			return whole()
+			return respondCompletely()
 		case 6: // and one behind
-			whole()
+			respondCompletely()
 			c.raw(reply("somebody", 200, "", "not yours"))
 			return true
 		case 7:
 			run()
-			c.answer(500, "", "failed")
+			c.respond(500, "", "failed")
 			return true
-		case 8: // silence, which the edge cuts
+		case 8: // no response: restarted at the latency time-out
 			if strings.HasPrefix(c.req.URL.Path, "/tool/") {
 				run()
 				_, _ = c.in.Peek(1)
 				return false
 			}
 		case 9:
-			whole()
+			respondCompletely()
 			return false
 		}
-		return whole()
+		return respondCompletely()
 	}
 	var hosts []*host
 	for i := range 5 {
 		hosts = append(hosts, newHost(t, fmt.Sprint("i-", i), script))
 	}
 	f := newFront(t, hosts...)
-	f.oracle.edge = 25 * time.Millisecond
+	f.oracle.timeout = 25 * time.Millisecond
 	served := 0
 	var wg sync.WaitGroup
 	for n := range 24 {
@@ -82,7 +82,7 @@
 			for i := range 40 {
 				path := []string{"/tool/x", "/order/x", "/turn/x"}[(n+i)%3]
 				id := fmt.Sprintf("a%d.%d", n, i)
-				c.send(request1("POST", path, id, fmt.Sprintf("X-Time-Left-Ms: 1500\r\nProgram: p%d\r\nX-Token-Usage: 9,4\r\n", n), "x"))
+				c.send(requestText("POST", path, id, fmt.Sprintf("X-Time-Left-Ms: 1500\r\nProgram: p%d\r\nX-Token-Usage: 9,4\r\n", n), "x"))
 				a := c.read()
 				mu.Lock()
 				n := ran[id]
@@ -123,9 +123,9 @@
 	if served < 24*40/2 {
 		t.Errorf("%d of %d were served", served, 24*40)
 	}
-	eventually(t, "nothing out", func() bool {
-		f.dispatch.mu.Lock()
-		defer f.dispatch.mu.Unlock()
-		return f.dispatch.balancer.Out("plain") == 0 && f.dispatch.balancer.Out("engine") == 0 && len(f.dispatch.waiting) == 0
+	eventually(t, "no calls in flight", func() bool {
+		f.dispatcher.mu.Lock()
+		defer f.dispatcher.mu.Unlock()
+		return f.dispatcher.balancer.InFlight("plain") == 0 && f.dispatcher.balancer.InFlight("engine") == 0 && len(f.dispatcher.backlogged) == 0
 	})
 }
--- a/internal/tier/turnstore/stored_test.go
+++ b/internal/tier/turnstore/stored_test.go
@@ -19,7 +19,7 @@
 	"larchrouter/internal/tier/budget"
 )
 
-// storedFolder is the folder of a store as the code wrote it before it was renamed. See writeFixtures: it is never rewritten.
+// storedFolder is the folder of a store as an earlier version of the code wrote it. See writeFixtures: it is never rewritten.
 var storedFolder = filepath.Join("testdata", "store-v1")
 
 // storedID is the identity that the fixture's file got when it was made.
@@ -49,11 +49,11 @@
 		{longProgram, "turn-long"}:      {Tokens: 66, Settled: true},
 	},
 	turns: map[entryID]indexRow{
-		{"program-1", "turn-1"}:     {Root: true, Retain: 3601},
-		{"program-1", "turn-2"}:     {Previous: "turn-1", Retain: 3602},
-		{"program-2", "turn-based"}: {Previous: "turn-2", Root: true, Retain: 3603},
-		{"program-3", "turn-empty"}: {Root: true, Retain: 3604},
-		{longProgram, "turn-long"}:  {Root: true, Retain: 3605},
+		{"program-1", "turn-1"}:     {Root: true, RetainSeconds: 3601},
+		{"program-1", "turn-2"}:     {Previous: "turn-1", RetainSeconds: 3602},
+		{"program-2", "turn-based"}: {Previous: "turn-2", Root: true, RetainSeconds: 3603},
+		{"program-3", "turn-empty"}: {Root: true, RetainSeconds: 3604},
+		{longProgram, "turn-long"}:  {Root: true, RetainSeconds: 3605},
 	},
 	bodies: map[entryID]string{
 		{"program-1", "turn-1"}:     "input-1 output-1\n",
@@ -115,7 +115,8 @@
 // begin opens a turn with what it needs at most.
 func (f *folder) begin(program, turn, previous string, need int) *openReply {
 	f.t.Helper()
-	r := f.store.open(f.t.Context(), &openCall{To: f.head(), Program: program, Turn: turn, Previous: previous, Need: need, History: true})
+	r := f.store.handleOpen(f.t.Context(), &openCall{To: f.head(), Program: program, Turn: turn,
+		Previous: previous, MaxTokens: need, WantHistory: true})
 	f.status("open of "+turn, r.Status)
 	return r
 }
@@ -124,11 +125,11 @@
 func (f *folder) turn(r Record, used int) {
 	f.t.Helper()
 	f.begin(r.Key, r.ID, r.Previous, used+1)
-	f.status("close of "+r.ID, f.store.close(f.t.Context(), &closeCall{To: f.head(), Turn: r, Used: used}).Status)
+	f.status("close of "+r.ID, f.store.handleClose(f.t.Context(), &closeCall{To: f.head(), Turn: r, UsedTokens: used}).Status)
 }
 
 // writeStoreFolder makes the fixture by the calls that a store takes, so that each kind of row is in it. The row of the probe,
-// which a store leaves behind if it is killed while it looks for room, is put there with fewer bytes than a real one has.
+// which a store leaves behind if it is killed while it checks its capacity, is put there with fewer bytes than a real one has.
 func writeStoreFolder(t *testing.T, dir string) {
 	t.Helper()
 	ctx := t.Context()
@@ -136,23 +137,27 @@
 	f.gen = 4
 	f.turn(Record{Key: "program-expired", ID: "turn-old", Root: true, RetainSeconds: 1, Increment: []byte("expired")}, 55)
 	f.ahead = time.Minute
-	f.turn(Record{Key: "program-1", ID: "turn-1", Root: true, RetainSeconds: 3601, Increment: []byte("input-1 output-1\n"), CacheHost: "host-1", ContextTokens: 9}, 120)
-	f.turn(Record{Key: "program-1", ID: "turn-2", Previous: "turn-1", RetainSeconds: 3602, Increment: []byte("input-2 output-2\n")}, big+7)
-	whole := &Turn{Key: "program-2", ID: "turn-based", Previous: "turn-2", Base: []byte("input-1 output-1\ninput-2 output-2\n"),
+	f.turn(Record{Key: "program-1", ID: "turn-1", Root: true, RetainSeconds: 3601,
+		Increment: []byte("input-1 output-1\n"), CacheHost: "host-1", ContextTokens: 9}, 120)
+	f.turn(Record{Key: "program-1", ID: "turn-2", Previous: "turn-1", RetainSeconds: 3602,
+		Increment: []byte("input-2 output-2\n")}, big+7)
+	based := &Turn{Key: "program-2", ID: "turn-based", Previous: "turn-2", Base: []byte("input-1 output-1\ninput-2 output-2\n"),
 		Input: []byte("input-3 "), Output: []byte("output-3\n"), RetainSeconds: 3603}
-	f.turn(whole.record(), 44)
+	f.turn(based.record(), 44)
 	f.turn(Record{Key: "program-3", ID: "turn-empty", Root: true, RetainSeconds: 3604}, 0)
 	f.turn(Record{Key: longProgram, ID: "turn-long", Root: true, RetainSeconds: 3605, Increment: []byte("\x00\xff input-4")}, 66)
 	f.begin("program-1", "turn-open", "", 900)
 	f.begin("program-1", "turn-failed", "", 901)
-	f.status("settle", f.store.settle(ctx, &settleCall{To: f.head(), Program: "program-1", Turn: "turn-failed", Used: 33}).Status)
+	f.status("settle", f.store.handleSettle(ctx, &settleCall{To: f.head(), Program: "program-1",
+		Turn: "turn-failed", UsedTokens: 33}).Status)
 	f.store.expire(ctx)
-	if err := f.store.commitSwept(ctx, 4); err != nil {
+	if err := f.store.commitSweep(ctx, 4); err != nil {
 		t.Fatal(err)
 	}
 	f.gen = 5
-	f.status("keys", f.store.keys(ctx, &keysCall{To: f.head(), Asker: "store-2", Sweep: true}).Status)
-	if err := f.store.disk.Commit(ctx, []sqlitelog.Write{{Table: tableFacts, Key: []byte(factProbe), Value: make([]byte, 16)}}); err != nil {
+	f.status("keys", f.store.handleListKeys(ctx, &listKeysCall{To: f.head(), Requester: "store-2", Sweep: true}).Status)
+	if err := f.store.disk.Commit(ctx, []sqlitelog.Write{{Table: tableFacts, Key: []byte(factProbe),
+		Value: make([]byte, 16)}}); err != nil {
 		t.Fatal(err)
 	}
 	f.close()
@@ -168,7 +173,7 @@
 			var key entryID
 			if table != "facts" {
 				var err error
-				if key.program, key.turn, err = splitKey(k); err != nil {
+				if key.program, key.turn, err = parseRowKey(k); err != nil {
 					return err
 				}
 			}
@@ -201,7 +206,8 @@
 	for _, one := range []struct {
 		table     string
 		got, want any
-	}{{"entries", got.entries, want.entries}, {"turns", got.turns, want.turns}, {"bodies", got.bodies, want.bodies}, {"facts", got.facts, want.facts}} {
+	}{{"entries", got.entries, want.entries}, {"turns", got.turns, want.turns}, {"bodies", got.bodies,
+		want.bodies}, {"facts", got.facts, want.facts}} {
 		if !reflect.DeepEqual(one.got, one.want) {
 			f.t.Errorf("%s: table %s has\n%v, want\n%v", what, one.table, one.got, one.want)
 		}
@@ -215,10 +221,12 @@
 	if s.ID() != storedID {
 		f.t.Errorf("%s: the store's identity is %s, want %s", what, s.ID(), storedID)
 	}
-	if s.AdoptedGeneration() != 5 || s.kept != 5 || s.SweptGeneration() != 4 {
-		f.t.Errorf("%s: adopted %d (on disk %d), swept %d; want 5, 5, 4", what, s.AdoptedGeneration(), s.kept, s.SweptGeneration())
+	if s.AdoptedGeneration() != 5 || s.persistedGeneration != 5 || s.SweptGeneration() != 4 {
+		f.t.Errorf("%s: adopted %d (on disk %d), swept %d; want 5, 5, 4", what, s.AdoptedGeneration(),
+			s.persistedGeneration, s.SweptGeneration())
 	}
-	if st := s.peek(ctx, &peekCall{To: RequestHeader{Store: storedID, Generation: 4}, Program: "program-1"}).Status; st != statusOldPlacement {
+	if st := s.handleReadLedger(ctx, &readLedgerCall{To: RequestHeader{Store: storedID, Generation: 4},
+		Program: "program-1"}).Status; st != statusOldPlacement {
 		f.t.Errorf("%s: a call under the placement before ended in status %d", what, st)
 	}
 	served := map[entryID]entryRow{}
@@ -227,7 +235,7 @@
 		programs[id.program] = true
 	}
 	for program := range programs {
-		for _, e := range s.peek(ctx, &peekCall{To: f.head(), Program: program}).Ledger {
+		for _, e := range s.handleReadLedger(ctx, &readLedgerCall{To: f.head(), Program: program}).Ledger {
 			served[entryID{program, e.Turn}] = entryRow{Tokens: e.Tokens, Settled: e.Settled}
 		}
 	}
@@ -237,13 +245,14 @@
 	if _, turns := s.Counts(); turns != len(want.turns) {
 		f.t.Errorf("%s: %d turns, want %d", what, turns, len(want.turns))
 	}
-	retain := map[string]int{} // a program's turns are all kept for as long as the one that is kept longest
+	retain := map[string]int{} // all turns of a program are retained for as long as the one with the longest time
 	for id, row := range want.turns {
-		retain[id.program] = max(retain[id.program], row.Retain)
+		retain[id.program] = max(retain[id.program], row.RetainSeconds)
 	}
 	for id, row := range want.turns {
-		r := s.bodies(ctx, &bodiesCall{To: f.head(), Turns: []string{id.turn}})
-		record := Record{Key: id.program, ID: id.turn, Previous: row.Previous, Root: row.Root, RetainSeconds: retain[id.program], Increment: []byte(want.bodies[id])}
+		r := s.handleBodies(ctx, &bodiesCall{To: f.head(), Turns: []string{id.turn}})
+		record := Record{Key: id.program, ID: id.turn, Previous: row.Previous, Root: row.Root,
+			RetainSeconds: retain[id.program], Increment: []byte(want.bodies[id])}
 		if len(r.Turns) != 1 || !reflect.DeepEqual(r.Turns[0], record) {
 			f.t.Errorf("%s: turn %s is served as %+v, want %+v", what, id.turn, r.Turns, record)
 		}
@@ -253,27 +262,27 @@
 		{"program-2", "turn-based"}: "input-1 output-1\ninput-2 output-2\ninput-3 output-3\n",
 		{"program-3", "turn-empty"}: "",
 	} {
-		r := s.history(ctx, &historyCall{To: f.head(), Key: turn.program, Turn: turn.turn})
-		if !r.Known || r.Missing != "" || string(r.History) != history {
+		r := s.handleHistory(ctx, &historyCall{To: f.head(), Key: turn.program, Turn: turn.turn})
+		if !r.Found || r.Missing != "" || string(r.History) != history {
 			f.t.Errorf("%s: history of %s is %+v, want %q", what, turn.turn, r, history)
 		}
 	}
 }
 
-// storedDigests are what the fixture's programs are compared by with the copies of other stores.
+// storedDigests are the digests by which the fixture's programs are compared with those of other replicas.
 var storedDigests = []keyDigest{
-	{Key: "program-2", Turns: -8647077482338865650, Ledger: 2374201539769701554},
-	{Key: "program-expired", Turns: 0, Ledger: 3115061449597111805},
-	{Key: longProgram, Turns: -4023501358511729009, Ledger: 5812544841766116376},
-	{Key: "program-3", Turns: -7039612756454321850, Ledger: -1069315695037021485},
-	{Key: "program-1", Turns: -5308528377006233588, Ledger: -6050771306405996926},
+	{Key: "program-2", TurnsDigest: -8647077482338865650, LedgerDigest: 2374201539769701554},
+	{Key: "program-expired", TurnsDigest: 0, LedgerDigest: 3115061449597111805},
+	{Key: longProgram, TurnsDigest: -4023501358511729009, LedgerDigest: 5812544841766116376},
+	{Key: "program-3", TurnsDigest: -7039612756454321850, LedgerDigest: -1069315695037021485},
+	{Key: "program-1", TurnsDigest: -5308528377006233588, LedgerDigest: -6050771306405996926},
 }
 
-// storedSums are those of the buckets of keys, 8 bytes each.
+// storedSums are the digests of the buckets, 8 bytes each.
 const storedSums = "0000000000000000840a81cb9a29c37100000000000000000000000000000000000000000000000000000000000000002758fb6fb5b4eda100000000000000000000000000000000000000000000000000000000000000000000000000000000998903cf4a907d5f000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000062fdaf29e4b4f5c3000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000036e9cbd146852ca5"
 
-// A folder that the code wrote before it was renamed is read whole, row by row, and the store goes on from it.
-func TestFolderOfBeforeTheRenameGoesOn(t *testing.T) {
+// A folder that an earlier version of the code wrote is read completely, row by row, and the store continues from it.
+func TestStoredFolderOfEarlierVersionIsServed(t *testing.T) {
 	if _, err := os.Stat(storedFolder); *writeFixtures && os.IsNotExist(err) {
 		writeStoreFolder(t, storedFolder)
 	}
@@ -286,39 +295,42 @@
 		t.Errorf("identity %s, fresh %v; want %s", id, fresh, storedID)
 	}
 	f.requireRows("as it was", storedRows)
-	if got := f.store.keys(t.Context(), &keysCall{To: f.head(), Asker: storedID}).Keys; !reflect.DeepEqual(got, storedDigests) {
+	if got := f.store.handleListKeys(t.Context(), &listKeysCall{To: f.head(),
+		Requester: storedID}).Keys; !reflect.DeepEqual(got, storedDigests) {
 		t.Errorf("digests are\n%#v, want\n%#v", got, storedDigests)
 	}
-	sums := f.store.digest(t.Context(), &digestCall{To: f.head(), Asker: storedID}).Sums
+	sums := f.store.handleDigest(t.Context(), &digestCall{To: f.head(), Requester: storedID}).Digests
 	if got := hex.EncodeToString(sums); got != storedSums {
 		t.Errorf("sums are\n%s, want\n%s", got, storedSums)
 	}
 	f.requireServed("as it was", storedRows)
 
 	opened := f.begin("program-1", "turn-new", "turn-2", 700)
-	if !opened.Known || !bytes.Equal(opened.History, []byte("input-1 output-1\ninput-2 output-2\n")) || len(opened.Ledger) != 5 {
+	if !opened.Found || !bytes.Equal(opened.History, []byte("input-1 output-1\ninput-2 output-2\n")) || len(opened.Ledger) != 5 {
 		t.Errorf("a new turn is opened with %+v", opened)
 	}
-	settled := f.store.settle(t.Context(), &settleCall{To: f.head(), Program: "program-1", Turn: "turn-open", Used: 88})
+	settled := f.store.handleSettle(t.Context(), &settleCall{To: f.head(), Program: "program-1", Turn: "turn-open",
+		UsedTokens: 88})
 	f.status("settle", settled.Status)
-	f.turn(Record{Key: "program-1", ID: "turn-new", Previous: "turn-2", RetainSeconds: 3606, Increment: []byte("input-5 output-5\n")}, 77)
+	f.turn(Record{Key: "program-1", ID: "turn-new", Previous: "turn-2", RetainSeconds: 3606,
+		Increment: []byte("input-5 output-5\n")}, 77)
 	f.close()
 
 	want := rows{maps.Clone(storedRows.entries), maps.Clone(storedRows.turns), maps.Clone(storedRows.bodies), storedRows.facts}
 	want.entries[entryID{"program-1", "turn-open"}] = entryRow{Tokens: 88, Settled: true}
 	want.entries[entryID{"program-1", "turn-new"}] = entryRow{Tokens: 77, Settled: true}
-	want.turns[entryID{"program-1", "turn-new"}] = indexRow{Previous: "turn-2", Retain: 3606}
+	want.turns[entryID{"program-1", "turn-new"}] = indexRow{Previous: "turn-2", RetainSeconds: 3606}
 	want.bodies[entryID{"program-1", "turn-new"}] = "input-5 output-5\n"
 	again := openFolder(t, dir)
 	defer again.close()
 	again.requireRows("opened again", want)
 	again.requireServed("opened again", want)
-	r := again.store.history(context.Background(), &historyCall{To: again.head(), Key: "program-1", Turn: "turn-new"})
+	r := again.store.handleHistory(context.Background(), &historyCall{To: again.head(), Key: "program-1", Turn: "turn-new"})
 	if string(r.History) != "input-1 output-1\ninput-2 output-2\ninput-5 output-5\n" {
 		t.Errorf("history of the new turn is %+v", r)
 	}
 	var l budget.Ledger
-	l.Merge(again.store.peek(t.Context(), &peekCall{To: again.head(), Program: "program-1"}).Ledger)
+	l.Merge(again.store.handleReadLedger(t.Context(), &readLedgerCall{To: again.head(), Program: "program-1"}).Ledger)
 	if l.Sum() != 120+(big+7)+33+88+77 || l.Open() != 0 {
 		t.Errorf("the ledger's sum is %d with %d open", l.Sum(), l.Open())
 	}
