--- a/internal/relay/cluster.go
+++ b/internal/relay/cluster.go
@@ -53,7 +53,7 @@
 		return nil
 	}
 	var kept []override.Override
-	for _, rec := range r.journal.Words {
+	for _, rec := range r.journal.Overrides {
 		kept = append(kept, override.Override{Subject: rec.ID, Active: rec.Ran, Counter: uint64(rec.Again),
 			Origin: rec.Host, Author: rec.Status, AtMs: rec.At})
 	}
@@ -105,7 +105,7 @@
 	fleet := r.cluster
 	var recs []journal.Record
 	for _, item := range overrides {
-		recs = append(recs, journal.Record{Op: journal.OpWord, ID: item.Subject, Ran: item.Active,
+		recs = append(recs, journal.Record{Op: journal.OpOverride, ID: item.Subject, Ran: item.Active,
 			Again: int64(item.Counter), Host: item.Origin, Status: item.Author, At: item.AtMs})
 	}
 	if err := r.journal.Append(recs...); err != nil {
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -251,7 +251,7 @@
 			delete(r.sharedWaits, dest)
 		}
 	}
-	for id, record := range r.journal.Unwell {
+	for id, record := range r.journal.Unhealthy {
 		if r.hosts[id] == nil && time.Duration(wall-record.At)*time.Millisecond > goneHostExpiry {
 			r.record(journal.Record{Op: journal.OpHealth, ID: id})
 		}
--- a/internal/relay/journal/codec.go
+++ b/internal/relay/journal/codec.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/relay/protofields"
 )
 
-// The numbers of the fields of a record.
+// Field numbers of a record. A number is never reused.
 const (
 	recOp protowire.Number = iota + 1
 	recID
@@ -27,9 +27,9 @@
 	recSum
 )
 
-// encode appends a record.
+// encode appends the record in the wire format of Protocol Buffers. The order of the fields is part of the frozen format.
 func (r *Record) encode(buf []byte) []byte {
-	buf = putNumber(buf, recOp, codes[r.Op])
+	buf = putNumber(buf, recOp, opCodes[r.Op])
 	buf = putText(buf, recID, r.ID)
 	buf = putSigned(buf, recAt, r.At)
 	buf = putSigned(buf, recWait, r.Wait)
@@ -44,33 +44,20 @@
 	buf = putText(buf, recWhy, r.Why)
 	buf = putNumber(buf, recSum, uint64(r.Sum))
 	if r.Entry != nil {
-		buf = nested(buf, recEntry, r.Entry.encode)
+		buf = putMessage(buf, recEntry, r.Entry.encode)
 	}
 	return buf
 }
 
-// nested appends a message within one. Its length takes three bytes always, so that it can be set afterwards.
-func nested(buf []byte, n protowire.Number, put func([]byte) []byte) []byte {
-	buf = protowire.AppendTag(buf, n, protowire.BytesType)
-	at := len(buf)
-	buf = put(append(buf, 0, 0, 0))
-	size := len(buf) - at - 3
-	if size >= 1<<21 {
-		panic("journal: a record over 2 MB") // bodies, names and attempts are bounded far below
-	}
-	buf[at], buf[at+1], buf[at+2] = byte(size)|0x80, byte(size>>7)|0x80, byte(size>>14)
-	return buf
-}
-
-var errOp = errors.New("an operation that is not known")
+var errUnknownOp = errors.New("an operation that is not known")
 
-// decode reads a record. What it returns shares nothing with data.
+// decode returns the record encoded in data; unknown fields are skipped. The result does not alias data.
 func decode(data []byte) (r Record, err error) {
 	err = protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
 		case recOp:
 			if f.Number == 0 || f.Number >= uint64(len(ops)) {
-				return errOp
+				return errUnknownOp
 			}
 			r.Op = ops[f.Number]
 		case recID:
@@ -104,14 +91,14 @@
 	switch {
 	case err != nil:
 	case r.Op == "":
-		err = errOp
-	case (r.Op == OpTaken || r.Op == opCarried) && r.Entry == nil:
+		err = errUnknownOp
+	case (r.Op == OpTaken || r.Op == opRewritten) && r.Entry == nil:
 		err = fmt.Errorf("a record %q without a message", r.Op)
 	}
 	return r, err
 }
 
-// The numbers of the fields of an entry.
+// Field numbers of an entry. A number is never reused.
 const (
 	entID protowire.Number = iota + 1
 	entClass
@@ -141,6 +128,7 @@
 	entOrder
 )
 
+// encode appends the entry, its body last.
 func (e *Entry) encode(buf []byte) []byte {
 	buf = putText(buf, entID, e.ID)
 	buf = putText(buf, entClass, e.Class)
@@ -165,13 +153,14 @@
 	buf = putText(buf, entWhy, e.Why)
 	buf = putNumber(buf, entSum, uint64(e.Sum))
 	buf = putSigned(buf, entBytes, int64(e.Bytes))
-	buf = putNumber(buf, entNumber, e.number)
+	buf = putNumber(buf, entNumber, e.acceptedSeq)
 	for i := range e.Log {
-		buf = nested(buf, entAttempt, e.Log[i].encode)
+		buf = putMessage(buf, entAttempt, e.Log[i].encode)
 	}
 	return putBytes(buf, entBody, e.Body)
 }
 
+// decode sets the entry from its encoding; unknown fields are skipped.
 func (e *Entry) decode(data []byte) error {
 	return protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
@@ -224,7 +213,7 @@
 		case entBytes:
 			e.Bytes = int(f.Signed())
 		case entNumber:
-			e.number = f.Number
+			e.acceptedSeq = f.Number
 		case entAttempt:
 			var a Attempt
 			if err := a.decode(f.Bytes); err != nil {
@@ -236,7 +225,7 @@
 	})
 }
 
-// The numbers of the fields of an attempt.
+// Field numbers of an attempt. A number is never reused.
 const (
 	attHost protowire.Number = iota + 1
 	attAt
@@ -245,6 +234,7 @@
 	attRan
 )
 
+// encode appends the attempt.
 func (a *Attempt) encode(buf []byte) []byte {
 	buf = putText(buf, attHost, a.Host)
 	buf = putSigned(buf, attAt, a.At)
@@ -253,6 +243,7 @@
 	return putNumber(buf, attRan, bit(a.Ran))
 }
 
+// decode sets the attempt from its encoding; unknown fields are skipped.
 func (a *Attempt) decode(data []byte) error {
 	return protofields.Each(data, func(n protowire.Number, f protofields.Field) error {
 		switch n {
--- a/internal/relay/journal/fixtures_test.go
+++ b/internal/relay/journal/fixtures_test.go
@@ -14,32 +14,32 @@
 	"larchrouter/internal/fixture"
 )
 
-// The fixtures are state folders as a process leaves them that was killed: one for each format of the journal that is read.
+// The fixtures are state directories of a killed process: one for each format of the journal that is read.
 //
-//	testdata/state-format-1  the one file of JSON records, with a compaction of it that was cut short
-//	testdata/state-format-2  two segments: the first of a process that did not sync ("process"), the second of one that did ("power")
+//	testdata/state-format-1  the one file of JSON records, with an interrupted compaction
+//	testdata/state-format-2  two segments, the first written at level process and the second at level power
 
-// frozenFrame is a record as it stands in a segment.
+// frozenFrame is a frame of a segment.
 type frozenFrame struct {
 	seq      uint64
 	unsynced uint32
 	record   Record
 }
 
-// fullEntry has a value of its own for every field that is stored.
+// fullEntry has a distinct value in every stored field.
 func fullEntry() *Entry {
 	return &Entry{ID: "full", Class: "job-order", Dest: 11, Key: "key-12", Order: "order-13", Effect: 3, Due: 1700000014000,
 		Body: []byte("body\x00\xff"), Tries: 15, Wait: 16, Ran: true, RanAt: 1700000017000, Zone: 18, Out: true, OutAt: 1700000019000, OutTo: 20,
 		Status: "deferred", Again: 1700000021000, Partner: "acme", TakenAt: 1700000022000, EndAt: 1700000023000, Why: "its time was up",
 		Sum: 0x24252627, Bytes: 28, Log: []Attempt{
 			{Host: "host-29", At: 1700000030000, Took: 31, Outcome: "reset", Ran: true},
-			{Host: "host-32", At: 1700000033000}}, number: 3}
+			{Host: "host-32", At: 1700000033000}}, acceptedSeq: 3}
 }
 
 // processFrames are the records of the first segment.
 func processFrames() []frozenFrame {
 	small := func(id string, number uint64) *Entry {
-		return &Entry{ID: id, Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of " + id), number: number}
+		return &Entry{ID: id, Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of " + id), acceptedSeq: number}
 	}
 	return []frozenFrame{
 		{1, 0, Record{Op: OpTaken, Entry: small("over", 1)}},
@@ -50,7 +50,8 @@
 		{6, 0, Record{Op: OpOutcome, ID: "tried", Ran: true, Wait: 12, Why: "timed out"}},
 		{7, 0, Record{Op: OpTry, ID: "tried", At: 1700000007000, Wait: 301, Zone: -1}},
 		{8, 0, Record{Op: OpTaken, Entry: small("owed", 8)}},
-		{9, 0, Record{Op: OpNotice, ID: "owed", Status: "undeliverable", Again: 1700000009500, At: 1700000009000, Why: "refused", Sum: 0x51525354}},
+		{9, 0, Record{Op: OpNotice, ID: "owed", Status: "undeliverable", Again: 1700000009500, At: 1700000009000,
+			Why: "refused", Sum: 0x51525354}},
 		{10, 0, Record{Op: OpTaken, Entry: small("gone", 10)}},
 		{11, 0, Record{Op: OpHealth, ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
 		{12, 0, Record{Op: OpHealth, ID: "host-2", Ran: true, Base: 0.125, At: 1700000012000}},
@@ -58,38 +59,39 @@
 		{14, 0, Record{Op: OpDrain, ID: "partner:acme", Ran: true, At: 1700000014000, Status: "op", Wait: 30000}},
 		{15, 0, Record{Op: OpDrain, ID: "relay", Ran: true, At: 1700000015000, Status: "op", Wait: 60000}},
 		{16, 0, Record{Op: OpDrain, ID: "relay"}},
-		{17, 0, Record{Op: OpWord, ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000}},
-		{18, 0, Record{Op: OpWord, ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
+		{17, 0, Record{Op: OpOverride, ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000}},
+		{18, 0, Record{Op: OpOverride, ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
 		{19, 0, Record{Op: OpForget, ID: "gone"}},
 	}
 }
 
-// powerFrames are the records of the second segment: first what was carried there.
+// powerFrames are the records of the second segment: first the rewritten ones.
 func powerFrames() []frozenFrame {
 	return []frozenFrame{
-		{20, 0, Record{Op: opEnded, ID: "over", At: 1700000002000, Sum: 0x257e0630}},
-		{21, 1, Record{Op: opCarried, Entry: fullEntry()}},
-		{22, 2, Record{Op: OpTaken, Entry: &Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"), number: 22}}},
+		{20, 0, Record{Op: opCompleted, ID: "over", At: 1700000002000, Sum: 0x257e0630}},
+		{21, 1, Record{Op: opRewritten, Entry: fullEntry()}},
+		{22, 2, Record{Op: OpTaken, Entry: &Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000,
+			Body: []byte("late"), acceptedSeq: 22}}},
 		{23, 3, Record{Op: OpTry, ID: "late", At: 1700000023000, Wait: 400, Zone: 1}},
 		{24, 4, Record{Op: OpOutcome, ID: "late"}},
 	}
 }
 
-// format1Records are those of the first segment that format 1 had. It had no Order.
+// format1Records are those of the first segment that existed in format 1, which had no Order.
 func format1Records() (all []Record) {
 	for _, f := range processFrames() {
 		if f.record.Op == OpForget {
 			continue
 		}
 		if e := f.record.Entry; e != nil {
-			e.Order, e.number = "", 0
+			e.Order, e.acceptedSeq = "", 0
 		}
 		all = append(all, f.record)
 	}
 	return all
 }
 
-// records are those of frames.
+// records returns the records of frames.
 func records(all []frozenFrame) (recs []Record) {
 	for _, f := range all {
 		recs = append(recs, f.record)
@@ -97,40 +99,40 @@
 	return recs
 }
 
-// writeFormat2 writes the folder with the present code, through the calls that a relay makes.
+// writeFormat2 writes the directory with the present code, through the calls that a relay makes.
 func writeFormat2(t *testing.T, dir string) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	j := open(t, dir, 3e6)
+	j := mustOpen(t, dir, 3e6)
 	for _, r := range records(processFrames()) {
-		put(t, j, r)
+		mustAppend(t, j, r)
 	}
 	j.Close()
-	j, err := Open(dir, Options{Budget: 3e6, Memory: memory, Power: true})
+	j, err := Open(dir, Options{Budget: 3e6, Retention: testRetention, Power: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := j.carryTo(64); err != nil { // the first two that are live
+	if err := j.rewriteOldest(64); err != nil { // the first two live items
 		t.Fatal(err)
 	}
-	put(t, j, records(powerFrames())[2:]...)
+	mustAppend(t, j, records(powerFrames())[2:]...)
 	j.Close()
-	// What else is found there: the lock with the number of a process, room on the disk that it took, damaged bytes that it kept.
+	// Other files: the lock with the id of a process, its spare file, damaged bytes that it saved.
 	for name, text := range map[string]string{"lock": "4711\n", "journal.spare": "room that the process took\n",
 		"journal-damaged-00000001-100": "bytes that could not be read\n"} {
 		fixture.File(t, filepath.Join(dir, name), []byte(text))
 	}
 }
 
-// writeFormat1 writes what a program of that time left.
+// writeFormat1 writes the directory of a program that used format 1.
 func writeFormat1(t *testing.T, dir string) {
 	fixture.File(t, filepath.Join(dir, "journal"), legacyFile(format1Records()...))
 	fixture.File(t, filepath.Join(dir, "journal.tmp"), legacyFile(format1Records()[:3]...))
 	fixture.File(t, filepath.Join(dir, "lock"), []byte("4711\n"))
 }
 
-// stateFixture is the path of a fixture, which is written if that was asked for.
+// stateFixture returns the path of a fixture, which is written if requested.
 func stateFixture(t *testing.T, name string, write func(*testing.T, string)) string {
 	dir := filepath.Join("testdata", name)
 	if fixture.Missing(t, dir) {
@@ -147,7 +149,8 @@
 	got, want := fixture.Folder(t, present), fixture.Folder(t, dir)
 	for name := range want {
 		if got[name] != want[name] {
-			t.Errorf("%s/%s: the present code writes\n%swant\n%s", dir, name, hex.Dump([]byte(got[name])), hex.Dump([]byte(want[name])))
+			t.Errorf("%s/%s: the present code writes\n%swant\n%s", dir, name, hex.Dump([]byte(got[name])),
+				hex.Dump([]byte(want[name])))
 		}
 	}
 	if len(got) != len(want) {
@@ -155,7 +158,7 @@
 	}
 }
 
-// Guards against a change of the segments, the frames and the records.
+// The encoding of segments, frames and records does not change.
 func TestFormat2IsAsFrozen(t *testing.T) {
 	dir := stateFixture(t, "state-format-2", writeFormat2)
 	sameFiles(t, dir, writeFormat2)
@@ -171,15 +174,16 @@
 			t.Fatal(err)
 		}
 		want(t, "first bytes", string(data[:12]), "larchlog\x02\x00\x00\x00")
-		first, err := readHeader(data)
+		first, err := decodeSegmentHeader(data)
 		if err != nil || first != tc.first {
 			t.Errorf("%s: first sequence %d, %v, want %d", tc.name, first, err, tc.first)
 		}
 		var got []frozenFrame
-		end, tail := frames(data, 32, func(at int, f frame, damage *stretch) {
+		end, tail := readFrames(data, 32, func(at int, f frame, damage *byteRange) {
 			got = append(got, frozenFrame{f.seq, f.unsynced, f.record})
 			if again := appendFrame(nil, f.seq, f.unsynced, &f.record); string(again) != string(data[at:at+f.size]) {
-				t.Errorf("%s: record %d is encoded as\n%swant\n%s", tc.name, f.seq, hex.Dump(again), hex.Dump(data[at:at+f.size]))
+				t.Errorf("%s: record %d is encoded as\n%swant\n%s", tc.name, f.seq, hex.Dump(again),
+					hex.Dump(data[at:at+f.size]))
 			}
 			if damage != nil {
 				t.Errorf("%s: damage before record %d", tc.name, f.seq)
@@ -203,13 +207,13 @@
 			t.Errorf("no record %q in the fixture", op)
 		}
 	}
-	all = append(all, Entry{size: 1, place: 1}) // which are not stored
+	all = append(all, Entry{size: 1, position: 1}) // which are not stored
 	if unset := fixture.Unset(all...); len(unset) > 0 {
 		t.Errorf("no record sets %v", unset)
 	}
 }
 
-// Guards against a change of the JSON names of format 1.
+// The JSON names of format 1 do not change.
 func TestFormat1IsAsFrozen(t *testing.T) {
 	dir := stateFixture(t, "state-format-1", writeFormat1)
 	sameFiles(t, dir, writeFormat1)
@@ -219,7 +223,7 @@
 	}
 	var got []Record
 	for len(data) > 0 {
-		r, n, err := legacyRecord(data)
+		r, n, err := readLegacyRecord(data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -230,59 +234,65 @@
 	}
 }
 
-// knows is all that an open journal knows.
-type knows struct {
-	entries               []Entry // in the order in which they were taken on
-	unwell, drains, words map[string]Record
-	ended                 []Ended
+// contents is the state of an open journal.
+type contents struct {
+	entries                      []Entry // in the order of acceptance
+	unhealthy, drains, overrides map[string]Record
+	ended                        []CompletedID
 }
 
-func known(j *Journal) knows {
-	k := knows{unwell: maps.Clone(j.Unwell), drains: maps.Clone(j.Drains), words: maps.Clone(j.Words)}
+// contentsOf returns the contents without positions in the log.
+func contentsOf(j *Journal) contents {
+	found := contents{unhealthy: maps.Clone(j.Unhealthy), drains: maps.Clone(j.Drains), overrides: maps.Clone(j.Overrides)}
 	for _, e := range j.InOrder() {
 		c := *e
-		c.number, c.size, c.place = 0, 0, 0 // where it stands, which compaction changes
-		k.entries = append(k.entries, c)
+		c.acceptedSeq, c.size, c.position = 0, 0, 0 // which compaction changes
+		found.entries = append(found.entries, c)
 	}
-	for _, e := range j.Ended() {
-		k.ended = append(k.ended, Ended{ID: e.ID, Sum: e.Sum, At: e.At})
+	for _, e := range j.CompletedIDs() {
+		found.ended = append(found.ended, CompletedID{ID: e.ID, Sum: e.Sum, At: e.At})
 	}
-	return k
+	return found
 }
 
-// frozenKnows is what the records of the first segment amount to.
-func frozenKnows() knows {
+// frozenContents is the state after the records of the first segment.
+func frozenContents() contents {
 	full := *fullEntry()
-	full.number = 0
-	return knows{
+	full.acceptedSeq = 0
+	return contents{
 		entries: []Entry{
 			full,
-			{ID: "tried", Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of tried"), Tries: 2, Wait: 301, Ran: true, RanAt: 1700000005000, Zone: 2,
-				Out: true, OutAt: 1700000007000, OutTo: -1, Log: []Attempt{{Host: "host-1", At: 1700000005000, Took: 12, Outcome: "timed out", Ran: true}}},
-			{ID: "owed", Class: "payment", Dest: 7, Due: 1700000001000, Status: "undeliverable", Again: 1700000009500, EndAt: 1700000009000, Why: "refused", Sum: 0x51525354},
+			{ID: "tried", Class: "payment", Dest: 7, Due: 1700000001000, Body: []byte("body of tried"), Tries: 2, Wait: 301,
+				Ran: true, RanAt: 1700000005000, Zone: 2,
+				Out: true, OutAt: 1700000007000, OutTo: -1, Log: []Attempt{{Host: "host-1", At: 1700000005000, Took: 12,
+					Outcome: "timed out", Ran: true}}},
+			{ID: "owed", Class: "payment", Dest: 7, Due: 1700000001000, Status: "undeliverable", Again: 1700000009500,
+				EndAt: 1700000009000, Why: "refused", Sum: 0x51525354},
 		},
-		unwell: map[string]Record{"host-1": {Op: "health", ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
-		drains: map[string]Record{"partner:acme": {Op: "drain", ID: "partner:acme", Ran: true, At: 1700000014000, Status: "op", Wait: 30000}},
-		words: map[string]Record{
-			"endpoint:pay-1": {Op: "word", ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op", At: 1700000017000},
-			"gone:r3":        {Op: "word", ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
-		ended: []Ended{{ID: "over", Sum: 0x257e0630, At: 1700000002000}},
+		unhealthy: map[string]Record{"host-1": {Op: "health", ID: "host-1", Ran: true, Base: 2.5, At: 1700000011000}},
+		drains: map[string]Record{"partner:acme": {Op: "drain", ID: "partner:acme", Ran: true, At: 1700000014000,
+			Status: "op", Wait: 30000}},
+		overrides: map[string]Record{
+			"endpoint:pay-1": {Op: "word", ID: "endpoint:pay-1", Ran: true, Again: 4, Host: "r1", Status: "op",
+				At: 1700000017000},
+			"gone:r3": {Op: "word", ID: "gone:r3", Again: 2, Host: "r2", Status: "other", At: 1700000018000}},
+		ended: []CompletedID{{ID: "over", Sum: 0x257e0630, At: 1700000002000}},
 	}
 }
 
-// Guards against a state folder of an earlier build that is not taken over whole, or from which a relay cannot go on.
-func TestGoesOnFromFrozenFolders(t *testing.T) {
-	of1 := frozenKnows()
+// A state directory of an earlier build is restored completely, and records can be appended to it.
+func TestContinuesFromFrozenDirectories(t *testing.T) {
+	of1 := frozenContents()
 	of1.entries[0].Order = ""                                             // format 1 had none
-	of1.entries = append(of1.entries, Entry{ID: "gone", Class: "payment", // nor a record that forgets it
+	of1.entries = append(of1.entries, Entry{ID: "gone", Class: "payment", // nor OpForget
 		Dest: 7, Due: 1700000001000, Body: []byte("body of gone")})
-	of2 := frozenKnows()
+	of2 := frozenContents()
 	of2.entries = append(of2.entries, Entry{ID: "late", Class: "payment", Dest: 8, Due: 1700000022000, Body: []byte("late"),
 		Tries: 1, Wait: 400, OutAt: 1700000023000, OutTo: 1})
 	for name, tc := range map[string]struct {
 		write    func(*testing.T, string)
 		segments []SegmentReport
-		knows    knows
+		contents contents
 	}{
 		"state-format-1": {writeFormat1, nil, of1},
 		"state-format-2": {writeFormat2, []SegmentReport{
@@ -295,36 +305,39 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := known(inspected); !reflect.DeepEqual(got, tc.knows) {
-				t.Errorf("Inspect finds\n%+v, want\n%+v", got, tc.knows)
+			if got := contentsOf(inspected); !reflect.DeepEqual(got, tc.contents) {
+				t.Errorf("Inspect finds\n%+v, want\n%+v", got, tc.contents)
 			}
-			j := open(t, dir, 3e6)
-			if got := known(j); !reflect.DeepEqual(got, tc.knows) {
-				t.Errorf("Open finds\n%+v, want\n%+v", got, tc.knows)
+			j := mustOpen(t, dir, 3e6)
+			if got := contentsOf(j); !reflect.DeepEqual(got, tc.contents) {
+				t.Errorf("Open finds\n%+v, want\n%+v", got, tc.contents)
 			}
-			if got, want := j.Report(), (Report{Segments: tc.segments, Foreign: []string{"lock"}}); fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
+			if got, want := j.Report(), (Report{Segments: tc.segments, Foreign: []string{"lock"}}); fmt.Sprintf("%+v",
+				got) != fmt.Sprintf("%+v", want) {
 				t.Errorf("Open reports\n%+v, want\n%+v", got, want)
 			}
 
-			put(t, j, taken("new", 2), Record{Op: OpTry, ID: "new", At: 1700000099000, Zone: 5}, Record{Op: OpEnd, ID: "new", At: 1700000099500})
-			put(t, j, Record{Op: OpHealth, ID: "host-1"}, taken("newer", 2))
+			mustAppend(t, j, takenRecord("new", 2), Record{Op: OpTry, ID: "new", At: 1700000099000, Zone: 5},
+				Record{Op: OpEnd, ID: "new", At: 1700000099500})
+			mustAppend(t, j, Record{Op: OpHealth, ID: "host-1"}, takenRecord("newer", 2))
 			j.Close()
-			oldAndNew := tc.knows
-			oldAndNew.entries = append(slices.Clone(oldAndNew.entries), Entry{ID: "newer", Class: "payment", Dest: 7, Due: 99, Body: []byte{7, 7}})
-			oldAndNew.unwell = map[string]Record{}
-			oldAndNew.ended = append(slices.Clone(oldAndNew.ended), Ended{ID: "new", Sum: 0x3144f097, At: 1700000099500})
+			oldAndNew := tc.contents
+			oldAndNew.entries = append(slices.Clone(oldAndNew.entries),
+				Entry{ID: "newer", Class: "payment", Dest: 7, Due: 99, Body: []byte{7, 7}})
+			oldAndNew.unhealthy = map[string]Record{}
+			oldAndNew.ended = append(slices.Clone(oldAndNew.ended), CompletedID{ID: "new", Sum: 0x3144f097, At: 1700000099500})
 			for range 2 {
-				j = open(t, dir, 3e6)
-				if got := known(j); !reflect.DeepEqual(got, oldAndNew) {
+				j = mustOpen(t, dir, 3e6)
+				if got := contentsOf(j); !reflect.DeepEqual(got, oldAndNew) {
 					t.Errorf("opened again it finds\n%+v, want\n%+v", got, oldAndNew)
 				}
-				want(t, "damage", fmt.Sprint(j.Report().Damage, j.Report().Torn), "[] 0")
+				want(t, "damage", fmt.Sprint(j.Report().Damage, j.Report().TornBytes), "[] 0")
 				j.Close()
 			}
 			left := fixture.Folder(t, dir)
-			for _, gone := range []string{"journal", "journal.tmp", "journal.spare"} {
-				if _, is := left[gone]; is {
-					t.Errorf("%s is still there", gone)
+			for _, name := range []string{"journal", "journal.tmp", "journal.spare"} {
+				if _, ok := left[name]; ok {
+					t.Errorf("%s was not removed", name)
 				}
 			}
 			for kept, text := range fixture.Folder(t, filepath.Join("testdata", name)) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -187,7 +187,7 @@
 // journalOptions returns the options to open the journal with.
 func (r *Relay) journalOptions() journal.Options {
 	return journal.Options{Budget: int64(r.config.DiskMB * 1e6), Power: r.config.Power, Files: r.config.Files,
-		Memory: journal.Memory{Most: r.ended.capacity, Bytes: maxEndedBytes, AgeMS: endedExpiry.Milliseconds()}}
+		Retention: journal.Retention{MaxIDs: r.ended.capacity, MaxBytes: maxEndedBytes, MaxAgeMs: endedExpiry.Milliseconds()}}
 }
 
 // initialHosts applies the list of hosts of the predecessor, or else of the configuration.
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -11,14 +11,14 @@
 // restore takes over the messages and outages in the journal.
 func (r *Relay) restore() {
 	wall := time.Now().UnixMilli()
-	for _, ended := range r.journal.Ended() {
+	for _, ended := range r.journal.CompletedIDs() {
 		r.ended.put(ended.ID, ended.Sum)
 	}
 	r.logJournalDamage()
 	for _, entry := range r.journal.InOrder() {
 		r.restoreEntry(entry, wall)
 	}
-	for id, record := range r.journal.Unwell {
+	for id, record := range r.journal.Unhealthy {
 		if time.Duration(wall-record.At)*time.Millisecond < unhealthyExpiry {
 			r.events = append(r.events, choice.Unwell{Host: id, Base: record.Base})
 		} else {
--- a/internal/sqlitelog/open.go
+++ b/internal/sqlitelog/open.go
@@ -41,7 +41,7 @@
 		done:      make(chan struct{}),
 		faulted:   make(chan struct{}),
 		tables:    map[string]*table{},
-		freeBytes: vfs.Dir(dir).Room,
+		freeBytes: vfs.Dir(dir).Available,
 	}
 	if err := d.prepare(limit, tables); err != nil {
 		_ = d.conn.Close()
--- a/internal/vfs/faultfs/faultfs.go
+++ b/internal/vfs/faultfs/faultfs.go
@@ -1,5 +1,5 @@
-// Package faultfs is a folder in memory that fails as disks and machines do: short writes, no room, errors, a process
-// that ends at any operation, and power that goes while not all is synced. Everything it does follows from a seed.
+// Package faultfs is a vfs.System in memory with injected faults: errors and short writes, a full disk, a crash of the process
+// at any operation, and a loss of power after which unsynced data is lost in part. All random choices follow from a seed.
 package faultfs
 
 import (
@@ -9,256 +9,191 @@
 	"math"
 	"math/rand/v2"
 	"slices"
-	"syscall"
 
 	"larchrouter/internal/vfs"
 )
 
-// ErrCrashed is what every operation returns once the process is held to have ended.
+// ErrCrashed is returned by every operation after the injected crash.
 var ErrCrashed = errors.New("faulty: the process has ended")
 
-// sector is what a disk writes whole, mostly.
-const sector = 512
+// sectorSize is the unit that a disk writes atomically in most cases, in bytes.
+const sectorSize = 512
 
-// Dir is a folder. It is not safe for concurrent use.
+// Dir is a directory. It is not safe for concurrent use. Operations are numbered from 1.
 type Dir struct {
-	// CrashAt ends the process in the operation with this number, the first being 1; 0 for never. A write that it
-	// ends in is done in part.
+	// CrashAt is the number of the operation during which the process crashes; 0 for never. A write in progress is done
+	// in part.
 	CrashAt int
-	// Fail gives an operation an error; a write is done in part before.
+	// Fail has the errors of operations by their number. A write that fails is done in part.
 	Fail map[int]error
-	// FailSync gives the sync of a file with this number an error; its bytes are lost with the power.
+	// FailSync has the errors of file syncs by their own number, from 1. A failed sync leaves the data unsynced.
 	FailSync map[int]error
-	// Space is how many bytes the files may take together; below 0 for no limit.
+	// Space is the size of the disk in bytes; negative for no limit.
 	Space int64
 
-	ops, syncs int
-	crashed    bool
-	rand       *rand.Rand
-	now        map[string]*inode
-	durable    map[string]*inode // entries that outlast a loss of power
+	opCount, syncCount int
+	crashed            bool
+	random             *rand.Rand
+	current            map[string]*inode
+	durable            map[string]*inode // names that survive a loss of power
 }
 
+// inode is the contents of a file: as written, and as synced.
 type inode struct {
-	data   []byte
-	synced []byte
-	taken  int64 // allocated beyond data
+	data      []byte
+	synced    []byte
+	allocated int64 // reserved size in bytes, from the start of the file
 }
 
-// New is an empty folder.
+// New returns an empty directory whose random choices follow from a seed.
 func New(seed uint64) *Dir {
-	return &Dir{Space: -1, rand: rand.New(rand.NewPCG(seed, 7)), now: map[string]*inode{}, durable: map[string]*inode{}}
+	return &Dir{Space: -1, random: rand.New(rand.NewPCG(seed, 7)), current: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// Ops is how many operations there were.
-func (d *Dir) Ops() int { return d.ops }
+// Ops returns the number of operations so far.
+func (d *Dir) Ops() int { return d.opCount }
 
-// Crashed tells whether the process has ended.
+// Crashed reports whether the injected crash happened.
 func (d *Dir) Crashed() bool { return d.crashed }
 
-// Used is what the files take, in bytes.
+// Used returns the size of all files, in bytes.
 func (d *Dir) Used() (sum int64) {
-	for _, n := range d.now {
-		sum += max(int64(len(n.data)), n.taken)
+	for _, n := range d.current {
+		sum += max(int64(len(n.data)), n.allocated)
 	}
 	return sum
 }
 
-// Restart is the folder as the next process finds it. If power was lost, of what was not synced any part may be there:
-// entries made or removed, sectors whole or torn, and sizes without their bytes.
+// Restart returns the directory as the next process finds it. After a loss of power, unsynced changes are there in part:
+// created or removed names, complete or torn sectors, and sizes without their data.
 func (d *Dir) Restart(power bool) *Dir {
-	next := New(d.rand.Uint64())
+	next := New(d.random.Uint64())
 	next.Space = d.Space
 	names := map[string]bool{}
-	for _, all := range []map[string]*inode{d.now, d.durable} {
+	for _, all := range []map[string]*inode{d.current, d.durable} {
 		for name := range all {
 			names[name] = true
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		n, m := d.now[name], d.durable[name]
-		if power && m != n && d.rand.IntN(2) == 0 {
-			n = m
+		n, durable := d.current[name], d.durable[name]
+		if power && durable != n && d.random.IntN(2) == 0 {
+			n = durable
 		}
 		if n == nil {
 			continue
 		}
-		kept := &inode{data: slices.Clone(n.data), taken: n.taken}
+		survivor := &inode{data: slices.Clone(n.data), allocated: n.allocated}
 		if power {
-			kept.data = d.torn(n)
+			survivor.data = d.tornContents(n)
 		}
-		kept.synced = slices.Clone(kept.data)
-		next.now[name], next.durable[name] = kept, kept
+		survivor.synced = slices.Clone(survivor.data)
+		next.current[name], next.durable[name] = survivor, survivor
 	}
 	return next
 }
 
-// torn is what a loss of power leaves of a file.
-func (d *Dir) torn(n *inode) []byte {
+// tornContents returns the contents that a loss of power leaves of a file.
+func (d *Dir) tornContents(n *inode) []byte {
 	size := len(n.synced)
 	if len(n.data) != size {
-		size = min(size, len(n.data)) + d.rand.IntN(max(len(n.data), size)-min(size, len(n.data))+1)
+		size = min(size, len(n.data)) + d.random.IntN(max(len(n.data), size)-min(size, len(n.data))+1)
 	}
-	out := make([]byte, size) // where a size was written and the bytes were not, there are zeros
+	out := make([]byte, size) // zeros where the size was written and the data was not
 	copy(out, n.synced)
-	for at := 0; at < size; at += sector {
-		end := min(at+sector, size, len(n.data))
-		if at >= end || d.rand.IntN(2) == 0 {
+	for at := 0; at < size; at += sectorSize {
+		end := min(at+sectorSize, size, len(n.data))
+		if at >= end || d.random.IntN(2) == 0 {
 			continue
 		}
-		if d.rand.IntN(8) == 0 {
-			end = at + d.rand.IntN(end-at+1)
+		if d.random.IntN(8) == 0 {
+			end = at + d.random.IntN(end-at+1)
 		}
-		// What was synced and not written since is there in any case, as it is the same in both.
+		// Synced data that was not written since is equal in both, and survives.
 		copy(out[at:end], n.data[at:end])
 	}
 	return out
 }
 
-// op counts an operation, and says how it fails.
-func (d *Dir) op() error {
+// nextOp counts an operation and returns its injected error.
+func (d *Dir) nextOp() error {
 	if d.crashed {
 		return ErrCrashed
 	}
-	d.ops++
-	if d.ops == d.CrashAt {
+	d.opCount++
+	if d.opCount == d.CrashAt {
 		d.crashed = true
 		return ErrCrashed
 	}
-	return d.Fail[d.ops]
+	return d.Fail[d.opCount]
 }
 
-// Names implements files.System.
-func (d *Dir) Names() ([]string, error) { return slices.Sorted(maps.Keys(d.now)), d.op() }
+// Names implements vfs.System.
+func (d *Dir) Names() ([]string, error) { return slices.Sorted(maps.Keys(d.current)), d.nextOp() }
 
-// Read implements files.System.
+// Read implements vfs.System.
 func (d *Dir) Read(name string) ([]byte, error) {
-	if err := d.op(); err != nil {
+	if err := d.nextOp(); err != nil {
 		return nil, err
 	}
-	n := d.now[name]
+	n := d.current[name]
 	if n == nil {
 		return nil, fs.ErrNotExist
 	}
 	return slices.Clone(n.data), nil
 }
 
-// Create implements files.System.
+// Create implements vfs.System.
 func (d *Dir) Create(name string) (vfs.File, error) {
-	if err := d.op(); err != nil {
+	if err := d.nextOp(); err != nil {
 		return nil, err
 	}
-	if d.now[name] != nil {
+	if d.current[name] != nil {
 		return nil, fs.ErrExist
 	}
 	n := new(inode)
-	d.now[name] = n
+	d.current[name] = n
 	return &file{d, n}, nil
 }
 
-// Remove implements files.System.
+// Remove implements vfs.System.
 func (d *Dir) Remove(name string) error {
-	if err := d.op(); err != nil {
+	if err := d.nextOp(); err != nil {
 		return err
 	}
-	delete(d.now, name)
+	delete(d.current, name)
 	return nil
 }
 
-// Truncate implements files.System.
+// Truncate implements vfs.System.
 func (d *Dir) Truncate(name string, size int64) error {
-	if n := d.now[name]; n != nil {
+	if n := d.current[name]; n != nil {
 		return (&file{d, n}).Truncate(size)
 	}
 	return fs.ErrNotExist
 }
 
-// Room implements files.System.
-func (d *Dir) Room() int64 {
+// Available implements vfs.System.
+func (d *Dir) Available() int64 {
 	if d.Space < 0 {
 		return math.MaxInt64
 	}
 	return max(0, d.Space-d.Used())
 }
 
-// SyncFile implements files.System.
+// SyncFile implements vfs.System.
 func (d *Dir) SyncFile(name string) error {
-	if n := d.now[name]; n != nil {
+	if n := d.current[name]; n != nil {
 		return (&file{d, n}).Sync()
 	}
 	return fs.ErrNotExist
 }
 
-// SyncDir implements files.System.
+// SyncDir implements vfs.System.
 func (d *Dir) SyncDir() error {
-	if err := d.op(); err != nil {
+	if err := d.nextOp(); err != nil {
 		return err
 	}
-	d.durable = maps.Clone(d.now)
+	d.durable = maps.Clone(d.current)
 	return nil
 }
-
-type file struct {
-	d *Dir
-	n *inode
-}
-
-func (f *file) WriteAt(p []byte, at int64) (int, error) {
-	before := f.d.crashed
-	err := f.d.op()
-	if before {
-		return 0, err
-	}
-	n := len(p)
-	if err != nil {
-		n = f.d.rand.IntN(n + 1)
-	}
-	grow := at + int64(n) - max(int64(len(f.n.data)), f.n.taken)
-	if room := f.d.Space - f.d.Used(); f.d.Space >= 0 && grow > room && grow > 0 {
-		n = max(0, n-int(grow-max(0, room)))
-		if err == nil {
-			err = syscall.ENOSPC
-		}
-	}
-	if end := int(at) + n; end > len(f.n.data) && n > 0 {
-		f.n.data = append(f.n.data, make([]byte, end-len(f.n.data))...)
-	}
-	copy(f.n.data[min(int(at), len(f.n.data)):], p[:n])
-	return n, err
-}
-
-func (f *file) Truncate(size int64) error {
-	if err := f.d.op(); err != nil {
-		return err
-	}
-	if int(size) < len(f.n.data) {
-		f.n.data = slices.Clip(f.n.data[:size])
-	}
-	f.n.taken = 0
-	return nil
-}
-
-func (f *file) Allocate(size int64) error {
-	if err := f.d.op(); err != nil {
-		return err
-	}
-	if room := f.d.Space - f.d.Used(); f.d.Space >= 0 && size > room {
-		return syscall.ENOSPC
-	}
-	f.n.taken = size
-	return nil
-}
-
-func (f *file) Sync() error {
-	if err := f.d.op(); err != nil {
-		return err
-	}
-	f.d.syncs++
-	if err := f.d.FailSync[f.d.syncs]; err != nil {
-		return err
-	}
-	f.n.synced = slices.Clone(f.n.data)
-	return nil
-}
-
-func (f *file) Close() error { return nil }
