--- a/internal/relay/httpcall/httpcall.go
+++ b/internal/relay/httpcall/httpcall.go
@@ -21,10 +21,10 @@
 )
 
 var (
-	errTimeout = errors.New("time-out")
-	errGated   = errors.New("host drains or is gone")
-	errTold    = errors.New("host told to wait meanwhile")
-	errLeft    = errors.New("its messages have left the call, or would come too late")
+	errTimeout     = errors.New("time-out")
+	errHostClosed  = errors.New("host drains or is gone")
+	errHostWaiting = errors.New("host told to wait meanwhile")
+	errNoMessages  = errors.New("its messages have left the call, or would come too late")
 )
 
 // ErrCalledOff is the cause of a context that ends because the attempt is called off.
@@ -32,10 +32,10 @@
 
 // Host is where calls go. Its connections are its own: another at the same address gets none of them.
 type Host struct {
-	Addr   string // host:port
-	Waits  *Waits // shared with the hosts that wait together; nil for one that waits for itself
-	own    Waits
-	closed atomic.Bool
+	Addr     string // host:port
+	Waits    *Waits // shared with the hosts that wait together; nil for one that waits for itself
+	ownWaits Waits
+	closed   atomic.Bool
 }
 
 // Closed tells whether nothing new may go there.
@@ -49,12 +49,12 @@
 	if h.Waits != nil {
 		return h.Waits
 	}
-	return &h.own
+	return &h.ownWaits
 }
 
-// staleAfter is the age of a decision from which answers that have come meanwhile are read before it is carried
+// decisionStaleAfter is the age of a decision from which answers that have come meanwhile are read before it is carried
 // out. A call that comes within 100 ms of the answer that told to wait is let through.
-const staleAfter = 20 * time.Millisecond
+const decisionStaleAfter = 20 * time.Millisecond
 
 // Message is one that a call carries.
 type Message struct {
@@ -73,33 +73,33 @@
 	Timeout  time.Duration
 	Decided  time.Time
 
-	left  []atomic.Bool
-	mu    sync.Mutex // held from the look at left until the request is written, or not
-	begun bool
+	withdrawn []atomic.Bool
+	mu        sync.Mutex // held from the look at left until the request is written, or not
+	started   bool
 }
 
 // NewCall is a call that is decided now.
 func NewCall(h *Host, timeout time.Duration, messages ...Message) *Call {
-	return &Call{Host: h, Messages: messages, Timeout: timeout, Decided: time.Now(), left: make([]atomic.Bool, len(messages))}
+	return &Call{Host: h, Messages: messages, Timeout: timeout, Decided: time.Now(), withdrawn: make([]atomic.Bool, len(messages))}
 }
 
 // Leave takes a message, by its place, out of a call that has not begun. It tells whether that was in time: its
 // attempt then has no first byte, and the call goes without it. Otherwise the call goes on with it. It never waits,
 // and is safe for concurrent use with Exchange.
 func (c *Call) Leave(i int) (unsent bool) {
-	c.left[i].Store(true)
+	c.withdrawn[i].Store(true)
 	if !c.mu.TryLock() { // it is being written
 		return false
 	}
 	defer c.mu.Unlock()
-	return !c.begun
+	return !c.started
 }
 
-// staying are the places of the messages that have not left, and that come in time if the way takes so long.
-func (c *Call) staying(way time.Duration) (in []int) {
+// remaining are the places of the messages that have not left, and that come in time if the way takes so long.
+func (c *Call) remaining(way time.Duration) (in []int) {
 	there := time.Now().Add(way)
 	for i, m := range c.Messages {
-		if !c.left[i].Load() && (m.Until.IsZero() || there.Before(m.Until)) {
+		if !c.withdrawn[i].Load() && (m.Until.IsZero() || there.Before(m.Until)) {
 			in = append(in, i)
 		}
 	}
@@ -131,13 +131,13 @@
 	conn, in, err := p.send(ctx, c)
 	if err != nil {
 		o := choice.NoConnection
-		if errors.Is(err, errGated) || errors.Is(err, errTold) || errors.Is(err, errLeft) || errors.Is(err, errNoDescriptor) ||
+		if errors.Is(err, errHostClosed) || errors.Is(err, errHostWaiting) || errors.Is(err, errNoMessages) || errors.Is(err, errNoDescriptor) ||
 			errors.Is(context.Cause(ctx), ErrCalledOff) {
 			o = choice.NotSent // nothing that the host did
 		}
 		return slices.Repeat([]End{{Outcome: o, Dialled: o == choice.NoConnection}}, len(c.Messages)), time.Since(begin), c.Host.waits().Left()
 	}
-	dialled := !conn.kept // read now: once it is put back, another call may have it
+	dialled := !conn.reused // read now: once it is put back, another call may have it
 	defer func() {
 		told := ends
 		ends = slices.Repeat([]End{{Outcome: choice.NotSent}}, len(c.Messages)) // of those that left
@@ -147,43 +147,43 @@
 		}
 	}()
 	all := func(e End) []End { return slices.Repeat([]End{e}, len(in)) }
-	a := conn.reply()
+	a := conn.readResponse()
 	took = time.Since(begin)
-	if a.begun { // before another call can have the connection
-		conn.note(false)
+	if a.started { // before another call can have the connection
+		conn.recordUse(false)
 	}
-	if a.clean {
+	if a.reusable {
 		p.put(conn)
 	} else {
 		conn.Close()
 	}
 	switch {
-	case a.begun:
+	case a.started:
 		if a.status != 0 {
-			took = a.at.Sub(begin)
+			took = a.receivedAt.Sub(begin)
 		}
-		if ends = all(single(a, len(in) > 1)); len(in) > 1 && a.status == http.StatusOK {
+		if ends = all(singleEnd(a, len(in) > 1)); len(in) > 1 && a.status == http.StatusOK {
 			ids := make([]string, len(in))
 			for n, i := range in {
 				ids[n] = c.Messages[i].ID
 			}
 			ends = batchEnds(a, ids)
 		}
-		return ends, took, a.wait
+		return ends, took, a.retryAfter
 	case errors.Is(context.Cause(ctx), ErrCalledOff):
 		return all(End{Outcome: choice.Cancelled}), took, 0
 	case errors.Is(context.Cause(ctx), errTimeout):
 		return all(End{Outcome: choice.Timeout}), took, 0
 	}
-	conn.note(true)
-	if conn.kept { // it may have been dropped on the way, which is no sign of its host's health
+	conn.recordUse(true)
+	if conn.reused { // it may have been dropped on the way, which is no sign of its host's health
 		return all(End{Outcome: choice.Spoilt}), took, 0
 	}
 	return all(End{Outcome: choice.Reset}), took, 0
 }
 
-// request is what a call with some of its messages, by their places, sends.
-func (c *Call) request(in []int) []byte {
+// encode is what a call with some of its messages, by their places, sends.
+func (c *Call) encode(in []int) []byte {
 	var b bytes.Buffer
 	body := c.Messages[in[0]].Body
 	if len(in) > 1 {
@@ -214,27 +214,27 @@
 		}
 		// It may have taken long to come up: nothing new goes to a host that drains by now, or that told
 		// to wait. Where this process got no time, that answer may lie unread.
-		if time.Since(c.Decided) > staleAfter {
+		if time.Since(c.Decided) > decisionStaleAfter {
 			time.Sleep(time.Millisecond)
 		}
 		if c.Host.closed.Load() {
 			conn.Close()
-			return nil, nil, errGated
+			return nil, nil, errHostClosed
 		}
 		if c.Host.waits().Left() > 0 {
 			p.put(conn)
-			return nil, nil, errTold
+			return nil, nil, errHostWaiting
 		}
 		if in, err = c.write(conn); err == nil {
 			return conn, in, nil
 		}
-		if errors.Is(err, errLeft) {
+		if errors.Is(err, errNoMessages) {
 			p.put(conn)
 			return nil, nil, err
 		}
 		conn.Close()
 		// A kept connection that had ended before is no call yet: once more on another.
-		if !conn.kept || ctx.Err() != nil {
+		if !conn.reused || ctx.Err() != nil {
 			return nil, nil, err
 		}
 	}
@@ -244,23 +244,23 @@
 func (c *Call) write(to *hostConn) (in []int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if in = c.staying(to.way); len(in) == 0 {
-		return nil, errLeft
+	if in = c.remaining(to.dialTime); len(in) == 0 {
+		return nil, errNoMessages
 	}
-	c.begun = true
-	if _, err = to.Write(c.request(in)); err != nil {
-		c.begun = false
+	c.started = true
+	if _, err = to.Write(c.encode(in)); err != nil {
+		c.started = false
 	}
 	return in, err
 }
 
-// single reads an answer that holds for the whole call. A spoilt one proves nothing but that
-// of 200 to a single message: the call may have run.
-func single(a reply, many bool) End {
+// singleEnd reads an answer that holds for the whole call. A spoilt one proves nothing but that
+// of 200 to a singleEnd message: the call may have run.
+func singleEnd(a response, many bool) End {
 	if a.status == http.StatusOK {
 		return End{Outcome: choice.Served}
 	}
-	if a.status == 0 || !a.whole || a.noise {
+	if a.status == 0 || !a.complete || a.trailingGarbage {
 		return End{Outcome: choice.Spoilt}
 	}
 	switch a.status {
@@ -285,9 +285,9 @@
 
 // batchEnds reads the answer of a call with several messages. It proves something only if it
 // tells of each of them once, and of nothing else; else all of them may have run.
-func batchEnds(a reply, ids []string) []End {
+func batchEnds(a response, ids []string) []End {
 	nothing := slices.Repeat([]End{{Outcome: choice.Spoilt}}, len(ids))
-	if !a.whole {
+	if !a.complete {
 		return nothing
 	}
 	ends, told := make([]End, len(ids)), make([]bool, len(ids))
--- a/internal/relay/httpcall/httpcall_test.go
+++ b/internal/relay/httpcall/httpcall_test.go
@@ -140,14 +140,14 @@
 func TestStatuses(t *testing.T) {
 	for status, o := range map[int]End{200: {Outcome: choice.Served}, 500: {Outcome: choice.Error}, 429: {Outcome: choice.Refused},
 		503: {Outcome: choice.Refused}, 504: {Outcome: choice.NotSent}, 410: {Outcome: choice.NotSent, Done: true}, 418: {Outcome: choice.Error}} {
-		want(t, fmt.Sprint("end after ", status), single(reply{status: status, whole: true}, false), o)
+		want(t, fmt.Sprint("end after ", status), singleEnd(response{status: status, complete: true}, false), o)
 		if status != 200 {
-			want(t, fmt.Sprint("end after a spoilt ", status), single(reply{status: status}, false), End{Outcome: choice.Spoilt})
+			want(t, fmt.Sprint("end after a spoilt ", status), singleEnd(response{status: status}, false), End{Outcome: choice.Spoilt})
 		}
 	}
-	over := reply{status: 503, whole: true, header: http.Header{"X-Over-Slots": {"1"}}}
-	want(t, "end without a slot", single(over, false), End{Outcome: choice.NotSent})
-	want(t, "end of a call too large", single(reply{status: 413, whole: true}, true), End{Outcome: choice.NotSent})
+	over := response{status: 503, complete: true, header: http.Header{"X-Over-Slots": {"1"}}}
+	want(t, "end without a slot", singleEnd(over, false), End{Outcome: choice.NotSent})
+	want(t, "end of a call too large", singleEnd(response{status: 413, complete: true}, true), End{Outcome: choice.NotSent})
 }
 
 // Guards against a connection for each message.
@@ -178,7 +178,7 @@
 	f.Add("\x00 ok\r\na exhausted")
 	f.Fuzz(func(t *testing.T, body string) {
 		ids := []string{"a", "b"}
-		ends := batchEnds(reply{whole: true, body: []byte(body)}, ids)
+		ends := batchEnds(response{complete: true, body: []byte(body)}, ids)
 		if len(ends) != len(ids) {
 			t.Fatalf("%d ends for %d messages", len(ends), len(ids))
 		}
@@ -267,8 +267,8 @@
 		t.Fatalf("got %p, %v, want the connection that was kept", again, err)
 	}
 	io.WriteString(peer, okAnswer)
-	c.room.N = 1
-	if _, err := c.in.Peek(1); err != nil { // a part of it has come, the rest with it
+	c.limit.N = 1
+	if _, err := c.reader.Peek(1); err != nil { // a part of it has come, the rest with it
 		t.Fatal(err)
 	}
 	s.put(c)
@@ -314,11 +314,11 @@
 func TestSpoiltBatchProvesNothing(t *testing.T) {
 	ids := []string{"a", "b"}
 	for _, body := range []string{"a ok\r\n", "a ok\r\nb ok\r\nc ok\r\n", "a later\r\na later\r\nb ok\r\n", "a ok\r\nb o", "", "noise"} {
-		for i, e := range batchEnds(reply{whole: true, body: []byte(body)}, ids) {
+		for i, e := range batchEnds(response{complete: true, body: []byte(body)}, ids) {
 			want(t, fmt.Sprintf("%s after %q", ids[i], body), e, End{Outcome: choice.Spoilt})
 		}
 	}
-	cut := reply{body: []byte("a later\r\nb later\r\n")}
+	cut := response{body: []byte("a later\r\nb later\r\n")}
 	want(t, "an answer that is not whole", batchEnds(cut, ids)[0], End{Outcome: choice.Spoilt})
 }
 
@@ -352,28 +352,28 @@
 // broke, no connection that rested for so long is used, until it is worth another look.
 func TestStaleConnectionsAreLearnt(t *testing.T) {
 	now := time.Now()
-	var s staleness
+	var s idleTrust
 	for range 100 {
-		s.note(10*time.Millisecond, false, now)
-		s.note(150*time.Millisecond, false, now)
+		s.record(10*time.Millisecond, false, now)
+		s.record(150*time.Millisecond, false, now)
 	}
 	for range 5 {
-		s.note(150*time.Millisecond, true, now)
+		s.record(150*time.Millisecond, true, now)
 	}
 	want(t, "5 of 105 broke: still used", s.trusts(time.Second, now), true)
-	for range brokeLeast {
-		s.note(300*time.Millisecond, true, now)
+	for range minResets {
+		s.record(300*time.Millisecond, true, now)
 	}
 	want(t, "used after 300 ms", s.trusts(300*time.Millisecond, now), false)
 	want(t, "used after a second", s.trusts(time.Second, now), false)
 	want(t, "used after 100 ms", s.trusts(100*time.Millisecond, now), true)
-	want(t, "used once more later", s.trusts(time.Second, now.Add(2*doubtFor)), true)
+	want(t, "used once more later", s.trusts(time.Second, now.Add(2*distrustPeriod)), true)
 
 	answers := slices.Repeat([]string{okAnswer}, 10)
 	addr, ended := rawHost(t, answers...)
 	r, c := caller(), oneCall(addr, "x")
 	want(t, "outcome", outcome(r, context.Background(), c), choice.Served)
-	r.stale.until = time.Now().Add(time.Hour) // nothing that rested is trusted
+	r.idleTrust.distrustUntil = time.Now().Add(time.Hour) // nothing that rested is trusted
 	want(t, "outcome", outcome(r, context.Background(), c), choice.Served)
 	wait(t, ended, "close of the connection that rested")
 }
--- a/internal/relay/httpcall/leave_test.go
+++ b/internal/relay/httpcall/leave_test.go
@@ -168,7 +168,7 @@
 	want(t, "outcome of the one beside it", ends[1].Outcome, choice.Served)
 	want(t, "sent", wait(t, got, "call"), "far")
 	p.mu.Lock()
-	p.idle[host][0].way = 2 * time.Hour
+	p.idle[host][0].dialTime = 2 * time.Hour
 	p.mu.Unlock()
 	want(t, "outcome of one with a long way", outcome(p, t.Context(), NewCall(host, 20*time.Second, far)), choice.NotSent)
 	want(t, "further calls", len(got), 0)
--- a/internal/relay/httpcall/waits.go
+++ b/internal/relay/httpcall/waits.go
@@ -10,11 +10,11 @@
 // not go out within it. The zero value is of hosts that were told nothing.
 type Waits struct{ until atomic.Int64 } // since began
 
-var began = time.Now()
+var processStart = time.Now()
 
 // Tell lengthens the wait to so long from now.
 func (w *Waits) Tell(wait time.Duration) {
-	for at := int64(time.Since(began) + wait); ; {
+	for at := int64(time.Since(processStart) + wait); ; {
 		old := w.until.Load()
 		if old >= at || w.until.CompareAndSwap(old, at) {
 			return
@@ -24,5 +24,5 @@
 
 // Left is what is left of it; 0 for none.
 func (w *Waits) Left() time.Duration {
-	return max(0, time.Duration(w.until.Load())-time.Since(began))
+	return max(0, time.Duration(w.until.Load())-time.Since(processStart))
 }
