--- a/internal/relay/httpcall/leave_test.go
+++ b/internal/relay/httpcall/leave_test.go
@@ -95,8 +95,8 @@
 	return c.TCPConn.Write(b)
 }
 
-// A message that leaves while its call is being written counts as sent, and Leave does not wait for the write. Where
-// that write fails on a kept connection that had ended, the call goes out again on another, without it.
+// A message that leaves while its call is being written counts as sent, and Leave does not wait for the write.
+// Where that write fails on a kept connection that had ended, the call goes out again on another, without it.
 func TestMessageLeavesAsItsCallBegins(t *testing.T) {
 	for name, fails := range map[string]bool{"written": false, "written again": true} {
 		t.Run(name, func(t *testing.T) {
@@ -142,8 +142,9 @@
 	}
 }
 
-// A key is forgotten while a repeat under it waits for its connection, or is on its way there: it is not sent. The connection
-// comes up only once the time has passed; another is kept, over which the way is known to be long.
+// A key is forgotten while a repeat under it waits for its connection, or is on its way there: it is not sent.
+// The connection comes up only once the time has passed; another is kept, over which the way is known to be
+// long.
 func TestRepeatDoesNotOutlastItsKey(t *testing.T) {
 	got := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
