--- a/internal/relay/front/admin/admin.go
+++ b/internal/relay/front/admin/admin.go
@@ -16,9 +16,9 @@
 // A call is owed its answer within a second of being sent, and callers that send nothing, or half a call, must
 // not keep others waiting: each connection has its own goroutine, one call, and little time.
 const (
-	callIn   = 800 * time.Millisecond // for a call to come in whole
-	healthIn = 500 * time.Millisecond // for the relay to show that it decides
-	answerIn = time.Second            // for the answer to be written
+	requestReadTimeout   = 800 * time.Millisecond // for a call to come in whole
+	healthTimeout        = 500 * time.Millisecond // for the relay to show that it decides
+	responseWriteTimeout = time.Second            // for the answer to be written
 )
 
 // MostCalls is how many connections are open at once; one more has the oldest silent one closed.
@@ -53,7 +53,7 @@
 
 // Serve answers for a relay until Close.
 func (s *Server) Serve(r Relay) {
-	s.server = &http.Server{Handler: handler(r), ReadTimeout: callIn, WriteTimeout: callIn + answerIn,
+	s.server = &http.Server{Handler: newHandler(r), ReadTimeout: requestReadTimeout, WriteTimeout: requestReadTimeout + responseWriteTimeout,
 		MaxHeaderBytes: 4 << 10, ConnContext: httpapi.WithClient, ConnState: httpapi.ClientState}
 	s.server.SetKeepAlivesEnabled(false) // one call to a connection
 	go s.server.Serve(s.listener)
@@ -67,10 +67,10 @@
 	s.listener.Close()
 }
 
-func handler(r Relay) http.Handler {
+func newHandler(r Relay) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /admin/health", func(w http.ResponseWriter, req *http.Request) {
-		ctx, cancel := context.WithTimeout(req.Context(), healthIn)
+		ctx, cancel := context.WithTimeout(req.Context(), healthTimeout)
 		defer cancel()
 		if err := r.Serving(ctx); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/relay/front/httpapi/doors.go
+++ b/internal/relay/front/httpapi/doors.go
@@ -19,8 +19,8 @@
 	timer *time.Timer // closes idle connections
 }
 
-// again is how soon it is looked anew for idle connections: an answer under way when the doors were closed keeps its own.
-const again = 100 * time.Millisecond
+// idleRecheckInterval is how soon it is looked anew for idle connections: an answer under way when the doors were closed keeps its own.
+const idleRecheckInterval = 100 * time.Millisecond
 
 // NewDoors are open doors of a listener's clients. The grace is how long idle connections stay once the doors are
 // closed: longer than the front goes on sending clients, so that few meet a connection that closes under them.
@@ -33,7 +33,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.closed.Swap(true) {
-		d.timer = time.AfterFunc(d.grace, d.sendAway)
+		d.timer = time.AfterFunc(d.grace, d.closeIdle)
 	}
 }
 
@@ -49,12 +49,12 @@
 	d.clients.SendAway(false)
 }
 
-func (d *Doors) sendAway() {
+func (d *Doors) closeIdle() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed.Load() && d.timer != nil {
 		d.clients.SendAway(false)
-		d.timer.Reset(again)
+		d.timer.Reset(idleRecheckInterval)
 	}
 }
 
--- a/internal/relay/front/httpapi/listen.go
+++ b/internal/relay/front/httpapi/listen.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// firstIn is how long a new connection may stay silent while others are closed in its place.
-const firstIn = 200 * time.Millisecond
+// silentAllowance is how long a new connection may stay silent while others are closed in its place.
+const silentAllowance = 200 * time.Millisecond
 
 // Listener bounds the connections of clients. It accepts always: where a limit on accepting
 // would leave a client with neither an answer nor a close, one connection on which no
 // request is open is closed for each that is too many.
 type Listener struct {
 	*net.TCPListener
-	most int
-	mu   sync.Mutex
-	all  map[*client]bool
+	maxConns int
+	mu       sync.Mutex
+	conns    map[*clientConn]bool
 }
 
-type client struct {
-	*net.TCPConn // net/http needs its CloseWrite
-	set          *Listener
-	at           time.Time // accepted, or last answered
-	asked        bool      // a request was answered here
-	begun        bool      // bytes of one have been read since
-	open         bool      // one was read whole and is not yet answered
-	early        bool      // bytes of the next were read while one was open: net/http looks whether the client is there
-	sent         bool      // the client is being sent away: unless a request has begun, reading fails
-	until        time.Time // of reading, as net/http has it
+type clientConn struct {
+	*net.TCPConn   // net/http needs its CloseWrite
+	listener       *Listener
+	idleSince      time.Time // accepted, or last answered
+	servedBefore   bool      // a request was answered here
+	requestStarted bool      // bytes of one have been read since
+	requestPending bool      // one was read whole and is not yet answered
+	nextStarted    bool      // bytes of the next were read while one was open: net/http looks whether the client is there
+	closing        bool      // the client is being sent away: unless a request has begun, reading fails
+	readDeadline   time.Time // of reading, as net/http has it
 }
 
 // Listen listens on an address, for so many connections at most.
@@ -46,7 +46,7 @@
 
 // Adopt bounds the connections of a listener that is there.
 func Adopt(l *net.TCPListener, most int) *Listener {
-	return &Listener{TCPListener: l, most: most, all: map[*client]bool{}}
+	return &Listener{TCPListener: l, maxConns: most, conns: map[*clientConn]bool{}}
 }
 
 // Accept implements net.Listener.
@@ -55,12 +55,12 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &client{TCPConn: conn, set: s, at: time.Now()}
+	c := &clientConn{TCPConn: conn, listener: s, idleSince: time.Now()}
 	s.mu.Lock()
-	s.all[c] = true
-	var spare *client
-	if len(s.all) > s.most {
-		spare = s.spare(c)
+	s.conns[c] = true
+	var spare *clientConn
+	if len(s.conns) > s.maxConns {
+		spare = s.victim(c)
 	}
 	s.mu.Unlock()
 	if spare != nil {
@@ -69,17 +69,19 @@
 	return c, nil
 }
 
-// spare picks the connection to close: the oldest that has stayed silent, else the oldest
+// victim picks the connection to close: the oldest that has stayed silent, else the oldest
 // between two requests, else the oldest with no request open whole, else the newest.
-func (s *Listener) spare(newest *client) *client {
-	for _, may := range []func(*client) bool{
-		func(c *client) bool { return !c.asked && !c.begun && newest.at.Sub(c.at) > firstIn },
-		func(c *client) bool { return c.asked && !c.begun },
-		func(c *client) bool { return true },
+func (s *Listener) victim(newest *clientConn) *clientConn {
+	for _, may := range []func(*clientConn) bool{
+		func(c *clientConn) bool {
+			return !c.servedBefore && !c.requestStarted && newest.idleSince.Sub(c.idleSince) > silentAllowance
+		},
+		func(c *clientConn) bool { return c.servedBefore && !c.requestStarted },
+		func(c *clientConn) bool { return true },
 	} {
-		var oldest *client
-		for c := range s.all {
-			if !c.open && may(c) && (oldest == nil || c.at.Before(oldest.at)) {
+		var oldest *clientConn
+		for c := range s.conns {
+			if !c.requestPending && may(c) && (oldest == nil || c.idleSince.Before(oldest.idleSince)) {
 				oldest = c
 			}
 		}
@@ -90,10 +92,10 @@
 	return newest
 }
 
-func (c *client) Close() error {
-	c.set.mu.Lock()
-	delete(c.set.all, c)
-	c.set.mu.Unlock()
+func (c *clientConn) Close() error {
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.TCPConn.Close()
 }
 
@@ -104,35 +106,35 @@
 func (s *Listener) SendAway(new bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sendAway(new)
+	s.closeIdleLocked(new)
 }
 
-// sendAway is SendAway with the lock held.
-func (s *Listener) sendAway(new bool) {
-	for c := range s.all {
-		if (c.asked || new) && !c.begun && !c.sent {
-			c.sent = true
-			c.TCPConn.SetReadDeadline(past)
+// closeIdleLocked is SendAway with the lock held.
+func (s *Listener) closeIdleLocked(new bool) {
+	for c := range s.conns {
+		if (c.servedBefore || new) && !c.requestStarted && !c.closing {
+			c.closing = true
+			c.TCPConn.SetReadDeadline(expiredDeadline)
 		}
 	}
 }
 
-// past is before any time.
-var past = time.Unix(1, 0)
+// expiredDeadline is before any time.
+var expiredDeadline = time.Unix(1, 0)
 
 // Len is how many connections are open.
 func (s *Listener) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.all)
+	return len(s.conns)
 }
 
 // Begun is on how many of them a request has begun that is not answered yet.
 func (s *Listener) Begun() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.all {
-		if c.begun {
+	for c := range s.conns {
+		if c.requestStarted {
 			n++
 		}
 	}
@@ -140,53 +142,53 @@
 }
 
 // Read takes in that a request has begun. What was read before its client could be sent away is no longer refused.
-func (c *client) Read(b []byte) (int, error) {
+func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 {
-		c.set.mu.Lock()
-		defer c.set.mu.Unlock()
-		c.early = c.early || c.open
-		if c.begun = true; c.sent {
-			c.sent = false
-			c.TCPConn.SetReadDeadline(c.until)
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		c.nextStarted = c.nextStarted || c.requestPending
+		if c.requestStarted = true; c.closing {
+			c.closing = false
+			c.TCPConn.SetReadDeadline(c.readDeadline)
 		}
 	}
 	return n, err
 }
 
 // SetReadDeadline keeps a client that is being sent away from another deadline.
-func (c *client) SetReadDeadline(t time.Time) error {
-	c.set.mu.Lock()
-	defer c.set.mu.Unlock()
-	if c.until = t; c.sent {
+func (c *clientConn) SetReadDeadline(t time.Time) error {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.readDeadline = t; c.closing {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-type clientKey struct{}
+type clientConnKey struct{}
 
 // WithClient is the http.Server's ConnContext for a Listener's connections.
 func WithClient(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, clientKey{}, c)
+	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
 // RequestRead keeps the request's connection from being closed until its answer is written.
 func RequestRead(ctx context.Context) {
-	if c, ok := ctx.Value(clientKey{}).(*client); ok {
-		c.set.mu.Lock()
-		c.open = true
-		c.set.mu.Unlock()
+	if c, ok := ctx.Value(clientConnKey{}).(*clientConn); ok {
+		c.listener.mu.Lock()
+		c.requestPending = true
+		c.listener.mu.Unlock()
 	}
 }
 
 // ClientState is the http.Server's ConnState for them: it takes in that an answer was written.
 func ClientState(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(*client)
+	c, ok := conn.(*clientConn)
 	if !ok || state != http.StateIdle {
 		return
 	}
-	c.set.mu.Lock()
-	defer c.set.mu.Unlock()
-	c.begun, c.early, c.open, c.asked, c.at = c.early, false, false, true, time.Now()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.requestStarted, c.nextStarted, c.requestPending, c.servedBefore, c.idleSince = c.nextStarted, false, false, true, time.Now()
 }
--- a/internal/relay/front/httpapi/listen_test.go
+++ b/internal/relay/front/httpapi/listen_test.go
@@ -13,18 +13,18 @@
 // Guards against closing a connection whose request is not answered yet.
 func TestSpareConnection(t *testing.T) {
 	now := time.Now()
-	conn := func(age time.Duration, asked, open bool) *client {
-		return &client{at: now.Add(-age), asked: asked, open: open}
+	conn := func(age time.Duration, asked, open bool) *clientConn {
+		return &clientConn{idleSince: now.Add(-age), servedBefore: asked, requestPending: open}
 	}
 	silent, idle, older, busy, young := conn(time.Second, false, false), conn(time.Second, true, false),
 		conn(2*time.Second, true, false), conn(time.Minute, true, true), conn(time.Millisecond, false, false)
 	newest := conn(0, false, false)
-	s := &Listener{all: map[*client]bool{silent: true, idle: true, older: true, busy: true, young: true, newest: true}}
-	for _, next := range []*client{silent, older, idle, young, newest} {
-		if got := s.spare(newest); got != next {
+	s := &Listener{conns: map[*clientConn]bool{silent: true, idle: true, older: true, busy: true, young: true, newest: true}}
+	for _, next := range []*clientConn{silent, older, idle, young, newest} {
+		if got := s.victim(newest); got != next {
 			t.Fatalf("closed is %+v, want %+v", got, next)
 		}
-		delete(s.all, next)
+		delete(s.conns, next)
 	}
 }
 
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	c := conn.(*client)
+	c := conn.(*clientConn)
 	c.SetReadDeadline(time.Now().Add(time.Minute))
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -73,7 +73,7 @@
 	for unread() != 0 {
 		time.Sleep(time.Millisecond)
 	}
-	l.sendAway(true)
+	l.closeIdleLocked(true)
 	l.mu.Unlock()
 	if g := <-read; g.n != 2 || g.err != nil {
 		t.Fatalf("read %d bytes, %v", g.n, g.err)
@@ -92,10 +92,10 @@
 
 // A byte of the next request that net/http reads while it looks whether the client is still there is its beginning.
 func TestNextRequestBeginsEarly(t *testing.T) {
-	s := &Listener{all: map[*client]bool{}}
-	c := &client{set: s, begun: true, open: true, early: true}
+	s := &Listener{conns: map[*clientConn]bool{}}
+	c := &clientConn{listener: s, requestStarted: true, requestPending: true, nextStarted: true}
 	ClientState(c, http.StateIdle)
-	if !c.begun || c.early || c.open {
+	if !c.requestStarted || c.nextStarted || c.requestPending {
 		t.Fatalf("%+v", c)
 	}
 }
