--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,5 +1,5 @@
-// Package peek looks at what has come on a connection to a host without taking it: whether an idle connection is still quiet, and
-// which status a first line gives. The relay's calls and the data plane's use it.
+// Package peek inspects what has arrived on a connection to a host before a response is parsed: whether an idle connection
+// is still quiet, and which status a status line has. The relay's transport and the data plane's use it.
 package peek
 
 import (
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// Quiet tells whether nothing has come on an idle connection: neither its end, nor bytes that would pass for the next answer.
-// A byte that has come is taken, so that a connection that is not quiet is of no more use.
+// Quiet reports whether nothing has arrived on an idle connection: neither its end, nor bytes that would be taken for the
+// next response. It never blocks. A byte that has arrived is consumed, so a connection that is not quiet must be closed.
 func Quiet(raw syscall.RawConn) bool {
 	quiet := false
 	err := raw.Read(func(fd uintptr) bool {
@@ -22,7 +22,9 @@
 	return err == nil && quiet
 }
 
-// FirstLine is the first line that comes, without its newline; nil if it does not end. It stays to be read.
+// FirstLine returns the first line to be read, without its newline, and leaves it in the reader. It blocks until the line
+// is complete. It returns nil if reading fails before that or the line does not fit into the reader's buffer. The bytes are
+// valid until the next read.
 func FirstLine(in *bufio.Reader) []byte {
 	for {
 		seen, _ := in.Peek(in.Buffered())
@@ -35,7 +37,7 @@
 	}
 }
 
-// Status reads a status line of HTTP/1; 0 if it is none.
+// Status returns the status code of an HTTP/1 status line, or 0 if the line is not one.
 func Status(line []byte) int {
 	proto, rest, _ := bytes.Cut(bytes.TrimRight(line, "\r"), []byte(" "))
 	code, _, _ := bytes.Cut(rest, []byte(" "))
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -21,19 +21,19 @@
 	}
 }
 
-func TestFirstLineStaysToBeRead(t *testing.T) {
+func TestFirstLineIsNotConsumed(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nA: b\r\n"
 	in := bufio.NewReader(iotest.OneByteReader(strings.NewReader(text)))
 	if got := string(FirstLine(in)); got != "HTTP/1.1 200 OK\r" {
 		t.Errorf("first line is %q", got)
 	}
 	if all, err := io.ReadAll(in); err != nil || string(all) != text {
-		t.Errorf("left to be read is %q, %v", all, err)
+		t.Errorf("unread are %q, %v", all, err)
 	}
 }
 
 func TestFirstLineWithoutEnd(t *testing.T) {
-	for name, text := range map[string]string{"nothing": "", "broken off": "HTTP/1.1 2", "longer than the buffer": strings.Repeat("x", 64)} {
+	for name, text := range map[string]string{"nothing": "", "truncated": "HTTP/1.1 2", "longer than the buffer": strings.Repeat("x", 64)} {
 		if got := FirstLine(bufio.NewReaderSize(strings.NewReader(text), 16)); got != nil {
 			t.Errorf("%s: first line is %q, want none", name, got)
 		}
@@ -45,9 +45,9 @@
 		act  func(far *net.TCPConn) error
 		want bool
 	}{
-		"nothing has come": {func(*net.TCPConn) error { return nil }, true},
-		"a byte":           {func(far *net.TCPConn) error { _, err := far.Write([]byte("x")); return err }, false},
-		"its end":          {func(far *net.TCPConn) error { return far.CloseWrite() }, false},
+		"nothing arrived": {func(*net.TCPConn) error { return nil }, true},
+		"a byte":          {func(far *net.TCPConn) error { _, err := far.Write([]byte("x")); return err }, false},
+		"end of stream":   {func(far *net.TCPConn) error { return far.CloseWrite() }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := pair(t)
@@ -68,7 +68,7 @@
 	}
 }
 
-// waitReadable returns once something has come, and leaves it there.
+// waitReadable returns once something has arrived, and does not consume it.
 func waitReadable(t *testing.T, raw syscall.RawConn) {
 	t.Helper()
 	err := raw.Read(func(fd uintptr) bool {
@@ -81,6 +81,7 @@
 	}
 }
 
+// pair returns the two ends of a TCP connection.
 func pair(t *testing.T) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
