--- a/internal/relay/front/httpapi/doors.go
+++ b/internal/relay/front/httpapi/doors.go
@@ -7,28 +7,33 @@
 	"time"
 )
 
-// Doors send a relay's clients away while the process keeps running, and let them in again. Closed, /up says no,
-// so that the front sends nobody new; messages are still taken on, since the front needs a while to notice; each
-// answer ends its connection; and after the grace the connections on which no request has begun are closed.
+// Doors drain a relay's client connections while the process keeps running, and admit clients again. While they are
+// closed, /up fails, so that the load balancer in front sends no new clients; messages are still accepted, since that
+// takes a while to have effect; each response closes its connection; and after a grace period the connections on
+// which no request has begun are closed.
+//
+// Doors are safe for concurrent use.
 type Doors struct {
 	clients *Listener
 	grace   time.Duration
-	closed  atomic.Bool
+	closed  atomic.Bool // written under mu
 
 	mu    sync.Mutex
-	timer *time.Timer // closes idle connections
+	timer *time.Timer // closes idle connections after grace; nil while the doors are open, and once they are shut for good
 }
 
-// idleRecheckInterval is how soon it is looked anew for idle connections: an answer under way when the doors were closed keeps its own.
+// idleRecheckInterval is the time between two passes that close idle connections: a response that was under way when
+// the doors were closed left its connection open.
 const idleRecheckInterval = 100 * time.Millisecond
 
-// NewDoors are open doors of a listener's clients. The grace is how long idle connections stay once the doors are
-// closed: longer than the front goes on sending clients, so that few meet a connection that closes under them.
+// NewDoors returns open doors for a listener's clients. grace is the time for which idle connections stay open once the
+// doors are closed. It should be longer than the load balancer goes on sending clients, so that few of them use a
+// connection that is just being closed.
 func NewDoors(clients *Listener, grace time.Duration) *Doors {
 	return &Doors{clients: clients, grace: grace}
 }
 
-// Close sends clients away. Closing closed doors changes nothing.
+// Close begins to drain the client connections. It has no effect on doors that are closed.
 func (d *Doors) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,7 +42,8 @@
 	}
 }
 
-// Shut sends clients away with no grace, for good: the doors do not open again.
+// Shut closes the idle client connections at once, and the doors for good: Open has no effect afterwards. It may be
+// called again, to close connections that have become idle since.
 func (d *Doors) Shut() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,6 +55,7 @@
 	d.clients.SendAway(false)
 }
 
+// closeIdle closes the idle client connections and schedules the next pass.
 func (d *Doors) closeIdle() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +65,7 @@
 	}
 }
 
-// Open lets clients in again, at once.
+// Open admits clients again, at once.
 func (d *Doors) Open() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,10 +77,10 @@
 	d.timer = nil
 }
 
-// Closed tells whether clients are being sent away.
+// Closed reports whether the client connections are being drained.
 func (d *Doors) Closed() bool { return d.closed.Load() }
 
-// ServeUp answers whether clients may be sent here.
+// ServeUp is the handler of /up: status 200 if clients may be sent here, and 503 while the doors are closed.
 func (d *Doors) ServeUp(w http.ResponseWriter, _ *http.Request) {
 	if d.Closed() {
 		http.Error(w, "clients are sent away", http.StatusServiceUnavailable)
@@ -82,7 +89,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Behind has each answer of a handler end its connection while the doors are closed.
+// Behind wraps a handler so that each of its responses closes the connection while the doors are closed.
 func (d *Doors) Behind(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if d.Closed() {
--- a/internal/relay/front/httpapi/listen.go
+++ b/internal/relay/front/httpapi/listen.go
@@ -1,5 +1,3 @@
-// Package httpapi is the front on which clients hand messages in by HTTP. So far it holds the listener that
-// bounds their connections.
 package httpapi
 
 import (
@@ -10,43 +8,48 @@
 	"time"
 )
 
-// silentAllowance is how long a new connection may stay silent while others are closed in its place.
+// silentAllowance is the age up to which a connection that has sent nothing is not the first choice for closing.
 const silentAllowance = 200 * time.Millisecond
 
-// Listener bounds the connections of clients. It accepts always: where a limit on accepting
-// would leave a client with neither an answer nor a close, one connection on which no
-// request is open is closed for each that is too many.
+// Listener bounds the number of client connections. It accepts every connection, since a client that is not accepted
+// gets neither a response nor a close. Above the bound it closes one connection for each that it accepts, but none with
+// a request that was read completely and is not answered yet.
+//
+// Its http.Server must use WithClient and ClientState, and the handler must call RequestRead.
 type Listener struct {
 	*net.TCPListener
 	maxConns int
-	mu       sync.Mutex
-	conns    map[*clientConn]bool
+
+	mu    sync.Mutex
+	conns map[*clientConn]bool
 }
 
+// clientConn is a client's connection. Listener.mu guards the fields below listener.
 type clientConn struct {
-	*net.TCPConn   // net/http needs its CloseWrite
-	listener       *Listener
-	idleSince      time.Time // accepted, or last answered
-	servedBefore   bool      // a request was answered here
-	requestStarted bool      // bytes of one have been read since
-	requestPending bool      // one was read whole and is not yet answered
-	nextStarted    bool      // bytes of the next were read while one was open: net/http looks whether the client is there
-	closing        bool      // the client is being sent away: unless a request has begun, reading fails
-	readDeadline   time.Time // of reading, as net/http has it
-}
-
-// Listen listens on an address, for so many connections at most.
-func Listen(addr string, most int) (*Listener, error) {
+	*net.TCPConn // net/http needs its CloseWrite
+	listener     *Listener
+
+	idleSince      time.Time // when it was accepted, or its last request was answered
+	servedBefore   bool      // a request was answered on it
+	requestStarted bool      // bytes of a request have been read since idleSince
+	requestPending bool      // a request was read completely and is not answered yet
+	nextStarted    bool      // net/http, checking for a disconnect, read bytes of the next request during a pending one
+	closing        bool      // reads fail unless a request has started
+	readDeadline   time.Time // the last one that net/http set
+}
+
+// Listen listens on an address, for at most maxConns connections.
+func Listen(addr string, maxConns int) (*Listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return Adopt(l.(*net.TCPListener), most), nil
+	return Adopt(l.(*net.TCPListener), maxConns), nil
 }
 
-// Adopt bounds the connections of a listener that is there.
-func Adopt(l *net.TCPListener, most int) *Listener {
-	return &Listener{TCPListener: l, maxConns: most, conns: map[*clientConn]bool{}}
+// Adopt bounds the connections of an existing listener, for example one that another process passed on.
+func Adopt(l *net.TCPListener, maxConns int) *Listener {
+	return &Listener{TCPListener: l, maxConns: maxConns, conns: map[*clientConn]bool{}}
 }
 
 // Accept implements net.Listener.
@@ -69,10 +72,10 @@
 	return c, nil
 }
 
-// victim picks the connection to close: the oldest that has stayed silent, else the oldest
-// between two requests, else the oldest with no request open whole, else the newest.
+// victim returns the connection to close: the oldest that has sent nothing for longer than silentAllowance, else the
+// oldest between two requests, else the oldest without a pending request, else the newest. The caller holds the lock.
 func (s *Listener) victim(newest *clientConn) *clientConn {
-	for _, may := range []func(*clientConn) bool{
+	for _, eligible := range []func(*clientConn) bool{
 		func(c *clientConn) bool {
 			return !c.servedBefore && !c.requestStarted && newest.idleSince.Sub(c.idleSince) > silentAllowance
 		},
@@ -81,7 +84,7 @@
 	} {
 		var oldest *clientConn
 		for c := range s.conns {
-			if !c.requestPending && may(c) && (oldest == nil || c.idleSince.Before(oldest.idleSince)) {
+			if !c.requestPending && eligible(c) && (oldest == nil || c.idleSince.Before(oldest.idleSince)) {
 				oldest = c
 			}
 		}
@@ -92,6 +95,7 @@
 	return newest
 }
 
+// Close closes the connection and removes it from the listener's count.
 func (c *clientConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.conns, c)
@@ -99,37 +103,39 @@
 	return c.TCPConn.Close()
 }
 
-// SendAway ends the connections on which no request has begun: those between two requests, and all if new ones are meant
-// as well, which clients may be about to use. A request of which a byte was read is read on and answered: net/http's
-// own closing of idle connections takes a connection for idle until a request's head is whole, and would drop what it
-// has read of it. One that is still in the kernel is refused by a reset: its client sends it once more.
-func (s *Listener) SendAway(new bool) {
+// SendAway closes the connections on which no request has started: those between two requests and, with includeNew,
+// also those without a request so far, which clients may be about to use.
+//
+// A request of which a byte was read is read on and answered. http.Server's own closing of idle connections does not do
+// that: it takes a connection for idle until a request's header is complete, and drops what it has read of it. A
+// request that is still in the kernel's buffer is rejected by a reset, after which its client retries it.
+func (s *Listener) SendAway(includeNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closeIdleLocked(new)
+	s.closeIdleLocked(includeNew)
 }
 
-// closeIdleLocked is SendAway with the lock held.
-func (s *Listener) closeIdleLocked(new bool) {
+// closeIdleLocked implements SendAway. The caller holds the lock.
+func (s *Listener) closeIdleLocked(includeNew bool) {
 	for c := range s.conns {
-		if (c.servedBefore || new) && !c.requestStarted && !c.closing {
+		if (c.servedBefore || includeNew) && !c.requestStarted && !c.closing {
 			c.closing = true
 			c.TCPConn.SetReadDeadline(expiredDeadline)
 		}
 	}
 }
 
-// expiredDeadline is before any time.
+// expiredDeadline is a read deadline that has passed.
 var expiredDeadline = time.Unix(1, 0)
 
-// Len is how many connections are open.
+// Len returns the number of open connections.
 func (s *Listener) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Begun is on how many of them a request has begun that is not answered yet.
+// Begun returns the number of connections on which a request has started that is not answered yet.
 func (s *Listener) Begun() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +147,7 @@
 	return n
 }
 
-// Read takes in that a request has begun. What was read before its client could be sent away is no longer refused.
+// Read records that a request has started. If the connection was being closed, it is not any more: the request is served.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 {
@@ -156,7 +162,7 @@
 	return n, err
 }
 
-// SetReadDeadline keeps a client that is being sent away from another deadline.
+// SetReadDeadline sets the deadline at once, or, while the connection is being closed, only if a request starts.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -166,14 +172,16 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
+// clientConnKey is the context key of a request's *clientConn.
 type clientConnKey struct{}
 
-// WithClient is the http.Server's ConnContext for a Listener's connections.
+// WithClient is the http.Server.ConnContext for a Listener's connections.
 func WithClient(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, c)
 }
 
-// RequestRead keeps the request's connection from being closed until its answer is written.
+// RequestRead keeps a request's connection from being closed until its response is written. The handler calls it with
+// the request's context once the request has been read completely.
 func RequestRead(ctx context.Context) {
 	if c, ok := ctx.Value(clientConnKey{}).(*clientConn); ok {
 		c.listener.mu.Lock()
@@ -182,7 +190,7 @@
 	}
 }
 
-// ClientState is the http.Server's ConnState for them: it takes in that an answer was written.
+// ClientState is the http.Server.ConnState for a Listener's connections: it records that a response was written.
 func ClientState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok || state != http.StateIdle {
@@ -190,5 +198,6 @@
 	}
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.requestStarted, c.nextStarted, c.requestPending, c.servedBefore, c.idleSince = c.nextStarted, false, false, true, time.Now()
+	c.requestStarted, c.nextStarted = c.nextStarted, false
+	c.requestPending, c.servedBefore, c.idleSince = false, true, time.Now()
 }
--- a/internal/relay/front/httpapi/listen_test.go
+++ b/internal/relay/front/httpapi/listen_test.go
@@ -10,27 +10,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards against closing a connection whose request is not answered yet.
-func TestSpareConnection(t *testing.T) {
+// The connection to close is never one with a pending request.
+func TestVictimConnection(t *testing.T) {
 	now := time.Now()
-	conn := func(age time.Duration, asked, open bool) *clientConn {
-		return &clientConn{idleSince: now.Add(-age), servedBefore: asked, requestPending: open}
+	conn := func(age time.Duration, servedBefore, pending bool) *clientConn {
+		return &clientConn{idleSince: now.Add(-age), servedBefore: servedBefore, requestPending: pending}
 	}
 	silent, idle, older, busy, young := conn(time.Second, false, false), conn(time.Second, true, false),
 		conn(2*time.Second, true, false), conn(time.Minute, true, true), conn(time.Millisecond, false, false)
 	newest := conn(0, false, false)
 	s := &Listener{conns: map[*clientConn]bool{silent: true, idle: true, older: true, busy: true, young: true, newest: true}}
-	for _, next := range []*clientConn{silent, older, idle, young, newest} {
-		if got := s.victim(newest); got != next {
-			t.Fatalf("closed is %+v, want %+v", got, next)
+	for _, want := range []*clientConn{silent, older, idle, young, newest} {
+		if got := s.victim(newest); got != want {
+			t.Fatalf("closed is %+v, want %+v", got, want)
 		}
-		delete(s.conns, next)
+		delete(s.conns, want)
 	}
 }
 
-// Clients are sent away as the first bytes of a request have been read and nobody has been told of them yet: they are held
-// between the two, by the lock. The request is read on; and the deadline that net/http had set holds again.
-func TestClientIsSentAwayAsItsRequestIsRead(t *testing.T) {
+// Idle connections are closed when the first bytes of a request have been read from the kernel and not been recorded
+// yet: the test holds the lock between the two. The request is read on, and net/http's deadline applies again.
+func TestSendAwayDuringFirstRead(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 4)
 	if err != nil {
 		t.Fatal(err)
@@ -63,13 +63,13 @@
 	for unread() != 2 {
 		time.Sleep(time.Millisecond)
 	}
-	type got struct {
+	type readResult struct {
 		n   int
 		err error
 	}
-	read := make(chan got, 1)
+	read := make(chan readResult, 1)
 	l.mu.Lock()
-	go func() { n, err := c.Read(make([]byte, 8)); read <- got{n, err} }()
+	go func() { n, err := c.Read(make([]byte, 8)); read <- readResult{n, err} }()
 	for unread() != 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -84,14 +84,14 @@
 	}
 	ClientState(c, http.StateIdle)
 	l.SendAway(false)
-	c.SetReadDeadline(time.Now().Add(time.Minute)) // net/http's: it keeps nobody who was sent away
+	c.SetReadDeadline(time.Now().Add(time.Minute)) // as net/http does: it does not keep a closing connection open
 	if n, err := c.Read(make([]byte, 8)); n != 0 || !os.IsTimeout(err) {
 		t.Fatalf("read %d bytes, %v between two requests, want it to fail at once", n, err)
 	}
 }
 
-// A byte of the next request that net/http reads while it looks whether the client is still there is its beginning.
-func TestNextRequestBeginsEarly(t *testing.T) {
+// A byte that net/http reads while it checks for a disconnect during a request starts the next request.
+func TestNextRequestStartsDuringPendingOne(t *testing.T) {
 	s := &Listener{conns: map[*clientConn]bool{}}
 	c := &clientConn{listener: s, requestStarted: true, requestPending: true, nextStarted: true}
 	ClientState(c, http.StateIdle)
