--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// takeIn is how long a second process tries to take the place of the first. The platform gives it 6 s to serve.
-	takeIn    = 5 * time.Second
-	takeAgain = 50 * time.Millisecond
+	// takeoverTimeout is how long a second process tries to take the place of the first. The platform gives it 6 s to serve.
+	takeoverTimeout       = 5 * time.Second
+	takeoverRetryInterval = 50 * time.Millisecond
 )
 
 // Run serves until a signal stops the relay or another process has taken its place. Env looks up the environment.
@@ -32,7 +32,7 @@
 	}
 	slog.Debug("configuration", "file", string(conf.File()))
 	Limit(max(1, conf.Cores), conf.MemoryMB)
-	at := new(seat)
+	at := new(supervisor)
 	if conf.Admin != "" {
 		second, err := admin.Listen(conf.Admin)
 		if err != nil {
@@ -42,9 +42,9 @@
 		defer second.Close()
 		slog.Info("second address", "at", second.Addr()) // not "addr", which is the clients'
 	}
-	go at.heed(conf, env, stop, reload)
+	go at.handleSignals(conf, env, stop, reload)
 	for first := conf; ; {
-		heard := at.conf.Load()
+		heard := at.reloaded.Load()
 		if conf = first; heard != nil {
 			conf = *heard
 		}
@@ -61,8 +61,8 @@
 
 // serve runs one relay from its start to its end, and tells whether it is wanted again. Heard is what was read again
 // before, and stands in conf.
-func serve(conf relay.Config, heard *relay.Config, at *seat) (again bool, err error) {
-	heir, lock, err := take(conf.State)
+func serve(conf relay.Config, heard *relay.Config, at *supervisor) (again bool, err error) {
+	heir, lock, err := acquireState(conf.State)
 	if err != nil {
 		return false, err
 	}
@@ -78,7 +78,7 @@
 		return false, err
 	}
 	defer next.Close()
-	at.occupy(r, heard)
+	at.setRelay(r, heard)
 	slog.Info("serving", "addr", r.Addr())
 	if heir != nil {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -92,9 +92,9 @@
 	return r.Orphan(), nil
 }
 
-// take makes the state folder this process's: another that runs hands over, one that is about to end is waited for.
-func take(dir string) (heir *handover.Heir, lock *os.File, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), takeIn)
+// acquireState makes the state folder this process's: another that runs hands over, one that is about to end is waited for.
+func acquireState(dir string) (heir *handover.Heir, lock *os.File, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), takeoverTimeout)
 	defer cancel()
 	for {
 		if heir == nil {
@@ -111,38 +111,38 @@
 		select {
 		case <-ctx.Done():
 			return nil, nil, err
-		case <-time.After(takeAgain):
+		case <-time.After(takeoverRetryInterval):
 		}
 	}
 }
 
-// seat is where the relay of this process is, and what it has been told; a relay that is taken up again follows
+// supervisor is where the relay of this process is, and what it has been told; a relay that is taken up again follows
 // another in it.
-type seat struct {
+type supervisor struct {
 	relay    atomic.Pointer[relay.Relay]
-	conf     atomic.Pointer[relay.Config] // of the file as last read again; nil if it was not
+	reloaded atomic.Pointer[relay.Config] // of the file as last read again; nil if it was not
 	stopping atomic.Bool
 }
 
-// occupy makes a relay the one that signals are for. Those that came while it was made were for nobody, or for the one
+// setRelay makes a relay the one that signals are for. Those that came while it was made were for nobody, or for the one
 // before it: it is told of what it was not made with. Either this sees a signal, or the signal sees the relay.
-func (s *seat) occupy(r *relay.Relay, heard *relay.Config) {
+func (s *supervisor) setRelay(r *relay.Relay, heard *relay.Config) {
 	s.relay.Store(r)
-	if c := s.conf.Load(); c != heard {
-		s.retell(r, c)
+	if c := s.reloaded.Load(); c != heard {
+		s.reconfigure(r, c)
 	}
 	if s.stopping.Load() {
 		go r.Terminate()
 	}
 }
 
-func (s *seat) retell(r *relay.Relay, c *relay.Config) {
+func (s *supervisor) reconfigure(r *relay.Relay, c *relay.Config) {
 	r.Rediscover(c.Discovery)
 	r.Retune(c.Settings)
 }
 
-// heed carries signals out.
-func (s *seat) heed(conf relay.Config, env func(string) string, stop, reload <-chan os.Signal) {
+// handleSignals carries signals out.
+func (s *supervisor) handleSignals(conf relay.Config, env func(string) string, stop, reload <-chan os.Signal) {
 	for {
 		select {
 		case sig := <-stop:
@@ -159,10 +159,10 @@
 				slog.Error("configuration not read again, the old one stays", "err", err)
 				continue
 			}
-			s.conf.Store(&again)
+			s.reloaded.Store(&again)
 			slog.Info("configuration read again", "discovery", again.Discovery[0])
 			if r := s.relay.Load(); r != nil {
-				s.retell(r, &again)
+				s.reconfigure(r, &again)
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 var errStarting = errors.New("the relay is starting")
 
 // Serving implements admin.Relay.
-func (s *seat) Serving(ctx context.Context) error {
+func (s *supervisor) Serving(ctx context.Context) error {
 	if r := s.relay.Load(); r != nil {
 		return r.Serving(ctx)
 	}
@@ -179,14 +179,14 @@
 }
 
 // Quiesce implements admin.Relay.
-func (s *seat) Quiesce() {
+func (s *supervisor) Quiesce() {
 	if r := s.relay.Load(); r != nil {
 		r.Quiesce()
 	}
 }
 
 // Resume implements admin.Relay.
-func (s *seat) Resume() {
+func (s *supervisor) Resume() {
 	if r := s.relay.Load(); r != nil {
 		r.Resume()
 	}
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -62,9 +62,9 @@
 	moved, asked := agent(t)
 	state := t.TempDir()
 	conf, again := config(t, state, old), config(t, state, moved)
-	at := new(seat)
-	at.conf.Store(&again)   // SIGHUP
-	at.stopping.Store(true) // SIGTERM
+	at := new(supervisor)
+	at.reloaded.Store(&again) // SIGHUP
+	at.stopping.Store(true)   // SIGTERM
 	over := make(chan error, 1)
 	go func() {
 		_, err := serve(conf, nil, at)
