--- a/internal/relay/front/admin/admin.go
+++ b/internal/relay/front/admin/admin.go
@@ -1,6 +1,7 @@
-// Package admin is the second address, at which the platform asks a relay for its health and has it send its
-// clients away. It shares nothing with the clients' address: neither its connections nor its limits, so that it
-// answers whatever the load there.
+// Package admin serves the second address of a relay, on which the platform checks its health and has it drain
+// its client connections. It shares neither connections nor limits with the clients' address, so that it
+// responds under any load there. Server is safe for concurrent use, except that Close must not run at the same
+// time as Serve.
 package admin
 
 import (
@@ -13,33 +14,36 @@
 	"larchrouter/internal/relay/front/httpapi"
 )
 
-// A call is owed its answer within a second of being sent, and callers that send nothing, or half a call, must
-// not keep others waiting: each connection has its own goroutine, one call, and little time.
+// The platform expects a response within a second. Clients that send nothing, or an incomplete request, must
+// not delay others: each connection has its own goroutine and carries one request, with short time-outs.
 const (
-	requestReadTimeout   = 800 * time.Millisecond // for a call to come in whole
-	healthTimeout        = 500 * time.Millisecond // for the relay to show that it decides
-	responseWriteTimeout = time.Second            // for the answer to be written
+	requestReadTimeout   = 800 * time.Millisecond // for a complete request
+	healthTimeout        = 500 * time.Millisecond // for Relay.Serving
+	responseWriteTimeout = time.Second
 )
 
-// MostCalls is how many connections are open at once; one more has the oldest silent one closed.
+// MostCalls is the maximum number of open connections. For each above it, one without a pending request is closed.
 const MostCalls = 12
 
-// Relay is what the calls are about.
+// Relay is the relay that a Server controls. Its methods are called concurrently.
 type Relay interface {
-	// Serving returns nil if messages can be decided on now. It gives up when the context ends.
+	// Serving returns nil if the relay can decide on messages now, and an error at the latest when the context
+	// ends.
 	Serving(context.Context) error
-	// Quiesce sends clients away until Resume; the process goes on, and delivers what it holds.
+	// Quiesce drains the client connections until Resume. The process keeps running and delivers its pending
+	// messages.
 	Quiesce()
+	// Resume admits clients again.
 	Resume()
 }
 
-// Server answers at the second address.
+// Server serves the second address.
 type Server struct {
 	listener net.Listener
-	server   *http.Server
+	server   *http.Server // nil before Serve
 }
 
-// Listen listens on an address. The relay is not asked before Serve.
+// Listen listens on an address. Connections are not served before Serve.
 func Listen(addr string) (*Server, error) {
 	l, err := httpapi.Listen(addr, MostCalls)
 	if err != nil {
@@ -48,18 +52,24 @@
 	return &Server{listener: l}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve answers for a relay until Close.
+// Serve starts to serve requests to a relay, until Close. It does not block.
 func (s *Server) Serve(r Relay) {
-	s.server = &http.Server{Handler: newHandler(r), ReadTimeout: requestReadTimeout, WriteTimeout: requestReadTimeout + responseWriteTimeout,
-		MaxHeaderBytes: 4 << 10, ConnContext: httpapi.WithClient, ConnState: httpapi.ClientState}
-	s.server.SetKeepAlivesEnabled(false) // one call to a connection
+	s.server = &http.Server{
+		Handler:        newHandler(r),
+		ReadTimeout:    requestReadTimeout,
+		WriteTimeout:   requestReadTimeout + responseWriteTimeout,
+		MaxHeaderBytes: 4 << 10,
+		ConnContext:    httpapi.WithClient,
+		ConnState:      httpapi.ClientState,
+	}
+	s.server.SetKeepAlivesEnabled(false) // one request per connection
 	go s.server.Serve(s.listener)
 }
 
-// Close ends it; calls under way are broken off.
+// Close closes the listener and all connections; requests under way are aborted.
 func (s *Server) Close() {
 	if s.server != nil {
 		s.server.Close()
@@ -67,6 +77,7 @@
 	s.listener.Close()
 }
 
+// newHandler returns the handler of the health, quiesce and resume requests.
 func newHandler(r Relay) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /admin/health", func(w http.ResponseWriter, req *http.Request) {
--- a/internal/relay/front/admin/admin_test.go
+++ b/internal/relay/front/admin/admin_test.go
@@ -16,35 +16,36 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fake is a relay that notes what it is told.
-type fake struct {
+// fakeRelay records whether it is quiesced, and can be made unresponsive.
+type fakeRelay struct {
 	quiet atomic.Bool
 	stuck atomic.Bool
 }
 
-func (f *fake) Serving(ctx context.Context) error {
+func (f *fakeRelay) Serving(ctx context.Context) error {
 	if f.stuck.Load() {
 		<-ctx.Done()
-		return errors.New("the loop does not answer")
+		return errors.New("the loop does not respond")
 	}
 	return nil
 }
-func (f *fake) Quiesce() { f.quiet.Store(true) }
-func (f *fake) Resume()  { f.quiet.Store(false) }
+func (f *fakeRelay) Quiesce() { f.quiet.Store(true) }
+func (f *fakeRelay) Resume()  { f.quiet.Store(false) }
 
-func serve(t *testing.T) (*fake, string) {
+// serve starts a server for a fake relay, and returns both the relay and the server's address.
+func serve(t *testing.T) (*fakeRelay, string) {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := new(fake)
+	f := new(fakeRelay)
 	s.Serve(f)
 	t.Cleanup(s.Close)
 	return f, s.Addr()
 }
 
-// call makes one call as the platform does, and returns its status and how long it took.
+// call sends one request as the platform does, and returns its status and duration.
 func call(t *testing.T, addr, method, path string) (int, time.Duration) {
 	t.Helper()
 	begin := time.Now()
@@ -58,7 +59,7 @@
 	return resp.StatusCode, time.Since(begin)
 }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	f, addr := serve(t)
 	for _, c := range []struct {
 		method, path string
@@ -67,10 +68,10 @@
 	}{
 		{"GET", "/admin/health", 200, false},
 		{"POST", "/admin/quiesce", 200, true},
-		{"POST", "/admin/quiesce", 200, true}, // told twice
-		{"GET", "/admin/health", 200, true},   // sending clients away is no ill health
+		{"POST", "/admin/quiesce", 200, true}, // idempotent
+		{"GET", "/admin/health", 200, true},   // a drained relay is healthy
 		{"POST", "/admin/resume", 200, false},
-		{"GET", "/admin/quiesce", 405, false}, // a look changes nothing
+		{"GET", "/admin/quiesce", 405, false}, // GET changes nothing
 		{"POST", "/admin/stop", 404, false},
 		{"GET", "/up", 404, false},
 	} {
@@ -84,10 +85,11 @@
 	}
 }
 
-// Callers that send nothing or half a call are closed on, and others are answered meanwhile, however many they are.
-func TestSilentCallers(t *testing.T) {
+// Connections without a complete request are closed, and other requests are answered meanwhile, however many
+// there are.
+func TestIncompleteRequestsDoNotDelayOthers(t *testing.T) {
 	_, addr := serve(t)
-	var silent []net.Conn
+	var incomplete []net.Conn
 	for i := range 3 * MostCalls {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -97,15 +99,15 @@
 		if i%2 == 0 {
 			io.WriteString(c, "POST /admin/qui")
 		}
-		silent = append(silent, c)
+		incomplete = append(incomplete, c)
 	}
 	if got, took := call(t, addr, "GET", "/admin/health"); got != 200 || took > time.Second {
-		t.Errorf("beside %d silent callers: %d after %v, want 200 within 1 s", len(silent), got, took)
+		t.Errorf("with %d incomplete requests: %d after %v, want 200 within 1 s", len(incomplete), got, took)
 	}
-	for _, c := range silent {
+	for _, c := range incomplete {
 		c.SetReadDeadline(time.Now().Add(30 * time.Second))
 		if left, err := io.ReadAll(c); errors.Is(err, context.DeadlineExceeded) || strings.Contains(string(left), " 200 ") {
-			t.Errorf("a silent caller got %q, %v; want a close", left, err)
+			t.Errorf("an incomplete request got %q, %v; want a close", left, err)
 		}
 	}
 }
--- a/internal/relay/front/httpapi/listen.go
+++ b/internal/relay/front/httpapi/listen.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// silentAllowance is the age up to which a connection that has sent nothing is not the first choice for closing.
-const silentAllowance = 200 * time.Millisecond
+// unusedAllowance is the age up to which a connection that has sent nothing is not the first choice for closing.
+const unusedAllowance = 200 * time.Millisecond
 
 // Listener bounds the number of client connections. It accepts every connection, since a client that is not accepted
 // gets neither a response nor a close. Above the bound it closes one connection for each that it accepts, but none with
@@ -77,7 +77,7 @@
 func (s *Listener) victim(newest *clientConn) *clientConn {
 	for _, eligible := range []func(*clientConn) bool{
 		func(c *clientConn) bool {
-			return !c.servedBefore && !c.requestStarted && newest.idleSince.Sub(c.idleSince) > silentAllowance
+			return !c.servedBefore && !c.requestStarted && newest.idleSince.Sub(c.idleSince) > unusedAllowance
 		},
 		func(c *clientConn) bool { return c.servedBefore && !c.requestStarted },
 		func(c *clientConn) bool { return true },
