--- a/internal/relay/platform/platform.go
+++ b/internal/relay/platform/platform.go
@@ -1,5 +1,9 @@
-// Package platform runs the relay under the platform: told by BALANCER_CONFIG, stopped by SIGTERM, told of a
-// new configuration by SIGHUP, replaced by a second process that is started beside it.
+// Package platform runs the relay as a service of the platform: BALANCER_CONFIG names its configuration file,
+// SIGTERM stops it, SIGHUP reloads the configuration, and a second process that is started with the same state
+// folder takes over from it.
+//
+// A process runs one relay at a time, and owns the state folder's lock while it does. If its successor ends
+// before the takeover is complete, it starts a new relay from the journal.
 package platform
 
 import (
@@ -9,7 +13,6 @@
 	"os"
 	"runtime"
 	"runtime/debug"
-	"sync/atomic"
 	"time"
 
 	"larchrouter/internal/relay"
@@ -19,12 +22,19 @@
 )
 
 const (
-	// takeoverTimeout is how long a second process tries to take the place of the first. The platform gives it 6 s to serve.
+	// takeoverTimeout bounds the time in which a process gets the state folder. The platform expects it to
+	// serve within 6 s.
 	takeoverTimeout       = 5 * time.Second
 	takeoverRetryInterval = 50 * time.Millisecond
+
+	// memoryLimitShare is the share of the process's memory limit that the Go runtime may use: file pages count
+	// as well, and the runtime exceeds its limit at times.
+	memoryLimitShare = 0.6
 )
 
-// Run serves until a signal stops the relay or another process has taken its place. Env looks up the environment.
+// Run runs relays until a signal stops them or another process has taken over. env looks up environment
+// variables; stop delivers the signals to stop and reload those to read the configuration again. Run returns an
+// error if the configuration is invalid or a relay does not start.
 func Run(env func(string) string, stop, reload <-chan os.Signal) error {
 	conf, err := relay.ReadConfig(env)
 	if err != nil {
@@ -32,26 +42,26 @@
 	}
 	slog.Debug("configuration", "file", string(conf.File()))
 	Limit(max(1, conf.Cores), conf.MemoryMB)
-	at := new(supervisor)
+	sup := new(supervisor)
 	if conf.Admin != "" {
-		second, err := admin.Listen(conf.Admin)
+		adminServer, err := admin.Listen(conf.Admin)
 		if err != nil {
 			return err
 		}
-		second.Serve(at)
-		defer second.Close()
-		slog.Info("second address", "at", second.Addr()) // not "addr", which is the clients'
-	}
-	go at.handleSignals(conf, env, stop, reload)
-	for first := conf; ; {
-		heard := at.reloaded.Load()
-		if conf = first; heard != nil {
-			conf = *heard
+		adminServer.Serve(sup)
+		defer adminServer.Close()
+		slog.Info("second address", "at", adminServer.Addr()) // not "addr", which is the clients'
+	}
+	go sup.handleSignals(conf, env, stop, reload)
+	for initial := conf; ; {
+		reloaded := sup.reloaded.Load()
+		if conf = initial; reloaded != nil {
+			conf = *reloaded
 		}
-		switch again, err := serve(conf, heard, at); {
+		switch restart, err := serve(conf, reloaded, sup); {
 		case err != nil:
 			return err
-		case !again || at.stopping.Load():
+		case !restart || sup.stopping.Load():
 			slog.Info("stopped")
 			return nil
 		}
@@ -59,32 +69,33 @@
 	}
 }
 
-// serve runs one relay from its start to its end, and tells whether it is wanted again. Heard is what was read again
-// before, and stands in conf.
-func serve(conf relay.Config, heard *relay.Config, at *supervisor) (again bool, err error) {
-	heir, lock, err := acquireState(conf.State)
+// serve runs one relay from its start to its end. It reports whether the relay must be started again, because
+// its successor ended before the takeover was complete. reloaded is the reloaded configuration that conf was
+// copied from; nil if conf is the initial one.
+func serve(conf relay.Config, reloaded *relay.Config, sup *supervisor) (restart bool, err error) {
+	successor, lock, err := acquireState(conf.State)
 	if err != nil {
 		return false, err
 	}
 	defer lock.Close()
-	conf.Heir, conf.Unlock = heir, func() { lock.Close() }
+	conf.Heir, conf.Unlock = successor, func() { lock.Close() }
 	r, err := relay.New(conf)
 	if err != nil {
 		return false, err
 	}
-	next, err := handover.Listen(conf.State, r)
+	handoverServer, err := handover.Listen(conf.State, r)
 	if err != nil {
 		r.Abandon()
 		return false, err
 	}
-	defer next.Close()
-	at.setRelay(r, heard)
+	defer handoverServer.Close()
+	sup.setRelay(r, reloaded)
 	slog.Info("serving", "addr", r.Addr())
-	if heir != nil {
+	if successor != nil {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() {
-			heir.Follow(ctx, r.Told)
+			successor.Follow(ctx, r.Told)
 			r.LeftAlone()
 		}()
 	}
@@ -92,20 +103,22 @@
 	return r.Orphan(), nil
 }
 
-// acquireState makes the state folder this process's: another that runs hands over, one that is about to end is waited for.
-func acquireState(dir string) (heir *handover.Heir, lock *os.File, err error) {
+// acquireState locks the state folder for this process. If another process owns it, acquireState asks it to
+// hand over, or waits for its end if that is near. successor is this process's side of the handover; nil if no
+// process handed over.
+func acquireState(dir string) (successor *handover.Heir, lock *os.File, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), takeoverTimeout)
 	defer cancel()
 	for {
-		if heir == nil {
-			heir, err = handover.Ask(ctx, dir)
+		if successor == nil {
+			successor, err = handover.Ask(ctx, dir)
 		}
 		if err == nil {
 			if lock, err = statedir.Lock(dir); err == nil {
-				return heir, lock, nil
+				return successor, lock, nil
 			}
 		}
-		if refused := (*handover.Refused)(nil); !errors.Is(err, statedir.ErrInUse) && !errors.As(err, &refused) {
+		if rejected := (*handover.Refused)(nil); !errors.Is(err, statedir.ErrInUse) && !errors.As(err, &rejected) {
 			return nil, nil, err
 		}
 		select {
@@ -116,88 +129,13 @@
 	}
 }
 
-// supervisor is where the relay of this process is, and what it has been told; a relay that is taken up again follows
-// another in it.
-type supervisor struct {
-	relay    atomic.Pointer[relay.Relay]
-	reloaded atomic.Pointer[relay.Config] // of the file as last read again; nil if it was not
-	stopping atomic.Bool
-}
-
-// setRelay makes a relay the one that signals are for. Those that came while it was made were for nobody, or for the one
-// before it: it is told of what it was not made with. Either this sees a signal, or the signal sees the relay.
-func (s *supervisor) setRelay(r *relay.Relay, heard *relay.Config) {
-	s.relay.Store(r)
-	if c := s.reloaded.Load(); c != heard {
-		s.reconfigure(r, c)
-	}
-	if s.stopping.Load() {
-		go r.Terminate()
-	}
-}
-
-func (s *supervisor) reconfigure(r *relay.Relay, c *relay.Config) {
-	r.Rediscover(c.Discovery)
-	r.Retune(c.Settings)
-}
-
-// handleSignals carries signals out.
-func (s *supervisor) handleSignals(conf relay.Config, env func(string) string, stop, reload <-chan os.Signal) {
-	for {
-		select {
-		case sig := <-stop:
-			slog.Info("stopping", "signal", sig.String())
-			s.stopping.Store(true)
-			if r := s.relay.Load(); r != nil {
-				go r.Terminate()
-				continue
-			}
-			os.Exit(0) // nothing is held here yet
-		case <-reload:
-			again, err := conf.ReadAgain(env)
-			if err != nil {
-				slog.Error("configuration not read again, the old one stays", "err", err)
-				continue
-			}
-			s.reloaded.Store(&again)
-			slog.Info("configuration read again", "discovery", again.Discovery[0])
-			if r := s.relay.Load(); r != nil {
-				s.reconfigure(r, &again)
-			}
-		}
-	}
-}
-
-var errStarting = errors.New("the relay is starting")
-
-// Serving implements admin.Relay.
-func (s *supervisor) Serving(ctx context.Context) error {
-	if r := s.relay.Load(); r != nil {
-		return r.Serving(ctx)
-	}
-	return errStarting
-}
-
-// Quiesce implements admin.Relay.
-func (s *supervisor) Quiesce() {
-	if r := s.relay.Load(); r != nil {
-		r.Quiesce()
-	}
-}
-
-// Resume implements admin.Relay.
-func (s *supervisor) Resume() {
-	if r := s.relay.Load(); r != nil {
-		r.Resume()
-	}
-}
-
-// Limit has the runtime keep to so many cores, 0 for all, and so much memory, 0 for no limit.
+// Limit sets the runtime's limits to the process's: the number of cores (0 for all) and the memory in MiB (0
+// for no limit).
 func Limit(cores, memoryMB float64) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
 	}
 	if memoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryMB*0.6) << 20) // files count as well, and the runtime is not exact
+		debug.SetMemoryLimit(int64(memoryMB*memoryLimitShare) << 20)
 	}
 }
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -19,7 +19,7 @@
 "rules":{"cold":13,"cold-from":0.22,"drain-grace":0.25,"fall":2,"grace-to-answer":0.02,"overload-factor":2},
 "skus":["partner"],"tick":0.005,"weights":"off","zones":["z"]}`
 
-// config is one of a relay whose discovery is at an address.
+// config returns the configuration of a relay with the given state folder and address of the discovery agent.
 func config(t *testing.T, state, discovery string) relay.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -36,12 +36,13 @@
 	return c
 }
 
-// agent notes that it is asked.
-func agent(t *testing.T) (addr string, asked chan bool) {
-	asked = make(chan bool, 100)
+// agent starts a discovery agent without servers. requested gets a value for each request.
+func agent(t *testing.T) (addr string, requested chan bool) {
+	t.Helper()
+	requested = make(chan bool, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		select {
-		case asked <- true:
+		case requested <- true:
 		default:
 		}
 		if req.URL.RawQuery != "" {
@@ -51,36 +52,35 @@
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[]}`)
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return s.Listener.Addr().String(), asked
+	return s.Listener.Addr().String(), requested
 }
 
-// Signals cross the start of a relay, or its start in the place of one that gave way: each comes after the relay's
-// configuration was fixed and before it can be told. It guards against a relay that goes by an old discovery, and
-// against one that runs on until it is killed.
-func TestSignalsCrossTheStart(t *testing.T) {
+// Signals that arrive after a relay's configuration was read and before the relay can be notified are applied:
+// it uses the reloaded discovery agent, and it stops.
+func TestSignalsDuringStart(t *testing.T) {
 	old, _ := agent(t)
-	moved, asked := agent(t)
+	moved, requested := agent(t)
 	state := t.TempDir()
-	conf, again := config(t, state, old), config(t, state, moved)
-	at := new(supervisor)
-	at.reloaded.Store(&again) // SIGHUP
-	at.stopping.Store(true)   // SIGTERM
-	over := make(chan error, 1)
+	conf, reloaded := config(t, state, old), config(t, state, moved)
+	sup := new(supervisor)
+	sup.reloaded.Store(&reloaded) // SIGHUP
+	sup.stopping.Store(true)   // SIGTERM
+	ended := make(chan error, 1)
 	go func() {
-		_, err := serve(conf, nil, at)
-		over <- err
+		_, err := serve(conf, nil, sup)
+		ended <- err
 	}()
 	select {
-	case <-asked:
+	case <-requested:
 	case <-time.After(30 * time.Second):
-		t.Error("the discovery that it was moved to is not asked")
+		t.Error("the reloaded discovery agent got no request")
 	}
 	select {
-	case err := <-over:
+	case err := <-ended:
 		if err != nil {
 			t.Fatal(err)
 		}
 	case <-time.After(30 * time.Second):
-		t.Fatal("the relay runs on after a signal to stop")
+		t.Fatal("the relay does not stop after a signal to stop")
 	}
 }
