--- a/internal/relay/settings/fixtures_test.go
+++ b/internal/relay/settings/fixtures_test.go
@@ -8,7 +8,7 @@
 	"larchrouter/choice"
 )
 
-// frozen is the settings object as platforms and simulators write it, with a value of its own for each key.
+// frozen is the settings object as platforms and simulators write it, with a different value for each key.
 const frozen = `{
 "bounds":{"cancel":true,"conn-idle":1,"dial-timeout":2,"max-retry-after":3,"max-attempts":4,"peers":true,"most-held":5},
 "classes":[{"name":"c6","aim":7,"give-up":8,"effect":"at_most_once","group":"zone","keep-order":true,"late-share":0.25,"window":9,"worth":10},
@@ -18,7 +18,8 @@
 "rules":{"cold":19,"cold-from":20.5,"drain-grace":21,"fall":22,"grace-to-answer":23,"order-settle":24,"overload-factor":25.5},
 "skus":["k26","k27"],"tick":28,"weights":"nominal","zones":["z29"]}`
 
-// Guards against a key that is no longer read: what a file lacks is 0.
+// Every key of the frozen object is read. A key that is not read any more would leave its setting 0 without an
+// error.
 func TestSettingsAreReadAsFrozen(t *testing.T) {
 	const s = time.Second
 	want := Settings{Zones: []string{"z29"}, KindNames: []string{"k26", "k27"}, DialTimeout: 2 * s, MaxRetryAfter: 3 * s, Peers: true,
@@ -26,9 +27,11 @@
 			ZoneFee: []float64{0.5}, Halving: true, Listed: true, Cancels: true, Subscribe: true, ReportLimit: 1,
 			Kinds: []choice.Kind{{Apart: true, PerCall: 13}, {PerCall: 14}},
 			Classes: []choice.Class{
-				{Name: "c6", Aim: 7 * s, Deadline: 8 * s, Worth: 10, LateShare: 0.25, Effect: choice.Unsafe, SameZone: true, Window: 9 * s, Ordered: true},
+				{Name: "c6", Aim: 7 * s, Deadline: 8 * s, Worth: 10, LateShare: 0.25, Effect: choice.Unsafe, SameZone: true,
+					Window: 9 * s, Ordered: true},
 				{Name: "c11", Effect: choice.Keyed}, {Name: "c12", Effect: choice.Safe}},
-			Rules: choice.Rules{AnswerGrace: 23 * s, DrainGrace: 21 * s, OverloadFactor: 25.5, Fall: 22 * s, ColdFrom: 20.5, Cold: 19 * s, OrderSettle: 24 * s}}}
+			Rules: choice.Rules{AnswerGrace: 23 * s, DrainGrace: 21 * s, OverloadFactor: 25.5, Fall: 22 * s, ColdFrom: 20.5,
+				Cold: 19 * s, OrderSettle: 24 * s}}}
 	if got, err := Parse([]byte(frozen)); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v, %v, want\n%+v", got, err, want)
 	}
