--- a/internal/relay/hclfile/hclfile.go
+++ b/internal/relay/hclfile/hclfile.go
@@ -142,15 +142,15 @@
 	return b.Open(found.Body, found.DefRange, attrs, nil), true
 }
 
-const maxName = 100 // bytes
+const maxNameBytes = 100 // bytes
 
 // Label checks a block's label, and faults it where it was used before.
 func (b Block) Label(what string, c *hcl.Block, seen map[string]hcl.Range) (string, bool) {
 	n, at := c.Labels[0], c.LabelRanges[0]
-	if n == "" || len(n) > maxName || strings.IndexFunc(n, func(r rune) bool {
+	if n == "" || len(n) > maxNameBytes || strings.IndexFunc(n, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-_.", r))
 	}) >= 0 {
-		b.Fault(at, "%s %q: a name has 1 to %d letters, digits, '-', '_' or '.'", what, n, maxName)
+		b.Fault(at, "%s %q: a name has 1 to %d letters, digits, '-', '_' or '.'", what, n, maxNameBytes)
 		return n, false
 	}
 	if first, ok := seen[n]; ok {
@@ -179,7 +179,7 @@
 	}
 }
 
-func (b Block) value(name string, want cty.Type, into any, what string) bool {
+func (b Block) decode(name string, want cty.Type, into any, what string) bool {
 	a := b.Attrs[name]
 	if a == nil {
 		return false
@@ -189,7 +189,7 @@
 		b.Diags(diags, "")
 		return false
 	}
-	if v.IsNull() || !v.IsWhollyKnown() || v.Type() != want && !(want == cty.List(cty.String) && listOfText(v)) {
+	if v.IsNull() || !v.IsWhollyKnown() || v.Type() != want && !(want == cty.List(cty.String) && isTextList(v)) {
 		b.Fault(a.Expr.Range(), "%s must be %s", name, what)
 		return false
 	}
@@ -209,7 +209,7 @@
 	return true
 }
 
-func listOfText(v cty.Value) bool {
+func isTextList(v cty.Value) bool {
 	if !v.Type().IsTupleType() {
 		return false
 	}
@@ -229,7 +229,7 @@
 // Text reads a text, which must not be empty. Where there is none, or a faulty one, it gives or.
 func (b Block) Text(name, or string) string {
 	s := or
-	if b.value(name, cty.String, &s, "a text in quotes") && s == "" {
+	if b.decode(name, cty.String, &s, "a text in quotes") && s == "" {
 		b.Fault(b.Where(name), "%s must not be empty", name)
 		return or
 	}
@@ -238,20 +238,20 @@
 
 // Texts reads a list of texts; nil where there is none, or a faulty one.
 func (b Block) Texts(name string) (all []string) {
-	b.value(name, cty.List(cty.String), &all, "a list of texts, such as [\"a\", \"b\"]")
+	b.decode(name, cty.List(cty.String), &all, "a list of texts, such as [\"a\", \"b\"]")
 	return all
 }
 
 // Truth reads true or false. Where there is neither, it gives or.
 func (b Block) Truth(name string, or bool) bool {
-	b.value(name, cty.Bool, &or, "true or false")
+	b.decode(name, cty.Bool, &or, "true or false")
 	return or
 }
 
 // Number reads one from least to most.
 func (b Block) Number(name string, or, least, most float64) float64 {
 	n := or
-	if !b.value(name, cty.Number, &n, "a number") {
+	if !b.decode(name, cty.Number, &n, "a number") {
 		return or
 	}
 	if n < least || n > most {
@@ -282,7 +282,7 @@
 // Span reads a time from least to most.
 func (b Block) Span(name string, or, least, most time.Duration) time.Duration {
 	var s string
-	if !b.value(name, cty.String, &s, `a time in quotes, such as "250ms", "15s" or "24h"`) {
+	if !b.decode(name, cty.String, &s, `a time in quotes, such as "250ms", "15s" or "24h"`) {
 		return or
 	}
 	d, err := time.ParseDuration(s)
