--- a/internal/relay/appliance/appliance.go
+++ b/internal/relay/appliance/appliance.go
@@ -24,7 +24,7 @@
 const (
 	tick          = 5 * time.Millisecond
 	dialTimeout   = time.Second
-	idleConn      = 5 * time.Second // partners are taken to close a connection that stood idle for so long
+	idleConnTimeout      = 5 * time.Second // partners are taken to close a connection that stood idle for so long
 	maxRetryAfter = time.Minute
 )
 
@@ -39,7 +39,7 @@
 
 // Start starts a relay as a file says. Version is for people; tail may be nil.
 func Start(f *config.File, version string, tail *adminapi.Tail) (*Appliance, error) {
-	if err := enoughFiles(f.Limits.Descriptors); err != nil {
+	if err := raiseDescriptorLimit(f.Limits.Descriptors); err != nil {
 		return nil, err
 	}
 	lock, err := statedir.Lock(f.State)
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	a := &Appliance{file: f, lock: lock, done: make(chan struct{})}
-	if a.relay, err = relay.New(Settings(f, version)); err != nil {
+	if a.relay, err = relay.New(RelayConfig(f, version)); err != nil {
 		lock.Close()
 		return nil, err
 	}
@@ -69,10 +69,10 @@
 	return a, nil
 }
 
-// Settings are a file's as the relay takes them.
-func Settings(f *config.File, version string) relay.Config {
+// RelayConfig are a file's as the relay takes them.
+func RelayConfig(f *config.File, version string) relay.Config {
 	set := settings.Settings{DialTimeout: dialTimeout, MaxRetryAfter: maxRetryAfter,
-		Settings: choice.Settings{Fleet: 1, IdleConn: idleConn, Workers: f.Limits.Slots, MaxHeld: f.Limits.Held, MaxAttempts: f.Limits.Attempts, Tick: tick,
+		Settings: choice.Settings{Fleet: 1, IdleConn: idleConnTimeout, Workers: f.Limits.Slots, MaxHeld: f.Limits.Held, MaxAttempts: f.Limits.Attempts, Tick: tick,
 			Classes: f.Classes, Cancels: true, ReportLimit: -1, Rules: f.Rules}}
 	for _, z := range f.Zones {
 		set.Zones, set.ZoneFee = append(set.Zones, z.Name), append(set.ZoneFee, z.Fee)
@@ -82,7 +82,7 @@
 	}
 	c := relay.Config{Listen: f.Listen, State: f.State, Seed: rand.Uint64(), Cores: float64(f.Limits.Cores),
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Descriptors, DiskMB: f.Limits.DiskMB, Power: f.Journal.Power, Settings: set,
-		Alone: &relay.Alone{Version: version, Partners: partners(f), EndsKeep: f.Ends.Keep, EndsAge: f.Ends.For, StopWithin: f.StopWithin}}
+		Alone: &relay.Alone{Version: version, Partners: relayPartners(f), EndsKeep: f.Ends.Keep, EndsAge: f.Ends.For, StopWithin: f.StopWithin}}
 	if f.Fleet != nil {
 		c.Settings.Index, c.Settings.Fleet = f.Fleet.Self(), len(f.Fleet.Relays)
 		c.PeerListen, c.Alone.Fleet = f.Fleet.Listen, f.Fleet.Names()
@@ -91,16 +91,16 @@
 			c.Peers = append(c.Peers, m.Address)
 		}
 	}
-	c.Settings.Limits, c.Settings.Shares = relay.Limits(c.Alone.Partners), shares(f)
+	c.Settings.Limits, c.Settings.Shares = relay.Limits(c.Alone.Partners), sharesLimits(f)
 	return c
 }
 
-// shares tells whether a relay of a file keeps to limits with others, or to ones that were told.
-func shares(f *config.File) bool {
+// sharesLimits tells whether a relay of a file keeps to limits with others, or to ones that were told.
+func sharesLimits(f *config.File) bool {
 	return f.Fleet != nil || slices.ContainsFunc(f.Partners, func(p config.Partner) bool { return p.Limit != nil })
 }
 
-func partners(f *config.File) []relay.Partner {
+func relayPartners(f *config.File) []relay.Partner {
 	var all []relay.Partner
 	for _, p := range f.Partners {
 		rp := relay.Partner{Name: p.Name, Number: p.Number, Kind: p.Kind, Classes: p.Classes, Limit: p.Limit}
@@ -129,22 +129,22 @@
 // Reload takes in a file that was read again: its partners. It returns which of its other settings differ
 // from those that run, which take a restart.
 func (a *Appliance) Reload(f *config.File) (restart []string) {
-	a.relay.Reload(partners(f))
+	a.relay.Reload(relayPartners(f))
 	was, is := reflect.ValueOf(*a.file), reflect.ValueOf(*f)
 	for i := range was.NumField() {
 		name := was.Type().Field(i).Name
 		if !slices.Contains([]string{"Path", "Partners"}, name) && !reflect.DeepEqual(was.Field(i).Interface(), is.Field(i).Interface()) {
-			restart = append(restart, inFile(name))
+			restart = append(restart, settingName(name))
 		}
 	}
-	if !shares(a.file) && len(relay.Limits(partners(f))) > 0 { // it runs without what keeps to them
+	if !sharesLimits(a.file) && len(relay.Limits(relayPartners(f))) > 0 { // it runs without what keeps to them
 		restart = append(restart, "limit")
 	}
 	return restart
 }
 
-// inFile is the name of a setting as the file has it.
-func inFile(field string) string {
+// settingName is the name of a setting as the file has it.
+func settingName(field string) string {
 	if name, ok := map[string]string{"StopWithin": "stop_within", "Classes": "class", "Zones": "zone", "Kinds": "kind"}[field]; ok {
 		return name
 	}
@@ -157,8 +157,8 @@
 	<-a.done
 }
 
-// enoughFiles raises the process's limit on descriptors to what the operator's file says.
-func enoughFiles(want int) error {
+// raiseDescriptorLimit raises the process's limit on descriptors to what the operator's file says.
+func raiseDescriptorLimit(want int) error {
 	var l syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
 		return fmt.Errorf("limit on descriptors: %w", err)
