--- a/internal/relay/wire/fixtures_test.go
+++ b/internal/relay/wire/fixtures_test.go
@@ -15,16 +15,16 @@
 func TestInputIsAsFrozen(t *testing.T) {
 	hosts := []choice.Host{{Addr: "h1", Dest: 2, Kind: 3, Zone: 4, Rate: 5.5, State: choice.Ready}, {Addr: "h2", Dest: 6, State: choice.Gone},
 		{Addr: "h3", Dest: 7, State: choice.Draining}}
-	s := &server{in: bufio.NewReader(strings.NewReader("HOST\thost=h1\tcell=2\tkind=3\track-zone=4\tsize=5.5\tcondition=1\n" +
-		"HOST\thost=h2\tcell=6\tcondition=0\nHOST\thost=h3\tcell=7\tcondition=2\n")), fields: map[string]string{}, sheets: map[int][]choice.Host{}}
-	catalog, err := parse(1, "CATALOG\tsheet=8\trecords=3", map[string]string{})
+	s := &session{input: bufio.NewReader(strings.NewReader("HOST\thost=h1\tcell=2\tkind=3\track-zone=4\tsize=5.5\tcondition=1\n" +
+		"HOST\thost=h2\tcell=6\tcondition=0\nHOST\thost=h3\tcell=7\tcondition=2\n")), fields: map[string]string{}, catalogs: map[int][]choice.Host{}}
+	catalog, err := parseLine(1, "CATALOG\tsheet=8\trecords=3", map[string]string{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.catalog(catalog); err != nil || !reflect.DeepEqual(s.sheets[8], hosts) {
-		t.Errorf("CATALOG is read as %+v, %v, want %+v", s.sheets[8], err, hosts)
+	if err := s.catalog(catalog); err != nil || !reflect.DeepEqual(s.catalogs[8], hosts) {
+		t.Errorf("CATALOG is read as %+v, %v, want %+v", s.catalogs[8], err, hosts)
 	}
-	in := &instance{timer: 9}
+	in := &instance{timerTag: 9}
 	for text, want := range map[string]choice.Event{
 		"ACCEPT\top-id=m1\tpriority=2\tfar-end=3\tleft=4.5\tsubject=k6": choice.Arrival{ID: "m1", Class: 2, Dest: 3, Left: 4500 * time.Millisecond, Key: "k6"},
 		"ATTEMPT_END\top-id=m1\thost=h2\ttry=3\thow=turned_away\tcost-time=0.25\tover=1\tremark-ms=5\tfeedback=6.5,7": choice.Result{ID: "m1", Host: "h2",
@@ -40,7 +40,7 @@
 		"FIRST_BYTE\top-id=m1":            nil,
 		"FROM_PEER\tauthor=3\tbytes=AQL/": choice.Heard{From: 3, Note: []byte{1, 2, 255}},
 	} {
-		l, err := parse(1, text, map[string]string{})
+		l, err := parseLine(1, text, map[string]string{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,16 +50,16 @@
 	}
 	frozen := map[string]choice.Outcome{"served": 0, "server_error": 1, "turned_away": 2, "no_answer": 3, "no_connection": 4, "connection_lost": 5,
 		"called_off": 6, "not_sent": 7}
-	if !reflect.DeepEqual(outcomes, frozen) {
-		t.Errorf("outcomes %v, want %v", outcomes, frozen)
+	if !reflect.DeepEqual(outcomeNames, frozen) {
+		t.Errorf("outcomes %v, want %v", outcomeNames, frozen)
 	}
 }
 
 // The lines that a simulator of another build reads.
 func TestOutputIsAsFrozen(t *testing.T) {
 	var out bytes.Buffer
-	s := &server{out: bufio.NewWriter(&out)}
-	in := &instance{name: "r", timer: 6}
+	s := &session{output: bufio.NewWriter(&out)}
+	in := &instance{name: "r", timerTag: 6}
 	for _, tc := range []struct {
 		action choice.Action
 		want   string
@@ -75,8 +75,8 @@
 		{choice.Health{Host: "h2", Unwell: true, Base: 9}, ""}, // for a relay alone
 	} {
 		out.Reset()
-		s.print(in, tc.action)
-		s.out.Flush()
+		s.printAction(in, tc.action)
+		s.output.Flush()
 		if out.String() != tc.want {
 			t.Errorf("%+v is written as %q, want %q", tc.action, out.String(), tc.want)
 		}
--- a/internal/relay/wire/wire.go
+++ b/internal/relay/wire/wire.go
@@ -18,7 +18,7 @@
 	"larchrouter/internal/relay/settings"
 )
 
-var outcomes = map[string]choice.Outcome{
+var outcomeNames = map[string]choice.Outcome{
 	"served": choice.Served, "server_error": choice.Error, "turned_away": choice.Refused,
 	"no_answer": choice.Timeout, "no_connection": choice.NoConnection, "connection_lost": choice.Reset,
 	"called_off": choice.Cancelled, "not_sent": choice.NotSent,
@@ -32,8 +32,8 @@
 	err    error
 }
 
-// parse fills the given map, which is emptied first.
-func parse(number int, text string, fields map[string]string) (*line, error) {
+// parseLine fills the given map, which is emptied first.
+func parseLine(number int, text string, fields map[string]string) (*line, error) {
 	clear(fields)
 	l := &line{number: number, fields: fields}
 	var rest string
@@ -61,7 +61,7 @@
 	}
 }
 
-func (l *line) text(field string) string {
+func (l *line) required(field string) string {
 	v := l.fields[field]
 	if v == "" {
 		l.fail(field, "missing")
@@ -69,7 +69,7 @@
 	return v
 }
 
-func (l *line) number64(field string, required bool) float64 {
+func (l *line) float(field string, required bool) float64 {
 	v, ok := l.fields[field]
 	if !ok || v == "" {
 		if required || ok {
@@ -86,7 +86,7 @@
 }
 
 func (l *line) seconds(field string, required bool) time.Duration {
-	f := l.number64(field, required)
+	f := l.float(field, required)
 	if math.Abs(f) > 1e9 {
 		l.fail(field, fmt.Sprintf("%g seconds is out of range", f))
 		return 0
@@ -94,7 +94,7 @@
 	return seconds(f)
 }
 
-func (l *line) whole(field string, required bool) int {
+func (l *line) integer(field string, required bool) int {
 	v, ok := l.fields[field]
 	if !ok && !required {
 		return 0
@@ -111,14 +111,14 @@
 }
 
 func (l *line) outcome(field string) choice.Outcome {
-	o, ok := outcomes[l.text(field)]
+	o, ok := outcomeNames[l.required(field)]
 	if !ok {
 		l.fail(field, fmt.Sprintf("%q is no outcome", l.fields[field]))
 	}
 	return o
 }
 
-func (l *line) row(field string) []float64 {
+func (l *line) floats(field string) []float64 {
 	v := l.fields[field]
 	if v == "" || v == "-" {
 		return nil
@@ -139,27 +139,27 @@
 
 // instance is one chooser with the events that a batch holds for it.
 type instance struct {
-	name   string
-	core   *engine.Core
-	events []choice.Event
-	timer  int  // tag of the one that counts
-	due    bool // among those with an event in this batch
+	name     string
+	engine   *engine.Core
+	events   []choice.Event
+	timerTag int  // tag of the one that counts
+	pending  bool // among those with an event in this batch
 }
 
-type server struct {
-	in     *bufio.Reader
-	out    *bufio.Writer
-	number int
-	fields map[string]string // of the line read last
-	sheets map[int][]choice.Host
-	insts  map[string]*instance
-	turn   []*instance // instances with an event in this batch, by first event
+type session struct {
+	input      *bufio.Reader
+	output     *bufio.Writer
+	lineNumber int
+	fields     map[string]string // of the line read last
+	catalogs   map[int][]choice.Host
+	instances  map[string]*instance
+	pending    []*instance // instances with an event in this batch, by first event
 }
 
 // Serve answers batches until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
-	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
-		fields: map[string]string{}, sheets: map[int][]choice.Host{}, insts: map[string]*instance{}}
+	s := &session{input: bufio.NewReaderSize(r, 1<<16), output: bufio.NewWriterSize(w, 1<<16),
+		fields: map[string]string{}, catalogs: map[int][]choice.Host{}, instances: map[string]*instance{}}
 	for {
 		l, err := s.read()
 		if errors.Is(err, io.EOF) {
@@ -169,7 +169,7 @@
 			err = s.batch(l)
 		}
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: batch ends without YOUR_TURN", s.number)
+			return fmt.Errorf("line %d: batch ends without YOUR_TURN", s.lineNumber)
 		}
 		if err != nil {
 			return err
@@ -178,20 +178,20 @@
 }
 
 // read returns the next line that is not empty.
-func (s *server) read() (*line, error) {
+func (s *session) read() (*line, error) {
 	for {
-		text, err := s.in.ReadString('\n')
+		text, err := s.input.ReadString('\n')
 		if err != nil && (text == "" || !errors.Is(err, io.EOF)) {
 			return nil, err
 		}
-		s.number++
+		s.lineNumber++
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
-			return parse(s.number, text, s.fields)
+			return parseLine(s.lineNumber, text, s.fields)
 		}
 	}
 }
 
-func (s *server) batch(l *line) error {
+func (s *session) batch(l *line) error {
 	if l.name != "BATCH" {
 		return fmt.Errorf("line %d: %s where BATCH was due", l.number, l.name)
 	}
@@ -199,7 +199,7 @@
 	if l.err != nil {
 		return l.err
 	}
-	s.turn = s.turn[:0]
+	s.pending = s.pending[:0]
 	for {
 		l, err := s.read()
 		if err != nil {
@@ -217,32 +217,32 @@
 			return err
 		}
 	}
-	for _, in := range s.turn {
-		if s.insts[in.name] == in {
+	for _, in := range s.pending {
+		if s.instances[in.name] == in {
 			s.step(clock, in)
 		}
 	}
-	s.out.WriteString("DONE\n")
-	return s.out.Flush()
+	s.output.WriteString("DONE\n")
+	return s.output.Flush()
 }
 
 // step runs one chooser and prints what it answers; a panic becomes the fault line.
-func (s *server) step(clock time.Duration, in *instance) {
+func (s *session) step(clock time.Duration, in *instance) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := strings.NewReplacer("\n", " ", "\t", " ").Replace(fmt.Sprint(p))
-			fmt.Fprintf(s.out, "BUG\trelay-id=%s\tnote-text=%s\n", in.name, text)
+			fmt.Fprintf(s.output, "BUG\trelay-id=%s\tnote-text=%s\n", in.name, text)
 		}
 	}()
 	events := in.events
-	in.events, in.due = nil, false
-	for _, a := range in.core.Step(clock, events) {
-		s.print(in, a)
+	in.events, in.pending = nil, false
+	for _, a := range in.engine.Step(clock, events) {
+		s.printAction(in, a)
 	}
 }
 
-func (s *server) catalog(l *line) error {
-	sheet, n := l.whole("sheet", true), l.whole("records", true)
+func (s *session) catalog(l *line) error {
+	sheet, n := l.integer("sheet", true), l.integer("records", true)
 	if l.err != nil {
 		return l.err
 	}
@@ -255,9 +255,9 @@
 		if e.name != "HOST" {
 			return fmt.Errorf("line %d: %s where HOST was due", e.number, e.name)
 		}
-		h := choice.Host{Addr: e.text("host"), Dest: e.whole("cell", true), Kind: e.whole("kind", false),
-			Zone: e.whole("rack-zone", false), Rate: e.number64("size", false)}
-		switch state := e.whole("condition", false); state {
+		h := choice.Host{Addr: e.required("host"), Dest: e.integer("cell", true), Kind: e.integer("kind", false),
+			Zone: e.integer("rack-zone", false), Rate: e.float("size", false)}
+		switch state := e.integer("condition", false); state {
 		case 0:
 			h.State = choice.Gone
 		case 1:
@@ -272,21 +272,21 @@
 		}
 		hosts = append(hosts, h)
 	}
-	s.sheets[sheet] = hosts
+	s.catalogs[sheet] = hosts
 	return nil
 }
 
-func (s *server) event(l *line) error {
-	name := l.text("relay-id")
+func (s *session) event(l *line) error {
+	name := l.required("relay-id")
 	if l.err != nil {
 		return l.err
 	}
-	in := s.insts[name]
+	in := s.instances[name]
 	switch l.name {
 	case "CONFIGURE":
 		return s.configure(l, name)
 	case "DETACH":
-		delete(s.insts, name)
+		delete(s.instances, name)
 		return nil
 	}
 	e, err := s.translate(l, in)
@@ -299,9 +299,9 @@
 	if err != nil {
 		return err
 	}
-	if !in.due {
-		in.due = true
-		s.turn = append(s.turn, in)
+	if !in.pending {
+		in.pending = true
+		s.pending = append(s.pending, in)
 	}
 	if e != nil {
 		in.events = append(in.events, e)
@@ -309,12 +309,12 @@
 	return nil
 }
 
-func (s *server) configure(l *line, name string) error {
-	seed, err := strconv.ParseUint(l.text("entropy"), 10, 64)
+func (s *session) configure(l *line, name string) error {
+	seed, err := strconv.ParseUint(l.required("entropy"), 10, 64)
 	if err != nil {
 		l.fail("entropy", "no whole number")
 	}
-	text := l.text("config")
+	text := l.required("config")
 	if l.err != nil {
 		return l.err
 	}
@@ -326,49 +326,49 @@
 	if err != nil {
 		return fmt.Errorf("line %d: CONFIGURE: field config: %w", l.number, err)
 	}
-	in := &instance{name: name, core: c, due: true}
-	s.insts[name] = in
-	s.turn = append(s.turn, in)
+	in := &instance{name: name, engine: c, pending: true}
+	s.instances[name] = in
+	s.pending = append(s.pending, in)
 	return nil
 }
 
 // translate maps one event line; the event is nil where choice has no use for it.
-func (s *server) translate(l *line, in *instance) (choice.Event, error) {
+func (s *session) translate(l *line, in *instance) (choice.Event, error) {
 	switch l.name {
 	case "ACCEPT":
-		return choice.Arrival{ID: l.text("op-id"), Class: l.whole("priority", false), Dest: l.whole("far-end", true),
+		return choice.Arrival{ID: l.required("op-id"), Class: l.integer("priority", false), Dest: l.integer("far-end", true),
 			Left: l.seconds("left", true), Key: l.fields["subject"]}, nil
 	case "ATTEMPT_END":
-		return choice.Result{ID: l.text("op-id"), Host: l.text("host"), Attempt: l.whole("try", false),
-			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.whole("over", false) == 1,
-			Wait: time.Duration(l.whole("remark-ms", false)) * time.Millisecond, Report: l.row("feedback")}, nil
+		return choice.Result{ID: l.required("op-id"), Host: l.required("host"), Attempt: l.integer("try", false),
+			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.integer("over", false) == 1,
+			Wait: time.Duration(l.integer("remark-ms", false)) * time.Millisecond, Report: l.floats("feedback")}, nil
 	case "UPDATE":
-		scope := l.whole("scope", false)
+		scope := l.integer("scope", false)
 		if scope < 0 || scope > 3 {
 			l.fail("scope", fmt.Sprintf("%d is no scope", scope))
 		}
 		if scope == 3 {
 			return choice.Listing{Failed: true}, nil
 		}
-		sheet := l.whole("sheet", false)
-		hosts, ok := s.sheets[sheet]
+		sheet := l.integer("sheet", false)
+		hosts, ok := s.catalogs[sheet]
 		if !ok {
 			l.fail("sheet", fmt.Sprintf("no CATALOG %d was given", sheet))
 		}
 		return choice.Listing{Whole: scope != 0, Hosts: hosts}, nil
 	case "CLIENT_GONE":
-		return choice.Withdrawn{ID: l.text("op-id")}, nil
+		return choice.Withdrawn{ID: l.required("op-id")}, nil
 	case "FIRED":
-		if tag := l.whole("tag", false); in == nil || tag != in.timer {
+		if tag := l.integer("tag", false); in == nil || tag != in.timerTag {
 			return nil, nil // another took its place
 		}
 		return choice.Woken{}, nil
 	case "PROBE_DONE":
-		l.text("host")
+		l.required("host")
 		l.outcome("how")
 		return nil, nil // no probe is ever sent
 	case "FROM_PEER":
-		e := choice.Heard{From: l.whole("author", false)}
+		e := choice.Heard{From: l.integer("author", false)}
 		if b := l.fields["bytes"]; b != "" && b != "-" {
 			var err error
 			if e.Note, err = base64.StdEncoding.DecodeString(b); err != nil {
@@ -377,32 +377,32 @@
 		}
 		return e, nil
 	case "FIRST_BYTE":
-		l.text("op-id")
+		l.required("op-id")
 		return nil, nil
 	}
 	return nil, fmt.Errorf("line %d: unknown message %q", l.number, l.name)
 }
 
-func (s *server) print(in *instance, a choice.Action) {
+func (s *session) printAction(in *instance, a choice.Action) {
 	inst := in.name
 	sec := func(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
 	switch a := a.(type) {
 	case choice.Send:
-		fmt.Fprintf(s.out, "PLACE\trelay-id=%s\top-id=%s\thost=%s\tmax-wait=%s\n", inst, a.ID, a.Host, sec(a.Timeout))
+		fmt.Fprintf(s.output, "PLACE\trelay-id=%s\top-id=%s\thost=%s\tmax-wait=%s\n", inst, a.ID, a.Host, sec(a.Timeout))
 	case choice.Refuse:
-		fmt.Fprintf(s.out, "DENY\trelay-id=%s\top-id=%s\tnot-before-for=%s\n", inst, a.ID, sec(a.After))
+		fmt.Fprintf(s.output, "DENY\trelay-id=%s\top-id=%s\tnot-before-for=%s\n", inst, a.ID, sec(a.After))
 	case choice.Fail:
-		fmt.Fprintf(s.out, "SURRENDER\trelay-id=%s\top-id=%s\n", inst, a.ID)
+		fmt.Fprintf(s.output, "SURRENDER\trelay-id=%s\top-id=%s\n", inst, a.ID)
 	case choice.Cancel:
-		fmt.Fprintf(s.out, "REVOKE\trelay-id=%s\top-id=%s\ttry=%d\n", inst, a.ID, a.Attempt)
+		fmt.Fprintf(s.output, "REVOKE\trelay-id=%s\top-id=%s\ttry=%d\n", inst, a.ID, a.Attempt)
 	case choice.Wake:
-		in.timer++
-		fmt.Fprintf(s.out, "ARM\trelay-id=%s\twait=%s\ttag=%d\n", inst, sec(a.After), in.timer)
+		in.timerTag++
+		fmt.Fprintf(s.output, "ARM\trelay-id=%s\twait=%s\ttag=%d\n", inst, sec(a.After), in.timerTag)
 	case choice.Subscribe:
-		fmt.Fprintf(s.out, "OBSERVE\trelay-id=%s\twant=1\n", inst)
+		fmt.Fprintf(s.output, "OBSERVE\trelay-id=%s\twant=1\n", inst)
 	case choice.Tell:
-		fmt.Fprintf(s.out, "SAY\trelay-id=%s\taddressee=%d\tbytes=%s\n", inst, a.To, base64.StdEncoding.EncodeToString(a.Note))
+		fmt.Fprintf(s.output, "SAY\trelay-id=%s\taddressee=%d\tbytes=%s\n", inst, a.To, base64.StdEncoding.EncodeToString(a.Note))
 	case choice.Log:
-		fmt.Fprintf(s.out, "EMIT\trelay-id=%s\tnote-text=%s\n", inst, a.Text)
+		fmt.Fprintf(s.output, "EMIT\trelay-id=%s\tnote-text=%s\n", inst, a.Text)
 	}
 }
