--- a/internal/relay/appliance/appliance_test.go
+++ b/internal/relay/appliance/appliance_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// shortTempDir is a folder with a short path: that of a Unix socket is bounded.
+// shortTempDir returns a temporary folder with a short path, since that of a Unix socket is bounded.
 func shortTempDir(t *testing.T) string {
 	t.Helper()
 	d, err := os.MkdirTemp("", "larch")
@@ -34,6 +34,8 @@
 	return d
 }
 
+// newSite starts a relay with stand-in partners, those of the bureau by default, and a load that draws from a
+// logged seed.
 func newSite(t *testing.T, o rig.Options) (*rig.Site, *rig.Load) {
 	t.Helper()
 	if o.Dir == "" {
@@ -54,7 +56,7 @@
 	return s, l
 }
 
-// eventually waits for something to come true.
+// eventually waits until a condition holds, for 30 s at most.
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
@@ -64,6 +66,7 @@
 	}
 }
 
+// submit submits a message and returns the status of the response.
 func submit(t *testing.T, l *rig.Load, id, class, partner string) int {
 	t.Helper()
 	status, err := l.Submit(t.Context(), rig.Message{ID: id, Class: class, Partner: partner})
@@ -73,6 +76,7 @@
 	return status
 }
 
+// messageState returns the relay's record of a message.
 func messageState(t *testing.T, l *rig.Load, id string) adminapi.Message {
 	t.Helper()
 	m, err := l.Query(t.Context(), id)
@@ -82,6 +86,7 @@
 	return m
 }
 
+// waitForState waits until a message is in the wanted state, and returns its record.
 func waitForState(t *testing.T, l *rig.Load, id, want string) adminapi.Message {
 	t.Helper()
 	var m adminapi.Message
@@ -89,8 +94,8 @@
 	return m
 }
 
-// How a message ended can be asked for, with its attempts, also after a restart; its id is then not taken on anew.
-func TestEndsAreKept(t *testing.T) {
+// The outcome of a message and its attempts can be queried, also after a restart, and its id is not accepted again.
+func TestOutcomesSurviveRestart(t *testing.T) {
 	s, l := newSite(t, rig.Options{Keep: true})
 	if got := submit(t, l, "a", "payment", "pay"); got != 202 {
 		t.Fatalf("status %d", got)
@@ -100,7 +105,7 @@
 		t.Fatalf("%+v", m)
 	}
 	if got := messageState(t, l, "nobody"); got.State != "" {
-		t.Fatalf("a message never handed in: %+v", got)
+		t.Fatalf("a message that was never submitted: %+v", got)
 	}
 	s.App.Stop("test")
 	if err := s.Start(nil); err != nil {
@@ -123,8 +128,8 @@
 	}
 }
 
-// Each message that ends undelivered says why.
-func TestWhyItEnded(t *testing.T) {
+// The record of each undelivered message has a reason.
+func TestReasonsOfUndeliveredMessages(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	for _, h := range []string{"pay-1", "pay-2"} {
 		s.Hosts[h].Set(standin.Behaviour{Fail: true})
@@ -145,7 +150,7 @@
 	}
 }
 
-func TestEndsAreBounded(t *testing.T) {
+func TestOutcomesAreBoundedByNumber(t *testing.T) {
 	_, l := newSite(t, rig.Options{Change: func(f *config.File) { f.Ends.Keep = 2 }})
 	for i := range 4 {
 		id := fmt.Sprint("m", i)
@@ -159,14 +164,14 @@
 	}
 }
 
-func TestEndsAgeOut(t *testing.T) {
+func TestOutcomesAreBoundedByAge(t *testing.T) {
 	_, l := newSite(t, rig.Options{Change: func(f *config.File) { f.Ends.For = 500 * time.Millisecond }})
 	submit(t, l, "a", "payment", "pay")
 	eventually(t, "a is forgotten", func() bool { return messageState(t, l, "a").State == "" })
 }
 
-// What the front refuses, with a reason.
-func TestFront(t *testing.T) {
+// Which submissions the client API rejects.
+func TestSubmissionStatuses(t *testing.T) {
 	_, l := newSite(t, rig.Options{})
 	for name, c := range map[string]struct {
 		m    rig.Message
@@ -185,9 +190,9 @@
 	}
 }
 
-// A message whose partner is taken out of the file while it is held ends at once: as refused if it never
-// ran, as failed if it may have; a call that is out is not broken off.
-func TestPartnerTakenOut(t *testing.T) {
+// A pending message whose partner is removed from the file ends at once: as refused if it never ran, as failed
+// if it may have. A call in flight is not aborted.
+func TestPartnerRemoved(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	for _, h := range []string{"pay-1", "pay-2"} {
 		s.Hosts[h].Set(standin.Behaviour{Refuse: true, Wait: time.Hour})
@@ -197,12 +202,13 @@
 	}
 	submit(t, l, "never-ran", "payment", "pay")
 	submit(t, l, "out", "payment", "campus")
-	// A call counts as out from its decision on; one whose gate closes before its first byte is rightly refused.
+	// A call is in flight from its decision on. One whose host is closed before its first byte is refused,
+	// which is correct.
 	eventually(t, "both were sent", func() bool { return messageState(t, l, "never-ran").Tries > 0 && s.Ledger.Effects("out") == 1 })
 	file := *s.File
 	file.Partners = file.Partners[1:3] // courier and market stay
 	if restart := s.App.Reload(&file); len(restart) > 0 {
-		t.Errorf("a change of partners asks for a restart of %v", restart)
+		t.Errorf("a change of partners needs a restart of %v", restart)
 	}
 	if m := waitForState(t, l, "never-ran", adminapi.Refused); !strings.Contains(m.Why, "taken out") {
 		t.Errorf("why: %q", m.Why)
@@ -217,14 +223,14 @@
 	}
 }
 
-// A possibly applied payment whose partner is taken out is failed, never refused.
-func TestPartnerTakenOutAfterAnError(t *testing.T) {
+// A message that may have run is failed, never refused, if its partner is removed.
+func TestPartnerRemovedAfterAnError(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	for _, h := range []string{"courier-1"} {
 		s.Hosts[h].Set(standin.Behaviour{Hang: true})
 	}
 	submit(t, l, "hangs", "job-order", "courier")
-	eventually(t, "it is out", func() bool { return s.Ledger.Effects("hangs") == 1 })
+	eventually(t, "its call is in flight", func() bool { return s.Ledger.Effects("hangs") == 1 })
 	file := *s.File
 	file.Partners = append(file.Partners[:1:1], file.Partners[2:]...)
 	s.App.Reload(&file)
@@ -235,7 +241,7 @@
 	}
 }
 
-func TestRestartAfterThePartnerWasTakenOut(t *testing.T) {
+func TestRestartAfterPartnerRemoved(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	for _, h := range []string{"pay-1", "pay-2"} {
 		s.Hosts[h].Set(standin.Behaviour{Refuse: true, Wait: time.Hour})
@@ -253,12 +259,12 @@
 	}
 }
 
-// A class that is taken out: what is held of it ends with the next start, by what may have run.
-func TestRestartAfterTheClassWasTakenOut(t *testing.T) {
+// Pending messages of a class that was removed end at the next start, by whether they may have run.
+func TestRestartAfterClassRemoved(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	s.Hosts["courier-1"].Set(standin.Behaviour{Hang: true})
 	submit(t, l, "ran", "status-update", "courier")
-	eventually(t, "it is out", func() bool { return s.Ledger.Effects("ran") == 1 })
+	eventually(t, "its call is in flight", func() bool { return s.Ledger.Effects("ran") == 1 })
 	for _, h := range []string{"market-1", "market-2"} {
 		s.Hosts[h].Set(standin.Behaviour{Refuse: true, Wait: time.Hour})
 	}
@@ -280,7 +286,7 @@
 	}
 }
 
-func TestTwoRelaysOnOneFolder(t *testing.T) {
+func TestStateFolderIsLocked(t *testing.T) {
 	s, _ := newSite(t, rig.Options{})
 	_, err := appliance.Start(s.File, "second", nil)
 	if err == nil || !strings.Contains(err.Error(), "in use by another relay, process "+fmt.Sprint(os.Getpid())) || strings.Contains(err.Error(), "\n") {
@@ -288,7 +294,7 @@
 	}
 }
 
-func TestStateThatCannotBeWritten(t *testing.T) {
+func TestStateFolderNotWritable(t *testing.T) {
 	d := shortTempDir(t)
 	if err := os.WriteFile(filepath.Join(d, "file"), nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -303,8 +309,8 @@
 	}
 }
 
-// The socket of a dead process is replaced; anything else that stands there is left alone.
-func TestSocketLeftBehind(t *testing.T) {
+// The control socket of a dead process is replaced; a file of another type at its path is not.
+func TestStaleControlSocket(t *testing.T) {
 	s, _ := newSite(t, rig.Options{})
 	s.App.Stop("test")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: s.File.Control.Socket, Net: "unix"})
@@ -335,15 +341,15 @@
 		t.Errorf("over a file: %v", err)
 	}
 	if data, _ := os.ReadFile(s.File.Control.Socket); string(data) != "precious" {
-		t.Error("the file is gone")
+		t.Error("the file was replaced")
 	}
 	os.Remove(s.File.Control.Socket)
-	if err := s.Start(nil); err != nil { // the folder was let go
+	if err := s.Start(nil); err != nil { // the lock on the folder was released
 		t.Error(err)
 	}
 }
 
-func TestLists(t *testing.T) {
+func TestMessageLists(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	for _, h := range s.Hosts {
 		h.Set(standin.Behaviour{Refuse: true, Wait: time.Hour})
@@ -397,7 +403,7 @@
 			t.Errorf("%+v: %v, want an error", q, err)
 		}
 	}
-	for _, id := range []string{"..", "a/../b", "?x=1&y", "%2e"} { // odd, and lawful
+	for _, id := range []string{"..", "a/../b", "?x=1&y", "%2e"} { // unusual, but valid
 		submit(t, l, id, "status-update", "courier")
 		if m, err := s.Control.Message(ctx, id); err != nil || m.ID != id {
 			t.Errorf("%q: %+v, %v", id, m, err)
--- a/internal/relay/appliance/drain_test.go
+++ b/internal/relay/appliance/drain_test.go
@@ -19,10 +19,11 @@
 	"larchrouter/internal/standin"
 )
 
-// drains of the campaign: `go test ./internal/relay/appliance -run Mistaken -drains 2000` is the long one.
+// drains is the number of drains in TestMistakenDrains; a long run has 2000:
+// go test ./internal/relay/appliance -run Mistaken -drains 2000
 var drains = flag.Int("drains", 200, "random drains under load")
 
-// underLoad runs a load until the test says so, and returns what ends it.
+// underLoad runs a load until stop is called, or the test ends. stop waits for the responses.
 func underLoad(t *testing.T, l *rig.Load, rate float64) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -33,8 +34,8 @@
 	return stop
 }
 
-// settled waits until everything handed in has ended, and checks it against what the stand-ins saw.
-func settled(t *testing.T, s *rig.Site, l *rig.Load) rig.Tally {
+// waitForOutcomes waits until every message has an outcome, and checks these against the stand-ins' ledger.
+func waitForOutcomes(t *testing.T, s *rig.Site, l *rig.Load) rig.Tally {
 	t.Helper()
 	var tally rig.Tally
 	eventually(t, "every message has ended", func() bool {
@@ -54,12 +55,13 @@
 	return tally
 }
 
-// Mistaken drains under load: nothing whose first byte is later than 250 ms after the acknowledgement comes
-// to the endpoint, as the stand-in has it; undrained it is back within a second, healthy as it was.
+// Endpoints are drained by mistake, under load: no request whose first byte is later than 250 ms after the
+// acknowledgement reaches the endpoint, by the stand-in's record. Once undrained it gets requests within a
+// second, and is healthy as before.
 func TestMistakenDrains(t *testing.T) {
 	const workers = 20
 	var partners []rig.Partner
-	for i := range workers { // half of them with one endpoint, to which messages must come back
+	for i := range workers { // half of them with one endpoint, which must get messages again
 		p := rig.Partner{Name: fmt.Sprint("p", i), Kind: "separate", Classes: []string{"job-order", "status-update", "payment"},
 			Zones: []string{"taller"}, Behaviour: standin.Behaviour{Latency: 10 * time.Millisecond}}
 		if i%2 == 1 {
@@ -69,9 +71,9 @@
 	}
 	s, l := newSite(t, rig.Options{Partners: partners, Keep: true, Change: func(f *config.File) { f.Ends.Keep, f.Limits.DiskMB = 500_000, 2000 }})
 	stop := underLoad(t, l, 20*workers)
-	type span struct{ ack, undrain, back time.Time }
+	type drainSpan struct{ acknowledged, undrain, undrained time.Time }
 	var mu sync.Mutex
-	spans := map[string][]span{}
+	spans := map[string][]drainSpan{}
 	var wg sync.WaitGroup
 	for w := range workers {
 		seed := rand.Uint64()
@@ -88,19 +90,19 @@
 					t.Error(err)
 					return
 				}
-				one := span{ack: time.Now()}
+				span := drainSpan{acknowledged: time.Now()}
 				time.Sleep(300*time.Millisecond + time.Duration(rnd.IntN(100))*time.Millisecond)
-				one.undrain = time.Now() // nothing may come before this
+				span.undrain = time.Now() // no request may arrive before this
 				if _, err := c.Undrain(t.Context(), q); err != nil {
 					t.Error(err)
 					return
 				}
-				one.back = time.Now()
+				span.undrained = time.Now()
 				mu.Lock()
-				spans[ep] = append(spans[ep], one)
+				spans[ep] = append(spans[ep], span)
 				mu.Unlock()
-				for end := time.Now().Add(2 * time.Second); isSingle(ep) && time.Now().Before(end) && s.Hosts[ep].Latest().Before(one.undrain); {
-					time.Sleep(2 * time.Millisecond) // let it come back before the next one
+				for end := time.Now().Add(2 * time.Second); isSingle(ep) && time.Now().Before(end) && s.Hosts[ep].Latest().Before(span.undrain); {
+					time.Sleep(2 * time.Millisecond) // wait for its next request before the next drain
 				}
 			}
 		})
@@ -108,25 +110,25 @@
 	wg.Wait()
 	stop()
 	n, worst, slowest := 0, time.Duration(0), time.Duration(0)
-	for ep, all := range spans {
+	for ep, endpointSpans := range spans {
 		calls := s.Hosts[ep].Calls()
-		for _, one := range all {
+		for _, span := range endpointSpans {
 			n++
 			var first time.Time
 			for _, c := range calls {
-				if late := c.First.Sub(one.ack); late > 0 && c.First.Before(one.undrain) {
+				if late := c.First.Sub(span.acknowledged); late > 0 && c.First.Before(span.undrain) {
 					if worst = max(worst, late); late > 250*time.Millisecond {
 						t.Errorf("%s got %s %v after the drain was acknowledged", ep, c.ID, late)
 					}
 				}
-				if c.First.After(one.undrain) && (first.IsZero() || c.First.Before(first)) {
+				if c.First.After(span.undrain) && (first.IsZero() || c.First.Before(first)) {
 					first = c.First
 				}
 			}
 			if isSingle(ep) {
-				took := first.Sub(one.back)
+				took := first.Sub(span.undrained)
 				if slowest = max(slowest, took); first.IsZero() || took > time.Second {
-					t.Errorf("%s was back after %v, 1 s is allowed", ep, took)
+					t.Errorf("%s got a request again after %v, 1 s is allowed", ep, took)
 				}
 			}
 		}
@@ -138,25 +140,25 @@
 	for _, p := range all {
 		for _, e := range p.Endpoints {
 			if e.Health != "healthy" || e.State != "open" {
-				t.Errorf("%s is %s, %s (%s): it was never out", e.ID, e.State, e.Health, e.Why)
+				t.Errorf("%s is %s, %s (%s): it was never unhealthy", e.ID, e.State, e.Health, e.Why)
 			}
 		}
 	}
-	t.Logf("%d drains; the latest first byte came %v after an acknowledgement, the slowest return took %v; %v", n, worst, slowest, settled(t, s, l))
+	t.Logf("%d drains; the latest first byte came %v after an acknowledgement, the slowest return took %v; %v", n, worst, slowest, waitForOutcomes(t, s, l))
 	if n < *drains {
 		t.Errorf("%d drains, want %d", n, *drains)
 	}
 }
 
-// isSingle tells whether an endpoint of TestMistakenDrains is its partner's only one.
+// isSingle reports whether an endpoint of TestMistakenDrains is its partner's only one.
 func isSingle(ep string) bool {
 	var p, e int
 	fmt.Sscanf(ep, "p%d-%d", &p, &e)
 	return p%2 == 0
 }
 
-// An endpoint that was out when it was drained comes back as one that was out; one that was well does not.
-func TestUndrainedAsItWas(t *testing.T) {
+// An endpoint that was unhealthy when it was drained is unhealthy when it is undrained.
+func TestUndrainKeepsHealth(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	s.Hosts["courier-1"].Down()
 	submit(t, l, "a", "status-update", "courier")
@@ -167,7 +169,7 @@
 		}
 		return all[1].Endpoints[0].Health
 	}
-	eventually(t, "the module sees the outage", func() bool { return health() == "suspect" })
+	eventually(t, "the endpoint is suspect", func() bool { return health() == "suspect" })
 	q := adminapi.DrainRequest{Target: "partner:courier", By: "test"}
 	if _, err := s.Control.Drain(t.Context(), q); err != nil {
 		t.Fatal(err)
@@ -177,16 +179,16 @@
 	}
 	a, err := s.Control.Undrain(t.Context(), q)
 	if err != nil || !a.Unhealthy {
-		t.Fatalf("%+v, %v: want it told that the endpoint was out", a, err)
+		t.Fatalf("%+v, %v: want it to report that the endpoint is unhealthy", a, err)
 	}
 	if h := health(); h == "healthy" {
-		t.Error("an endpoint that was out is healthy by a drain and an undrain")
+		t.Error("an unhealthy endpoint became healthy by a drain and an undrain")
 	}
 	waitForState(t, l, "a", adminapi.Delivered)
 }
 
-// Calls that are out when the drain comes are finished, and their messages end once.
-func TestDrainFinishesCalls(t *testing.T) {
+// Calls in flight at the time of a drain are completed, and each of their messages has one outcome.
+func TestDrainCompletesCallsInFlight(t *testing.T) {
 	s, l := newSite(t, rig.Options{Keep: true})
 	for _, h := range []string{"pay-1", "pay-2"} {
 		s.Hosts[h].Set(standin.Behaviour{Latency: 400 * time.Millisecond})
@@ -194,7 +196,7 @@
 	for i := range 5 {
 		submit(t, l, fmt.Sprint("m", i), "payment", "pay")
 	}
-	eventually(t, "calls are out", func() bool { n, _ := s.Ledger.Total(); return n > 0 })
+	eventually(t, "calls are in flight", func() bool { n, _ := s.Ledger.Total(); return n > 0 })
 	before, _ := s.Ledger.Total()
 	a, err := s.Control.Drain(t.Context(), adminapi.DrainRequest{Target: "partner:pay", By: "test"})
 	if err != nil || a.Out == 0 {
@@ -231,7 +233,7 @@
 }
 
 // The results that the operator meets at the socket.
-func TestDrainAnswers(t *testing.T) {
+func TestDrainResults(t *testing.T) {
 	s, _ := newSite(t, rig.Options{})
 	for _, c := range []struct {
 		undrain bool
@@ -267,14 +269,14 @@
 	}
 }
 
-// A drain of the relay with a partner that hangs is over in bounded time and names what is left; the next
-// start, still drained, takes that up.
-func TestDrainOfTheRelay(t *testing.T) {
+// A drain of the relay with an unresponsive partner ends in bounded time and lists the pending messages. The
+// relay delivers them after the next start, and is still drained.
+func TestDrainOfRelay(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	s.Hosts["courier-1"].Set(standin.Behaviour{Refuse: true, Wait: 4 * time.Second})
 	submit(t, l, "left", "status-update", "courier")
 	submit(t, l, "done", "payment", "pay")
-	eventually(t, "the courier told to wait", func() bool { return messageState(t, l, "left").Tries > 0 })
+	eventually(t, "the courier asked for a wait", func() bool { return messageState(t, l, "left").Tries > 0 })
 	begin := time.Now()
 	if _, err := s.Control.Drain(t.Context(), adminapi.DrainRequest{Target: "relay", WithinMs: 1000, By: "test"}); err != nil {
 		t.Fatal(err)
@@ -283,7 +285,7 @@
 		t.Errorf("a new message: status %d, want 503", got)
 	}
 	var st adminapi.Status
-	eventually(t, "the drain is over", func() (over bool) {
+	eventually(t, "the drain is over", func() bool {
 		var err error
 		st, err = s.Control.Status(t.Context())
 		return err == nil && st.Phase == "drained"
@@ -317,12 +319,12 @@
 	}
 }
 
-// A stop while an endpoint hangs ends in its time; what is left is taken up.
-func TestStopWithAHungPartner(t *testing.T) {
+// A stop while an endpoint hangs ends in bounded time. Pending messages are delivered after the next start.
+func TestStopWithUnresponsivePartner(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	s.Hosts["courier-1"].Set(standin.Behaviour{Hang: true})
 	submit(t, l, "hung", "status-update", "courier")
-	eventually(t, "it is out", func() bool { return s.Ledger.Effects("hung") == 1 })
+	eventually(t, "its call is in flight", func() bool { return s.Ledger.Effects("hung") == 1 })
 	begin := time.Now()
 	a, err := s.Control.Stop(t.Context(), adminapi.StopRequest{By: "test", WithinMs: 1000})
 	if err != nil || a.Left.Messages != 1 || a.Left.Calls != 1 {
@@ -342,13 +344,13 @@
 	}
 }
 
-// Clients of the control socket that hang, flood and send garbage while messages pass: none is later or lost,
-// and the operator is still answered.
+// Clients of the control socket that hang, flood it and send garbage while the relay delivers messages: no
+// message is late or lost, and operators get responses.
 func TestHostileControlClients(t *testing.T) {
 	s, l := newSite(t, rig.Options{})
 	stop := underLoad(t, l, 50)
 	eventually(t, "messages pass", func() bool { return len(l.Accepted()) > 50 })
-	calm, _ := l.Latency(0, 0.5, 0.99)
+	baseline, _ := l.Latency(0, 0.5, 0.99)
 	from := len(l.Accepted())
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
@@ -362,7 +364,7 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		return c
 	}
-	for i := range 20 { // ask for all and read nothing, say nothing, or go away in mid-answer
+	for i := range 20 { // request everything and read nothing, send nothing, or disconnect during the response
 		wg.Go(func() {
 			c := raw()
 			if c == nil {
@@ -423,15 +425,15 @@
 	}
 	stop()
 	worst, n := l.Latency(from, 0.5, 0.99, 1)
-	t.Logf("202 before: median %v, p99 %v; under it: median %v, p99 %v, worst %v of %d; of 1000 at once %d were served, %d told to come again",
-		calm[0], calm[1], worst[0], worst[1], worst[2], n, served, busy)
+	t.Logf("202 before: median %v, p99 %v; under it: median %v, p99 %v, worst %v of %d; of 1000 at once %d were served, %d told to retry",
+		baseline[0], baseline[1], worst[0], worst[1], worst[2], n, served, busy)
 	if n < 100 || worst[2] > 400*time.Millisecond { // a client waits so long for the 202
 		t.Errorf("of %d messages one was answered after %v", n, worst[2])
 	}
 	if served == 0 || served+busy < 900 {
-		t.Errorf("of 1000 requests %d were served and %d told to come again", served, busy)
+		t.Errorf("of 1000 requests %d were served and %d told to retry", served, busy)
 	}
-	if tally := settled(t, s, l); tally.Delivered != len(l.Accepted()) {
+	if tally := waitForOutcomes(t, s, l); tally.Delivered != len(l.Accepted()) {
 		t.Errorf("%v of %d", tally, len(l.Accepted()))
 	}
 }
--- a/internal/relay/appliance/fleet_test.go
+++ b/internal/relay/appliance/fleet_test.go
@@ -16,7 +16,7 @@
 
 // node is a relay of a fleet under test.
 type node struct {
-	path string
+	path string // of the operator's file
 	a    *appliance.Appliance
 	*adminapi.Client
 }
@@ -32,8 +32,9 @@
 	}
 }
 
-// newNodes starts so many relays of one fleet.
-func newNodes(t *testing.T, n int) (all []*node) {
+// newNodes starts n relays of one fleet.
+func newNodes(t *testing.T, n int) (nodes []*node) {
+	t.Helper()
 	dir := t.TempDir()
 	addrs, err := rig.Addresses(n)
 	if err != nil {
@@ -61,17 +62,19 @@
 			m.Close()
 			m.a.Stop("test")
 		})
-		all = append(all, m)
+		nodes = append(nodes, m)
 	}
-	return all
+	return nodes
 }
 
+// drained reports whether an endpoint is drained at this relay.
 func (n *node) drained(t *testing.T, endpoint string) bool {
-	all, err := n.Partners(t.Context())
+	t.Helper()
+	partners, err := n.Partners(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range all {
+	for _, p := range partners {
 		for _, e := range p.Endpoints {
 			if e.ID == endpoint {
 				return e.State == "drained"
@@ -82,7 +85,9 @@
 	return false
 }
 
+// fleet returns this relay's view of its fleet.
 func (n *node) fleet(t *testing.T) adminapi.Fleet {
+	t.Helper()
 	f, err := n.Fleet(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -90,8 +95,9 @@
 	return f
 }
 
-// An operator drains at one relay for all, takes it back at another, and says that one is gone; all of it outlasts restarts.
-func TestFleetOfThree(t *testing.T) {
+// Overrides for the fleet: an operator drains an endpoint through one relay, undrains it through another, and
+// declares a relay removed. All of it survives restarts.
+func TestFleetOverrides(t *testing.T) {
 	all := newNodes(t, 3)
 	a, b, c := all[0], all[1], all[2]
 	everywhere := func(what string, holds func(n *node) bool) {
@@ -104,7 +110,7 @@
 			return true
 		})
 	}
-	there := func(n *node, want int) bool {
+	seesRelays := func(n *node, want int) bool {
 		got := 0
 		for _, r := range n.fleet(t).Relays {
 			if r.There {
@@ -113,13 +119,13 @@
 		}
 		return got == want
 	}
-	everywhere("each hears all", func(n *node) bool { return there(n, 3) })
+	everywhere("each relay sees all", func(n *node) bool { return seesRelays(n, 3) })
 	d, err := a.Drain(t.Context(), adminapi.DrainRequest{Target: "endpoint:pay-1", By: "ana", Fleet: true})
 	if err != nil || d.Result != "drained for the fleet" || d.Fleet == nil {
 		t.Fatalf("%+v, %v", d, err)
 	}
-	everywhere("it is drained at all", func(n *node) bool { return n.drained(t, "pay-1") })
-	eventually(t, "that is known where it was said", func() bool { w := a.fleet(t).Words; return len(w) == 1 && len(w[0].Missing) == 0 })
+	everywhere("it is drained at all relays", func(n *node) bool { return n.drained(t, "pay-1") })
+	eventually(t, "the first relay knows that all have the override", func() bool { w := a.fleet(t).Words; return len(w) == 1 && len(w[0].Missing) == 0 })
 	if d, err := b.Undrain(t.Context(), adminapi.DrainRequest{Target: "endpoint:pay-1", By: "b"}); err != nil || d.Result != "still drained for the fleet" || !b.drained(t, "pay-1") {
 		t.Errorf("undrained at one relay alone: %+v, %v", d, err)
 	}
@@ -133,10 +139,10 @@
 		}
 	}
 	if _, err := a.Gone(t.Context(), adminapi.GoneRequest{Relay: "r2", By: "ana"}); !adminapi.IsCode(err, adminapi.Conflict) {
-		t.Errorf("one that is heard is gone: %v", err)
+		t.Errorf("a live relay is removed: %v", err)
 	}
 	c.a.Stop("test")
-	eventually(t, "it is not there", func() bool { return there(a, 2) })
+	eventually(t, "the stopped relay is not seen", func() bool { return seesRelays(a, 2) })
 	if _, err := a.Gone(t.Context(), adminapi.GoneRequest{Relay: "r2", By: "ana"}); err != nil {
 		t.Fatal(err)
 	}
@@ -147,17 +153,17 @@
 		t.Errorf("%+v, %v", d, err)
 	}
 	c.start(t)
-	eventually(t, "it takes over what was said meanwhile", func() bool {
+	eventually(t, "it has the overrides that were made meanwhile", func() bool {
 		f := c.fleet(t)
 		return len(f.Words) == 2 && f.Words[0].Subject == "endpoint:pay-1" && !f.Words[0].Holds && f.Words[1].Subject == "gone:r2" && f.Words[1].Holds
 	})
 	if c.drained(t, "pay-1") {
-		t.Error("what was taken back while it was down is drained there still")
+		t.Error("an endpoint that was undrained while the relay was down is drained there")
 	}
 	if _, err := c.Gone(t.Context(), adminapi.GoneRequest{Relay: "r2", Back: true, By: "c"}); err != nil {
 		t.Fatal(err)
 	}
-	everywhere("it is back for all", func(n *node) bool { f := n.fleet(t); return !f.Relays[2].Gone && f.Parts == 3 })
+	everywhere("it is in the fleet again at all relays", func(n *node) bool { f := n.fleet(t); return !f.Relays[2].Gone && f.Parts == 3 })
 	b.a.Stop("test")
 	b.start(t)
 	if f := b.fleet(t); len(f.Words) != 2 || f.Words[0].Holds || f.Words[1].Holds {
@@ -168,8 +174,8 @@
 	}
 }
 
-// A file that reaches two of three relays: the third is shown as behind at all of them, until it has it too.
-func TestWhoIsBehind(t *testing.T) {
+// A file that reaches two of three relays: all show the third as behind, until it has the file too.
+func TestVersionsBehind(t *testing.T) {
 	all := newNodes(t, 3)
 	behind := func(n *node) (text string) {
 		for _, v := range n.fleet(t).Versions {
@@ -185,7 +191,7 @@
 			eventually(t, what, func() bool { return behind(n) == want })
 		}
 	}
-	for _, n := range all { // what is heard of in the first two seconds has been there before
+	for _, n := range all { // versions that arrive in the first two seconds count as present before
 		eventually(t, "all have the same for a while", func() bool {
 			for _, v := range n.fleet(t).Versions {
 				if v.State != "current" || v.ForMs < 2100 {
@@ -219,7 +225,7 @@
 	}
 }
 
-// A relay of no fleet says so.
+// A relay without a fleet reports none, and rejects operations on the fleet.
 func TestNoFleet(t *testing.T) {
 	dir := t.TempDir()
 	f, err := config.Parse([]byte("listen = \"127.0.0.1:0\"\npartner \"pay\" {\n  endpoint \"pay-1\" {\n    address = \"127.0.0.1:9001\"\n  }\n}\n"), "f.hcl", dir)
@@ -247,6 +253,6 @@
 		t.Errorf("a drain for the fleet: %v", err)
 	}
 	if _, err := c.Gone(context.Background(), adminapi.GoneRequest{Relay: "x"}); !adminapi.IsCode(err, adminapi.Conflict) {
-		t.Errorf("gone: %v", err)
+		t.Errorf("removal of a relay: %v", err)
 	}
 }
