--- a/internal/relay/demo/demo.go
+++ b/internal/relay/demo/demo.go
@@ -32,8 +32,8 @@
 
 // Result is how a demo ended.
 type Result struct {
-	Handed     int `json:"handed"` // in, all
-	Turned     int `json:"turned_away"`
+	Submitted  int `json:"handed"` // in, all
+	Rejected   int `json:"turned_away"`
 	Delivered  int `json:"delivered"`
 	Refused    int `json:"refused"` // turned away, or given up without having run
 	Failed     int `json:"failed"`
@@ -42,13 +42,13 @@
 
 // String gives the counts in one line.
 func (r Result) String() string {
-	return fmt.Sprintf("delivered %d of %d, refused %d, failed %d; duplicates %d", r.Delivered, r.Handed, r.Refused, r.Failed, r.Duplicates)
+	return fmt.Sprintf("delivered %d of %d, refused %d, failed %d; duplicates %d", r.Delivered, r.Submitted, r.Refused, r.Failed, r.Duplicates)
 }
 
 const (
-	troubleEvery = 4 * time.Second
-	troubleFor   = 3 * time.Second
-	drainFor     = 40 * time.Second // every message has ended by then: the longest deadline is 24 s
+	faultInterval  = 4 * time.Second
+	faultDuration  = 3 * time.Second
+	outcomeTimeout = 40 * time.Second // every message has ended by then: the longest deadline is 24 s
 )
 
 // Run runs a demo until its time is up, the context ends, or the console is closed; then it waits for the
@@ -104,13 +104,13 @@
 	}
 	defer stop()
 	trouble := make(chan struct{})
-	go func() { defer close(trouble); troubles(handing, site, o.Seed) }()
+	go func() { defer close(trouble); injectFaults(handing, site, o.Seed) }()
 	loaded := make(chan struct{})
 	go func() { defer close(loaded); load.Run(handing, o.Rate) }()
 	if o.Console != nil {
 		err = o.Console(handing, site.Control)
 	} else {
-		progress(handing, o.Out, site.Control)
+		printProgress(handing, o.Out, site.Control)
 	}
 	stop()
 	<-loaded
@@ -128,8 +128,8 @@
 	return err
 }
 
-// troubles lets partners get into trouble in turn, until the context ends; then all are well.
-func troubles(ctx context.Context, s *rig.Site, seed uint64) {
+// injectFaults lets partners get into trouble in turn, until the context ends; then all are well.
+func injectFaults(ctx context.Context, s *rig.Site, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	usual := map[string]standin.Behaviour{}
 	for _, p := range s.Partners {
@@ -160,7 +160,7 @@
 			return true
 		}
 	}
-	for n := 0; pause(troubleEvery - troubleFor); n++ {
+	for n := 0; pause(faultInterval - faultDuration); n++ {
 		p := s.Partners[rnd.IntN(len(s.Partners))]
 		kind := kinds[n%len(kinds)]
 		slog.Warn("the stand-in partner "+kind.name, "partner", p.Name)
@@ -168,7 +168,7 @@
 			id := fmt.Sprintf("%s-%d", p.Name, i+1)
 			kind.how(s.Hosts[id], usual[id])
 		}
-		going := pause(troubleFor)
+		going := pause(faultDuration)
 		for i := range p.Zones {
 			id := fmt.Sprintf("%s-%d", p.Name, i+1)
 			s.Hosts[id].Set(usual[id])
@@ -183,8 +183,8 @@
 	}
 }
 
-// progress prints a line a second.
-func progress(ctx context.Context, out io.Writer, c *adminapi.Client) {
+// printProgress prints a line a second.
+func printProgress(ctx context.Context, out io.Writer, c *adminapi.Client) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	var last adminapi.Totals
@@ -211,8 +211,8 @@
 // finish waits for the end of every message, and counts.
 func finish(ctx context.Context, s *rig.Site, l *rig.Load) (Result, error) {
 	taken := l.Accepted()
-	r := Result{Handed: len(taken) + l.Rejected(), Turned: l.Rejected()}
-	for end := time.Now().Add(drainFor); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	r := Result{Submitted: len(taken) + l.Rejected(), Rejected: l.Rejected()}
+	for end := time.Now().Add(outcomeTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		st, err := s.Control.Status(ctx)
 		if err != nil {
 			return r, err
@@ -229,7 +229,7 @@
 	for _, m := range taken {
 		payments[m.ID] = m.Class == "payment"
 	}
-	r.Delivered, r.Refused, r.Failed = tally.Delivered, tally.Refused+r.Turned, tally.Failed
+	r.Delivered, r.Refused, r.Failed = tally.Delivered, tally.Refused+r.Rejected, tally.Failed
 	r.Duplicates = len(s.Ledger.Repeated(func(id string) bool { return payments[id] }))
 	switch {
 	case r.Duplicates > 0:
