--- a/internal/relay/demo/demo.go
+++ b/internal/relay/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo shows a relay at work among stand-in partners that get into trouble in turn.
+// Package demo runs a relay with stand-in partners into which it injects faults in turn, submits messages, and
+// checks at the end that the outcomes that the relay reports agree with what the partners saw.
 package demo
 
 import (
@@ -17,43 +18,39 @@
 	"larchrouter/internal/relay/adminapi"
 	"larchrouter/internal/relay/config"
 	"larchrouter/internal/relay/rig"
-	"larchrouter/internal/standin"
 )
 
-// Options of a demo.
+// Options are the options of a demo.
 type Options struct {
 	Out     io.Writer
-	JSON    bool                                          // the last line as JSON
-	For     time.Duration                                 // messages are handed in for so long; 0 for 30 s, or for as long as the console is open
+	JSON    bool                                          // print the result as JSON
+	For     time.Duration                                 // messages are submitted; 0 for 30 s, or until the console is closed
 	Rate    float64                                       // messages a second, 1 to 5000
-	Seed    uint64                                        // 0 draws one
-	Console func(context.Context, *adminapi.Client) error // nil for lines of progress
+	Seed    uint64                                        // of messages and faults; 0 draws one
+	Console func(context.Context, *adminapi.Client) error // nil prints lines of progress instead
 }
 
-// Result is how a demo ended.
+// Result counts the messages of a demo by outcome.
 type Result struct {
-	Submitted  int `json:"handed"` // in, all
+	Submitted  int `json:"handed"` // accepted and rejected
 	Rejected   int `json:"turned_away"`
 	Delivered  int `json:"delivered"`
-	Refused    int `json:"refused"` // turned away, or given up without having run
+	Refused    int `json:"refused"` // rejected, or given up without having run
 	Failed     int `json:"failed"`
 	Duplicates int `json:"duplicates"` // payments that took effect more than once
 }
 
-// String gives the counts in one line.
+// String returns the counts in one line.
 func (r Result) String() string {
-	return fmt.Sprintf("delivered %d of %d, refused %d, failed %d; duplicates %d", r.Delivered, r.Submitted, r.Refused, r.Failed, r.Duplicates)
+	return fmt.Sprintf("delivered %d of %d, refused %d, failed %d; duplicates %d",
+		r.Delivered, r.Submitted, r.Refused, r.Failed, r.Duplicates)
 }
 
-const (
-	faultInterval  = 4 * time.Second
-	faultDuration  = 3 * time.Second
-	outcomeTimeout = 40 * time.Second // every message has ended by then: the longest deadline is 24 s
-)
+// outcomeTimeout bounds the wait for the outcomes of all messages; their longest deadline is 24 s.
+const outcomeTimeout = 40 * time.Second
 
-// Run runs a demo until its time is up, the context ends, or the console is closed; then it waits for the
-// end of every message.
-func Run(ctx context.Context, o Options) error {
+// setDefaults checks the options and replaces those that are zero.
+func (o *Options) setDefaults() error {
 	if o.Rate < 1 || o.Rate > 5000 {
 		return fmt.Errorf("--rate is %g, must be from 1 to 5000", o.Rate)
 	}
@@ -66,6 +63,17 @@
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
 	}
+	return nil
+}
+
+// Run runs a demo until its time is up, the context ends, or the console is closed. Then it ends the faults,
+// waits for the outcome of every message, and prints the result. It returns an error if an outcome contradicts
+// what the partners saw, or is missing. During a demo the default logger writes to the log lines of the admin
+// API.
+func Run(ctx context.Context, o Options) error {
+	if err := o.setDefaults(); err != nil {
+		return err
+	}
 	dir, err := os.MkdirTemp("", "larch-demo")
 	if err != nil {
 		return err
@@ -77,9 +85,9 @@
 	}
 	defer logs.Close()
 	tail := adminapi.NewTail(slog.NewTextHandler(logs, nil))
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(tail))
-	defer slog.SetDefault(was)
+	defer slog.SetDefault(previous)
 
 	partners := rig.Bureau()
 	site, err := rig.New(rig.Options{Dir: rig.StateDir(dir), Partners: partners, Tail: tail, Change: func(f *config.File) {
@@ -94,28 +102,11 @@
 	load := rig.NewLoad(site.App.Addr(), partners, o.Seed)
 	defer load.Close()
 	if o.Console == nil {
-		fmt.Fprintf(o.Out, "a relay on %s with %d partners, %g messages a second, seed %d\n", site.App.Addr(), len(partners), o.Rate, o.Seed)
+		fmt.Fprintf(o.Out, "a relay on %s with %d partners, %g messages a second, seed %d\n",
+			site.App.Addr(), len(partners), o.Rate, o.Seed)
 		fmt.Fprintf(o.Out, "ask it meanwhile: larchrouter status --socket %s\n", site.App.Socket())
 	}
-
-	handing, stop := context.WithCancel(ctx)
-	if o.For > 0 {
-		handing, stop = context.WithTimeout(ctx, o.For)
-	}
-	defer stop()
-	trouble := make(chan struct{})
-	go func() { defer close(trouble); injectFaults(handing, site, o.Seed) }()
-	loaded := make(chan struct{})
-	go func() { defer close(loaded); load.Run(handing, o.Rate) }()
-	if o.Console != nil {
-		err = o.Console(handing, site.Control)
-	} else {
-		printProgress(handing, o.Out, site.Control)
-	}
-	stop()
-	<-loaded
-	<-trouble
-	if err != nil {
+	if err := submitUnderFaults(ctx, o, site, load); err != nil {
 		return err
 	}
 	fmt.Fprintln(o.Out, "every partner is well again; waiting for the messages that are still held")
@@ -128,62 +119,31 @@
 	return err
 }
 
-// injectFaults lets partners get into trouble in turn, until the context ends; then all are well.
-func injectFaults(ctx context.Context, s *rig.Site, seed uint64) {
-	rnd := rand.New(rand.NewPCG(seed, 1))
-	usual := map[string]standin.Behaviour{}
-	for _, p := range s.Partners {
-		for id := range s.Hosts {
-			if strings.HasPrefix(id, p.Name+"-") {
-				usual[id] = p.Behaviour
-			}
-		}
-	}
-	kinds := []struct {
-		name string
-		how  func(*standin.Host, standin.Behaviour)
-	}{
-		{"refuses, and tells how long to wait", func(h *standin.Host, how standin.Behaviour) {
-			how.Refuse, how.Wait = true, 800*time.Millisecond
-			h.Set(how)
-		}},
-		{"stalls", func(h *standin.Host, how standin.Behaviour) { how.Latency = 900 * time.Millisecond; h.Set(how) }},
-		{"is down", func(h *standin.Host, _ standin.Behaviour) { h.Down() }},
-		{"fails after it has applied", func(h *standin.Host, how standin.Behaviour) { how.Fail = true; h.Set(how) }},
-		{"hangs", func(h *standin.Host, how standin.Behaviour) { how.Hang = true; h.Set(how) }},
-	}
-	pause := func(d time.Duration) bool {
-		select {
-		case <-ctx.Done():
-			return false
-		case <-time.After(d):
-			return true
-		}
+// submitUnderFaults submits messages and injects faults until the time is up, the context ends, or the console
+// is closed. It returns the error of the console. Afterwards the partners are healthy and every submission has
+// its response.
+func submitUnderFaults(ctx context.Context, o Options, site *rig.Site, load *rig.Load) (err error) {
+	loadCtx, stop := context.WithCancel(ctx)
+	if o.For > 0 {
+		loadCtx, stop = context.WithTimeout(ctx, o.For)
 	}
-	for n := 0; pause(faultInterval - faultDuration); n++ {
-		p := s.Partners[rnd.IntN(len(s.Partners))]
-		kind := kinds[n%len(kinds)]
-		slog.Warn("the stand-in partner "+kind.name, "partner", p.Name)
-		for i := range p.Zones {
-			id := fmt.Sprintf("%s-%d", p.Name, i+1)
-			kind.how(s.Hosts[id], usual[id])
-		}
-		going := pause(faultDuration)
-		for i := range p.Zones {
-			id := fmt.Sprintf("%s-%d", p.Name, i+1)
-			s.Hosts[id].Set(usual[id])
-			if err := s.Hosts[id].Up(); err != nil {
-				slog.Error("the stand-in does not come back", "endpoint", id, "err", err)
-			}
-		}
-		slog.Info("the stand-in partner is well again", "partner", p.Name)
-		if !going {
-			return
-		}
+	defer stop()
+	faultsDone := make(chan struct{})
+	go func() { defer close(faultsDone); injectFaults(loadCtx, site, o.Seed) }()
+	loadDone := make(chan struct{})
+	go func() { defer close(loadDone); load.Run(loadCtx, o.Rate) }()
+	if o.Console != nil {
+		err = o.Console(loadCtx, site.Control)
+	} else {
+		printProgress(loadCtx, o.Out, site.Control)
 	}
+	stop()
+	<-loadDone
+	<-faultsDone
+	return err
 }
 
-// printProgress prints a line a second.
+// printProgress prints the relay's counts once a second until the context ends.
 func printProgress(ctx context.Context, out io.Writer, c *adminapi.Client) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -202,16 +162,17 @@
 			continue
 		}
 		t := s.Totals
-		fmt.Fprintf(out, "%3ds  in %4d/s  delivered %4d/s  held %4d  calls out %2d  unhealthy endpoints %d  refused %d  failed %d\n", n,
-			t.Taken-last.Taken, t.Delivered-last.Delivered, s.Held, s.Out, s.Unhealthy, t.Refused, t.Failed)
+		fmt.Fprintf(out, "%3ds  in %4d/s  delivered %4d/s  held %4d  calls out %2d  unhealthy endpoints %d  refused %d  failed %d\n",
+			n, t.Taken-last.Taken, t.Delivered-last.Delivered, s.Held, s.Out, s.Unhealthy, t.Refused, t.Failed)
 		last = t
 	}
 }
 
-// finish waits for the end of every message, and counts.
+// finish waits until no message is pending, and counts the outcomes. The error says which of them are wrong or
+// missing.
 func finish(ctx context.Context, s *rig.Site, l *rig.Load) (Result, error) {
-	taken := l.Accepted()
-	r := Result{Submitted: len(taken) + l.Rejected(), Rejected: l.Rejected()}
+	accepted := l.Accepted()
+	r := Result{Submitted: len(accepted) + l.Rejected(), Rejected: l.Rejected()}
 	for end := time.Now().Add(outcomeTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		st, err := s.Control.Status(ctx)
 		if err != nil {
@@ -221,12 +182,12 @@
 			break
 		}
 	}
-	tally, err := l.Count(ctx, taken, s.Ledger)
+	tally, err := l.Count(ctx, accepted, s.Ledger)
 	if err != nil {
 		return r, err
 	}
 	payments := map[string]bool{}
-	for _, m := range taken {
+	for _, m := range accepted {
 		payments[m.ID] = m.Class == "payment"
 	}
 	r.Delivered, r.Refused, r.Failed = tally.Delivered, tally.Refused+r.Rejected, tally.Failed
@@ -235,7 +196,8 @@
 	case r.Duplicates > 0:
 		return r, fmt.Errorf("%d payments took effect more than once", r.Duplicates)
 	case len(tally.Wrong) > 0:
-		return r, fmt.Errorf("%d messages contradict what the partners saw: %s", len(tally.Wrong), strings.Join(tally.Wrong[:min(5, len(tally.Wrong))], "; "))
+		return r, fmt.Errorf("%d messages contradict what the partners saw: %s", len(tally.Wrong),
+			strings.Join(tally.Wrong[:min(5, len(tally.Wrong))], "; "))
 	case tally.Open+tally.Unknown > 0:
 		return r, fmt.Errorf("%d messages have no end, and of %d nothing is known", tally.Open, tally.Unknown)
 	case len(l.Errors()) > 0:
