--- a/internal/relay/wire/fixtures_test.go
+++ b/internal/relay/wire/fixtures_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/choice"
 )
 
-// The lines that a simulator of another build writes.
+// The lines that a simulator of another version writes are understood.
 func TestInputIsAsFrozen(t *testing.T) {
 	hosts := []choice.Host{{Addr: "h1", Dest: 2, Kind: 3, Zone: 4, Rate: 5.5, State: choice.Ready}, {Addr: "h2", Dest: 6, State: choice.Gone},
 		{Addr: "h3", Dest: 7, State: choice.Draining}}
@@ -55,7 +55,7 @@
 	}
 }
 
-// The lines that a simulator of another build reads.
+// The lines that a simulator of another version reads are written byte for byte.
 func TestOutputIsAsFrozen(t *testing.T) {
 	var out bytes.Buffer
 	s := &session{output: bufio.NewWriter(&out)}
@@ -72,7 +72,7 @@
 		{choice.Subscribe{}, "OBSERVE\trelay-id=r\twant=1\n"},
 		{choice.Tell{To: 8, Note: []byte{1, 2, 255}}, "SAY\trelay-id=r\taddressee=8\tbytes=AQL/\n"},
 		{choice.Log{Text: "text"}, "EMIT\trelay-id=r\tnote-text=text\n"},
-		{choice.Health{Host: "h2", Unwell: true, Base: 9}, ""}, // for a relay alone
+		{choice.Health{Host: "h2", Unwell: true, Base: 9}, ""}, // for a standalone relay only
 	} {
 		out.Reset()
 		s.printAction(in, tc.action)
--- a/internal/relay/wire/wire_test.go
+++ b/internal/relay/wire/wire_test.go
@@ -27,7 +27,7 @@
 
 func TestRoundTrips(t *testing.T) {
 	place := "PLACE\trelay-id=relay_0\top-id=m\thost=10.0.0.1:80\tmax-wait=10\n"
-	arm := "ARM\trelay-id=relay_0\twait=1\ttag=1\n" // silence would be noticed then, or discovery asked again
+	arm := "ARM\trelay-id=relay_0\twait=1\ttag=1\n" // for the check of an unresponsive host, or the next discovery poll
 	for name, tc := range map[string]struct{ in, want string }{
 		"no input":    {"", ""},
 		"empty batch": {batch("1"), "DONE\n"},
@@ -42,14 +42,14 @@
 			place + arm + "DONE\nSURRENDER\trelay-id=relay_0\top-id=m\nDONE\n"},
 		"events of ended messages": {batch("1", start("relay_0", "automatic")) + batch("2",
 			"CLIENT_GONE\trelay-id=relay_0\top-id=old\n", "FIRED\trelay-id=relay_0\ttag=9\n"), "DONE\nDONE\n"},
-		"silent without an event": {batch("1", start("relay_0", "automatic"), start("relay_1", "automatic")) +
+		"no output without an event": {batch("1", start("relay_0", "automatic"), start("relay_1", "automatic")) +
 			batch("2", accept), "DONE\n" + place + arm + "DONE\n"},
 		"restart under one name": {batch("1", start("relay_0", "automatic"), accept, "DETACH\trelay-id=relay_0\n",
 			start("relay_0", "automatic")), "DONE\n"},
-		"a sheet used again": {batch("1", start("relay_0", "automatic"),
+		"a catalog replaced": {batch("1", start("relay_0", "automatic"),
 			"CATALOG\tsheet=0\trecords=1\nHOST\thost=10.0.0.1:80\tcondition=2\tcell=7\n",
 			"UPDATE\trelay-id=relay_0\trev=2\tsheet=0\tscope=0\n", accept),
-			"ARM\trelay-id=relay_0\twait=9.97\ttag=1\nDONE\n"}, // its time is up,
+			"ARM\trelay-id=relay_0\twait=9.97\ttag=1\nDONE\n"}, // its deadline
 		"failed update": {batch("1", start("relay_0", "automatic"), "UPDATE\trelay-id=relay_0\trev=2\tscope=3\n"),
 			arm + "DONE\n"},
 	} {
