--- a/internal/relay/wire/fixtures_test.go
+++ b/internal/relay/wire/fixtures_test.go
@@ -13,10 +13,14 @@
 
 // The lines that a simulator of another version writes are understood.
 func TestInputIsAsFrozen(t *testing.T) {
-	hosts := []choice.Host{{Addr: "h1", Dest: 2, Kind: 3, Zone: 4, Rate: 5.5, State: choice.Ready}, {Addr: "h2", Dest: 6, State: choice.Gone},
-		{Addr: "h3", Dest: 7, State: choice.Draining}}
-	s := &session{input: bufio.NewReader(strings.NewReader("HOST\thost=h1\tcell=2\tkind=3\track-zone=4\tsize=5.5\tcondition=1\n" +
-		"HOST\thost=h2\tcell=6\tcondition=0\nHOST\thost=h3\tcell=7\tcondition=2\n")), fields: map[string]string{}, catalogs: map[int][]choice.Host{}}
+	hosts := []choice.Host{
+		{Addr: "h1", Dest: 2, Kind: 3, Zone: 4, Rate: 5.5, State: choice.Ready},
+		{Addr: "h2", Dest: 6, State: choice.Gone},
+		{Addr: "h3", Dest: 7, State: choice.Draining},
+	}
+	input := "HOST\thost=h1\tcell=2\tkind=3\track-zone=4\tsize=5.5\tcondition=1\n" +
+		"HOST\thost=h2\tcell=6\tcondition=0\nHOST\thost=h3\tcell=7\tcondition=2\n"
+	s := &session{input: bufio.NewReader(strings.NewReader(input)), fields: map[string]string{}, catalogs: map[int][]choice.Host{}}
 	catalog, err := parseLine(1, "CATALOG\tsheet=8\trecords=3", map[string]string{})
 	if err != nil {
 		t.Fatal(err)
@@ -26,8 +30,11 @@
 	}
 	in := &instance{timerTag: 9}
 	for text, want := range map[string]choice.Event{
-		"ACCEPT\top-id=m1\tpriority=2\tfar-end=3\tleft=4.5\tsubject=k6": choice.Arrival{ID: "m1", Class: 2, Dest: 3, Left: 4500 * time.Millisecond, Key: "k6"},
-		"ATTEMPT_END\top-id=m1\thost=h2\ttry=3\thow=turned_away\tcost-time=0.25\tover=1\tremark-ms=5\tfeedback=6.5,7": choice.Result{ID: "m1", Host: "h2",
+		"ACCEPT\top-id=m1\tpriority=2\tfar-end=3\tleft=4.5\tsubject=k6": choice.Arrival{
+			ID: "m1", Class: 2, Dest: 3, Left: 4500 * time.Millisecond, Key: "k6"},
+		"ATTEMPT_END\top-id=m1\thost=h2\ttry=3\thow=turned_away\tcost-time=0.25\tover=1\tremark-ms=5\t" +
+			"feedback=6.5,7": choice.Result{
+			ID: "m1", Host: "h2",
 			Attempt: 3, Outcome: choice.Refused, Took: 250 * time.Millisecond, Wait: 5 * time.Millisecond, Done: true, Report: []float64{6.5, 7}},
 		"UPDATE\tscope=0\tsheet=8":        choice.Listing{Hosts: hosts},
 		"UPDATE\tscope=1\tsheet=8":        choice.Listing{Whole: true, Hosts: hosts},
@@ -48,8 +55,8 @@
 			t.Errorf("%q is read as %+v, %v, %v, want %+v", text, got, err, l.err, want)
 		}
 	}
-	frozen := map[string]choice.Outcome{"served": 0, "server_error": 1, "turned_away": 2, "no_answer": 3, "no_connection": 4, "connection_lost": 5,
-		"called_off": 6, "not_sent": 7}
+	frozen := map[string]choice.Outcome{"served": 0, "server_error": 1, "turned_away": 2, "no_answer": 3, "no_connection": 4,
+		"connection_lost": 5, "called_off": 6, "not_sent": 7}
 	if !reflect.DeepEqual(outcomeNames, frozen) {
 		t.Errorf("outcomes %v, want %v", outcomeNames, frozen)
 	}
