--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -64,7 +64,7 @@
 	conf, reloaded := config(t, state, old), config(t, state, moved)
 	sup := new(supervisor)
 	sup.reloaded.Store(&reloaded) // SIGHUP
-	sup.stopping.Store(true)   // SIGTERM
+	sup.stopping.Store(true)      // SIGTERM
 	ended := make(chan error, 1)
 	go func() {
 		_, err := serve(conf, nil, sup)
