--- a/internal/relay/appliance/appliance_test.go
+++ b/internal/relay/appliance/appliance_test.go
@@ -101,7 +101,8 @@
 		t.Fatalf("status %d", got)
 	}
 	m := waitForState(t, l, "a", adminapi.Delivered)
-	if len(m.Attempts) != 1 || m.Attempts[0].Outcome != "delivered" || !strings.HasPrefix(m.Attempts[0].Endpoint, "pay-") || m.Bytes != 200 || m.Partner != "pay" {
+	if len(m.Attempts) != 1 || m.Attempts[0].Outcome != "delivered" || !strings.HasPrefix(m.Attempts[0].Endpoint, "pay-") ||
+		m.Bytes != 200 || m.Partner != "pay" {
 		t.Fatalf("%+v", m)
 	}
 	if got := messageState(t, l, "nobody"); got.State != "" {
@@ -289,7 +290,8 @@
 func TestStateFolderIsLocked(t *testing.T) {
 	s, _ := newSite(t, rig.Options{})
 	_, err := appliance.Start(s.File, "second", nil)
-	if err == nil || !strings.Contains(err.Error(), "in use by another relay, process "+fmt.Sprint(os.Getpid())) || strings.Contains(err.Error(), "\n") {
+	if err == nil || !strings.Contains(err.Error(), "in use by another relay, process "+fmt.Sprint(os.Getpid())) ||
+		strings.Contains(err.Error(), "\n") {
 		t.Errorf("the second relay: %v", err)
 	}
 }
@@ -299,8 +301,9 @@
 	if err := os.WriteFile(filepath.Join(d, "file"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := config.Parse([]byte(fmt.Sprintf("listen = \"127.0.0.1:0\"\nstate = %q\npartner \"p\" {\n endpoint \"e\" { address = \"127.0.0.1:1\" }\n}\n",
-		filepath.Join(d, "file", "state"))), "f", d)
+	text := fmt.Sprintf("listen = \"127.0.0.1:0\"\nstate = %q\npartner \"p\" {\n endpoint \"e\" { address = \"127.0.0.1:1\" }\n}\n",
+		filepath.Join(d, "file", "state"))
+	f, err := config.Parse([]byte(text), "f", d)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/appliance/drain_test.go
+++ b/internal/relay/appliance/drain_test.go
@@ -69,7 +69,9 @@
 		}
 		partners = append(partners, p)
 	}
-	s, l := newSite(t, rig.Options{Partners: partners, Keep: true, Change: func(f *config.File) { f.Ends.Keep, f.Limits.DiskMB = 500_000, 2000 }})
+	s, l := newSite(t, rig.Options{Partners: partners, Keep: true, Change: func(f *config.File) {
+		f.Ends.Keep, f.Limits.DiskMB = 500_000, 2000
+	}})
 	stop := underLoad(t, l, 20*workers)
 	type drainSpan struct{ acknowledged, undrain, undrained time.Time }
 	var mu sync.Mutex
@@ -144,7 +146,8 @@
 			}
 		}
 	}
-	t.Logf("%d drains; the latest first byte came %v after an acknowledgement, the slowest return took %v; %v", n, worst, slowest, waitForOutcomes(t, s, l))
+	t.Logf("%d drains; the latest first byte came %v after an acknowledgement, the slowest return took %v; %v",
+		n, worst, slowest, waitForOutcomes(t, s, l))
 	if n < *drains {
 		t.Errorf("%d drains, want %d", n, *drains)
 	}
@@ -339,7 +342,8 @@
 		t.Fatal(err)
 	}
 	l.Addr = s.App.Addr()
-	if m := waitForState(t, l, "hung", adminapi.Delivered); len(m.Attempts) < 2 || !strings.HasPrefix(m.Attempts[0].Outcome, "not recorded") {
+	if m := waitForState(t, l, "hung", adminapi.Delivered); len(m.Attempts) < 2 ||
+		!strings.HasPrefix(m.Attempts[0].Outcome, "not recorded") {
 		t.Errorf("%+v", m)
 	}
 }
@@ -402,10 +406,13 @@
 			}
 		})
 	}
-	for _, text := range []string{"\x00\xff\xfe garbage\r\n\r\n", "POST /v1/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n{{{{{",
-		"POST /v1/stop HTTP/1.1\r\nHost: x\r\nContent-Length: 14\r\n\r\n{\"unknown\":1}\n", "GET /v1/messages?limit=-1 HTTP/1.1\r\nHost: x\r\n\r\n",
+	for _, text := range []string{"\x00\xff\xfe garbage\r\n\r\n",
+		"POST /v1/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n{{{{{",
+		"POST /v1/stop HTTP/1.1\r\nHost: x\r\nContent-Length: 14\r\n\r\n{\"unknown\":1}\n",
+		"GET /v1/messages?limit=-1 HTTP/1.1\r\nHost: x\r\n\r\n",
 		"GET /v2/status HTTP/1.1\r\nHost: x\r\n\r\n", "DELETE /v1/messages/m1 HTTP/1.1\r\nHost: x\r\n\r\n",
-		"GET /v1/messages?partnr=pay HTTP/1.1\r\nHost: x\r\n\r\n", "POST /v1/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n{"} {
+		"GET /v1/messages?partnr=pay HTTP/1.1\r\nHost: x\r\n\r\n",
+		"POST /v1/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n{"} {
 		wg.Go(func() {
 			c := raw()
 			if c == nil {
--- a/internal/relay/appliance/fleet_test.go
+++ b/internal/relay/appliance/fleet_test.go
@@ -126,7 +126,8 @@
 	}
 	everywhere("it is drained at all relays", func(n *node) bool { return n.drained(t, "pay-1") })
 	eventually(t, "the first relay knows that all have the override", func() bool { w := a.fleet(t).Words; return len(w) == 1 && len(w[0].Missing) == 0 })
-	if d, err := b.Undrain(t.Context(), adminapi.DrainRequest{Target: "endpoint:pay-1", By: "b"}); err != nil || d.Result != "still drained for the fleet" || !b.drained(t, "pay-1") {
+	if d, err := b.Undrain(t.Context(), adminapi.DrainRequest{Target: "endpoint:pay-1", By: "b"}); err != nil ||
+		d.Result != "still drained for the fleet" || !b.drained(t, "pay-1") {
 		t.Errorf("undrained at one relay alone: %+v, %v", d, err)
 	}
 	for what, q := range map[string]adminapi.DrainRequest{
@@ -149,13 +150,15 @@
 	if d, err := b.Drain(t.Context(), adminapi.DrainRequest{Target: "partner:pay", By: "b"}); err != nil || d.Result != "drained" {
 		t.Errorf("%+v, %v", d, err)
 	}
-	if d, err := b.Undrain(t.Context(), adminapi.DrainRequest{Target: "endpoint:pay-1", By: "b", Fleet: true}); err != nil || d.Result != "undrained for the fleet, still drained here" {
+	if d, err := b.Undrain(t.Context(), adminapi.DrainRequest{Target: "endpoint:pay-1", By: "b", Fleet: true}); err != nil ||
+		d.Result != "undrained for the fleet, still drained here" {
 		t.Errorf("%+v, %v", d, err)
 	}
 	c.start(t)
 	eventually(t, "it has the overrides that were made meanwhile", func() bool {
 		f := c.fleet(t)
-		return len(f.Words) == 2 && f.Words[0].Subject == "endpoint:pay-1" && !f.Words[0].Holds && f.Words[1].Subject == "gone:r2" && f.Words[1].Holds
+		return len(f.Words) == 2 && f.Words[0].Subject == "endpoint:pay-1" && !f.Words[0].Holds &&
+			f.Words[1].Subject == "gone:r2" && f.Words[1].Holds
 	})
 	if c.drained(t, "pay-1") {
 		t.Error("an endpoint that was undrained while the relay was down is drained there")
@@ -169,7 +172,8 @@
 	if f := b.fleet(t); len(f.Words) != 2 || f.Words[0].Holds || f.Words[1].Holds {
 		t.Errorf("after a restart: %+v", f.Words)
 	}
-	if d, err := a.Drain(t.Context(), adminapi.DrainRequest{Target: "partner:pay", By: "ana", Fleet: true, DryRun: true}); err != nil || d.Result != "" || len(a.fleet(t).Words) != 2 {
+	if d, err := a.Drain(t.Context(), adminapi.DrainRequest{Target: "partner:pay", By: "ana", Fleet: true, DryRun: true}); err != nil ||
+		d.Result != "" || len(a.fleet(t).Words) != 2 {
 		t.Errorf("a dry run: %+v, %v", d, err)
 	}
 }
