--- a/internal/relay/wire/wire.go
+++ b/internal/relay/wire/wire.go
@@ -1,14 +1,17 @@
-// Package wire speaks the simulator's line protocol and maps it to package
-// choice. It decides nothing.
+// Package wire implements the simulator's line protocol: it translates the lines of a batch to events of
+// package choice, runs the instances that have an event, and writes their actions as lines. It takes no
+// decisions.
+//
+// A line is a name and fields NAME=VALUE, separated by tabs. A batch is a BATCH line with the clock, lines with
+// events and catalogs of hosts, and a YOUR_TURN line; the response is the lines of the actions and DONE. Any
+// malformed line ends Serve with an error that names the line and the field.
 package wire
 
 import (
 	"bufio"
-	"encoding/base64"
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"strconv"
 	"strings"
 	"time"
@@ -18,148 +21,30 @@
 	"larchrouter/internal/relay/settings"
 )
 
-var outcomes = map[string]choice.Outcome{
-	"served": choice.Served, "server_error": choice.Error, "turned_away": choice.Refused,
-	"no_answer": choice.Timeout, "no_connection": choice.NoConnection, "connection_lost": choice.Reset,
-	"called_off": choice.Cancelled, "not_sent": choice.NotSent,
-}
-
-// line is one parsed line; the first fault met while reading fields stays.
-type line struct {
-	number int
-	name   string
-	fields map[string]string
-	err    error
-}
-
-// parse fills the given map, which is emptied first.
-func parse(number int, text string, fields map[string]string) (*line, error) {
-	clear(fields)
-	l := &line{number: number, fields: fields}
-	var rest string
-	l.name, rest, _ = strings.Cut(text, "\t")
-	for rest != "" {
-		name, value, ok := strings.Cut(rest, "=")
-		if !ok || name == "" || strings.Contains(name, "\t") {
-			return nil, fmt.Errorf("line %d: %s: part %q is not name=value", number, l.name, rest)
-		}
-		rest = ""
-		if name != "config" && name != "note-text" { // text runs to the end of the line
-			value, rest, _ = strings.Cut(value, "\t")
-		}
-		if _, twice := l.fields[name]; twice {
-			return nil, fmt.Errorf("line %d: %s: field %s stands twice", number, l.name, name)
-		}
-		l.fields[name] = value
-	}
-	return l, nil
-}
-
-func (l *line) fail(field, what string) {
-	if l.err == nil {
-		l.err = fmt.Errorf("line %d: %s: field %s: %s", l.number, l.name, field, what)
-	}
-}
-
-func (l *line) text(field string) string {
-	v := l.fields[field]
-	if v == "" {
-		l.fail(field, "missing")
-	}
-	return v
-}
-
-func (l *line) number64(field string, required bool) float64 {
-	v, ok := l.fields[field]
-	if !ok || v == "" {
-		if required || ok {
-			l.fail(field, "missing")
-		}
-		return 0
-	}
-	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		l.fail(field, fmt.Sprintf("%q is no number", v))
-		return 0
-	}
-	return f
-}
-
-func (l *line) seconds(field string, required bool) time.Duration {
-	f := l.number64(field, required)
-	if math.Abs(f) > 1e9 {
-		l.fail(field, fmt.Sprintf("%g seconds is out of range", f))
-		return 0
-	}
-	return seconds(f)
-}
-
-func (l *line) whole(field string, required bool) int {
-	v, ok := l.fields[field]
-	if !ok && !required {
-		return 0
-	}
-	n, err := strconv.ParseInt(v, 10, 64)
-	if err != nil {
-		if v == "" {
-			l.fail(field, "missing")
-		} else {
-			l.fail(field, fmt.Sprintf("%q is no whole number", v))
-		}
-	}
-	return int(n)
-}
-
-func (l *line) outcome(field string) choice.Outcome {
-	o, ok := outcomes[l.text(field)]
-	if !ok {
-		l.fail(field, fmt.Sprintf("%q is no outcome", l.fields[field]))
-	}
-	return o
-}
-
-func (l *line) row(field string) []float64 {
-	v := l.fields[field]
-	if v == "" || v == "-" {
-		return nil
-	}
-	var row []float64
-	for part := range strings.SplitSeq(v, ",") {
-		f, err := strconv.ParseFloat(part, 64)
-		if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-			l.fail(field, fmt.Sprintf("%q is no row of numbers", v))
-			return nil
-		}
-		row = append(row, f)
-	}
-	return row
-}
-
-func seconds(f float64) time.Duration { return time.Duration(math.Round(f*1e6)) * time.Microsecond }
-
-// instance is one chooser with the events that a batch holds for it.
+// instance is one configured relay and its events of the current batch.
 type instance struct {
-	name   string
-	core   *engine.Core
-	events []choice.Event
-	timer  int  // tag of the one that counts
-	due    bool // among those with an event in this batch
+	name     string
+	engine   *engine.Core
+	events   []choice.Event
+	timerTag int  // tag of the timer that was armed last; others are ignored
+	pending  bool // in session.pending
 }
 
-type server struct {
-	in     *bufio.Reader
-	out    *bufio.Writer
-	number int
-	fields map[string]string // of the line read last
-	sheets map[int][]choice.Host
-	insts  map[string]*instance
-	turn   []*instance // instances with an event in this batch, by first event
+// session is the state of one connection to the simulator.
+type session struct {
+	input      *bufio.Reader
+	output     *bufio.Writer
+	lineNumber int
+	fields     map[string]string // of the line that was read last
+	catalogs   map[int][]choice.Host
+	instances  map[string]*instance
+	pending    []*instance // instances with an event in this batch, in the order of their first ones
 }
 
-// Serve answers batches until the input ends.
+// Serve responds to batches until the input ends. An input that ends within a batch is an error.
 func Serve(r io.Reader, w io.Writer) error {
-	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
-		fields: map[string]string{}, sheets: map[int][]choice.Host{}, insts: map[string]*instance{}}
+	s := &session{input: bufio.NewReaderSize(r, 1<<16), output: bufio.NewWriterSize(w, 1<<16),
+		fields: map[string]string{}, catalogs: map[int][]choice.Host{}, instances: map[string]*instance{}}
 	for {
 		l, err := s.read()
 		if errors.Is(err, io.EOF) {
@@ -169,7 +54,7 @@
 			err = s.batch(l)
 		}
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: batch ends without YOUR_TURN", s.number)
+			return fmt.Errorf("line %d: batch ends without YOUR_TURN", s.lineNumber)
 		}
 		if err != nil {
 			return err
@@ -177,21 +62,22 @@
 	}
 }
 
-// read returns the next line that is not empty.
-func (s *server) read() (*line, error) {
+// read returns the next line that is not empty. The line is valid until the next read.
+func (s *session) read() (*line, error) {
 	for {
-		text, err := s.in.ReadString('\n')
+		text, err := s.input.ReadString('\n')
 		if err != nil && (text == "" || !errors.Is(err, io.EOF)) {
 			return nil, err
 		}
-		s.number++
+		s.lineNumber++
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
-			return parse(s.number, text, s.fields)
+			return parseLine(s.lineNumber, text, s.fields)
 		}
 	}
 }
 
-func (s *server) batch(l *line) error {
+// batch processes one batch, whose first line is given, and writes the response.
+func (s *session) batch(l *line) error {
 	if l.name != "BATCH" {
 		return fmt.Errorf("line %d: %s where BATCH was due", l.number, l.name)
 	}
@@ -199,7 +85,7 @@
 	if l.err != nil {
 		return l.err
 	}
-	s.turn = s.turn[:0]
+	s.pending = s.pending[:0]
 	for {
 		l, err := s.read()
 		if err != nil {
@@ -217,32 +103,33 @@
 			return err
 		}
 	}
-	for _, in := range s.turn {
-		if s.insts[in.name] == in {
+	for _, in := range s.pending {
+		if s.instances[in.name] == in {
 			s.step(clock, in)
 		}
 	}
-	s.out.WriteString("DONE\n")
-	return s.out.Flush()
+	s.output.WriteString("DONE\n")
+	return s.output.Flush()
 }
 
-// step runs one chooser and prints what it answers; a panic becomes the fault line.
-func (s *server) step(clock time.Duration, in *instance) {
+// step runs one instance and writes its actions. A panic is reported in a BUG line.
+func (s *session) step(clock time.Duration, in *instance) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := strings.NewReplacer("\n", " ", "\t", " ").Replace(fmt.Sprint(p))
-			fmt.Fprintf(s.out, "BUG\trelay-id=%s\tnote-text=%s\n", in.name, text)
+			fmt.Fprintf(s.output, "BUG\trelay-id=%s\tnote-text=%s\n", in.name, text)
 		}
 	}()
 	events := in.events
-	in.events, in.due = nil, false
-	for _, a := range in.core.Step(clock, events) {
-		s.print(in, a)
+	in.events, in.pending = nil, false
+	for _, a := range in.engine.Step(clock, events) {
+		s.printAction(in, a)
 	}
 }
 
-func (s *server) catalog(l *line) error {
-	sheet, n := l.whole("sheet", true), l.whole("records", true)
+// catalog reads the HOST lines of a catalog.
+func (s *session) catalog(l *line) error {
+	sheet, n := l.integer("sheet", true), l.integer("records", true)
 	if l.err != nil {
 		return l.err
 	}
@@ -255,9 +142,9 @@
 		if e.name != "HOST" {
 			return fmt.Errorf("line %d: %s where HOST was due", e.number, e.name)
 		}
-		h := choice.Host{Addr: e.text("host"), Dest: e.whole("cell", true), Kind: e.whole("kind", false),
-			Zone: e.whole("rack-zone", false), Rate: e.number64("size", false)}
-		switch state := e.whole("condition", false); state {
+		h := choice.Host{Addr: e.required("host"), Dest: e.integer("cell", true), Kind: e.integer("kind", false),
+			Zone: e.integer("rack-zone", false), Rate: e.float("size", false)}
+		switch state := e.integer("condition", false); state {
 		case 0:
 			h.State = choice.Gone
 		case 1:
@@ -272,21 +159,22 @@
 		}
 		hosts = append(hosts, h)
 	}
-	s.sheets[sheet] = hosts
+	s.catalogs[sheet] = hosts
 	return nil
 }
 
-func (s *server) event(l *line) error {
-	name := l.text("relay-id")
+// event processes a line about one instance.
+func (s *session) event(l *line) error {
+	name := l.required("relay-id")
 	if l.err != nil {
 		return l.err
 	}
-	in := s.insts[name]
+	in := s.instances[name]
 	switch l.name {
 	case "CONFIGURE":
 		return s.configure(l, name)
 	case "DETACH":
-		delete(s.insts, name)
+		delete(s.instances, name)
 		return nil
 	}
 	e, err := s.translate(l, in)
@@ -299,9 +187,9 @@
 	if err != nil {
 		return err
 	}
-	if !in.due {
-		in.due = true
-		s.turn = append(s.turn, in)
+	if !in.pending {
+		in.pending = true
+		s.pending = append(s.pending, in)
 	}
 	if e != nil {
 		in.events = append(in.events, e)
@@ -309,12 +197,13 @@
 	return nil
 }
 
-func (s *server) configure(l *line, name string) error {
-	seed, err := strconv.ParseUint(l.text("entropy"), 10, 64)
+// configure creates an instance, in place of an earlier one with its name.
+func (s *session) configure(l *line, name string) error {
+	seed, err := strconv.ParseUint(l.required("entropy"), 10, 64)
 	if err != nil {
 		l.fail("entropy", "no whole number")
 	}
-	text := l.text("config")
+	text := l.required("config")
 	if l.err != nil {
 		return l.err
 	}
@@ -326,83 +215,8 @@
 	if err != nil {
 		return fmt.Errorf("line %d: CONFIGURE: field config: %w", l.number, err)
 	}
-	in := &instance{name: name, core: c, due: true}
-	s.insts[name] = in
-	s.turn = append(s.turn, in)
+	in := &instance{name: name, engine: c, pending: true}
+	s.instances[name] = in
+	s.pending = append(s.pending, in)
 	return nil
 }
-
-// translate maps one event line; the event is nil where choice has no use for it.
-func (s *server) translate(l *line, in *instance) (choice.Event, error) {
-	switch l.name {
-	case "ACCEPT":
-		return choice.Arrival{ID: l.text("op-id"), Class: l.whole("priority", false), Dest: l.whole("far-end", true),
-			Left: l.seconds("left", true), Key: l.fields["subject"]}, nil
-	case "ATTEMPT_END":
-		return choice.Result{ID: l.text("op-id"), Host: l.text("host"), Attempt: l.whole("try", false),
-			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.whole("over", false) == 1,
-			Wait: time.Duration(l.whole("remark-ms", false)) * time.Millisecond, Report: l.row("feedback")}, nil
-	case "UPDATE":
-		scope := l.whole("scope", false)
-		if scope < 0 || scope > 3 {
-			l.fail("scope", fmt.Sprintf("%d is no scope", scope))
-		}
-		if scope == 3 {
-			return choice.Listing{Failed: true}, nil
-		}
-		sheet := l.whole("sheet", false)
-		hosts, ok := s.sheets[sheet]
-		if !ok {
-			l.fail("sheet", fmt.Sprintf("no CATALOG %d was given", sheet))
-		}
-		return choice.Listing{Whole: scope != 0, Hosts: hosts}, nil
-	case "CLIENT_GONE":
-		return choice.Withdrawn{ID: l.text("op-id")}, nil
-	case "FIRED":
-		if tag := l.whole("tag", false); in == nil || tag != in.timer {
-			return nil, nil // another took its place
-		}
-		return choice.Woken{}, nil
-	case "PROBE_DONE":
-		l.text("host")
-		l.outcome("how")
-		return nil, nil // no probe is ever sent
-	case "FROM_PEER":
-		e := choice.Heard{From: l.whole("author", false)}
-		if b := l.fields["bytes"]; b != "" && b != "-" {
-			var err error
-			if e.Note, err = base64.StdEncoding.DecodeString(b); err != nil {
-				l.fail("bytes", "not base64")
-			}
-		}
-		return e, nil
-	case "FIRST_BYTE":
-		l.text("op-id")
-		return nil, nil
-	}
-	return nil, fmt.Errorf("line %d: unknown message %q", l.number, l.name)
-}
-
-func (s *server) print(in *instance, a choice.Action) {
-	inst := in.name
-	sec := func(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
-	switch a := a.(type) {
-	case choice.Send:
-		fmt.Fprintf(s.out, "PLACE\trelay-id=%s\top-id=%s\thost=%s\tmax-wait=%s\n", inst, a.ID, a.Host, sec(a.Timeout))
-	case choice.Refuse:
-		fmt.Fprintf(s.out, "DENY\trelay-id=%s\top-id=%s\tnot-before-for=%s\n", inst, a.ID, sec(a.After))
-	case choice.Fail:
-		fmt.Fprintf(s.out, "SURRENDER\trelay-id=%s\top-id=%s\n", inst, a.ID)
-	case choice.Cancel:
-		fmt.Fprintf(s.out, "REVOKE\trelay-id=%s\top-id=%s\ttry=%d\n", inst, a.ID, a.Attempt)
-	case choice.Wake:
-		in.timer++
-		fmt.Fprintf(s.out, "ARM\trelay-id=%s\twait=%s\ttag=%d\n", inst, sec(a.After), in.timer)
-	case choice.Subscribe:
-		fmt.Fprintf(s.out, "OBSERVE\trelay-id=%s\twant=1\n", inst)
-	case choice.Tell:
-		fmt.Fprintf(s.out, "SAY\trelay-id=%s\taddressee=%d\tbytes=%s\n", inst, a.To, base64.StdEncoding.EncodeToString(a.Note))
-	case choice.Log:
-		fmt.Fprintf(s.out, "EMIT\trelay-id=%s\tnote-text=%s\n", inst, a.Text)
-	}
-}
--- a/internal/relay/wire/wire_test.go
+++ b/internal/relay/wire/wire_test.go
@@ -27,7 +27,7 @@
 
 func TestRoundTrips(t *testing.T) {
 	place := "PLACE\trelay-id=relay_0\top-id=m\thost=10.0.0.1:80\tmax-wait=10\n"
-	arm := "ARM\trelay-id=relay_0\twait=1\ttag=1\n" // silence would be noticed then, or discovery asked again
+	arm := "ARM\trelay-id=relay_0\twait=1\ttag=1\n" // for the check of an unresponsive host, or the next discovery poll
 	for name, tc := range map[string]struct{ in, want string }{
 		"no input":    {"", ""},
 		"empty batch": {batch("1"), "DONE\n"},
@@ -42,14 +42,14 @@
 			place + arm + "DONE\nSURRENDER\trelay-id=relay_0\top-id=m\nDONE\n"},
 		"events of ended messages": {batch("1", start("relay_0", "automatic")) + batch("2",
 			"CLIENT_GONE\trelay-id=relay_0\top-id=old\n", "FIRED\trelay-id=relay_0\ttag=9\n"), "DONE\nDONE\n"},
-		"silent without an event": {batch("1", start("relay_0", "automatic"), start("relay_1", "automatic")) +
+		"no output without an event": {batch("1", start("relay_0", "automatic"), start("relay_1", "automatic")) +
 			batch("2", accept), "DONE\n" + place + arm + "DONE\n"},
 		"restart under one name": {batch("1", start("relay_0", "automatic"), accept, "DETACH\trelay-id=relay_0\n",
 			start("relay_0", "automatic")), "DONE\n"},
-		"a sheet used again": {batch("1", start("relay_0", "automatic"),
+		"a catalog replaced": {batch("1", start("relay_0", "automatic"),
 			"CATALOG\tsheet=0\trecords=1\nHOST\thost=10.0.0.1:80\tcondition=2\tcell=7\n",
 			"UPDATE\trelay-id=relay_0\trev=2\tsheet=0\tscope=0\n", accept),
-			"ARM\trelay-id=relay_0\twait=9.97\ttag=1\nDONE\n"}, // its time is up,
+			"ARM\trelay-id=relay_0\twait=9.97\ttag=1\nDONE\n"}, // its deadline
 		"failed update": {batch("1", start("relay_0", "automatic"), "UPDATE\trelay-id=relay_0\trev=2\tscope=3\n"),
 			arm + "DONE\n"},
 	} {
@@ -70,14 +70,18 @@
 		"no batch":        {"HELLO\n", "line 1: HELLO where BATCH was due"},
 		"bad clock":       {"BATCH\tclock=x\n", `line 1: BATCH: field clock: "x" is no number`},
 		"unknown message": {batch("1", start("relay_0", "automatic"), "DANCE\trelay-id=relay_0\n"), `line 6: unknown message "DANCE"`},
-		"missing field":   {batch("1", start("relay_0", "automatic"), "ACCEPT\trelay-id=relay_0\top-id=m\tleft=1\n"), "line 6: ACCEPT: field far-end: missing"},
-		"bad number":      {batch("1", start("relay_0", "automatic"), "ACCEPT\trelay-id=relay_0\top-id=m\tleft=1\tfar-end=7.5.1\n"), "field far-end"},
-		"unknown outcome": {batch("1", start("relay_0", "automatic"), "ATTEMPT_END\trelay-id=relay_0\top-id=m\thow=fine\thost=a\n"), `"fine" is no outcome`},
-		"no name=value":   {"BATCH\tclock\n", "is not name=value"},
-		"truncated":       {"BATCH\tclock=1\n", "batch ends without YOUR_TURN"},
-		"no instance":     {batch("1", accept), "relay_0 was never configured"},
-		"no sheet":        {batch("1", start("relay_0", "automatic"), "UPDATE\trelay-id=relay_0\trev=2\tsheet=3\tscope=1\n"), "no CATALOG 3"},
-		"bad settings":    {batch("1", "CONFIGURE\trelay-id=relay_0\tentropy=1\tconfig={}\n"), "field config"},
+		"missing field": {batch("1", start("relay_0", "automatic"), "ACCEPT\trelay-id=relay_0\top-id=m\tleft=1\n"),
+			"line 6: ACCEPT: field far-end: missing"},
+		"bad number": {batch("1", start("relay_0", "automatic"), "ACCEPT\trelay-id=relay_0\top-id=m\tleft=1\tfar-end=7.5.1\n"),
+			"field far-end"},
+		"unknown outcome": {batch("1", start("relay_0", "automatic"), "ATTEMPT_END\trelay-id=relay_0\top-id=m\thow=fine\thost=a\n"),
+			`"fine" is no outcome`},
+		"no name=value": {"BATCH\tclock\n", "is not name=value"},
+		"truncated":     {"BATCH\tclock=1\n", "batch ends without YOUR_TURN"},
+		"no instance":   {batch("1", accept), "relay_0 was never configured"},
+		"no sheet": {batch("1", start("relay_0", "automatic"), "UPDATE\trelay-id=relay_0\trev=2\tsheet=3\tscope=1\n"),
+			"no CATALOG 3"},
+		"bad settings": {batch("1", "CONFIGURE\trelay-id=relay_0\tentropy=1\tconfig={}\n"), "field config"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
