--- a/internal/tier/balancer/balancer.go
+++ b/internal/tier/balancer/balancer.go
@@ -3,13 +3,14 @@
 //
 // Policies. A generation (PickInfo.Generation) goes to the host at which a cost model expects the first event soonest. A
 // call with an affinity key goes by bounded-load rendezvous hashing. All other calls go to the least loaded host.
-// Before any policy, hosts are excluded by outlier ejection (CallEnded), by connection closes that announce a graceful
-// shutdown (ObserveClose), and by capacity with slow start (Host.Load).
+// Before any policy, hosts are avoided that are ejected as outliers (CallEnded) or that announce a graceful shutdown by
+// closing connections (ObserveClose); if no other is left, they get calls too. A host is excluded at its capacity, which
+// rises during slow start (Host.effectiveCapacity).
 //
 // Contract. The package is pure: it reads no clock and starts no goroutine; the same calls with the same seed give the same
 // hosts. Nothing in it is safe for concurrent use; the caller serializes all calls to a Balancer and its hosts. For
 // each call to a host the caller calls CallStarted, any of ExpectFirstEvent, ObserveFirstEvent, ObserveClose and
-// ReportLoad, and then CallEnded exactly once.
+// ReportLoad, and then CallEnded exactly once. What is learnt of a host without a call needs a method of its own.
 package balancer
 
 import (
--- a/internal/tier/balancer/host.go
+++ b/internal/tier/balancer/host.go
@@ -44,7 +44,7 @@
 	lastFailureAt     time.Time
 	consecutiveCloses int           // responses in a row that closed their connection
 	avoidUntil        time.Time     // probably in graceful shutdown
-	warmup            time.Duration // of slow start
+	warmup            time.Duration // what was left of slow start when this front first saw the host
 	warmAt            time.Time     // end of slow start
 }
 
--- a/internal/tier/controlnode/doc.go
+++ b/internal/tier/controlnode/doc.go
@@ -35,7 +35,7 @@
 //   - a read at the tail: after a confirmation round that started after the read came;
 //   - a poll of a follower: after a confirmation round sent after the poll came (Node.ConfirmedSince).
 //
-// A node that can not get there in time answers 503, never a rejection.
+// A node that cannot get there in time answers 503, never a rejection.
 //
 // # Ownership and concurrency
 //
@@ -55,8 +55,8 @@
 // # The path of a PUT
 //
 //  1. Server.putConfig reads the HTTP request, and repeats put until there is a reply (retryUntilTimeout).
-//  2. Server.put asks the loop which node is head (headStatusQuery). Another node's handlePut takes a forwarded request
-//     and does the same; a large body is redirected instead.
+//  2. Server.put asks the loop which node is head (headStatusQuery). It forwards the request to the head's handlePut,
+//     which fails at once if that node is not the head any more; a large body is redirected instead.
 //  3. At the head, decideAtHead submits a decideAtHeadRequest. submission.handle, on the loop, gives it a request ID in
 //     pendingRequests and calls decideAtHeadRequest.start, which decides the order in the entries of this head
 //     (orders.Decide), committed or not.
--- a/internal/tier/controlnode/event_loop.go
+++ b/internal/tier/controlnode/event_loop.go
@@ -11,7 +11,7 @@
 
 // eventLoop owns the node. It takes events in batches: what a batch changed is synced once, before any of its
 // messages, completions and reads leave the node. It returns an error if the disk fails, as a node that can
-// not sync can not promise anything.
+// not sync cannot promise anything.
 func (s *Server) eventLoop() error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
--- a/internal/tier/controlnode/read_index.go
+++ b/internal/tier/controlnode/read_index.go
@@ -95,7 +95,7 @@
 	n.readIndex.requestedRound = max(n.readIndex.requestedRound, w.round)
 }
 
-// completeWaiters completes the waiters whose round was confirmed, and those for which it can not be any
+// completeWaiters completes the waiters whose round was confirmed, and those for which it cannot be any
 // more.
 func (n *Node) completeWaiters() {
 	if len(n.readIndex.waiters) == 0 {
--- a/internal/tier/controlnode/ready.go
+++ b/internal/tier/controlnode/ready.go
@@ -32,8 +32,9 @@
 // Outcome is how a write or a read ended.
 type Outcome int
 
-// The outcomes. NotHere: this node can not take the request and has not applied it. OutcomeUnknown proves
-// nothing: the write may be in force, now or later.
+// The outcomes. NotHere: this node cannot take the request and has not applied it; operators are answered as for
+// OutcomeUnknown, since an earlier attempt of the same order may have been applied. OutcomeUnknown proves nothing: the
+// write may be in force, now or later.
 const (
 	Committed Outcome = iota
 	NotHere
--- a/internal/tier/controlnode/server.go
+++ b/internal/tier/controlnode/server.go
@@ -133,7 +133,7 @@
 func (r *setSeedsRequest) handle(s *Server) { s.node.settings.Seeds = r.seeds }
 
 // Run serves until the context ends, then leaves the view as far as others can replace this node, and stops.
-// It returns an error where the node can not listen or its disk fails.
+// It returns an error where the node cannot listen or its disk fails.
 func (s *Server) Run(ctx context.Context) error {
 	peers, err := net.Listen("tcp4", s.self.Addr)
 	if err != nil {
@@ -185,7 +185,7 @@
 
 func (*startLeavingRequest) handle(s *Server) { s.mergeReady(s.node.StartLeaving(s.now())) }
 
-// canStopQuery reports whether others have replaced this node, or can not.
+// canStopQuery reports whether others have replaced this node, or cannot.
 type canStopQuery struct{ canStop bool }
 
 func (q *canStopQuery) handle(s *Server) { q.canStop = s.node.CanStop() }
--- a/internal/tier/orders/decision.go
+++ b/internal/tier/orders/decision.go
@@ -15,7 +15,7 @@
 	AlreadyApplied                  // this order was applied before, by an earlier copy of it
 	VersionMismatch                 // never applied; the current version is not the one on which it builds
 	Invalid                         // never applied, and it can't become valid
-	Unavailable                     // the history no longer shows whether it was applied: neither acknowledged nor rejected
+	Unavailable                     // neither acknowledged nor rejected: applied on another base, too old to know, or its base is not in force yet
 	NotFound                        // there is no configuration, or no store of this name
 	Conflict                        // too few stores would remain
 	InProgress                      // the store is being retired
--- a/internal/tier/routing/config.go
+++ b/internal/tier/routing/config.go
@@ -42,7 +42,7 @@
 // service.
 type Service struct {
 	Name        string
-	HealthPath  string // of health checks
+	HealthPath  string // of the service's health checks: checked for its form, otherwise not used by the tier
 	ConnLimit   int    // connections to a host from all fronts; 0 selects the default
 	Capacity    int
 	CacheTokens int // of a host's prefix cache
