--- a/cmd/larchrouter-trial/main.go
+++ b/cmd/larchrouter-trial/main.go
@@ -141,7 +141,7 @@
 	f.StringVar(&o.keep, "keep", "", "keep the relays' folders and logs in this folder (LARCHROUTER_LOG=debug has them say more)")
 	f.Uint64Var(&o.seed, "seed", 0, "for what is drawn; 0 for the scenario's")
 	f.IntVar(&o.seeds, "seeds", 1, "play so many seeds, one after the other")
-	f.IntVar(&o.nodes, "nodes", 0, fmt.Sprintf("how many relays, at most %d; 0 for the scenario's", scenario.MostRelays))
+	f.IntVar(&o.nodes, "nodes", 0, fmt.Sprintf("how many relays, at most %d; 0 for the scenario's", scenario.MaxRelays))
 	f.BoolVar(&o.quiet, "quiet", false, "no line a second")
 	f.BoolVar(&o.json, "json", false, "print the report as JSON")
 	return c
--- a/internal/relay/chaostest/appliance.go
+++ b/internal/relay/chaostest/appliance.go
@@ -34,10 +34,10 @@
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	line("listen = %q\nstate = %q\nstop_within = \"2s\"", p.listen, p.state())
-	line("limits {\n held = %d\n slots = %d\n attempts = %d\n memory_mb = 192\n disk_mb = 64\n}", s.Held, s.Slots, s.Attempts)
+	line("limits {\n held = %d\n slots = %d\n attempts = %d\n memory_mb = 192\n disk_mb = 64\n}", s.MaxPending, s.Slots, s.Attempts)
 	line("ends {\n keep = 50000\n}")
 	line("rules {\n overload_factor = %g\n fall = %q\n cold_from = %g\n cold = %q\n}", s.Rules.OverloadFactor, s.Rules.Fall, s.Rules.ColdFrom, s.Rules.Cold)
-	if len(peers) > 1 && !s.Apart {
+	if len(peers) > 1 && !s.Standalone {
 		line("fleet {\n name = %q\n listen = %q", relayName(p.index), p.notes)
 		for i, at := range peers {
 			line(" relay %q {\n  address = %q\n }", relayName(i), at)
@@ -91,12 +91,12 @@
 	defer c.Close()
 	q := adminapi.DrainRequest{Target: do.Target, By: "operator", Fleet: true, AllowLast: true}
 	switch do.What {
-	case scenario.SayDrain:
+	case scenario.CommandDrain:
 		_, err = c.Drain(ctx, q)
-	case scenario.SayUndrain:
+	case scenario.CommandUndrain:
 		_, err = c.Undrain(ctx, q)
 	default:
-		_, err = c.Gone(ctx, adminapi.GoneRequest{Relay: relayName(do.Of), Back: do.What == scenario.SayBack, By: "operator"})
+		_, err = c.Gone(ctx, adminapi.GoneRequest{Relay: relayName(do.Of), Back: do.What == scenario.CommandRestore, By: "operator"})
 	}
 	return err
 }
--- a/internal/relay/chaostest/chaostest.go
+++ b/internal/relay/chaostest/chaostest.go
@@ -42,8 +42,8 @@
 	if o.Relays == 0 {
 		o.Relays = s.Relays
 	}
-	if o.Relays < 1 || o.Relays > scenario.MostRelays {
-		return nil, fmt.Errorf("%d relays, must be from 1 to %d", o.Relays, scenario.MostRelays)
+	if o.Relays < 1 || o.Relays > scenario.MaxRelays {
+		return nil, fmt.Errorf("%d relays, must be from 1 to %d", o.Relays, scenario.MaxRelays)
 	}
 	if o.Seed == 0 {
 		o.Seed = s.Seed
@@ -93,8 +93,8 @@
 			if err != nil {
 				return err
 			}
-			l := standin.Limit{Rate: h.Rate, Burst: h.Burst, Debt: h.Debt, AtOnce: h.AtOnce, Wait: h.Wait}
-			if h.Cold {
+			l := standin.Limit{Rate: h.Rate, Burst: h.Burst, Debt: h.Debt, AtOnce: h.MaxConcurrent, Wait: h.RetryAfter}
+			if h.ColdStart {
 				l.ColdFrom, l.Cold, l.Factor, l.Fall = s.Rules.ColdFrom, s.Rules.Cold, s.Rules.OverloadFactor, s.Rules.Fall
 			}
 			host.SetLimit(l)
@@ -132,7 +132,7 @@
 		}
 	}
 	t.fleet = newFleet(all, t.books)
-	return t.fleet.start(ctx, t.plan.Listed())
+	return t.fleet.start(ctx, t.plan.InitialRelays())
 }
 
 // told writes down a notice.
@@ -169,7 +169,7 @@
 	rest := time.Duration(0) // what is held has until its time is up
 	for _, p := range t.plan.Scenario.Partners {
 		for _, l := range p.Loads {
-			rest = max(rest, l.Within)
+			rest = max(rest, l.Timeout)
 		}
 	}
 	sleep(ctx, rest+readyIn+settle)
@@ -202,17 +202,17 @@
 		if !sleep(ctx, s.At-t.books.now()) {
 			return
 		}
-		switch do := s.Do.(type) {
+		switch do := s.Action.(type) {
 		case scenario.Network:
 			do.Since = t.books.now()
 			t.links.network.Store(&do)
 		case scenario.Stopped:
-			t.fleet.do(do.Relay, func(p *process) error { p.stand(do.On); return nil })
+			t.fleet.do(do.Relay, func(p *process) error { p.stand(do.Paused); return nil })
 		case scenario.Killed:
-			t.fleet.do(do.Relay, func(p *process) error { p.end(do.Term); return nil })
+			t.fleet.do(do.Relay, func(p *process) error { p.end(do.Graceful); return nil })
 		case scenario.Started:
 			t.fleet.do(do.Relay, func(p *process) error {
-				if do.Empty && p.cmd == nil {
+				if do.EmptyDisk && p.cmd == nil {
 					if err := p.empty(); err != nil {
 						return err
 					}
@@ -273,7 +273,7 @@
 		var now int
 		t.books.write(func(b *Book) { now = len(b.Messages) })
 		done, _ := t.effects.Total()
-		t.options.Progress(fmt.Sprintf("%4ds  %-16s handed in %4d  delivered %4d", n, t.plan.Phases[t.plan.At(time.Duration(n)*time.Second-1)].Name, now-handed, done-effects))
+		t.options.Progress(fmt.Sprintf("%4ds  %-16s handed in %4d  delivered %4d", n, t.plan.Phases[t.plan.PhaseAt(time.Duration(n)*time.Second-1)].Name, now-handed, done-effects))
 		handed, effects = now, done
 	}
 }
--- a/internal/relay/chaostest/check.go
+++ b/internal/relay/chaostest/check.go
@@ -246,7 +246,7 @@
 }
 
 // expect holds a span against what is expected of it.
-func (c *checker) expect(where string, e scenario.Expect, w scenario.Window) {
+func (c *checker) expect(where string, e scenario.Expectation, w scenario.Window) {
 	from, to := w.From+e.From, w.To
 	if e.To > 0 {
 		to = min(to, w.From+e.To)
@@ -257,14 +257,14 @@
 	}
 	s := c.share(from, to)
 	span := fmt.Sprintf("%s, from %v to %v", where, from-w.From, to-w.From)
-	if got := s.Possible(); got < e.Delivered {
-		c.find("delivered", "%s: %.2f of what could be, expected %.2f at least", span, got, e.Delivered)
+	if got := s.Possible(); got < e.MinDelivered {
+		c.find("delivered", "%s: %.2f of what could be, expected %.2f at least", span, got, e.MinDelivered)
 	}
-	if e.Offered > 0 && s.Peak > e.Offered {
-		c.find("over", "%s: %.2f times what hosts take in a second beside their bursts, expected %.2f at most", span, s.Peak, e.Offered)
+	if e.MaxOffered > 0 && s.Peak > e.MaxOffered {
+		c.find("over", "%s: %.2f times what hosts take in a second beside their bursts, expected %.2f at most", span, s.Peak, e.MaxOffered)
 	}
-	if got := part(float64(s.Refused), float64(s.Calls)); e.Refused > 0 && got > e.Refused {
-		c.find("refused", "%s: %.2f of the calls, expected %.2f at most", span, got, e.Refused)
+	if got := part(float64(s.Refused), float64(s.Calls)); e.MaxRefused > 0 && got > e.MaxRefused {
+		c.find("refused", "%s: %.2f of the calls, expected %.2f at most", span, got, e.MaxRefused)
 	}
 }
 
@@ -336,7 +336,7 @@
 // twice finds messages that must take effect once at most and did more often.
 func (c *checker) twice() {
 	for _, m := range c.sorted() {
-		if k, _ := c.Plan.Scenario.Class(m.Class); k.Effect != choice.Unsafe {
+		if k, _ := c.Plan.Scenario.ClassByName(m.Class); k.Effect != choice.Unsafe {
 			continue
 		}
 		n := 0
--- a/internal/relay/chaostest/clients.go
+++ b/internal/relay/chaostest/clients.go
@@ -28,10 +28,10 @@
 
 // rate is what one relay's clients have of a load, a second.
 func rate(l scenario.Load, relay, relays int) float64 {
-	hot := min(l.Hot, relays)
-	each := l.Rate / (float64(relays-hot) + float64(hot)*l.HotTimes)
+	hot := min(l.HotRelays, relays)
+	each := l.Rate / (float64(relays-hot) + float64(hot)*l.HotFactor)
 	if relay >= relays-hot {
-		return each * l.HotTimes
+		return each * l.HotFactor
 	}
 	return each
 }
@@ -68,7 +68,7 @@
 			c.books.write(func(b *Book) { b.Shed++ })
 			continue
 		}
-		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, n, i), Relay: relay, Dest: dest, Class: l.Class, Within: l.Within}
+		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, n, i), Relay: relay, Dest: dest, Class: l.Class, Within: l.Timeout}
 		c.wg.Go(func() {
 			c.hand(ctx, m)
 			<-open
--- a/internal/relay/chaostest/fleet.go
+++ b/internal/relay/chaostest/fleet.go
@@ -78,7 +78,7 @@
 	}
 	if p.alone {
 		p.file = func(size int) string { return operatorsFile(p, plan, peers[:size], servers) }
-		return p.relist(max(plan.Listed(), p.index+1))
+		return p.relist(max(plan.InitialRelays(), p.index+1))
 	}
 	data, err := json.MarshalIndent(platformConfig(p, plan, peers, servers), "", " ")
 	if err != nil {
--- a/internal/relay/chaostest/links.go
+++ b/internal/relay/chaostest/links.go
@@ -76,7 +76,7 @@
 		l.notes.Add(1)
 		l.bytes.Add(int64(n))
 		l.mu[to].Lock()
-		after := l.network.Load().Carry(from, to, l.now(), l.draw[to*len(l.at)+from])
+		after := l.network.Load().Deliver(from, to, l.now(), l.draw[to*len(l.at)+from])
 		l.mu[to].Unlock()
 		if len(after) == 0 {
 			l.lost.Add(1)
--- a/internal/relay/chaostest/page.go
+++ b/internal/relay/chaostest/page.go
@@ -69,7 +69,7 @@
 		data.Runs = append(data.Runs, run{r, template.HTML(svg)}) // made here, of numbers and of the scenario's checked names
 	}
 	for _, st := range plan.Steps {
-		data.Steps = append(data.Steps, step{st.At.String(), fmt.Sprintf("%T %+v", st.Do, st.Do)})
+		data.Steps = append(data.Steps, step{st.At.String(), fmt.Sprintf("%T %+v", st.Action, st.Action)})
 	}
 	return page.Execute(w, data)
 }
--- a/internal/relay/chaostest/settings.go
+++ b/internal/relay/chaostest/settings.go
@@ -31,7 +31,7 @@
 		"known": map[string]any{"version": 1, "full": true, "servers": servers},
 		"settings": map[string]any{
 			"bounds": map[string]any{"cancel": true, "conn-idle": 5, "dial-timeout": 1, "max-attempts": s.Attempts, "max-retry-after": 2,
-				"most-held": s.Held, "peers": true},
+				"most-held": s.MaxPending, "peers": true},
 			"classes":     classes,
 			"family-info": map[string]any{"late": "linear", "own-limits": []bool{true}, "per-call": []int{1}, "workers": s.Slots, "zone-fee": []float64{0}},
 			"fleet-size":  plan.Relays, "index": p.index, "load-report": map[string]any{"columns": []string{}, "how": "off"},
--- a/internal/relay/chaostest/stale.go
+++ b/internal/relay/chaostest/stale.go
@@ -24,7 +24,7 @@
 	steps := b.Plan.Steps
 	for now := at; now <= b.End && left > 0; now += stepIn {
 		for len(steps) > 0 && steps[0].At <= now {
-			if n, ok := steps[0].Do.(scenario.Network); ok {
+			if n, ok := steps[0].Action.(scenario.Network); ok {
 				net = n
 			}
 			steps = steps[1:]
@@ -36,7 +36,7 @@
 					continue
 				}
 				for i := range when {
-					if when[i] < 0 && net.Joins(a, i, now) && b.ran(i, now, now) {
+					if when[i] < 0 && net.Connected(a, i, now) && b.ran(i, now, now) {
 						when[i], more = now, true
 						left--
 					}
@@ -50,12 +50,12 @@
 // heeds finds calls that went to what an operator had drained for the whole fleet, from relays that must have known.
 func (c *checker) heeds() {
 	for n, w := range c.Said {
-		if w.What != scenario.SayDrain {
+		if w.What != scenario.CommandDrain {
 			continue
 		}
 		until := c.End + 1
 		for _, later := range c.Said[n+1:] {
-			if later.Target == w.Target && later.What == scenario.SayUndrain {
+			if later.Target == w.Target && later.What == scenario.CommandUndrain {
 				until = min(until, later.At-sayWithin) // it may have counted before it was acknowledged
 			}
 		}
--- a/internal/relay/scenario/scenario.go
+++ b/internal/relay/scenario/scenario.go
@@ -17,29 +17,29 @@
 
 // The bounds of a scenario: a trial ends by itself, on a machine that has other things to do.
 const (
-	MostRelays = 64
-	mostSpan   = 15 * time.Minute
-	mostRate   = 2000 // messages a second
-	mostPhases = 200
+	MaxRelays = 64
+	maxSpan   = 15 * time.Minute
+	maxRate   = 2000 // messages a second
+	maxPhases = 200
 )
 
 // Scenario is a file that was read without a fault, with the defaults filled in.
 type Scenario struct {
-	Title, About string
-	Seed         uint64
-	Apart        bool // relays of their own that share nothing
-	Appliances   bool // relays of their own, with an operator's file each, in place of the platform's
-	Relays       int
-	Listed       int // of them in the relays' files at first, and started; 0 for all
-	Slots        int // calls out at once, for each relay
-	Held         int // messages that each relay holds at most
-	Attempts     int // for one message
-	Rules        choice.Rules
-	Classes      []choice.Class
-	Partners     []Partner
-	Phases       []Phase
-	Draw         *Draw // further phases, drawn by the seed; nil for none
-	Expect       []Expect
+	Title, About   string
+	Seed           uint64
+	Standalone     bool // relays of their own that share nothing
+	Appliances     bool // relays of their own, with an operator's file each, in place of the platform's
+	Relays         int
+	InitialRelays  int // of them in the relays' files at first, and started; 0 for all
+	Slots          int // calls out at once, for each relay
+	MaxPending     int // messages that each relay holds at most
+	Attempts       int // for one message
+	Rules          choice.Rules
+	Classes        []choice.Class
+	Partners       []Partner
+	Phases         []Phase
+	RandomSchedule *RandomSchedule // further phases, drawn by the seed; nil for none
+	Expect         []Expectation
 }
 
 // Partner is one destination and the messages that clients have for it.
@@ -55,38 +55,38 @@
 
 // Host is one endpoint, with a limit of its own.
 type Host struct {
-	Name    string
-	Rate    float64       // calls a second, from all relays
-	Burst   float64       // calls that it takes at once after a rest
-	Debt    float64       // refused calls use the limit up, to so many below none
-	AtOnce  int           // calls that it works on at once; 0 for any number
-	Wait    time.Duration // told with a refusal; 0 for none
-	Latency time.Duration
-	Cold    bool // it comes back with the rules' share of its rate, and falls over when it is pushed
+	Name          string
+	Rate          float64       // calls a second, from all relays
+	Burst         float64       // calls that it takes at once after a rest
+	Debt          float64       // refused calls use the limit up, to so many below none
+	MaxConcurrent int           // calls that it works on at once; 0 for any number
+	RetryAfter    time.Duration // told with a refusal; 0 for none
+	Latency       time.Duration
+	ColdStart     bool // it comes back with the rules' share of its rate, and falls over when it is pushed
 }
 
 // Load are messages that clients hand in, at times by chance.
 type Load struct {
-	Class    string
-	Rate     float64       // a second, of all clients
-	Within   time.Duration // how long a message may be delivered
-	Hot      int           // so many relays get ...
-	HotTimes float64       // ... so many times what the others get
+	Class     string
+	Rate      float64       // a second, of all clients
+	Timeout   time.Duration // how long a message may be delivered
+	HotRelays int           // so many relays get ...
+	HotFactor float64       // ... so many times what the others get
 }
 
 // Phase is a span of the scenario in which the same faults hold.
 type Phase struct {
-	Name   string
-	For    time.Duration
-	Cuts   []Cut
-	Links  Links
-	Stops  []Stop
-	Kills  []Kill
-	Agents []Agent
-	Hosts  []Change
-	Says   []Say
-	Grow   *Grow // nil for a fleet that stays as it is
-	Expect []Expect
+	Name         string
+	Duration     time.Duration
+	Cuts         []Cut
+	Links        Links
+	Stops        []Stop
+	Kills        []Kill
+	SilentAgents []SilentAgent
+	HostChanges  []HostChange
+	Commands     []Say
+	Resize       *Resize // nil for a fleet that stays as it is
+	Expect       []Expectation
 }
 
 // Shape is how a cut parts the fleet.
@@ -94,10 +94,10 @@
 
 // The shapes.
 const (
-	Sides  Shape = "sides"  // so many, relay by relay in turn; a relay hears its own side
-	Alone  Shape = "alone"  // so many relays hear nobody and are heard by nobody
-	Nobody Shape = "nobody" // hears anybody
-	Chain  Shape = "chain"  // each hears the relays before and after it in number
+	CutSides  Shape = "sides"  // so many, relay by relay in turn; a relay hears its own side
+	CutAlone  Shape = "alone"  // so many relays hear nobody and are heard by nobody
+	CutNobody Shape = "nobody" // hears anybody
+	CutChain  Shape = "chain"  // each hears the relays before and after it in number
 )
 
 // Cut loses all notes between some relays.
@@ -114,46 +114,46 @@
 	Delay, Jitter, Late   time.Duration
 }
 
-// Whom selects relays: by number or share, drawn by the seed, with or without a partner's steward.
-type Whom struct {
-	Number  int     // 0 for Share
-	Share   float64 // of the fleet
-	Steward string  // the steward of this partner's destination is the first of them
-	Spare   string  // the steward of this partner's destination is not one of them
+// RelaySelector selects relays: by number or share, drawn by the seed, with or without a partner's steward.
+type RelaySelector struct {
+	Number             int     // 0 for Share
+	Share              float64 // of the fleet
+	Coordinator        string  // the steward of this partner's destination is the first of them
+	ExcludeCoordinator string  // the steward of this partner's destination is not one of them
 }
 
 // Stop has relays stand still (SIGSTOP) and go on (SIGCONT) without knowing it.
 type Stop struct {
-	Whom
-	At, For time.Duration
+	RelaySelector
+	At, Duration time.Duration
 }
 
 // Kill ends relays.
 type Kill struct {
-	Whom
-	At    time.Duration
-	Again time.Duration // until they start again; 0 for never
-	Empty bool          // with an empty folder
-	Term  bool          // SIGTERM, and SIGKILL 3.7 s later, in place of SIGKILL
+	RelaySelector
+	At           time.Duration
+	RestartAfter time.Duration // until they start again; 0 for never
+	EmptyDisk    bool          // with an empty folder
+	Graceful     bool          // SIGTERM, and SIGKILL 3.7 s later, in place of SIGKILL
 }
 
-// Agent has the platform's agents of relays be silent for the phase.
-type Agent struct{ Whom }
+// SilentAgent has the platform's agents of relays be silent for the phase.
+type SilentAgent struct{ RelaySelector }
 
-// Saying is what an operator says for the whole fleet.
-type Saying string
+// Command is what an operator says for the whole fleet.
+type Command string
 
 // The sayings. Drains and their ends have a target, the others a relay.
 const (
-	SayDrain   Saying = "drain"
-	SayUndrain Saying = "undrain"
-	SayGone    Saying = "gone" // a relay, for good
-	SayBack    Saying = "back" // it is not gone any more
+	CommandDrain   Command = "drain"
+	CommandUndrain Command = "undrain"
+	CommandRemove  Command = "gone" // a relay, for good
+	CommandRestore Command = "back" // it is not gone any more
 )
 
 // Say has an operator say something at a relay.
 type Say struct {
-	What   Saying
+	What   Command
 	Target string // of a drain: partner:NAME or endpoint:PARTNER-HOST
 	Of     int    // the relay that is gone
 	Relay  int    // at which it is said
@@ -161,51 +161,51 @@
 	Within time.Duration // a relay that some chain of links joins to that one goes by it
 }
 
-// Grow has the fleet become larger or smaller, as operators are told to: those that leave end first, the others get files with
+// Resize has the fleet become larger or smaller, as operators are told to: those that leave end first, the others get files with
 // the new list and are restarted one after another, and those that are new start last.
-type Grow struct {
-	To    int
-	Every time.Duration // from one restart to the next
+type Resize struct {
+	To       int
+	Interval time.Duration // from one restart to the next
 }
 
-// Change is what becomes of a partner's hosts for a time.
-type Change struct {
-	Partner string
-	Hosts   []string // empty for all
-	At, For time.Duration
-	Factor  float64       // of the rate
-	Down    bool          // no connection
-	Hang    bool          // no answer
-	Wait    time.Duration // every call is turned away and told to wait so long; 0 for no such thing
+// HostChange is what becomes of a partner's hosts for a time.
+type HostChange struct {
+	Partner      string
+	Hosts        []string // empty for all
+	At, Duration time.Duration
+	Factor       float64       // of the rate
+	Down         bool          // no connection
+	Hang         bool          // no answer
+	RetryAfter   time.Duration // every call is turned away and told to wait so long; 0 for no such thing
 }
 
-// Draw is a course of faults drawn by the seed: so many phases, each with a fault and a calm one after it.
-type Draw struct {
-	Phases    int
-	For, Calm time.Duration
+// RandomSchedule is a course of faults drawn by the seed: so many phases, each with a fault and a calm one after it.
+type RandomSchedule struct {
+	Phases                      int
+	FaultDuration, CalmDuration time.Duration
 }
 
-// Expect is a bound on a part of a phase, or of the whole scenario.
-type Expect struct {
-	From, To  time.Duration // of the phase; To is 0 for its end
-	Delivered float64       // at least, of what could be: what hosts take, or what is handed in if that is less
-	Offered   float64       // at most, calls of any one second over what hosts take in it, less their bursts; 0 for no bound
-	Refused   float64       // at most, of the calls; 0 for no bound
+// Expectation is a bound on a part of a phase, or of the whole scenario.
+type Expectation struct {
+	From, To     time.Duration // of the phase; To is 0 for its end
+	MinDelivered float64       // at least, of what could be: what hosts take, or what is handed in if that is less
+	MaxOffered   float64       // at most, calls of any one second over what hosts take in it, less their bursts; 0 for no bound
+	MaxRefused   float64       // at most, of the calls; 0 for no bound
 }
 
 // Span is how long messages are handed in.
 func (s *Scenario) Span() (d time.Duration) {
 	for _, p := range s.Phases {
-		d += p.For
+		d += p.Duration
 	}
-	if s.Draw != nil {
-		d += time.Duration(s.Draw.Phases) * (s.Draw.For + s.Draw.Calm)
+	if s.RandomSchedule != nil {
+		d += time.Duration(s.RandomSchedule.Phases) * (s.RandomSchedule.FaultDuration + s.RandomSchedule.CalmDuration)
 	}
 	return d
 }
 
-// Class is the class of a name.
-func (s *Scenario) Class(name string) (choice.Class, int) {
+// ClassByName is the class of a name.
+func (s *Scenario) ClassByName(name string) (choice.Class, int) {
 	for i, c := range s.Classes {
 		if c.Name == name {
 			return c, i
@@ -223,22 +223,22 @@
 		return nil, err
 	}
 	s := &Scenario{Title: top.Text("title", path), About: top.Text("about", " "), Seed: uint64(top.Whole("seed", 1, 0, 1<<31)),
-		Relays: top.Whole("relays", 8, 1, MostRelays), Slots: top.Whole("slots", 32, 1, 1000), Held: top.Whole("held", 256, 1, 100_000),
+		Relays: top.Whole("relays", 8, 1, MaxRelays), Slots: top.Whole("slots", 32, 1, 1000), MaxPending: top.Whole("held", 256, 1, 100_000),
 		Attempts: top.Whole("attempts", 6, 1, 100), Classes: config.DefaultClasses(), Rules: config.ReadRules(top, time.Minute)}
 	s.Appliances = top.Choose("form", "platform", "platform", "appliance") == "appliance"
 	if top.Has("listed") {
-		s.Listed = top.Whole("listed", 1, 1, s.Relays)
+		s.InitialRelays = top.Whole("listed", 1, 1, s.Relays)
 	}
-	s.Apart = !top.Truth("share", true)
-	if s.Apart && !s.Appliances {
+	s.Standalone = !top.Truth("share", true)
+	if s.Standalone && !s.Appliances {
 		top.Fault(top.Where("share"), `relays of a platform share what it says: share = false goes with form = "appliance"`)
 	}
-	f := &file{Scenario: s, names: map[string]Partner{}}
-	f.partners(top)
-	f.phases(top)
-	s.Expect = expects(top, mostSpan)
-	if !top.Any() && s.Span() > mostSpan {
-		top.Fault(top.At, "the phases take %v together, %v at most", s.Span(), mostSpan)
+	f := &parser{Scenario: s, names: map[string]Partner{}}
+	f.parsePartners(top)
+	f.parsePhases(top)
+	s.Expect = parseExpectations(top, maxSpan)
+	if !top.Any() && s.Span() > maxSpan {
+		top.Fault(top.At, "the phases take %v together, %v at most", s.Span(), maxSpan)
 	}
 	if top.Any() {
 		return nil, top.Sorted()
@@ -246,13 +246,13 @@
 	return s, nil
 }
 
-// file is a scenario while it is read.
-type file struct {
+// parser is a scenario while it is read.
+type parser struct {
 	*Scenario
 	names map[string]Partner
 }
 
-func (f *file) partners(top hclfile.Block) {
+func (f *parser) parsePartners(top hclfile.Block) {
 	seen, rate := map[string]hcl.Range{}, 0.0
 	for _, c := range top.Blocks {
 		if c.Type != "partner" {
@@ -264,7 +264,7 @@
 		hosts := map[string]hcl.Range{}
 		for _, c := range b.Blocks {
 			if c.Type == "host" {
-				p.Hosts = append(p.Hosts, host(b, c, hosts))
+				p.Hosts = append(p.Hosts, parseHost(b, c, hosts))
 				continue
 			}
 			if c.Type == "limit" {
@@ -273,7 +273,7 @@
 				}
 				continue
 			}
-			l := f.load(b, c)
+			l := f.parseLoad(b, c)
 			rate += l.Rate
 			p.Loads = append(p.Loads, l)
 		}
@@ -286,113 +286,113 @@
 	}
 	if len(f.Partners) == 0 {
 		top.Fault(top.At, `no partner: add partner "NAME" { host "a" { rate = 100 }  load "job-order" { rate = 50 } }`)
-	} else if rate <= 0 || rate > mostRate {
-		top.Fault(top.At, "the loads come to %s messages a second, must be above 0 and at most %d", hclfile.Show(rate), mostRate)
+	} else if rate <= 0 || rate > maxRate {
+		top.Fault(top.At, "the loads come to %s messages a second, must be above 0 and at most %d", hclfile.Show(rate), maxRate)
 	}
 }
 
-func host(b hclfile.Block, c *hcl.Block, seen map[string]hcl.Range) Host {
+func parseHost(b hclfile.Block, c *hcl.Block, seen map[string]hcl.Range) Host {
 	n, _ := b.Label("host", c, seen)
 	h := b.Open(c.Body, c.DefRange, []string{"rate", "burst", "debt", "at_once", "wait", "latency", "cold"}, nil)
 	h.Need("rate", "calls a second that it takes, such as rate = 100")
 	out := Host{Name: n, Rate: h.Number("rate", 1, 0.1, 1e5)}
 	out.Burst, out.Debt = h.Number("burst", max(1, out.Rate/4), 1, 1e5), h.Number("debt", 0, 0, 1e5)
-	out.AtOnce, out.Wait = h.Whole("at_once", 0, 0, 1e5), h.Span("wait", 0, 0, time.Minute)
-	out.Latency, out.Cold = h.Span("latency", 20*time.Millisecond, 0, 10*time.Second), h.Truth("cold", false)
+	out.MaxConcurrent, out.RetryAfter = h.Whole("at_once", 0, 0, 1e5), h.Span("wait", 0, 0, time.Minute)
+	out.Latency, out.ColdStart = h.Span("latency", 20*time.Millisecond, 0, 10*time.Second), h.Truth("cold", false)
 	return out
 }
 
-func (f *file) load(b hclfile.Block, c *hcl.Block) Load {
+func (f *parser) parseLoad(b hclfile.Block, c *hcl.Block) Load {
 	var names []string
 	for _, k := range f.Classes {
 		names = append(names, k.Name)
 	}
-	k, at := f.Class(c.Labels[0])
+	k, at := f.ClassByName(c.Labels[0])
 	if at < 0 {
 		b.Fault(c.LabelRanges[0], "class %q is unknown; allowed: %v", c.Labels[0], names)
 		k.Deadline = time.Second
 	}
 	l := b.Open(c.Body, c.DefRange, []string{"rate", "within", "hot", "hot_times"}, nil)
 	l.Need("rate", "messages a second of all clients, such as rate = 50")
-	return Load{Class: c.Labels[0], Rate: l.Number("rate", 1, 0.1, mostRate), Within: l.Span("within", min(3*time.Second, k.Deadline), 100*time.Millisecond, k.Deadline),
-		Hot: l.Whole("hot", 0, 0, MostRelays), HotTimes: l.Number("hot_times", 10, 1, 1000)}
+	return Load{Class: c.Labels[0], Rate: l.Number("rate", 1, 0.1, maxRate), Timeout: l.Span("within", min(3*time.Second, k.Deadline), 100*time.Millisecond, k.Deadline),
+		HotRelays: l.Whole("hot", 0, 0, MaxRelays), HotFactor: l.Number("hot_times", 10, 1, 1000)}
 }
 
-func (f *file) phases(top hclfile.Block) {
+func (f *parser) parsePhases(top hclfile.Block) {
 	seen := map[string]hcl.Range{}
 	for _, c := range top.Blocks {
 		switch c.Type {
 		case "phase":
 			n, _ := top.Label("phase", c, seen)
-			f.Phases = append(f.Phases, f.phase(top, n, c))
+			f.Phases = append(f.Phases, f.parsePhase(top, n, c))
 		case "draw":
 			b := top.Open(c.Body, c.DefRange, []string{"phases", "for", "calm"}, nil)
-			f.Draw = &Draw{Phases: b.Whole("phases", 6, 1, mostPhases), For: b.Span("for", 5*time.Second, time.Second, time.Minute),
-				Calm: b.Span("calm", 6*time.Second, time.Second, time.Minute)}
+			f.RandomSchedule = &RandomSchedule{Phases: b.Whole("phases", 6, 1, maxPhases), FaultDuration: b.Span("for", 5*time.Second, time.Second, time.Minute),
+				CalmDuration: b.Span("calm", 6*time.Second, time.Second, time.Minute)}
 		}
 	}
-	if len(f.Phases) == 0 || len(f.Phases) > mostPhases {
-		top.Fault(top.At, `%d phases, must be from 1 to %d: add phase "whole" { for = "10s" }`, len(f.Phases), mostPhases)
+	if len(f.Phases) == 0 || len(f.Phases) > maxPhases {
+		top.Fault(top.At, `%d phases, must be from 1 to %d: add phase "whole" { for = "10s" }`, len(f.Phases), maxPhases)
 	}
 }
 
-func (f *file) phase(top hclfile.Block, name string, c *hcl.Block) Phase {
+func (f *parser) parsePhase(top hclfile.Block, name string, c *hcl.Block) Phase {
 	b := top.Open(c.Body, c.DefRange, []string{"for"}, map[string]string{"cut": "shape", "links": "", "stop": "", "kill": "", "agents": "", "say": "what", "grow": "",
 		"partner": "name", "expect": ""})
 	b.Need("for", `how long it lasts, such as for = "8s"`)
-	p := Phase{Name: name, For: b.Span("for", time.Second, 100*time.Millisecond, mostSpan), Expect: expects(b, mostSpan)}
+	p := Phase{Name: name, Duration: b.Span("for", time.Second, 100*time.Millisecond, maxSpan), Expect: parseExpectations(b, maxSpan)}
 	l, _ := b.One("links", "lose", "double", "reorder", "delay", "jitter", "late")
 	p.Links = Links{Lose: l.Number("lose", 0, 0, 1), Double: l.Number("double", 0, 0, 1), Reorder: l.Number("reorder", 0, 0, 1),
 		Delay: l.Span("delay", 0, 0, time.Minute), Jitter: l.Span("jitter", 0, 0, time.Minute), Late: l.Span("late", 50*time.Millisecond, 0, time.Minute)}
 	if g, ok := b.One("grow", "to", "every"); ok {
 		g.Need("to", "how many relays there are then")
-		if p.Grow = (&Grow{g.Whole("to", 1, 1, f.Relays), g.Span("every", 1500*time.Millisecond, 100*time.Millisecond, time.Minute)}); !f.Appliances {
+		if p.Resize = (&Resize{g.Whole("to", 1, 1, f.Relays), g.Span("every", 1500*time.Millisecond, 100*time.Millisecond, time.Minute)}); !f.Appliances {
 			g.Fault(g.At, `a platform's fleet does not grow here: say form = "appliance"`)
 		}
 	}
 	for _, c := range b.Blocks {
 		switch c.Type {
 		case "cut":
-			p.Cuts = append(p.Cuts, cut(b, c))
+			p.Cuts = append(p.Cuts, parseCut(b, c))
 		case "stop":
-			k := b.Open(c.Body, c.DefRange, append([]string{"at", "for"}, whomAttrs...), nil)
-			at := k.Span("at", 0, 0, p.For)
-			p.Stops = append(p.Stops, Stop{Whom: f.whom(k), At: at, For: k.Span("for", p.For-at, 10*time.Millisecond, mostSpan)})
+			k := b.Open(c.Body, c.DefRange, append([]string{"at", "for"}, relaySelectorAttrs...), nil)
+			at := k.Span("at", 0, 0, p.Duration)
+			p.Stops = append(p.Stops, Stop{RelaySelector: f.parseRelays(k), At: at, Duration: k.Span("for", p.Duration-at, 10*time.Millisecond, maxSpan)})
 		case "kill":
-			k := b.Open(c.Body, c.DefRange, append([]string{"at", "again", "empty", "term"}, whomAttrs...), nil)
-			p.Kills = append(p.Kills, Kill{Whom: f.whom(k), At: k.Span("at", 0, 0, p.For), Again: k.Span("again", 0, 0, mostSpan),
-				Empty: k.Truth("empty", false), Term: k.Truth("term", false)})
+			k := b.Open(c.Body, c.DefRange, append([]string{"at", "again", "empty", "term"}, relaySelectorAttrs...), nil)
+			p.Kills = append(p.Kills, Kill{RelaySelector: f.parseRelays(k), At: k.Span("at", 0, 0, p.Duration), RestartAfter: k.Span("again", 0, 0, maxSpan),
+				EmptyDisk: k.Truth("empty", false), Graceful: k.Truth("term", false)})
 		case "agents":
-			k := b.Open(c.Body, c.DefRange, append([]string{"silent"}, whomAttrs...), nil)
+			k := b.Open(c.Body, c.DefRange, append([]string{"silent"}, relaySelectorAttrs...), nil)
 			if k.Truth("silent", true) {
-				p.Agents = append(p.Agents, Agent{f.whom(k)})
+				p.SilentAgents = append(p.SilentAgents, SilentAgent{f.parseRelays(k)})
 			}
 		case "say":
-			p.Says = append(p.Says, f.say(b, c, p.For))
+			p.Commands = append(p.Commands, f.parseCommand(b, c, p.Duration))
 		case "partner":
-			p.Hosts = append(p.Hosts, f.change(b, c, p.For))
+			p.HostChanges = append(p.HostChanges, f.parseHostChange(b, c, p.Duration))
 		}
 	}
 	return p
 }
 
-func (f *file) say(b hclfile.Block, c *hcl.Block, most time.Duration) Say {
-	s := Say{What: Saying(c.Labels[0])}
+func (f *parser) parseCommand(b hclfile.Block, c *hcl.Block, most time.Duration) Say {
+	s := Say{What: Command(c.Labels[0])}
 	attrs := []string{"relay", "at", "within", "target"}
 	switch s.What {
-	case SayDrain, SayUndrain:
-	case SayGone, SayBack:
+	case CommandDrain, CommandUndrain:
+	case CommandRemove, CommandRestore:
 		attrs[3] = "of"
 	default:
-		b.Fault(c.LabelRanges[0], "say %q is unknown; allowed: %s, %s, %s, %s", s.What, SayDrain, SayUndrain, SayGone, SayBack)
+		b.Fault(c.LabelRanges[0], "say %q is unknown; allowed: %s, %s, %s, %s", s.What, CommandDrain, CommandUndrain, CommandRemove, CommandRestore)
 	}
 	if !f.Appliances {
 		b.Fault(c.DefRange, `operators say nothing for the fleet to a platform's relays: say form = "appliance"`)
 	}
 	k := b.Open(c.Body, c.DefRange, attrs, nil)
-	s.Relay, s.Of = k.Whole("relay", 0, 0, MostRelays-1), k.Whole("of", 0, 0, MostRelays-1)
+	s.Relay, s.Of = k.Whole("relay", 0, 0, MaxRelays-1), k.Whole("of", 0, 0, MaxRelays-1)
 	s.At, s.Within = k.Span("at", 0, 0, most), k.Span("within", time.Second, 10*time.Millisecond, time.Minute)
-	if s.What == SayDrain || s.What == SayUndrain {
+	if s.What == CommandDrain || s.What == CommandUndrain {
 		k.Need("target", "partner:NAME or endpoint:PARTNER-HOST")
 		s.Target = k.Text("target", "")
 		scope, name, _ := strings.Cut(s.Target, ":")
@@ -412,42 +412,42 @@
 	return s
 }
 
-func cut(b hclfile.Block, c *hcl.Block) Cut {
+func parseCut(b hclfile.Block, c *hcl.Block) Cut {
 	shape := Shape(c.Labels[0])
 	k := b.Open(c.Body, c.DefRange, []string{"number", "one_way", "flap"}, nil)
 	out := Cut{Shape: shape, OneWay: k.Truth("one_way", false), Flap: k.Span("flap", 0, 10*time.Millisecond, time.Minute)}
 	switch shape {
-	case Sides:
-		out.Number = k.Whole("number", 2, 2, MostRelays)
-	case Alone:
-		out.Number = k.Whole("number", 1, 1, MostRelays)
-	case Nobody, Chain:
+	case CutSides:
+		out.Number = k.Whole("number", 2, 2, MaxRelays)
+	case CutAlone:
+		out.Number = k.Whole("number", 1, 1, MaxRelays)
+	case CutNobody, CutChain:
 		if k.Has("number") || out.OneWay {
 			b.Fault(c.DefRange, "cut %q takes neither number nor one_way", shape)
 		}
 	default:
-		b.Fault(c.LabelRanges[0], "cut %q is unknown; allowed: %s, %s, %s, %s", shape, Sides, Alone, Nobody, Chain)
+		b.Fault(c.LabelRanges[0], "cut %q is unknown; allowed: %s, %s, %s, %s", shape, CutSides, CutAlone, CutNobody, CutChain)
 	}
 	return out
 }
 
-var whomAttrs = []string{"relays", "share", "steward_of", "spare_steward_of"}
+var relaySelectorAttrs = []string{"relays", "share", "steward_of", "spare_steward_of"}
 
-func (f *file) whom(b hclfile.Block) Whom {
-	w := Whom{Number: b.Whole("relays", 0, 1, MostRelays), Share: b.Number("share", 0, 0, 1),
-		Steward: b.Text("steward_of", ""), Spare: b.Text("spare_steward_of", "")}
+func (f *parser) parseRelays(b hclfile.Block) RelaySelector {
+	w := RelaySelector{Number: b.Whole("relays", 0, 1, MaxRelays), Share: b.Number("share", 0, 0, 1),
+		Coordinator: b.Text("steward_of", ""), ExcludeCoordinator: b.Text("spare_steward_of", "")}
 	if b.Has("relays") == b.Has("share") {
 		b.Fault(b.At, "say which: relays = NUMBER, or share = PART of the fleet")
 	}
 	for _, a := range []string{"steward_of", "spare_steward_of"} {
 		if b.Has(a) {
-			f.partner(b, a, b.Text(a, ""))
+			f.knownPartner(b, a, b.Text(a, ""))
 		}
 	}
 	return w
 }
 
-func (f *file) partner(b hclfile.Block, attr, name string) Partner {
+func (f *parser) knownPartner(b hclfile.Block, attr, name string) Partner {
 	p, ok := f.names[name]
 	if !ok {
 		b.Fault(b.Where(attr), "partner %q is unknown", name)
@@ -455,11 +455,11 @@
 	return p
 }
 
-func (f *file) change(b hclfile.Block, c *hcl.Block, most time.Duration) Change {
+func (f *parser) parseHostChange(b hclfile.Block, c *hcl.Block, most time.Duration) HostChange {
 	k := b.Open(c.Body, c.DefRange, []string{"hosts", "at", "for", "factor", "down", "hang", "wait"}, nil)
 	at := k.Span("at", 0, 0, most)
-	h := Change{Partner: c.Labels[0], Hosts: k.Texts("hosts"), At: at, For: k.Span("for", most-at, 10*time.Millisecond, mostSpan),
-		Factor: k.Number("factor", 1, 0.001, 1000), Down: k.Truth("down", false), Hang: k.Truth("hang", false), Wait: k.Span("wait", 0, 0, time.Minute)}
+	h := HostChange{Partner: c.Labels[0], Hosts: k.Texts("hosts"), At: at, Duration: k.Span("for", most-at, 10*time.Millisecond, maxSpan),
+		Factor: k.Number("factor", 1, 0.001, 1000), Down: k.Truth("down", false), Hang: k.Truth("hang", false), RetryAfter: k.Span("wait", 0, 0, time.Minute)}
 	p, ok := f.names[h.Partner]
 	if !ok {
 		b.Fault(c.LabelRanges[0], "partner %q is unknown", h.Partner)
@@ -481,18 +481,18 @@
 	return false
 }
 
-func expects(b hclfile.Block, most time.Duration) (all []Expect) {
+func parseExpectations(b hclfile.Block, most time.Duration) (all []Expectation) {
 	for _, c := range b.Blocks {
 		if c.Type != "expect" {
 			continue
 		}
 		k := b.Open(c.Body, c.DefRange, []string{"from", "to", "delivered", "offered", "refused"}, nil)
-		e := Expect{From: k.Span("from", 0, 0, most), To: k.Span("to", 0, 0, most), Delivered: k.Number("delivered", 0, 0, 1),
-			Offered: k.Number("offered", 0, 0, 100), Refused: k.Number("refused", 0, 0, 1)}
+		e := Expectation{From: k.Span("from", 0, 0, most), To: k.Span("to", 0, 0, most), MinDelivered: k.Number("delivered", 0, 0, 1),
+			MaxOffered: k.Number("offered", 0, 0, 100), MaxRefused: k.Number("refused", 0, 0, 1)}
 		if e.To > 0 && e.To <= e.From {
 			k.Fault(k.Where("to"), "to is %v, must be after from, %v", e.To, e.From)
 		}
-		if e.Delivered == 0 && e.Offered == 0 && e.Refused == 0 {
+		if e.MinDelivered == 0 && e.MaxOffered == 0 && e.MaxRefused == 0 {
 			k.Fault(k.At, "expect says nothing: give delivered, offered or refused")
 		}
 		all = append(all, e)
--- a/internal/relay/scenario/scenario_test.go
+++ b/internal/relay/scenario/scenario_test.go
@@ -83,7 +83,7 @@
 		for from := range 4 {
 			row := ""
 			for to := range 4 {
-				row += fmt.Sprint(len(n.Carry(from, to, time.Hour+c.after, nil)))
+				row += fmt.Sprint(len(n.Deliver(from, to, time.Hour+c.after, nil)))
 			}
 			got = append(got, row)
 		}
@@ -103,7 +103,7 @@
 	draw := rand.New(rand.NewPCG(1, 1))
 	lost, twice, late := 0, 0, 0
 	for range 10_000 {
-		after := n.Carry(0, 1, 0, draw)
+		after := n.Deliver(0, 1, 0, draw)
 		if len(after) == 0 {
 			lost++
 			continue
@@ -141,9 +141,9 @@
 		p := NewPlan(s, 6, seed, func(int) int { return 4 })
 		var stopped, killed []int
 		for _, st := range p.Steps {
-			switch do := st.Do.(type) {
+			switch do := st.Action.(type) {
 			case Stopped:
-				if do.On {
+				if do.Paused {
 					stopped = append(stopped, do.Relay)
 				}
 			case Killed:
@@ -160,7 +160,7 @@
 func TestDrawnPlans(t *testing.T) {
 	s := parse(t, site+"phase \"a\" { for = \"1s\" }\ndraw {\n phases = 8\n for = \"4s\"\n calm = \"2s\"\n}")
 	rapid.Check(t, func(t *rapid.T) {
-		relays, seed := rapid.IntRange(1, MostRelays).Draw(t, "relays"), rapid.Uint64().Draw(t, "seed")
+		relays, seed := rapid.IntRange(1, MaxRelays).Draw(t, "relays"), rapid.Uint64().Draw(t, "seed")
 		first := func(int) int { return 0 }
 		p := NewPlan(s, relays, seed, first)
 		if !reflect.DeepEqual(p, NewPlan(s, relays, seed, first)) {
@@ -175,9 +175,9 @@
 				t.Fatalf("a step at %v after one at %v", st.At, last)
 			}
 			last = st.At
-			switch do := st.Do.(type) {
+			switch do := st.Action.(type) {
 			case Stopped:
-				if still[do.Relay]++; !do.On {
+				if still[do.Relay]++; !do.Paused {
 					still[do.Relay] -= 2
 				}
 			case Killed:
@@ -220,11 +220,11 @@
 }`)
 	var got []string
 	for _, step := range NewPlan(s, 4, 1, func(int) int { return 0 }).Steps {
-		switch do := step.Do.(type) {
+		switch do := step.Action.(type) {
 		case Relisted, Killed, Started:
 			got = append(got, fmt.Sprintf("%v %T %v", step.At, do, do))
 		case Said:
-			if do.Of != 1 || do.What != SayGone {
+			if do.Of != 1 || do.What != CommandRemove {
 				t.Errorf("said %+v", do)
 			}
 		}
@@ -243,16 +243,16 @@
 	for relays, want := range map[int]int{1: 1, 2: 2, 9: 2} { // however many are played
 		p := NewPlan(s, relays, 1, func(int) int { return 0 })
 		for _, step := range p.Steps {
-			if do, ok := step.Do.(Relisted); ok && (do.Relay >= relays || do.Size > relays) {
+			if do, ok := step.Action.(Relisted); ok && (do.Relay >= relays || do.Size > relays) {
 				t.Errorf("of %d relays: %+v", relays, do)
 			}
 		}
-		if p.Listed() != want {
-			t.Errorf("%d of %d relays at first, want %d", p.Listed(), relays, want)
+		if p.InitialRelays() != want {
+			t.Errorf("%d of %d relays at first, want %d", p.InitialRelays(), relays, want)
 		}
 	}
-	if p := NewPlan(parse(t, site+"phase \"a\" { for = \"1s\" }"), 9, 1, func(int) int { return 0 }); p.Listed() != 9 {
-		t.Errorf("%d of 9 relays at first where nothing is said", p.Listed())
+	if p := NewPlan(parse(t, site+"phase \"a\" { for = \"1s\" }"), 9, 1, func(int) int { return 0 }); p.InitialRelays() != 9 {
+		t.Errorf("%d of 9 relays at first where nothing is said", p.InitialRelays())
 	}
 	for bad, why := range map[string]string{
 		`say "shout" {}`: `say "shout" is unknown`,
