--- a/cmd/larchrouter-trial/main.go
+++ b/cmd/larchrouter-trial/main.go
@@ -176,7 +176,7 @@
 	for n := range o.seeds {
 		seed := o.seed + uint64(n)
 		var reports []chaostest.Report
-		var book *chaostest.Book
+		var book *chaostest.EventLog
 		for i, p := range programs {
 			var err error
 			if book, err = o.one(ctx, out, s, p, seed, i); err != nil {
@@ -201,7 +201,7 @@
 }
 
 // one plays a scenario once.
-func (o *options) one(ctx context.Context, out io.Writer, s *scenario.Scenario, program string, seed uint64, i int) (*chaostest.Book, error) {
+func (o *options) one(ctx context.Context, out io.Writer, s *scenario.Scenario, program string, seed uint64, i int) (*chaostest.EventLog, error) {
 	dir, err := chaostest.TempDir()
 	if err != nil {
 		return nil, err
--- a/internal/relay/chaostest/appliance.go
+++ b/internal/relay/chaostest/appliance.go
@@ -20,25 +20,25 @@
 // file, operators talk to them through the control socket, and the ends of messages are asked for.
 
 const (
-	sayWithin = 2 * time.Second // an operator waits for an answer
-	askAtOnce = 8               // ends asked of one relay at a time
+	commandTimeout = 2 * time.Second // an operator waits for an answer
+	maxQueries     = 8               // ends asked of one relay at a time
 )
 
-func relayName(i int) string              { return fmt.Sprintf("r%02d", i) }
-func (p *process) socket() string         { return filepath.Join(p.state(), "control.sock") }
-func (p *process) call() *adminapi.Client { return adminapi.Dial(p.socket()) }
+func relayName(i int) string                     { return fmt.Sprintf("r%02d", i) }
+func (p *process) controlSocket() string         { return filepath.Join(p.stateDir(), "control.sock") }
+func (p *process) dialControl() *adminapi.Client { return adminapi.Dial(p.controlSocket()) }
 
 // operatorsFile is what an operator would write for a relay of a scenario.
 func operatorsFile(p *process, plan scenario.Plan, peers []string, servers []standin.Server) string {
 	s := plan.Scenario
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line("listen = %q\nstate = %q\nstop_within = \"2s\"", p.listen, p.state())
+	line("listen = %q\nstate = %q\nstop_within = \"2s\"", p.listen, p.stateDir())
 	line("limits {\n held = %d\n slots = %d\n attempts = %d\n memory_mb = 192\n disk_mb = 64\n}", s.MaxPending, s.Slots, s.Attempts)
 	line("ends {\n keep = 50000\n}")
 	line("rules {\n overload_factor = %g\n fall = %q\n cold_from = %g\n cold = %q\n}", s.Rules.OverloadFactor, s.Rules.Fall, s.Rules.ColdFrom, s.Rules.Cold)
 	if len(peers) > 1 && !s.Standalone {
-		line("fleet {\n name = %q\n listen = %q", relayName(p.index), p.notes)
+		line("fleet {\n name = %q\n listen = %q", relayName(p.index), p.gossipAddr)
 		for i, at := range peers {
 			line(" relay %q {\n  address = %q\n }", relayName(i), at)
 		}
@@ -61,8 +61,8 @@
 	return b.String()
 }
 
-// say has an operator say something at a relay, or at the next one that answers, and writes down when that was acknowledged.
-func (t *trial) say(ctx context.Context, do scenario.Said) {
+// runCommand has an operator runCommand something at a relay, or at the next one that answers, and writes down when that was acknowledged.
+func (t *trial) runCommand(ctx context.Context, do scenario.Said) {
 	var err error
 	for range t.fleet.all {
 		p := t.fleet.all[do.Relay]
@@ -70,24 +70,24 @@
 		runs := p.ready && !p.stopped
 		p.mu.Unlock()
 		if runs {
-			if err = p.tell(ctx, do); err == nil {
-				now := t.books.now()
-				t.books.write(func(b *Book) { b.Said = append(b.Said, Word{Said: do, At: now}) })
+			if err = p.sendCommand(ctx, do); err == nil {
+				now := t.recorder.now()
+				t.recorder.update(func(b *EventLog) { b.Commands = append(b.Commands, AcknowledgedCommand{Said: do, At: now}) })
 				return
 			}
 		}
 		do.Relay = (do.Relay + 1) % len(t.fleet.all)
 	}
 	if ctx.Err() == nil {
-		t.books.trouble(fmt.Sprintf("no relay took in %s %s: %v", do.What, do.Target, err))
+		t.recorder.addError(fmt.Sprintf("no relay took in %s %s: %v", do.What, do.Target, err))
 	}
 }
 
-// tell hands a word to a relay.
-func (p *process) tell(ctx context.Context, do scenario.Said) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, sayWithin)
+// sendCommand hands a word to a relay.
+func (p *process) sendCommand(ctx context.Context, do scenario.Said) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	c := p.call()
+	c := p.dialControl()
 	defer c.Close()
 	q := adminapi.DrainRequest{Target: do.Target, By: "operator", Fleet: true, AllowLast: true}
 	switch do.What {
@@ -101,11 +101,11 @@
 	return err
 }
 
-// askEnds asks relays that run how the messages ended that they took on.
-func (t *trial) askEnds(ctx context.Context) {
+// queryOutcomes asks relays that run how the messages ended that they took on.
+func (t *trial) queryOutcomes(ctx context.Context) {
 	all := make([][]*Message, len(t.fleet.all))
-	t.books.write(func(b *Book) {
-		b.Asked = make([]bool, len(t.fleet.all))
+	t.recorder.update(func(b *EventLog) {
+		b.Queried = make([]bool, len(t.fleet.all))
 		for _, m := range b.Messages {
 			if m.Status == http.StatusAccepted {
 				all[m.Relay] = append(all[m.Relay], m)
@@ -120,7 +120,7 @@
 		if !runs {
 			continue
 		}
-		t.books.write(func(b *Book) { b.Asked[i] = true })
+		t.recorder.update(func(b *EventLog) { b.Queried[i] = true })
 		next := make(chan *Message)
 		wg.Go(func() {
 			defer close(next)
@@ -128,10 +128,10 @@
 				next <- m
 			}
 		})
-		for range askAtOnce {
+		for range maxQueries {
 			wg.Go(func() {
 				for m := range next {
-					t.askEnd(ctx, p, m)
+					t.queryOutcome(ctx, p, m)
 				}
 			})
 		}
@@ -139,8 +139,8 @@
 	wg.Wait()
 }
 
-func (t *trial) askEnd(ctx context.Context, p *process, m *Message) {
-	ctx, cancel := context.WithTimeout(ctx, sayWithin)
+func (t *trial) queryOutcome(ctx context.Context, p *process, m *Message) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/api/"+url.PathEscape(m.ID), nil)
 	if err != nil {
@@ -150,10 +150,10 @@
 	if err != nil {
 		return // it counts as one whose end is not told
 	}
-	defer discard(resp.Body)
+	defer drainBody(resp.Body)
 	var v adminapi.Message
 	if resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(&v) == nil && v.EndedMs > 0 {
-		at := t.books.at(time.UnixMilli(v.EndedMs))
-		t.books.write(func(*Book) { m.Ends = append(m.Ends, End{at, v.State}) })
+		at := t.recorder.since(time.UnixMilli(v.EndedMs))
+		t.recorder.update(func(*EventLog) { m.Notices = append(m.Notices, Notice{at, v.State}) })
 	}
 }
--- a/internal/relay/chaostest/appliance_test.go
+++ b/internal/relay/chaostest/appliance_test.go
@@ -127,8 +127,8 @@
 				t.Fatal(err)
 			}
 			s.Phases = s.Phases[:2]
-			judge(t, func() (*Book, []string) {
-				b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Plant: fault})
+			judge(t, func() (*EventLog, []string) {
+				b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Fault: fault})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -151,18 +151,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &Book{Plan: scenario.NewPlan(s, 5, 1, func(int) int { return 0 }), End: 11 * time.Second}
+	b := &EventLog{Plan: scenario.NewPlan(s, 5, 1, func(int) int { return 0 }), End: 11 * time.Second}
 	for i := range 5 {
-		b.Lives = append(b.Lives, Life{Relay: i, To: b.End})
+		b.Runs = append(b.Runs, ReadySpan{Relay: i, To: b.End})
 	}
-	b.Lives[3].To = 8500 * time.Millisecond // it is gone in the chain
+	b.Runs[3].To = 8500 * time.Millisecond // it is gone in the chain
 	sec := time.Second
 	for at, want := range map[time.Duration]string{
 		1 * sec: "[1s 1s 1s 1s 1s]",
 		4 * sec: "[4s 5s 4s 5s 4s]",
 		9 * sec: "[9s 9s 9s -1ns -1ns]",
 	} {
-		if got := fmt.Sprint(b.informed(0, at)); got != want {
+		if got := fmt.Sprint(b.reachableSince(0, at)); got != want {
 			t.Errorf("from relay 0 at %v: %v, want %v", at, got, want)
 		}
 	}
--- a/internal/relay/chaostest/book.go
+++ b/internal/relay/chaostest/book.go
@@ -9,25 +9,25 @@
 	"larchrouter/internal/relay/scenario"
 )
 
-// Book is what a trial has written down: what clients handed in and were told, what hosts were sent, what agents were
+// EventLog is what a trial has written down: what clients handed in and were told, what hosts were sent, what agents were
 // told. Nothing in it comes from a relay's own account. Times count from the trial's beginning.
-type Book struct {
-	Plan     scenario.Plan
-	Messages map[string]*Message
-	Calls    []Call
-	Took     []Taken
-	Lives    []Life
-	Rooms    []Room        // what the machine let the trial's processes do
-	Asked    []bool        // by relay: it was asked at the end how its messages ended; nil under a platform, which is told
-	Said     []Word        // by operators, in the order in which that was acknowledged
-	Falls    int           // of cold hosts that were pushed over
-	Lost     int           // notes that the links lost, by the plan or because they could not be passed on
-	Notes    int           // notes that relays sent
-	Bytes    int           // in them
-	Shed     int           // messages that clients could not hand in, as too many waited for an answer
-	CPU      time.Duration // that the relays used
-	End      time.Duration // the books were closed
-	Trouble  []string      // what went wrong with the trial itself, or with a relay's process
+type EventLog struct {
+	Plan          scenario.Plan
+	Messages      map[string]*Message
+	Calls         []Call
+	Capacity      []CapacitySample
+	Runs          []ReadySpan
+	Scheduling    []SchedulingSample    // what the machine let the trial's processes do
+	Queried       []bool                // by relay: it was asked at the end how its messages ended; nil under a platform, which is told
+	Commands      []AcknowledgedCommand // by operators, in the order in which that was acknowledged
+	ColdOverloads int                   // of cold hosts that were pushed over
+	DatagramsLost int                   // notes that the links lost, by the plan or because they could not be passed on
+	Datagrams     int                   // notes that relays sent
+	DatagramBytes int                   // in them
+	Shed          int                   // messages that clients could not hand in, as too many waited for an answer
+	CPU           time.Duration         // that the relays used
+	End           time.Duration         // the books were closed
+	Errors        []string              // what went wrong with the trial itself, or with a relay's process
 }
 
 // Message is one that a client had.
@@ -37,14 +37,14 @@
 	Dest     int
 	Class    string
 	Sent     time.Duration
-	Within   time.Duration // it may be delivered so long
+	Timeout  time.Duration // it may be delivered so long
 	Status   int           // answered; 0 for no answer in time
 	Answered time.Duration
-	Ends     []End // told to the agent
+	Notices  []Notice // told to the agent
 }
 
-// End is a notice.
-type End struct {
+// Notice is a notice.
+type Notice struct {
 	At     time.Duration
 	Status string
 }
@@ -55,69 +55,69 @@
 	ID          string
 	First, Last time.Duration // its first and last byte came
 	Status      int
-	Wait        time.Duration // told
+	RetryAfter  time.Duration // told
 	Applied     bool
 }
 
-// Word is what an operator said for the whole fleet.
-type Word struct {
+// AcknowledgedCommand is what an operator said for the whole fleet.
+type AcknowledgedCommand struct {
 	scenario.Said
 	At time.Duration // it was acknowledged
 }
 
-// Taken is what the hosts of a destination took for a span.
-type Taken struct {
-	Dest  int
-	From  time.Duration
-	For   time.Duration
-	Calls float64 // that they would take
-	Burst float64 // that they would take at once beside
+// CapacitySample is what the hosts of a destination took for a span.
+type CapacitySample struct {
+	Dest     int
+	From     time.Duration
+	Duration time.Duration
+	Calls    float64 // that they would take
+	Burst    float64 // that they would take at once beside
 }
 
-// Life is a span in which a relay was ready and ran.
-type Life struct {
-	Relay    int
-	From, To time.Duration
-	Empty    bool // it began with an empty folder: what was held before is lost with that, as it may be
+// ReadySpan is a span in which a relay was ready and ran.
+type ReadySpan struct {
+	Relay     int
+	From, To  time.Duration
+	EmptyDisk bool // it began with an empty folder: what was held before is lost with that, as it may be
 }
 
-// ledger is a Book that is being written.
-type ledger struct {
-	mu    sync.Mutex
-	book  *Book
-	begin atomic.Pointer[time.Time]
+// recorder is a Book that is being written.
+type recorder struct {
+	mu        sync.Mutex
+	log       *EventLog
+	startedAt atomic.Pointer[time.Time]
 }
 
-func newLedger(plan scenario.Plan) *ledger {
-	l := &ledger{book: &Book{Plan: plan, Messages: map[string]*Message{}}}
-	l.start()
+func newRecorder(plan scenario.Plan) *recorder {
+	l := &recorder{log: &EventLog{Plan: plan, Messages: map[string]*Message{}}}
+	l.restartClock()
 	return l
 }
 
-// start begins the book's time anew.
-func (l *ledger) start() {
+// restartClock begins the book's time anew.
+func (l *recorder) restartClock() {
 	now := time.Now()
-	l.begin.Store(&now)
+	l.startedAt.Store(&now)
 }
 
 // now is the book's time.
-func (l *ledger) now() time.Duration { return l.at(time.Now()) }
+func (l *recorder) now() time.Duration { return l.since(time.Now()) }
 
-func (l *ledger) at(t time.Time) time.Duration { return t.Sub(*l.begin.Load()) }
+func (l *recorder) since(t time.Time) time.Duration { return t.Sub(*l.startedAt.Load()) }
 
-// write changes the book.
-func (l *ledger) write(f func(b *Book)) {
+// update changes the book.
+func (l *recorder) update(f func(b *EventLog)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f(l.book)
+	f(l.log)
 }
 
-// trouble notes what went wrong.
-func (l *ledger) trouble(text string) {
-	l.write(func(b *Book) { b.Trouble = append(b.Trouble, text) })
+// addError notes what went wrong.
+func (l *recorder) addError(text string) {
+	l.update(func(b *EventLog) { b.Errors = append(b.Errors, text) })
 }
 
-// ran tells whether a relay was ready and ran throughout a span.
-func (b *Book) ran(relay int, from, to time.Duration) bool {
-	return slices.ContainsFunc(b.Lives, func(l Life) bool { return l.Relay == relay && l.From <= from && to <= l.To })
+// running tells whether a relay was ready and running throughout a span.
+func (b *EventLog) running(relay int, from, to time.Duration) bool {
+	return slices.ContainsFunc(b.Runs, func(l ReadySpan) bool { return l.Relay == relay && l.From <= from && to <= l.To })
 }
--- a/internal/relay/chaostest/chaostest.go
+++ b/internal/relay/chaostest/chaostest.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	sampleEvery = 100 * time.Millisecond
-	settle      = 500 * time.Millisecond // beyond what the rules allow, before the books are closed
-	warm        = 300 * time.Millisecond // from the last relay that serves to the first message
+	sampleInterval = 100 * time.Millisecond
+	settleTime     = 500 * time.Millisecond // beyond what the rules allow, before the books are closed
+	warmup         = 300 * time.Millisecond // from the last relay that serves to the first message
 )
 
 // Options of a trial.
@@ -33,12 +33,12 @@
 	Relays   int    // 0 for the scenario's
 	Seed     uint64 // 0 for the scenario's
 	Dir      string // for the relays' folders and logs; they stay
-	Plant    string // a fault to switch in (internal/relay/faultinject), in a program that has them
+	Fault    string // a fault to switch in (internal/relay/faultinject), in a program that has them
 	Progress func(text string)
 }
 
 // Run plays a scenario, and returns its books.
-func Run(ctx context.Context, s *scenario.Scenario, o Options) (*Book, error) {
+func Run(ctx context.Context, s *scenario.Scenario, o Options) (*EventLog, error) {
 	if o.Relays == 0 {
 		o.Relays = s.Relays
 	}
@@ -57,32 +57,32 @@
 		}
 		return fleetlimit.Coordinators(dest, o.Relays)[0]
 	})
-	t := &trial{plan: plan, options: o, books: newLedger(plan)}
+	t := &trial{plan: plan, options: o, recorder: newRecorder(plan)}
 	defer t.close()
-	if err := t.raise(ctx); err != nil {
+	if err := t.startAll(ctx); err != nil {
 		return nil, err
 	}
 	err := t.play(ctx)
 	t.close()
-	t.collect()
-	return t.books.book, err
+	t.collectCalls()
+	return t.recorder.log, err
 }
 
 // trial is one that is played.
 type trial struct {
-	plan    scenario.Plan
-	options Options
-	books   *ledger
-	effects *standin.Ledger
-	hosts   [][]*standin.Host // by destination
-	agents  []*standin.Platform
-	links   *links
-	fleet   *fleet
-	closed  bool
+	plan     scenario.Plan
+	options  Options
+	recorder *recorder
+	effects  *standin.Ledger
+	hosts    [][]*standin.Host // by destination
+	agents   []*standin.Platform
+	links    *links
+	fleet    *fleet
+	closed   bool
 }
 
-// raise starts all that takes part.
-func (t *trial) raise(ctx context.Context) error {
+// startAll starts all that takes part.
+func (t *trial) startAll(ctx context.Context) error {
 	s := t.plan.Scenario
 	t.effects = standin.NewLedger(15 * time.Second)
 	var servers []standin.Server
@@ -107,22 +107,22 @@
 	var notes []netip.AddrPort
 	net8 := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
 	for i := range t.plan.Relays {
-		listen, at, err := place(net8, i)
+		listen, at, err := reserveAddresses(net8, i)
 		if err != nil {
 			return fmt.Errorf("an address for relay %d: %w", i, err)
 		}
-		agent, err := standin.NewAgent(servers, func(id, status string) { t.told(id, status) })
+		agent, err := standin.NewAgent(servers, func(id, status string) { t.recordNotice(id, status) })
 		if err != nil {
 			return err
 		}
 		t.agents = append(t.agents, agent)
 		notes = append(notes, at)
-		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: mostOpen, IdleConnTimeout: 2 * time.Second,
-			DialContext: (&net.Dialer{Timeout: patience}).DialContext}}
-		all = append(all, &process{index: i, alone: s.Appliances, program: t.options.Program, plant: t.options.Plant, dir: t.options.Dir, listen: listen, notes: at, agent: agent, books: t.books, client: client})
+		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: 2 * time.Second,
+			DialContext: (&net.Dialer{Timeout: answerTimeout}).DialContext}}
+		all = append(all, &process{index: i, standalone: s.Appliances, program: t.options.Program, fault: t.options.Fault, dir: t.options.Dir, listen: listen, gossipAddr: at, agent: agent, recorder: t.recorder, client: client})
 	}
 	var err error
-	if t.links, err = newLinks(notes, t.plan.Seed, t.books.now); err != nil {
+	if t.links, err = newLinks(notes, t.plan.Seed, t.recorder.now); err != nil {
 		return err
 	}
 	peers := t.links.peers()
@@ -131,40 +131,40 @@
 			return err
 		}
 	}
-	t.fleet = newFleet(all, t.books)
+	t.fleet = newFleet(all, t.recorder)
 	return t.fleet.start(ctx, t.plan.InitialRelays())
 }
 
-// told writes down a notice.
-func (t *trial) told(id, status string) {
-	now := t.books.now()
-	t.books.write(func(b *Book) {
+// recordNotice writes down a notice.
+func (t *trial) recordNotice(id, status string) {
+	now := t.recorder.now()
+	t.recorder.update(func(b *EventLog) {
 		if m := b.Messages[id]; m != nil {
-			m.Ends = append(m.Ends, End{now, status})
+			m.Notices = append(m.Notices, Notice{now, status})
 		} else {
-			b.Trouble = append(b.Trouble, fmt.Sprintf("a notice %q for message %q, which nobody handed in", status, id))
+			b.Errors = append(b.Errors, fmt.Sprintf("a notice %q for message %q, which nobody handed in", status, id))
 		}
 	})
 }
 
 // play plays the plan.
 func (t *trial) play(ctx context.Context) error {
-	time.Sleep(warm)
-	shift := t.books.now()
-	t.books.start()
+	time.Sleep(warmup)
+	shift := t.recorder.now()
+	t.recorder.restartClock()
 	for _, p := range t.fleet.all { // they began to live before the trial's time
 		p.mu.Lock()
-		p.since -= shift
+		p.readySince -= shift
 		p.mu.Unlock()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
-	wg.Go(func() { t.steps(ctx) })
-	wg.Go(func() { t.sample(ctx) })
-	wg.Go(func() { t.progress(ctx) })
-	wg.Go(func() { t.watchRoom(ctx) })
-	c := &clients{plan: t.plan, fleet: t.fleet, books: t.books}
+	wg.Go(func() { t.runSteps(ctx) })
+	wg.Go(func() { t.sampleCapacity(ctx) })
+	wg.Go(func() { t.reportProgress(ctx) })
+	wg.Go(func() { t.sampleScheduling(ctx) })
+	c := &clients{plan: t.plan, fleet: t.fleet, recorder: t.recorder}
 	c.run(ctx)
 	rest := time.Duration(0) // what is held has until its time is up
 	for _, p := range t.plan.Scenario.Partners {
@@ -172,9 +172,9 @@
 			rest = max(rest, l.Timeout)
 		}
 	}
-	sleep(ctx, rest+readyIn+settle)
+	sleep(ctx, rest+recoveryTime+settleTime)
 	if t.plan.Scenario.Appliances {
-		t.askEnds(ctx)
+		t.queryOutcomes(ctx)
 	}
 	err := ctx.Err()
 	cancel()
@@ -194,47 +194,47 @@
 	}
 }
 
-// steps carries the plan out.
-func (t *trial) steps(ctx context.Context) {
+// runSteps carries the plan out.
+func (t *trial) runSteps(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, s := range t.plan.Steps {
-		if !sleep(ctx, s.At-t.books.now()) {
+		if !sleep(ctx, s.At-t.recorder.now()) {
 			return
 		}
 		switch do := s.Action.(type) {
 		case scenario.Network:
-			do.Since = t.books.now()
+			do.Since = t.recorder.now()
 			t.links.network.Store(&do)
 		case scenario.Stopped:
-			t.fleet.do(do.Relay, func(p *process) error { p.stand(do.Paused); return nil })
+			t.fleet.enqueue(do.Relay, func(p *process) error { p.setPaused(do.Paused); return nil })
 		case scenario.Killed:
-			t.fleet.do(do.Relay, func(p *process) error { p.end(do.Graceful); return nil })
+			t.fleet.enqueue(do.Relay, func(p *process) error { p.terminate(do.Graceful); return nil })
 		case scenario.Started:
-			t.fleet.do(do.Relay, func(p *process) error {
+			t.fleet.enqueue(do.Relay, func(p *process) error {
 				if do.EmptyDisk && p.cmd == nil {
-					if err := p.empty(); err != nil {
+					if err := p.emptyDisk(); err != nil {
 						return err
 					}
 				}
 				return p.start(ctx)
 			})
 		case scenario.Relisted:
-			t.fleet.do(do.Relay, func(p *process) error { return p.relist(do.Size) })
+			t.fleet.enqueue(do.Relay, func(p *process) error { return p.writeOperatorFile(do.Size) })
 		case scenario.AgentSilent:
 			t.agents[do.Relay].Silence(do.Silent)
 		case scenario.Said:
-			wg.Go(func() { t.say(ctx, do) })
+			wg.Go(func() { t.runCommand(ctx, do) })
 		case scenario.HostSet:
-			if err := t.set(do); err != nil {
-				t.books.trouble(err.Error())
+			if err := t.setHost(do); err != nil {
+				t.recorder.addError(err.Error())
 			}
 		}
 	}
 }
 
-// set has a host be as told.
-func (t *trial) set(do scenario.HostSet) error {
+// setHost has a host be as told.
+func (t *trial) setHost(do scenario.HostSet) error {
 	h := t.hosts[do.Partner][do.Host]
 	h.Scale(do.Factor)
 	h.Set(standin.Behaviour{Latency: t.plan.Scenario.Partners[do.Partner].Hosts[do.Host].Latency, Hang: do.Hang, Refuse: do.Wait > 0, Wait: do.Wait})
@@ -245,33 +245,33 @@
 	return h.Up()
 }
 
-// sample writes down what hosts take.
-func (t *trial) sample(ctx context.Context) {
-	last := t.books.now()
-	for sleep(ctx, sampleEvery) {
-		now := t.books.now()
+// sampleCapacity writes down what hosts take.
+func (t *trial) sampleCapacity(ctx context.Context) {
+	last := t.recorder.now()
+	for sleep(ctx, sampleInterval) {
+		now := t.recorder.now()
 		for dest, hosts := range t.hosts {
-			k := Taken{Dest: dest, From: last, For: now - last}
+			k := CapacitySample{Dest: dest, From: last, Duration: now - last}
 			for i, h := range hosts {
 				rate, _ := h.Takes()
 				if h.Refuses() {
 					rate = 0
 				}
-				k.Calls += rate * k.For.Seconds()
+				k.Calls += rate * k.Duration.Seconds()
 				k.Burst += t.plan.Scenario.Partners[dest].Hosts[i].Burst
 			}
-			t.books.write(func(b *Book) { b.Took = append(b.Took, k) })
+			t.recorder.update(func(b *EventLog) { b.Capacity = append(b.Capacity, k) })
 		}
 		last = now
 	}
 }
 
-// progress tells how it goes, every second.
-func (t *trial) progress(ctx context.Context) {
+// reportProgress tells how it goes, every second.
+func (t *trial) reportProgress(ctx context.Context) {
 	handed, effects := 0, 0
-	for n := 1; sleep(ctx, time.Duration(n)*time.Second-t.books.now()); n++ {
+	for n := 1; sleep(ctx, time.Duration(n)*time.Second-t.recorder.now()); n++ {
 		var now int
-		t.books.write(func(b *Book) { now = len(b.Messages) })
+		t.recorder.update(func(b *EventLog) { now = len(b.Messages) })
 		done, _ := t.effects.Total()
 		t.options.Progress(fmt.Sprintf("%4ds  %-16s handed in %4d  delivered %4d", n, t.plan.Phases[t.plan.PhaseAt(time.Duration(n)*time.Second-1)].Name, now-handed, done-effects))
 		handed, effects = now, done
@@ -284,10 +284,10 @@
 		return
 	}
 	t.closed = true
-	t.books.write(func(b *Book) { b.End = t.books.now() })
+	t.recorder.update(func(b *EventLog) { b.End = t.recorder.now() })
 	if t.fleet != nil {
 		used := t.fleet.close()
-		t.books.write(func(b *Book) { b.CPU = used })
+		t.recorder.update(func(b *EventLog) { b.CPU = used })
 	}
 	if t.links != nil {
 		t.links.close()
@@ -302,19 +302,19 @@
 	}
 }
 
-// collect takes the hosts' books over.
-func (t *trial) collect() {
-	b := t.books.book
+// collectCalls takes the hosts' books over.
+func (t *trial) collectCalls() {
+	b := t.recorder.log
 	for dest, hosts := range t.hosts {
 		for i, h := range hosts {
 			_, falls := h.Takes()
-			b.Falls += falls
+			b.ColdOverloads += falls
 			for _, c := range h.Calls() {
-				b.Calls = append(b.Calls, Call{dest, i, c.ID, t.books.at(c.First), t.books.at(c.Last), c.Status, c.Wait, c.Applied})
+				b.Calls = append(b.Calls, Call{dest, i, c.ID, t.recorder.since(c.First), t.recorder.since(c.Last), c.Status, c.Wait, c.Applied})
 			}
 		}
 	}
-	b.Notes, b.Bytes, b.Lost = int(t.links.notes.Load()), int(t.links.bytes.Load()), int(t.links.lost.Load())
+	b.Datagrams, b.DatagramBytes, b.DatagramsLost = int(t.links.datagrams.Load()), int(t.links.bytes.Load()), int(t.links.lost.Load())
 }
 
 // TempDir makes a folder for a trial, with a path short enough for Unix sockets in it.
--- a/internal/relay/chaostest/chaostest_test.go
+++ b/internal/relay/chaostest/chaostest_test.go
@@ -49,7 +49,7 @@
 	}
 	for seed := range *seeds {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
-			judge(t, func() (*Book, []string) {
+			judge(t, func() (*EventLog, []string) {
 				b, err := Run(t.Context(), s, Options{Program: program, Relays: *nodes, Seed: seed + 1, Dir: t.TempDir()})
 				if err != nil {
 					t.Fatal(err)
@@ -211,8 +211,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	judge(t, func() (*Book, []string) {
-		b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Plant: faultinject.Lease})
+	judge(t, func() (*EventLog, []string) {
+		b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Fault: faultinject.Lease})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/chaostest/check.go
+++ b/internal/relay/chaostest/check.go
@@ -12,11 +12,11 @@
 
 // The slack of the platform's rules on sockets (PROTOCOL, "The rules on sockets").
 const (
-	afterEnd = 350 * time.Millisecond  // from a message's time to its notice: 300 ms, and 50 ms for sockets
-	readyIn  = 1500 * time.Millisecond // from a restart until nothing is overdue
-	waitIn   = 100 * time.Millisecond  // from a told wait until it binds
-	window   = time.Second             // over which calls are held against a limit
-	mostSaid = 5                       // findings of a kind that are told one by one
+	noticeGrace        = 350 * time.Millisecond  // from a message's time to its notice: 300 ms, and 50 ms for sockets
+	recoveryTime       = 1500 * time.Millisecond // from a restart until nothing is overdue
+	retryAfterGrace    = 100 * time.Millisecond  // from a told wait until it binds
+	window             = time.Second             // over which calls are held against a limit
+	maxFindingsPerRule = 5                       // findings of a kind that are told one by one
 )
 
 // Finding is a bound that did not hold.
@@ -28,8 +28,8 @@
 // String gives the rule, and what was seen.
 func (f Finding) String() string { return f.Rule + ": " + f.Text }
 
-// Share is what was seen over a span. All but the counts are shares of what hosts took, or would have taken.
-type Share struct {
+// Summary is what was seen over a span. All but the counts are shares of what hosts took, or would have taken.
+type Summary struct {
 	Name      string        `json:"name"`
 	From      time.Duration `json:"from_ns"`
 	To        time.Duration `json:"to_ns"`
@@ -42,17 +42,17 @@
 }
 
 // Offered is the share of what hosts take that they were offered.
-func (s Share) Offered() float64 { return part(float64(s.Calls), s.Takes) }
+func (s Summary) Offered() float64 { return ratio(float64(s.Calls), s.Takes) }
 
 // Served is the share of what hosts take that was delivered.
-func (s Share) Served() float64 { return part(float64(s.Delivered), s.Takes) }
+func (s Summary) Served() float64 { return ratio(float64(s.Delivered), s.Takes) }
 
 // Possible is the share of what could be delivered that was: of what hosts take, or what was handed in if that is less.
-func (s Share) Possible() float64 {
-	return part(float64(s.Delivered), min(s.Takes, float64(s.Handed)))
+func (s Summary) Possible() float64 {
+	return ratio(float64(s.Delivered), min(s.Takes, float64(s.Handed)))
 }
 
-func part(a, b float64) float64 {
+func ratio(a, b float64) float64 {
 	if b <= 0 {
 		return 0
 	}
@@ -65,8 +65,8 @@
 	Program  string         `json:"program"`
 	Relays   int            `json:"relays"`
 	Seed     uint64         `json:"seed"`
-	Phases   []Share        `json:"phases"`
-	Seconds  []Share        `json:"seconds"`
+	Phases   []Summary      `json:"phases"`
+	Seconds  []Summary      `json:"seconds"`
 	Clients  map[string]int `json:"clients"` // messages, by what their clients were told in the end
 	Notes    int            `json:"notes"`
 	Bytes    int            `json:"note_bytes"`
@@ -77,57 +77,57 @@
 }
 
 // Check holds a book against the rules, and against what its scenario expects.
-func Check(b *Book) Report {
+func Check(b *EventLog) Report {
 	c := newChecker(b)
-	r := Report{Scenario: b.Plan.Scenario.Title, Relays: b.Plan.Relays, Seed: b.Plan.Seed, Clients: c.told(), Notes: b.Notes, Bytes: b.Bytes, Lost: b.Lost,
+	r := Report{Scenario: b.Plan.Scenario.Title, Relays: b.Plan.Relays, Seed: b.Plan.Seed, Clients: c.countOutcomes(), Notes: b.Datagrams, Bytes: b.DatagramBytes, Lost: b.DatagramsLost,
 		Tries: len(c.byMessage), CPU: b.CPU}
 	for n, w := range b.Plan.Phases {
-		s := c.share(w.From, w.To)
+		s := c.summarize(w.From, w.To)
 		s.Name = w.Name
 		r.Phases = append(r.Phases, s)
 		for _, e := range w.Expect {
-			c.expect(fmt.Sprintf("phase %s", w.Name), e, w)
+			c.checkExpectation(fmt.Sprintf("phase %s", w.Name), e, w)
 		}
 		for at := w.From; at < w.To; at += window {
-			s := c.share(at, min(at+window, w.To))
+			s := c.summarize(at, min(at+window, w.To))
 			s.Name = b.Plan.Phases[n].Name
 			r.Seconds = append(r.Seconds, s)
 		}
 	}
 	for _, e := range b.Plan.Scenario.Expect {
-		c.expect("the whole", e, scenario.Window{To: b.Plan.Span()})
+		c.checkExpectation("the whole", e, scenario.Window{To: b.Plan.Span()})
 	}
-	c.process()
-	c.ends()
-	c.twice()
-	c.waits()
-	c.heeds()
-	c.contracts()
+	c.checkProcesses()
+	c.checkOutcomes()
+	c.checkAtMostOnce()
+	c.checkRetryAfter()
+	c.checkDrains()
+	c.checkRateLimits()
 	r.Findings = c.findings
 	return r
 }
 
 // checker is a book that is being checked.
 type checker struct {
-	*Book
-	byMessage map[string][]Call
-	delivered map[string]time.Duration // the end of the first call that was served in time
-	findings  []Finding
-	said      map[string]int
+	*EventLog
+	byMessage     map[string][]Call
+	delivered     map[string]time.Duration // the end of the first call that was served in time
+	findings      []Finding
+	findingCounts map[string]int
 }
 
-func newChecker(b *Book) *checker {
-	c := &checker{Book: b, byMessage: map[string][]Call{}, delivered: map[string]time.Duration{}, said: map[string]int{}}
-	slices.SortStableFunc(b.Lives, func(x, y Life) int { return cmp.Compare(x.From, y.From) })
+func newChecker(b *EventLog) *checker {
+	c := &checker{EventLog: b, byMessage: map[string][]Call{}, delivered: map[string]time.Duration{}, findingCounts: map[string]int{}}
+	slices.SortStableFunc(b.Runs, func(x, y ReadySpan) int { return cmp.Compare(x.From, y.From) })
 	slices.SortStableFunc(b.Calls, func(x, y Call) int { return cmp.Compare(x.Last, y.Last) })
 	for _, k := range b.Calls {
 		c.byMessage[k.ID] = append(c.byMessage[k.ID], k)
 		m := b.Messages[k.ID]
 		if m == nil {
-			c.find("unknown", "host %s was sent message %q, which nobody handed in", c.host(k), k.ID)
+			c.addFinding("unknown", "host %s was sent message %q, which nobody handed in", c.host(k), k.ID)
 			continue
 		}
-		if _, ok := c.delivered[k.ID]; !ok && k.Status == 200 && k.Last <= m.Sent+m.Within {
+		if _, ok := c.delivered[k.ID]; !ok && k.Status == 200 && k.Last <= m.Sent+m.Timeout {
 			c.delivered[k.ID] = k.Last
 		}
 	}
@@ -139,18 +139,18 @@
 	return p.Name + "/" + p.Hosts[k.Host].Name
 }
 
-// find notes a finding; of many of a kind the first few are told, and then how many there were.
-func (c *checker) find(rule, format string, args ...any) {
-	if c.said[rule]++; c.said[rule] <= mostSaid {
+// addFinding notes a finding; of many of a kind the first few are told, and then how many there were.
+func (c *checker) addFinding(rule, format string, args ...any) {
+	if c.findingCounts[rule]++; c.findingCounts[rule] <= maxFindingsPerRule {
 		c.findings = append(c.findings, Finding{rule, fmt.Sprintf(format, args...)})
 		return
 	}
 	c.findings = slices.DeleteFunc(c.findings, func(f Finding) bool { return f.Rule == rule+" (more)" })
-	c.findings = append(c.findings, Finding{rule + " (more)", fmt.Sprintf("%d in all", c.said[rule])})
+	c.findings = append(c.findings, Finding{rule + " (more)", fmt.Sprintf("%d in all", c.findingCounts[rule])})
 }
 
-// told counts messages by what their clients were told in the end.
-func (c *checker) told() map[string]int {
+// countOutcomes counts messages by what their clients were countOutcomes in the end.
+func (c *checker) countOutcomes() map[string]int {
 	n := map[string]int{}
 	for id, m := range c.Messages {
 		_, delivered := c.delivered[id]
@@ -163,8 +163,8 @@
 			n["refused at the door"]++
 		case m.Status >= 300:
 			n[fmt.Sprintf("answered %d", m.Status)]++
-		case len(m.Ends) > 0:
-			n["told "+m.Ends[0].Status]++
+		case len(m.Notices) > 0:
+			n["told "+m.Notices[0].Status]++
 		default:
 			n["without an end"]++
 		}
@@ -175,10 +175,10 @@
 	return n
 }
 
-// share counts over a span.
-func (c *checker) share(from, to time.Duration) Share {
-	s := Share{From: from, To: to, Takes: c.takes(-1, from, to)}
-	for _, k := range c.within(from, to) {
+// summarize counts over a span.
+func (c *checker) summarize(from, to time.Duration) Summary {
+	s := Summary{From: from, To: to, Takes: c.capacity(-1, from, to)}
+	for _, k := range c.callsBetween(from, to) {
 		s.Calls++
 		if k.Status == 429 || k.Status == 503 {
 			s.Refused++
@@ -188,7 +188,7 @@
 		}
 	}
 	for _, m := range c.Messages {
-		if from <= m.Sent && m.Sent < to && c.ran(m.Relay, m.Sent, m.Sent) {
+		if from <= m.Sent && m.Sent < to && c.running(m.Relay, m.Sent, m.Sent) {
 			s.Handed++
 		}
 	}
@@ -196,18 +196,18 @@
 	return s
 }
 
-// within are the calls of a span.
-func (c *checker) within(from, to time.Duration) []Call {
+// callsBetween are the calls of a span.
+func (c *checker) callsBetween(from, to time.Duration) []Call {
 	i, _ := slices.BinarySearchFunc(c.Calls, from, func(k Call, t time.Duration) int { return cmp.Compare(k.Last, t) })
 	j, _ := slices.BinarySearchFunc(c.Calls, to, func(k Call, t time.Duration) int { return cmp.Compare(k.Last, t) })
 	return c.Calls[i:j]
 }
 
-// takes is how many calls the hosts of a destination, or of all (-1), would have taken in a span.
-func (c *checker) takes(dest int, from, to time.Duration) (n float64) {
-	for _, k := range c.Took {
-		if over := min(to, k.From+k.For) - max(from, k.From); (dest < 0 || k.Dest == dest) && over > 0 && k.For > 0 {
-			n += k.Calls * float64(over) / float64(k.For)
+// capacity is how many calls the hosts of a destination, or of all (-1), would have taken in a span.
+func (c *checker) capacity(dest int, from, to time.Duration) (n float64) {
+	for _, k := range c.Capacity {
+		if over := min(to, k.From+k.Duration) - max(from, k.From); (dest < 0 || k.Dest == dest) && over > 0 && k.Duration > 0 {
+			n += k.Calls * float64(over) / float64(k.Duration)
 		}
 	}
 	return n
@@ -216,7 +216,7 @@
 // peak is the most that any destination was offered in a window within a span, as a share of what its hosts took in it.
 // What they take at once after a rest is not counted.
 func (c *checker) peak(from, to time.Duration) (most float64) {
-	calls := c.within(from, to)
+	calls := c.callsBetween(from, to)
 	for dest := range c.Plan.Scenario.Partners {
 		burst := 0.0
 		for _, h := range c.Plan.Scenario.Partners[dest].Hosts {
@@ -237,7 +237,7 @@
 				continue
 			}
 			begin := k.Last - window // a call may come first in its window
-			if room := c.takes(dest, max(0, begin), k.Last); room > 0 {
+			if room := c.capacity(dest, max(0, begin), k.Last); room > 0 {
 				most = max(most, (float64(n)-burst)/room)
 			}
 		}
@@ -245,41 +245,41 @@
 	return most
 }
 
-// expect holds a span against what is expected of it.
-func (c *checker) expect(where string, e scenario.Expectation, w scenario.Window) {
+// checkExpectation holds a span against what is expected of it.
+func (c *checker) checkExpectation(where string, e scenario.Expectation, w scenario.Window) {
 	from, to := w.From+e.From, w.To
 	if e.To > 0 {
 		to = min(to, w.From+e.To)
 	}
 	if from >= to {
-		c.find("expect", "%s ends before %v: there is nothing to check", where, e.From)
+		c.addFinding("expect", "%s ends before %v: there is nothing to check", where, e.From)
 		return
 	}
-	s := c.share(from, to)
+	s := c.summarize(from, to)
 	span := fmt.Sprintf("%s, from %v to %v", where, from-w.From, to-w.From)
 	if got := s.Possible(); got < e.MinDelivered {
-		c.find("delivered", "%s: %.2f of what could be, expected %.2f at least", span, got, e.MinDelivered)
+		c.addFinding("delivered", "%s: %.2f of what could be, expected %.2f at least", span, got, e.MinDelivered)
 	}
 	if e.MaxOffered > 0 && s.Peak > e.MaxOffered {
-		c.find("over", "%s: %.2f times what hosts take in a second beside their bursts, expected %.2f at most", span, s.Peak, e.MaxOffered)
+		c.addFinding("over", "%s: %.2f times what hosts take in a second beside their bursts, expected %.2f at most", span, s.Peak, e.MaxOffered)
 	}
-	if got := part(float64(s.Refused), float64(s.Calls)); e.MaxRefused > 0 && got > e.MaxRefused {
-		c.find("refused", "%s: %.2f of the calls, expected %.2f at most", span, got, e.MaxRefused)
+	if got := ratio(float64(s.Refused), float64(s.Calls)); e.MaxRefused > 0 && got > e.MaxRefused {
+		c.addFinding("refused", "%s: %.2f of the calls, expected %.2f at most", span, got, e.MaxRefused)
 	}
 }
 
-// process finds what went wrong with processes and hosts.
-func (c *checker) process() {
-	for _, t := range c.Trouble {
-		c.find("process", "%s", t)
+// checkProcesses finds what went wrong with processes and hosts.
+func (c *checker) checkProcesses() {
+	for _, t := range c.Errors {
+		c.addFinding("process", "%s", t)
 	}
-	if c.Falls > 0 {
-		c.find("cold", "cold hosts were pushed over %d times", c.Falls)
+	if c.ColdOverloads > 0 {
+		c.addFinding("cold", "cold hosts were pushed over %d times", c.ColdOverloads)
 	}
 }
 
-// sorted are the messages by id, so that findings come in the same order every time.
-func (c *checker) sorted() []*Message {
+// sortedMessages are the messages by id, so that findings come in the same order every time.
+func (c *checker) sortedMessages() []*Message {
 	all := make([]*Message, 0, len(c.Messages))
 	for _, m := range c.Messages {
 		all = append(all, m)
@@ -288,54 +288,54 @@
 	return all
 }
 
-// ends finds messages that were taken on and whose end is late or missing, as far as their relay was there to tell it.
-func (c *checker) ends() {
-	for _, m := range c.sorted() {
+// checkOutcomes finds messages that were taken on and whose end is late or missing, as far as their relay was there to tell it.
+func (c *checker) checkOutcomes() {
+	for _, m := range c.sortedMessages() {
 		if m.Status != 200 && m.Status != 202 {
 			continue
 		}
 		if _, ok := c.delivered[m.ID]; ok {
 			continue
 		}
-		if c.forgot(m) {
+		if c.outcomeUnknown(m) {
 			continue
 		}
-		end, late := c.owed(m)
-		if len(m.Ends) == 0 && c.End > end {
-			c.find("lost", "message %s, taken on by relay %d at %v, had no end by %v%s", m.ID, m.Relay, m.Answered.Round(time.Millisecond), end.Round(time.Millisecond), late)
-		} else if len(m.Ends) > 0 && m.Ends[0].At > end {
-			c.find("late", "message %s of relay %d ended %v late%s", m.ID, m.Relay, (m.Ends[0].At - end).Round(time.Millisecond), late)
+		end, late := c.noticeDeadline(m)
+		if len(m.Notices) == 0 && c.End > end {
+			c.addFinding("lost", "message %s, taken on by relay %d at %v, had no end by %v%s", m.ID, m.Relay, m.Answered.Round(time.Millisecond), end.Round(time.Millisecond), late)
+		} else if len(m.Notices) > 0 && m.Notices[0].At > end {
+			c.addFinding("late", "message %s of relay %d ended %v late%s", m.ID, m.Relay, (m.Notices[0].At - end).Round(time.Millisecond), late)
 		}
 	}
 }
 
-// forgot tells whether a message's end could not be asked for: its relay, which has no platform that was told, began anew with
+// outcomeUnknown tells whether a message's end could not be asked for: its relay, which has no platform that was told, began anew with
 // an empty folder since, or did not run at the end.
-func (c *checker) forgot(m *Message) bool {
-	return c.Asked != nil && (!c.Asked[m.Relay] || slices.ContainsFunc(c.Lives, func(l Life) bool { return l.Relay == m.Relay && l.Empty && l.From > m.Answered }))
+func (c *checker) outcomeUnknown(m *Message) bool {
+	return c.Queried != nil && (!c.Queried[m.Relay] || slices.ContainsFunc(c.Runs, func(l ReadySpan) bool { return l.Relay == m.Relay && l.EmptyDisk && l.From > m.Answered }))
 }
 
-// owed is when a message's end was due: later where its relay did not run, and never if it did not any more. A message
+// noticeDeadline is when a message's end was due: later where its relay did not run, and never if it did not any more. A message
 // that came while the relay stood still is read, and its time begun, when that goes on.
-func (c *checker) owed(m *Message) (at time.Duration, why string) {
-	at = m.Sent + m.Within + afterEnd
-	for _, l := range c.Lives { // in the order in which they began
+func (c *checker) noticeDeadline(m *Message) (at time.Duration, why string) {
+	at = m.Sent + m.Timeout + noticeGrace
+	for _, l := range c.Runs { // in the order in which they began
 		switch {
 		case l.Relay != m.Relay || l.To < m.Answered:
-		case l.From > m.Answered && l.Empty:
+		case l.From > m.Answered && l.EmptyDisk:
 			return c.End, ""
-		case l.From <= m.Answered && max(at, l.From+m.Within+afterEnd) <= l.To:
-			return max(at, l.From+m.Within+afterEnd), ""
-		case l.From > m.Answered && l.To > max(at, l.From+readyIn):
-			return max(at, l.From+readyIn), " (its relay did not run throughout)"
+		case l.From <= m.Answered && max(at, l.From+m.Timeout+noticeGrace) <= l.To:
+			return max(at, l.From+m.Timeout+noticeGrace), ""
+		case l.From > m.Answered && l.To > max(at, l.From+recoveryTime):
+			return max(at, l.From+recoveryTime), " (its relay did not run throughout)"
 		}
 	}
 	return c.End, ""
 }
 
-// twice finds messages that must take effect once at most and did more often.
-func (c *checker) twice() {
-	for _, m := range c.sorted() {
+// checkAtMostOnce finds messages that must take effect once at most and did more often.
+func (c *checker) checkAtMostOnce() {
+	for _, m := range c.sortedMessages() {
 		if k, _ := c.Plan.Scenario.ClassByName(m.Class); k.Effect != choice.Unsafe {
 			continue
 		}
@@ -346,13 +346,13 @@
 			}
 		}
 		if n > 1 {
-			c.find("twice", "message %s of relay %d, a %s, took effect %d times", m.ID, m.Relay, m.Class, n)
+			c.addFinding("twice", "message %s of relay %d, a %s, took effect %d times", m.ID, m.Relay, m.Class, n)
 		}
 	}
 }
 
-// waits finds calls of a relay to a host that had told it to wait. A restart ends a wait.
-func (c *checker) waits() {
+// checkRetryAfter finds calls of a relay to a host that had told it to wait. A restart ends a wait.
+func (c *checker) checkRetryAfter() {
 	type pair struct{ relay, dest, host int }
 	type told struct {
 		from, to time.Duration
@@ -365,15 +365,15 @@
 		}
 		p := pair{m.Relay, k.Dest, k.Host}
 		for _, w := range waits[p] {
-			if w.from+waitIn < k.First && k.First < w.to && c.ran(m.Relay, w.from, k.First) {
-				c.find("wait", "relay %d called host %s at %v, within a wait told at %v until %v", m.Relay, c.host(k), k.First.Round(time.Millisecond),
+			if w.from+retryAfterGrace < k.First && k.First < w.to && c.running(m.Relay, w.from, k.First) {
+				c.addFinding("wait", "relay %d called host %s at %v, within a wait told at %v until %v", m.Relay, c.host(k), k.First.Round(time.Millisecond),
 					w.from.Round(time.Millisecond), w.to.Round(time.Millisecond))
 				break
 			}
 		}
-		if k.Wait > 0 {
+		if k.RetryAfter > 0 {
 			at := k.Last + c.Plan.Scenario.Partners[k.Dest].Hosts[k.Host].Latency
-			waits[p] = append(slices.DeleteFunc(waits[p], func(w told) bool { return w.to < k.First }), told{at, at + k.Wait})
+			waits[p] = append(slices.DeleteFunc(waits[p], func(w told) bool { return w.to < k.First }), told{at, at + k.RetryAfter})
 		}
 	}
 }
--- a/internal/relay/chaostest/check_test.go
+++ b/internal/relay/chaostest/check_test.go
@@ -15,8 +15,8 @@
 	sec = time.Second
 )
 
-// history is a clean book of two relays over 10 s: 40 messages a second for a host that takes 50.
-func history(t *testing.T) *Book {
+// cleanHistory is a clean book of two relays over 10 s: 40 messages a second for a host that takes 50.
+func cleanHistory(t *testing.T) *EventLog {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`
 relays = 2
@@ -40,24 +40,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &Book{Plan: scenario.NewPlan(s, 2, 1, func(int) int { return 0 }), Messages: map[string]*Message{}, End: 15 * sec}
+	b := &EventLog{Plan: scenario.NewPlan(s, 2, 1, func(int) int { return 0 }), Messages: map[string]*Message{}, End: 15 * sec}
 	for i := range 400 {
-		m := &Message{ID: fmt.Sprintf("m%03d", i), Relay: i % 2, Class: "payment", Sent: time.Duration(i) * 25 * ms, Within: 3 * sec, Status: 202}
+		m := &Message{ID: fmt.Sprintf("m%03d", i), Relay: i % 2, Class: "payment", Sent: time.Duration(i) * 25 * ms, Timeout: 3 * sec, Status: 202}
 		m.Answered = m.Sent + ms
 		b.Messages[m.ID] = m
 		b.Calls = append(b.Calls, Call{ID: m.ID, First: m.Sent + 2*ms, Last: m.Sent + 3*ms, Status: 200, Applied: true})
 	}
-	for at := time.Duration(0); at < 10*sec; at += sampleEvery {
-		b.Took = append(b.Took, Taken{From: at, For: sampleEvery, Calls: 5})
+	for at := time.Duration(0); at < 10*sec; at += sampleInterval {
+		b.Capacity = append(b.Capacity, CapacitySample{From: at, Duration: sampleInterval, Calls: 5})
 	}
 	for r := range 2 {
-		b.Lives = append(b.Lives, Life{r, -sec, 15 * sec, false})
+		b.Runs = append(b.Runs, ReadySpan{r, -sec, 15 * sec, false})
 	}
 	return b
 }
 
 // undelivered has a message never be sent on.
-func undelivered(b *Book, id string) *Message {
+func undelivered(b *EventLog, id string) *Message {
 	b.Calls = slices.DeleteFunc(b.Calls, func(k Call) bool { return k.ID == id })
 	return b.Messages[id]
 }
@@ -65,88 +65,88 @@
 // Each checker finds what was planted, and nothing else; what is lawful is not found.
 func TestPlantedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		plant func(b *Book)
+		plant func(b *EventLog)
 		want  string // rules found, in order
 	}{
-		"clean": {func(b *Book) {}, ""},
-		"a payment applied twice": {func(b *Book) {
+		"clean": {func(b *EventLog) {}, ""},
+		"a payment applied twice": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m007", First: 5 * sec, Last: 5 * sec, Status: 500, Applied: true})
 		}, "twice"},
-		"a payment refused, then applied": {func(b *Book) {
+		"a payment refused, then applied": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m007", First: 100 * ms, Last: 100 * ms, Status: 503})
 		}, ""},
-		"a message without an end": {func(b *Book) { undelivered(b, "m050") }, "lost"},
-		"one with an end in time": {func(b *Book) {
+		"a message without an end": {func(b *EventLog) { undelivered(b, "m050") }, "lost"},
+		"one with an end in time": {func(b *EventLog) {
 			m := undelivered(b, "m050")
-			m.Ends = []End{{m.Sent + 3300*ms, "deferred"}}
+			m.Notices = []Notice{{m.Sent + 3300*ms, "deferred"}}
 		}, ""},
-		"one with a late end": {func(b *Book) {
+		"one with a late end": {func(b *EventLog) {
 			m := undelivered(b, "m050")
-			m.Ends = []End{{m.Sent + 3400*ms, "deferred"}}
+			m.Notices = []Notice{{m.Sent + 3400*ms, "deferred"}}
 		}, "late"},
-		"a late end, as the relay stood still": {func(b *Book) {
+		"a late end, as the relay stood still": {func(b *EventLog) {
 			m := undelivered(b, "m050") // relay 0, taken on at 1.25 s
-			m.Ends = []End{{7 * sec, "deferred"}}
-			b.Lives[0].To = 2 * sec
-			b.Lives = append(b.Lives, Life{0, 6 * sec, 15 * sec, false})
+			m.Notices = []Notice{{7 * sec, "deferred"}}
+			b.Runs[0].To = 2 * sec
+			b.Runs = append(b.Runs, ReadySpan{0, 6 * sec, 15 * sec, false})
 		}, ""},
-		"later still": {func(b *Book) {
+		"later still": {func(b *EventLog) {
 			m := undelivered(b, "m050")
-			m.Ends = []End{{8 * sec, "deferred"}}
-			b.Lives[0].To = 2 * sec
-			b.Lives = append(b.Lives, Life{0, 6 * sec, 15 * sec, false})
+			m.Notices = []Notice{{8 * sec, "deferred"}}
+			b.Runs[0].To = 2 * sec
+			b.Runs = append(b.Runs, ReadySpan{0, 6 * sec, 15 * sec, false})
 		}, "late"},
-		"no end, as the relay never came back": {func(b *Book) { undelivered(b, "m050"); b.Lives[0].To = 2 * sec }, ""},
-		"no end, as the folder was emptied": {func(b *Book) {
+		"no end, as the relay never came back": {func(b *EventLog) { undelivered(b, "m050"); b.Runs[0].To = 2 * sec }, ""},
+		"no end, as the folder was emptied": {func(b *EventLog) {
 			undelivered(b, "m050")
-			b.Lives[0].To = 2 * sec
-			b.Lives = append(b.Lives, Life{0, 3 * sec, 15 * sec, true})
+			b.Runs[0].To = 2 * sec
+			b.Runs = append(b.Runs, ReadySpan{0, 3 * sec, 15 * sec, true})
 		}, ""},
-		"no answer and no end": {func(b *Book) { undelivered(b, "m050").Status = 0 }, ""},
-		"a call within a told wait": {func(b *Book) {
-			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, Wait: 500 * ms})
+		"no answer and no end": {func(b *EventLog) { undelivered(b, "m050").Status = 0 }, ""},
+		"a call within a told wait": {func(b *EventLog) {
+			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
 		}, "wait wait wait wait wait wait (more)"}, // the history goes on regardless
-		"the same of another relay": {func(b *Book) {
+		"the same of another relay": {func(b *EventLog) {
 			for i := range b.Calls { // relay 0 pauses
 				if k := &b.Calls[i]; b.Messages[k.ID].Relay == 0 && k.First > 1300*ms && k.First < 1800*ms {
 					k.First, k.Last = k.First+500*ms, k.Last+500*ms
 				}
 			}
-			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, Wait: 500 * ms})
+			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
 		}, ""},
-		"a wait that a restart ended": {func(b *Book) {
-			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, Wait: 500 * ms})
-			b.Lives[0].To = 1300 * ms
-			b.Lives = append(b.Lives, Life{0, 1301 * ms, 15 * sec, false})
+		"a wait that a restart ended": {func(b *EventLog) {
+			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
+			b.Runs[0].To = 1300 * ms
+			b.Runs = append(b.Runs, ReadySpan{0, 1301 * ms, 15 * sec, false})
 		}, ""},
-		"more than the hosts take": {func(b *Book) {
+		"more than the hosts take": {func(b *EventLog) {
 			for i := range 40 {
 				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec, Last: 5*sec + time.Duration(i)*ms, Status: 503})
 			}
 		}, "over refused"},
-		"a burst that they take": {func(b *Book) {
+		"a burst that they take": {func(b *EventLog) {
 			for i := range 3 {
 				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec, Last: 5*sec + time.Duration(i)*ms, Status: 503})
 			}
 		}, ""},
-		"too little delivered": {func(b *Book) {
+		"too little delivered": {func(b *EventLog) {
 			for i := range 10 {
 				m := undelivered(b, fmt.Sprintf("m%03d", i))
-				m.Ends = []End{{m.Sent + sec, "deferred"}}
+				m.Notices = []Notice{{m.Sent + sec, "deferred"}}
 			}
 		}, "delivered"},
-		"delivered late": {func(b *Book) {
+		"delivered late": {func(b *EventLog) {
 			for i := range b.Calls[:10] {
 				b.Calls[i].Last += 3 * sec
 				m := b.Messages[b.Calls[i].ID]
-				m.Ends = []End{{m.Sent + 3*sec, "undeliverable"}}
+				m.Notices = []Notice{{m.Sent + 3*sec, "undeliverable"}}
 			}
 		}, "delivered"},
-		"a message from nowhere":      {func(b *Book) { b.Calls = append(b.Calls, Call{ID: "x", First: sec, Last: sec, Status: 503}) }, "unknown"},
-		"a relay that crashed":        {func(b *Book) { b.Trouble = []string{"relay 1 ended by itself"} }, "process"},
-		"a cold host that was pushed": {func(b *Book) { b.Falls = 1 }, "cold"},
+		"a message from nowhere":      {func(b *EventLog) { b.Calls = append(b.Calls, Call{ID: "x", First: sec, Last: sec, Status: 503}) }, "unknown"},
+		"a relay that crashed":        {func(b *EventLog) { b.Errors = []string{"relay 1 ended by itself"} }, "process"},
+		"a cold host that was pushed": {func(b *EventLog) { b.ColdOverloads = 1 }, "cold"},
 	} {
-		b := history(t)
+		b := cleanHistory(t)
 		c.plant(b)
 		r := Check(b)
 		var got []string
@@ -161,7 +161,7 @@
 
 // The figures of a history are those that it was made with, in the table and in the page.
 func TestFigures(t *testing.T) {
-	b := history(t)
+	b := cleanHistory(t)
 	r := Check(b)
 	p := r.Phases[0]
 	if p.Handed != 400 || p.Calls != 400 || p.Delivered != 400 || p.Takes < 499.9 || p.Takes > 500.1 || p.Served() < 0.79 || p.Possible() != 1 {
--- a/internal/relay/chaostest/clients.go
+++ b/internal/relay/chaostest/clients.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	patience   = 400 * time.Millisecond // of a client for its answer (PROTOCOL, "Clients to relays")
-	mostOpen   = 256                    // messages of one relay's clients that wait for an answer
-	bodyLength = 200
+	answerTimeout = 400 * time.Millisecond // of a client for its answer (PROTOCOL, "Clients to relays")
+	maxInFlight   = 256                    // messages of one relay's clients that wait for an answer
+	bodyLength    = 200
 )
 
 // clients hand messages in at times drawn by the seed, whatever becomes of those before.
 type clients struct {
-	plan  scenario.Plan
-	fleet *fleet
-	books *ledger
-	wg    sync.WaitGroup
+	plan     scenario.Plan
+	fleet    *fleet
+	recorder *recorder
+	wg       sync.WaitGroup
 }
 
 // rate is what one relay's clients have of a load, a second.
@@ -39,17 +39,17 @@
 // run hands messages in until the plan's span is over or the context ends.
 func (c *clients) run(ctx context.Context) {
 	for relay := range c.fleet.all {
-		open := make(chan struct{}, mostOpen)
+		open := make(chan struct{}, maxInFlight)
 		for dest, p := range c.plan.Scenario.Partners {
 			for n, l := range p.Loads {
-				c.wg.Go(func() { c.load(ctx, relay, dest, n, l, open) })
+				c.wg.Go(func() { c.runLoad(ctx, relay, dest, n, l, open) })
 			}
 		}
 	}
 	c.wg.Wait()
 }
 
-func (c *clients) load(ctx context.Context, relay, dest, n int, l scenario.Load, open chan struct{}) {
+func (c *clients) runLoad(ctx context.Context, relay, dest, n int, l scenario.Load, open chan struct{}) {
 	draw := rand.New(rand.NewPCG(c.plan.Seed, uint64(relay)<<32|uint64(dest)<<16|uint64(n)))
 	mean := float64(time.Second) / rate(l, relay, c.plan.Relays)
 	for at, i := time.Duration(0), 0; ; i++ {
@@ -60,49 +60,49 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(at - c.books.now()):
+		case <-time.After(at - c.recorder.now()):
 		}
 		select {
 		case open <- struct{}{}:
 		default:
-			c.books.write(func(b *Book) { b.Shed++ })
+			c.recorder.update(func(b *EventLog) { b.Shed++ })
 			continue
 		}
-		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, n, i), Relay: relay, Dest: dest, Class: l.Class, Within: l.Timeout}
+		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, n, i), Relay: relay, Dest: dest, Class: l.Class, Timeout: l.Timeout}
 		c.wg.Go(func() {
-			c.hand(ctx, m)
+			c.submit(ctx, m)
 			<-open
 		})
 	}
 }
 
-// hand hands one message in, and writes down what the client was told.
-func (c *clients) hand(ctx context.Context, m *Message) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// submit hands one message in, and writes down what the client was told.
+func (c *clients) submit(ctx context.Context, m *Message) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	p := c.fleet.all[m.Relay]
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.listen+"/api", strings.NewReader(strings.Repeat("x", bodyLength)))
 	if err != nil {
-		c.books.trouble(err.Error())
+		c.recorder.addError(err.Error())
 		return
 	}
 	req.Header.Set("X-Request-Id", m.ID)
 	req.Header.Set("X-Class", m.Class)
 	req.Header.Set("Idempotency-Key", m.ID)
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(m.Within.Milliseconds()))
+	req.Header.Set("X-Deadline-Ms", fmt.Sprint(m.Timeout.Milliseconds()))
 	if s := c.plan.Scenario; s.Appliances {
 		req.Header.Set("X-Partner", s.Partners[m.Dest].Name)
 	} else {
 		req.Header.Set("X-Addressing", fmt.Sprintf("dest=%d", m.Dest))
 	}
-	m.Sent = c.books.now()
-	c.books.write(func(b *Book) { b.Messages[m.ID] = m }) // first: its end may come before its answer
+	m.Sent = c.recorder.now()
+	c.recorder.update(func(b *EventLog) { b.Messages[m.ID] = m }) // first: its end may come before its answer
 	resp, err := p.client.Do(req)
 	status := 0
 	if err == nil {
 		status = resp.StatusCode
-		discard(resp.Body)
+		drainBody(resp.Body)
 	}
-	now := c.books.now()
-	c.books.write(func(*Book) { m.Status, m.Answered = status, now })
+	now := c.recorder.now()
+	c.recorder.update(func(*EventLog) { m.Status, m.Answered = status, now })
 }
--- a/internal/relay/chaostest/fleet.go
+++ b/internal/relay/chaostest/fleet.go
@@ -22,38 +22,38 @@
 )
 
 const (
-	startWithin = 20 * time.Second // a relay serves by then
-	askEvery    = 5 * time.Millisecond
-	termWithin  = 3700 * time.Millisecond // after it, SIGKILL (PROTOCOL, "Figures")
+	startTimeout      = 20 * time.Second // a relay serves by then
+	readinessInterval = 5 * time.Millisecond
+	termTimeout       = 3700 * time.Millisecond // after it, SIGKILL (PROTOCOL, "Figures")
 )
 
 // process is one relay of the fleet. Its methods are called by one goroutine at a time.
 type process struct {
-	index   int
-	program string
-	alone   bool                  // without a platform
-	file    func(size int) string // an operator's, with so many relays in the fleet
-	plant   string                // a fault to switch in
-	dir     string
-	listen  string // where clients come
-	notes   netip.AddrPort
-	agent   *standin.Platform
-	books   *ledger
-	client  *http.Client
+	index        int
+	program      string
+	standalone   bool                  // without a platform
+	operatorFile func(size int) string // an operator's, with so many relays in the fleet
+	fault        string                // a fault to switch in
+	dir          string
+	listen       string // where clients come
+	gossipAddr   netip.AddrPort
+	agent        *standin.Platform
+	recorder     *recorder
+	client       *http.Client
 
-	cmd     *exec.Cmd
-	gone    chan struct{} // closed when the process has ended
-	stopped bool
-	wanted  bool // it is not to end by itself
-	since   time.Duration
-	ready   bool
-	emptied bool          // since it was ready last, its folder was emptied before
-	used    time.Duration // of the processor, by the processes that have ended
-	mu      sync.Mutex    // of wanted, ready, since, stopped
+	cmd         *exec.Cmd
+	exited      chan struct{} // closed when the process has ended
+	stopped     bool
+	expectedUp  bool // it is not to end by itself
+	readySince  time.Duration
+	ready       bool
+	diskEmptied bool          // since it was ready last, its folder was emptied before
+	cpuTime     time.Duration // of the processor, by the processes that have ended
+	mu          sync.Mutex    // of wanted, ready, since, stopped
 }
 
-// place reserves a relay's addresses: a loopback address of its own, with ports that nothing else has.
-func place(net8 [2]byte, index int) (listen string, notes netip.AddrPort, err error) {
+// reserveAddresses reserves a relay's addresses: a loopback address of its own, with ports that nothing else has.
+func reserveAddresses(net8 [2]byte, index int) (listen string, notes netip.AddrPort, err error) {
 	ip := netip.AddrFrom4([4]byte{127, net8[0], net8[1], byte(index + 1)})
 	t, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0)))
 	if err != nil {
@@ -70,51 +70,53 @@
 
 // configure writes the file that the platform gives a relay.
 func (p *process) configure(plan scenario.Plan, peers []string, servers []standin.Server) error {
-	if _, err := os.Stat(p.state()); err == nil { // what its relays remember would be taken for this trial's
-		return fmt.Errorf("%s is there from a trial before: choose another folder", p.state())
+	if _, err := os.Stat(p.stateDir()); err == nil { // what its relays remember would be taken for this trial's
+		return fmt.Errorf("%s is there from a trial before: choose another folder", p.stateDir())
 	}
-	if err := os.MkdirAll(p.state(), 0o700); err != nil {
+	if err := os.MkdirAll(p.stateDir(), 0o700); err != nil {
 		return err
 	}
-	if p.alone {
-		p.file = func(size int) string { return operatorsFile(p, plan, peers[:size], servers) }
-		return p.relist(max(plan.InitialRelays(), p.index+1))
+	if p.standalone {
+		p.operatorFile = func(size int) string { return operatorsFile(p, plan, peers[:size], servers) }
+		return p.writeOperatorFile(max(plan.InitialRelays(), p.index+1))
 	}
 	data, err := json.MarshalIndent(platformConfig(p, plan, peers, servers), "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(p.config(), data, 0o600)
+	return os.WriteFile(p.configPath(), data, 0o600)
 }
 
-// relist writes an operator's file with so many relays in the fleet.
-func (p *process) relist(size int) error {
-	return os.WriteFile(p.config(), []byte(p.file(size)), 0o600)
+// writeOperatorFile writes an operator's file with so many relays in the fleet.
+func (p *process) writeOperatorFile(size int) error {
+	return os.WriteFile(p.configPath(), []byte(p.operatorFile(size)), 0o600)
 }
 
-func (p *process) config() string {
+func (p *process) configPath() string {
 	return filepath.Join(p.dir, fmt.Sprintf("relay-%02d.json", p.index))
 }
-func (p *process) state() string { return filepath.Join(p.dir, fmt.Sprintf("relay-%02d", p.index)) }
-func (p *process) logs() string  { return filepath.Join(p.dir, fmt.Sprintf("relay-%02d.log", p.index)) }
+func (p *process) stateDir() string { return filepath.Join(p.dir, fmt.Sprintf("relay-%02d", p.index)) }
+func (p *process) logPath() string {
+	return filepath.Join(p.dir, fmt.Sprintf("relay-%02d.log", p.index))
+}
 
 // start starts the process and waits until it serves.
 func (p *process) start(ctx context.Context) error {
 	if p.cmd != nil {
 		return nil
 	}
-	logs, err := os.OpenFile(p.logs(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logs, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer logs.Close()
 	cmd := exec.Command(p.program)
-	if p.alone {
-		cmd = exec.Command(p.program, "run", "--config", p.config())
+	if p.standalone {
+		cmd = exec.Command(p.program, "run", "--config", p.configPath())
 	}
-	cmd.Env = []string{"BALANCER_CONFIG=" + p.config(), "BALANCER_STATE=" + p.state(), "TMPDIR=" + p.dir, "LARCHROUTER_LOG=" + os.Getenv("LARCHROUTER_LOG")}
-	if p.plant != "" {
-		cmd.Env = append(cmd.Env, "LARCHROUTER_PLANT="+p.plant)
+	cmd.Env = []string{"BALANCER_CONFIG=" + p.configPath(), "BALANCER_STATE=" + p.stateDir(), "TMPDIR=" + p.dir, "LARCHROUTER_LOG=" + os.Getenv("LARCHROUTER_LOG")}
+	if p.fault != "" {
+		cmd.Env = append(cmd.Env, "LARCHROUTER_PLANT="+p.fault)
 	}
 	cmd.Stderr = logs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the trial, however that ends
@@ -123,34 +125,34 @@
 	}
 	gone := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.gone, p.wanted, p.ready = cmd, gone, true, false
+	p.cmd, p.exited, p.expectedUp, p.ready = cmd, gone, true, false
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
-		if p.wanted {
-			p.books.trouble(fmt.Sprintf("relay %d ended by itself: %v; its last words:\n%s", p.index, err, p.lastWords()))
+		if p.expectedUp {
+			p.recorder.addError(fmt.Sprintf("relay %d ended by itself: %v; its last words:\n%s", p.index, err, p.logTail()))
 		}
 		p.mu.Unlock()
 		close(gone)
 	}()
 	for begin := time.Now(); ; {
-		if p.up(ctx) {
+		if p.serving(ctx) {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-gone:
-			return fmt.Errorf("relay %d ended before it served:\n%s", p.index, p.lastWords())
-		case <-time.After(askEvery):
+			return fmt.Errorf("relay %d ended before it served:\n%s", p.index, p.logTail())
+		case <-time.After(readinessInterval):
 		}
-		if time.Since(begin) > startWithin {
-			return fmt.Errorf("relay %d does not serve within %v:\n%s", p.index, startWithin, p.lastWords())
+		if time.Since(begin) > startTimeout {
+			return fmt.Errorf("relay %d does not serve within %v:\n%s", p.index, startTimeout, p.logTail())
 		}
 	}
 	p.mu.Lock()
-	p.ready, p.since = true, p.books.now()
+	p.ready, p.readySince = true, p.recorder.now()
 	p.mu.Unlock()
 	return nil
 }
@@ -159,15 +161,15 @@
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.wanted {
+	if !p.expectedUp {
 		return 0
 	}
 	return p.cmd.Process.Pid
 }
 
-// up tells whether it says that it serves.
-func (p *process) up(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// serving tells whether it says that it serves.
+func (p *process) serving(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/up", nil)
 	req.Close = true
@@ -175,77 +177,77 @@
 	if err != nil {
 		return false
 	}
-	discard(resp.Body)
+	drainBody(resp.Body)
 	return resp.StatusCode == http.StatusOK
 }
 
-// lastWords are the last lines of its log.
-func (p *process) lastWords() string {
-	data, _ := os.ReadFile(p.logs())
+// logTail are the last lines of its log.
+func (p *process) logTail() string {
+	data, _ := os.ReadFile(p.logPath())
 	lines := strings.Split(strings.TrimSpace(string(bytes.ToValidUTF8(data, nil))), "\n")
 	return strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-// lived writes down that it ran until now.
-func (p *process) lived() {
+// recordReadySpan writes down that it ran until now.
+func (p *process) recordReadySpan() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ready && !p.stopped {
-		now := p.books.now()
-		p.books.write(func(b *Book) { b.Lives = append(b.Lives, Life{p.index, p.since, now, p.emptied}) })
+		now := p.recorder.now()
+		p.recorder.update(func(b *EventLog) { b.Runs = append(b.Runs, ReadySpan{p.index, p.readySince, now, p.diskEmptied}) })
 	}
 }
 
-// stand has it stand still, or go on.
-func (p *process) stand(still bool) {
+// setPaused has it setPaused still, or go on.
+func (p *process) setPaused(still bool) {
 	if p.cmd == nil || p.stopped == still {
 		return
 	}
 	if still {
-		p.lived()
+		p.recordReadySpan()
 		p.cmd.Process.Signal(syscall.SIGSTOP)
 	} else {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 	p.mu.Lock()
-	p.stopped, p.since = still, p.books.now()
+	p.stopped, p.readySince = still, p.recorder.now()
 	p.mu.Unlock()
 }
 
-// end ends it, and returns when it has.
-func (p *process) end(term bool) {
+// terminate ends it, and returns when it has.
+func (p *process) terminate(term bool) {
 	if p.cmd == nil {
 		return
 	}
-	p.lived()
+	p.recordReadySpan()
 	p.mu.Lock()
-	p.wanted, p.ready, p.emptied = false, false, false
+	p.expectedUp, p.ready, p.diskEmptied = false, false, false
 	stopped := p.stopped
 	p.stopped = false
 	p.mu.Unlock()
 	if term && !stopped {
 		p.cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case <-p.gone:
-		case <-time.After(termWithin):
+		case <-p.exited:
+		case <-time.After(termTimeout):
 		}
 	}
 	p.cmd.Process.Kill()
-	<-p.gone
-	p.used += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
+	<-p.exited
+	p.cpuTime += p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime()
 	p.cmd = nil
 }
 
 // fleet is all relays.
 type fleet struct {
-	all   []*process
-	tasks []chan func() // by relay: what is done to it, in order
-	wg    sync.WaitGroup
-	books *ledger
+	all      []*process
+	tasks    []chan func() // by relay: what is done to it, in order
+	wg       sync.WaitGroup
+	recorder *recorder
 }
 
-func newFleet(all []*process, books *ledger) *fleet {
-	f := &fleet{all: all, books: books}
+func newFleet(all []*process, books *recorder) *fleet {
+	f := &fleet{all: all, recorder: books}
 	for range all {
 		c := make(chan func(), 1024)
 		f.tasks = append(f.tasks, c)
@@ -258,11 +260,11 @@
 	return f
 }
 
-// do has something done to a relay after all that was asked before.
-func (f *fleet) do(relay int, what func(p *process) error) {
+// enqueue has something done to a relay after all that was asked before.
+func (f *fleet) enqueue(relay int, what func(p *process) error) {
 	f.tasks[relay] <- func() {
 		if err := what(f.all[relay]); err != nil {
-			f.books.trouble(err.Error())
+			f.recorder.addError(err.Error())
 		}
 	}
 }
@@ -271,7 +273,7 @@
 func (f *fleet) start(ctx context.Context, n int) error {
 	errs := make(chan error, n)
 	for i := range n {
-		f.do(i, func(p *process) error { errs <- p.start(ctx); return nil })
+		f.enqueue(i, func(p *process) error { errs <- p.start(ctx); return nil })
 	}
 	var first error
 	for range n {
@@ -285,30 +287,30 @@
 // close ends all that runs and returns when it has.
 func (f *fleet) close() (used time.Duration) {
 	for i := range f.all {
-		f.do(i, func(p *process) error { p.stand(false); p.end(false); return nil })
+		f.enqueue(i, func(p *process) error { p.setPaused(false); p.terminate(false); return nil })
 		close(f.tasks[i])
 	}
 	f.wg.Wait()
 	for _, p := range f.all {
-		used += p.used
+		used += p.cpuTime
 		p.client.CloseIdleConnections()
 	}
 	return used
 }
 
-// empty removes what a relay keeps.
-func (p *process) empty() error {
+// emptyDisk removes what a relay keeps.
+func (p *process) emptyDisk() error {
 	p.mu.Lock()
-	p.emptied = true
+	p.diskEmptied = true
 	p.mu.Unlock()
-	if err := os.RemoveAll(p.state()); err != nil {
+	if err := os.RemoveAll(p.stateDir()); err != nil {
 		return err
 	}
-	return os.MkdirAll(p.state(), 0o700)
+	return os.MkdirAll(p.stateDir(), 0o700)
 }
 
-// discard reads an answer to its end, so that its connection can be used again.
-func discard(r io.ReadCloser) {
+// drainBody reads an answer to its end, so that its connection can be used again.
+func drainBody(r io.ReadCloser) {
 	io.Copy(io.Discard, io.LimitReader(r, 1<<16))
 	r.Close()
 }
--- a/internal/relay/chaostest/links.go
+++ b/internal/relay/chaostest/links.go
@@ -18,23 +18,23 @@
 // what comes to it is passed on to the relay, from the address that its sender is known by. So each relay knows its
 // peers by the same addresses, and all that it hears went through here.
 type links struct {
-	at      []*net.UDPConn // by relay: the address that the others know
-	relays  []netip.AddrPort
-	number  map[netip.AddrPort]int
-	network atomic.Pointer[scenario.Network]
-	now     func() time.Duration
-	draw    []*rand.Rand // by sender and receiver
-	mu      []sync.Mutex // of draw
-	wg      sync.WaitGroup
-	notes   atomic.Int64
-	bytes   atomic.Int64
-	lost    atomic.Int64
+	conns       []*net.UDPConn // by relay: the address that the others know
+	relays      []netip.AddrPort
+	indexByAddr map[netip.AddrPort]int
+	network     atomic.Pointer[scenario.Network]
+	now         func() time.Duration
+	draw        []*rand.Rand // by sender and receiver
+	mu          []sync.Mutex // of draw
+	wg          sync.WaitGroup
+	datagrams   atomic.Int64
+	bytes       atomic.Int64
+	lost        atomic.Int64
 }
 
 // newLinks opens an address for each relay; relays are where these listen themselves.
 func newLinks(relays []netip.AddrPort, seed uint64, now func() time.Duration) (*links, error) {
 	n := len(relays)
-	l := &links{relays: relays, number: map[netip.AddrPort]int{}, now: now, draw: make([]*rand.Rand, n*n), mu: make([]sync.Mutex, n)}
+	l := &links{relays: relays, indexByAddr: map[netip.AddrPort]int{}, now: now, draw: make([]*rand.Rand, n*n), mu: make([]sync.Mutex, n)}
 	l.network.Store(&scenario.Network{})
 	for i := range l.draw {
 		l.draw[i] = rand.New(rand.NewPCG(seed, 1<<32+uint64(i)))
@@ -45,9 +45,9 @@
 			l.close()
 			return nil, fmt.Errorf("a link of relay %d: %w", i, err)
 		}
-		l.at, l.number[a] = append(l.at, c), i
+		l.conns, l.indexByAddr[a] = append(l.conns, c), i
 	}
-	for to := range l.at {
+	for to := range l.conns {
 		l.wg.Go(func() { l.receive(to) })
 	}
 	return l, nil
@@ -55,7 +55,7 @@
 
 // peers are the addresses that relays know one another by.
 func (l *links) peers() (all []string) {
-	for _, c := range l.at {
+	for _, c := range l.conns {
 		all = append(all, c.LocalAddr().String())
 	}
 	return all
@@ -65,42 +65,42 @@
 func (l *links) receive(to int) {
 	room := make([]byte, 1500)
 	for {
-		n, at, err := l.at[to].ReadFromUDPAddrPort(room)
+		n, at, err := l.conns[to].ReadFromUDPAddrPort(room)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		from, ok := l.number[netip.AddrPortFrom(at.Addr().Unmap(), at.Port())]
+		from, ok := l.indexByAddr[netip.AddrPortFrom(at.Addr().Unmap(), at.Port())]
 		if err != nil || !ok {
 			continue
 		}
-		l.notes.Add(1)
+		l.datagrams.Add(1)
 		l.bytes.Add(int64(n))
 		l.mu[to].Lock()
-		after := l.network.Load().Deliver(from, to, l.now(), l.draw[to*len(l.at)+from])
+		after := l.network.Load().Deliver(from, to, l.now(), l.draw[to*len(l.conns)+from])
 		l.mu[to].Unlock()
 		if len(after) == 0 {
 			l.lost.Add(1)
 		}
 		for _, d := range after {
 			if d == 0 {
-				l.pass(from, to, room[:n])
+				l.forward(from, to, room[:n])
 				continue
 			}
 			note := slices.Clone(room[:n])
-			time.AfterFunc(d, func() { l.pass(from, to, note) })
+			time.AfterFunc(d, func() { l.forward(from, to, note) })
 		}
 	}
 }
 
-func (l *links) pass(from, to int, note []byte) {
-	if _, err := l.at[from].WriteToUDPAddrPort(note, l.relays[to]); err != nil && !errors.Is(err, net.ErrClosed) {
+func (l *links) forward(from, to int, note []byte) {
+	if _, err := l.conns[from].WriteToUDPAddrPort(note, l.relays[to]); err != nil && !errors.Is(err, net.ErrClosed) {
 		l.lost.Add(1)
 	}
 }
 
 // close ends the links; what is still on its way is lost.
 func (l *links) close() {
-	for _, c := range l.at {
+	for _, c := range l.conns {
 		c.Close()
 	}
 	l.wg.Wait()
--- a/internal/relay/chaostest/page.go
+++ b/internal/relay/chaostest/page.go
@@ -17,7 +17,7 @@
 )
 
 var page = template.Must(template.New("report").Funcs(template.FuncMap{
-	"part":   part,
+	"part":   ratio,
 	"float":  func(n int) float64 { return float64(n) },
 	"counts": counts,
 }).Parse(`<!doctype html>
@@ -79,7 +79,7 @@
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min = "second", "a second", 0
 	p.Legend.Top = true
-	line := func(name string, c color.Color, dashed bool, of func(Share) float64) error {
+	line := func(name string, c color.Color, dashed bool, of func(Summary) float64) error {
 		var all plotter.XYs
 		for _, s := range r.Seconds {
 			all = append(all, plotter.XY{X: (s.From + s.To).Seconds() / 2, Y: of(s) / (s.To - s.From).Seconds()})
@@ -100,12 +100,12 @@
 		name   string
 		c      color.Color
 		dashed bool
-		of     func(Share) float64
+		of     func(Summary) float64
 	}{
-		{"handed in", color.Gray{170}, false, func(s Share) float64 { return float64(s.Handed) }},
-		{"hosts take", color.Gray{60}, true, func(s Share) float64 { return s.Takes }},
-		{"calls offered", color.RGBA{200, 80, 0, 255}, false, func(s Share) float64 { return float64(s.Calls) }},
-		{"delivered", color.RGBA{0, 90, 160, 255}, false, func(s Share) float64 { return float64(s.Delivered) }},
+		{"handed in", color.Gray{170}, false, func(s Summary) float64 { return float64(s.Handed) }},
+		{"hosts take", color.Gray{60}, true, func(s Summary) float64 { return s.Takes }},
+		{"calls offered", color.RGBA{200, 80, 0, 255}, false, func(s Summary) float64 { return float64(s.Calls) }},
+		{"delivered", color.RGBA{0, 90, 160, 255}, false, func(s Summary) float64 { return float64(s.Delivered) }},
 	} {
 		if err := line(one.name, one.c, one.dashed, one.of); err != nil {
 			return nil, err
--- a/internal/relay/chaostest/report.go
+++ b/internal/relay/chaostest/report.go
@@ -25,7 +25,7 @@
 		fmt.Fprintf(t, "%s\t%v\t%v\t%.0f\t%.0f\t", p.Name, p.From, p.To-p.From, p.Takes/span, float64(p.Handed)/span)
 		for _, x := range all {
 			s := x.Phases[n]
-			fmt.Fprintf(t, "%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t", s.Offered(), s.Peak, part(float64(s.Refused), s.Takes), s.Served(), s.Possible())
+			fmt.Fprintf(t, "%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t", s.Offered(), s.Peak, ratio(float64(s.Refused), s.Takes), s.Served(), s.Possible())
 		}
 		fmt.Fprintln(t)
 	}
@@ -33,13 +33,13 @@
 	for i, x := range all {
 		fmt.Fprintf(w, "\ndelivered of what hosts take, second by second%s\n", mark(i, len(all)))
 		for _, p := range x.Phases {
-			fmt.Fprintf(w, "  %-18s %s\n", p.Name, strings.Join(seconds(x, p, Share.Served), " "))
+			fmt.Fprintf(w, "  %-18s %s\n", p.Name, strings.Join(seconds(x, p, Summary.Served), " "))
 		}
 	}
 	for i, x := range all {
 		fmt.Fprintf(w, "\n%s: %s\n", x.name(), counts(x.Clients))
-		fmt.Fprintf(w, "notes for each first try %.1f, bytes %.0f, lost %d; CPU %.2f ms a first try\n", part(float64(x.Notes), float64(x.Tries)),
-			part(float64(x.Bytes), float64(x.Tries)), x.Lost, part(x.CPU.Seconds()*1000, float64(x.Tries)))
+		fmt.Fprintf(w, "notes for each first try %.1f, bytes %.0f, lost %d; CPU %.2f ms a first try\n", ratio(float64(x.Notes), float64(x.Tries)),
+			ratio(float64(x.Bytes), float64(x.Tries)), x.Lost, ratio(x.CPU.Seconds()*1000, float64(x.Tries)))
 		if at := x.Settled(0.95, x.Phases[0].To); at >= 0 {
 			fmt.Fprintf(w, "0.95 of what could be is delivered from %v on in phase %s\n", at, x.Phases[0].Name)
 		}
@@ -73,7 +73,7 @@
 }
 
 // seconds are a figure of each second of a phase.
-func seconds(r Report, p Share, of func(Share) float64) (all []string) {
+func seconds(r Report, p Summary, of func(Summary) float64) (all []string) {
 	for _, s := range r.Seconds {
 		if p.From <= s.From && s.From < p.To {
 			all = append(all, fmt.Sprintf("%.2f", of(s)))
--- a/internal/relay/chaostest/room_test.go
+++ b/internal/relay/chaostest/room_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	mostPlays    = 3               // of one trial
+	maxPlays     = 3               // of one trial
 	replayBudget = 3 * time.Minute // for the trials of this package that are played again
 )
 
@@ -20,34 +20,34 @@
 	spent time.Duration
 }
 
-// outcome is what one play of a trial came to.
-type outcome struct {
+// playResult is what one play of a trial came to.
+type playResult struct {
 	faults  []string
 	starved bool // the trial measured that the machine had no room for its processes
 }
 
-// settled plays until a play has no fault, or has faults that the machine cannot be blamed for, and returns its faults. A
+// playUntilConclusive plays until a play has no fault, or has faults that the machine cannot be blamed for, and returns its faults. A
 // play is repeated only where the trial itself measured that its processes did not get the processor, and not for ever.
-func settled(play func() outcome, mayRepeat func() bool) (faults []string, plays int) {
+func playUntilConclusive(play func() playResult, mayRepeat func() bool) (faults []string, plays int) {
 	for {
 		plays++
 		o := play()
-		if len(o.faults) == 0 || !o.starved || plays == mostPlays || !mayRepeat() {
+		if len(o.faults) == 0 || !o.starved || plays == maxPlays || !mayRepeat() {
 			return o.faults, plays
 		}
 	}
 }
 
 // judge plays a trial, and fails with the faults of the play that settled it.
-func judge(t *testing.T, play func() (*Book, []string)) {
+func judge(t *testing.T, play func() (*EventLog, []string)) {
 	t.Helper()
-	faults, plays := settled(func() outcome {
+	faults, plays := playUntilConclusive(func() playResult {
 		began := time.Now()
 		book, faults := play()
 		worst, starved := book.Starved()
 		if starved {
 			t.Logf("the machine had no room %v into the trial: a thread waited %v for a processor, the trial's timer was %v late",
-				worst.From, worst.Waited, worst.Late)
+				worst.From, worst.Waited, worst.TimerDelay)
 		}
 		if starved && len(faults) > 0 {
 			t.Logf("faults of a play without room: %s", strings.Join(faults, "; "))
@@ -55,7 +55,7 @@
 			replays.spent += time.Since(began) // another play takes as long
 			replays.Unlock()
 		}
-		return outcome{faults, starved}
+		return playResult{faults, starved}
 	}, func() bool {
 		replays.Lock()
 		defer replays.Unlock()
@@ -67,24 +67,24 @@
 }
 
 func TestPlaysAreRepeatedForWantOfRoomAlone(t *testing.T) {
-	clean, starvedClean := outcome{}, outcome{starved: true}
-	faulty, starvedFaulty := outcome{faults: []string{"x"}}, outcome{faults: []string{"y"}, starved: true}
+	clean, starvedClean := playResult{}, playResult{starved: true}
+	faulty, starvedFaulty := playResult{faults: []string{"x"}}, playResult{faults: []string{"y"}, starved: true}
 	for name, c := range map[string]struct {
-		plays  []outcome
+		plays  []playResult
 		repeat bool
 		faults string
 		played int
 	}{
-		"clean":                          {[]outcome{clean}, true, "", 1},
-		"clean without room":             {[]outcome{starvedClean}, true, "", 1},
-		"a fault with room":              {[]outcome{faulty, clean}, true, "x", 1},
-		"a fault of the machine":         {[]outcome{starvedFaulty, clean}, true, "", 2},
-		"a fault without room and with":  {[]outcome{starvedFaulty, faulty, clean}, true, "x", 2},
-		"a fault in every play":          {[]outcome{starvedFaulty, starvedFaulty, starvedFaulty, clean}, true, "y", 3},
-		"a fault when the time is spent": {[]outcome{starvedFaulty, clean}, false, "y", 1},
+		"clean":                          {[]playResult{clean}, true, "", 1},
+		"clean without room":             {[]playResult{starvedClean}, true, "", 1},
+		"a fault with room":              {[]playResult{faulty, clean}, true, "x", 1},
+		"a fault of the machine":         {[]playResult{starvedFaulty, clean}, true, "", 2},
+		"a fault without room and with":  {[]playResult{starvedFaulty, faulty, clean}, true, "x", 2},
+		"a fault in every play":          {[]playResult{starvedFaulty, starvedFaulty, starvedFaulty, clean}, true, "y", 3},
+		"a fault when the time is spent": {[]playResult{starvedFaulty, clean}, false, "y", 1},
 	} {
 		next := 0
-		faults, played := settled(func() outcome { next++; return c.plays[next-1] }, func() bool { return c.repeat })
+		faults, played := playUntilConclusive(func() playResult { next++; return c.plays[next-1] }, func() bool { return c.repeat })
 		if strings.Join(faults, " ") != c.faults || played != c.played {
 			t.Errorf("%s: %v after %d plays, want %q after %d", name, faults, played, c.faults, c.played)
 		}
@@ -93,16 +93,16 @@
 
 func TestStarved(t *testing.T) {
 	for name, c := range map[string]struct {
-		rooms []Room
+		rooms []SchedulingSample
 		worst int // -1 for none
 	}{
 		"never looked":         {nil, -1},
-		"room":                 {[]Room{{Waited: starvation.Limit - 1, Late: starvation.Limit - 1}}, -1},
-		"a thread waited":      {[]Room{{}, {From: 1, Waited: starvation.Limit}}, 1},
-		"the timer was late":   {[]Room{{From: 2, Late: starvation.Limit}, {}}, 0},
-		"the worst of several": {[]Room{{Waited: starvation.Limit}, {From: 3, Late: 2 * starvation.Limit}, {Waited: starvation.Limit}}, 1},
+		"room":                 {[]SchedulingSample{{Waited: starvation.Limit - 1, TimerDelay: starvation.Limit - 1}}, -1},
+		"a thread waited":      {[]SchedulingSample{{}, {From: 1, Waited: starvation.Limit}}, 1},
+		"the timer was late":   {[]SchedulingSample{{From: 2, TimerDelay: starvation.Limit}, {}}, 0},
+		"the worst of several": {[]SchedulingSample{{Waited: starvation.Limit}, {From: 3, TimerDelay: 2 * starvation.Limit}, {Waited: starvation.Limit}}, 1},
 	} {
-		worst, starved := (&Book{Rooms: c.rooms}).Starved()
+		worst, starved := (&EventLog{Scheduling: c.rooms}).Starved()
 		if starved != (c.worst >= 0) || starved && worst != c.rooms[c.worst] {
 			t.Errorf("%s: %v, %v", name, worst, starved)
 		}
--- a/internal/relay/chaostest/settings.go
+++ b/internal/relay/chaostest/settings.go
@@ -27,7 +27,7 @@
 	return map[string]any{
 		"name": fmt.Sprintf("relay-%d", p.index), "listen": p.listen, "discovery": p.agent.Addr(), "seed": fmt.Sprintf("%016x", plan.Seed<<16+uint64(p.index)),
 		"limits":      map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 16},
-		"peer_listen": p.notes.String(), "peers": peers,
+		"peer_listen": p.gossipAddr.String(), "peers": peers,
 		"known": map[string]any{"version": 1, "full": true, "servers": servers},
 		"settings": map[string]any{
 			"bounds": map[string]any{"cancel": true, "conn-idle": 5, "dial-timeout": 1, "max-attempts": s.Attempts, "max-retry-after": 2,
--- a/internal/relay/chaostest/stale.go
+++ b/internal/relay/chaostest/stale.go
@@ -8,12 +8,12 @@
 	"larchrouter/internal/relay/scenario"
 )
 
-// stepIn is how finely is looked at which links work.
-const stepIn = 10 * time.Millisecond
+// linkStep is how finely is looked at which links work.
+const linkStep = 10 * time.Millisecond
 
-// informed works out when each relay was first joined to a relay, from a time on, by a chain of links that worked and relays
+// reachableSince works out when each relay was first joined to a relay, from a time on, by a chain of links that worked and relays
 // that ran: then a word said there could have reached it. Below 0 for one that never was. Links that lose notes by chance work.
-func (b *Book) informed(from int, at time.Duration) []time.Duration {
+func (b *EventLog) reachableSince(from int, at time.Duration) []time.Duration {
 	when := make([]time.Duration, b.Plan.Relays)
 	for i := range when {
 		when[i] = -1
@@ -22,7 +22,7 @@
 	left := b.Plan.Relays - 1
 	var net scenario.Network
 	steps := b.Plan.Steps
-	for now := at; now <= b.End && left > 0; now += stepIn {
+	for now := at; now <= b.End && left > 0; now += linkStep {
 		for len(steps) > 0 && steps[0].At <= now {
 			if n, ok := steps[0].Action.(scenario.Network); ok {
 				net = n
@@ -32,11 +32,11 @@
 		for more := true; more; {
 			more = false
 			for a, known := range when {
-				if known < 0 || known > now || !b.ran(a, now, now) {
+				if known < 0 || known > now || !b.running(a, now, now) {
 					continue
 				}
 				for i := range when {
-					if when[i] < 0 && net.Connected(a, i, now) && b.ran(i, now, now) {
+					if when[i] < 0 && net.Connected(a, i, now) && b.running(i, now, now) {
 						when[i], more = now, true
 						left--
 					}
@@ -47,31 +47,31 @@
 	return when
 }
 
-// heeds finds calls that went to what an operator had drained for the whole fleet, from relays that must have known.
-func (c *checker) heeds() {
-	for n, w := range c.Said {
+// checkDrains finds calls that went to what an operator had drained for the whole fleet, from relays that must have known.
+func (c *checker) checkDrains() {
+	for n, w := range c.Commands {
 		if w.What != scenario.CommandDrain {
 			continue
 		}
 		until := c.End + 1
-		for _, later := range c.Said[n+1:] {
+		for _, later := range c.Commands[n+1:] {
 			if later.Target == w.Target && later.What == scenario.CommandUndrain {
-				until = min(until, later.At-sayWithin) // it may have counted before it was acknowledged
+				until = min(until, later.At-commandTimeout) // it may have counted before it was acknowledged
 			}
 		}
-		when := c.informed(w.Relay, w.At)
+		when := c.reachableSince(w.Relay, w.At)
 		for _, k := range c.Calls {
 			m := c.Messages[k.ID]
-			if m == nil || k.First >= until || !c.target(w.Target, k) {
+			if m == nil || k.First >= until || !c.matchesTarget(w.Target, k) {
 				continue
 			}
 			due := when[m.Relay] + w.Within + drain.Grace
 			if when[m.Relay] < 0 || k.First <= due {
 				continue
 			}
-			if !c.ran(m.Relay, when[m.Relay], due) { // it stood still, or began anew, meanwhile
+			if !c.running(m.Relay, when[m.Relay], due) { // it stood still, or began anew, meanwhile
 				began := time.Duration(-1)
-				for _, l := range c.Lives {
+				for _, l := range c.Runs {
 					if l.Relay == m.Relay && l.From <= k.First {
 						began = max(began, l.From)
 					}
@@ -80,24 +80,24 @@
 					continue
 				}
 			}
-			c.find("stale", "relay %d called host %s at %v; it could have known since %v that %s is drained, and had %v", m.Relay, c.host(k),
+			c.addFinding("stale", "relay %d called host %s at %v; it could have known since %v that %s is drained, and had %v", m.Relay, c.host(k),
 				k.First.Round(time.Millisecond), when[m.Relay].Round(time.Millisecond), w.Target, w.Within+drain.Grace)
 		}
 	}
 }
 
-// target tells whether a call went to a target of a drain.
-func (c *checker) target(target string, k Call) bool {
+// matchesTarget tells whether a call went to a matchesTarget of a drain.
+func (c *checker) matchesTarget(target string, k Call) bool {
 	p := c.Plan.Scenario.Partners[k.Dest]
 	scope, name, _ := strings.Cut(target, ":")
 	return scope == "partner" && name == p.Name || scope == "endpoint" && name == p.Endpoint(p.Hosts[k.Host])
 }
 
-// slackOf is for how long a grant may be under way and in use: calls of a span may have been granted so long before it.
-const slackOf = 1 * time.Second
+// leaseSlack is for how long a grant may be under way and in use: calls of a span may have been granted so long before it.
+const leaseSlack = 1 * time.Second
 
-// contracts finds spans in which a partner got more calls than its told limit and one burst, or a call of each relay, allow.
-func (c *checker) contracts() {
+// checkRateLimits finds spans in which a partner got more calls than its told limit and one burst, or a call of each relay, allow.
+func (c *checker) checkRateLimits() {
 	for dest, p := range c.Plan.Scenario.Partners {
 		if p.Limit == nil {
 			continue
@@ -110,13 +110,13 @@
 		}
 		burst := max(p.Limit.Burst, float64(c.Plan.Relays))
 		for _, span := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
-			most, first := p.Limit.Rate*(span+slackOf).Seconds()+burst, 0
+			most, first := p.Limit.Rate*(span+leaseSlack).Seconds()+burst, 0
 			for i, at := range times {
 				for times[first] <= at-span {
 					first++
 				}
 				if n := i - first + 1; float64(n) > most {
-					c.find("told", "partner %s got %d calls within %v up to %v: its limit of %g a second allows %.0f", p.Name, n, span, at.Round(time.Millisecond), p.Limit.Rate, most)
+					c.addFinding("told", "partner %s got %d calls within %v up to %v: its limit of %g a second allows %.0f", p.Name, n, span, at.Round(time.Millisecond), p.Limit.Rate, most)
 					break
 				}
 			}
