--- a/cmd/loadbench/main.go
+++ b/cmd/loadbench/main.go
@@ -39,18 +39,18 @@
 	add(loadbench.Scenario{Name: "proxy", Proxy: true})
 	for _, trouble := range []string{"refuse", "hang", "slow", "wait"} {
 		for _, share := range []float64{0.1, 0.5, 0.9} {
-			add(loadbench.Scenario{Name: fmt.Sprintf("%s-%.0f%%", trouble, 100*share), Trouble: trouble, Share: share})
+			add(loadbench.Scenario{Name: fmt.Sprintf("%s-%.0f%%", trouble, 100*share), Fault: trouble, FaultShare: share})
 		}
 	}
 	for _, n := range []int{10, 320, 5000} {
 		add(loadbench.Scenario{Name: fmt.Sprintf("dests-%d", n), Dests: n})
 	}
-	add(loadbench.Scenario{Name: "dests-5000-refuse-50%", Dests: 5000, Trouble: "refuse", Share: 0.5})
-	add(loadbench.Scenario{Name: "disk-3MB", Disk: 3}) // the journal is always being compacted
-	add(loadbench.Scenario{Name: "return-50%", Trouble: "refuse", Share: 0.5, Return: true})
-	add(loadbench.Scenario{Name: "due-20000", Held: 20_000, Due: true})
+	add(loadbench.Scenario{Name: "dests-5000-refuse-50%", Dests: 5000, Fault: "refuse", FaultShare: 0.5})
+	add(loadbench.Scenario{Name: "disk-3MB", DiskMB: 3}) // the journal is always being compacted
+	add(loadbench.Scenario{Name: "return-50%", Fault: "refuse", FaultShare: 0.5, Recover: true})
+	add(loadbench.Scenario{Name: "due-20000", Backlog: 20_000, DueAtOnce: true})
 	for _, n := range []int{1000, 20_000, 200_000} {
-		add(loadbench.Scenario{Name: fmt.Sprintf("held-%d", n), Held: n, Room: 2 * n})
+		add(loadbench.Scenario{Name: fmt.Sprintf("held-%d", n), Backlog: n, MaxPending: 2 * n})
 	}
 	return all
 }
@@ -72,7 +72,7 @@
 	f.Float64Var(&o.Rate, "rate", 0, "messages a second of all clients together; 0 for as many as are answered")
 	f.DurationVar(&o.Deadline, "deadline", 10*time.Second, "of a message")
 	f.IntVar(&o.Body, "body", 300, "bytes of a message")
-	f.IntVar(&o.Room, "room", 100_000, "messages that the relay holds at most")
+	f.IntVar(&o.MaxPending, "room", 100_000, "messages that the relay holds at most")
 	f.IntVar(&o.Slots, "slots", 512, "calls out at most")
 	f.IntVar(&dests, "dests", 32, "destinations, where the scenario does not say")
 	f.StringVar(&asJSON, "json", "", "file for the figures")
@@ -81,7 +81,7 @@
 		if err != nil {
 			return fmt.Errorf("--only: %w", err)
 		}
-		if o.Span <= 0 || o.Clients < 1 || dests < 1 || o.Body < 0 || o.Slots < 1 || o.Room < 0 || o.Rate < 0 || o.Deadline < time.Millisecond {
+		if o.Span <= 0 || o.Clients < 1 || dests < 1 || o.Body < 0 || o.Slots < 1 || o.MaxPending < 0 || o.Rate < 0 || o.Deadline < time.Millisecond {
 			return fmt.Errorf("span, clients, dests, slots and deadline must be above 0, body, room and rate not below")
 		}
 		if o.Dir, err = os.MkdirTemp("", "loadbench"); err != nil {
@@ -132,11 +132,11 @@
 			all = append(all, f)
 			ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 			name := strings.Repeat("other", i)
-			fmt.Fprintf(out, "%s\t%s\t%.0f\t%.0f\t%d\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\t%.1f\t%.2f\t%.0f\t%.1f\t%.2f\t%.0f\t\n", s.Name, name, f.Taken, f.Refused,
-				f.Failed, f.CPU, f.CPU/before.CPU, f.PerAsk, f.PerDone, f.PerDone/before.PerDone, ms(f.P50), ms(f.P99), f.P99.Seconds()/max(1e-9, before.P99.Seconds()), ms(f.Max), f.Healthy,
-				f.Healthy/max(1e-9, before.Healthy), f.Memory)
-			if s.Due {
-				fmt.Fprintf(os.Stderr, "%s: of %d messages due at one instant %d heard of their end over 300 ms late\n", s.Name, f.Held, f.Late)
+			fmt.Fprintf(out, "%s\t%s\t%.0f\t%.0f\t%d\t%.0f\t%.2f\t%.0f\t%.0f\t%.2f\t%.1f\t%.1f\t%.2f\t%.0f\t%.1f\t%.2f\t%.0f\t\n", s.Name, name, f.Accepted, f.Rejected,
+				f.Failed, f.CPUPerAccepted, f.CPUPerAccepted/before.CPUPerAccepted, f.CPUPerRequest, f.CPUPerDelivery, f.CPUPerDelivery/before.CPUPerDelivery, ms(f.P50), ms(f.P99), f.P99.Seconds()/max(1e-9, before.P99.Seconds()), ms(f.Max), f.HealthyDelivered,
+				f.HealthyDelivered/max(1e-9, before.HealthyDelivered), f.MemoryMB)
+			if s.DueAtOnce {
+				fmt.Fprintf(os.Stderr, "%s: of %d messages due at one instant %d heard of their end over 300 ms late\n", s.Name, f.Backlog, f.LateNotices)
 			}
 			fmt.Fprintf(os.Stderr, "%s %s done\n", s.Name, name)
 		}
--- a/internal/relay/loadbench/clients.go
+++ b/internal/relay/loadbench/clients.go
@@ -22,23 +22,25 @@
 	rate     float64        // messages a second of all clients together; 0 for as many as get answers
 	dests    func() int     // where the next message goes
 	deadline time.Duration  // of a message
-	due      time.Time      // of all messages, instead
+	dueAt    time.Time      // of all messages, instead
 	body     int            // bytes
 	prefix   string         // of ids
-	number   *atomic.Uint64 // of the last message
+	lastID   *atomic.Uint64 // of the last message
 }
 
-// answers counts what clients were told.
-type answers struct {
-	taken, refused, failed int64
-	latency                *hdrhistogram.Histogram // of what was taken on, in microseconds
-	slowest                time.Duration           // of any answer
+// responseCounts counts what clients were told.
+type responseCounts struct {
+	accepted, rejected, failed int64
+	latency                    *hdrhistogram.Histogram // of what was taken on, in microseconds
+	slowest                    time.Duration           // of any answer
 }
 
-func newAnswers() *answers { return &answers{latency: hdrhistogram.New(1, 60_000_000, 3)} }
+func newResponseCounts() *responseCounts {
+	return &responseCounts{latency: hdrhistogram.New(1, 60_000_000, 3)}
+}
 
-func (a *answers) add(b *answers) {
-	a.taken, a.refused, a.failed = a.taken+b.taken, a.refused+b.refused, a.failed+b.failed
+func (a *responseCounts) add(b *responseCounts) {
+	a.accepted, a.rejected, a.failed = a.accepted+b.accepted, a.rejected+b.rejected, a.failed+b.failed
 	a.latency.Merge(b.latency)
 	a.slowest = max(a.slowest, b.slowest)
 }
@@ -51,14 +53,14 @@
 }{{"status-update", 0.6, false}, {"job-order", 0.3, true}, {"payment", 0.1, false}}
 
 // run hands in messages for a span, or so many if most is above 0. It ends in time also when nobody answers.
-func (l *load) run(span time.Duration, most int64) *answers {
+func (l *load) run(span time.Duration, most int64) *responseCounts {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var begun atomic.Int64
-	all, end := newAnswers(), time.Now().Add(span)
+	all, end := newResponseCounts(), time.Now().Add(span)
 	for i := range l.clients {
 		wg.Go(func() {
-			own := newAnswers()
+			own := newResponseCounts()
 			r := rand.New(rand.NewPCG(uint64(i), 1))
 			var conn net.Conn
 			var in *bufio.Reader
@@ -81,7 +83,7 @@
 					}
 					in = bufio.NewReader(conn)
 				}
-				if !l.one(conn, in, own, r) {
+				if !l.sendOne(conn, in, own, r) {
 					conn.Close()
 					conn = nil
 				}
@@ -98,20 +100,20 @@
 	return all
 }
 
-// one hands in one message, and tells whether the connection is of further use.
-func (l *load) one(conn net.Conn, in *bufio.Reader, own *answers, r *rand.Rand) bool {
+// sendOne hands in sendOne message, and tells whether the connection is of further use.
+func (l *load) sendOne(conn net.Conn, in *bufio.Reader, own *responseCounts, r *rand.Rand) bool {
 	k := 0
 	for x := r.Float64() - classes[0].share; x > 0 && k < len(classes)-1; x -= classes[k].share {
 		k++
 	}
-	id := fmt.Sprintf("%s%016x", l.prefix, l.number.Add(1))
+	id := fmt.Sprintf("%s%016x", l.prefix, l.lastID.Add(1))
 	key := ""
 	if classes[k].key {
 		key = "Idempotency-Key: " + id + "\r\n"
 	}
 	begin, deadline := time.Now(), l.deadline
-	if !l.due.IsZero() {
-		deadline = max(time.Millisecond, l.due.Sub(begin))
+	if !l.dueAt.IsZero() {
+		deadline = max(time.Millisecond, l.dueAt.Sub(begin))
 	}
 	conn.SetDeadline(begin.Add(2 * time.Second))
 	_, err := fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\n%sX-Deadline-Ms: %d\r\n"+
@@ -131,10 +133,10 @@
 	own.slowest = max(own.slowest, took)
 	switch resp.StatusCode {
 	case http.StatusAccepted, http.StatusOK:
-		own.taken++
+		own.accepted++
 		own.latency.RecordValue(min(took.Microseconds(), 60_000_000))
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		own.refused++
+		own.rejected++
 	default:
 		own.failed++
 	}
--- a/internal/relay/loadbench/loadbench.go
+++ b/internal/relay/loadbench/loadbench.go
@@ -23,100 +23,100 @@
 
 // Scenario is a site and the trouble that some of its destinations are in.
 type Scenario struct {
-	Name    string
-	Dests   int
-	Trouble string  // "", refuse, hang, slow or wait
-	Share   float64 // of the destinations
-	Held    int     // messages handed in beforehand, for destinations that tell to wait
-	Room    int     // for messages held, if above that of the options
-	Return  bool    // those in trouble are well again when the measurement begins
-	Due     bool    // what is held beforehand falls due at one instant, amid the measurement
-	Disk    float64 // MB for the journal, if not so many that it is hardly ever compacted
-	Proxy   bool    // a plain reverse proxy in the relay's place
+	Name       string
+	Dests      int
+	Fault      string  `json:"Trouble"` // "", refuse, hang, slow or wait
+	FaultShare float64 `json:"Share"`   // of the destinations
+	Backlog    int     `json:"Held"`    // messages handed in beforehand, for destinations that tell to wait
+	MaxPending int     `json:"Room"`    // for messages held, if above that of the options
+	Recover    bool    `json:"Return"`  // those in trouble are well again when the measurement begins
+	DueAtOnce  bool    `json:"Due"`     // what is held beforehand falls due at one instant, amid the measurement
+	DiskMB     float64 `json:"Disk"`    // MB for the journal, if not so many that it is hardly ever compacted
+	Proxy      bool    // a plain reverse proxy in the relay's place
 }
 
 // Options of a run.
 type Options struct {
-	Program  string // path of the program
-	Self     string // path of this program, which is the reverse proxy too
-	Dir      string // for state
-	Span     time.Duration
-	Clients  int
-	Rate     float64 // messages a second of all clients; 0 for as many as are answered
-	Deadline time.Duration
-	Body     int // bytes
-	Room     int // messages that the relay holds at most
-	Slots    int
+	Program    string // path of the program
+	Self       string // path of this program, which is the reverse proxy too
+	Dir        string // for state
+	Span       time.Duration
+	Clients    int
+	Rate       float64 // messages a second of all clients; 0 for as many as are answered
+	Deadline   time.Duration
+	Body       int // bytes
+	MaxPending int // messages that the relay holds at most
+	Slots      int
 }
 
 // Figures of one scenario.
 type Figures struct {
-	Scenario  Scenario
-	Taken     float64 // messages taken on, a second
-	Refused   float64 // messages refused, a second
-	Failed    int64   // requests with no answer, or an error
-	CPU       float64 // microseconds for each message taken on
-	PerAsk    float64 // microseconds for each request answered
-	PerDone   float64 // microseconds for each message delivered
-	P50       time.Duration
-	P99       time.Duration // of the answers 202
-	Max       time.Duration // of any answer
-	Healthy   float64       // messages delivered to a destination without trouble, a second, in the mean
-	Delivered float64       // in all, a second
-	Held      int           // messages that were held beforehand, as asked for
-	Memory    float64       // MB resident at the end
-	Late      int           // messages due at one instant whose end was told more than 300 ms after it
+	Scenario         Scenario
+	Accepted         float64 `json:"Taken"`   // messages taken on, a second
+	Rejected         float64 `json:"Refused"` // messages refused, a second
+	Failed           int64   // requests with no answer, or an error
+	CPUPerAccepted   float64 `json:"CPU"`     // microseconds for each message taken on
+	CPUPerRequest    float64 `json:"PerAsk"`  // microseconds for each request answered
+	CPUPerDelivery   float64 `json:"PerDone"` // microseconds for each message delivered
+	P50              time.Duration
+	P99              time.Duration // of the answers 202
+	Max              time.Duration // of any answer
+	HealthyDelivered float64       `json:"Healthy"` // messages delivered to a destination without trouble, a second, in the mean
+	Delivered        float64       // in all, a second
+	Backlog          int           `json:"Held"`   // messages that were held beforehand, as asked for
+	MemoryMB         float64       `json:"Memory"` // MB resident at the end
+	LateNotices      int           `json:"Late"`   // messages due at one instant whose end was told more than 300 ms after it
 }
 
 const (
-	latency  = time.Millisecond // of a partner that is well
-	slow     = 2 * time.Second
-	told     = 5 * time.Second // by one that tells to wait
-	heldTold = 10 * time.Minute
+	healthyLatency    = time.Millisecond // of a partner that is well
+	slowLatency       = 2 * time.Second
+	retryAfter        = 5 * time.Second // by one that tells to wait
+	backlogRetryAfter = 10 * time.Minute
 )
 
 // site is a relay among stand-ins.
 type site struct {
-	o       Options
-	program *process
-	addr    string
-	hosts   []*standin.Host
-	well    *standin.Ledger
-	ill     *standin.Ledger
-	parked  int // destinations for what is held beforehand, behind the others
-	agent   *standin.Platform
-	number  atomic.Uint64
+	options      Options
+	program      *process
+	addr         string
+	hosts        []*standin.Host
+	healthy      *standin.Ledger
+	faulty       *standin.Ledger
+	backlogDests int // destinations for what is held beforehand, behind the others
+	agent        *standin.Platform
+	lastID       atomic.Uint64
 }
 
-// parkedDests is how many destinations share what is held beforehand.
-const parkedDests = 16
+// maxBacklogDests is how many destinations share what is held beforehand.
+const maxBacklogDests = 16
 
 func newSite(s Scenario, o Options, core int) (_ *site, err error) {
-	w := &site{o: o, well: standin.NewLedger(time.Second), ill: standin.NewLedger(time.Second)}
+	w := &site{options: o, healthy: standin.NewLedger(time.Second), faulty: standin.NewLedger(time.Second)}
 	defer func() {
 		if err != nil {
 			w.close()
 		}
 	}()
-	if s.Held > 0 {
-		w.parked = parkedDests
+	if s.Backlog > 0 {
+		w.backlogDests = maxBacklogDests
 	}
 	var list []standin.Server
-	for d := range s.Dests + w.parked {
-		how, ledger := standin.Behaviour{Latency: latency}, w.well
-		if float64(d) < s.Share*float64(s.Dests) {
-			ledger = w.ill
-			switch s.Trouble {
+	for d := range s.Dests + w.backlogDests {
+		how, ledger := standin.Behaviour{Latency: healthyLatency}, w.healthy
+		if float64(d) < s.FaultShare*float64(s.Dests) {
+			ledger = w.faulty
+			switch s.Fault {
 			case "hang":
 				how = standin.Behaviour{Hang: true}
 			case "slow":
-				how = standin.Behaviour{Latency: slow}
+				how = standin.Behaviour{Latency: slowLatency}
 			case "wait":
-				how = standin.Behaviour{Refuse: true, Wait: told}
+				how = standin.Behaviour{Refuse: true, Wait: retryAfter}
 			}
 		}
 		if d >= s.Dests {
-			how, ledger = standin.Behaviour{Refuse: true, Wait: heldTold}, w.ill
+			how, ledger = standin.Behaviour{Refuse: true, Wait: backlogRetryAfter}, w.faulty
 		}
 		id := fmt.Sprintf("s-%d", d)
 		h, err := standin.NewHost(id, "a", ledger, how, false)
@@ -124,7 +124,7 @@
 			return nil, err
 		}
 		w.hosts = append(w.hosts, h)
-		if ledger == w.ill && s.Trouble == "refuse" && d < s.Dests {
+		if ledger == w.faulty && s.Fault == "refuse" && d < s.Dests {
 			h.Down()
 		}
 		list = append(list, standin.Server{ID: id, Addr: h.Addr(), Zone: "a", Kind: "system", Cell: d, State: "active", Weight: 1})
@@ -142,7 +142,7 @@
 		targets, _ := json.Marshal(list)
 		w.program, err = start(core, append(os.Environ(), "GOMAXPROCS=1", "LOADBENCH_PROXY="+w.addr, "LOADBENCH_TARGETS="+string(targets)), o.Self)
 	} else {
-		w.program, err = w.relay(s, core, list)
+		w.program, err = w.startRelay(s, core, list)
 	}
 	if err != nil {
 		return nil, err
@@ -159,19 +159,19 @@
 	}
 }
 
-// relay starts the program as the platform does, with limits that do not bind.
-func (w *site) relay(s Scenario, core int, list []standin.Server) (*process, error) {
+// startRelay starts the program as the platform does, with limits that do not bind.
+func (w *site) startRelay(s Scenario, core int, list []standin.Server) (*process, error) {
 	class := func(name, effect string, worth float64) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 2, "give-up": 3600, "late-share": 0.5,
 			"window": 15, "worth": worth}
 	}
 	conf := map[string]any{"name": "n0", "listen": w.addr, "discovery": w.agent.Addr(), "seed": "1",
-		"limits": map[string]any{"cores": 1, "memory_mb": 8000, "sockets": 12000, "disk_mb": cmp.Or(s.Disk, 4000)},
+		"limits": map[string]any{"cores": 1, "memory_mb": 8000, "sockets": 12000, "disk_mb": cmp.Or(s.DiskMB, 4000)},
 		"known":  map[string]any{"version": 1, "full": true, "servers": list},
 		"settings": map[string]any{
-			"bounds":  map[string]any{"cancel": true, "conn-idle": 15, "dial-timeout": 1, "max-attempts": 6, "max-retry-after": 30, "most-held": max(w.o.Room, s.Room)},
+			"bounds":  map[string]any{"cancel": true, "conn-idle": 15, "dial-timeout": 1, "max-attempts": 6, "max-retry-after": 30, "most-held": max(w.options.MaxPending, s.MaxPending)},
 			"classes": []any{class("status-update", "idempotent", 1), class("job-order", "deduplicated", 2), class("payment", "at_most_once", 4)},
-			"family-info": map[string]any{"late": "linear", "own-limits": []bool{false}, "per-call": []int{1}, "workers": w.o.Slots,
+			"family-info": map[string]any{"late": "linear", "own-limits": []bool{false}, "per-call": []int{1}, "workers": w.options.Slots,
 				"zone-fee": []float64{0}},
 			"fleet-size": 1, "index": 0, "load-report": map[string]any{"columns": []string{}, "how": "off"}, "registry-mode": "automatic",
 			"rules": map[string]any{"cold": 13, "cold-from": 0.22, "drain-grace": 0.25, "fall": 2, "grace-to-answer": 0.02, "overload-factor": 2},
@@ -180,7 +180,7 @@
 	if err != nil {
 		return nil, err
 	}
-	state, err := os.MkdirTemp(w.o.Dir, "state")
+	state, err := os.MkdirTemp(w.options.Dir, "state")
 	if err != nil {
 		return nil, err
 	}
@@ -189,12 +189,12 @@
 		return nil, err
 	}
 	env := []string{"BALANCER_CONFIG=" + path, "BALANCER_STATE=" + state, "BALANCER_NAME=n0", "PATH=" + os.Getenv("PATH")}
-	return start(core, env, w.o.Program)
+	return start(core, env, w.options.Program)
 }
 
 func (w *site) close() {
 	if w.program != nil {
-		w.program.end()
+		w.program.kill()
 	}
 	if w.agent != nil {
 		w.agent.Close()
@@ -211,41 +211,41 @@
 		return f, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	defer w.close()
-	l := load{addr: w.addr, clients: o.Clients, rate: o.Rate, deadline: o.Deadline, body: o.Body, prefix: "m", number: &w.number,
+	l := load{addr: w.addr, clients: o.Clients, rate: o.Rate, deadline: o.Deadline, body: o.Body, prefix: "m", lastID: &w.lastID,
 		dests: func() int { return rand.IntN(s.Dests) }}
 	held := l
-	if s.Held > 0 {
+	if s.Backlog > 0 {
 		held = l
 		held.rate, held.deadline = 0, 30*time.Minute
-		held.dests = func() int { return s.Dests + rand.IntN(w.parked) }
-		if s.Due {
-			held.due = time.Now().Add(time.Duration(s.Held)*120*time.Microsecond + o.Span) // handing them in takes less
+		held.dests = func() int { return s.Dests + rand.IntN(w.backlogDests) }
+		if s.DueAtOnce {
+			held.dueAt = time.Now().Add(time.Duration(s.Backlog)*120*time.Microsecond + o.Span) // handing them in takes less
 		}
-		got := held.run(5*time.Minute, int64(s.Held))
-		if got.taken < int64(s.Held)*9/10 {
-			return f, fmt.Errorf("%s: only %d of %d messages were taken on beforehand", s.Name, got.taken, s.Held)
+		got := held.run(5*time.Minute, int64(s.Backlog))
+		if got.accepted < int64(s.Backlog)*9/10 {
+			return f, fmt.Errorf("%s: only %d of %d messages were taken on beforehand", s.Name, got.accepted, s.Backlog)
 		}
-		f.Held = int(got.taken)
+		f.Backlog = int(got.accepted)
 	}
 	l.run(o.Span/2, 0) // to warm up, and for backlogs to grow
 	var late <-chan int
-	if s.Due {
-		late = w.late(f.Held, held.due)
+	if s.DueAtOnce {
+		late = w.countLateNotices(f.Backlog, held.dueAt)
 	}
 	for d := range w.hosts {
-		if s.Return && float64(d) < s.Share*float64(s.Dests) {
+		if s.Recover && float64(d) < s.FaultShare*float64(s.Dests) {
 			if err := w.hosts[d].Up(); err != nil {
 				return f, err
 			}
-			w.hosts[d].Set(standin.Behaviour{Latency: latency})
+			w.hosts[d].Set(standin.Behaviour{Latency: healthyLatency})
 		}
 	}
 	cpu, err := w.program.cpu()
 	if err != nil {
 		return f, errors.New("the program has ended")
 	}
-	before, _ := w.well.Total()
-	beforeIll, _ := w.ill.Total()
+	before, _ := w.healthy.Total()
+	beforeIll, _ := w.faulty.Total()
 	begin := time.Now()
 	a := l.run(o.Span, 0)
 	took := time.Since(begin).Seconds()
@@ -253,25 +253,25 @@
 	if err != nil {
 		return f, errors.New("the program has ended")
 	}
-	done, _ := w.well.Total()
-	doneIll, _ := w.ill.Total()
+	done, _ := w.healthy.Total()
+	doneIll, _ := w.faulty.Total()
 	us := (after - cpu).Seconds() * 1e6
-	healthy := s.Dests - int(float64(s.Dests)*s.Share)
-	count := f.Held
-	f = Figures{Scenario: s, Taken: float64(a.taken) / took, Refused: float64(a.refused) / took, Failed: a.failed, CPU: us / float64(max(1, a.taken)),
-		PerAsk: us / float64(max(1, a.taken+a.refused)), P50: quantile(a.latency, 50), P99: quantile(a.latency, 99), Max: a.slowest,
-		Healthy: float64(done-before) / took / float64(max(1, healthy)), Delivered: float64(done-before+doneIll-beforeIll) / took, Held: count,
-		Memory: w.program.memory()}
+	healthy := s.Dests - int(float64(s.Dests)*s.FaultShare)
+	count := f.Backlog
+	f = Figures{Scenario: s, Accepted: float64(a.accepted) / took, Rejected: float64(a.rejected) / took, Failed: a.failed, CPUPerAccepted: us / float64(max(1, a.accepted)),
+		CPUPerRequest: us / float64(max(1, a.accepted+a.rejected)), P50: quantile(a.latency, 50), P99: quantile(a.latency, 99), Max: a.slowest,
+		HealthyDelivered: float64(done-before) / took / float64(max(1, healthy)), Delivered: float64(done-before+doneIll-beforeIll) / took, Backlog: count,
+		MemoryMB: w.program.memory()}
 	if late != nil {
-		f.Late = <-late
+		f.LateNotices = <-late
 	}
-	f.PerDone = us / max(1, f.Delivered*took)
+	f.CPUPerDelivery = us / max(1, f.Delivered*took)
 	return f, nil
 }
 
-// late tells, when it is time, how many of so many messages due at one instant have not had their end told
+// countLateNotices tells, when it is time, how many of so many messages due at one instant have not had their end told
 // 300 ms after it.
-func (w *site) late(held int, due time.Time) <-chan int {
+func (w *site) countLateNotices(held int, due time.Time) <-chan int {
 	got := make(chan int, 1)
 	time.AfterFunc(time.Until(due)+300*time.Millisecond, func() {
 		told := 0
@@ -289,7 +289,7 @@
 
 // Core is where programs under test run: one that this process then keeps off; below 0 for any.
 func Core() int {
-	if core, ok := apart(); ok {
+	if core, ok := reserveCore(); ok {
 		return core
 	}
 	return -1
--- a/internal/relay/loadbench/process.go
+++ b/internal/relay/loadbench/process.go
@@ -15,9 +15,9 @@
 // process is a program under test, alone on one core.
 type process struct{ cmd *exec.Cmd }
 
-// apart keeps this process off the first of its cores, and returns that one. On a machine with one core it
+// reserveCore keeps this process off the first of its cores, and returns that one. On a machine with one core it
 // keeps to none and returns false.
-func apart() (core int, ok bool) {
+func reserveCore() (core int, ok bool) {
 	var all unix.CPUSet
 	if unix.SchedGetaffinity(0, &all) != nil || all.Count() < 2 {
 		return 0, false
@@ -52,8 +52,8 @@
 	return &process{cmd}, <-done
 }
 
-// ticks of the kernel's accounting in a second, as Linux has it for user space everywhere.
-const ticks = 100
+// clockTicksPerSecond of the kernel's accounting in a second, as Linux has it for user space everywhere.
+const clockTicksPerSecond = 100
 
 // cpu is the time that the process has used, in steps of 10 ms.
 func (p *process) cpu() (time.Duration, error) {
@@ -67,7 +67,7 @@
 		return 0, err
 	}
 	system, err := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(user+system) * time.Second / ticks, err
+	return time.Duration(user+system) * time.Second / clockTicksPerSecond, err
 }
 
 // memory is what the process has resident, in MB.
@@ -82,7 +82,7 @@
 	return 0
 }
 
-func (p *process) end() {
+func (p *process) kill() {
 	p.cmd.Process.Kill()
 	p.cmd.Wait()
 }
