--- a/internal/relay/scenario/commands.go
+++ b/internal/relay/scenario/commands.go
@@ -1,33 +1,31 @@
 package scenario
 
-import (
-	"time"
-)
+import "time"
 
-// Command is what an operator says for the whole fleet.
+// Command is an operator's command for the whole fleet.
 type Command string
 
-// The sayings. Drains and their ends have a target, the others a relay.
+// The commands. CommandDrain and CommandUndrain have a target, the others a relay.
 const (
 	CommandDrain   Command = "drain"
 	CommandUndrain Command = "undrain"
-	CommandRemove  Command = "gone" // a relay, for good
-	CommandRestore Command = "back" // it is not gone any more
+	CommandRemove  Command = "gone" // a relay leaves the fleet permanently
+	CommandRestore Command = "back" // a removed relay is in the fleet again
 )
 
-// Say has an operator say something at a relay.
+// Say is a command that an operator gives at a relay. Report pages print its name and fields: they are part of the output.
 type Say struct {
 	What   Command
-	Target string // of a drain: partner:NAME or endpoint:PARTNER-HOST
-	Of     int    // the relay that is gone
-	Relay  int    // at which it is said
-	At     time.Duration
-	Within time.Duration // a relay that some chain of links joins to that one goes by it
+	Target string        // of a drain: partner:NAME or endpoint:PARTNER-HOST
+	Of     int           // index of the relay that is removed or restored
+	Relay  int           // index of the relay that gets the command
+	At     time.Duration // from the beginning of the phase
+	Within time.Duration // within it, relays connected to that one by a path of links act on the command
 }
 
-// Resize has the fleet become larger or smaller, as operators are told to: those that leave end first, the others get files with
-// the new list and are restarted one after another, and those that are new start last.
+// Resize changes the fleet's size as the operator's instructions have it: relays that leave are terminated first, the others get
+// files with the new list and are restarted one after another, and new relays start last.
 type Resize struct {
-	To       int
+	To       int           // relays
 	Interval time.Duration // from one restart to the next
 }
--- a/internal/relay/scenario/faults.go
+++ b/internal/relay/scenario/faults.go
@@ -1,72 +1,70 @@
 package scenario
 
-import (
-	"time"
-)
+import "time"
 
-// Shape is how a cut parts the fleet.
+// Shape is how a partition divides the fleet.
 type Shape string
 
 // The shapes.
 const (
-	CutSides  Shape = "sides"  // so many, relay by relay in turn; a relay hears its own side
-	CutAlone  Shape = "alone"  // so many relays hear nobody and are heard by nobody
-	CutNobody Shape = "nobody" // hears anybody
-	CutChain  Shape = "chain"  // each hears the relays before and after it in number
+	CutSides  Shape = "sides"  // Number sides, assigned to relays in turn; only relays of one side reach each other
+	CutAlone  Shape = "alone"  // the first Number relays neither send nor receive
+	CutNobody Shape = "nobody" // no relay reaches another
+	CutChain  Shape = "chain"  // each relay reaches those with the index before and after its own
 )
 
-// Cut loses all notes between some relays.
+// Cut is a network partition: gossip between some relays is lost. Report pages print its name and fields, as those of Links.
 type Cut struct {
 	Shape  Shape
-	Number int           // of sides, or of relays that are alone
-	OneWay bool          // relays of odd sides, or those that are alone, still hear the others and are not heard
-	Flap   time.Duration // the cut comes and goes, so long each; 0 for a cut that stays
+	Number int           // of sides, or of isolated relays
+	OneWay bool          // relays of odd sides, or isolated ones, still receive from the others
+	Flap   time.Duration // the partition alternates between on and off, each for this long; 0 for a constant one
 }
 
-// Links is what becomes of notes that are not cut off.
+// Links is the quality of the links that no Cut affects.
 type Links struct {
-	Lose, Double, Reorder float64 // share of the notes; a reordered one comes after Late
+	Lose, Double, Reorder float64 // probabilities; a reordered datagram is delayed by Late
 	Delay, Jitter, Late   time.Duration
 }
 
-// RelaySelector selects relays: by number or share, drawn by the seed, with or without a partner's steward.
+// RelaySelector selects relays by number or share. The seed draws them; a partner's coordinator can be included or excluded.
 type RelaySelector struct {
 	Number             int     // 0 for Share
 	Share              float64 // of the fleet
-	Coordinator        string  // the steward of this partner's destination is the first of them
-	ExcludeCoordinator string  // the steward of this partner's destination is not one of them
+	Coordinator        string  // the coordinator of this partner's destination is selected first
+	ExcludeCoordinator string  // the coordinator of this partner's destination is not selected
 }
 
-// Stop has relays stand still (SIGSTOP) and go on (SIGCONT) without knowing it.
+// Stop pauses relays (SIGSTOP) and resumes them (SIGCONT). At counts from the beginning of the phase.
 type Stop struct {
 	RelaySelector
 	At, Duration time.Duration
 }
 
-// Kill ends relays.
+// Kill terminates relays.
 type Kill struct {
 	RelaySelector
-	At           time.Duration
-	RestartAfter time.Duration // until they start again; 0 for never
-	EmptyDisk    bool          // with an empty folder
-	Graceful     bool          // SIGTERM, and SIGKILL 3.7 s later, in place of SIGKILL
+	At           time.Duration // from the beginning of the phase
+	RestartAfter time.Duration // from At; 0 for never
+	EmptyDisk    bool          // they restart with an empty state directory
+	Graceful     bool          // SIGTERM, followed by SIGKILL after the grace period, in place of SIGKILL
 }
 
-// SilentAgent has the platform's agents of relays be silent for the phase.
+// SilentAgent makes the platform's agents of relays unresponsive for the phase.
 type SilentAgent struct{ RelaySelector }
 
-// HostChange is what becomes of a partner's hosts for a time.
+// HostChange changes the behaviour of a partner's hosts for a time. At counts from the beginning of the phase.
 type HostChange struct {
 	Partner      string
 	Hosts        []string // empty for all
 	At, Duration time.Duration
 	Factor       float64       // of the rate
-	Down         bool          // no connection
-	Hang         bool          // no answer
-	RetryAfter   time.Duration // every call is turned away and told to wait so long; 0 for no such thing
+	Down         bool          // refuses connections
+	Hang         bool          // accepts calls and does not answer
+	RetryAfter   time.Duration // rejects every call with this retry-after; 0 for none
 }
 
-// RandomSchedule is a course of faults drawn by the seed: so many phases, each with a fault and a calm one after it.
+// RandomSchedule is a sequence of faults drawn from the seed: Phases pairs of a phase with faults and a calm one.
 type RandomSchedule struct {
 	Phases                      int
 	FaultDuration, CalmDuration time.Duration
--- a/internal/relay/scenario/network.go
+++ b/internal/relay/scenario/network.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Network is what becomes of notes from a time on.
+// Network is the state of the links between relays from Since on. Report pages print its name and fields.
 type Network struct {
 	Cuts  []Cut
 	Links Links
 	Since time.Duration
 }
 
-// Deliver says when a note comes, counted from now: once for each copy, and not at all if it is lost. Draw is of the link.
+// Deliver returns the delay of each copy of a datagram that is sent now; none if it is lost. Each link needs a draw of its own.
 func (n Network) Deliver(from, to int, now time.Duration, draw *rand.Rand) (after []time.Duration) {
 	for _, c := range n.Cuts {
 		if c.drops(from, to, now-n.Since) {
@@ -40,7 +40,7 @@
 	return after
 }
 
-// Connected tells whether what one relay sends another comes at all, at a time.
+// Connected reports whether a datagram from one relay can reach another at a time.
 func (n Network) Connected(from, to int, now time.Duration) bool {
 	for _, c := range n.Cuts {
 		if c.drops(from, to, now-n.Since) {
@@ -50,7 +50,7 @@
 	return n.Links.Lose < 1
 }
 
-// drops tells whether a cut loses what one relay sends another, so long after it began.
+// drops reports whether the partition loses a datagram, since its beginning.
 func (c Cut) drops(from, to int, since time.Duration) bool {
 	if c.Flap > 0 && since/c.Flap%2 == 1 {
 		return false
@@ -65,5 +65,5 @@
 	case CutChain:
 		return from-to != 1 && to-from != 1
 	}
-	return true // nobody
+	return true // CutNobody
 }
--- a/internal/relay/scenario/parse.go
+++ b/internal/relay/scenario/parse.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/relay/hclfile"
 )
 
-// Parse reads a scenario. What is wrong with it are hclfile.Faults.
+// Parse parses and validates a scenario. The error of an invalid one is hclfile.Faults, which has all that is wrong with it.
 func Parse(data []byte, path string) (*Scenario, error) {
 	top, err := hclfile.Parse(data, path,
 		[]string{"title", "about", "seed", "form", "share", "listed", "relays", "slots", "held", "attempts"},
@@ -41,10 +41,10 @@
 	return s, nil
 }
 
-// parser is a scenario while it is read.
+// parser fills in a scenario from its blocks.
 type parser struct {
 	*Scenario
-	names map[string]Partner
+	names map[string]Partner // partners that were parsed
 }
 
 func (f *parser) parsePartners(top hclfile.Block) {
--- a/internal/relay/scenario/parse_phase.go
+++ b/internal/relay/scenario/parse_phase.go
@@ -18,8 +18,9 @@
 			f.Phases = append(f.Phases, f.parsePhase(top, n, c))
 		case "draw":
 			b := top.Open(c.Body, c.DefRange, []string{"phases", "for", "calm"}, nil)
-			f.RandomSchedule = &RandomSchedule{Phases: b.Whole("phases", 6, 1, maxPhases), FaultDuration: b.Span("for", 5*time.Second, time.Second, time.Minute),
-				CalmDuration: b.Span("calm", 6*time.Second, time.Second, time.Minute)}
+			f.RandomSchedule = &RandomSchedule{Phases: b.Whole("phases", 6, 1, maxPhases),
+				FaultDuration: b.Span("for", 5*time.Second, time.Second, time.Minute),
+				CalmDuration:  b.Span("calm", 6*time.Second, time.Second, time.Minute)}
 		}
 	}
 	if len(f.Phases) == 0 || len(f.Phases) > maxPhases {
@@ -28,31 +29,20 @@
 }
 
 func (f *parser) parsePhase(top hclfile.Block, name string, c *hcl.Block) Phase {
-	b := top.Open(c.Body, c.DefRange, []string{"for"}, map[string]string{"cut": "shape", "links": "", "stop": "", "kill": "", "agents": "", "say": "what", "grow": "",
-		"partner": "name", "expect": ""})
+	b := top.Open(c.Body, c.DefRange, []string{"for"}, map[string]string{"cut": "shape", "links": "", "stop": "", "kill": "",
+		"agents": "", "say": "what", "grow": "", "partner": "name", "expect": ""})
 	b.Need("for", `how long it lasts, such as for = "8s"`)
 	p := Phase{Name: name, Duration: b.Span("for", time.Second, 100*time.Millisecond, maxSpan), Expect: parseExpectations(b, maxSpan)}
-	l, _ := b.One("links", "lose", "double", "reorder", "delay", "jitter", "late")
-	p.Links = Links{Lose: l.Number("lose", 0, 0, 1), Double: l.Number("double", 0, 0, 1), Reorder: l.Number("reorder", 0, 0, 1),
-		Delay: l.Span("delay", 0, 0, time.Minute), Jitter: l.Span("jitter", 0, 0, time.Minute), Late: l.Span("late", 50*time.Millisecond, 0, time.Minute)}
-	if g, ok := b.One("grow", "to", "every"); ok {
-		g.Need("to", "how many relays there are then")
-		if p.Resize = (&Resize{g.Whole("to", 1, 1, f.Relays), g.Span("every", 1500*time.Millisecond, 100*time.Millisecond, time.Minute)}); !f.Appliances {
-			g.Fault(g.At, `a platform's fleet does not grow here: say form = "appliance"`)
-		}
-	}
+	p.Links = parseLinks(b)
+	p.Resize = f.parseResize(b)
 	for _, c := range b.Blocks {
 		switch c.Type {
 		case "cut":
 			p.Cuts = append(p.Cuts, parseCut(b, c))
 		case "stop":
-			k := b.Open(c.Body, c.DefRange, append([]string{"at", "for"}, relaySelectorAttrs...), nil)
-			at := k.Span("at", 0, 0, p.Duration)
-			p.Stops = append(p.Stops, Stop{RelaySelector: f.parseRelays(k), At: at, Duration: k.Span("for", p.Duration-at, 10*time.Millisecond, maxSpan)})
+			p.Stops = append(p.Stops, f.parseStop(b, c, p.Duration))
 		case "kill":
-			k := b.Open(c.Body, c.DefRange, append([]string{"at", "again", "empty", "term"}, relaySelectorAttrs...), nil)
-			p.Kills = append(p.Kills, Kill{RelaySelector: f.parseRelays(k), At: k.Span("at", 0, 0, p.Duration), RestartAfter: k.Span("again", 0, 0, maxSpan),
-				EmptyDisk: k.Truth("empty", false), Graceful: k.Truth("term", false)})
+			p.Kills = append(p.Kills, f.parseKill(b, c, p.Duration))
 		case "agents":
 			k := b.Open(c.Body, c.DefRange, append([]string{"silent"}, relaySelectorAttrs...), nil)
 			if k.Truth("silent", true) {
@@ -67,6 +57,39 @@
 	return p
 }
 
+func parseLinks(b hclfile.Block) Links {
+	l, _ := b.One("links", "lose", "double", "reorder", "delay", "jitter", "late")
+	return Links{Lose: l.Number("lose", 0, 0, 1), Double: l.Number("double", 0, 0, 1), Reorder: l.Number("reorder", 0, 0, 1),
+		Delay: l.Span("delay", 0, 0, time.Minute), Jitter: l.Span("jitter", 0, 0, time.Minute),
+		Late: l.Span("late", 50*time.Millisecond, 0, time.Minute)}
+}
+
+// parseResize returns nil for a phase that does not change the fleet's size.
+func (f *parser) parseResize(b hclfile.Block) *Resize {
+	g, ok := b.One("grow", "to", "every")
+	if !ok {
+		return nil
+	}
+	g.Need("to", "how many relays there are then")
+	resize := &Resize{g.Whole("to", 1, 1, f.Relays), g.Span("every", 1500*time.Millisecond, 100*time.Millisecond, time.Minute)}
+	if !f.Appliances {
+		g.Fault(g.At, `a platform's fleet does not grow here: say form = "appliance"`)
+	}
+	return resize
+}
+
+func (f *parser) parseStop(b hclfile.Block, c *hcl.Block, phase time.Duration) Stop {
+	k := b.Open(c.Body, c.DefRange, append([]string{"at", "for"}, relaySelectorAttrs...), nil)
+	at := k.Span("at", 0, 0, phase)
+	return Stop{RelaySelector: f.parseRelays(k), At: at, Duration: k.Span("for", phase-at, 10*time.Millisecond, maxSpan)}
+}
+
+func (f *parser) parseKill(b hclfile.Block, c *hcl.Block, phase time.Duration) Kill {
+	k := b.Open(c.Body, c.DefRange, append([]string{"at", "again", "empty", "term"}, relaySelectorAttrs...), nil)
+	return Kill{RelaySelector: f.parseRelays(k), At: k.Span("at", 0, 0, phase), RestartAfter: k.Span("again", 0, 0, maxSpan),
+		EmptyDisk: k.Truth("empty", false), Graceful: k.Truth("term", false)}
+}
+
 func (f *parser) parseCommand(b hclfile.Block, c *hcl.Block, most time.Duration) Say {
 	s := Say{What: Command(c.Labels[0])}
 	attrs := []string{"relay", "at", "within", "target"}
--- a/internal/relay/scenario/plan.go
+++ b/internal/relay/scenario/plan.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Plan is a scenario worked out for a number of relays and a seed: the same three give the same plan.
+// Plan is the timeline of a scenario for a number of relays and a seed. It depends on nothing else.
 type Plan struct {
 	Scenario *Scenario
 	Relays   int
@@ -16,66 +16,70 @@
 	Steps    []Step // in the order of their times
 }
 
-// Window is when a phase is played.
+// Window is a phase and its time from the beginning of the run.
 type Window struct {
 	Phase
 	From, To time.Duration
 }
 
-// NewPlan works a scenario out. Steward tells the relay that is steward of a destination of a fleet in which all are well.
-func NewPlan(s *Scenario, relays int, seed uint64, steward func(dest int) int) Plan {
+// NewPlan computes a plan. Coordinator returns the relay that coordinates a destination's limit while all relays are healthy.
+func NewPlan(s *Scenario, relays int, seed uint64, coordinator func(dest int) int) Plan {
 	p := Plan{Scenario: s, Relays: relays, Seed: seed}
 	draw := rand.New(rand.NewPCG(seed, 1))
 	at, size := time.Duration(0), p.InitialRelays()
-	for n, ph := range s.allPhases(draw, relays) {
-		w := Window{ph, at, at + ph.Duration}
-		p.Phases = append(p.Phases, w)
-		p.addStep(at, Network{Cuts: ph.Cuts, Links: ph.Links, Since: at})
-		pick := func(who RelaySelector) []int {
-			return p.selectRelays(who, rand.New(rand.NewPCG(seed, 100+uint64(n))), steward)
+	for n, phase := range s.allPhases(draw, relays) {
+		window := Window{phase, at, at + phase.Duration}
+		p.Phases = append(p.Phases, window)
+		p.addStep(at, Network{Cuts: phase.Cuts, Links: phase.Links, Since: at})
+		p.addRelayFaults(window, func(selector RelaySelector) []int {
+			return p.selectRelays(selector, rand.New(rand.NewPCG(seed, 100+uint64(n))), coordinator)
+		})
+		for _, change := range phase.HostChanges {
+			p.addHostChange(at, change)
 		}
-		for _, k := range ph.Stops {
-			for _, r := range pick(k.RelaySelector) {
-				p.addStep(at+k.At, Stopped{r, true})
-				p.addStep(at+k.At+k.Duration, Stopped{r, false})
-			}
-		}
-		for _, k := range ph.Kills {
-			for _, r := range pick(k.RelaySelector) {
-				p.addStep(at+k.At, Killed{r, k.Graceful})
-				if k.RestartAfter > 0 {
-					p.addStep(at+k.At+k.RestartAfter, Started{r, k.EmptyDisk})
-				}
-			}
-		}
-		for _, a := range ph.SilentAgents {
-			for _, r := range pick(a.RelaySelector) {
-				p.addStep(at, AgentSilent{r, true})
-				p.addStep(w.To, AgentSilent{r, false})
-			}
-		}
-		for _, c := range ph.HostChanges {
-			p.addHostChange(at, c)
+		if phase.Resize != nil {
+			resize := *phase.Resize
+			resize.To = min(resize.To, relays)
+			p.addResize(at, size, resize)
+			size = resize.To
 		}
-		if ph.Resize != nil {
-			g := *ph.Resize
-			g.To = min(g.To, relays)
-			p.addResize(at, size, g)
-			size = g.To
+		for _, command := range phase.Commands {
+			command.Relay, command.Of = command.Relay%relays, command.Of%relays
+			p.addStep(at+command.At, Said{command})
 		}
-		for _, s := range ph.Commands {
-			s.Relay, s.Of = s.Relay%relays, s.Of%relays
-			p.addStep(at+s.At, Said{s})
-		}
-		at = w.To
+		at = window.To
 	}
-	// At its end everything is well: what is still held has until its time is up.
+	// The network is healthy after the last phase, while pending messages run up to their deadlines.
 	p.addStep(at, Network{Since: at})
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return p
 }
 
-// addResize works out how a fleet of one size becomes one of another.
+// addRelayFaults adds the steps of a phase that stop and kill relays and silence their agents.
+func (p *Plan) addRelayFaults(w Window, selectRelays func(RelaySelector) []int) {
+	for _, stop := range w.Stops {
+		for _, relay := range selectRelays(stop.RelaySelector) {
+			p.addStep(w.From+stop.At, Stopped{relay, true})
+			p.addStep(w.From+stop.At+stop.Duration, Stopped{relay, false})
+		}
+	}
+	for _, kill := range w.Kills {
+		for _, relay := range selectRelays(kill.RelaySelector) {
+			p.addStep(w.From+kill.At, Killed{relay, kill.Graceful})
+			if kill.RestartAfter > 0 {
+				p.addStep(w.From+kill.At+kill.RestartAfter, Started{relay, kill.EmptyDisk})
+			}
+		}
+	}
+	for _, agent := range w.SilentAgents {
+		for _, relay := range selectRelays(agent.RelaySelector) {
+			p.addStep(w.From, AgentSilent{relay, true})
+			p.addStep(w.To, AgentSilent{relay, false})
+		}
+	}
+}
+
+// addResize adds the steps that change the fleet's size.
 func (p *Plan) addResize(at time.Duration, from int, g Resize) {
 	for i := g.To; i < from; i++ {
 		p.addStep(at, Killed{i, true})
@@ -94,9 +98,9 @@
 	}
 }
 
-func (p *Plan) addStep(at time.Duration, do any) { p.Steps = append(p.Steps, Step{at, do}) }
+func (p *Plan) addStep(at time.Duration, action any) { p.Steps = append(p.Steps, Step{at, action}) }
 
-// InitialRelays is how many relays are in the fleet at first.
+// InitialRelays returns the number of relays that are in the fleet at the beginning.
 func (p *Plan) InitialRelays() int {
 	if p.Scenario.InitialRelays == 0 {
 		return p.Relays
@@ -104,10 +108,10 @@
 	return min(p.Scenario.InitialRelays, p.Relays)
 }
 
-// Span is how long messages are handed in.
+// Span returns how long clients submit messages.
 func (p *Plan) Span() time.Duration { return p.Phases[len(p.Phases)-1].To }
 
-// PhaseAt is the phase that is played at a time, the last one after the end.
+// PhaseAt returns the index of the phase at a time; of the last one after the end.
 func (p *Plan) PhaseAt(t time.Duration) int {
 	for i, w := range p.Phases {
 		if t < w.To {
@@ -131,14 +135,14 @@
 	}
 }
 
-// selectRelays selects relays: a steward that is asked for comes first, one that is to be spared does not come.
-func (p *Plan) selectRelays(w RelaySelector, draw *rand.Rand, steward func(dest int) int) (all []int) {
+// selectRelays returns the relays that a selector selects: a required coordinator first, no excluded one.
+func (p *Plan) selectRelays(w RelaySelector, draw *rand.Rand, coordinator func(dest int) int) (all []int) {
 	n := w.Number
 	if n == 0 {
 		n = max(1, int(w.Share*float64(p.Relays)+0.5))
 	}
 	of := func(name string) int {
-		return steward(slices.IndexFunc(p.Scenario.Partners, func(x Partner) bool { return x.Name == name }))
+		return coordinator(slices.IndexFunc(p.Scenario.Partners, func(x Partner) bool { return x.Name == name }))
 	}
 	if w.Coordinator != "" {
 		all = append(all, of(w.Coordinator))
--- a/internal/relay/scenario/scenario.go
+++ b/internal/relay/scenario/scenario.go
@@ -1,6 +1,9 @@
-// Package scenario reads a scenario of load and faults, an HCL file that people write, and works out from it what
-// happens when: to which link, relay, agent and host. It decides nothing about relays and does no I/O, so the same file
-// can be played with real processes (internal/relay/chaostest) and in virtual time.
+// Package scenario parses a scenario of load and faults from an HCL file and computes its timeline for a number of relays and a
+// seed: what happens when to which link, relay, agent and host. The package does no I/O, reads no clock and starts no goroutine;
+// the same file can be run with real processes (internal/relay/chaostest) and in virtual time.
+//
+// Parse returns a Scenario, NewPlan its Plan: phases and an ordered list of steps, which the caller executes. A Network, one of
+// the steps, decides what happens to each datagram. Values are not modified after they are returned and may be shared.
 package scenario
 
 import (
@@ -10,66 +13,66 @@
 	"larchrouter/internal/relay/quota"
 )
 
-// The bounds of a scenario: a trial ends by itself, on a machine that has other things to do.
+// Bounds of a scenario, so that a run ends in reasonable time on a shared machine.
 const (
-	MaxRelays = 64
+	MaxRelays = 64 // in a fleet
 	maxSpan   = 15 * time.Minute
-	maxRate   = 2000 // messages a second
+	maxRate   = 2000 // messages per second
 	maxPhases = 200
 )
 
-// Scenario is a file that was read without a fault, with the defaults filled in.
+// Scenario is a valid file with the defaults filled in.
 type Scenario struct {
 	Title, About   string
 	Seed           uint64
-	Standalone     bool // relays of their own that share nothing
-	Appliances     bool // relays of their own, with an operator's file each, in place of the platform's
+	Standalone     bool // appliances without a fleet: they share nothing
+	Appliances     bool // each relay has an operator's file; otherwise a platform configures them
 	Relays         int
-	InitialRelays  int // of them in the relays' files at first, and started; 0 for all
-	Slots          int // calls out at once, for each relay
-	MaxPending     int // messages that each relay holds at most
-	Attempts       int // for one message
+	InitialRelays  int // number of relays in the fleet at the beginning; 0 for all
+	Slots          int // calls in flight, per relay
+	MaxPending     int // messages pending, per relay
+	Attempts       int // per message
 	Rules          choice.Rules
 	Classes        []choice.Class
 	Partners       []Partner
 	Phases         []Phase
-	RandomSchedule *RandomSchedule // further phases, drawn by the seed; nil for none
-	Expect         []Expectation
+	RandomSchedule *RandomSchedule // phases after those of the file, drawn from the seed; nil for none
+	Expect         []Expectation   // of the run as a whole
 }
 
-// Partner is one destination and the messages that clients have for it.
+// Partner is a destination with the load that clients have for it.
 type Partner struct {
 	Name  string
 	Hosts []Host
 	Loads []Load
-	Limit *quota.Limit // told to the relays; nil where they have to find it out
+	Limit *quota.Limit // configured in the relays; nil if they have to estimate it
 }
 
-// Endpoint is the name of a host's endpoint, by which relays of their own know it.
+// Endpoint returns the name of a host's endpoint in an appliance's configuration.
 func (p Partner) Endpoint(h Host) string { return p.Name + "-" + h.Name }
 
-// Host is one endpoint, with a limit of its own.
+// Host is an endpoint of a partner, with a rate limit of its own.
 type Host struct {
 	Name          string
-	Rate          float64       // calls a second, from all relays
-	Burst         float64       // calls that it takes at once after a rest
-	Debt          float64       // refused calls use the limit up, to so many below none
-	MaxConcurrent int           // calls that it works on at once; 0 for any number
-	RetryAfter    time.Duration // told with a refusal; 0 for none
+	Rate          float64       // calls per second, from all relays
+	Burst         float64       // size of the token bucket, in calls
+	Debt          float64       // rejected calls use tokens too, down to -Debt
+	MaxConcurrent int           // calls in flight; 0 for no limit
+	RetryAfter    time.Duration // sent with a rejection; 0 for none
 	Latency       time.Duration
-	ColdStart     bool // it comes back with the rules' share of its rate, and falls over when it is pushed
+	ColdStart     bool // after an outage it has the rules' share of its rate, and fails if it is overloaded
 }
 
-// Load are messages that clients hand in, at times by chance.
+// Load is a Poisson stream of messages that clients submit.
 type Load struct {
 	Class     string
-	Rate      float64       // a second, of all clients
-	Timeout   time.Duration // how long a message may be delivered
-	HotRelays int           // so many relays get ...
-	HotFactor float64       // ... so many times what the others get
+	Rate      float64       // messages per second, of all clients
+	Timeout   time.Duration // from submission to a message's deadline
+	HotRelays int           // number of relays that get HotFactor times the load of the others
+	HotFactor float64
 }
 
-// Phase is a span of the scenario in which the same faults hold.
+// Phase is a part of a scenario with its faults, commands and expectations.
 type Phase struct {
 	Name         string
 	Duration     time.Duration
@@ -80,19 +83,19 @@
 	SilentAgents []SilentAgent
 	HostChanges  []HostChange
 	Commands     []Say
-	Resize       *Resize // nil for a fleet that stays as it is
+	Resize       *Resize // nil for no change of the fleet's size
 	Expect       []Expectation
 }
 
-// Expectation is a bound on a part of a phase, or of the whole scenario.
+// Expectation bounds what is measured in a part of a phase, or of the run.
 type Expectation struct {
-	From, To     time.Duration // of the phase; To is 0 for its end
-	MinDelivered float64       // at least, of what could be: what hosts take, or what is handed in if that is less
-	MaxOffered   float64       // at most, calls of any one second over what hosts take in it, less their bursts; 0 for no bound
-	MaxRefused   float64       // at most, of the calls; 0 for no bound
+	From, To     time.Duration // from the beginning of the phase; To is 0 for its end
+	MinDelivered float64       // delivered messages as a share of the hosts' capacity, or of the submitted messages if those are fewer
+	MaxOffered   float64       // calls of any second, less the bursts, as a share of the hosts' capacity in it; 0 for no bound
+	MaxRefused   float64       // rejected calls as a share of all; 0 for no bound
 }
 
-// Span is how long messages are handed in.
+// Span returns how long clients submit messages.
 func (s *Scenario) Span() (d time.Duration) {
 	for _, p := range s.Phases {
 		d += p.Duration
@@ -103,7 +106,7 @@
 	return d
 }
 
-// ClassByName is the class of a name.
+// ClassByName returns a class and its index, which is -1 if there is none of that name.
 func (s *Scenario) ClassByName(name string) (choice.Class, int) {
 	for i, c := range s.Classes {
 		if c.Name == name {
--- a/internal/relay/scenario/scenario_test.go
+++ b/internal/relay/scenario/scenario_test.go
@@ -30,8 +30,8 @@
 	return s
 }
 
-// All that is wrong is told at once, with its line.
-func TestFaults(t *testing.T) {
+// All that is wrong is reported at once, with its line.
+func TestParseReportsAllFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		`phase "a" { for = "1s" }`:         "s.hcl:1:1: no partner",
 		site:                               "s.hcl:1:1: 0 phases",
@@ -59,12 +59,12 @@
 	}
 }
 
-// Who hears whom.
-func TestCuts(t *testing.T) {
+// Which relays receive from which.
+func TestPartitionShapes(t *testing.T) {
 	for _, c := range []struct {
 		cut   string
 		after time.Duration
-		want  string // by sender, then receiver: 1 if it is heard
+		want  string // by sender, then receiver: 1 if the datagram is delivered
 	}{
 		{`"sides" {}`, 0, "1010 0101 1010 0101"},
 		{`"sides" { number = 3 }`, 0, "1001 0100 0010 1001"},
@@ -87,7 +87,7 @@
 			}
 			got = append(got, row)
 		}
-		// A relay sends itself nothing: what the diagonal says counts for nothing.
+		// A relay sends itself nothing: the diagonal is ignored.
 		for i := range got {
 			got[i] = got[i][:i] + c.want[5*i+i:5*i+i+1] + got[i][i+1:]
 		}
@@ -97,8 +97,8 @@
 	}
 }
 
-// Notes are lost, doubled and late as often as it says.
-func TestLinks(t *testing.T) {
+// Datagrams are lost, duplicated and delayed with the given probabilities.
+func TestLinkQuality(t *testing.T) {
 	n := Network{Links: Links{Lose: 0.3, Double: 0.2, Reorder: 0.5, Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Late: time.Second}}
 	draw := rand.New(rand.NewPCG(1, 1))
 	lost, twice, late := 0, 0, 0
@@ -123,8 +123,8 @@
 	}
 }
 
-// Whom faults befall: the steward first, or never.
-func TestWhom(t *testing.T) {
+// A required coordinator is selected first, an excluded one never.
+func TestRelaySelector(t *testing.T) {
 	s := parse(t, site+`
 phase "a" {
   for = "1s"
@@ -156,8 +156,8 @@
 	}
 }
 
-// A drawn plan is the same for the same seed, in order and in bounds, and leaves everything well at its end.
-func TestDrawnPlans(t *testing.T) {
+// A random plan is the same for the same seed, in order and in bounds, and leaves everything healthy at its end.
+func TestRandomPlans(t *testing.T) {
 	s := parse(t, site+"phase \"a\" { for = \"1s\" }\ndraw {\n phases = 8\n for = \"4s\"\n calm = \"2s\"\n}")
 	rapid.Check(t, func(t *rapid.T) {
 		relays, seed := rapid.IntRange(1, MaxRelays).Draw(t, "relays"), rapid.Uint64().Draw(t, "seed")
@@ -201,9 +201,9 @@
 	})
 }
 
-// A fleet that grows: the relays are restarted one after another with the longer list, then the new one starts; and back. What
-// operators say goes to a relay that there is.
-func TestGrows(t *testing.T) {
+// A fleet that grows: the relays are restarted one after another with the longer list, then the new one starts; and back.
+// Commands go to a relay that exists.
+func TestResize(t *testing.T) {
 	text := strings.Replace(site, "relays", "form   = \"appliance\"\nlisted = 2\nrelays", 1)
 	s := parse(t, text+`
 phase "grows" {
--- a/internal/relay/scenario/steps.go
+++ b/internal/relay/scenario/steps.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// Step is something that is done at a time: a Network, Stopped, Killed, Started, Relisted, AgentSilent, Said or HostSet.
+// Step is an action at a time from the beginning of the run: a Network, Stopped, Killed, Started, Relisted, AgentSilent, Said or
+// HostSet. Report pages print actions with %T and %+v: names of their types, and of fields of those without String, are output.
 type Step struct {
 	At     time.Duration
 	Action any
 }
 
-// What steps do. Relays are named by number, partners by their place in the scenario.
+// The actions. Relays, partners and hosts are given by index.
 type (
-	// Stopped has a relay stand still, or go on.
+	// Stopped pauses or resumes a relay.
 	Stopped struct {
 		Relay  int
-		Paused bool // it stands still from now on
+		Paused bool // false to resume
 	}
-	// Killed ends a relay.
+	// Killed terminates a relay.
 	Killed struct {
 		Relay    int
-		Graceful bool
+		Graceful bool // with SIGTERM first
 	}
-	// Started starts a relay again.
+	// Started starts a relay that is not running.
 	Started struct {
 		Relay     int
 		EmptyDisk bool
 	}
-	// Relisted gives a relay a file with so many relays in its fleet.
+	// Relisted replaces a relay's file by one with Size relays in the fleet.
 	Relisted struct{ Relay, Size int }
-	// AgentSilent has a relay's agent be silent, or answer again.
+	// AgentSilent makes a relay's agent unresponsive, or responsive again.
 	AgentSilent struct {
 		Relay  int
 		Silent bool
 	}
-	// HostSet is how a host is from now on.
+	// HostSet sets the behaviour of a host from now on, as HostChange describes it.
 	HostSet struct {
 		Partner, Host int
 		Factor        float64
@@ -44,10 +45,10 @@
 	}
 )
 
-// Said is what an operator says. Relay and Of are below the number of relays.
+// Said is an operator's command. Its Relay and Of are below the plan's number of relays.
 type Said struct{ Say }
 
-// String says what happens to the relay, as reports of a trial have it.
+// String describes the action as reports show it.
 func (s Stopped) String() string {
 	if s.Paused {
 		return fmt.Sprintf("relay %d stands still", s.Relay)
@@ -55,8 +56,8 @@
 	return fmt.Sprintf("relay %d goes on", s.Relay)
 }
 
-// String says what happens to the relay, as reports of a trial have it.
+// String describes the action as reports show it.
 func (k Killed) String() string { return fmt.Sprintf("relay %d ends", k.Relay) }
 
-// String says what happens to the relay, as reports of a trial have it.
+// String describes the action as reports show it.
 func (s Started) String() string { return fmt.Sprintf("relay %d starts again", s.Relay) }
