--- a/internal/relay/chaostest/appliance.go
+++ b/internal/relay/chaostest/appliance.go
@@ -1,17 +1,10 @@
 package chaostest
 
 import (
-	"context"
-	"encoding/json"
 	"fmt"
-	"net/http"
-	"net/url"
-	"path/filepath"
 	"strings"
-	"sync"
 	"time"
 
-	"larchrouter/internal/relay/adminapi"
 	"larchrouter/internal/relay/scenario"
 	"larchrouter/internal/standin"
 )
@@ -24,9 +17,7 @@
 	maxQueries     = 8               // ends asked of one relay at a time
 )
 
-func relayName(i int) string                     { return fmt.Sprintf("r%02d", i) }
-func (p *process) controlSocket() string         { return filepath.Join(p.stateDir(), "control.sock") }
-func (p *process) dialControl() *adminapi.Client { return adminapi.Dial(p.controlSocket()) }
+func relayName(i int) string { return fmt.Sprintf("r%02d", i) }
 
 // operatorsFile is what an operator would write for a relay of a scenario.
 func operatorsFile(p *process, plan scenario.Plan, peers []string, servers []standin.Server) string {
@@ -60,100 +51,3 @@
 	}
 	return b.String()
 }
-
-// runCommand has an operator runCommand something at a relay, or at the next one that answers, and writes down when that was acknowledged.
-func (t *trial) runCommand(ctx context.Context, do scenario.Said) {
-	var err error
-	for range t.fleet.all {
-		p := t.fleet.all[do.Relay]
-		p.mu.Lock()
-		runs := p.ready && !p.stopped
-		p.mu.Unlock()
-		if runs {
-			if err = p.sendCommand(ctx, do); err == nil {
-				now := t.recorder.now()
-				t.recorder.update(func(b *EventLog) { b.Commands = append(b.Commands, AcknowledgedCommand{Said: do, At: now}) })
-				return
-			}
-		}
-		do.Relay = (do.Relay + 1) % len(t.fleet.all)
-	}
-	if ctx.Err() == nil {
-		t.recorder.addError(fmt.Sprintf("no relay took in %s %s: %v", do.What, do.Target, err))
-	}
-}
-
-// sendCommand hands a word to a relay.
-func (p *process) sendCommand(ctx context.Context, do scenario.Said) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
-	defer cancel()
-	c := p.dialControl()
-	defer c.Close()
-	q := adminapi.DrainRequest{Target: do.Target, By: "operator", Fleet: true, AllowLast: true}
-	switch do.What {
-	case scenario.CommandDrain:
-		_, err = c.Drain(ctx, q)
-	case scenario.CommandUndrain:
-		_, err = c.Undrain(ctx, q)
-	default:
-		_, err = c.Gone(ctx, adminapi.GoneRequest{Relay: relayName(do.Of), Back: do.What == scenario.CommandRestore, By: "operator"})
-	}
-	return err
-}
-
-// queryOutcomes asks relays that run how the messages ended that they took on.
-func (t *trial) queryOutcomes(ctx context.Context) {
-	all := make([][]*Message, len(t.fleet.all))
-	t.recorder.update(func(b *EventLog) {
-		b.Queried = make([]bool, len(t.fleet.all))
-		for _, m := range b.Messages {
-			if m.Status == http.StatusAccepted {
-				all[m.Relay] = append(all[m.Relay], m)
-			}
-		}
-	})
-	var wg sync.WaitGroup
-	for i, p := range t.fleet.all {
-		p.mu.Lock()
-		runs := p.ready && !p.stopped
-		p.mu.Unlock()
-		if !runs {
-			continue
-		}
-		t.recorder.update(func(b *EventLog) { b.Queried[i] = true })
-		next := make(chan *Message)
-		wg.Go(func() {
-			defer close(next)
-			for _, m := range all[i] {
-				next <- m
-			}
-		})
-		for range maxQueries {
-			wg.Go(func() {
-				for m := range next {
-					t.queryOutcome(ctx, p, m)
-				}
-			})
-		}
-	}
-	wg.Wait()
-}
-
-func (t *trial) queryOutcome(ctx context.Context, p *process, m *Message) {
-	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/api/"+url.PathEscape(m.ID), nil)
-	if err != nil {
-		return
-	}
-	resp, err := p.client.Do(req)
-	if err != nil {
-		return // it counts as one whose end is not told
-	}
-	defer drainBody(resp.Body)
-	var v adminapi.Message
-	if resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(&v) == nil && v.EndedMs > 0 {
-		at := t.recorder.since(time.UnixMilli(v.EndedMs))
-		t.recorder.update(func(*EventLog) { m.Notices = append(m.Notices, Notice{at, v.State}) })
-	}
-}
--- a/internal/relay/chaostest/stale.go
+++ b/internal/relay/chaostest/check_drains.go
@@ -92,34 +92,3 @@
 	scope, name, _ := strings.Cut(target, ":")
 	return scope == "partner" && name == p.Name || scope == "endpoint" && name == p.Endpoint(p.Hosts[k.Host])
 }
-
-// leaseSlack is for how long a grant may be under way and in use: calls of a span may have been granted so long before it.
-const leaseSlack = 1 * time.Second
-
-// checkRateLimits finds spans in which a partner got more calls than its told limit and one burst, or a call of each relay, allow.
-func (c *checker) checkRateLimits() {
-	for dest, p := range c.Plan.Scenario.Partners {
-		if p.Limit == nil {
-			continue
-		}
-		var times []time.Duration
-		for _, k := range c.Calls {
-			if k.Dest == dest {
-				times = append(times, k.First)
-			}
-		}
-		burst := max(p.Limit.Burst, float64(c.Plan.Relays))
-		for _, span := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
-			most, first := p.Limit.Rate*(span+leaseSlack).Seconds()+burst, 0
-			for i, at := range times {
-				for times[first] <= at-span {
-					first++
-				}
-				if n := i - first + 1; float64(n) > most {
-					c.addFinding("told", "partner %s got %d calls within %v up to %v: its limit of %g a second allows %.0f", p.Name, n, span, at.Round(time.Millisecond), p.Limit.Rate, most)
-					break
-				}
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/relay/chaostest/check_messages.go
@@ -0,0 +1,109 @@
+package chaostest
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"larchrouter/choice"
+)
+
+// sortedMessages are the messages by id, so that findings come in the same order every time.
+func (c *checker) sortedMessages() []*Message {
+	all := make([]*Message, 0, len(c.Messages))
+	for _, m := range c.Messages {
+		all = append(all, m)
+	}
+	slices.SortFunc(all, func(a, b *Message) int { return cmp.Compare(a.ID, b.ID) })
+	return all
+}
+
+// checkOutcomes finds messages that were taken on and whose end is late or missing, as far as their relay was there to tell it.
+func (c *checker) checkOutcomes() {
+	for _, m := range c.sortedMessages() {
+		if m.Status != 200 && m.Status != 202 {
+			continue
+		}
+		if _, ok := c.delivered[m.ID]; ok {
+			continue
+		}
+		if c.outcomeUnknown(m) {
+			continue
+		}
+		end, late := c.noticeDeadline(m)
+		if len(m.Notices) == 0 && c.End > end {
+			c.addFinding("lost", "message %s, taken on by relay %d at %v, had no end by %v%s", m.ID, m.Relay, m.Answered.Round(time.Millisecond), end.Round(time.Millisecond), late)
+		} else if len(m.Notices) > 0 && m.Notices[0].At > end {
+			c.addFinding("late", "message %s of relay %d ended %v late%s", m.ID, m.Relay, (m.Notices[0].At - end).Round(time.Millisecond), late)
+		}
+	}
+}
+
+// outcomeUnknown tells whether a message's end could not be asked for: its relay, which has no platform that was told, began anew with
+// an empty folder since, or did not run at the end.
+func (c *checker) outcomeUnknown(m *Message) bool {
+	return c.Queried != nil && (!c.Queried[m.Relay] || slices.ContainsFunc(c.Runs, func(l ReadySpan) bool { return l.Relay == m.Relay && l.EmptyDisk && l.From > m.Answered }))
+}
+
+// noticeDeadline is when a message's end was due: later where its relay did not run, and never if it did not any more. A message
+// that came while the relay stood still is read, and its time begun, when that goes on.
+func (c *checker) noticeDeadline(m *Message) (at time.Duration, why string) {
+	at = m.Sent + m.Timeout + noticeGrace
+	for _, l := range c.Runs { // in the order in which they began
+		switch {
+		case l.Relay != m.Relay || l.To < m.Answered:
+		case l.From > m.Answered && l.EmptyDisk:
+			return c.End, ""
+		case l.From <= m.Answered && max(at, l.From+m.Timeout+noticeGrace) <= l.To:
+			return max(at, l.From+m.Timeout+noticeGrace), ""
+		case l.From > m.Answered && l.To > max(at, l.From+recoveryTime):
+			return max(at, l.From+recoveryTime), " (its relay did not run throughout)"
+		}
+	}
+	return c.End, ""
+}
+
+// checkAtMostOnce finds messages that must take effect once at most and did more often.
+func (c *checker) checkAtMostOnce() {
+	for _, m := range c.sortedMessages() {
+		if k, _ := c.Plan.Scenario.ClassByName(m.Class); k.Effect != choice.Unsafe {
+			continue
+		}
+		n := 0
+		for _, k := range c.byMessage[m.ID] {
+			if k.Applied {
+				n++
+			}
+		}
+		if n > 1 {
+			c.addFinding("twice", "message %s of relay %d, a %s, took effect %d times", m.ID, m.Relay, m.Class, n)
+		}
+	}
+}
+
+// checkRetryAfter finds calls of a relay to a host that had told it to wait. A restart ends a wait.
+func (c *checker) checkRetryAfter() {
+	type pair struct{ relay, dest, host int }
+	type told struct {
+		from, to time.Duration
+	}
+	waits := map[pair][]told{}
+	for _, k := range c.Calls {
+		m := c.Messages[k.ID]
+		if m == nil {
+			continue
+		}
+		p := pair{m.Relay, k.Dest, k.Host}
+		for _, w := range waits[p] {
+			if w.from+retryAfterGrace < k.First && k.First < w.to && c.running(m.Relay, w.from, k.First) {
+				c.addFinding("wait", "relay %d called host %s at %v, within a wait told at %v until %v", m.Relay, c.host(k), k.First.Round(time.Millisecond),
+					w.from.Round(time.Millisecond), w.to.Round(time.Millisecond))
+				break
+			}
+		}
+		if k.RetryAfter > 0 {
+			at := k.Last + c.Plan.Scenario.Partners[k.Dest].Hosts[k.Host].Latency
+			waits[p] = append(slices.DeleteFunc(waits[p], func(w told) bool { return w.to < k.First }), told{at, at + k.RetryAfter})
+		}
+	}
+}
--- a/internal/relay/chaostest/book.go
+++ b/internal/relay/chaostest/eventlog.go
@@ -2,8 +2,6 @@
 
 import (
 	"slices"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"larchrouter/internal/relay/scenario"
@@ -81,42 +79,6 @@
 	EmptyDisk bool // it began with an empty folder: what was held before is lost with that, as it may be
 }
 
-// recorder is a Book that is being written.
-type recorder struct {
-	mu        sync.Mutex
-	log       *EventLog
-	startedAt atomic.Pointer[time.Time]
-}
-
-func newRecorder(plan scenario.Plan) *recorder {
-	l := &recorder{log: &EventLog{Plan: plan, Messages: map[string]*Message{}}}
-	l.restartClock()
-	return l
-}
-
-// restartClock begins the book's time anew.
-func (l *recorder) restartClock() {
-	now := time.Now()
-	l.startedAt.Store(&now)
-}
-
-// now is the book's time.
-func (l *recorder) now() time.Duration { return l.since(time.Now()) }
-
-func (l *recorder) since(t time.Time) time.Duration { return t.Sub(*l.startedAt.Load()) }
-
-// update changes the book.
-func (l *recorder) update(f func(b *EventLog)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f(l.log)
-}
-
-// addError notes what went wrong.
-func (l *recorder) addError(text string) {
-	l.update(func(b *EventLog) { b.Errors = append(b.Errors, text) })
-}
-
 // running tells whether a relay was ready and running throughout a span.
 func (b *EventLog) running(relay int, from, to time.Duration) bool {
 	return slices.ContainsFunc(b.Runs, func(l ReadySpan) bool { return l.Relay == relay && l.From <= from && to <= l.To })
--- /dev/null
+++ b/internal/relay/chaostest/summary.go
@@ -0,0 +1,135 @@
+package chaostest
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Summary is what was seen over a span. All but the counts are shares of what hosts took, or would have taken.
+type Summary struct {
+	Name      string        `json:"name"`
+	From      time.Duration `json:"from_ns"`
+	To        time.Duration `json:"to_ns"`
+	Takes     float64       `json:"takes"`  // calls that hosts would have taken
+	Handed    int           `json:"handed"` // messages, at relays that ran
+	Calls     int           `json:"calls"`
+	Refused   int           `json:"refused"`
+	Delivered int           `json:"delivered"` // messages, in their time
+	Peak      float64       `json:"peak"`      // most calls in any window of a second, less the bursts, as a share of what hosts took in it
+}
+
+// Offered is the share of what hosts take that they were offered.
+func (s Summary) Offered() float64 { return ratio(float64(s.Calls), s.Takes) }
+
+// Served is the share of what hosts take that was delivered.
+func (s Summary) Served() float64 { return ratio(float64(s.Delivered), s.Takes) }
+
+// Possible is the share of what could be delivered that was: of what hosts take, or what was handed in if that is less.
+func (s Summary) Possible() float64 {
+	return ratio(float64(s.Delivered), min(s.Takes, float64(s.Handed)))
+}
+
+func ratio(a, b float64) float64 {
+	if b <= 0 {
+		return 0
+	}
+	return a / b
+}
+
+// countOutcomes counts messages by what their clients were countOutcomes in the end.
+func (c *checker) countOutcomes() map[string]int {
+	n := map[string]int{}
+	for id, m := range c.Messages {
+		_, delivered := c.delivered[id]
+		switch {
+		case delivered:
+			n["delivered in time"]++
+		case m.Status == 0:
+			n["unanswered"]++
+		case m.Status == 429 || m.Status == 503:
+			n["refused at the door"]++
+		case m.Status >= 300:
+			n[fmt.Sprintf("answered %d", m.Status)]++
+		case len(m.Notices) > 0:
+			n["told "+m.Notices[0].Status]++
+		default:
+			n["without an end"]++
+		}
+	}
+	if c.Shed > 0 {
+		n["not handed in"] = c.Shed
+	}
+	return n
+}
+
+// summarize counts over a span.
+func (c *checker) summarize(from, to time.Duration) Summary {
+	s := Summary{From: from, To: to, Takes: c.capacity(-1, from, to)}
+	for _, k := range c.callsBetween(from, to) {
+		s.Calls++
+		if k.Status == 429 || k.Status == 503 {
+			s.Refused++
+		}
+		if at, ok := c.delivered[k.ID]; ok && at == k.Last {
+			s.Delivered++
+		}
+	}
+	for _, m := range c.Messages {
+		if from <= m.Sent && m.Sent < to && c.running(m.Relay, m.Sent, m.Sent) {
+			s.Handed++
+		}
+	}
+	s.Peak = c.peak(from, to)
+	return s
+}
+
+// callsBetween are the calls of a span.
+func (c *checker) callsBetween(from, to time.Duration) []Call {
+	i, _ := slices.BinarySearchFunc(c.Calls, from, func(k Call, t time.Duration) int { return cmp.Compare(k.Last, t) })
+	j, _ := slices.BinarySearchFunc(c.Calls, to, func(k Call, t time.Duration) int { return cmp.Compare(k.Last, t) })
+	return c.Calls[i:j]
+}
+
+// capacity is how many calls the hosts of a destination, or of all (-1), would have taken in a span.
+func (c *checker) capacity(dest int, from, to time.Duration) (n float64) {
+	for _, k := range c.Capacity {
+		if over := min(to, k.From+k.Duration) - max(from, k.From); (dest < 0 || k.Dest == dest) && over > 0 && k.Duration > 0 {
+			n += k.Calls * float64(over) / float64(k.Duration)
+		}
+	}
+	return n
+}
+
+// peak is the most that any destination was offered in a window within a span, as a share of what its hosts took in it.
+// What they take at once after a rest is not counted.
+func (c *checker) peak(from, to time.Duration) (most float64) {
+	calls := c.callsBetween(from, to)
+	for dest := range c.Plan.Scenario.Partners {
+		burst := 0.0
+		for _, h := range c.Plan.Scenario.Partners[dest].Hosts {
+			burst += h.Burst
+		}
+		first, n := 0, 0
+		for i, k := range calls {
+			if k.Dest != dest {
+				continue
+			}
+			n++
+			for ; calls[first].Last <= k.Last-window; first++ {
+				if calls[first].Dest == dest {
+					n--
+				}
+			}
+			if i+1 < len(calls) && calls[i+1].Last == k.Last || float64(n) <= burst {
+				continue
+			}
+			begin := k.Last - window // a call may come first in its window
+			if room := c.capacity(dest, max(0, begin), k.Last); room > 0 {
+				most = max(most, (float64(n)-burst)/room)
+			}
+		}
+	}
+	return most
+}
--- /dev/null
+++ b/internal/relay/chaostest/trial.go
@@ -0,0 +1,213 @@
+package chaostest
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/netip"
+	"sync"
+	"time"
+
+	"larchrouter/internal/relay/scenario"
+	"larchrouter/internal/standin"
+)
+
+// trial is one that is played.
+type trial struct {
+	plan     scenario.Plan
+	options  Options
+	recorder *recorder
+	effects  *standin.Ledger
+	hosts    [][]*standin.Host // by destination
+	agents   []*standin.Platform
+	links    *links
+	fleet    *fleet
+	closed   bool
+}
+
+// startAll starts all that takes part.
+func (t *trial) startAll(ctx context.Context) error {
+	s := t.plan.Scenario
+	t.effects = standin.NewLedger(15 * time.Second)
+	var servers []standin.Server
+	for dest, p := range s.Partners {
+		t.hosts = append(t.hosts, nil)
+		for _, h := range p.Hosts {
+			host, err := standin.NewHost(p.Name+"/"+h.Name, "here", t.effects, standin.Behaviour{Latency: h.Latency}, true)
+			if err != nil {
+				return err
+			}
+			l := standin.Limit{Rate: h.Rate, Burst: h.Burst, Debt: h.Debt, AtOnce: h.MaxConcurrent, Wait: h.RetryAfter}
+			if h.ColdStart {
+				l.ColdFrom, l.Cold, l.Factor, l.Fall = s.Rules.ColdFrom, s.Rules.Cold, s.Rules.OverloadFactor, s.Rules.Fall
+			}
+			host.SetLimit(l)
+			t.hosts[dest] = append(t.hosts[dest], host)
+			servers = append(servers, standin.Server{ID: "s-" + p.Name + "-" + h.Name, Addr: host.Addr(), Zone: "here", Kind: "partner", Cell: dest,
+				State: "active", Weight: 1})
+		}
+	}
+	var all []*process
+	var notes []netip.AddrPort
+	net8 := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
+	for i := range t.plan.Relays {
+		listen, at, err := reserveAddresses(net8, i)
+		if err != nil {
+			return fmt.Errorf("an address for relay %d: %w", i, err)
+		}
+		agent, err := standin.NewAgent(servers, func(id, status string) { t.recordNotice(id, status) })
+		if err != nil {
+			return err
+		}
+		t.agents = append(t.agents, agent)
+		notes = append(notes, at)
+		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: 2 * time.Second,
+			DialContext: (&net.Dialer{Timeout: answerTimeout}).DialContext}}
+		all = append(all, &process{index: i, standalone: s.Appliances, program: t.options.Program, fault: t.options.Fault, dir: t.options.Dir, listen: listen, gossipAddr: at, agent: agent, recorder: t.recorder, client: client})
+	}
+	var err error
+	if t.links, err = newLinks(notes, t.plan.Seed, t.recorder.now); err != nil {
+		return err
+	}
+	peers := t.links.peers()
+	for _, p := range all {
+		if err := p.configure(t.plan, peers, servers); err != nil {
+			return err
+		}
+	}
+	t.fleet = newFleet(all, t.recorder)
+	return t.fleet.start(ctx, t.plan.InitialRelays())
+}
+
+// recordNotice writes down a notice.
+func (t *trial) recordNotice(id, status string) {
+	now := t.recorder.now()
+	t.recorder.update(func(b *EventLog) {
+		if m := b.Messages[id]; m != nil {
+			m.Notices = append(m.Notices, Notice{now, status})
+		} else {
+			b.Errors = append(b.Errors, fmt.Sprintf("a notice %q for message %q, which nobody handed in", status, id))
+		}
+	})
+}
+
+// play plays the plan.
+func (t *trial) play(ctx context.Context) error {
+	time.Sleep(warmup)
+	shift := t.recorder.now()
+	t.recorder.restartClock()
+	for _, p := range t.fleet.all { // they began to live before the trial's time
+		p.mu.Lock()
+		p.readySince -= shift
+		p.mu.Unlock()
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var wg sync.WaitGroup
+	wg.Go(func() { t.runSteps(ctx) })
+	wg.Go(func() { t.sampleCapacity(ctx) })
+	wg.Go(func() { t.reportProgress(ctx) })
+	wg.Go(func() { t.sampleScheduling(ctx) })
+	c := &clients{plan: t.plan, fleet: t.fleet, recorder: t.recorder}
+	c.run(ctx)
+	rest := time.Duration(0) // what is held has until its time is up
+	for _, p := range t.plan.Scenario.Partners {
+		for _, l := range p.Loads {
+			rest = max(rest, l.Timeout)
+		}
+	}
+	sleep(ctx, rest+recoveryTime+settleTime)
+	if t.plan.Scenario.Appliances {
+		t.queryOutcomes(ctx)
+	}
+	err := ctx.Err()
+	cancel()
+	wg.Wait()
+	return err
+}
+
+// sleep waits, unless the context ends.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// sampleCapacity writes down what hosts take.
+func (t *trial) sampleCapacity(ctx context.Context) {
+	last := t.recorder.now()
+	for sleep(ctx, sampleInterval) {
+		now := t.recorder.now()
+		for dest, hosts := range t.hosts {
+			k := CapacitySample{Dest: dest, From: last, Duration: now - last}
+			for i, h := range hosts {
+				rate, _ := h.Takes()
+				if h.Refuses() {
+					rate = 0
+				}
+				k.Calls += rate * k.Duration.Seconds()
+				k.Burst += t.plan.Scenario.Partners[dest].Hosts[i].Burst
+			}
+			t.recorder.update(func(b *EventLog) { b.Capacity = append(b.Capacity, k) })
+		}
+		last = now
+	}
+}
+
+// reportProgress tells how it goes, every second.
+func (t *trial) reportProgress(ctx context.Context) {
+	handed, effects := 0, 0
+	for n := 1; sleep(ctx, time.Duration(n)*time.Second-t.recorder.now()); n++ {
+		var now int
+		t.recorder.update(func(b *EventLog) { now = len(b.Messages) })
+		done, _ := t.effects.Total()
+		t.options.Progress(fmt.Sprintf("%4ds  %-16s handed in %4d  delivered %4d", n, t.plan.Phases[t.plan.PhaseAt(time.Duration(n)*time.Second-1)].Name, now-handed, done-effects))
+		handed, effects = now, done
+	}
+}
+
+// close ends all that runs.
+func (t *trial) close() {
+	if t.closed {
+		return
+	}
+	t.closed = true
+	t.recorder.update(func(b *EventLog) { b.End = t.recorder.now() })
+	if t.fleet != nil {
+		used := t.fleet.close()
+		t.recorder.update(func(b *EventLog) { b.CPU = used })
+	}
+	if t.links != nil {
+		t.links.close()
+	}
+	for _, hosts := range t.hosts {
+		for _, h := range hosts {
+			h.Close()
+		}
+	}
+	for _, a := range t.agents {
+		a.Close()
+	}
+}
+
+// collectCalls takes the hosts' books over.
+func (t *trial) collectCalls() {
+	b := t.recorder.log
+	for dest, hosts := range t.hosts {
+		for i, h := range hosts {
+			_, falls := h.Takes()
+			b.ColdOverloads += falls
+			for _, c := range h.Calls() {
+				b.Calls = append(b.Calls, Call{dest, i, c.ID, t.recorder.since(c.First), t.recorder.since(c.Last), c.Status, c.Wait, c.Applied})
+			}
+		}
+	}
+	b.Datagrams, b.DatagramBytes, b.DatagramsLost = int(t.links.datagrams.Load()), int(t.links.bytes.Load()), int(t.links.lost.Load())
+}
