--- a/internal/relay/simulation/days.go
+++ b/internal/relay/simulation/days.go
@@ -35,14 +35,14 @@
 		Delay: [2]time.Duration{2 * time.Millisecond, 25 * time.Millisecond}}
 	d.Settings.Workers, d.Settings.MaxHeld = max(4, 320/relays), max(76, 6080/relays) // room for the load is not what is tried
 	for i := range 7 {
-		x := Dest{Kind: i % 2}
+		x := Destination{Kind: i % 2}
 		if i == 0 {
 			x.Kind = 1
 		}
 		limit := 0.0
 		for z := range 2 + r.IntN(2) {
-			one := Route{Limit: 8 + 30*r.Float64(), Wait: time.Duration(500+r.IntN(300)) * time.Millisecond, Tells: 0.35,
-				Service: time.Duration(20+r.IntN(60)) * time.Millisecond, Zone: z % 3}
+			one := Route{Limit: 8 + 30*r.Float64(), MinRetryAfter: time.Duration(500+r.IntN(300)) * time.Millisecond, RetryAfterShare: 0.35,
+				ServiceTime: time.Duration(20+r.IntN(60)) * time.Millisecond, Zone: z % 3}
 			one.Burst, one.Debt = one.Limit, one.Limit*(0.8+0.2*r.Float64())
 			x.Routes = append(x.Routes, one)
 			limit += one.Limit
@@ -57,26 +57,26 @@
 	return d
 }
 
-// Outage has half of the destinations down for 5 s from the sixth second on.
-func (d Day) Outage(shut bool) Day {
-	d.Troubles = append(d.Troubles, Trouble{From: 6 * time.Second, To: 11 * time.Second, Dests: []int{0, 2, 4, 6}, Down: true, Shut: shut})
+// WithOutage has half of the destinations down for 5 s from the sixth second on.
+func (d Day) WithOutage(shut bool) Day {
+	d.Faults = append(d.Faults, Fault{From: 6 * time.Second, To: 11 * time.Second, Dests: []int{0, 2, 4, 6}, Down: true, RefuseConnections: shut})
 	return d
 }
 
-// Lowered has all limits at a third for 9 s from the sixth second on.
-func (d Day) Lowered() Day {
-	d.Troubles = append(d.Troubles, Trouble{From: 6 * time.Second, To: 15 * time.Second, Dests: []int{0, 1, 2, 3, 4, 5, 6}, Limit: 1.0 / 3})
+// WithLoweredLimits has all limits at a third for 9 s from the sixth second on.
+func (d Day) WithLoweredLimits() Day {
+	d.Faults = append(d.Faults, Fault{From: 6 * time.Second, To: 15 * time.Second, Dests: []int{0, 1, 2, 3, 4, 5, 6}, LimitFactor: 1.0 / 3})
 	return d
 }
 
-// Killed has so many relays end at the eighth second and start again 0.6 s later.
-func (d Day) Killed(n int) Day {
-	d.Troubles = append(d.Troubles, Trouble{From: 8 * time.Second, To: 8600 * time.Millisecond, Kill: n})
+// WithRestarts has so many relays end at the eighth second and start again 0.6 s later.
+func (d Day) WithRestarts(n int) Day {
+	d.Faults = append(d.Faults, Fault{From: 8 * time.Second, To: 8600 * time.Millisecond, Kill: n})
 	return d
 }
 
-// Cut has notes lost for 6 s from the eighth second on; which ones is told by the numbers of sender and receiver.
-func (d Day) Cut(mute func(from, to int) bool) Day {
-	d.Troubles = append(d.Troubles, Trouble{From: 8 * time.Second, To: 14 * time.Second, Mute: mute})
+// WithPartition has notes lost for 6 s from the eighth second on; which ones is told by the numbers of sender and receiver.
+func (d Day) WithPartition(mute func(from, to int) bool) Day {
+	d.Faults = append(d.Faults, Fault{From: 8 * time.Second, To: 14 * time.Second, Drop: mute})
 	return d
 }
--- a/internal/relay/simulation/simulation_test.go
+++ b/internal/relay/simulation/simulation_test.go
@@ -19,8 +19,8 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d relays, seed %d: %v; %d steps in %v", d.Relays, d.Seed, r, r.Steps, time.Since(began).Round(time.Millisecond))
-	if r.Waits > 0 || r.Falls > 0 {
-		t.Errorf("%d calls within a told wait, %d routes pushed over when cold", r.Waits, r.Falls)
+	if r.RetryAfterViolations > 0 || r.ColdViolations > 0 {
+		t.Errorf("%d calls within a told wait, %d routes pushed over when cold", r.RetryAfterViolations, r.ColdViolations)
 	}
 	return r
 }
@@ -38,10 +38,10 @@
 // share checks what part of the worth is delivered, and what part of the calls goes over a limit.
 func share(worth, over float64) func(*testing.T, Result) {
 	return func(t *testing.T, r Result) {
-		if got := r.Worth / r.Asked; got < worth {
+		if got := r.Value / r.OfferedValue; got < worth {
 			t.Errorf("%.3f of the worth delivered, want %.2f at least", got, worth)
 		}
-		if got := float64(r.Over) / float64(r.Calls); got > over {
+		if got := float64(r.OverLimit) / float64(r.Calls); got > over {
 			t.Errorf("%.3f of the calls went over a limit, want %.2f at most", got, over)
 		}
 	}
@@ -51,18 +51,18 @@
 func TestManyRelaysKeepToLimits(t *testing.T) {
 	each(t, "calm", func(s uint64) Day { return Campus(80, 0.8, s) }, share(0.95, 0.06))
 	each(t, "overload", func(s uint64) Day { return Campus(80, 1.3, s) }, share(0.7, 0.08))
-	each(t, "lowered", func(s uint64) Day { return Campus(80, 0.8, s).Lowered() }, share(0.8, 0.12))
-	each(t, "down", func(s uint64) Day { return Campus(80, 0.8, s).Outage(false) }, share(0.8, 0.08))
-	each(t, "shut", func(s uint64) Day { return Campus(80, 0.8, s).Outage(true) }, share(0.8, 0.08))
-	each(t, "killed", func(s uint64) Day { return Campus(80, 0.8, s).Killed(70) }, share(0.8, 0.08))
+	each(t, "lowered", func(s uint64) Day { return Campus(80, 0.8, s).WithLoweredLimits() }, share(0.8, 0.12))
+	each(t, "down", func(s uint64) Day { return Campus(80, 0.8, s).WithOutage(false) }, share(0.8, 0.08))
+	each(t, "shut", func(s uint64) Day { return Campus(80, 0.8, s).WithOutage(true) }, share(0.8, 0.08))
+	each(t, "killed", func(s uint64) Day { return Campus(80, 0.8, s).WithRestarts(70) }, share(0.8, 0.08))
 }
 
 // Without grants the same days go badly: this is what the others guard against.
 func TestManyRelaysWithoutNotes(t *testing.T) {
-	for _, d := range []Day{Campus(80, 0.8, 1).Lowered(), Campus(80, 1.3, 1)} {
+	for _, d := range []Day{Campus(80, 0.8, 1).WithLoweredLimits(), Campus(80, 1.3, 1)} {
 		d.Settings.Peers = false
-		if r := play(t, d); r.Over < r.Calls/4 {
-			t.Errorf("%d of %d calls over a limit without grants: the day shows nothing", r.Over, r.Calls)
+		if r := play(t, d); r.OverLimit < r.Calls/4 {
+			t.Errorf("%d of %d calls over a limit without grants: the day shows nothing", r.OverLimit, r.Calls)
 		}
 	}
 }
@@ -71,22 +71,22 @@
 func TestBadNotes(t *testing.T) {
 	each(t, "half lost", func(s uint64) Day {
 		d := Campus(80, 0.8, s)
-		d.Lose = 0.5
+		d.LossRate = 0.5
 		return d
 	}, share(0.6, 0.25))
 	each(t, "all lost", func(s uint64) Day {
-		d := Campus(80, 0.8, s).Outage(false)
-		d.Lose = 1
+		d := Campus(80, 0.8, s).WithOutage(false)
+		d.LossRate = 1
 		return d
 	}, share(0.3, 0.5))
 	each(t, "doubled", func(s uint64) Day { // 80 relays push a cold route over on 4 of 90 such days, 60 on 2 of 30: open, see ROADMAP
-		d := Campus(60, 0.8, s).Outage(false)
-		d.Double = 0.5
+		d := Campus(60, 0.8, s).WithOutage(false)
+		d.DuplicateRate = 0.5
 		return d
 	}, share(0.8, 0.1))
 	each(t, "spoilt", func(s uint64) Day {
-		d := Campus(80, 0.8, s).Outage(false)
-		d.Spoil = func(note []byte, r *rand.Rand) []byte {
+		d := Campus(80, 0.8, s).WithOutage(false)
+		d.Corrupt = func(note []byte, r *rand.Rand) []byte {
 			if r.IntN(4) > 0 {
 				return note
 			}
@@ -111,17 +111,17 @@
 func TestFleetThatGrows(t *testing.T) {
 	each(t, "grows", func(s uint64) Day {
 		d := Campus(16, 0.8, s)
-		d.Grow = []Size{{5 * time.Second, 80}, {14 * time.Second, 16}}
+		d.Resizes = []Resize{{5 * time.Second, 80}, {14 * time.Second, 16}}
 		return d
 	}, func(t *testing.T, r Result) {
-		if r.Worth/r.Asked < 0.6 {
-			t.Errorf("%.3f of the worth delivered", r.Worth/r.Asked)
+		if r.Value/r.OfferedValue < 0.6 {
+			t.Errorf("%.3f of the worth delivered", r.Value/r.OfferedValue)
 		}
 	})
 }
 
 func TestSameSeedSameDay(t *testing.T) {
-	a, b := play(t, Campus(20, 0.9, 3).Outage(true)), play(t, Campus(20, 0.9, 3).Outage(true))
+	a, b := play(t, Campus(20, 0.9, 3).WithOutage(true)), play(t, Campus(20, 0.9, 3).WithOutage(true))
 	if fmt.Sprint(a) != fmt.Sprint(b) || a.Steps != b.Steps {
 		t.Errorf("%v\n%v", a, b)
 	}
@@ -130,33 +130,33 @@
 // Guards against a fleet that starves while its relays do not hear each other, and floods when they do again.
 func TestCutFleet(t *testing.T) {
 	all := func(int, int) bool { return true }
-	each(t, "nobody hears anybody", func(s uint64) Day { return Campus(300, 0.5, s).Cut(all) }, share(0.9, 0.08))
+	each(t, "nobody hears anybody", func(s uint64) Day { return Campus(300, 0.5, s).WithPartition(all) }, share(0.9, 0.08))
 	each(t, "and routes come back cold", func(s uint64) Day {
-		d := Campus(300, 0.5, s).Cut(all)
-		d.Troubles = append(d.Troubles, Trouble{From: 9 * time.Second, To: 13 * time.Second, Dests: []int{0, 3}, Down: true})
+		d := Campus(300, 0.5, s).WithPartition(all)
+		d.Faults = append(d.Faults, Fault{From: 9 * time.Second, To: 13 * time.Second, Dests: []int{0, 3}, Down: true})
 		return d
 	}, share(0.8, 0.1))
 	each(t, "halves", func(s uint64) Day {
-		return Campus(300, 0.5, s).Cut(func(a, b int) bool { return a%2 != b%2 })
+		return Campus(300, 0.5, s).WithPartition(func(a, b int) bool { return a%2 != b%2 })
 	}, share(0.9, 0.08))
 	each(t, "a third", func(s uint64) Day {
-		return Campus(300, 0.5, s).Cut(func(a, b int) bool { return (a%3 == 0) != (b%3 == 0) })
+		return Campus(300, 0.5, s).WithPartition(func(a, b int) bool { return (a%3 == 0) != (b%3 == 0) })
 	}, share(0.9, 0.08))
 	each(t, "one alone", func(s uint64) Day {
-		return Campus(300, 0.5, s).Cut(func(a, b int) bool { return a == 7 || b == 7 })
+		return Campus(300, 0.5, s).WithPartition(func(a, b int) bool { return a == 7 || b == 7 })
 	}, share(0.9, 0.08))
 	each(t, "one way", func(s uint64) Day {
-		return Campus(300, 0.5, s).Cut(func(a, b int) bool { return a < 100 && b >= 100 })
+		return Campus(300, 0.5, s).WithPartition(func(a, b int) bool { return a < 100 && b >= 100 })
 	}, share(0.85, 0.08))
 	each(t, "twice", func(s uint64) Day {
-		d := Campus(300, 0.5, s).Cut(all)
-		d.Troubles[0].To = 10 * time.Second
-		d.Troubles = append(d.Troubles, Trouble{From: 11 * time.Second, To: 14 * time.Second, Mute: all})
+		d := Campus(300, 0.5, s).WithPartition(all)
+		d.Faults[0].To = 10 * time.Second
+		d.Faults = append(d.Faults, Fault{From: 11 * time.Second, To: 14 * time.Second, Drop: all})
 		return d
 	}, share(0.9, 0.08))
 	each(t, "limits fall as it heals", func(s uint64) Day {
-		d := Campus(300, 0.5, s).Cut(all)
-		d.Troubles = append(d.Troubles, Trouble{From: 13 * time.Second, To: 20 * time.Second, Dests: []int{0, 1, 2, 3, 4, 5, 6}, Limit: 0.5})
+		d := Campus(300, 0.5, s).WithPartition(all)
+		d.Faults = append(d.Faults, Fault{From: 13 * time.Second, To: 20 * time.Second, Dests: []int{0, 1, 2, 3, 4, 5, 6}, LimitFactor: 0.5})
 		return d
 	}, share(0.8, 0.12))
 }
@@ -164,13 +164,13 @@
 // Guards against a fleet that forgets what its destinations take when most of its stewards are killed at one instant,
 // and again soon after.
 func TestHerd(t *testing.T) {
-	each(t, "seven in ten", func(s uint64) Day { return Campus(300, 0.7, s).Killed(210) }, share(0.95, 0.08))
+	each(t, "seven in ten", func(s uint64) Day { return Campus(300, 0.7, s).WithRestarts(210) }, share(0.95, 0.08))
 	each(t, "and three in ten again", func(s uint64) Day {
-		d := Campus(300, 0.7, s).Killed(210).Killed(90)
-		d.Troubles[1].From, d.Troubles[1].To = 14*time.Second, 14600*time.Millisecond
+		d := Campus(300, 0.7, s).WithRestarts(210).WithRestarts(90)
+		d.Faults[1].From, d.Faults[1].To = 14*time.Second, 14600*time.Millisecond
 		return d
 	}, share(0.95, 0.08))
-	each(t, "limits lowered", func(s uint64) Day { return Campus(300, 0.8, s).Lowered().Killed(210) }, share(0.8, 0.12))
+	each(t, "limits lowered", func(s uint64) Day { return Campus(300, 0.8, s).WithLoweredLimits().WithRestarts(210) }, share(0.8, 0.12))
 }
 
 var sizes = flag.Int("largest", 30, "relays of the largest fleet of TestPriceOfNotes")
@@ -184,10 +184,10 @@
 		d := Campus(n, 0.8, 1)
 		d.Settings.Shares = true
 		r := play(t, d)
-		notes, bytes := float64(r.Notes)/float64(r.Offered), float64(r.NoteBytes)/float64(r.Offered)
+		notes, bytes := float64(r.GossipMessages)/float64(r.Offered), float64(r.GossipBytes)/float64(r.Offered)
 		t.Logf("%d relays: %.1f notes and %.0f bytes for each message", n, notes, bytes)
-		if notes > 12 || bytes > 800 || r.Worth/r.Asked < 0.9 {
-			t.Errorf("%d relays: %.1f notes and %.0f bytes for each message, %.3f of the worth", n, notes, bytes, r.Worth/r.Asked)
+		if notes > 12 || bytes > 800 || r.Value/r.OfferedValue < 0.9 {
+			t.Errorf("%d relays: %.1f notes and %.0f bytes for each message, %.3f of the worth", n, notes, bytes, r.Value/r.OfferedValue)
 		}
 	}
 }
