--- a/internal/relay/chaostest/appliance.go
+++ b/internal/relay/chaostest/appliance.go
@@ -9,17 +9,17 @@
 	"larchrouter/internal/standin"
 )
 
-// Relays of their own (larchrouter run) in place of the platform's: their partners and their fleet come from an operator's
-// file, operators talk to them through the control socket, and the ends of messages are asked for.
+// Appliances are relays that run without a platform (larchrouter run): an operator's file lists their partners and fleet,
+// operators use the control socket, and the outcomes of messages are queried.
 
 const (
-	commandTimeout = 2 * time.Second // an operator waits for an answer
-	maxQueries     = 8               // ends asked of one relay at a time
+	commandTimeout = 2 * time.Second // of an operator's request
+	maxQueries     = 8               // in flight, per relay
 )
 
 func relayName(i int) string { return fmt.Sprintf("r%02d", i) }
 
-// operatorsFile is what an operator would write for a relay of a scenario.
+// operatorsFile returns the configuration file of a scenario's appliance.
 func operatorsFile(p *process, plan scenario.Plan, peers []string, servers []standin.Server) string {
 	s := plan.Scenario
 	var b strings.Builder
@@ -27,7 +27,8 @@
 	line("listen = %q\nstate = %q\nstop_within = \"2s\"", p.listen, p.stateDir())
 	line("limits {\n held = %d\n slots = %d\n attempts = %d\n memory_mb = 192\n disk_mb = 64\n}", s.MaxPending, s.Slots, s.Attempts)
 	line("ends {\n keep = 50000\n}")
-	line("rules {\n overload_factor = %g\n fall = %q\n cold_from = %g\n cold = %q\n}", s.Rules.OverloadFactor, s.Rules.Fall, s.Rules.ColdFrom, s.Rules.Cold)
+	line("rules {\n overload_factor = %g\n fall = %q\n cold_from = %g\n cold = %q\n}",
+		s.Rules.OverloadFactor, s.Rules.Fall, s.Rules.ColdFrom, s.Rules.Cold)
 	if len(peers) > 1 && !s.Standalone {
 		line("fleet {\n name = %q\n listen = %q", relayName(p.index), p.gossipAddr)
 		for i, at := range peers {
--- a/internal/relay/chaostest/appliance_test.go
+++ b/internal/relay/chaostest/appliance_test.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/testbin"
 )
 
-const contract = `
+const configuredLimit = `
 form   = "appliance"
 relays = 3
 partner "pay" {
@@ -51,9 +51,9 @@
 phase "healed" { for = "2s" }`
 
 // A limit that was told holds for relays of their own, whatever becomes of links and relays.
-func TestContractHolds(t *testing.T) {
+func TestConfiguredLimitHolds(t *testing.T) {
 	t.Parallel()
-	play(t, contract, func(r Report) error {
+	runScenario(t, configuredLimit, func(r Report) error {
 		if r.Clients["delivered in time"] < 100 {
 			return fmt.Errorf("%v", r.Clients)
 		}
@@ -61,7 +61,7 @@
 	})
 }
 
-const words = `
+const drainCommands = `
 form   = "appliance"
 relays = 4
 partner "pay" {
@@ -102,9 +102,9 @@
 }`
 
 // What an operator says at one relay binds all that a chain of links joins to it, in time.
-func TestFleetHeeds(t *testing.T) {
+func TestFleetObeysDrain(t *testing.T) {
 	t.Parallel()
-	play(t, words, func(r Report) error {
+	runScenario(t, drainCommands, func(r Report) error {
 		if r.Clients["delivered in time"] == 0 {
 			return fmt.Errorf("%v", r.Clients)
 		}
@@ -113,13 +113,13 @@
 }
 
 // Both are shown to fail: where each relay takes a told limit for its own, and where a word is recorded and not carried out.
-func TestPlantedInAppliances(t *testing.T) {
+func TestPlantedApplianceFaultsAreFound(t *testing.T) {
 	t.Parallel()
 	program, err := testbin.Planted()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for fault, c := range map[string]struct{ text, rule string }{faultinject.Contract: {contract, "told"}, faultinject.Word: {words, "stale"}} {
+	for fault, c := range map[string]struct{ text, rule string }{faultinject.Contract: {configuredLimit, "told"}, faultinject.Word: {drainCommands, "stale"}} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			s, err := scenario.Parse([]byte(c.text), fault)
@@ -127,7 +127,7 @@
 				t.Fatal(err)
 			}
 			s.Phases = s.Phases[:2]
-			judge(t, func() (*EventLog, []string) {
+			assertNoFaults(t, func() (*EventLog, []string) {
 				b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Fault: fault})
 				if err != nil {
 					t.Fatal(err)
@@ -142,8 +142,8 @@
 }
 
 // Who could have known of a word, and since when: over links that worked, from relays that ran.
-func TestInformed(t *testing.T) {
-	s, err := scenario.Parse([]byte(strings.Replace(words, "relays = 4", "relays = 5", 1)+`
+func TestReachableSince(t *testing.T) {
+	s, err := scenario.Parse([]byte(strings.Replace(drainCommands, "relays = 4", "relays = 5", 1)+`
 phase "chain" {
   for = "4s"
   cut "chain" {}
--- a/internal/relay/chaostest/builtin.go
+++ b/internal/relay/chaostest/builtin.go
@@ -9,7 +9,7 @@
 //go:embed scenarios/*.hcl
 var scenarios embed.FS
 
-// BuiltIn are the names of the scenarios that come with the program.
+// BuiltIn returns the names of the built-in scenarios, sorted.
 func BuiltIn() (names []string) {
 	all, _ := scenarios.ReadDir("scenarios") // in the order of their names
 	for _, e := range all {
@@ -18,7 +18,7 @@
 	return names
 }
 
-// Scenario is the text of a built-in scenario.
+// Scenario returns the text of a built-in scenario.
 func Scenario(name string) ([]byte, error) {
 	return scenarios.ReadFile(path.Join("scenarios", name+".hcl"))
 }
--- a/internal/relay/chaostest/chaostest.go
+++ b/internal/relay/chaostest/chaostest.go
@@ -1,7 +1,12 @@
-// Package chaostest plays a scenario with real processes: relays of the program, started as the platform starts them, with
-// stand-in agents, partners and clients round them and links between them that can be cut. What it counts is what
-// partners, agents and clients saw, never what a relay says of itself. Everything is on loopback, bounded in count and
-// time, and gone when it ends.
+// Package chaostest runs a scenario with real processes: relays of the program, started as the platform starts them, among
+// stand-ins of agents, partners and clients, with links between the relays that can fail.
+//
+// Run records in an EventLog what partners, agents and clients observed; nothing in it is a relay's own account. Check, which is
+// pure, compares an EventLog with the rules and with the scenario's expectations and returns a Report, which Text and Page print.
+//
+// Everything is on loopback and bounded in number and time. No process outlives Run; the relays' state directories and logs stay
+// in Options.Dir, which the caller removes. The goroutines of a run share its EventLog through a recorder, which locks it; it is
+// immutable for the caller after Run has returned, except that Check sorts its lists.
 package chaostest
 
 import (
@@ -17,21 +22,21 @@
 
 const (
 	sampleInterval = 100 * time.Millisecond
-	settleTime     = 500 * time.Millisecond // beyond what the rules allow, before the books are closed
-	warmup         = 300 * time.Millisecond // from the last relay that serves to the first message
+	settleTime     = 500 * time.Millisecond // after the last deadline that the rules set, until the event log is closed
+	warmup         = 300 * time.Millisecond // from the last relay's readiness to the first message
 )
 
-// Options of a trial.
+// Options of a run.
 type Options struct {
-	Program  string // path of the relay's program
-	Relays   int    // 0 for the scenario's
-	Seed     uint64 // 0 for the scenario's
-	Dir      string // for the relays' folders and logs; they stay
-	Fault    string // a fault to switch in (internal/relay/faultinject), in a program that has them
-	Progress func(text string)
+	Program  string            // path of the relay's program
+	Relays   int               // 0 for the scenario's
+	Seed     uint64            // 0 for the scenario's
+	Dir      string            // for the relays' state directories and logs, which are not removed
+	Fault    string            // a fault to switch on (internal/relay/faultinject), in a program that has them
+	Progress func(text string) // gets a line per second; nil for none
 }
 
-// Run plays a scenario, and returns its books.
+// Run runs a scenario and returns its event log; with an error of ctx also that of an interrupted run.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*EventLog, error) {
 	if o.Relays == 0 {
 		o.Relays = s.Relays
@@ -62,10 +67,10 @@
 	return t.recorder.log, err
 }
 
-// TempDir makes a folder for a trial, with a path short enough for Unix sockets in it.
+// TempDir creates a directory for a run, with a path short enough for Unix sockets in it. The caller removes it.
 func TempDir() (string, error) { return os.MkdirTemp("", "larch-trial") }
 
-// Program tells whether a path is that of a program that can be started.
+// Program returns an error unless a path is that of an executable file.
 func Program(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/relay/chaostest/chaostest_test.go
+++ b/internal/relay/chaostest/chaostest_test.go
@@ -23,12 +23,12 @@
 	nodes = flag.Int("trial.nodes", 0, "relays; 0 for the test's")
 )
 
-func TestMain(m *testing.M) { testbin.Main(leakless{m}) }
+func TestMain(m *testing.M) { testbin.Main(leakCheck{m}) }
 
-// leakless finds goroutines that tests left behind.
-type leakless struct{ m *testing.M }
+// leakCheck finds goroutines that tests left behind.
+type leakCheck struct{ m *testing.M }
 
-func (l leakless) Run() int {
+func (l leakCheck) Run() int {
 	code := l.m.Run()
 	if err := goleak.Find(); err != nil && code == 0 {
 		fmt.Fprintln(os.Stderr, err)
@@ -37,8 +37,8 @@
 	return code
 }
 
-// play plays a scenario with real processes, logs what was seen, and fails with what was found and with the check's error.
-func play(t *testing.T, text string, check func(r Report) error) {
+// runScenario plays a scenario with real processes, logs what was seen, and fails with what was found and with the check's error.
+func runScenario(t *testing.T, text string, check func(r Report) error) {
 	s, err := scenario.Parse([]byte(text), t.Name())
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	}
 	for seed := range *seeds {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
-			judge(t, func() (*EventLog, []string) {
+			assertNoFaults(t, func() (*EventLog, []string) {
 				b, err := Run(t.Context(), s, Options{Program: program, Relays: *nodes, Seed: seed + 1, Dir: t.TempDir()})
 				if err != nil {
 					t.Fatal(err)
@@ -74,7 +74,7 @@
 	}
 }
 
-const load = `
+const sixteenRelays = `
 relays = 16
 slots  = 200
 partner "pay" {
@@ -94,8 +94,8 @@
 // Guards against a fleet that waits for a steward that stands still, and against one that goes on as if no time had
 // passed. What is wanted changes more often than a steward may take to answer. Bounds are wide: sixteen processes may
 // share two cores with other tests.
-func TestStewardStandsStill(t *testing.T) {
-	play(t, strings.NewReplacer("rate   = 120", "rate   = 480", "rate   = 30", "rate   = 80").Replace(load)+`
+func TestPausedCoordinatorDoesNotStarveFleet(t *testing.T) {
+	runScenario(t, strings.NewReplacer("rate   = 120", "rate   = 480", "rate   = 30", "rate   = 80").Replace(sixteenRelays)+`
 phase "whole" { for = "3s" }
 phase "steward-stands-still" {
   for = "3s"
@@ -120,8 +120,8 @@
 }
 
 // Relays that are killed, emptied and cut off, with agents that are silent, lose and repeat nothing.
-func TestFaultsLoseNothing(t *testing.T) {
-	play(t, load+`
+func TestFaultsLoseAndRepeatNothing(t *testing.T) {
+	runScenario(t, sixteenRelays+`
 phase "whole" { for = "1s" }
 phase "cut" {
   for = "1500ms"
@@ -160,7 +160,7 @@
 	})
 }
 
-const quarters = `
+const fourSides = `
 relays = 16
 slots  = 200
 partner "pay" {
@@ -191,8 +191,8 @@
 }`
 
 // All sides of a cut together keep to the limit, so that nothing is refused, and all go on.
-func TestSidesKeepToTheLimit(t *testing.T) {
-	play(t, quarters, func(r Report) error {
+func TestPartitionKeepsRateLimit(t *testing.T) {
+	runScenario(t, fourSides, func(r Report) error {
 		if got := r.Seconds[len(r.Seconds)-1].Served(); got < 0.5 {
 			return fmt.Errorf("%.2f of what the hosts take was delivered by four sides", got)
 		}
@@ -202,8 +202,8 @@
 
 // That is shown to fail when a steward goes on granting on pledges that have lapsed: one side grants all of the limit, the
 // others their parts.
-func TestPlantedLease(t *testing.T) {
-	s, err := scenario.Parse([]byte(quarters), t.Name())
+func TestPlantedExpiredLeaseIsFound(t *testing.T) {
+	s, err := scenario.Parse([]byte(fourSides), t.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	judge(t, func() (*EventLog, []string) {
+	assertNoFaults(t, func() (*EventLog, []string) {
 		b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Fault: faultinject.Lease})
 		if err != nil {
 			t.Fatal(err)
@@ -225,12 +225,12 @@
 
 // Without notes to lose there is nothing to share: each relay sees its own calls, and the rules hold.
 func TestThreeRelays(t *testing.T) {
-	play(t, strings.Replace(load, "relays = 16", "relays = 3", 1)+`phase "whole" { for = "1s" }`, nil)
+	runScenario(t, strings.Replace(sixteenRelays, "relays = 16", "relays = 3", 1)+`phase "whole" { for = "1s" }`, nil)
 }
 
 // A trial that is interrupted leaves no process behind, and says so.
-func TestInterrupted(t *testing.T) {
-	s, err := scenario.Parse([]byte(strings.Replace(load, "relays = 16", "relays = 3", 1)+"phase \"whole\" {\n for = \"1m\"\n stop { relays = 1 }\n}"), "s")
+func TestInterruptedRunLeavesNoProcess(t *testing.T) {
+	s, err := scenario.Parse([]byte(strings.Replace(sixteenRelays, "relays = 16", "relays = 3", 1)+"phase \"whole\" {\n for = \"1m\"\n stop { relays = 1 }\n}"), "s")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -253,8 +253,8 @@
 }
 
 // What cannot be played says why, and leaves nothing.
-func TestCannotBePlayed(t *testing.T) {
-	s, err := scenario.Parse([]byte(load+`phase "whole" { for = "1s" }`), "s")
+func TestRunErrors(t *testing.T) {
+	s, err := scenario.Parse([]byte(sixteenRelays+`phase "whole" { for = "1s" }`), "s")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/chaostest/check.go
+++ b/internal/relay/chaostest/check.go
@@ -9,25 +9,25 @@
 	"larchrouter/internal/relay/scenario"
 )
 
-// The slack of the platform's rules on sockets (PROTOCOL, "The rules on sockets").
+// Tolerances of the platform's rules on sockets (PROTOCOL, "The rules on sockets").
 const (
-	noticeGrace        = 350 * time.Millisecond  // from a message's time to its notice: 300 ms, and 50 ms for sockets
-	recoveryTime       = 1500 * time.Millisecond // from a restart until nothing is overdue
-	retryAfterGrace    = 100 * time.Millisecond  // from a told wait until it binds
-	window             = time.Second             // over which calls are held against a limit
-	maxFindingsPerRule = 5                       // findings of a kind that are told one by one
+	noticeGrace        = 350 * time.Millisecond  // from a message's deadline to its notice: 300 ms, and 50 ms for sockets
+	recoveryTime       = 1500 * time.Millisecond // from a restart until no notice is overdue
+	retryAfterGrace    = 100 * time.Millisecond  // from a retry-after until the relay has to obey it
+	window             = time.Second             // over which calls are compared with a limit
+	maxFindingsPerRule = 5                       // reported one by one; further ones are counted
 )
 
-// Finding is a bound that did not hold.
+// Finding is a violation of a rule or expectation.
 type Finding struct {
 	Rule string `json:"rule"`
 	Text string `json:"text"`
 }
 
-// String gives the rule, and what was seen.
+// String returns the rule and what was observed.
 func (f Finding) String() string { return f.Rule + ": " + f.Text }
 
-// Report is what a trial came to.
+// Report is the result of a run. Its JSON form is written by larchrouter-trial.
 type Report struct {
 	Scenario string         `json:"scenario"`
 	Program  string         `json:"program"`
@@ -35,7 +35,7 @@
 	Seed     uint64         `json:"seed"`
 	Phases   []Summary      `json:"phases"`
 	Seconds  []Summary      `json:"seconds"`
-	Clients  map[string]int `json:"clients"` // messages, by what their clients were told in the end
+	Clients  map[string]int `json:"clients"` // messages, by outcome as their clients saw it
 	Notes    int            `json:"notes"`
 	Bytes    int            `json:"note_bytes"`
 	Lost     int            `json:"notes_lost"`
@@ -44,11 +44,11 @@
 	Findings []Finding      `json:"findings"`
 }
 
-// Check holds a book against the rules, and against what its scenario expects.
+// Check compares an event log with the rules and with its scenario's expectations. It sorts the log's Calls and Runs.
 func Check(b *EventLog) Report {
 	c := newChecker(b)
-	r := Report{Scenario: b.Plan.Scenario.Title, Relays: b.Plan.Relays, Seed: b.Plan.Seed, Clients: c.countOutcomes(), Notes: b.Datagrams, Bytes: b.DatagramBytes, Lost: b.DatagramsLost,
-		Tries: len(c.byMessage), CPU: b.CPU}
+	r := Report{Scenario: b.Plan.Scenario.Title, Relays: b.Plan.Relays, Seed: b.Plan.Seed, Clients: c.countOutcomes(),
+		Notes: b.Datagrams, Bytes: b.DatagramBytes, Lost: b.DatagramsLost, Tries: len(c.byMessage), CPU: b.CPU}
 	for n, w := range b.Plan.Phases {
 		s := c.summarize(w.From, w.To)
 		s.Name = w.Name
@@ -75,17 +75,18 @@
 	return r
 }
 
-// checker is a book that is being checked.
+// checker is the state of a Check.
 type checker struct {
 	*EventLog
 	byMessage     map[string][]Call
-	delivered     map[string]time.Duration // the end of the first call that was served in time
+	delivered     map[string]time.Duration // by message: end of the first call that was served in time
 	findings      []Finding
 	findingCounts map[string]int
 }
 
 func newChecker(b *EventLog) *checker {
-	c := &checker{EventLog: b, byMessage: map[string][]Call{}, delivered: map[string]time.Duration{}, findingCounts: map[string]int{}}
+	c := &checker{EventLog: b, byMessage: map[string][]Call{}, delivered: map[string]time.Duration{},
+		findingCounts: map[string]int{}}
 	slices.SortStableFunc(b.Runs, func(x, y ReadySpan) int { return cmp.Compare(x.From, y.From) })
 	slices.SortStableFunc(b.Calls, func(x, y Call) int { return cmp.Compare(x.Last, y.Last) })
 	for _, k := range b.Calls {
@@ -107,7 +108,7 @@
 	return p.Name + "/" + p.Hosts[k.Host].Name
 }
 
-// addFinding notes a finding; of many of a kind the first few are told, and then how many there were.
+// addFinding adds a finding; of a rule's findings only the first few are listed, and the number of all.
 func (c *checker) addFinding(rule, format string, args ...any) {
 	if c.findingCounts[rule]++; c.findingCounts[rule] <= maxFindingsPerRule {
 		c.findings = append(c.findings, Finding{rule, fmt.Sprintf(format, args...)})
@@ -117,7 +118,7 @@
 	c.findings = append(c.findings, Finding{rule + " (more)", fmt.Sprintf("%d in all", c.findingCounts[rule])})
 }
 
-// checkExpectation holds a span against what is expected of it.
+// checkExpectation compares a span with an expectation.
 func (c *checker) checkExpectation(where string, e scenario.Expectation, w scenario.Window) {
 	from, to := w.From+e.From, w.To
 	if e.To > 0 {
@@ -133,14 +134,15 @@
 		c.addFinding("delivered", "%s: %.2f of what could be, expected %.2f at least", span, got, e.MinDelivered)
 	}
 	if e.MaxOffered > 0 && s.Peak > e.MaxOffered {
-		c.addFinding("over", "%s: %.2f times what hosts take in a second beside their bursts, expected %.2f at most", span, s.Peak, e.MaxOffered)
+		c.addFinding("over", "%s: %.2f times what hosts take in a second beside their bursts, expected %.2f at most",
+			span, s.Peak, e.MaxOffered)
 	}
 	if got := ratio(float64(s.Refused), float64(s.Calls)); e.MaxRefused > 0 && got > e.MaxRefused {
 		c.addFinding("refused", "%s: %.2f of the calls, expected %.2f at most", span, got, e.MaxRefused)
 	}
 }
 
-// checkProcesses finds what went wrong with processes and hosts.
+// checkProcesses reports errors of the run and of processes, and cold hosts that failed.
 func (c *checker) checkProcesses() {
 	for _, t := range c.Errors {
 		c.addFinding("process", "%s", t)
--- a/internal/relay/chaostest/check_drains.go
+++ b/internal/relay/chaostest/check_drains.go
@@ -8,11 +8,11 @@
 	"larchrouter/internal/relay/scenario"
 )
 
-// linkStep is how finely is looked at which links work.
+// linkStep is the resolution in time of reachableSince.
 const linkStep = 10 * time.Millisecond
 
-// reachableSince works out when each relay was first joined to a relay, from a time on, by a chain of links that worked and relays
-// that ran: then a word said there could have reached it. Below 0 for one that never was. Links that lose notes by chance work.
+// reachableSince returns when an update that a relay had at a time could have reached each relay, over links that worked and
+// relays that ran; -1 for relays that it could not reach. Links with random loss count as working.
 func (b *EventLog) reachableSince(from int, at time.Duration) []time.Duration {
 	when := make([]time.Duration, b.Plan.Relays)
 	for i := range when {
@@ -47,7 +47,7 @@
 	return when
 }
 
-// checkDrains finds calls that went to what an operator had drained for the whole fleet, from relays that must have known.
+// checkDrains finds calls to drained targets from relays that the drain could have reached in time.
 func (c *checker) checkDrains() {
 	for n, w := range c.Commands {
 		if w.What != scenario.CommandDrain {
@@ -56,7 +56,7 @@
 		until := c.End + 1
 		for _, later := range c.Commands[n+1:] {
 			if later.Target == w.Target && later.What == scenario.CommandUndrain {
-				until = min(until, later.At-commandTimeout) // it may have counted before it was acknowledged
+				until = min(until, later.At-commandTimeout) // it may have taken effect before its acknowledgement
 			}
 		}
 		when := c.reachableSince(w.Relay, w.At)
@@ -69,7 +69,7 @@
 			if when[m.Relay] < 0 || k.First <= due {
 				continue
 			}
-			if !c.running(m.Relay, when[m.Relay], due) { // it stood still, or began anew, meanwhile
+			if !c.running(m.Relay, when[m.Relay], due) { // it was paused or restarted meanwhile
 				began := time.Duration(-1)
 				for _, l := range c.Runs {
 					if l.Relay == m.Relay && l.From <= k.First {
@@ -80,13 +80,14 @@
 					continue
 				}
 			}
-			c.addFinding("stale", "relay %d called host %s at %v; it could have known since %v that %s is drained, and had %v", m.Relay, c.host(k),
+			c.addFinding("stale", "relay %d called host %s at %v; it could have known since %v that %s is drained, and had %v",
+				m.Relay, c.host(k),
 				k.First.Round(time.Millisecond), when[m.Relay].Round(time.Millisecond), w.Target, w.Within+drain.Grace)
 		}
 	}
 }
 
-// matchesTarget tells whether a call went to a matchesTarget of a drain.
+// matchesTarget reports whether a call went to the target of a drain.
 func (c *checker) matchesTarget(target string, k Call) bool {
 	p := c.Plan.Scenario.Partners[k.Dest]
 	scope, name, _ := strings.Cut(target, ":")
--- a/internal/relay/chaostest/check_limits.go
+++ b/internal/relay/chaostest/check_limits.go
@@ -4,10 +4,11 @@
 	"time"
 )
 
-// leaseSlack is for how long a grant may be under way and in use: calls of a span may have been granted so long before it.
+// leaseSlack is the longest time from a lease's grant to the call that uses it.
 const leaseSlack = 1 * time.Second
 
-// checkRateLimits finds spans in which a partner got more calls than its told limit and one burst, or a call of each relay, allow.
+// checkRateLimits finds spans in which a partner with a configured limit got more calls than its rate and one burst, or one call
+// per relay, allow.
 func (c *checker) checkRateLimits() {
 	for dest, p := range c.Plan.Scenario.Partners {
 		if p.Limit == nil {
@@ -27,7 +28,8 @@
 					first++
 				}
 				if n := i - first + 1; float64(n) > most {
-					c.addFinding("told", "partner %s got %d calls within %v up to %v: its limit of %g a second allows %.0f", p.Name, n, span, at.Round(time.Millisecond), p.Limit.Rate, most)
+					c.addFinding("told", "partner %s got %d calls within %v up to %v: its limit of %g a second allows %.0f",
+						p.Name, n, span, at.Round(time.Millisecond), p.Limit.Rate, most)
 					break
 				}
 			}
--- a/internal/relay/chaostest/check_messages.go
+++ b/internal/relay/chaostest/check_messages.go
@@ -8,7 +8,7 @@
 	"larchrouter/choice"
 )
 
-// sortedMessages are the messages by id, so that findings come in the same order every time.
+// sortedMessages returns the messages by id, so that the order of findings is deterministic.
 func (c *checker) sortedMessages() []*Message {
 	all := make([]*Message, 0, len(c.Messages))
 	for _, m := range c.Messages {
@@ -18,7 +18,7 @@
 	return all
 }
 
-// checkOutcomes finds messages that were taken on and whose end is late or missing, as far as their relay was there to tell it.
+// checkOutcomes finds accepted messages without a notice of their outcome in time, as far as their relay could give one.
 func (c *checker) checkOutcomes() {
 	for _, m := range c.sortedMessages() {
 		if m.Status != 200 && m.Status != 202 {
@@ -32,24 +32,28 @@
 		}
 		end, late := c.noticeDeadline(m)
 		if len(m.Notices) == 0 && c.End > end {
-			c.addFinding("lost", "message %s, taken on by relay %d at %v, had no end by %v%s", m.ID, m.Relay, m.Answered.Round(time.Millisecond), end.Round(time.Millisecond), late)
+			c.addFinding("lost", "message %s, taken on by relay %d at %v, had no end by %v%s", m.ID, m.Relay,
+				m.Answered.Round(time.Millisecond), end.Round(time.Millisecond), late)
 		} else if len(m.Notices) > 0 && m.Notices[0].At > end {
-			c.addFinding("late", "message %s of relay %d ended %v late%s", m.ID, m.Relay, (m.Notices[0].At - end).Round(time.Millisecond), late)
+			c.addFinding("late", "message %s of relay %d ended %v late%s", m.ID, m.Relay,
+				(m.Notices[0].At - end).Round(time.Millisecond), late)
 		}
 	}
 }
 
-// outcomeUnknown tells whether a message's end could not be asked for: its relay, which has no platform that was told, began anew with
-// an empty folder since, or did not run at the end.
+// outcomeUnknown reports whether an appliance could not be queried for a message's outcome, as it did not run at the end or had
+// restarted with an empty disk.
 func (c *checker) outcomeUnknown(m *Message) bool {
-	return c.Queried != nil && (!c.Queried[m.Relay] || slices.ContainsFunc(c.Runs, func(l ReadySpan) bool { return l.Relay == m.Relay && l.EmptyDisk && l.From > m.Answered }))
+	return c.Queried != nil && (!c.Queried[m.Relay] || slices.ContainsFunc(c.Runs, func(run ReadySpan) bool {
+		return run.Relay == m.Relay && run.EmptyDisk && run.From > m.Answered
+	}))
 }
 
-// noticeDeadline is when a message's end was due: later where its relay did not run, and never if it did not any more. A message
-// that came while the relay stood still is read, and its time begun, when that goes on.
+// noticeDeadline returns until when a notice was due: later if the relay did not run throughout, and the end of the run if it
+// never ran again. A message that arrived while the relay was paused is read, and its time-out begins, when the relay resumes.
 func (c *checker) noticeDeadline(m *Message) (at time.Duration, why string) {
 	at = m.Sent + m.Timeout + noticeGrace
-	for _, l := range c.Runs { // in the order in which they began
+	for _, l := range c.Runs { // by From
 		switch {
 		case l.Relay != m.Relay || l.To < m.Answered:
 		case l.From > m.Answered && l.EmptyDisk:
@@ -63,7 +67,7 @@
 	return c.End, ""
 }
 
-// checkAtMostOnce finds messages that must take effect once at most and did more often.
+// checkAtMostOnce finds messages of at-most-once classes that took effect more than once.
 func (c *checker) checkAtMostOnce() {
 	for _, m := range c.sortedMessages() {
 		if k, _ := c.Plan.Scenario.ClassByName(m.Class); k.Effect != choice.Unsafe {
@@ -81,13 +85,11 @@
 	}
 }
 
-// checkRetryAfter finds calls of a relay to a host that had told it to wait. A restart ends a wait.
+// checkRetryAfter finds calls of a relay to a host within the host's retry-after. A restart clears it.
 func (c *checker) checkRetryAfter() {
 	type pair struct{ relay, dest, host int }
-	type told struct {
-		from, to time.Duration
-	}
-	waits := map[pair][]told{}
+	type wait struct{ from, to time.Duration }
+	waits := map[pair][]wait{}
 	for _, k := range c.Calls {
 		m := c.Messages[k.ID]
 		if m == nil {
@@ -96,14 +98,16 @@
 		p := pair{m.Relay, k.Dest, k.Host}
 		for _, w := range waits[p] {
 			if w.from+retryAfterGrace < k.First && k.First < w.to && c.running(m.Relay, w.from, k.First) {
-				c.addFinding("wait", "relay %d called host %s at %v, within a wait told at %v until %v", m.Relay, c.host(k), k.First.Round(time.Millisecond),
+				c.addFinding("wait", "relay %d called host %s at %v, within a wait told at %v until %v",
+					m.Relay, c.host(k), k.First.Round(time.Millisecond),
 					w.from.Round(time.Millisecond), w.to.Round(time.Millisecond))
 				break
 			}
 		}
 		if k.RetryAfter > 0 {
 			at := k.Last + c.Plan.Scenario.Partners[k.Dest].Hosts[k.Host].Latency
-			waits[p] = append(slices.DeleteFunc(waits[p], func(w told) bool { return w.to < k.First }), told{at, at + k.RetryAfter})
+			waits[p] = append(slices.DeleteFunc(waits[p], func(w wait) bool { return w.to < k.First }),
+				wait{at, at + k.RetryAfter})
 		}
 	}
 }
--- a/internal/relay/chaostest/check_test.go
+++ b/internal/relay/chaostest/check_test.go
@@ -56,8 +56,8 @@
 	return b
 }
 
-// undelivered has a message never be sent on.
-func undelivered(b *EventLog, id string) *Message {
+// makeUndelivered has a message never be sent on.
+func makeUndelivered(b *EventLog, id string) *Message {
 	b.Calls = slices.DeleteFunc(b.Calls, func(k Call) bool { return k.ID == id })
 	return b.Messages[id]
 }
@@ -75,34 +75,34 @@
 		"a payment refused, then applied": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m007", First: 100 * ms, Last: 100 * ms, Status: 503})
 		}, ""},
-		"a message without an end": {func(b *EventLog) { undelivered(b, "m050") }, "lost"},
+		"a message without an end": {func(b *EventLog) { makeUndelivered(b, "m050") }, "lost"},
 		"one with an end in time": {func(b *EventLog) {
-			m := undelivered(b, "m050")
+			m := makeUndelivered(b, "m050")
 			m.Notices = []Notice{{m.Sent + 3300*ms, "deferred"}}
 		}, ""},
 		"one with a late end": {func(b *EventLog) {
-			m := undelivered(b, "m050")
+			m := makeUndelivered(b, "m050")
 			m.Notices = []Notice{{m.Sent + 3400*ms, "deferred"}}
 		}, "late"},
 		"a late end, as the relay stood still": {func(b *EventLog) {
-			m := undelivered(b, "m050") // relay 0, taken on at 1.25 s
+			m := makeUndelivered(b, "m050") // relay 0, taken on at 1.25 s
 			m.Notices = []Notice{{7 * sec, "deferred"}}
 			b.Runs[0].To = 2 * sec
 			b.Runs = append(b.Runs, ReadySpan{0, 6 * sec, 15 * sec, false})
 		}, ""},
 		"later still": {func(b *EventLog) {
-			m := undelivered(b, "m050")
+			m := makeUndelivered(b, "m050")
 			m.Notices = []Notice{{8 * sec, "deferred"}}
 			b.Runs[0].To = 2 * sec
 			b.Runs = append(b.Runs, ReadySpan{0, 6 * sec, 15 * sec, false})
 		}, "late"},
-		"no end, as the relay never came back": {func(b *EventLog) { undelivered(b, "m050"); b.Runs[0].To = 2 * sec }, ""},
+		"no end, as the relay never came back": {func(b *EventLog) { makeUndelivered(b, "m050"); b.Runs[0].To = 2 * sec }, ""},
 		"no end, as the folder was emptied": {func(b *EventLog) {
-			undelivered(b, "m050")
+			makeUndelivered(b, "m050")
 			b.Runs[0].To = 2 * sec
 			b.Runs = append(b.Runs, ReadySpan{0, 3 * sec, 15 * sec, true})
 		}, ""},
-		"no answer and no end": {func(b *EventLog) { undelivered(b, "m050").Status = 0 }, ""},
+		"no answer and no end": {func(b *EventLog) { makeUndelivered(b, "m050").Status = 0 }, ""},
 		"a call within a told wait": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
 		}, "wait wait wait wait wait wait (more)"}, // the history goes on regardless
@@ -131,7 +131,7 @@
 		}, ""},
 		"too little delivered": {func(b *EventLog) {
 			for i := range 10 {
-				m := undelivered(b, fmt.Sprintf("m%03d", i))
+				m := makeUndelivered(b, fmt.Sprintf("m%03d", i))
 				m.Notices = []Notice{{m.Sent + sec, "deferred"}}
 			}
 		}, "delivered"},
@@ -160,7 +160,7 @@
 }
 
 // The figures of a history are those that it was made with, in the table and in the page.
-func TestFigures(t *testing.T) {
+func TestReportFigures(t *testing.T) {
 	b := cleanHistory(t)
 	r := Check(b)
 	p := r.Phases[0]
--- a/internal/relay/chaostest/clients.go
+++ b/internal/relay/chaostest/clients.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	answerTimeout = 400 * time.Millisecond // of a client for its answer (PROTOCOL, "Clients to relays")
-	maxInFlight   = 256                    // messages of one relay's clients that wait for an answer
+	answerTimeout = 400 * time.Millisecond // of a client's request (PROTOCOL, "Clients to relays")
+	maxInFlight   = 256                    // messages of one relay's clients
 	bodyLength    = 200
 )
 
-// clients hand messages in at times drawn by the seed, whatever becomes of those before.
+// clients submit messages at times drawn from the seed, independently of earlier responses.
 type clients struct {
 	plan     scenario.Plan
 	fleet    *fleet
@@ -26,7 +26,7 @@
 	wg       sync.WaitGroup
 }
 
-// rate is what one relay's clients have of a load, a second.
+// rate returns the messages per second that one relay gets of a load.
 func rate(l scenario.Load, relay, relays int) float64 {
 	hot := min(l.HotRelays, relays)
 	each := l.Rate / (float64(relays-hot) + float64(hot)*l.HotFactor)
@@ -36,7 +36,7 @@
 	return each
 }
 
-// run hands messages in until the plan's span is over or the context ends.
+// run submits messages until the plan's span is over or the context ends.
 func (c *clients) run(ctx context.Context) {
 	for relay := range c.fleet.all {
 		open := make(chan struct{}, maxInFlight)
@@ -68,7 +68,8 @@
 			c.recorder.update(func(b *EventLog) { b.Shed++ })
 			continue
 		}
-		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, n, i), Relay: relay, Dest: dest, Class: l.Class, Timeout: l.Timeout}
+		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, n, i),
+			Relay: relay, Dest: dest, Class: l.Class, Timeout: l.Timeout}
 		c.wg.Go(func() {
 			c.submit(ctx, m)
 			<-open
@@ -76,12 +77,13 @@
 	}
 }
 
-// submit hands one message in, and writes down what the client was told.
+// submit submits a message and records the response.
 func (c *clients) submit(ctx context.Context, m *Message) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	p := c.fleet.all[m.Relay]
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.listen+"/api", strings.NewReader(strings.Repeat("x", bodyLength)))
+	body := strings.NewReader(strings.Repeat("x", bodyLength))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.listen+"/api", body)
 	if err != nil {
 		c.recorder.addError(err.Error())
 		return
@@ -96,7 +98,7 @@
 		req.Header.Set("X-Addressing", fmt.Sprintf("dest=%d", m.Dest))
 	}
 	m.Sent = c.recorder.now()
-	c.recorder.update(func(b *EventLog) { b.Messages[m.ID] = m }) // first: its end may come before its answer
+	c.recorder.update(func(b *EventLog) { b.Messages[m.ID] = m }) // first: its notice may arrive before the response
 	resp, err := p.client.Do(req)
 	status := 0
 	if err == nil {
--- a/internal/relay/chaostest/commands.go
+++ b/internal/relay/chaostest/commands.go
@@ -13,7 +13,7 @@
 
 func (p *process) dialControl() *adminapi.Client { return adminapi.Dial(p.controlSocket()) }
 
-// runCommand has an operator runCommand something at a relay, or at the next one that answers, and writes down when that was acknowledged.
+// runCommand sends an operator's command to a relay, or to the next one that answers, and records the acknowledgement.
 func (t *trial) runCommand(ctx context.Context, do scenario.Said) {
 	var err error
 	for range t.fleet.all {
@@ -35,7 +35,7 @@
 	}
 }
 
-// sendCommand hands a word to a relay.
+// sendCommand sends a command over the relay's control socket.
 func (p *process) sendCommand(ctx context.Context, do scenario.Said) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/internal/relay/chaostest/eventlog.go
+++ b/internal/relay/chaostest/eventlog.go
@@ -7,79 +7,79 @@
 	"larchrouter/internal/relay/scenario"
 )
 
-// EventLog is what a trial has written down: what clients handed in and were told, what hosts were sent, what agents were
-// told. Nothing in it comes from a relay's own account. Times count from the trial's beginning.
+// EventLog is the record of a run: what clients submitted and were answered, what hosts received, which notices agents got.
+// Nothing in it is a relay's own account. Times count from the beginning of the run.
 type EventLog struct {
 	Plan          scenario.Plan
 	Messages      map[string]*Message
 	Calls         []Call
 	Capacity      []CapacitySample
 	Runs          []ReadySpan
-	Scheduling    []SchedulingSample    // what the machine let the trial's processes do
-	Queried       []bool                // by relay: it was asked at the end how its messages ended; nil under a platform, which is told
-	Commands      []AcknowledgedCommand // by operators, in the order in which that was acknowledged
-	ColdOverloads int                   // of cold hosts that were pushed over
-	DatagramsLost int                   // notes that the links lost, by the plan or because they could not be passed on
-	Datagrams     int                   // notes that relays sent
-	DatagramBytes int                   // in them
-	Shed          int                   // messages that clients could not hand in, as too many waited for an answer
-	CPU           time.Duration         // that the relays used
-	End           time.Duration         // the books were closed
-	Errors        []string              // what went wrong with the trial itself, or with a relay's process
+	Scheduling    []SchedulingSample    // how long the run's processes waited for a processor
+	Queried       []bool                // by relay: it was queried for outcomes at the end; nil with a platform, which gets notices
+	Commands      []AcknowledgedCommand // in the order of their acknowledgements
+	ColdOverloads int                   // how often a cold host failed under overload
+	DatagramsLost int                   // by the links, as planned or as they could not be forwarded
+	Datagrams     int                   // gossip that relays sent
+	DatagramBytes int                   // of Datagrams
+	Shed          int                   // messages that clients did not submit, as too many were in flight
+	CPU           time.Duration         // used by the relays
+	End           time.Duration         // the event log was closed
+	Errors        []string              // of the run itself, or of a relay's process
 }
 
-// Message is one that a client had.
+// Message is a message that a client submitted.
 type Message struct {
 	ID       string
 	Relay    int
 	Dest     int
 	Class    string
 	Sent     time.Duration
-	Timeout  time.Duration // it may be delivered so long
-	Status   int           // answered; 0 for no answer in time
+	Timeout  time.Duration // from Sent to its deadline
+	Status   int           // of the HTTP response; 0 for none within answerTimeout
 	Answered time.Duration
-	Notices  []Notice // told to the agent
+	Notices  []Notice // of its outcome, from the agent or from a query
 }
 
-// Notice is a notice.
+// Notice is an agent's notice of a message's outcome.
 type Notice struct {
 	At     time.Duration
 	Status string
 }
 
-// Call is one that a host was sent.
+// Call is a call that a host received.
 type Call struct {
 	Dest, Host  int
 	ID          string
-	First, Last time.Duration // its first and last byte came
+	First, Last time.Duration // its first and last byte arrived
 	Status      int
-	RetryAfter  time.Duration // told
-	Applied     bool
+	RetryAfter  time.Duration // sent with the response; 0 for none
+	Applied     bool          // it took effect
 }
 
-// AcknowledgedCommand is what an operator said for the whole fleet.
+// AcknowledgedCommand is an operator's command that a relay has accepted.
 type AcknowledgedCommand struct {
 	scenario.Said
-	At time.Duration // it was acknowledged
+	At time.Duration // of the acknowledgement
 }
 
-// CapacitySample is what the hosts of a destination took for a span.
+// CapacitySample is the capacity of a destination's hosts during a span.
 type CapacitySample struct {
 	Dest     int
 	From     time.Duration
 	Duration time.Duration
-	Calls    float64 // that they would take
-	Burst    float64 // that they would take at once beside
+	Calls    float64 // that they would serve in the span
+	Burst    float64 // that they would serve in addition, after a pause
 }
 
-// ReadySpan is a span in which a relay was ready and ran.
+// ReadySpan is a span in which a relay was ready and not paused.
 type ReadySpan struct {
 	Relay     int
 	From, To  time.Duration
-	EmptyDisk bool // it began with an empty folder: what was held before is lost with that, as it may be
+	EmptyDisk bool // it started with an empty state directory: messages pending before may be lost
 }
 
-// running tells whether a relay was ready and running throughout a span.
+// running reports whether a relay was ready and not paused throughout a span.
 func (b *EventLog) running(relay int, from, to time.Duration) bool {
 	return slices.ContainsFunc(b.Runs, func(l ReadySpan) bool { return l.Relay == relay && l.From <= from && to <= l.To })
 }
--- a/internal/relay/chaostest/fleet.go
+++ b/internal/relay/chaostest/fleet.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// fleet is all relays.
+// fleet runs tasks on relays: one after another for each relay, in parallel for different ones.
 type fleet struct {
 	all      []*process
-	tasks    []chan func() // by relay: what is done to it, in order
+	tasks    []chan func() // by relay, in order
 	wg       sync.WaitGroup
 	recorder *recorder
 }
@@ -28,16 +28,16 @@
 	return f
 }
 
-// enqueue has something done to a relay after all that was asked before.
-func (f *fleet) enqueue(relay int, what func(p *process) error) {
+// enqueue runs a task on a relay after those that were enqueued before. Its error is recorded.
+func (f *fleet) enqueue(relay int, task func(p *process) error) {
 	f.tasks[relay] <- func() {
-		if err := what(f.all[relay]); err != nil {
+		if err := task(f.all[relay]); err != nil {
 			f.recorder.addError(err.Error())
 		}
 	}
 }
 
-// start starts the first relays, and returns when they serve.
+// start starts the first n relays and returns when they serve.
 func (f *fleet) start(ctx context.Context, n int) error {
 	errs := make(chan error, n)
 	for i := range n {
@@ -52,7 +52,7 @@
 	return first
 }
 
-// close ends all that runs and returns when it has.
+// close terminates all relays and returns the CPU time that they used.
 func (f *fleet) close() (used time.Duration) {
 	for i := range f.all {
 		f.enqueue(i, func(p *process) error { p.setPaused(false); p.terminate(false); return nil })
--- a/internal/relay/chaostest/links.go
+++ b/internal/relay/chaostest/links.go
@@ -14,11 +14,11 @@
 	"larchrouter/internal/relay/scenario"
 )
 
-// links carry notes between relays, as the plan has it. For each relay there is one address that all others know it by:
-// what comes to it is passed on to the relay, from the address that its sender is known by. So each relay knows its
-// peers by the same addresses, and all that it hears went through here.
+// links forward gossip between relays as the plan's Network decides. Each relay has one address by which its peers know it:
+// a datagram to it is forwarded to the relay, from the address by which the sender is known. So all relays know a peer by the
+// same address, and every datagram passes here.
 type links struct {
-	conns       []*net.UDPConn // by relay: the address that the others know
+	conns       []*net.UDPConn // by relay: the address that its peers know
 	relays      []netip.AddrPort
 	indexByAddr map[netip.AddrPort]int
 	network     atomic.Pointer[scenario.Network]
@@ -31,10 +31,11 @@
 	lost        atomic.Int64
 }
 
-// newLinks opens an address for each relay; relays are where these listen themselves.
+// newLinks opens an address for each relay. Relays are the addresses on which they listen.
 func newLinks(relays []netip.AddrPort, seed uint64, now func() time.Duration) (*links, error) {
 	n := len(relays)
-	l := &links{relays: relays, indexByAddr: map[netip.AddrPort]int{}, now: now, draw: make([]*rand.Rand, n*n), mu: make([]sync.Mutex, n)}
+	l := &links{relays: relays, indexByAddr: map[netip.AddrPort]int{}, now: now,
+		draw: make([]*rand.Rand, n*n), mu: make([]sync.Mutex, n)}
 	l.network.Store(&scenario.Network{})
 	for i := range l.draw {
 		l.draw[i] = rand.New(rand.NewPCG(seed, 1<<32+uint64(i)))
@@ -53,7 +54,7 @@
 	return l, nil
 }
 
-// peers are the addresses that relays know one another by.
+// peers returns the addresses by which relays know one another.
 func (l *links) peers() (all []string) {
 	for _, c := range l.conns {
 		all = append(all, c.LocalAddr().String())
@@ -61,11 +62,11 @@
 	return all
 }
 
-// receive takes what comes for a relay.
+// receive reads and forwards a relay's datagrams until the links are closed.
 func (l *links) receive(to int) {
-	room := make([]byte, 1500)
+	buffer := make([]byte, 1500)
 	for {
-		n, at, err := l.conns[to].ReadFromUDPAddrPort(room)
+		n, at, err := l.conns[to].ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -83,22 +84,22 @@
 		}
 		for _, d := range after {
 			if d == 0 {
-				l.forward(from, to, room[:n])
+				l.forward(from, to, buffer[:n])
 				continue
 			}
-			note := slices.Clone(room[:n])
-			time.AfterFunc(d, func() { l.forward(from, to, note) })
+			datagram := slices.Clone(buffer[:n])
+			time.AfterFunc(d, func() { l.forward(from, to, datagram) })
 		}
 	}
 }
 
-func (l *links) forward(from, to int, note []byte) {
-	if _, err := l.conns[from].WriteToUDPAddrPort(note, l.relays[to]); err != nil && !errors.Is(err, net.ErrClosed) {
+func (l *links) forward(from, to int, datagram []byte) {
+	if _, err := l.conns[from].WriteToUDPAddrPort(datagram, l.relays[to]); err != nil && !errors.Is(err, net.ErrClosed) {
 		l.lost.Add(1)
 	}
 }
 
-// close ends the links; what is still on its way is lost.
+// close closes the links; delayed datagrams are lost.
 func (l *links) close() {
 	for _, c := range l.conns {
 		c.Close()
--- a/internal/relay/chaostest/outcomes.go
+++ b/internal/relay/chaostest/outcomes.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/relay/adminapi"
 )
 
-// queryOutcomes asks relays that run how the messages ended that they took on.
+// queryOutcomes queries running relays for the outcomes of the messages that they accepted.
 func (t *trial) queryOutcomes(ctx context.Context) {
 	all := make([][]*Message, len(t.fleet.all))
 	t.recorder.update(func(b *EventLog) {
@@ -58,7 +58,7 @@
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return // it counts as one whose end is not told
+		return // counts as a missing notice
 	}
 	defer drainBody(resp.Body)
 	var v adminapi.Message
--- a/internal/relay/chaostest/page.go
+++ b/internal/relay/chaostest/page.go
@@ -49,7 +49,8 @@
 </body></html>
 `))
 
-// Page writes reports of one scenario as an HTML file that needs nothing else. Source is the scenario's text.
+// Page writes reports of one scenario as a self-contained HTML file. Source is the scenario's text. Steps are printed with the
+// names of their types and fields.
 func Page(w io.Writer, s *scenario.Scenario, plan scenario.Plan, source []byte, reports ...Report) error {
 	type run struct {
 		Report Report
@@ -74,7 +75,7 @@
 	return page.Execute(w, data)
 }
 
-// draw plots what was seen of each second.
+// draw plots the figures of each second as SVG.
 func draw(r Report) ([]byte, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text, p.Y.Min = "second", "a second", 0
--- a/internal/relay/chaostest/process.go
+++ b/internal/relay/chaostest/process.go
@@ -22,55 +22,55 @@
 )
 
 const (
-	startTimeout      = 20 * time.Second // a relay serves by then
+	startTimeout      = 20 * time.Second // from a start until a relay serves
 	readinessInterval = 5 * time.Millisecond
-	termTimeout       = 3700 * time.Millisecond // after it, SIGKILL (PROTOCOL, "Figures")
+	termTimeout       = 3700 * time.Millisecond // from SIGTERM to SIGKILL (PROTOCOL, "Figures")
 )
 
 // process is one relay of the fleet. Its methods are called by one goroutine at a time.
 type process struct {
 	index        int
 	program      string
-	standalone   bool                  // without a platform
-	operatorFile func(size int) string // an operator's, with so many relays in the fleet
-	fault        string                // a fault to switch in
+	standalone   bool                  // an appliance, configured by an operator's file
+	operatorFile func(size int) string // text of that file for a number of relays in the fleet
+	fault        string                // a fault to switch on
 	dir          string
-	listen       string // where clients come
+	listen       string // address for clients
 	gossipAddr   netip.AddrPort
 	agent        *standin.Platform
 	recorder     *recorder
 	client       *http.Client
 
 	cmd         *exec.Cmd
-	exited      chan struct{} // closed when the process has ended
+	exited      chan struct{} // closed when the process has exited
 	stopped     bool
-	expectedUp  bool // it is not to end by itself
+	expectedUp  bool // an exit now would be an error
 	readySince  time.Duration
 	ready       bool
-	diskEmptied bool          // since it was ready last, its folder was emptied before
-	cpuTime     time.Duration // of the processor, by the processes that have ended
-	mu          sync.Mutex    // of wanted, ready, since, stopped
+	diskEmptied bool          // the state directory was emptied before the last start
+	cpuTime     time.Duration // of the processes that have exited
+	mu          sync.Mutex    // of cmd (for pid), expectedUp, ready, readySince, stopped and diskEmptied
 }
 
-// reserveAddresses reserves a relay's addresses: a loopback address of its own, with ports that nothing else has.
-func reserveAddresses(net8 [2]byte, index int) (listen string, notes netip.AddrPort, err error) {
+// reserveAddresses returns free ports of a loopback address that only this relay uses.
+func reserveAddresses(net8 [2]byte, index int) (listen string, gossip netip.AddrPort, err error) {
 	ip := netip.AddrFrom4([4]byte{127, net8[0], net8[1], byte(index + 1)})
 	t, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0)))
 	if err != nil {
-		return "", notes, err
+		return "", gossip, err
 	}
 	defer t.Close()
 	u, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(ip, 0)))
 	if err != nil {
-		return "", notes, err
+		return "", gossip, err
 	}
 	defer u.Close()
 	return t.Addr().String(), u.LocalAddr().(*net.UDPAddr).AddrPort(), nil
 }
 
-// configure writes the file that the platform gives a relay.
+// configure creates the relay's state directory and writes its configuration file.
 func (p *process) configure(plan scenario.Plan, peers []string, servers []standin.Server) error {
-	if _, err := os.Stat(p.stateDir()); err == nil { // what its relays remember would be taken for this trial's
+	if _, err := os.Stat(p.stateDir()); err == nil { // state of an earlier run would change this one
 		return fmt.Errorf("%s is there from a trial before: choose another folder", p.stateDir())
 	}
 	if err := os.MkdirAll(p.stateDir(), 0o700); err != nil {
@@ -87,7 +87,7 @@
 	return os.WriteFile(p.configPath(), data, 0o600)
 }
 
-// writeOperatorFile writes an operator's file with so many relays in the fleet.
+// writeOperatorFile writes an appliance's file with size relays in the fleet.
 func (p *process) writeOperatorFile(size int) error {
 	return os.WriteFile(p.configPath(), []byte(p.operatorFile(size)), 0o600)
 }
@@ -102,7 +102,7 @@
 	return filepath.Join(p.dir, fmt.Sprintf("relay-%02d.log", p.index))
 }
 
-// start starts the process and waits until it serves.
+// start starts the process, unless it runs, and waits until it serves.
 func (p *process) start(ctx context.Context) error {
 	if p.cmd != nil {
 		return nil
@@ -116,18 +116,19 @@
 	if p.standalone {
 		cmd = exec.Command(p.program, "run", "--config", p.configPath())
 	}
-	cmd.Env = []string{"BALANCER_CONFIG=" + p.configPath(), "BALANCER_STATE=" + p.stateDir(), "TMPDIR=" + p.dir, "LARCHROUTER_LOG=" + os.Getenv("LARCHROUTER_LOG")}
+	cmd.Env = []string{"BALANCER_CONFIG=" + p.configPath(), "BALANCER_STATE=" + p.stateDir(), "TMPDIR=" + p.dir,
+		"LARCHROUTER_LOG=" + os.Getenv("LARCHROUTER_LOG")}
 	if p.fault != "" {
 		cmd.Env = append(cmd.Env, "LARCHROUTER_PLANT="+p.fault)
 	}
 	cmd.Stderr = logs
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the trial, however that ends
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no relay outlives this process
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	gone := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.exited, p.expectedUp, p.ready = cmd, gone, true, false
+	p.cmd, p.exited, p.expectedUp, p.ready = cmd, exited, true, false
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
@@ -136,16 +137,27 @@
 			p.recorder.addError(fmt.Sprintf("relay %d ended by itself: %v; its last words:\n%s", p.index, err, p.logTail()))
 		}
 		p.mu.Unlock()
-		close(gone)
+		close(exited)
 	}()
+	if err := p.waitServing(ctx, exited); err != nil {
+		return err
+	}
+	p.mu.Lock()
+	p.ready, p.readySince = true, p.recorder.now()
+	p.mu.Unlock()
+	return nil
+}
+
+// waitServing returns when the relay serves; with an error if it exits before, or does not serve in time.
+func (p *process) waitServing(ctx context.Context, exited <-chan struct{}) error {
 	for begin := time.Now(); ; {
 		if p.serving(ctx) {
-			break
+			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-gone:
+		case <-exited:
 			return fmt.Errorf("relay %d ended before it served:\n%s", p.index, p.logTail())
 		case <-time.After(readinessInterval):
 		}
@@ -153,13 +165,9 @@
 			return fmt.Errorf("relay %d does not serve within %v:\n%s", p.index, startTimeout, p.logTail())
 		}
 	}
-	p.mu.Lock()
-	p.ready, p.readySince = true, p.recorder.now()
-	p.mu.Unlock()
-	return nil
 }
 
-// pid is that of its process, 0 if it has none.
+// pid returns the process id, 0 if the relay does not run.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,7 +177,7 @@
 	return p.cmd.Process.Pid
 }
 
-// serving tells whether it says that it serves.
+// serving reports whether the relay answers that it is ready.
 func (p *process) serving(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -183,14 +191,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// logTail are the last lines of its log.
+// logTail returns the last lines of the relay's log.
 func (p *process) logTail() string {
 	data, _ := os.ReadFile(p.logPath())
 	lines := strings.Split(strings.TrimSpace(string(bytes.ToValidUTF8(data, nil))), "\n")
 	return strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-// recordReadySpan writes down that it ran until now.
+// recordReadySpan records that the relay was ready until now.
 func (p *process) recordReadySpan() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,23 +208,23 @@
 	}
 }
 
-// setPaused has it setPaused still, or go on.
-func (p *process) setPaused(still bool) {
-	if p.cmd == nil || p.stopped == still {
+// setPaused pauses the process with SIGSTOP, or resumes it with SIGCONT.
+func (p *process) setPaused(paused bool) {
+	if p.cmd == nil || p.stopped == paused {
 		return
 	}
-	if still {
+	if paused {
 		p.recordReadySpan()
 		p.cmd.Process.Signal(syscall.SIGSTOP)
 	} else {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 	p.mu.Lock()
-	p.stopped, p.readySince = still, p.recorder.now()
+	p.stopped, p.readySince = paused, p.recorder.now()
 	p.mu.Unlock()
 }
 
-// terminate ends it, and returns when it has.
+// terminate ends the process and returns when it has exited.
 func (p *process) terminate(term bool) {
 	if p.cmd == nil {
 		return
@@ -240,7 +248,7 @@
 	p.cmd = nil
 }
 
-// emptyDisk removes what a relay keeps.
+// emptyDisk removes the relay's state.
 func (p *process) emptyDisk() error {
 	p.mu.Lock()
 	p.diskEmptied = true
@@ -251,7 +259,7 @@
 	return os.MkdirAll(p.stateDir(), 0o700)
 }
 
-// drainBody reads an answer to its end, so that its connection can be used again.
+// drainBody reads a response to its end, so that its connection can be reused.
 func drainBody(r io.ReadCloser) {
 	io.Copy(io.Discard, io.LimitReader(r, 1<<16))
 	r.Close()
--- a/internal/relay/chaostest/report.go
+++ b/internal/relay/chaostest/report.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Text writes a report as people read it on a terminal. Others are the same scenario with other programs, for comparison.
+// Text writes a report for a terminal. Others are reports of the same scenario with other programs, for comparison.
 func Text(w io.Writer, r Report, others ...Report) {
 	fmt.Fprintf(w, "%s: %d relays, seed %d\n\n", r.Scenario, r.Relays, r.Seed)
 	all := append(slices.Clone(others), r)
@@ -56,7 +56,7 @@
 	}
 }
 
-// name is the program that was played.
+// name returns the program that was run.
 func (r Report) name() string {
 	if r.Program == "" {
 		return "the program"
@@ -64,7 +64,7 @@
 	return r.Program
 }
 
-// mark tells columns of several programs apart.
+// mark returns the suffix that distinguishes columns of several programs.
 func mark(i, n int) string {
 	if n == 1 {
 		return ""
@@ -72,7 +72,7 @@
 	return fmt.Sprintf(" [%d]", i+1)
 }
 
-// seconds are a figure of each second of a phase.
+// seconds returns a figure of each second of a phase.
 func seconds(r Report, p Summary, of func(Summary) float64) (all []string) {
 	for _, s := range r.Seconds {
 		if p.From <= s.From && s.From < p.To {
@@ -82,7 +82,7 @@
 	return all
 }
 
-// counts tells how many there are of each kind, in the order of their names.
+// counts formats counts in the order of their names.
 func counts(n map[string]int) string {
 	var all []string
 	for _, k := range slices.Sorted(maps.Keys(n)) {
@@ -91,8 +91,8 @@
 	return strings.Join(all, ", ")
 }
 
-// Settled is when the first second began from which on, until a time, each had a share at least of what could be delivered
-// in it; below 0 if there is none.
+// Settled returns the beginning of the first second from which on, until a time, Possible is at least share in every second;
+// below 0 if there is none.
 func (r Report) Settled(share float64, until time.Duration) time.Duration {
 	at := time.Duration(-1)
 	for _, s := range r.Seconds {
--- a/internal/relay/chaostest/scheduling.go
+++ b/internal/relay/chaostest/scheduling.go
@@ -8,19 +8,19 @@
 	"larchrouter/internal/starvation"
 )
 
-// SchedulingSample is what the machine let the trial's processes do for a span.
+// SchedulingSample is how long the run's processes waited for a processor in a span.
 type SchedulingSample struct {
 	From, Duration time.Duration
-	Waited         time.Duration // for a processor, by the thread that could have run and waited longest in all
-	TimerDelay     time.Duration // the trial's own timer fired so late
+	Waited         time.Duration // for a processor, by the runnable thread that waited longest in total
+	TimerDelay     time.Duration // delay of a timer in this process
 }
 
-// starved tells whether the machine had no room for the trial's processes. Relays have 300 ms from a message's time to its end,
-// and the rules of a trial are judged by the wall clock.
+// starved reports whether processes did not get the processor for too long. Relays have 300 ms from a message's deadline to its
+// notice, and the rules are checked by the wall clock.
 func (r SchedulingSample) starved() bool { return max(r.Waited, r.TimerDelay) >= starvation.Limit }
 
-// Starved is the worst look at which the machine had no room for the trial's processes. What such a trial finds may be the
-// machine's fault and not theirs.
+// Starved returns the worst sample in which processes were starved, if there is one. Findings of such a run may be due to the
+// machine's load.
 func (b *EventLog) Starved() (worst SchedulingSample, starved bool) {
 	for _, r := range b.Scheduling {
 		if r.starved() && max(r.Waited, r.TimerDelay) > max(worst.Waited, worst.TimerDelay) {
@@ -30,7 +30,7 @@
 	return worst, starved
 }
 
-// readAccount is the account of all threads of the relays and of the trial itself.
+// readAccount returns the waiting times of all threads of the relays and of this process.
 func (t *trial) readAccount() starvation.Account {
 	processes := []int{os.Getpid()}
 	for _, p := range t.fleet.all {
@@ -41,7 +41,7 @@
 	return starvation.Read(processes...)
 }
 
-// sampleScheduling writes down what the machine lets the trial's processes do.
+// sampleScheduling records how processes get the processor until the context ends.
 func (t *trial) sampleScheduling(ctx context.Context) {
 	last, before := t.recorder.now(), t.readAccount()
 	for {
@@ -51,8 +51,8 @@
 		}
 		late := time.Since(began) - starvation.Interval
 		now, after := t.recorder.now(), t.readAccount()
-		room := SchedulingSample{From: last, Duration: now - last, Waited: after.Longest(before), TimerDelay: late}
-		t.recorder.update(func(b *EventLog) { b.Scheduling = append(b.Scheduling, room) })
+		sample := SchedulingSample{From: last, Duration: now - last, Waited: after.Longest(before), TimerDelay: late}
+		t.recorder.update(func(b *EventLog) { b.Scheduling = append(b.Scheduling, sample) })
 		last, before = now, after
 	}
 }
--- a/internal/relay/chaostest/scheduling_test.go
+++ b/internal/relay/chaostest/scheduling_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxPlays     = 3               // of one trial
+	maxRuns      = 3               // of one trial
 	replayBudget = 3 * time.Minute // for the trials of this package that are played again
 )
 
@@ -32,14 +32,14 @@
 	for {
 		plays++
 		o := play()
-		if len(o.faults) == 0 || !o.starved || plays == maxPlays || !mayRepeat() {
+		if len(o.faults) == 0 || !o.starved || plays == maxRuns || !mayRepeat() {
 			return o.faults, plays
 		}
 	}
 }
 
-// judge plays a trial, and fails with the faults of the play that settled it.
-func judge(t *testing.T, play func() (*EventLog, []string)) {
+// assertNoFaults plays a trial, and fails with the faults of the play that settled it.
+func assertNoFaults(t *testing.T, play func() (*EventLog, []string)) {
 	t.Helper()
 	faults, plays := playUntilConclusive(func() playResult {
 		began := time.Now()
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestPlaysAreRepeatedForWantOfRoomAlone(t *testing.T) {
+func TestRunsRepeatOnlyWhenStarved(t *testing.T) {
 	clean, starvedClean := playResult{}, playResult{starved: true}
 	faulty, starvedFaulty := playResult{faults: []string{"x"}}, playResult{faults: []string{"y"}, starved: true}
 	for name, c := range map[string]struct {
--- a/internal/relay/chaostest/steps.go
+++ b/internal/relay/chaostest/steps.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/standin"
 )
 
-// runSteps carries the plan out.
+// runSteps executes the plan's steps at their times.
 func (t *trial) runSteps(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -47,11 +47,12 @@
 	}
 }
 
-// setHost has a host be as told.
+// setHost changes a host's behaviour.
 func (t *trial) setHost(do scenario.HostSet) error {
 	h := t.hosts[do.Partner][do.Host]
 	h.Scale(do.Factor)
-	h.Set(standin.Behaviour{Latency: t.plan.Scenario.Partners[do.Partner].Hosts[do.Host].Latency, Hang: do.Hang, Refuse: do.Wait > 0, Wait: do.Wait})
+	latency := t.plan.Scenario.Partners[do.Partner].Hosts[do.Host].Latency
+	h.Set(standin.Behaviour{Latency: latency, Hang: do.Hang, Refuse: do.Wait > 0, Wait: do.Wait})
 	if do.Down {
 		h.Down()
 		return nil
--- a/internal/relay/chaostest/summary.go
+++ b/internal/relay/chaostest/summary.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Summary is what was seen over a span. All but the counts are shares of what hosts took, or would have taken.
+// Summary is what was measured in a span.
 type Summary struct {
 	Name      string        `json:"name"`
 	From      time.Duration `json:"from_ns"`
 	To        time.Duration `json:"to_ns"`
-	Takes     float64       `json:"takes"`  // calls that hosts would have taken
-	Handed    int           `json:"handed"` // messages, at relays that ran
+	Takes     float64       `json:"takes"`  // hosts' capacity, in calls
+	Handed    int           `json:"handed"` // messages submitted at relays that were running
 	Calls     int           `json:"calls"`
 	Refused   int           `json:"refused"`
-	Delivered int           `json:"delivered"` // messages, in their time
-	Peak      float64       `json:"peak"`      // most calls in any window of a second, less the bursts, as a share of what hosts took in it
+	Delivered int           `json:"delivered"` // messages, before their deadline
+	Peak      float64       `json:"peak"`      // highest load of any second, as checker.peak has it
 }
 
-// Offered is the share of what hosts take that they were offered.
+// Offered returns the calls as a share of the hosts' capacity.
 func (s Summary) Offered() float64 { return ratio(float64(s.Calls), s.Takes) }
 
-// Served is the share of what hosts take that was delivered.
+// Served returns the delivered messages as a share of the hosts' capacity.
 func (s Summary) Served() float64 { return ratio(float64(s.Delivered), s.Takes) }
 
-// Possible is the share of what could be delivered that was: of what hosts take, or what was handed in if that is less.
+// Possible returns the delivered messages as a share of the hosts' capacity, or of the submitted messages if those are fewer.
 func (s Summary) Possible() float64 {
 	return ratio(float64(s.Delivered), min(s.Takes, float64(s.Handed)))
 }
@@ -38,7 +38,7 @@
 	return a / b
 }
 
-// countOutcomes counts messages by what their clients were countOutcomes in the end.
+// countOutcomes counts messages by outcome as their clients saw it. Its keys are part of reports.
 func (c *checker) countOutcomes() map[string]int {
 	n := map[string]int{}
 	for id, m := range c.Messages {
@@ -64,7 +64,7 @@
 	return n
 }
 
-// summarize counts over a span.
+// summarize measures a span.
 func (c *checker) summarize(from, to time.Duration) Summary {
 	s := Summary{From: from, To: to, Takes: c.capacity(-1, from, to)}
 	for _, k := range c.callsBetween(from, to) {
@@ -85,14 +85,14 @@
 	return s
 }
 
-// callsBetween are the calls of a span.
+// callsBetween returns the calls that arrived in a span.
 func (c *checker) callsBetween(from, to time.Duration) []Call {
 	i, _ := slices.BinarySearchFunc(c.Calls, from, func(k Call, t time.Duration) int { return cmp.Compare(k.Last, t) })
 	j, _ := slices.BinarySearchFunc(c.Calls, to, func(k Call, t time.Duration) int { return cmp.Compare(k.Last, t) })
 	return c.Calls[i:j]
 }
 
-// capacity is how many calls the hosts of a destination, or of all (-1), would have taken in a span.
+// capacity returns how many calls the hosts of a destination, or of all (-1), would have served in a span.
 func (c *checker) capacity(dest int, from, to time.Duration) (n float64) {
 	for _, k := range c.Capacity {
 		if over := min(to, k.From+k.Duration) - max(from, k.From); (dest < 0 || k.Dest == dest) && over > 0 && k.Duration > 0 {
@@ -102,8 +102,8 @@
 	return n
 }
 
-// peak is the most that any destination was offered in a window within a span, as a share of what its hosts took in it.
-// What they take at once after a rest is not counted.
+// peak returns the highest load of any destination in a window within a span, as a share of its hosts' capacity in the window.
+// A burst is subtracted from each window's calls.
 func (c *checker) peak(from, to time.Duration) (most float64) {
 	calls := c.callsBetween(from, to)
 	for dest := range c.Plan.Scenario.Partners {
@@ -125,7 +125,7 @@
 			if i+1 < len(calls) && calls[i+1].Last == k.Last || float64(n) <= burst {
 				continue
 			}
-			begin := k.Last - window // a call may come first in its window
+			begin := k.Last - window // the window may begin before the span
 			if room := c.capacity(dest, max(0, begin), k.Last); room > 0 {
 				most = max(most, (float64(n)-burst)/room)
 			}
--- a/internal/relay/chaostest/trial.go
+++ b/internal/relay/chaostest/trial.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/standin"
 )
 
-// trial is one that is played.
+// trial is a scenario's run.
 type trial struct {
 	plan     scenario.Plan
 	options  Options
@@ -27,17 +27,39 @@
 	closed   bool
 }
 
-// startAll starts all that takes part.
+// startAll starts hosts, agents, links and relays, and returns when the relays serve.
 func (t *trial) startAll(ctx context.Context) error {
-	s := t.plan.Scenario
 	t.effects = standin.NewLedger(15 * time.Second)
-	var servers []standin.Server
+	servers, err := t.startHosts()
+	if err != nil {
+		return err
+	}
+	all, addrs, err := t.newProcesses(servers)
+	if err != nil {
+		return err
+	}
+	if t.links, err = newLinks(addrs, t.plan.Seed, t.recorder.now); err != nil {
+		return err
+	}
+	peers := t.links.peers()
+	for _, p := range all {
+		if err := p.configure(t.plan, peers, servers); err != nil {
+			return err
+		}
+	}
+	t.fleet = newFleet(all, t.recorder)
+	return t.fleet.start(ctx, t.plan.InitialRelays())
+}
+
+// startHosts starts the partners' hosts and returns them as the platform's list.
+func (t *trial) startHosts() (servers []standin.Server, err error) {
+	s := t.plan.Scenario
 	for dest, p := range s.Partners {
 		t.hosts = append(t.hosts, nil)
 		for _, h := range p.Hosts {
 			host, err := standin.NewHost(p.Name+"/"+h.Name, "here", t.effects, standin.Behaviour{Latency: h.Latency}, true)
 			if err != nil {
-				return err
+				return nil, err
 			}
 			l := standin.Limit{Rate: h.Rate, Burst: h.Burst, Debt: h.Debt, AtOnce: h.MaxConcurrent, Wait: h.RetryAfter}
 			if h.ColdStart {
@@ -45,43 +67,36 @@
 			}
 			host.SetLimit(l)
 			t.hosts[dest] = append(t.hosts[dest], host)
-			servers = append(servers, standin.Server{ID: "s-" + p.Name + "-" + h.Name, Addr: host.Addr(), Zone: "here", Kind: "partner", Cell: dest,
-				State: "active", Weight: 1})
+			servers = append(servers, standin.Server{ID: "s-" + p.Name + "-" + h.Name, Addr: host.Addr(), Zone: "here",
+				Kind: "partner", Cell: dest, State: "active", Weight: 1})
 		}
 	}
-	var all []*process
-	var notes []netip.AddrPort
+	return servers, nil
+}
+
+// newProcesses starts an agent for each relay and returns the relays, which do not run yet, and their gossip addresses.
+func (t *trial) newProcesses(servers []standin.Server) (all []*process, addrs []netip.AddrPort, err error) {
 	net8 := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
 	for i := range t.plan.Relays {
 		listen, at, err := reserveAddresses(net8, i)
 		if err != nil {
-			return fmt.Errorf("an address for relay %d: %w", i, err)
+			return nil, nil, fmt.Errorf("an address for relay %d: %w", i, err)
 		}
 		agent, err := standin.NewAgent(servers, func(id, status string) { t.recordNotice(id, status) })
 		if err != nil {
-			return err
+			return nil, nil, err
 		}
 		t.agents = append(t.agents, agent)
-		notes = append(notes, at)
+		addrs = append(addrs, at)
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight, IdleConnTimeout: 2 * time.Second,
 			DialContext: (&net.Dialer{Timeout: answerTimeout}).DialContext}}
-		all = append(all, &process{index: i, standalone: s.Appliances, program: t.options.Program, fault: t.options.Fault, dir: t.options.Dir, listen: listen, gossipAddr: at, agent: agent, recorder: t.recorder, client: client})
-	}
-	var err error
-	if t.links, err = newLinks(notes, t.plan.Seed, t.recorder.now); err != nil {
-		return err
+		all = append(all, &process{index: i, standalone: t.plan.Scenario.Appliances, program: t.options.Program, fault: t.options.Fault,
+			dir: t.options.Dir, listen: listen, gossipAddr: at, agent: agent, recorder: t.recorder, client: client})
 	}
-	peers := t.links.peers()
-	for _, p := range all {
-		if err := p.configure(t.plan, peers, servers); err != nil {
-			return err
-		}
-	}
-	t.fleet = newFleet(all, t.recorder)
-	return t.fleet.start(ctx, t.plan.InitialRelays())
+	return all, addrs, nil
 }
 
-// recordNotice writes down a notice.
+// recordNotice records an agent's notice of a message's outcome.
 func (t *trial) recordNotice(id, status string) {
 	now := t.recorder.now()
 	t.recorder.update(func(b *EventLog) {
@@ -93,12 +108,12 @@
 	})
 }
 
-// play plays the plan.
+// play executes the plan and returns when all messages are due.
 func (t *trial) play(ctx context.Context) error {
 	time.Sleep(warmup)
 	shift := t.recorder.now()
 	t.recorder.restartClock()
-	for _, p := range t.fleet.all { // they began to live before the trial's time
+	for _, p := range t.fleet.all { // they were ready before the clock was restarted
 		p.mu.Lock()
 		p.readySince -= shift
 		p.mu.Unlock()
@@ -112,7 +127,7 @@
 	wg.Go(func() { t.sampleScheduling(ctx) })
 	c := &clients{plan: t.plan, fleet: t.fleet, recorder: t.recorder}
 	c.run(ctx)
-	rest := time.Duration(0) // what is held has until its time is up
+	rest := time.Duration(0) // the longest time that a pending message has
 	for _, p := range t.plan.Scenario.Partners {
 		for _, l := range p.Loads {
 			rest = max(rest, l.Timeout)
@@ -128,7 +143,7 @@
 	return err
 }
 
-// sleep waits, unless the context ends.
+// sleep waits and reports whether the context did not end meanwhile.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -140,7 +155,7 @@
 	}
 }
 
-// sampleCapacity writes down what hosts take.
+// sampleCapacity records the hosts' capacity until the context ends.
 func (t *trial) sampleCapacity(ctx context.Context) {
 	last := t.recorder.now()
 	for sleep(ctx, sampleInterval) {
@@ -161,19 +176,20 @@
 	}
 }
 
-// reportProgress tells how it goes, every second.
+// reportProgress reports the counts of each second until the context ends.
 func (t *trial) reportProgress(ctx context.Context) {
 	handed, effects := 0, 0
 	for n := 1; sleep(ctx, time.Duration(n)*time.Second-t.recorder.now()); n++ {
 		var now int
 		t.recorder.update(func(b *EventLog) { now = len(b.Messages) })
 		done, _ := t.effects.Total()
-		t.options.Progress(fmt.Sprintf("%4ds  %-16s handed in %4d  delivered %4d", n, t.plan.Phases[t.plan.PhaseAt(time.Duration(n)*time.Second-1)].Name, now-handed, done-effects))
+		phase := t.plan.Phases[t.plan.PhaseAt(time.Duration(n)*time.Second-1)].Name
+		t.options.Progress(fmt.Sprintf("%4ds  %-16s handed in %4d  delivered %4d", n, phase, now-handed, done-effects))
 		handed, effects = now, done
 	}
 }
 
-// close ends all that runs.
+// close stops everything and returns when it has. Later calls do nothing.
 func (t *trial) close() {
 	if t.closed {
 		return
@@ -197,7 +213,7 @@
 	}
 }
 
-// collectCalls takes the hosts' books over.
+// collectCalls copies the hosts' calls and the counts of the links to the event log.
 func (t *trial) collectCalls() {
 	b := t.recorder.log
 	for dest, hosts := range t.hosts {
@@ -205,7 +221,8 @@
 			_, falls := h.Takes()
 			b.ColdOverloads += falls
 			for _, c := range h.Calls() {
-				b.Calls = append(b.Calls, Call{dest, i, c.ID, t.recorder.since(c.First), t.recorder.since(c.Last), c.Status, c.Wait, c.Applied})
+				b.Calls = append(b.Calls, Call{dest, i, c.ID, t.recorder.since(c.First), t.recorder.since(c.Last),
+					c.Status, c.Wait, c.Applied})
 			}
 		}
 	}
