--- a/internal/relay/chaostest/appliance_test.go
+++ b/internal/relay/chaostest/appliance_test.go
@@ -50,7 +50,7 @@
 }
 phase "healed" { for = "2s" }`
 
-// A limit that was told holds for relays of their own, whatever becomes of links and relays.
+// Appliances keep a configured limit under faults of links and relays.
 func TestConfiguredLimitHolds(t *testing.T) {
 	t.Parallel()
 	runScenario(t, configuredLimit, func(r Report) error {
@@ -101,7 +101,7 @@
   }
 }`
 
-// What an operator says at one relay binds all that a chain of links joins to it, in time.
+// A drain at one relay takes effect in time at all relays that a path of links connects to it.
 func TestFleetObeysDrain(t *testing.T) {
 	t.Parallel()
 	runScenario(t, drainCommands, func(r Report) error {
@@ -112,14 +112,17 @@
 	})
 }
 
-// Both are shown to fail: where each relay takes a told limit for its own, and where a word is recorded and not carried out.
+// Planted faults are found: each relay uses the whole configured limit; an override is recorded and not applied.
 func TestPlantedApplianceFaultsAreFound(t *testing.T) {
 	t.Parallel()
 	program, err := testbin.Planted()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for fault, c := range map[string]struct{ text, rule string }{faultinject.Contract: {configuredLimit, "told"}, faultinject.Word: {drainCommands, "stale"}} {
+	for fault, c := range map[string]struct{ text, rule string }{
+		faultinject.Contract: {configuredLimit, "told"},
+		faultinject.Word:     {drainCommands, "stale"},
+	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			s, err := scenario.Parse([]byte(c.text), fault)
@@ -141,7 +144,7 @@
 	}
 }
 
-// Who could have known of a word, and since when: over links that worked, from relays that ran.
+// An update reaches relays over links that work, from relays that run.
 func TestReachableSince(t *testing.T) {
 	s, err := scenario.Parse([]byte(strings.Replace(drainCommands, "relays = 4", "relays = 5", 1)+`
 phase "chain" {
@@ -155,7 +158,7 @@
 	for i := range 5 {
 		b.Runs = append(b.Runs, ReadySpan{Relay: i, To: b.End})
 	}
-	b.Runs[3].To = 8500 * time.Millisecond // it is gone in the chain
+	b.Runs[3].To = 8500 * time.Millisecond // it does not run in the phase "chain"
 	sec := time.Second
 	for at, want := range map[time.Duration]string{
 		1 * sec: "[1s 1s 1s 1s 1s]",
--- a/internal/relay/chaostest/chaostest_test.go
+++ b/internal/relay/chaostest/chaostest_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { testbin.Main(leakCheck{m}) }
 
-// leakCheck finds goroutines that tests left behind.
+// leakCheck fails a run of tests that leaks goroutines.
 type leakCheck struct{ m *testing.M }
 
 func (l leakCheck) Run() int {
@@ -37,8 +37,9 @@
 	return code
 }
 
-// runScenario plays a scenario with real processes, logs what was seen, and fails with what was found and with the check's error.
+// runScenario runs a scenario with real processes, logs its report, and fails with the findings and the check's error.
 func runScenario(t *testing.T, text string, check func(r Report) error) {
+	t.Helper()
 	s, err := scenario.Parse([]byte(text), t.Name())
 	if err != nil {
 		t.Fatal(err)
@@ -91,9 +92,9 @@
 }
 `
 
-// Guards against a fleet that waits for a steward that stands still, and against one that goes on as if no time had
-// passed. What is wanted changes more often than a steward may take to answer. Bounds are wide: sixteen processes may
-// share two cores with other tests.
+// Guards against a fleet that waits for a paused coordinator, and against a coordinator that resumes as if no time had passed.
+// Demand changes more often than a coordinator may take to answer. Bounds are wide: sixteen processes may share two cores with
+// other tests.
 func TestPausedCoordinatorDoesNotStarveFleet(t *testing.T) {
 	runScenario(t, strings.NewReplacer("rate   = 120", "rate   = 480", "rate   = 30", "rate   = 80").Replace(sixteenRelays)+`
 phase "whole" { for = "3s" }
@@ -119,7 +120,7 @@
 	})
 }
 
-// Relays that are killed, emptied and cut off, with agents that are silent, lose and repeat nothing.
+// Relays that are killed, lose their disk or are partitioned, with unresponsive agents, lose and repeat no message.
 func TestFaultsLoseAndRepeatNothing(t *testing.T) {
 	runScenario(t, sixteenRelays+`
 phase "whole" { for = "1s" }
@@ -190,7 +191,7 @@
   }
 }`
 
-// All sides of a cut together keep to the limit, so that nothing is refused, and all go on.
+// All sides of a partition together keep the limit, so that hosts reject nothing, and all make progress.
 func TestPartitionKeepsRateLimit(t *testing.T) {
 	runScenario(t, fourSides, func(r Report) error {
 		if got := r.Seconds[len(r.Seconds)-1].Served(); got < 0.5 {
@@ -200,8 +201,7 @@
 	})
 }
 
-// That is shown to fail when a steward goes on granting on pledges that have lapsed: one side grants all of the limit, the
-// others their parts.
+// The check finds a coordinator that grants calls on expired pledges: one side grants all of the limit, the others their shares.
 func TestPlantedExpiredLeaseIsFound(t *testing.T) {
 	s, err := scenario.Parse([]byte(fourSides), t.Name())
 	if err != nil {
@@ -223,14 +223,15 @@
 	})
 }
 
-// Without notes to lose there is nothing to share: each relay sees its own calls, and the rules hold.
+// The rules hold in a small fleet without faults.
 func TestThreeRelays(t *testing.T) {
 	runScenario(t, strings.Replace(sixteenRelays, "relays = 16", "relays = 3", 1)+`phase "whole" { for = "1s" }`, nil)
 }
 
-// A trial that is interrupted leaves no process behind, and says so.
+// An interrupted run returns the error of its context and leaves no process.
 func TestInterruptedRunLeavesNoProcess(t *testing.T) {
-	s, err := scenario.Parse([]byte(strings.Replace(sixteenRelays, "relays = 16", "relays = 3", 1)+"phase \"whole\" {\n for = \"1m\"\n stop { relays = 1 }\n}"), "s")
+	text := strings.Replace(sixteenRelays, "relays = 16", "relays = 3", 1) + "phase \"whole\" {\n for = \"1m\"\n stop { relays = 1 }\n}"
+	s, err := scenario.Parse([]byte(text), "s")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +253,7 @@
 	}
 }
 
-// What cannot be played says why, and leaves nothing.
+// A run that cannot start returns the cause and leaves nothing.
 func TestRunErrors(t *testing.T) {
 	s, err := scenario.Parse([]byte(sixteenRelays+`phase "whole" { for = "1s" }`), "s")
 	if err != nil {
--- a/internal/relay/chaostest/check_test.go
+++ b/internal/relay/chaostest/check_test.go
@@ -15,7 +15,7 @@
 	sec = time.Second
 )
 
-// cleanHistory is a clean book of two relays over 10 s: 40 messages a second for a host that takes 50.
+// cleanHistory returns an event log of two relays over 10 s without findings: 40 messages per second for a host that serves 50.
 func cleanHistory(t *testing.T) *EventLog {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`
@@ -56,17 +56,17 @@
 	return b
 }
 
-// makeUndelivered has a message never be sent on.
+// makeUndelivered removes all calls of a message.
 func makeUndelivered(b *EventLog, id string) *Message {
 	b.Calls = slices.DeleteFunc(b.Calls, func(k Call) bool { return k.ID == id })
 	return b.Messages[id]
 }
 
-// Each checker finds what was planted, and nothing else; what is lawful is not found.
+// Each check finds the planted fault and nothing else; histories that are correct and look like a fault are not found.
 func TestPlantedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		plant func(b *EventLog)
-		want  string // rules found, in order
+		want  string // rules of the findings, in order
 	}{
 		"clean": {func(b *EventLog) {}, ""},
 		"a payment applied twice": {func(b *EventLog) {
@@ -85,7 +85,7 @@
 			m.Notices = []Notice{{m.Sent + 3400*ms, "deferred"}}
 		}, "late"},
 		"a late end, as the relay stood still": {func(b *EventLog) {
-			m := makeUndelivered(b, "m050") // relay 0, taken on at 1.25 s
+			m := makeUndelivered(b, "m050") // relay 0, accepted at 1.25 s
 			m.Notices = []Notice{{7 * sec, "deferred"}}
 			b.Runs[0].To = 2 * sec
 			b.Runs = append(b.Runs, ReadySpan{0, 6 * sec, 15 * sec, false})
@@ -105,7 +105,7 @@
 		"no answer and no end": {func(b *EventLog) { makeUndelivered(b, "m050").Status = 0 }, ""},
 		"a call within a told wait": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
-		}, "wait wait wait wait wait wait (more)"}, // the history goes on regardless
+		}, "wait wait wait wait wait wait (more)"}, // later calls of the history are in the retry-after too
 		"the same of another relay": {func(b *EventLog) {
 			for i := range b.Calls { // relay 0 pauses
 				if k := &b.Calls[i]; b.Messages[k.ID].Relay == 0 && k.First > 1300*ms && k.First < 1800*ms {
@@ -159,7 +159,7 @@
 	}
 }
 
-// The figures of a history are those that it was made with, in the table and in the page.
+// The figures of a history are as it was built, in the report, the table and the page.
 func TestReportFigures(t *testing.T) {
 	b := cleanHistory(t)
 	r := Check(b)
@@ -191,7 +191,7 @@
 	}
 }
 
-// Every built-in scenario can be read, and says what is expected.
+// Every built-in scenario is valid and has expectations.
 func TestBuiltIn(t *testing.T) {
 	for _, name := range BuiltIn() {
 		data, err := Scenario(name)
--- a/internal/relay/chaostest/scheduling_test.go
+++ b/internal/relay/chaostest/scheduling_test.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	maxRuns      = 3               // of one trial
-	replayBudget = 3 * time.Minute // for the trials of this package that are played again
+	maxRuns      = 3               // of one scenario
+	replayBudget = 3 * time.Minute // for repeated runs of all tests of this package
 )
 
-// replays is the time that was spent on trials played again.
+// replays is the time that was spent on repeated runs.
 var replays struct {
 	sync.Mutex
 	spent time.Duration
 }
 
-// playResult is what one play of a trial came to.
+// playResult is the result of one run of a scenario.
 type playResult struct {
 	faults  []string
-	starved bool // the trial measured that the machine had no room for its processes
+	starved bool // the run measured that its processes did not get the processor
 }
 
-// playUntilConclusive plays until a play has no fault, or has faults that the machine cannot be blamed for, and returns its faults. A
-// play is repeated only where the trial itself measured that its processes did not get the processor, and not for ever.
+// playUntilConclusive runs a scenario until a run has no fault, or has faults that are not due to the machine's load, and returns the
+// faults of the last run. A run is repeated only if it measured itself that it was starved, at most maxRuns times.
 func playUntilConclusive(play func() playResult, mayRepeat func() bool) (faults []string, plays int) {
 	for {
 		plays++
@@ -38,7 +38,7 @@
 	}
 }
 
-// assertNoFaults plays a trial, and fails with the faults of the play that settled it.
+// assertNoFaults runs a scenario and fails with the faults of the last run.
 func assertNoFaults(t *testing.T, play func() (*EventLog, []string)) {
 	t.Helper()
 	faults, plays := playUntilConclusive(func() playResult {
@@ -52,7 +52,7 @@
 		if starved && len(faults) > 0 {
 			t.Logf("faults of a play without room: %s", strings.Join(faults, "; "))
 			replays.Lock()
-			replays.spent += time.Since(began) // another play takes as long
+			replays.spent += time.Since(began) // the next run takes as long
 			replays.Unlock()
 		}
 		return playResult{faults, starved}
@@ -96,11 +96,13 @@
 		rooms []SchedulingSample
 		worst int // -1 for none
 	}{
-		"never looked":         {nil, -1},
-		"room":                 {[]SchedulingSample{{Waited: starvation.Limit - 1, TimerDelay: starvation.Limit - 1}}, -1},
-		"a thread waited":      {[]SchedulingSample{{}, {From: 1, Waited: starvation.Limit}}, 1},
-		"the timer was late":   {[]SchedulingSample{{From: 2, TimerDelay: starvation.Limit}, {}}, 0},
-		"the worst of several": {[]SchedulingSample{{Waited: starvation.Limit}, {From: 3, TimerDelay: 2 * starvation.Limit}, {Waited: starvation.Limit}}, 1},
+		"never looked":       {nil, -1},
+		"room":               {[]SchedulingSample{{Waited: starvation.Limit - 1, TimerDelay: starvation.Limit - 1}}, -1},
+		"a thread waited":    {[]SchedulingSample{{}, {From: 1, Waited: starvation.Limit}}, 1},
+		"the timer was late": {[]SchedulingSample{{From: 2, TimerDelay: starvation.Limit}, {}}, 0},
+		"the worst of several": {[]SchedulingSample{
+			{Waited: starvation.Limit}, {From: 3, TimerDelay: 2 * starvation.Limit}, {Waited: starvation.Limit},
+		}, 1},
 	} {
 		worst, starved := (&EventLog{Scheduling: c.rooms}).Starved()
 		if starved != (c.worst >= 0) || starved && worst != c.rooms[c.worst] {
