--- a/internal/relay/simulation/route.go
+++ b/internal/relay/simulation/route.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"time"
-
-	"larchrouter/choice"
 )
 
 func hostName(dest, i int) string { return fmt.Sprintf("d%d-%d", dest, i) }
@@ -93,59 +91,6 @@
 	return min(1, rules.ColdFrom+(1-rules.ColdFrom)*(w.now-x.recoveredAt).Seconds()/rules.Cold.Seconds())
 }
 
-// call carries a call to a route and its answer back.
-func (r *relay) call(host string, c *call) {
-	w := r.world
-	x := w.routes[host]
-	began := w.now
-	life := r.incarnation
-	back := func(after time.Duration, o choice.Outcome, wait time.Duration) {
-		w.after(after, func() {
-			if r.incarnation == life && r.up {
-				r.callEnded(c, host, o, began, wait)
-			}
-		})
-	}
-	for _, s := range c.members {
-		w.after(s.Timeout, func() {
-			if r.incarnation == life && r.up && !c.done {
-				r.callEnded(c, host, choice.Timeout, began, 0)
-			}
-		})
-	}
-	w.after(oneWayDelay, func() {
-		switch {
-		case x.outages > 0 && x.refuseConnections:
-			back(oneWayDelay, choice.NoConnection, 0)
-			return
-		case x.outages > 0 || x.overloaded:
-			back(dialTimeout-oneWayDelay, choice.NoConnection, 0)
-			return
-		}
-		w.result.Calls++
-		w.result.ByDest[x.dest].Calls++
-		w.countColdCall(x, r.index)
-		if !w.admit(x) {
-			w.result.OverLimit++
-			w.result.ByDest[x.dest].OverLimit++
-			var wait time.Duration
-			if w.random.Float64() < x.RetryAfterShare {
-				wait = max(x.MinRetryAfter, time.Duration((1-x.tokens)/(x.Limit*x.limitFactor*w.capacity(x))*float64(time.Second)))
-				w.result.RetryAfters++
-			}
-			back(oneWayDelay, choice.Refused, wait)
-			return
-		}
-		took := x.ServiceTime/2 + w.exponential(x.ServiceTime/2)
-		w.after(took, func() {
-			for _, s := range c.members {
-				w.served(s.ID)
-			}
-		})
-		back(took+oneWayDelay, choice.Served, 0)
-	})
-}
-
 // admit tells whether the limit has room. A call that is refused uses it up as well.
 func (w *world) admit(x *route) bool {
 	x.tokens = min(x.Burst, x.tokens+x.Limit*x.limitFactor*w.capacity(x)*(w.now-x.refilledAt).Seconds())
@@ -183,35 +128,3 @@
 		}
 	}
 }
-
-// callEnded hands a relay the end of a call.
-func (r *relay) callEnded(c *call, host string, o choice.Outcome, began, wait time.Duration) {
-	if c.done {
-		return
-	}
-	c.done = true
-	w := r.world
-	if x := w.routes[c.members[0].Host]; x.outages > 0 && o != choice.Served && o != choice.Cancelled {
-		x.sawOutage[r.index] = true
-	}
-	var ends []choice.Event
-	for _, s := range c.members {
-		if r.calls[s.ID] == c {
-			delete(r.calls, s.ID)
-		}
-		switch o {
-		case choice.Served:
-			delete(r.pending, s.ID)
-		case choice.Timeout, choice.Cancelled:
-			r.mayHaveRun(s.ID)
-		}
-		if host == "" {
-			host = s.Host
-		}
-		ends = append(ends, choice.Result{ID: s.ID, Host: s.Host, Outcome: o, Took: w.now - began, Wait: wait, Done: o == choice.Served})
-	}
-	if wait > 0 {
-		r.retryAfter[host] = max(r.retryAfter[host], w.now+wait)
-	}
-	r.step(ends...)
-}
