--- a/internal/relay/loadbench/clients.go
+++ b/internal/relay/loadbench/clients.go
@@ -15,24 +15,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// load is what clients do: each hands in one message after the other, or so many a second together.
+// load is a load of clients, each with one request in flight.
 type load struct {
 	addr     string
 	clients  int
-	rate     float64        // messages a second of all clients together; 0 for as many as get answers
-	dests    func() int     // where the next message goes
+	rate     float64        // messages per second of all clients; 0 for no pause between requests
+	dests    func() int     // returns the next message's destination
 	deadline time.Duration  // of a message
-	dueAt    time.Time      // of all messages, instead
+	dueAt    time.Time      // deadline of all messages, in place of a relative one
 	body     int            // bytes
 	prefix   string         // of ids
-	lastID   *atomic.Uint64 // of the last message
+	lastID   *atomic.Uint64 // of the last message; ids are unique in a site
 }
 
-// responseCounts counts what clients were told.
+// responseCounts counts clients' responses.
 type responseCounts struct {
 	accepted, rejected, failed int64
-	latency                    *hdrhistogram.Histogram // of what was taken on, in microseconds
-	slowest                    time.Duration           // of any answer
+	latency                    *hdrhistogram.Histogram // of accepted messages, in microseconds
+	slowest                    time.Duration           // response of all
 }
 
 func newResponseCounts() *responseCounts {
@@ -45,14 +45,14 @@
 	a.slowest = max(a.slowest, b.slowest)
 }
 
-// classes of the messages, with the share of each.
+// classes are the classes of messages, with the share of each.
 var classes = []struct {
 	name  string
 	share float64
 	key   bool
 }{{"status-update", 0.6, false}, {"job-order", 0.3, true}, {"payment", 0.1, false}}
 
-// run hands in messages for a span, or so many if most is above 0. It ends in time also when nobody answers.
+// run submits messages for a span; if most is above 0, at most that many. It ends in time also without responses.
 func (l *load) run(span time.Duration, most int64) *responseCounts {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -66,7 +66,7 @@
 			var in *bufio.Reader
 			begin := time.Now()
 			for n := 0; ; n++ {
-				if l.rate > 0 { // an even share for each client, at times by chance
+				if l.rate > 0 { // an equal share for each client, with jitter
 					at := begin.Add(time.Duration((float64(n) + r.Float64()) * float64(l.clients) / l.rate * float64(time.Second)))
 					time.Sleep(time.Until(at))
 				}
@@ -100,7 +100,7 @@
 	return all
 }
 
-// sendOne hands in sendOne message, and tells whether the connection is of further use.
+// sendOne submits one message and reports whether the connection can be reused.
 func (l *load) sendOne(conn net.Conn, in *bufio.Reader, own *responseCounts, r *rand.Rand) bool {
 	k := 0
 	for x := r.Float64() - classes[0].share; x > 0 && k < len(classes)-1; x -= classes[k].share {
--- a/internal/relay/loadbench/loadbench.go
+++ b/internal/relay/loadbench/loadbench.go
@@ -1,19 +1,15 @@
-// Package loadbench measures the real program under load: one relay as a process on a core of its own, stand-in
-// partners, a stand-in platform and clients on loopback. Each scenario is a ratio to the same site in calm, in
-// the same run on the same machine; a plain reverse proxy on the same core stands beside them.
+// Package loadbench measures the real program under load: one relay as a process on a core of its own, with stand-in partners, a
+// stand-in platform and clients on loopback. The caller compares each scenario with the same site without faults, measured in the
+// same run on the same machine, and with a plain reverse proxy on the same core.
+//
+// Run measures one scenario; runs must not overlap. The JSON keys of Figures and Scenario are those of stored results: a renamed
+// field keeps its old name in its tag.
 package loadbench
 
 import (
-	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
-	"net/http"
-	"os"
-	"path/filepath"
-	"sync/atomic"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -21,190 +17,54 @@
 	"larchrouter/internal/standin"
 )
 
-// Scenario is a site and the trouble that some of its destinations are in.
+// Scenario is a site and the fault of some of its destinations.
 type Scenario struct {
 	Name       string
 	Dests      int
 	Fault      string  `json:"Trouble"` // "", refuse, hang, slow or wait
 	FaultShare float64 `json:"Share"`   // of the destinations
-	Backlog    int     `json:"Held"`    // messages handed in beforehand, for destinations that tell to wait
-	MaxPending int     `json:"Room"`    // for messages held, if above that of the options
-	Recover    bool    `json:"Return"`  // those in trouble are well again when the measurement begins
-	DueAtOnce  bool    `json:"Due"`     // what is held beforehand falls due at one instant, amid the measurement
-	DiskMB     float64 `json:"Disk"`    // MB for the journal, if not so many that it is hardly ever compacted
-	Proxy      bool    // a plain reverse proxy in the relay's place
+	Backlog    int     `json:"Held"`    // messages submitted before the measurement, for destinations with a long retry-after
+	MaxPending int     `json:"Room"`    // used if above that of the options
+	Recover    bool    `json:"Return"`  // faulty destinations are healthy again when the measurement begins
+	DueAtOnce  bool    `json:"Due"`     // the backlog has one deadline for all, within the measurement
+	DiskMB     float64 `json:"Disk"`    // for the journal; 0 for enough to avoid compaction
+	Proxy      bool    // measures a plain reverse proxy in place of the relay
 }
 
-// Options of a run.
+// Options apply to all scenarios.
 type Options struct {
-	Program    string // path of the program
-	Self       string // path of this program, which is the reverse proxy too
-	Dir        string // for state
-	Span       time.Duration
-	Clients    int
-	Rate       float64 // messages a second of all clients; 0 for as many as are answered
-	Deadline   time.Duration
-	Body       int // bytes
-	MaxPending int // messages that the relay holds at most
-	Slots      int
+	Program    string        // path of the program
+	Self       string        // path of this program, which can run as the reverse proxy (Proxy)
+	Dir        string        // for state
+	Span       time.Duration // of a measurement, after a warm-up of half of it
+	Clients    int           // each with one request in flight
+	Rate       float64       // messages per second of all clients; 0 for no pause between requests
+	Deadline   time.Duration // of a message
+	Body       int           // bytes of a message
+	MaxPending int           // messages pending in the relay
+	Slots      int           // calls in flight
 }
 
-// Figures of one scenario.
+// Figures are the measurements of one scenario. Rates are per second.
 type Figures struct {
 	Scenario         Scenario
-	Accepted         float64 `json:"Taken"`   // messages taken on, a second
-	Rejected         float64 `json:"Refused"` // messages refused, a second
-	Failed           int64   // requests with no answer, or an error
-	CPUPerAccepted   float64 `json:"CPU"`     // microseconds for each message taken on
-	CPUPerRequest    float64 `json:"PerAsk"`  // microseconds for each request answered
-	CPUPerDelivery   float64 `json:"PerDone"` // microseconds for each message delivered
-	P50              time.Duration
-	P99              time.Duration // of the answers 202
-	Max              time.Duration // of any answer
-	HealthyDelivered float64       `json:"Healthy"` // messages delivered to a destination without trouble, a second, in the mean
-	Delivered        float64       // in all, a second
-	Backlog          int           `json:"Held"`   // messages that were held beforehand, as asked for
-	MemoryMB         float64       `json:"Memory"` // MB resident at the end
-	LateNotices      int           `json:"Late"`   // messages due at one instant whose end was told more than 300 ms after it
+	Accepted         float64       `json:"Taken"`   // messages accepted
+	Rejected         float64       `json:"Refused"` // messages rejected
+	Failed           int64         // requests without a response, or with an error
+	CPUPerAccepted   float64       `json:"CPU"`     // microseconds
+	CPUPerRequest    float64       `json:"PerAsk"`  // microseconds per accepted or rejected request
+	CPUPerDelivery   float64       `json:"PerDone"` // microseconds
+	P50              time.Duration // latency of accepting responses
+	P99              time.Duration
+	Max              time.Duration // latency of any response
+	HealthyDelivered float64       `json:"Healthy"` // messages delivered, mean of the healthy destinations
+	Delivered        float64       // messages delivered, to all destinations
+	Backlog          int           `json:"Held"`   // messages that were accepted before the measurement
+	MemoryMB         float64       `json:"Memory"` // resident at the end
+	LateNotices      int           `json:"Late"`   // with DueAtOnce: messages without a notice 300 ms after the deadline
 }
 
-const (
-	healthyLatency    = time.Millisecond // of a partner that is well
-	slowLatency       = 2 * time.Second
-	retryAfter        = 5 * time.Second // by one that tells to wait
-	backlogRetryAfter = 10 * time.Minute
-)
-
-// site is a relay among stand-ins.
-type site struct {
-	options      Options
-	program      *process
-	addr         string
-	hosts        []*standin.Host
-	healthy      *standin.Ledger
-	faulty       *standin.Ledger
-	backlogDests int // destinations for what is held beforehand, behind the others
-	agent        *standin.Platform
-	lastID       atomic.Uint64
-}
-
-// maxBacklogDests is how many destinations share what is held beforehand.
-const maxBacklogDests = 16
-
-func newSite(s Scenario, o Options, core int) (_ *site, err error) {
-	w := &site{options: o, healthy: standin.NewLedger(time.Second), faulty: standin.NewLedger(time.Second)}
-	defer func() {
-		if err != nil {
-			w.close()
-		}
-	}()
-	if s.Backlog > 0 {
-		w.backlogDests = maxBacklogDests
-	}
-	var list []standin.Server
-	for d := range s.Dests + w.backlogDests {
-		how, ledger := standin.Behaviour{Latency: healthyLatency}, w.healthy
-		if float64(d) < s.FaultShare*float64(s.Dests) {
-			ledger = w.faulty
-			switch s.Fault {
-			case "hang":
-				how = standin.Behaviour{Hang: true}
-			case "slow":
-				how = standin.Behaviour{Latency: slowLatency}
-			case "wait":
-				how = standin.Behaviour{Refuse: true, Wait: retryAfter}
-			}
-		}
-		if d >= s.Dests {
-			how, ledger = standin.Behaviour{Refuse: true, Wait: backlogRetryAfter}, w.faulty
-		}
-		id := fmt.Sprintf("s-%d", d)
-		h, err := standin.NewHost(id, "a", ledger, how, false)
-		if err != nil {
-			return nil, err
-		}
-		w.hosts = append(w.hosts, h)
-		if ledger == w.faulty && s.Fault == "refuse" && d < s.Dests {
-			h.Down()
-		}
-		list = append(list, standin.Server{ID: id, Addr: h.Addr(), Zone: "a", Kind: "system", Cell: d, State: "active", Weight: 1})
-	}
-	if w.agent, err = standin.NewPlatform(list); err != nil {
-		return nil, err
-	}
-	l, err := net.Listen("tcp", "127.0.0.1:0") // the program's port, let go again
-	if err != nil {
-		return nil, err
-	}
-	w.addr = l.Addr().String()
-	l.Close()
-	if s.Proxy {
-		targets, _ := json.Marshal(list)
-		w.program, err = start(core, append(os.Environ(), "GOMAXPROCS=1", "LOADBENCH_PROXY="+w.addr, "LOADBENCH_TARGETS="+string(targets)), o.Self)
-	} else {
-		w.program, err = w.startRelay(s, core, list)
-	}
-	if err != nil {
-		return nil, err
-	}
-	for begin := time.Now(); ; time.Sleep(time.Millisecond) {
-		resp, err := http.Get("http://" + w.addr + "/up")
-		if err == nil {
-			resp.Body.Close()
-			return w, nil
-		}
-		if time.Since(begin) > 10*time.Second {
-			return nil, fmt.Errorf("the program is not up: %w", err)
-		}
-	}
-}
-
-// startRelay starts the program as the platform does, with limits that do not bind.
-func (w *site) startRelay(s Scenario, core int, list []standin.Server) (*process, error) {
-	class := func(name, effect string, worth float64) map[string]any {
-		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 2, "give-up": 3600, "late-share": 0.5,
-			"window": 15, "worth": worth}
-	}
-	conf := map[string]any{"name": "n0", "listen": w.addr, "discovery": w.agent.Addr(), "seed": "1",
-		"limits": map[string]any{"cores": 1, "memory_mb": 8000, "sockets": 12000, "disk_mb": cmp.Or(s.DiskMB, 4000)},
-		"known":  map[string]any{"version": 1, "full": true, "servers": list},
-		"settings": map[string]any{
-			"bounds":  map[string]any{"cancel": true, "conn-idle": 15, "dial-timeout": 1, "max-attempts": 6, "max-retry-after": 30, "most-held": max(w.options.MaxPending, s.MaxPending)},
-			"classes": []any{class("status-update", "idempotent", 1), class("job-order", "deduplicated", 2), class("payment", "at_most_once", 4)},
-			"family-info": map[string]any{"late": "linear", "own-limits": []bool{false}, "per-call": []int{1}, "workers": w.options.Slots,
-				"zone-fee": []float64{0}},
-			"fleet-size": 1, "index": 0, "load-report": map[string]any{"columns": []string{}, "how": "off"}, "registry-mode": "automatic",
-			"rules": map[string]any{"cold": 13, "cold-from": 0.22, "drain-grace": 0.25, "fall": 2, "grace-to-answer": 0.02, "overload-factor": 2},
-			"skus":  []string{"system"}, "tick": 0.005, "weights": "off", "zones": []string{"a"}}}
-	data, err := json.Marshal(conf)
-	if err != nil {
-		return nil, err
-	}
-	state, err := os.MkdirTemp(w.options.Dir, "state")
-	if err != nil {
-		return nil, err
-	}
-	path := filepath.Join(state, "config.json")
-	if err := os.WriteFile(path, data, 0o600); err != nil {
-		return nil, err
-	}
-	env := []string{"BALANCER_CONFIG=" + path, "BALANCER_STATE=" + state, "BALANCER_NAME=n0", "PATH=" + os.Getenv("PATH")}
-	return start(core, env, w.options.Program)
-}
-
-func (w *site) close() {
-	if w.program != nil {
-		w.program.kill()
-	}
-	if w.agent != nil {
-		w.agent.Close()
-	}
-	for _, h := range w.hosts {
-		h.Close()
-	}
-}
-
-// Run measures one scenario.
+// Run measures one scenario on a core that Core returned.
 func Run(s Scenario, o Options, core int) (f Figures, err error) {
 	w, err := newSite(s, o, core)
 	if err != nil {
@@ -213,72 +73,87 @@
 	defer w.close()
 	l := load{addr: w.addr, clients: o.Clients, rate: o.Rate, deadline: o.Deadline, body: o.Body, prefix: "m", lastID: &w.lastID,
 		dests: func() int { return rand.IntN(s.Dests) }}
-	held := l
+	var backlogDue time.Time
 	if s.Backlog > 0 {
-		held = l
-		held.rate, held.deadline = 0, 30*time.Minute
-		held.dests = func() int { return s.Dests + rand.IntN(w.backlogDests) }
-		if s.DueAtOnce {
-			held.dueAt = time.Now().Add(time.Duration(s.Backlog)*120*time.Microsecond + o.Span) // handing them in takes less
-		}
-		got := held.run(5*time.Minute, int64(s.Backlog))
-		if got.accepted < int64(s.Backlog)*9/10 {
-			return f, fmt.Errorf("%s: only %d of %d messages were taken on beforehand", s.Name, got.accepted, s.Backlog)
+		if f.Backlog, backlogDue, err = w.submitBacklog(s, l); err != nil {
+			return f, err
 		}
-		f.Backlog = int(got.accepted)
 	}
-	l.run(o.Span/2, 0) // to warm up, and for backlogs to grow
+	l.run(o.Span/2, 0) // warm-up, in which backlogs grow
 	var late <-chan int
 	if s.DueAtOnce {
-		late = w.countLateNotices(f.Backlog, held.dueAt)
+		late = w.countLateNotices(f.Backlog, backlogDue)
 	}
-	for d := range w.hosts {
-		if s.Recover && float64(d) < s.FaultShare*float64(s.Dests) {
-			if err := w.hosts[d].Up(); err != nil {
-				return f, err
-			}
-			w.hosts[d].Set(standin.Behaviour{Latency: healthyLatency})
-		}
+	if err := w.recoverHosts(s); err != nil {
+		return f, err
 	}
-	cpu, err := w.program.cpu()
+	cpuBefore, err := w.program.cpu()
 	if err != nil {
 		return f, errors.New("the program has ended")
 	}
-	before, _ := w.healthy.Total()
-	beforeIll, _ := w.faulty.Total()
+	healthyBefore, _ := w.healthy.Total()
+	faultyBefore, _ := w.faulty.Total()
 	begin := time.Now()
-	a := l.run(o.Span, 0)
-	took := time.Since(begin).Seconds()
-	after, err := w.program.cpu()
+	counts := l.run(o.Span, 0)
+	seconds := time.Since(begin).Seconds()
+	cpuAfter, err := w.program.cpu()
 	if err != nil {
 		return f, errors.New("the program has ended")
 	}
-	done, _ := w.healthy.Total()
-	doneIll, _ := w.faulty.Total()
-	us := (after - cpu).Seconds() * 1e6
-	healthy := s.Dests - int(float64(s.Dests)*s.FaultShare)
-	count := f.Backlog
-	f = Figures{Scenario: s, Accepted: float64(a.accepted) / took, Rejected: float64(a.rejected) / took, Failed: a.failed, CPUPerAccepted: us / float64(max(1, a.accepted)),
-		CPUPerRequest: us / float64(max(1, a.accepted+a.rejected)), P50: quantile(a.latency, 50), P99: quantile(a.latency, 99), Max: a.slowest,
-		HealthyDelivered: float64(done-before) / took / float64(max(1, healthy)), Delivered: float64(done-before+doneIll-beforeIll) / took, Backlog: count,
-		MemoryMB: w.program.memory()}
+	healthyAfter, _ := w.healthy.Total()
+	faultyAfter, _ := w.faulty.Total()
+	cpuMicros := (cpuAfter - cpuBefore).Seconds() * 1e6
+	healthyDests := s.Dests - int(float64(s.Dests)*s.FaultShare)
+	f = Figures{Scenario: s, Accepted: float64(counts.accepted) / seconds, Rejected: float64(counts.rejected) / seconds,
+		Failed: counts.failed, CPUPerAccepted: cpuMicros / float64(max(1, counts.accepted)),
+		CPUPerRequest: cpuMicros / float64(max(1, counts.accepted+counts.rejected)),
+		P50:           quantile(counts.latency, 50), P99: quantile(counts.latency, 99), Max: counts.slowest,
+		HealthyDelivered: float64(healthyAfter-healthyBefore) / seconds / float64(max(1, healthyDests)),
+		Delivered:        float64(healthyAfter-healthyBefore+faultyAfter-faultyBefore) / seconds,
+		Backlog:          f.Backlog, MemoryMB: w.program.memory()}
 	if late != nil {
 		f.LateNotices = <-late
 	}
-	f.CPUPerDelivery = us / max(1, f.Delivered*took)
+	f.CPUPerDelivery = cpuMicros / max(1, f.Delivered*seconds)
 	return f, nil
 }
 
-// countLateNotices tells, when it is time, how many of so many messages due at one instant have not had their end told
-// 300 ms after it.
-func (w *site) countLateNotices(held int, due time.Time) <-chan int {
+// submitBacklog submits the backlog of a scenario and returns how many messages were accepted, and their deadline with DueAtOnce.
+func (w *site) submitBacklog(s Scenario, l load) (accepted int, due time.Time, err error) {
+	l.rate, l.deadline = 0, 30*time.Minute
+	l.dests = func() int { return s.Dests + rand.IntN(w.backlogDests) }
+	if s.DueAtOnce { // submitting them takes less
+		l.dueAt = time.Now().Add(time.Duration(s.Backlog)*120*time.Microsecond + w.options.Span)
+	}
+	got := l.run(5*time.Minute, int64(s.Backlog))
+	if got.accepted < int64(s.Backlog)*9/10 {
+		return 0, l.dueAt, fmt.Errorf("%s: only %d of %d messages were taken on beforehand", s.Name, got.accepted, s.Backlog)
+	}
+	return int(got.accepted), l.dueAt, nil
+}
+
+// recoverHosts makes the faulty hosts of a scenario with Recover healthy.
+func (w *site) recoverHosts(s Scenario) error {
+	for d := range w.hosts {
+		if s.Recover && float64(d) < s.FaultShare*float64(s.Dests) {
+			if err := w.hosts[d].Up(); err != nil {
+				return err
+			}
+			w.hosts[d].Set(standin.Behaviour{Latency: healthyLatency})
+		}
+	}
+	return nil
+}
+
+// countLateNotices returns a channel that gets, 300 ms after the backlog's deadline, the number of messages without a notice.
+func (w *site) countLateNotices(backlog int, due time.Time) <-chan int {
 	got := make(chan int, 1)
 	time.AfterFunc(time.Until(due)+300*time.Millisecond, func() {
-		told := 0
+		notices := 0
 		for _, n := range w.agent.Notices() {
-			told += n
+			notices += n
 		}
-		got <- max(0, held-told)
+		got <- max(0, backlog-notices)
 	})
 	return got
 }
@@ -287,7 +162,7 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Core is where programs under test run: one that this process then keeps off; below 0 for any.
+// Core reserves and returns the core for programs under test, which this process does not use from then on; below 0 for any core.
 func Core() int {
 	if core, ok := reserveCore(); ok {
 		return core
--- a/internal/relay/loadbench/process.go
+++ b/internal/relay/loadbench/process.go
@@ -12,11 +12,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is a program under test, alone on one core.
+// process is a program under test on a core of its own.
 type process struct{ cmd *exec.Cmd }
 
-// reserveCore keeps this process off the first of its cores, and returns that one. On a machine with one core it
-// keeps to none and returns false.
+// reserveCore removes the first core from those that this process uses and returns it; false on a machine with one core.
 func reserveCore() (core int, ok bool) {
 	var all unix.CPUSet
 	if unix.SchedGetaffinity(0, &all) != nil || all.Count() < 2 {
@@ -27,7 +26,7 @@
 	}
 	all.Clear(core)
 	tasks, _ := os.ReadDir("/proc/self/task")
-	for _, t := range tasks { // threads to come have the cores of the one that starts them
+	for _, t := range tasks { // new threads inherit the cores of the thread that starts them
 		id, _ := strconv.Atoi(t.Name())
 		unix.SchedSetaffinity(id, &all)
 	}
@@ -35,12 +34,12 @@
 	return core, true
 }
 
-// start starts a program on a core; below 0 on any.
+// start starts a program on a core; below 0 on any core.
 func start(core int, env []string, path string, args ...string) (*process, error) {
 	cmd := exec.Command(path, args...)
 	cmd.Env, cmd.Stderr = env, os.Stderr
 	done := make(chan error)
-	go func() { // a process has the cores of the thread that starts it
+	go func() { // a process inherits the cores of the thread that starts it
 		if core >= 0 {
 			runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 			var one unix.CPUSet
@@ -52,10 +51,10 @@
 	return &process{cmd}, <-done
 }
 
-// clockTicksPerSecond of the kernel's accounting in a second, as Linux has it for user space everywhere.
+// clockTicksPerSecond is the unit of CPU times in /proc (USER_HZ), 100 on all platforms of Linux.
 const clockTicksPerSecond = 100
 
-// cpu is the time that the process has used, in steps of 10 ms.
+// cpu returns the CPU time that the process has used, with a resolution of 10 ms.
 func (p *process) cpu() (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -70,7 +69,7 @@
 	return time.Duration(user+system) * time.Second / clockTicksPerSecond, err
 }
 
-// memory is what the process has resident, in MB.
+// memory returns the resident memory of the process in MB, 0 if it has exited.
 func (p *process) memory() float64 {
 	data, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for line := range strings.Lines(string(data)) {
--- a/internal/relay/loadbench/proxy.go
+++ b/internal/relay/loadbench/proxy.go
@@ -13,8 +13,8 @@
 	"larchrouter/internal/standin"
 )
 
-// Proxy is the plain reverse proxy that relays are compared with, if the environment says that this process is
-// to be it; it returns only if not, or if it fails.
+// Proxy runs the plain reverse proxy that relays are compared with, if the environment variable LOADBENCH_PROXY has its address.
+// It returns nil at once if not, and the error if the proxy fails.
 func Proxy() error {
 	addr := os.Getenv("LOADBENCH_PROXY")
 	if addr == "" {
