--- a/internal/relay/simulation/call.go
+++ b/internal/relay/simulation/call.go
@@ -6,22 +6,22 @@
 	"larchrouter/choice"
 )
 
-// call carries a call to a route and its answer back.
+// call sends a call to a route and schedules its response.
 func (r *relay) call(host string, c *call) {
 	w := r.world
 	x := w.routes[host]
 	began := w.now
-	life := r.incarnation
+	incarnation := r.incarnation
 	back := func(after time.Duration, o choice.Outcome, wait time.Duration) {
 		w.after(after, func() {
-			if r.incarnation == life && r.up {
+			if r.incarnation == incarnation && r.up {
 				r.callEnded(c, host, o, began, wait)
 			}
 		})
 	}
 	for _, s := range c.members {
 		w.after(s.Timeout, func() {
-			if r.incarnation == life && r.up && !c.done {
+			if r.incarnation == incarnation && r.up && !c.done {
 				r.callEnded(c, host, choice.Timeout, began, 0)
 			}
 		})
@@ -59,7 +59,7 @@
 	})
 }
 
-// callEnded hands a relay the end of a call.
+// callEnded passes a call's outcome to the relay, unless the call is complete.
 func (r *relay) callEnded(c *call, host string, o choice.Outcome, began, wait time.Duration) {
 	if c.done {
 		return
@@ -83,7 +83,8 @@
 		if host == "" {
 			host = s.Host
 		}
-		ends = append(ends, choice.Result{ID: s.ID, Host: s.Host, Outcome: o, Took: w.now - began, Wait: wait, Done: o == choice.Served})
+		ends = append(ends, choice.Result{ID: s.ID, Host: s.Host, Outcome: o, Took: w.now - began,
+			Wait: wait, Done: o == choice.Served})
 	}
 	if wait > 0 {
 		r.retryAfter[host] = max(r.retryAfter[host], w.now+wait)
--- a/internal/relay/simulation/campus.go
+++ b/internal/relay/simulation/campus.go
@@ -8,15 +8,16 @@
 	"larchrouter/internal/relay/settings"
 )
 
-// CampusSettings are a site's as relays are told them: three classes, two kinds of destination whose endpoints are
-// routes apart, one of them with several messages in a call.
+// CampusSettings returns the settings of a site: three classes, and two kinds of destination with independent endpoints, one of
+// them with several messages per call.
 func CampusSettings() settings.Settings {
 	const s = time.Second
 	set := settings.Settings{Peers: true, Zones: []string{"a", "b", "c"}, KindNames: []string{"batch", "single"},
 		DialTimeout: s, MaxRetryAfter: 2 * s}
 	set.Settings = choice.Settings{Workers: 4, MaxHeld: 76, MaxAttempts: 6, Tick: time.Millisecond, Cancels: true, ReportLimit: -1,
 		Classes: []choice.Class{
-			{Name: "job-order", Aim: 2 * s, Deadline: 12 * s, Worth: 1, LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 11 * s},
+			{Name: "job-order", Aim: 2 * s, Deadline: 12 * s, Worth: 1, LateShare: 0.3, Effect: choice.Keyed,
+				SameZone: true, Window: 11 * s},
 			{Name: "status-update", Aim: 3 * s, Deadline: 12 * s, Worth: 2, LateShare: 0.5, Effect: choice.Safe},
 			{Name: "payment", Aim: 4 * s, Deadline: 12 * s, Worth: 5, LateShare: 0.3, Effect: choice.Unsafe},
 		},
@@ -27,13 +28,13 @@
 	return set
 }
 
-// Campus draws a day at a site with seven destinations, so many relays, and a load that is a share of what the limits
-// allow. Load and limits do not depend on the number of relays: that is what is compared.
+// Campus draws a day of a site with seven destinations. Load is the share of the limits that is offered. Load and limits do not
+// depend on the number of relays, so that fleets of different sizes can be compared.
 func Campus(relays int, load float64, seed uint64) Day {
 	r := rand.New(rand.NewPCG(seed, 2))
 	d := Day{Relays: relays, Settings: CampusSettings(), Span: 25 * time.Second, Seed: seed,
 		Delay: [2]time.Duration{2 * time.Millisecond, 25 * time.Millisecond}}
-	d.Settings.Workers, d.Settings.MaxHeld = max(4, 320/relays), max(76, 6080/relays) // room for the load is not what is tried
+	d.Settings.Workers, d.Settings.MaxHeld = max(4, 320/relays), max(76, 6080/relays) // capacity of the relays is not under test
 	for i := range 7 {
 		x := Destination{Kind: i % 2}
 		if i == 0 {
@@ -41,13 +42,14 @@
 		}
 		limit := 0.0
 		for z := range 2 + r.IntN(2) {
-			one := Route{Limit: 8 + 30*r.Float64(), MinRetryAfter: time.Duration(500+r.IntN(300)) * time.Millisecond, RetryAfterShare: 0.35,
-				ServiceTime: time.Duration(20+r.IntN(60)) * time.Millisecond, Zone: z % 3}
+			one := Route{Limit: 8 + 30*r.Float64(), MinRetryAfter: time.Duration(500+r.IntN(300)) * time.Millisecond,
+				RetryAfterShare: 0.35,
+				ServiceTime:     time.Duration(20+r.IntN(60)) * time.Millisecond, Zone: z % 3}
 			one.Burst, one.Debt = one.Limit, one.Limit*(0.8+0.2*r.Float64())
 			x.Routes = append(x.Routes, one)
 			limit += one.Limit
 		}
-		messages := 1.0 // in a call, as they come
+		messages := 1.0 // per call, on average
 		if x.Kind == 0 {
 			messages = 1.5
 		}
@@ -57,26 +59,28 @@
 	return d
 }
 
-// WithOutage has half of the destinations down for 5 s from the sixth second on.
-func (d Day) WithOutage(shut bool) Day {
-	d.Faults = append(d.Faults, Fault{From: 6 * time.Second, To: 11 * time.Second, Dests: []int{0, 2, 4, 6}, Down: true, RefuseConnections: shut})
+// WithOutage adds an outage of four destinations from 6 s to 11 s; connections time out, or are refused.
+func (d Day) WithOutage(refuse bool) Day {
+	d.Faults = append(d.Faults, Fault{From: 6 * time.Second, To: 11 * time.Second, Dests: []int{0, 2, 4, 6}, Down: true,
+		RefuseConnections: refuse})
 	return d
 }
 
-// WithLoweredLimits has all limits at a third for 9 s from the sixth second on.
+// WithLoweredLimits adds a reduction of all limits to a third from 6 s to 15 s.
 func (d Day) WithLoweredLimits() Day {
-	d.Faults = append(d.Faults, Fault{From: 6 * time.Second, To: 15 * time.Second, Dests: []int{0, 1, 2, 3, 4, 5, 6}, LimitFactor: 1.0 / 3})
+	d.Faults = append(d.Faults, Fault{From: 6 * time.Second, To: 15 * time.Second, Dests: []int{0, 1, 2, 3, 4, 5, 6},
+		LimitFactor: 1.0 / 3})
 	return d
 }
 
-// WithRestarts has so many relays end at the eighth second and start again 0.6 s later.
+// WithRestarts adds a kill of n relays at 8 s, which restart 0.6 s later.
 func (d Day) WithRestarts(n int) Day {
 	d.Faults = append(d.Faults, Fault{From: 8 * time.Second, To: 8600 * time.Millisecond, Kill: n})
 	return d
 }
 
-// WithPartition has notes lost for 6 s from the eighth second on; which ones is told by the numbers of sender and receiver.
-func (d Day) WithPartition(mute func(from, to int) bool) Day {
-	d.Faults = append(d.Faults, Fault{From: 8 * time.Second, To: 14 * time.Second, Drop: mute})
+// WithPartition adds a partition from 8 s to 14 s; drop reports whether gossip from one relay to another is lost.
+func (d Day) WithPartition(drop func(from, to int) bool) Day {
+	d.Faults = append(d.Faults, Fault{From: 8 * time.Second, To: 14 * time.Second, Drop: drop})
 	return d
 }
--- a/internal/relay/simulation/events.go
+++ b/internal/relay/simulation/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a virtual time; events of one time run in the order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -39,7 +39,7 @@
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+max(0, d), do) }
 
-// between draws a time.
+// between draws a duration from [least, most).
 func (w *world) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Float64()*float64(most-least))
 }
--- a/internal/relay/simulation/relay.go
+++ b/internal/relay/simulation/relay.go
@@ -8,23 +8,23 @@
 	"larchrouter/internal/relay/engine"
 )
 
-// relay is one relay of the fleet.
+// relay is a simulated relay of the fleet.
 type relay struct {
 	world       *world
 	index       int
-	incarnation int // counts its starts; 0 while it is down
+	incarnation int // number of its starts
 	up          bool
 	engine      *engine.Core
-	wakeAt      time.Duration // the timer; 0 if it is not running
+	wakeAt      time.Duration // of the timer; 0 if it is not set
 	calls       map[string]*call
-	retryAfter  map[string]time.Duration    // told, by route
-	pending     map[string]*choice.Restored // what its journal would have of each message
-	order       []string                    // of those held, as they came; some are over
+	retryAfter  map[string]time.Duration    // until when, by route
+	pending     map[string]*choice.Restored // by message: what its journal has of it
+	order       []string                    // of pending messages' arrival; some are complete
 	deadline    map[string]time.Duration
-	ranAt       map[string]time.Duration // the first attempt that may have run went out
+	ranAt       map[string]time.Duration // by message: when the first attempt that may have run was sent
 }
 
-// call is one call out.
+// call is a call in flight, for one message or several.
 type call struct {
 	members []choice.Send
 	done    bool
@@ -41,7 +41,8 @@
 	r.incarnation++
 	r.up, r.engine, r.wakeAt, r.calls, r.retryAfter = true, c, 0, map[string]*call{}, map[string]time.Duration{}
 	old, held, due, ranAt := r.order, r.pending, r.deadline, r.ranAt
-	r.order, r.pending, r.deadline, r.ranAt = nil, map[string]*choice.Restored{}, map[string]time.Duration{}, map[string]time.Duration{}
+	r.order, r.pending = nil, map[string]*choice.Restored{}
+	r.deadline, r.ranAt = map[string]time.Duration{}, map[string]time.Duration{}
 	l := choice.Listing{Whole: true}
 	for dest, d := range r.world.day.Dests {
 		for i, x := range d.Routes {
@@ -49,7 +50,7 @@
 		}
 	}
 	r.step(l)
-	for _, id := range old { // as the journal has them
+	for _, id := range old { // replay the journal
 		e := held[id]
 		if e == nil {
 			continue
@@ -66,7 +67,7 @@
 	}
 }
 
-// stop kills a relay. Its journal has what it held; calls that were out may have run.
+// stop kills a relay. Its journal keeps the pending messages; calls in flight may have run.
 func (r *relay) stop() {
 	r.up = false
 	for id := range r.calls {
@@ -80,7 +81,7 @@
 	}
 }
 
-// step leads the decisions on, and carries out what they say.
+// step passes events to the engine and executes its actions.
 func (r *relay) step(events ...choice.Event) {
 	w := r.world
 	if !r.up {
@@ -91,26 +92,7 @@
 	for _, a := range r.engine.Step(w.now, events) {
 		switch a := a.(type) {
 		case choice.Send:
-			k := w.day.Settings.Kinds[w.day.Dests[w.routes[a.Host].dest].Kind]
-			c := open[a.Host]
-			if w.now < r.retryAfter[a.Host] {
-				w.result.RetryAfterViolations++
-			}
-			if c == nil || len(c.members) >= max(1, k.PerCall) {
-				c = &call{}
-				open[a.Host] = c
-				w.after(0, func() { r.call(a.Host, c) })
-			}
-			c.members = append(c.members, a)
-			r.calls[a.ID] = c
-			if e := r.pending[a.ID]; e != nil {
-				if e.Attempts, e.Timeout = e.Attempts+1, a.Timeout; !e.Ran {
-					r.ranAt[a.ID] = w.now
-				}
-				if !e.Ran {
-					e.RanZone = w.routes[a.Host].Zone
-				}
-			}
+			r.send(a, open)
 		case choice.Refuse:
 			delete(r.pending, a.ID)
 			w.undelivered(a.ID, &w.result.Refused)
@@ -129,7 +111,32 @@
 	}
 }
 
-// wake sets the one timer, unless it runs out sooner.
+// send adds a message to an open call to its host, or to a new one if there is none or it is full.
+func (r *relay) send(a choice.Send, open map[string]*call) {
+	w := r.world
+	kind := w.day.Settings.Kinds[w.day.Dests[w.routes[a.Host].dest].Kind]
+	c := open[a.Host]
+	if w.now < r.retryAfter[a.Host] {
+		w.result.RetryAfterViolations++
+	}
+	if c == nil || len(c.members) >= max(1, kind.PerCall) {
+		c = &call{}
+		open[a.Host] = c
+		w.after(0, func() { r.call(a.Host, c) })
+	}
+	c.members = append(c.members, a)
+	r.calls[a.ID] = c
+	if e := r.pending[a.ID]; e != nil {
+		if e.Attempts, e.Timeout = e.Attempts+1, a.Timeout; !e.Ran {
+			r.ranAt[a.ID] = w.now
+		}
+		if !e.Ran {
+			e.RanZone = w.routes[a.Host].Zone
+		}
+	}
+}
+
+// wake sets the relay's timer, unless it is set to an earlier time.
 func (r *relay) wake(after time.Duration) {
 	w := r.world
 	at := w.now + max(after, 0)
@@ -137,20 +144,20 @@
 		return
 	}
 	r.wakeAt = at
-	life := r.incarnation
+	incarnation := r.incarnation
 	w.at(at, func() {
-		if r.incarnation == life && r.wakeAt == at {
+		if r.incarnation == incarnation && r.wakeAt == at {
 			r.wakeAt = 0
 			r.step(choice.Woken{})
 		}
 	})
 }
 
-// sendGossip carries a note, late, twice or not at all.
+// sendGossip delivers a gossip message with a delay, possibly more than once or not at all.
 func (r *relay) sendGossip(t choice.Tell) {
 	w := r.world
 	if len(t.Note) > 256 {
-		w.err = fmt.Errorf("lab: a note of %d bytes", len(t.Note))
+		w.err = fmt.Errorf("simulation: a gossip message of %d bytes", len(t.Note))
 	}
 	for copies := 1; copies > 0; copies-- {
 		if w.random.Float64() < w.day.LossRate || t.To >= len(w.relays) || w.dropped(r.index, t.To) {
--- a/internal/relay/simulation/route.go
+++ b/internal/relay/simulation/route.go
@@ -9,23 +9,23 @@
 
 const (
 	oneWayDelay   = 20 * time.Millisecond // of a call, one way
-	dialTimeout   = time.Second           // a connection that does not come up
-	coldCallSlack = 3                     // calls by which the budget of a cold route may be passed for chance
+	dialTimeout   = time.Second           // of a connection
+	coldCallSlack = 3                     // calls above the limit of a cold route that are random variation
 )
 
-// route is one endpoint in the world. Its limit is a bucket that refused calls empty further.
+// route is the state of an endpoint. Its limit is a token bucket, from which rejected calls take tokens too.
 type route struct {
 	Route
 	dest              int
 	tokens            float64
 	refilledAt        time.Duration
-	limitFactor       float64 // of the limit, at present
-	outages           int     // troubles that have it down
+	limitFactor       float64 // of the limit, at present; product of the faults
+	outages           int     // number of faults that have it down
 	refuseConnections bool
-	recoveredAt       time.Duration // it came back then, cold; below 0 if it never was down
+	recoveredAt       time.Duration // end of the last outage; below 0 if there was none
 	overloaded        bool
-	recentCalls       []arrival    // calls since its return
-	sawOutage         map[int]bool // relays that saw a call fail or be refused in the outage
+	recentCalls       []arrival    // in the last Fall since recoveredAt
+	sawOutage         map[int]bool // relays with a failed call in the outage
 }
 
 type arrival struct {
@@ -41,7 +41,7 @@
 	}
 }
 
-// scheduleFault has a trouble come and go.
+// scheduleFault schedules the beginning and the end of a fault.
 func (w *world) scheduleFault(t Fault) {
 	each := func(do func(x *route)) {
 		for _, dest := range t.Dests {
@@ -82,7 +82,7 @@
 	})
 }
 
-// capacity is the share of its limit that a route can handle: all of it, or less while it is cold.
+// capacity returns the share of its limit that a route can serve: less than 1 in its cold start.
 func (w *world) capacity(x *route) float64 {
 	rules := w.day.Settings.Rules
 	if x.recoveredAt < 0 {
@@ -91,7 +91,7 @@
 	return min(1, rules.ColdFrom+(1-rules.ColdFrom)*(w.now-x.recoveredAt).Seconds()/rules.Cold.Seconds())
 }
 
-// admit tells whether the limit has room. A call that is refused uses it up as well.
+// admit takes a token and reports whether there was one. A rejected call takes one too, down to -Debt.
 func (w *world) admit(x *route) bool {
 	x.tokens = min(x.Burst, x.tokens+x.Limit*x.limitFactor*w.capacity(x)*(w.now-x.refilledAt).Seconds())
 	x.refilledAt = w.now
@@ -103,8 +103,8 @@
 	return false
 }
 
-// countColdCall keeps the rule for a route that has come back cold: it falls over if more than a multiple of what it can
-// handle comes within a span. The rule is broken if two thirds of that came from relays that had seen the outage.
+// countColdCall applies the rule of cold starts: a route fails if it gets more than OverloadFactor times its capacity within
+// Fall. That is a violation if two thirds of the calls came from relays that had observed the outage.
 func (w *world) countColdCall(x *route, relay int) {
 	rules := w.day.Settings.Rules
 	if x.recoveredAt < 0 || w.now-x.recoveredAt > rules.Cold+rules.Fall || x.overloaded {
--- a/internal/relay/simulation/world.go
+++ b/internal/relay/simulation/world.go
@@ -1,7 +1,9 @@
-// Package simulation plays whole fleets in virtual time: the relays' real decisions (internal/relay/engine), with a network that
-// carries their notes and calls, and stand-in destinations with limits that refused calls use up, outages and cold
-// returns. There is one process, no socket and no clock; a seed gives the same day every time. What is counted is
-// counted where it happens, at the destination.
+// Package simulation runs fleets in virtual time: the relays' real decisions (internal/relay/engine) with a simulated network for
+// gossip and calls, and simulated destinations with rate limits, outages and cold starts.
+//
+// A Day describes the fleet, its load and its faults; Play runs it and returns a Result, counted at the destinations. Play is
+// deterministic: it uses no clock, socket or goroutine, and all random draws come from Day.Seed in the order of events. Days can
+// be played in parallel.
 package simulation
 
 import (
@@ -15,7 +17,7 @@
 	"larchrouter/choice"
 )
 
-// world is a day under way.
+// world is the state of a day that is played.
 type world struct {
 	day         Day
 	now         time.Duration
@@ -39,7 +41,7 @@
 	done    bool
 }
 
-// Play plays a day.
+// Play runs a day. Its error is one of an invalid day, or of a relay that breaks the gossip protocol's limits.
 func Play(d Day) (Result, error) {
 	w := &world{day: d, random: rand.New(rand.NewPCG(d.Seed, 1)), routes: map[string]*route{}, messages: map[string]*message{}}
 	w.result.ByDest = make([]DestinationCount, len(d.Dests))
@@ -81,7 +83,7 @@
 	return w.result, w.err
 }
 
-// scheduleArrival has the next message for a destination come, at a relay drawn by chance.
+// scheduleArrival schedules the next message for a destination, at a random relay.
 func (w *world) scheduleArrival(dest int) {
 	load := w.day.Dests[dest].Load
 	if load <= 0 {
@@ -93,12 +95,13 @@
 		}
 		w.scheduleArrival(dest)
 		w.lastMessage++
-		m := &message{id: fmt.Sprintf("m%06d", w.lastMessage), class: w.random.IntN(len(w.day.Settings.Classes)), dest: dest, arrived: w.now}
+		m := &message{id: fmt.Sprintf("m%06d", w.lastMessage), class: w.random.IntN(len(w.day.Settings.Classes)),
+			dest: dest, arrived: w.now}
 		k := w.day.Settings.Classes[m.class]
 		w.result.Offered++
 		w.result.ByDest[dest].Offered++
 		w.result.OfferedValue += k.Worth
-		for range 10 { // the front turns to another while one is down
+		for range 10 { // clients retry another relay if one is down
 			if r := w.relays[w.random.IntN(w.size)]; r.up {
 				w.messages[m.id] = m
 				a := choice.Arrival{ID: m.id, Class: m.class, Dest: dest, Left: k.Deadline}
@@ -112,7 +115,7 @@
 	})
 }
 
-// resize has relays come or go.
+// resize starts or stops relays, so that the first n are up.
 func (w *world) resize(n int) {
 	w.size = n
 	for i, r := range w.relays {
@@ -124,14 +127,14 @@
 	}
 }
 
-// dropped tells whether a trouble keeps a note from its receiver.
+// dropped reports whether a fault loses gossip between two relays now.
 func (w *world) dropped(from, to int) bool {
 	return slices.ContainsFunc(w.day.Faults, func(t Fault) bool {
 		return t.Drop != nil && t.From <= w.now && w.now < t.To && t.Drop(from, to)
 	})
 }
 
-// undelivered ends a message undelivered.
+// undelivered completes a message without delivery, unless it is complete, and counts it.
 func (w *world) undelivered(id string, count *int) {
 	if m := w.messages[id]; m != nil && !m.done {
 		m.done = true
@@ -140,7 +143,7 @@
 	}
 }
 
-// served counts a message that a destination has taken.
+// served completes a message that a destination has served, unless it is complete, and counts it.
 func (w *world) served(id string) {
 	m := w.messages[id]
 	if m == nil || m.done {
@@ -160,7 +163,7 @@
 	w.result.Value += k.Worth * max(k.LateShare, 1-(1-k.LateShare)*(age-k.Aim).Seconds()/(k.Deadline-k.Aim).Seconds())
 }
 
-// countPossible works out what the limits allow.
+// countPossible computes Result.Possible.
 func (w *world) countPossible() {
 	for i, d := range w.day.Dests {
 		limit := 0.0
