--- a/internal/relay/chaostest/check.go
+++ b/internal/relay/chaostest/check.go
@@ -89,15 +89,15 @@
 		findingCounts: map[string]int{}}
 	slices.SortStableFunc(b.Runs, func(x, y ReadySpan) int { return cmp.Compare(x.From, y.From) })
 	slices.SortStableFunc(b.Calls, func(x, y Call) int { return cmp.Compare(x.Last, y.Last) })
-	for _, k := range b.Calls {
-		c.byMessage[k.ID] = append(c.byMessage[k.ID], k)
-		m := b.Messages[k.ID]
+	for _, call := range b.Calls {
+		c.byMessage[call.ID] = append(c.byMessage[call.ID], call)
+		m := b.Messages[call.ID]
 		if m == nil {
-			c.addFinding("unknown", "host %s was sent message %q, which nobody handed in", c.host(k), k.ID)
+			c.addFinding("unknown", "host %s was sent message %q, which nobody handed in", c.host(call), call.ID)
 			continue
 		}
-		if _, ok := c.delivered[k.ID]; !ok && k.Status == 200 && k.Last <= m.Sent+m.Timeout {
-			c.delivered[k.ID] = k.Last
+		if _, ok := c.delivered[call.ID]; !ok && call.Status == 200 && call.Last <= m.Sent+m.Timeout {
+			c.delivered[call.ID] = call.Last
 		}
 	}
 	return c
--- a/internal/relay/chaostest/check_drains.go
+++ b/internal/relay/chaostest/check_drains.go
@@ -31,13 +31,13 @@
 		}
 		for more := true; more; {
 			more = false
-			for a, known := range when {
-				if known < 0 || known > now || !b.running(a, now, now) {
+			for relay, known := range when {
+				if known < 0 || known > now || !b.running(relay, now, now) {
 					continue
 				}
-				for i := range when {
-					if when[i] < 0 && net.Connected(a, i, now) && b.running(i, now, now) {
-						when[i], more = now, true
+				for peer := range when {
+					if when[peer] < 0 && net.Connected(relay, peer, now) && b.running(peer, now, now) {
+						when[peer], more = now, true
 						left--
 					}
 				}
@@ -49,40 +49,40 @@
 
 // checkDrains finds calls to drained targets from relays that the drain could have reached in time.
 func (c *checker) checkDrains() {
-	for n, w := range c.Commands {
-		if w.What != scenario.CommandDrain {
+	for n, command := range c.Commands {
+		if command.What != scenario.CommandDrain {
 			continue
 		}
 		until := c.End + 1
 		for _, later := range c.Commands[n+1:] {
-			if later.Target == w.Target && later.What == scenario.CommandUndrain {
+			if later.Target == command.Target && later.What == scenario.CommandUndrain {
 				until = min(until, later.At-commandTimeout) // it may have taken effect before its acknowledgement
 			}
 		}
-		when := c.reachableSince(w.Relay, w.At)
-		for _, k := range c.Calls {
-			m := c.Messages[k.ID]
-			if m == nil || k.First >= until || !c.matchesTarget(w.Target, k) {
+		when := c.reachableSince(command.Relay, command.At)
+		for _, call := range c.Calls {
+			message := c.Messages[call.ID]
+			if message == nil || call.First >= until || !c.matchesTarget(command.Target, call) {
 				continue
 			}
-			due := when[m.Relay] + w.Within + drain.Grace
-			if when[m.Relay] < 0 || k.First <= due {
+			due := when[message.Relay] + command.Within + drain.Grace
+			if when[message.Relay] < 0 || call.First <= due {
 				continue
 			}
-			if !c.running(m.Relay, when[m.Relay], due) { // it was paused or restarted meanwhile
+			if !c.running(message.Relay, when[message.Relay], due) { // it was paused or restarted meanwhile
 				began := time.Duration(-1)
-				for _, l := range c.Runs {
-					if l.Relay == m.Relay && l.From <= k.First {
-						began = max(began, l.From)
+				for _, run := range c.Runs {
+					if run.Relay == message.Relay && run.From <= call.First {
+						began = max(began, run.From)
 					}
 				}
-				if k.First <= began+w.Within+drain.Grace {
+				if call.First <= began+command.Within+drain.Grace {
 					continue
 				}
 			}
 			c.addFinding("stale", "relay %d called host %s at %v; it could have known since %v that %s is drained, and had %v",
-				m.Relay, c.host(k),
-				k.First.Round(time.Millisecond), when[m.Relay].Round(time.Millisecond), w.Target, w.Within+drain.Grace)
+				message.Relay, c.host(call),
+				call.First.Round(time.Millisecond), when[message.Relay].Round(time.Millisecond), command.Target, command.Within+drain.Grace)
 		}
 	}
 }
--- a/internal/relay/chaostest/check_messages.go
+++ b/internal/relay/chaostest/check_messages.go
@@ -53,15 +53,15 @@
 // never ran again. A message that arrived while the relay was paused is read, and its time-out begins, when the relay resumes.
 func (c *checker) noticeDeadline(m *Message) (at time.Duration, why string) {
 	at = m.Sent + m.Timeout + noticeGrace
-	for _, l := range c.Runs { // by From
+	for _, run := range c.Runs { // by From
 		switch {
-		case l.Relay != m.Relay || l.To < m.Answered:
-		case l.From > m.Answered && l.EmptyDisk:
+		case run.Relay != m.Relay || run.To < m.Answered:
+		case run.From > m.Answered && run.EmptyDisk:
 			return c.End, ""
-		case l.From <= m.Answered && max(at, l.From+m.Timeout+noticeGrace) <= l.To:
-			return max(at, l.From+m.Timeout+noticeGrace), ""
-		case l.From > m.Answered && l.To > max(at, l.From+recoveryTime):
-			return max(at, l.From+recoveryTime), " (its relay did not run throughout)"
+		case run.From <= m.Answered && max(at, run.From+m.Timeout+noticeGrace) <= run.To:
+			return max(at, run.From+m.Timeout+noticeGrace), ""
+		case run.From > m.Answered && run.To > max(at, run.From+recoveryTime):
+			return max(at, run.From+recoveryTime), " (its relay did not run throughout)"
 		}
 	}
 	return c.End, ""
@@ -74,8 +74,8 @@
 			continue
 		}
 		n := 0
-		for _, k := range c.byMessage[m.ID] {
-			if k.Applied {
+		for _, call := range c.byMessage[m.ID] {
+			if call.Applied {
 				n++
 			}
 		}
@@ -90,24 +90,24 @@
 	type pair struct{ relay, dest, host int }
 	type wait struct{ from, to time.Duration }
 	waits := map[pair][]wait{}
-	for _, k := range c.Calls {
-		m := c.Messages[k.ID]
-		if m == nil {
+	for _, call := range c.Calls {
+		message := c.Messages[call.ID]
+		if message == nil {
 			continue
 		}
-		p := pair{m.Relay, k.Dest, k.Host}
-		for _, w := range waits[p] {
-			if w.from+retryAfterGrace < k.First && k.First < w.to && c.running(m.Relay, w.from, k.First) {
+		key := pair{message.Relay, call.Dest, call.Host}
+		for _, w := range waits[key] {
+			if w.from+retryAfterGrace < call.First && call.First < w.to && c.running(message.Relay, w.from, call.First) {
 				c.addFinding("wait", "relay %d called host %s at %v, within a wait told at %v until %v",
-					m.Relay, c.host(k), k.First.Round(time.Millisecond),
+					message.Relay, c.host(call), call.First.Round(time.Millisecond),
 					w.from.Round(time.Millisecond), w.to.Round(time.Millisecond))
 				break
 			}
 		}
-		if k.RetryAfter > 0 {
-			at := k.Last + c.Plan.Scenario.Partners[k.Dest].Hosts[k.Host].Latency
-			waits[p] = append(slices.DeleteFunc(waits[p], func(w wait) bool { return w.to < k.First }),
-				wait{at, at + k.RetryAfter})
+		if call.RetryAfter > 0 {
+			at := call.Last + c.Plan.Scenario.Partners[call.Dest].Hosts[call.Host].Latency
+			waits[key] = append(slices.DeleteFunc(waits[key], func(w wait) bool { return w.to < call.First }),
+				wait{at, at + call.RetryAfter})
 		}
 	}
 }
--- a/internal/relay/chaostest/check_test.go
+++ b/internal/relay/chaostest/check_test.go
@@ -75,38 +75,38 @@
 		"a payment refused, then applied": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m007", First: 100 * ms, Last: 100 * ms, Status: 503})
 		}, ""},
-		"a message without an end": {func(b *EventLog) { makeUndelivered(b, "m050") }, "lost"},
-		"one with an end in time": {func(b *EventLog) {
+		"a message without a notice": {func(b *EventLog) { makeUndelivered(b, "m050") }, "lost"},
+		"a notice in time": {func(b *EventLog) {
 			m := makeUndelivered(b, "m050")
 			m.Notices = []Notice{{m.Sent + 3300*ms, "deferred"}}
 		}, ""},
-		"one with a late end": {func(b *EventLog) {
+		"a late notice": {func(b *EventLog) {
 			m := makeUndelivered(b, "m050")
 			m.Notices = []Notice{{m.Sent + 3400*ms, "deferred"}}
 		}, "late"},
-		"a late end, as the relay stood still": {func(b *EventLog) {
+		"a late notice, as the relay was paused": {func(b *EventLog) {
 			m := makeUndelivered(b, "m050") // relay 0, accepted at 1.25 s
 			m.Notices = []Notice{{7 * sec, "deferred"}}
 			b.Runs[0].To = 2 * sec
 			b.Runs = append(b.Runs, ReadySpan{0, 6 * sec, 15 * sec, false})
 		}, ""},
-		"later still": {func(b *EventLog) {
+		"a late notice after the relay resumed": {func(b *EventLog) {
 			m := makeUndelivered(b, "m050")
 			m.Notices = []Notice{{8 * sec, "deferred"}}
 			b.Runs[0].To = 2 * sec
 			b.Runs = append(b.Runs, ReadySpan{0, 6 * sec, 15 * sec, false})
 		}, "late"},
-		"no end, as the relay never came back": {func(b *EventLog) { makeUndelivered(b, "m050"); b.Runs[0].To = 2 * sec }, ""},
-		"no end, as the folder was emptied": {func(b *EventLog) {
+		"no notice, as the relay did not restart": {func(b *EventLog) { makeUndelivered(b, "m050"); b.Runs[0].To = 2 * sec }, ""},
+		"no notice, as the disk was emptied": {func(b *EventLog) {
 			makeUndelivered(b, "m050")
 			b.Runs[0].To = 2 * sec
 			b.Runs = append(b.Runs, ReadySpan{0, 3 * sec, 15 * sec, true})
 		}, ""},
-		"no answer and no end": {func(b *EventLog) { makeUndelivered(b, "m050").Status = 0 }, ""},
-		"a call within a told wait": {func(b *EventLog) {
+		"no response and no notice": {func(b *EventLog) { makeUndelivered(b, "m050").Status = 0 }, ""},
+		"a call within a retry-after": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
 		}, "wait wait wait wait wait wait (more)"}, // later calls of the history are in the retry-after too
-		"the same of another relay": {func(b *EventLog) {
+		"a call of another relay within a retry-after": {func(b *EventLog) {
 			for i := range b.Calls { // relay 0 pauses
 				if k := &b.Calls[i]; b.Messages[k.ID].Relay == 0 && k.First > 1300*ms && k.First < 1800*ms {
 					k.First, k.Last = k.First+500*ms, k.Last+500*ms
@@ -114,17 +114,17 @@
 			}
 			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
 		}, ""},
-		"a wait that a restart ended": {func(b *EventLog) {
+		"a retry-after that a restart cleared": {func(b *EventLog) {
 			b.Calls = append(b.Calls, Call{ID: "m050", First: 1252 * ms, Last: 1252 * ms, Status: 429, RetryAfter: 500 * ms})
 			b.Runs[0].To = 1300 * ms
 			b.Runs = append(b.Runs, ReadySpan{0, 1301 * ms, 15 * sec, false})
 		}, ""},
-		"more than the hosts take": {func(b *EventLog) {
+		"more than the hosts serve": {func(b *EventLog) {
 			for i := range 40 {
 				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec, Last: 5*sec + time.Duration(i)*ms, Status: 503})
 			}
 		}, "over refused"},
-		"a burst that they take": {func(b *EventLog) {
+		"a burst that they serve": {func(b *EventLog) {
 			for i := range 3 {
 				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec, Last: 5*sec + time.Duration(i)*ms, Status: 503})
 			}
@@ -142,9 +142,9 @@
 				m.Notices = []Notice{{m.Sent + 3*sec, "undeliverable"}}
 			}
 		}, "delivered"},
-		"a message from nowhere":      {func(b *EventLog) { b.Calls = append(b.Calls, Call{ID: "x", First: sec, Last: sec, Status: 503}) }, "unknown"},
-		"a relay that crashed":        {func(b *EventLog) { b.Errors = []string{"relay 1 ended by itself"} }, "process"},
-		"a cold host that was pushed": {func(b *EventLog) { b.ColdOverloads = 1 }, "cold"},
+		"an unknown message":      {func(b *EventLog) { b.Calls = append(b.Calls, Call{ID: "x", First: sec, Last: sec, Status: 503}) }, "unknown"},
+		"a relay that exited":     {func(b *EventLog) { b.Errors = []string{"relay 1 ended by itself"} }, "process"},
+		"an overloaded cold host": {func(b *EventLog) { b.ColdOverloads = 1 }, "cold"},
 	} {
 		b := cleanHistory(t)
 		c.plant(b)
--- a/internal/relay/chaostest/clients.go
+++ b/internal/relay/chaostest/clients.go
@@ -49,8 +49,8 @@
 	c.wg.Wait()
 }
 
-func (c *clients) runLoad(ctx context.Context, relay, dest, n int, l scenario.Load, open chan struct{}) {
-	draw := rand.New(rand.NewPCG(c.plan.Seed, uint64(relay)<<32|uint64(dest)<<16|uint64(n)))
+func (c *clients) runLoad(ctx context.Context, relay, dest, load int, l scenario.Load, open chan struct{}) {
+	draw := rand.New(rand.NewPCG(c.plan.Seed, uint64(relay)<<32|uint64(dest)<<16|uint64(load)))
 	mean := float64(time.Second) / rate(l, relay, c.plan.Relays)
 	for at, i := time.Duration(0), 0; ; i++ {
 		at += time.Duration(draw.ExpFloat64() * mean)
@@ -68,7 +68,7 @@
 			c.recorder.update(func(b *EventLog) { b.Shed++ })
 			continue
 		}
-		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, n, i),
+		m := &Message{ID: fmt.Sprintf("%02d-%d-%d-%06d", relay, dest, load, i),
 			Relay: relay, Dest: dest, Class: l.Class, Timeout: l.Timeout}
 		c.wg.Go(func() {
 			c.submit(ctx, m)
--- a/internal/relay/chaostest/outcomes.go
+++ b/internal/relay/chaostest/outcomes.go
@@ -16,9 +16,9 @@
 	all := make([][]*Message, len(t.fleet.all))
 	t.recorder.update(func(b *EventLog) {
 		b.Queried = make([]bool, len(t.fleet.all))
-		for _, m := range b.Messages {
-			if m.Status == http.StatusAccepted {
-				all[m.Relay] = append(all[m.Relay], m)
+		for _, message := range b.Messages {
+			if message.Status == http.StatusAccepted {
+				all[message.Relay] = append(all[message.Relay], message)
 			}
 		}
 	})
--- a/internal/relay/chaostest/recorder.go
+++ b/internal/relay/chaostest/recorder.go
@@ -16,9 +16,9 @@
 }
 
 func newRecorder(plan scenario.Plan) *recorder {
-	l := &recorder{log: &EventLog{Plan: plan, Messages: map[string]*Message{}}}
-	l.restartClock()
-	return l
+	r := &recorder{log: &EventLog{Plan: plan, Messages: map[string]*Message{}}}
+	r.restartClock()
+	return r
 }
 
 // restartClock sets the run's clock to 0.
--- a/internal/relay/chaostest/report.go
+++ b/internal/relay/chaostest/report.go
@@ -14,22 +14,24 @@
 func Text(w io.Writer, r Report, others ...Report) {
 	fmt.Fprintf(w, "%s: %d relays, seed %d\n\n", r.Scenario, r.Relays, r.Seed)
 	all := append(slices.Clone(others), r)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprint(t, "phase\tfrom\tfor\ttakes/s\thanded/s\t")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprint(table, "phase\tfrom\tfor\ttakes/s\thanded/s\t")
 	for i := range all {
-		fmt.Fprintf(t, "offered%s\tpeak\trefused\tdelivered\tof possible\t", mark(i, len(all)))
+		fmt.Fprintf(table, "offered%s\tpeak\trefused\tdelivered\tof possible\t", mark(i, len(all)))
 	}
-	fmt.Fprintln(t)
-	for n, p := range r.Phases {
-		span := (p.To - p.From).Seconds()
-		fmt.Fprintf(t, "%s\t%v\t%v\t%.0f\t%.0f\t", p.Name, p.From, p.To-p.From, p.Takes/span, float64(p.Handed)/span)
+	fmt.Fprintln(table)
+	for n, phase := range r.Phases {
+		span := (phase.To - phase.From).Seconds()
+		fmt.Fprintf(table, "%s\t%v\t%v\t%.0f\t%.0f\t", phase.Name, phase.From, phase.To-phase.From,
+			phase.Takes/span, float64(phase.Handed)/span)
 		for _, x := range all {
 			s := x.Phases[n]
-			fmt.Fprintf(t, "%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t", s.Offered(), s.Peak, ratio(float64(s.Refused), s.Takes), s.Served(), s.Possible())
+			fmt.Fprintf(table, "%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t",
+				s.Offered(), s.Peak, ratio(float64(s.Refused), s.Takes), s.Served(), s.Possible())
 		}
-		fmt.Fprintln(t)
+		fmt.Fprintln(table)
 	}
-	t.Flush()
+	table.Flush()
 	for i, x := range all {
 		fmt.Fprintf(w, "\ndelivered of what hosts take, second by second%s\n", mark(i, len(all)))
 		for _, p := range x.Phases {
@@ -38,7 +40,8 @@
 	}
 	for i, x := range all {
 		fmt.Fprintf(w, "\n%s: %s\n", x.name(), counts(x.Clients))
-		fmt.Fprintf(w, "notes for each first try %.1f, bytes %.0f, lost %d; CPU %.2f ms a first try\n", ratio(float64(x.Notes), float64(x.Tries)),
+		fmt.Fprintf(w, "notes for each first try %.1f, bytes %.0f, lost %d; CPU %.2f ms a first try\n",
+			ratio(float64(x.Notes), float64(x.Tries)),
 			ratio(float64(x.Bytes), float64(x.Tries)), x.Lost, ratio(x.CPU.Seconds()*1000, float64(x.Tries)))
 		if at := x.Settled(0.95, x.Phases[0].To); at >= 0 {
 			fmt.Fprintf(w, "0.95 of what could be is delivered from %v on in phase %s\n", at, x.Phases[0].Name)
--- a/internal/relay/chaostest/scheduling_test.go
+++ b/internal/relay/chaostest/scheduling_test.go
@@ -46,11 +46,11 @@
 		book, faults := play()
 		worst, starved := book.Starved()
 		if starved {
-			t.Logf("the machine had no room %v into the trial: a thread waited %v for a processor, the trial's timer was %v late",
+			t.Logf("starved %v into the run: a thread waited %v for a processor, a timer was %v late",
 				worst.From, worst.Waited, worst.TimerDelay)
 		}
 		if starved && len(faults) > 0 {
-			t.Logf("faults of a play without room: %s", strings.Join(faults, "; "))
+			t.Logf("faults of a starved run: %s", strings.Join(faults, "; "))
 			replays.Lock()
 			replays.spent += time.Since(began) // the next run takes as long
 			replays.Unlock()
@@ -62,7 +62,7 @@
 		return replays.spent <= replayBudget
 	})
 	for _, fault := range faults {
-		t.Errorf("play %d: %s", plays, fault)
+		t.Errorf("run %d: %s", plays, fault)
 	}
 }
 
@@ -76,17 +76,17 @@
 		played int
 	}{
 		"clean":                          {[]playResult{clean}, true, "", 1},
-		"clean without room":             {[]playResult{starvedClean}, true, "", 1},
-		"a fault with room":              {[]playResult{faulty, clean}, true, "x", 1},
-		"a fault of the machine":         {[]playResult{starvedFaulty, clean}, true, "", 2},
-		"a fault without room and with":  {[]playResult{starvedFaulty, faulty, clean}, true, "x", 2},
+		"clean and starved":              {[]playResult{starvedClean}, true, "", 1},
+		"a fault, not starved":           {[]playResult{faulty, clean}, true, "x", 1},
+		"a fault, starved":               {[]playResult{starvedFaulty, clean}, true, "", 2},
+		"a fault, starved and then not":  {[]playResult{starvedFaulty, faulty, clean}, true, "x", 2},
 		"a fault in every play":          {[]playResult{starvedFaulty, starvedFaulty, starvedFaulty, clean}, true, "y", 3},
-		"a fault when the time is spent": {[]playResult{starvedFaulty, clean}, false, "y", 1},
+		"a fault, starved, no time left": {[]playResult{starvedFaulty, clean}, false, "y", 1},
 	} {
 		next := 0
 		faults, played := playUntilConclusive(func() playResult { next++; return c.plays[next-1] }, func() bool { return c.repeat })
 		if strings.Join(faults, " ") != c.faults || played != c.played {
-			t.Errorf("%s: %v after %d plays, want %q after %d", name, faults, played, c.faults, c.played)
+			t.Errorf("%s: %v after %d plays, want %q after %d runs", name, faults, played, c.faults, c.played)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 		rooms []SchedulingSample
 		worst int // -1 for none
 	}{
-		"never looked":       {nil, -1},
-		"room":               {[]SchedulingSample{{Waited: starvation.Limit - 1, TimerDelay: starvation.Limit - 1}}, -1},
+		"no sample":          {nil, -1},
+		"not starved":        {[]SchedulingSample{{Waited: starvation.Limit - 1, TimerDelay: starvation.Limit - 1}}, -1},
 		"a thread waited":    {[]SchedulingSample{{}, {From: 1, Waited: starvation.Limit}}, 1},
 		"the timer was late": {[]SchedulingSample{{From: 2, TimerDelay: starvation.Limit}, {}}, 0},
 		"the worst of several": {[]SchedulingSample{
--- a/internal/relay/chaostest/steps.go
+++ b/internal/relay/chaostest/steps.go
@@ -12,21 +12,21 @@
 func (t *trial) runSteps(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for _, s := range t.plan.Steps {
-		if !sleep(ctx, s.At-t.recorder.now()) {
+	for _, step := range t.plan.Steps {
+		if !sleep(ctx, step.At-t.recorder.now()) {
 			return
 		}
-		switch do := s.Action.(type) {
+		switch action := step.Action.(type) {
 		case scenario.Network:
-			do.Since = t.recorder.now()
-			t.links.network.Store(&do)
+			action.Since = t.recorder.now()
+			t.links.network.Store(&action)
 		case scenario.Stopped:
-			t.fleet.enqueue(do.Relay, func(p *process) error { p.setPaused(do.Paused); return nil })
+			t.fleet.enqueue(action.Relay, func(p *process) error { p.setPaused(action.Paused); return nil })
 		case scenario.Killed:
-			t.fleet.enqueue(do.Relay, func(p *process) error { p.terminate(do.Graceful); return nil })
+			t.fleet.enqueue(action.Relay, func(p *process) error { p.terminate(action.Graceful); return nil })
 		case scenario.Started:
-			t.fleet.enqueue(do.Relay, func(p *process) error {
-				if do.EmptyDisk && p.cmd == nil {
+			t.fleet.enqueue(action.Relay, func(p *process) error {
+				if action.EmptyDisk && p.cmd == nil {
 					if err := p.emptyDisk(); err != nil {
 						return err
 					}
@@ -34,13 +34,13 @@
 				return p.start(ctx)
 			})
 		case scenario.Relisted:
-			t.fleet.enqueue(do.Relay, func(p *process) error { return p.writeOperatorFile(do.Size) })
+			t.fleet.enqueue(action.Relay, func(p *process) error { return p.writeOperatorFile(action.Size) })
 		case scenario.AgentSilent:
-			t.agents[do.Relay].Silence(do.Silent)
+			t.agents[action.Relay].Silence(action.Silent)
 		case scenario.Said:
-			wg.Go(func() { t.runCommand(ctx, do) })
+			wg.Go(func() { t.runCommand(ctx, action) })
 		case scenario.HostSet:
-			if err := t.setHost(do); err != nil {
+			if err := t.setHost(action); err != nil {
 				t.recorder.addError(err.Error())
 			}
 		}
@@ -48,12 +48,12 @@
 }
 
 // setHost changes a host's behaviour.
-func (t *trial) setHost(do scenario.HostSet) error {
-	h := t.hosts[do.Partner][do.Host]
-	h.Scale(do.Factor)
-	latency := t.plan.Scenario.Partners[do.Partner].Hosts[do.Host].Latency
-	h.Set(standin.Behaviour{Latency: latency, Hang: do.Hang, Refuse: do.Wait > 0, Wait: do.Wait})
-	if do.Down {
+func (t *trial) setHost(action scenario.HostSet) error {
+	h := t.hosts[action.Partner][action.Host]
+	h.Scale(action.Factor)
+	latency := t.plan.Scenario.Partners[action.Partner].Hosts[action.Host].Latency
+	h.Set(standin.Behaviour{Latency: latency, Hang: action.Hang, Refuse: action.Wait > 0, Wait: action.Wait})
+	if action.Down {
 		h.Down()
 		return nil
 	}
--- a/internal/relay/chaostest/summary.go
+++ b/internal/relay/chaostest/summary.go
@@ -67,12 +67,12 @@
 // summarize measures a span.
 func (c *checker) summarize(from, to time.Duration) Summary {
 	s := Summary{From: from, To: to, Takes: c.capacity(-1, from, to)}
-	for _, k := range c.callsBetween(from, to) {
+	for _, call := range c.callsBetween(from, to) {
 		s.Calls++
-		if k.Status == 429 || k.Status == 503 {
+		if call.Status == 429 || call.Status == 503 {
 			s.Refused++
 		}
-		if at, ok := c.delivered[k.ID]; ok && at == k.Last {
+		if at, ok := c.delivered[call.ID]; ok && at == call.Last {
 			s.Delivered++
 		}
 	}
@@ -94,9 +94,10 @@
 
 // capacity returns how many calls the hosts of a destination, or of all (-1), would have served in a span.
 func (c *checker) capacity(dest int, from, to time.Duration) (n float64) {
-	for _, k := range c.Capacity {
-		if over := min(to, k.From+k.Duration) - max(from, k.From); (dest < 0 || k.Dest == dest) && over > 0 && k.Duration > 0 {
-			n += k.Calls * float64(over) / float64(k.Duration)
+	for _, sample := range c.Capacity {
+		overlap := min(to, sample.From+sample.Duration) - max(from, sample.From)
+		if (dest < 0 || sample.Dest == dest) && overlap > 0 && sample.Duration > 0 {
+			n += sample.Calls * float64(overlap) / float64(sample.Duration)
 		}
 	}
 	return n
@@ -112,22 +113,22 @@
 			burst += h.Burst
 		}
 		first, n := 0, 0
-		for i, k := range calls {
-			if k.Dest != dest {
+		for i, call := range calls {
+			if call.Dest != dest {
 				continue
 			}
 			n++
-			for ; calls[first].Last <= k.Last-window; first++ {
+			for ; calls[first].Last <= call.Last-window; first++ {
 				if calls[first].Dest == dest {
 					n--
 				}
 			}
-			if i+1 < len(calls) && calls[i+1].Last == k.Last || float64(n) <= burst {
+			if i+1 < len(calls) && calls[i+1].Last == call.Last || float64(n) <= burst {
 				continue
 			}
-			begin := k.Last - window // the window may begin before the span
-			if room := c.capacity(dest, max(0, begin), k.Last); room > 0 {
-				most = max(most, (float64(n)-burst)/room)
+			begin := call.Last - window // the window may begin before the span
+			if capacity := c.capacity(dest, max(0, begin), call.Last); capacity > 0 {
+				most = max(most, (float64(n)-burst)/capacity)
 			}
 		}
 	}
--- a/internal/relay/chaostest/trial.go
+++ b/internal/relay/chaostest/trial.go
@@ -129,8 +129,8 @@
 	c.run(ctx)
 	rest := time.Duration(0) // the longest time that a pending message has
 	for _, p := range t.plan.Scenario.Partners {
-		for _, l := range p.Loads {
-			rest = max(rest, l.Timeout)
+		for _, load := range p.Loads {
+			rest = max(rest, load.Timeout)
 		}
 	}
 	sleep(ctx, rest+recoveryTime+settleTime)
@@ -161,16 +161,16 @@
 	for sleep(ctx, sampleInterval) {
 		now := t.recorder.now()
 		for dest, hosts := range t.hosts {
-			k := CapacitySample{Dest: dest, From: last, Duration: now - last}
+			sample := CapacitySample{Dest: dest, From: last, Duration: now - last}
 			for i, h := range hosts {
 				rate, _ := h.Takes()
 				if h.Refuses() {
 					rate = 0
 				}
-				k.Calls += rate * k.Duration.Seconds()
-				k.Burst += t.plan.Scenario.Partners[dest].Hosts[i].Burst
+				sample.Calls += rate * sample.Duration.Seconds()
+				sample.Burst += t.plan.Scenario.Partners[dest].Hosts[i].Burst
 			}
-			t.recorder.update(func(b *EventLog) { b.Capacity = append(b.Capacity, k) })
+			t.recorder.update(func(b *EventLog) { b.Capacity = append(b.Capacity, sample) })
 		}
 		last = now
 	}
@@ -226,5 +226,6 @@
 			}
 		}
 	}
-	b.Datagrams, b.DatagramBytes, b.DatagramsLost = int(t.links.datagrams.Load()), int(t.links.bytes.Load()), int(t.links.lost.Load())
+	b.Datagrams, b.DatagramBytes = int(t.links.datagrams.Load()), int(t.links.bytes.Load())
+	b.DatagramsLost = int(t.links.lost.Load())
 }
--- a/internal/relay/loadbench/clients.go
+++ b/internal/relay/loadbench/clients.go
@@ -102,13 +102,13 @@
 
 // sendOne submits one message and reports whether the connection can be reused.
 func (l *load) sendOne(conn net.Conn, in *bufio.Reader, own *responseCounts, r *rand.Rand) bool {
-	k := 0
-	for x := r.Float64() - classes[0].share; x > 0 && k < len(classes)-1; x -= classes[k].share {
-		k++
+	class := 0
+	for x := r.Float64() - classes[0].share; x > 0 && class < len(classes)-1; x -= classes[class].share {
+		class++
 	}
 	id := fmt.Sprintf("%s%016x", l.prefix, l.lastID.Add(1))
 	key := ""
-	if classes[k].key {
+	if classes[class].key {
 		key = "Idempotency-Key: " + id + "\r\n"
 	}
 	begin, deadline := time.Now(), l.deadline
@@ -117,7 +117,8 @@
 	}
 	conn.SetDeadline(begin.Add(2 * time.Second))
 	_, err := fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\n%sX-Deadline-Ms: %d\r\n"+
-		"X-Addressing: dest=%d\r\nContent-Length: %d\r\n\r\n%s", id, classes[k].name, key, deadline.Milliseconds(), l.dests(), l.body,
+		"X-Addressing: dest=%d\r\nContent-Length: %d\r\n\r\n%s",
+		id, classes[class].name, key, deadline.Milliseconds(), l.dests(), l.body,
 		strings.Repeat("x", l.body))
 	if err != nil {
 		own.failed++
--- a/internal/relay/loadbench/site.go
+++ b/internal/relay/loadbench/site.go
@@ -98,9 +98,9 @@
 
 // startHosts starts the partners' hosts, the faulty ones first and those of the backlog last, and returns the platform's list.
 func (w *site) startHosts(s Scenario) (list []standin.Server, err error) {
-	for d := range s.Dests + w.backlogDests {
+	for dest := range s.Dests + w.backlogDests {
 		how, ledger := standin.Behaviour{Latency: healthyLatency}, w.healthy
-		if float64(d) < s.FaultShare*float64(s.Dests) {
+		if float64(dest) < s.FaultShare*float64(s.Dests) {
 			ledger = w.faulty
 			switch s.Fault {
 			case "hang":
@@ -111,19 +111,19 @@
 				how = standin.Behaviour{Refuse: true, Wait: retryAfter}
 			}
 		}
-		if d >= s.Dests {
+		if dest >= s.Dests {
 			how, ledger = standin.Behaviour{Refuse: true, Wait: backlogRetryAfter}, w.faulty
 		}
-		id := fmt.Sprintf("s-%d", d)
+		id := fmt.Sprintf("s-%d", dest)
 		h, err := standin.NewHost(id, "a", ledger, how, false)
 		if err != nil {
 			return nil, err
 		}
 		w.hosts = append(w.hosts, h)
-		if ledger == w.faulty && s.Fault == "refuse" && d < s.Dests {
+		if ledger == w.faulty && s.Fault == "refuse" && dest < s.Dests {
 			h.Down()
 		}
-		list = append(list, standin.Server{ID: id, Addr: h.Addr(), Zone: "a", Kind: "system", Cell: d, State: "active", Weight: 1})
+		list = append(list, standin.Server{ID: id, Addr: h.Addr(), Zone: "a", Kind: "system", Cell: dest, State: "active", Weight: 1})
 	}
 	return list, nil
 }
@@ -140,12 +140,14 @@
 		"settings": map[string]any{
 			"bounds": map[string]any{"cancel": true, "conn-idle": 15, "dial-timeout": 1, "max-attempts": 6, "max-retry-after": 30,
 				"most-held": max(w.options.MaxPending, s.MaxPending)},
-			"classes": []any{class("status-update", "idempotent", 1), class("job-order", "deduplicated", 2), class("payment", "at_most_once", 4)},
+			"classes": []any{class("status-update", "idempotent", 1), class("job-order", "deduplicated", 2),
+				class("payment", "at_most_once", 4)},
 			"family-info": map[string]any{"late": "linear", "own-limits": []bool{false}, "per-call": []int{1}, "workers": w.options.Slots,
 				"zone-fee": []float64{0}},
 			"fleet-size": 1, "index": 0, "load-report": map[string]any{"columns": []string{}, "how": "off"}, "registry-mode": "automatic",
-			"rules": map[string]any{"cold": 13, "cold-from": 0.22, "drain-grace": 0.25, "fall": 2, "grace-to-answer": 0.02, "overload-factor": 2},
-			"skus":  []string{"system"}, "tick": 0.005, "weights": "off", "zones": []string{"a"}}}
+			"rules": map[string]any{"cold": 13, "cold-from": 0.22, "drain-grace": 0.25, "fall": 2,
+				"grace-to-answer": 0.02, "overload-factor": 2},
+			"skus": []string{"system"}, "tick": 0.005, "weights": "off", "zones": []string{"a"}}}
 	data, err := json.Marshal(conf)
 	if err != nil {
 		return nil, err
--- a/internal/relay/scenario/parse.go
+++ b/internal/relay/scenario/parse.go
@@ -18,8 +18,9 @@
 		return nil, err
 	}
 	s := &Scenario{Title: top.Text("title", path), About: top.Text("about", " "), Seed: uint64(top.Whole("seed", 1, 0, 1<<31)),
-		Relays: top.Whole("relays", 8, 1, MaxRelays), Slots: top.Whole("slots", 32, 1, 1000), MaxPending: top.Whole("held", 256, 1, 100_000),
-		Attempts: top.Whole("attempts", 6, 1, 100), Classes: config.DefaultClasses(), Rules: config.ReadRules(top, time.Minute)}
+		Relays: top.Whole("relays", 8, 1, MaxRelays), Slots: top.Whole("slots", 32, 1, 1000),
+		MaxPending: top.Whole("held", 256, 1, 100_000),
+		Attempts:   top.Whole("attempts", 6, 1, 100), Classes: config.DefaultClasses(), Rules: config.ReadRules(top, time.Minute)}
 	s.Appliances = top.Choose("form", "platform", "platform", "appliance") == "appliance"
 	if top.Has("listed") {
 		s.InitialRelays = top.Whole("listed", 1, 1, s.Relays)
@@ -53,31 +54,31 @@
 		if c.Type != "partner" {
 			continue
 		}
-		n, _ := top.Label("partner", c, seen)
-		b := top.Open(c.Body, c.DefRange, nil, map[string]string{"host": "name", "load": "class", "limit": ""})
-		p := Partner{Name: n}
+		name, _ := top.Label("partner", c, seen)
+		block := top.Open(c.Body, c.DefRange, nil, map[string]string{"host": "name", "load": "class", "limit": ""})
+		p := Partner{Name: name}
 		hosts := map[string]hcl.Range{}
-		for _, c := range b.Blocks {
+		for _, c := range block.Blocks {
 			if c.Type == "host" {
-				p.Hosts = append(p.Hosts, parseHost(b, c, hosts))
+				p.Hosts = append(p.Hosts, parseHost(block, c, hosts))
 				continue
 			}
 			if c.Type == "limit" {
 				if !f.Appliances {
-					b.Fault(c.DefRange, `a platform tells no limits: say form = "appliance"`)
+					block.Fault(c.DefRange, `a platform tells no limits: say form = "appliance"`)
 				}
 				continue
 			}
-			l := f.parseLoad(b, c)
+			l := f.parseLoad(block, c)
 			rate += l.Rate
 			p.Loads = append(p.Loads, l)
 		}
-		p.Limit = config.ReadLimit(b, 0.1)
+		p.Limit = config.ReadLimit(block, 0.1)
 		if len(p.Hosts) == 0 {
-			top.Fault(c.DefRange, `partner %q has no host: add host "a" { rate = 100 }`, n)
+			top.Fault(c.DefRange, `partner %q has no host: add host "a" { rate = 100 }`, name)
 		}
 		f.Partners = append(f.Partners, p)
-		f.names[n] = p
+		f.names[name] = p
 	}
 	if len(f.Partners) == 0 {
 		top.Fault(top.At, `no partner: add partner "NAME" { host "a" { rate = 100 }  load "job-order" { rate = 50 } }`)
@@ -109,7 +110,8 @@
 	}
 	l := b.Open(c.Body, c.DefRange, []string{"rate", "within", "hot", "hot_times"}, nil)
 	l.Need("rate", "messages a second of all clients, such as rate = 50")
-	return Load{Class: c.Labels[0], Rate: l.Number("rate", 1, 0.1, maxRate), Timeout: l.Span("within", min(3*time.Second, k.Deadline), 100*time.Millisecond, k.Deadline),
+	return Load{Class: c.Labels[0], Rate: l.Number("rate", 1, 0.1, maxRate),
+		Timeout:   l.Span("within", min(3*time.Second, k.Deadline), 100*time.Millisecond, k.Deadline),
 		HotRelays: l.Whole("hot", 0, 0, MaxRelays), HotFactor: l.Number("hot_times", 10, 1, 1000)}
 }
 
--- a/internal/relay/scenario/parse_phase.go
+++ b/internal/relay/scenario/parse_phase.go
@@ -32,26 +32,27 @@
 	b := top.Open(c.Body, c.DefRange, []string{"for"}, map[string]string{"cut": "shape", "links": "", "stop": "", "kill": "",
 		"agents": "", "say": "what", "grow": "", "partner": "name", "expect": ""})
 	b.Need("for", `how long it lasts, such as for = "8s"`)
-	p := Phase{Name: name, Duration: b.Span("for", time.Second, 100*time.Millisecond, maxSpan), Expect: parseExpectations(b, maxSpan)}
+	p := Phase{Name: name, Duration: b.Span("for", time.Second, 100*time.Millisecond, maxSpan),
+		Expect: parseExpectations(b, maxSpan)}
 	p.Links = parseLinks(b)
 	p.Resize = f.parseResize(b)
-	for _, c := range b.Blocks {
-		switch c.Type {
+	for _, block := range b.Blocks {
+		switch block.Type {
 		case "cut":
-			p.Cuts = append(p.Cuts, parseCut(b, c))
+			p.Cuts = append(p.Cuts, parseCut(b, block))
 		case "stop":
-			p.Stops = append(p.Stops, f.parseStop(b, c, p.Duration))
+			p.Stops = append(p.Stops, f.parseStop(b, block, p.Duration))
 		case "kill":
-			p.Kills = append(p.Kills, f.parseKill(b, c, p.Duration))
+			p.Kills = append(p.Kills, f.parseKill(b, block, p.Duration))
 		case "agents":
-			k := b.Open(c.Body, c.DefRange, append([]string{"silent"}, relaySelectorAttrs...), nil)
+			k := b.Open(block.Body, block.DefRange, append([]string{"silent"}, relaySelectorAttrs...), nil)
 			if k.Truth("silent", true) {
 				p.SilentAgents = append(p.SilentAgents, SilentAgent{f.parseRelays(k)})
 			}
 		case "say":
-			p.Commands = append(p.Commands, f.parseCommand(b, c, p.Duration))
+			p.Commands = append(p.Commands, f.parseCommand(b, block, p.Duration))
 		case "partner":
-			p.HostChanges = append(p.HostChanges, f.parseHostChange(b, c, p.Duration))
+			p.HostChanges = append(p.HostChanges, f.parseHostChange(b, block, p.Duration))
 		}
 	}
 	return p
@@ -98,7 +99,8 @@
 	case CommandRemove, CommandRestore:
 		attrs[3] = "of"
 	default:
-		b.Fault(c.LabelRanges[0], "say %q is unknown; allowed: %s, %s, %s, %s", s.What, CommandDrain, CommandUndrain, CommandRemove, CommandRestore)
+		b.Fault(c.LabelRanges[0], "say %q is unknown; allowed: %s, %s, %s, %s", s.What,
+			CommandDrain, CommandUndrain, CommandRemove, CommandRestore)
 	}
 	if !f.Appliances {
 		b.Fault(c.DefRange, `operators say nothing for the fleet to a platform's relays: say form = "appliance"`)
@@ -172,8 +174,10 @@
 func (f *parser) parseHostChange(b hclfile.Block, c *hcl.Block, most time.Duration) HostChange {
 	k := b.Open(c.Body, c.DefRange, []string{"hosts", "at", "for", "factor", "down", "hang", "wait"}, nil)
 	at := k.Span("at", 0, 0, most)
-	h := HostChange{Partner: c.Labels[0], Hosts: k.Texts("hosts"), At: at, Duration: k.Span("for", most-at, 10*time.Millisecond, maxSpan),
-		Factor: k.Number("factor", 1, 0.001, 1000), Down: k.Truth("down", false), Hang: k.Truth("hang", false), RetryAfter: k.Span("wait", 0, 0, time.Minute)}
+	h := HostChange{Partner: c.Labels[0], Hosts: k.Texts("hosts"), At: at,
+		Duration: k.Span("for", most-at, 10*time.Millisecond, maxSpan),
+		Factor:   k.Number("factor", 1, 0.001, 1000), Down: k.Truth("down", false), Hang: k.Truth("hang", false),
+		RetryAfter: k.Span("wait", 0, 0, time.Minute)}
 	p, ok := f.names[h.Partner]
 	if !ok {
 		b.Fault(c.LabelRanges[0], "partner %q is unknown", h.Partner)
--- a/internal/relay/scenario/plan.go
+++ b/internal/relay/scenario/plan.go
@@ -141,14 +141,14 @@
 	if n == 0 {
 		n = max(1, int(w.Share*float64(p.Relays)+0.5))
 	}
-	of := func(name string) int {
+	coordinatorOf := func(name string) int {
 		return coordinator(slices.IndexFunc(p.Scenario.Partners, func(x Partner) bool { return x.Name == name }))
 	}
 	if w.Coordinator != "" {
-		all = append(all, of(w.Coordinator))
+		all = append(all, coordinatorOf(w.Coordinator))
 	}
 	for _, r := range draw.Perm(p.Relays) {
-		if !slices.Contains(all, r) && (w.ExcludeCoordinator == "" || r != of(w.ExcludeCoordinator)) {
+		if !slices.Contains(all, r) && (w.ExcludeCoordinator == "" || r != coordinatorOf(w.ExcludeCoordinator)) {
 			all = append(all, r)
 		}
 	}
--- a/internal/relay/scenario/scenario.go
+++ b/internal/relay/scenario/scenario.go
@@ -90,7 +90,7 @@
 // Expectation bounds what is measured in a part of a phase, or of the run.
 type Expectation struct {
 	From, To     time.Duration // from the beginning of the phase; To is 0 for its end
-	MinDelivered float64       // delivered messages as a share of the hosts' capacity, or of the submitted messages if those are fewer
+	MinDelivered float64       // delivered messages as a share of the hosts' capacity, or of the submitted messages if fewer
 	MaxOffered   float64       // calls of any second, less the bursts, as a share of the hosts' capacity in it; 0 for no bound
 	MaxRefused   float64       // rejected calls as a share of all; 0 for no bound
 }
--- a/internal/relay/simulation/call.go
+++ b/internal/relay/simulation/call.go
@@ -9,10 +9,10 @@
 // call sends a call to a route and schedules its response.
 func (r *relay) call(host string, c *call) {
 	w := r.world
-	x := w.routes[host]
+	route := w.routes[host]
 	began := w.now
 	incarnation := r.incarnation
-	back := func(after time.Duration, o choice.Outcome, wait time.Duration) {
+	respond := func(after time.Duration, o choice.Outcome, wait time.Duration) {
 		w.after(after, func() {
 			if r.incarnation == incarnation && r.up {
 				r.callEnded(c, host, o, began, wait)
@@ -28,34 +28,35 @@
 	}
 	w.after(oneWayDelay, func() {
 		switch {
-		case x.outages > 0 && x.refuseConnections:
-			back(oneWayDelay, choice.NoConnection, 0)
+		case route.outages > 0 && route.refuseConnections:
+			respond(oneWayDelay, choice.NoConnection, 0)
 			return
-		case x.outages > 0 || x.overloaded:
-			back(dialTimeout-oneWayDelay, choice.NoConnection, 0)
+		case route.outages > 0 || route.overloaded:
+			respond(dialTimeout-oneWayDelay, choice.NoConnection, 0)
 			return
 		}
 		w.result.Calls++
-		w.result.ByDest[x.dest].Calls++
-		w.countColdCall(x, r.index)
-		if !w.admit(x) {
+		w.result.ByDest[route.dest].Calls++
+		w.countColdCall(route, r.index)
+		if !w.admit(route) {
 			w.result.OverLimit++
-			w.result.ByDest[x.dest].OverLimit++
+			w.result.ByDest[route.dest].OverLimit++
 			var wait time.Duration
-			if w.random.Float64() < x.RetryAfterShare {
-				wait = max(x.MinRetryAfter, time.Duration((1-x.tokens)/(x.Limit*x.limitFactor*w.capacity(x))*float64(time.Second)))
+			if w.random.Float64() < route.RetryAfterShare {
+				rate := route.Limit * route.limitFactor * w.capacity(route)
+				wait = max(route.MinRetryAfter, time.Duration((1-route.tokens)/rate*float64(time.Second)))
 				w.result.RetryAfters++
 			}
-			back(oneWayDelay, choice.Refused, wait)
+			respond(oneWayDelay, choice.Refused, wait)
 			return
 		}
-		took := x.ServiceTime/2 + w.exponential(x.ServiceTime/2)
+		took := route.ServiceTime/2 + w.exponential(route.ServiceTime/2)
 		w.after(took, func() {
 			for _, s := range c.members {
 				w.served(s.ID)
 			}
 		})
-		back(took+oneWayDelay, choice.Served, 0)
+		respond(took+oneWayDelay, choice.Served, 0)
 	})
 }
 
--- a/internal/relay/simulation/simulation_test.go
+++ b/internal/relay/simulation/simulation_test.go
@@ -79,12 +79,12 @@
 		d.LossRate = 1
 		return d
 	}, checkShares(0.3, 0.5))
-	forEachSeed(t, "doubled", func(s uint64) Day { // 80 relays overload a cold route on 4 of 90 days, 60 on 2 of 30: open, see ROADMAP
+	forEachSeed(t, "duplicated", func(s uint64) Day { // 80 relays overload a cold route on 4 of 90 days, 60 on 2 of 30: open, see ROADMAP
 		d := Campus(60, 0.8, s).WithOutage(false)
 		d.DuplicateRate = 0.5
 		return d
 	}, checkShares(0.8, 0.1))
-	forEachSeed(t, "spoilt", func(s uint64) Day {
+	forEachSeed(t, "corrupted", func(s uint64) Day {
 		d := Campus(80, 0.8, s).WithOutage(false)
 		d.Corrupt = func(note []byte, r *rand.Rand) []byte {
 			if r.IntN(4) > 0 {
@@ -130,8 +130,8 @@
 // Guards against a fleet that starves during a partition, and against one that exceeds the limits after it.
 func TestPartitionedFleet(t *testing.T) {
 	all := func(int, int) bool { return true }
-	forEachSeed(t, "nobody hears anybody", func(s uint64) Day { return Campus(300, 0.5, s).WithPartition(all) }, checkShares(0.9, 0.08))
-	forEachSeed(t, "and routes come back cold", func(s uint64) Day {
+	forEachSeed(t, "all links", func(s uint64) Day { return Campus(300, 0.5, s).WithPartition(all) }, checkShares(0.9, 0.08))
+	forEachSeed(t, "all links, with cold starts", func(s uint64) Day {
 		d := Campus(300, 0.5, s).WithPartition(all)
 		d.Faults = append(d.Faults, Fault{From: 9 * time.Second, To: 13 * time.Second, Dests: []int{0, 3}, Down: true})
 		return d
@@ -164,8 +164,8 @@
 // Guards against a fleet that loses its estimates of the limits when most of its coordinators are killed at once, and again soon
 // after.
 func TestMassRestart(t *testing.T) {
-	forEachSeed(t, "seven in ten", func(s uint64) Day { return Campus(300, 0.7, s).WithRestarts(210) }, checkShares(0.95, 0.08))
-	forEachSeed(t, "and three in ten again", func(s uint64) Day {
+	forEachSeed(t, "70 percent", func(s uint64) Day { return Campus(300, 0.7, s).WithRestarts(210) }, checkShares(0.95, 0.08))
+	forEachSeed(t, "70 percent, then 30 percent", func(s uint64) Day {
 		d := Campus(300, 0.7, s).WithRestarts(210).WithRestarts(90)
 		d.Faults[1].From, d.Faults[1].To = 14*time.Second, 14600*time.Millisecond
 		return d
--- a/internal/relay/simulation/world.go
+++ b/internal/relay/simulation/world.go
@@ -95,18 +95,18 @@
 		}
 		w.scheduleArrival(dest)
 		w.lastMessage++
-		m := &message{id: fmt.Sprintf("m%06d", w.lastMessage), class: w.random.IntN(len(w.day.Settings.Classes)),
+		msg := &message{id: fmt.Sprintf("m%06d", w.lastMessage), class: w.random.IntN(len(w.day.Settings.Classes)),
 			dest: dest, arrived: w.now}
-		k := w.day.Settings.Classes[m.class]
+		class := w.day.Settings.Classes[msg.class]
 		w.result.Offered++
 		w.result.ByDest[dest].Offered++
-		w.result.OfferedValue += k.Worth
+		w.result.OfferedValue += class.Worth
 		for range 10 { // clients retry another relay if one is down
 			if r := w.relays[w.random.IntN(w.size)]; r.up {
-				w.messages[m.id] = m
-				a := choice.Arrival{ID: m.id, Class: m.class, Dest: dest, Left: k.Deadline}
-				r.pending[m.id], r.deadline[m.id] = &choice.Restored{Arrival: a}, w.now+k.Deadline
-				r.order = append(r.order, m.id)
+				w.messages[msg.id] = msg
+				a := choice.Arrival{ID: msg.id, Class: msg.class, Dest: dest, Left: class.Deadline}
+				r.pending[msg.id], r.deadline[msg.id] = &choice.Restored{Arrival: a}, w.now+class.Deadline
+				r.order = append(r.order, msg.id)
 				r.step(a)
 				return
 			}
@@ -152,15 +152,16 @@
 	m.done = true
 	delete(w.messages, id)
 	w.result.ByDest[m.dest].Served++
-	k := w.day.Settings.Classes[m.class]
+	class := w.day.Settings.Classes[m.class]
 	age := w.now - m.arrived
-	if age <= k.Aim {
+	if age <= class.Aim {
 		w.result.InTime++
-		w.result.Value += k.Worth
+		w.result.Value += class.Worth
 		return
 	}
 	w.result.Late++
-	w.result.Value += k.Worth * max(k.LateShare, 1-(1-k.LateShare)*(age-k.Aim).Seconds()/(k.Deadline-k.Aim).Seconds())
+	lateTime, maxLate := (age - class.Aim).Seconds(), (class.Deadline - class.Aim).Seconds()
+	w.result.Value += class.Worth * max(class.LateShare, 1-(1-class.LateShare)*lateTime/maxLate)
 }
 
 // countPossible computes Result.Possible.
