--- a/internal/relay/chaostest/page.go
+++ b/internal/relay/chaostest/page.go
@@ -1,18 +1,10 @@
 package chaostest
 
 import (
-	"bytes"
 	"fmt"
 	"html/template"
-	"image/color"
 	"io"
 
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/vg"
-	vgdraw "gonum.org/v1/plot/vg/draw"
-	"gonum.org/v1/plot/vg/vgsvg"
-
 	"larchrouter/internal/relay/scenario"
 )
 
@@ -74,73 +66,3 @@
 	}
 	return page.Execute(w, data)
 }
-
-// draw plots the figures of each second as SVG.
-func draw(r Report) ([]byte, error) {
-	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text, p.Y.Min = "second", "a second", 0
-	p.Legend.Top = true
-	line := func(name string, c color.Color, dashed bool, of func(Summary) float64) error {
-		var all plotter.XYs
-		for _, s := range r.Seconds {
-			all = append(all, plotter.XY{X: (s.From + s.To).Seconds() / 2, Y: of(s) / (s.To - s.From).Seconds()})
-		}
-		l, err := plotter.NewLine(all)
-		if err != nil {
-			return err
-		}
-		l.Color, l.Width = c, vg.Points(1.5)
-		if dashed {
-			l.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
-		}
-		p.Add(l)
-		p.Legend.Add(name, l)
-		return nil
-	}
-	for _, one := range []struct {
-		name   string
-		c      color.Color
-		dashed bool
-		of     func(Summary) float64
-	}{
-		{"handed in", color.Gray{170}, false, func(s Summary) float64 { return float64(s.Handed) }},
-		{"hosts take", color.Gray{60}, true, func(s Summary) float64 { return s.Takes }},
-		{"calls offered", color.RGBA{200, 80, 0, 255}, false, func(s Summary) float64 { return float64(s.Calls) }},
-		{"delivered", color.RGBA{0, 90, 160, 255}, false, func(s Summary) float64 { return float64(s.Delivered) }},
-	} {
-		if err := line(one.name, one.c, one.dashed, one.of); err != nil {
-			return nil, err
-		}
-	}
-	top := p.Y.Max
-	var labels plotter.XYLabels
-	for _, w := range r.Phases {
-		l, err := plotter.NewLine(plotter.XYs{{X: w.From.Seconds(), Y: 0}, {X: w.From.Seconds(), Y: top}})
-		if err != nil {
-			return nil, err
-		}
-		l.Color = color.Gray{200}
-		p.Add(l)
-		labels.XYs, labels.Labels = append(labels.XYs, plotter.XY{X: w.From.Seconds(), Y: top * 1.02}), append(labels.Labels, w.Name)
-	}
-	names, err := plotter.NewLabels(labels)
-	if err != nil {
-		return nil, err
-	}
-	for i := range names.TextStyle {
-		names.TextStyle[i].Rotation = 0.4
-	}
-	p.Add(names)
-	p.Y.Max = top * 1.25
-	c := vgsvg.New(28*vg.Centimeter, 11*vg.Centimeter)
-	p.Draw(vgdraw.New(c))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
-		return nil, err
-	}
-	svg := b.Bytes()
-	if i := bytes.Index(svg, []byte("<svg")); i > 0 { // the XML head has no place in a page
-		svg = svg[i:]
-	}
-	return svg, nil
-}
--- a/internal/relay/chaostest/process.go
+++ b/internal/relay/chaostest/process.go
@@ -112,15 +112,7 @@
 		return err
 	}
 	defer logs.Close()
-	cmd := exec.Command(p.program)
-	if p.standalone {
-		cmd = exec.Command(p.program, "run", "--config", p.configPath())
-	}
-	cmd.Env = []string{"BALANCER_CONFIG=" + p.configPath(), "BALANCER_STATE=" + p.stateDir(), "TMPDIR=" + p.dir,
-		"LARCHROUTER_LOG=" + os.Getenv("LARCHROUTER_LOG")}
-	if p.fault != "" {
-		cmd.Env = append(cmd.Env, "LARCHROUTER_PLANT="+p.fault)
-	}
+	cmd := p.command()
 	cmd.Stderr = logs
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no relay outlives this process
 	if err := cmd.Start(); err != nil {
@@ -148,6 +140,20 @@
 	return nil
 }
 
+// command returns the relay's command line and environment.
+func (p *process) command() *exec.Cmd {
+	cmd := exec.Command(p.program)
+	if p.standalone {
+		cmd = exec.Command(p.program, "run", "--config", p.configPath())
+	}
+	cmd.Env = []string{"BALANCER_CONFIG=" + p.configPath(), "BALANCER_STATE=" + p.stateDir(), "TMPDIR=" + p.dir,
+		"LARCHROUTER_LOG=" + os.Getenv("LARCHROUTER_LOG")}
+	if p.fault != "" {
+		cmd.Env = append(cmd.Env, "LARCHROUTER_PLANT="+p.fault)
+	}
+	return cmd
+}
+
 // waitServing returns when the relay serves; with an error if it exits before, or does not serve in time.
 func (p *process) waitServing(ctx context.Context, exited <-chan struct{}) error {
 	for begin := time.Now(); ; {
--- a/internal/relay/chaostest/report.go
+++ b/internal/relay/chaostest/report.go
@@ -14,6 +14,20 @@
 func Text(w io.Writer, r Report, others ...Report) {
 	fmt.Fprintf(w, "%s: %d relays, seed %d\n\n", r.Scenario, r.Relays, r.Seed)
 	all := append(slices.Clone(others), r)
+	writeTable(w, r, all)
+	for i, x := range all {
+		fmt.Fprintf(w, "\ndelivered of what hosts take, second by second%s\n", mark(i, len(all)))
+		for _, p := range x.Phases {
+			fmt.Fprintf(w, "  %-18s %s\n", p.Name, strings.Join(seconds(x, p, Summary.Served), " "))
+		}
+	}
+	for i, x := range all {
+		x.writeResult(w, i == len(all)-1)
+	}
+}
+
+// writeTable writes the figures of each phase, of all reports in columns.
+func writeTable(w io.Writer, r Report, all []Report) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "phase\tfrom\tfor\ttakes/s\thanded/s\t")
 	for i := range all {
@@ -32,29 +46,25 @@
 		fmt.Fprintln(table)
 	}
 	table.Flush()
-	for i, x := range all {
-		fmt.Fprintf(w, "\ndelivered of what hosts take, second by second%s\n", mark(i, len(all)))
-		for _, p := range x.Phases {
-			fmt.Fprintf(w, "  %-18s %s\n", p.Name, strings.Join(seconds(x, p, Summary.Served), " "))
-		}
+}
+
+// writeResult writes a report's totals, and its findings or, if they are not to be listed, their number.
+func (r Report) writeResult(w io.Writer, list bool) {
+	fmt.Fprintf(w, "\n%s: %s\n", r.name(), counts(r.Clients))
+	fmt.Fprintf(w, "notes for each first try %.1f, bytes %.0f, lost %d; CPU %.2f ms a first try\n",
+		ratio(float64(r.Notes), float64(r.Tries)),
+		ratio(float64(r.Bytes), float64(r.Tries)), r.Lost, ratio(r.CPU.Seconds()*1000, float64(r.Tries)))
+	if at := r.Settled(0.95, r.Phases[0].To); at >= 0 {
+		fmt.Fprintf(w, "0.95 of what could be is delivered from %v on in phase %s\n", at, r.Phases[0].Name)
 	}
-	for i, x := range all {
-		fmt.Fprintf(w, "\n%s: %s\n", x.name(), counts(x.Clients))
-		fmt.Fprintf(w, "notes for each first try %.1f, bytes %.0f, lost %d; CPU %.2f ms a first try\n",
-			ratio(float64(x.Notes), float64(x.Tries)),
-			ratio(float64(x.Bytes), float64(x.Tries)), x.Lost, ratio(x.CPU.Seconds()*1000, float64(x.Tries)))
-		if at := x.Settled(0.95, x.Phases[0].To); at >= 0 {
-			fmt.Fprintf(w, "0.95 of what could be is delivered from %v on in phase %s\n", at, x.Phases[0].Name)
-		}
-		switch {
-		case len(x.Findings) == 0:
-			fmt.Fprintln(w, "every bound held")
-		case i < len(all)-1:
-			fmt.Fprintf(w, "%d findings\n", len(x.Findings))
-		default:
-			for _, f := range x.Findings {
-				fmt.Fprintln(w, "!", f)
-			}
+	switch {
+	case len(r.Findings) == 0:
+		fmt.Fprintln(w, "every bound held")
+	case !list:
+		fmt.Fprintf(w, "%d findings\n", len(r.Findings))
+	default:
+		for _, f := range r.Findings {
+			fmt.Fprintln(w, "!", f)
 		}
 	}
 }
--- a/internal/relay/simulation/call.go
+++ b/internal/relay/simulation/call.go
@@ -26,38 +26,42 @@
 			}
 		})
 	}
-	w.after(oneWayDelay, func() {
-		switch {
-		case route.outages > 0 && route.refuseConnections:
-			respond(oneWayDelay, choice.NoConnection, 0)
-			return
-		case route.outages > 0 || route.overloaded:
-			respond(dialTimeout-oneWayDelay, choice.NoConnection, 0)
-			return
+	w.after(oneWayDelay, func() { r.arrive(route, c, respond) })
+}
+
+// arrive has a call arrive at its route, which responds after a delay with an outcome and a retry-after.
+func (r *relay) arrive(route *route, c *call, respond func(after time.Duration, o choice.Outcome, wait time.Duration)) {
+	w := r.world
+	switch {
+	case route.outages > 0 && route.refuseConnections:
+		respond(oneWayDelay, choice.NoConnection, 0)
+		return
+	case route.outages > 0 || route.overloaded:
+		respond(dialTimeout-oneWayDelay, choice.NoConnection, 0)
+		return
+	}
+	w.result.Calls++
+	w.result.ByDest[route.dest].Calls++
+	w.countColdCall(route, r.index)
+	if !w.admit(route) {
+		w.result.OverLimit++
+		w.result.ByDest[route.dest].OverLimit++
+		var wait time.Duration
+		if w.random.Float64() < route.RetryAfterShare {
+			rate := route.Limit * route.limitFactor * w.capacity(route)
+			wait = max(route.MinRetryAfter, time.Duration((1-route.tokens)/rate*float64(time.Second)))
+			w.result.RetryAfters++
 		}
-		w.result.Calls++
-		w.result.ByDest[route.dest].Calls++
-		w.countColdCall(route, r.index)
-		if !w.admit(route) {
-			w.result.OverLimit++
-			w.result.ByDest[route.dest].OverLimit++
-			var wait time.Duration
-			if w.random.Float64() < route.RetryAfterShare {
-				rate := route.Limit * route.limitFactor * w.capacity(route)
-				wait = max(route.MinRetryAfter, time.Duration((1-route.tokens)/rate*float64(time.Second)))
-				w.result.RetryAfters++
-			}
-			respond(oneWayDelay, choice.Refused, wait)
-			return
+		respond(oneWayDelay, choice.Refused, wait)
+		return
+	}
+	took := route.ServiceTime/2 + w.exponential(route.ServiceTime/2)
+	w.after(took, func() {
+		for _, s := range c.members {
+			w.served(s.ID)
 		}
-		took := route.ServiceTime/2 + w.exponential(route.ServiceTime/2)
-		w.after(took, func() {
-			for _, s := range c.members {
-				w.served(s.ID)
-			}
-		})
-		respond(took+oneWayDelay, choice.Served, 0)
 	})
+	respond(took+oneWayDelay, choice.Served, 0)
 }
 
 // callEnded passes a call's outcome to the relay, unless the call is complete.
