--- a/internal/relay/chaostest/chaostest_test.go
+++ b/internal/relay/chaostest/chaostest_test.go
@@ -230,7 +230,8 @@
 
 // An interrupted run returns the error of its context and leaves no process.
 func TestInterruptedRunLeavesNoProcess(t *testing.T) {
-	text := strings.Replace(sixteenRelays, "relays = 16", "relays = 3", 1) + "phase \"whole\" {\n for = \"1m\"\n stop { relays = 1 }\n}"
+	text := strings.Replace(sixteenRelays, "relays = 16", "relays = 3", 1) +
+		"phase \"whole\" {\n for = \"1m\"\n stop { relays = 1 }\n}"
 	s, err := scenario.Parse([]byte(text), "s")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/chaostest/check_test.go
+++ b/internal/relay/chaostest/check_test.go
@@ -42,7 +42,8 @@
 	}
 	b := &EventLog{Plan: scenario.NewPlan(s, 2, 1, func(int) int { return 0 }), Messages: map[string]*Message{}, End: 15 * sec}
 	for i := range 400 {
-		m := &Message{ID: fmt.Sprintf("m%03d", i), Relay: i % 2, Class: "payment", Sent: time.Duration(i) * 25 * ms, Timeout: 3 * sec, Status: 202}
+		m := &Message{ID: fmt.Sprintf("m%03d", i), Relay: i % 2, Class: "payment",
+			Sent: time.Duration(i) * 25 * ms, Timeout: 3 * sec, Status: 202}
 		m.Answered = m.Sent + ms
 		b.Messages[m.ID] = m
 		b.Calls = append(b.Calls, Call{ID: m.ID, First: m.Sent + 2*ms, Last: m.Sent + 3*ms, Status: 200, Applied: true})
@@ -121,12 +122,14 @@
 		}, ""},
 		"more than the hosts serve": {func(b *EventLog) {
 			for i := range 40 {
-				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec, Last: 5*sec + time.Duration(i)*ms, Status: 503})
+				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec,
+					Last: 5*sec + time.Duration(i)*ms, Status: 503})
 			}
 		}, "over refused"},
 		"a burst that they serve": {func(b *EventLog) {
 			for i := range 3 {
-				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec, Last: 5*sec + time.Duration(i)*ms, Status: 503})
+				b.Calls = append(b.Calls, Call{ID: fmt.Sprintf("m%03d", 100+i), First: 5 * sec,
+					Last: 5*sec + time.Duration(i)*ms, Status: 503})
 			}
 		}, ""},
 		"too little delivered": {func(b *EventLog) {
@@ -142,7 +145,9 @@
 				m.Notices = []Notice{{m.Sent + 3*sec, "undeliverable"}}
 			}
 		}, "delivered"},
-		"an unknown message":      {func(b *EventLog) { b.Calls = append(b.Calls, Call{ID: "x", First: sec, Last: sec, Status: 503}) }, "unknown"},
+		"an unknown message": {func(b *EventLog) {
+			b.Calls = append(b.Calls, Call{ID: "x", First: sec, Last: sec, Status: 503})
+		}, "unknown"},
 		"a relay that exited":     {func(b *EventLog) { b.Errors = []string{"relay 1 ended by itself"} }, "process"},
 		"an overloaded cold host": {func(b *EventLog) { b.ColdOverloads = 1 }, "cold"},
 	} {
@@ -164,7 +169,8 @@
 	b := cleanHistory(t)
 	r := Check(b)
 	p := r.Phases[0]
-	if p.Handed != 400 || p.Calls != 400 || p.Delivered != 400 || p.Takes < 499.9 || p.Takes > 500.1 || p.Served() < 0.79 || p.Possible() != 1 {
+	if p.Handed != 400 || p.Calls != 400 || p.Delivered != 400 ||
+		p.Takes < 499.9 || p.Takes > 500.1 || p.Served() < 0.79 || p.Possible() != 1 {
 		t.Errorf("%+v", p)
 	}
 	if len(r.Seconds) != 10 || r.Seconds[3].Calls != 40 || r.Clients["delivered in time"] != 400 || r.Settled(0.9, 10*sec) != 0 {
@@ -186,7 +192,8 @@
 			t.Errorf("the page lacks %q", want)
 		}
 	}
-	if strings.Contains(html.String(), "ZgotmplZ") || strings.Contains(html.String(), "http://") && strings.Count(html.String(), "http://") != strings.Count(html.String(), "http://www.w3.org/") {
+	if strings.Contains(html.String(), "ZgotmplZ") || strings.Contains(html.String(), "http://") &&
+		strings.Count(html.String(), "http://") != strings.Count(html.String(), "http://www.w3.org/") {
 		t.Error("the page needs something else")
 	}
 }
--- a/internal/relay/chaostest/scheduling_test.go
+++ b/internal/relay/chaostest/scheduling_test.go
@@ -26,8 +26,8 @@
 	starved bool // the run measured that its processes did not get the processor
 }
 
-// playUntilConclusive runs a scenario until a run has no fault, or has faults that are not due to the machine's load, and returns the
-// faults of the last run. A run is repeated only if it measured itself that it was starved, at most maxRuns times.
+// playUntilConclusive runs a scenario until a run has no fault, or has faults that are not due to the machine's load, and returns
+// the faults of the last run. A run is repeated only if it measured itself that it was starved, at most maxRuns times.
 func playUntilConclusive(play func() playResult, mayRepeat func() bool) (faults []string, plays int) {
 	for {
 		plays++
--- a/internal/relay/scenario/scenario_test.go
+++ b/internal/relay/scenario/scenario_test.go
@@ -99,7 +99,8 @@
 
 // Datagrams are lost, duplicated and delayed with the given probabilities.
 func TestLinkQuality(t *testing.T) {
-	n := Network{Links: Links{Lose: 0.3, Double: 0.2, Reorder: 0.5, Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Late: time.Second}}
+	n := Network{Links: Links{Lose: 0.3, Double: 0.2, Reorder: 0.5,
+		Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Late: time.Second}}
 	draw := rand.New(rand.NewPCG(1, 1))
 	lost, twice, late := 0, 0, 0
 	for range 10_000 {
@@ -260,11 +261,13 @@
 		`say "drain" {}`: "target is missing",
 		`grow {}`:        "to is missing",
 	} {
-		if _, err := Parse([]byte(text+"\nphase \"a\" {\n for = \"1s\"\n "+bad+"\n}"), "f"); err == nil || !strings.Contains(err.Error(), why) {
+		_, err := Parse([]byte(text+"\nphase \"a\" {\n for = \"1s\"\n "+bad+"\n}"), "f")
+		if err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%s: %v, want %q", bad, err, why)
 		}
 	}
-	if _, err := Parse([]byte(strings.Replace(text, `"appliance"`, `"platform"`, 1)+"\nphase \"a\" {\n for = \"1s\"\n grow { to = 3 }\n}"), "f"); err == nil || !strings.Contains(err.Error(), "does not grow") {
+	text = strings.Replace(text, `"appliance"`, `"platform"`, 1) + "\nphase \"a\" {\n for = \"1s\"\n grow { to = 3 }\n}"
+	if _, err := Parse([]byte(text), "f"); err == nil || !strings.Contains(err.Error(), "does not grow") {
 		t.Errorf("a platform's fleet that grows: %v", err)
 	}
 }
--- a/internal/relay/simulation/simulation_test.go
+++ b/internal/relay/simulation/simulation_test.go
@@ -79,7 +79,8 @@
 		d.LossRate = 1
 		return d
 	}, checkShares(0.3, 0.5))
-	forEachSeed(t, "duplicated", func(s uint64) Day { // 80 relays overload a cold route on 4 of 90 days, 60 on 2 of 30: open, see ROADMAP
+	// 80 relays overload a cold route on 4 of 90 days, 60 on 2 of 30: open, see ROADMAP.
+	forEachSeed(t, "duplicated", func(s uint64) Day {
 		d := Campus(60, 0.8, s).WithOutage(false)
 		d.DuplicateRate = 0.5
 		return d
@@ -156,7 +157,8 @@
 	}, checkShares(0.9, 0.08))
 	forEachSeed(t, "limits fall as it heals", func(s uint64) Day {
 		d := Campus(300, 0.5, s).WithPartition(all)
-		d.Faults = append(d.Faults, Fault{From: 13 * time.Second, To: 20 * time.Second, Dests: []int{0, 1, 2, 3, 4, 5, 6}, LimitFactor: 0.5})
+		d.Faults = append(d.Faults, Fault{From: 13 * time.Second, To: 20 * time.Second,
+			Dests: []int{0, 1, 2, 3, 4, 5, 6}, LimitFactor: 0.5})
 		return d
 	}, checkShares(0.8, 0.12))
 }
@@ -170,7 +172,9 @@
 		d.Faults[1].From, d.Faults[1].To = 14*time.Second, 14600*time.Millisecond
 		return d
 	}, checkShares(0.95, 0.08))
-	forEachSeed(t, "limits lowered", func(s uint64) Day { return Campus(300, 0.8, s).WithLoweredLimits().WithRestarts(210) }, checkShares(0.8, 0.12))
+	forEachSeed(t, "limits lowered", func(s uint64) Day {
+		return Campus(300, 0.8, s).WithLoweredLimits().WithRestarts(210)
+	}, checkShares(0.8, 0.12))
 }
 
 var sizes = flag.Int("largest", 30, "relays of the largest fleet of TestGossipCost")
