--- a/cmd/larchrouter-trial/main.go
+++ b/cmd/larchrouter-trial/main.go
@@ -141,7 +141,7 @@
 	f.StringVar(&o.keep, "keep", "", "keep the relays' folders and logs in this folder (LARCHROUTER_LOG=debug has them say more)")
 	f.Uint64Var(&o.seed, "seed", 0, "for what is drawn; 0 for the scenario's")
 	f.IntVar(&o.seeds, "seeds", 1, "play so many seeds, one after the other")
-	f.IntVar(&o.nodes, "nodes", 0, fmt.Sprintf("how many relays, at most %d; 0 for the scenario's", scenario.MostRelays))
+	f.IntVar(&o.nodes, "nodes", 0, fmt.Sprintf("how many relays, at most %d; 0 for the scenario's", scenario.MaxRelays))
 	f.BoolVar(&o.quiet, "quiet", false, "no line a second")
 	f.BoolVar(&o.json, "json", false, "print the report as JSON")
 	return c
@@ -176,7 +176,7 @@
 	for n := range o.seeds {
 		seed := o.seed + uint64(n)
 		var reports []chaostest.Report
-		var book *chaostest.Book
+		var book *chaostest.EventLog
 		for i, p := range programs {
 			var err error
 			if book, err = o.one(ctx, out, s, p, seed, i); err != nil {
@@ -201,7 +201,7 @@
 }
 
 // one plays a scenario once.
-func (o *options) one(ctx context.Context, out io.Writer, s *scenario.Scenario, program string, seed uint64, i int) (*chaostest.Book, error) {
+func (o *options) one(ctx context.Context, out io.Writer, s *scenario.Scenario, program string, seed uint64, i int) (*chaostest.EventLog, error) {
 	dir, err := chaostest.TempDir()
 	if err != nil {
 		return nil, err
--- a/internal/relay/chaostest/appliance.go
+++ b/internal/relay/chaostest/appliance.go
@@ -1,44 +1,36 @@
 package chaostest
 
 import (
-	"context"
-	"encoding/json"
 	"fmt"
-	"net/http"
-	"net/url"
-	"path/filepath"
 	"strings"
-	"sync"
 	"time"
 
-	"larchrouter/internal/relay/adminapi"
 	"larchrouter/internal/relay/scenario"
 	"larchrouter/internal/standin"
 )
 
-// Relays of their own (larchrouter run) in place of the platform's: their partners and their fleet come from an operator's
-// file, operators talk to them through the control socket, and the ends of messages are asked for.
+// Appliances are relays that run without a platform (larchrouter run): an operator's file lists their partners and fleet,
+// operators use the control socket, and the outcomes of messages are queried.
 
 const (
-	sayWithin = 2 * time.Second // an operator waits for an answer
-	askAtOnce = 8               // ends asked of one relay at a time
+	commandTimeout = 2 * time.Second // of an operator's request
+	maxQueries     = 8               // in flight, per relay
 )
 
-func relayName(i int) string              { return fmt.Sprintf("r%02d", i) }
-func (p *process) socket() string         { return filepath.Join(p.state(), "control.sock") }
-func (p *process) call() *adminapi.Client { return adminapi.Dial(p.socket()) }
+func relayName(i int) string { return fmt.Sprintf("r%02d", i) }
 
-// operatorsFile is what an operator would write for a relay of a scenario.
+// operatorsFile returns the configuration file of a scenario's appliance.
 func operatorsFile(p *process, plan scenario.Plan, peers []string, servers []standin.Server) string {
 	s := plan.Scenario
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line("listen = %q\nstate = %q\nstop_within = \"2s\"", p.listen, p.state())
-	line("limits {\n held = %d\n slots = %d\n attempts = %d\n memory_mb = 192\n disk_mb = 64\n}", s.Held, s.Slots, s.Attempts)
+	line("listen = %q\nstate = %q\nstop_within = \"2s\"", p.listen, p.stateDir())
+	line("limits {\n held = %d\n slots = %d\n attempts = %d\n memory_mb = 192\n disk_mb = 64\n}", s.MaxPending, s.Slots, s.Attempts)
 	line("ends {\n keep = 50000\n}")
-	line("rules {\n overload_factor = %g\n fall = %q\n cold_from = %g\n cold = %q\n}", s.Rules.OverloadFactor, s.Rules.Fall, s.Rules.ColdFrom, s.Rules.Cold)
-	if len(peers) > 1 && !s.Apart {
-		line("fleet {\n name = %q\n listen = %q", relayName(p.index), p.notes)
+	line("rules {\n overload_factor = %g\n fall = %q\n cold_from = %g\n cold = %q\n}",
+		s.Rules.OverloadFactor, s.Rules.Fall, s.Rules.ColdFrom, s.Rules.Cold)
+	if len(peers) > 1 && !s.Standalone {
+		line("fleet {\n name = %q\n listen = %q", relayName(p.index), p.gossipAddr)
 		for i, at := range peers {
 			line(" relay %q {\n  address = %q\n }", relayName(i), at)
 		}
@@ -60,100 +52,3 @@
 	}
 	return b.String()
 }
-
-// say has an operator say something at a relay, or at the next one that answers, and writes down when that was acknowledged.
-func (t *trial) say(ctx context.Context, do scenario.Said) {
-	var err error
-	for range t.fleet.all {
-		p := t.fleet.all[do.Relay]
-		p.mu.Lock()
-		runs := p.ready && !p.stopped
-		p.mu.Unlock()
-		if runs {
-			if err = p.tell(ctx, do); err == nil {
-				now := t.books.now()
-				t.books.write(func(b *Book) { b.Said = append(b.Said, Word{Said: do, At: now}) })
-				return
-			}
-		}
-		do.Relay = (do.Relay + 1) % len(t.fleet.all)
-	}
-	if ctx.Err() == nil {
-		t.books.trouble(fmt.Sprintf("no relay took in %s %s: %v", do.What, do.Target, err))
-	}
-}
-
-// tell hands a word to a relay.
-func (p *process) tell(ctx context.Context, do scenario.Said) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, sayWithin)
-	defer cancel()
-	c := p.call()
-	defer c.Close()
-	q := adminapi.DrainRequest{Target: do.Target, By: "operator", Fleet: true, AllowLast: true}
-	switch do.What {
-	case scenario.SayDrain:
-		_, err = c.Drain(ctx, q)
-	case scenario.SayUndrain:
-		_, err = c.Undrain(ctx, q)
-	default:
-		_, err = c.Gone(ctx, adminapi.GoneRequest{Relay: relayName(do.Of), Back: do.What == scenario.SayBack, By: "operator"})
-	}
-	return err
-}
-
-// askEnds asks relays that run how the messages ended that they took on.
-func (t *trial) askEnds(ctx context.Context) {
-	all := make([][]*Message, len(t.fleet.all))
-	t.books.write(func(b *Book) {
-		b.Asked = make([]bool, len(t.fleet.all))
-		for _, m := range b.Messages {
-			if m.Status == http.StatusAccepted {
-				all[m.Relay] = append(all[m.Relay], m)
-			}
-		}
-	})
-	var wg sync.WaitGroup
-	for i, p := range t.fleet.all {
-		p.mu.Lock()
-		runs := p.ready && !p.stopped
-		p.mu.Unlock()
-		if !runs {
-			continue
-		}
-		t.books.write(func(b *Book) { b.Asked[i] = true })
-		next := make(chan *Message)
-		wg.Go(func() {
-			defer close(next)
-			for _, m := range all[i] {
-				next <- m
-			}
-		})
-		for range askAtOnce {
-			wg.Go(func() {
-				for m := range next {
-					t.askEnd(ctx, p, m)
-				}
-			})
-		}
-	}
-	wg.Wait()
-}
-
-func (t *trial) askEnd(ctx context.Context, p *process, m *Message) {
-	ctx, cancel := context.WithTimeout(ctx, sayWithin)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.listen+"/api/"+url.PathEscape(m.ID), nil)
-	if err != nil {
-		return
-	}
-	resp, err := p.client.Do(req)
-	if err != nil {
-		return // it counts as one whose end is not told
-	}
-	defer discard(resp.Body)
-	var v adminapi.Message
-	if resp.StatusCode == http.StatusOK && json.NewDecoder(resp.Body).Decode(&v) == nil && v.EndedMs > 0 {
-		at := t.books.at(time.UnixMilli(v.EndedMs))
-		t.books.write(func(*Book) { m.Ends = append(m.Ends, End{at, v.State}) })
-	}
-}
--- a/internal/relay/chaostest/appliance_test.go
+++ b/internal/relay/chaostest/appliance_test.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/testbin"
 )
 
-const contract = `
+const configuredLimit = `
 form   = "appliance"
 relays = 3
 partner "pay" {
@@ -50,10 +50,10 @@
 }
 phase "healed" { for = "2s" }`
 
-// A limit that was told holds for relays of their own, whatever becomes of links and relays.
-func TestContractHolds(t *testing.T) {
+// Appliances keep a configured limit under faults of links and relays.
+func TestConfiguredLimitHolds(t *testing.T) {
 	t.Parallel()
-	play(t, contract, func(r Report) error {
+	runScenario(t, configuredLimit, func(r Report) error {
 		if r.Clients["delivered in time"] < 100 {
 			return fmt.Errorf("%v", r.Clients)
 		}
@@ -61,7 +61,7 @@
 	})
 }
 
-const words = `
+const drainCommands = `
 form   = "appliance"
 relays = 4
 partner "pay" {
@@ -101,10 +101,10 @@
   }
 }`
 
-// What an operator says at one relay binds all that a chain of links joins to it, in time.
-func TestFleetHeeds(t *testing.T) {
+// A drain at one relay takes effect in time at all relays that a path of links connects to it.
+func TestFleetObeysDrain(t *testing.T) {
 	t.Parallel()
-	play(t, words, func(r Report) error {
+	runScenario(t, drainCommands, func(r Report) error {
 		if r.Clients["delivered in time"] == 0 {
 			return fmt.Errorf("%v", r.Clients)
 		}
@@ -112,14 +112,17 @@
 	})
 }
 
-// Both are shown to fail: where each relay takes a told limit for its own, and where a word is recorded and not carried out.
-func TestPlantedInAppliances(t *testing.T) {
+// Planted faults are found: each relay uses the whole configured limit; an override is recorded and not applied.
+func TestPlantedApplianceFaultsAreFound(t *testing.T) {
 	t.Parallel()
 	program, err := testbin.Planted()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for fault, c := range map[string]struct{ text, rule string }{faultinject.Contract: {contract, "told"}, faultinject.Word: {words, "stale"}} {
+	for fault, c := range map[string]struct{ text, rule string }{
+		faultinject.Contract: {configuredLimit, "told"},
+		faultinject.Word:     {drainCommands, "stale"},
+	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			s, err := scenario.Parse([]byte(c.text), fault)
@@ -127,8 +130,8 @@
 				t.Fatal(err)
 			}
 			s.Phases = s.Phases[:2]
-			judge(t, func() (*Book, []string) {
-				b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Plant: fault})
+			assertNoFaults(t, func() (*EventLog, []string) {
+				b, err := Run(t.Context(), s, Options{Program: program, Seed: 1, Dir: t.TempDir(), Fault: fault})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -141,9 +144,9 @@
 	}
 }
 
-// Who could have known of a word, and since when: over links that worked, from relays that ran.
-func TestInformed(t *testing.T) {
-	s, err := scenario.Parse([]byte(strings.Replace(words, "relays = 4", "relays = 5", 1)+`
+// An update reaches relays over links that work, from relays that run.
+func TestReachableSince(t *testing.T) {
+	s, err := scenario.Parse([]byte(strings.Replace(drainCommands, "relays = 4", "relays = 5", 1)+`
 phase "chain" {
   for = "4s"
   cut "chain" {}
@@ -151,18 +154,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &Book{Plan: scenario.NewPlan(s, 5, 1, func(int) int { return 0 }), End: 11 * time.Second}
+	b := &EventLog{Plan: scenario.NewPlan(s, 5, 1, func(int) int { return 0 }), End: 11 * time.Second}
 	for i := range 5 {
-		b.Lives = append(b.Lives, Life{Relay: i, To: b.End})
+		b.Runs = append(b.Runs, ReadySpan{Relay: i, To: b.End})
 	}
-	b.Lives[3].To = 8500 * time.Millisecond // it is gone in the chain
+	b.Runs[3].To = 8500 * time.Millisecond // it does not run in the phase "chain"
 	sec := time.Second
 	for at, want := range map[time.Duration]string{
 		1 * sec: "[1s 1s 1s 1s 1s]",
 		4 * sec: "[4s 5s 4s 5s 4s]",
 		9 * sec: "[9s 9s 9s -1ns -1ns]",
 	} {
-		if got := fmt.Sprint(b.informed(0, at)); got != want {
+		if got := fmt.Sprint(b.reachableSince(0, at)); got != want {
 			t.Errorf("from relay 0 at %v: %v, want %v", at, got, want)
 		}
 	}
--- a/internal/relay/scenario/scenario_test.go
+++ b/internal/relay/scenario/scenario_test.go
@@ -30,8 +30,8 @@
 	return s
 }
 
-// All that is wrong is told at once, with its line.
-func TestFaults(t *testing.T) {
+// All that is wrong is reported at once, with its line.
+func TestParseReportsAllFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		`phase "a" { for = "1s" }`:         "s.hcl:1:1: no partner",
 		site:                               "s.hcl:1:1: 0 phases",
@@ -59,12 +59,12 @@
 	}
 }
 
-// Who hears whom.
-func TestCuts(t *testing.T) {
+// Which relays receive from which.
+func TestPartitionShapes(t *testing.T) {
 	for _, c := range []struct {
 		cut   string
 		after time.Duration
-		want  string // by sender, then receiver: 1 if it is heard
+		want  string // by sender, then receiver: 1 if the datagram is delivered
 	}{
 		{`"sides" {}`, 0, "1010 0101 1010 0101"},
 		{`"sides" { number = 3 }`, 0, "1001 0100 0010 1001"},
@@ -83,11 +83,11 @@
 		for from := range 4 {
 			row := ""
 			for to := range 4 {
-				row += fmt.Sprint(len(n.Carry(from, to, time.Hour+c.after, nil)))
+				row += fmt.Sprint(len(n.Deliver(from, to, time.Hour+c.after, nil)))
 			}
 			got = append(got, row)
 		}
-		// A relay sends itself nothing: what the diagonal says counts for nothing.
+		// A relay sends itself nothing: the diagonal is ignored.
 		for i := range got {
 			got[i] = got[i][:i] + c.want[5*i+i:5*i+i+1] + got[i][i+1:]
 		}
@@ -97,13 +97,14 @@
 	}
 }
 
-// Notes are lost, doubled and late as often as it says.
-func TestLinks(t *testing.T) {
-	n := Network{Links: Links{Lose: 0.3, Double: 0.2, Reorder: 0.5, Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Late: time.Second}}
+// Datagrams are lost, duplicated and delayed with the given probabilities.
+func TestLinkQuality(t *testing.T) {
+	n := Network{Links: Links{Lose: 0.3, Double: 0.2, Reorder: 0.5,
+		Delay: 10 * time.Millisecond, Jitter: 5 * time.Millisecond, Late: time.Second}}
 	draw := rand.New(rand.NewPCG(1, 1))
 	lost, twice, late := 0, 0, 0
 	for range 10_000 {
-		after := n.Carry(0, 1, 0, draw)
+		after := n.Deliver(0, 1, 0, draw)
 		if len(after) == 0 {
 			lost++
 			continue
@@ -123,8 +124,8 @@
 	}
 }
 
-// Whom faults befall: the steward first, or never.
-func TestWhom(t *testing.T) {
+// A required coordinator is selected first, an excluded one never.
+func TestRelaySelector(t *testing.T) {
 	s := parse(t, site+`
 phase "a" {
   for = "1s"
@@ -141,9 +142,9 @@
 		p := NewPlan(s, 6, seed, func(int) int { return 4 })
 		var stopped, killed []int
 		for _, st := range p.Steps {
-			switch do := st.Do.(type) {
+			switch do := st.Action.(type) {
 			case Stopped:
-				if do.On {
+				if do.Paused {
 					stopped = append(stopped, do.Relay)
 				}
 			case Killed:
@@ -156,11 +157,11 @@
 	}
 }
 
-// A drawn plan is the same for the same seed, in order and in bounds, and leaves everything well at its end.
-func TestDrawnPlans(t *testing.T) {
+// A random plan is the same for the same seed, in order and in bounds, and leaves everything healthy at its end.
+func TestRandomPlans(t *testing.T) {
 	s := parse(t, site+"phase \"a\" { for = \"1s\" }\ndraw {\n phases = 8\n for = \"4s\"\n calm = \"2s\"\n}")
 	rapid.Check(t, func(t *rapid.T) {
-		relays, seed := rapid.IntRange(1, MostRelays).Draw(t, "relays"), rapid.Uint64().Draw(t, "seed")
+		relays, seed := rapid.IntRange(1, MaxRelays).Draw(t, "relays"), rapid.Uint64().Draw(t, "seed")
 		first := func(int) int { return 0 }
 		p := NewPlan(s, relays, seed, first)
 		if !reflect.DeepEqual(p, NewPlan(s, relays, seed, first)) {
@@ -175,9 +176,9 @@
 				t.Fatalf("a step at %v after one at %v", st.At, last)
 			}
 			last = st.At
-			switch do := st.Do.(type) {
+			switch do := st.Action.(type) {
 			case Stopped:
-				if still[do.Relay]++; !do.On {
+				if still[do.Relay]++; !do.Paused {
 					still[do.Relay] -= 2
 				}
 			case Killed:
@@ -201,9 +202,9 @@
 	})
 }
 
-// A fleet that grows: the relays are restarted one after another with the longer list, then the new one starts; and back. What
-// operators say goes to a relay that there is.
-func TestGrows(t *testing.T) {
+// A fleet that grows: the relays are restarted one after another with the longer list, then the new one starts; and back.
+// Commands go to a relay that exists.
+func TestResize(t *testing.T) {
 	text := strings.Replace(site, "relays", "form   = \"appliance\"\nlisted = 2\nrelays", 1)
 	s := parse(t, text+`
 phase "grows" {
@@ -220,11 +221,11 @@
 }`)
 	var got []string
 	for _, step := range NewPlan(s, 4, 1, func(int) int { return 0 }).Steps {
-		switch do := step.Do.(type) {
+		switch do := step.Action.(type) {
 		case Relisted, Killed, Started:
 			got = append(got, fmt.Sprintf("%v %T %v", step.At, do, do))
 		case Said:
-			if do.Of != 1 || do.What != SayGone {
+			if do.Of != 1 || do.What != CommandRemove {
 				t.Errorf("said %+v", do)
 			}
 		}
@@ -243,16 +244,16 @@
 	for relays, want := range map[int]int{1: 1, 2: 2, 9: 2} { // however many are played
 		p := NewPlan(s, relays, 1, func(int) int { return 0 })
 		for _, step := range p.Steps {
-			if do, ok := step.Do.(Relisted); ok && (do.Relay >= relays || do.Size > relays) {
+			if do, ok := step.Action.(Relisted); ok && (do.Relay >= relays || do.Size > relays) {
 				t.Errorf("of %d relays: %+v", relays, do)
 			}
 		}
-		if p.Listed() != want {
-			t.Errorf("%d of %d relays at first, want %d", p.Listed(), relays, want)
+		if p.InitialRelays() != want {
+			t.Errorf("%d of %d relays at first, want %d", p.InitialRelays(), relays, want)
 		}
 	}
-	if p := NewPlan(parse(t, site+"phase \"a\" { for = \"1s\" }"), 9, 1, func(int) int { return 0 }); p.Listed() != 9 {
-		t.Errorf("%d of 9 relays at first where nothing is said", p.Listed())
+	if p := NewPlan(parse(t, site+"phase \"a\" { for = \"1s\" }"), 9, 1, func(int) int { return 0 }); p.InitialRelays() != 9 {
+		t.Errorf("%d of 9 relays at first where nothing is said", p.InitialRelays())
 	}
 	for bad, why := range map[string]string{
 		`say "shout" {}`: `say "shout" is unknown`,
@@ -260,11 +261,13 @@
 		`say "drain" {}`: "target is missing",
 		`grow {}`:        "to is missing",
 	} {
-		if _, err := Parse([]byte(text+"\nphase \"a\" {\n for = \"1s\"\n "+bad+"\n}"), "f"); err == nil || !strings.Contains(err.Error(), why) {
+		_, err := Parse([]byte(text+"\nphase \"a\" {\n for = \"1s\"\n "+bad+"\n}"), "f")
+		if err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%s: %v, want %q", bad, err, why)
 		}
 	}
-	if _, err := Parse([]byte(strings.Replace(text, `"appliance"`, `"platform"`, 1)+"\nphase \"a\" {\n for = \"1s\"\n grow { to = 3 }\n}"), "f"); err == nil || !strings.Contains(err.Error(), "does not grow") {
+	text = strings.Replace(text, `"appliance"`, `"platform"`, 1) + "\nphase \"a\" {\n for = \"1s\"\n grow { to = 3 }\n}"
+	if _, err := Parse([]byte(text), "f"); err == nil || !strings.Contains(err.Error(), "does not grow") {
 		t.Errorf("a platform's fleet that grows: %v", err)
 	}
 }
