--- a/internal/tier/turnstore/model_scenario_test.go
+++ b/internal/tier/turnstore/model_scenario_test.go
@@ -151,7 +151,7 @@
 
 // faultSeeds is the number of scenarios that search for a planted fault. They are repeated, since the order in which goroutines
 // run differs between repetitions, and a scenario shows a fault in nearly all of them, not in each.
-const faultSeeds = 20
+const faultSeeds = 60
 
 // Each part that a fault removes is necessary: scenarios are run until one shows a violation.
 func TestRandomScenariosFindPlantedFaults(t *testing.T) {
