--- a/internal/tier/controlnode/duty_fleet_test.go
+++ b/internal/tier/controlnode/duty_fleet_test.go
@@ -39,7 +39,7 @@
 
 // dutyTakeover is how long a new head waits for the grants of earlier ones.
 func dutyTakeover(term time.Duration) time.Duration {
-	return lease.Params{Term: term, MaxDrift: lease.DefaultMaxDrift}.Takeover()
+	return lease.Params{Term: term, MaxDrift: lease.DefaultMaxDrift}.TakeoverWait()
 }
 
 // dutyFleet is a fleet whose nodes carry out duties at one platform, each of them through a relay of its own, with a front that
--- a/internal/tier/controlnode/duty_lease.go
+++ b/internal/tier/controlnode/duty_lease.go
@@ -55,7 +55,7 @@
 	case held && before == nil:
 		s.log.Info("lease on the duties begins", "epoch", grant.Epoch)
 	case !held && before != nil:
-		s.log.Info("lease on the duties ends", "epoch", before.epoch, "waits", s.lease.WaitsFor(now))
+		s.log.Info("lease on the duties ends", "epoch", before.epoch, "waits", s.lease.RemainingWait(now))
 	}
 }
 
@@ -128,7 +128,7 @@
 type leaseRefusedRequest struct{ epoch int64 }
 
 func (r *leaseRefusedRequest) handle(s *Server) {
-	s.lease.Refused(r.epoch)
+	s.lease.HandleRefusal(r.epoch)
 	s.publishGrant(s.now())
 }
 
--- a/internal/tier/controlnode/duty_lease_test.go
+++ b/internal/tier/controlnode/duty_lease_test.go
@@ -17,7 +17,7 @@
 // Terms of the lease in the tests of a loop without a node.
 const (
 	loopTestTerm     = 10 * time.Millisecond
-	loopTestTakeover = 4 * loopTestTerm // longer than Takeover
+	loopTestTakeover = 4 * loopTestTerm // longer than TakeoverWait
 )
 
 // loopBatch is what becomes of a batch with one request.
--- a/internal/tier/controlnode/duty_status.go
+++ b/internal/tier/controlnode/duty_status.go
@@ -143,7 +143,7 @@
 		Head:          query.head,
 		Epoch:         query.lease.Epoch,
 		Held:          query.lease.Held,
-		LeftMs:        query.lease.Left.Milliseconds(),
+		LeftMs:        query.lease.Remaining.Milliseconds(),
 		WaitMs:        query.lease.Wait.Milliseconds(),
 		Cause:         s.dutiesCause(query),
 		ClockOffsetMs: s.clockOffset().Milliseconds(),
@@ -178,7 +178,7 @@
 	lease.NotActive:    DutiesViewChanges,
 	lease.NotConfirmed: DutiesNoMajority,
 	lease.JustStarted:  DutiesJustStarted,
-	lease.EarlierHead:  DutiesEarlierHead,
+	lease.EarlierGrant: DutiesEarlierHead,
 	lease.LeaseLost:    DutiesLeaseLost,
 }
 
--- a/internal/tier/controlnode/duty_status_test.go
+++ b/internal/tier/controlnode/duty_status_test.go
@@ -26,7 +26,7 @@
 
 func TestDutyStatusInEachState(t *testing.T) {
 	const base = 1 << 20
-	held := lease.Status{Epoch: 7, Held: true, Left: 1500 * time.Millisecond}
+	held := lease.Status{Epoch: 7, Held: true, Remaining: 1500 * time.Millisecond}
 	rest := func(cause lease.Cause) lease.Status { return lease.Status{Epoch: 7, Cause: cause} }
 	wait := func(cause lease.Cause) lease.Status {
 		return lease.Status{Epoch: 7, Wait: 2 * time.Second, Cause: cause}
@@ -56,7 +56,7 @@
 			DutyStatus{Head: "core-1", Token: base + 7, Cause: DutiesNoMajority}},
 		"just started": {leaseStatusQuery{lease: wait(lease.JustStarted), head: "core-1"}, "autoscale",
 			DutyStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: DutiesJustStarted}},
-		"waits for the lease of the head before": {leaseStatusQuery{lease: wait(lease.EarlierHead), head: "core-1"}, "autoscale",
+		"waits for the lease of the head before": {leaseStatusQuery{lease: wait(lease.EarlierGrant), head: "core-1"}, "autoscale",
 			DutyStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: DutiesEarlierHead}},
 		"lost the lease and got it back": {leaseStatusQuery{lease: wait(lease.LeaseLost), head: "core-1"}, "autoscale",
 			DutyStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: DutiesLeaseLost}},
--- a/internal/tier/controlnode/election.go
+++ b/internal/tier/controlnode/election.go
@@ -94,7 +94,7 @@
 	n.election.proposal = &proposal{epoch: v.Epoch + 1, ballot: ballot, startedAt: n.now, promises: map[string]view.Promise{
 		n.settings.Self.ID: {
 			From:           n.settings.Self,
-			AcceptedAt:     n.acceptor.AcceptedAt,
+			AcceptedBallot: n.acceptor.AcceptedBallot,
 			Accepted:       n.acceptor.Accepted,
 			ActivatedEpoch: n.chain.State().ActivatedEpoch,
 		}}}
@@ -128,7 +128,7 @@
 		Kind:           msgPromise,
 		Epoch:          m.Epoch,
 		Ballot:         m.Ballot,
-		AcceptedAt:     n.acceptor.AcceptedAt,
+		AcceptedAt:     n.acceptor.AcceptedBallot,
 		View:           n.acceptor.Accepted,
 		ActivatedEpoch: n.chain.State().ActivatedEpoch,
 	})
@@ -140,7 +140,7 @@
 	if p == nil || m.Epoch != p.epoch || m.Ballot != p.ballot || p.view.Epoch > 0 || !n.acceptor.View.IsVoter(m.From.ID) {
 		return
 	}
-	p.promises[m.From.ID] = view.Promise{From: m.From, AcceptedAt: m.AcceptedAt, Accepted: m.View, ActivatedEpoch: m.ActivatedEpoch}
+	p.promises[m.From.ID] = view.Promise{From: m.From, AcceptedBallot: m.AcceptedAt, Accepted: m.View, ActivatedEpoch: m.ActivatedEpoch}
 	n.chooseView()
 }
 
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -112,7 +112,7 @@
 		{0, "token base", sideStored, &orders.TokenBaseEntry{Base: big + 1}},
 		{0, "usage", sideStored, &orders.UsageEntry{Window: big + 1, Body: []byte("body")}},
 		{0, "entry", sideStored, &entry},
-		{0, "acceptor", sideStored, &view.Acceptor{View: fullView("a", 100), Promised: view.Ballot{Number: big + 1, Proposer: "promised"}, AcceptedAt: view.Ballot{Number: big + 2, Proposer: "accepted"}, Accepted: fullView("b", 200)}},
+		{0, "acceptor", sideStored, &view.Acceptor{View: fullView("a", 100), Promised: view.Ballot{Number: big + 1, Proposer: "promised"}, AcceptedBallot: view.Ballot{Number: big + 2, Proposer: "accepted"}, Accepted: fullView("b", 200)}},
 		{0, "meta", sideStored, &chainMeta{ActivatedEpoch: big + 1, LastIndex: big + 2, Commit: big + 3}},
 	}
 	for number, kind := range messageKinds {
--- a/internal/tier/controlnode/simulation_test.go
+++ b/internal/tier/controlnode/simulation_test.go
@@ -200,7 +200,7 @@
 func (c *simulation) save(m *machine, d Durable) {
 	d.State.Entries = slices.Clone(d.State.Entries)
 	if c.fault.losesVotes {
-		d.Acceptor.Promised, d.Acceptor.AcceptedAt, d.Acceptor.Accepted = view.Ballot{}, view.Ballot{}, view.View{}
+		d.Acceptor.Promised, d.Acceptor.AcceptedBallot, d.Acceptor.Accepted = view.Ballot{}, view.Ballot{}, view.View{}
 	}
 	if c.fault.losesEntries {
 		d.State.Entries, d.State.LastIndex, d.State.Commit = nil, 0, 0
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -277,7 +277,7 @@
 			Chain:  []view.ChainMember{{ID: "seed-127.0.10.1:21002", JoinedEpoch: 1}, {ID: "seed-127.0.10.2:21002", JoinedEpoch: 1}, {ID: "second-identity", JoinedEpoch: 3}}}
 	}
 	return view.Acceptor{View: inView(3), Promised: view.Ballot{Number: 102, Proposer: "second-identity"},
-		AcceptedAt: view.Ballot{Number: 101, Proposer: "seed-127.0.10.2:21002"}, Accepted: inView(4)}
+		AcceptedBallot: view.Ballot{Number: 101, Proposer: "seed-127.0.10.2:21002"}, Accepted: inView(4)}
 }
 
 // requireEntries compares entries, values included, both as they are read and as they are encoded.
--- a/internal/tier/lease/lease.go
+++ b/internal/tier/lease/lease.go
@@ -13,9 +13,9 @@
 // DefaultMaxDrift is the bound on the drift of monotonic clocks: well beyond that of quartz clocks, which is below 0.0005.
 const DefaultMaxDrift = 0.01
 
-// Takeover returns how long a new head waits for the grants of earlier heads to end: Term, if the clock of the earlier head is the
+// TakeoverWait returns how long a new head waits for the grants of earlier heads to end: Term, if the clock of the earlier head is the
 // slowest and that of the new one the fastest that MaxDrift permits.
-func (p Params) Takeover() time.Duration {
+func (p Params) TakeoverWait() time.Duration {
 	return time.Duration(float64(p.Term)*(1+p.MaxDrift)/(1-p.MaxDrift)) + 1
 }
 
@@ -178,20 +178,20 @@
 
 // mayActFrom returns from when on a grant may be used. The node must be the head.
 func (l *Lease) mayActFrom() time.Duration {
-	from := l.headship.since + l.params.Takeover()
+	from := l.headship.since + l.params.TakeoverWait()
 	if l.received != nil {
 		from = min(from, l.received.endsAt)
 	}
-	from = max(from, l.startedAt+l.params.Takeover())
+	from = max(from, l.startedAt+l.params.TakeoverWait())
 	if l.hadHead {
-		from = max(from, l.lostAt+l.params.Takeover())
+		from = max(from, l.lostAt+l.params.TakeoverWait())
 	}
 	return from
 }
 
-// Refused notes that the platform has refused a call of an epoch, as it has seen a higher token. The node does not act any more
+// HandleRefusal notes that the platform has refused a call of an epoch, as it has seen a higher token. The node does not act any more
 // before the next epoch.
-func (l *Lease) Refused(epoch int64) { l.refused = max(l.refused, epoch) }
+func (l *Lease) HandleRefusal(epoch int64) { l.refused = max(l.refused, epoch) }
 
 // CallStarted notes that a call begins under a grant. CallEnded has to follow.
 func (l *Lease) CallStarted(c *Call) { l.inFlight[c] = struct{}{} }
@@ -229,9 +229,9 @@
 	return Grant{Epoch: l.epoch, Until: l.until}, true
 }
 
-// WaitsFor returns how long the head still waits for earlier grants to end; 0 if it does not, or is not the head. The wait begins
+// RemainingWait returns how long the head still waits for earlier grants to end; 0 if it does not, or is not the head. The wait begins
 // anew when a call of a lost headship ends.
-func (l *Lease) WaitsFor(now time.Duration) time.Duration {
+func (l *Lease) RemainingWait(now time.Duration) time.Duration {
 	if l.headship == nil {
 		return 0
 	}
--- a/internal/tier/lease/lease_test.go
+++ b/internal/tier/lease/lease_test.go
@@ -27,10 +27,10 @@
 
 func TestTakeoverOutlastsTermOnDriftingClocks(t *testing.T) {
 	p := Params{Term: testTerm, MaxDrift: 0.01}
-	slowest := float64(p.Term) / (1 - p.MaxDrift)       // true time in which the slowest clock counts Term
-	fastest := float64(p.Takeover()) / (1 + p.MaxDrift) // true time in which the fastest clock counts Takeover
+	slowest := float64(p.Term) / (1 - p.MaxDrift)           // true time in which the slowest clock counts Term
+	fastest := float64(p.TakeoverWait()) / (1 + p.MaxDrift) // true time in which the fastest clock counts TakeoverWait
 	if fastest < slowest {
-		t.Errorf("Takeover lasts %v of true time, Term up to %v", time.Duration(fastest), time.Duration(slowest))
+		t.Errorf("TakeoverWait lasts %v of true time, Term up to %v", time.Duration(fastest), time.Duration(slowest))
 	}
 }
 
@@ -38,7 +38,7 @@
 	l := New(testParams, 0)
 	l.Observe(10*second, head(5, 10*second))
 	wantGrant(t, l, 10*second+testTerm, 0)
-	at := 10*second + testParams.Takeover()
+	at := 10*second + testParams.TakeoverWait()
 	l.Observe(at, head(5, at))
 	wantGrant(t, l, at, 5)
 }
@@ -104,11 +104,11 @@
 		"of the epoch before":      {[]Release{{Epoch: 4}}, 5, 11 * second},
 		"of two, the shorter wait": {[]Release{{Epoch: 4, Wait: wait}, {Epoch: 4}, {Epoch: 4, Wait: wait}}, 5, 11 * second},
 		"of two, the newer":        {[]Release{{Epoch: 5}, {Epoch: 4}}, 6, 11 * second},
-		"what is passed on":        {[]Release{{Epoch: 4, Wait: 2 * second}}, 5, 10*second + testParams.Takeover()*2/3},
-		"of an earlier epoch":      {[]Release{{Epoch: 3}}, 5, 11*second + testParams.Takeover()},
-		"of a later epoch":         {[]Release{{Epoch: 5}}, 5, 11*second + testParams.Takeover()},
-		"with the view missed":     {[]Release{{Epoch: 4}}, 6, 11*second + testParams.Takeover()},
-		"of a negative wait":       {[]Release{{Epoch: 4, Wait: -1}}, 5, 11*second + testParams.Takeover()},
+		"what is passed on":        {[]Release{{Epoch: 4, Wait: 2 * second}}, 5, 10*second + testParams.TakeoverWait()*2/3},
+		"of an earlier epoch":      {[]Release{{Epoch: 3}}, 5, 11*second + testParams.TakeoverWait()},
+		"of a later epoch":         {[]Release{{Epoch: 5}}, 5, 11*second + testParams.TakeoverWait()},
+		"with the view missed":     {[]Release{{Epoch: 4}}, 6, 11*second + testParams.TakeoverWait()},
+		"of a negative wait":       {[]Release{{Epoch: 4, Wait: -1}}, 5, 11*second + testParams.TakeoverWait()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := New(testParams, 0)
@@ -118,7 +118,7 @@
 			}
 			l.Observe(11*second, head(test.adopted, 11*second))
 			wait := max(0, test.from-11*second)
-			if got := l.WaitsFor(11 * second); got < wait || got > wait+2 {
+			if got := l.RemainingWait(11 * second); got < wait || got > wait+2 {
 				t.Errorf("waits for %s, want %s", got, wait)
 			}
 		})
@@ -139,7 +139,7 @@
 	old := New(testParams, 0)
 	old.Observe(10*second, head(2, 10*second))
 	release, _ := old.Observe(11*second, Observation{Epoch: 3})
-	if want := testParams.Takeover() - second; release.Wait != want {
+	if want := testParams.TakeoverWait() - second; release.Wait != want {
 		t.Fatalf("the wait that is passed on is %v, want %v", release.Wait, want)
 	}
 	next := New(testParams, 0)
@@ -161,7 +161,7 @@
 	l.Observe(11*second, head(3, 11*second))
 	l.HandleRelease(11*second, Release{Epoch: 2})
 	wantGrant(t, l, 10*second+testTerm, 0)
-	at := 10*second + testParams.Takeover()
+	at := 10*second + testParams.TakeoverWait()
 	l.Observe(at, head(3, at))
 	wantGrant(t, l, at, 3)
 }
@@ -178,7 +178,7 @@
 	l := New(testParams, 0)
 	l.Observe(0, head(1, 0))
 	l.Observe(10*second, head(1, 10*second))
-	l.Refused(1)
+	l.HandleRefusal(1)
 	wantGrant(t, l, 10*second, 0)
 	l.Observe(11*second, head(2, 11*second))
 	wantGrant(t, l, 11*second, 2)
@@ -199,7 +199,7 @@
 	l.HandleRelease(15*second, Release{Epoch: 2})
 	wantGrant(t, l, 15*second, 0) // the call is in flight
 	l.CallEnded(16*second, call)
-	at := 16*second + testParams.Takeover()
+	at := 16*second + testParams.TakeoverWait()
 	l.Observe(at, head(3, at))
 	wantGrant(t, l, at-1, 0)
 	wantGrant(t, l, at, 3)
@@ -230,7 +230,7 @@
 	l.HandleRelease(15*second, Release{Epoch: 2})
 	wantGrant(t, l, 15*second, 0)
 	l.CallEnded(15*second, call)
-	at := 15*second + testParams.Takeover()
+	at := 15*second + testParams.TakeoverWait()
 	l.Observe(at, head(3, at))
 	wantGrant(t, l, at-1, 0)
 	wantGrant(t, l, at, 3)
@@ -254,7 +254,7 @@
 	wantGrant(t, l, 20*second, 0) // the other call is in flight
 	l.CallEnded(21*second, other)
 	l.CallEnded(23*second, call)
-	at := 21*second + testParams.Takeover()
+	at := 21*second + testParams.TakeoverWait()
 	l.Observe(at, head(3, at))
 	wantGrant(t, l, at-1, 0)
 	wantGrant(t, l, at, 3)
--- a/internal/tier/lease/model_check_test.go
+++ b/internal/tier/lease/model_check_test.go
@@ -71,7 +71,7 @@
 // heldByReleaseOf reports whether a node that has a grant would still wait but for a release of another one.
 func (n *node) heldByReleaseOf(other *node) bool {
 	l := n.lease
-	return l.received != nil && n.clockNow() < l.headship.since+l.params.Takeover() &&
+	return l.received != nil && n.clockNow() < l.headship.since+l.params.TakeoverWait() &&
 		n.sim.decided[l.received.epoch].head == other.id
 }
 
--- a/internal/tier/lease/model_node_test.go
+++ b/internal/tier/lease/model_node_test.go
@@ -267,7 +267,7 @@
 	if n.sim.fault == releaseBeforeAdoption {
 		n.lease.early = nil
 	}
-	if !held && n.lease.WaitsFor(now) == 0 && n.lease.headship != nil {
+	if !held && n.lease.RemainingWait(now) == 0 && n.lease.headship != nil {
 		n.sim.stats.heldAfterRelease++
 	}
 }
--- a/internal/tier/lease/model_platform_test.go
+++ b/internal/tier/lease/model_platform_test.go
@@ -101,7 +101,7 @@
 		return
 	}
 	sim.stats.refused++
-	sim.schedule(sim.between(10*time.Microsecond, 5*time.Millisecond), n, c.incarnation, func() { n.lease.Refused(c.lease.Epoch) })
+	sim.schedule(sim.between(10*time.Microsecond, 5*time.Millisecond), n, c.incarnation, func() { n.lease.HandleRefusal(c.lease.Epoch) })
 }
 
 func (n *node) endCall(c call) {
--- a/internal/tier/lease/model_test.go
+++ b/internal/tier/lease/model_test.go
@@ -315,7 +315,7 @@
 // checkLiveness checks that without faults the head gets the lease, and that a planned hand-over passes it on.
 func (sim *simulation) checkLiveness() {
 	settled := sim.newestView()
-	slowest := time.Duration(float64(sim.params.Takeover()) / (1 - sim.params.MaxDrift))
+	slowest := time.Duration(float64(sim.params.TakeoverWait()) / (1 - sim.params.MaxDrift))
 	sim.runUntil(sim.now + slowest + quietRounds*2*sim.interval)
 	head := sim.member(settled.head)
 	switch newest := sim.newestView(); {
@@ -325,7 +325,7 @@
 		sim.fail("liveness: epoch %d follows epoch %d without faults", newest.epoch, settled.epoch)
 		return
 	case !head.holds():
-		sim.fail("liveness: head %s of epoch %d does not hold the lease, waits for %s", head, settled.epoch, head.lease.WaitsFor(head.clock()))
+		sim.fail("liveness: head %s of epoch %d does not hold the lease, waits for %s", head, settled.epoch, head.lease.RemainingWait(head.clock()))
 		return
 	}
 	head.leave()
@@ -333,6 +333,6 @@
 	newest := sim.newestView()
 	if next := sim.member(newest.head); sim.violation == "" && (newest.epoch == settled.epoch || !next.holds()) {
 		sim.fail("liveness: head %s of epoch %d does not hold the lease after a planned hand-over of epoch %d, waits for %s", next,
-			newest.epoch, settled.epoch, next.lease.WaitsFor(next.clock()))
+			newest.epoch, settled.epoch, next.lease.RemainingWait(next.clock()))
 	}
 }
--- a/internal/tier/lease/status.go
+++ b/internal/tier/lease/status.go
@@ -13,24 +13,24 @@
 	NotActive                 // the head has promised to the next epoch, is not complete, or is about to stop
 	NotConfirmed              // no majority has confirmed the head for a term
 	JustStarted               // the node does not know what it did before its start
-	EarlierHead               // the grant of the head before may not be over
+	EarlierGrant              // the grant of the head before may not be over
 	LeaseLost                 // the node lost the lease a short while ago
 )
 
 // Status is the state of a lease, for operators.
 type Status struct {
-	Epoch int64
-	Held  bool
-	Left  time.Duration // until the grant ends, unless it is renewed; 0 without one
-	Wait  time.Duration // what the head still waits before it may act; see WaitsFor
-	Cause Cause
+	Epoch     int64
+	Held      bool
+	Remaining time.Duration // until the grant ends, unless it is renewed; 0 without one
+	Wait      time.Duration // what the head still waits before it may act; see RemainingWait
+	Cause     Cause
 }
 
 // Status returns the state of the lease at a time.
 func (l *Lease) Status(now time.Duration) Status {
-	status := Status{Epoch: l.epoch, Wait: l.WaitsFor(now), Cause: l.cause(now)}
+	status := Status{Epoch: l.epoch, Wait: l.RemainingWait(now), Cause: l.cause(now)}
 	if grant, ok := l.Grant(now); ok {
-		status.Held, status.Left = true, grant.Until-now
+		status.Held, status.Remaining = true, grant.Until-now
 	}
 	return status
 }
@@ -55,10 +55,10 @@
 // waitCause returns what a head waits for that is active and confirmed: that which ends last.
 func (l *Lease) waitCause() Cause {
 	switch from := l.mayActFrom(); {
-	case from == l.startedAt+l.params.Takeover():
+	case from == l.startedAt+l.params.TakeoverWait():
 		return JustStarted
-	case l.hadHead && from == l.lostAt+l.params.Takeover():
+	case l.hadHead && from == l.lostAt+l.params.TakeoverWait():
 		return LeaseLost
 	}
-	return EarlierHead
+	return EarlierGrant
 }
--- a/internal/tier/lease/status_test.go
+++ b/internal/tier/lease/status_test.go
@@ -15,7 +15,7 @@
 
 	refused := New(testParams, 0)
 	refused.Observe(0, head(1, at))
-	refused.Refused(1)
+	refused.HandleRefusal(1)
 
 	later := New(testParams, 0)
 	later.Observe(at, head(5, at))
@@ -27,19 +27,19 @@
 	unconfirmed.Observe(0, head(1, 0))
 	holder.Observe(0, head(1, at))
 
-	takeover := testParams.Takeover()
+	takeover := testParams.TakeoverWait()
 	for name, c := range map[string]struct {
 		lease *Lease
 		now   time.Duration
 		want  Status
 	}{
-		"holder":                      {holder, at + second, Status{Epoch: 1, Held: true, Left: testTerm - second}},
+		"holder":                      {holder, at + second, Status{Epoch: 1, Held: true, Remaining: testTerm - second}},
 		"no view":                     {New(testParams, 0), at, Status{Cause: NotHead}},
 		"platform has refused":        {refused, at, Status{Epoch: 1, Cause: TokenRefused}},
 		"about to stop":               {inactive, at, Status{Epoch: 1, Cause: NotActive}},
 		"no majority":                 {unconfirmed, at, Status{Epoch: 1, Cause: NotConfirmed}},
 		"just started":                {started, at, Status{Epoch: 5, Wait: takeover, Cause: JustStarted}},
-		"head before may hold it":     {later, at, Status{Epoch: 5, Wait: takeover, Cause: EarlierHead}},
+		"head before may hold it":     {later, at, Status{Epoch: 5, Wait: takeover, Cause: EarlierGrant}},
 		"lost and got back in a term": {returned, at + second, Status{Epoch: 3, Wait: takeover - second, Cause: LeaseLost}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/tier/view/acceptor.go
+++ b/internal/tier/view/acceptor.go
@@ -17,10 +17,10 @@
 // Acceptor is the durable state of a voter: the newest decided view that it knows, and its votes on the view of the next
 // epoch. The caller syncs each change before it responds to the request that made it.
 type Acceptor struct {
-	View       View
-	Promised   Ballot // highest ballot promised or accepted for epoch View.Epoch+1; never decreases within an epoch
-	AcceptedAt Ballot // ballot under which Accepted was accepted
-	Accepted   View   // of epoch View.Epoch+1; its Epoch is 0 if none was accepted
+	View           View
+	Promised       Ballot // highest ballot promised or accepted for epoch View.Epoch+1; never decreases within an epoch
+	AcceptedBallot Ballot // ballot under which Accepted was accepted
+	Accepted       View   // of epoch View.Epoch+1; its Epoch is 0 if none was accepted
 }
 
 // HasPromised reports whether the voter has promised or accepted a ballot for the epoch after its view. From then on it must
@@ -28,7 +28,7 @@
 func (a *Acceptor) HasPromised() bool { return !a.Promised.IsZero() }
 
 // Prepare handles a prepare request (phase 1). It reports whether the acceptor promises to accept nothing below the ballot;
-// it does so again for the ballot that it promised last. The response must carry Accepted and AcceptedAt.
+// it does so again for the ballot that it promised last. The response must carry Accepted and AcceptedBallot.
 func (a *Acceptor) Prepare(epoch int64, b Ballot) bool {
 	if epoch != a.View.Epoch+1 || b.Less(a.Promised) {
 		return false
@@ -43,7 +43,7 @@
 	if v.Epoch != a.View.Epoch+1 || b.Less(a.Promised) {
 		return false
 	}
-	a.Promised, a.AcceptedAt, a.Accepted = b, b, v
+	a.Promised, a.AcceptedBallot, a.Accepted = b, b, v
 	return true
 }
 
@@ -59,7 +59,7 @@
 // Promise is a voter's positive response to a prepare request.
 type Promise struct {
 	From           Member
-	AcceptedAt     Ballot
+	AcceptedBallot Ballot
 	Accepted       View
 	ActivatedEpoch int64 // last epoch in which it had the complete state of its chain (chain.State.ActivatedEpoch)
 }
--- a/internal/tier/view/acceptor_test.go
+++ b/internal/tier/view/acceptor_test.go
@@ -47,17 +47,17 @@
 	if a.Accept(Ballot{3, "a"}, View{Epoch: 5}) || a.Accept(Ballot{3, "a"}, View{Epoch: 3}) || a.Promised != (Ballot{2, "b"}) {
 		t.Error("accepted for an epoch that is not the next")
 	}
-	if !a.Accept(Ballot{2, "b"}, low) || a.Accepted.Head() != "a" || a.AcceptedAt != (Ballot{2, "b"}) {
+	if !a.Accept(Ballot{2, "b"}, low) || a.Accepted.Head() != "a" || a.AcceptedBallot != (Ballot{2, "b"}) {
 		t.Error("did not accept at its promise")
 	}
 	if !a.Accept(Ballot{3, "c"}, high) || a.Promised != (Ballot{3, "c"}) ||
-		a.Accepted.Head() != "b" || a.AcceptedAt != (Ballot{3, "c"}) {
+		a.Accepted.Head() != "b" || a.AcceptedBallot != (Ballot{3, "c"}) {
 		t.Error("an accept without a prepare binds as a promise does")
 	}
 	if a.Prepare(4, Ballot{2, "z"}) {
 		t.Error("promised below what it accepted")
 	}
-	if !a.Prepare(4, Ballot{4, "a"}) || a.Accepted.Head() != "b" || a.AcceptedAt != (Ballot{3, "c"}) {
+	if !a.Prepare(4, Ballot{4, "a"}) || a.Accepted.Head() != "b" || a.AcceptedBallot != (Ballot{3, "c"}) {
 		t.Error("a promise discarded the accepted view")
 	}
 }
@@ -68,7 +68,7 @@
 	if a.Adopt(View{Epoch: 3}) || a.Adopt(View{Epoch: 2}) || !a.HasPromised() {
 		t.Error("adopted an old view")
 	}
-	if !a.Adopt(View{Epoch: 6}) || a.HasPromised() || a.View.Epoch != 6 || a.Accepted.Epoch != 0 || !a.AcceptedAt.IsZero() {
+	if !a.Adopt(View{Epoch: 6}) || a.HasPromised() || a.View.Epoch != 6 || a.Accepted.Epoch != 0 || !a.AcceptedBallot.IsZero() {
 		t.Error("a newer view must begin without votes", a)
 	}
 	if a.Prepare(4, Ballot{9, "z"}) || a.Accept(Ballot{9, "z"}, View{Epoch: 4}) {
--- a/internal/tier/view/model_test.go
+++ b/internal/tier/view/model_test.go
@@ -215,7 +215,7 @@
 		if sim.draw(4) == 0 || !acceptor.Prepare(pending.current.Epoch+1, pending.ballot) {
 			continue
 		}
-		promise := Promise{From: voter, AcceptedAt: acceptor.AcceptedAt, Accepted: acceptor.Accepted,
+		promise := Promise{From: voter, AcceptedBallot: acceptor.AcceptedBallot, Accepted: acceptor.Accepted,
 			ActivatedEpoch: sim.node(voter.ID).activatedEpoch}
 		if sim.faults.dropPromise {
 			acceptor.Promised = Ballot{}
--- a/internal/tier/view/planted_test.go
+++ b/internal/tier/view/planted_test.go
@@ -28,8 +28,8 @@
 		}}, "two views decided"},
 		"highest ballot ignored": {plantedFaults{mutatePromises: func(promises []Promise) []Promise {
 			for i := range promises {
-				if number := promises[i].AcceptedAt.Number; number > 0 {
-					promises[i].AcceptedAt = Ballot{math.MaxInt64 - number, promises[i].AcceptedAt.Proposer}
+				if number := promises[i].AcceptedBallot.Number; number > 0 {
+					promises[i].AcceptedBallot = Ballot{math.MaxInt64 - number, promises[i].AcceptedBallot.Proposer}
 				}
 			}
 			return promises
--- a/internal/tier/view/proposer.go
+++ b/internal/tier/view/proposer.go
@@ -42,8 +42,8 @@
 	}
 	var highest Ballot
 	for _, p := range promises {
-		if p.Accepted.Epoch == current.Epoch+1 && highest.Less(p.AcceptedAt) {
-			highest, next, ok = p.AcceptedAt, p.Accepted, true
+		if p.Accepted.Epoch == current.Epoch+1 && highest.Less(p.AcceptedBallot) {
+			highest, next, ok = p.AcceptedBallot, p.Accepted, true
 		}
 	}
 	if ok {
--- a/internal/tier/view/proposer_test.go
+++ b/internal/tier/view/proposer_test.go
@@ -23,9 +23,9 @@
 	promises := promisesAt(3, "a", "b", "c")
 	older, newer := View{Epoch: 4, Chain: chainMembers(4, "older")}, View{Epoch: 4, Chain: chainMembers(4, "newer")}
 	past := View{Epoch: 3, Chain: chainMembers(3, "past")}
-	promises[0].Accepted, promises[0].AcceptedAt = newer, Ballot{3, "b"}
-	promises[1].Accepted, promises[1].AcceptedAt = older, Ballot{3, "a"}
-	promises[2].Accepted, promises[2].AcceptedAt = past, Ballot{9, "a"}
+	promises[0].Accepted, promises[0].AcceptedBallot = newer, Ballot{3, "b"}
+	promises[1].Accepted, promises[1].AcceptedBallot = older, Ballot{3, "a"}
+	promises[2].Accepted, promises[2].AcceptedBallot = past, Ballot{9, "a"}
 	next, ok := ChooseView(&current, promises, Conditions{FaultTolerance: 1})
 	if !ok || next.Head() != "newer" {
 		t.Error("got", next, ok)
