--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -18,7 +18,7 @@
 const (
 	modelMembers    = 4
 	scheduleRounds  = 120
-	quietRounds     = 120
+	faultFreeRounds = 120
 	heartbeatRounds = 4  // between acknowledgements, and calls of Resend
 	maxDelayRounds  = 6  // rounds
 	maxEntries      = 40 // of one schedule
@@ -49,7 +49,7 @@
 	faults       plantedFaults
 	randomBytes  []byte // values are parts of it
 	round        int
-	quiet        bool
+	faultFree    bool
 	view         view.View
 	members      [modelMembers]*Chain
 	incarnations [modelMembers]int64
@@ -102,16 +102,16 @@
 	sim.checkCommitted(i)
 }
 
-func (sim *simulation) oneIn(of int) bool { return !sim.quiet && sim.draw(of) == 0 }
+func (sim *simulation) oneIn(of int) bool { return !sim.faultFree && sim.draw(of) == 0 }
 
 func (sim *simulation) step() {
 	sim.round++
 	sim.injectFaults()
 	for i, member := range sim.members {
-		if member.view.Epoch < sim.view.Epoch && (sim.quiet || sim.draw(3) == 0) {
+		if member.view.Epoch < sim.view.Epoch && (sim.faultFree || sim.draw(3) == 0) {
 			sim.adopt(i)
 		}
-		if !sim.quiet && len(sim.appended) < maxEntries && sim.draw(3) == 0 {
+		if !sim.faultFree && len(sim.appended) < maxEntries && sim.draw(3) == 0 {
 			sim.append(i)
 		}
 		sim.sendUpdates(i)
@@ -184,7 +184,7 @@
 	}
 	message.incarnation = sim.incarnations[message.from]
 	message.due = sim.round + 1
-	if !sim.quiet {
+	if !sim.faultFree {
 		message.due += sim.draw(maxDelayRounds)
 	}
 	sim.inTransit = append(sim.inTransit, message)
@@ -293,8 +293,8 @@
 			return sim.violation
 		}
 	}
-	sim.quiet = true
-	for range quietRounds {
+	sim.faultFree = true
+	for range faultFreeRounds {
 		if sim.step(); sim.violation != nil {
 			return sim.violation
 		}
--- a/internal/tier/chain/receive_stream_test.go
+++ b/internal/tier/chain/receive_stream_test.go
@@ -9,7 +9,7 @@
 func TestInvalidFragmentsAreRejected(t *testing.T) {
 	value := []byte("value")
 	good := Fragment{Index: 3, Key: "k", ValueSize: 5, Checksum: checksum(value), Data: value}
-	for name, spoil := range map[string]func(f *Fragment){
+	for name, corrupt := range map[string]func(f *Fragment){
 		"received index":     func(f *Fragment) { f.Index = 2 },
 		"index below 0":      func(f *Fragment) { f.Index = -1 },
 		"size below 0":       func(f *Fragment) { f.ValueSize = -1 },
@@ -23,7 +23,7 @@
 	} {
 		in := receiveStream{lastIndex: 2}
 		f := good
-		if spoil(&f); in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{f}}) {
+		if corrupt(&f); in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{f}}) {
 			t.Errorf("accepted: %s", name)
 		}
 		if in.lastIndex != 2 || len(in.entries) != 0 || in.position() != (Position{LastIndex: 2}) {
@@ -40,7 +40,7 @@
 	first := Fragment{Index: 3, Key: "k", ValueSize: int64(len(value)), Checksum: checksum(value), Data: value[:ChunkSize]}
 	second := first
 	second.Offset, second.Data = ChunkSize, value[ChunkSize:]
-	for name, spoil := range map[string]func(f *Fragment){
+	for name, corrupt := range map[string]func(f *Fragment){
 		"index":    func(f *Fragment) { f.Index = 4 },
 		"checksum": func(f *Fragment) { f.Checksum++ },
 		"size":     func(f *Fragment) { f.ValueSize++ },
@@ -50,7 +50,7 @@
 		in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
 		at := in.position()
 		f := second
-		if spoil(&f); in.handleUpdate(Update{After: at, Fragments: []Fragment{f}}) || in.position() != at {
+		if corrupt(&f); in.handleUpdate(Update{After: at, Fragments: []Fragment{f}}) || in.position() != at {
 			t.Errorf("accepted with another %s", name)
 		}
 		if !in.handleUpdate(Update{After: at, Fragments: []Fragment{second}}) || !bytes.Equal(in.entries[0].Value, value) {
--- a/internal/tier/lease/lease.go
+++ b/internal/tier/lease/lease.go
@@ -51,7 +51,7 @@
 }
 
 // headship is an unbroken run of epochs with this node as the head.
-type headship struct {
+type tenure struct {
 	firstEpoch int64
 	since      time.Duration // when the node adopted the view of firstEpoch
 }
@@ -62,20 +62,20 @@
 	params    Params
 	startedAt time.Duration
 
-	epoch    int64     // newest that was observed
-	headship *headship // nil while another node is the head
-	active   bool
-	until    time.Duration // of the newest grant in this epoch; 0 for none
+	epoch  int64   // newest that was observed
+	tenure *tenure // nil while another node is the head
+	active bool
+	until  time.Duration // of the newest grant in this epoch; 0 for none
 
-	lostAt  time.Duration // when the last headship ended, or the last call of one that had ended
-	hadHead bool          // there was an earlier headship
+	lostAt           time.Duration // when the last headship ended, or the last call of one that had ended
+	hadEarlierTenure bool          // there was an earlier headship
 
 	inFlight map[*Call]struct{}
 	unsent   *unsentRelease // waits for the calls of the headship that it releases; nil for none
 
-	received *receivedRelease // for this headship
-	early    *receivedRelease // of an epoch after which this node may become the head; it came before the view
-	refused  int64            // newest epoch in which the platform has refused this node's token; 0 for none
+	received     *receivedRelease // for this headship
+	earlyRelease *receivedRelease // of an epoch after which this node may become the head; it came before the view
+	refusedEpoch int64            // newest epoch in which the platform has refused this node's token; 0 for none
 }
 
 // receivedRelease is a release that has come.
@@ -115,18 +115,18 @@
 func (l *Lease) enterEpoch(now time.Duration, o Observation) {
 	consecutive := o.Epoch == l.epoch+1
 	l.unsent = nil
-	if l.headship != nil && !(consecutive && o.IsHead) {
+	if l.tenure != nil && !(consecutive && o.IsHead) {
 		// A head that could not act for a call of a headship before has nothing to release.
-		if !o.IsHead && !l.hasLateCalls() {
+		if !o.IsHead && !l.hasStaleCalls() {
 			l.unsent = &unsentRelease{epoch: l.epoch, mayActFrom: l.mayActFrom()}
 		}
-		l.headship, l.lostAt, l.hadHead = nil, now, true
+		l.tenure, l.lostAt, l.hadEarlierTenure = nil, now, true
 	}
 	l.epoch, l.until = o.Epoch, 0
-	if o.IsHead && l.headship == nil {
-		l.headship, l.received = &headship{firstEpoch: o.Epoch, since: now}, nil
-		if l.early != nil && l.early.epoch == o.Epoch-1 {
-			l.received = l.early
+	if o.IsHead && l.tenure == nil {
+		l.tenure, l.received = &tenure{firstEpoch: o.Epoch, since: now}, nil
+		if l.earlyRelease != nil && l.earlyRelease.epoch == o.Epoch-1 {
+			l.received = l.earlyRelease
 		}
 	}
 }
@@ -137,7 +137,7 @@
 // takeRelease returns the release that waits for calls, if they have ended.
 func (l *Lease) takeRelease(now time.Duration) (release Release, ok bool) {
 	unsent := l.unsent
-	if unsent == nil || l.hasLateCalls() {
+	if unsent == nil || l.hasStaleCalls() {
 		return Release{}, false
 	}
 	l.unsent = nil
@@ -150,18 +150,18 @@
 	if r.Wait < 0 {
 		return
 	}
-	received := &receivedRelease{epoch: r.Epoch, endsAt: now + l.stretch(r.Wait)}
+	received := &receivedRelease{epoch: r.Epoch, endsAt: now + l.allowForDrift(r.Wait)}
 	switch {
-	case l.headship != nil && r.Epoch == l.headship.firstEpoch-1:
-		l.received = earlier(l.received, received)
+	case l.tenure != nil && r.Epoch == l.tenure.firstEpoch-1:
+		l.received = preferredRelease(l.received, received)
 	case r.Epoch >= l.epoch:
-		l.early = earlier(l.early, received)
+		l.earlyRelease = preferredRelease(l.earlyRelease, received)
 	}
 }
 
 // earlier returns the release of the newer epoch, and of two releases of one epoch the one whose wait ends first. The first may
 // be nil.
-func earlier(a, b *receivedRelease) *receivedRelease {
+func preferredRelease(a, b *receivedRelease) *receivedRelease {
 	if a == nil || a.epoch < b.epoch || a.epoch == b.epoch && b.endsAt < a.endsAt {
 		return b
 	}
@@ -169,7 +169,7 @@
 }
 
 // stretch returns how long this node waits by its own clock for a time of another node's clock.
-func (l *Lease) stretch(d time.Duration) time.Duration {
+func (l *Lease) allowForDrift(d time.Duration) time.Duration {
 	if d == 0 {
 		return 0
 	}
@@ -178,12 +178,12 @@
 
 // mayActFrom returns from when on a grant may be used. The node must be the head.
 func (l *Lease) mayActFrom() time.Duration {
-	from := l.headship.since + l.params.TakeoverWait()
+	from := l.tenure.since + l.params.TakeoverWait()
 	if l.received != nil {
 		from = min(from, l.received.endsAt)
 	}
 	from = max(from, l.startedAt+l.params.TakeoverWait())
-	if l.hadHead {
+	if l.hadEarlierTenure {
 		from = max(from, l.lostAt+l.params.TakeoverWait())
 	}
 	return from
@@ -191,7 +191,7 @@
 
 // HandleRefusal notes that the platform has refused a call of an epoch, as it has seen a higher token. The node does not act any more
 // before the next epoch.
-func (l *Lease) HandleRefusal(epoch int64) { l.refused = max(l.refused, epoch) }
+func (l *Lease) HandleRefusal(epoch int64) { l.refusedEpoch = max(l.refusedEpoch, epoch) }
 
 // CallStarted notes that a call begins under a grant. CallEnded has to follow.
 func (l *Lease) CallStarted(c *Call) { l.inFlight[c] = struct{}{} }
@@ -203,18 +203,18 @@
 		return
 	}
 	delete(l.inFlight, c)
-	if l.isLate(c) {
+	if l.isStale(c) {
 		l.lostAt = max(l.lostAt, now)
 	}
 }
 
 // isLate reports whether a call was begun in a headship that has ended.
-func (l *Lease) isLate(c *Call) bool { return l.headship == nil || c.Epoch < l.headship.firstEpoch }
+func (l *Lease) isStale(c *Call) bool { return l.tenure == nil || c.Epoch < l.tenure.firstEpoch }
 
 // hasLateCalls reports whether a call of a headship that has ended is in flight.
-func (l *Lease) hasLateCalls() bool {
+func (l *Lease) hasStaleCalls() bool {
 	for c := range l.inFlight {
-		if l.isLate(c) {
+		if l.isStale(c) {
 			return true
 		}
 	}
@@ -223,7 +223,7 @@
 
 // Grant returns the right to act that this node has now, if it has one.
 func (l *Lease) Grant(now time.Duration) (g Grant, ok bool) {
-	if l.headship == nil || !l.active || l.hasLateCalls() || l.refused >= l.epoch || now < l.mayActFrom() || now >= l.until {
+	if l.tenure == nil || !l.active || l.hasStaleCalls() || l.refusedEpoch >= l.epoch || now < l.mayActFrom() || now >= l.until {
 		return Grant{}, false
 	}
 	return Grant{Epoch: l.epoch, Until: l.until}, true
@@ -232,7 +232,7 @@
 // RemainingWait returns how long the head still waits for earlier grants to end; 0 if it does not, or is not the head. The wait begins
 // anew when a call of a lost headship ends.
 func (l *Lease) RemainingWait(now time.Duration) time.Duration {
-	if l.headship == nil {
+	if l.tenure == nil {
 		return 0
 	}
 	return max(0, l.mayActFrom()-now)
--- a/internal/tier/lease/lease_test.go
+++ b/internal/tier/lease/lease_test.go
@@ -145,7 +145,7 @@
 	next := New(testParams, 0)
 	next.Observe(11*second, head(3, 11*second))
 	next.HandleRelease(11*second, release)
-	from := 11*second + next.stretch(release.Wait)
+	from := 11*second + next.allowForDrift(release.Wait)
 	next.Observe(from, head(3, from))
 	wantGrant(t, next, from-1, 0)
 	wantGrant(t, next, from, 3)
--- a/internal/tier/lease/model_agreement_test.go
+++ b/internal/tier/lease/model_agreement_test.go
@@ -61,7 +61,7 @@
 	if !n.disk.view.isVoter(n.id) {
 		return
 	}
-	n.sim.disturbProposal(n)
+	n.sim.injectProposalFaults(n)
 	n.disk.promised = (max(n.disk.promised, n.ballotSeen)/16+1)*16 + int64(n.machine)
 	n.promisedAt = n.clock()
 	n.proposal = &proposal{ballot: n.disk.promised, promises: map[int]message{
@@ -108,11 +108,11 @@
 	if highest.acceptedAt > 0 {
 		return highest.view
 	}
-	return n.drawView()
+	return n.randomView()
 }
 
 // drawView draws the next view: at most one voter is replaced, one whose disk was lost if there is one.
-func (n *node) drawView() modelView {
+func (n *node) randomView() modelView {
 	sim, current := n.sim, &n.disk.view
 	next := modelView{epoch: current.epoch + 1, voters: slices.Clone(current.voters)}
 	var spare, candidates []int
@@ -167,7 +167,7 @@
 	}
 	before, v := n.disk.view, p.view
 	n.sim.decide(v)
-	n.sim.disturbDecision(n, n.sim.member(before.head))
+	n.sim.injectDecisionFaults(n, n.sim.member(before.head))
 	n.adopt(v)
 	notify := slices.Clone(before.voters)
 	for _, id := range v.voters {
@@ -201,7 +201,7 @@
 		return
 	}
 	n.disk = durableState{view: v}
-	n.proposal, n.confirmed, n.hasConfirmed, n.headHeardAt = nil, map[int]int{}, false, n.clock()
+	n.proposal, n.confirmed, n.hasConfirmed, n.headLastHeardAt = nil, map[int]int{}, false, n.clock()
 	n.sim.logEvent("%s adopts epoch %d", n, v.epoch)
 	n.observe()
 	if v.head == n.id {
@@ -213,12 +213,12 @@
 func (n *node) proposeIfNeeded() {
 	now := n.clock()
 	isHead := n.disk.view.head == n.id
-	stuck := n.disk.promised > 0 && !(isHead && n.sim.fault == promiseIgnored) && now-n.promisedAt > n.patience
-	headSilent := !isHead && now-n.headHeardAt > n.patience
+	stuck := n.disk.promised > 0 && !(isHead && n.sim.planted == promiseIgnored) && now-n.promisedAt > n.electionTimeout
+	headSilent := !isHead && now-n.headLastHeardAt > n.electionTimeout
 	leavingHead := isHead && n.leaving && n.disk.promised == 0
 	if stuck || headSilent || leavingHead {
-		n.patience = n.sim.patience()
-		n.headHeardAt = now
+		n.electionTimeout = n.sim.randomElectionTimeout()
+		n.headLastHeardAt = now
 		n.propose()
 	}
 }
--- a/internal/tier/lease/model_course_test.go
+++ b/internal/tier/lease/model_injection_test.go
@@ -11,9 +11,9 @@
 )
 
 var (
-	courses      = flag.Int("courses", 300, "random courses of the model")
-	faultCourses = flag.Int("fault-courses", 2000, "courses to find a planted fault in, at most")
-	firstSeed    = flag.Uint64("seed", 1, "of the first course")
+	randomRuns     = flag.Int("courses", 300, "random courses of the model")
+	maxPlantedRuns = flag.Int("fault-courses", 2000, "courses to find a planted fault in, at most")
+	firstSeed      = flag.Uint64("seed", 1, "of the first course")
 )
 
 // profile is what a course is about.
@@ -59,7 +59,7 @@
 func (sim *simulation) changeView() {
 	v := sim.newestView()
 	n := sim.member(v.voters[sim.rng.IntN(len(v.voters))])
-	if n == nil || !n.up || sim.quiet || sim.profile == takeovers && n.id == v.head {
+	if n == nil || !n.up || sim.faultFree || sim.profile == takeovers && n.id == v.head {
 		return
 	}
 	sim.schedule(0, n, n.incarnation, n.propose)
@@ -115,7 +115,7 @@
 }
 
 // disturbProposal cuts links of a proposer, so that some voters do not promise, above all the head: it then goes on.
-func (sim *simulation) disturbProposal(proposer *node) {
+func (sim *simulation) injectProposalFaults(proposer *node) {
 	if sim.profile == handovers {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // disturbDecision injects faults when a view is decided, before any message of it leaves: at the proposer, at the former head,
 // and at that shortly after.
-func (sim *simulation) disturbDecision(proposer, formerHead *node) {
+func (sim *simulation) injectDecisionFaults(proposer, formerHead *node) {
 	if sim.profile == handovers {
 		return
 	}
@@ -145,7 +145,7 @@
 	after, duration := sim.oneOf(0, sim.between(0, time.Second)), sim.between(3*time.Second, 6*time.Second)
 	if sim.oneIn(2, freezes) && formerHead != nil {
 		sim.after(after, func() {
-			if !sim.quiet {
+			if !sim.faultFree {
 				formerHead.freeze(duration)
 			}
 		})
@@ -153,7 +153,7 @@
 }
 
 // disturbRelease kills the sender of a release, and has another view follow soon, in which it may be the head again.
-func (sim *simulation) disturbRelease(sender *node) {
+func (sim *simulation) injectReleaseFaults(sender *node) {
 	down, next := sim.between(time.Millisecond, 200*time.Millisecond), sim.between(time.Millisecond, time.Second)
 	if sim.profile != takeovers && sim.oneIn(3, kills) {
 		sim.after(0, sender.kill)
@@ -213,7 +213,7 @@
 
 // endFaults ends all faults.
 func (sim *simulation) endFaults() {
-	sim.quiet = true
+	sim.faultFree = true
 	clear(sim.cutUntil)
 	sim.logEvent("no faults any more")
 	for _, n := range sim.nodes {
@@ -221,12 +221,12 @@
 			n.kill()
 		}
 		n.restart()
-		n.patience = sim.patience()
+		n.electionTimeout = sim.randomElectionTimeout()
 	}
 }
 
 // lastThaw returns when the last machine that is frozen goes on.
-func (sim *simulation) lastThaw() time.Duration {
+func (sim *simulation) lastFreezeEnd() time.Duration {
 	last := sim.now
 	for _, n := range sim.nodes {
 		last = max(last, n.frozenUntil)
@@ -235,10 +235,10 @@
 }
 
 // shrink returns the fewest kinds of faults with which a course still shows a violation.
-func shrink(seed uint64, planted fault) faultClass {
+func shrink(seed uint64, planted plantedFault) faultClass {
 	classes := faultClass(allFaultClasses)
 	for class := faultClass(1); class < allFaultClasses; class <<= 1 {
-		if runCourse(seed, classes&^class, planted, false).violation != "" {
+		if runSimulation(seed, classes&^class, planted, false).violation != "" {
 			classes &^= class
 		}
 	}
@@ -249,22 +249,22 @@
 func reportViolation(t *testing.T, seed uint64, sim *simulation) {
 	t.Helper()
 	classes := shrink(seed, "")
-	shrunk := runCourse(seed, classes, "", true)
+	shrunk := runSimulation(seed, classes, "", true)
 	t.Errorf("course %d at %s: %s\nshrunk to %s: %s\n%s", seed, sim.violatedAt, sim.violation, classes, shrunk.violation,
 		strings.Join(shrunk.trace, "\n"))
 }
 
-// TestRandomCourses checks the invariants over random courses.
-func TestRandomCourses(t *testing.T) {
+// TestInvariantsHoldUnderRandomFaults checks the invariants over random courses.
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	var next, failed atomic.Int64
 	var mu sync.Mutex
 	var total stats
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
-			for i := next.Add(1); i <= int64(*courses); i = next.Add(1) {
+			for i := next.Add(1); i <= int64(*randomRuns); i = next.Add(1) {
 				seed := *firstSeed + uint64(i) - 1
-				sim := runCourse(seed, allFaultClasses, "", false)
+				sim := runSimulation(seed, allFaultClasses, "", false)
 				if sim.violation != "" && failed.Add(1) <= 3 {
 					reportViolation(t, seed, sim)
 				}
@@ -275,7 +275,7 @@
 		})
 	}
 	workers.Wait()
-	t.Logf("%d courses, %d with a violation: %+v", *courses, failed.Load(), total)
+	t.Logf("%d courses, %d with a violation: %+v", *randomRuns, failed.Load(), total)
 	if total.views == 0 || total.accepted == 0 || total.refused == 0 || total.heldAfterRelease == 0 || total.slowCalls == 0 {
 		t.Errorf("the courses exercise too little: %+v", total)
 	}
--- a/internal/tier/lease/model_node_test.go
+++ b/internal/tier/lease/model_node_test.go
@@ -21,20 +21,20 @@
 	frozenUntil time.Duration
 	readClock   time.Duration // what was read for the present event before a freeze; 0 if it is read anew
 
-	lease        *Lease
-	unanswered   map[*Call]bool // calls of this process that were sent and neither answered nor given up
-	leaving      bool
-	proposal     *proposal
-	ballotSeen   int64
-	promisedAt   time.Duration
-	patience     time.Duration // until it proposes another view
-	headHeardAt  time.Duration
-	rounds       []time.Duration // when each was sent
-	confirmed    map[int]int     // newest round that a voter has echoed in this epoch
-	confirmedAt  time.Duration
-	hasConfirmed bool
-	memoryToken  int64 // fault tokenFromMemory: a counter of headships
-	memoryEpoch  int64
+	lease           *Lease
+	unanswered      map[*Call]bool // calls of this process that were sent and neither answered nor given up
+	leaving         bool
+	proposal        *proposal
+	ballotSeen      int64
+	promisedAt      time.Duration
+	electionTimeout time.Duration // until it proposes another view
+	headLastHeardAt time.Duration
+	rounds          []time.Duration // when each was sent
+	confirmed       map[int]int     // newest round that a voter has echoed in this epoch
+	confirmedAt     time.Duration
+	hasConfirmed    bool
+	memoryToken     int64 // fault tokenFromMemory: a counter of headships
+	memoryEpoch     int64
 }
 
 func newNode(sim *simulation, machine int, extremeClock bool) *node {
@@ -78,19 +78,19 @@
 	now := n.clock()
 	n.up, n.frozenUntil, n.leaving, n.proposal, n.ballotSeen = true, 0, false, nil, 0
 	n.incarnation++
-	n.promisedAt, n.headHeardAt = now, now
-	n.patience = n.sim.patience()
+	n.promisedAt, n.headLastHeardAt = now, now
+	n.electionTimeout = n.sim.randomElectionTimeout()
 	n.rounds, n.confirmed, n.hasConfirmed = nil, map[int]int{}, false
 	n.memoryToken, n.memoryEpoch = 0, 0
 	n.unanswered = map[*Call]bool{}
-	n.lease = New(n.sim.params.underFault(n.sim.fault), now)
-	if n.sim.fault == startedNodeActs {
+	n.lease = New(n.sim.params.underFault(n.sim.planted), now)
+	if n.sim.planted == noWaitAfterStart {
 		n.lease.startedAt = -time.Hour
 	}
 	n.sim.logEvent("%s starts at epoch %d, clock rate %.3f", n, n.disk.view.epoch, n.rate)
 	n.observe()
 	n.every(n.sim.interval, n.tick)
-	n.every(n.sim.interval+time.Millisecond, n.act)
+	n.every(n.sim.interval+time.Millisecond, n.callPlatform)
 }
 
 // every has the node do something again and again as long as this incarnation runs.
@@ -152,7 +152,7 @@
 		n.adopt(m.view)
 	case m.kind == msgRelease:
 		n.handleRelease(m.release)
-	case m.epoch < n.disk.view.epoch && !(n.sim.fault == echoOtherEpoch && m.kind == msgRound):
+	case m.epoch < n.disk.view.epoch && !(n.sim.planted == echoOtherEpoch && m.kind == msgRound):
 		n.send(m.from, message{kind: msgDecide, view: n.disk.view})
 	case m.epoch > n.disk.view.epoch && m.kind != msgRound:
 		n.send(m.from, message{kind: msgEcho})
@@ -183,10 +183,10 @@
 // handleRound echoes a round in the same epoch before a promise. Otherwise the answer carries the epoch only.
 func (n *node) handleRound(m message) {
 	if m.epoch == n.disk.view.epoch && m.from == n.disk.view.head {
-		n.headHeardAt = n.clock()
+		n.headLastHeardAt = n.clock()
 	}
-	promised := n.disk.promised > 0 && n.sim.fault != echoAfterPromise
-	sameEpoch := m.epoch == n.disk.view.epoch || n.sim.fault == echoOtherEpoch
+	promised := n.disk.promised > 0 && n.sim.planted != echoAfterPromise
+	sameEpoch := m.epoch == n.disk.view.epoch || n.sim.planted == echoOtherEpoch
 	echo := message{kind: msgEcho}
 	if sameEpoch && !promised {
 		echo.round, echo.incarnation = m.round, m.incarnation
@@ -196,7 +196,7 @@
 
 // handleEcho counts an echo. A round that was sent in an earlier epoch may be confirmed in this one, as in the control node.
 func (n *node) handleEcho(m message) {
-	sameEpoch := m.epoch == n.disk.view.epoch || n.sim.fault == echoOtherEpoch
+	sameEpoch := m.epoch == n.disk.view.epoch || n.sim.planted == echoOtherEpoch
 	if !sameEpoch || m.incarnation != n.incarnation || m.round <= n.confirmed[m.from] {
 		return
 	}
@@ -206,7 +206,7 @@
 		return
 	}
 	at := n.rounds[round-1]
-	if n.sim.fault == termFromReply {
+	if n.sim.planted == termFromReply {
 		at = n.clock()
 	}
 	n.confirmedAt, n.hasConfirmed = max(n.confirmedAt, at), true
@@ -230,7 +230,7 @@
 func (n *node) observe() {
 	now, v := n.clock(), &n.disk.view
 	isHead := v.head == n.id
-	promised := n.disk.promised > 0 && n.sim.fault != promiseIgnored
+	promised := n.disk.promised > 0 && n.sim.planted != promiseIgnored
 	o := Observation{
 		Epoch: v.epoch, IsHead: isHead, Active: isHead && !promised && !n.leaving,
 		ConfirmedAt: n.confirmedAt, HasConfirmed: n.hasConfirmed,
@@ -241,7 +241,7 @@
 	}
 	n.sim.stats.releases++
 	n.sim.logEvent("%s releases %+v to %s", n, release, n.sim.member(v.head))
-	n.sim.disturbRelease(n)
+	n.sim.injectReleaseFaults(n)
 	if n.sim.oneIn(10, slowReleases) {
 		return
 	}
@@ -259,21 +259,21 @@
 }
 
 func (n *node) handleRelease(r Release) {
-	held, now := n.holds(), n.clock()
-	if n.sim.fault == releaseOfAnyEpoch && n.lease.headship != nil {
-		r.Epoch = n.lease.headship.firstEpoch - 1
+	held, now := n.holdsLease(), n.clock()
+	if n.sim.planted == releaseOfAnyEpoch && n.lease.tenure != nil {
+		r.Epoch = n.lease.tenure.firstEpoch - 1
 	}
 	n.lease.HandleRelease(now, r)
-	if n.sim.fault == releaseBeforeAdoption {
-		n.lease.early = nil
+	if n.sim.planted == releaseBeforeAdoption {
+		n.lease.earlyRelease = nil
 	}
-	if !held && n.lease.RemainingWait(now) == 0 && n.lease.headship != nil {
+	if !held && n.lease.RemainingWait(now) == 0 && n.lease.tenure != nil {
 		n.sim.stats.heldAfterRelease++
 	}
 }
 
 // holds reports whether the node has a grant now.
-func (n *node) holds() bool {
+func (n *node) holdsLease() bool {
 	if !n.up {
 		return false
 	}
--- a/internal/tier/lease/model_platform_test.go
+++ b/internal/tier/lease/model_platform_test.go
@@ -8,26 +8,26 @@
 // call is a call of a holder to the platform.
 type call struct {
 	holder      *node // the machine: one machine makes one holder
-	lease       *Call
+	leaseCall   *Call
 	token       int64 // 0 for none
 	subject     string
 	sentAt      time.Duration
 	incarnation int  // of the process
-	stoodStill  bool // the process was frozen between the check of its grant and the sending
+	wasFrozen   bool // the process was frozen between the check of its grant and the sending
 }
 
 // platform accepts calls, and refuses those with a lower token than it has seen for their subject if it checks fences.
 type platform struct {
-	fenceChecks bool
-	highest     map[string]int64
+	checksTokens bool
+	highest      map[string]int64
 }
 
 func newPlatform(fenceChecks bool) platform {
-	return platform{fenceChecks: fenceChecks, highest: map[string]int64{}}
+	return platform{checksTokens: fenceChecks, highest: map[string]int64{}}
 }
 
 func (p *platform) accepts(c call) bool {
-	if p.fenceChecks && c.token > 0 && c.token < p.highest[c.subject] {
+	if p.checksTokens && c.token > 0 && c.token < p.highest[c.subject] {
 		return false
 	}
 	p.highest[c.subject] = max(p.highest[c.subject], c.token)
@@ -35,7 +35,7 @@
 }
 
 // act begins a call for one subject if the node has a grant. The process may freeze before the call leaves.
-func (n *node) act() {
+func (n *node) callPlatform() {
 	n.observe()
 	now := n.clock()
 	grant, ok := n.lease.Grant(now)
@@ -46,7 +46,7 @@
 	subject := subjects[n.sim.rng.IntN(len(subjects))]
 	checkedAt := n.sim.now
 	noted := &Call{Epoch: grant.Epoch}
-	if n.sim.fault != lateCallsIgnored {
+	if n.sim.planted != staleCallsIgnored {
 		n.lease.CallStarted(noted)
 	}
 	if n.sim.oneIn(40, freezes) {
@@ -58,8 +58,8 @@
 	}
 	n.sim.schedule(wait, n, n.incarnation, func() {
 		n.call(call{
-			holder: n, lease: noted, token: n.token(grant.Epoch), subject: subject,
-			stoodStill: stale || n.sim.now > checkedAt,
+			holder: n, leaseCall: noted, token: n.token(grant.Epoch), subject: subject,
+			wasFrozen: stale || n.sim.now > checkedAt,
 		})
 	})
 }
@@ -71,7 +71,7 @@
 func (n *node) call(c call) {
 	sim := n.sim
 	c.sentAt, c.incarnation = sim.now, n.incarnation
-	n.unanswered[c.lease] = true
+	n.unanswered[c.leaseCall] = true
 	sim.stats.calls++
 	sim.checks.sent(c)
 	delay := sim.between(10*time.Microsecond, 5*time.Millisecond)
@@ -101,13 +101,13 @@
 		return
 	}
 	sim.stats.refused++
-	sim.schedule(sim.between(10*time.Microsecond, 5*time.Millisecond), n, c.incarnation, func() { n.lease.HandleRefusal(c.lease.Epoch) })
+	sim.schedule(sim.between(10*time.Microsecond, 5*time.Millisecond), n, c.incarnation, func() { n.lease.HandleRefusal(c.leaseCall.Epoch) })
 }
 
 func (n *node) endCall(c call) {
-	delete(n.unanswered, c.lease)
-	if n.sim.fault != lateCallsIgnored {
-		n.lease.CallEnded(n.clock(), c.lease)
+	delete(n.unanswered, c.leaseCall)
+	if n.sim.planted != staleCallsIgnored {
+		n.lease.CallEnded(n.clock(), c.leaseCall)
 	}
 }
 
@@ -122,8 +122,8 @@
 
 // token returns the token of a call in an epoch.
 func (n *node) token(epoch int64) int64 {
-	switch n.sim.fault {
-	case noFence:
+	switch n.sim.planted {
+	case noFencingToken:
 		return 0
 	case tokenFromMemory: // a counter of epochs that restarts with the process
 		if epoch != n.memoryEpoch {
--- a/internal/tier/lease/model_test.go
+++ b/internal/tier/lease/model_test.go
@@ -15,14 +15,14 @@
 const (
 	modelStep = time.Millisecond
 
-	faultPhase     = 20 * time.Second
-	convergence    = 4 * time.Second // after the faults, until there is a head that stays
-	quietDelay     = 4 * time.Millisecond
-	quietRounds    = 4 // a head without faults holds the lease this many rounds after its wait
-	handoverDelays = 8 // a planned hand-over lasts no longer than this many one-way delays and a round
-
-	minPatience      = 400 * time.Millisecond
-	maxQuietPatience = 1200 * time.Millisecond
+	faultPhase      = 20 * time.Second
+	convergence     = 4 * time.Second // after the faults, until there is a head that stays
+	faultFreeDelay  = 4 * time.Millisecond
+	faultFreeRounds = 4 // a head without faults holds the lease this many rounds after its wait
+	handoverDelays  = 8 // a planned hand-over lasts no longer than this many one-way delays and a round
+
+	minElectionTimeout          = 400 * time.Millisecond
+	maxFaultFreeElectionTimeout = 1200 * time.Millisecond
 )
 
 // faultClass is a set of kinds of faults. A course that shows a violation is shrunk by leaving kinds out.
@@ -95,12 +95,12 @@
 type simulation struct {
 	rng     *rand.Rand
 	classes faultClass
-	fault   fault // planted
+	planted plantedFault // planted
 
-	now    time.Duration
-	quiet  bool
-	queue  eventQueue
-	events int
+	now       time.Duration
+	faultFree bool
+	queue     eventQueue
+	events    int
 
 	profile   profile
 	params    Params
@@ -108,18 +108,18 @@
 	interval  time.Duration // between confirmation rounds, and observations
 	linkDelay time.Duration // at most, without slow links
 	// maxPatience is how long a node waits at most before it proposes another view.
-	maxPatience time.Duration
-
-	nodes      []*node
-	cutUntil   map[[2]int]time.Duration // by sender and receiver
-	platform   platform
-	decided    map[int64]modelView
-	checks     checks
-	stats      stats
-	violation  string
-	violatedAt time.Duration
-	trace      []string // nil if it is not wanted
-	tracing    bool
+	maxElectionTimeout time.Duration
+
+	nodes        []*node
+	cutUntil     map[[2]int]time.Duration // by sender and receiver
+	platform     platform
+	decided      map[int64]modelView
+	checks       checks
+	stats        stats
+	violation    string
+	violatedAt   time.Duration
+	trace        []string // nil if it is not wanted
+	traceEnabled bool
 }
 
 // stats shows that courses exercise what they are meant to.
@@ -137,9 +137,9 @@
 	s.slowCalls += o.slowCalls
 }
 
-func newSimulation(seed uint64, classes faultClass, planted fault, tracing bool) *simulation {
+func newSimulation(seed uint64, classes faultClass, planted plantedFault, tracing bool) *simulation {
 	sim := &simulation{
-		rng: rand.New(rand.NewPCG(seed, 0)), classes: classes, fault: planted, tracing: tracing,
+		rng: rand.New(rand.NewPCG(seed, 0)), classes: classes, planted: planted, traceEnabled: tracing,
 		params:   Params{Term: testTerm, MaxDrift: DefaultMaxDrift},
 		cutUntil: map[[2]int]time.Duration{}, decided: map[int64]modelView{},
 	}
@@ -147,7 +147,7 @@
 	sim.tokenBase = int64(sim.rng.IntN(3)) * 1_000_000
 	sim.interval = sim.oneOf(50*time.Millisecond, sim.between(50*time.Millisecond, 300*time.Millisecond))
 	sim.linkDelay = sim.oneOf(time.Millisecond, sim.between(time.Millisecond, 20*time.Millisecond))
-	sim.maxPatience = sim.oneOf(1200*time.Millisecond, 6*time.Second)
+	sim.maxElectionTimeout = sim.oneOf(1200*time.Millisecond, 6*time.Second)
 	sim.platform = newPlatform(sim.rng.IntN(3) > 0)
 	machines := 3 + sim.rng.IntN(5)
 	sim.profile = profile(sim.rng.IntN(int(profiles)))
@@ -187,17 +187,17 @@
 }
 
 // patience draws how long a node waits before it proposes another view.
-func (sim *simulation) patience() time.Duration {
-	if sim.quiet {
-		return sim.between(minPatience, maxQuietPatience)
+func (sim *simulation) randomElectionTimeout() time.Duration {
+	if sim.faultFree {
+		return sim.between(minElectionTimeout, maxFaultFreeElectionTimeout)
 	}
-	return sim.between(minPatience, sim.maxPatience)
+	return sim.between(minElectionTimeout, sim.maxElectionTimeout)
 }
 
 // oneIn reports true once in so many calls, while there are faults of a kind.
 func (sim *simulation) oneIn(n int, class faultClass) bool {
 	drawn := sim.rng.IntN(n) == 0 // drawn in any case: a course keeps the rest of its draws without the kind
-	return drawn && !sim.quiet && sim.classes&class != 0
+	return drawn && !sim.faultFree && sim.classes&class != 0
 }
 
 // after schedules an event of the model.
@@ -252,7 +252,7 @@
 }
 
 func (sim *simulation) logEvent(format string, args ...any) {
-	if sim.tracing {
+	if sim.traceEnabled {
 		sim.trace = append(sim.trace, fmt.Sprintf("%12s ", sim.now)+fmt.Sprintf(format, args...))
 	}
 }
@@ -265,8 +265,8 @@
 		copies = 2
 	}
 	for range copies {
-		delay := sim.between(10*time.Microsecond, min(sim.linkDelay, quietDelay))
-		if !sim.quiet {
+		delay := sim.between(10*time.Microsecond, min(sim.linkDelay, faultFreeDelay))
+		if !sim.faultFree {
 			delay = sim.between(10*time.Microsecond, sim.linkDelay)
 		}
 		if sim.oneIn(25, slowLinks) {
@@ -299,12 +299,12 @@
 func (sim *simulation) newestView() modelView { return sim.decided[int64(len(sim.decided))] }
 
 // runCourse runs a course to its end or to a violation.
-func runCourse(seed uint64, classes faultClass, planted fault, tracing bool) *simulation {
+func runSimulation(seed uint64, classes faultClass, planted plantedFault, tracing bool) *simulation {
 	sim := newSimulation(seed, classes, planted, tracing)
 	sim.runUntil(faultPhase)
 	if sim.violation == "" {
 		sim.endFaults()
-		sim.runUntil(sim.lastThaw() + convergence)
+		sim.runUntil(sim.lastFreezeEnd() + convergence)
 	}
 	if sim.violation == "" {
 		sim.checkLiveness()
@@ -316,7 +316,7 @@
 func (sim *simulation) checkLiveness() {
 	settled := sim.newestView()
 	slowest := time.Duration(float64(sim.params.TakeoverWait()) / (1 - sim.params.MaxDrift))
-	sim.runUntil(sim.now + slowest + quietRounds*2*sim.interval)
+	sim.runUntil(sim.now + slowest + faultFreeRounds*2*sim.interval)
 	head := sim.member(settled.head)
 	switch newest := sim.newestView(); {
 	case sim.violation != "":
@@ -324,14 +324,14 @@
 	case newest.epoch != settled.epoch || head == nil:
 		sim.fail("liveness: epoch %d follows epoch %d without faults", newest.epoch, settled.epoch)
 		return
-	case !head.holds():
+	case !head.holdsLease():
 		sim.fail("liveness: head %s of epoch %d does not hold the lease, waits for %s", head, settled.epoch, head.lease.RemainingWait(head.clock()))
 		return
 	}
 	head.leave()
-	sim.runUntil(sim.now + handoverDelays*quietDelay + 2*sim.interval)
+	sim.runUntil(sim.now + handoverDelays*faultFreeDelay + 2*sim.interval)
 	newest := sim.newestView()
-	if next := sim.member(newest.head); sim.violation == "" && (newest.epoch == settled.epoch || !next.holds()) {
+	if next := sim.member(newest.head); sim.violation == "" && (newest.epoch == settled.epoch || !next.holdsLease()) {
 		sim.fail("liveness: head %s of epoch %d does not hold the lease after a planned hand-over of epoch %d, waits for %s", next,
 			newest.epoch, settled.epoch, next.lease.RemainingWait(next.clock()))
 	}
--- a/internal/tier/lease/model_faults_test.go
+++ b/internal/tier/lease/planted_test.go
@@ -7,29 +7,29 @@
 )
 
 // fault names a fault that is planted into the model; empty for none.
-type fault string
+type plantedFault string
 
 const (
-	termFromReply         fault = "the term counts from the reply to the round"
-	noTakeoverWait        fault = "a new head does not wait"
-	noDriftAllowance      fault = "the wait of a new head does not allow for drift"
-	noFence               fault = "calls carry no token"
-	tokenFromMemory       fault = "tokens are counted in memory"
-	releaseWithoutWait    fault = "a release does not pass on what its sender waits for"
-	releaseOfAnyEpoch     fault = "a release of any epoch counts"
-	leaseReturnedAtOnce   fault = "a node that lost the lease gets it back at once"
-	startedNodeActs       fault = "a started node does not wait on its own account"
-	promiseIgnored        fault = "a head goes on after its promise to the next epoch"
-	adoptionIgnored       fault = "a head goes on after it has adopted another head"
-	echoAfterPromise      fault = "a voter echoes after its promise"
-	echoOtherEpoch        fault = "echoes of another epoch count"
-	releaseBeforeAdoption fault = "a release that comes before the view is lost"
-	lateCallsIgnored      fault = "calls that end after the lease was lost do not count"
-	releaseDuringCalls    fault = "a release does not wait for calls in flight"
+	termFromReply         plantedFault = "the term counts from the reply to the round"
+	noTakeoverWait        plantedFault = "a new head does not wait"
+	noDriftAllowance      plantedFault = "the wait of a new head does not allow for drift"
+	noFencingToken        plantedFault = "calls carry no token"
+	tokenFromMemory       plantedFault = "tokens are counted in memory"
+	releaseWithoutWait    plantedFault = "a release does not pass on what its sender waits for"
+	releaseOfAnyEpoch     plantedFault = "a release of any epoch counts"
+	leaseReturnedAtOnce   plantedFault = "a node that lost the lease gets it back at once"
+	noWaitAfterStart      plantedFault = "a started node does not wait on its own account"
+	promiseIgnored        plantedFault = "a head goes on after its promise to the next epoch"
+	adoptionIgnored       plantedFault = "a head goes on after it has adopted another head"
+	echoAfterPromise      plantedFault = "a voter echoes after its promise"
+	echoOtherEpoch        plantedFault = "echoes of another epoch count"
+	releaseBeforeAdoption plantedFault = "a release that comes before the view is lost"
+	staleCallsIgnored     plantedFault = "calls that end after the lease was lost do not count"
+	releaseDuringCalls    plantedFault = "a release does not wait for calls in flight"
 )
 
 // underFault returns the parameters of a lease under a planted fault.
-func (p Params) underFault(planted fault) Params {
+func (p Params) underFault(planted plantedFault) Params {
 	if planted == noDriftAllowance {
 		p.MaxDrift = 0
 	}
@@ -39,23 +39,23 @@
 // observeUnderFault gives an observation to the lease, changed as the planted fault asks for.
 func (n *node) observeUnderFault(now time.Duration, o Observation) (release Release, ok bool) {
 	l := n.lease
-	if n.sim.fault == adoptionIgnored && l.headship != nil && !o.IsHead {
+	if n.sim.planted == adoptionIgnored && l.tenure != nil && !o.IsHead {
 		ok = o.Epoch > l.epoch
 		release = Release{Epoch: l.epoch}
 		l.epoch = o.Epoch // the headship and its grant stay
 		return release, ok
 	}
-	before := l.headship
+	before := l.tenure
 	release, ok = l.Observe(now, o)
-	switch n.sim.fault {
+	switch n.sim.planted {
 	case noTakeoverWait:
-		if l.headship != before && l.headship != nil {
-			l.HandleRelease(now, Release{Epoch: l.headship.firstEpoch - 1})
+		if l.tenure != before && l.tenure != nil {
+			l.HandleRelease(now, Release{Epoch: l.tenure.firstEpoch - 1})
 		}
 	case releaseWithoutWait:
 		release.Wait = 0
 	case leaseReturnedAtOnce:
-		l.hadHead = false
+		l.hadEarlierTenure = false
 	case releaseDuringCalls:
 		if unsent := l.unsent; unsent != nil {
 			l.unsent = nil
@@ -68,37 +68,37 @@
 // TestModelFindsPlantedFaults checks that the model finds each planted fault, by the invariant that it violates. Only a violation of
 // liveness needs a course's end.
 func TestModelFindsPlantedFaults(t *testing.T) {
-	for planted, violation := range map[fault]string{
+	for planted, violation := range map[plantedFault]string{
 		termFromReply:         "two holders",
 		noTakeoverWait:        "two holders",
 		noDriftAllowance:      "two holders",
-		noFence:               "A, B, A",
+		noFencingToken:        "A, B, A",
 		tokenFromMemory:       "token",
 		releaseWithoutWait:    "two holders",
 		releaseOfAnyEpoch:     "two holders",
 		leaseReturnedAtOnce:   "A, B, A",
-		startedNodeActs:       "A, B, A",
+		noWaitAfterStart:      "A, B, A",
 		promiseIgnored:        "two holders",
 		adoptionIgnored:       "two holders",
 		echoAfterPromise:      "two holders",
-		lateCallsIgnored:      "A, B, A",
+		staleCallsIgnored:     "A, B, A",
 		releaseDuringCalls:    "early release",
 		echoOtherEpoch:        "two holders",
 		releaseBeforeAdoption: "liveness",
 	} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(*faultCourses) {
+			for seed := range uint64(*maxPlantedRuns) {
 				sim := newSimulation(1+seed, allFaultClasses, planted, false)
 				if sim.runUntil(faultPhase + convergence); violation == "liveness" {
-					sim = runCourse(1+seed, allFaultClasses, planted, false)
+					sim = runSimulation(1+seed, allFaultClasses, planted, false)
 				}
 				if strings.Contains(sim.violation, violation) {
 					t.Logf("found by course %d at %s: %s", 1+seed, sim.violatedAt, sim.violation)
 					return
 				}
 			}
-			t.Errorf("not found by %d courses", *faultCourses)
+			t.Errorf("not found by %d courses", *maxPlantedRuns)
 		})
 	}
 }
--- a/internal/tier/lease/status.go
+++ b/internal/tier/lease/status.go
@@ -38,9 +38,9 @@
 // cause returns why there is no grant at a time.
 func (l *Lease) cause(now time.Duration) Cause {
 	switch {
-	case l.headship == nil:
+	case l.tenure == nil:
 		return NotHead
-	case l.refused >= l.epoch:
+	case l.refusedEpoch >= l.epoch:
 		return TokenRefused
 	case !l.active:
 		return NotActive
@@ -57,7 +57,7 @@
 	switch from := l.mayActFrom(); {
 	case from == l.startedAt+l.params.TakeoverWait():
 		return JustStarted
-	case l.hadHead && from == l.lostAt+l.params.TakeoverWait():
+	case l.hadEarlierTenure && from == l.lostAt+l.params.TakeoverWait():
 		return LeaseLost
 	}
 	return EarlierGrant
