--- a/internal/tier/lease/lease_test.go
+++ b/internal/tier/lease/lease_test.go
@@ -12,7 +12,7 @@
 
 var testParams = Params{Term: testTerm, MaxDrift: DefaultMaxDrift}
 
-// head is the observation of the active head of an epoch, whose newest confirmed round was sent at a time.
+// head returns the observation of an active head whose newest confirmed round was sent at confirmedAt.
 func head(epoch int64, confirmedAt time.Duration) Observation {
 	return Observation{Epoch: epoch, IsHead: true, Active: true, ConfirmedAt: confirmedAt, HasConfirmed: true}
 }
@@ -21,7 +21,7 @@
 	t.Helper()
 	g, ok := l.Grant(now)
 	if ok != (epoch > 0) || g.Epoch != epoch {
-		t.Errorf("at %s the grant is %+v, %v; want epoch %d", now, g, ok, epoch)
+		t.Errorf("at %s: got grant %+v, %v; want epoch %d", now, g, ok, epoch)
 	}
 }
 
@@ -56,7 +56,7 @@
 	for name, o := range map[string]Observation{
 		"another node is the head": {Epoch: 2},
 		"not confirmed":            {Epoch: 2, IsHead: true, Active: true},
-		"sealed or leaving":        {Epoch: 2, IsHead: true, ConfirmedAt: at, HasConfirmed: true},
+		"promised or leaving":      {Epoch: 2, IsHead: true, ConfirmedAt: at, HasConfirmed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := New(testParams, 0)
@@ -81,34 +81,34 @@
 	old.Observe(0, head(1, 0))
 	release, ok := old.Observe(10*second, Observation{Epoch: 2})
 	if !ok || release != (Release{Epoch: 1}) {
-		t.Fatalf("released %+v, %v", release, ok)
+		t.Fatalf("got release %+v, %v", release, ok)
 	}
 	wantGrant(t, old, 10*second, 0)
 
 	next := New(testParams, 0)
 	next.Observe(10*second, head(2, 10*second))
-	next.HandleRelease(10*second, Release{Epoch: 3}) // of another headship
+	next.HandleRelease(10*second, Release{Epoch: 3}) // of another tenure
 	wantGrant(t, next, 10*second, 0)
 	next.HandleRelease(10*second, release)
 	wantGrant(t, next, 10*second, 2)
 }
 
-// The sender of a release may be notified of the new view before its receiver is.
+// Guards against losing a release that arrives before the view: its sender may be notified of the view before its receiver is.
 func TestReleaseBeforeAdoptionCounts(t *testing.T) {
 	const wait = second
 	for name, test := range map[string]struct {
 		releases []Release
 		adopted  int64         // epoch
-		from     time.Duration // the node has a grant from then on
+		from     time.Duration // when the node's wait ends
 	}{
-		"of the epoch before":      {[]Release{{Epoch: 4}}, 5, 11 * second},
-		"of two, the shorter wait": {[]Release{{Epoch: 4, Wait: wait}, {Epoch: 4}, {Epoch: 4, Wait: wait}}, 5, 11 * second},
-		"of two, the newer":        {[]Release{{Epoch: 5}, {Epoch: 4}}, 6, 11 * second},
-		"what is passed on":        {[]Release{{Epoch: 4, Wait: 2 * second}}, 5, 10*second + testParams.TakeoverWait()*2/3},
-		"of an earlier epoch":      {[]Release{{Epoch: 3}}, 5, 11*second + testParams.TakeoverWait()},
-		"of a later epoch":         {[]Release{{Epoch: 5}}, 5, 11*second + testParams.TakeoverWait()},
-		"with the view missed":     {[]Release{{Epoch: 4}}, 6, 11*second + testParams.TakeoverWait()},
-		"of a negative wait":       {[]Release{{Epoch: 4, Wait: -1}}, 5, 11*second + testParams.TakeoverWait()},
+		"of the previous epoch":   {[]Release{{Epoch: 4}}, 5, 11 * second},
+		"shorter wait of the two": {[]Release{{Epoch: 4, Wait: wait}, {Epoch: 4}, {Epoch: 4, Wait: wait}}, 5, 11 * second},
+		"newer epoch of the two":  {[]Release{{Epoch: 5}, {Epoch: 4}}, 6, 11 * second},
+		"with a remaining wait":   {[]Release{{Epoch: 4, Wait: 2 * second}}, 5, 10*second + testParams.TakeoverWait()*2/3},
+		"of an earlier epoch":     {[]Release{{Epoch: 3}}, 5, 11*second + testParams.TakeoverWait()},
+		"of a later epoch":        {[]Release{{Epoch: 5}}, 5, 11*second + testParams.TakeoverWait()},
+		"an epoch was missed":     {[]Release{{Epoch: 4}}, 6, 11*second + testParams.TakeoverWait()},
+		"with a negative wait":    {[]Release{{Epoch: 4, Wait: -1}}, 5, 11*second + testParams.TakeoverWait()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := New(testParams, 0)
@@ -119,28 +119,28 @@
 			l.Observe(11*second, head(test.adopted, 11*second))
 			wait := max(0, test.from-11*second)
 			if got := l.RemainingWait(11 * second); got < wait || got > wait+2 {
-				t.Errorf("waits for %s, want %s", got, wait)
+				t.Errorf("remaining wait %s, want %s", got, wait)
 			}
 		})
 	}
 }
 
-// A release that a head holds for a later headship leaves what it waits for in this one.
-func TestEarlyReleaseDoesNotCountForPresentHeadship(t *testing.T) {
+// Guards against a release for a later tenure that shortens the wait of the present one.
+func TestEarlyReleaseDoesNotShortenWaitOfPresentTenure(t *testing.T) {
 	l := New(testParams, 0)
 	l.Observe(10*second, head(5, 10*second))
 	l.HandleRelease(10*second, Release{Epoch: 6})
 	wantGrant(t, l, 10*second, 0)
-	l.Observe(11*second, head(7, 11*second)) // after epoch 6 of another head; it waits on its own account
+	l.Observe(11*second, head(7, 11*second)) // after epoch 6 of another head: it waits because it lost the lease
 	wantGrant(t, l, 11*second, 0)
 }
 
-func TestReleasePassesOnWhatItsSenderWaitedFor(t *testing.T) {
+func TestReleaseIncludesRemainingWaitOfSender(t *testing.T) {
 	old := New(testParams, 0)
 	old.Observe(10*second, head(2, 10*second))
 	release, _ := old.Observe(11*second, Observation{Epoch: 3})
 	if want := testParams.TakeoverWait() - second; release.Wait != want {
-		t.Fatalf("the wait that is passed on is %v, want %v", release.Wait, want)
+		t.Fatalf("the release has wait %v, want %v", release.Wait, want)
 	}
 	next := New(testParams, 0)
 	next.Observe(11*second, head(3, 11*second))
@@ -151,7 +151,8 @@
 	wantGrant(t, next, from, 3)
 }
 
-// The rule ONE: holders do not act in the order A, B, A within a term.
+// Guards against holders A, B, A within one term: node A regains the lease by a release of B, while a call of its first tenure may
+// still reach the platform.
 func TestReleaseDoesNotReturnLeaseWithinTerm(t *testing.T) {
 	l := New(testParams, 0)
 	l.Observe(0, head(1, 0))
@@ -166,8 +167,8 @@
 	wantGrant(t, l, at, 3)
 }
 
-// A node that has just started does not know what it did before.
-func TestStartedNodeWaitsWhateverWasReleased(t *testing.T) {
+// Guards against a restarted holder that gets the lease at once: it does not know which calls it made before.
+func TestStartedNodeWaitsDespiteRelease(t *testing.T) {
 	l := New(testParams, 20*second)
 	l.Observe(20*second, head(7, 20*second))
 	l.HandleRelease(20*second, Release{Epoch: 6})
@@ -184,8 +185,9 @@
 	wantGrant(t, l, 11*second, 2)
 }
 
-// The platform may accept a call long after its grant was checked, as long as it has not seen a higher token for its subject.
-func TestCallOfLostHeadshipDelaysReturn(t *testing.T) {
+// Guards against a node that regains the lease while a call of its earlier tenure is in flight: the platform may accept that call
+// long after its grant was checked, as long as it has not seen a higher token for its subject.
+func TestCallOfEndedTenureDelaysNextGrant(t *testing.T) {
 	l := New(testParams, 0)
 	l.Observe(0, head(1, 0))
 	l.Observe(10*second, head(1, 10*second))
@@ -205,7 +207,7 @@
 	wantGrant(t, l, at, 3)
 }
 
-func TestCallOfPresentHeadshipDelaysNothing(t *testing.T) {
+func TestCallOfPresentTenureDelaysNoGrant(t *testing.T) {
 	l := New(testParams, 0)
 	l.Observe(0, head(1, 0))
 	l.Observe(10*second, head(1, 10*second))
@@ -218,7 +220,7 @@
 	wantGrant(t, l, 11*second, 2)
 }
 
-func TestCallStartedAfterLossIsLate(t *testing.T) {
+func TestCallStartedAfterLossDelaysNextGrant(t *testing.T) {
 	l := New(testParams, 0)
 	l.Observe(0, head(1, 0))
 	l.Observe(10*second, head(1, 10*second))
@@ -236,9 +238,9 @@
 	wantGrant(t, l, at, 3)
 }
 
-// Guards against a start or an end that is noted twice, as where the disk was full: another call was taken for ended, or one that
-// had ended for one in flight.
-func TestCallsCountOnceHoweverOftenTheyAreNoted(t *testing.T) {
+// Guards against calls that are counted twice when their start or end is recorded twice, which happened when the disk was full:
+// then another call was taken for ended, or an ended one for in flight.
+func TestRepeatedStartOrEndOfCallCountsOnce(t *testing.T) {
 	l := New(testParams, 0)
 	l.Observe(0, head(1, 0))
 	l.Observe(10*second, head(1, 10*second))
@@ -260,29 +262,29 @@
 	wantGrant(t, l, at, 3)
 }
 
-// Guards against holders in the order A, B, A across subjects: a release that left while a call was in flight let the next head act
-// before the platform had accepted that call.
+// Guards against holders A, B, A across subjects: a release sent while a call was in flight let the next head make calls before the
+// platform had accepted that call.
 func TestReleaseWaitsForCallsInFlight(t *testing.T) {
 	old, call, other := callingHead(t)
 	if release, ok := old.Observe(10*second, Observation{Epoch: 2}); ok {
-		t.Fatalf("released %+v with two calls in flight", release)
+		t.Fatalf("got release %+v with two calls in flight", release)
 	}
 	old.CallEnded(11*second, call)
 	if release, ok := old.Observe(11*second, Observation{Epoch: 2}); ok {
-		t.Fatalf("released %+v with a call in flight", release)
+		t.Fatalf("got release %+v with a call in flight", release)
 	}
 	old.CallEnded(12*second, other)
 	release, ok := old.Observe(12*second, Observation{Epoch: 2})
 	if !ok || release != (Release{Epoch: 1}) {
-		t.Fatalf("released %+v, %v after the calls", release, ok)
+		t.Fatalf("got release %+v, %v after the calls ended", release, ok)
 	}
 	if release, ok := old.Observe(13*second, Observation{Epoch: 2}); ok {
-		t.Errorf("released %+v again", release)
+		t.Errorf("got release %+v a second time", release)
 	}
 }
 
-// Guards against a release to a head that does not follow the headship that is released.
-func TestReleaseIsDroppedOnceTheEpochMovesOn(t *testing.T) {
+// Guards against a release that is sent to the head of an epoch that does not directly follow the released tenure.
+func TestDelayedReleaseIsDroppedInLaterEpoch(t *testing.T) {
 	for name, next := range map[string]Observation{
 		"another head": {Epoch: 3},
 		"this node":    head(3, 11*second),
@@ -294,14 +296,14 @@
 			old.CallEnded(12*second, call)
 			old.CallEnded(12*second, other)
 			if release, ok := old.Observe(12*second, next); ok {
-				t.Errorf("released %+v to the head of epoch 3", release)
+				t.Errorf("got release %+v to the head of epoch 3", release)
 			}
 		})
 	}
 }
 
-// Guards against a short headship that releases while, or soon after, a call of an earlier one is in flight.
-func TestHeadThatWaitsForCallsReleasesNothing(t *testing.T) {
+// Guards against a short tenure that is released while a call of an earlier tenure is in flight, or shortly after.
+func TestHeadWaitingForStaleCallsReleasesNothing(t *testing.T) {
 	old, call, other := callingHead(t)
 	old.Observe(10*second, Observation{Epoch: 2})
 	old.Observe(11*second, head(3, 11*second))
@@ -309,7 +311,7 @@
 	old.CallEnded(13*second, call)
 	old.CallEnded(13*second, other)
 	if release, ok := old.Observe(13*second, Observation{Epoch: 4}); ok {
-		t.Errorf("released %+v", release)
+		t.Errorf("got release %+v", release)
 	}
 }
 
--- a/internal/tier/lease/model_agreement_test.go
+++ b/internal/tier/lease/model_agreement_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// modelView is a view: its voters and its head, by member.
+// modelView is a view of the model; voters and head are member ids.
 type modelView struct {
 	epoch  int64
 	voters []int
@@ -13,20 +13,20 @@
 
 func (v *modelView) majority() int { return len(v.voters)/2 + 1 }
 
-// durableState is what a node has on its disk: its view, and its votes on the next one. Every change is synced before a message
-// leaves.
+// durableState is what a node has on its disk: its view, and its votes on the next one. Every change is synced before a message is
+// sent.
 type durableState struct {
 	view       modelView
 	promised   int64 // ballot
-	acceptedAt int64 // ballot
+	acceptedAt int64 // ballot of accepted
 	accepted   modelView
 }
 
-// proposal is a ballot of a node for the next view.
+// proposal is a node's proposal for the next view.
 type proposal struct {
 	ballot   int64
 	promises map[int]message
-	view     modelView // epoch 0 until it is chosen
+	view     modelView // epoch 0 until one is chosen
 	accepts  map[int]bool
 }
 
@@ -48,7 +48,7 @@
 	kind        messageKind
 	from, to    int
 	epoch       int64 // of the sender's view
-	incarnation int   // round, echo: of the node that sent the round
+	incarnation int   // of the node that sent the round; set for rounds and echoes
 	round       int
 	ballot      int64
 	acceptedAt  int64
@@ -56,7 +56,7 @@
 	release     Release
 }
 
-// propose starts a ballot for the next view.
+// propose sends prepare requests for the next view under a new ballot.
 func (n *node) propose() {
 	if !n.disk.view.isVoter(n.id) {
 		return
@@ -111,7 +111,7 @@
 	return n.randomView()
 }
 
-// drawView draws the next view: at most one voter is replaced, one whose disk was lost if there is one.
+// randomView returns a random next view. At most one voter is replaced, preferably one whose disk was lost.
 func (n *node) randomView() modelView {
 	sim, current := n.sim, &n.disk.view
 	next := modelView{epoch: current.epoch + 1, voters: slices.Clone(current.voters)}
@@ -186,16 +186,16 @@
 func (sim *simulation) decide(v modelView) {
 	known, ok := sim.decided[v.epoch]
 	if ok && (known.head != v.head || !slices.Equal(known.voters, v.voters)) {
-		sim.fail("agreement: two views of epoch %d", v.epoch)
+		sim.fail("agreement: two views decided in epoch %d", v.epoch)
 	}
 	if !ok {
 		sim.decided[v.epoch] = v
 		sim.stats.views++
-		sim.logEvent("epoch %d is decided, head %s, voters %v", v.epoch, sim.member(v.head), v.voters)
+		sim.logEvent("epoch %d decided, head %s, voters %v", v.epoch, sim.member(v.head), v.voters)
 	}
 }
 
-// adopt takes up a decided view.
+// adopt makes a decided view the node's view.
 func (n *node) adopt(v modelView) {
 	if v.epoch <= n.disk.view.epoch {
 		return
@@ -209,7 +209,8 @@
 	}
 }
 
-// proposeIfNeeded proposes a view if the head does not answer, leaves, or has been replaced by promises only.
+// proposeIfNeeded proposes a view if the head does not respond, if this node is a leaving head, or if an earlier proposal has got
+// promises but no decision.
 func (n *node) proposeIfNeeded() {
 	now := n.clock()
 	isHead := n.disk.view.head == n.id
--- a/internal/tier/lease/model_injection_test.go
+++ b/internal/tier/lease/model_injection_test.go
@@ -11,22 +11,22 @@
 )
 
 var (
-	randomRuns     = flag.Int("courses", 300, "random courses of the model")
-	maxPlantedRuns = flag.Int("fault-courses", 2000, "courses to find a planted fault in, at most")
-	firstSeed      = flag.Uint64("seed", 1, "of the first course")
+	randomRuns     = flag.Int("courses", 300, "random runs of the model")
+	maxPlantedRuns = flag.Int("fault-courses", 2000, "maximum number of runs to find a planted fault")
+	firstSeed      = flag.Uint64("seed", 1, "seed of the first run")
 )
 
-// profile is what a course is about.
+// profile is the kind of scenario that a run emphasizes.
 type profile int
 
 const (
 	mixed     profile = iota // faults at any time
-	takeovers                // faults when a view is proposed and decided; clocks drift as far as they may
-	handovers                // a few changes of the view in quick succession, with faults of releases and calls
+	takeovers                // faults when a view is proposed and decided; clocks drift by MaxDrift
+	handovers                // several view changes in quick succession, with faults of releases and calls
 	profiles
 )
 
-// scheduleFaults schedules the faults of a course, and the changes of the view.
+// scheduleFaults schedules the faults and view changes of a run.
 func (sim *simulation) scheduleFaults() {
 	quickChanges := 0
 	for at := sim.between(0, 6*time.Second); at < faultPhase; quickChanges-- {
@@ -46,7 +46,7 @@
 	}
 }
 
-// randomNode returns a machine, the newest head half of the time.
+// randomNode returns a random machine, that of the newest head at least half of the time.
 func (sim *simulation) randomNode() *node {
 	n := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	if head := sim.member(sim.newestView().head); head != nil && sim.rng.IntN(2) == 0 {
@@ -55,7 +55,8 @@
 	return n
 }
 
-// changeView has a voter propose another view; in a takeover it is not the head, which has promised once it proposes.
+// changeView makes a voter propose another view. In the takeovers profile it is not the head: a head that proposes has promised,
+// and so is no longer active.
 func (sim *simulation) changeView() {
 	v := sim.newestView()
 	n := sim.member(v.voters[sim.rng.IntN(len(v.voters))])
@@ -99,7 +100,7 @@
 	}
 }
 
-// cut cuts the link of a node to another one, or all its links if that is itself, each for a time of its own.
+// cut cuts the link between two nodes, or all links of n if other is n, each for its own random time.
 func (sim *simulation) cut(n, other *node, oneWay bool) {
 	for _, peer := range sim.nodes {
 		if peer == n || other != n && peer != other {
@@ -110,11 +111,12 @@
 		if !oneWay {
 			sim.cutUntil[[2]int{peer.machine, n.machine}] = until
 		}
-		sim.logEvent("the link from %s to %s is cut until %s, one way %v", n, peer, until, oneWay)
+		sim.logEvent("link from %s to %s cut until %s, one way %v", n, peer, until, oneWay)
 	}
 }
 
-// disturbProposal cuts links of a proposer, so that some voters do not promise, above all the head: it then goes on.
+// injectProposalFaults cuts links of a proposer, so that some voters do not promise. The link to the head is cut most often:
+// without a promise the head stays active.
 func (sim *simulation) injectProposalFaults(proposer *node) {
 	if sim.profile == handovers {
 		return
@@ -128,8 +130,8 @@
 	}
 }
 
-// disturbDecision injects faults when a view is decided, before any message of it leaves: at the proposer, at the former head,
-// and at that shortly after.
+// injectDecisionFaults injects faults when a view is decided, before any message about it is sent: it may cut the links of the
+// proposer or of the former head, and freeze the former head at once or shortly after.
 func (sim *simulation) injectDecisionFaults(proposer, formerHead *node) {
 	if sim.profile == handovers {
 		return
@@ -152,7 +154,7 @@
 	}
 }
 
-// disturbRelease kills the sender of a release, and has another view follow soon, in which it may be the head again.
+// injectReleaseFaults kills the sender of a release and soon changes the view again, so that the sender may regain the lease.
 func (sim *simulation) injectReleaseFaults(sender *node) {
 	down, next := sim.between(time.Millisecond, 200*time.Millisecond), sim.between(time.Millisecond, time.Second)
 	if sim.profile != takeovers && sim.oneIn(3, kills) {
@@ -169,16 +171,16 @@
 	}
 }
 
-// loseDisk kills a machine that comes back as another member.
+// loseDisk kills a machine, which then restarts with an empty disk as another member.
 func (n *node) loseDisk() {
 	n.kill()
 	n.id += 10
 	n.disk = durableState{}
-	n.sim.logEvent("%s has lost its disk", n)
+	n.sim.logEvent("%s lost its disk", n)
 }
 
-// mayLoseDisk reports whether no more voters than tolerated are lost with another disk, in any view that a voter of the newest
-// one still has.
+// mayLoseDisk reports whether the loss of this disk too is tolerated in every view that a voter of the newest view still has or has
+// accepted.
 func (sim *simulation) mayLoseDisk(n *node) bool {
 	newest := sim.newestView()
 	oldest := newest.epoch
@@ -200,7 +202,7 @@
 	return true
 }
 
-// toleratesLoss reports whether a majority of the voters of a view is left if a machine loses its disk.
+// toleratesLoss reports whether a majority of the voters of a view remains if a machine loses its disk.
 func (sim *simulation) toleratesLoss(v modelView, n *node) bool {
 	lost := 0
 	for _, id := range v.voters {
@@ -215,7 +217,7 @@
 func (sim *simulation) endFaults() {
 	sim.faultFree = true
 	clear(sim.cutUntil)
-	sim.logEvent("no faults any more")
+	sim.logEvent("end of faults")
 	for _, n := range sim.nodes {
 		if n.up && n.leaving {
 			n.kill()
@@ -225,7 +227,7 @@
 	}
 }
 
-// lastThaw returns when the last machine that is frozen goes on.
+// lastFreezeEnd returns when the last frozen machine resumes.
 func (sim *simulation) lastFreezeEnd() time.Duration {
 	last := sim.now
 	for _, n := range sim.nodes {
@@ -234,7 +236,7 @@
 	return last
 }
 
-// shrink returns the fewest kinds of faults with which a course still shows a violation.
+// shrink drops each kind of fault without which the run still violates an invariant, and returns the remaining kinds.
 func shrink(seed uint64, planted plantedFault) faultClass {
 	classes := faultClass(allFaultClasses)
 	for class := faultClass(1); class < allFaultClasses; class <<= 1 {
@@ -245,16 +247,16 @@
 	return classes
 }
 
-// reportViolation reports a course and what is left of it when it is shrunk.
+// reportViolation reports a violation, and the trace of the run shrunk to the fewest kinds of faults.
 func reportViolation(t *testing.T, seed uint64, sim *simulation) {
 	t.Helper()
 	classes := shrink(seed, "")
 	shrunk := runSimulation(seed, classes, "", true)
-	t.Errorf("course %d at %s: %s\nshrunk to %s: %s\n%s", seed, sim.violatedAt, sim.violation, classes, shrunk.violation,
+	t.Errorf("run with seed %d at %s: %s\nshrunk to %s: %s\n%s", seed, sim.violatedAt, sim.violation, classes, shrunk.violation,
 		strings.Join(shrunk.trace, "\n"))
 }
 
-// TestInvariantsHoldUnderRandomFaults checks the invariants over random courses.
+// TestInvariantsHoldUnderRandomFaults checks the invariants in random runs of the model.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	var next, failed atomic.Int64
 	var mu sync.Mutex
@@ -275,8 +277,8 @@
 		})
 	}
 	workers.Wait()
-	t.Logf("%d courses, %d with a violation: %+v", *randomRuns, failed.Load(), total)
+	t.Logf("%d runs, %d with a violation: %+v", *randomRuns, failed.Load(), total)
 	if total.views == 0 || total.accepted == 0 || total.refused == 0 || total.heldAfterRelease == 0 || total.slowCalls == 0 {
-		t.Errorf("the courses exercise too little: %+v", total)
+		t.Errorf("the runs do not cover every case: %+v", total)
 	}
 }
--- a/internal/tier/lease/model_node_test.go
+++ b/internal/tier/lease/model_node_test.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// node is a machine with its control node. What is not on its disk is lost when it is killed.
+// node is a machine with its core node. All state that is not on its disk is lost when it is killed.
 type node struct {
 	sim     *simulation
 	machine int
-	id      int // of the member; another one after its disk was lost
+	id      int // member id; a new one after its disk was lost
 	disk    durableState
 
-	rate        float64       // of its clock
+	rate        float64       // of its clock, relative to true time
 	clockOffset time.Duration // of its clock at true time 0
 
 	up          bool
 	incarnation int
 	frozenUntil time.Duration
-	readClock   time.Duration // what was read for the present event before a freeze; 0 if it is read anew
+	readClock   time.Duration // clock value read for the present event before a freeze; 0 for none
 
 	lease           *Lease
-	unanswered      map[*Call]bool // calls of this process that were sent and neither answered nor given up
+	unanswered      map[*Call]bool // calls of this process that were sent, and were neither answered nor given up
 	leaving         bool
 	proposal        *proposal
 	ballotSeen      int64
 	promisedAt      time.Duration
-	electionTimeout time.Duration // until it proposes another view
+	electionTimeout time.Duration // without progress, until it proposes another view
 	headLastHeardAt time.Duration
-	rounds          []time.Duration // when each was sent
+	rounds          []time.Duration // send time of each round
 	confirmed       map[int]int     // newest round that a voter has echoed in this epoch
 	confirmedAt     time.Duration
 	hasConfirmed    bool
-	memoryToken     int64 // fault tokenFromMemory: a counter of headships
+	memoryToken     int64 // fault tokenFromMemory: the counter that replaces the epoch
 	memoryEpoch     int64
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// String returns the machine and the member, for traces.
+// String returns the machine and the member id, for traces.
 func (n *node) String() string {
 	if n == nil {
 		return "lost"
@@ -68,12 +68,12 @@
 	return n.clockNow()
 }
 
-// clockNow reads the node's monotonic clock, which goes on while it is frozen.
+// clockNow reads the node's monotonic clock, which keeps running while the node is frozen.
 func (n *node) clockNow() time.Duration {
 	return n.clockOffset + time.Duration(float64(n.sim.now)*n.rate)
 }
 
-// start starts the process with what is on its disk.
+// start starts the process with the state on its disk.
 func (n *node) start() {
 	now := n.clock()
 	n.up, n.frozenUntil, n.leaving, n.proposal, n.ballotSeen = true, 0, false, nil, 0
@@ -87,13 +87,13 @@
 	if n.sim.planted == noWaitAfterStart {
 		n.lease.startedAt = -time.Hour
 	}
-	n.sim.logEvent("%s starts at epoch %d, clock rate %.3f", n, n.disk.view.epoch, n.rate)
+	n.sim.logEvent("%s starts in epoch %d, clock rate %.3f", n, n.disk.view.epoch, n.rate)
 	n.observe()
 	n.every(n.sim.interval, n.tick)
 	n.every(n.sim.interval+time.Millisecond, n.callPlatform)
 }
 
-// every has the node do something again and again as long as this incarnation runs.
+// every runs do at an interval as long as this incarnation runs.
 func (n *node) every(interval time.Duration, do func()) {
 	n.sim.schedule(n.sim.between(0, interval), n, n.incarnation, func() { n.repeat(interval, do) })
 }
@@ -113,7 +113,7 @@
 	n.sim.logEvent("%s is frozen until %s", n, n.frozenUntil)
 }
 
-// leave begins a planned shutdown: a head has another one take over first.
+// leave begins a graceful shutdown: a head first hands over to another one.
 func (n *node) leave() {
 	n.leaving = true
 	n.sim.logEvent("%s leaves", n)
@@ -145,7 +145,8 @@
 	}
 }
 
-// receive handles a message. A node that is ahead of the sender sends it the decided view, and a node that is behind shows it.
+// receive handles a message. To a sender in an earlier epoch the node sends the decided view; a sender in a later epoch gets an
+// echo with the epoch of the node, which shows that the node is behind.
 func (n *node) receive(m message) {
 	switch {
 	case m.kind == msgDecide:
@@ -180,7 +181,7 @@
 	n.sendToVoters(message{kind: msgRound, round: len(n.rounds), incarnation: n.incarnation})
 }
 
-// handleRound echoes a round in the same epoch before a promise. Otherwise the answer carries the epoch only.
+// handleRound echoes a round if it is of the same epoch and no promise was made. Otherwise the response carries the epoch only.
 func (n *node) handleRound(m message) {
 	if m.epoch == n.disk.view.epoch && m.from == n.disk.view.head {
 		n.headLastHeardAt = n.clock()
@@ -194,7 +195,7 @@
 	n.send(m.from, echo)
 }
 
-// handleEcho counts an echo. A round that was sent in an earlier epoch may be confirmed in this one, as in the control node.
+// handleEcho counts an echo. A round that was sent in an earlier epoch may be confirmed in this one, as in controlnode.
 func (n *node) handleEcho(m message) {
 	sameEpoch := m.epoch == n.disk.view.epoch || n.sim.planted == echoOtherEpoch
 	if !sameEpoch || m.incarnation != n.incarnation || m.round <= n.confirmed[m.from] {
@@ -226,7 +227,7 @@
 	return confirmed[len(confirmed)-n.disk.view.majority()]
 }
 
-// observe gives the lease what the node knows now, and sends the release that it returns.
+// observe passes the node's present state to the lease, and sends the release that it returns.
 func (n *node) observe() {
 	now, v := n.clock(), &n.disk.view
 	isHead := v.head == n.id
--- a/internal/tier/lease/model_platform_test.go
+++ b/internal/tier/lease/model_platform_test.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// subjects are what the platform fences for itself: usage, and two services in two zones each.
+// subjects are what the platform keeps the highest fencing token for: usage, and two services in two zones each.
 var subjects = []string{"usage", "scale a/1", "scale a/2", "scale b/1", "scale b/2"}
 
-// call is a call of a holder to the platform.
+// call is a call of a lease holder to the platform.
 type call struct {
-	holder      *node // the machine: one machine makes one holder
+	holder      *node // by machine: it stays the same holder after a restart
 	leaseCall   *Call
 	token       int64 // 0 for none
 	subject     string
@@ -16,14 +16,14 @@
 	wasFrozen   bool // the process was frozen between the check of its grant and the sending
 }
 
-// platform accepts calls, and refuses those with a lower token than it has seen for their subject if it checks fences.
+// platform accepts calls. If it checks tokens, it refuses those with a lower token than it has seen for their subject.
 type platform struct {
 	checksTokens bool
 	highest      map[string]int64
 }
 
-func newPlatform(fenceChecks bool) platform {
-	return platform{checksTokens: fenceChecks, highest: map[string]int64{}}
+func newPlatform(checksTokens bool) platform {
+	return platform{checksTokens: checksTokens, highest: map[string]int64{}}
 }
 
 func (p *platform) accepts(c call) bool {
@@ -34,7 +34,7 @@
 	return true
 }
 
-// act begins a call for one subject if the node has a grant. The process may freeze before the call leaves.
+// callPlatform makes a call for a random subject if the node has a grant. The process may freeze before the call is sent.
 func (n *node) callPlatform() {
 	n.observe()
 	now := n.clock()
@@ -52,7 +52,7 @@
 	if n.sim.oneIn(40, freezes) {
 		n.freeze(n.sim.between(time.Millisecond, 6*time.Second))
 	}
-	var wait time.Duration // of the thread that sends
+	var wait time.Duration // of the sending thread
 	if n.sim.oneIn(4, freezes) {
 		wait = n.sim.between(0, 2*modelStep)
 	}
@@ -64,10 +64,10 @@
 	})
 }
 
-// callTimeout is how long a node waits for the answer to a call before it gives it up.
+// callTimeout is how long a node waits for the response to a call.
 const callTimeout = 2 * time.Second
 
-// call sends a call, which arrives at any time.
+// call sends a call, which may arrive late or not at all.
 func (n *node) call(c call) {
 	sim := n.sim
 	c.sentAt, c.incarnation = sim.now, n.incarnation
@@ -92,7 +92,7 @@
 	sim.schedule(answered, n, n.incarnation, func() { n.endCall(c) })
 }
 
-// arrive has a call arrive at the platform.
+// arrive delivers a call to the platform.
 func (n *node) arrive(c call) {
 	sim := n.sim
 	if sim.platform.accepts(c) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// mayHaveActedUntil returns until when a call that is accepted now may have acted as far as its process can know: up to its
-// answer, or until it was given up; with a process that was killed, up to its sending.
+// mayHaveActedUntil returns until when a call that is accepted now may have taken effect as far as its sender can know: up to its
+// response or time-out, or up to its sending if the process has been killed since.
 func (c call) mayHaveActedUntil(now time.Duration) time.Duration {
 	if !c.holder.up || c.holder.incarnation != c.incarnation {
 		return c.sentAt
@@ -120,7 +120,7 @@
 	return min(now, c.sentAt+callTimeout)
 }
 
-// token returns the token of a call in an epoch.
+// token returns the fencing token of a call in an epoch.
 func (n *node) token(epoch int64) int64 {
 	switch n.sim.planted {
 	case noFencingToken:
--- a/internal/tier/lease/model_test.go
+++ b/internal/tier/lease/model_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// The model: three to seven machines with a control node each, on links that lose, delay, duplicate and so reorder messages, and
-// that are cut in one direction or both. Machines freeze, are killed, lose their disks and leave as planned; views are decided by
-// single-decree Paxos with durable promises, and every node drives a Lease and calls a platform while it has a Grant. Time is
-// true time; each node reads a clock of its own that drifts. At the end there are no faults: the head has to get the lease, and
-// to hand it over.
+// The model simulates three to seven machines with a core node each. Links lose, delay, duplicate and so reorder messages, and
+// are cut in one direction or both. Machines freeze, are killed, lose their disks and shut down gracefully. Views are decided by
+// single-decree Paxos with durable promises, and every node drives a Lease and calls a platform while it has a Grant. The
+// simulation runs in true time; each node reads its own clock, which drifts. At the end of a run there are no faults: then the
+// head must get the lease, and must be able to hand it over.
 const (
 	modelStep = time.Millisecond
 
 	faultPhase      = 20 * time.Second
-	convergence     = 4 * time.Second // after the faults, until there is a head that stays
+	convergence     = 4 * time.Second // after the faults, until the head no longer changes
 	faultFreeDelay  = 4 * time.Millisecond
-	faultFreeRounds = 4 // a head without faults holds the lease this many rounds after its wait
-	handoverDelays  = 8 // a planned hand-over lasts no longer than this many one-way delays and a round
+	faultFreeRounds = 4 // without faults, a head holds the lease within this many rounds after its wait
+	handoverDelays  = 8 // a planned hand-over takes at most this many one-way delays and a round
 
 	minElectionTimeout          = 400 * time.Millisecond
 	maxFaultFreeElectionTimeout = 1200 * time.Millisecond
 )
 
-// faultClass is a set of kinds of faults. A course that shows a violation is shrunk by leaving kinds out.
+// faultClass is a set of kinds of faults. A run that violates an invariant is shrunk by leaving kinds out.
 type faultClass uint
 
 const (
@@ -57,14 +57,14 @@
 	return fmt.Sprint(names)
 }
 
-// event is something that happens at a time. An event of a machine waits while the machine is frozen, and is lost with its
-// incarnation.
+// event is a scheduled function call. An event of a machine is delayed while the machine is frozen, and dropped once its
+// incarnation has ended.
 type event struct {
 	at          time.Duration
 	order       int
-	machine     *node         // nil for an event of the model
-	incarnation int           // of the machine; 0 for a message, which any incarnation takes
-	clock       time.Duration // the machine's, if it was read before the machine froze
+	machine     *node         // nil for an event of the simulation itself
+	incarnation int           // of the machine; 0 for a message, which any incarnation receives
+	clock       time.Duration // clock value that the machine read before it froze; 0 for none
 	do          func()
 }
 
@@ -73,7 +73,7 @@
 
 func (q eventQueue) Len() int { return len(q) }
 
-// Less orders events by time, and those of one time as they were scheduled.
+// Less orders events by time, and events of the same time by the order in which they were scheduled.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
@@ -91,7 +91,7 @@
 	return last
 }
 
-// simulation is one course of the model.
+// simulation is one run of the model.
 type simulation struct {
 	rng     *rand.Rand
 	classes faultClass
@@ -106,8 +106,8 @@
 	params    Params
 	tokenBase int64
 	interval  time.Duration // between confirmation rounds, and observations
-	linkDelay time.Duration // at most, without slow links
-	// maxPatience is how long a node waits at most before it proposes another view.
+	linkDelay time.Duration // maximum one-way delay, apart from slow links
+	// maxElectionTimeout bounds how long a node waits before it proposes another view.
 	maxElectionTimeout time.Duration
 
 	nodes        []*node
@@ -118,11 +118,11 @@
 	stats        stats
 	violation    string
 	violatedAt   time.Duration
-	trace        []string // nil if it is not wanted
+	trace        []string // nil unless enabled
 	traceEnabled bool
 }
 
-// stats shows that courses exercise what they are meant to.
+// stats counts events, to show that the runs cover the cases that they should.
 type stats struct {
 	views, calls, accepted, refused, releases, heldAfterRelease, slowCalls int
 }
@@ -186,7 +186,7 @@
 	return b
 }
 
-// patience draws how long a node waits before it proposes another view.
+// randomElectionTimeout returns how long a node waits before it proposes another view.
 func (sim *simulation) randomElectionTimeout() time.Duration {
 	if sim.faultFree {
 		return sim.between(minElectionTimeout, maxFaultFreeElectionTimeout)
@@ -194,13 +194,13 @@
 	return sim.between(minElectionTimeout, sim.maxElectionTimeout)
 }
 
-// oneIn reports true once in so many calls, while there are faults of a kind.
+// oneIn returns true with probability 1/n if faults of the class are enabled.
 func (sim *simulation) oneIn(n int, class faultClass) bool {
-	drawn := sim.rng.IntN(n) == 0 // drawn in any case: a course keeps the rest of its draws without the kind
+	drawn := sim.rng.IntN(n) == 0 // always drawn, so that disabling a class does not shift the other draws of the run
 	return drawn && !sim.faultFree && sim.classes&class != 0
 }
 
-// after schedules an event of the model.
+// after schedules an event of the simulation itself.
 func (sim *simulation) after(d time.Duration, do func()) { sim.schedule(d, nil, 0, do) }
 
 func (sim *simulation) schedule(d time.Duration, machine *node, incarnation int, do func()) {
@@ -208,7 +208,7 @@
 	heap.Push(&sim.queue, &event{at: sim.now + d, order: sim.events, machine: machine, incarnation: incarnation, do: do})
 }
 
-// runUntil runs the events up to a time, or to a violation.
+// runUntil runs the events up to a time, or until a violation.
 func (sim *simulation) runUntil(end time.Duration) {
 	for len(sim.queue) > 0 && sim.queue[0].at <= end && sim.violation == "" {
 		e := heap.Pop(&sim.queue).(*event)
@@ -219,7 +219,7 @@
 		case !n.up || e.incarnation != 0 && e.incarnation != n.incarnation:
 			continue
 		case sim.isFrozen(e):
-			e.at = n.frozenUntil + sim.between(0, modelStep) // threads of the process go on in any order
+			e.at = n.frozenUntil + sim.between(0, modelStep) // threads of the process resume in any order
 			heap.Push(&sim.queue, e)
 			continue
 		default:
@@ -234,7 +234,8 @@
 	}
 }
 
-// isFrozen reports whether the machine of an event is frozen. It may freeze just as it has read the clock for the event.
+// isFrozen reports whether the machine of an event is frozen. The machine may freeze just after it has read the clock for the
+// event.
 func (sim *simulation) isFrozen(e *event) bool {
 	n := e.machine
 	if n.frozenUntil <= sim.now && e.clock == 0 && sim.oneIn(4000, freezes) {
@@ -257,7 +258,7 @@
 	}
 }
 
-// send sends a message to a member, by the machine on which it runs.
+// send sends a message to a member, on the machine on which that member runs.
 func (sim *simulation) send(from *node, to int, extraDelay time.Duration, m message) {
 	m.from, m.to = from.id, to
 	copies := 1
@@ -285,7 +286,7 @@
 	}
 }
 
-// member returns the machine on which a member runs; nil if its disk was lost.
+// member returns the machine on which a member runs, or nil if the member's disk was lost.
 func (sim *simulation) member(id int) *node {
 	for _, n := range sim.nodes {
 		if n.id == id {
@@ -295,10 +296,10 @@
 	return nil
 }
 
-// newestView returns the newest view that was decided.
+// newestView returns the newest decided view.
 func (sim *simulation) newestView() modelView { return sim.decided[int64(len(sim.decided))] }
 
-// runCourse runs a course to its end or to a violation.
+// runSimulation runs the model to its end or until a violation.
 func runSimulation(seed uint64, classes faultClass, planted plantedFault, tracing bool) *simulation {
 	sim := newSimulation(seed, classes, planted, tracing)
 	sim.runUntil(faultPhase)
@@ -312,7 +313,7 @@
 	return sim
 }
 
-// checkLiveness checks that without faults the head gets the lease, and that a planned hand-over passes it on.
+// checkLiveness checks that without faults the head gets the lease, and that a planned hand-over transfers it.
 func (sim *simulation) checkLiveness() {
 	settled := sim.newestView()
 	slowest := time.Duration(float64(sim.params.TakeoverWait()) / (1 - sim.params.MaxDrift))
@@ -322,17 +323,17 @@
 	case sim.violation != "":
 		return
 	case newest.epoch != settled.epoch || head == nil:
-		sim.fail("liveness: epoch %d follows epoch %d without faults", newest.epoch, settled.epoch)
+		sim.fail("liveness: epoch %d followed epoch %d without faults", newest.epoch, settled.epoch)
 		return
 	case !head.holdsLease():
-		sim.fail("liveness: head %s of epoch %d does not hold the lease, waits for %s", head, settled.epoch, head.lease.RemainingWait(head.clock()))
+		sim.fail("liveness: head %s of epoch %d does not hold the lease, remaining wait %s", head, settled.epoch, head.lease.RemainingWait(head.clock()))
 		return
 	}
 	head.leave()
 	sim.runUntil(sim.now + handoverDelays*faultFreeDelay + 2*sim.interval)
 	newest := sim.newestView()
 	if next := sim.member(newest.head); sim.violation == "" && (newest.epoch == settled.epoch || !next.holdsLease()) {
-		sim.fail("liveness: head %s of epoch %d does not hold the lease after a planned hand-over of epoch %d, waits for %s", next,
+		sim.fail("liveness: head %s of epoch %d does not hold the lease after a planned hand-over of epoch %d, remaining wait %s", next,
 			newest.epoch, settled.epoch, next.lease.RemainingWait(next.clock()))
 	}
 }
--- a/internal/tier/lease/planted_test.go
+++ b/internal/tier/lease/planted_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// fault names a fault that is planted into the model; empty for none.
+// plantedFault is a fault planted into the model to check that the model detects it; empty for none.
 type plantedFault string
 
 const (
-	termFromReply         plantedFault = "the term counts from the reply to the round"
-	noTakeoverWait        plantedFault = "a new head does not wait"
-	noDriftAllowance      plantedFault = "the wait of a new head does not allow for drift"
-	noFencingToken        plantedFault = "calls carry no token"
-	tokenFromMemory       plantedFault = "tokens are counted in memory"
-	releaseWithoutWait    plantedFault = "a release does not pass on what its sender waits for"
-	releaseOfAnyEpoch     plantedFault = "a release of any epoch counts"
-	leaseReturnedAtOnce   plantedFault = "a node that lost the lease gets it back at once"
-	noWaitAfterStart      plantedFault = "a started node does not wait on its own account"
-	promiseIgnored        plantedFault = "a head goes on after its promise to the next epoch"
-	adoptionIgnored       plantedFault = "a head goes on after it has adopted another head"
-	echoAfterPromise      plantedFault = "a voter echoes after its promise"
-	echoOtherEpoch        plantedFault = "echoes of another epoch count"
-	releaseBeforeAdoption plantedFault = "a release that comes before the view is lost"
-	staleCallsIgnored     plantedFault = "calls that end after the lease was lost do not count"
+	termFromReply         plantedFault = "the term starts at the reply to the round"
+	noTakeoverWait        plantedFault = "a new head does not wait for earlier grants"
+	noDriftAllowance      plantedFault = "the wait of a new head does not allow for clock drift"
+	noFencingToken        plantedFault = "calls carry no fencing token"
+	tokenFromMemory       plantedFault = "tokens are counted in memory only"
+	releaseWithoutWait    plantedFault = "a release does not include the remaining wait of its sender"
+	releaseOfAnyEpoch     plantedFault = "a release of any epoch is accepted"
+	leaseReturnedAtOnce   plantedFault = "a node that lost the lease regains it without a wait"
+	noWaitAfterStart      plantedFault = "a restarted node does not wait"
+	promiseIgnored        plantedFault = "a head stays active after its promise to the next epoch"
+	adoptionIgnored       plantedFault = "a head stays active after it has adopted a view with another head"
+	echoAfterPromise      plantedFault = "a voter echoes rounds after its promise"
+	echoOtherEpoch        plantedFault = "echoes of another epoch are counted"
+	releaseBeforeAdoption plantedFault = "a release that arrives before the view is dropped"
+	staleCallsIgnored     plantedFault = "calls that end after the lease was lost are ignored"
 	releaseDuringCalls    plantedFault = "a release does not wait for calls in flight"
 )
 
-// underFault returns the parameters of a lease under a planted fault.
+// underFault returns the parameters with a planted fault applied.
 func (p Params) underFault(planted plantedFault) Params {
 	if planted == noDriftAllowance {
 		p.MaxDrift = 0
@@ -36,13 +36,13 @@
 	return p
 }
 
-// observeUnderFault gives an observation to the lease, changed as the planted fault asks for.
+// observeUnderFault passes an observation to the lease, with the planted fault applied.
 func (n *node) observeUnderFault(now time.Duration, o Observation) (release Release, ok bool) {
 	l := n.lease
 	if n.sim.planted == adoptionIgnored && l.tenure != nil && !o.IsHead {
 		ok = o.Epoch > l.epoch
 		release = Release{Epoch: l.epoch}
-		l.epoch = o.Epoch // the headship and its grant stay
+		l.epoch = o.Epoch // the tenure and its grant stay
 		return release, ok
 	}
 	before := l.tenure
@@ -65,8 +65,8 @@
 	return release, ok
 }
 
-// TestModelFindsPlantedFaults checks that the model finds each planted fault, by the invariant that it violates. Only a violation of
-// liveness needs a course's end.
+// TestModelFindsPlantedFaults checks that the model detects each planted fault by the invariant that it violates. Only liveness is
+// checked at the end of a run; the other faults need just its first part.
 func TestModelFindsPlantedFaults(t *testing.T) {
 	for planted, violation := range map[plantedFault]string{
 		termFromReply:         "two holders",
@@ -94,11 +94,11 @@
 					sim = runSimulation(1+seed, allFaultClasses, planted, false)
 				}
 				if strings.Contains(sim.violation, violation) {
-					t.Logf("found by course %d at %s: %s", 1+seed, sim.violatedAt, sim.violation)
+					t.Logf("found with seed %d at %s: %s", 1+seed, sim.violatedAt, sim.violation)
 					return
 				}
 			}
-			t.Errorf("not found by %d courses", *maxPlantedRuns)
+			t.Errorf("not found in %d runs", *maxPlantedRuns)
 		})
 	}
 }
--- a/internal/tier/lease/status.go
+++ b/internal/tier/lease/status.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Cause is why a node has no grant.
+// Cause is the reason why a node has no grant.
 type Cause int
 
-// The causes. Of several that hold at once a Status has the first one, in this order.
+// The causes. If several apply at once, a Status has the first one in this order.
 const (
 	NoCause      Cause = iota // the node has a grant
 	NotHead                   // another node is the head, or none is known
-	TokenRefused              // the platform has refused the token of this epoch
-	NotActive                 // the head has promised to the next epoch, is not complete, or is about to stop
-	NotConfirmed              // no majority has confirmed the head for a term
-	JustStarted               // the node does not know what it did before its start
-	EarlierGrant              // the grant of the head before may not be over
-	LeaseLost                 // the node lost the lease a short while ago
+	TokenRefused              // the platform refused the token of this epoch
+	NotActive                 // the head has promised to the next epoch, lacks the complete state, or is shutting down
+	NotConfirmed              // no majority has confirmed the head within the last Term
+	JustStarted               // the node does not know which calls it made before it started
+	EarlierGrant              // the grant of an earlier head may not have expired yet
+	LeaseLost                 // the node lost the lease less than TakeoverWait ago
 )
 
 // Status is the state of a lease, for operators.
@@ -22,11 +22,11 @@
 	Epoch     int64
 	Held      bool
 	Remaining time.Duration // until the grant ends, unless it is renewed; 0 without one
-	Wait      time.Duration // what the head still waits before it may act; see RemainingWait
+	Wait      time.Duration // see RemainingWait
 	Cause     Cause
 }
 
-// Status returns the state of the lease at a time.
+// Status returns the state of the lease at the given time.
 func (l *Lease) Status(now time.Duration) Status {
 	status := Status{Epoch: l.epoch, Wait: l.RemainingWait(now), Cause: l.cause(now)}
 	if grant, ok := l.Grant(now); ok {
@@ -35,7 +35,7 @@
 	return status
 }
 
-// cause returns why there is no grant at a time.
+// cause returns the reason why there is no grant at the given time.
 func (l *Lease) cause(now time.Duration) Cause {
 	switch {
 	case l.tenure == nil:
@@ -52,7 +52,7 @@
 	return NoCause
 }
 
-// waitCause returns what a head waits for that is active and confirmed: that which ends last.
+// waitCause returns the cause of the wait of an active, confirmed head: the one that ends last.
 func (l *Lease) waitCause() Cause {
 	switch from := l.mayActFrom(); {
 	case from == l.startedAt+l.params.TakeoverWait():
--- a/internal/tier/lease/status_test.go
+++ b/internal/tier/lease/status_test.go
@@ -35,16 +35,16 @@
 	}{
 		"holder":                      {holder, at + second, Status{Epoch: 1, Held: true, Remaining: testTerm - second}},
 		"no view":                     {New(testParams, 0), at, Status{Cause: NotHead}},
-		"platform has refused":        {refused, at, Status{Epoch: 1, Cause: TokenRefused}},
-		"about to stop":               {inactive, at, Status{Epoch: 1, Cause: NotActive}},
+		"platform refused the token":  {refused, at, Status{Epoch: 1, Cause: TokenRefused}},
+		"shutting down":               {inactive, at, Status{Epoch: 1, Cause: NotActive}},
 		"no majority":                 {unconfirmed, at, Status{Epoch: 1, Cause: NotConfirmed}},
 		"just started":                {started, at, Status{Epoch: 5, Wait: takeover, Cause: JustStarted}},
-		"head before may hold it":     {later, at, Status{Epoch: 5, Wait: takeover, Cause: EarlierGrant}},
-		"lost and got back in a term": {returned, at + second, Status{Epoch: 3, Wait: takeover - second, Cause: LeaseLost}},
+		"earlier head may hold it":    {later, at, Status{Epoch: 5, Wait: takeover, Cause: EarlierGrant}},
+		"lost and regained in a term": {returned, at + second, Status{Epoch: 3, Wait: takeover - second, Cause: LeaseLost}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.lease.Status(c.now); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
 	}
