--- a/internal/tier/view/acceptor.go
+++ b/internal/tier/view/acceptor.go
@@ -15,7 +15,7 @@
 func (b Ballot) IsZero() bool { return b.Number == 0 }
 
 // Acceptor is the durable state of a voter: the newest decided view that it knows, and its votes on the view of the next
-// epoch. The caller syncs each change before it responds to the request that made it.
+// epoch. The caller syncs each change to disk before it responds to the request that made it.
 type Acceptor struct {
 	View           View
 	Promised       Ballot // highest ballot promised or accepted for epoch View.Epoch+1; never decreases within an epoch
@@ -47,7 +47,7 @@
 	return true
 }
 
-// Adopt takes up a decided view and discards the votes of earlier epochs. It reports whether the view was newer.
+// Adopt sets a decided view and discards the votes of earlier epochs. It reports whether the view was newer.
 func (a *Acceptor) Adopt(v View) bool {
 	if v.Epoch <= a.View.Epoch {
 		return false
@@ -56,10 +56,10 @@
 	return true
 }
 
-// Promise is a voter's positive response to a prepare request.
+// Promise is a voter's promise in response to a prepare request.
 type Promise struct {
 	From           Member
 	AcceptedBallot Ballot
 	Accepted       View
-	ActivatedEpoch int64 // last epoch in which it had the complete state of its chain (chain.State.ActivatedEpoch)
+	ActivatedEpoch int64 // last epoch in which the voter had the complete state of its chain (chain.State.ActivatedEpoch)
 }
--- a/internal/tier/view/acceptor_test.go
+++ b/internal/tier/view/acceptor_test.go
@@ -14,14 +14,14 @@
 		}
 	}
 	if !ordered[0].IsZero() || ordered[1].IsZero() {
-		t.Error("IsZero")
+		t.Error("IsZero: want true for the zero ballot only")
 	}
 }
 
 func TestAcceptorRejectsPrepareBelowPromise(t *testing.T) {
 	a := Acceptor{View: View{Epoch: 3}}
 	if a.HasPromised() {
-		t.Error("promised initially")
+		t.Error("has promised initially")
 	}
 	if a.Prepare(3, Ballot{1, "a"}) || a.Prepare(5, Ballot{1, "a"}) || a.HasPromised() {
 		t.Error("promised for an epoch that is not the next")
@@ -52,7 +52,7 @@
 	}
 	if !a.Accept(Ballot{3, "c"}, high) || a.Promised != (Ballot{3, "c"}) ||
 		a.Accepted.Head() != "b" || a.AcceptedBallot != (Ballot{3, "c"}) {
-		t.Error("an accept without a prepare binds as a promise does")
+		t.Error("an accept without a prepare must bind like a promise")
 	}
 	if a.Prepare(4, Ballot{2, "z"}) {
 		t.Error("promised below what it accepted")
@@ -69,7 +69,7 @@
 		t.Error("adopted an old view")
 	}
 	if !a.Adopt(View{Epoch: 6}) || a.HasPromised() || a.View.Epoch != 6 || a.Accepted.Epoch != 0 || !a.AcceptedBallot.IsZero() {
-		t.Error("a newer view must begin without votes", a)
+		t.Error("a newer view must start without votes:", a)
 	}
 	if a.Prepare(4, Ballot{9, "z"}) || a.Accept(Ballot{9, "z"}, View{Epoch: 4}) {
 		t.Error("voted in a past epoch")
--- a/internal/tier/view/doc.go
+++ b/internal/tier/view/doc.go
@@ -4,15 +4,15 @@
 //
 // # Contract
 //
-// At most one view is decided in an epoch. The head of every decided view has every entry that was committed in any epoch
-// before, provided that an entry counts as committed only once all chain members of its epoch have it on disk, and that a
+// At most one view is decided in an epoch. The head of every decided view has every entry that was committed in any earlier
+// epoch, provided that an entry counts as committed only once all chain members of its epoch have it on disk, and that a
 // member whose acceptor has promised (Acceptor.HasPromised) stores no further entry of its view's epoch. A view differs from
 // the one before by at most one voter added and at most one removed. Members of the chain are voters.
 //
 // Safety does not depend on time or on what a proposer believes about its peers: Conditions only affect which of the safe
 // views is proposed.
 //
-// # Duties of the caller
+// # Responsibilities of the caller
 //
 // The package has no clock, socket or file; it does no locking, and values are not safe for concurrent use. The caller
 //
@@ -22,9 +22,9 @@
 //     promises its own ballot first;
 //   - passes promises and acceptances to the proposal of their epoch and ballot only, and those of voters of the current view
 //     only;
-//   - takes a view as decided once a majority of the current voters (View.Majority) has accepted it under one ballot, and
-//     then distributes it; each node takes it up with Acceptor.Adopt.
+//   - considers a view decided once a majority of the current voters (View.Majority) has accepted it under one ballot, and
+//     then distributes it; each node adopts it with Acceptor.Adopt.
 //
-// Member.ID identifies a disk, not a machine: it is drawn when a node starts with an empty disk. A machine that lost its disk
-// comes back as another member, so that it counts neither as a replica nor as a vote of the old one.
+// Member.ID identifies a disk, not a machine: it is generated when a node starts with an empty disk. A machine that lost its
+// disk returns as a new member, so that it counts neither as a replica nor as a voter in place of the old one.
 package view
--- a/internal/tier/view/model_test.go
+++ b/internal/tier/view/model_test.go
@@ -11,28 +11,29 @@
 )
 
 // simulation is a model of nodes that decide views and replicate entries along the chain of the view that each knows, while any
-// message may be lost. A step draws which messages arrive. The ghost variables are known to no node; they check the contract.
+// message may be lost. Each step chooses at random which messages arrive. The ghost variables are not visible to the nodes; they
+// serve to check the contract.
 type simulation struct {
-	draw           func(n int) int // below n
+	draw           func(n int) int // random number below n
 	faults         plantedFaults
 	faultTolerance int
 	nodes          []*node
 	proposals      []*proposal
 	ballotNumber   int64
 
-	// ghosts
+	// Ghost variables.
 	decided    map[int64]View
-	acceptedBy map[string]map[string]bool // acceptors by epoch and ballot
+	acceptedBy map[string]map[string]bool // ids of acceptors by epoch and ballot
 	committed  []int
 	appended   int
 	violation  error
 }
 
-// plantedFaults are hooks that plant faults; the zero value plants none.
+// plantedFaults are hooks that inject defects, to check that the model detects them; the zero value injects none.
 type plantedFaults struct {
 	mutatePromises func([]Promise) []Promise
 	mutateView     func(*View, View, Conditions) View
-	dropPromise    bool // acceptors lose their promise
+	dropPromise    bool // acceptors forget their promise
 }
 
 type node struct {
@@ -47,7 +48,7 @@
 	current  View
 	ballot   Ballot
 	promises map[string]Promise
-	chosen   View // Epoch 0 until it is chosen
+	chosen   View // Epoch 0 until one is chosen
 }
 
 func newSimulation(draw func(int) int, faults plantedFaults) *simulation {
@@ -154,17 +155,17 @@
 	}
 }
 
-// commitAtTail commits the log of a node if it is the active tail.
+// commitAtTail commits the log of a node that is the active tail.
 func (sim *simulation) commitAtTail(n *node) {
 	known := &n.acceptor.View
 	if known.Tail() != n.ID || n.activatedEpoch != known.Epoch {
 		return
 	}
 	if len(n.log) < len(sim.committed) && slices.Equal(n.log, sim.committed[:len(n.log)]) {
-		return // an older tail, which does not know the new view yet, commits nothing new
+		return // the tail of an earlier view, which does not know the newer view yet, commits nothing new
 	}
 	if !hasPrefix(n.log, sim.committed) {
-		sim.fail("committed %v in epoch %d, after %v", n.log, known.Epoch, sim.committed)
+		sim.fail("committed %v in epoch %d after %v", n.log, known.Epoch, sim.committed)
 		return
 	}
 	sim.committed = n.log
@@ -185,7 +186,7 @@
 	if proposer.acceptor.View.Epoch == 0 || !proposer.acceptor.View.IsVoter(proposer.ID) {
 		return
 	}
-	sim.ballotNumber += int64(sim.draw(2)) // two proposers may use one number
+	sim.ballotNumber += int64(sim.draw(2)) // two proposers may use the same number
 	next := &proposal{proposer: proposer, current: proposer.acceptor.View, ballot: Ballot{sim.ballotNumber + 1, proposer.ID},
 		promises: map[string]Promise{}}
 	for _, earlier := range sim.proposals { // a proposer never uses a ballot twice
@@ -248,7 +249,7 @@
 	pending.chosen = next
 }
 
-// conditions are drawn independently of the state of the nodes: safety must not depend on them.
+// conditions returns random conditions, independent of the state of the nodes: safety must not depend on them.
 func (sim *simulation) conditions(current *View) Conditions {
 	var ids, voters []string
 	var applicants []Member
@@ -316,7 +317,7 @@
 	}
 	for _, member := range accepted.chosen.Chain {
 		if !accepted.chosen.IsVoter(member.ID) {
-			sim.fail("%s is in the chain and no voter", member.ID)
+			sim.fail("%s is in the chain but not a voter", member.ID)
 		}
 	}
 }
@@ -332,7 +333,7 @@
 
 const scheduleSteps = 300
 
-// runSchedule runs a simulation until the contract is violated.
+// runSchedule runs a simulation to its end, or until the contract is violated.
 func runSchedule(sim *simulation) error {
 	for range scheduleSteps {
 		if sim.step(); sim.violation != nil {
--- a/internal/tier/view/proposer_test.go
+++ b/internal/tier/view/proposer_test.go
@@ -10,10 +10,10 @@
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}[:voters]
 		current := View{Epoch: 1, Voters: members(ids...), Chain: chainMembers(1, ids...)}
 		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority-1]...), Conditions{}); ok {
-			t.Errorf("%d promises of %d voters sufficed", majority-1, voters)
+			t.Errorf("%d promises of %d voters were accepted as a majority", majority-1, voters)
 		}
 		if _, ok := ChooseView(&current, promisesAt(1, ids[:majority]...), Conditions{}); !ok {
-			t.Errorf("%d promises of %d voters did not suffice", majority, voters)
+			t.Errorf("%d promises of %d voters were not accepted as a majority", majority, voters)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 func TestChooseViewKeepsCompleteMembersInOrder(t *testing.T) {
 	current := View{Epoch: 6, Voters: members("a", "b", "c", "d", "e"), Chain: []ChainMember{{"d", 2}, {"a", 4}, {"c", 6}, {"b", 1}}}
 	promises := []Promise{
-		{From: member("a"), ActivatedEpoch: 3}, // joined in 4: it does not have the state of 4
+		{From: member("a"), ActivatedEpoch: 3}, // joined in epoch 4, but lacks the state of epoch 4
 		{From: member("b"), ActivatedEpoch: 1},
 		{From: member("e"), ActivatedEpoch: 6}, // not in the chain
 		{From: member("d"), ActivatedEpoch: 5},
@@ -67,9 +67,9 @@
 	all := promisesAt(2, "a", "b", "c")
 	alive := set("a", "b", "c")
 	next, _ := ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a")})
-	wantIDs(t, "two others remain", chainIDs(next), "b", "c")
+	wantIDs(t, "two other members remain", chainIDs(next), "b", "c")
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, Leaving: set("a", "b")})
-	wantIDs(t, "one other would remain", chainIDs(next), "a", "b", "c")
+	wantIDs(t, "only one other member would remain", chainIDs(next), "a", "b", "c")
 	next, _ = ChooseView(&current, all[:2], Conditions{FaultTolerance: 1, Alive: set("a", "b"), Leaving: set("a")})
 	wantIDs(t, "one of two is leaving", chainIDs(next), "a", "b")
 }
@@ -82,7 +82,7 @@
 	if !ok {
 		t.Error("rejected a chain that is long enough")
 	}
-	wantIDs(t, "long enough, none has caught up", chainIDs(next), "a", "b")
+	wantIDs(t, "long enough, no other member has caught up", chainIDs(next), "a", "b")
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("d")})
 	wantIDs(t, "one has caught up", chainIDs(next), "a", "b", "d")
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: alive, CaughtUp: set("c", "d"), Leaving: set("c")})
@@ -92,7 +92,7 @@
 	next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a", "c", "d")})
 	wantIDs(t, "too short", chainIDs(next), "a", "c")
 	if !ok {
-		t.Error("rejected a chain that was filled")
+		t.Error("rejected a chain that was extended")
 	}
 	if next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a")}); ok {
 		t.Error("chose a chain of one with a fault tolerance of 1", next)
@@ -104,7 +104,7 @@
 	next, ok := ChooseView(&current, promisesAt(1, "a"), Conditions{FaultTolerance: 1, Alive: set("a")})
 	wantIDs(t, "the only voter", chainIDs(next), "a")
 	if !ok {
-		t.Error("rejected the only voter")
+		t.Error("rejected a chain of the only voter")
 	}
 }
 
@@ -119,16 +119,16 @@
 		leaving  []string
 		want     []string
 	}{
-		"no length: all that have caught up": {[]string{"a", "b"}, []string{"a", "b", "c"}, 0, []string{"c", "d"}, nil, []string{"a", "b", "c", "d"}},
-		"filled up to it":                    {[]string{"a", "b"}, []string{"a", "b", "c"}, 3, []string{"c", "d"}, nil, []string{"a", "b", "c"}},
+		"no length, all that have caught up": {[]string{"a", "b"}, []string{"a", "b", "c"}, 0, []string{"c", "d"}, nil, []string{"a", "b", "c", "d"}},
+		"extended to length":                 {[]string{"a", "b"}, []string{"a", "b", "c"}, 3, []string{"c", "d"}, nil, []string{"a", "b", "c"}},
 		"full":                               {[]string{"a", "b", "c"}, []string{"a", "b", "c"}, 3, []string{"d"}, nil, []string{"a", "b", "c"}},
 		"a lost member is replaced":          {[]string{"a", "b", "c"}, []string{"a", "c", "d"}, 3, []string{"d", "e"}, nil, []string{"a", "c", "d"}},
 		"a leaving member is replaced":       {[]string{"a", "b", "c"}, []string{"a", "b", "c"}, 3, []string{"d"}, []string{"a"}, []string{"b", "c", "d"}},
-		"two leave: others come in first": {[]string{"a", "b", "c"}, []string{"a", "b", "c", "d"}, 3, []string{"d", "e"}, []string{"a", "b"},
+		"two are leaving, others join first": {[]string{"a", "b", "c"}, []string{"a", "b", "c", "d"}, 3, []string{"d", "e"}, []string{"a", "b"},
 			[]string{"a", "b", "c", "d", "e"}},
-		"a longer one is cut, its head stays": {[]string{"c", "a", "b", "d", "e"}, []string{"a", "b", "c", "d", "e"}, 3, nil, nil,
+		"a longer chain is cut, its head stays": {[]string{"c", "a", "b", "d", "e"}, []string{"a", "b", "c", "d", "e"}, 3, nil, nil,
 			[]string{"c", "a", "b"}},
-		"nobody has caught up": {[]string{"a", "b", "c"}, []string{"a", "b", "d"}, 3, nil, nil, []string{"a", "b"}},
+		"no member has caught up": {[]string{"a", "b", "c"}, []string{"a", "b", "d"}, 3, nil, nil, []string{"a", "b"}},
 	} {
 		current := View{Epoch: 2, Voters: voters, Chain: chainMembers(1, test.chain...)}
 		next, ok := ChooseView(&current, promisesAt(2, test.promises...), Conditions{FaultTolerance: 1, ChainLength: test.length,
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -4,20 +4,20 @@
 
 // Member is a core node.
 type Member struct {
-	ID   string // identity of its disk
+	ID   string // identifies its disk
 	Name string // of its machine
-	Addr string // for calls of other nodes
+	Addr string // address for connections from other nodes
 }
 
 // ChainMember is a replica in a chain.
 type ChainMember struct {
 	ID          string
-	JoinedEpoch int64 // it has been in the chain of every view since this epoch
+	JoinedEpoch int64 // first epoch since which it has been in the chain of every view
 }
 
 // View is the configuration of one epoch. It is immutable: a copy shares its slices.
 type View struct {
-	Epoch  int64         // 0: no view
+	Epoch  int64         // 0 if there is no view
 	Voters []Member      // vote on the view of the next epoch
 	Chain  []ChainMember // from head to tail; a subset of the voters
 }
--- a/internal/tier/view/voters.go
+++ b/internal/tier/view/voters.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// nextVoters returns the voters of the next view and whether they differ from the current ones. At most one applicant gets a
-// vote. In this order: a machine that came back under another identity replaces its former identity; an applicant replaces a
-// failed voter; an applicant that has caught up is added.
+// nextVoters returns the voters of the next view and whether they differ from the current ones. At most one applicant becomes a
+// voter, by the first of these rules that applies: a machine that returned under another identity replaces its former identity; an
+// applicant replaces a failed voter; an applicant that has caught up is added.
 //
-// The first two replace a voter that cannot vote by a live one. They never reduce the number of voters that can be lost, and
-// so need not wait until the applicant has caught up. Adding a voter may raise the majority, which is why it waits for that,
-// and until no voter is suspected.
+// The first two replace a voter that cannot vote by a live one. They never reduce the number of voters that may fail, and so
+// need not wait until the applicant has caught up. Adding a voter may raise the majority, so it waits until the applicant has
+// caught up and no voter is suspected.
 func nextVoters(current *View, conditions Conditions) (voters []Member, changed bool) {
 	voters = slices.Clone(current.Voters)
 	for _, applicant := range conditions.Applicants {
@@ -32,7 +32,7 @@
 	return append(voters, conditions.Applicants[i]), true
 }
 
-// CanAdmit reports whether an applicant may be added as a further voter: one has caught up, and no voter is suspected.
+// CanAdmit reports whether an applicant may be added as a further voter: one has caught up and no voter is suspected.
 func CanAdmit(current *View, conditions Conditions) bool {
 	if slices.ContainsFunc(current.Voters, func(m Member) bool { return conditions.Suspected[m.ID] }) {
 		return false
@@ -40,7 +40,7 @@
 	return slices.ContainsFunc(conditions.Applicants, func(a Member) bool { return conditions.CaughtUp[a.ID] })
 }
 
-// CanReplace reports whether an applicant may replace a voter: one that failed, or the applicant's own former identity.
+// CanReplace reports whether an applicant may replace a voter: a failed one, or the applicant's own former identity.
 func CanReplace(current *View, conditions Conditions) bool {
 	for _, applicant := range conditions.Applicants {
 		for _, voter := range current.Voters {
@@ -53,8 +53,8 @@
 	return false
 }
 
-// RemovableVoter returns the identity of a voter that may be removed without replacement, or "". It is one that failed, else
-// one that is leaving, while there are more voters than FaultTolerance requires.
+// RemovableVoter returns the identity of a voter that may be removed without replacement, or "": a failed one, or else a leaving
+// one, if there are more voters than FaultTolerance requires.
 func RemovableVoter(current *View, conditions Conditions) string {
 	if len(current.Voters) <= 2*conditions.FaultTolerance+1 {
 		return ""
--- a/internal/tier/view/voters_test.go
+++ b/internal/tier/view/voters_test.go
@@ -15,13 +15,13 @@
 		conditions Conditions
 		voters     []string
 	}{
-		"another identity of a machine": {two, Conditions{Applicants: []Member{newIdentity}}, []string{"a", "b2", "c"}},
-		"former identity is alive": {
+		"new identity of a machine": {two, Conditions{Applicants: []Member{newIdentity}}, []string{"a", "b2", "c"}},
+		"the former identity is alive": {
 			three, Conditions{Applicants: []Member{newIdentity}, Alive: set("b")}, []string{"a", "b", "c"}},
-		"another identity at one address, the former seems alive": {
+		"new identity at the same address, the former seems alive": {
 			three, Conditions{Applicants: []Member{sameAddr}, Alive: set("a", "b", "c")}, []string{"a", "b", "c2"}},
-		"two identities, one at a time": {three, Conditions{Applicants: []Member{newIdentity, sameAddr}}, []string{"a", "b2", "c"}},
-		"its own former identity before a failed voter": {
+		"two new identities, one at a time": {three, Conditions{Applicants: []Member{newIdentity, sameAddr}}, []string{"a", "b2", "c"}},
+		"own former identity before a failed voter": {
 			three, Conditions{Applicants: []Member{member("d"), sameAddr}, Failed: set("b")}, []string{"a", "b", "c2"}},
 		"replacement of a failed voter":   {two, Conditions{Applicants: members("d", "e"), Failed: set("b")}, []string{"a", "d", "c"}},
 		"no applicant for a failed voter": {two, Conditions{Failed: set("b")}, []string{"a", "b", "c"}},
@@ -76,16 +76,16 @@
 	newIdentity := Member{ID: "b2", Name: "machine-b", Addr: "addr-elsewhere"}
 	if CanReplace(&current, Conditions{Failed: set("a")}) ||
 		!CanReplace(&current, Conditions{Failed: set("a"), Applicants: members("d")}) {
-		t.Error("replacement of a failed voter")
+		t.Error("a failed voter must be replaceable, and only by an applicant")
 	}
 	dead := Conditions{Applicants: []Member{newIdentity}}
 	alive := Conditions{Applicants: []Member{newIdentity}, Alive: set("b")}
 	if !CanReplace(&current, dead) || CanReplace(&current, alive) {
-		t.Error("replacement of its own former identity")
+		t.Error("an applicant must replace its former identity only if that is not alive")
 	}
 	if CanAdmit(&current, Conditions{Applicants: members("d")}) ||
 		!CanAdmit(&current, Conditions{Applicants: members("d"), CaughtUp: set("d")}) {
-		t.Error("an applicant that has caught up")
+		t.Error("an applicant must be admitted only once it has caught up")
 	}
 	if CanAdmit(&current, Conditions{Applicants: members("d"), CaughtUp: set("d"), Suspected: set("c")}) {
 		t.Error("admitted while a voter is suspected")
