--- a/internal/tier/chain/ack.go
+++ b/internal/tier/chain/ack.go
@@ -1,13 +1,13 @@
 package chain
 
-// Ack is a member's acknowledgement: its durable state, for its predecessor, or of a learner for the tail.
+// Ack is an acknowledgement: a member reports its durable state to its predecessor, or a learner to the tail.
 type Ack struct {
 	Epoch           int64
 	LastIndex       int64
 	Commit          int64
 	CommitIsCurrent bool
 	Active          bool
-	Received        Position // in the stream of updates; not durable before it is applied to the state
+	Received        Position // in the stream of updates; not durable until it is applied to the state
 }
 
 // CurrentAck returns this member's acknowledgement. The state must be on disk before it is sent.
@@ -16,13 +16,13 @@
 		Active: c.IsActive(), Received: c.receiver.position()}
 }
 
-// PredecessorAck returns this member's acknowledgement and the predecessor that it is for; ok is false without one.
+// PredecessorAck returns this member's acknowledgement and the predecessor to send it to; ok is false if there is none.
 func (c *Chain) PredecessorAck() (to string, a Ack, ok bool) {
 	to = c.view.Predecessor(c.self)
 	return to, c.CurrentAck(), to != ""
 }
 
-// HandleAck handles an acknowledgement of the successor, sent in the given incarnation of its process. It reports whether the
+// HandleAck handles an acknowledgement from the successor, sent in the given incarnation of its process. It reports whether the
 // commit index advanced or became current.
 func (c *Chain) HandleAck(from string, incarnation int64, ack Ack) (advanced bool) {
 	if ack.Epoch != c.view.Epoch || c.view.Successor(c.self) != from ||
--- a/internal/tier/chain/chain.go
+++ b/internal/tier/chain/chain.go
@@ -6,18 +6,18 @@
 	"larchrouter/internal/tier/view"
 )
 
-// Entry is one numbered change of the state.
+// Entry is one change of the state, identified by its index.
 type Entry struct {
-	Index int64 // from 1, without gaps
+	Index int64 // starts at 1, without gaps
 	Key   string
 	Value []byte // empty: the key is deleted
 }
 
-// State is what a member keeps on disk.
+// State is the durable state of a member.
 type State struct {
-	// ActivatedEpoch is the last epoch in which the member had its predecessor's complete state, or was head.
+	// ActivatedEpoch is the last epoch in which the member had its predecessor's complete state, or was the head.
 	ActivatedEpoch int64
-	LastIndex      int64 // index of the last entry, also if that was compacted away
+	LastIndex      int64 // index of the last entry, even if that was compacted away
 	Commit         int64 // all entries up to it are committed; at most LastIndex; never decreases
 	// Entries are in order of their indexes: the last committed one of each key, and all after Commit.
 	Entries []Entry
@@ -31,34 +31,34 @@
 	commitCurrent bool                   // see CommitIsCurrent
 	successor     sendStream             // to the successor
 	learners      map[string]*sendStream // of a tail: to members outside the chain
-	receiver      receiveStream          // from the predecessor, or from the tail to a learner
+	receiver      receiveStream          // from the predecessor, or at a learner from the tail
 }
 
-// New returns a member's part, without a view, from the state on its disk.
+// New returns a member's part with the state on its disk, without a view.
 func New(self string, s State) *Chain {
 	c := &Chain{self: self, state: s, learners: map[string]*sendStream{}}
 	c.resetReceiver()
 	return c
 }
 
-// State returns the state that has to be kept on disk. Entries are not modified in place: a copy of the State stays valid.
+// State returns the state that must be kept on disk. Entries are not modified in place: a copy of the State remains valid.
 func (c *Chain) State() *State { return &c.state }
 
-// Adopt takes up a view. It reports whether the state was changed and must be on disk before anything is sent.
+// Adopt sets a newly decided view. It reports whether the state was changed, and so must be on disk before anything is sent.
 func (c *Chain) Adopt(v view.View) (changed bool) {
 	staysLearner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
 	c.view, c.commitCurrent = v, false
 	c.successor = sendStream{}
 	c.learners = map[string]*sendStream{}
-	if !staysLearner { // what a learner has received is committed, whichever member is the tail
+	if !staysLearner { // what a learner has received is committed, regardless of which member is the tail
 		c.resetReceiver()
 	}
 	if v.Position(c.self) != 0 || c.state.ActivatedEpoch >= v.Epoch {
-		c.commitAtTail() // this may be a tail that was restarted
+		c.commitAtTail() // this may be a restarted tail
 		return false
 	}
 	if c.state.ActivatedEpoch < v.Chain[0].JoinedEpoch {
-		return false // its state is not complete: the view is invalid, and this member stays inactive in it
+		return false // this member lacks the complete state: the view is invalid, and the member stays inactive in it
 	}
 	c.state.ActivatedEpoch = v.Epoch
 	c.resetReceiver()
@@ -66,7 +66,7 @@
 	return true
 }
 
-// resetReceiver begins a new stream after the entries that the member keeps for certain: all if it is active, else the
+// resetReceiver begins a new stream after the entries that the member will certainly keep: all entries if it is active, else the
 // committed ones.
 func (c *Chain) resetReceiver() {
 	if c.IsActive() {
@@ -84,12 +84,12 @@
 // IsLearner reports whether this member is outside the chain of its view.
 func (c *Chain) IsLearner() bool { return c.view.Position(c.self) < 0 }
 
-// CommitIsCurrent reports whether the commit index is at least what the tail's was at some time in this epoch and incarnation.
-// The one on disk may be older, below that of acknowledged writes; it is current once an acknowledgement has brought the
-// tail's.
+// CommitIsCurrent reports whether the commit index is at least as high as the tail's was at some time in this epoch and
+// incarnation. The commit index on disk may be older and lack acknowledged writes; it is current once an acknowledgement has
+// delivered the tail's.
 func (c *Chain) CommitIsCurrent() bool { return c.IsActive() && c.commitCurrent }
 
-// commitAtTail commits all entries if this member is the active tail: then every member of the chain has them on disk.
+// commitAtTail commits all entries if this member is the active tail, because every member of the chain then has them on disk.
 func (c *Chain) commitAtTail() {
 	if c.IsActive() && c.view.Tail() == c.self {
 		c.commitCurrent = true
@@ -108,7 +108,7 @@
 	return entry, true
 }
 
-// MarkDurable records that the present state is on disk.
+// MarkDurable records that the current state is on disk.
 func (c *Chain) MarkDurable() { c.commitAtTail() }
 
 // NextUpdate returns the next update for the successor. It returns false if the successor has all entries, if the window is
@@ -123,8 +123,8 @@
 	return to, u, ok
 }
 
-// HandleUpdate handles an update of the predecessor. ok is false if it is of another sender or epoch, and then needs no
-// acknowledgement. If changed, the state must be on disk before the acknowledgement is sent.
+// HandleUpdate handles an update from the predecessor. ok is false if the update is of another sender or epoch, which needs no
+// acknowledgement. If changed is true, the state must be on disk before the acknowledgement is sent.
 func (c *Chain) HandleUpdate(from string, update Update) (changed, ok bool) {
 	if update.Epoch != c.view.Epoch || c.view.Position(c.self) <= 0 || c.view.Predecessor(c.self) != from {
 		return false, false
@@ -145,7 +145,7 @@
 	return true, true
 }
 
-// appendReceived handles an update at an active member: it appends the entries that are complete.
+// appendReceived handles an update at an active member: it appends the complete entries.
 func (c *Chain) appendReceived(update Update) (changed bool) {
 	if !c.receiver.handleUpdate(update) {
 		return false
--- a/internal/tier/chain/chain_test.go
+++ b/internal/tier/chain/chain_test.go
@@ -21,16 +21,16 @@
 	v := viewOf(2, "a", "b")
 	head, tail := newMember("a", State{ActivatedEpoch: 1}, v), newMember("b", State{ActivatedEpoch: 1}, v)
 	if _, ok := tail.Append("k", nil); ok {
-		t.Error("a tail appended")
+		t.Error("the tail appended an entry")
 	}
 	if _, ok := newMember("c", State{ActivatedEpoch: 2}, v).Append("k", nil); ok {
-		t.Error("a member outside the chain appended")
+		t.Error("a member outside the chain appended an entry")
 	}
 	if _, ok := New("a", State{}).Append("k", nil); ok {
 		t.Error("appended without a view")
 	}
 	if e, ok := head.Append("k", []byte("v")); !ok || e.Index != 1 || string(e.Value) != "v" {
-		t.Error("the head did not append", e)
+		t.Error("the head did not append the entry:", e)
 	}
 	wantState(t, head, "2/0/1 k@1")
 }
@@ -100,7 +100,7 @@
 	a, b, c := newMember("a", s, v), newMember("b", s, v), newMember("c", s, v)
 	replicate(t, a, b)
 	if a.CommitIsCurrent() || b.CommitIsCurrent() || c.CommitIsCurrent() {
-		t.Error("current before the tail is active")
+		t.Error("the commit index is current before the tail is active")
 	}
 	replicate(t, b, c)
 	if !b.CommitIsCurrent() || !c.CommitIsCurrent() || a.CommitIsCurrent() {
@@ -111,7 +111,7 @@
 	}
 	a = restartMember(a)
 	if a.CommitIsCurrent() || !a.IsActive() {
-		t.Error("current or inactive after a restart")
+		t.Error("a restarted head must be active, but its commit index must not be current")
 	}
 	if c = restartMember(c); !c.CommitIsCurrent() {
 		t.Error("must be current at a restarted tail")
@@ -123,7 +123,7 @@
 	a.Adopt(next)
 	c.Adopt(next)
 	if !a.IsActive() || a.CommitIsCurrent() || c.CommitIsCurrent() {
-		t.Error("inactive or current in a new epoch")
+		t.Error("in a new epoch, the head must be active, but its commit index must not be current")
 	}
 }
 
@@ -210,7 +210,7 @@
 	}
 }
 
-// TestTransferEndingInsideEntryIsIncomplete: an update claims to be the end of a transfer, and ends inside an entry.
+// Guards against an update that claims to be the end of a transfer but ends inside an entry.
 func TestTransferEndingInsideEntryIsIncomplete(t *testing.T) {
 	v := viewOf(3, "a", "b")
 	value := []byte("value")
@@ -228,7 +228,7 @@
 	part.Offset, part.Data = 2, value[2:]
 	u.After, u.Fragments = Position{PartialIndex: 1, PartialBytes: 2}, []Fragment{part}
 	if changed, _ := b.HandleUpdate("a", u); !changed || !learner.HandleLearnerUpdate(u) {
-		t.Error("rejected once it is complete")
+		t.Error("the transfer was rejected although it is complete")
 	}
 	wantState(t, b, "3/1/1 k@1")
 	wantState(t, learner, "0/1/1 k@1")
@@ -240,7 +240,7 @@
 	for _, base := range []int64{3, 5} {
 		u := Update{Epoch: 3, Base: base, After: Position{LastIndex: 4}, Fragments: []Fragment{f}, Complete: true, Through: 5}
 		if changed, ok := b.HandleUpdate("a", u); changed || !ok || b.IsActive() {
-			t.Error("activated on base", base)
+			t.Error("activated by a transfer on base", base)
 		}
 	}
 	wantState(t, b, "2/4/4")
@@ -265,14 +265,14 @@
 		"from a learner":      {"d", good, b},
 	} {
 		if changed, ok := test.to.HandleUpdate(test.from, test.u); changed || ok || test.to.State().LastIndex != 0 {
-			t.Errorf("handled %s", name)
+			t.Errorf("handled an update %s", name)
 		}
 	}
 	if changed, ok := b.HandleUpdate("a", good); !changed || !ok {
-		t.Error("rejected from the predecessor")
+		t.Error("an update from the predecessor was rejected")
 	}
 	if changed, ok := b.HandleUpdate("a", good); changed || !ok {
-		t.Error("applied twice")
+		t.Error("the update was applied twice")
 	}
 }
 
--- a/internal/tier/chain/entries.go
+++ b/internal/tier/chain/entries.go
@@ -1,6 +1,6 @@
 package chain
 
-// commit advances the commit index and compacts: of the committed entries of a key only the last is kept.
+// commit advances the commit index and compacts the log: of the committed entries of a key only the last is kept.
 func (c *Chain) commit(index int64) {
 	if index <= c.state.Commit {
 		return
@@ -21,7 +21,7 @@
 	c.state.Entries = kept
 }
 
-// EntriesAfter returns the entries after an index, of entries in order of their indexes. The result shares their memory.
+// EntriesAfter returns the entries after an index. The entries must be in order of their indexes; the result shares their memory.
 func EntriesAfter(entries []Entry, index int64) []Entry {
 	i := len(entries)
 	for i > 0 && entries[i-1].Index > index {
@@ -41,7 +41,7 @@
 	return all
 }
 
-// CommittedBytes returns the size of the values committed after an index.
+// CommittedBytes returns the total size of the values committed after an index.
 func (c *Chain) CommittedBytes(index int64) (bytes int64) {
 	for _, e := range c.Committed(index) {
 		bytes += int64(len(e.Value))
--- a/internal/tier/chain/fuzz_test.go
+++ b/internal/tier/chain/fuzz_test.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/tier/view"
 )
 
-// fuzzInput reads small numbers from the input; beyond its end they are 0.
+// fuzzInput reads numbers from the fuzz input, mostly small ones; beyond its end they are 0.
 type fuzzInput []byte
 
 func (r *fuzzInput) number() int64 {
@@ -17,12 +17,12 @@
 	}
 	b := (*r)[0]
 	*r = (*r)[1:]
-	if b == 0xff && len(*r) >= 8 { // any number
+	if b == 0xff && len(*r) >= 8 { // arbitrary 64-bit number
 		n := int64(binary.LittleEndian.Uint64(*r))
 		*r = (*r)[8:]
 		return n
 	}
-	return int64(b) - 4 // mostly small, some below 0
+	return int64(b) - 4 // small, sometimes negative
 }
 
 func (r *fuzzInput) bytes() []byte {
@@ -32,7 +32,7 @@
 	return b
 }
 
-// update reads an update; at times its checksums are right and it continues at the receiver's position.
+// update reads an update; sometimes its checksums are valid and it continues at the receiver's position.
 func (r *fuzzInput) update(at Position) Update {
 	u := Update{Base: r.number(), Through: r.number(), Commit: r.number(), Complete: r.number()%2 == 0}
 	if u.After = at; r.number()%4 == 0 {
@@ -56,8 +56,8 @@
 		0xff, 255, 255, 255, 255, 255, 255, 255, 127, 8, 1, 2, 3, 4, 5})
 }
 
-// FuzzReceiveStream checks the bounds of a receiver for arbitrary updates: no panic, complete entries in order, those received
-// before unmodified, and of the entry in transfer never more than its size.
+// FuzzReceiveStream checks that a receiver handles arbitrary updates safely: it does not panic, complete entries are in order,
+// entries received before stay unmodified, and the entry in transfer never exceeds its size.
 func FuzzReceiveStream(f *testing.F) {
 	addSeeds(f)
 	f.Fuzz(func(t *testing.T, input []byte) {
@@ -68,7 +68,7 @@
 			in.handleUpdate(r.update(in.position()))
 			if in.lastIndex < previous || len(in.entries) < len(before) ||
 				len(before) > 0 && !reflect.DeepEqual(before, in.entries[:len(before)]) {
-				t.Fatalf("went back, or modified received entries: %d to %d", previous, in.lastIndex)
+				t.Fatalf("position decreased or received entries were modified: %d to %d", previous, in.lastIndex)
 			}
 			last := previous
 			for _, e := range in.entries[len(before):] {
@@ -78,11 +78,11 @@
 				last = e.Index
 			}
 			if last != in.lastIndex {
-				t.Fatalf("position %d, the last entry is %d", in.lastIndex, last)
+				t.Fatalf("position is %d, but the last entry is %d", in.lastIndex, last)
 			}
 			if p := in.partial; p != nil && (p.ValueSize > maxValueSize ||
 				int64(len(p.Data)) >= max(p.ValueSize, 1) || p.Index <= in.lastIndex) {
-				t.Fatalf("in transfer: %d of %d bytes of index %d", len(p.Data), p.ValueSize, p.Index)
+				t.Fatalf("entry in transfer has %d of %d bytes, index %d", len(p.Data), p.ValueSize, p.Index)
 			}
 		}
 	})
@@ -106,10 +106,10 @@
 				base := c.State().Commit
 				changed := handleByRole(c, v, u)
 				if !changed && stateString(c.State()) != before {
-					t.Fatalf("changed without report: %s to %s", before, stateString(c.State()))
+					t.Fatalf("state changed from %s to %s, but no change was reported", before, stateString(c.State()))
 				}
 				if changed && (!u.Complete || u.Base != base) {
-					t.Fatalf("changed by %+v", u)
+					t.Fatalf("state changed by an incomplete transfer or one on another base: %+v", u)
 				}
 			}
 		}
--- a/internal/tier/chain/helpers_test.go
+++ b/internal/tier/chain/helpers_test.go
@@ -19,14 +19,14 @@
 	return v
 }
 
-// newMember returns a member with a state that has adopted a view.
+// newMember returns a member that has the given state and has adopted the view.
 func newMember(id string, s State, v view.View) *Chain {
 	c := New(id, s)
 	c.Adopt(v)
 	return c
 }
 
-// restartMember restarts a member from its disk.
+// restartMember restarts a member from its durable state.
 func restartMember(c *Chain) *Chain {
 	s := *c.State()
 	return newMember(c.self, s, c.view)
@@ -52,7 +52,7 @@
 	t.Helper()
 	for _, key := range keys {
 		if _, ok := c.Append(key, []byte(key)); !ok {
-			t.Fatal("the head did not append")
+			t.Fatal("the head did not append the entry")
 		}
 	}
 	c.MarkDurable()
@@ -109,7 +109,7 @@
 	return stream
 }
 
-// drain returns the updates that a stream sends without further acknowledgement.
+// drain returns the updates that a stream sends without further acknowledgements.
 func drain(stream *sendStream, entries []Entry, limit int64) (updates []Update) {
 	for {
 		update, ok := stream.nextUpdate(entries, limit)
--- a/internal/tier/chain/learner.go
+++ b/internal/tier/chain/learner.go
@@ -1,11 +1,11 @@
 package chain
 
-// HandleLearnerUpdate handles an update of the tail at a learner. It reports whether the state was changed, and must be on
+// HandleLearnerUpdate handles an update from the tail at a learner. It reports whether the state was changed, and so must be on
 // disk before the acknowledgement is sent.
 //
-// An update that was sent at a lower commit index than one received before is rejected. Together they might have no entry of
-// a key that was written again in between: the beginning of the transfer, which is newer, lacks the former entry, which was
-// compacted away, and the end, which is older, lacks the latter. The commit index of tails never decreases, so that no newer
+// An update that was sent at a lower commit index than one received before is rejected. Together they might lack every entry of
+// a key that was written again in between: the beginning of the transfer, which is newer, lacks the old entry, which was
+// compacted away, and the end, which is older, lacks the new entry. The commit index of tails never decreases, so no newer
 // update is rejected for this reason.
 func (c *Chain) HandleLearnerUpdate(update Update) (changed bool) {
 	if !c.IsLearner() || update.Base != c.state.Commit || update.Commit < c.receiver.senderCommit {
@@ -24,7 +24,7 @@
 	return true
 }
 
-// HandleLearnerAck handles an acknowledgement of a member outside the chain, sent in the given incarnation of its process. A
+// HandleLearnerAck handles an acknowledgement from a member outside the chain, sent in the given incarnation of its process. A
 // tail whose commit index is current then updates that learner; other members ignore it.
 func (c *Chain) HandleLearnerAck(from string, incarnation int64, ack Ack) {
 	if !c.CommitIsCurrent() || c.view.Tail() != c.self || c.view.Position(from) >= 0 {
@@ -38,7 +38,7 @@
 	if stream.positionKnown && incarnation < stream.incarnation {
 		return
 	}
-	if stream.base != ack.Commit { // it has applied the last transfer: the next one builds on that
+	if stream.base != ack.Commit { // the learner has applied the last transfer: the next one builds on it
 		*stream = sendStream{}
 	}
 	stream.handleAck(incarnation, ack, ack.Commit)
--- a/internal/tier/chain/learner_test.go
+++ b/internal/tier/chain/learner_test.go
@@ -18,15 +18,15 @@
 	learner := newMember("z", State{LastIndex: 2, Entries: []Entry{{1, "own", nil}, {2, "own", nil}}}, tail.view)
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	if !tail.LearnerIsBehind("z") {
-		t.Error("not behind before the transfer")
+		t.Error("the learner is not behind before the transfer")
 	}
 	for {
 		update, ok := tail.NextLearnerUpdate("z")
 		if !ok {
-			t.Fatal("transfer not completed")
+			t.Fatal("the transfer was not completed")
 		}
 		if learner.HandleLearnerUpdate(update) != update.Complete {
-			t.Error("changed by an update although incomplete, or not although complete:", update.Complete)
+			t.Error("the state must change exactly when the update is complete; complete:", update.Complete)
 		}
 		if update.Complete {
 			break
@@ -39,7 +39,7 @@
 	wantState(t, learner, "0/4/4 large@1 l@3 k@4")
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	if tail.LearnerIsBehind("z") || len(tail.Transfers()) != 0 {
-		t.Error("behind after the transfer")
+		t.Error("the learner is behind after the transfer")
 	}
 	appendKeys(t, tail, "m")
 	replicateToLearner(t, tail, learner)
@@ -64,10 +64,10 @@
 		t.Error("transfers", got)
 	}
 	if tail.RemoveLearner("z"); len(tail.Transfers()) != 0 || tail.LearnerIsBehind("z") {
-		t.Error("learner not removed")
+		t.Error("the learner was not removed")
 	}
 	if _, some := tail.NextLearnerUpdate("z"); some {
-		t.Error("sends to a removed learner")
+		t.Error("the tail sends to a removed learner")
 	}
 }
 
@@ -90,11 +90,11 @@
 		t.Error("learners of head and tail", len(a.learners), len(b.learners))
 	}
 	if _, some := b.NextLearnerUpdate("z"); !some {
-		t.Error("the tail sends nothing")
+		t.Error("the tail sends nothing to the learner")
 	}
 	b.Adopt(viewOf(3, "a", "b"))
 	if _, some := b.NextLearnerUpdate("z"); some {
-		t.Error("sends in an epoch in which its commit index is not current")
+		t.Error("the tail sends in an epoch in which its commit index is not current")
 	}
 }
 
@@ -102,7 +102,7 @@
 	b := newMember("b", State{ActivatedEpoch: 2}, viewOf(2, "a", "b"))
 	fragments := []Fragment{{Index: 1, Key: "k", Checksum: checksum(nil)}}
 	if b.HandleLearnerUpdate(Update{Epoch: 2, Fragments: fragments, Complete: true, Through: 1}) {
-		t.Error("handled a learner update")
+		t.Error("a chain member handled a learner update")
 	}
 }
 
@@ -113,7 +113,7 @@
 	for name, u := range map[string]Update{
 		"lower base":     {Base: 3, After: at, Fragments: f, Complete: true, Through: 5},
 		"higher base":    {Base: 5, After: at, Fragments: f, Complete: true, Through: 5},
-		"through commit": {Base: 4, After: at, Complete: true, Through: 4},
+		"no new entries": {Base: 4, After: at, Complete: true, Through: 4},
 	} {
 		if learner.HandleLearnerUpdate(u) {
 			t.Error("applied:", name)
@@ -135,18 +135,18 @@
 	b := newMember("b", s, second)
 	learner.Adopt(second)
 	if learner.CurrentAck().Received != at || at.PartialIndex != 2 || at.PartialBytes < ChunkSize {
-		t.Fatal("received part lost", learner.CurrentAck().Received, at)
+		t.Fatal("the received part was lost:", learner.CurrentAck().Received, at)
 	}
 	b.HandleLearnerAck("z", 1, learner.CurrentAck())
 	u, _ := b.NextLearnerUpdate("z")
 	if u.After != at || u.Fragments[0].Offset != at.PartialBytes {
-		t.Error("continues after", u.After, "with", u.Fragments[0].Offset)
+		t.Error("the new tail continues after", u.After, "with", u.Fragments[0].Offset)
 	}
 	learner.HandleLearnerUpdate(u)
 	replicateToLearner(t, b, learner)
 	wantState(t, learner, "0/2/2 k@1 large@2")
 	if e, _ := learner.LastEntry("large"); !bytes.Equal(e.Value, s.Entries[1].Value) {
-		t.Error("the value differs")
+		t.Error("the received value differs")
 	}
 }
 
@@ -188,15 +188,15 @@
 	tail.NextLearnerUpdate("z")
 	tail.HandleLearnerAck("z", 6, Ack{Commit: 1, Received: Position{LastIndex: 1}})
 	if o := tail.learners["z"]; o.incarnation != 7 || o.base != 2 || o.inFlightBytes == 0 {
-		t.Error("handled: incarnation", o.incarnation, "base", o.base, "in flight", o.inFlightBytes)
+		t.Error("handled an acknowledgement of an earlier incarnation: incarnation", o.incarnation, "base", o.base, "in flight", o.inFlightBytes)
 	}
 	tail.HandleLearnerAck("z", 8, Ack{Commit: 1, Received: Position{LastIndex: 1}})
 	if u, _ := tail.NextLearnerUpdate("z"); u.Base != 1 {
-		t.Error("ignored the newest incarnation", u.Base)
+		t.Error("ignored the newest incarnation; base", u.Base)
 	}
 }
 
-// TestNextTransferUsesNewBase: what was sent on the former base is sent again on the new one at once, without a call of
+// Guards against a stalled transfer: entries sent on the former base must be sent again on the new base at once, without a call of
 // Resend.
 func TestNextTransferUsesNewBase(t *testing.T) {
 	tail := newSingleMember(1, State{})
@@ -207,18 +207,18 @@
 	appendKeys(t, tail, "l")
 	onOldBase, ok := tail.NextLearnerUpdate("z")
 	if !ok || !learner.HandleLearnerUpdate(first) || learner.HandleLearnerUpdate(onOldBase) {
-		t.Fatal("the first was rejected, or the second handled")
+		t.Fatal("the first update was rejected, or the second was handled")
 	}
 	tail.HandleLearnerAck("z", 1, learner.CurrentAck())
 	u, ok := tail.NextLearnerUpdate("z")
 	if !ok || u.Base != 1 || !learner.HandleLearnerUpdate(u) {
-		t.Error("not sent again:", ok, u.Base)
+		t.Error("the entry was not sent again on the new base:", ok, u.Base)
 	}
 	wantState(t, learner, "0/2/2 k@1 l@2")
 }
 
-// TestLearnerRejectsEndOfOlderTransfer: the beginning is of a transfer made after a key was written again, the
-// end, which is delayed, of one made before. Together they lack that key.
+// Guards against a lost key: the beginning of a transfer is sent after the key was written again, and the delayed end was sent
+// before. Together they have no entry of that key.
 func TestLearnerRejectsEndOfOlderTransfer(t *testing.T) {
 	tail := newSingleMember(1, State{})
 	appendKeys(t, tail, "k")
@@ -236,7 +236,7 @@
 	begun := Update{Epoch: 1, Base: 1, After: Position{LastIndex: 1}, Fragments: []Fragment{completeFragment(3, "m")}, Commit: 5}
 	learner.HandleLearnerUpdate(begun)
 	if learner.HandleLearnerUpdate(late) {
-		t.Error("completed: ", stateString(learner.State()))
+		t.Error("completed by the end of an older transfer: ", stateString(learner.State()))
 	}
 	wantState(t, learner, "0/1/1 k@1")
 	replicateToLearner(t, tail, learner)
--- a/internal/tier/chain/model_check_test.go
+++ b/internal/tier/chain/model_check_test.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// appendedEntry is an entry with the one before it at its head. The value begins with its number.
+// appendedEntry is an entry and the entry that preceded it at the head that appended it. The value starts with its number in
+// simulation.appended.
 type appendedEntry struct {
 	Entry
 	previous *appendedEntry
@@ -14,7 +15,7 @@
 
 const numberSize = 4
 
-// findAppended returns the appended entry that an entry of a state is, or nil if no head appended it.
+// findAppended returns the appended entry that equals an entry of a state, or nil if no head has appended it.
 func (sim *simulation) findAppended(e Entry) *appendedEntry {
 	if len(e.Value) < numberSize {
 		return nil
@@ -30,12 +31,12 @@
 	return a.Index == b.Index && a.Key == b.Key && bytes.Equal(a.Value, b.Value)
 }
 
-// checkCommitted compares the committed entries of a member with those that were committed first, and records new ones.
+// checkCommitted checks that the committed entries of a member agree with those committed before, and records new ones.
 func (sim *simulation) checkCommitted(i int) {
 	member := sim.members[i]
 	state := member.State()
 	if state.Commit > state.LastIndex {
-		sim.fail("%s committed %d, has %d", member.self, state.Commit, state.LastIndex)
+		sim.fail("%s committed index %d, has entries up to %d", member.self, state.Commit, state.LastIndex)
 	}
 	if state.Commit > int64(len(sim.committed)) {
 		sim.checkNewCommit(member)
@@ -45,7 +46,7 @@
 	}
 }
 
-// checkNewCommit records a commit beyond the entries committed so far. Every member of that chain must have them.
+// checkNewCommit records newly committed entries. Every member of that chain must have them.
 func (sim *simulation) checkNewCommit(member *Chain) {
 	state := member.State()
 	sim.commits++
@@ -60,7 +61,7 @@
 		added = append(added, entry)
 	}
 	if len(sim.committed) > 0 && entry != sim.committed[len(sim.committed)-1] || len(sim.committed)+len(added) != int(state.Commit) {
-		sim.fail("%s committed %d entries after another %d", member.self, len(added), len(sim.committed))
+		sim.fail("%s committed %d entries that do not follow the %d committed before", member.self, len(added), len(sim.committed))
 		return
 	}
 	slices.Reverse(added)
@@ -68,13 +69,13 @@
 	for _, chained := range member.view.Chain {
 		replica := sim.member(chained.ID).State()
 		if replica.ActivatedEpoch < member.view.Epoch || replica.LastIndex < state.Commit || !sim.hasCommitted(replica, state.Commit) {
-			sim.fail("%s committed %d in epoch %d, %s has %s",
+			sim.fail("%s committed index %d in epoch %d, but %s has %s",
 				member.self, state.Commit, member.view.Epoch, chained.ID, stateString(replica))
 		}
 	}
 }
 
-// hasCommitted reports whether a state has every entry committed up to an index, or a later one of its key.
+// hasCommitted reports whether a state has every entry committed up to an index, or a later entry of the same key.
 func (sim *simulation) hasCommitted(state *State, commit int64) bool {
 	replaced := map[string]bool{}
 	for i := len(state.Entries) - 1; i >= 0; i-- { // later committed entries may have replaced those up to the index
@@ -100,7 +101,7 @@
 	return true
 }
 
-// checkConverged checks that all members have all entries after the time without faults.
+// checkConverged checks that all members have all entries after the fault-free period.
 func (sim *simulation) checkConverged() {
 	head := sim.member(sim.view.Head()).State()
 	for _, member := range sim.members {
--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -12,25 +12,26 @@
 	"larchrouter/internal/tier/view"
 )
 
-// The model: four members of which up to three form the chain and the others are learners, on a network that loses,
+// The model simulates four members, of which up to three form the chain and the others are learners, on a network that loses,
 // duplicates, delays and so reorders messages. Time is counted in rounds. Members restart from their disks; views change, and
-// members adopt them in different rounds. At the end there are no faults for a while.
+// members adopt them in different rounds. Each schedule ends with a fault-free period, after which the members must have
+// converged.
 const (
 	modelMembers    = 4
 	scheduleRounds  = 120
 	faultFreeRounds = 120
-	heartbeatRounds = 4  // between acknowledgements, and calls of Resend
-	maxDelayRounds  = 6  // rounds
-	maxEntries      = 40 // of one schedule
+	heartbeatRounds = 4  // between acknowledgements, and between calls of Resend
+	maxDelayRounds  = 6  // of a message
+	maxEntries      = 40 // in one schedule
 	maxValueChunks  = 5
 )
 
-// plantedFaults are hooks that plant faults; the zero value plants none.
+// plantedFaults are hooks that inject defects, to check that the model detects them; the zero value injects none.
 type plantedFaults struct {
-	mutateUpdate func(w *simulation, from *Chain, u *Update) // changes an update that is sent
+	mutateUpdate func(w *simulation, from *Chain, u *Update) // changes an update before it is sent
 	mutateAck    func(w *simulation, from *Chain, a *Ack)
-	beforeSend   func(to *Chain) // applied to a member before it sends
-	afterAdopt   func(c *Chain)  // applied to a member that has adopted a view
+	beforeSend   func(to *Chain) // called for a member before it sends updates
+	afterAdopt   func(c *Chain)  // called for a member that has adopted a view
 	noResend     bool            // nothing is retransmitted
 }
 
@@ -45,9 +46,9 @@
 }
 
 type simulation struct {
-	draw         func(n int) int // below n
+	draw         func(n int) int // random number below n
 	faults       plantedFaults
-	randomBytes  []byte // values are parts of it
+	randomBytes  []byte // source of the values
 	round        int
 	faultFree    bool
 	view         view.View
@@ -55,11 +56,11 @@
 	incarnations [modelMembers]int64
 	inTransit    []message
 
-	// ghosts
+	// Ghost variables: not visible to the members, used to check the contract.
 	committed        []*appendedEntry // by index - 1
-	appended         []*appendedEntry // appended at any head, by the number in their values
+	appended         []*appendedEntry // appended at any head; the index is the number in their values
 	commits          int
-	resumedTransfers int // updates that continued inside an entry
+	resumedTransfers int // updates that continue inside an entry
 	violation        error
 }
 
@@ -156,7 +157,8 @@
 	}
 }
 
-// changeView decides a view of the complete members, at times without one of them, and with a learner.
+// changeView decides a view of the members with the complete state, sometimes without one of them, and sometimes with a learner
+// added.
 func (sim *simulation) changeView() {
 	next := view.View{Epoch: sim.view.Epoch + 1, Voters: sim.view.Voters}
 	for _, member := range sim.view.Chain {
@@ -227,7 +229,7 @@
 		inFlight += sent.bytes
 	}
 	if size > ChunkSize || inFlight > windowSize+ChunkSize+fragmentCost {
-		sim.fail("%d bytes in an update, %d in flight", size, inFlight)
+		sim.fail("%d bytes in an update, %d bytes in flight", size, inFlight)
 	}
 	if update.After.PartialBytes > 0 {
 		sim.resumedTransfers++
--- a/internal/tier/chain/planted_test.go
+++ b/internal/tier/chain/planted_test.go
@@ -52,11 +52,11 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(schedules) {
 				if err := runSchedule(newSimulation(seed, test.faults)); err != nil && strings.Contains(err.Error(), test.violation) {
-					t.Logf("found by seed %d: %v", seed, err)
+					t.Logf("found with seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not found by %d schedules", schedules)
+			t.Errorf("not found in %d schedules", schedules)
 		})
 	}
 }
--- a/internal/tier/chain/receive_stream.go
+++ b/internal/tier/chain/receive_stream.go
@@ -3,13 +3,13 @@
 // receiveStream is the receiver's side of a stream of updates. It collects complete entries in order, and the beginning of
 // the next one, in memory.
 type receiveStream struct {
-	lastIndex    int64     // of the last complete entry, or where the stream began
-	partial      *Fragment // the entry in transfer; its Data is what was received of it
-	entries      []Entry   // complete; taken by the chain when they are applied to the state
-	senderCommit int64     // at a learner: highest Update.Commit received
+	lastIndex    int64     // index of the last complete entry, or after which the stream began
+	partial      *Fragment // entry in transfer; Data holds the bytes received so far
+	entries      []Entry   // complete entries that are not applied to the state yet
+	senderCommit int64     // at a learner, the highest Update.Commit received
 }
 
-// position returns the position up to which the stream was received.
+// position returns the position up to which the stream has been received.
 func (r *receiveStream) position() Position {
 	p := Position{LastIndex: r.lastIndex}
 	if r.partial != nil && len(r.partial.Data) > 0 {
@@ -18,8 +18,8 @@
 	return p
 }
 
-// handleUpdate adds the fragments of an update. It reports whether the update was the next of the stream, or one that begins
-// the entry in transfer again, and all of its fragments are valid.
+// handleUpdate adds the fragments of an update. It reports whether the update was the next in the stream, or one that restarts
+// the entry in transfer, and all of its fragments were valid.
 func (r *receiveStream) handleUpdate(update Update) bool {
 	if update.After.LastIndex != r.lastIndex || update.After.PartialBytes != 0 && update.After != r.position() {
 		return false
@@ -35,8 +35,8 @@
 	return true
 }
 
-// addFragment adds one fragment. It reports whether the fragment is valid and continues the entry in transfer, if any. The
-// memory of an entry grows with the data received, not with the size that its sender claims.
+// addFragment adds one fragment. It reports whether the fragment is valid and continues the entry in transfer, if any. Memory is
+// allocated for the data received, not for the size that the sender claims.
 func (r *receiveStream) addFragment(fragment *Fragment) bool {
 	if fragment.Index <= r.lastIndex || fragment.ValueSize > maxValueSize || fragment.ValueSize < 0 ||
 		fragment.Offset+int64(len(fragment.Data)) > fragment.ValueSize {
--- a/internal/tier/chain/receive_stream_test.go
+++ b/internal/tier/chain/receive_stream_test.go
@@ -24,13 +24,13 @@
 		in := receiveStream{lastIndex: 2}
 		f := good
 		if corrupt(&f); in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{f}}) {
-			t.Errorf("accepted: %s", name)
+			t.Errorf("accepted a fragment with %s", name)
 		}
 		if in.lastIndex != 2 || len(in.entries) != 0 || in.position() != (Position{LastIndex: 2}) {
 			t.Errorf("%s: position %v", name, in.position())
 		}
 		if !in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{good}}) || len(in.entries) != 1 {
-			t.Errorf("after %s the valid fragment is rejected", name)
+			t.Errorf("after %s, the valid fragment was rejected", name)
 		}
 	}
 }
@@ -51,10 +51,10 @@
 		at := in.position()
 		f := second
 		if corrupt(&f); in.handleUpdate(Update{After: at, Fragments: []Fragment{f}}) || in.position() != at {
-			t.Errorf("accepted with another %s", name)
+			t.Errorf("accepted a fragment with another %s", name)
 		}
 		if !in.handleUpdate(Update{After: at, Fragments: []Fragment{second}}) || !bytes.Equal(in.entries[0].Value, value) {
-			t.Errorf("after another %s the valid fragment is rejected", name)
+			t.Errorf("after a fragment with another %s, the valid fragment was rejected", name)
 		}
 	}
 }
@@ -66,11 +66,11 @@
 	in.handleUpdate(Update{After: Position{LastIndex: 2}, Fragments: []Fragment{first}})
 	for _, after := range []Position{{LastIndex: 1}, {LastIndex: 3}, {2, 3, 1}, {2, 4, ChunkSize}} {
 		if in.handleUpdate(Update{After: after}) || in.position() != (Position{2, 3, ChunkSize}) {
-			t.Error("accepted after", after)
+			t.Error("accepted an update after position", after)
 		}
 	}
 	if !in.handleUpdate(Update{After: Position{LastIndex: 2}}) || in.position() != (Position{LastIndex: 2}) {
-		t.Error("rejected the beginning of the entry")
+		t.Error("rejected an update that restarts the entry")
 	}
 }
 
--- a/internal/tier/chain/send_stream.go
+++ b/internal/tier/chain/send_stream.go
@@ -1,36 +1,37 @@
 package chain
 
-// sendStream is the sender's side of a stream of updates. The zero value sends nothing before an acknowledgement with the
+// sendStream is the sender's side of a stream of updates. The zero value sends nothing until an acknowledgement reports the
 // receiver's position.
 type sendStream struct {
 	positionKnown      bool
 	incarnation        int64    // of the receiver's process
 	base               int64    // commit index of the receiver
-	acknowledged       Position // of the last acknowledgement; these may be reordered
-	sent               Position // after all that was sent
-	inTransfer         *Entry   // the entry that was sent partially: it may be compacted away before it is sent completely
+	acknowledged       Position // position in the last acknowledgement received; these may arrive out of order
+	sent               Position // position after everything that was sent
+	inTransfer         *Entry   // partially sent entry; retained here because it may be compacted away before it is sent completely
 	inTransferChecksum int64
-	sentThrough        int64        // Through of the last update that was complete, below 0 for none
-	completeThrough    int64        // the receiver has everything up to it; below 0 while it is not active
-	inFlight           []sentUpdate // not acknowledged yet, in order
-	inFlightBytes      int          // with fragmentCost
+	sentThrough        int64        // Through of the last complete update; below 0 for none
+	completeThrough    int64        // the receiver has all entries up to it; below 0 while it is not active
+	inFlight           []sentUpdate // updates not acknowledged yet, in order
+	inFlightBytes      int          // including fragmentCost
 
-	// Retransmission, see resend.
-	progressed           bool // since the last call
+	// Retransmission; see resend.
+	progressed           bool // since the last call of resend
 	callsWithoutProgress int
-	backoff              int // calls without progress after which to send again
+	backoff              int // calls of resend without progress after which it retransmits
 }
 
-// maxBackoff bounds the calls of resend between two retransmissions: they must not fill a link that is slow.
+// maxBackoff is the maximum number of calls of resend between two retransmissions. The backoff keeps retransmissions from
+// saturating a slow link.
 const maxBackoff = 16
 
 type sentUpdate struct {
-	after Position // of the receiver once it has the update
+	after Position // position of the receiver once it has the update
 	bytes int
 }
 
-// handleAck handles an acknowledgement of the receiver. completeThrough is the index up to which the receiver has everything,
-// below 0 while it is not active. A receiver that was restarted, or whose commit index changed while it was not active, begins
+// handleAck handles an acknowledgement from the receiver. completeThrough is the index up to which the receiver has all entries,
+// below 0 while it is not active. A receiver that was restarted, or whose commit index changed while it was not active, starts
 // a new stream.
 func (s *sendStream) handleAck(incarnation int64, ack Ack, completeThrough int64) {
 	if s.positionKnown && incarnation < s.incarnation {
@@ -55,8 +56,8 @@
 	}
 }
 
-// resend goes back to the acknowledged position after backoff calls without progress, and doubles the backoff. An idle
-// stream does not back off: what is sent on it next, and lost, is sent again at the first call.
+// resend rewinds to the acknowledged position after backoff calls without progress, and doubles the backoff. An idle stream does
+// not back off: if the next update on it is lost, the first call retransmits it.
 func (s *sendStream) resend() {
 	if s.progressed || !s.positionKnown || s.idle() {
 		s.progressed, s.callsWithoutProgress, s.backoff = false, 0, 1
@@ -69,7 +70,7 @@
 	s.callsWithoutProgress, s.backoff = 0, min(2*s.backoff, maxBackoff)
 }
 
-// idle reports whether the receiver has acknowledged and applied all that was sent.
+// idle reports whether the receiver has acknowledged and applied everything that was sent.
 func (s *sendStream) idle() bool {
 	return s.sent == s.acknowledged && s.completeThrough >= max(s.sentThrough, 0)
 }
@@ -79,12 +80,12 @@
 	s.sent, s.inFlight, s.inFlightBytes, s.sentThrough = s.acknowledged, nil, 0, -1
 }
 
-// nextUpdate returns the next update of the entries up to a limit. It returns false if there is none or the window is full.
+// nextUpdate returns the next update with entries up to the index limit. It returns false if there is none or the window is full.
 func (s *sendStream) nextUpdate(entries []Entry, limit int64) (update Update, ok bool) {
 	if !s.positionKnown || s.completeThrough >= limit || s.inFlightBytes >= windowSize {
 		return Update{}, false
 	}
-	entry := s.nextEntry(entries, limit) // before o.sent is read: it drops a partial entry that cannot be continued
+	entry := s.nextEntry(entries, limit) // must precede the read of s.sent: it drops a partial entry that cannot be continued
 	update = Update{Base: s.base, After: s.sent}
 	remaining := ChunkSize
 	for ; entry != nil && remaining > 0; entry = s.nextEntry(entries, limit) {
@@ -104,8 +105,8 @@
 	return update, true
 }
 
-// nextEntry returns the entry of which the next fragment is sent, or nil. If an entry was sent partially and is not available
-// any more, the stream continues with the entry after it, and the receiver drops its part.
+// nextEntry returns the entry whose next fragment is to be sent, or nil. If a partially sent entry is no longer available, the
+// stream continues with the entry after it, and the receiver drops the part that it has.
 func (s *sendStream) nextEntry(entries []Entry, limit int64) *Entry {
 	if s.sent.PartialBytes > 0 && s.findInTransfer(entries) {
 		return s.inTransfer
@@ -118,8 +119,8 @@
 	return &rest[0]
 }
 
-// findInTransfer sets inTransfer to the entry that was sent partially, perhaps by another member. It reports whether there is
-// such an entry with bytes that were not sent.
+// findInTransfer sets inTransfer to the entry that was sent partially, possibly by another member. It reports whether there is
+// such an entry with bytes left to send.
 func (s *sendStream) findInTransfer(entries []Entry) bool {
 	if s.inTransfer == nil || s.inTransfer.Index != s.sent.PartialIndex {
 		s.inTransfer = nil
--- a/internal/tier/chain/send_stream_test.go
+++ b/internal/tier/chain/send_stream_test.go
@@ -40,13 +40,13 @@
 	stream := newSendStream(Ack{})
 	updates := drain(stream, entries, 1)
 	if stream.inFlightBytes < windowSize || stream.inFlightBytes > windowSize+ChunkSize+fragmentCost {
-		t.Error("in flight:", stream.inFlightBytes)
+		t.Error("bytes in flight:", stream.inFlightBytes)
 	}
 	var in receiveStream
 	in.handleUpdate(updates[0])
 	stream.handleAck(1, Ack{Received: in.position()}, -1)
 	if more := drain(stream, entries, 1); len(more) != 1 {
-		t.Error("one chunk was acknowledged,", len(more), "more were sent")
+		t.Error("one chunk was acknowledged, but", len(more), "were sent")
 	}
 }
 
@@ -66,7 +66,7 @@
 	entries := []Entry{{1, "k", []byte("v")}}
 	stream := newSendStream(Ack{})
 	drain(stream, entries, 1)
-	stream.resend() // progress: the first acknowledgement
+	stream.resend() // counts as progress because of the first acknowledgement
 	var sentAt []int
 	for call := 1; call <= 64; call++ {
 		stream.resend()
@@ -74,9 +74,9 @@
 			sentAt = append(sentAt, call)
 		}
 	}
-	for i, at := range []int{1, 3, 7, 15, 31, 47, 63} { // 1, 2, 4, 8 and then 16 calls between them
+	for i, at := range []int{1, 3, 7, 15, 31, 47, 63} { // after 1 call, then at intervals of 2, 4, 8 and 16 calls
 		if i >= len(sentAt) || sentAt[i] != at {
-			t.Fatal("sent again at", sentAt)
+			t.Fatal("retransmitted at calls", sentAt)
 		}
 	}
 	stream.handleAck(1, Ack{Received: Position{LastIndex: 1}}, -1)
@@ -86,7 +86,8 @@
 	}
 }
 
-// TestIdleStreamDoesNotBackOff: backoff is for slow links. An idle link is not slow; what is lost on it is sent again at once.
+// Guards against a backoff that grows while a stream is idle: backoff is for slow links, and a loss after an idle time must be
+// retransmitted at the first call of resend.
 func TestIdleStreamDoesNotBackOff(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
 	stream := newSendStream(Ack{})
@@ -101,11 +102,11 @@
 	}
 	stream.resend() // the update is lost
 	if n := len(drain(stream, entries, 2)); n != 1 {
-		t.Errorf("sent again %d times after one call, backoff %d", n, stream.backoff)
+		t.Errorf("%d retransmissions after one call, backoff %d", n, stream.backoff)
 	}
 }
 
-// TestLostEndOfTransferIsResent: nothing else is in flight, but the receiver has not applied the transfer.
+// Guards against a transfer whose last update is lost: all entries are acknowledged, but the receiver has not applied them.
 func TestLostEndOfTransferIsResent(t *testing.T) {
 	entries := []Entry{{1, "k", []byte("v")}}
 	stream := newSendStream(Ack{})
@@ -117,7 +118,7 @@
 		sent += len(drain(stream, entries, 1))
 	}
 	if sent == 0 {
-		t.Error("the end is not sent again")
+		t.Error("the end of the transfer was not retransmitted")
 	}
 }
 
@@ -144,7 +145,7 @@
 	drain(stream, entries, 2)
 	stream.handleAck(8, Ack{Commit: 1, Received: Position{LastIndex: 1}}, -1)
 	if stream.incarnation != 8 || stream.inFlightBytes != 0 || len(drain(stream, entries, 2)) == 0 {
-		t.Error("nothing is sent to a restarted receiver")
+		t.Error("nothing was sent to a restarted receiver")
 	}
 }
 
@@ -193,7 +194,7 @@
 	in.handleUpdate(u)
 	updates := drain(newSendStream(Ack{Received: in.position()}), entries, 1)
 	if updates[0].Fragments[0].Offset != ChunkSize {
-		t.Error("began at", updates[0].Fragments[0].Offset)
+		t.Error("the transfer resumed at offset", updates[0].Fragments[0].Offset)
 	}
 	for _, u := range updates {
 		in.handleUpdate(u)
@@ -220,13 +221,13 @@
 	}
 }
 
-// TestPartialEntryUnavailableAtSenderIsDropped: the receiver has the beginning of an entry that the sender no longer
-// has. It was compacted away, and either its last chunk is lost or the sender was restarted.
+// Guards against a transfer that stalls inside an entry: the receiver has the beginning of an entry that the sender has compacted
+// away, and either its last chunk was lost or the sender was restarted.
 func TestPartialEntryUnavailableAtSenderIsDropped(t *testing.T) {
 	before := []Entry{{1, "large", largeValue(1, 3)}}
 	for name, after := range map[string][]Entry{
-		"replaced":                    {{2, "large", largeValue(2, 3)}},
-		"replaced by one of no bytes": {{2, "large", nil}},
+		"replaced":                   {{2, "large", largeValue(2, 3)}},
+		"replaced by an empty value": {{2, "large", nil}},
 	} {
 		for _, restarts := range []bool{false, true} {
 			var in receiveStream
--- a/internal/tier/chain/transfer.go
+++ b/internal/tier/chain/transfer.go
@@ -1,7 +1,7 @@
 package chain
 
-// Resend makes NextUpdate and NextLearnerUpdate send again what was not acknowledged, for streams that made no progress. The
-// interval doubles with each call that has an effect, up to maxBackoff calls.
+// Resend makes NextUpdate and NextLearnerUpdate return unacknowledged data again, for streams that have made no progress. The
+// interval doubles with each retransmission, up to maxBackoff calls.
 func (c *Chain) Resend() {
 	c.successor.resend()
 	for _, stream := range c.learners {
@@ -12,9 +12,9 @@
 // Transfer is the progress of the stream to a member that lacks entries.
 type Transfer struct {
 	ID           string // view.Member.ID
-	LastIndex    int64  // all entries up to it were received
-	Target       int64  // index up to which the member is brought
-	PartialBytes int64  // received of the entry after LastIndex
+	LastIndex    int64  // all entries up to it have been received
+	Target       int64  // index that the member has to reach
+	PartialBytes int64  // bytes received of the entry after LastIndex
 }
 
 // Transfers returns the streams to members that lack entries.
--- a/internal/tier/view/acceptor_test.go
+++ b/internal/tier/view/acceptor_test.go
@@ -14,7 +14,7 @@
 		}
 	}
 	if !ordered[0].IsZero() || ordered[1].IsZero() {
-		t.Error("IsZero: want true for the zero ballot only")
+		t.Error("IsZero")
 	}
 }
 
--- a/internal/tier/view/view_test.go
+++ b/internal/tier/view/view_test.go
@@ -14,7 +14,7 @@
 		t.Error("wrong successors or predecessors")
 	}
 	if m, ok := v.Member("c"); !ok || m != member("c") || !v.IsVoter("c") || v.IsVoter("e") || v.Position("c") >= 0 {
-		t.Error("wrong membership")
+		t.Error("membership")
 	}
 	if _, ok := v.Member("e"); ok {
 		t.Error("found a member that does not exist")
