--- a/internal/tier/chain/chain.go
+++ b/internal/tier/chain/chain.go
@@ -30,7 +30,7 @@
 	state         State
 	commitCurrent bool                   // see CommitIsCurrent
 	successor     sendStream             // to the successor
-	learners      map[string]*sendStream // of a tail: to members outside the chain
+	learners      map[string]*sendStream // at the tail: to members outside the chain
 	receiver      receiveStream          // from the predecessor, or at a learner from the tail
 }
 
@@ -44,7 +44,8 @@
 // State returns the state that must be kept on disk. Entries are not modified in place: a copy of the State remains valid.
 func (c *Chain) State() *State { return &c.state }
 
-// Adopt sets a newly decided view. It reports whether the state was changed, and so must be on disk before anything is sent.
+// Adopt makes a decided view the current one. It reports whether the state was changed, and so must be on disk before anything is
+// sent.
 func (c *Chain) Adopt(v view.View) (changed bool) {
 	staysLearner := c.view.Epoch > 0 && c.IsLearner() && v.Position(c.self) < 0
 	c.view, c.commitCurrent = v, false
--- a/internal/tier/lease/lease_test.go
+++ b/internal/tier/lease/lease_test.go
@@ -151,8 +151,7 @@
 	wantGrant(t, next, from, 3)
 }
 
-// Guards against holders A, B, A within one term: node A regains the lease by a release of B, while a call of its first tenure may
-// still reach the platform.
+// Guards against holders in the order A, B, A within one term: node A regains the lease by a release of B shortly after it lost it.
 func TestReleaseDoesNotReturnLeaseWithinTerm(t *testing.T) {
 	l := New(testParams, 0)
 	l.Observe(0, head(1, 0))
@@ -262,8 +261,8 @@
 	wantGrant(t, l, at, 3)
 }
 
-// Guards against holders A, B, A across subjects: a release sent while a call was in flight let the next head make calls before the
-// platform had accepted that call.
+// Guards against holders in the order A, B, A across subjects: a release sent while a call was in flight let the next head make
+// calls before the platform had accepted that call.
 func TestReleaseWaitsForCallsInFlight(t *testing.T) {
 	old, call, other := callingHead(t)
 	if release, ok := old.Observe(10*second, Observation{Epoch: 2}); ok {
--- a/internal/tier/lease/model_node_test.go
+++ b/internal/tier/lease/model_node_test.go
@@ -273,7 +273,7 @@
 	}
 }
 
-// holds reports whether the node has a grant now.
+// holdsLease reports whether the node has a grant now.
 func (n *node) holdsLease() bool {
 	if !n.up {
 		return false
--- a/internal/tier/lease/model_platform_test.go
+++ b/internal/tier/lease/model_platform_test.go
@@ -45,9 +45,9 @@
 	stale := now != n.clockNow()
 	subject := subjects[n.sim.rng.IntN(len(subjects))]
 	checkedAt := n.sim.now
-	noted := &Call{Epoch: grant.Epoch}
+	leaseCall := &Call{Epoch: grant.Epoch}
 	if n.sim.planted != staleCallsIgnored {
-		n.lease.CallStarted(noted)
+		n.lease.CallStarted(leaseCall)
 	}
 	if n.sim.oneIn(40, freezes) {
 		n.freeze(n.sim.between(time.Millisecond, 6*time.Second))
@@ -58,7 +58,7 @@
 	}
 	n.sim.schedule(wait, n, n.incarnation, func() {
 		n.call(call{
-			holder: n, leaseCall: noted, token: n.token(grant.Epoch), subject: subject,
+			holder: n, leaseCall: leaseCall, token: n.token(grant.Epoch), subject: subject,
 			wasFrozen: stale || n.sim.now > checkedAt,
 		})
 	})
--- a/internal/tier/lease/model_test.go
+++ b/internal/tier/lease/model_test.go
@@ -95,7 +95,7 @@
 type simulation struct {
 	rng     *rand.Rand
 	classes faultClass
-	planted plantedFault // planted
+	planted plantedFault // fault that the run must detect; empty for none
 
 	now       time.Duration
 	faultFree bool
--- a/internal/tier/view/acceptor.go
+++ b/internal/tier/view/acceptor.go
@@ -47,7 +47,7 @@
 	return true
 }
 
-// Adopt sets a decided view and discards the votes of earlier epochs. It reports whether the view was newer.
+// Adopt makes a decided view the current one and discards the votes of earlier epochs. It reports whether the view was newer.
 func (a *Acceptor) Adopt(v View) bool {
 	if v.Epoch <= a.View.Epoch {
 		return false
