--- a/internal/tier/controlnode/duty_role.go
+++ b/internal/tier/controlnode/duty_role.go
@@ -90,14 +90,14 @@
 // readTokenBase sets the token base, and records one if there is none. It reports whether there is one that is committed.
 func (d *dutyRunner) readTokenBase() bool {
 	base := d.server.trueNow().Unix() << tokenBaseShift
-	if _, err := d.server.decideAtHead(d.server.ctx, orders.RecordTokenBase{Base: base}); err != nil {
+	if _, err := d.server.decideAtHead(d.server.ctx, orders.RecordFencingTokenBase{Base: base}); err != nil {
 		return false
 	}
 	query := &dutyStateQuery{}
 	if !d.server.runOnLoop(query) || query.state == nil {
 		return false
 	}
-	d.tokenBase, _ = query.state.TokenBase()
+	d.tokenBase, _ = query.state.FencingTokenBase()
 	return d.tokenBase != 0
 }
 
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -109,7 +109,7 @@
 		{0, "page of orders", sideStored, &orders.Page{Records: []orders.Record{{Sequence: big + 1, Version: big + 2, BaseVersion: big + 3, Digest: []byte("digest-1")},
 			{Sequence: big + 4, Version: big + 5, BaseVersion: big + 6, Digest: []byte("digest-2")}}}},
 		{0, "earlier orders", sideStored, &orders.LegacyHistory{Version: big + 1, Digests: [][]byte{[]byte("digest-1"), []byte("digest-2")}, Complete: true}},
-		{0, "token base", sideStored, &orders.TokenBaseEntry{Base: big + 1}},
+		{0, "token base", sideStored, &orders.FencingTokenBaseEntry{Base: big + 1}},
 		{0, "usage", sideStored, &orders.UsageEntry{Window: big + 1, Body: []byte("body")}},
 		{0, "entry", sideStored, &entry},
 		{0, "acceptor", sideStored, &view.Acceptor{View: fullView("a", 100), Promised: view.Ballot{Number: big + 1, Proposer: "promised"}, AcceptedAt: view.Ballot{Number: big + 2, Proposer: "accepted"}, Accepted: fullView("b", 200)}},
--- a/internal/tier/controlnode/placement_role.go
+++ b/internal/tier/controlnode/placement_role.go
@@ -78,7 +78,7 @@
 	s.placementRole.lastPlannedAt = now
 	input := s.plannerInput(now)
 	s.node.SetHandover(input.Observe(s.placementTimings()))
-	if lost := placement.LostWhileRetiring(input); len(lost) > 0 {
+	if lost := placement.SuccessorsOfRetiringStores(input); len(lost) > 0 {
 		s.log.Info("a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
 		s.writePlacementEntry(orders.RetireKey(lost[0].Name, lost[0].ID), rpc.Encode(&feed.RetireEntry{ID: lost[0].ID}))
 		return
--- a/internal/tier/orders/decision.go
+++ b/internal/tier/orders/decision.go
@@ -61,7 +61,7 @@
 	Reason    string  // for the operator: the cause and the remedy
 }
 
-// Order is one of PutConfig, ReadConfig, RetireStore, StorePhase, RecordTokenBase and RecordUsage.
+// Order is one of PutConfig, ReadConfig, RetireStore, StorePhase, RecordFencingTokenBase and RecordUsage.
 type Order interface{ decide(s *State) Decision }
 
 // Decide returns the outcome of an order in the state that the chain's entries make. It returns an error if an entry
--- a/internal/tier/orders/duties.go
+++ b/internal/tier/orders/duties.go
@@ -15,8 +15,8 @@
 	usageSlots     = 16 // windows whose records are kept: a window takes the place of the one so many before it
 )
 
-// TokenBaseEntry is the value under the key of the token base.
-type TokenBaseEntry struct{ Base int64 }
+// FencingTokenBaseEntry is the value under the key of the token base.
+type FencingTokenBaseEntry struct{ Base int64 }
 
 // UsageEntry is the recorded report of a window.
 type UsageEntry struct {
@@ -26,7 +26,7 @@
 
 // dutyState is the part of the state that belongs to singleton duties.
 type dutyState struct {
-	tokenBase      *TokenBaseEntry // nil if there is none
+	tokenBase      *FencingTokenBaseEntry // nil if there is none
 	tokenBaseIndex int64
 	usage          map[string]UsageEntry // by key
 	usageIndex     map[string]int64      // by key: index of the entry
@@ -41,7 +41,7 @@
 func (s *State) readDutyEntry(key string, e chain.Entry) (ok bool, err error) {
 	switch {
 	case key == tokenBaseKey:
-		s.duties.tokenBase, s.duties.tokenBaseIndex = new(TokenBaseEntry), e.Index
+		s.duties.tokenBase, s.duties.tokenBaseIndex = new(FencingTokenBaseEntry), e.Index
 		return true, rpc.Decode(e.Value, s.duties.tokenBase)
 	case strings.HasPrefix(key, usageKeyPrefix):
 		var entry UsageEntry
@@ -57,8 +57,8 @@
 	return false, nil
 }
 
-// TokenBase returns the number to which the epoch is added in fencing tokens; ok is false if none is recorded.
-func (s *State) TokenBase() (base int64, ok bool) {
+// FencingTokenBase returns the number to which the epoch is added in fencing tokens; ok is false if none is recorded.
+func (s *State) FencingTokenBase() (base int64, ok bool) {
 	if s.duties.tokenBase == nil {
 		return 0, false
 	}
@@ -73,15 +73,15 @@
 	return reports
 }
 
-// RecordTokenBase records the number to which the epoch is added in fencing tokens, unless there is one. It is recorded once in the
+// RecordFencingTokenBase records the number to which the epoch is added in fencing tokens, unless there is one. It is recorded once in the
 // life of a control plane: tokens then rise with the epoch, and those of a control plane that is founded later begin above it.
-type RecordTokenBase struct{ Base int64 }
+type RecordFencingTokenBase struct{ Base int64 }
 
-func (o RecordTokenBase) decide(state *State) Decision {
+func (o RecordFencingTokenBase) decide(state *State) Decision {
 	if state.duties.tokenBase != nil {
 		return Decision{Kind: AlreadyApplied, DependsOn: state.duties.tokenBaseIndex, Reason: "recorded before"}
 	}
-	entry := TokenBaseEntry(o)
+	entry := FencingTokenBaseEntry(o)
 	return Decision{Kind: Accept, Reason: "recorded", Append: []Write{{Key: tokenBaseKey, Value: rpc.Encode(&entry)}}}
 }
 
--- a/internal/tier/orders/duties_test.go
+++ b/internal/tier/orders/duties_test.go
@@ -61,7 +61,7 @@
 func TestTokenBaseIsRecordedOnce(t *testing.T) {
 	var entries []chain.Entry
 	for i, base := range []int64{1 << 40, 2 << 40, 1} {
-		decision := decideAndApply(t, &entries, RecordTokenBase{Base: base})
+		decision := decideAndApply(t, &entries, RecordFencingTokenBase{Base: base})
 		if want := map[bool]Kind{true: Accept, false: AlreadyApplied}[i == 0]; decision.Kind != want {
 			t.Errorf("base %d: %s, want %s", base, decision.Kind, want)
 		}
@@ -69,7 +69,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := state.TokenBase(); !ok || got != 1<<40 {
+		if got, ok := state.FencingTokenBase(); !ok || got != 1<<40 {
 			t.Errorf("the base is %d, %v", got, ok)
 		}
 	}
--- a/internal/tier/orders/store_simulation_test.go
+++ b/internal/tier/orders/store_simulation_test.go
@@ -159,7 +159,7 @@
 		}
 		registry[store.ID] = registered
 	}
-	if lost := placement.LostWhileRetiring(input); len(lost) > 0 && !c.fault.dropOnDiskLoss {
+	if lost := placement.SuccessorsOfRetiringStores(input); len(lost) > 0 && !c.fault.dropOnDiskLoss {
 		r.append(Write{Key: RetireKey(lost[0].Name, lost[0].ID), Value: rpc.Encode(&feed.RetireEntry{ID: lost[0].ID})})
 		return
 	}
--- a/internal/tier/placement/doc.go
+++ b/internal/tier/placement/doc.go
@@ -28,7 +28,7 @@
 //     after it became head;
 //   - calls Plan periodically with the newest placement that it has written, committed or not, and writes the result to the
 //     control state before it calls Plan again;
-//   - records retirements, in Input.Retired and on disk, only if CanRetire permits it, and those that LostWhileRetiring
+//   - records retirements, in Input.Retired and on disk, only if CanRetire permits it, and those that SuccessorsOfRetiringStores
 //     returns before the next placement;
 //   - publishes Input.Observe to the other core nodes, and passes the last one received as Input.Inherited when it becomes
 //     head;
--- a/internal/tier/placement/model_head_test.go
+++ b/internal/tier/placement/model_head_test.go
@@ -27,7 +27,7 @@
 		m.lastReport = in.Observe(m.timings)
 	}
 	if m.fault != retirementNotExtended {
-		for _, store := range LostWhileRetiring(in) {
+		for _, store := range SuccessorsOfRetiringStores(in) {
 			m.retired[store.ID] = true
 			m.logEvent("%s is to be retired as well", store.ID)
 		}
--- a/internal/tier/placement/retirement.go
+++ b/internal/tier/placement/retirement.go
@@ -23,11 +23,11 @@
 	return remaining >= 2*faultTolerance+1
 }
 
-// LostWhileRetiring returns the stores to which the retirement of another one extends: the machine lost its disk while it was
+// SuccessorsOfRetiringStores returns the stores to which the retirement of another one extends: the machine lost its disk while it was
 // being retired, and registered under a new identity. The caller records their retirement before the next placement. Such a
 // store has no data that others lack, and is not needed, since CanRetire held when the order was accepted. Once the store that
 // was ordered to retire has left the placement the order is complete, and a store of its name is a new one.
-func LostWhileRetiring(in Input) (stores []turnstore.Store) {
+func SuccessorsOfRetiringStores(in Input) (stores []turnstore.Store) {
 	if in.Current == nil {
 		return nil
 	}
--- a/internal/tier/placement/retirement_test.go
+++ b/internal/tier/placement/retirement_test.go
@@ -16,11 +16,11 @@
 			in := &heads.input
 			wiped := turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}
 			heads.registerTwice(wiped)
-			if got := LostWhileRetiring(*in); !slices.Equal(got, []turnstore.Store{wiped}) {
+			if got := SuccessorsOfRetiringStores(*in); !slices.Equal(got, []turnstore.Store{wiped}) {
 				t.Fatalf("%+v", got)
 			}
 			in.Retired["d2"] = true
-			if got := LostWhileRetiring(*in); len(got) > 0 {
+			if got := SuccessorsOfRetiringStores(*in); len(got) > 0 {
 				t.Fatalf("recorded already: %+v", got)
 			}
 			start := in.Now
@@ -156,7 +156,7 @@
 				test.setup(&heads.input)
 			}
 			heads.registerTwice(test.store)
-			if got := LostWhileRetiring(heads.input); len(got) > 0 {
+			if got := SuccessorsOfRetiringStores(heads.input); len(got) > 0 {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -164,7 +164,7 @@
 	heads := newRetirement(true)
 	wiped := turnstore.Store{ID: "d0", Name: "d", Addr: "d:1"}
 	Register(heads.input.Stores, Registration{Store: wiped}, heads.input.Now, heads.timings)
-	if got := LostWhileRetiring(heads.input); len(got) > 0 {
+	if got := SuccessorsOfRetiringStores(heads.input); len(got) > 0 {
 		t.Errorf("after one registration, which may be delayed: %+v", got)
 	}
 }
