--- a/internal/tier/orders/chain_model_test.go
+++ b/internal/tier/orders/chain_model_test.go
@@ -34,8 +34,8 @@
 	reply       func(ok bool) // ok is false if the outcome is unknown
 }
 
-func (r *replica) head() bool { return r.active && r.chain[0] == r }
-func (r *replica) tail() bool { return r.active && r.chain[len(r.chain)-1] == r }
+func (r *replica) isHead() bool { return r.active && r.chain[0] == r }
+func (r *replica) isTail() bool { return r.active && r.chain[len(r.chain)-1] == r }
 
 func (r *replica) append(w Write) {
 	r.lastIndex++
@@ -96,30 +96,30 @@
 }
 
 func newChainModel(rng *rand.Rand, n int, start []chain.Entry) *chainModel {
-	w := &chainModel{rng: rng, onCommit: func(chain.Entry) {}, onHeadStep: func(*replica) {}}
-	w.epochConfirmed = func(r *replica) bool { return r.epoch == w.epoch && r.active }
+	m := &chainModel{rng: rng, onCommit: func(chain.Entry) {}, onHeadStep: func(*replica) {}}
+	m.epochConfirmed = func(r *replica) bool { return r.epoch == m.epoch && r.active }
 	for i := range n {
 		r := &replica{name: string(rune('A' + i)), entries: start}
 		if len(start) > 0 {
 			r.lastIndex = start[len(start)-1].Index
 			r.commitIndex = r.lastIndex
 		}
-		w.replicas = append(w.replicas, r)
+		m.replicas = append(m.replicas, r)
 	}
-	w.committedIndex = w.replicas[0].lastIndex
-	w.beginEpoch(slices.Clone(w.replicas))
-	return w
+	m.committedIndex = m.replicas[0].lastIndex
+	m.beginEpoch(slices.Clone(m.replicas))
+	return m
 }
 
-func (w *chainModel) schedule(d time.Duration, run func()) {
-	w.scheduled = append(w.scheduled, event{w.now + d, run})
+func (m *chainModel) schedule(d time.Duration, run func()) {
+	m.scheduled = append(m.scheduled, event{m.now + d, run})
 }
 
 // beginEpoch starts an epoch with a chain; its head keeps its state. All pending replies of the members fail.
-func (w *chainModel) beginEpoch(members []*replica) {
-	w.epoch++
+func (m *chainModel) beginEpoch(members []*replica) {
+	m.epoch++
 	for i, r := range members {
-		r.epoch, r.chain, r.active = w.epoch, members, i == 0
+		r.epoch, r.chain, r.active = m.epoch, members, i == 0
 		for _, reply := range r.pending {
 			reply.reply(false)
 		}
@@ -129,27 +129,27 @@
 
 // changeView starts the next epoch with some of the replicas, or all; the others don't learn of it. The head is an
 // active member of the current epoch: as it leaves that epoch, nothing is committed there any more.
-func (w *chainModel) changeView(all bool) *replica {
+func (m *chainModel) changeView(all bool) *replica {
 	var candidates []*replica
-	for _, r := range w.replicas {
-		if r.epoch == w.epoch && r.active {
+	for _, r := range m.replicas {
+		if r.epoch == m.epoch && r.active {
 			candidates = append(candidates, r)
 		}
 	}
-	head := candidates[w.rng.IntN(len(candidates))]
+	head := candidates[m.rng.IntN(len(candidates))]
 	members := []*replica{head}
-	for _, i := range w.rng.Perm(len(w.replicas)) {
-		if r := w.replicas[i]; r != head && (all || len(members) < 2 || w.rng.IntN(2) == 0) {
+	for _, i := range m.rng.Perm(len(m.replicas)) {
+		if r := m.replicas[i]; r != head && (all || len(members) < 2 || m.rng.IntN(2) == 0) {
 			members = append(members, r)
 		}
 	}
-	w.beginEpoch(members)
-	w.logf("epoch %d: head %s of %d", w.epoch, head.name, len(members))
+	m.beginEpoch(members)
+	m.logf("epoch %d: head %s of %d", m.epoch, head.name, len(members))
 	return head
 }
 
 // replicate sends the entries that successor b lacks, or the first of them.
-func (w *chainModel) replicate(from, to *replica) {
+func (m *chainModel) replicate(from, to *replica) {
 	if from.epoch != to.epoch || !from.active {
 		return
 	}
@@ -158,18 +158,18 @@
 		to.commitIndex = min(from.lastIndex, max(from.commitIndex, to.commitIndex))
 	} else if i := slices.IndexFunc(from.entries, func(e chain.Entry) bool { return e.Index > to.lastIndex }); i >= 0 {
 		more := from.entries[i:]
-		if len(more) > 1 && w.rng.IntN(4) == 0 {
-			more = more[:1+w.rng.IntN(len(more)-1)]
-			w.partialUpdate = true
+		if len(more) > 1 && m.rng.IntN(4) == 0 {
+			more = more[:1+m.rng.IntN(len(more)-1)]
+			m.partialUpdate = true
 		}
 		to.entries = append(slices.Clip(to.entries), more...)
 		to.lastIndex = more[len(more)-1].Index
 	}
-	if to.tail() {
+	if to.isTail() {
 		for _, e := range to.entries {
-			if e.Index > w.committedIndex {
-				w.committedIndex = e.Index
-				w.onCommit(e)
+			if e.Index > m.committedIndex {
+				m.committedIndex = e.Index
+				m.onCommit(e)
 			}
 		}
 		to.advanceCommit(to.lastIndex)
@@ -178,36 +178,36 @@
 }
 
 // step advances the time by one step: due events, heads, one update on each link, pending replies.
-func (w *chainModel) step() {
-	w.now += simulationStep
-	w.partialUpdate = false
-	due := w.scheduled
-	w.scheduled = nil
+func (m *chainModel) step() {
+	m.now += simulationStep
+	m.partialUpdate = false
+	due := m.scheduled
+	m.scheduled = nil
 	var later []event
 	for _, e := range due {
-		if e.due <= w.now {
+		if e.due <= m.now {
 			e.run()
 		} else {
 			later = append(later, e)
 		}
 	}
-	w.scheduled = append(later, w.scheduled...)
-	for _, r := range w.replicas {
-		if r.head() {
-			w.onHeadStep(r)
+	m.scheduled = append(later, m.scheduled...)
+	for _, r := range m.replicas {
+		if r.isHead() {
+			m.onHeadStep(r)
 		}
-		if i := slices.Index(r.chain, r); i+1 < len(r.chain) && w.rng.IntN(3) > 0 {
-			w.replicate(r, r.chain[i+1])
+		if i := slices.Index(r.chain, r); i+1 < len(r.chain) && m.rng.IntN(3) > 0 {
+			m.replicate(r, r.chain[i+1])
 		}
 	}
-	for _, r := range w.replicas {
+	for _, r := range m.replicas {
 		pending := r.pending
 		r.pending = nil
 		for _, reply := range pending {
 			switch {
-			case reply.dependsOn <= r.commitIndex && (reply.confirmedAt == 0 || reply.confirmedAt <= w.now && w.epochConfirmed(r)):
+			case reply.dependsOn <= r.commitIndex && (reply.confirmedAt == 0 || reply.confirmedAt <= m.now && m.epochConfirmed(r)):
 				reply.reply(true)
-			case w.now >= reply.deadline:
+			case m.now >= reply.deadline:
 				reply.reply(false)
 			default:
 				r.pending = append(r.pending, reply)
--- a/internal/tier/orders/config_faults_test.go
+++ b/internal/tier/orders/config_bugs_test.go
@@ -10,16 +10,16 @@
 )
 
 // configFault is a planted fault in the decisions, or in the caller's duties. The simulation must find each.
-type configFault struct {
-	decide           func(d Decision, s *State, o PutConfig) Decision // changes the real decision
-	noConfirm        bool                                             // replies don't wait for the epoch's confirmation
-	trustRecord      bool                                             // a record counts without its configuration
-	ignoreDependency bool                                             // replies don't wait for the commit of DependsOn
+type configBug struct {
+	decide                 func(d Decision, s *State, o PutConfig) Decision // changes the real decision
+	skipConfirmation       bool                                             // replies don't wait for the epoch's confirmation
+	trustUncommittedRecord bool                                             // a record counts without its configuration
+	ignoreDependency       bool                                             // replies don't wait for the commit of DependsOn
 }
 
-func (f configFault) put(r *replica, o PutConfig) (Decision, error) {
+func (f configBug) decidePut(r *replica, o PutConfig) (Decision, error) {
 	d, err := Decide(r.entries, 1, o)
-	if f.trustRecord && d.Kind == Accept && hasRecord(r, o) {
+	if f.trustUncommittedRecord && d.Kind == Accept && hasRecord(r, o) {
 		d.Kind, d.Append = AlreadyApplied, nil
 	}
 	if f.decide == nil || err != nil {
@@ -48,28 +48,28 @@
 	return false
 }
 
-func rejection(s *State, d Decision) Decision {
+func reject(s *State, d Decision) Decision {
 	return Decision{Kind: VersionMismatch, DependsOn: d.DependsOn, Reason: "planted"}
 }
 
-func TestConfigSimulationFindsPlantedFaults(t *testing.T) {
+func TestConfigSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]configFault{
+	for name, f := range map[string]configBug{
 		"rejected after 64 others": {decide: func(d Decision, s *State, o PutConfig) Decision {
 			if d.Kind == AlreadyApplied && o.Version < s.Version()-128 {
-				return rejection(s, d)
+				return reject(s, d)
 			}
 			return d
 		}},
 		"rejected where the history does not go back": {decide: func(d Decision, s *State, _ PutConfig) Decision {
 			if d.Kind == Unavailable && strings.Contains(d.Reason, "older than what is known") {
-				return rejection(s, d)
+				return reject(s, d)
 			}
 			return d
 		}},
 		"version mismatch before the digest is compared": {decide: func(d Decision, s *State, o PutConfig) Decision {
 			if o.IfMatch != s.Version() {
-				return rejection(s, d)
+				return reject(s, d)
 			}
 			return d
 		}},
@@ -87,13 +87,13 @@
 		}},
 		"same configuration on another base version rejected": {decide: func(d Decision, s *State, _ PutConfig) Decision {
 			if d.Kind == Unavailable && strings.Contains(d.Reason, "this very configuration") {
-				return rejection(s, d)
+				return reject(s, d)
 			}
 			return d
 		}},
 		"base version above the current one rejected": {decide: func(d Decision, s *State, _ PutConfig) Decision {
 			if d.Kind == Unavailable && strings.Contains(d.Reason, "on which it builds") {
-				return rejection(s, d)
+				return reject(s, d)
 			}
 			return d
 		}},
@@ -106,7 +106,7 @@
 			}
 			return d
 		}},
-		"record counts without its configuration": {trustRecord: true},
+		"record counts without its configuration": {trustUncommittedRecord: true},
 		"configuration written before its record": {decide: func(d Decision, _ *State, _ PutConfig) Decision {
 			if n := len(d.Append); n > 1 {
 				d.Append = append([]Write{d.Append[n-1]}, d.Append[:n-1]...)
@@ -121,7 +121,7 @@
 		}},
 		"legacy history ignored": {decide: func(d Decision, s *State, o PutConfig) Decision {
 			if s.history.inLegacy(o.Digest) && d.Kind == AlreadyApplied {
-				return rejection(s, d)
+				return reject(s, d)
 			}
 			return d
 		}},
@@ -138,7 +138,7 @@
 			}
 			return d
 		}},
-		"replies without confirmation of the epoch": {noConfirm: true},
+		"replies without confirmation of the epoch": {skipConfirmation: true},
 		"replies before the commit of DependsOn":    {ignoreDependency: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/tier/orders/config_simulation_test.go
+++ b/internal/tier/orders/config_simulation_test.go
@@ -17,7 +17,7 @@
 var simulations = flag.Int("courses", 60, "random simulations to run, of configurations and of stores each")
 
 // simulationCount is smaller under the race detector.
-func simulationCount() int {
+func simulationsToRun() int {
 	if raceDetector {
 		return min(*simulations, 12)
 	}
@@ -49,7 +49,7 @@
 type configSimulation struct {
 	*chainModel
 	seed    uint64
-	fault   configFault
+	bug     configBug
 	failure string
 	events  []string
 
@@ -63,7 +63,7 @@
 	inFlight          int                    // orders without an answer
 	sentInOrder       []configChange         // with those of the initial state
 	sent              map[configChange]bool
-	unrecordedCount   int      // of committedChanges: the legacy format has no base versions of them
+	legacyCount       int      // of committedChanges: the legacy format has no base versions of them
 	lastSent          [2]int64 // last version that each operator sent
 	lastRead          [2]int64 // last version that each operator read
 	reads             int
@@ -76,10 +76,10 @@
 	}
 }
 
-func newConfigSimulation(seed uint64, fault configFault) *configSimulation {
+func newConfigSimulation(seed uint64, fault configBug) *configSimulation {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	initial := initialStates()[rng.IntN(len(initialStates()))]
-	sim := &configSimulation{chainModel: newChainModel(rng, 3+rng.IntN(3), initial.entries), seed: seed, fault: fault,
+	sim := &configSimulation{chainModel: newChainModel(rng, 3+rng.IntN(3), initial.entries), seed: seed, bug: fault,
 		positionByVersion: map[int64]int{}, rejected: map[configChange]bool{}, sent: map[configChange]bool{},
 		ackedByBase: map[int64]configChange{}, acked: map[configChange]bool{}, answers: map[Kind]int{}}
 	sim.logf = func(format string, args ...any) {
@@ -90,8 +90,8 @@
 		sim.committedChanges = append(sim.committedChanges, change)
 		sim.sentInOrder = append(sim.sentInOrder, change)
 	}
-	if initial.legacyFormat {
-		sim.unrecordedCount = len(initial.committedChanges)
+	if initial.isLegacyFormat {
+		sim.legacyCount = len(initial.committedChanges)
 	}
 	sim.logf("seed %d: %d replicas, %d versions before", seed, len(sim.replicas), len(sim.committedChanges))
 	sim.onCommit = sim.handleCommit
@@ -170,10 +170,10 @@
 	r := c.replicas[c.rng.IntN(len(c.replicas))]
 	delay := time.Duration(1+c.rng.IntN(30)) * time.Millisecond
 	c.schedule(delay, func() {
-		if !r.head() && len(r.chain) > 0 {
+		if !r.isHead() && len(r.chain) > 0 {
 			r = r.chain[0]
 		}
-		if r.head() {
+		if r.isHead() {
 			c.handleAtHead(r, change, answered)
 		}
 	})
@@ -181,7 +181,7 @@
 
 // handleAtHead decides an order and waits with the reply as controlnode does.
 func (c *configSimulation) handleAtHead(r *replica, change configChange, answered func(Decision)) {
-	decision, err := c.fault.put(r, change.order())
+	decision, err := c.bug.decidePut(r, change.order())
 	if err != nil {
 		c.fail("%v: %v", change, err)
 		return
@@ -201,9 +201,9 @@
 		return
 	}
 	switch {
-	case c.fault.noConfirm:
+	case c.bug.skipConfirmation:
 		r.pending = append(r.pending, pendingReply{dependsOn: decision.DependsOn, deadline: c.now + callTimeout, reply: reply})
-	case c.fault.ignoreDependency:
+	case c.bug.ignoreDependency:
 		r.pending = append(r.pending, pendingReply{confirmedAt: c.now + 1, deadline: c.now + callTimeout, reply: reply})
 	default:
 		round := time.Duration(1+c.rng.IntN(40)) * time.Millisecond
@@ -265,7 +265,7 @@
 		drawn.body = fmt.Sprintf("%d by both", version)
 	case kind < 8 && len(c.sentInOrder) > 0: // a body that was sent before, on another base version
 		earlier := c.sentInOrder[c.rng.IntN(len(c.sentInOrder))]
-		if i, ok := c.positionByVersion[earlier.version]; ok && i < c.unrecordedCount {
+		if i, ok := c.positionByVersion[earlier.version]; ok && i < c.legacyCount {
 			break
 		}
 		drawn = earlier
@@ -284,7 +284,7 @@
 // sendRead reads the current configuration at a tail.
 func (c *configSimulation) sendRead() {
 	r := c.replicas[c.rng.IntN(len(c.replicas))]
-	if !r.tail() {
+	if !r.isTail() {
 		return
 	}
 	before := c.highestAcked
@@ -368,13 +368,13 @@
 
 func (c *configSimulation) eventLog() string { return strings.Join(c.events, "\n") }
 
-func TestRandomConfigSimulations(t *testing.T) {
+func TestRandomConfigSimulationsKeepAnswersConsistent(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
 	total, maxVersions := map[Kind]int{}, 0
-	for i := range simulationCount() {
-		c := newConfigSimulation(base+uint64(i), configFault{})
+	for i := range simulationsToRun() {
+		c := newConfigSimulation(base+uint64(i), configBug{})
 		before := len(c.committedChanges)
 		c.run()
 		if c.failure != "" {
@@ -385,10 +385,10 @@
 			total[k] += n
 		}
 	}
-	t.Logf("%d simulations, up to %d versions each, answers: %v", simulationCount(), maxVersions, total)
+	t.Logf("%d simulations, up to %d versions each, answers: %v", simulationsToRun(), maxVersions, total)
 	for _, k := range []Kind{Accept, AlreadyApplied, VersionMismatch, Invalid, Unavailable} {
-		if total[k] < simulationCount() {
-			t.Errorf("%d answers of kind %v in %d simulations: too few to show anything", total[k], k, simulationCount())
+		if total[k] < simulationsToRun() {
+			t.Errorf("%d answers of kind %v in %d simulations: too few to show anything", total[k], k, simulationsToRun())
 		}
 	}
 }
--- a/internal/tier/orders/config_test.go
+++ b/internal/tier/orders/config_test.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/tier/feed"
 )
 
-func TestDecidePutConfig(t *testing.T) {
+func TestPutConfigDecisions(t *testing.T) {
 	empty := func(*testing.T, *entryLog) {}
 	threeApplied := func(t *testing.T, l *entryLog) { // 3, 5 and 9 were applied
 		l.mustPut(t, put(3, 0, "a"))
@@ -69,7 +69,7 @@
 		{"a higher version on a base above the current one", threeApplied, put(12, 11, "b"), Unavailable},
 		{"a higher version on itself", threeApplied, put(12, 12, "b"), VersionMismatch},
 		{"unreadable", threeApplied, unreadablePut("x"), Invalid},
-		{"unreadable now, but applied before", threeApplied, nowUnreadable(put(5, 3, "a")), AlreadyApplied},
+		{"unreadable now, but applied before", threeApplied, unreadableSinceApplied(put(5, 3, "a")), AlreadyApplied},
 		{"record only: the same order", recordOnly, put(12, 9, "b"), Accept},
 		{"record only: another version", recordOnly, put(11, 9, "c"), Accept},
 		{"record only: another configuration of the version", recordOnly, put(12, 9, "c"), Accept},
@@ -188,13 +188,13 @@
 	}
 }
 
-func TestReadConfigWithoutConfiguration(t *testing.T) {
+func TestReadConfigReportsNotFoundWithoutConfiguration(t *testing.T) {
 	if d := (&entryLog{}).decide(t, ReadConfig{}); d.Kind != NotFound || d.DependsOn != 0 || d.Reason == "" {
 		t.Fatalf("%+v", d)
 	}
 }
 
-func BenchmarkDecideWithAFullHistory(b *testing.B) {
+func BenchmarkDecideWithFullHistory(b *testing.B) {
 	l := &entryLog{}
 	for _, o := range consecutivePuts(1, 1100, "a") {
 		l.mustPut(b, o)
--- a/internal/tier/orders/decision_test.go
+++ b/internal/tier/orders/decision_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestKindString(t *testing.T) {
+func TestEachKindHasANameAndOneClass(t *testing.T) {
 	for k := Accept; k <= Found; k++ {
 		if k.String() == "" || strings.HasPrefix(k.String(), "Kind(") {
 			t.Errorf("%d has no name", int(k))
--- a/internal/tier/orders/entry_log_test.go
+++ b/internal/tier/orders/entry_log_test.go
@@ -68,7 +68,7 @@
 }
 
 // nowUnreadable returns the order as it is if the checks became stricter after it was applied.
-func nowUnreadable(o PutConfig) PutConfig {
+func unreadableSinceApplied(o PutConfig) PutConfig {
 	o.Version, o.Invalid = 0, "checks are stricter"
 	return o
 }
--- a/internal/tier/orders/initial_states_test.go
+++ b/internal/tier/orders/initial_states_test.go
@@ -11,7 +11,7 @@
 type initialState struct {
 	entries          []chain.Entry
 	committedChanges []configChange
-	legacyFormat     bool // of the format without records
+	isLegacyFormat   bool // of the format without records
 }
 
 var initialStates = sync.OnceValue(func() []initialState {
--- a/internal/tier/orders/duties.go
+++ b/internal/tier/orders/singleton_tasks.go
@@ -25,7 +25,7 @@
 }
 
 // dutyState is the part of the state that belongs to singleton duties.
-type dutyState struct {
+type taskState struct {
 	tokenBase      *FencingTokenBaseEntry // nil if there is none
 	tokenBaseIndex int64
 	usage          map[string]UsageEntry // by key
@@ -38,20 +38,20 @@
 }
 
 // readDutyEntry decodes an entry of a singleton duty; ok is false for any other entry.
-func (s *State) readDutyEntry(key string, e chain.Entry) (ok bool, err error) {
+func (s *State) readTaskEntry(key string, e chain.Entry) (ok bool, err error) {
 	switch {
 	case key == tokenBaseKey:
-		s.duties.tokenBase, s.duties.tokenBaseIndex = new(FencingTokenBaseEntry), e.Index
-		return true, rpc.Decode(e.Value, s.duties.tokenBase)
+		s.tasks.tokenBase, s.tasks.tokenBaseIndex = new(FencingTokenBaseEntry), e.Index
+		return true, rpc.Decode(e.Value, s.tasks.tokenBase)
 	case strings.HasPrefix(key, usageKeyPrefix):
 		var entry UsageEntry
 		if err := rpc.Decode(e.Value, &entry); err != nil {
 			return true, err
 		}
-		if s.duties.usage == nil {
-			s.duties.usage, s.duties.usageIndex = map[string]UsageEntry{}, map[string]int64{}
+		if s.tasks.usage == nil {
+			s.tasks.usage, s.tasks.usageIndex = map[string]UsageEntry{}, map[string]int64{}
 		}
-		s.duties.usage[key], s.duties.usageIndex[key] = entry, e.Index
+		s.tasks.usage[key], s.tasks.usageIndex[key] = entry, e.Index
 		return true, nil
 	}
 	return false, nil
@@ -59,15 +59,15 @@
 
 // FencingTokenBase returns the number to which the epoch is added in fencing tokens; ok is false if none is recorded.
 func (s *State) FencingTokenBase() (base int64, ok bool) {
-	if s.duties.tokenBase == nil {
+	if s.tasks.tokenBase == nil {
 		return 0, false
 	}
-	return s.duties.tokenBase.Base, true
+	return s.tasks.tokenBase.Base, true
 }
 
 // UsageReports returns the recorded reports of windows, in no particular order.
 func (s *State) UsageReports() (reports []UsageEntry) {
-	for _, entry := range s.duties.usage {
+	for _, entry := range s.tasks.usage {
 		reports = append(reports, entry)
 	}
 	return reports
@@ -78,8 +78,8 @@
 type RecordFencingTokenBase struct{ Base int64 }
 
 func (o RecordFencingTokenBase) decide(state *State) Decision {
-	if state.duties.tokenBase != nil {
-		return Decision{Kind: AlreadyApplied, DependsOn: state.duties.tokenBaseIndex, Reason: "recorded before"}
+	if state.tasks.tokenBase != nil {
+		return Decision{Kind: AlreadyApplied, DependsOn: state.tasks.tokenBaseIndex, Reason: "recorded before"}
 	}
 	entry := FencingTokenBaseEntry(o)
 	return Decision{Kind: Accept, Reason: "recorded", Append: []Write{{Key: tokenBaseKey, Value: rpc.Encode(&entry)}}}
@@ -91,8 +91,8 @@
 
 func (o RecordUsage) decide(state *State) Decision {
 	key := usageKey(o.Window)
-	recorded, ok := state.duties.usage[key]
-	decision := Decision{DependsOn: state.duties.usageIndex[key]}
+	recorded, ok := state.tasks.usage[key]
+	decision := Decision{DependsOn: state.tasks.usageIndex[key]}
 	switch {
 	case ok && recorded.Window == o.Window:
 		decision.Kind, decision.Reason, decision.Body = AlreadyApplied, "recorded before", recorded.Body
--- a/internal/tier/orders/state.go
+++ b/internal/tier/orders/state.go
@@ -21,7 +21,7 @@
 	Placement      *turnstore.Placement // nil if there is none
 	Retirements    []Retirement         // all that were accepted, in no particular order
 
-	duties          dutyState
+	tasks           taskState
 	history         history
 	configDependsOn int64 // index of the last entry on which decisions about configurations depend
 	storesDependsOn int64 // index of the last entry on which decisions about stores depend
@@ -67,7 +67,7 @@
 		s.Placement = new(turnstore.Placement)
 		return rpc.Decode(e.Value, s.Placement)
 	}
-	if ok, err := s.readDutyEntry(key, e); ok {
+	if ok, err := s.readTaskEntry(key, e); ok {
 		return err
 	}
 	if name, id, ok := ParseRetireKey(key); ok {
--- a/internal/tier/orders/store_simulation_run_test.go
+++ b/internal/tier/orders/store_simulation_run_test.go
@@ -7,23 +7,23 @@
 )
 
 // storeFault is a planted fault in the decisions about stores, or in the caller's duties. The simulation must find each.
-type storeFault struct {
+type storeBug struct {
 	keyByName        bool // the key of an order has the name only, so that the next order of the name replaces it
 	stalePhase       bool // the phase is that of the order, whichever store has the name now
 	committedOnly    bool // orders are decided by committed entries only
 	forgetRetired    bool // a retired store is not found
-	noConfirm        bool // replies don't wait for the epoch's confirmation
+	skipConfirmation bool // replies don't wait for the epoch's confirmation
 	ignoreDependency bool // replies don't wait for the commit of DependsOn
 	dropOnDiskLoss   bool // an order is dropped if its store loses its disk
 }
 
-func TestRandomStoreSimulations(t *testing.T) {
+func TestRandomStoreSimulationsKeepAnswersConsistent(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
 	total := map[Kind]int{}
-	for i := range simulationCount() {
-		c := newStoreSimulation(base+uint64(i), storeFault{})
+	for i := range simulationsToRun() {
+		c := newStoreSimulation(base+uint64(i), storeBug{})
 		if c.run(); c.failure != "" {
 			t.Fatalf("seed %d: %s\n%s", base+uint64(i), c.failure, strings.Join(c.events, "\n"))
 		}
@@ -31,22 +31,22 @@
 			total[k] += n
 		}
 	}
-	t.Logf("%d simulations, answers: %v", simulationCount(), total)
+	t.Logf("%d simulations, answers: %v", simulationsToRun(), total)
 	for _, k := range []Kind{Accept, InProgress, Retired, Conflict, NotFound, Serving, Complete} {
-		if total[k] < simulationCount()/4 {
-			t.Errorf("%d answers of kind %v in %d simulations: too few to show anything", total[k], k, simulationCount())
+		if total[k] < simulationsToRun()/4 {
+			t.Errorf("%d answers of kind %v in %d simulations: too few to show anything", total[k], k, simulationsToRun())
 		}
 	}
 }
 
-func TestStoreSimulationFindsPlantedFaults(t *testing.T) {
+func TestStoreSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]storeFault{
+	for name, f := range map[string]storeBug{
 		"order kept by name only":                   {keyByName: true},
 		"complete while another store has the name": {stalePhase: true},
 		"decided by committed entries only":         {committedOnly: true},
 		"retired store not found":                   {forgetRetired: true},
-		"replies without confirmation of the epoch": {noConfirm: true},
+		"replies without confirmation of the epoch": {skipConfirmation: true},
 		"replies before the commit of DependsOn":    {ignoreDependency: true},
 		"order dropped with its store's disk":       {dropOnDiskLoss: true},
 	} {
--- a/internal/tier/orders/store_simulation_test.go
+++ b/internal/tier/orders/store_simulation_test.go
@@ -18,19 +18,19 @@
 // machines get old names, lose their disks, or return after they were removed.
 type storeSimulation struct {
 	*chainModel
-	fault           storeFault
-	failure         string
-	events          []string
-	machines        map[string]turnstore.Store // the running ones, by name
-	ids             int
-	committedLog    entryLog          // all committed entries
-	acknowledged    map[string]string // name to the identity of the store that had it when the order was acknowledged
-	retired         map[string]bool   // identities of stores that were retired and left the placement
-	removedMachines []turnstore.Store // may be started again by mistake
-	newestStore     string            // name of the store that was added to the placement last
-	headSince       time.Duration     // when the current head took over
-	head            *replica
-	answers         map[Kind]int
+	bug               storeBug
+	failure           string
+	events            []string
+	machines          map[string]turnstore.Store // the running ones, by name
+	identitiesCreated int
+	committedLog      entryLog          // all committed entries
+	acknowledged      map[string]string // name to the identity of the store that had it when the order was acknowledged
+	retired           map[string]bool   // identities of stores that were retired and left the placement
+	removedMachines   []turnstore.Store // may be started again by mistake
+	newestStore       string            // name of the store that was added to the placement last
+	headSince         time.Duration     // when the current head took over
+	head              *replica
+	answers           map[Kind]int
 }
 
 func (c *storeSimulation) fail(format string, args ...any) {
@@ -41,14 +41,14 @@
 }
 
 func (c *storeSimulation) startMachine(name string) {
-	c.ids++
-	c.machines[name] = turnstore.Store{ID: fmt.Sprintf("id%d", c.ids), Name: name, Addr: name}
+	c.identitiesCreated++
+	c.machines[name] = turnstore.Store{ID: fmt.Sprintf("id%d", c.identitiesCreated), Name: name, Addr: name}
 	c.logf("machine %s is %s", name, c.machines[name].ID)
 }
 
-func newStoreSimulation(seed uint64, fault storeFault) *storeSimulation {
+func newStoreSimulation(seed uint64, fault storeBug) *storeSimulation {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	sim := &storeSimulation{chainModel: newChainModel(rng, 3+rng.IntN(2), nil), fault: fault, machines: map[string]turnstore.Store{},
+	sim := &storeSimulation{chainModel: newChainModel(rng, 3+rng.IntN(2), nil), bug: fault, machines: map[string]turnstore.Store{},
 		acknowledged: map[string]string{}, retired: map[string]bool{}, answers: map[Kind]int{}}
 	sim.logf = func(format string, args ...any) {
 		sim.events = append(sim.events, fmt.Sprintf("%8.2f ", sim.now.Seconds())+fmt.Sprintf(format, args...))
@@ -159,7 +159,7 @@
 		}
 		registry[store.ID] = registered
 	}
-	if lost := placement.SuccessorsOfRetiringStores(input); len(lost) > 0 && !c.fault.dropOnDiskLoss {
+	if lost := placement.SuccessorsOfRetiringStores(input); len(lost) > 0 && !c.bug.dropOnDiskLoss {
 		r.append(Write{Key: RetireKey(lost[0].Name, lost[0].ID), Value: rpc.Encode(&feed.RetireEntry{ID: lost[0].ID})})
 		return
 	}
@@ -169,22 +169,22 @@
 }
 
 // decide returns the decision with the planted fault.
-func (c *storeSimulation) decide(entries []chain.Entry, o Order) Decision {
+func (c *storeSimulation) decideWithBug(entries []chain.Entry, o Order) Decision {
 	d, err := Decide(entries, 1, o)
 	if err != nil {
 		c.fail("%v", err)
 	}
 	switch o := o.(type) {
 	case RetireStore:
-		if c.fault.keyByName && d.Kind == Accept {
+		if c.bug.keyByName && d.Kind == Accept {
 			d.Append[0].Key = feed.RetirePrefix + o.Name
 		}
-		if c.fault.forgetRetired && d.Kind == Retired {
+		if c.bug.forgetRetired && d.Kind == Retired {
 			d.Kind = NotFound
 		}
 	case StorePhase:
 		s, err := ReadState(entries, 1)
-		if c.fault.stalePhase && err == nil && s.Placement != nil {
+		if c.bug.stalePhase && err == nil && s.Placement != nil {
 			for _, r := range s.Retirements {
 				if r.Name == o.Name && !containsID(s.Placement.Stores(), r.ID) {
 					d.Kind = Complete
@@ -198,14 +198,14 @@
 // sendRetire sends an order to retire a store to the head that a replica knows.
 func (c *storeSimulation) sendRetire(name string) {
 	r := c.randomHead()
-	if !r.head() {
+	if !r.isHead() {
 		return
 	}
 	entries := r.entries
-	if c.fault.committedOnly {
+	if c.bug.committedOnly {
 		entries = r.committed()
 	}
-	d := c.decide(entries, RetireStore{Name: name})
+	d := c.decideWithBug(entries, RetireStore{Name: name})
 	before := c.committedState()
 	reply := pendingReply{dependsOn: d.DependsOn, deadline: c.now + callTimeout,
 		confirmedAt: c.now + time.Duration(1+c.rng.IntN(40))*time.Millisecond}
@@ -220,9 +220,9 @@
 			r.append(w)
 		}
 		reply.dependsOn, reply.confirmedAt = r.lastIndex, 0
-	case c.fault.noConfirm:
+	case c.bug.skipConfirmation:
 		reply.confirmedAt = 0
-	case c.fault.ignoreDependency:
+	case c.bug.ignoreDependency:
 		reply.dependsOn = 0
 	}
 	r.pending = append(r.pending, reply)
@@ -259,14 +259,14 @@
 // sendPhase asks a tail for a phase. If it is Complete the operator may remove the machine with its disk.
 func (c *storeSimulation) sendPhase(name string) {
 	r := c.replicas[c.rng.IntN(len(c.replicas))]
-	if !r.tail() {
+	if !r.isTail() {
 		return
 	}
 	reply := func(ok bool) {
 		if !ok {
 			return
 		}
-		d := c.decide(r.committed(), StorePhase{Name: name})
+		d := c.decideWithBug(r.committed(), StorePhase{Name: name})
 		c.answers[d.Kind]++
 		if d.Kind != Complete {
 			return
@@ -297,7 +297,7 @@
 				c.logf("machine %s returns as %s", removed.Name, removed.ID)
 			}
 		case 1:
-			name = fmt.Sprintf("n%d", c.ids)
+			name = fmt.Sprintf("n%d", c.identitiesCreated)
 			fallthrough
 		default:
 			if _, running := c.machines[name]; !running {
@@ -311,7 +311,7 @@
 func (c *storeSimulation) randomHead() *replica {
 	if c.rng.IntN(3) == 0 {
 		for _, r := range c.replicas {
-			if r.head() && r.epoch < c.epoch {
+			if r.isHead() && r.epoch < c.epoch {
 				return r
 			}
 		}
--- a/internal/tier/orders/stores_test.go
+++ b/internal/tier/orders/stores_test.go
@@ -24,16 +24,16 @@
 }
 
 // retirementWrite returns the entry of an order to retire a store; byNameAlone selects the legacy key.
-func retirementWrite(name string, byNameAlone bool) Write {
+func retirementWrite(name string, withLegacyKey bool) Write {
 	s := parseStores(name)[0]
 	key := RetireKey(s.Name, s.ID)
-	if byNameAlone {
+	if withLegacyKey {
 		key = feed.RetirePrefix + s.Name
 	}
 	return Write{Key: key, Value: rpc.Encode(&feed.RetireEntry{ID: s.ID})}
 }
 
-func TestDecideStoreOrders(t *testing.T) {
+func TestRetireStoreAndStorePhaseDecisions(t *testing.T) {
 	type writes []Write
 	for _, test := range []struct {
 		name   string
--- a/internal/tier/placement/helpers_test.go
+++ b/internal/tier/placement/helpers_test.go
@@ -45,37 +45,37 @@
 
 // run simulates until a point in time or the first change, and returns that. The given stores register at each step; one with
 // ~ behind its name has not swept under the generation in force.
-func (r *headSequence) run(until time.Duration, ids ...string) *turnstore.Placement {
-	for in := &r.input; in.Now < until; in.Now += planStep {
+func (h *headSequence) run(until time.Duration, ids ...string) *turnstore.Placement {
+	for in := &h.input; in.Now < until; in.Now += planStep {
 		for _, id := range ids {
-			r.register(id)
+			h.register(id)
 		}
-		if next := Plan(*in, r.timings); next != nil {
+		if next := Plan(*in, h.timings); next != nil {
 			return next
 		}
 	}
 	return nil
 }
 
-func (r *headSequence) register(who string) {
-	in := &r.input
+func (h *headSequence) register(who string) {
+	in := &h.input
 	id, unswept := strings.CutSuffix(who, "~")
 	registration := Registration{Store: turnstore.Store{ID: id, Name: id, Addr: id + ":1"}, Generation: in.Current.Generation}
 	if !unswept {
 		registration.SweptGeneration = in.Current.Generation
 	}
-	Register(in.Stores, registration, in.Now, r.timings)
+	Register(in.Stores, registration, in.Now, h.timings)
 }
 
 // takeOver makes another node head, which inherits observations.
-func (r *headSequence) takeOver(inherited Observations) {
-	in := &r.input
+func (h *headSequence) takeOver(inherited Observations) {
+	in := &h.input
 	in.TookOverAt, in.Inherited, in.Stores = in.Now, inherited, map[string]StoreStatus{}
 	in.GenerationSince = inherited.GenerationSince(in.Current.Generation, in.Now)
 }
 
 // newRetirement returns a head with four stores and an order to retire d. If joint, the change that removes d is in progress.
-func newRetirement(joint bool) *headSequence {
+func newRetirementSequence(joint bool) *headSequence {
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	heads.run(4*time.Second, "a", "b", "c", "d")
 	in := &heads.input
@@ -89,16 +89,16 @@
 }
 
 // registerTwice registers a store twice, which confirms it.
-func (r *headSequence) registerTwice(store turnstore.Store) {
+func (h *headSequence) registerTwice(store turnstore.Store) {
 	for range 2 {
-		Register(r.input.Stores, Registration{Store: store, Generation: r.input.Current.Generation}, r.input.Now, r.timings)
-		r.input.Now += planStep
+		Register(h.input.Stores, Registration{Store: store, Generation: h.input.Current.Generation}, h.input.Now, h.timings)
+		h.input.Now += planStep
 	}
 }
 
 // playRegistrations registers stores by lines of a time in ms and the stores that register then, each as id@address or
 // id@address:generation. It returns the last time.
-func playRegistrations(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
+func replayRegistrations(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
 	t.Helper()
 	timings := DefaultTimings(3 * time.Second)
 	for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
@@ -129,7 +129,7 @@
 //	'R'  it registers, and is to be retired
 //
 // After '|' follows the placement at that time: generation, old and new list, as names, with w for the other identity.
-func playTimeline(t *testing.T, faultTolerance int, timeline string) {
+func runTimeline(t *testing.T, faultTolerance int, timeline string) {
 	t.Helper()
 	var lines [][]string
 	for _, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
@@ -146,7 +146,7 @@
 		bar := slices.Index(fields, "|")
 		for ; in.Now <= time.Duration(until)*time.Millisecond; in.Now += planStep {
 			for i, mark := range fields[1:bar] {
-				playMark(&in, names[i], mark)
+				applyTimelineMark(&in, names[i], mark)
 			}
 			planOnce(t, &in, timings)
 		}
@@ -157,7 +157,7 @@
 }
 
 // playMark records what a store does by its mark in a timeline.
-func playMark(in *Input, name, mark string) {
+func applyTimelineMark(in *Input, name, mark string) {
 	id := name
 	if mark == "." {
 		return
--- a/internal/tier/placement/model_check_test.go
+++ b/internal/tier/placement/model_check_test.go
@@ -7,18 +7,18 @@
 )
 
 // canDeny reports whether the store may deny that a turn exists, as in package turnstore.
-func (h *host) canDeny() bool {
-	return h.known != nil && (containsStore(h.known.Old, h.id) || h.swept == h.known.Generation)
+func (h *host) isAuthoritative() bool {
+	return h.placement != nil && (containsStore(h.placement.Old, h.id) || h.sweptGeneration == h.placement.Generation)
 }
 
 // check checks the invariant of docs/design/015.
 func (m *simulation) check() {
-	if m.current == nil || m.countLost() > m.faultTolerance {
+	if m.currentPlacement == nil || m.countLost() > m.faultTolerance {
 		m.noMajoritySince = 0
 		return
 	}
 	m.checkMajorities()
-	lists := [][]responder{m.responders(m.current.Old), m.responders(m.current.New)}
+	lists := [][]responder{m.responders(m.currentPlacement.Old), m.responders(m.currentPlacement.New)}
 	for number, write := range m.writes {
 		if write.acked {
 			m.checkWrite(number, write, lists)
@@ -28,14 +28,14 @@
 
 // responder is a store of a list as it responds now.
 type responder struct {
-	running, canDeny bool
-	writes           uint64
+	running, isAuthoritative bool
+	writes                   uint64
 }
 
 func (m *simulation) responders(list []turnstore.Store) (responders []responder) {
 	for _, store := range list {
 		if host := m.host(store.ID); host != nil {
-			responders = append(responders, responder{host.isUp(), host.canDeny(), host.writes})
+			responders = append(responders, responder{host.isUp(), host.isAuthoritative(), host.writes})
 		} else {
 			responders = append(responders, responder{})
 		}
@@ -49,7 +49,7 @@
 		for _, replicas := range m.replicaSets(program) {
 			running := 0
 			for _, store := range replicas {
-				if host := m.host(store.ID); host != nil && host.isUp() && host.adopted <= m.current.Generation {
+				if host := m.host(store.ID); host != nil && host.isUp() && host.adoptedGeneration <= m.currentPlacement.Generation {
 					running++
 				}
 			}
@@ -78,7 +78,7 @@
 		for _, store := range list {
 			hasWrite := store.writes>>number&1 == 1
 			running = running || store.running && hasWrite
-			if store.running && store.canDeny && !hasWrite {
+			if store.running && store.isAuthoritative && !hasWrite {
 				denials++
 			}
 		}
@@ -114,14 +114,14 @@
 		return
 	}
 	m.logEvent("new control state")
-	m.current, m.previous, m.tookOverAt, m.stores, m.retired = nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
+	m.currentPlacement, m.previousPlacement, m.tookOverAt, m.stores, m.retired = nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
 	for _, h := range m.hosts {
 		h.retired = false
 	}
 	m.departures = Departures{}
 	m.inherited, m.lastReport, m.referenceStores = Observations{}, Observations{}, map[string]StoreStatus{}
 	m.run(m.now+15*time.Second, injector.step)
-	if m.current == nil {
+	if m.currentPlacement == nil {
 		m.fail("STUCK: no placement 15 s after the control state was created anew")
 		return
 	}
@@ -133,7 +133,7 @@
 	if m.violation != "" {
 		return
 	}
-	if len(m.current.New) > 0 {
+	if len(m.currentPlacement.New) > 0 {
 		m.fail("STUCK: the placement is not stable long after the last fault")
 		return
 	}
--- a/internal/tier/placement/model_client_test.go
+++ b/internal/tier/placement/model_client_test.go
@@ -16,7 +16,7 @@
 
 // replicaSets returns the replica sets of a program by the lists in force.
 func (m *simulation) replicaSets(program int) []turnstore.ReplicaSet {
-	return m.replicaSetsUnder(m.current, program)
+	return m.replicaSetsUnder(m.currentPlacement, program)
 }
 
 func (m *simulation) replicaSetsUnder(placement *turnstore.Placement, program int) []turnstore.ReplicaSet {
@@ -37,9 +37,9 @@
 
 // write simulates a front that writes a turn under the placement that it knows; some replicas do not get it.
 func (m *simulation) write() {
-	known := m.current
+	known := m.currentPlacement
 	if m.now < m.previousUntil && m.rng.IntN(2) == 0 {
-		known = m.previous
+		known = m.previousPlacement
 	}
 	oneIn := 25
 	if m.now < m.previousUntil+500*time.Millisecond { // around a change of the placement
@@ -60,7 +60,7 @@
 		for _, store := range replicas {
 			if _, asked := accepted[store.ID]; !asked {
 				host := m.host(store.ID)
-				accepts := host != nil && host.isUp() && host.adopted <= known.Generation && (!skip || m.rng.IntN(3) > 0)
+				accepts := host != nil && host.isUp() && host.adoptedGeneration <= known.Generation && (!skip || m.rng.IntN(3) > 0)
 				if accepted[store.ID] = accepts; accepts {
 					host.writes |= 1 << number
 				}
--- a/internal/tier/placement/model_head_test.go
+++ b/internal/tier/placement/model_head_test.go
@@ -9,8 +9,8 @@
 
 // stepHead delivers registrations to the head, and plans.
 func (m *simulation) stepHead() {
-	sort.SliceStable(m.inTransit, func(i, j int) bool { return m.inTransit[i].at < m.inTransit[j].at })
-	for len(m.inTransit) > 0 && m.inTransit[0].at <= m.now {
+	sort.SliceStable(m.inTransit, func(i, j int) bool { return m.inTransit[i].arrivesAt < m.inTransit[j].arrivesAt })
+	for len(m.inTransit) > 0 && m.inTransit[0].arrivesAt <= m.now {
 		Register(m.stores, m.inTransit[0].registration, m.now, m.timings)
 		Register(m.referenceStores, m.inTransit[0].registration, m.now, m.timings)
 		m.inTransit = m.inTransit[1:]
@@ -18,15 +18,15 @@
 	if m.now%(100*time.Millisecond) != 0 {
 		return
 	}
-	if m.current != nil && m.current.Generation != m.generation {
-		m.generation, m.generationSince = m.current.Generation, m.now
+	if m.currentPlacement != nil && m.currentPlacement.Generation != m.generation {
+		m.generation, m.generationSince = m.currentPlacement.Generation, m.now
 	}
 	in := m.input()
-	m.checkNotCountedFailed(&in)
-	if m.now%reportInterval == 0 && m.reportRand.IntN(4) > 0 {
+	m.checkConfirmedStoresAreNotFailed(&in)
+	if m.now%reportInterval == 0 && m.reportLossRand.IntN(4) > 0 {
 		m.lastReport = in.Observe(m.timings)
 	}
-	if m.fault != retirementNotExtended {
+	if m.bug != retirementNotExtended {
 		for _, store := range SuccessorsOfRetiringStores(in) {
 			m.retired[store.ID] = true
 			m.logEvent("%s is to be retired as well", store.ID)
@@ -36,7 +36,7 @@
 	if next == nil {
 		return
 	}
-	if m.fault == jointPhaseSkipped && len(next.New) > 0 {
+	if m.bug == jointPhaseSkipped && len(next.New) > 0 {
 		next.Old, next.New = next.New, nil
 	}
 	m.apply(next)
@@ -45,22 +45,22 @@
 func (m *simulation) input() Input {
 	return Input{Now: m.now, TookOverAt: m.tookOverAt, Inherited: m.inherited,
 		GenerationSince: m.inherited.GenerationSince(m.generation, max(m.tookOverAt, m.generationSince)),
-		FaultTolerance:  m.faultTolerance, Current: m.current, Stores: m.stores, Retired: m.retired, Departures: m.departures}
+		FaultTolerance:  m.faultTolerance, Current: m.currentPlacement, Stores: m.stores, Retired: m.retired, Departures: m.departures}
 }
 
 // apply puts a planned placement in force.
 func (m *simulation) apply(next *turnstore.Placement) {
 	switch {
-	case m.current == nil:
-	case len(next.New) > 0 && len(m.current.New) == 0:
+	case m.currentPlacement == nil:
+	case len(next.New) > 0 && len(m.currentPlacement.New) == 0:
 		m.jointSince = m.now
 		m.changes++
 	case len(next.New) == 0:
 		m.longestJoint = max(m.longestJoint, m.now-m.jointSince)
 	}
-	m.previous, m.previousUntil = m.current, m.now+m.duration(0, m.maxDelivery+200*time.Millisecond)
-	m.departures.Record(m.current, next, m.retired, m.now)
-	m.current = next
+	m.previousPlacement, m.previousUntil = m.currentPlacement, m.now+m.duration(0, m.maxDelivery+200*time.Millisecond)
+	m.departures.Record(m.currentPlacement, next, m.retired, m.now)
+	m.currentPlacement = next
 	m.logEvent("generation %d %s > %s", next.Generation, storeIDs(next.Old), storeIDs(next.New))
 	for _, store := range m.hosts {
 		if store.up {
@@ -76,7 +76,7 @@
 }
 
 // checkNotCountedFailed checks that no store counts as failed that a head which never changes has confirmed recently.
-func (m *simulation) checkNotCountedFailed(in *Input) {
+func (m *simulation) checkConfirmedStoresAreNotFailed(in *Input) {
 	if in.Current == nil {
 		return
 	}
@@ -90,17 +90,17 @@
 }
 
 func (m *simulation) plan(in Input) *turnstore.Placement {
-	if m.fault == changeEndsUnswept || m.fault == anyUnresponsiveUnswept {
+	if m.bug == changeEndsUnswept || m.bug == anyUnresponsiveUnswept {
 		in.Stores = map[string]StoreStatus{}
 		for id, status := range m.stores {
-			if in.Current != nil && (m.fault == changeEndsUnswept || in.Now-status.ConfirmedAt > m.timings.FailureTimeout/4) {
+			if in.Current != nil && (m.bug == changeEndsUnswept || in.Now-status.ConfirmedAt > m.timings.FailureTimeout/4) {
 				status.SweptGeneration = in.Current.Generation
 			}
 			in.Stores[id] = status
 		}
 	}
 	next := Plan(in, m.timings)
-	if next != nil && m.current == nil && m.fault == initialGenerationOne {
+	if next != nil && m.currentPlacement == nil && m.bug == initialGenerationOne {
 		next.Generation = 1
 	}
 	return next
--- a/internal/tier/placement/model_sweep_test.go
+++ b/internal/tier/placement/model_sweep_test.go
@@ -8,7 +8,7 @@
 
 // sweep simulates the sweep of package turnstore: peer after peer; a peer is pulled from once in each phase.
 func (m *simulation) sweep(store *host) {
-	placement := store.known
+	placement := store.placement
 	if !store.mustSweep() {
 		store.pullFrom = ""
 		return
@@ -34,8 +34,8 @@
 
 // mustSweep reports whether the store is in the list that sweeps, and has not swept under its generation.
 func (h *host) mustSweep() bool {
-	p := h.known
-	if p == nil || h.swept >= p.Generation || p.Generation == 1 {
+	p := h.placement
+	if p == nil || h.sweptGeneration >= p.Generation || p.Generation == 1 {
 		return false
 	}
 	return containsStore(p.New, h.id) || len(p.New) == 0 && containsStore(p.Old, h.id)
@@ -76,11 +76,11 @@
 			delete(store.pulled, peer.ID)
 		}
 	}
-	if missed > m.faultTolerance && m.fault != sweepMissesAny {
+	if missed > m.faultTolerance && m.bug != sweepMissesAny {
 		store.retryAt = m.now + sweepRetryInterval
 		return
 	}
-	store.swept = placement.Generation
+	store.sweptGeneration = placement.Generation
 	m.logEvent("%s has swept generation %d, missed %d", store.id, placement.Generation, missed)
 }
 
@@ -107,7 +107,7 @@
 
 func (m *simulation) pull(store *host, placement *turnstore.Placement, from string) bool {
 	peer := m.host(from)
-	if peer == nil || !peer.isUp() || peer.adopted < placement.Generation && m.fault != pullBeforeAdoption {
+	if peer == nil || !peer.isUp() || peer.adoptedGeneration < placement.Generation && m.bug != pullBeforeAdoption {
 		return false
 	}
 	store.pulledBefore[from] = true
--- a/internal/tier/placement/model_test.go
+++ b/internal/tier/placement/model_test.go
@@ -25,16 +25,16 @@
 	never                    = time.Duration(1 << 62)
 )
 
-type message struct {
-	at           time.Duration
+type sentRegistration struct {
+	arrivesAt    time.Duration
 	registration Registration
 }
 
 type simulation struct {
-	fault             fault
+	bug               injectedBug
 	rng               *rand.Rand
 	faultTolerance    int
-	catchUp           time.Duration
+	catchUpTime       time.Duration
 	timings           Timings
 	maxPull           time.Duration // duration of a pull, at most
 	maxDelivery       time.Duration // delay of a placement, at most
@@ -42,23 +42,23 @@
 	hosts             []*host
 	writes            []turnWrite
 	programWrites     [programCount]uint64 // a bit for each write
-	current           *turnstore.Placement
+	currentPlacement  *turnstore.Placement
 	replicaSetCache   map[replicaSetKey][]turnstore.ReplicaSet
-	previous          *turnstore.Placement // that fronts which lag use until previousUntil
+	previousPlacement *turnstore.Placement // that fronts which lag use until previousUntil
 	previousUntil     time.Duration
 	tookOverAt        time.Duration
 	generation        int64
 	generationSince   time.Duration // when it was first seen
 	stores            map[string]StoreStatus
 	inherited         Observations           // by this head from the one before it
-	reportRand        *rand.Rand             // decides which observations are lost
-	targetRand        *rand.Rand             // decides whether a loss hits a retiring store
+	reportLossRand    *rand.Rand             // decides which observations are lost
+	lossTargetRand    *rand.Rand             // decides whether a loss hits a retiring store
 	lastReport        Observations           // last observations that the other core nodes have received
 	referenceStores   map[string]StoreStatus // of a head that never changes
 	retired           map[string]bool
 	departures        Departures // seen by this head
-	inTransit         []message
-	created           int
+	inTransit         []sentRegistration
+	identitiesCreated int
 	hostsByID         map[string]*host // that exist
 	events            []string
 	violation         string
@@ -69,11 +69,11 @@
 	noMajoritySince   time.Duration // 0 for none
 }
 
-func newSimulation(seed uint64, fault fault, stores, faultTolerance int, contact, catchUp, maxPull time.Duration) *simulation {
-	m := &simulation{fault: fault, rng: rand.New(rand.NewPCG(seed, 3)), faultTolerance: faultTolerance,
-		catchUp: catchUp, maxPull: maxPull, maxDelivery: 300 * time.Millisecond, timings: DefaultTimings(contact),
+func newSimulation(seed uint64, fault injectedBug, stores, faultTolerance int, contact, catchUp, maxPull time.Duration) *simulation {
+	m := &simulation{bug: fault, rng: rand.New(rand.NewPCG(seed, 3)), faultTolerance: faultTolerance,
+		catchUpTime: catchUp, maxPull: maxPull, maxDelivery: 300 * time.Millisecond, timings: DefaultTimings(contact),
 		stores: map[string]StoreStatus{}, retired: map[string]bool{}, hostsByID: map[string]*host{},
-		reportRand: rand.New(rand.NewPCG(seed, 7)), targetRand: rand.New(rand.NewPCG(seed, 11)),
+		reportLossRand: rand.New(rand.NewPCG(seed, 7)), lossTargetRand: rand.New(rand.NewPCG(seed, 11)),
 		departures: Departures{}, referenceStores: map[string]StoreStatus{}}
 	if fault == pullBeforeAdoption || fault == slowDelivery {
 		m.maxDelivery = 3 * time.Second
--- a/internal/tier/placement/observations_test.go
+++ b/internal/tier/placement/observations_test.go
@@ -77,15 +77,15 @@
 	}
 }
 
-// TestScheduleWithHeadChangeAtEndOfChange: another node becomes head just before a change can end.
-func TestScheduleWithHeadChangeAtEndOfChange(t *testing.T) {
+// TestHeadChangeAtEndOfPlacementChangeKeepsInvariants: another node becomes head just before a change can end.
+func TestHeadChangeAtEndOfPlacementChangeKeepsInvariants(t *testing.T) {
 	const seed = 2795
 	if sim := runSchedule(seed, ""); sim.violation != "" {
 		t.Errorf("seed %d: %s\n%s", seed, sim.violation, sim.timeline())
 	}
 }
 
-func TestStoresRequired(t *testing.T) {
+func TestStoresRequiredIsFailuresBeyondTolerance(t *testing.T) {
 	list := func(names string) (all []turnstore.Store) {
 		for _, id := range strings.Fields(names) {
 			all = append(all, turnstore.Store{ID: id})
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestFailedStores(t *testing.T) {
+func TestFailedStoresAreSortedByElapsedTime(t *testing.T) {
 	timings := DefaultTimings(3 * time.Second)
 	observations := Observations{Unresponsive: []UnresponsiveStore{
 		{"a", timings.FailureTimeout}, {"b", 2 * time.Second}, {"c", time.Minute},
--- a/internal/tier/placement/plan.go
+++ b/internal/tier/placement/plan.go
@@ -25,9 +25,9 @@
 const takeoverGrace = 1200 * time.Millisecond
 
 // DefaultTimings returns the time-outs for a contact time: how long a machine with a fault may be away (setting contact_ms).
-func DefaultTimings(contact time.Duration) Timings {
+func DefaultTimings(contactTimeout time.Duration) Timings {
 	return Timings{InitialWait: 700 * time.Millisecond, ExtendedWait: 4 * time.Second, ConfirmInterval: 80 * time.Millisecond,
-		SuspectTimeout: 600 * time.Millisecond, FailureTimeout: contact / 2, RemovalTimeout: 2 * contact, TakeoverGrace: takeoverGrace}
+		SuspectTimeout: 600 * time.Millisecond, FailureTimeout: contactTimeout / 2, RemovalTimeout: 2 * contactTimeout, TakeoverGrace: takeoverGrace}
 }
 
 // Input is what the head knows. Plan does not modify it.
--- a/internal/tier/placement/plan_test.go
+++ b/internal/tier/placement/plan_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestInitialPlacementAfterInitialWait(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d
 		500   + + + . | none
 		900   + + + + | 1 a,b,c,d
@@ -16,7 +16,7 @@
 }
 
 func TestInitialPlacementWaitsLongerForMissingStores(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c
 		3000  + + . | none
 		4300  + + . | 1 a,b
@@ -25,13 +25,13 @@
 }
 
 func TestNoPlacementWithoutFaultTolerance(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms     a b
 		30000  + . | none`)
 }
 
 func TestWipedStoreReplacesItsPredecessor(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d
 		1000  + + + + | 1 a,b,c,d
 		3000  + + . + | 1 a,b,c,d
@@ -39,7 +39,7 @@
 }
 
 func TestDiskLostInQuickRestartCausesOneChange(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d
 		1000  + + + + | 1 a,b,c,d
 		1100  + + w + | 2 a,b,c,d a,b,cw,d
@@ -48,7 +48,7 @@
 }
 
 func TestShortAbsenceCausesNoChange(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms     a b c d
 		1000   + + + + | 1 a,b,c,d
 		6500   + + . + | 1 a,b,c,d
@@ -56,7 +56,7 @@
 }
 
 func TestLongAbsenceRemovesStoreUntilItReturns(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms     a b c d
 		1000   + + + + | 1 a,b,c,d
 		8000   + + . + | 2 a,b,d
@@ -64,14 +64,14 @@
 }
 
 func TestStoreIsKeptWhenAllAreNeeded(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms     a b c
 		1000   + + + | 1 a,b,c
 		60000  + + . | 1 a,b,c`)
 }
 
 func TestRetirementWaitsForSweeps(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d
 		1000  + + + + | 1 a,b,c,d
 		1500  + ~ R ~ | 2 a,b,c,d a,b,d
@@ -81,7 +81,7 @@
 }
 
 func TestCandidateReplacesFailedStore(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d e
 		1000  + + + + . | 1 a,b,c,d
 		3000  + . + + . | 1 a,b,c,d
@@ -90,7 +90,7 @@
 }
 
 func TestSuccessorIsNotAddedNextToSuspectStore(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d e
 		1000  + + + + . | 1 a,b,c,d
 		2000  + . + + . | 1 a,b,c,d
@@ -99,7 +99,7 @@
 }
 
 func TestFailedStoreWithSuccessorIsRemovedEarly(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d e
 		1000  + + + + . | 1 a,b,c,d
 		1100  + . + + + | 2 a,b,c,d a,b,c,d,e
@@ -108,14 +108,14 @@
 }
 
 func TestRetirementWaitsForSuspectStore(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d e
 		1000  + + + + . | 1 a,b,c,d
 		1700  + + . + . | 1 a,b,c,d
 		2000  + + . R . | 1 a,b,c,d
 		2600  + + . R + | 2 a,b,c,d a,b,e
 		2700  + + . R + | 2 a,b,e`)
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d
 		1000  + + + + | 1 a,b,c,d
 		1700  + + . + | 1 a,b,c,d
@@ -124,18 +124,18 @@
 }
 
 func TestChangeDoesNotWaitForUnresponsiveOrSlowStore(t *testing.T) {
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d e
 		1000  + + + + . | 1 a,b,c,d
 		1500  + + ~ + ~ | 2 a,b,c,d a,b,c,d,e
 		1800  + + . + + | 2 a,b,c,d a,b,c,d,e
 		2800  + + . + + | 2 a,b,c,d,e`)
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d e
 		1000  + + + + . | 1 a,b,c,d
 		1500  + + ~ + + | 2 a,b,c,d a,b,c,d,e
 		3000  + + ~ + + | 2 a,b,c,d,e`)
-	playTimeline(t, 1, `
+	runTimeline(t, 1, `
 		ms    a b c d e
 		1000  + + + + . | 1 a,b,c,d
 		1500  + ~ ~ + + | 2 a,b,c,d a,b,c,d,e
--- a/internal/tier/placement/registration_test.go
+++ b/internal/tier/placement/registration_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(strings.ReplaceAll(test.name, " ", "_"), func(t *testing.T) {
 			stores := map[string]StoreStatus{}
-			now := playRegistrations(t, stores, test.lines)
+			now := replayRegistrations(t, stores, test.lines)
 			placed := func(ids ...string) *turnstore.Placement {
 				placement := &turnstore.Placement{Generation: 4, ReplicationFactor: 3, DurableReplicas: 2, FaultTolerance: 1}
 				for i, id := range ids {
@@ -65,7 +65,7 @@
 
 func TestReorderedRegistrationsDoNotLowerGenerations(t *testing.T) {
 	stores := map[string]StoreStatus{}
-	playRegistrations(t, stores, `
+	replayRegistrations(t, stores, `
 		100  a@1:2
 		200  a@1:5
 		210  a@1:2`)
@@ -74,28 +74,28 @@
 	}
 }
 
-// TestNewClusterStartsAboveAdoptedGenerations: a new control state has no placement, and stores that kept their disks reject
+// TestNewControlStateStartsAboveAdoptedGenerations: a new control state has no placement, and stores that kept their disks reject
 // requests of generations below the one that they have adopted.
-func TestNewClusterStartsAboveAdoptedGenerations(t *testing.T) {
+func TestNewControlStateStartsAboveAdoptedGenerations(t *testing.T) {
 	stores := map[string]StoreStatus{}
 	timings := DefaultTimings(3 * time.Second)
 	in := Input{FaultTolerance: 1, Stores: stores}
 	for ms := 100; ms <= 4000; ms += 100 {
-		in.Now = playRegistrations(t, stores, strconv.Itoa(ms)+" a@1:7 b@2:9 c@3:9")
+		in.Now = replayRegistrations(t, stores, strconv.Itoa(ms)+" a@1:7 b@2:9 c@3:9")
 		if next := Plan(in, timings); next != nil {
 			t.Fatalf("placed at %v, before the others had the time to register: %+v", in.Now, next)
 		}
 	}
-	in.Now = playRegistrations(t, stores, "4200 a@1:7 b@2:9 c@3:9 d@4:9")
-	in.Now = playRegistrations(t, stores, "4300 a@1:7 b@2:9 c@3:9 d@4:9")
+	in.Now = replayRegistrations(t, stores, "4200 a@1:7 b@2:9 c@3:9 d@4:9")
+	in.Now = replayRegistrations(t, stores, "4300 a@1:7 b@2:9 c@3:9 d@4:9")
 	next := Plan(in, timings)
 	if next == nil || next.Generation != 10 || len(next.Old) != 4 || len(next.New) > 0 {
 		t.Fatalf("%+v", next)
 	}
 	// A store that registers later with a higher generation moves the placement above it.
 	in.Current = next
-	playRegistrations(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
-	in.Now = playRegistrations(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
+	replayRegistrations(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
+	in.Now = replayRegistrations(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
 	if next = Plan(in, timings); next == nil || next.Generation != 13 || len(next.New) != 5 {
 		t.Fatalf("%+v", next)
 	}
--- a/internal/tier/placement/retirement_test.go
+++ b/internal/tier/placement/retirement_test.go
@@ -12,7 +12,7 @@
 func TestRetirementExtendsToStoreThatLosesItsDisk(t *testing.T) {
 	for name, joint := range map[string]bool{"before the change": false, "while joint": true} {
 		t.Run(name, func(t *testing.T) {
-			heads := newRetirement(joint)
+			heads := newRetirementSequence(joint)
 			in := &heads.input
 			wiped := turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}
 			heads.registerTwice(wiped)
@@ -70,7 +70,7 @@
 // TestNameIsNotPlacedSoonAfterRetirement: the machine loses its disk while it is being retired, and registers again only once
 // the order is complete. The operator removes the machine then, so it must not be placed.
 func TestNameIsNotPlacedSoonAfterRetirement(t *testing.T) {
-	heads := newRetirement(true)
+	heads := newRetirementSequence(true)
 	in := &heads.input
 	before := in.Current
 	after := *before
@@ -98,7 +98,7 @@
 }
 
 func TestDeparturesRecordOnlyRetiredStores(t *testing.T) {
-	heads := newRetirement(true)
+	heads := newRetirementSequence(true)
 	in := &heads.input
 	after := *in.Current
 	after.Old, after.New = in.Current.Old[1:3], nil // a leaves without an order
@@ -151,7 +151,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			heads := newRetirement(true)
+			heads := newRetirementSequence(true)
 			if test.setup != nil {
 				test.setup(&heads.input)
 			}
@@ -161,7 +161,7 @@
 			}
 		})
 	}
-	heads := newRetirement(true)
+	heads := newRetirementSequence(true)
 	wiped := turnstore.Store{ID: "d0", Name: "d", Addr: "d:1"}
 	Register(heads.input.Stores, Registration{Store: wiped}, heads.input.Now, heads.timings)
 	if got := SuccessorsOfRetiringStores(heads.input); len(got) > 0 {
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestCanRetire(t *testing.T) {
+func TestCanRetireKeepsEnoughStores(t *testing.T) {
 	t.Parallel()
 	stores := func(n int) (placement turnstore.Placement) {
 		for i := range n {
--- a/internal/tier/placement/schedule_test.go
+++ b/internal/tier/placement/schedule_test.go
@@ -11,12 +11,12 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-var scheduleCount = flag.Int("courses", 400, "random schedules of the model")
-var faultSchedules = flag.Int("fault-courses", 2000, "schedules to find a planted fault in, at most")
+var schedulesToRun = flag.Int("courses", 400, "random schedules of the model")
+var maxSchedulesPerBug = flag.Int("fault-courses", 2000, "schedules to find a planted fault in, at most")
 var firstSeed = flag.Uint64("seed", 1, "of the first schedule")
 
 // siteSizes are the sizes of the sites, and some in between.
-var siteSizes = []struct {
+var clusterSizes = []struct {
 	stores, faultTolerance int
 	contact, catchUp       time.Duration
 }{
@@ -32,17 +32,17 @@
 // or a little later.
 type faultInjector struct {
 	*simulation
-	rng            *rand.Rand
-	pending        []plannedAction // due later
-	nextLoss       time.Duration
-	nextOrder      time.Duration
-	nextHeadChange time.Duration
-	eager          bool
+	rng                *rand.Rand
+	pending            []plannedAction // due later
+	nextLoss           time.Duration
+	nextOrder          time.Duration
+	nextHeadChange     time.Duration
+	lossesWithoutPause bool
 }
 
 type plannedAction struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
 func (injector *faultInjector) schedule(after time.Duration, do func()) {
@@ -54,11 +54,11 @@
 		if action := injector.pending[i]; action.at <= injector.now {
 			injector.pending = append(injector.pending[:i], injector.pending[i+1:]...)
 			i--
-			action.do()
+			action.run()
 		}
 	}
 	if injector.now >= injector.nextHeadChange {
-		injector.nextHeadChange = injector.now + injector.duration(injector.catchUp, 25*time.Second) // losing a head is a loss as well
+		injector.nextHeadChange = injector.now + injector.duration(injector.catchUpTime, 25*time.Second) // losing a head is a loss as well
 		injector.changeHead()
 	}
 	if injector.now >= injector.nextOrder {
@@ -66,7 +66,7 @@
 		injector.submitOrder()
 	}
 	if injector.now >= injector.nextLoss && injector.countLost() < injector.faultTolerance {
-		if injector.nextLoss = injector.now + step; !injector.eager {
+		if injector.nextLoss = injector.now + step; !injector.lossesWithoutPause {
 			injector.nextLoss += injector.duration(0, 6*time.Second)
 		}
 		injector.injectLoss()
@@ -98,13 +98,15 @@
 }
 
 // recovered: a machine counts as lost for a while after its return.
-func (injector *faultInjector) recovered(h *host) { h.lostUntil = injector.now + injector.catchUp }
+func (injector *faultInjector) markRecovering(h *host) {
+	h.lostUntil = injector.now + injector.catchUpTime
+}
 
 // restart starts a machine, unless it was retired and removed while it was down.
 func (injector *faultInjector) restart(h *host) {
 	if !h.removed {
 		injector.start(h)
-		injector.recovered(h)
+		injector.markRecovering(h)
 	}
 }
 
@@ -113,7 +115,7 @@
 	if host == nil {
 		return
 	}
-	if retiring := injector.retiringHost(); retiring != nil && injector.targetRand.IntN(2) == 0 {
+	if retiring := injector.retiringHost(); retiring != nil && injector.lossTargetRand.IntN(2) == 0 {
 		host = retiring
 	}
 	away := injector.duration(100*time.Millisecond, 4*time.Second)
@@ -128,12 +130,12 @@
 		injector.schedule(away, func() { injector.restart(host) })
 	case 1:
 		injector.logEvent("%s frozen for %v", host.name, away)
-		host.frozen = true
+		host.paused = true
 		injector.schedule(away, func() {
 			if !host.removed {
 				injector.logEvent("%s resumes", host.name)
-				host.frozen = false
-				injector.recovered(host)
+				host.paused = false
+				injector.markRecovering(host)
 			}
 		})
 	case 2, 3:
@@ -150,7 +152,7 @@
 		injector.remove(host)
 		injector.schedule(time.Second, func() {
 			host.lostUntil = 0
-			injector.recovered(injector.add(name))
+			injector.markRecovering(injector.add(name))
 		})
 	}
 }
@@ -163,8 +165,8 @@
 		return
 	}
 	host := injector.randomUpHost()
-	if host == nil || injector.current == nil || injector.retired[host.id] ||
-		!containsStore(injector.current.Stores(), host.id) || !CanRetire(injector.current, injector.retired, injector.faultTolerance) {
+	if host == nil || injector.currentPlacement == nil || injector.retired[host.id] ||
+		!containsStore(injector.currentPlacement.Stores(), host.id) || !CanRetire(injector.currentPlacement, injector.retired, injector.faultTolerance) {
 		return
 	}
 	injector.retired[host.id], host.retired = true, true
@@ -176,11 +178,11 @@
 // meanwhile is retired all the same.
 func (injector *faultInjector) removeOnceRetired(host *host) {
 	injector.schedule(step, func() {
-		if host.removed || injector.current == nil { // new control state: the order was lost with the core's disks
+		if host.removed || injector.currentPlacement == nil { // new control state: the order was lost with the core's disks
 			return
 		}
-		early := injector.fault == retiringRemovedWhileJoint && !containsStore(injector.current.New, host.id)
-		if !isRetired(injector.current, host.name) && !early {
+		early := injector.bug == retiringRemovedWhileJoint && !containsStore(injector.currentPlacement.New, host.id)
+		if !isRetired(injector.currentPlacement, host.name) && !early {
 			injector.removeOnceRetired(host)
 			return
 		}
@@ -196,14 +198,14 @@
 }
 
 // runSchedule runs one random schedule.
-func runSchedule(seed uint64, fault fault) *simulation {
+func runSchedule(seed uint64, fault injectedBug) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	size := siteSizes[rng.IntN(len(siteSizes))]
+	size := clusterSizes[rng.IntN(len(clusterSizes))]
 	maxPull := []time.Duration{50 * time.Millisecond, 200 * time.Millisecond}[rng.IntN(2)]
 	sim := newSimulation(seed, fault, size.stores, size.faultTolerance, size.contact, size.catchUp, maxPull)
 	sim.logEvent("%d stores, fault tolerance %d, seed %d", size.stores, size.faultTolerance, seed)
 	sim.run(6*time.Second, nil)
-	injector := &faultInjector{simulation: sim, rng: rng, eager: rng.IntN(2) == 0,
+	injector := &faultInjector{simulation: sim, rng: rng, lossesWithoutPause: rng.IntN(2) == 0,
 		nextHeadChange: sim.duration(6*time.Second, 30*time.Second), nextOrder: sim.duration(6*time.Second, 20*time.Second)}
 	if rng.IntN(3) == 0 {
 		injector.nextHeadChange = never
@@ -214,13 +216,13 @@
 	return sim
 }
 
-func TestRandomSchedules(t *testing.T) {
+func TestRandomSchedulesKeepInvariants(t *testing.T) {
 	var mu sync.Mutex
 	var longestJoint, longestNoMajority time.Duration
 	changes, acked, failed := 0, 0, 0
 	seeds := make(chan uint64)
 	go func() {
-		for i := range *scheduleCount {
+		for i := range *schedulesToRun {
 			seeds <- *firstSeed + uint64(i)
 		}
 		close(seeds)
@@ -250,8 +252,8 @@
 	wg.Wait()
 	t.Logf("%d schedules from seed %d, %d violations: %d joint phases, the longest %v; "+
 		"%d writes acknowledged; longest without a majority %v",
-		*scheduleCount, *firstSeed, failed, changes, longestJoint, acked, longestNoMajority)
-	if changes < 2**scheduleCount || acked < 20**scheduleCount {
+		*schedulesToRun, *firstSeed, failed, changes, longestJoint, acked, longestNoMajority)
+	if changes < 2**schedulesToRun || acked < 20**schedulesToRun {
 		t.Error("too little progress")
 	}
 }
