--- a/internal/tier/orders/config.go
+++ b/internal/tier/orders/config.go
@@ -7,17 +7,17 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// PutConfig orders a configuration to become the current one.
+// PutConfig is the order to make a configuration the current one.
 type PutConfig struct {
-	IfMatch int64  // the version on which it builds, 0 for the first configuration
-	Version int64  // 0 if the body can't be read
+	IfMatch int64  // base version of the configuration, 0 for the first one
+	Version int64  // 0 if the body can't be parsed
 	Digest  []byte // Digest of Body
 	Body    []byte
 	Invalid string // why the configuration is invalid, empty if it is valid
 }
 
-// decide looks in the applied history first and compares with the current version then: an order that was, or may have
-// been, applied is never rejected, whatever else is wrong with it.
+// decide looks the order up in the applied history before it compares with the current version: an order that was
+// applied, or may have been, is never rejected, whatever else is wrong with it.
 func (o PutConfig) decide(state *State) Decision {
 	if o.Invalid != "" {
 		return o.decideInvalid(state)
@@ -30,8 +30,8 @@
 	return o.decideByCurrent(state)
 }
 
-// decideInvalid decides about a body that does not pass the checks. It may have been applied by a program whose checks
-// were less strict.
+// decideInvalid decides an order whose body fails validation. A node of an earlier release with less strict validation
+// may have applied it.
 func (o PutConfig) decideInvalid(state *State) Decision {
 	decision := Decision{Kind: Invalid, DependsOn: state.configDependsOn, Reason: o.Invalid}
 	if state.history.containsDigest(o.Digest) {
@@ -40,7 +40,8 @@
 	return decision
 }
 
-// decideByHistory decides about a version up to the current one; Kind is 0 if the order was certainly never applied.
+// decideByHistory decides an order with a version up to the current one. The Kind is 0 if the order was certainly never
+// applied.
 func (o PutConfig) decideByHistory(state *State) Decision {
 	decision := Decision{DependsOn: state.configDependsOn}
 	current := state.Version()
@@ -60,12 +61,12 @@
 	return decision
 }
 
-// decideByCurrent decides about an order that was never applied so far.
+// decideByCurrent decides an order that has not been applied so far, by comparison with the current version.
 func (o PutConfig) decideByCurrent(state *State) Decision {
 	decision := Decision{DependsOn: state.configDependsOn}
 	current := state.Version()
 	switch {
-	case o.IfMatch > current && o.Version > o.IfMatch: // a later copy may be accepted, once that version is current
+	case o.IfMatch > current && o.Version > o.IfMatch: // a retry may be accepted once the base version is current
 		decision.Kind = Unavailable
 		decision.Reason = fmt.Sprintf("version %d, on which it builds, is not in place, version %d is: "+
 			"send it again once it is, or read and build on what is in place", o.IfMatch, current)
@@ -82,8 +83,8 @@
 	return decision
 }
 
-// writes returns the entries of an accepted order: the record, then the configuration. A record without its
-// configuration is unreachable and does not count; the other order would leave a configuration without a record.
+// writes returns the entries of an accepted order: the record, then the configuration. If only the first entry is
+// committed, the record is unreachable and ignored; the reverse sequence could leave a configuration without a record.
 func (o PutConfig) writes(state *State, current int64) []Write {
 	var writes []Write
 	if current > 0 && !state.history.hasCurrent() { // the first put after the legacy format
@@ -94,7 +95,7 @@
 	return append(writes, Write{Key: feed.ConfigKey, Value: rpc.Encode(&entry)})
 }
 
-// ReadConfig asks for the current configuration.
+// ReadConfig is the order to read the current configuration.
 type ReadConfig struct{}
 
 func (ReadConfig) decide(state *State) Decision {
--- a/internal/tier/orders/decision.go
+++ b/internal/tier/orders/decision.go
@@ -11,18 +11,18 @@
 
 // The outcomes of orders.
 const (
-	Accept          Kind = iota + 1 // valid: append the writes; it is applied once the last of them is committed
-	AlreadyApplied                  // this order was applied before, by an earlier copy of it
-	VersionMismatch                 // never applied; the current version is not the one on which it builds
-	Invalid                         // never applied, and it can't become valid
-	Unavailable                     // neither acknowledged nor rejected: applied on another base, too old to know, or its base is not in force yet
+	Accept          Kind = iota + 1 // valid: append the entries; the order is applied once the last of them is committed
+	AlreadyApplied                  // an earlier copy of this order was applied
+	VersionMismatch                 // never applied; its base version is not the current version
+	Invalid                         // never applied, and can't become valid
+	Unavailable                     // outcome unknown, applied on another base, or the base is not current yet: neither acknowledged nor rejected
 	NotFound                        // there is no configuration, or no store of this name
-	Conflict                        // too few stores would remain
+	Conflict                        // too few stores would remain, or the record of a later usage window is kept in place of this one
 	InProgress                      // the store is being retired
-	Retired                         // the store's retirement is complete
+	Retired                         // the retirement of the store is complete
 	Serving                         // phase: a store of this name is in the placement
-	Complete                        // phase: the store is retired, its machine and disk may be removed
-	Found                           // the current configuration is in Decision.Body
+	Complete                        // phase: the store is retired; its machine and disk may be removed
+	Found                           // Decision.Body is the current configuration
 )
 
 var kindNames = [...]string{"none", "accept", "already applied", "version mismatch", "invalid", "unavailable", "not found",
@@ -46,26 +46,26 @@
 	return k == Accept || k == AlreadyApplied || k == InProgress || k == Retired
 }
 
-// Write is one entry to append to the chain.
+// Write is an entry to append to the chain.
 type Write struct {
 	Key   string
 	Value []byte
 }
 
-// Decision is the outcome of an order and what it depends on.
+// Decision is the outcome of an order, with the entries to append and the index on which it depends.
 type Decision struct {
 	Kind      Kind
-	DependsOn int64   // index of the last entry that was read for it, committed or not; 0 if there was none
-	Append    []Write // with Accept only: the entries to append, in this order
-	Body      []byte  // of Found, and of RecordUsage if it is acknowledged
-	Reason    string  // for the operator: the cause and the remedy
+	DependsOn int64   // index of the last entry on which the decision is based, committed or not; 0 for none
+	Append    []Write // for Accept only: the entries to append, in this order
+	Body      []byte  // for Found, and for RecordUsage if it is acknowledged
+	Reason    string  // message to the operator: the cause and the remedy
 }
 
 // Order is one of PutConfig, ReadConfig, RetireStore, StorePhase, RecordFencingTokenBase and RecordUsage.
 type Order interface{ decide(s *State) Decision }
 
-// Decide returns the outcome of an order in the state that the chain's entries make. It returns an error if an entry
-// can't be decoded; nothing is known about the order then.
+// Decide returns the outcome of an order in the state that consists of the chain's entries. It returns an error if an
+// entry can't be decoded; the outcome of the order is unknown then.
 func Decide(entries []chain.Entry, faultTolerance int, o Order) (Decision, error) {
 	state, err := ReadState(entries, faultTolerance)
 	if err != nil {
--- a/internal/tier/orders/doc.go
+++ b/internal/tier/orders/doc.go
@@ -1,28 +1,29 @@
 // Package orders decides operators' orders: putting or reading a configuration, retiring a store, and asking for the
-// phase of that retirement.
+// phase of that retirement. It also decides the records of singleton tasks, which are recurring calls to the platform
+// that only the lease holder may make.
 //
 // # Contract
 //
 // Decide is a pure function of the control state and an order. The state is the entries of the replication chain as
-// one member has them: at the head uncommitted entries included, at the tail committed entries only. The package
-// uses no clock, socket or goroutine, and keeps nothing between two calls.
+// one member has them: at the head including uncommitted entries, at the tail committed entries only. The package
+// uses no clock, socket or goroutine, and keeps no state between calls.
 //
-// # Duties of the caller
+// # Obligations of the caller
 //
-// A decision must not be reported to the operator at once:
+// A decision must not be reported to the operator immediately:
 //
-//   - Accept: append Decision.Append in its order to the chain, and report once the last of these entries is committed
-//     in the epoch in which it was appended.
-//   - Every other kind, at the head: report once the entry at Decision.DependsOn is committed and a majority has
-//     confirmed the epoch in a round that began after the decision.
-//   - At the tail: confirm the epoch first, then decide by the committed entries.
+//   - Accept: append the entries of Decision.Append to the chain in that order, and report once the last of them is
+//     committed in the epoch in which it was appended.
+//   - Every other kind, at the head: report once the entry at Decision.DependsOn is committed and a quorum has confirmed
+//     the epoch in a round that began after the decision.
+//   - At the tail: confirm the epoch first, then decide on the committed entries.
 //
-// If that does not happen in time, the outcome is unknown to the operator, who sends the same order again. Design note
-// 012 has the argument why no applied configuration is rejected and no rejected one is applied.
+// If that does not happen before the time-out, the outcome is unknown to the operator, who retries the same order.
+// Design note 012 proves that no applied configuration is rejected and that no rejected one is applied.
 //
 // # Applied history
 //
-// Each accepted configuration writes a Record before its ConfigEntry. Records are stored on a ring of pages (Page). A
-// record counts only if it is reachable from the current configuration by BaseVersion: one whose configuration was
-// never committed is unreachable. LegacyHistory has the digests that the format without records kept.
+// Each accepted configuration writes a Record before its ConfigEntry. Records are stored in a ring of pages (Page). A
+// record is valid only if it is reachable from the current configuration by following BaseVersion: a record whose
+// configuration was never committed is unreachable. LegacyHistory has the digests that the format without records kept.
 package orders
--- a/internal/tier/orders/history.go
+++ b/internal/tier/orders/history.go
@@ -9,20 +9,20 @@
 	"larchrouter/internal/tier/chain"
 )
 
-// history is the applied history: the chain of records from the current configuration backwards by BaseVersion. Pages
-// are decoded as far as a decision needs them, since most orders need the newest page only.
+// history is the applied history: the records that are reachable from the current configuration by following BaseVersion.
+// Pages are decoded only when a decision needs them, since most orders need only the newest page.
 type history struct {
-	unreadPages []chain.Entry  // not decoded yet, by rising index once linkCurrent was called
+	unreadPages []chain.Entry  // not decoded yet; sorted by index after linkCurrent
 	legacy      *LegacyHistory // nil if there is none
-	err         error          // the last page that could not be decoded; no decision is valid then
+	err         error          // of the last page that could not be decoded; no decision is valid if it is set
 
-	unlinked         []Record // decoded records that are not reached yet
-	highestSequence  int64    // of all decoded records
-	applied          []Record // reached from the current configuration, the newest first
-	compactedVersion int64    // BaseVersion of the oldest record in applied: above it, applied has every version
+	unlinked         []Record // decoded records that are not known to be reachable
+	highestSequence  int64    // of all decoded records, reachable or not
+	applied          []Record // reachable from the current configuration, newest first
+	compactedVersion int64    // BaseVersion of the oldest record in applied, which is complete above this version
 }
 
-// linkCurrent links the record of the current configuration. A record with the same version and another digest belongs
+// linkCurrent links the record of the current configuration. A record with the same version but another digest belongs
 // to a put that was never committed, and is not linked.
 func (h *history) linkCurrent(version int64, digest []byte) {
 	slices.SortFunc(h.unreadPages, func(a, b chain.Entry) int { return cmp.Compare(a.Index, b.Index) })
@@ -36,7 +36,7 @@
 func (h *history) hasCurrent() bool { return len(h.applied) > 0 }
 
 // linkPredecessor links the record of compactedVersion and reports whether there is one. Of several records of that
-// version the one with the highest sequence is linked. Records with a higher sequence than the linked one can't be its
+// version it links the one with the highest sequence. Records with a higher sequence than the linked one can't be its
 // predecessors and are dropped.
 func (h *history) linkPredecessor() bool {
 	for {
@@ -53,7 +53,7 @@
 	}
 }
 
-// newestUnlinked returns the position of a version's record with the highest sequence, or -1.
+// newestUnlinked returns the position in unlinked of the record of a version with the highest sequence, or -1.
 func (h *history) newestUnlinked(version int64) int {
 	newest := -1
 	for i, r := range h.unlinked {
@@ -64,7 +64,7 @@
 	return newest
 }
 
-// readPage decodes the newest page that is not decoded yet.
+// readPage decodes the newest unread page.
 func (h *history) readPage() {
 	entry := h.unreadPages[len(h.unreadPages)-1]
 	h.unreadPages = h.unreadPages[:len(h.unreadPages)-1]
@@ -79,7 +79,7 @@
 	h.unlinked = append(h.unlinked, page.Records...)
 }
 
-// linkDownTo links records down to a version, or as far as they go.
+// linkDownTo links records down to a version, or to the oldest record.
 func (h *history) linkDownTo(version int64) {
 	for h.hasCurrent() && h.compactedVersion >= max(version, 1) && (h.legacy == nil || h.compactedVersion != h.legacy.Version) {
 		if !h.linkPredecessor() {
@@ -88,7 +88,7 @@
 	}
 }
 
-// lookupResult is what the history shows about an order.
+// lookupResult says whether an order was applied, as far as the history shows.
 type lookupResult int
 
 const (
@@ -98,13 +98,14 @@
 	outcomeUnknown // the history does not go back that far
 )
 
-// lookup reports whether an order was applied. It is valid for versions up to the current one; none above it was.
+// lookup reports whether an order was applied. Its result is valid only for versions up to the current one: no higher
+// version was applied.
 func (h *history) lookup(version, baseVersion int64, digest []byte) lookupResult {
 	h.linkDownTo(version)
 	if i := slices.IndexFunc(h.applied, func(r Record) bool { return r.Version == version }); i >= 0 {
 		switch r := h.applied[i]; {
 		case !bytes.Equal(r.Digest, digest):
-			return neverApplied // one configuration of each version is applied
+			return neverApplied // only one configuration of each version is applied
 		case r.BaseVersion != baseVersion:
 			return appliedOnOtherBase
 		}
@@ -113,12 +114,12 @@
 	switch {
 	case version > h.compactedVersion:
 		return neverApplied
-	case h.inLegacy(digest) && baseVersion >= version: // versions rise, so its base was another one
+	case h.inLegacy(digest) && baseVersion >= version: // a base is below its version, so the order was applied on another base
 		return appliedOnOtherBase
-	case h.inLegacy(digest): // its base version is not known
+	case h.inLegacy(digest): // the legacy format did not keep base versions
 		return appliedExactly
 	case h.legacy != nil && (version == h.legacy.Version || version < h.legacy.Version && h.legacy.Complete):
-		return neverApplied // the legacy history has the digest that was applied for this version
+		return neverApplied // otherwise the legacy history would have the digest
 	}
 	return outcomeUnknown
 }
@@ -127,7 +128,7 @@
 	return h.legacy != nil && slices.ContainsFunc(h.legacy.Digests, func(d []byte) bool { return bytes.Equal(d, digest) })
 }
 
-// containsDigest reports whether a configuration with this digest is anywhere in the history.
+// containsDigest reports whether the history has a configuration with this digest.
 func (h *history) containsDigest(digest []byte) bool {
 	h.linkDownTo(0)
 	for _, r := range h.applied {
@@ -138,13 +139,13 @@
 	return h.inLegacy(digest)
 }
 
-// recordWrite returns the page write for a new record that builds on the current version, and sets its Sequence.
+// recordWrite returns the page entry for a new record on the current version. It assigns the record's Sequence.
 func (h *history) recordWrite(r Record) Write {
 	var page Page
 	if h.hasCurrent() {
 		r.Sequence = h.applied[0].Sequence + 1
 		page.Records = h.appliedOnPage(pageOf(r.Sequence))
-	} else { // above all existing sequences: an unreachable record must not be preferred to this one
+	} else { // above all existing sequences, so that no unreachable record is preferred to this one
 		for len(h.unreadPages) > 0 {
 			h.readPage()
 		}
@@ -154,8 +155,8 @@
 	return Write{Key: pageKey(r.Sequence), Value: rpc.Encode(&page)}
 }
 
-// appliedOnPage returns the applied records of a page, the oldest first. Unreachable ones are left out, which frees
-// their sequences.
+// appliedOnPage returns the applied records of a page, oldest first. Unreachable records are omitted, which frees their
+// sequences for reuse.
 func (h *history) appliedOnPage(page int64) (records []Record) {
 	for pageOf(h.applied[len(h.applied)-1].Sequence) == page && h.linkPredecessor() {
 	}
--- a/internal/tier/orders/singleton_tasks.go
+++ b/internal/tier/orders/singleton_tasks.go
@@ -8,36 +8,36 @@
 	"larchrouter/internal/tier/chain"
 )
 
-// Keys of the state of singleton duties.
+// Keys of the state of singleton tasks.
 const (
 	tokenBaseKey   = "duty/token-base"
 	usageKeyPrefix = "duty/usage/"
-	usageSlots     = 16 // windows whose records are kept: a window takes the place of the one so many before it
+	usageSlots     = 16 // number of windows whose records are kept: a window overwrites the one usageSlots before it
 )
 
-// FencingTokenBaseEntry is the value under the key of the token base.
+// FencingTokenBaseEntry is the value stored under tokenBaseKey.
 type FencingTokenBaseEntry struct{ Base int64 }
 
-// UsageEntry is the recorded report of a window.
+// UsageEntry is the recorded usage report of a time window.
 type UsageEntry struct {
 	Window int64
-	Body   []byte // of the call to the platform, in each repetition
+	Body   []byte // body of the call to the platform, the same in each retry
 }
 
-// dutyState is the part of the state that belongs to singleton duties.
+// taskState is the state of singleton tasks.
 type taskState struct {
 	tokenBase      *FencingTokenBaseEntry // nil if there is none
 	tokenBaseIndex int64
 	usage          map[string]UsageEntry // by key
-	usageIndex     map[string]int64      // by key: index of the entry
+	usageIndex     map[string]int64      // index of the entry by key
 }
 
-// usageKey returns the key of a window's record.
+// usageKey returns the key under which the report of a window is recorded.
 func usageKey(window int64) string {
 	return usageKeyPrefix + strconv.FormatInt(window%usageSlots, 10)
 }
 
-// readDutyEntry decodes an entry of a singleton duty; ok is false for any other entry.
+// readTaskEntry decodes an entry of a singleton task; ok is false for any other entry.
 func (s *State) readTaskEntry(key string, e chain.Entry) (ok bool, err error) {
 	switch {
 	case key == tokenBaseKey:
@@ -65,7 +65,7 @@
 	return s.tasks.tokenBase.Base, true
 }
 
-// UsageReports returns the recorded reports of windows, in no particular order.
+// UsageReports returns the recorded usage reports, in no particular order.
 func (s *State) UsageReports() (reports []UsageEntry) {
 	for _, entry := range s.tasks.usage {
 		reports = append(reports, entry)
@@ -73,20 +73,21 @@
 	return reports
 }
 
-// RecordFencingTokenBase records the number to which the epoch is added in fencing tokens, unless there is one. It is recorded once in the
-// life of a control plane: tokens then rise with the epoch, and those of a control plane that is founded later begin above it.
+// RecordFencingTokenBase is the order to record the number to which the epoch is added in fencing tokens, unless one is
+// recorded already. It is recorded once in the life of a control plane: its tokens then rise with the epoch, and those of a
+// control plane that is created later begin above them.
 type RecordFencingTokenBase struct{ Base int64 }
 
 func (o RecordFencingTokenBase) decide(state *State) Decision {
 	if state.tasks.tokenBase != nil {
-		return Decision{Kind: AlreadyApplied, DependsOn: state.tasks.tokenBaseIndex, Reason: "recorded before"}
+		return Decision{Kind: AlreadyApplied, DependsOn: state.tasks.tokenBaseIndex, Reason: "already recorded"}
 	}
 	entry := FencingTokenBaseEntry(o)
 	return Decision{Kind: Accept, Reason: "recorded", Append: []Write{{Key: tokenBaseKey, Value: rpc.Encode(&entry)}}}
 }
 
-// RecordUsage records the report of a window. Of several reports of a window the first one is kept: it is what any node sends, so
-// that the platform never gets two different ones. Decision.Body is the report in force.
+// RecordUsage is the order to record the usage report of a window. Of several reports of a window the first one is kept:
+// every node sends that one, so that the platform never receives two different reports. Decision.Body is the kept report.
 type RecordUsage UsageEntry
 
 func (o RecordUsage) decide(state *State) Decision {
@@ -95,9 +96,9 @@
 	decision := Decision{DependsOn: state.tasks.usageIndex[key]}
 	switch {
 	case ok && recorded.Window == o.Window:
-		decision.Kind, decision.Reason, decision.Body = AlreadyApplied, "recorded before", recorded.Body
+		decision.Kind, decision.Reason, decision.Body = AlreadyApplied, "already recorded", recorded.Body
 	case ok && recorded.Window > o.Window:
-		decision.Kind, decision.Reason = Conflict, "a later window has its place: it is too late to report this one"
+		decision.Kind, decision.Reason = Conflict, "the record of a later window has overwritten that of this window: it can no longer be reported"
 	default:
 		entry := UsageEntry(o)
 		decision.Kind, decision.Reason, decision.Body = Accept, "recorded", o.Body
--- a/internal/tier/orders/state.go
+++ b/internal/tier/orders/state.go
@@ -11,15 +11,15 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Retirement is an accepted order to retire a store: the store's name and its identity at that time.
+// Retirement is an accepted order to retire a store: the store's name and the identity that it had then.
 type Retirement struct{ Name, ID string }
 
-// State is the part of the control state on which orders depend.
+// State is the part of the control state on which decisions depend.
 type State struct {
 	FaultTolerance int
 	Config         *feed.ConfigEntry    // current configuration, nil if there is none
 	Placement      *turnstore.Placement // nil if there is none
-	Retirements    []Retirement         // all that were accepted, in no particular order
+	Retirements    []Retirement         // all accepted ones, in no particular order
 
 	tasks           taskState
 	history         history
@@ -27,7 +27,7 @@
 	storesDependsOn int64 // index of the last entry on which decisions about stores depend
 }
 
-// ReadState decodes the state from the chain's entries. Of several entries of a key the last one counts.
+// ReadState decodes the state from the chain's entries. Of several entries with the same key it uses the last one.
 func ReadState(entries []chain.Entry, faultTolerance int) (*State, error) {
 	s := &State{FaultTolerance: faultTolerance}
 	last := map[string]chain.Entry{}
@@ -47,7 +47,7 @@
 	return errors.Wrapf(err, "entry %q at %d: the node that wrote it has another version of the program", e.Key, e.Index)
 }
 
-// readEntry decodes one entry into the state. Pages of the history are kept encoded until a decision needs them.
+// readEntry decodes an entry into the state. Pages of the history stay encoded until a decision needs them.
 func (s *State) readEntry(key string, e chain.Entry) error {
 	switch {
 	case key == feed.ConfigKey:
@@ -87,8 +87,8 @@
 	return err
 }
 
-// linkHistory links the history to the current configuration. If that has no record, it was written by a program of the
-// legacy format, and its own digests are the legacy history.
+// linkHistory links the history to the current configuration. A current configuration without a record was written by a
+// node that uses the legacy format; the digests in its entry are the legacy history then.
 func (s *State) linkHistory() {
 	h := &s.history
 	pages := len(h.unreadPages)
@@ -102,13 +102,13 @@
 	}
 	h.linkCurrent(s.Config.Version, digest)
 	if h.hasCurrent() || h.legacy != nil && h.legacy.Version == s.Config.Version {
-		return // written with a record, or the put that wrote the first record was not committed
+		return // it has a record, or the put that wrote the first record was not committed
 	}
 	h.legacy = &LegacyHistory{Version: s.Config.Version, Digests: s.Config.RecentDigests,
 		Complete: len(s.Config.RecentDigests) < legacyDigestLimit && pages == 0 && h.legacy == nil}
 }
 
-// Version returns the current configuration's version, 0 if there is none.
+// Version returns the version of the current configuration, 0 if there is none.
 func (s *State) Version() int64 {
 	if s.Config == nil {
 		return 0
@@ -116,11 +116,11 @@
 	return s.Config.Version
 }
 
-// RetireKey returns the key of the order to retire a store. It contains the store's identity too: the order for a new
-// machine under an old name must not replace the order for the machine before it.
+// RetireKey returns the key of the order to retire a store. The key includes the store's identity, so that the order for a
+// new machine does not overwrite the order for an earlier machine of the same name.
 func RetireKey(name, id string) string { return feed.RetirePrefix + name + "/" + id }
 
-// ParseRetireKey parses a key made by RetireKey. The id is empty in keys of the legacy format, which have the name only.
+// ParseRetireKey parses a key made by RetireKey. The id is empty for keys of the legacy format, which have only the name.
 func ParseRetireKey(key string) (name, id string, ok bool) {
 	rest, ok := strings.CutPrefix(key, feed.RetirePrefix)
 	if !ok {
--- a/internal/tier/orders/stores.go
+++ b/internal/tier/orders/stores.go
@@ -15,7 +15,7 @@
 	unknownStoreReason = "no store has this name: `larch-control members` lists them"
 )
 
-// RetireStore orders the store that has a name now to be retired: its replicas move to other stores.
+// RetireStore is the order to retire the store that currently has a name: its replicas move to other stores.
 type RetireStore struct{ Name string }
 
 func (o RetireStore) decide(state *State) Decision {
@@ -42,10 +42,10 @@
 	return decision
 }
 
-// StorePhase asks for the phase of a store's retirement.
+// StorePhase is the query for the phase of a store's retirement.
 type StorePhase struct{ Name string }
 
-// decide returns Complete only if no store of the name is in the placement, since the operator then removes the machine
+// decide returns Complete only if the placement has no store of the name, since the operator may then remove the machine
 // and its disk.
 func (o StorePhase) decide(state *State) Decision {
 	decision := Decision{DependsOn: state.storesDependsOn}
@@ -65,9 +65,9 @@
 	return decision
 }
 
-// storeByName returns the store that has a name now: the one in the target list of the placement, otherwise the one in
-// the list that is being left. Both lists may have the name, with two identities, if a machine lost its disk. Staying
-// reports whether the store is in the target list. State.Placement must not be nil.
+// storeByName returns the store that currently has a name: the one in the target list of the placement, otherwise the one
+// in the old list. If a machine lost its disk, both lists may have the name, with different identities. placed reports
+// whether there is such a store, staying whether it is in the target list. State.Placement must not be nil.
 func (s *State) storeByName(name string) (store turnstore.Store, placed, staying bool) {
 	target := s.Placement.Old
 	if len(s.Placement.New) > 0 {
@@ -83,7 +83,7 @@
 	return turnstore.Store{}, false, false
 }
 
-// Retired returns the identities of all stores that were ordered to retire.
+// Retired returns the identities of all stores for which a retirement was accepted, complete or not.
 func (s *State) Retired() map[string]bool {
 	ids := make(map[string]bool, len(s.Retirements))
 	for _, r := range s.Retirements {
@@ -92,7 +92,7 @@
 	return ids
 }
 
-// hasRetirement reports whether a store of this name was ever ordered to retire.
+// hasRetirement reports whether a retirement was ever accepted for a store of this name.
 func (s *State) hasRetirement(name string) bool {
 	return slices.ContainsFunc(s.Retirements, func(r Retirement) bool { return r.Name == name })
 }
