--- a/internal/tier/orders/decision.go
+++ b/internal/tier/orders/decision.go
@@ -15,9 +15,9 @@
 	AlreadyApplied                  // an earlier copy of this order was applied
 	VersionMismatch                 // never applied; its base version is not the current version
 	Invalid                         // never applied, and can't become valid
-	Unavailable                     // outcome unknown, applied on another base, or the base is not current yet: neither acknowledged nor rejected
+	Unavailable                     // neither acknowledged nor rejected: outcome unknown, applied on another base, or base not yet current
 	NotFound                        // there is no configuration, or no store of this name
-	Conflict                        // too few stores would remain, or the record of a later usage window is kept in place of this one
+	Conflict                        // too few stores would remain, or a later usage window has overwritten this one
 	InProgress                      // the store is being retired
 	Retired                         // the retirement of the store is complete
 	Serving                         // phase: a store of this name is in the placement
--- a/internal/tier/orders/singleton_tasks.go
+++ b/internal/tier/orders/singleton_tasks.go
@@ -98,7 +98,7 @@
 	case ok && recorded.Window == o.Window:
 		decision.Kind, decision.Reason, decision.Body = AlreadyApplied, "already recorded", recorded.Body
 	case ok && recorded.Window > o.Window:
-		decision.Kind, decision.Reason = Conflict, "the record of a later window has overwritten that of this window: it can no longer be reported"
+		decision.Kind, decision.Reason = Conflict, "too late: the record of a later window has overwritten that of this one"
 	default:
 		entry := UsageEntry(o)
 		decision.Kind, decision.Reason, decision.Body = Accept, "recorded", o.Body
--- a/internal/tier/placement/change.go
+++ b/internal/tier/placement/change.go
@@ -3,9 +3,9 @@
 import "larchrouter/internal/tier/turnstore"
 
 // changeCanEnd reports whether enough stores of the new list have completed their sweep under the current generation for the
-// joint placement to become stable. It does not wait for unresponsive stores, nor for any after FailureTimeout, as long as
-// the others hold FaultTolerance + 1 replicas of each program: a further loss must not find the placement joint because of one
-// store. Stores that are not waited for sweep while the placement is stable.
+// joint placement to become stable. As long as the others hold FaultTolerance + 1 replicas of each program it does not wait for
+// unresponsive stores, nor for any store after FailureTimeout: one store must not keep the placement joint until the next loss.
+// Stores that it did not wait for complete their sweep while the placement is stable.
 func (in *Input) changeCanEnd(target []turnstore.Store, t Timings) bool {
 	unswept, timedOut := 0, in.Now-in.GenerationSince > t.FailureTimeout
 	for _, store := range target {
@@ -19,7 +19,7 @@
 	return unswept <= in.unsweptAllowed(target)
 }
 
-// changeIsBlocked reports whether the change cannot end because too many stores of the new list failed before they completed
+// changeIsBlocked reports whether the change cannot end because too many stores of the new list failed before completing
 // their sweep.
 func (in *Input) changeIsBlocked(target []turnstore.Store, t Timings) bool {
 	unswept := 0
@@ -31,8 +31,8 @@
 	return unswept > in.unsweptAllowed(target)
 }
 
-// unsweptAllowed returns how many stores of a list may lack data while the others hold FaultTolerance + 1 replicas of each
-// program.
+// unsweptAllowed returns how many stores of a list may have an incomplete sweep while the others still hold
+// FaultTolerance + 1 replicas of each program.
 func (in *Input) unsweptAllowed(target []turnstore.Store) int {
 	return max(0, min(len(target), in.Current.ReplicationFactor)-in.Current.DurableReplicas)
 }
--- a/internal/tier/placement/doc.go
+++ b/internal/tier/placement/doc.go
@@ -1,37 +1,38 @@
 // Package placement decides which stores hold the replicas of programs' turns: it plans the next turnstore.Placement as
-// stores register, fail, lose their disks and are retired. Planning is a singleton role of the chain's head, fenced by the
-// epoch of its view.
+// stores register, fail, lose their disks and are retired. Only the head of the replication chain plans; the epoch of its
+// view fences off earlier heads.
 //
 // # Contract
 //
-// A placement is stable, with one list of stores, or joint, with an old and a new list. A change goes from a stable placement
-// to a joint one of the next generation, and ends, in the same generation, with the new list once enough of its stores have
-// completed their sweep. Plan proposes at most one such step. With at most FaultTolerance machines lost at a time, these steps
-// keep a majority of the replicas of each program running, and no acknowledged write is lost (design note 015).
+// A placement is stable, with one list of stores, or joint, with an old and a new list. A change starts with a joint placement
+// of the next generation. Each store of the new list then sweeps: it pulls what it lacks from the stores of the old list. Once
+// enough of them have completed their sweep, the change ends, in the same generation, with a stable placement on the new list.
+// Plan proposes at most one such step. As long as at most FaultTolerance machines are lost at a time, a majority of the
+// replicas of each program keeps running, and no acknowledged write is lost (design note 015).
 //
-// Safety of the data rests on sweeps alone. Time-outs decide when a store is replaced: a wrong one costs an unneeded change.
+// Safety depends on sweeps alone. Time-outs only decide when a store is replaced: a false one costs an unnecessary change.
 //
-// Stores register with the head periodically. One registration proves nothing, as it may have been delayed while its store
-// was replaced; a store is confirmed by a second one. A store that is not confirmed for Timings.SuspectTimeout is a suspect,
-// and changes that can wait do so; after FailureTimeout it has failed, and a candidate may replace it; after RemovalTimeout
-// it is removed, as long as enough stores remain.
+// Stores register with the head periodically (heartbeats). A single registration proves nothing, as it may have been delayed
+// while its store was replaced; a second one confirms the store. A store that was not confirmed for Timings.SuspectTimeout is
+// suspect, which postpones changes that can wait; after FailureTimeout it has failed, and a candidate may replace it; after
+// RemovalTimeout it is removed, as long as enough stores remain.
 //
-// A new head knows nothing of earlier registrations. It inherits the Observations that the head before it published, and uses
-// them only once it has listened for Timings.TakeoverGrace: a store that runs has registered with it by then.
+// A new head has received no registrations yet. It inherits the Observations that the previous head published, and uses them
+// only after Timings.TakeoverGrace: by then every running store has registered with the new head.
 //
-// # Duties of the caller
+// # Obligations of the caller
 //
-// The package has no clock, socket or file; it does no locking, and a caller that shares the maps of an Input guards them.
-// Times are durations since an arbitrary start, by one monotonic clock of the head. The caller
+// The package has no clock, socket or file. It does no locking: a caller that shares the maps of an Input must guard them.
+// Times are durations since an arbitrary start, on one monotonic clock of the head. The caller must
 //
-//   - passes each registration to Register, with the same map for as long as it is head without interruption, and a new one
-//     after it became head;
-//   - calls Plan periodically with the newest placement that it has written, committed or not, and writes the result to the
+//   - pass each registration to Register, with one map for as long as it is head without interruption, and with a new map
+//     when it becomes head again;
+//   - call Plan periodically with the newest placement that it has written, committed or not, and write the result to the
 //     control state before it calls Plan again;
-//   - records retirements, in Input.Retired and on disk, only if CanRetire permits it, and those that SuccessorsOfRetiringStores
-//     returns before the next placement;
-//   - publishes Input.Observe to the other core nodes, and passes the last one received as Input.Inherited when it becomes
-//     head;
-//   - records each placement change in Departures;
-//   - after a pause of its own process sets TookOverAt to the present and discards Inherited: it did not listen meanwhile.
+//   - record retirements, in Input.Retired and on disk, only if CanRetire permits it, and record those that
+//     SuccessorsOfRetiringStores returns before the next placement;
+//   - publish Input.Observe to the other core nodes, and pass the last observations received as Input.Inherited when it
+//     becomes head;
+//   - record each placement change in Departures;
+//   - set TookOverAt to the present and discard Inherited after a pause of its own process, as it received nothing meanwhile.
 package placement
--- a/internal/tier/placement/model_check_test.go
+++ b/internal/tier/placement/model_check_test.go
@@ -114,7 +114,8 @@
 		return
 	}
 	m.logEvent("new control state")
-	m.currentPlacement, m.previousPlacement, m.tookOverAt, m.stores, m.retired = nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
+	m.currentPlacement, m.previousPlacement, m.tookOverAt, m.stores, m.retired =
+		nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
 	for _, h := range m.hosts {
 		h.retired = false
 	}
--- a/internal/tier/placement/model_store_test.go
+++ b/internal/tier/placement/model_store_test.go
@@ -45,7 +45,8 @@
 		h.id = fmt.Sprintf("%s.%d", h.name, m.identitiesCreated)
 	}
 	m.hostsByID[h.id] = h
-	h.writes, h.pulledBefore, h.unresponsiveUntil, h.adoptedGeneration, h.sweptGeneration = 0, map[string]bool{}, map[string]time.Duration{}, 0, 0
+	h.writes, h.pulledBefore, h.unresponsiveUntil, h.adoptedGeneration, h.sweptGeneration =
+		0, map[string]bool{}, map[string]time.Duration{}, 0, 0
 }
 
 // add starts a new machine. It does not count as lost unless it succeeds another.
@@ -115,7 +116,8 @@
 	}
 	if m.now-store.registeredAt >= every || store.sweptGeneration != store.registeredSweptGeneration {
 		store.registeredAt, store.registeredSweptGeneration = m.now, store.sweptGeneration
-		m.inTransit = append(m.inTransit, sentRegistration{m.now + m.duration(5*time.Millisecond, 150*time.Millisecond), m.registration(store)})
+		m.inTransit = append(m.inTransit, sentRegistration{
+			m.now + m.duration(5*time.Millisecond, 150*time.Millisecond), m.registration(store)})
 	}
 	m.sweep(store)
 }
--- a/internal/tier/placement/observations.go
+++ b/internal/tier/placement/observations.go
@@ -8,21 +8,21 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Observations are what the head publishes periodically to the other core nodes, so that the next head continues with its
-// time-outs. They are ages, not points in time: the clocks of two machines are unrelated.
+// Observations are published periodically by the head to the other core nodes, so that the next head continues the running
+// time-outs. They contain durations instead of points in time, because the clocks of two machines are unrelated.
 type Observations struct {
-	Generation    int64               // of the placement; 0 for none
-	GenerationAge time.Duration       // since the generation was first seen
-	Unresponsive  []UnresponsiveStore // stores of the placement past SuspectTimeout; the others registered in time
+	Generation    int64               // of the current placement; 0 for none
+	GenerationAge time.Duration       // time since the generation was first seen
+	Unresponsive  []UnresponsiveStore // stores of the placement that exceeded SuspectTimeout; all others registered in time
 }
 
 // UnresponsiveStore is a store of the placement whose registration is late.
 type UnresponsiveStore struct {
 	ID      string
-	Elapsed time.Duration // without a confirmed registration, during which heads listened
+	Elapsed time.Duration // time without a confirmed registration, as measured by heads
 }
 
-// Observe returns the observations to publish now.
+// Observe returns the current observations, to be published.
 func (in *Input) Observe(t Timings) Observations {
 	if in.Current == nil {
 		return Observations{}
@@ -36,7 +36,8 @@
 	return observations
 }
 
-// GenerationSince returns since when a generation has been in force, on the clock of a head that first saw it at seenAt.
+// GenerationSince returns the time since which a generation has been in force, on the clock of a head that first saw it at
+// seenAt.
 func (o Observations) GenerationSince(generation int64, seenAt time.Duration) time.Duration {
 	if o.Generation == generation {
 		return seenAt - o.GenerationAge
@@ -44,7 +45,7 @@
 	return seenAt
 }
 
-// elapsed returns the observed time without registration, 0 for stores that registered in time.
+// elapsed returns the observed time without a confirmed registration; 0 for stores that registered in time.
 func (o Observations) elapsed(id string) time.Duration {
 	if i := slices.IndexFunc(o.Unresponsive, func(s UnresponsiveStore) bool { return s.ID == id }); i >= 0 {
 		return o.Unresponsive[i].Elapsed
@@ -52,7 +53,7 @@
 	return 0
 }
 
-// FailedStores returns the stores that may be replaced, those unresponsive for longest first.
+// FailedStores returns the stores that exceeded FailureTimeout and may be replaced, longest unresponsive first.
 func (o Observations) FailedStores(t Timings) []UnresponsiveStore {
 	failed := slices.DeleteFunc(slices.Clone(o.Unresponsive), func(s UnresponsiveStore) bool {
 		return s.Elapsed <= t.FailureTimeout
@@ -61,8 +62,8 @@
 	return failed
 }
 
-// StoresRequired returns how many of the failed stores have to return, with their disks, before a change of the placement can
-// end: a sweep may miss FaultTolerance stores of a list, and no more. It is 0 if changes can end without them.
+// StoresRequired returns how many of the failed stores must return, with their disks, before a change of the placement can
+// end: a sweep may miss at most FaultTolerance stores of a list. It is 0 if changes can end without them.
 func StoresRequired(p *turnstore.Placement, failed []UnresponsiveStore) int {
 	maxMissing := 0
 	for _, list := range [][]turnstore.Store{p.Old, p.New} {
--- a/internal/tier/placement/registration.go
+++ b/internal/tier/placement/registration.go
@@ -6,28 +6,28 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Registration is what a store sends to the head periodically.
+// Registration is the heartbeat that a store sends to the head periodically.
 type Registration struct {
 	Store           turnstore.Store
-	Generation      int64 // highest that the store has adopted: it rejects requests of lower ones
-	SweptGeneration int64 // highest under which it has completed its sweep
-	Full            bool  // its disk has little capacity left
+	Generation      int64 // highest generation that the store has adopted: it rejects requests of lower ones
+	SweptGeneration int64 // highest generation under which it has completed its sweep
+	Full            bool  // its disk is almost full
 }
 
-// StoreStatus is what the head knows of a store that has registered.
+// StoreStatus is the head's knowledge of a store that has registered.
 type StoreStatus struct {
 	Store           turnstore.Store
 	Generation      int64 // never decreases
 	SweptGeneration int64 // never decreases
 	Full            bool
-	FirstSeen       time.Duration // first registration of the present sequence of registrations without a gap
+	FirstSeen       time.Duration // first registration of the current uninterrupted sequence
 	LastSeen        time.Duration // last registration
-	ConfirmedAt     time.Duration // last registration that an earlier one of its sequence confirms; 0 for none
+	ConfirmedAt     time.Duration // last registration that confirmed the store; 0 for none
 }
 
-// Register records a registration in stores. A delayed registration may arrive when its store has failed and another one is
-// at its address, so that a single one proves nothing. One confirms the store if it continues a sequence that began
-// ConfirmInterval before, with no registration of another store at the address in between.
+// Register records a registration in stores. A delayed registration may arrive after its store has failed and another one has
+// its address, so a single registration proves nothing. A registration confirms its store if it continues a sequence that began
+// at least ConfirmInterval earlier, without a registration of another store at the same address in between.
 func Register(stores map[string]StoreStatus, registration Registration, now time.Duration, t Timings) {
 	status, known := stores[registration.Store.ID]
 	confirmed := status.ConfirmedAt > 0 && status.ConfirmedAt == status.LastSeen
@@ -37,7 +37,7 @@
 		status.FirstSeen = now
 	}
 	status.Store, status.Full, status.LastSeen = registration.Store, registration.Full, now
-	// Registrations may be reordered.
+	// Registrations may arrive out of order, and generations must not decrease.
 	status.Generation = max(status.Generation, registration.Generation)
 	status.SweptGeneration = max(status.SweptGeneration, registration.SweptGeneration)
 	if now-status.FirstSeen >= t.ConfirmInterval {
@@ -46,7 +46,7 @@
 	stores[registration.Store.ID] = status
 }
 
-// registeredSince reports whether another store has registered from the address of a store since a point in time.
+// registeredSince reports whether another store has registered with the address of the given store since a point in time.
 func registeredSince(stores map[string]StoreStatus, store turnstore.Store, since time.Duration) bool {
 	for id, other := range stores {
 		if id != store.ID && other.Store.Addr == store.Addr && other.LastSeen >= since {
--- a/internal/tier/placement/retirement.go
+++ b/internal/tier/placement/retirement.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// CanRetire reports whether enough stores remain in the placement if one more is retired.
+// CanRetire reports whether enough stores remain in the placement if one more store is retired.
 func CanRetire(p *turnstore.Placement, retired map[string]bool, faultTolerance int) bool {
 	remaining := -1
 	target := p.Old
@@ -23,10 +23,10 @@
 	return remaining >= 2*faultTolerance+1
 }
 
-// SuccessorsOfRetiringStores returns the stores to which the retirement of another one extends: the machine lost its disk while it was
-// being retired, and registered under a new identity. The caller records their retirement before the next placement. Such a
-// store has no data that others lack, and is not needed, since CanRetire held when the order was accepted. Once the store that
-// was ordered to retire has left the placement the order is complete, and a store of its name is a new one.
+// SuccessorsOfRetiringStores returns the stores that must be retired because their predecessor is being retired: the machine
+// lost its disk during its retirement and registered under a new identity. The caller records their retirement before the next
+// placement. Such a store has no data that others lack, and is not needed, since CanRetire held when the order was accepted. Once
+// the predecessor has left the placement its retirement is complete, and a store of its name counts as a new one.
 func SuccessorsOfRetiringStores(in Input) (stores []turnstore.Store) {
 	if in.Current == nil {
 		return nil
@@ -48,10 +48,10 @@
 	return stores
 }
 
-// Departures are the names of the retired stores that have left the placement, with the time when the head saw it.
+// Departures maps the names of retired stores that have left the placement to the time when the head saw them leave.
 type Departures map[string]time.Duration
 
-// Record adds the retired stores that are in the placement before a change and not in the one after it.
+// Record adds the retired stores that a change removes from the placement.
 func (d Departures) Record(before, after *turnstore.Placement, retired map[string]bool, now time.Duration) {
 	if before == nil || after == nil {
 		return
@@ -64,9 +64,9 @@
 	}
 }
 
-// recentlyRetired reports whether a retired store of the name left the placement less than the contact time ago. No store of
-// the name is a candidate for so long: the operator removes the machine once the order is complete, and the machine may have
-// lost its disk just before and register under a new identity meanwhile.
+// recentlyRetired reports whether a retired store of the name left the placement less than the contact time-out
+// (2 * FailureTimeout) ago. Until then no store of the name is a candidate: the operator removes the machine once its retirement
+// is complete, but the machine may have lost its disk just before and register under a new identity in the meantime.
 func (in *Input) recentlyRetired(name string, t Timings) bool {
 	departedAt, known := in.Departures[name]
 	return known && in.Now-departedAt < 2*t.FailureTimeout
--- a/internal/tier/placement/schedule_test.go
+++ b/internal/tier/placement/schedule_test.go
@@ -166,7 +166,8 @@
 	}
 	host := injector.randomUpHost()
 	if host == nil || injector.currentPlacement == nil || injector.retired[host.id] ||
-		!containsStore(injector.currentPlacement.Stores(), host.id) || !CanRetire(injector.currentPlacement, injector.retired, injector.faultTolerance) {
+		!containsStore(injector.currentPlacement.Stores(), host.id) ||
+		!CanRetire(injector.currentPlacement, injector.retired, injector.faultTolerance) {
 		return
 	}
 	injector.retired[host.id], host.retired = true, true
--- a/internal/tier/placement/stores.go
+++ b/internal/tier/placement/stores.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// desiredStores returns the target list with candidates added, or instead of failed stores, and without the stores that are to
+// desiredStores returns the target list after candidates were added or have replaced failed stores, and without the stores to
 // be removed.
 func (in *Input) desiredStores(target []turnstore.Store, t Timings, replicas int) []turnstore.Store {
 	desired := slices.Clone(target)
@@ -30,8 +30,8 @@
 	return desired
 }
 
-// hasSuccessor reports whether a store of the list first registered when the given one stopped registering, or later. It is
-// assumed to be the successor, which was added and did not replace the other since that one was not late yet.
+// hasSuccessor reports whether a store of the list first registered when the given store stopped registering, or later. It is
+// assumed to be the successor; it was added instead of replacing the given store because that one was not late yet.
 func (in *Input) hasSuccessor(id string, list []turnstore.Store, t Timings) bool {
 	departed := in.Stores[id].ConfirmedAt - t.SuspectTimeout
 	return slices.ContainsFunc(list, func(store turnstore.Store) bool {
@@ -40,7 +40,7 @@
 	})
 }
 
-// candidates returns the live stores that are not in the list and may be added to it, in order of their identities.
+// candidates returns the live stores that are not in the target list and may be added to it, sorted by identity.
 func (in *Input) candidates(target []turnstore.Store, t Timings) (candidates []turnstore.Store) {
 	for id, status := range in.Stores {
 		listed := slices.ContainsFunc(target, func(o turnstore.Store) bool { return o.ID == id })
@@ -53,10 +53,10 @@
 	return candidates
 }
 
-// addCandidate replaces the store formerly at the candidate's address, else a failed store, preferably one of its name; else
-// it adds the candidate to the list. It does not add one while a store of the list is suspect: the candidate may be the
+// addCandidate lets the candidate replace the store with its address, otherwise a failed store, preferably one with its name.
+// If there is none, it appends the candidate to the list, but not while a store of the list is suspect: the candidate may be the
 // successor of that store, and a list with both a failed store and its successor tolerates one loss less until the failed one
-// is removed. Nor does it add one while the list has a store of its name, whose successor it is.
+// is removed. Nor does it append the candidate while the list has a store with its name, whose successor the candidate is.
 func (in *Input) addCandidate(stores []turnstore.Store, candidate turnstore.Store, t Timings) []turnstore.Store {
 	find := func(f func(turnstore.Store) bool) int { return slices.IndexFunc(stores, f) }
 	i := find(func(o turnstore.Store) bool { return o.Addr == candidate.Addr })
