--- a/internal/tier/orders/chain_model_test.go
+++ b/internal/tier/orders/chain_model_test.go
@@ -10,11 +10,11 @@
 
 const (
 	simulationStep  = 10 * time.Millisecond
-	callTimeout     = 900 * time.Millisecond // a pending reply is dropped after it
-	readConfirmTime = 20 * time.Millisecond  // for a read, until the epoch is confirmed
+	callTimeout     = 900 * time.Millisecond // pending replies are dropped after this time
+	readConfirmTime = 20 * time.Millisecond  // time until the epoch is confirmed for a read
 )
 
-// replica is a member of the modelled chain.
+// replica is a member of the simulated replication chain.
 type replica struct {
 	name        string
 	epoch       int64
@@ -22,15 +22,15 @@
 	entries     []chain.Entry
 	lastIndex   int64
 	commitIndex int64
-	active      bool // it has its predecessor's complete state, or is head, in this epoch
+	active      bool // in this epoch it is the head, or has received its predecessor's complete state
 	pending     []pendingReply
 }
 
-// pendingReply is a decision that must not be reported yet.
+// pendingReply is a reply with a decision that may not be reported yet.
 type pendingReply struct {
 	dependsOn   int64         // index that must be committed first
 	confirmedAt time.Duration // when the epoch's confirmation ends; 0 if none is needed
-	deadline    time.Duration // the operator gets no answer after it
+	deadline    time.Duration // the operator gets no answer after this time
 	reply       func(ok bool) // ok is false if the outcome is unknown
 }
 
@@ -52,7 +52,7 @@
 	return r.entries
 }
 
-// advanceCommit raises the commit index and drops all but the last committed entry of each key.
+// advanceCommit raises the commit index and compacts the committed entries to the last one of each key.
 func (r *replica) advanceCommit(index int64) {
 	if index <= r.commitIndex {
 		return
@@ -71,10 +71,10 @@
 	r.entries = kept
 }
 
-// chainModel models, in virtual time, what the control plane guarantees of the replication chain, and no more. An entry
-// is committed once every member of its epoch's chain has it. The next epoch starts with the state of one active member.
-// Uncommitted entries may be kept or lost. A member that does not learn of the next epoch stays in the old one and
-// commits nothing there.
+// chainModel simulates, in virtual time, a replication chain with only the guarantees that the control plane gives. An
+// entry is committed once every member of its epoch's chain has it. The next epoch starts with the state of one active
+// member, so uncommitted entries may be kept or lost. A member that is not informed of the next epoch stays in the old
+// one and commits nothing there.
 type chainModel struct {
 	rng            *rand.Rand
 	now            time.Duration
@@ -82,14 +82,14 @@
 	replicas       []*replica
 	scheduled      []event
 	committedIndex int64                 // all entries up to it are committed
-	onCommit       func(chain.Entry)     // called for each committed entry, in order
-	partialUpdate  bool                  // an update of this step ended between two entries
+	onCommit       func(chain.Entry)     // called for each committed entry, in order of index
+	partialUpdate  bool                  // an update in this step was cut off between two entries
 	onHeadStep     func(r *replica)      // called for each head in each step
 	logf           func(string, ...any)  // adds a line to the simulation's event log
 	epochConfirmed func(r *replica) bool // reports whether a majority would confirm the replica's epoch
 }
 
-// event is a function to run at a time.
+// event is a function that runs when it is due.
 type event struct {
 	due time.Duration
 	run func()
@@ -115,7 +115,7 @@
 	m.scheduled = append(m.scheduled, event{m.now + d, run})
 }
 
-// beginEpoch starts an epoch with a chain; its head keeps its state. All pending replies of the members fail.
+// beginEpoch starts an epoch with a chain. The head keeps its state, and all pending replies of the members fail.
 func (m *chainModel) beginEpoch(members []*replica) {
 	m.epoch++
 	for i, r := range members {
@@ -127,8 +127,8 @@
 	}
 }
 
-// changeView starts the next epoch with some of the replicas, or all; the others don't learn of it. The head is an
-// active member of the current epoch: as it leaves that epoch, nothing is committed there any more.
+// changeView starts the next epoch with all or some of the replicas; the others are not informed. The new head is an
+// active member of the current epoch: once it has left that epoch, nothing more is committed there.
 func (m *chainModel) changeView(all bool) *replica {
 	var candidates []*replica
 	for _, r := range m.replicas {
@@ -148,12 +148,12 @@
 	return head
 }
 
-// replicate sends the entries that successor b lacks, or the first of them.
+// replicate sends a successor the entries that it lacks, or only the first of them.
 func (m *chainModel) replicate(from, to *replica) {
 	if from.epoch != to.epoch || !from.active {
 		return
 	}
-	if !to.active { // the complete state; entries that b has beyond it were never committed
+	if !to.active { // transfers the complete state; further entries of the successor were never committed
 		to.entries, to.lastIndex, to.active = from.entries, from.lastIndex, true
 		to.commitIndex = min(from.lastIndex, max(from.commitIndex, to.commitIndex))
 	} else if i := slices.IndexFunc(from.entries, func(e chain.Entry) bool { return e.Index > to.lastIndex }); i >= 0 {
@@ -177,7 +177,7 @@
 	from.advanceCommit(min(to.commitIndex, from.lastIndex))
 }
 
-// step advances the time by one step: due events, heads, one update on each link, pending replies.
+// step advances the time by one step: it runs due events and heads, sends an update on each link, and sends replies.
 func (m *chainModel) step() {
 	m.now += simulationStep
 	m.partialUpdate = false
--- a/internal/tier/orders/config_bugs_test.go
+++ b/internal/tier/orders/config_bugs_test.go
@@ -9,27 +9,27 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// configFault is a planted fault in the decisions, or in the caller's duties. The simulation must find each.
+// configBug is a bug that is injected into the decisions or into the caller. The simulation must detect each.
 type configBug struct {
-	decide                 func(d Decision, s *State, o PutConfig) Decision // changes the real decision
-	skipConfirmation       bool                                             // replies don't wait for the epoch's confirmation
-	trustUncommittedRecord bool                                             // a record counts without its configuration
+	decide                 func(d Decision, s *State, o PutConfig) Decision // modifies the correct decision
+	skipConfirmation       bool                                             // replies don't wait for confirmation of the epoch
+	trustUncommittedRecord bool                                             // a record is valid without its configuration
 	ignoreDependency       bool                                             // replies don't wait for the commit of DependsOn
 }
 
-func (f configBug) decidePut(r *replica, o PutConfig) (Decision, error) {
+func (b configBug) decidePut(r *replica, o PutConfig) (Decision, error) {
 	d, err := Decide(r.entries, 1, o)
-	if f.trustUncommittedRecord && d.Kind == Accept && hasRecord(r, o) {
+	if b.trustUncommittedRecord && d.Kind == Accept && hasRecord(r, o) {
 		d.Kind, d.Append = AlreadyApplied, nil
 	}
-	if f.decide == nil || err != nil {
+	if b.decide == nil || err != nil {
 		return d, err
 	}
 	s, err := ReadState(r.entries, 1)
 	if err != nil {
 		return d, err
 	}
-	return f.decide(d, s, o), nil
+	return b.decide(d, s, o), nil
 }
 
 // hasRecord reports whether there is a record of an order, reachable or not.
@@ -54,14 +54,14 @@
 
 func TestConfigSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]configBug{
+	for name, bug := range map[string]configBug{
 		"rejected after 64 others": {decide: func(d Decision, s *State, o PutConfig) Decision {
 			if d.Kind == AlreadyApplied && o.Version < s.Version()-128 {
 				return reject(s, d)
 			}
 			return d
 		}},
-		"rejected where the history does not go back": {decide: func(d Decision, s *State, _ PutConfig) Decision {
+		"rejected if older than the history": {decide: func(d Decision, s *State, _ PutConfig) Decision {
 			if d.Kind == Unavailable && strings.Contains(d.Reason, "older than what is known") {
 				return reject(s, d)
 			}
@@ -106,7 +106,7 @@
 			}
 			return d
 		}},
-		"record counts without its configuration": {trustUncommittedRecord: true},
+		"record is valid without its configuration": {trustUncommittedRecord: true},
 		"configuration written before its record": {decide: func(d Decision, _ *State, _ PutConfig) Decision {
 			if n := len(d.Append); n > 1 {
 				d.Append = append([]Write{d.Append[n-1]}, d.Append[:n-1]...)
@@ -131,7 +131,7 @@
 			}
 			return d
 		}},
-		"versions may go down": {decide: func(d Decision, s *State, o PutConfig) Decision {
+		"versions may decrease": {decide: func(d Decision, s *State, o PutConfig) Decision {
 			if d.Kind == Invalid && o.Invalid == "" {
 				entry := feed.ConfigEntry{Version: o.Version, Body: o.Body, RecentDigests: [][]byte{o.Digest}}
 				return Decision{Kind: Accept, DependsOn: d.DependsOn, Append: []Write{{Key: feed.ConfigKey, Value: rpc.Encode(&entry)}}}
@@ -144,13 +144,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(300) {
-				c := newConfigSimulation(seed+1, f)
+				c := newConfigSimulation(seed+1, bug)
 				if c.run(); c.failure != "" {
 					t.Logf("seed %d: %s", c.seed, c.failure)
 					return
 				}
 			}
-			t.Fatal("not found in 300 simulations")
+			t.Fatal("not detected by 300 simulations")
 		})
 	}
 }
--- a/internal/tier/orders/config_simulation_test.go
+++ b/internal/tier/orders/config_simulation_test.go
@@ -14,9 +14,9 @@
 	"larchrouter/internal/tier/feed"
 )
 
-var simulations = flag.Int("courses", 60, "random simulations to run, of configurations and of stores each")
+var simulations = flag.Int("courses", 60, "number of random simulations of configurations, and of stores")
 
-// simulationCount is smaller under the race detector.
+// simulationsToRun returns the number of simulations, which is smaller under the race detector.
 func simulationsToRun() int {
 	if raceDetector {
 		return min(*simulations, 12)
@@ -26,11 +26,11 @@
 
 const (
 	simulatedTime = 45 * time.Second
-	maxInFlight   = 8               // orders of all operators
-	resendTimeout = 6 * time.Second // an operator gives up after it
+	maxInFlight   = 8               // orders of all operators without an answer
+	resendTimeout = 6 * time.Second // an operator stops retrying after this time
 )
 
-// configChange identifies an order to put a configuration; a resent one is equal.
+// configChange identifies an order to put a configuration. A retried order has the same value.
 type configChange struct {
 	version, base int64
 	body          string
@@ -44,8 +44,8 @@
 	return o
 }
 
-// configSimulation simulates operators who put configurations while heads change: answers are lost, copies of orders
-// arrive tens of seconds late and at any node, and two operators pick the same version.
+// configSimulation simulates operators who put configurations while heads change. Answers are lost, copies of orders
+// arrive tens of seconds late and at any node, and two operators choose the same version.
 type configSimulation struct {
 	*chainModel
 	seed    uint64
@@ -53,19 +53,19 @@
 	failure string
 	events  []string
 
-	committedChanges  []configChange         // in the order of their versions
-	positionByVersion map[int64]int          // version to position in committedChanges
-	rejected          map[configChange]bool  // in any answer
-	ackedByBase       map[int64]configChange // base version to the change that was acknowledged on it
-	acked             map[configChange]bool  // in any answer
-	highestAcked      int64                  // the highest version that was acknowledged
-	answers           map[Kind]int           // by kind of decision
+	committedChanges  []configChange         // in ascending order of version
+	positionByVersion map[int64]int          // position in committedChanges by version
+	rejected          map[configChange]bool  // rejected in any answer
+	ackedByBase       map[int64]configChange // acknowledged change by base version
+	acked             map[configChange]bool  // acknowledged in any answer
+	highestAcked      int64                  // highest acknowledged version
+	answers           map[Kind]int           // number of answers by kind of decision
 	inFlight          int                    // orders without an answer
-	sentInOrder       []configChange         // with those of the initial state
+	sentInOrder       []configChange         // including those of the initial state
 	sent              map[configChange]bool
-	legacyCount       int      // of committedChanges: the legacy format has no base versions of them
-	lastSent          [2]int64 // last version that each operator sent
-	lastRead          [2]int64 // last version that each operator read
+	legacyCount       int      // of committedChanges: those in the legacy format, which keeps no base versions
+	lastSent          [2]int64 // last version sent by each operator
+	lastRead          [2]int64 // last version read by each operator
 	reads             int
 }
 
@@ -76,10 +76,10 @@
 	}
 }
 
-func newConfigSimulation(seed uint64, fault configBug) *configSimulation {
+func newConfigSimulation(seed uint64, bug configBug) *configSimulation {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	initial := initialStates()[rng.IntN(len(initialStates()))]
-	sim := &configSimulation{chainModel: newChainModel(rng, 3+rng.IntN(3), initial.entries), seed: seed, bug: fault,
+	sim := &configSimulation{chainModel: newChainModel(rng, 3+rng.IntN(3), initial.entries), seed: seed, bug: bug,
 		positionByVersion: map[int64]int{}, rejected: map[configChange]bool{}, sent: map[configChange]bool{},
 		ackedByBase: map[int64]configChange{}, acked: map[configChange]bool{}, answers: map[Kind]int{}}
 	sim.logf = func(format string, args ...any) {
@@ -105,7 +105,8 @@
 	return 0
 }
 
-// handleCommit checks each committed configuration: its version rises, it was sent, and it was not rejected.
+// handleCommit checks that the version of each committed configuration is above the last one, and that the configuration
+// was sent and not rejected.
 func (c *configSimulation) handleCommit(e chain.Entry) {
 	if e.Key != feed.ConfigKey {
 		return
@@ -118,19 +119,19 @@
 	change := configChange{entry.Version, c.newestVersion(), string(entry.Body)}
 	c.logf("committed: %v", change)
 	if change.version <= change.base {
-		c.fail("version %d comes after %d", change.version, change.base)
+		c.fail("version %d was committed after version %d", change.version, change.base)
 	}
 	if c.rejected[change] {
 		c.fail("%v was rejected and is committed", change)
 	}
 	if !c.sent[change] {
-		c.fail("%v is committed and was never sent", change)
+		c.fail("%v was never sent and is committed", change)
 	}
 	c.positionByVersion[change.version] = len(c.committedChanges)
 	c.committedChanges = append(c.committedChanges, change)
 }
 
-// committedChange returns the committed change with the same version and body, on any base version.
+// committedChange returns the committed change with the same version and body, whatever its base version.
 func (c *configSimulation) committedChange(change configChange) (configChange, bool) {
 	i, ok := c.positionByVersion[change.version]
 	if !ok || c.committedChanges[i].body != change.body {
@@ -139,8 +140,8 @@
 	return c.committedChanges[i], true
 }
 
-// checkAnswer checks an answer, whether or not it reaches the operator. committedBefore reports whether the
-// configuration was committed, on any base version, before this copy of the order arrived.
+// checkAnswer checks an answer, even if it does not reach the operator. committedBefore reports whether the configuration
+// was committed, on any base version, before this copy of the order arrived.
 func (c *configSimulation) checkAnswer(change configChange, decision Decision, committedBefore bool) {
 	c.answers[decision.Kind]++
 	committed, isCommitted := c.committedChange(change)
@@ -165,7 +166,8 @@
 	}
 }
 
-// deliver delivers a copy of an order to a replica, which forwards it to the head that it knows, or drops it.
+// deliver delivers a copy of an order to a random replica, which forwards it to the head of its epoch. The order is lost if
+// that one is not an active head.
 func (c *configSimulation) deliver(change configChange, answered func(Decision)) {
 	r := c.replicas[c.rng.IntN(len(c.replicas))]
 	delay := time.Duration(1+c.rng.IntN(30)) * time.Millisecond
@@ -179,7 +181,7 @@
 	})
 }
 
-// handleAtHead decides an order and waits with the reply as controlnode does.
+// handleAtHead decides an order and delays the reply in the same way as package controlnode.
 func (c *configSimulation) handleAtHead(r *replica, change configChange, answered func(Decision)) {
 	decision, err := c.bug.decidePut(r, change.order())
 	if err != nil {
@@ -212,7 +214,7 @@
 	}
 }
 
-// sendUntilAnswered sends an order until a definite answer arrives or the operator gives up. A copy may arrive much later.
+// sendUntilAnswered retries an order until a definite answer arrives or resendTimeout expires. A copy may arrive much later.
 func (c *configSimulation) sendUntilAnswered(change configChange) {
 	c.inFlight++
 	c.sentInOrder = append(c.sentInOrder, change)
@@ -247,7 +249,7 @@
 	}
 }
 
-// randomChange returns the next order of one of two operators.
+// randomChange returns the next order of a random operator of two.
 func (c *configSimulation) randomChange() configChange {
 	operator := c.rng.IntN(2)
 	if c.rng.IntN(4) > 0 {
@@ -255,7 +257,7 @@
 	}
 	base := c.lastRead[operator]
 	if last := c.lastSent[operator]; last > base && c.rng.IntN(4) == 0 {
-		base = last // it may be without an answer
+		base = last // possibly unanswered
 	}
 	version := base + 1 + int64(c.rng.IntN(3))
 	c.lastSent[operator] = version
@@ -263,7 +265,7 @@
 	switch kind := c.rng.IntN(40); {
 	case kind < 6:
 		drawn.body = fmt.Sprintf("%d by both", version)
-	case kind < 8 && len(c.sentInOrder) > 0: // a body that was sent before, on another base version
+	case kind < 8 && len(c.sentInOrder) > 0: // a body that was sent before, now on another base version
 		earlier := c.sentInOrder[c.rng.IntN(len(c.sentInOrder))]
 		if i, ok := c.positionByVersion[earlier.version]; ok && i < c.legacyCount {
 			break
@@ -275,7 +277,7 @@
 	case kind < 12:
 		drawn.version = max(1, base-int64(c.rng.IntN(3)))
 		drawn.body = fmt.Sprintf("%d by operator %d", drawn.version, operator)
-	case kind < 18 && len(c.sentInOrder) > 0: // one that was sent before, again
+	case kind < 18 && len(c.sentInOrder) > 0: // a change that was sent before
 		drawn = c.sentInOrder[max(0, len(c.sentInOrder)-1-c.rng.IntN(200))]
 	}
 	return drawn
@@ -297,12 +299,12 @@
 		case err != nil:
 			c.fail("read: %v", err)
 		case d.Kind == NotFound && before > 0:
-			c.fail("no configuration is read, version %d was acknowledged before", before)
+			c.fail("no configuration was read, though version %d was acknowledged before", before)
 		case d.Kind == Found:
 			c.reads++
 			newest := c.committedChanges[len(c.committedChanges)-1]
 			if newest.version < before || !bytes.Equal(d.Body, []byte(newest.body)) {
-				c.fail("%s is read; %v is committed, %d was acknowledged", d.Body, newest, before)
+				c.fail("read %s; %v is committed, and version %d was acknowledged before", d.Body, newest, before)
 			}
 		}
 	}
@@ -310,7 +312,7 @@
 }
 
 func (c *configSimulation) run() {
-	viewInterval := time.Duration(1+c.rng.IntN(4)) * time.Second // mean time between views
+	viewInterval := time.Duration(1+c.rng.IntN(4)) * time.Second // mean time between view changes
 	orderInterval := 1 + c.rng.IntN(12)                          // mean number of steps between orders
 	for c.now < simulatedTime && c.failure == "" {
 		if c.partialUpdate && c.rng.IntN(4) == 0 || c.rng.IntN(int(viewInterval/simulationStep)) == 0 {
@@ -327,8 +329,8 @@
 	c.checkResend()
 }
 
-// checkResend sends all committed changes once more, in one stable view: those in the history are acknowledged, and none
-// is rejected.
+// checkResend sends committed changes again in a stable view, and checks that those in the history are acknowledged and
+// that none is rejected.
 func (c *configSimulation) checkResend() {
 	head := c.changeView(true)
 	for end := c.now + 2*time.Second; c.now < end && c.failure == ""; {
@@ -342,7 +344,7 @@
 			return
 		}
 		if i < olderCount && c.rng.IntN(olderCount) > legacyDigestLimit {
-			continue // of the older ones only some
+			continue // only a sample of the older ones
 		}
 		sent++
 		answered := Kind(0)
@@ -355,14 +357,15 @@
 		if answered == Unavailable {
 			unavailable++
 		} else if answered != AlreadyApplied {
-			c.fail("%v, number %d of %d committed, resent in a stable view: %v", change, i+1, len(c.committedChanges), answered)
+			c.fail("%v, committed as number %d of %d and resent in a stable view: answered %v",
+				change, i+1, len(c.committedChanges), answered)
 		}
 	}
 	if kept := sent - unavailable; kept < min(len(c.committedChanges), legacyDigestLimit-1) {
-		c.fail("of %d committed only %d of %d are acknowledged again", len(c.committedChanges), kept, sent)
+		c.fail("%d changes are committed, but only %d of %d resent ones were acknowledged again", len(c.committedChanges), kept, sent)
 	}
 	if n := len(c.committedChanges); n > 0 && c.highestAcked != c.committedChanges[n-1].version {
-		c.fail("%v is committed last, %d was acknowledged last", c.committedChanges[n-1], c.highestAcked)
+		c.fail("%v was committed last, version %d was acknowledged last", c.committedChanges[n-1], c.highestAcked)
 	}
 }
 
@@ -388,7 +391,7 @@
 	t.Logf("%d simulations, up to %d versions each, answers: %v", simulationsToRun(), maxVersions, total)
 	for _, k := range []Kind{Accept, AlreadyApplied, VersionMismatch, Invalid, Unavailable} {
 		if total[k] < simulationsToRun() {
-			t.Errorf("%d answers of kind %v in %d simulations: too few to show anything", total[k], k, simulationsToRun())
+			t.Errorf("%d answers of kind %v in %d simulations: too few for a meaningful test", total[k], k, simulationsToRun())
 		}
 	}
 }
--- a/internal/tier/orders/config_test.go
+++ b/internal/tier/orders/config_test.go
@@ -10,16 +10,16 @@
 
 func TestPutConfigDecisions(t *testing.T) {
 	empty := func(*testing.T, *entryLog) {}
-	threeApplied := func(t *testing.T, l *entryLog) { // 3, 5 and 9 were applied
+	threeApplied := func(t *testing.T, l *entryLog) { // versions 3, 5 and 9 were applied
 		l.mustPut(t, put(3, 0, "a"))
 		l.mustPut(t, put(5, 3, "a"))
 		l.mustPut(t, put(9, 5, "a"))
 	}
-	recordOnly := func(t *testing.T, l *entryLog) { // the put of 12 wrote its record only
+	recordOnly := func(t *testing.T, l *entryLog) { // the put of version 12 wrote only its record
 		threeApplied(t, l)
 		l.append(l.decide(t, put(12, 9, "b")).Append[0])
 	}
-	recordSuperseded := func(t *testing.T, l *entryLog) { // the put of 12 wrote its record only, then 11 was applied
+	recordSuperseded := func(t *testing.T, l *entryLog) { // as recordOnly, then 11 and 20 were applied
 		recordOnly(t, l)
 		l.mustPut(t, put(11, 9, "c"))
 		l.mustPut(t, put(20, 11, "c"))
@@ -35,7 +35,7 @@
 		legacy(t, l)
 		l.append(l.decide(t, put(9, 4, "b")).Append[:2]...)
 	}
-	legacyAgain := func(t *testing.T, l *entryLog) { // a program of the legacy format ran again for a while
+	legacyAgain := func(t *testing.T, l *entryLog) { // a node with the legacy format put the last configuration
 		threeApplied(t, l)
 		l.append(legacyConfigWrite(15, put(9, 5, "a"), put(15, 9, "a")))
 	}
@@ -115,10 +115,10 @@
 				t.Fatalf("%v (%s), want %v", d.Kind, d.Reason, test.want)
 			}
 			if last := len(l.entries); last > 0 && d.DependsOn != l.entries[last-1].Index {
-				t.Errorf("it depends on %d, the last entry is %d", d.DependsOn, l.entries[last-1].Index)
+				t.Errorf("the decision depends on entry %d, the last entry is %d", d.DependsOn, l.entries[last-1].Index)
 			}
 			if d.Reason == "" {
-				t.Error("it has no reason")
+				t.Error("the decision has no reason")
 			}
 			if (d.Kind == Accept) != (len(d.Append) > 0) {
 				t.Errorf("%v with %d writes", d.Kind, len(d.Append))
@@ -126,7 +126,7 @@
 			if d.Kind == Accept {
 				l.append(d.Append...)
 				if again := l.decide(t, test.order); again.Kind != AlreadyApplied {
-					t.Errorf("the same again, before it is committed: %v", again.Kind)
+					t.Errorf("the same order before its commit: %v", again.Kind)
 				}
 				if got := l.decide(t, ReadConfig{}); got.Kind != Found || !bytes.Equal(got.Body, test.order.Body) {
 					t.Errorf("read back: %v %s", got.Kind, got.Body)
@@ -139,7 +139,7 @@
 func TestConfigEntryFormatIsUnchanged(t *testing.T) {
 	l := &entryLog{}
 	l.mustPut(t, put(3, 0, "a"))
-	var e feed.ConfigEntry // stored and sent in this form
+	var e feed.ConfigEntry // the format in which it is stored and sent
 	err := rpc.Decode(l.entries[len(l.entries)-1].Value, &e)
 	if err != nil || e.Version != 3 || string(e.Body) != "3 by a" || len(e.RecentDigests) != 1 {
 		t.Fatal(e, err)
@@ -157,7 +157,7 @@
 		l.append(d.Append...)
 		l.compact()
 		maxEntries = max(maxEntries, len(l.entries))
-		if o.Version%7 > 0 && o.Version%recordsPerPage > 1 { // check at the ends of pages and at some versions between
+		if o.Version%7 > 0 && o.Version%recordsPerPage > 1 { // check only at the ends of pages and at some versions in between
 			continue
 		}
 		s := l.stateOf(t)
@@ -173,9 +173,9 @@
 		t.Errorf("%d entries", maxEntries)
 	}
 	if maxBytes > 1024 {
-		t.Errorf("a put writes %d bytes in addition to the configuration", maxBytes)
+		t.Errorf("a put writes an entry of %d bytes in addition to the configuration", maxBytes)
 	}
-	t.Logf("at most %d entries, at most %d bytes of a page", maxEntries, maxBytes)
+	t.Logf("at most %d entries and %d bytes in an entry", maxEntries, maxBytes)
 }
 
 func TestUndecodableEntryIsAnError(t *testing.T) {
--- a/internal/tier/orders/entry_log_test.go
+++ b/internal/tier/orders/entry_log_test.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// entryLog is the entries of a chain.
+// entryLog has the entries of a chain.
 type entryLog struct{ entries []chain.Entry }
 
 func (l *entryLog) append(writes ...Write) {
@@ -41,16 +41,16 @@
 	return d
 }
 
-// body returns a configuration's body; this package does not parse it.
+// body returns the body of a configuration, which this package does not parse.
 func body(version int64, author string) []byte { return fmt.Appendf(nil, "%d by %s", version, author) }
 
-// put returns the order of a version on a base version.
+// put returns the order to put a version on a base version.
 func put(version, base int64, author string) PutConfig {
 	b := body(version, author)
 	return PutConfig{IfMatch: base, Version: version, Digest: Digest(b), Body: b}
 }
 
-// mustPut accepts, appends and commits an order.
+// mustPut decides, appends and commits an order that must be accepted.
 func (l *entryLog) mustPut(t testing.TB, o PutConfig) {
 	t.Helper()
 	d := l.decide(t, o)
@@ -61,19 +61,19 @@
 	l.compact()
 }
 
-// unreadablePut returns an order whose body does not pass the checks.
+// unreadablePut returns an order whose body fails validation.
 func unreadablePut(author string) PutConfig {
 	b := body(0, author)
 	return PutConfig{Digest: Digest(b), Body: b, Invalid: "no JSON"}
 }
 
-// nowUnreadable returns the order as it is if the checks became stricter after it was applied.
+// unreadableSinceApplied returns the order as it is decided if validation became stricter after it was applied.
 func unreadableSinceApplied(o PutConfig) PutConfig {
-	o.Version, o.Invalid = 0, "checks are stricter"
+	o.Version, o.Invalid = 0, "validation is stricter"
 	return o
 }
 
-// legacyConfigWrite returns a configuration's entry in the format without records.
+// legacyConfigWrite returns the entry of a configuration in the format without records.
 func legacyConfigWrite(version int64, applied ...PutConfig) Write {
 	e := feed.ConfigEntry{Version: version, Body: applied[len(applied)-1].Body}
 	for _, o := range applied {
@@ -82,7 +82,7 @@
 	return Write{Key: feed.ConfigKey, Value: rpc.Encode(&e)}
 }
 
-// consecutivePuts returns orders from a version to another, each on the version before.
+// consecutivePuts returns orders for a range of versions, each on the preceding version.
 func consecutivePuts(from, to int64, author string) (all []PutConfig) {
 	for v := from; v <= to; v++ {
 		all = append(all, put(v, v-1, author))
--- a/internal/tier/orders/initial_states_test.go
+++ b/internal/tier/orders/initial_states_test.go
@@ -7,11 +7,11 @@
 	"larchrouter/internal/tier/chain"
 )
 
-// initialState is a state with which a simulation starts: empty, with a long history, or of the legacy format.
+// initialState is a state in which a simulation starts: empty, with a long history, or in the legacy format.
 type initialState struct {
 	entries          []chain.Entry
 	committedChanges []configChange
-	isLegacyFormat   bool // of the format without records
+	isLegacyFormat   bool // the format without records
 }
 
 var initialStates = sync.OnceValue(func() []initialState {
--- a/internal/tier/orders/race_on_test.go
+++ b/internal/tier/orders/race_on_test.go
@@ -2,5 +2,6 @@
 
 package orders
 
-// raceDetector makes simulations some ten times as slow. They have one goroutine each, so that a few are enough.
+// raceDetector reduces the number of simulations: the race detector makes them some ten times slower, and as each uses a
+// single goroutine a few are enough.
 const raceDetector = true
--- a/internal/tier/orders/singleton_tasks_test.go
+++ b/internal/tier/orders/singleton_tasks_test.go
@@ -6,7 +6,7 @@
 	"larchrouter/internal/tier/chain"
 )
 
-// decideAndApply decides an order in the state of entries and appends what it writes.
+// decideAndApply decides an order in the state of the entries and appends the resulting entries.
 func decideAndApply(t *testing.T, entries *[]chain.Entry, order Order) Decision {
 	t.Helper()
 	decision, err := Decide(*entries, 1, order)
@@ -19,7 +19,7 @@
 	return decision
 }
 
-// Guards against the rule ONE: the platform must not get two reports of a window with different counts.
+// TestFirstReportOfWindowIsKept checks that the platform can never receive two reports of a window with different counts.
 func TestFirstReportOfWindowIsKept(t *testing.T) {
 	var entries []chain.Entry
 	for _, c := range []struct {
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if reports := state.UsageReports(); len(reports) != 2 {
-		t.Errorf("%d reports are kept: %+v", len(reports), reports)
+		t.Errorf("%d reports are kept, want 2: %+v", len(reports), reports)
 	}
 }
 
@@ -54,7 +54,7 @@
 	var entries []chain.Entry
 	decideAndApply(t, &entries, RecordUsage{Window: 7, Body: []byte("x")})
 	if d := decideAndApply(t, &entries, RecordUsage{Window: 7, Body: []byte("y")}); d.DependsOn != 1 {
-		t.Errorf("it depends on entry %d, want 1: it may not be committed yet", d.DependsOn)
+		t.Errorf("the decision depends on entry %d, want 1, which may not be committed yet", d.DependsOn)
 	}
 }
 
@@ -70,7 +70,7 @@
 			t.Fatal(err)
 		}
 		if got, ok := state.FencingTokenBase(); !ok || got != 1<<40 {
-			t.Errorf("the base is %d, %v", got, ok)
+			t.Errorf("token base %d, recorded: %v", got, ok)
 		}
 	}
 }
--- a/internal/tier/orders/store_simulation_run_test.go
+++ b/internal/tier/orders/store_simulation_run_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// storeFault is a planted fault in the decisions about stores, or in the caller's duties. The simulation must find each.
+// storeBug is a bug that is injected into the decisions about stores or into the caller. The simulation must detect each.
 type storeBug struct {
-	keyByName        bool // the key of an order has the name only, so that the next order of the name replaces it
-	stalePhase       bool // the phase is that of the order, whichever store has the name now
-	committedOnly    bool // orders are decided by committed entries only
-	forgetRetired    bool // a retired store is not found
-	skipConfirmation bool // replies don't wait for the epoch's confirmation
+	keyByName        bool // the key of an order has only the name, so that the next order for the name overwrites it
+	stalePhase       bool // the phase ignores that another store may have the name now
+	committedOnly    bool // orders are decided on committed entries only
+	forgetRetired    bool // a retired store is reported as not found
+	skipConfirmation bool // replies don't wait for confirmation of the epoch
 	ignoreDependency bool // replies don't wait for the commit of DependsOn
-	dropOnDiskLoss   bool // an order is dropped if its store loses its disk
+	dropOnDiskLoss   bool // an order does not extend to the store's new identity after it lost its disk
 }
 
 func TestRandomStoreSimulationsKeepAnswersConsistent(t *testing.T) {
@@ -34,17 +34,17 @@
 	t.Logf("%d simulations, answers: %v", simulationsToRun(), total)
 	for _, k := range []Kind{Accept, InProgress, Retired, Conflict, NotFound, Serving, Complete} {
 		if total[k] < simulationsToRun()/4 {
-			t.Errorf("%d answers of kind %v in %d simulations: too few to show anything", total[k], k, simulationsToRun())
+			t.Errorf("%d answers of kind %v in %d simulations: too few for a meaningful test", total[k], k, simulationsToRun())
 		}
 	}
 }
 
 func TestStoreSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]storeBug{
-		"order kept by name only":                   {keyByName: true},
+	for name, bug := range map[string]storeBug{
+		"order stored by name only":                 {keyByName: true},
 		"complete while another store has the name": {stalePhase: true},
-		"decided by committed entries only":         {committedOnly: true},
+		"decided on committed entries only":         {committedOnly: true},
 		"retired store not found":                   {forgetRetired: true},
 		"replies without confirmation of the epoch": {skipConfirmation: true},
 		"replies before the commit of DependsOn":    {ignoreDependency: true},
@@ -53,13 +53,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(600) {
-				c := newStoreSimulation(seed+1, f)
+				c := newStoreSimulation(seed+1, bug)
 				if c.run(); c.failure != "" {
 					t.Logf("seed %d: %s", seed+1, c.failure)
 					return
 				}
 			}
-			t.Fatal("not found in 600 simulations")
+			t.Fatal("not detected by 600 simulations")
 		})
 	}
 }
--- a/internal/tier/orders/store_simulation_test.go
+++ b/internal/tier/orders/store_simulation_test.go
@@ -14,21 +14,21 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// storeSimulation simulates operators who retire stores, close to the least number of stores, while heads change and
-// machines get old names, lose their disks, or return after they were removed.
+// storeSimulation simulates operators who retire stores, with hardly more stores than required, while heads change and
+// machines reuse names, lose their disks, or return after their removal.
 type storeSimulation struct {
 	*chainModel
 	bug               storeBug
 	failure           string
 	events            []string
-	machines          map[string]turnstore.Store // the running ones, by name
+	machines          map[string]turnstore.Store // running machines by name
 	identitiesCreated int
 	committedLog      entryLog          // all committed entries
-	acknowledged      map[string]string // name to the identity of the store that had it when the order was acknowledged
-	retired           map[string]bool   // identities of stores that were retired and left the placement
-	removedMachines   []turnstore.Store // may be started again by mistake
-	newestStore       string            // name of the store that was added to the placement last
-	headSince         time.Duration     // when the current head took over
+	acknowledged      map[string]string // by name: identity of the store that had the name when the order was acknowledged
+	retired           map[string]bool   // identities of retired stores that have left the placement
+	removedMachines   []turnstore.Store // an operator may start them again by mistake
+	newestStore       string            // name of the store last added to the placement
+	headSince         time.Duration     // time when the current head took over
 	head              *replica
 	answers           map[Kind]int
 }
@@ -46,9 +46,9 @@
 	c.logf("machine %s is %s", name, c.machines[name].ID)
 }
 
-func newStoreSimulation(seed uint64, fault storeBug) *storeSimulation {
+func newStoreSimulation(seed uint64, bug storeBug) *storeSimulation {
 	rng := rand.New(rand.NewPCG(seed, 17))
-	sim := &storeSimulation{chainModel: newChainModel(rng, 3+rng.IntN(2), nil), bug: fault, machines: map[string]turnstore.Store{},
+	sim := &storeSimulation{chainModel: newChainModel(rng, 3+rng.IntN(2), nil), bug: bug, machines: map[string]turnstore.Store{},
 		acknowledged: map[string]string{}, retired: map[string]bool{}, answers: map[Kind]int{}}
 	sim.logf = func(format string, args ...any) {
 		sim.events = append(sim.events, fmt.Sprintf("%8.2f ", sim.now.Seconds())+fmt.Sprintf(format, args...))
@@ -97,15 +97,15 @@
 	}
 	staying := slices.DeleteFunc(targetStores(state.Placement), func(o turnstore.Store) bool { return state.Retired()[o.ID] })
 	if strings.HasPrefix(e.Key, feed.RetirePrefix) && len(staying) < 3 {
-		c.fail("an order leaves %d stores", len(staying))
+		c.fail("a retirement leaves only %d stores", len(staying))
 	}
 }
 
-// checkRetiringStoreNotReplaced checks that a machine that loses its disk while it retires is not placed again.
+// checkRetiringStoreNotReplaced checks that a machine that lost its disk while it was being retired is not placed again.
 func (c *storeSimulation) checkRetiringStoreNotReplaced(before *State, placed turnstore.Store) {
 	for _, store := range before.Placement.Stores() {
 		if store.Name == placed.Name && before.Retired()[store.ID] {
-			c.fail("%s was retiring as %s, and is placed as %s", store.Name, store.ID, placed.ID)
+			c.fail("%s was being retired as %s, and is placed again as %s", store.Name, store.ID, placed.ID)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 			fmt.Fprintf(&b, " %s(%s)", store.Name, store.ID)
 		}
 	}
-	return fmt.Sprintf("%s, ordered %v", b.String(), s.Retirements)
+	return fmt.Sprintf("%s, retirements %v", b.String(), s.Retirements)
 }
 
 func targetStores(p *turnstore.Placement) []turnstore.Store {
@@ -136,7 +136,7 @@
 	return slices.ContainsFunc(all, func(o turnstore.Store) bool { return o.ID == id })
 }
 
-// planPlacement plans the placement as the head does, once its last write is committed.
+// planPlacement plans the placement in the same way as the head of the control plane, once its last write is committed.
 func (c *storeSimulation) planPlacement(r *replica) {
 	if c.head != r {
 		c.head, c.headSince = r, c.now
@@ -168,7 +168,7 @@
 	}
 }
 
-// decide returns the decision with the planted fault.
+// decideWithBug returns the decision with the injected bug.
 func (c *storeSimulation) decideWithBug(entries []chain.Entry, o Order) Decision {
 	d, err := Decide(entries, 1, o)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return d
 }
 
-// sendRetire sends an order to retire a store to the head that a replica knows.
+// sendRetire sends an order to retire a store to the head of some replica's epoch.
 func (c *storeSimulation) sendRetire(name string) {
 	r := c.randomHead()
 	if !r.isHead() {
@@ -228,7 +228,7 @@
 	r.pending = append(r.pending, reply)
 }
 
-// checkAnswer checks an answer against the committed state now, and before, when the order arrived.
+// checkAnswer checks an answer against the current committed state, and that from before, when the order arrived.
 func (c *storeSimulation) checkAnswer(name string, decision Decision, before *State) {
 	c.answers[decision.Kind]++
 	s := c.committedState()
@@ -256,7 +256,7 @@
 	}
 }
 
-// sendPhase asks a tail for a phase. If it is Complete the operator may remove the machine with its disk.
+// sendPhase queries the phase of a retirement at a tail. If it is Complete the operator may remove the machine and its disk.
 func (c *storeSimulation) sendPhase(name string) {
 	r := c.replicas[c.rng.IntN(len(c.replicas))]
 	if !r.isTail() {
@@ -273,7 +273,7 @@
 		}
 		store, running := c.machines[name]
 		if running && containsID(c.committedState().Placement.Stores(), store.ID) {
-			c.fail("%s is complete, and the store %s of that name is placed", name, store.ID)
+			c.fail("the retirement of %s is reported as complete, and the store %s of that name is placed", name, store.ID)
 		}
 		if running && (c.acknowledged[name] == store.ID || c.rng.IntN(4) == 0) {
 			c.removeMachine(store)
@@ -282,7 +282,7 @@
 	r.pending = append(r.pending, pendingReply{confirmedAt: c.now + readConfirmTime, deadline: c.now + callTimeout, reply: reply})
 }
 
-// removeMachine removes a machine. Another is started later: a new one, under the old or a new name, or an old one.
+// removeMachine removes a machine. Later another one is started: a new one with the old or a new name, or a removed one.
 func (c *storeSimulation) removeMachine(machine turnstore.Store) {
 	c.logf("machine %s, %s, is removed", machine.Name, machine.ID)
 	delete(c.machines, machine.Name)
@@ -307,7 +307,7 @@
 	})
 }
 
-// randomHead returns the head that some replica knows, or the head of an older epoch.
+// randomHead returns the head of a random replica's epoch, or sometimes the head of an older epoch.
 func (c *storeSimulation) randomHead() *replica {
 	if c.rng.IntN(3) == 0 {
 		for _, r := range c.replicas {
@@ -352,13 +352,13 @@
 	}
 }
 
-// sendRetirements sends up to three orders close together, some of them once more much later; some machines lose their
-// disks meanwhile.
+// sendRetirements sends up to three orders close together, some of them again much later. Some machines lose their disks
+// meanwhile.
 func (c *storeSimulation) sendRetirements() {
 	for range 1 + c.rng.IntN(3) {
 		name := string(rune('a' + c.rng.IntN(8)))
 		if c.newestStore != "" && c.rng.IntN(3) == 0 {
-			name = c.newestStore // the head of an older epoch does not know it
+			name = c.newestStore // the head of an older epoch may not know this store
 		}
 		c.schedule(time.Duration(c.rng.IntN(20))*time.Millisecond, func() { c.sendRetire(name) })
 		if c.rng.IntN(3) == 0 {
--- a/internal/tier/orders/stores_test.go
+++ b/internal/tier/orders/stores_test.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// parseStores parses a list such as "a b c'": c' is a store named c with another identity than c.
+// parseStores parses a list such as "a b c'", where c' is a store named c with a different identity than c.
 func parseStores(list string) (all []turnstore.Store) {
 	for _, name := range strings.Fields(list) {
 		all = append(all, turnstore.Store{ID: "id-" + name, Name: strings.TrimRight(name, "'")})
@@ -23,7 +23,8 @@
 	return Write{Key: feed.PlacementKey, Value: rpc.Encode(&p)}
 }
 
-// retirementWrite returns the entry of an order to retire a store; byNameAlone selects the legacy key.
+// retirementWrite returns the entry of an order to retire a store, optionally with the legacy key,
+// which has only the name.
 func retirementWrite(name string, withLegacyKey bool) Write {
 	s := parseStores(name)[0]
 	key := RetireKey(s.Name, s.ID)
@@ -48,12 +49,12 @@
 		{"too few remain", writes{placementWrite("a b c", "")}, "a", Conflict, Serving},
 		{"ordered", writes{placementWrite("a b c d", ""), retirementWrite("a", false)}, "a", InProgress, Serving},
 		{"ordered, legacy key", writes{placementWrite("a b c d", ""), retirementWrite("a", true)}, "a", InProgress, Serving},
-		{"another, too few remain", writes{placementWrite("a b c d", ""), retirementWrite("a", false)}, "b", Conflict, Serving},
-		{"another, enough remain", writes{placementWrite("a b c d e", ""), retirementWrite("a", false)}, "b", Accept, Serving},
+		{"other store ordered, too few remain", writes{placementWrite("a b c d", ""), retirementWrite("a", false)}, "b", Conflict, Serving},
+		{"other store ordered, enough remain", writes{placementWrite("a b c d e", ""), retirementWrite("a", false)}, "b", Accept, Serving},
 		{"retiring", writes{retirementWrite("a", false), placementWrite("a b c d", "b c d")}, "a", InProgress, Serving},
 		{"retired", writes{retirementWrite("a", false), placementWrite("b c d", "")}, "a", Retired, Complete},
 		{"retired, legacy key", writes{retirementWrite("a", true), placementWrite("b c d", "")}, "a", Retired, Complete},
-		{"retired, another is added",
+		{"retired, another store is added",
 			writes{retirementWrite("a", false), placementWrite("b c d", "b c d e")}, "a", Retired, Complete},
 		{"retired, new machine of the name",
 			writes{retirementWrite("a", false), placementWrite("a' b c d", "")}, "a", Accept, Serving},
@@ -85,14 +86,14 @@
 				t.Errorf("phase: %v, want %v", p.Kind, test.phase)
 			}
 			if last := int64(len(l.entries)); d.DependsOn != last || p.DependsOn != last {
-				t.Errorf("they depend on %d and %d, the last entry is %d", d.DependsOn, p.DependsOn, last)
+				t.Errorf("the decisions depend on entries %d and %d, the last entry is %d", d.DependsOn, p.DependsOn, last)
 			}
 			if d.Kind == Accept {
 				before := len(l.stateOf(t).Retirements)
 				l.append(d.Append...)
 				l.compact()
 				if again := l.decide(t, RetireStore{Name: test.store}); again.Kind != InProgress {
-					t.Errorf("the same again: %v", again.Kind)
+					t.Errorf("the same order again: %v", again.Kind)
 				}
 				if after := len(l.stateOf(t).Retirements); after != before+1 {
 					t.Errorf("%d retirements before, %d after", before, after)
