--- a/internal/tier/placement/helpers_test.go
+++ b/internal/tier/placement/helpers_test.go
@@ -43,8 +43,8 @@
 	return heads
 }
 
-// run simulates until a point in time or the first change, and returns that. The given stores register at each step; one with
-// ~ behind its name has not swept under the generation in force.
+// run simulates until a point in time or until Plan returns a placement, and returns that placement. The given stores register in
+// each step. A store with the suffix ~ has not completed its sweep under the current generation.
 func (h *headSequence) run(until time.Duration, ids ...string) *turnstore.Placement {
 	for in := &h.input; in.Now < until; in.Now += planStep {
 		for _, id := range ids {
@@ -67,14 +67,15 @@
 	Register(in.Stores, registration, in.Now, h.timings)
 }
 
-// takeOver makes another node head, which inherits observations.
+// takeOver simulates a change of the head. The new head inherits the observations.
 func (h *headSequence) takeOver(inherited Observations) {
 	in := &h.input
 	in.TookOverAt, in.Inherited, in.Stores = in.Now, inherited, map[string]StoreStatus{}
 	in.GenerationSince = inherited.GenerationSince(in.Current.Generation, in.Now)
 }
 
-// newRetirement returns a head with four stores and an order to retire d. If joint, the change that removes d is in progress.
+// newRetirementSequence returns a head with four stores and an order to retire d. If joint is true, the change that removes d is
+// in progress.
 func newRetirementSequence(joint bool) *headSequence {
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	heads.run(4*time.Second, "a", "b", "c", "d")
@@ -96,8 +97,8 @@
 	}
 }
 
-// playRegistrations registers stores by lines of a time in ms and the stores that register then, each as id@address or
-// id@address:generation. It returns the last time.
+// replayRegistrations registers stores as described by lines, which have a time in ms and the stores that register then, each as
+// id@address or id@address:generation. It returns the last time.
 func replayRegistrations(t *testing.T, stores map[string]StoreStatus, lines string) (now time.Duration) {
 	t.Helper()
 	timings := DefaultTimings(3 * time.Second)
@@ -119,16 +120,17 @@
 	return now
 }
 
-// playTimeline runs Plan on a timeline with a column for each store, and checks the placement after each line. A line is a
-// time in ms, and for each column what the store does until then:
+// runTimeline runs Plan on a timeline with a column for each store, and checks the placement after each line. A line has a time
+// in ms, and in each column what the store does until then:
 //
-//	'+'  it registers, and has swept
-//	'~'  it registers, but has not swept
+//	'+'  it registers, and has completed its sweep
+//	'~'  it registers, but has not completed its sweep
 //	'.'  it does not register
-//	'w'  it registers under another identity: its disk was lost
-//	'R'  it registers, and is to be retired
+//	'w'  it registers under another identity: its disk was lost (wiped)
+//	'R'  it registers, and its retirement was accepted
 //
-// After '|' follows the placement at that time: generation, old and new list, as names, with w for the other identity.
+// The placement at that time follows after '|': the generation and the names in the old and the new list, with the suffix w for
+// the other identity.
 func runTimeline(t *testing.T, faultTolerance int, timeline string) {
 	t.Helper()
 	var lines [][]string
@@ -156,7 +158,7 @@
 	}
 }
 
-// playMark records what a store does by its mark in a timeline.
+// applyTimelineMark updates the input by a store's mark in a timeline.
 func applyTimelineMark(in *Input, name, mark string) {
 	id := name
 	if mark == "." {
@@ -178,7 +180,7 @@
 	in.Stores[id] = status
 }
 
-// planOnce plans, and checks that the generation does not decrease.
+// planOnce calls Plan once, and checks that the generation does not decrease.
 func planOnce(t *testing.T, in *Input, timings Timings) {
 	t.Helper()
 	next := Plan(*in, timings)
@@ -194,7 +196,7 @@
 	in.Current = next
 }
 
-// formatPlacement returns a placement as in timelines.
+// formatPlacement formats a placement as in timelines.
 func formatPlacement(p *turnstore.Placement) string {
 	if p == nil {
 		return "none"
--- a/internal/tier/placement/model_check_test.go
+++ b/internal/tier/placement/model_check_test.go
@@ -6,12 +6,12 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// canDeny reports whether the store may deny that a turn exists, as in package turnstore.
+// isAuthoritative reports whether the store may deny that a turn exists, by the rule of package turnstore.
 func (h *host) isAuthoritative() bool {
 	return h.placement != nil && (containsStore(h.placement.Old, h.id) || h.sweptGeneration == h.placement.Generation)
 }
 
-// check checks the invariant of docs/design/015.
+// check checks the invariants of docs/design/015: every program has a majority of replicas, and no acknowledged write is lost.
 func (m *simulation) check() {
 	if m.currentPlacement == nil || m.countLost() > m.faultTolerance {
 		m.noMajoritySince = 0
@@ -26,7 +26,7 @@
 	}
 }
 
-// responder is a store of a list as it responds now.
+// responder is the present state of a store of a list.
 type responder struct {
 	running, isAuthoritative bool
 	writes                   uint64
@@ -43,7 +43,7 @@
 	return responders
 }
 
-// checkMajorities checks that each program has a running majority of replicas by each list in force.
+// checkMajorities checks that a majority of each program's replicas is running, for each list of the placement.
 func (m *simulation) checkMajorities() {
 	for program := range programCount {
 		for _, replicas := range m.replicaSets(program) {
@@ -58,7 +58,8 @@
 					m.noMajoritySince = m.now
 				}
 				if m.longestNoMajority = max(m.longestNoMajority, m.now-m.noMajoritySince); m.longestNoMajority > maxNoMajority {
-					m.fail("STUCK for %v: program %d has %d running replicas of %s", m.longestNoMajority, program, running, storeIDs(replicas))
+					m.fail("UNAVAILABLE for %v: program %d has only %d running replicas of %s",
+						m.longestNoMajority, program, running, storeIDs(replicas))
 				}
 				return
 			}
@@ -70,7 +71,7 @@
 // maxNoMajority bounds how long a program may be without a majority; the invariant requires 0.
 const maxNoMajority = 0
 
-// checkWrite checks that a running store has the write, that too few can deny it, and that no majority lacks it.
+// checkWrite checks that a running store has the write, that too few stores can deny it, and that no majority lacks it.
 func (m *simulation) checkWrite(number int, write turnWrite, lists [][]responder) {
 	running, denied := false, true
 	for _, list := range lists {
@@ -88,7 +89,7 @@
 		m.fail("LOST: no running store has write %d of program %d", number, write.program)
 	}
 	if denied {
-		m.fail("LOST: write %d of program %d may be answered 404", number, write.program)
+		m.fail("LOST: write %d of program %d may be reported as not found (404)", number, write.program)
 	}
 	lacked := true
 	for _, replicas := range m.replicaSets(write.program) {
@@ -101,11 +102,12 @@
 		lacked = lacked && lacking >= replicas.Majority()
 	}
 	if lacked {
-		m.fail("BUDGET: a majority of replicas lacks write %d of program %d", number, write.program)
+		m.fail("MAJORITY: a majority of replicas lacks write %d of program %d", number, write.program)
 	}
 }
 
-// checkConvergence ends the faults, and checks that all replicas converge within a bound, also with a new control state.
+// checkConvergence stops the faults and checks that all replicas converge within 25 s. In a third of the runs it also checks
+// convergence within 15 s after the control state was created anew.
 func (m *simulation) checkConvergence(injector *faultInjector) {
 	injector.nextLoss, injector.nextOrder, injector.nextHeadChange = never, never, never
 	m.run(m.now+25*time.Second, injector.step)
@@ -113,7 +115,7 @@
 	if m.violation != "" || m.rng.IntN(3) > 0 {
 		return
 	}
-	m.logEvent("new control state")
+	m.logEvent("control state created anew")
 	m.currentPlacement, m.previousPlacement, m.tookOverAt, m.stores, m.retired =
 		nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
 	for _, h := range m.hosts {
@@ -135,7 +137,7 @@
 		return
 	}
 	if len(m.currentPlacement.New) > 0 {
-		m.fail("STUCK: the placement is not stable long after the last fault")
+		m.fail("STUCK: the placement is still joint long after the last fault")
 		return
 	}
 	m.checkRetired()
@@ -150,13 +152,13 @@
 			}
 		}
 		if lacking > m.faultTolerance {
-			m.fail("REPLICAS: %d of program %d lack write %d", lacking, write.program, number)
+			m.fail("REPLICAS: %d replicas of program %d lack write %d", lacking, write.program, number)
 		}
 	}
 }
 
-// checkRetired checks that each retirement is complete, if enough others are left. One may have been accepted while the list had
-// both a failed store and its successor; it waits for a further store then.
+// checkRetired checks that each retirement is complete, provided that enough other stores are left. One that was accepted while
+// the list had both a failed store and its successor waits for a further store.
 func (m *simulation) checkRetired() {
 	others := 0
 	for _, host := range m.hosts {
@@ -166,7 +168,7 @@
 	}
 	for _, h := range m.hosts {
 		if h.retired && !h.removed && others >= 2*m.faultTolerance+1 {
-			m.fail("RETIREMENT: %s, ordered to retire, is still in use long after the last fault, with %d others", h.name, others)
+			m.fail("RETIREMENT: the retirement of %s is incomplete long after the last fault, with %d other stores", h.name, others)
 		}
 	}
 }
--- a/internal/tier/placement/model_client_test.go
+++ b/internal/tier/placement/model_client_test.go
@@ -14,7 +14,7 @@
 	acked   bool
 }
 
-// replicaSets returns the replica sets of a program by the lists in force.
+// replicaSets returns the replica sets of a program under the current placement, one for each list.
 func (m *simulation) replicaSets(program int) []turnstore.ReplicaSet {
 	return m.replicaSetsUnder(m.currentPlacement, program)
 }
@@ -35,14 +35,14 @@
 	program   int
 }
 
-// write simulates a front that writes a turn under the placement that it knows; some replicas do not get it.
+// write simulates a front that writes a turn under the current or the previous placement. Some replicas miss the write.
 func (m *simulation) write() {
 	known := m.currentPlacement
 	if m.now < m.previousUntil && m.rng.IntN(2) == 0 {
 		known = m.previousPlacement
 	}
 	oneIn := 25
-	if m.now < m.previousUntil+500*time.Millisecond { // around a change of the placement
+	if m.now < m.previousUntil+500*time.Millisecond { // more often around a change of the placement
 		oneIn = 2
 	}
 	if known == nil || len(m.writes) >= 60 || m.rng.IntN(oneIn) > 0 {
--- a/internal/tier/placement/model_head_test.go
+++ b/internal/tier/placement/model_head_test.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// stepHead delivers registrations to the head, and plans.
+// stepHead delivers registrations to the head and, every 100 ms, plans.
 func (m *simulation) stepHead() {
 	sort.SliceStable(m.inTransit, func(i, j int) bool { return m.inTransit[i].arrivesAt < m.inTransit[j].arrivesAt })
 	for len(m.inTransit) > 0 && m.inTransit[0].arrivesAt <= m.now {
@@ -29,7 +29,7 @@
 	if m.bug != retirementNotExtended {
 		for _, store := range SuccessorsOfRetiringStores(in) {
 			m.retired[store.ID] = true
-			m.logEvent("%s is to be retired as well", store.ID)
+			m.logEvent("retirement extends to %s", store.ID)
 		}
 	}
 	next := m.plan(in)
@@ -48,7 +48,7 @@
 		FaultTolerance:  m.faultTolerance, Current: m.currentPlacement, Stores: m.stores, Retired: m.retired, Departures: m.departures}
 }
 
-// apply puts a planned placement in force.
+// apply makes a planned placement the current one.
 func (m *simulation) apply(next *turnstore.Placement) {
 	switch {
 	case m.currentPlacement == nil:
@@ -69,13 +69,13 @@
 	}
 }
 
-// changeHead makes another node head, with the last observations received from the one before it.
+// changeHead simulates a change of the head. The new head has the last observations received from the previous one.
 func (m *simulation) changeHead() {
 	m.stores, m.tookOverAt, m.inherited, m.departures = map[string]StoreStatus{}, m.now, m.lastReport, Departures{}
-	m.logEvent("another head")
+	m.logEvent("head changed")
 }
 
-// checkNotCountedFailed checks that no store counts as failed that a head which never changes has confirmed recently.
+// checkConfirmedStoresAreNotFailed checks that no store counts as failed that a permanent head would have confirmed recently.
 func (m *simulation) checkConfirmedStoresAreNotFailed(in *Input) {
 	if in.Current == nil {
 		return
--- a/internal/tier/placement/model_store_test.go
+++ b/internal/tier/placement/model_store_test.go
@@ -7,14 +7,14 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// host is a store machine.
+// host is a machine that runs a store.
 type host struct {
 	name, addr string
 	id         string
 	up, paused bool
-	removed    bool          // for good
-	retired    bool          // by order
-	lostUntil  time.Duration // counts as lost until then; never while it is down
+	removed    bool          // permanently, with its disk
+	retired    bool          // by an operator's order
+	lostUntil  time.Duration // counts as lost until this time; set to never while it is down
 	started    time.Duration
 
 	adoptedGeneration, sweptGeneration int64
@@ -24,13 +24,13 @@
 	registeredAt                       time.Duration
 	registeredSweptGeneration          int64
 
-	pulled            map[string]bool // peers tried in the present phase, with success or without
-	pulledBefore      map[string]bool // peers pulled from under any generation
-	sweepPhase        int64           // generation and joint or stable, of the present sweep
-	pullFrom          string          // peer of the pull in progress until pullEnds
+	pulled            map[string]bool // peers tried in the current phase: whether the pull succeeded
+	pulledBefore      map[string]bool // peers from which it has pulled under any generation
+	sweepPhase        int64           // of the current sweep: 2 * generation, plus 1 while joint
+	pullFrom          string          // peer from which it pulls until pullEnds; empty for none
 	pullEnds          time.Duration
 	retryAt           time.Duration
-	unresponsiveUntil map[string]time.Duration // peers that did not respond
+	unresponsiveUntil map[string]time.Duration // time until which a peer counts as unresponsive
 }
 
 type delivery struct {
@@ -49,7 +49,7 @@
 		0, map[string]bool{}, map[string]time.Duration{}, 0, 0
 }
 
-// add starts a new machine. It does not count as lost unless it succeeds another.
+// add starts a new machine, and names it if the name is empty. It does not count as lost unless it succeeds another one.
 func (m *simulation) add(name string) *host {
 	m.identitiesCreated++
 	h := &host{name: name, addr: fmt.Sprintf("a%d:1", m.identitiesCreated)}
@@ -69,7 +69,7 @@
 	m.deliverPlacement(h)
 }
 
-// stop ends a process; a registration of it may still be in transit for long.
+// stop ends the process of a store. One of its registrations may remain in transit for up to 8 s.
 func (m *simulation) stop(h *host) {
 	if h.up && m.rng.IntN(4) == 0 {
 		m.inTransit = append(m.inTransit, sentRegistration{m.now + m.duration(step, 8*time.Second), m.registration(h)})
@@ -77,7 +77,7 @@
 	h.up, h.paused = false, false
 }
 
-// remove removes a machine for good, with its disk.
+// remove removes a machine permanently, with its disk.
 func (m *simulation) remove(h *host) {
 	m.stop(h)
 	h.removed = true
@@ -97,7 +97,7 @@
 
 func (h *host) isUp() bool { return h.up && !h.paused }
 
-// stepHost simulates a step of one store.
+// stepHost simulates one step of a store.
 func (m *simulation) stepHost(store *host) {
 	if !store.isUp() {
 		return
--- a/internal/tier/placement/model_sweep_test.go
+++ b/internal/tier/placement/model_sweep_test.go
@@ -6,7 +6,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// sweep simulates the sweep of package turnstore: peer after peer; a peer is pulled from once in each phase.
+// sweep simulates the sweep of package turnstore, which pulls from one peer at a time and once from each peer in each phase.
 func (m *simulation) sweep(store *host) {
 	placement := store.placement
 	if !store.mustSweep() {
@@ -32,7 +32,7 @@
 	m.endSweep(store, placement)
 }
 
-// mustSweep reports whether the store is in the list that sweeps, and has not swept under its generation.
+// mustSweep reports whether the store is in the list whose stores sweep, and has not completed its sweep under this generation.
 func (h *host) mustSweep() bool {
 	p := h.placement
 	if p == nil || h.sweptGeneration >= p.Generation || p.Generation == 1 {
@@ -41,10 +41,10 @@
 	return containsStore(p.New, h.id) || len(p.New) == 0 && containsStore(p.Old, h.id)
 }
 
-// beginPull begins to pull from a peer.
+// beginPull starts a pull from a peer and schedules its end.
 func (m *simulation) beginPull(store *host, peer string) {
 	took := m.duration(10*time.Millisecond, m.maxPull)
-	if store.pulledBefore[peer] { // only what is new
+	if store.pulledBefore[peer] { // only new writes are transferred
 		took = min(took, 30*time.Millisecond)
 	}
 	switch peerHost := m.host(peer); {
@@ -56,7 +56,7 @@
 	store.pullFrom, store.pullEnds = peer, m.now+took
 }
 
-// endPull ends the pull in progress.
+// endPull completes the current pull and records whether it succeeded.
 func (m *simulation) endPull(store *host, placement *turnstore.Placement) {
 	if m.pull(store, placement, store.pullFrom) {
 		store.pulled[store.pullFrom] = true
@@ -67,7 +67,7 @@
 	store.pullFrom = ""
 }
 
-// endSweep completes a sweep, unless it missed more peers than may be lost: then these are tried again later.
+// endSweep completes a sweep. If the sweep missed more peers than may be lost, these are retried later instead.
 func (m *simulation) endSweep(store *host, placement *turnstore.Placement) {
 	missed := 0
 	for _, peer := range placement.Old {
@@ -81,11 +81,11 @@
 		return
 	}
 	store.sweptGeneration = placement.Generation
-	m.logEvent("%s has swept generation %d, missed %d", store.id, placement.Generation, missed)
+	m.logEvent("%s has completed its sweep of generation %d, missed %d", store.id, placement.Generation, missed)
 }
 
-// nextPeer returns the peer to pull from next, or "". Those that did not respond recently come last, and not at all if they are
-// not needed.
+// nextPeer returns the peer from which to pull next, or "". Peers that were recently unresponsive come last, and are skipped if
+// they are not needed.
 func (m *simulation) nextPeer(store *host, placement *turnstore.Placement) string {
 	remaining := 0
 	for _, peer := range placement.Old {
--- a/internal/tier/placement/model_test.go
+++ b/internal/tier/placement/model_test.go
@@ -9,15 +9,15 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// The model simulates the head's planning, stores that sweep and clients that write, in steps of virtual time. Stores and
-// writes are the model's (package turnstore tests the real ones); Plan, Register and the replica sets are the real ones. It
-// is small, so that thousands of schedules run in seconds.
+// The model simulates the planning of the head, sweeps of stores and writes of clients in steps of virtual time. Plan, Register
+// and the replica sets are the real code; stores and writes are simplified (package turnstore tests the real ones), so that
+// thousands of schedules run in seconds.
 
 const (
 	step                     = 50 * time.Millisecond
-	registerInterval         = 400 * time.Millisecond // of a store
+	registerInterval         = 400 * time.Millisecond // of a store in the placement
 	unplacedRegisterInterval = 100 * time.Millisecond // of a store that is not in the placement
-	pullTimeout              = 700 * time.Millisecond // for a pull from a machine that does not respond
+	pullTimeout              = 700 * time.Millisecond // of a pull from an unresponsive machine
 	unresponsiveFor          = 10 * time.Second
 	sweepRetryInterval       = 100 * time.Millisecond
 	reportInterval           = 200 * time.Millisecond // of the head to the other core nodes
@@ -36,49 +36,51 @@
 	faultTolerance    int
 	catchUpTime       time.Duration
 	timings           Timings
-	maxPull           time.Duration // duration of a pull, at most
-	maxDelivery       time.Duration // delay of a placement, at most
+	maxPull           time.Duration // longest duration of a pull
+	maxDelivery       time.Duration // longest delay until a store receives a placement
 	now               time.Duration
 	hosts             []*host
 	writes            []turnWrite
 	programWrites     [programCount]uint64 // a bit for each write
 	currentPlacement  *turnstore.Placement
 	replicaSetCache   map[replicaSetKey][]turnstore.ReplicaSet
-	previousPlacement *turnstore.Placement // that fronts which lag use until previousUntil
+	previousPlacement *turnstore.Placement // which slow fronts use until previousUntil
 	previousUntil     time.Duration
 	tookOverAt        time.Duration
 	generation        int64
-	generationSince   time.Duration // when it was first seen
+	generationSince   time.Duration // when generation was first seen
 	stores            map[string]StoreStatus
-	inherited         Observations           // by this head from the one before it
-	reportLossRand    *rand.Rand             // decides which observations are lost
+	inherited         Observations           // by the current head from the previous one
+	reportLossRand    *rand.Rand             // decides which published observations are lost
 	lossTargetRand    *rand.Rand             // decides whether a loss hits a retiring store
-	lastReport        Observations           // last observations that the other core nodes have received
-	referenceStores   map[string]StoreStatus // of a head that never changes
+	lastReport        Observations           // last observations received by the other core nodes
+	referenceStores   map[string]StoreStatus // as seen by a permanent head
 	retired           map[string]bool
-	departures        Departures // seen by this head
+	departures        Departures // as seen by the current head
 	inTransit         []sentRegistration
 	identitiesCreated int
-	hostsByID         map[string]*host // that exist
+	hostsByID         map[string]*host // hosts that are not removed
 	events            []string
 	violation         string
-	jointSince        time.Duration // of the joint phase in progress
+	jointSince        time.Duration // start of the current joint phase
 	longestJoint      time.Duration
 	changes           int
 	longestNoMajority time.Duration
 	noMajoritySince   time.Duration // 0 for none
 }
 
-func newSimulation(seed uint64, fault injectedBug, stores, faultTolerance int, contact, catchUp, maxPull time.Duration) *simulation {
-	m := &simulation{bug: fault, rng: rand.New(rand.NewPCG(seed, 3)), faultTolerance: faultTolerance,
-		catchUpTime: catchUp, maxPull: maxPull, maxDelivery: 300 * time.Millisecond, timings: DefaultTimings(contact),
+func newSimulation(seed uint64, bug injectedBug, stores, faultTolerance int,
+	contactTimeout, catchUpTime, maxPull time.Duration,
+) *simulation {
+	m := &simulation{bug: bug, rng: rand.New(rand.NewPCG(seed, 3)), faultTolerance: faultTolerance,
+		catchUpTime: catchUpTime, maxPull: maxPull, maxDelivery: 300 * time.Millisecond, timings: DefaultTimings(contactTimeout),
 		stores: map[string]StoreStatus{}, retired: map[string]bool{}, hostsByID: map[string]*host{},
 		reportLossRand: rand.New(rand.NewPCG(seed, 7)), lossTargetRand: rand.New(rand.NewPCG(seed, 11)),
 		departures: Departures{}, referenceStores: map[string]StoreStatus{}}
-	if fault == pullBeforeAdoption || fault == slowDelivery {
+	if bug == pullBeforeAdoption || bug == slowDelivery {
 		m.maxDelivery = 3 * time.Second
 	}
-	switch fault {
+	switch bug {
 	case lateReplacement:
 		m.timings.FailureTimeout = m.timings.RemovalTimeout
 	case noTakeoverGrace:
@@ -111,7 +113,7 @@
 
 func (m *simulation) host(id string) *host { return m.hostsByID[id] }
 
-// countLost returns the number of machines that count as lost.
+// countLost returns the number of machines that count as lost, including those that returned less than catchUpTime ago.
 func (m *simulation) countLost() (n int) {
 	for _, h := range m.hosts {
 		if h.lostUntil > m.now {
@@ -121,7 +123,7 @@
 	return n
 }
 
-// run simulates until a point in time.
+// run simulates until a point in time or the first violation.
 func (m *simulation) run(until time.Duration, inject func()) {
 	for ; m.now < until && m.violation == ""; m.now += step {
 		if inject != nil {
--- a/internal/tier/placement/observations_test.go
+++ b/internal/tier/placement/observations_test.go
@@ -20,7 +20,7 @@
 		t.Fatalf("%+v", next)
 	}
 	if at := heads.input.Now; at != 7100*time.Millisecond {
-		t.Errorf("d was replaced at %v, not after the takeover grace of the new head", at)
+		t.Errorf("d was replaced at %v, want 7.1 s: after the TakeoverGrace of the new head", at)
 	}
 }
 
@@ -31,7 +31,7 @@
 	next := *in.Current
 	next.Generation, next.New = 4, next.Old
 	in.Current, in.GenerationSince = &next, in.Now
-	heads.run(5900*time.Millisecond, "a", "b", "c", "d~") // d is slow: 1.9 s of the 2 s until the failure time-out
+	heads.run(5900*time.Millisecond, "a", "b", "c", "d~") // d has not completed its sweep 1.9 s into the 2 s of FailureTimeout
 	heads.takeOver(in.Observe(heads.timings))
 	ended := heads.run(10*time.Second, "a", "b", "c", "d~")
 	if ended == nil || len(ended.New) > 0 {
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestStaleObservationsDoNotFailRunningStore: the inherited observations are old, and a store that was unresponsive then has
-// registered since. The new head must not count it as failed before it had the time to register with it, and must not use the
-// inherited time at all once it has registered.
+// TestStaleObservationsDoNotFailRunningStore checks a new head with inherited observations that are stale: a store that was
+// unresponsive then has registered since. The new head must not count the store as failed before the store could register with
+// it, and must not use the inherited time at all once the store has registered.
 func TestStaleObservationsDoNotFailRunningStore(t *testing.T) {
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	in := &heads.input
@@ -52,15 +52,15 @@
 	heads.run(5900*time.Millisecond, "a", "b", "c")
 	stale := in.Observe(heads.timings)
 	if next := heads.run(6500*time.Millisecond, "a", "b", "c", "d"); next != nil {
-		t.Fatalf("under the former head: %+v", next)
+		t.Fatalf("unexpected change under the previous head: %+v", next)
 	}
 	heads.takeOver(stale)
 	if next := heads.run(in.Now+heads.timings.TakeoverGrace-planStep, "a", "b", "c", "e"); next != nil {
-		t.Fatalf("before d could register: %+v", next)
+		t.Fatalf("unexpected change before d could register: %+v", next)
 	}
 	heads.register("d")
 	if next := heads.run(in.TookOverAt+heads.timings.FailureTimeout, "a", "b", "c", "e"); next != nil {
-		t.Fatalf("after d registered once: %+v", next)
+		t.Fatalf("unexpected change after d registered once: %+v", next)
 	}
 }
 
@@ -77,7 +77,8 @@
 	}
 }
 
-// TestHeadChangeAtEndOfPlacementChangeKeepsInvariants: another node becomes head just before a change can end.
+// TestHeadChangeAtEndOfPlacementChangeKeepsInvariants runs a schedule in which the head changes just before a change of the
+// placement can end.
 func TestHeadChangeAtEndOfPlacementChangeKeepsInvariants(t *testing.T) {
 	const seed = 2795
 	if sim := runSchedule(seed, ""); sim.violation != "" {
@@ -127,6 +128,6 @@
 		t.Errorf("%+v", got)
 	}
 	if len(observations.Unresponsive) != 3 {
-		t.Error("observations modified")
+		t.Error("FailedStores modified the observations")
 	}
 }
--- a/internal/tier/placement/plan_test.go
+++ b/internal/tier/placement/plan_test.go
@@ -148,10 +148,10 @@
 	in := Input{Now: 100 * time.Second, TookOverAt: 99 * time.Second, FaultTolerance: 1, Stores: map[string]StoreStatus{},
 		Retired: map[string]bool{}, Current: &turnstore.Placement{Generation: 4, Old: stores}}
 	if next := Plan(in, DefaultTimings(3*time.Second)); next != nil {
-		t.Fatalf("it fails stores at once: %+v", next)
+		t.Fatalf("a new head removes stores immediately: %+v", next)
 	}
 	in.Now = 106 * time.Second
 	if next := Plan(in, DefaultTimings(3*time.Second)); next == nil || len(next.New) != 3 {
-		t.Fatalf("%+v: all have failed, and as many must remain as replicas are needed", next)
+		t.Fatalf("got %+v, want a change to three stores: all have failed, but three replicas are required", next)
 	}
 }
--- a/internal/tier/placement/registration_test.go
+++ b/internal/tier/placement/registration_test.go
@@ -10,8 +10,8 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// TestDelayedRegistrationOfReplacedStoreIsNotConfirmed: the registration of a store whose disk is lost arrives after those of
-// its successor.
+// TestDelayedRegistrationOfReplacedStoreIsNotConfirmed checks that a delayed registration does not confirm a store whose disk is
+// lost, when its successor at the same address has registered.
 func TestDelayedRegistrationOfReplacedStoreIsNotConfirmed(t *testing.T) {
 	for _, test := range []struct{ name, lines string }{
 		{"after its successor is confirmed", `
@@ -57,7 +57,7 @@
 			in.Current = placed("a", "b", "c")
 			next := Plan(in, DefaultTimings(3*time.Second))
 			if next == nil || !slices.ContainsFunc(next.New, func(o turnstore.Store) bool { return o.ID == "d" }) {
-				t.Errorf("the successor does not replace it: %+v", next)
+				t.Errorf("the successor does not replace the failed store: %+v", next)
 			}
 		})
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestNewControlStateStartsAboveAdoptedGenerations: a new control state has no placement, and stores that kept their disks reject
-// requests of generations below the one that they have adopted.
+// TestNewControlStateStartsAboveAdoptedGenerations checks the generation of the first placement of a new control state: stores
+// that kept their disks reject requests of generations below the one that they have adopted.
 func TestNewControlStateStartsAboveAdoptedGenerations(t *testing.T) {
 	stores := map[string]StoreStatus{}
 	timings := DefaultTimings(3 * time.Second)
@@ -83,7 +83,7 @@
 	for ms := 100; ms <= 4000; ms += 100 {
 		in.Now = replayRegistrations(t, stores, strconv.Itoa(ms)+" a@1:7 b@2:9 c@3:9")
 		if next := Plan(in, timings); next != nil {
-			t.Fatalf("placed at %v, before the others had the time to register: %+v", in.Now, next)
+			t.Fatalf("placement at %v, before the other stores had time to register: %+v", in.Now, next)
 		}
 	}
 	in.Now = replayRegistrations(t, stores, "4200 a@1:7 b@2:9 c@3:9 d@4:9")
@@ -92,7 +92,7 @@
 	if next == nil || next.Generation != 10 || len(next.Old) != 4 || len(next.New) > 0 {
 		t.Fatalf("%+v", next)
 	}
-	// A store that registers later with a higher generation moves the placement above it.
+	// A store that registers later with a higher generation raises the generation of the placement above its own.
 	in.Current = next
 	replayRegistrations(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
 	in.Now = replayRegistrations(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
--- a/internal/tier/placement/retirement_test.go
+++ b/internal/tier/placement/retirement_test.go
@@ -21,7 +21,7 @@
 			}
 			in.Retired["d2"] = true
 			if got := SuccessorsOfRetiringStores(*in); len(got) > 0 {
-				t.Fatalf("recorded already: %+v", got)
+				t.Fatalf("stores to retire after their retirement was recorded: %+v", got)
 			}
 			start := in.Now
 			for in.Now < start+10*time.Second {
@@ -38,14 +38,15 @@
 				in.Current = next
 			}
 			if len(in.Current.New) > 0 || len(in.Current.Old) != 3 || containsStore(in.Current.Old, "d") {
-				t.Errorf("not retired: %+v", in.Current)
+				t.Errorf("the retirement is incomplete: %+v", in.Current)
 			}
 		})
 	}
 }
 
-// TestSupersededRetiredStoreIsRemovedAtOnce: the store that lost its disk has failed. Its retirement does not wait until
-// FailureTimeout as for a suspect store, since the next loss may come catch_up_s after the return of the machine.
+// TestSupersededRetiredStoreIsRemovedAtOnce checks that the removal of a retiring store that lost its disk does not wait for
+// FailureTimeout, as it does for a suspect store: the store has failed, and the next loss may come catch_up_s after the machine
+// returned.
 func TestSupersededRetiredStoreIsRemovedAtOnce(t *testing.T) {
 	for name, takeOver := range map[string]bool{"same head": false, "new head": true} {
 		t.Run(name, func(t *testing.T) {
@@ -67,8 +68,8 @@
 	}
 }
 
-// TestNameIsNotPlacedSoonAfterRetirement: the machine loses its disk while it is being retired, and registers again only once
-// the order is complete. The operator removes the machine then, so it must not be placed.
+// TestNameIsNotPlacedSoonAfterRetirement checks a machine that loses its disk while it is being retired and registers again only
+// after the retirement is complete. It must not be placed, because the operator removes the machine then.
 func TestNameIsNotPlacedSoonAfterRetirement(t *testing.T) {
 	heads := newRetirementSequence(true)
 	in := &heads.input
@@ -82,7 +83,7 @@
 	heads.registerTwice(turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"})
 	next := heads.run(complete+2*heads.timings.FailureTimeout, "a", "b", "c", "e")
 	if next == nil || containsStore(next.New, "d2") || !containsStore(next.New, "e") {
-		t.Errorf("a store of another name is not added: %+v", next)
+		t.Errorf("got %+v, want e added and d2 not placed", next)
 	}
 	delete(in.Stores, "e")
 	for in.Now < complete+2*heads.timings.FailureTimeout {
@@ -101,7 +102,7 @@
 	heads := newRetirementSequence(true)
 	in := &heads.input
 	after := *in.Current
-	after.Old, after.New = in.Current.Old[1:3], nil // a leaves without an order
+	after.Old, after.New = in.Current.Old[1:3], nil // a leaves the placement without a retirement
 	departures := Departures{}
 	departures.Record(nil, &after, in.Retired, in.Now)
 	departures.Record(in.Current, nil, in.Retired, in.Now)
@@ -115,8 +116,8 @@
 	}
 }
 
-// TestSuccessorWithSameNameIsNotAddedNextToFailedStore: a delayed registration can make a failed store seem to run. Its
-// successor under the same name waits to replace it, since otherwise the list would have both.
+// TestSuccessorWithSameNameIsNotAddedNextToFailedStore checks that the successor of a failed store waits to replace it, because
+// otherwise the list would have both. A delayed registration can make the failed store appear to be running.
 func TestSuccessorWithSameNameIsNotAddedNextToFailedStore(t *testing.T) {
 	heads := newHeadSequence(1, "a", "b", "c", "d")
 	in := &heads.input
@@ -125,7 +126,7 @@
 	for failedAt := 3900*time.Millisecond + heads.timings.FailureTimeout; in.Now+3*planStep < failedAt; {
 		heads.registerTwice(successor)
 		if next := heads.run(in.Now+planStep, "a", "b", "c"); next != nil {
-			t.Fatalf("at %v: %+v", in.Now, next)
+			t.Fatalf("unexpected change at %v: %+v", in.Now, next)
 		}
 	}
 	heads.registerTwice(successor)
--- a/internal/tier/placement/schedule_test.go
+++ b/internal/tier/placement/schedule_test.go
@@ -11,14 +11,14 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-var schedulesToRun = flag.Int("courses", 400, "random schedules of the model")
-var maxSchedulesPerBug = flag.Int("fault-courses", 2000, "schedules to find a planted fault in, at most")
-var firstSeed = flag.Uint64("seed", 1, "of the first schedule")
+var schedulesToRun = flag.Int("courses", 400, "number of random schedules of the model")
+var maxSchedulesPerBug = flag.Int("fault-courses", 2000, "maximum number of schedules to detect an injected bug")
+var firstSeed = flag.Uint64("seed", 1, "seed of the first schedule")
 
-// siteSizes are the sizes of the sites, and some in between.
+// clusterSizes are the sizes of the supported deployments, and some in between.
 var clusterSizes = []struct {
-	stores, faultTolerance int
-	contact, catchUp       time.Duration
+	stores, faultTolerance      int
+	contactTimeout, catchUpTime time.Duration
 }{
 	{3, 1, 3 * time.Second, 4100 * time.Millisecond},
 	{4, 1, 3 * time.Second, 4100 * time.Millisecond},
@@ -28,12 +28,12 @@
 	{9, 2, 4 * time.Second, 6 * time.Second},
 }
 
-// faultInjector injects losses, orders and changes of the head. The next loss comes as soon as the contract permits it,
-// or a little later.
+// faultInjector injects losses of machines, operators' orders and changes of the head. The next loss comes as soon as the
+// contract permits it, or a little later.
 type faultInjector struct {
 	*simulation
 	rng                *rand.Rand
-	pending            []plannedAction // due later
+	pending            []plannedAction // actions to run when they are due
 	nextLoss           time.Duration
 	nextOrder          time.Duration
 	nextHeadChange     time.Duration
@@ -58,7 +58,8 @@
 		}
 	}
 	if injector.now >= injector.nextHeadChange {
-		injector.nextHeadChange = injector.now + injector.duration(injector.catchUpTime, 25*time.Second) // losing a head is a loss as well
+		// The change of a head counts as a loss, so the next one must not come before catchUpTime.
+		injector.nextHeadChange = injector.now + injector.duration(injector.catchUpTime, 25*time.Second)
 		injector.changeHead()
 	}
 	if injector.now >= injector.nextOrder {
@@ -73,7 +74,7 @@
 	}
 }
 
-// randomUpHost returns a machine that is up and not lost, or nil.
+// randomUpHost returns a random machine that is up and does not count as lost, or nil.
 func (injector *faultInjector) randomUpHost() *host {
 	var all []*host
 	for _, h := range injector.hosts {
@@ -87,7 +88,7 @@
 	return all[injector.rng.IntN(len(all))]
 }
 
-// retiringHost returns a machine that is up and being retired, or nil.
+// retiringHost returns a machine that is up, is being retired and does not count as lost, or nil.
 func (injector *faultInjector) retiringHost() *host {
 	for _, h := range injector.hosts {
 		if h.retired && h.isUp() && h.lostUntil <= injector.now {
@@ -97,12 +98,12 @@
 	return nil
 }
 
-// recovered: a machine counts as lost for a while after its return.
+// markRecovering lets a machine count as lost for catchUpTime after its return.
 func (injector *faultInjector) markRecovering(h *host) {
 	h.lostUntil = injector.now + injector.catchUpTime
 }
 
-// restart starts a machine, unless it was retired and removed while it was down.
+// restart starts a machine again, unless it was retired and removed while it was down.
 func (injector *faultInjector) restart(h *host) {
 	if !h.removed {
 		injector.start(h)
@@ -129,7 +130,7 @@
 		injector.stop(host)
 		injector.schedule(away, func() { injector.restart(host) })
 	case 1:
-		injector.logEvent("%s frozen for %v", host.name, away)
+		injector.logEvent("%s paused for %v", host.name, away)
 		host.paused = true
 		injector.schedule(away, func() {
 			if !host.removed {
@@ -139,7 +140,7 @@
 			}
 		})
 	case 2, 3:
-		injector.logEvent("%s wiped, back in %v", host.name, away/4)
+		injector.logEvent("%s loses its disk, returns in %v", host.name, away/4)
 		injector.stop(host)
 		injector.wipe(host)
 		injector.schedule(away/4, func() { injector.restart(host) })
@@ -148,7 +149,7 @@
 		if injector.rng.IntN(2) == 0 {
 			name = host.name
 		}
-		injector.logEvent("%s removed for good", host.name)
+		injector.logEvent("%s removed permanently", host.name)
 		injector.remove(host)
 		injector.schedule(time.Second, func() {
 			host.lostUntil = 0
@@ -157,7 +158,7 @@
 	}
 }
 
-// submitOrder submits an operator's order: a further store, or the retirement of one.
+// submitOrder submits an operator's order: to add a store or to retire one.
 func (injector *faultInjector) submitOrder() {
 	if injector.rng.IntN(2) == 0 && len(injector.hosts) < 14 {
 		injector.logEvent("store added")
@@ -171,15 +172,15 @@
 		return
 	}
 	injector.retired[host.id], host.retired = true, true
-	injector.logEvent("%s to be retired", host.name)
+	injector.logEvent("retirement of %s ordered", host.name)
 	injector.removeOnceRetired(host)
 }
 
-// removeOnceRetired removes a machine as soon as its retirement is complete, which is no loss. One that loses its disk
-// meanwhile is retired all the same.
+// removeOnceRetired removes a machine as soon as its retirement is complete, which does not count as a loss. A machine that loses
+// its disk meanwhile is retired nevertheless.
 func (injector *faultInjector) removeOnceRetired(host *host) {
 	injector.schedule(step, func() {
-		if host.removed || injector.currentPlacement == nil { // new control state: the order was lost with the core's disks
+		if host.removed || injector.currentPlacement == nil { // the order was lost with the core nodes' disks
 			return
 		}
 		early := injector.bug == retiringRemovedWhileJoint && !containsStore(injector.currentPlacement.New, host.id)
@@ -193,17 +194,17 @@
 	})
 }
 
-// isRetired reports whether a retirement is complete, as in package orders: no store of the name is in the placement.
+// isRetired reports whether a retirement is complete by the rule of package orders: no store of the name is in the placement.
 func isRetired(p *turnstore.Placement, name string) bool {
 	return !slices.ContainsFunc(p.Stores(), func(s turnstore.Store) bool { return s.Name == name })
 }
 
-// runSchedule runs one random schedule.
-func runSchedule(seed uint64, fault injectedBug) *simulation {
+// runSchedule runs the random schedule of a seed.
+func runSchedule(seed uint64, bug injectedBug) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	size := clusterSizes[rng.IntN(len(clusterSizes))]
 	maxPull := []time.Duration{50 * time.Millisecond, 200 * time.Millisecond}[rng.IntN(2)]
-	sim := newSimulation(seed, fault, size.stores, size.faultTolerance, size.contact, size.catchUp, maxPull)
+	sim := newSimulation(seed, bug, size.stores, size.faultTolerance, size.contactTimeout, size.catchUpTime, maxPull)
 	sim.logEvent("%d stores, fault tolerance %d, seed %d", size.stores, size.faultTolerance, seed)
 	sim.run(6*time.Second, nil)
 	injector := &faultInjector{simulation: sim, rng: rng, lossesWithoutPause: rng.IntN(2) == 0,
@@ -252,9 +253,9 @@
 	}
 	wg.Wait()
 	t.Logf("%d schedules from seed %d, %d violations: %d joint phases, the longest %v; "+
-		"%d writes acknowledged; longest without a majority %v",
+		"%d writes acknowledged; longest time without a majority %v",
 		*schedulesToRun, *firstSeed, failed, changes, longestJoint, acked, longestNoMajority)
 	if changes < 2**schedulesToRun || acked < 20**schedulesToRun {
-		t.Error("too little progress")
+		t.Error("too few joint phases or acknowledged writes for a meaningful test")
 	}
 }
