--- a/internal/tier/orders/doc.go
+++ b/internal/tier/orders/doc.go
@@ -19,7 +19,7 @@
 //   - At the tail: confirm the epoch first, then decide on the committed entries.
 //
 // If that does not happen before the time-out, the outcome is unknown to the operator, who retries the same order.
-// Design note 012 proves that no applied configuration is rejected and that no rejected one is applied.
+// Design note 012 argues that no applied configuration is rejected and that no rejected one is applied.
 //
 // # Applied history
 //
--- a/internal/tier/placement/doc.go
+++ b/internal/tier/placement/doc.go
@@ -10,7 +10,7 @@
 // Plan proposes at most one such step. As long as at most FaultTolerance machines are lost at a time, a majority of the
 // replicas of each program keeps running, and no acknowledged write is lost (design note 015).
 //
-// Safety depends on sweeps alone. Time-outs only decide when a store is replaced: a false one costs an unnecessary change.
+// Safety depends on sweeps alone. Time-outs only decide when a store is replaced: a false time-out costs an unnecessary change.
 //
 // Stores register with the head periodically (heartbeats). A single registration proves nothing, as it may have been delayed
 // while its store was replaced; a second one confirms the store. A store that was not confirmed for Timings.SuspectTimeout is
@@ -29,8 +29,8 @@
 //     when it becomes head again;
 //   - call Plan periodically with the newest placement that it has written, committed or not, and write the result to the
 //     control state before it calls Plan again;
-//   - record retirements, in Input.Retired and on disk, only if CanRetire permits it, and record those that
-//     SuccessorsOfRetiringStores returns before the next placement;
+//   - record retirements, in Input.Retired and on disk, only if CanRetire permits it, and, before the next placement, those of
+//     the stores that SuccessorsOfRetiringStores returns;
 //   - publish Input.Observe to the other core nodes, and pass the last observations received as Input.Inherited when it
 //     becomes head;
 //   - record each placement change in Departures;
