--- a/internal/tier/placement/model_check_test.go
+++ b/internal/tier/placement/model_check_test.go
@@ -6,19 +6,19 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// canDeny reports whether the store may deny that a turn exists, as in package turnstore.
-func (h *host) canDeny() bool {
-	return h.known != nil && (containsStore(h.known.Old, h.id) || h.swept == h.known.Generation)
+// isAuthoritative reports whether the store may deny that a turn exists, by the rule of package turnstore.
+func (h *host) isAuthoritative() bool {
+	return h.placement != nil && (containsStore(h.placement.Old, h.id) || h.sweptGeneration == h.placement.Generation)
 }
 
-// check checks the invariant of docs/design/015.
+// check checks the invariants of docs/design/015: every program has a majority of replicas, and no acknowledged write is lost.
 func (m *simulation) check() {
-	if m.current == nil || m.countLost() > m.faultTolerance {
+	if m.currentPlacement == nil || m.countLost() > m.faultTolerance {
 		m.noMajoritySince = 0
 		return
 	}
 	m.checkMajorities()
-	lists := [][]responder{m.responders(m.current.Old), m.responders(m.current.New)}
+	lists := [][]responder{m.responders(m.currentPlacement.Old), m.responders(m.currentPlacement.New)}
 	for number, write := range m.writes {
 		if write.acked {
 			m.checkWrite(number, write, lists)
@@ -26,16 +26,16 @@
 	}
 }
 
-// responder is a store of a list as it responds now.
+// responder is the present state of a store of a list.
 type responder struct {
-	running, canDeny bool
-	writes           uint64
+	running, isAuthoritative bool
+	writes                   uint64
 }
 
 func (m *simulation) responders(list []turnstore.Store) (responders []responder) {
 	for _, store := range list {
 		if host := m.host(store.ID); host != nil {
-			responders = append(responders, responder{host.isUp(), host.canDeny(), host.writes})
+			responders = append(responders, responder{host.isUp(), host.isAuthoritative(), host.writes})
 		} else {
 			responders = append(responders, responder{})
 		}
@@ -43,13 +43,13 @@
 	return responders
 }
 
-// checkMajorities checks that each program has a running majority of replicas by each list in force.
+// checkMajorities checks that a majority of each program's replicas is running, for each list of the placement.
 func (m *simulation) checkMajorities() {
 	for program := range programCount {
 		for _, replicas := range m.replicaSets(program) {
 			running := 0
 			for _, store := range replicas {
-				if host := m.host(store.ID); host != nil && host.isUp() && host.adopted <= m.current.Generation {
+				if host := m.host(store.ID); host != nil && host.isUp() && host.adoptedGeneration <= m.currentPlacement.Generation {
 					running++
 				}
 			}
@@ -58,7 +58,8 @@
 					m.noMajoritySince = m.now
 				}
 				if m.longestNoMajority = max(m.longestNoMajority, m.now-m.noMajoritySince); m.longestNoMajority > maxNoMajority {
-					m.fail("STUCK for %v: program %d has %d running replicas of %s", m.longestNoMajority, program, running, storeIDs(replicas))
+					m.fail("UNAVAILABLE for %v: program %d has only %d running replicas of %s",
+						m.longestNoMajority, program, running, storeIDs(replicas))
 				}
 				return
 			}
@@ -70,7 +71,7 @@
 // maxNoMajority bounds how long a program may be without a majority; the invariant requires 0.
 const maxNoMajority = 0
 
-// checkWrite checks that a running store has the write, that too few can deny it, and that no majority lacks it.
+// checkWrite checks that a running store has the write, that too few stores can deny it, and that no majority lacks it.
 func (m *simulation) checkWrite(number int, write turnWrite, lists [][]responder) {
 	running, denied := false, true
 	for _, list := range lists {
@@ -78,7 +79,7 @@
 		for _, store := range list {
 			hasWrite := store.writes>>number&1 == 1
 			running = running || store.running && hasWrite
-			if store.running && store.canDeny && !hasWrite {
+			if store.running && store.isAuthoritative && !hasWrite {
 				denials++
 			}
 		}
@@ -88,7 +89,7 @@
 		m.fail("LOST: no running store has write %d of program %d", number, write.program)
 	}
 	if denied {
-		m.fail("LOST: write %d of program %d may be answered 404", number, write.program)
+		m.fail("LOST: write %d of program %d may be reported as not found (404)", number, write.program)
 	}
 	lacked := true
 	for _, replicas := range m.replicaSets(write.program) {
@@ -101,11 +102,12 @@
 		lacked = lacked && lacking >= replicas.Majority()
 	}
 	if lacked {
-		m.fail("BUDGET: a majority of replicas lacks write %d of program %d", number, write.program)
+		m.fail("MAJORITY: a majority of replicas lacks write %d of program %d", number, write.program)
 	}
 }
 
-// checkConvergence ends the faults, and checks that all replicas converge within a bound, also with a new control state.
+// checkConvergence stops the faults and checks that all replicas converge within 25 s. In a third of the runs it also checks
+// convergence within 15 s after the control state was created anew.
 func (m *simulation) checkConvergence(injector *faultInjector) {
 	injector.nextLoss, injector.nextOrder, injector.nextHeadChange = never, never, never
 	m.run(m.now+25*time.Second, injector.step)
@@ -113,15 +115,16 @@
 	if m.violation != "" || m.rng.IntN(3) > 0 {
 		return
 	}
-	m.logEvent("new control state")
-	m.current, m.previous, m.tookOverAt, m.stores, m.retired = nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
+	m.logEvent("control state created anew")
+	m.currentPlacement, m.previousPlacement, m.tookOverAt, m.stores, m.retired =
+		nil, nil, m.now, map[string]StoreStatus{}, map[string]bool{}
 	for _, h := range m.hosts {
 		h.retired = false
 	}
 	m.departures = Departures{}
 	m.inherited, m.lastReport, m.referenceStores = Observations{}, Observations{}, map[string]StoreStatus{}
 	m.run(m.now+15*time.Second, injector.step)
-	if m.current == nil {
+	if m.currentPlacement == nil {
 		m.fail("STUCK: no placement 15 s after the control state was created anew")
 		return
 	}
@@ -133,8 +136,8 @@
 	if m.violation != "" {
 		return
 	}
-	if len(m.current.New) > 0 {
-		m.fail("STUCK: the placement is not stable long after the last fault")
+	if len(m.currentPlacement.New) > 0 {
+		m.fail("STUCK: the placement is still joint long after the last fault")
 		return
 	}
 	m.checkRetired()
@@ -149,13 +152,13 @@
 			}
 		}
 		if lacking > m.faultTolerance {
-			m.fail("REPLICAS: %d of program %d lack write %d", lacking, write.program, number)
+			m.fail("REPLICAS: %d replicas of program %d lack write %d", lacking, write.program, number)
 		}
 	}
 }
 
-// checkRetired checks that each retirement is complete, if enough others are left. One may have been accepted while the list had
-// both a failed store and its successor; it waits for a further store then.
+// checkRetired checks that each retirement is complete, provided that enough other stores are left. One that was accepted while
+// the list had both a failed store and its successor waits for a further store.
 func (m *simulation) checkRetired() {
 	others := 0
 	for _, host := range m.hosts {
@@ -165,7 +168,7 @@
 	}
 	for _, h := range m.hosts {
 		if h.retired && !h.removed && others >= 2*m.faultTolerance+1 {
-			m.fail("RETIREMENT: %s, ordered to retire, is still in use long after the last fault, with %d others", h.name, others)
+			m.fail("RETIREMENT: the retirement of %s is incomplete long after the last fault, with %d other stores", h.name, others)
 		}
 	}
 }
--- a/internal/tier/placement/model_client_test.go
+++ b/internal/tier/placement/model_client_test.go
@@ -14,9 +14,9 @@
 	acked   bool
 }
 
-// replicaSets returns the replica sets of a program by the lists in force.
+// replicaSets returns the replica sets of a program under the current placement, one for each list.
 func (m *simulation) replicaSets(program int) []turnstore.ReplicaSet {
-	return m.replicaSetsUnder(m.current, program)
+	return m.replicaSetsUnder(m.currentPlacement, program)
 }
 
 func (m *simulation) replicaSetsUnder(placement *turnstore.Placement, program int) []turnstore.ReplicaSet {
@@ -35,14 +35,14 @@
 	program   int
 }
 
-// write simulates a front that writes a turn under the placement that it knows; some replicas do not get it.
+// write simulates a front that writes a turn under the current or the previous placement. Some replicas miss the write.
 func (m *simulation) write() {
-	known := m.current
+	known := m.currentPlacement
 	if m.now < m.previousUntil && m.rng.IntN(2) == 0 {
-		known = m.previous
+		known = m.previousPlacement
 	}
 	oneIn := 25
-	if m.now < m.previousUntil+500*time.Millisecond { // around a change of the placement
+	if m.now < m.previousUntil+500*time.Millisecond { // more often around a change of the placement
 		oneIn = 2
 	}
 	if known == nil || len(m.writes) >= 60 || m.rng.IntN(oneIn) > 0 {
@@ -60,7 +60,7 @@
 		for _, store := range replicas {
 			if _, asked := accepted[store.ID]; !asked {
 				host := m.host(store.ID)
-				accepts := host != nil && host.isUp() && host.adopted <= known.Generation && (!skip || m.rng.IntN(3) > 0)
+				accepts := host != nil && host.isUp() && host.adoptedGeneration <= known.Generation && (!skip || m.rng.IntN(3) > 0)
 				if accepted[store.ID] = accepts; accepts {
 					host.writes |= 1 << number
 				}
--- a/internal/tier/placement/model_sweep_test.go
+++ b/internal/tier/placement/model_sweep_test.go
@@ -6,9 +6,9 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// sweep simulates the sweep of package turnstore: peer after peer; a peer is pulled from once in each phase.
+// sweep simulates the sweep of package turnstore, which pulls from one peer at a time and once from each peer in each phase.
 func (m *simulation) sweep(store *host) {
-	placement := store.known
+	placement := store.placement
 	if !store.mustSweep() {
 		store.pullFrom = ""
 		return
@@ -32,19 +32,19 @@
 	m.endSweep(store, placement)
 }
 
-// mustSweep reports whether the store is in the list that sweeps, and has not swept under its generation.
+// mustSweep reports whether the store is in the list whose stores sweep, and has not completed its sweep under this generation.
 func (h *host) mustSweep() bool {
-	p := h.known
-	if p == nil || h.swept >= p.Generation || p.Generation == 1 {
+	p := h.placement
+	if p == nil || h.sweptGeneration >= p.Generation || p.Generation == 1 {
 		return false
 	}
 	return containsStore(p.New, h.id) || len(p.New) == 0 && containsStore(p.Old, h.id)
 }
 
-// beginPull begins to pull from a peer.
+// beginPull starts a pull from a peer and schedules its end.
 func (m *simulation) beginPull(store *host, peer string) {
 	took := m.duration(10*time.Millisecond, m.maxPull)
-	if store.pulledBefore[peer] { // only what is new
+	if store.pulledBefore[peer] { // only new writes are transferred
 		took = min(took, 30*time.Millisecond)
 	}
 	switch peerHost := m.host(peer); {
@@ -56,7 +56,7 @@
 	store.pullFrom, store.pullEnds = peer, m.now+took
 }
 
-// endPull ends the pull in progress.
+// endPull completes the current pull and records whether it succeeded.
 func (m *simulation) endPull(store *host, placement *turnstore.Placement) {
 	if m.pull(store, placement, store.pullFrom) {
 		store.pulled[store.pullFrom] = true
@@ -67,7 +67,7 @@
 	store.pullFrom = ""
 }
 
-// endSweep completes a sweep, unless it missed more peers than may be lost: then these are tried again later.
+// endSweep completes a sweep. If the sweep missed more peers than may be lost, these are retried later instead.
 func (m *simulation) endSweep(store *host, placement *turnstore.Placement) {
 	missed := 0
 	for _, peer := range placement.Old {
@@ -76,16 +76,16 @@
 			delete(store.pulled, peer.ID)
 		}
 	}
-	if missed > m.faultTolerance && m.fault != sweepMissesAny {
+	if missed > m.faultTolerance && m.bug != sweepMissesAny {
 		store.retryAt = m.now + sweepRetryInterval
 		return
 	}
-	store.swept = placement.Generation
-	m.logEvent("%s has swept generation %d, missed %d", store.id, placement.Generation, missed)
+	store.sweptGeneration = placement.Generation
+	m.logEvent("%s has completed its sweep of generation %d, missed %d", store.id, placement.Generation, missed)
 }
 
-// nextPeer returns the peer to pull from next, or "". Those that did not respond recently come last, and not at all if they are
-// not needed.
+// nextPeer returns the peer from which to pull next, or "". Peers that were recently unresponsive come last, and are skipped if
+// they are not needed.
 func (m *simulation) nextPeer(store *host, placement *turnstore.Placement) string {
 	remaining := 0
 	for _, peer := range placement.Old {
@@ -107,7 +107,7 @@
 
 func (m *simulation) pull(store *host, placement *turnstore.Placement, from string) bool {
 	peer := m.host(from)
-	if peer == nil || !peer.isUp() || peer.adopted < placement.Generation && m.fault != pullBeforeAdoption {
+	if peer == nil || !peer.isUp() || peer.adoptedGeneration < placement.Generation && m.bug != pullBeforeAdoption {
 		return false
 	}
 	store.pulledBefore[from] = true
