--- a/cmd/larch-control/duties.go
+++ b/cmd/larch-control/duties.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	var status controlnode.DutyStatus
+	var status controlnode.TaskStatus
 	if err := json.Unmarshal(body, &status); err != nil {
 		return err
 	}
@@ -33,11 +33,11 @@
 const shownCalls = 5
 
 // writeDuties writes the state of the duties in tables, each with the width of its own columns.
-func writeDuties(w io.Writer, s *controlnode.DutyStatus) error {
+func writeDuties(w io.Writer, s *controlnode.TaskStatus) error {
 	if _, err := fmt.Fprintln(w, s.Summary()); err != nil {
 		return err
 	}
-	tables := []func(io.Writer, *controlnode.DutyStatus){writeLease, writeDutyList, writeWindows, writeScaling, writeDutyCalls}
+	tables := []func(io.Writer, *controlnode.TaskStatus){writeLease, writeDutyList, writeWindows, writeScaling, writeDutyCalls}
 	for _, table := range tables {
 		columns := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 		table(columns, s)
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func writeLease(w io.Writer, s *controlnode.DutyStatus) {
+func writeLease(w io.Writer, s *controlnode.TaskStatus) {
 	lease := "not held"
 	if s.Held {
 		lease = fmt.Sprintf("held by %s, %d ms left unless it is renewed", s.Holder, s.LeftMs)
@@ -57,9 +57,9 @@
 	fmt.Fprintf(w, "clock\t%+d ms to the tier's time\nlast look\t%d ms ago\n", s.ClockOffsetMs, s.StepAgeMs)
 }
 
-func writeDutyList(w io.Writer, s *controlnode.DutyStatus) {
+func writeDutyList(w io.Writer, s *controlnode.TaskStatus) {
 	fmt.Fprintln(w, "\nDUTY\tEXPECTED\tACCEPTED\tREFUSED\tBUSY\tINVALID\tNOT SENT\tUNKNOWN")
-	line := func(name string, expected bool, n controlnode.DutyCallsByResult) {
+	line := func(name string, expected bool, n controlnode.PlatformCallCounts) {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n",
 			name, yesNo(expected), n.Accepted, n.Refused, n.Busy, n.Invalid, n.NotSent, n.Unknown)
 	}
@@ -74,7 +74,7 @@
 	return "no"
 }
 
-func writeWindows(w io.Writer, s *controlnode.DutyStatus) {
+func writeWindows(w io.Writer, s *controlnode.TaskStatus) {
 	if !s.Usage.Expected {
 		return
 	}
@@ -88,11 +88,11 @@
 	}
 }
 
-func writeScaling(w io.Writer, s *controlnode.DutyStatus) {
+func writeScaling(w io.Writer, s *controlnode.TaskStatus) {
 	if !s.Scale.Expected {
 		return
 	}
-	fmt.Fprintf(w, "\nfronts heard\t%d of %d\n", s.Scale.Fronts, s.Scale.MostFronts)
+	fmt.Fprintf(w, "\nfronts heard\t%d of %d\n", s.Scale.RecentFronts, s.Scale.KnownFronts)
 	if len(s.Scale.Subjects) == 0 {
 		return
 	}
@@ -103,12 +103,12 @@
 	}
 }
 
-func writeDutyCalls(w io.Writer, s *controlnode.DutyStatus) {
+func writeDutyCalls(w io.Writer, s *controlnode.TaskStatus) {
 	if len(s.Usage.Calls)+len(s.Scale.Calls) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "\nCALL\tTIME\tTOKEN\tOUTCOME\tBODY")
-	for _, calls := range [][]controlnode.DutyCallStatus{s.Usage.Calls, s.Scale.Calls} {
+	for _, calls := range [][]controlnode.PlatformCallStatus{s.Usage.Calls, s.Scale.Calls} {
 		for _, call := range calls[:min(shownCalls, len(calls))] {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", call.Path, call.Time, call.Token, call.Outcome, call.Body)
 		}
--- a/internal/tier/controlnode/duty_checks_test.go
+++ b/internal/tier/controlnode/duty_checks_test.go
@@ -136,7 +136,7 @@
 			continue
 		}
 		prompt := c.Applied && c.At.Sub(c.Received) < promptDecision
-		if !prompt || c.Holder != first.Holder || c.At.Sub(last.At) > dutyWindow+2*dutyInterval {
+		if !prompt || c.Holder != first.Holder || c.At.Sub(last.At) > dutyWindow+2*taskInterval {
 			first = c
 		}
 		last = c
--- a/internal/tier/controlnode/duty_clock.go
+++ b/internal/tier/controlnode/duty_clock.go
@@ -28,10 +28,10 @@
 	return &feed.ClockReading{UnixMicros: time.Now().UnixMicro()}, nil
 }
 
-// votersQuery reads the addresses of the other voters, by name.
-type votersQuery struct{ addrs map[string]string }
+// voterAddrsQuery reads the addresses of the other voters, by name.
+type voterAddrsQuery struct{ addrs map[string]string }
 
-func (q *votersQuery) handle(s *Server) {
+func (q *voterAddrsQuery) handle(s *Server) {
 	q.addrs = map[string]string{}
 	view := s.node.View()
 	for _, m := range view.Voters {
@@ -44,11 +44,11 @@
 // sampleClocks asks the other voters for their clocks at intervals, until the server stops. The head needs them for the windows of
 // usage reports; every node asks, so that a new head has an estimate.
 func (s *Server) sampleClocks() {
-	if !s.settings.HasDuty(usageDutyName) {
+	if !s.settings.HasDuty(usageTaskName) {
 		return
 	}
 	for s.ctx.Err() == nil {
-		query := &votersQuery{}
+		query := &voterAddrsQuery{}
 		if s.runOnLoop(query) {
 			for id, addr := range query.addrs {
 				s.wg.Go(func() { s.sampleClock(id, addr) })
--- a/internal/tier/controlnode/duty_faults_test.go
+++ b/internal/tier/controlnode/duty_faults_test.go
@@ -192,7 +192,7 @@
 	case 4:
 		return cloudapi.DutyFault{Kind: cloudapi.DutyLostAnswers}
 	}
-	delay := time.Duration(r.Int64N(int64(dutyCallTimeout + time.Second)))
+	delay := time.Duration(r.Int64N(int64(platformCallTimeout + time.Second)))
 	return cloudapi.DutyFault{Kind: cloudapi.DutySlow, Delay: delay, DecidedFirst: r.IntN(2) == 0}
 }
 
--- a/internal/tier/controlnode/duty_lease.go
+++ b/internal/tier/controlnode/duty_lease.go
@@ -17,8 +17,8 @@
 	return lease.Params{Term: s.settings.TimingBound("lease_term_ms", defaultLeaseTerm), MaxDrift: lease.DefaultMaxDrift}
 }
 
-// dutyGrant is the lease as the goroutine of the duties sees it. It is immutable.
-type dutyGrant struct {
+// publishedGrant is the lease as the goroutine of the duties sees it. It is immutable.
+type publishedGrant struct {
 	epoch int64
 	until time.Time // with a monotonic reading
 }
@@ -47,7 +47,7 @@
 	case held && before != nil && before.epoch == grant.Epoch && before.until.Equal(s.startedAt.Add(grant.Until)):
 		return
 	case held:
-		s.dutyGrant.Store(&dutyGrant{epoch: grant.Epoch, until: s.startedAt.Add(grant.Until)})
+		s.dutyGrant.Store(&publishedGrant{epoch: grant.Epoch, until: s.startedAt.Add(grant.Until)})
 	default:
 		s.dutyGrant.Store(nil)
 	}
@@ -60,7 +60,7 @@
 }
 
 // heldGrant returns the grant under which this node may act now, nil for none.
-func (s *Server) heldGrant() *dutyGrant {
+func (s *Server) heldGrant() *publishedGrant {
 	grant := s.dutyGrant.Load()
 	if grant == nil || !time.Now().Before(grant.until) {
 		return nil
@@ -82,22 +82,24 @@
 		ctx, cancel := context.WithTimeout(s.ctx, requestTimeout)
 		defer cancel()
 		_ = s.clients.To(to).Call(ctx, feed.LeaseReleaseCall, message, new(feed.Empty))
-		s.repeatOnLoop(&releaseEndedRequest{})
+		s.retryOnLoop(&releaseDoneRequest{})
 	})
 }
 
-// releaseEndedRequest notes that a release was answered, or given up. It counts once, however often it is handled.
-type releaseEndedRequest struct{ counted bool }
+// releaseDoneRequest notes that a release was answered, or given up. It counts once, however often it is handled.
+type releaseDoneRequest struct{ counted bool }
 
-func (r *releaseEndedRequest) handle(s *Server) {
+func (r *releaseDoneRequest) handle(s *Server) {
 	if !r.counted {
 		r.counted = true
 		s.releasesInFlight--
 	}
 }
 
-// owesRelease reports whether the next head waits for a release of this node. It runs on the event loop.
-func (s *Server) owesRelease() bool { return s.releasesInFlight > 0 || s.lease.HasUnsentRelease() }
+// hasPendingRelease reports whether the next head waits for a release of this node. It runs on the event loop.
+func (s *Server) hasPendingRelease() bool {
+	return s.releasesInFlight > 0 || s.lease.HasUnsentRelease()
+}
 
 // releaseRequest takes a release at the head of the next view.
 type releaseRequest struct{ release lease.Release }
@@ -124,41 +126,41 @@
 	return &feed.Empty{}, nil
 }
 
-// leaseRefusedRequest notes that the platform has refused a token of this node.
-type leaseRefusedRequest struct{ epoch int64 }
+// tokenRefusedRequest notes that the platform has refused a token of this node.
+type tokenRefusedRequest struct{ epoch int64 }
 
-func (r *leaseRefusedRequest) handle(s *Server) {
+func (r *tokenRefusedRequest) handle(s *Server) {
 	s.lease.Refused(r.epoch)
 	s.publishGrant(s.now())
 }
 
-// dutyCallRequest notes that a call to the platform begins, if the grant under which it was decided is still in force.
-type dutyCallRequest struct {
+// callStartRequest notes that a call to the platform begins, if the grant under which it was decided is still in force.
+type callStartRequest struct {
 	call *lease.Call
 	held bool
 }
 
-func (r *dutyCallRequest) handle(s *Server) {
+func (r *callStartRequest) handle(s *Server) {
 	grant, held := s.lease.Grant(s.now())
 	if r.held = held && grant.Epoch == r.call.Epoch; r.held {
 		s.lease.CallStarted(r.call)
 	}
 }
 
-// endDutyCall notes the end of a call, if the lease has noted its start.
-func (s *Server) endDutyCall(call *lease.Call) { s.repeatOnLoop(&dutyCallEndedRequest{call: call}) }
+// recordCallEnd notes the end of a call, if the lease has noted its start.
+func (s *Server) recordCallEnd(call *lease.Call) { s.retryOnLoop(&callEndRequest{call: call}) }
 
-// dutyCallEndedRequest notes that a call has ended, so that it cannot leave this node any more.
-type dutyCallEndedRequest struct{ call *lease.Call }
+// callEndRequest notes that a call has ended, so that it cannot leave this node any more.
+type callEndRequest struct{ call *lease.Call }
 
-func (r *dutyCallEndedRequest) handle(s *Server) {
+func (r *callEndRequest) handle(s *Server) {
 	s.lease.CallEnded(s.now(), r.call)
 	s.publishGrant(s.now())
 }
 
-// repeatOnLoop has the event loop handle a request that the lease must not miss: it repeats the request while the disk is full,
+// retryOnLoop has the event loop handle a request that the lease must not miss: it repeats the request while the disk is full,
 // until the server stops. The request may be handled more than once.
-func (s *Server) repeatOnLoop(request loopRequest) {
+func (s *Server) retryOnLoop(request loopRequest) {
 	for !s.runOnLoop(request) && s.ctx.Err() == nil {
 		s.sleep(retryInterval)
 	}
--- a/internal/tier/controlnode/duty_lease_test.go
+++ b/internal/tier/controlnode/duty_lease_test.go
@@ -100,8 +100,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newLeaseLoop(t, batches...)
-			d := &dutyRunner{server: l.Server, tokenBase: 1}
-			if outcome, _ := d.post(&dutyGrant{epoch: 1}, usagePath, nil); outcome != duty.NotSent {
+			d := &taskRunner{server: l.Server, tokenBase: 1}
+			if outcome, _ := d.post(&publishedGrant{epoch: 1}, usagePath, nil); outcome != duty.NotSent {
 				t.Fatalf("the outcome is %v", outcome)
 			}
 			if !l.regains() {
@@ -117,7 +117,7 @@
 	call, other := &lease.Call{Epoch: 1}, &lease.Call{Epoch: 1}
 	l.lease.CallStarted(call)
 	l.lease.CallStarted(other)
-	l.endDutyCall(call)
+	l.recordCallEnd(call)
 	if l.regains() {
 		t.Error("a grant while a call of the lost headship is in flight")
 	}
@@ -128,10 +128,10 @@
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 	defer platform.Close()
 	l := newLeaseLoop(t, handled, rejected)
-	d := &dutyRunner{server: l.Server, tokenBase: 1}
+	d := &taskRunner{server: l.Server, tokenBase: 1}
 	d.client = duty.NewClient(strings.TrimPrefix(platform.URL, "http://"), "core-1", func(int64) bool { return true })
 	defer d.client.Close()
-	outcome, err := d.post(&dutyGrant{epoch: 1}, usagePath, []byte("{}"))
+	outcome, err := d.post(&publishedGrant{epoch: 1}, usagePath, []byte("{}"))
 	if outcome != duty.Refused {
 		t.Fatalf("the outcome is %v, %v", outcome, err)
 	}
--- a/internal/tier/controlnode/duty_role.go
+++ b/internal/tier/controlnode/duty_role.go
@@ -13,55 +13,55 @@
 
 // Names of the singleton duties in the settings.
 const (
-	usageDutyName = "usage_report"
-	scaleDutyName = "autoscale"
+	usageTaskName = "usage_report"
+	scaleTaskName = "autoscale"
 )
 
 // Intervals and time-outs of the duties.
 const (
-	dutyInterval    = 200 * time.Millisecond // between two looks for what is due
-	dutyCallTimeout = 2500 * time.Millisecond
-	minCallBackoff  = 200 * time.Millisecond
-	maxCallBackoff  = 2 * time.Second
+	taskInterval        = 200 * time.Millisecond // between two looks for what is due
+	platformCallTimeout = 2500 * time.Millisecond
+	minCallBackoff      = 200 * time.Millisecond
+	maxCallBackoff      = 2 * time.Second
 )
 
 // tokenBaseShift leaves room for the epochs of a control plane below its token base: the seconds since 1970 at which its first
 // token was made, shifted by so many bits.
 const tokenBaseShift = 20
 
-// dutyRunner carries out the singleton duties while this node has the lease. One goroutine owns it.
-type dutyRunner struct {
+// taskRunner carries out the singleton duties while this node has the lease. One goroutine owns it.
+type taskRunner struct {
 	server    *Server
 	client    *duty.Client
 	tokenBase int64 // 0 until it is known
 	heldEpoch int64 // of the grant of the last step; 0 for none
-	usage     *usageDuty
-	scale     *scaleDuty
+	usage     *usageTask
+	scale     *scaleTask
 }
 
-// runDuties carries out the duties that the settings name, until the server stops.
-func (s *Server) runDuties() {
+// runSingletonTasks carries out the duties that the settings name, until the server stops.
+func (s *Server) runSingletonTasks() {
 	if s.settings.Platform.Address == "" || len(s.settings.Platform.Duties) == 0 {
 		return
 	}
-	d := &dutyRunner{server: s}
-	d.client = duty.NewClient(s.settings.Platform.Address, s.self.Name, d.mayAct)
+	d := &taskRunner{server: s}
+	d.client = duty.NewClient(s.settings.Platform.Address, s.self.Name, d.permitsToken)
 	defer d.client.Close()
-	if s.settings.HasDuty(usageDutyName) {
-		d.usage = newUsageDuty(d)
+	if s.settings.HasDuty(usageTaskName) {
+		d.usage = newUsageTask(d)
 	}
-	if s.settings.HasDuty(scaleDutyName) {
-		d.scale = newScaleDuty(d)
+	if s.settings.HasDuty(scaleTaskName) {
+		d.scale = newScaleTask(d)
 	}
 	for s.ctx.Err() == nil {
 		d.step()
 		d.publishSnapshot()
-		s.sleep(dutyInterval)
+		s.sleep(taskInterval)
 	}
 }
 
 // step does what is due, if this node has the lease.
-func (d *dutyRunner) step() {
+func (d *taskRunner) step() {
 	grant := d.server.heldGrant()
 	if grant == nil {
 		d.heldEpoch = 0
@@ -69,14 +69,14 @@
 	}
 	if d.heldEpoch == 0 {
 		if d.usage != nil {
-			d.usage.begin()
+			d.usage.reset()
 		}
 		if d.scale != nil {
-			d.scale.begin()
+			d.scale.reset()
 		}
 	}
 	d.heldEpoch = grant.epoch
-	if d.tokenBase == 0 && !d.readTokenBase() {
+	if d.tokenBase == 0 && !d.ensureTokenBase() {
 		return
 	}
 	if d.usage != nil {
@@ -87,13 +87,13 @@
 	}
 }
 
-// readTokenBase sets the token base, and records one if there is none. It reports whether there is one that is committed.
-func (d *dutyRunner) readTokenBase() bool {
+// ensureTokenBase sets the token base, and records one if there is none. It reports whether there is one that is committed.
+func (d *taskRunner) ensureTokenBase() bool {
 	base := d.server.trueNow().Unix() << tokenBaseShift
 	if _, err := d.server.decideAtHead(d.server.ctx, orders.RecordTokenBase{Base: base}); err != nil {
 		return false
 	}
-	query := &dutyStateQuery{}
+	query := &taskStateQuery{}
 	if !d.server.runOnLoop(query) || query.state == nil {
 		return false
 	}
@@ -101,36 +101,36 @@
 	return d.tokenBase != 0
 }
 
-// dutyStateQuery reads the committed state of the duties.
-type dutyStateQuery struct {
+// taskStateQuery reads the committed state of the duties.
+type taskStateQuery struct {
 	state *orders.State // nil if it cannot be decoded
 }
 
-func (q *dutyStateQuery) handle(s *Server) {
+func (q *taskStateQuery) handle(s *Server) {
 	q.state, _ = orders.ReadState(s.node.Chain().Committed(0), s.settings.FaultTolerance())
 }
 
 // token returns the fencing token of a grant.
-func (d *dutyRunner) token(grant *dutyGrant) int64 { return d.tokenBase + grant.epoch }
+func (d *taskRunner) token(grant *publishedGrant) int64 { return d.tokenBase + grant.epoch }
 
-// mayAct is the fence of the client: the token is that of the grant that this node has now.
-func (d *dutyRunner) mayAct(token int64) bool {
+// permitsToken is the fence of the client: the token is that of the grant that this node has now.
+func (d *taskRunner) permitsToken(token int64) bool {
 	grant := d.server.heldGrant()
 	return grant != nil && token == d.token(grant)
 }
 
 // post makes a call under a grant. It steps down if the platform has seen a higher token.
-func (d *dutyRunner) post(grant *dutyGrant, path string, body []byte) (duty.Outcome, error) {
-	start := &dutyCallRequest{call: &lease.Call{Epoch: grant.epoch}}
+func (d *taskRunner) post(grant *publishedGrant, path string, body []byte) (duty.Outcome, error) {
+	start := &callStartRequest{call: &lease.Call{Epoch: grant.epoch}}
 	if !d.server.runOnLoop(start) {
-		d.server.endDutyCall(start.call) // its start may have been noted before the disk was found full
+		d.server.recordCallEnd(start.call) // its start may have been noted before the disk was found full
 		return duty.NotSent, errStopping
 	}
 	if !start.held {
 		return duty.NotSent, errLeaseLost
 	}
-	defer d.server.endDutyCall(start.call)
-	ctx, cancel := context.WithTimeout(d.server.ctx, dutyCallTimeout)
+	defer d.server.recordCallEnd(start.call)
+	ctx, cancel := context.WithTimeout(d.server.ctx, platformCallTimeout)
 	defer cancel()
 	startedAt := time.Now()
 	outcome, err := d.client.Post(ctx, path, d.token(grant), body)
@@ -142,7 +142,7 @@
 	if outcome == duty.Refused {
 		d.server.log.Error("the platform has seen a higher fencing token; this node does not act in this epoch any more",
 			"epoch", grant.epoch, "token", d.token(grant))
-		d.server.repeatOnLoop(&leaseRefusedRequest{epoch: grant.epoch})
+		d.server.retryOnLoop(&tokenRefusedRequest{epoch: grant.epoch})
 	}
 	return outcome, err
 }
--- a/internal/tier/controlnode/duty_scale.go
+++ b/internal/tier/controlnode/duty_scale.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	scalePath         = "/scale"
-	scaleInterval     = time.Second
-	loadSpan          = 3 * time.Second // over which calls in flight are averaged
-	evidenceSpan      = 4 * time.Second // in which fronts have to have reported
-	knownSpan         = 20 * time.Second
-	evidenceDivisor   = 2 // of the fronts that have reported within knownSpan, one in so many has to have reported lately
-	defaultHostSlots  = 1 // of a host that lists no capacity
-	minOrderedHosts   = 1 // a zone without hosts shows no demand for any
-	scaleCallsPerStep = 8 // so that a step takes a bounded time
+	scalePath           = "/scale"
+	scaleInterval       = time.Second
+	loadAveragingPeriod = 3 * time.Second // over which calls in flight are averaged
+	recentReportPeriod  = 4 * time.Second // in which fronts have to have reported
+	knownFrontPeriod    = 20 * time.Second
+	minReportingDivisor = 2 // of the fronts that have reported within knownFrontPeriod, one in so many has to have reported lately
+	defaultHostSlots    = 1 // of a host that lists no capacity
+	minOrderedHosts     = 1 // a zone without hosts shows no demand for any
+	scaleCallsPerStep   = 8 // so that a step takes a bounded time
 )
 
-// scaleDuty orders how many hosts of a service run in a zone, for each service whose configuration has a scaling.
-type scaleDuty struct {
-	*dutyRunner
-	planner    *scaling.Planner
-	mostFronts int                              // that have reported within knownSpan
-	plannedAt  time.Time                        // zero before the first plan
-	backoff    map[scaling.Subject]*callBackoff // of the platform's answers
-	config     *routing.Config                  // as last parsed; nil before the first one
-	configAt   int64                            // index of its entry
-	fronts     int                              // that have reported lately, as last read
-	hostSlots  map[scaling.Subject]int          // of a host as listed last, of all subjects of this headship
-	seen       []scaleSubject                   // as last planned, for operators
+// scaleTask orders how many hosts of a service run in a zone, for each service whose configuration has a scaling.
+type scaleTask struct {
+	*taskRunner
+	planner         *scaling.Planner
+	knownFronts     int                              // that have reported within knownFrontPeriod
+	plannedAt       time.Time                        // zero before the first plan
+	backoff         map[scaling.Subject]*callBackoff // of the platform's answers
+	config          *routing.Config                  // as last parsed; nil before the first one
+	configAt        int64                            // index of its entry
+	recentFronts    int                              // that have reported lately, as last read
+	hostSlots       map[scaling.Subject]int          // of a host as listed last, of all subjects of this headship
+	plannedSubjects []scaleSubject                   // as last planned, for operators
 }
 
-func newScaleDuty(d *dutyRunner) *scaleDuty { return &scaleDuty{dutyRunner: d} }
+func newScaleTask(d *taskRunner) *scaleTask { return &scaleTask{taskRunner: d} }
 
 // begin forgets what another holder may have ordered: each subject is ordered anew.
-func (d *scaleDuty) begin() {
-	d.planner, d.mostFronts, d.plannedAt = scaling.NewPlanner(scaling.DefaultParams()), 0, time.Time{}
+func (d *scaleTask) reset() {
+	d.planner, d.knownFronts, d.plannedAt = scaling.NewPlanner(scaling.DefaultParams()), 0, time.Time{}
 	d.backoff = map[scaling.Subject]*callBackoff{}
 	d.hostSlots = map[scaling.Subject]int{}
 	d.config, d.configAt = nil, 0
-	d.fronts, d.seen = 0, nil
+	d.recentFronts, d.plannedSubjects = 0, nil
 }
 
 // step plans all subjects once in scaleInterval, and makes the orders.
-func (d *scaleDuty) step(grant *dutyGrant) {
+func (d *scaleTask) step(grant *publishedGrant) {
 	now := time.Now()
 	if now.Sub(d.plannedAt) < scaleInterval {
 		return
@@ -65,20 +65,20 @@
 	if !d.server.runOnLoop(query) || !query.ok {
 		return
 	}
-	d.fronts = query.fronts
-	if d.mostFronts = query.known; query.fronts == 0 || query.fronts < d.mostFronts/evidenceDivisor {
+	d.recentFronts = query.recentFronts
+	if d.knownFronts = query.knownFronts; query.recentFronts == 0 || query.recentFronts < d.knownFronts/minReportingDivisor {
 		return // the fronts are not heard: the last orders stand
 	}
 	d.parseConfig(query.config)
-	d.seen = d.subjects(query)
-	d.orderWanted(grant)
+	d.plannedSubjects = d.subjects(query)
+	d.orderHosts(grant)
 }
 
-// orderWanted plans the subjects and makes the orders. It makes no further call in this step after one without a clear answer,
-// since each may take dutyCallTimeout and usage reports wait meanwhile.
-func (d *scaleDuty) orderWanted(grant *dutyGrant) {
+// orderHosts plans the subjects and makes the orders. It makes no further call in this step after one without a clear answer,
+// since each may take platformCallTimeout and usage reports wait meanwhile.
+func (d *scaleTask) orderHosts(grant *publishedGrant) {
 	calls := 0
-	for _, subject := range d.seen {
+	for _, subject := range d.plannedSubjects {
 		hosts, ok := d.planner.Plan(d.server.now(), subject.Subject, subject.Demand)
 		if !ok || calls >= scaleCallsPerStep || !d.backoffOf(subject.Subject).ready(time.Now()) {
 			continue
@@ -91,7 +91,7 @@
 }
 
 // backoffOf returns the backoff of a subject.
-func (d *scaleDuty) backoffOf(subject scaling.Subject) *callBackoff {
+func (d *scaleTask) backoffOf(subject scaling.Subject) *callBackoff {
 	backoff := d.backoff[subject]
 	if backoff == nil {
 		backoff = &callBackoff{}
@@ -101,7 +101,7 @@
 }
 
 // parseConfig parses the configuration of a committed entry, unless it is that of the last step.
-func (d *scaleDuty) parseConfig(committed chain.Entry) {
+func (d *scaleTask) parseConfig(committed chain.Entry) {
 	var entry feed.ConfigEntry
 	if d.configAt == committed.Index || len(committed.Value) == 0 || rpc.Decode(committed.Value, &entry) != nil {
 		return
@@ -113,12 +113,12 @@
 
 // demandQuery reads what the plan needs: the configuration, the hosts and the load.
 type demandQuery struct {
-	ok     bool        // this node is the confirmed head and has a configuration
-	config chain.Entry // the newest committed one
-	hosts  []discovery.Host
-	loads  []usage.Load
-	fronts int // that have reported within evidenceSpan
-	known  int // that have reported within knownSpan
+	ok           bool        // this node is the confirmed head and has a configuration
+	config       chain.Entry // the newest committed one
+	hosts        []discovery.Host
+	loads        []usage.Load
+	recentFronts int // that have reported within recentReportPeriod
+	knownFronts  int // that have reported within knownFrontPeriod
 }
 
 func (q *demandQuery) handle(s *Server) {
@@ -129,8 +129,8 @@
 	}
 	collector := s.assumeUsageRole().collector
 	q.ok, q.config, q.hosts = true, config, hosts.Hosts
-	q.loads = collector.LoadSince(s.now() - loadSpan)
-	q.fronts, q.known = len(collector.FrontsSince(s.now()-evidenceSpan)), len(collector.FrontsSince(s.now()-knownSpan))
+	q.loads = collector.LoadSince(s.now() - loadAveragingPeriod)
+	q.recentFronts, q.knownFronts = len(collector.FrontsSince(s.now()-recentReportPeriod)), len(collector.FrontsSince(s.now()-knownFrontPeriod))
 }
 
 // committedConfig returns the entry of the newest committed configuration; ok is false if there is none, or if the commit index
@@ -155,11 +155,11 @@
 
 // subjects returns the subjects with their demands, sorted: each service that is to be scaled, in each zone in which hosts of it
 // are listed, or were listed in this headship.
-func (d *scaleDuty) subjects(query *demandQuery) (subjects []scaleSubject) {
+func (d *scaleTask) subjects(query *demandQuery) (subjects []scaleSubject) {
 	if d.config == nil {
 		return nil
 	}
-	d.noteHostSlots(query.hosts)
+	d.updateHostSlots(query.hosts)
 	demands := map[scaling.Subject]*scaling.Demand{}
 	for subject, slots := range d.hostSlots {
 		bounds := d.config.Services[subject.Service].Scaling
@@ -184,9 +184,9 @@
 	return subjects
 }
 
-// noteHostSlots notes the slots of listed hosts. Subjects without listed hosts stay, those of services that are not to be scaled
+// updateHostSlots notes the slots of listed hosts. Subjects without listed hosts stay, those of services that are not to be scaled
 // go.
-func (d *scaleDuty) noteHostSlots(hosts []discovery.Host) {
+func (d *scaleTask) updateHostSlots(hosts []discovery.Host) {
 	listed := map[scaling.Subject]int{}
 	for _, host := range hosts {
 		subject := subjectOf(host)
@@ -211,28 +211,28 @@
 }
 
 // order makes an order. It reports whether the platform has accepted it.
-func (d *scaleDuty) order(grant *dutyGrant, subject scaling.Subject, hosts int) bool {
+func (d *scaleTask) order(grant *publishedGrant, subject scaling.Subject, hosts int) bool {
 	body, err := json.Marshal(scaleBody{Service: subject.Service, Zone: subject.Zone, Desired: hosts})
 	if err != nil {
 		return false
 	}
 	outcome, _ := d.post(grant, scalePath, body)
-	d.noteOutcome(subject, hosts, outcome)
+	d.recordOutcome(subject, hosts, outcome)
 	return outcome == duty.Accepted
 }
 
-// noteOutcome notes what is known of an order after its call.
-func (d *scaleDuty) noteOutcome(subject scaling.Subject, hosts int, outcome duty.Outcome) {
+// recordOutcome notes what is known of an order after its call.
+func (d *scaleTask) recordOutcome(subject scaling.Subject, hosts int, outcome duty.Outcome) {
 	switch outcome {
 	case duty.Accepted:
 		d.backoffOf(subject).succeeded()
 		before, _ := d.planner.InForce(subject)
 		d.server.log.Info("hosts ordered", "service", subject.Service, "zone", subject.Zone, "hosts", hosts, "before", before)
-		d.planner.Ordered(subject, hosts)
+		d.planner.OrderAccepted(subject, hosts)
 	case duty.NotSent:
 		d.backoffOf(subject).failed(time.Now())
 	default:
 		d.backoffOf(subject).failed(time.Now())
-		d.planner.InDoubt(subject, hosts)
+		d.planner.OrderInDoubt(subject, hosts)
 	}
 }
--- a/internal/tier/controlnode/duty_scale_test.go
+++ b/internal/tier/controlnode/duty_scale_test.go
@@ -20,9 +20,9 @@
 var scaleTestSubject = scaling.Subject{Service: "s", Zone: "a"}
 
 // newTestScaleDuty returns a duty of a holder that has just begun.
-func newTestScaleDuty() *scaleDuty {
-	d := newScaleDuty(&dutyRunner{server: &Server{log: process.NewLogger(io.Discard)}})
-	d.begin()
+func newTestScaleDuty() *scaleTask {
+	d := newScaleTask(&taskRunner{server: &Server{log: process.NewLogger(io.Discard)}})
+	d.reset()
 	return d
 }
 
@@ -34,8 +34,8 @@
 		d := newTestScaleDuty()
 		demand := scaling.Demand{Min: 4, Max: 9, Hosts: 3, Slots: 1}
 		d.planner.Plan(0, scaleTestSubject, demand)
-		d.noteOutcome(scaleTestSubject, 4, duty.Accepted)
-		d.noteOutcome(scaleTestSubject, 5, outcome)
+		d.recordOutcome(scaleTestSubject, 4, duty.Accepted)
+		d.recordOutcome(scaleTestSubject, 5, outcome)
 		if hosts, got := d.planner.Plan(time.Second, scaleTestSubject, demand); got != repeated {
 			t.Errorf("%s: planned %d, %v, want an order: %v", outcome, hosts, got, repeated)
 		}
@@ -61,7 +61,7 @@
 			t.Errorf("at most %d hosts, want %d", got, most)
 		}
 	}
-	if d.begin(); d.config != nil {
+	if d.reset(); d.config != nil {
 		t.Error("a new headship has a configuration of the one before")
 	}
 }
@@ -115,7 +115,7 @@
 	}
 	d.parseConfig(chain.Entry{Index: 3, Value: config.Value})
 	d.subjects(listed)
-	d.begin()
+	d.reset()
 	d.parseConfig(config)
 	if got := d.subjects(&demandQuery{}); len(got) != 0 {
 		t.Errorf("subjects %+v of an earlier headship", got)
--- a/internal/tier/controlnode/duty_snapshot.go
+++ b/internal/tier/controlnode/duty_snapshot.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// dutySnapshot is the state of the duties after a step, for operators. It is immutable.
-type dutySnapshot struct {
+// taskSnapshot is the state of the duties after a step, for operators. It is immutable.
+type taskSnapshot struct {
 	at        time.Time
 	tokenBase int64 // 0 until it is known
 	usage     usageSnapshot
 	scale     scaleSnapshot
 }
 
-// usageSnapshot is the state of usageDuty; it is empty while the node has no lease.
+// usageSnapshot is the state of usageTask; it is empty while the node has no lease.
 type usageSnapshot struct {
 	unacknowledged   []int64 // recorded windows, by rising number
 	lastRecorded     int64   // 0 for none
 	lastAcknowledged int64   // 0 for none
 }
 
-// scaleSnapshot is the state of scaleDuty; it is empty while the node has no lease.
+// scaleSnapshot is the state of scaleTask; it is empty while the node has no lease.
 type scaleSnapshot struct {
-	fronts, mostFronts int
-	subjects           []ScaleSubjectStatus
+	recentFronts, knownFronts int
+	subjects                  []ScaleSubjectStatus
 }
 
 // publishSnapshot publishes the state of the duties. It runs on the goroutine of the duties.
-func (d *dutyRunner) publishSnapshot() {
-	snapshot := &dutySnapshot{at: time.Now(), tokenBase: d.tokenBase}
+func (d *taskRunner) publishSnapshot() {
+	snapshot := &taskSnapshot{at: time.Now(), tokenBase: d.tokenBase}
 	if d.heldEpoch != 0 && d.usage != nil {
 		snapshot.usage = d.usage.snapshot()
 	}
@@ -40,11 +40,11 @@
 }
 
 // snapshot returns the state for operators.
-func (u *usageDuty) snapshot() usageSnapshot {
+func (u *usageTask) snapshot() usageSnapshot {
 	return usageSnapshot{
-		unacknowledged:   slices.Sorted(maps.Keys(u.unsent)),
+		unacknowledged:   slices.Sorted(maps.Keys(u.unacknowledged)),
 		lastRecorded:     newestWindow(slices.Values(u.recorded)),
-		lastAcknowledged: newestWindow(maps.Keys(u.accepted)),
+		lastAcknowledged: newestWindow(maps.Keys(u.acknowledged)),
 	}
 }
 
@@ -57,9 +57,9 @@
 }
 
 // snapshot returns the state for operators.
-func (d *scaleDuty) snapshot() scaleSnapshot {
-	snapshot := scaleSnapshot{fronts: d.fronts, mostFronts: d.mostFronts}
-	for _, subject := range d.seen {
+func (d *scaleTask) snapshot() scaleSnapshot {
+	snapshot := scaleSnapshot{recentFronts: d.recentFronts, knownFronts: d.knownFronts}
+	for _, subject := range d.plannedSubjects {
 		inForce, _ := d.planner.InForce(subject.Subject)
 		snapshot.subjects = append(snapshot.subjects, ScaleSubjectStatus{
 			Service:     subject.Service,
--- a/internal/tier/controlnode/duty_status.go
+++ b/internal/tier/controlnode/duty_status.go
@@ -9,48 +9,48 @@
 	"larchrouter/internal/tier/lease"
 )
 
-// DutyStatus is the state of the singleton duties at a node, for operators: that of the head, unless the head does not answer. It
+// TaskStatus is the state of the singleton duties at a node, for operators: that of the head, unless the head does not answer. It
 // is JSON of the operator API, whose keys are in the tags, and is also sent between nodes by the order of its fields.
-type DutyStatus struct {
-	Node          string            `json:"node"` // that answers
-	Head          string            `json:"head"` // as the node knows it; empty for none
-	Epoch         int64             `json:"epoch"`
-	Held          bool              `json:"held"`   // the node has the lease on the duties
-	Holder        string            `json:"holder"` // empty if the node has no lease
-	Token         int64             `json:"token"`  // of the epoch; 0 where the node is not the head, or does not know it yet
-	LeftMs        int64             `json:"left_ms"`
-	WaitMs        int64             `json:"wait_ms"` // what the head still waits before it may act
-	Cause         string            `json:"cause"`   // why no duties are done: one of the constants; empty if they are
-	StepAgeMs     int64             `json:"step_age_ms"`
-	ClockOffsetMs int64             `json:"clock_offset_ms"` // of the node's wall clock to the time by which it numbers windows
-	Usage         UsageDutyStatus   `json:"usage_report"`
-	Scale         ScaleDutyStatus   `json:"autoscale"`
-	Outcomes      DutyCallsByResult `json:"outcomes"` // of all duties, since the node's start
+type TaskStatus struct {
+	Node          string             `json:"node"` // that answers
+	Head          string             `json:"head"` // as the node knows it; empty for none
+	Epoch         int64              `json:"epoch"`
+	Held          bool               `json:"held"`   // the node has the lease on the duties
+	Holder        string             `json:"holder"` // empty if the node has no lease
+	Token         int64              `json:"token"`  // of the epoch; 0 where the node is not the head, or does not know it yet
+	LeftMs        int64              `json:"left_ms"`
+	WaitMs        int64              `json:"wait_ms"` // what the head still waits before it may act
+	Cause         string             `json:"cause"`   // why no duties are done: one of the constants; empty if they are
+	StepAgeMs     int64              `json:"step_age_ms"`
+	ClockOffsetMs int64              `json:"clock_offset_ms"` // of the node's wall clock to the time by which it numbers windows
+	Usage         UsageTaskStatus    `json:"usage_report"`
+	Scale         ScaleTaskStatus    `json:"autoscale"`
+	Outcomes      PlatformCallCounts `json:"outcomes"` // of all duties, since the node's start
 }
 
-// The values of DutyStatus.Cause.
+// The values of TaskStatus.Cause.
 const (
-	DutiesNotExpected = "not_expected" // the settings name no platform, or no duty
-	DutiesNoView      = "no_view"      // the node knows no head
-	DutiesNotHead     = "not_head"     // the node is not the head, and was asked as if it were
-	DutiesHeadSilent  = "head_silent"  // the node is not the head, and the head does not answer it
-	DutiesRefused     = "refused"      // the platform has refused the token of this epoch
-	DutiesStopping    = "stopping"     // the head is about to stop
-	DutiesViewChanges = "view_changes" // the head has promised to the next epoch, or is not complete
-	DutiesNoMajority  = "no_majority"  // no majority has confirmed the head for a term of the lease
-	DutiesJustStarted = "just_started" // the head does not know what it did before its start
-	DutiesEarlierHead = "earlier_head" // the lease of the head before may not be over
-	DutiesLeaseLost   = "lease_lost"   // the head lost the lease a short while ago, and has it back
+	TasksNotExpected  = "not_expected" // the settings name no platform, or no duty
+	TasksNoView       = "no_view"      // the node knows no head
+	TasksNotHead      = "not_head"     // the node is not the head, and was asked as if it were
+	TasksHeadSilent   = "head_silent"  // the node is not the head, and the head does not answer it
+	TasksTokenRefused = "refused"      // the platform has refused the token of this epoch
+	TasksStopping     = "stopping"     // the head is about to stop
+	TasksViewChanging = "view_changes" // the head has promised to the next epoch, or is not complete
+	TasksNoMajority   = "no_majority"  // no majority has confirmed the head for a term of the lease
+	TasksJustStarted  = "just_started" // the head does not know what it did before its start
+	TasksEarlierHead  = "earlier_head" // the lease of the head before may not be over
+	TasksLeaseLost    = "lease_lost"   // the head lost the lease a short while ago, and has it back
 )
 
-// UsageDutyStatus is the state of the reports of usage.
-type UsageDutyStatus struct {
-	Expected         bool              `json:"expected"` // by the settings
-	Unacknowledged   []WindowStatus    `json:"unacknowledged_windows"`
-	LastRecorded     int64             `json:"last_recorded_window"`     // 0 for none
-	LastAcknowledged int64             `json:"last_acknowledged_window"` // to this node; 0 for none
-	Outcomes         DutyCallsByResult `json:"outcomes"`
-	Calls            []DutyCallStatus  `json:"calls"` // the newest first
+// UsageTaskStatus is the state of the reports of usage.
+type UsageTaskStatus struct {
+	Expected         bool                 `json:"expected"` // by the settings
+	Unacknowledged   []WindowStatus       `json:"unacknowledged_windows"`
+	LastRecorded     int64                `json:"last_recorded_window"`     // 0 for none
+	LastAcknowledged int64                `json:"last_acknowledged_window"` // to this node; 0 for none
+	Outcomes         PlatformCallCounts   `json:"outcomes"`
+	Calls            []PlatformCallStatus `json:"calls"` // the newest first
 }
 
 // WindowStatus is a window that is recorded and that the platform has not acknowledged.
@@ -60,14 +60,14 @@
 	Late    bool  `json:"late"`     // it ended more than usage_late_s ago
 }
 
-// ScaleDutyStatus is the state of the orders of hosts.
-type ScaleDutyStatus struct {
-	Expected   bool                 `json:"expected"`    // by the settings
-	Fronts     int64                `json:"fronts"`      // that have reported lately
-	MostFronts int64                `json:"most_fronts"` // that have reported within knownSpan
-	Subjects   []ScaleSubjectStatus `json:"subjects"`
-	Outcomes   DutyCallsByResult    `json:"outcomes"`
-	Calls      []DutyCallStatus     `json:"calls"` // the newest first
+// ScaleTaskStatus is the state of the orders of hosts.
+type ScaleTaskStatus struct {
+	Expected     bool                 `json:"expected"`    // by the settings
+	RecentFronts int64                `json:"fronts"`      // that have reported lately
+	KnownFronts  int64                `json:"most_fronts"` // that have reported within knownFrontPeriod
+	Subjects     []ScaleSubjectStatus `json:"subjects"`
+	Outcomes     PlatformCallCounts   `json:"outcomes"`
+	Calls        []PlatformCallStatus `json:"calls"` // the newest first
 }
 
 // ScaleSubjectStatus is the state of a service in a zone.
@@ -81,8 +81,8 @@
 	Concurrency float64 `json:"in_flight"` // calls in flight on average
 }
 
-// DutyCallStatus is a call to the platform.
-type DutyCallStatus struct {
+// PlatformCallStatus is a call to the platform.
+type PlatformCallStatus struct {
 	Time    string `json:"time"`   // at its end, by the node's clock
 	AgeMs   int64  `json:"age_ms"` // since its end
 	Path    string `json:"path"`
@@ -91,8 +91,8 @@
 	Body    string `json:"body"`    // its first maxShownBody bytes
 }
 
-// DutyCallsByResult counts calls to the platform by outcome, as in duty.Outcome.
-type DutyCallsByResult struct {
+// PlatformCallCounts counts calls to the platform by outcome, as in duty.Outcome.
+type PlatformCallCounts struct {
 	Accepted int64 `json:"accepted"`
 	Refused  int64 `json:"refused"`
 	Busy     int64 `json:"busy"`
@@ -117,56 +117,56 @@
 	q.lease, q.headAddr, q.leaving = s.lease.Status(s.now()), s.node.HeadAddr(), s.node.leaving
 }
 
-// handleDuties returns the state of the duties at the head: of this node, or by forwarding the call. Where the head does not answer
+// handleTaskStatus returns the state of the duties at the head: of this node, or by forwarding the call. Where the head does not answer
 // it is that of this node.
-func (s *Server) handleDuties(ctx context.Context, request *feed.OrderRequest) (*DutyStatus, error) {
+func (s *Server) handleTaskStatus(ctx context.Context, request *feed.OrderRequest) (*TaskStatus, error) {
 	query := &leaseStatusQuery{}
 	if !s.runOnLoop(query) {
 		return nil, errStopping
 	}
 	if query.lease.Cause == lease.NotHead && query.headAddr != "" && !request.Forwarded {
 		forwarded := &feed.OrderRequest{Forwarded: true}
-		if status, err := forward[feed.OrderRequest, DutyStatus](ctx, s, query.headAddr, feed.DutiesCall, forwarded); err == nil {
+		if status, err := forward[feed.OrderRequest, TaskStatus](ctx, s, query.headAddr, feed.DutiesCall, forwarded); err == nil {
 			return status, nil
 		}
-		status := s.dutyStatus(query)
-		status.Cause = DutiesHeadSilent
+		status := s.taskStatus(query)
+		status.Cause = TasksHeadSilent
 		return status, nil
 	}
-	return s.dutyStatus(query), nil
+	return s.taskStatus(query), nil
 }
 
-// dutyStatus returns the state of the duties at this node.
-func (s *Server) dutyStatus(query *leaseStatusQuery) *DutyStatus {
-	status := &DutyStatus{
+// taskStatus returns the state of the duties at this node.
+func (s *Server) taskStatus(query *leaseStatusQuery) *TaskStatus {
+	status := &TaskStatus{
 		Node:          s.self.Name,
 		Head:          query.head,
 		Epoch:         query.lease.Epoch,
 		Held:          query.lease.Held,
 		LeftMs:        query.lease.Left.Milliseconds(),
 		WaitMs:        query.lease.Wait.Milliseconds(),
-		Cause:         s.dutiesCause(query),
+		Cause:         s.inactiveCause(query),
 		ClockOffsetMs: s.clockOffset().Milliseconds(),
 		Outcomes:      s.dutyCalls.countsOf(usagePath, scalePath),
 	}
 	if status.Held {
 		status.Holder = s.self.Name
 	}
-	s.addDutySnapshot(status, query.lease.Cause != lease.NotHead)
+	s.addTaskSnapshot(status, query.lease.Cause != lease.NotHead)
 	return status
 }
 
-// dutiesCause returns why this node does no duties.
-func (s *Server) dutiesCause(query *leaseStatusQuery) string {
+// inactiveCause returns why this node does no duties.
+func (s *Server) inactiveCause(query *leaseStatusQuery) string {
 	switch cause := query.lease.Cause; {
 	case cause == lease.NotHead && query.head == "":
-		return DutiesNoView
+		return TasksNoView
 	case cause == lease.NotHead:
-		return DutiesNotHead
-	case !s.expectsDuties():
-		return DutiesNotExpected
+		return TasksNotHead
+	case !s.expectsTasks():
+		return TasksNotExpected
 	case cause == lease.NotActive && query.leaving:
-		return DutiesStopping
+		return TasksStopping
 	default:
 		return leaseCauses[cause]
 	}
@@ -174,22 +174,22 @@
 
 // leaseCauses are the causes of a head that has no lease.
 var leaseCauses = map[lease.Cause]string{
-	lease.TokenRefused: DutiesRefused,
-	lease.NotActive:    DutiesViewChanges,
-	lease.NotConfirmed: DutiesNoMajority,
-	lease.JustStarted:  DutiesJustStarted,
-	lease.EarlierHead:  DutiesEarlierHead,
-	lease.LeaseLost:    DutiesLeaseLost,
+	lease.TokenRefused: TasksTokenRefused,
+	lease.NotActive:    TasksViewChanging,
+	lease.NotConfirmed: TasksNoMajority,
+	lease.JustStarted:  TasksJustStarted,
+	lease.EarlierHead:  TasksEarlierHead,
+	lease.LeaseLost:    TasksLeaseLost,
 }
 
-// expectsDuties reports whether the settings name a platform and a duty that this program knows.
-func (s *Server) expectsDuties() bool {
-	return s.settings.Platform.Address != "" && (s.settings.HasDuty(usageDutyName) || s.settings.HasDuty(scaleDutyName))
+// expectsTasks reports whether the settings name a platform and a duty that this program knows.
+func (s *Server) expectsTasks() bool {
+	return s.settings.Platform.Address != "" && (s.settings.HasDuty(usageTaskName) || s.settings.HasDuty(scaleTaskName))
 }
 
-// getDuties serves GET /api/duties.
-func (s *Server) getDuties(w http.ResponseWriter, r *http.Request) {
-	status, err := s.handleDuties(r.Context(), &feed.OrderRequest{})
+// getTaskStatus serves GET /api/duties.
+func (s *Server) getTaskStatus(w http.ResponseWriter, r *http.Request) {
+	status, err := s.handleTaskStatus(r.Context(), &feed.OrderRequest{})
 	if err != nil {
 		writeReply(w, &feed.Reply{Status: http.StatusServiceUnavailable, Text: err.Error()})
 		return
--- a/internal/tier/controlnode/duty_status_cluster_test.go
+++ b/internal/tier/controlnode/duty_status_cluster_test.go
@@ -35,7 +35,7 @@
 	for i := range n {
 		c.dirs[i] = t.TempDir()
 		settings := c.settings(i, true)
-		settings.Platform.Duties = []string{usageDutyName, scaleDutyName}
+		settings.Platform.Duties = []string{usageTaskName, scaleTaskName}
 		settings.Bounds["lease_term_ms"], settings.Bounds["usage_window_s"], settings.Bounds["usage_late_s"] = 1000, 0.5, 4
 		c.startWith(i, settings)
 	}
@@ -43,7 +43,7 @@
 }
 
 // duties asks a node for the state of the duties; ok is false if it does not answer.
-func (c *cluster) duties(i int) (status DutyStatus, ok bool) {
+func (c *cluster) duties(i int) (status TaskStatus, ok bool) {
 	c.t.Helper()
 	code, body := c.send(i, http.MethodGet, "/api/duties", "", nil)
 	if code != http.StatusOK {
@@ -56,7 +56,7 @@
 }
 
 // untilDuties waits until the duties are in a state at all nodes given, and returns the last status.
-func (c *cluster) untilDuties(what string, nodes []int, in func(s *DutyStatus) bool) (status DutyStatus) {
+func (c *cluster) untilDuties(what string, nodes []int, in func(s *TaskStatus) bool) (status TaskStatus) {
 	c.t.Helper()
 	c.until(what, func() bool {
 		for _, i := range nodes {
@@ -96,7 +96,7 @@
 func TestEveryNodeReportsDutiesOfHolder(t *testing.T) {
 	platform, answer := newDutyPlatform(t)
 	c := newDutyCluster(t, 3, platform)
-	acknowledged := func(s *DutyStatus) bool {
+	acknowledged := func(s *TaskStatus) bool {
 		return s.Cause == "" && s.Held && s.Holder == s.Node && s.Holder == s.Head && s.LeftMs > 0 && s.Token > s.Epoch &&
 			s.Usage.LastAcknowledged > 0 && s.Usage.Outcomes.Accepted > 0 && len(s.Usage.Calls) > 0
 	}
@@ -108,14 +108,14 @@
 	holder := c.index(first.Holder)
 	c.crash[holder]()
 	rest := c.others(holder)
-	second := c.untilDuties("another node does the duties", rest, func(s *DutyStatus) bool { return acknowledged(s) && s.Node != first.Node })
+	second := c.untilDuties("another node does the duties", rest, func(s *TaskStatus) bool { return acknowledged(s) && s.Node != first.Node })
 	if second.Token <= first.Token || second.Usage.LastAcknowledged < first.Usage.LastAcknowledged {
 		t.Errorf("token %d after %d, window %d after %d", second.Token, first.Token, second.Usage.LastAcknowledged,
 			first.Usage.LastAcknowledged)
 	}
 
 	answer.Store(http.StatusConflict)
-	refused := c.untilDuties("the platform has refused", rest, func(s *DutyStatus) bool { return s.Cause == DutiesRefused })
+	refused := c.untilDuties("the platform has refused", rest, func(s *TaskStatus) bool { return s.Cause == TasksTokenRefused })
 	if refused.Held || refused.Holder != "" || refused.Usage.Outcomes.Refused == 0 || refused.Token != second.Token {
 		t.Errorf("%+v", refused)
 	}
@@ -125,13 +125,13 @@
 func TestDutiesWithoutMajority(t *testing.T) {
 	platform, _ := newDutyPlatform(t)
 	c := newDutyCluster(t, 3, platform)
-	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *DutyStatus) bool { return s.Cause == "" })
+	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
 	c.crash[others[0]]()
 	c.crash[others[1]]()
-	status := c.untilDuties("the head is not confirmed", []int{holder}, func(s *DutyStatus) bool {
-		return s.Cause == DutiesNoMajority || s.Cause == DutiesViewChanges
+	status := c.untilDuties("the head is not confirmed", []int{holder}, func(s *TaskStatus) bool {
+		return s.Cause == TasksNoMajority || s.Cause == TasksViewChanging
 	})
 	if status.Held || status.Holder != "" || status.LeftMs != 0 {
 		t.Errorf("%+v", status)
@@ -141,12 +141,12 @@
 func TestDutiesAtNodeThatCannotReachHead(t *testing.T) {
 	platform, _ := newDutyPlatform(t)
 	c := newDutyCluster(t, 3, platform)
-	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *DutyStatus) bool { return s.Cause == "" })
+	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
 	c.crash[holder]()
 	c.crash[others[0]]()
-	status := c.untilDuties("the head is silent", others[1:], func(s *DutyStatus) bool { return s.Cause == DutiesHeadSilent })
+	status := c.untilDuties("the head is silent", others[1:], func(s *TaskStatus) bool { return s.Cause == TasksHeadSilent })
 	if status.Node != c.cores[others[1]].self.Name || status.Held || status.Token != 0 {
 		t.Errorf("%+v", status)
 	}
--- a/internal/tier/controlnode/duty_status_parts.go
+++ b/internal/tier/controlnode/duty_status_parts.go
@@ -14,32 +14,32 @@
 	callTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
-// addDutySnapshot adds what the goroutine of the duties has published, and its calls. Lists are empty instead of nil, so that they
+// addTaskSnapshot adds what the goroutine of the duties has published, and its calls. Lists are empty instead of nil, so that they
 // are never null in JSON.
-func (s *Server) addDutySnapshot(status *DutyStatus, isHead bool) {
+func (s *Server) addTaskSnapshot(status *TaskStatus, isHead bool) {
 	snapshot := s.dutySnapshot.Load()
 	if snapshot == nil {
-		snapshot = &dutySnapshot{at: time.Now()}
+		snapshot = &taskSnapshot{at: time.Now()}
 	}
 	status.StepAgeMs = time.Since(snapshot.at).Milliseconds()
 	if isHead && snapshot.tokenBase != 0 {
 		status.Token = snapshot.tokenBase + status.Epoch
 	}
-	status.Usage = UsageDutyStatus{
-		Expected:         s.settings.HasDuty(usageDutyName),
+	status.Usage = UsageTaskStatus{
+		Expected:         s.settings.HasDuty(usageTaskName),
 		Unacknowledged:   windowStatuses(snapshot.usage.unacknowledged, s.trueNow(), s.usageWindow(), s.usageLate()),
 		LastRecorded:     snapshot.usage.lastRecorded,
 		LastAcknowledged: snapshot.usage.lastAcknowledged,
 		Outcomes:         s.dutyCalls.countsOf(usagePath),
 		Calls:            s.dutyCalls.newestOf(usagePath),
 	}
-	status.Scale = ScaleDutyStatus{
-		Expected:   s.settings.HasDuty(scaleDutyName),
-		Fronts:     int64(snapshot.scale.fronts),
-		MostFronts: int64(snapshot.scale.mostFronts),
-		Subjects:   append([]ScaleSubjectStatus{}, snapshot.scale.subjects...),
-		Outcomes:   s.dutyCalls.countsOf(scalePath),
-		Calls:      s.dutyCalls.newestOf(scalePath),
+	status.Scale = ScaleTaskStatus{
+		Expected:     s.settings.HasDuty(scaleTaskName),
+		RecentFronts: int64(snapshot.scale.recentFronts),
+		KnownFronts:  int64(snapshot.scale.knownFronts),
+		Subjects:     append([]ScaleSubjectStatus{}, snapshot.scale.subjects...),
+		Outcomes:     s.dutyCalls.countsOf(scalePath),
+		Calls:        s.dutyCalls.newestOf(scalePath),
 	}
 }
 
@@ -57,15 +57,15 @@
 func (s *Server) clockOffset() time.Duration { return time.Now().Round(0).Sub(s.trueNow()) }
 
 // newestOf returns the newest calls of a path, the newest first.
-func (l *dutyCallLog) newestOf(path string) []DutyCallStatus {
+func (l *platformCallLog) newestOf(path string) []PlatformCallStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	calls := []DutyCallStatus{}
+	calls := []PlatformCallStatus{}
 	for _, call := range slices.Backward(l.newest) {
 		if call.path != path {
 			continue
 		}
-		calls = append(calls, DutyCallStatus{
+		calls = append(calls, PlatformCallStatus{
 			Time:    call.at.UTC().Format(callTimeFormat),
 			AgeMs:   time.Since(call.at).Milliseconds(),
 			Path:    call.path,
@@ -78,11 +78,11 @@
 }
 
 // countsOf returns the numbers of calls of some paths.
-func (l *dutyCallLog) countsOf(paths ...string) (counts DutyCallsByResult) {
+func (l *platformCallLog) countsOf(paths ...string) (counts PlatformCallCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, path := range paths {
-		count := func(outcome duty.Outcome) int64 { return int64(l.counts[countedCalls{path, outcome}]) }
+		count := func(outcome duty.Outcome) int64 { return int64(l.counts[callCountKey{path, outcome}]) }
 		counts.Accepted += count(duty.Accepted)
 		counts.Refused += count(duty.Refused)
 		counts.Busy += count(duty.Busy)
--- a/internal/tier/controlnode/duty_status_test.go
+++ b/internal/tier/controlnode/duty_status_test.go
@@ -34,38 +34,38 @@
 	for name, c := range map[string]struct {
 		query  leaseStatusQuery
 		duties string
-		want   DutyStatus // the fields of the lease
+		want   TaskStatus // the fields of the lease
 	}{
 		"holder": {leaseStatusQuery{lease: held, head: "core-1"}, "usage_report autoscale",
-			DutyStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500}},
+			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500}},
 		"holder of one duty": {leaseStatusQuery{lease: held, head: "core-1"}, "autoscale",
-			DutyStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500}},
+			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500}},
 		"no duty in the settings": {leaseStatusQuery{lease: held, head: "core-1"}, "",
-			DutyStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: DutiesNotExpected}},
+			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: TasksNotExpected}},
 		"duties that are not known": {leaseStatusQuery{lease: held, head: "core-1"}, "sweep",
-			DutyStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: DutiesNotExpected}},
-		"no view":  {leaseStatusQuery{lease: rest(lease.NotHead)}, "autoscale", DutyStatus{Cause: DutiesNoView}},
-		"not head": {leaseStatusQuery{lease: rest(lease.NotHead), head: "core-2"}, "autoscale", DutyStatus{Head: "core-2", Cause: DutiesNotHead}},
+			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: TasksNotExpected}},
+		"no view":  {leaseStatusQuery{lease: rest(lease.NotHead)}, "autoscale", TaskStatus{Cause: TasksNoView}},
+		"not head": {leaseStatusQuery{lease: rest(lease.NotHead), head: "core-2"}, "autoscale", TaskStatus{Head: "core-2", Cause: TasksNotHead}},
 		"refused": {leaseStatusQuery{lease: rest(lease.TokenRefused), head: "core-1"}, "autoscale",
-			DutyStatus{Head: "core-1", Token: base + 7, Cause: DutiesRefused}},
+			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksTokenRefused}},
 		"view changes": {leaseStatusQuery{lease: rest(lease.NotActive), head: "core-1"}, "autoscale",
-			DutyStatus{Head: "core-1", Token: base + 7, Cause: DutiesViewChanges}},
+			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksViewChanging}},
 		"stopping": {leaseStatusQuery{lease: rest(lease.NotActive), head: "core-1", leaving: true}, "autoscale",
-			DutyStatus{Head: "core-1", Token: base + 7, Cause: DutiesStopping}},
+			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksStopping}},
 		"no majority": {leaseStatusQuery{lease: rest(lease.NotConfirmed), head: "core-1"}, "autoscale",
-			DutyStatus{Head: "core-1", Token: base + 7, Cause: DutiesNoMajority}},
+			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksNoMajority}},
 		"just started": {leaseStatusQuery{lease: wait(lease.JustStarted), head: "core-1"}, "autoscale",
-			DutyStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: DutiesJustStarted}},
+			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksJustStarted}},
 		"waits for the lease of the head before": {leaseStatusQuery{lease: wait(lease.EarlierHead), head: "core-1"}, "autoscale",
-			DutyStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: DutiesEarlierHead}},
+			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksEarlierHead}},
 		"lost the lease and got it back": {leaseStatusQuery{lease: wait(lease.LeaseLost), head: "core-1"}, "autoscale",
-			DutyStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: DutiesLeaseLost}},
+			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksLeaseLost}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newDutyServer(strings.Fields(c.duties)...)
-			s.dutySnapshot.Store(&dutySnapshot{at: time.Now(), tokenBase: base})
-			status := s.dutyStatus(&c.query)
-			got := DutyStatus{Head: status.Head, Held: status.Held, Holder: status.Holder, Token: status.Token, LeftMs: status.LeftMs,
+			s.dutySnapshot.Store(&taskSnapshot{at: time.Now(), tokenBase: base})
+			status := s.taskStatus(&c.query)
+			got := TaskStatus{Head: status.Head, Held: status.Held, Holder: status.Holder, Token: status.Token, LeftMs: status.LeftMs,
 				WaitMs: status.WaitMs, Cause: status.Cause}
 			if !reflect.DeepEqual(got, c.want) {
 				t.Errorf("%+v\nwant %+v", got, c.want)
@@ -79,10 +79,10 @@
 
 // A node that has not looked at its duties yet, and one without a platform, have a status as well.
 func TestDutyStatusBeforeFirstStep(t *testing.T) {
-	s := newDutyServer(usageDutyName)
+	s := newDutyServer(usageTaskName)
 	s.settings.Platform.Address = ""
-	status := s.dutyStatus(&leaseStatusQuery{lease: lease.Status{Epoch: 1, Held: true}, head: "core-1"})
-	if status.Cause != DutiesNotExpected || status.Token != 0 {
+	status := s.taskStatus(&leaseStatusQuery{lease: lease.Status{Epoch: 1, Held: true}, head: "core-1"})
+	if status.Cause != TasksNotExpected || status.Token != 0 {
 		t.Errorf("cause %q, token %d", status.Cause, status.Token)
 	}
 	body, err := json.Marshal(status)
@@ -93,24 +93,24 @@
 
 // The goroutine of the duties publishes what it holds, and nothing of it once the lease is lost.
 func TestSnapshotOfDuties(t *testing.T) {
-	s := newDutyServer(usageDutyName, scaleDutyName)
-	d := &dutyRunner{server: s, tokenBase: 5, heldEpoch: 2}
-	d.usage, d.scale = newUsageDuty(d), newScaleDuty(d)
-	d.usage.begin()
-	d.scale.begin()
+	s := newDutyServer(usageTaskName, scaleTaskName)
+	d := &taskRunner{server: s, tokenBase: 5, heldEpoch: 2}
+	d.usage, d.scale = newUsageTask(d), newScaleTask(d)
+	d.usage.reset()
+	d.scale.reset()
 	ended := usage.WindowAt(time.Now().Add(-time.Minute), s.usageWindow())
 	d.usage.recorded = []int64{ended, ended + 1, ended + 11}
-	d.usage.unsent = map[int64][]byte{ended + 11: nil, ended + 1: nil}
-	d.usage.accepted[ended] = true
+	d.usage.unacknowledged = map[int64][]byte{ended + 11: nil, ended + 1: nil}
+	d.usage.acknowledged[ended] = true
 	subject := scaling.Subject{Service: "engine", Zone: "pier"}
 	demand := scaling.Demand{Min: 1, Max: 9, Hosts: 3, Slots: 2, Concurrency: 2.5}
 	d.scale.planner.Plan(0, subject, demand)
-	d.scale.planner.Ordered(subject, 4)
-	d.scale.fronts, d.scale.mostFronts, d.scale.seen = 2, 6, []scaleSubject{{subject, demand}}
+	d.scale.planner.OrderAccepted(subject, 4)
+	d.scale.recentFronts, d.scale.knownFronts, d.scale.plannedSubjects = 2, 6, []scaleSubject{{subject, demand}}
 	d.publishSnapshot()
 
 	query := &leaseStatusQuery{lease: lease.Status{Epoch: 2, Held: true}, head: "core-1"}
-	status := s.dutyStatus(query)
+	status := s.taskStatus(query)
 	if windows := status.Usage.Unacknowledged; len(windows) != 2 || windows[0].Window != ended+1 || !windows[0].Late ||
 		windows[1].Window != ended+11 || windows[1].Late || windows[0].EndedMs < 50_000 {
 		t.Errorf("windows %+v", windows)
@@ -119,20 +119,20 @@
 		t.Errorf("recorded %d, acknowledged %d, token %d", status.Usage.LastRecorded, status.Usage.LastAcknowledged, status.Token)
 	}
 	want := []ScaleSubjectStatus{{Service: "engine", Zone: "pier", InForce: 4, Listed: 3, Min: 1, Max: 9, Concurrency: 2.5}}
-	if !reflect.DeepEqual(status.Scale.Subjects, want) || status.Scale.Fronts != 2 || status.Scale.MostFronts != 6 {
+	if !reflect.DeepEqual(status.Scale.Subjects, want) || status.Scale.RecentFronts != 2 || status.Scale.KnownFronts != 6 {
 		t.Errorf("scale %+v", status.Scale)
 	}
 
 	d.heldEpoch = 0
 	d.publishSnapshot()
-	status = s.dutyStatus(query)
+	status = s.taskStatus(query)
 	if len(status.Usage.Unacknowledged)+len(status.Scale.Subjects) != 0 || status.Token != 7 {
 		t.Errorf("without a lease: %+v", status)
 	}
 }
 
 func TestCallsAreShownByDuty(t *testing.T) {
-	var l dutyCallLog
+	var l platformCallLog
 	long := []byte(strings.Repeat("x", maxShownBody-1) + "ä and more")
 	l.record(usagePath, 3, duty.Accepted, []byte("{}"))
 	l.record(scalePath, 3, duty.Busy, nil)
@@ -156,10 +156,10 @@
 	if calls := l.newestOf(scalePath); len(calls) != maxLoggedCalls-2 {
 		t.Errorf("%d calls", len(calls))
 	}
-	if got, want := l.countsOf(usagePath), (DutyCallsByResult{Accepted: 1, Refused: 1, Invalid: 1, NotSent: 1}); got != want {
+	if got, want := l.countsOf(usagePath), (PlatformCallCounts{Accepted: 1, Refused: 1, Invalid: 1, NotSent: 1}); got != want {
 		t.Errorf("%+v", got)
 	}
-	if got, want := l.countsOf(usagePath, scalePath), (DutyCallsByResult{Accepted: 1, Refused: 1, Busy: 1, Invalid: 1, NotSent: 1,
+	if got, want := l.countsOf(usagePath, scalePath), (PlatformCallCounts{Accepted: 1, Refused: 1, Busy: 1, Invalid: 1, NotSent: 1,
 		Unknown: 2 * maxLoggedCalls}); got != want {
 		t.Errorf("%+v", got)
 	}
@@ -177,21 +177,21 @@
 	`"outcomes":{"accepted":1,"refused":2,"busy":3,"invalid":4,"not_sent":5,"unknown":6}}`
 
 func TestKeysOfDutyStatusAreStable(t *testing.T) {
-	counts := DutyCallsByResult{Accepted: 1, Refused: 2, Busy: 3, Invalid: 4, NotSent: 5, Unknown: 6}
-	status := &DutyStatus{
+	counts := PlatformCallCounts{Accepted: 1, Refused: 2, Busy: 3, Invalid: 4, NotSent: 5, Unknown: 6}
+	status := &TaskStatus{
 		Node: "core-1", Head: "core-1", Epoch: 7, Held: true, Holder: "core-1", Token: 1<<20 + 7, LeftMs: 1500, WaitMs: 2,
-		Cause: DutiesRefused, StepAgeMs: 3, ClockOffsetMs: -4, Outcomes: counts,
-		Usage: UsageDutyStatus{Expected: true, Unacknowledged: []WindowStatus{{Window: 9, EndedMs: 11000, Late: true}}, LastRecorded: 9,
-			LastAcknowledged: 8, Outcomes: counts, Calls: []DutyCallStatus{{Time: "2026-01-02T03:04:05.006Z", AgeMs: 7, Path: "/usage",
+		Cause: TasksTokenRefused, StepAgeMs: 3, ClockOffsetMs: -4, Outcomes: counts,
+		Usage: UsageTaskStatus{Expected: true, Unacknowledged: []WindowStatus{{Window: 9, EndedMs: 11000, Late: true}}, LastRecorded: 9,
+			LastAcknowledged: 8, Outcomes: counts, Calls: []PlatformCallStatus{{Time: "2026-01-02T03:04:05.006Z", AgeMs: 7, Path: "/usage",
 				Token: 1<<20 + 7, Outcome: "accepted", Body: "{}"}}},
-		Scale: ScaleDutyStatus{Expected: true, Fronts: 2, MostFronts: 3, Subjects: []ScaleSubjectStatus{{Service: "engine", Zone: "pier",
-			InForce: 4, Listed: 3, Min: 1, Max: 9, Concurrency: 2.5}}, Calls: []DutyCallStatus{}},
+		Scale: ScaleTaskStatus{Expected: true, RecentFronts: 2, KnownFronts: 3, Subjects: []ScaleSubjectStatus{{Service: "engine", Zone: "pier",
+			InForce: 4, Listed: 3, Min: 1, Max: 9, Concurrency: 2.5}}, Calls: []PlatformCallStatus{}},
 	}
 	body, err := json.Marshal(status)
 	if err != nil || string(body) != dutyStatusJSON {
 		t.Errorf("%v\n%s\nwant\n%s", err, body, dutyStatusJSON)
 	}
-	forwarded := new(DutyStatus)
+	forwarded := new(TaskStatus)
 	if err := rpc.Decode(rpc.Encode(status), forwarded); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/controlnode/duty_usage.go
+++ b/internal/tier/controlnode/duty_usage.go
@@ -26,14 +26,14 @@
 	epoch     int64
 	id        string // of the collector, in receipts
 	collector *usage.Collector
-	beganAt   time.Duration
+	startedAt time.Duration
 }
 
 // assumeUsageRole returns the collector of this headship. It runs on the event loop of the confirmed head.
 func (s *Server) assumeUsageRole() *usageRole {
 	role, epoch := &s.usageRole, s.node.View().Epoch
 	if role.collector == nil || epoch > role.epoch+1 { // consecutive epochs of one head share a collector
-		*role = usageRole{id: fmt.Sprintf("%s/%d/%d", s.self.ID, s.incarnation, epoch), beganAt: s.now(),
+		*role = usageRole{id: fmt.Sprintf("%s/%d/%d", s.self.ID, s.incarnation, epoch), startedAt: s.now(),
 			collector: usage.NewCollector(usage.DefaultCollectorParams(s.usageWindow(), s.usageLate()))}
 	}
 	role.epoch = epoch
@@ -68,7 +68,7 @@
 	role, now := s.assumeUsageRole(), s.usageNow()
 	report := usage.Report{Incarnation: r.report.Incarnation, Windows: r.report.Windows, Loads: r.report.Loads}
 	role.collector.Add(now, r.report.Name, report)
-	role.collector.Forget(now)
+	role.collector.Expire(now)
 	r.receipt.Collector = role.id
 	if s.knowsTrueTime() {
 		r.receipt.TrueTimeMs = now.True.UnixMilli()
@@ -84,43 +84,43 @@
 	return &request.receipt, nil
 }
 
-// usageDuty reports the requests of each tenant to the platform, once for each window.
-type usageDuty struct {
-	*dutyRunner
-	schedule usage.Schedule
-	first    int64            // windows before it are not this holder's to record; 0 until it is known
-	recorded []int64          // windows that are recorded, by rising number
-	unsent   map[int64][]byte // bodies of recorded windows that the platform has not acknowledged
-	accepted map[int64]bool   // windows that the platform has acknowledged to this process
-	backoff  callBackoff
+// usageTask reports the requests of each tenant to the platform, once for each window.
+type usageTask struct {
+	*taskRunner
+	schedule       usage.Schedule
+	first          int64            // windows before it are not this holder's to record; 0 until it is known
+	recorded       []int64          // windows that are recorded, by rising number
+	unacknowledged map[int64][]byte // bodies of recorded windows that the platform has not acknowledged
+	acknowledged   map[int64]bool   // windows that the platform has acknowledged to this process
+	backoff        callBackoff
 }
 
-func newUsageDuty(d *dutyRunner) *usageDuty {
-	return &usageDuty{dutyRunner: d, schedule: usage.DefaultSchedule(d.server.usageWindow(), d.server.usageLate()),
-		accepted: map[int64]bool{}}
+func newUsageTask(d *taskRunner) *usageTask {
+	return &usageTask{taskRunner: d, schedule: usage.DefaultSchedule(d.server.usageWindow(), d.server.usageLate()),
+		acknowledged: map[int64]bool{}}
 }
 
 // begin forgets what another holder may have changed.
-func (u *usageDuty) begin() {
-	u.first, u.recorded, u.unsent, u.backoff = 0, nil, nil, callBackoff{}
+func (u *usageTask) reset() {
+	u.first, u.recorded, u.unacknowledged, u.backoff = 0, nil, nil, callBackoff{}
 }
 
 // step records the windows that are due and sends what is recorded.
-func (u *usageDuty) step(grant *dutyGrant) {
+func (u *usageTask) step(grant *publishedGrant) {
 	now := u.server.trueNow()
-	if u.unsent == nil && !u.readRecorded(now) {
+	if u.unacknowledged == nil && !u.readRecorded(now) {
 		return
 	}
 	u.recordDue(now)
-	u.drop(u.schedule.Oldest(now))
+	u.dropBefore(u.schedule.Oldest(now))
 	u.send(grant, now)
 }
 
 // recordDue records all windows that are due, before a call to the platform takes time.
-func (u *usageDuty) recordDue(now time.Time) {
-	began, ok := u.collectedSince(now)
+func (u *usageTask) recordDue(now time.Time) {
+	began, ok := u.collectorStart(now)
 	for ok {
-		window, due := u.schedule.Due(now, usage.Progress{First: u.first, Recorded: u.recorded, CollectAt: began})
+		window, due := u.schedule.Due(now, usage.Progress{First: u.first, Recorded: u.recorded, CollectingSince: began})
 		if !due || !u.record(window) {
 			return
 		}
@@ -128,12 +128,12 @@
 }
 
 // readRecorded reads which windows earlier holders have recorded. They are sent once more: the platform ignores an exact repeat.
-func (u *usageDuty) readRecorded(now time.Time) bool {
-	query := &dutyStateQuery{}
+func (u *usageTask) readRecorded(now time.Time) bool {
+	query := &taskStateQuery{}
 	if !u.server.runOnLoop(query) || query.state == nil {
 		return false
 	}
-	u.unsent = map[int64][]byte{}
+	u.unacknowledged = map[int64][]byte{}
 	reports := query.state.UsageReports()
 	for _, report := range reports {
 		u.addRecorded(report.Window, report.Body)
@@ -157,11 +157,11 @@
 }
 
 // addRecorded notes a recorded window.
-func (u *usageDuty) addRecorded(window int64, body []byte) {
+func (u *usageTask) addRecorded(window int64, body []byte) {
 	u.recorded = append(u.recorded, window)
 	slices.Sort(u.recorded)
-	if !u.accepted[window] {
-		u.unsent[window] = body
+	if !u.acknowledged[window] {
+		u.unacknowledged[window] = body
 	}
 }
 
@@ -178,24 +178,24 @@
 	}
 }
 
-// collectedSinceQuery reads for how long the collector of this headship has taken reports.
-type collectedSinceQuery struct {
-	age    time.Duration
-	isHead bool // otherwise nothing is collected here
-	inTime bool // the estimate of the true time is over the clocks of a majority
+// collectorAgeQuery reads for how long the collector of this headship has taken reports.
+type collectorAgeQuery struct {
+	age             time.Duration
+	isHead          bool // otherwise nothing is collected here
+	hasMajorityTime bool // the estimate of the true time is over the clocks of a majority
 }
 
-func (q *collectedSinceQuery) handle(s *Server) {
+func (q *collectorAgeQuery) handle(s *Server) {
 	if q.isHead = s.node.IsConfirmedHead(); q.isHead {
-		q.age, q.inTime = s.now()-s.assumeUsageRole().beganAt, s.knowsTrueTime()
+		q.age, q.hasMajorityTime = s.now()-s.assumeUsageRole().startedAt, s.knowsTrueTime()
 	}
 }
 
-// collectedSince returns since when the collector has taken reports, in true time; ok is false if nothing is to be recorded here,
+// collectorStart returns since when the collector has taken reports, in true time; ok is false if nothing is to be recorded here,
 // as the node is not the confirmed head, or its time is that of its own clock alone.
-func (u *usageDuty) collectedSince(now time.Time) (since time.Time, ok bool) {
-	query := &collectedSinceQuery{}
-	if !u.server.runOnLoop(query) || !query.isHead || !query.inTime {
+func (u *usageTask) collectorStart(now time.Time) (since time.Time, ok bool) {
+	query := &collectorAgeQuery{}
+	if !u.server.runOnLoop(query) || !query.isHead || !query.hasMajorityTime {
 		return now, false
 	}
 	return now.Add(-query.age), true
@@ -208,7 +208,7 @@
 }
 
 // record records what is known of a window in the agreed state. It reports whether that is decided.
-func (u *usageDuty) record(window int64) bool {
+func (u *usageTask) record(window int64) bool {
 	query := &usageCountsQuery{window: window}
 	if !u.server.runOnLoop(query) || !query.ok {
 		return false
@@ -234,25 +234,25 @@
 }
 
 // drop forgets windows before the oldest one that still matters.
-func (u *usageDuty) drop(oldest int64) {
-	u.giveUp(oldest)
+func (u *usageTask) dropBefore(oldest int64) {
+	u.abandonBefore(oldest)
 	u.recorded = slices.DeleteFunc(u.recorded, func(window int64) bool { return window < oldest })
-	for window := range u.unsent {
+	for window := range u.unacknowledged {
 		if window < oldest {
 			u.server.log.Error("usage not reported in time", "window", window)
-			delete(u.unsent, window)
+			delete(u.unacknowledged, window)
 		}
 	}
-	for window := range u.accepted {
+	for window := range u.acknowledged {
 		if window < oldest {
-			delete(u.accepted, window)
+			delete(u.acknowledged, window)
 		}
 	}
 }
 
-// giveUp gives up the windows before the oldest one that still matters, and logs the first and the last of those that no node has
+// abandonBefore gives up the windows before the oldest one that still matters, and logs the first and the last of those that no node has
 // recorded.
-func (u *usageDuty) giveUp(oldest int64) {
+func (u *usageTask) abandonBefore(oldest int64) {
 	if u.first >= oldest {
 		return
 	}
@@ -266,19 +266,19 @@
 }
 
 // send sends a recorded window that the platform has not acknowledged.
-func (u *usageDuty) send(grant *dutyGrant, now time.Time) {
-	if len(u.unsent) == 0 || !u.backoff.ready(time.Now()) {
+func (u *usageTask) send(grant *publishedGrant, now time.Time) {
+	if len(u.unacknowledged) == 0 || !u.backoff.ready(time.Now()) {
 		return
 	}
-	window := nextToSend(u.unsent, usage.WindowAt(now.Add(-u.schedule.LateAfter), u.schedule.WindowLength))
-	switch outcome, _ := u.post(grant, usagePath, u.unsent[window]); outcome {
+	window := nextToSend(u.unacknowledged, usage.WindowAt(now.Add(-u.schedule.LateAfter), u.schedule.WindowLength))
+	switch outcome, _ := u.post(grant, usagePath, u.unacknowledged[window]); outcome {
 	case duty.Accepted:
 		u.backoff.succeeded()
-		u.accepted[window] = true
-		delete(u.unsent, window)
+		u.acknowledged[window] = true
+		delete(u.unacknowledged, window)
 	case duty.Invalid:
 		u.server.log.Error("the platform rejects a usage report", "window", window)
-		delete(u.unsent, window)
+		delete(u.unacknowledged, window)
 	default:
 		u.backoff.failed(time.Now())
 	}
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -142,10 +142,10 @@
 	{8, "status, sealed", sideReply, &Status{Sealed: true}},
 	{8, "status, fresh", sideReply, &Status{Fresh: true}},
 	{8, "status, joint", sideReply, &Status{Joint: true}},
-	{15, "duties, held", sideReply, &DutyStatus{Held: true}},
-	{15, "duties, usage expected", sideReply, &DutyStatus{Usage: UsageDutyStatus{Expected: true}}},
-	{15, "duties, scale expected", sideReply, &DutyStatus{Scale: ScaleDutyStatus{Expected: true}}},
-	{15, "duties, late", sideReply, &DutyStatus{Usage: UsageDutyStatus{Unacknowledged: []WindowStatus{{Late: true}}}}},
+	{15, "duties, held", sideReply, &TaskStatus{Held: true}},
+	{15, "duties, usage expected", sideReply, &TaskStatus{Usage: UsageTaskStatus{Expected: true}}},
+	{15, "duties, scale expected", sideReply, &TaskStatus{Scale: ScaleTaskStatus{Expected: true}}},
+	{15, "duties, late", sideReply, &TaskStatus{Usage: UsageTaskStatus{Unacknowledged: []WindowStatus{{Late: true}}}}},
 }
 
 func fullView(name string, n int64) view.View {
@@ -162,17 +162,17 @@
 		Transfers: []Transfer{{To: "to", Place: big + 13, Target: big + 14, Bytes: big + 15}}}
 }
 
-func fullDutyStatus() *DutyStatus {
-	outcomes := func(n int64) DutyCallsByResult {
-		return DutyCallsByResult{Accepted: n, Refused: n + 1, Busy: n + 2, Invalid: n + 3, NotSent: n + 4, Unknown: n + 5}
+func fullDutyStatus() *TaskStatus {
+	outcomes := func(n int64) PlatformCallCounts {
+		return PlatformCallCounts{Accepted: n, Refused: n + 1, Busy: n + 2, Invalid: n + 3, NotSent: n + 4, Unknown: n + 5}
 	}
-	call := func(name string, n int64) []DutyCallStatus {
-		return []DutyCallStatus{{Time: name + "-time", AgeMs: n, Path: name + "-path", Token: n + 1, Outcome: name + "-outcome", Body: name + "-body"}}
+	call := func(name string, n int64) []PlatformCallStatus {
+		return []PlatformCallStatus{{Time: name + "-time", AgeMs: n, Path: name + "-path", Token: n + 1, Outcome: name + "-outcome", Body: name + "-body"}}
 	}
-	return &DutyStatus{Node: "node", Head: "head", Epoch: big + 1, Held: true, Holder: "holder", Token: big + 2, LeftMs: big + 3, WaitMs: big + 4, Cause: "cause", StepAgeMs: big + 5, ClockOffsetMs: big + 6,
-		Usage: UsageDutyStatus{Expected: true, Unacknowledged: []WindowStatus{{Window: big + 7, EndedMs: big + 8, Late: true}}, LastRecorded: big + 9, LastAcknowledged: big + 10,
+	return &TaskStatus{Node: "node", Head: "head", Epoch: big + 1, Held: true, Holder: "holder", Token: big + 2, LeftMs: big + 3, WaitMs: big + 4, Cause: "cause", StepAgeMs: big + 5, ClockOffsetMs: big + 6,
+		Usage: UsageTaskStatus{Expected: true, Unacknowledged: []WindowStatus{{Window: big + 7, EndedMs: big + 8, Late: true}}, LastRecorded: big + 9, LastAcknowledged: big + 10,
 			Outcomes: outcomes(big + 20), Calls: call("usage", big+30)},
-		Scale: ScaleDutyStatus{Expected: true, Fronts: big + 40, MostFronts: big + 41, Subjects: []ScaleSubjectStatus{{Service: "service", Zone: "zone", InForce: big + 42, Listed: big + 43, Min: big + 44, Max: big + 45, Concurrency: 1.5}},
+		Scale: ScaleTaskStatus{Expected: true, RecentFronts: big + 40, KnownFronts: big + 41, Subjects: []ScaleSubjectStatus{{Service: "service", Zone: "zone", InForce: big + 42, Listed: big + 43, Min: big + 44, Max: big + 45, Concurrency: 1.5}},
 			Outcomes: outcomes(big + 50), Calls: call("scale", big+60)},
 		Outcomes: outcomes(big + 70)}
 }
--- a/internal/tier/controlnode/operator_api.go
+++ b/internal/tier/controlnode/operator_api.go
@@ -35,7 +35,7 @@
 	{"POST /api/retire/{node}", (*Server).postRetire},
 	{"GET /api/retire/{node}", (*Server).getRetire},
 	{"GET /api/status", (*Server).getStatus},
-	{"GET /api/duties", (*Server).getDuties},
+	{"GET /api/duties", (*Server).getTaskStatus},
 }
 
 // operatorAPI returns the HTTP handler of the operator API.
--- a/internal/tier/controlnode/peer_calls.go
+++ b/internal/tier/controlnode/peer_calls.go
@@ -57,7 +57,7 @@
 		feed.UsageCall:        typedHandler(s.handleUsage),
 		feed.LeaseReleaseCall: typedHandler(s.handleRelease),
 		feed.ClockCall:        typedHandler(s.handleClock),
-		feed.DutiesCall:       typedHandler(s.handleDuties),
+		feed.DutiesCall:       typedHandler(s.handleTaskStatus),
 		feed.RetireCall:       typedHandler(s.handleRetire),
 		feed.PhaseCall:        typedHandler(s.handlePhase),
 		feed.StatusCall:       typedHandler(func(context.Context, *feed.Empty) (*Status, error) { return s.status(), nil }),
--- a/internal/tier/controlnode/server.go
+++ b/internal/tier/controlnode/server.go
@@ -69,19 +69,19 @@
 	hostListHistory  discovery.History
 
 	trueTime  *usage.TrueTime // over the clocks of the voters
-	dutyCalls dutyCallLog     // for operators
+	dutyCalls platformCallLog // for operators
 
-	dutySnapshot atomic.Pointer[dutySnapshot] // of the duties after their last step, for operators; nil before the first
+	dutySnapshot atomic.Pointer[taskSnapshot] // of the duties after their last step, for operators; nil before the first
 
 	healthReported chan struct{} // of capacity 1: a front has reported since pollPlatform last looked
 
-	isHead    atomic.Bool               // IsConfirmedHead after the last batch
-	viewEpoch atomic.Int64              // of the view after the last batch
-	dutyGrant atomic.Pointer[dutyGrant] // that this node has on the singleton duties; nil for none
-	diskFull  atomic.Bool               // the event loop waits for room on the disk
-	mu        sync.Mutex                // guards changed
-	changed   chan struct{}             // closed when there may be something new for followers
-	senders   map[string]chan Message   // by address; owned by the event loop
+	isHead    atomic.Bool                    // IsConfirmedHead after the last batch
+	viewEpoch atomic.Int64                   // of the view after the last batch
+	dutyGrant atomic.Pointer[publishedGrant] // that this node has on the singleton duties; nil for none
+	diskFull  atomic.Bool                    // the event loop waits for room on the disk
+	mu        sync.Mutex                     // guards changed
+	changed   chan struct{}                  // closed when there may be something new for followers
+	senders   map[string]chan Message        // by address; owned by the event loop
 
 	followers sync.Map // name to *Follower
 	feed      feedServer
@@ -182,7 +182,7 @@
 	s.wg.Go(func() { _ = operators.Serve(control) })
 	s.wg.Go(s.pollPlatform)
 	s.wg.Go(s.sampleClocks)
-	s.wg.Go(s.runDuties)
+	s.wg.Go(s.runSingletonTasks)
 	loopEnded := make(chan error, 1)
 	s.wg.Go(func() { loopEnded <- s.eventLoop() })
 	select {
@@ -222,7 +222,7 @@
 // canStopQuery reports whether others have replaced this node, or cannot, and the next head has the release of its lease.
 type canStopQuery struct{ canStop bool }
 
-func (q *canStopQuery) handle(s *Server) { q.canStop = s.node.CanStop() && !s.owesRelease() }
+func (q *canStopQuery) handle(s *Server) { q.canStop = s.node.CanStop() && !s.hasPendingRelease() }
 
 // sleep returns after a duration, or at once when the server stops.
 func (s *Server) sleep(d time.Duration) { ctxtime.Sleep(s.ctx, d) }
--- a/internal/tier/duty/client.go
+++ b/internal/tier/duty/client.go
@@ -61,9 +61,9 @@
 	fence        Fence
 	httpClient   *http.Client
 
-	mu    sync.Mutex   // held during a call
-	token atomic.Int64 // of the call
-	wrote atomic.Bool  // some bytes of the call have left
+	mu        sync.Mutex   // held during a call
+	token     atomic.Int64 // of the call
+	bytesSent atomic.Bool  // some bytes of the call have left
 }
 
 // NewClient returns a client of the platform at an address, HOST:PORT, that calls as a holder. Close must be called at the end.
@@ -102,7 +102,7 @@
 	if !f.client.fence(f.client.token.Load()) {
 		return 0, errFenced
 	}
-	f.client.wrote.Store(true)
+	f.client.bytesSent.Store(true)
 	return f.Conn.Write(b)
 }
 
@@ -112,7 +112,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.token.Store(token)
-	c.wrote.Store(false)
+	c.bytesSent.Store(false)
 	if !c.fence(token) {
 		return NotSent, errFenced
 	}
@@ -125,7 +125,7 @@
 	request.Header.Set(tokenHeader, strconv.FormatInt(token, 10))
 	response, err := c.httpClient.Do(request)
 	switch {
-	case err != nil && !c.wrote.Load():
+	case err != nil && !c.bytesSent.Load():
 		return NotSent, err
 	case err != nil:
 		return Unknown, err
--- a/internal/tier/scaling/planner.go
+++ b/internal/tier/scaling/planner.go
@@ -49,19 +49,19 @@
 
 // subjectState is what the planner keeps of a subject.
 type subjectState struct {
-	hosts     int // number that was sent last, or that was listed at the start
-	standing  standing
-	seenSince time.Duration
-	wanted    []sample // numbers that the demand asked for within DownDelay, falling; the oldest first
+	hosts       int // number that was sent last, or that was listed at the start
+	orderState  orderState
+	firstSeenAt time.Duration
+	recentNeeds []sample // numbers that the demand asked for within DownDelay, falling; the oldest first
 }
 
 // standing is what is known of the number of a subject.
-type standing int
+type orderState int
 
 const (
-	inherited standing = iota // as listed when the subject was first planned: nothing was sent so far
-	inDoubt                   // sent, but not known to be accepted: that number or an earlier one is in force
-	accepted                  // in force
+	noOrderSent orderState = iota // as listed when the subject was first planned: nothing was sent so far
+	inDoubt                       // sent, but not known to be accepted: that number or an earlier one is in force
+	accepted                      // in force
 )
 
 // sample is a number of hosts that the demand asked for at a time.
@@ -78,21 +78,21 @@
 // Plan takes the demand of a subject and returns the number of hosts to order; ok is false if no order is due. Until Ordered is called,
 // an order stays due:
 //   - the first one of a subject, at once if more hosts than listed are needed, else once the demand was seen for DownDelay;
-//   - after InDoubt, the number that should be in force;
+//   - after OrderInDoubt, the number that should be in force;
 //   - after Ordered, a number that differs: a higher one at once, as is one that brings the number within new bounds, and a lower one
 //     after DownDelay.
 func (p *Planner) Plan(now time.Duration, subject Subject, demand Demand) (hosts int, ok bool) {
 	state := p.subjects[subject]
 	if state == nil {
-		state = &subjectState{hosts: demand.Hosts, seenSince: now}
+		state = &subjectState{hosts: demand.Hosts, firstSeenAt: now}
 		p.subjects[subject] = state
 	}
-	wanted := p.wanted(demand)
-	state.add(sample{now, wanted}, now-p.params.DownDelay)
-	mayLower := now-state.seenSince >= p.params.DownDelay
+	wanted := p.hostsNeeded(demand)
+	state.addSample(sample{now, wanted}, now-p.params.DownDelay)
+	mayLower := now-state.firstSeenAt >= p.params.DownDelay
 	hosts = state.target(wanted, demand, mayLower)
-	switch state.standing {
-	case inherited:
+	switch state.orderState {
+	case noOrderSent:
 		ok = mayLower || wanted > state.hosts
 	case inDoubt:
 		ok = true
@@ -111,7 +111,7 @@
 		return wanted
 	}
 	if mayLower {
-		return demand.clamp(min(s.hosts, s.wanted[0].hosts))
+		return demand.clamp(min(s.hosts, s.recentNeeds[0].hosts))
 	}
 	return demand.clamp(s.hosts)
 }
@@ -120,33 +120,33 @@
 func (d Demand) clamp(hosts int) int { return max(d.Min, min(hosts, d.Max)) }
 
 // wanted returns the number of hosts that a demand asks for.
-func (p *Planner) wanted(demand Demand) int {
+func (p *Planner) hostsNeeded(demand Demand) int {
 	needed := math.Ceil(demand.Concurrency / (float64(max(1, demand.Slots)) * p.params.TargetUtilization))
 	return demand.clamp(int(min(needed, math.MaxInt32)))
 }
 
 // add adds a sample and drops those before a time. Of the rest only those are kept that no later one reaches, so that the first one is
 // the highest.
-func (s *subjectState) add(newest sample, before time.Duration) {
-	for len(s.wanted) > 0 && s.wanted[len(s.wanted)-1].hosts <= newest.hosts {
-		s.wanted = s.wanted[:len(s.wanted)-1]
+func (s *subjectState) addSample(newest sample, before time.Duration) {
+	for len(s.recentNeeds) > 0 && s.recentNeeds[len(s.recentNeeds)-1].hosts <= newest.hosts {
+		s.recentNeeds = s.recentNeeds[:len(s.recentNeeds)-1]
 	}
-	s.wanted = append(s.wanted, newest)
-	for s.wanted[0].at < before {
-		s.wanted = s.wanted[1:]
+	s.recentNeeds = append(s.recentNeeds, newest)
+	for s.recentNeeds[0].at < before {
+		s.recentNeeds = s.recentNeeds[1:]
 	}
 }
 
 // Ordered notes that an order was accepted: its number is in force.
-func (p *Planner) Ordered(subject Subject, hosts int) { p.sent(subject, hosts, accepted) }
+func (p *Planner) OrderAccepted(subject Subject, hosts int) { p.recordOrder(subject, hosts, accepted) }
 
-// InDoubt notes that an order was sent and may have taken effect or not. An order that did not leave is not noted.
-func (p *Planner) InDoubt(subject Subject, hosts int) { p.sent(subject, hosts, inDoubt) }
+// OrderInDoubt notes that an order was sent and may have taken effect or not. An order that did not leave is not noted.
+func (p *Planner) OrderInDoubt(subject Subject, hosts int) { p.recordOrder(subject, hosts, inDoubt) }
 
 // sent notes an order.
-func (p *Planner) sent(subject Subject, hosts int, standing standing) {
+func (p *Planner) recordOrder(subject Subject, hosts int, standing orderState) {
 	if state := p.subjects[subject]; state != nil {
-		state.hosts, state.standing = hosts, standing
+		state.hosts, state.orderState = hosts, standing
 	}
 }
 
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -24,7 +24,7 @@
 	for i, d := range demands {
 		hosts, ok := p.Plan(time.Duration(i)*time.Second, testSubject, demandOf(d))
 		if ok {
-			p.Ordered(testSubject, hosts)
+			p.OrderAccepted(testSubject, hosts)
 		}
 		orders = append(orders, hosts)
 	}
@@ -63,7 +63,7 @@
 			t.Fatalf("planned %d, %v", hosts, ok)
 		}
 	}
-	p.Ordered(testSubject, 8)
+	p.OrderAccepted(testSubject, 8)
 	if hosts, ok := p.Plan(0, testSubject, demandOf(8)); ok {
 		t.Fatalf("planned %d again", hosts)
 	}
@@ -82,14 +82,14 @@
 	if hosts, ok := p.Plan(now, testSubject, demandOf(3)); !ok || hosts != 3 {
 		t.Fatalf("planned %d, %v, want 3", hosts, ok)
 	}
-	p.InDoubt(testSubject, 3)
+	p.OrderInDoubt(testSubject, 3)
 	for range 2 {
 		if hosts, ok := p.Plan(now, testSubject, demandOf(6)); !ok || hosts != 6 {
 			t.Fatalf("planned %d, %v, want 6", hosts, ok)
 		}
-		p.InDoubt(testSubject, 6)
+		p.OrderInDoubt(testSubject, 6)
 	}
-	p.Ordered(testSubject, 6)
+	p.OrderAccepted(testSubject, 6)
 	if hosts, ok := p.Plan(now, testSubject, demandOf(6)); ok {
 		t.Errorf("planned %d again", hosts)
 	}
@@ -106,7 +106,7 @@
 		}
 		if hosts, ok := p.Plan(at, testSubject, demand); ok {
 			orders = append(orders, hosts)
-			p.Ordered(testSubject, hosts)
+			p.OrderAccepted(testSubject, hosts)
 		}
 	}
 	if !slices.Equal(orders, []int{3}) {
@@ -180,13 +180,13 @@
 func (c *randomCourse) send(t *rapid.T, p *Planner, hosts int) {
 	switch rapid.SampledFrom([]string{"accepted", "accepted", "lost", "lost answer", "not sent"}).Draw(t, "outcome") {
 	case "accepted":
-		p.Ordered(testSubject, hosts)
+		p.OrderAccepted(testSubject, hosts)
 		c.last, c.sent, c.accepted, c.platform = hosts, true, true, hosts
 	case "lost answer":
-		p.InDoubt(testSubject, hosts)
+		p.OrderInDoubt(testSubject, hosts)
 		c.last, c.sent, c.accepted, c.platform = hosts, true, false, hosts
 	case "lost":
-		p.InDoubt(testSubject, hosts)
+		p.OrderInDoubt(testSubject, hosts)
 		c.last, c.sent, c.accepted = hosts, true, false
 	}
 }
--- a/internal/tier/usage/collector.go
+++ b/internal/tier/usage/collector.go
@@ -45,8 +45,8 @@
 
 // sourceState is what is known of a source besides its counts.
 type sourceState struct {
-	heardAt time.Duration // of its last report
-	loads   []loadSample  // by time
+	lastReportAt time.Duration // of its last report
+	loads        []loadSample  // by time
 }
 
 // loadSample is the loads of one report.
@@ -62,7 +62,7 @@
 
 // Add adds a report of a front, in any order and any number of times.
 func (c *Collector) Add(now Now, front string, report Report) {
-	c.Forget(now)
+	c.Expire(now)
 	from := source{front, report.Incarnation}
 	for _, w := range report.Windows {
 		if c.retains(now, w.Number) {
@@ -74,20 +74,20 @@
 		state = &sourceState{}
 		c.sources[from] = state
 	}
-	state.heardAt = now.Mono
+	state.lastReportAt = now.Mono
 	state.addLoads(now.Mono, report.Loads)
-	state.forgetLoads(now.Mono - c.params.LoadHistory)
+	state.expireLoads(now.Mono - c.params.LoadHistory)
 }
 
 // Forget forgets the windows and sources that are beyond the retention.
-func (c *Collector) Forget(now Now) {
+func (c *Collector) Expire(now Now) {
 	for number := range c.windows {
 		if !c.retains(now, number) {
 			delete(c.windows, number)
 		}
 	}
 	for from, state := range c.sources {
-		if state.heardAt < now.Mono-c.params.Retention {
+		if state.lastReportAt < now.Mono-c.params.Retention {
 			delete(c.sources, from)
 		}
 	}
@@ -133,7 +133,7 @@
 func (c *Collector) FrontsSince(since time.Duration) []string {
 	var fronts []string
 	for from, state := range c.sources {
-		if state.heardAt >= since {
+		if state.lastReportAt >= since {
 			fronts = append(fronts, from.front)
 		}
 	}
--- a/internal/tier/usage/collector_test.go
+++ b/internal/tier/usage/collector_test.go
@@ -38,9 +38,9 @@
 	c.Add(at(1010*second), "f2", Report{Incarnation: 1})
 	wantEqual(t, "windows", len(c.windows), 2)
 	wantEqual(t, "window 194", c.Counts(194), map[string]int{})
-	c.Forget(at(1030*second + 1))
+	c.Expire(at(1030*second + 1))
 	wantEqual(t, "sources", c.FrontsSince(0), []string{"f2"})
-	c.Forget(at(1100 * second))
+	c.Expire(at(1100 * second))
 	wantEqual(t, "windows", len(c.windows), 0)
 	wantEqual(t, "sources", len(c.sources), 0)
 }
--- a/internal/tier/usage/counter.go
+++ b/internal/tier/usage/counter.go
@@ -15,13 +15,13 @@
 	maxWindows  int
 
 	mu        sync.Mutex
-	windows   []*counted // in the order in which they were begun
+	windows   []*windowCounts // in the order in which they were begun
 	busy      map[destination]time.Duration
 	collector string // that gave the last receipt; empty before the first
 }
 
 // counted is a window in which requests were counted.
-type counted struct {
+type windowCounts struct {
 	number       int64
 	counts       map[string]int64 // by tenant
 	total        int64            // of all counts
@@ -43,7 +43,7 @@
 	defer c.mu.Unlock()
 	w := c.find(window)
 	if w == nil {
-		w = &counted{number: window, counts: map[string]int64{}}
+		w = &windowCounts{number: window, counts: map[string]int64{}}
 		c.windows = append(c.windows, w)
 		if excess := len(c.windows) - c.maxWindows; excess > 0 {
 			c.windows = slices.Delete(c.windows, 0, excess)
@@ -100,7 +100,7 @@
 }
 
 // find returns a retained window, nil if there is none of this number. c.mu must be held.
-func (c *Counter) find(window int64) *counted {
+func (c *Counter) find(window int64) *windowCounts {
 	for _, w := range slices.Backward(c.windows) {
 		if w.number == window {
 			return w
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (w *counted) report() Window {
+func (w *windowCounts) report() Window {
 	reported := Window{Number: w.number, Counts: make([]TenantCount, 0, len(w.counts))}
 	for _, tenant := range slices.Sorted(maps.Keys(w.counts)) {
 		reported.Counts = append(reported.Counts, TenantCount{tenant, w.counts[tenant]})
--- a/internal/tier/usage/load.go
+++ b/internal/tier/usage/load.go
@@ -31,8 +31,8 @@
 	s.loads = append(s.loads, next)
 }
 
-// forgetLoads forgets the samples before a time, except for the newest of them, with which the time behind it is measured.
-func (s *sourceState) forgetLoads(before time.Duration) {
+// expireLoads forgets the samples before a time, except for the newest of them, with which the time behind it is measured.
+func (s *sourceState) expireLoads(before time.Duration) {
 	old := 0
 	for old+1 < len(s.loads) && s.loads[old+1].at <= before {
 		old++
--- a/internal/tier/usage/schedule.go
+++ b/internal/tier/usage/schedule.go
@@ -46,16 +46,16 @@
 
 // Progress is what the holder of the duty knows when it asks what to record.
 type Progress struct {
-	First     int64     // windows before it are not recorded
-	Recorded  []int64   // windows that are recorded, in any order
-	CollectAt time.Time // since when the collector adds reports, in true time
+	First           int64     // windows before it are not recorded
+	Recorded        []int64   // windows that are recorded, in any order
+	CollectingSince time.Time // since when the collector adds reports, in true time
 }
 
 // Due returns the oldest window that is to be recorded now. Windows that ended longer than twice LateAfter ago are given up.
 func (s Schedule) Due(now time.Time, progress Progress) (window int64, ok bool) {
 	first, last := max(progress.First, s.Oldest(now)), WindowAt(now.Add(-s.Settle), s.WindowLength)-1
 	for window := first; window <= last; window++ {
-		if !slices.Contains(progress.Recorded, window) && !now.Before(s.dueAt(window, progress.CollectAt)) {
+		if !slices.Contains(progress.Recorded, window) && !now.Before(s.dueAt(window, progress.CollectingSince)) {
 			return window, true
 		}
 	}
--- a/internal/tier/usage/schedule_test.go
+++ b/internal/tier/usage/schedule_test.go
@@ -60,7 +60,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			epoch := time.Unix(0, 0)
-			window, ok := testSchedule.Due(epoch.Add(test.now), Progress{First: test.first, Recorded: test.recorded, CollectAt: epoch.Add(test.collectAt)})
+			window, ok := testSchedule.Due(epoch.Add(test.now), Progress{First: test.first, Recorded: test.recorded, CollectingSince: epoch.Add(test.collectAt)})
 			if !ok {
 				window = none
 			}
@@ -74,7 +74,7 @@
 	var recorded []int64
 	start := time.Unix(1000, 0)
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(100 * time.Millisecond) {
-		if window, ok := testSchedule.Due(now, Progress{First: 200, Recorded: recorded, CollectAt: start}); ok {
+		if window, ok := testSchedule.Due(now, Progress{First: 200, Recorded: recorded, CollectingSince: start}); ok {
 			recorded = append(recorded, window)
 			if took := now.Sub(WindowEnd(window, 5*second)); took != testSchedule.Settle {
 				t.Errorf("window %d is due %v after its end", window, took)
--- a/internal/tier/usage/truetime.go
+++ b/internal/tier/usage/truetime.go
@@ -21,10 +21,10 @@
 // monotonic clock of this node. The wall clock of the node counts as it was at the start: a later step of it has no effect. It
 // is safe for concurrent use.
 type TrueTime struct {
-	mu     sync.Mutex
-	own    time.Time // wall clock of this node at 0 of the monotonic clock
-	clocks []clock   // of other nodes, in the order in which they were first sampled
-	offset time.Duration
+	mu        sync.Mutex
+	localWall time.Time // wall clock of this node at 0 of the monotonic clock
+	clocks    []clock   // of other nodes, in the order in which they were first sampled
+	offset    time.Duration
 }
 
 // clock is the wall clock of another node.
@@ -51,7 +51,7 @@
 
 // NewTrueTime returns an estimate by the wall clock of this node, as read at a time of its monotonic clock.
 func NewTrueTime(wall time.Time, mono time.Duration) *TrueTime {
-	return &TrueTime{own: wall.Round(0).Add(-mono)}
+	return &TrueTime{localWall: wall.Round(0).Add(-mono)}
 }
 
 // Observe adds a sample of the clock of another node. Samples with a round trip of more than a second are dropped.
@@ -63,7 +63,7 @@
 	defer t.mu.Unlock()
 	c := t.clock(s.Node)
 	c.weight = max(1, s.Weight)
-	c.add(offsetSample{s.Wall.Add(s.RoundTrip / 2).Sub(t.own.Add(s.ReceivedAt)), s.RoundTrip})
+	c.add(offsetSample{s.Wall.Add(s.RoundTrip / 2).Sub(t.localWall.Add(s.ReceivedAt)), s.RoundTrip})
 	t.offset = t.median()
 }
 
@@ -71,7 +71,7 @@
 func (t *TrueTime) At(mono time.Duration) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.own.Add(t.offset + mono)
+	return t.localWall.Add(t.offset + mono)
 }
 
 // Clocks returns the number of clocks that the estimate is over, with the node's own.
