--- a/internal/tier/controlnode/duty_calls.go
+++ b/internal/tier/controlnode/task_calls.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"larchrouter/internal/tier/duty"
+	"larchrouter/internal/tier/fencedcall"
 )
 
 // maxLoggedCalls is how many of the newest calls to the platform are kept for operators.
@@ -16,7 +16,7 @@
 	at      time.Time
 	path    string
 	token   int64
-	outcome duty.Outcome
+	outcome fencedcall.Outcome
 	body    []byte
 }
 
@@ -30,11 +30,11 @@
 // callCountKey is what calls are counted by.
 type callCountKey struct {
 	path    string
-	outcome duty.Outcome
+	outcome fencedcall.Outcome
 }
 
 // record adds a call.
-func (l *platformCallLog) record(path string, token int64, outcome duty.Outcome, body []byte) {
+func (l *platformCallLog) record(path string, token int64, outcome fencedcall.Outcome, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.counts == nil {
--- a/internal/tier/controlnode/duty_lease_test.go
+++ b/internal/tier/controlnode/task_lease_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"larchrouter/internal/process"
-	"larchrouter/internal/tier/duty"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/lease"
 )
 
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := newLeaseLoop(t, batches...)
 			d := &taskRunner{server: l.Server, tokenBase: 1}
-			if outcome, _ := d.post(&publishedGrant{epoch: 1}, usagePath, nil); outcome != duty.NotSent {
+			if outcome, _ := d.post(&publishedGrant{epoch: 1}, usagePath, nil); outcome != fencedcall.NotSent {
 				t.Fatalf("the outcome is %v", outcome)
 			}
 			if !l.regains() {
@@ -129,10 +129,10 @@
 	defer platform.Close()
 	l := newLeaseLoop(t, handled, rejected)
 	d := &taskRunner{server: l.Server, tokenBase: 1}
-	d.client = duty.NewClient(strings.TrimPrefix(platform.URL, "http://"), "core-1", func(int64) bool { return true })
+	d.client = fencedcall.NewClient(strings.TrimPrefix(platform.URL, "http://"), "core-1", func(int64) bool { return true })
 	defer d.client.Close()
 	outcome, err := d.post(&publishedGrant{epoch: 1}, usagePath, []byte("{}"))
-	if outcome != duty.Refused {
+	if outcome != fencedcall.Refused {
 		t.Fatalf("the outcome is %v, %v", outcome, err)
 	}
 	l.end()
--- a/internal/tier/controlnode/duty_role.go
+++ b/internal/tier/controlnode/task_runner.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"larchrouter/internal/tier/duty"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/lease"
 	"larchrouter/internal/tier/orders"
 )
@@ -32,7 +32,7 @@
 // taskRunner carries out the singleton duties while this node has the lease. One goroutine owns it.
 type taskRunner struct {
 	server    *Server
-	client    *duty.Client
+	client    *fencedcall.Client
 	tokenBase int64 // 0 until it is known
 	heldEpoch int64 // of the grant of the last step; 0 for none
 	usage     *usageTask
@@ -45,7 +45,7 @@
 		return
 	}
 	d := &taskRunner{server: s}
-	d.client = duty.NewClient(s.settings.Platform.Address, s.self.Name, d.permitsToken)
+	d.client = fencedcall.NewClient(s.settings.Platform.Address, s.self.Name, d.permitsToken)
 	defer d.client.Close()
 	if s.settings.HasDuty(usageTaskName) {
 		d.usage = newUsageTask(d)
@@ -120,14 +120,14 @@
 }
 
 // post makes a call under a grant. It steps down if the platform has seen a higher token.
-func (d *taskRunner) post(grant *publishedGrant, path string, body []byte) (duty.Outcome, error) {
+func (d *taskRunner) post(grant *publishedGrant, path string, body []byte) (fencedcall.Outcome, error) {
 	start := &callStartRequest{call: &lease.Call{Epoch: grant.epoch}}
 	if !d.server.runOnLoop(start) {
 		d.server.recordCallEnd(start.call) // its start may have been noted before the disk was found full
-		return duty.NotSent, errStopping
+		return fencedcall.NotSent, errStopping
 	}
 	if !start.held {
-		return duty.NotSent, errLeaseLost
+		return fencedcall.NotSent, errLeaseLost
 	}
 	defer d.server.recordCallEnd(start.call)
 	ctx, cancel := context.WithTimeout(d.server.ctx, platformCallTimeout)
@@ -135,11 +135,11 @@
 	startedAt := time.Now()
 	outcome, err := d.client.Post(ctx, path, d.token(grant), body)
 	d.server.dutyCalls.record(path, d.token(grant), outcome, body)
-	if outcome != duty.Accepted {
+	if outcome != fencedcall.Accepted {
 		d.server.log.Info("call to the platform", "path", path, "token", d.token(grant), "outcome", outcome,
 			"ms", time.Since(startedAt).Milliseconds(), "err", err)
 	}
-	if outcome == duty.Refused {
+	if outcome == fencedcall.Refused {
 		d.server.log.Error("the platform has seen a higher fencing token; this node does not act in this epoch any more",
 			"epoch", grant.epoch, "token", d.token(grant))
 		d.server.retryOnLoop(&tokenRefusedRequest{epoch: grant.epoch})
--- a/internal/tier/controlnode/duty_scale.go
+++ b/internal/tier/controlnode/task_scale.go
@@ -10,8 +10,8 @@
 	"larchrouter/internal/rpc"
 	"larchrouter/internal/tier/chain"
 	"larchrouter/internal/tier/discovery"
-	"larchrouter/internal/tier/duty"
 	"larchrouter/internal/tier/feed"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/routing"
 	"larchrouter/internal/tier/scaling"
 	"larchrouter/internal/tier/usage"
@@ -218,18 +218,18 @@
 	}
 	outcome, _ := d.post(grant, scalePath, body)
 	d.recordOutcome(subject, hosts, outcome)
-	return outcome == duty.Accepted
+	return outcome == fencedcall.Accepted
 }
 
 // recordOutcome notes what is known of an order after its call.
-func (d *scaleTask) recordOutcome(subject scaling.Subject, hosts int, outcome duty.Outcome) {
+func (d *scaleTask) recordOutcome(subject scaling.Subject, hosts int, outcome fencedcall.Outcome) {
 	switch outcome {
-	case duty.Accepted:
+	case fencedcall.Accepted:
 		d.backoffOf(subject).succeeded()
 		before, _ := d.planner.InForce(subject)
 		d.server.log.Info("hosts ordered", "service", subject.Service, "zone", subject.Zone, "hosts", hosts, "before", before)
 		d.planner.OrderAccepted(subject, hosts)
-	case duty.NotSent:
+	case fencedcall.NotSent:
 		d.backoffOf(subject).failed(time.Now())
 	default:
 		d.backoffOf(subject).failed(time.Now())
--- a/internal/tier/controlnode/duty_scale_test.go
+++ b/internal/tier/controlnode/task_scale_test.go
@@ -11,8 +11,8 @@
 	"larchrouter/internal/rpc"
 	"larchrouter/internal/tier/chain"
 	"larchrouter/internal/tier/discovery"
-	"larchrouter/internal/tier/duty"
 	"larchrouter/internal/tier/feed"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/scaling"
 	"larchrouter/internal/tier/view"
 )
@@ -28,13 +28,13 @@
 
 // Failure: an order without a clear answer is taken as not made, though the platform may have applied it.
 func TestOrderIsRepeatedUnlessAccepted(t *testing.T) {
-	for outcome, repeated := range map[duty.Outcome]bool{
-		duty.Accepted: false, duty.NotSent: false, duty.Busy: true, duty.Unknown: true, duty.Refused: true, duty.Invalid: true,
+	for outcome, repeated := range map[fencedcall.Outcome]bool{
+		fencedcall.Accepted: false, fencedcall.NotSent: false, fencedcall.Busy: true, fencedcall.Unknown: true, fencedcall.Refused: true, fencedcall.Invalid: true,
 	} {
 		d := newTestScaleDuty()
 		demand := scaling.Demand{Min: 4, Max: 9, Hosts: 3, Slots: 1}
 		d.planner.Plan(0, scaleTestSubject, demand)
-		d.recordOutcome(scaleTestSubject, 4, duty.Accepted)
+		d.recordOutcome(scaleTestSubject, 4, fencedcall.Accepted)
 		d.recordOutcome(scaleTestSubject, 5, outcome)
 		if hosts, got := d.planner.Plan(time.Second, scaleTestSubject, demand); got != repeated {
 			t.Errorf("%s: planned %d, %v, want an order: %v", outcome, hosts, got, repeated)
--- a/internal/tier/controlnode/duty_status.go
+++ b/internal/tier/controlnode/task_status.go
@@ -87,11 +87,11 @@
 	AgeMs   int64  `json:"age_ms"` // since its end
 	Path    string `json:"path"`
 	Token   int64  `json:"token"`
-	Outcome string `json:"outcome"` // as in duty.Outcome
+	Outcome string `json:"outcome"` // as in fencedcall.Outcome
 	Body    string `json:"body"`    // its first maxShownBody bytes
 }
 
-// PlatformCallCounts counts calls to the platform by outcome, as in duty.Outcome.
+// PlatformCallCounts counts calls to the platform by outcome, as in fencedcall.Outcome.
 type PlatformCallCounts struct {
 	Accepted int64 `json:"accepted"`
 	Refused  int64 `json:"refused"`
--- a/internal/tier/controlnode/duty_status_parts.go
+++ b/internal/tier/controlnode/task_status_parts.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"larchrouter/internal/tier/duty"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/usage"
 )
 
@@ -82,13 +82,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, path := range paths {
-		count := func(outcome duty.Outcome) int64 { return int64(l.counts[callCountKey{path, outcome}]) }
-		counts.Accepted += count(duty.Accepted)
-		counts.Refused += count(duty.Refused)
-		counts.Busy += count(duty.Busy)
-		counts.Invalid += count(duty.Invalid)
-		counts.NotSent += count(duty.NotSent)
-		counts.Unknown += count(duty.Unknown)
+		count := func(outcome fencedcall.Outcome) int64 { return int64(l.counts[callCountKey{path, outcome}]) }
+		counts.Accepted += count(fencedcall.Accepted)
+		counts.Refused += count(fencedcall.Refused)
+		counts.Busy += count(fencedcall.Busy)
+		counts.Invalid += count(fencedcall.Invalid)
+		counts.NotSent += count(fencedcall.NotSent)
+		counts.Unknown += count(fencedcall.Unknown)
 	}
 	return counts
 }
--- a/internal/tier/controlnode/duty_status_test.go
+++ b/internal/tier/controlnode/task_status_test.go
@@ -9,7 +9,7 @@
 
 	"larchrouter/internal/process"
 	"larchrouter/internal/rpc"
-	"larchrouter/internal/tier/duty"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/lease"
 	"larchrouter/internal/tier/scaling"
 	"larchrouter/internal/tier/usage"
@@ -134,14 +134,14 @@
 func TestCallsAreShownByDuty(t *testing.T) {
 	var l platformCallLog
 	long := []byte(strings.Repeat("x", maxShownBody-1) + "ä and more")
-	l.record(usagePath, 3, duty.Accepted, []byte("{}"))
-	l.record(scalePath, 3, duty.Busy, nil)
-	l.record(usagePath, 4, duty.Refused, long)
+	l.record(usagePath, 3, fencedcall.Accepted, []byte("{}"))
+	l.record(scalePath, 3, fencedcall.Busy, nil)
+	l.record(usagePath, 4, fencedcall.Refused, long)
 	for range 2 * maxLoggedCalls {
-		l.record(scalePath, 4, duty.Unknown, nil)
+		l.record(scalePath, 4, fencedcall.Unknown, nil)
 	}
-	l.record(usagePath, 4, duty.NotSent, long)
-	l.record(usagePath, 4, duty.Invalid, nil)
+	l.record(usagePath, 4, fencedcall.NotSent, long)
+	l.record(usagePath, 4, fencedcall.Invalid, nil)
 
 	calls := l.newestOf(usagePath)
 	if len(calls) != 2 || calls[0].Outcome != "invalid" || calls[1].Outcome != "not sent" || calls[1].Token != 4 {
--- a/internal/tier/controlnode/duty_status_text.go
+++ b/internal/tier/controlnode/task_status_text.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"larchrouter/internal/tier/duty"
+	"larchrouter/internal/tier/fencedcall"
 )
 
 // Summary returns in one line whether the duties are done and by whom, or why they rest and what to do.
@@ -85,13 +85,13 @@
 		return ""
 	}
 	switch calls[0].Outcome {
-	case duty.Busy.String():
+	case fencedcall.Busy.String():
 		return "the platform asks for fewer calls; the tier tries again by itself"
-	case duty.Invalid.String():
+	case fencedcall.Invalid.String():
 		return "the platform rejects the last call as not valid; see its body, and report it"
-	case duty.NotSent.String():
+	case fencedcall.NotSent.String():
 		return "the last call could not be sent; look whether the platform can be reached"
-	case duty.Unknown.String():
+	case fencedcall.Unknown.String():
 		return "the platform has not answered the last call, or with 5xx; look whether it is down or slow"
 	}
 	return ""
--- a/internal/tier/controlnode/duty_usage.go
+++ b/internal/tier/controlnode/task_usage.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"larchrouter/internal/tier/duty"
 	"larchrouter/internal/tier/feed"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/orders"
 	"larchrouter/internal/tier/usage"
 )
@@ -272,11 +272,11 @@
 	}
 	window := nextToSend(u.unacknowledged, usage.WindowAt(now.Add(-u.schedule.LateAfter), u.schedule.WindowLength))
 	switch outcome, _ := u.post(grant, usagePath, u.unacknowledged[window]); outcome {
-	case duty.Accepted:
+	case fencedcall.Accepted:
 		u.backoff.succeeded()
 		u.acknowledged[window] = true
 		delete(u.unacknowledged, window)
-	case duty.Invalid:
+	case fencedcall.Invalid:
 		u.server.log.Error("the platform rejects a usage report", "window", window)
 		delete(u.unacknowledged, window)
 	default:
--- a/internal/tier/duty/client.go
+++ b/internal/tier/fencedcall/client.go
@@ -1,4 +1,4 @@
-package duty
+package fencedcall
 
 import (
 	"bytes"
--- a/internal/tier/duty/doc.go
+++ b/internal/tier/fencedcall/doc.go
@@ -10,4 +10,4 @@
 //
 // A call without a clear answer may have been applied. The caller repeats it unchanged under the same token, or leaves it.
 // A connection whose call has ended without an answer is reset, so that bytes that wait in its buffer are not sent later.
-package duty
+package fencedcall
