--- a/internal/tier/controlnode/task_checks_test.go
+++ b/internal/tier/controlnode/task_checks_test.go
@@ -11,8 +11,8 @@
 	"larchrouter/internal/tier/usage"
 )
 
-// checkDuties checks all calls of a run: the platform's rules, that tokens never go back, what was ordered and what was reported.
-func (d *dutyFleet) checkDuties() {
+// checkPlatformCalls checks all calls of a run: the platform's rules, that tokens never go back, what was ordered and what was reported.
+func (d *taskFleet) checkPlatformCalls() {
 	d.t.Helper()
 	calls := d.platform.DutyCalls()
 	for _, violation := range cloudapi.CheckDuties(calls, cloudapi.DutyParams{LeaseTerm: d.term, FenceChecks: true}) {
@@ -81,7 +81,7 @@
 // checkReports finds windows of the run that were not reported, or with counts that are not those of the front. A window may be
 // missing if no holder could act for long enough while it could have been reported: a collector that begins when the window is late
 // already waits for all fronts, and a platform that is slow holds up what waits behind other reports.
-func (d *dutyFleet) checkReports(calls []cloudapi.DutyCall) {
+func (d *taskFleet) checkReports(calls []cloudapi.DutyCall) {
 	d.t.Helper()
 	for _, c := range calls {
 		report, ok := c.Body.(cloudapi.UsageReport)
@@ -90,13 +90,13 @@
 		}
 		if counted := d.front.counted(report.WindowNo); !maps.Equal(report.ServerCounts, counted) {
 			d.t.Errorf("%v: window %d, which ended %v before, has counts %v, want %v", c, report.WindowNo,
-				c.At.Sub(usage.WindowEnd(report.WindowNo, dutyWindow)), report.ServerCounts, counted)
+				c.At.Sub(usage.WindowEnd(report.WindowNo, taskTestWindow)), report.ServerCounts, counted)
 		}
 	}
-	enough := d.schedule.WarmUp + dutyWindow
+	enough := d.schedule.WarmUp + taskTestWindow
 	for _, window := range missingWindows(calls, d.awaited) {
-		end := usage.WindowEnd(window, dutyWindow)
-		if span := longestHeld(calls, end.Add(d.schedule.Settle), end.Add(2*dutyLate)); span > enough {
+		end := usage.WindowEnd(window, taskTestWindow)
+		if span := longestHeld(calls, end.Add(d.schedule.Settle), end.Add(2*taskTestLate)); span > enough {
 			d.t.Errorf("window %d is not reported, though one holder reported others for %v meanwhile", window, span)
 		} else {
 			d.t.Logf("window %d is not reported: no holder reported for longer than %v", window, span)
@@ -124,8 +124,8 @@
 	return missing
 }
 
-// promptDecision is how long the platform takes for a call, at most, if it has no fault and the machine is not busy.
-const promptDecision = 200 * time.Millisecond
+// promptCallLimit is how long the platform takes for a call, at most, if it has no fault and the machine is not busy.
+const promptCallLimit = 200 * time.Millisecond
 
 // longestHeld returns the longest time between two times in which one holder made reports in turn, each of them soon after the one
 // before, that the platform accepted without a delay.
@@ -135,8 +135,8 @@
 		if c.Duty != cloudapi.UsageDuty || c.At.Before(from) || c.At.After(until) {
 			continue
 		}
-		prompt := c.Applied && c.At.Sub(c.Received) < promptDecision
-		if !prompt || c.Holder != first.Holder || c.At.Sub(last.At) > dutyWindow+2*taskInterval {
+		prompt := c.Applied && c.At.Sub(c.Received) < promptCallLimit
+		if !prompt || c.Holder != first.Holder || c.At.Sub(last.At) > taskTestWindow+2*taskInterval {
 			first = c
 		}
 		last = c
--- a/internal/tier/controlnode/task_faults_test.go
+++ b/internal/tier/controlnode/task_faults_test.go
@@ -14,49 +14,49 @@
 	"larchrouter/internal/standin/cutproxy"
 )
 
-var dutyRuns = flag.Int("dutyruns", 1, "runs of the duties through drawn faults, each with the next seed")
+var faultRuns = flag.Int("dutyruns", 1, "runs of the duties through drawn faults, each with the next seed")
 
 const (
-	dutyFaultsARun = 3
-	longestFault   = 3 * time.Second
-	killsInARow    = 3
+	faultsPerRun    = 3
+	longestFault    = 3 * time.Second
+	successiveKills = 3
 )
 
-// dutyFault is a fault of one node.
-type dutyFault struct {
+// drawnFault is a fault of one node.
+type drawnFault struct {
 	name  string
-	begin func(d *dutyFleet, i int)
-	end   func(d *dutyFleet, i int)
+	begin func(d *taskFleet, i int)
+	end   func(d *taskFleet, i int)
 }
 
-// dutyFaults are the faults of a node that the test draws from; the disk of a node is lost only if it is not the holder.
-var dutyFaults = []dutyFault{
-	{"is killed", func(d *dutyFleet, i int) { d.kill(i) }, (*dutyFleet).startAgain},
-	{"ends in order", func(d *dutyFleet, i int) { d.terminate(i) }, (*dutyFleet).startAgain},
-	{"is paused", func(d *dutyFleet, i int) { d.nodes[i].freeze(d.t) }, func(d *dutyFleet, i int) { d.nodes[i].wake() }},
-	{"is cut off from other nodes", func(d *dutyFleet, i int) { d.partition(i) }, func(d *dutyFleet, _ int) { d.heal(true) }},
-	{"is cut off from the platform", (*dutyFleet).cutPlatform, (*dutyFleet).healPlatform},
-	{"cannot connect to the platform", (*dutyFleet).refusePlatform, (*dutyFleet).healPlatform},
+// drawnFaults are the faults of a node that the test draws from; the disk of a node is lost only if it is not the holder.
+var drawnFaults = []drawnFault{
+	{"is killed", func(d *taskFleet, i int) { d.kill(i) }, (*taskFleet).restartNode},
+	{"ends in order", func(d *taskFleet, i int) { d.terminate(i) }, (*taskFleet).restartNode},
+	{"is paused", func(d *taskFleet, i int) { d.nodes[i].freeze(d.t) }, func(d *taskFleet, i int) { d.nodes[i].wake() }},
+	{"is cut off from other nodes", func(d *taskFleet, i int) { d.partition(i) }, func(d *taskFleet, _ int) { d.heal(true) }},
+	{"is cut off from the platform", (*taskFleet).cutPlatform, (*taskFleet).healPlatform},
+	{"cannot connect to the platform", (*taskFleet).refusePlatform, (*taskFleet).healPlatform},
 }
 
-var lostDisk = dutyFault{"is killed, its disk is lost", func(d *dutyFleet, i int) { d.kill(i) }, func(d *dutyFleet, i int) { d.wipe(i); d.startAgain(i) }}
+var lostDisk = drawnFault{"is killed, its disk is lost", func(d *taskFleet, i int) { d.kill(i) }, func(d *taskFleet, i int) { d.wipe(i); d.restartNode(i) }}
 
-func (d *dutyFleet) startAgain(i int) { d.start(i, false) }
+func (d *taskFleet) restartNode(i int) { d.start(i, false) }
 
 // cutPlatform keeps from the platform what a node sends, and from the node what the platform answers.
-func (d *dutyFleet) cutPlatform(i int) {
+func (d *taskFleet) cutPlatform(i int) {
 	d.links[i].Hold(cutproxy.Forward)
 	d.links[i].Hold(cutproxy.Backward)
 }
 
 // refusePlatform resets the connections of a node to the platform, and every new one.
-func (d *dutyFleet) refusePlatform(i int) {
+func (d *taskFleet) refusePlatform(i int) {
 	d.links[i].Refuse(true)
 	d.links[i].Reset()
 }
 
 // healPlatform ends cutPlatform and refusePlatform. What was held is lost.
-func (d *dutyFleet) healPlatform(i int) {
+func (d *taskFleet) healPlatform(i int) {
 	d.links[i].Reset()
 	d.links[i].Refuse(false)
 	d.links[i].Release(cutproxy.Forward)
@@ -66,30 +66,30 @@
 // TestDutiesThroughFaults draws faults of the holder, of other nodes and of the platform, as many at once as are to be borne.
 func TestDutiesThroughFaults(t *testing.T) {
 	t.Parallel()
-	seed := drawDutySeed(t)
-	for i := range uint64(*dutyRuns) {
-		t.Run(fmt.Sprint(seed+i), func(t *testing.T) { playDutyFaults(t, seed+i) })
+	seed := chooseSeed(t)
+	for i := range uint64(*faultRuns) {
+		t.Run(fmt.Sprint(seed+i), func(t *testing.T) { runDrawnFaults(t, seed+i) })
 	}
 }
 
-func playDutyFaults(t *testing.T, seed uint64) {
+func runDrawnFaults(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 12))
-	d := newDutyFleet(t, 3+r.IntN(3), dutyTerm)
+	d := newTaskFleet(t, 3+r.IntN(3), taskTestTerm)
 	longest := time.Duration(0)
-	for range dutyFaultsARun {
-		longest = max(longest, d.playFaults(r))
+	for range faultsPerRun {
+		longest = max(longest, d.injectFaults(r))
 		d.awaitReports()
 		if t.Failed() {
 			return
 		}
 	}
 	t.Logf("%d nodes; usage went on after %v at most", d.n, longest)
-	d.checkDuties()
+	d.checkPlatformCalls()
 }
 
-// playFaults plays a drawn fault or some that overlap, and waits until usage goes on and all nodes are members. It returns how long
+// injectFaults plays a drawn fault or some that overlap, and waits until usage goes on and all nodes are members. It returns how long
 // usage took to go on after the end of the last fault.
-func (d *dutyFleet) playFaults(r *rand.Rand) time.Duration {
+func (d *taskFleet) injectFaults(r *rand.Rand) time.Duration {
 	d.t.Helper()
 	description := ""
 	switch r.IntN(6) {
@@ -109,23 +109,23 @@
 }
 
 // killHolders kills the holder several times in a row, each time as soon as the next one has acted and the contract permits it.
-func (d *dutyFleet) killHolders() (description string) {
+func (d *taskFleet) killHolders() (description string) {
 	d.t.Helper()
 	var killed []string
-	for range killsInARow {
+	for range successiveKills {
 		holder := d.holder()
 		killed = append(killed, fmt.Sprint(holder))
 		d.kill(holder)
 		since := time.Now()
 		d.awaitUsage("after the holder was killed", since, d.resumeLimit())
-		d.startAgain(holder)
+		d.restartNode(holder)
 		d.within(catchUp+busyMargin, "all nodes are members", d.allMembers)
 	}
 	return "holders " + strings.Join(killed, ", ") + " are killed in turn"
 }
 
 // killAll kills all nodes at once and starts them again.
-func (d *dutyFleet) killAll(r *rand.Rand) (description string) {
+func (d *taskFleet) killAll(r *rand.Rand) (description string) {
 	for _, i := range d.all() {
 		d.nodes[i].signal(syscall.SIGKILL)
 	}
@@ -134,14 +134,14 @@
 	}
 	time.Sleep(time.Duration(r.Int64N(int64(time.Second))))
 	for _, i := range r.Perm(d.n) {
-		d.startAgain(i)
+		d.restartNode(i)
 	}
 	return "all nodes are killed"
 }
 
 // overlapFaults has the holder, or another node, or as many as are to be borne, have faults, at times with the platform, and ends
 // them in any order.
-func (d *dutyFleet) overlapFaults(r *rand.Rand) (description string) {
+func (d *taskFleet) overlapFaults(r *rand.Rand) (description string) {
 	d.t.Helper()
 	holder := d.holder()
 	victims := []int{holder}
@@ -157,9 +157,9 @@
 		d.platform.SetDutyFault(fault)
 		time.Sleep(time.Duration(r.Int64N(int64(longestFault / 2))))
 	}
-	faults := make([]dutyFault, len(victims))
+	faults := make([]drawnFault, len(victims))
 	for k, i := range victims {
-		faults[k] = dutyFaults[r.IntN(len(dutyFaults))]
+		faults[k] = drawnFaults[r.IntN(len(drawnFaults))]
 		if i != holder && r.IntN(2) == 0 {
 			faults[k] = lostDisk
 		}
@@ -196,11 +196,11 @@
 	return cloudapi.DutyFault{Kind: cloudapi.DutySlow, Delay: delay, DecidedFirst: r.IntN(2) == 0}
 }
 
-// TestStoppedHolderHandsDutiesOver: the holder ends in order, and another node acts well before a term is over.
-func TestStoppedHolderHandsDutiesOver(t *testing.T) {
+// TestStoppedHolderReleasesLeaseEarly: the holder ends in order, and another node acts well before a term is over.
+func TestStoppedHolderReleasesLeaseEarly(t *testing.T) {
 	t.Parallel()
 	const term = 8 * time.Second
-	d := newDutyFleet(t, 3, term)
+	d := newTaskFleet(t, 3, term)
 	for range 2 {
 		holder := d.holder()
 		highest := lastCalls(d.platform.DutyCalls(), 1)[0].Token
@@ -219,8 +219,8 @@
 		if took > term/2 {
 			t.Errorf("the next holder acts %v after SIGTERM, limit %v", took, term/2)
 		}
-		d.startAgain(holder)
+		d.restartNode(holder)
 		d.within(catchUp+busyMargin, "all nodes are members", d.allMembers)
 	}
-	d.checkDuties()
+	d.checkPlatformCalls()
 }
--- a/internal/tier/controlnode/task_fleet_test.go
+++ b/internal/tier/controlnode/task_fleet_test.go
@@ -17,9 +17,9 @@
 
 // Settings of the duties in tests with processes.
 const (
-	dutyTerm   = 500 * time.Millisecond
-	dutyWindow = time.Second
-	dutyLate   = 8 * time.Second
+	taskTestTerm   = 500 * time.Millisecond
+	taskTestWindow = time.Second
+	taskTestLate   = 8 * time.Second
 
 	minScaledHosts = 2
 	maxScaledHosts = 5
@@ -37,45 +37,45 @@
 	busyMargin = 4 * time.Second
 )
 
-// dutyTakeover is how long a new head waits for the grants of earlier ones.
-func dutyTakeover(term time.Duration) time.Duration {
+// leaseTakeover is how long a new head waits for the grants of earlier ones.
+func leaseTakeover(term time.Duration) time.Duration {
 	return lease.Params{Term: term, MaxDrift: lease.DefaultMaxDrift}.Takeover()
 }
 
-// dutyFleet is a fleet whose nodes carry out duties at one platform, each of them through a relay of its own, with a front that
+// taskFleet is a fleet whose nodes carry out duties at one platform, each of them through a relay of its own, with a front that
 // reports usage.
-type dutyFleet struct {
+type taskFleet struct {
 	*fleet
 	term     time.Duration
 	schedule usage.Schedule
 	platform *cloudapi.Platform
 	links    []*cutproxy.Relay // from each node to the platform
-	front    *dutyFront
+	front    *usageFront
 	awaited  int64 // newest window whose report was waited for
 }
 
-// newDutyFleet starts n nodes and waits until one of them has reported usage.
-func newDutyFleet(t *testing.T, n int, term time.Duration) *dutyFleet {
+// newTaskFleet starts n nodes and waits until one of them has reported usage.
+func newTaskFleet(t *testing.T, n int, term time.Duration) *taskFleet {
 	t.Helper()
-	d := &dutyFleet{term: term, schedule: usage.DefaultSchedule(dutyWindow, dutyLate)}
+	d := &taskFleet{term: term, schedule: usage.DefaultSchedule(taskTestWindow, taskTestLate)}
 	d.startPlatform(t, n)
 	t.Cleanup(func() { d.logCalls(t) })
 	d.fleet = newFleetWith(t, n, n, func(f *fleet) {
 		f.moreBounds = fmt.Sprintf(", lease_term_ms: %d, usage_window_s: %g, usage_late_s: %g, fence_checks: true",
-			term.Milliseconds(), dutyWindow.Seconds(), dutyLate.Seconds())
+			term.Milliseconds(), taskTestWindow.Seconds(), taskTestLate.Seconds())
 		f.moreSettings = func(i int) string {
 			return fmt.Sprintf("cloud_api: {address: '%s', duty_list: [%s, %s]}\n", d.links[i].Addr(), usageTaskName, scaleTaskName)
 		}
 	})
 	d.putScaling()
-	d.front = newDutyFront(t, d.fleet)
+	d.front = newUsageFront(t, d.fleet)
 	since := time.Now()
 	d.awaitUsage("the duty begins", since, d.resumeLimit())
 	return d
 }
 
 // startPlatform starts a platform with a few hosts, and a relay to it for each node.
-func (d *dutyFleet) startPlatform(t *testing.T, n int) {
+func (d *taskFleet) startPlatform(t *testing.T, n int) {
 	t.Helper()
 	platform, err := cloudapi.New(cloudapi.Options{FenceChecks: true})
 	if err != nil {
@@ -98,7 +98,7 @@
 }
 
 // logCalls logs all calls if the test has failed.
-func (d *dutyFleet) logCalls(t *testing.T) {
+func (d *taskFleet) logCalls(t *testing.T) {
 	if !t.Failed() {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // putScaling has a configuration acknowledged in which the hosts of the service are scaled.
-func (d *dutyFleet) putScaling() {
+func (d *taskFleet) putScaling() {
 	d.t.Helper()
 	scaling := fmt.Sprintf(`"scaling":{"min_count":%d,"max_count":%d,"boot_time_s":1},"health_path"`, minScaledHosts, maxScaledHosts)
 	body := []byte(strings.Replace(string(config(2)), `"health_path"`, scaling, 1))
@@ -125,13 +125,13 @@
 
 // resumeLimit is the time after a fault in which usage has to go on: the others agree on a view without the holder, its grant
 // ends, the next holder's collector may wait for the last moment of a window, and its next call may be one that it has put off.
-func (d *dutyFleet) resumeLimit() time.Duration {
+func (d *taskFleet) resumeLimit() time.Duration {
 	collecting := d.schedule.LateAfter - d.schedule.Margin - d.schedule.Settle
-	return detectionLimit + dutyTakeover(d.term) + collecting + maxCallBackoff + busyMargin
+	return detectionLimit + leaseTakeover(d.term) + collecting + maxCallBackoff + busyMargin
 }
 
 // awaitCalls waits until a condition is met about the decided calls and the number of those that the platform holds.
-func (d *dutyFleet) awaitCalls(what string, limit time.Duration, met func(decided []cloudapi.DutyCall, held int) bool) {
+func (d *taskFleet) awaitCalls(what string, limit time.Duration, met func(decided []cloudapi.DutyCall, held int) bool) {
 	d.t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), limit)
 	defer stop()
@@ -148,7 +148,7 @@
 }
 
 // awaitUsage waits until the platform has accepted a report that came after a time. It returns how long that took.
-func (d *dutyFleet) awaitUsage(what string, since time.Time, limit time.Duration) time.Duration {
+func (d *taskFleet) awaitUsage(what string, since time.Time, limit time.Duration) time.Duration {
 	d.t.Helper()
 	d.awaitCalls(what+": no usage is accepted", limit, func(decided []cloudapi.DutyCall, _ int) bool {
 		return indexOfCall(decided, func(c cloudapi.DutyCall) bool {
@@ -160,11 +160,11 @@
 
 // awaitReports waits until the platform has accepted the reports of all windows that ended lately: after a pause as long as usage may
 // take to go on, and a collector to warm up, each of them can still be reported.
-func (d *dutyFleet) awaitReports() {
+func (d *taskFleet) awaitReports() {
 	d.t.Helper()
 	now := time.Now()
-	oldest := usage.WindowAt(now.Add(-dutyLate), dutyWindow)
-	newest := usage.WindowAt(now.Add(-d.schedule.Settle), dutyWindow) - 1
+	oldest := usage.WindowAt(now.Add(-taskTestLate), taskTestWindow)
+	newest := usage.WindowAt(now.Add(-d.schedule.Settle), taskTestWindow) - 1
 	d.awaited = newest
 	d.awaitCalls(fmt.Sprintf("reports of windows %d to %d are accepted", oldest, newest), d.resumeLimit(), func(decided []cloudapi.DutyCall, _ int) bool {
 		missing := missingWindows(decided, newest)
@@ -173,7 +173,7 @@
 }
 
 // holder returns the node whose token is the highest of all calls so far.
-func (d *dutyFleet) holder() int {
+func (d *taskFleet) holder() int {
 	d.t.Helper()
 	var newest cloudapi.DutyCall
 	for _, c := range d.platform.DutyCalls() {
--- a/internal/tier/controlnode/task_front_test.go
+++ b/internal/tier/controlnode/task_front_test.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	frontTick     = 40 * time.Millisecond // between two reports
-	frontTimeout  = 300 * time.Millisecond
-	frontWindows  = 64               // that it retains
-	loadPeriod    = 14 * time.Second // in which the load is high, then low
-	highLoad      = 3.0              // calls in flight in a zone
-	lowLoad       = 0.5
-	requestsATick = 5
+	frontTick       = 40 * time.Millisecond // between two reports
+	frontTimeout    = 300 * time.Millisecond
+	frontWindows    = 64               // that it retains
+	loadPeriod      = 14 * time.Second // in which the load is high, then low
+	highLoad        = 3.0              // calls in flight in a zone
+	lowLoad         = 0.5
+	requestsPerTick = 5
 )
 
-// dutyFront counts requests of a few tenants and reports them to the head as a front does. It keeps what it has counted.
-type dutyFront struct {
+// usageFront counts requests of a few tenants and reports them to the head as a front does. It keeps what it has counted.
+type usageFront struct {
 	fleet   *fleet
 	calls   rpc.Clients
 	counter *usage.Counter
 	target  int    // node that is asked next while no head is known
 	head    string // address; empty while it is not known
 
-	mu    sync.Mutex
-	truth map[int64]map[string]int64 // by window and tenant
+	mu     sync.Mutex
+	counts map[int64]map[string]int64 // by window and tenant
 }
 
-// newDutyFront starts a front of a fleet. It ends with the test.
-func newDutyFront(t *testing.T, f *fleet) *dutyFront {
-	front := &dutyFront{fleet: f, counter: usage.NewCounter(time.Now().UnixNano(), frontWindows), truth: map[int64]map[string]int64{}}
+// newUsageFront starts a front of a fleet. It ends with the test.
+func newUsageFront(t *testing.T, f *fleet) *usageFront {
+	front := &usageFront{fleet: f, counter: usage.NewCounter(time.Now().UnixNano(), frontWindows), counts: map[int64]map[string]int64{}}
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { front.run(ctx) })
@@ -45,7 +45,7 @@
 	return front
 }
 
-func (f *dutyFront) run(ctx context.Context) {
+func (f *usageFront) run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(1, 2))
 	tick := time.NewTicker(frontTick)
 	defer tick.Stop()
@@ -59,16 +59,16 @@
 }
 
 // count counts a few requests at a time, and the load of the time before it.
-func (f *dutyFront) count(now time.Time, span time.Duration, random *rand.Rand) {
-	window := usage.WindowAt(now, dutyWindow)
+func (f *usageFront) count(now time.Time, span time.Duration, random *rand.Rand) {
+	window := usage.WindowAt(now, taskTestWindow)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	counts := f.truth[window]
+	counts := f.counts[window]
 	if counts == nil {
 		counts = map[string]int64{}
-		f.truth[window] = counts
+		f.counts[window] = counts
 	}
-	for range requestsATick {
+	for range requestsPerTick {
 		tenant := [...]string{"acme", "birch", "cedar"}[random.IntN(3)]
 		counts[tenant]++
 		f.counter.Record(tenant, window)
@@ -83,7 +83,7 @@
 }
 
 // report sends what the current collector lacks, to the head if it is known, else to one node after the other.
-func (f *dutyFront) report(ctx context.Context) {
+func (f *usageFront) report(ctx context.Context) {
 	addr := f.head
 	if addr == "" {
 		f.target++
@@ -107,8 +107,8 @@
 }
 
 // counted returns the counts of a window by tenant.
-func (f *dutyFront) counted(window int64) map[string]int64 {
+func (f *usageFront) counted(window int64) map[string]int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Clone(f.truth[window])
+	return maps.Clone(f.counts[window])
 }
--- a/internal/tier/controlnode/task_lease.go
+++ b/internal/tier/controlnode/task_lease.go
@@ -87,11 +87,11 @@
 }
 
 // releaseDoneRequest notes that a release was answered, or given up. It counts once, however often it is handled.
-type releaseDoneRequest struct{ counted bool }
+type releaseDoneRequest struct{ handled bool }
 
 func (r *releaseDoneRequest) handle(s *Server) {
-	if !r.counted {
-		r.counted = true
+	if !r.handled {
+		r.handled = true
 		s.releasesInFlight--
 	}
 }
--- a/internal/tier/controlnode/task_lease_test.go
+++ b/internal/tier/controlnode/task_lease_test.go
@@ -91,7 +91,7 @@
 }
 
 // Guards against a node without a lease for ever: the start of a call was noted in a batch that met a full disk, and its end never.
-func TestCallThatWasNotMadeEnds(t *testing.T) {
+func TestLeaseReturnsAfterCallThatWasNotSent(t *testing.T) {
 	for name, batches := range map[string][]loopBatch{
 		"start handled without room":         {handledWithoutRoom},
 		"start and end handled without room": {handledWithoutRoom, handledWithoutRoom},
@@ -112,7 +112,7 @@
 }
 
 // Guards against an end that is noted twice, in a batch that met a full disk and after it: another call was taken for ended.
-func TestEndOfCallCountsOnce(t *testing.T) {
+func TestRepeatedCallEndCountsOnce(t *testing.T) {
 	l := newLeaseLoop(t, handledWithoutRoom, rejected)
 	call, other := &lease.Call{Epoch: 1}, &lease.Call{Epoch: 1}
 	l.lease.CallStarted(call)
@@ -124,7 +124,7 @@
 }
 
 // Guards against a refusal that is forgotten, as the event loop rejected its request: the node went on to act in its epoch.
-func TestRefusalIsNotForgottenWhereDiskIsFull(t *testing.T) {
+func TestTokenRefusalIsRecordedAfterFullDisk(t *testing.T) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 	defer platform.Close()
 	l := newLeaseLoop(t, handled, rejected)
--- a/internal/tier/controlnode/task_pause_test.go
+++ b/internal/tier/controlnode/task_pause_test.go
@@ -11,15 +11,15 @@
 
 var (
 	holderPauses = flag.Int("pauses", 8, "pauses of the holder of the duties")
-	dutySeed     = flag.Uint64("seed", 1, "seed of the first run of the tests of duties; 0 for one by the time")
+	seedFlag     = flag.Uint64("seed", 1, "seed of the first run of the tests of duties; 0 for one by the time")
 )
 
 // pausesPerCheck is after how many pauses the reports have to be up to date again.
 const pausesPerCheck = 5
 
-// drawDutySeed returns the seed that the flag names, or one by the time.
-func drawDutySeed(t *testing.T) uint64 {
-	seed := *dutySeed
+// chooseSeed returns the seed that the flag names, or one by the time.
+func chooseSeed(t *testing.T) uint64 {
+	seed := *seedFlag
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
@@ -31,8 +31,8 @@
 // the term, and so long that another node takes over; now and then in the middle of a call.
 func TestPausedHoldersDoNotActTwice(t *testing.T) {
 	t.Parallel()
-	r := rand.New(rand.NewPCG(drawDutySeed(t), 11))
-	d := newDutyFleet(t, 3+r.IntN(3), dutyTerm)
+	r := rand.New(rand.NewPCG(chooseSeed(t), 11))
+	d := newTaskFleet(t, 3+r.IntN(3), taskTestTerm)
 	longest := time.Duration(0)
 	for i := range *holderPauses {
 		longest = max(longest, d.pauseHolder(r))
@@ -45,7 +45,7 @@
 	}
 	d.awaitReports()
 	t.Logf("%d pauses of %d nodes; usage went on after %v at most", *holderPauses, d.n, longest)
-	d.checkDuties()
+	d.checkPlatformCalls()
 }
 
 // cutAfterPause is for how long a node that wakes hears nothing of the others at times: long enough for another one to act.
@@ -60,7 +60,7 @@
 
 // pauseHolder pauses the holder once and waits until usage goes on and all nodes are members. It returns how long usage took to go
 // on after the pause.
-func (d *dutyFleet) pauseHolder(r *rand.Rand) time.Duration {
+func (d *taskFleet) pauseHolder(r *rand.Rand) time.Duration {
 	d.t.Helper()
 	pause := drawPause(r, d.term)
 	if pause.inCall {
@@ -70,7 +70,7 @@
 	holder := d.holder()
 	began := time.Now()
 	d.nodes[holder].freeze(d.t)
-	d.passPause(r, pause)
+	d.waitThroughPause(r, pause)
 	if pause.cutOff {
 		d.partition(holder)
 	}
@@ -87,8 +87,8 @@
 	return took
 }
 
-// passPause waits until the pause is over. Calls that the platform holds are carried out meanwhile.
-func (d *dutyFleet) passPause(r *rand.Rand, pause holderPause) {
+// waitThroughPause waits until the pause is over. Calls that the platform holds are carried out meanwhile.
+func (d *taskFleet) waitThroughPause(r *rand.Rand, pause holderPause) {
 	held := time.Duration(0)
 	if pause.inCall {
 		held = time.Duration(r.Int64N(int64(pause.length)))
--- a/internal/tier/controlnode/task_scale.go
+++ b/internal/tier/controlnode/task_scale.go
@@ -69,7 +69,7 @@
 	if d.knownFronts = query.knownFronts; query.recentFronts == 0 || query.recentFronts < d.knownFronts/minReportingDivisor {
 		return // the fronts are not heard: the last orders stand
 	}
-	d.parseConfig(query.config)
+	d.adoptConfig(query.config)
 	d.plannedSubjects = d.subjects(query)
 	d.orderHosts(grant)
 }
@@ -100,8 +100,8 @@
 	return backoff
 }
 
-// parseConfig parses the configuration of a committed entry, unless it is that of the last step.
-func (d *scaleTask) parseConfig(committed chain.Entry) {
+// adoptConfig parses the configuration of a committed entry, unless it is that of the last step.
+func (d *scaleTask) adoptConfig(committed chain.Entry) {
 	var entry feed.ConfigEntry
 	if d.configAt == committed.Index || len(committed.Value) == 0 || rpc.Decode(committed.Value, &entry) != nil {
 		return
--- a/internal/tier/controlnode/task_scale_test.go
+++ b/internal/tier/controlnode/task_scale_test.go
@@ -19,8 +19,8 @@
 
 var scaleTestSubject = scaling.Subject{Service: "s", Zone: "a"}
 
-// newTestScaleDuty returns a duty of a holder that has just begun.
-func newTestScaleDuty() *scaleTask {
+// newTestScaleTask returns a duty of a holder that has just begun.
+func newTestScaleTask() *scaleTask {
 	d := newScaleTask(&taskRunner{server: &Server{log: process.NewLogger(io.Discard)}})
 	d.reset()
 	return d
@@ -31,7 +31,7 @@
 	for outcome, repeated := range map[fencedcall.Outcome]bool{
 		fencedcall.Accepted: false, fencedcall.NotSent: false, fencedcall.Busy: true, fencedcall.Unknown: true, fencedcall.Refused: true, fencedcall.Invalid: true,
 	} {
-		d := newTestScaleDuty()
+		d := newTestScaleTask()
 		demand := scaling.Demand{Min: 4, Max: 9, Hosts: 3, Slots: 1}
 		d.planner.Plan(0, scaleTestSubject, demand)
 		d.recordOutcome(scaleTestSubject, 4, fencedcall.Accepted)
@@ -53,10 +53,10 @@
 }
 
 // Failure: of two configurations with the same version, of which the first was dropped with its epoch, the dropped one's bounds hold.
-func TestBoundsAreOfTheNewestEntry(t *testing.T) {
-	d := newTestScaleDuty()
+func TestBoundsComeFromNewestConfigEntry(t *testing.T) {
+	d := newTestScaleTask()
 	for i, most := range []int{20, 4} {
-		d.parseConfig(chain.Entry{Index: int64(i + 1), Value: scalingConfig(1, most)})
+		d.adoptConfig(chain.Entry{Index: int64(i + 1), Value: scalingConfig(1, most)})
 		if got := d.config.Services["s"].Scaling.Max; got != most {
 			t.Errorf("at most %d hosts, want %d", got, most)
 		}
@@ -67,7 +67,7 @@
 }
 
 // Failure: hosts are ordered by a configuration that is not committed, and may be dropped.
-func TestOnlyCommittedConfigCounts(t *testing.T) {
+func TestUncommittedConfigIsIgnored(t *testing.T) {
 	c := chain.New("a", chain.State{ActivatedEpoch: 1, LastIndex: 3, Commit: 1, Entries: []chain.Entry{
 		{Index: 1, Key: feed.ConfigKey, Value: scalingConfig(1, 4)},
 		{Index: 2, Key: feed.ConfigKey, Value: scalingConfig(1, 20)},
@@ -86,9 +86,9 @@
 }
 
 // Failure: no host is ordered any more in a zone whose hosts have all gone from the list.
-func TestZoneWithoutListedHostsStaysSubject(t *testing.T) {
-	d := newTestScaleDuty()
-	d.parseConfig(chain.Entry{Index: 1, Value: scalingConfig(0, 20)})
+func TestZoneWithoutListedHostsIsStillScaled(t *testing.T) {
+	d := newTestScaleTask()
+	d.adoptConfig(chain.Entry{Index: 1, Value: scalingConfig(0, 20)})
 	inA, inB := discovery.Host{Service: "s", Zone: "a", Capacity: 4, Phase: discovery.Ready}, discovery.Host{Service: "s", Zone: "b", Capacity: 2}
 	d.subjects(&demandQuery{hosts: []discovery.Host{inA, inB}})
 	want := []scaleSubject{
@@ -101,22 +101,22 @@
 }
 
 // Failure: hosts are ordered for a service that has no scaling any more, or by a holder for zones that only an earlier one saw.
-func TestSubjectsGoWithScalingAndHeadship(t *testing.T) {
-	d := newTestScaleDuty()
+func TestSubjectsEndWithScalingConfigAndHeadship(t *testing.T) {
+	d := newTestScaleTask()
 	config := chain.Entry{Index: 1, Value: scalingConfig(1, 20)}
 	listed := &demandQuery{hosts: []discovery.Host{{Service: "s", Zone: "a"}}}
-	d.parseConfig(config)
+	d.adoptConfig(config)
 	if got := d.subjects(listed); len(got) != 1 {
 		t.Fatalf("subjects %+v", got)
 	}
-	d.parseConfig(chain.Entry{Index: 2, Value: scalingConfig(0, 0)})
+	d.adoptConfig(chain.Entry{Index: 2, Value: scalingConfig(0, 0)})
 	if got := d.subjects(listed); len(got) != 0 {
 		t.Errorf("subjects %+v without a scaling", got)
 	}
-	d.parseConfig(chain.Entry{Index: 3, Value: config.Value})
+	d.adoptConfig(chain.Entry{Index: 3, Value: config.Value})
 	d.subjects(listed)
 	d.reset()
-	d.parseConfig(config)
+	d.adoptConfig(config)
 	if got := d.subjects(&demandQuery{}); len(got) != 0 {
 		t.Errorf("subjects %+v of an earlier headship", got)
 	}
--- a/internal/tier/controlnode/task_status_cluster_test.go
+++ b/internal/tier/controlnode/task_status_cluster_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// newDutyPlatform starts a platform that answers calls of duties with the status that it is given. It lists no host.
-func newDutyPlatform(t *testing.T) (addr string, status *atomic.Int64) {
+// newTestPlatform starts a platform that answers calls of duties with the status that it is given. It lists no host.
+func newTestPlatform(t *testing.T) (addr string, status *atomic.Int64) {
 	t.Helper()
 	status = &atomic.Int64{}
 	status.Store(http.StatusOK)
@@ -26,8 +26,8 @@
 	return server.Listener.Addr().String(), status
 }
 
-// newDutyCluster starts core nodes with short windows and a short term of the lease, whose platform expects both duties.
-func newDutyCluster(t *testing.T, n int, platform string) *cluster {
+// newTaskCluster starts core nodes with short windows and a short term of the lease, whose platform expects both duties.
+func newTaskCluster(t *testing.T, n int, platform string) *cluster {
 	t.Helper()
 	c := newClusterWith(t, 0, platform)
 	c.n, c.dirs, c.cores = n, make([]string, n), make([]*Server, n)
@@ -43,7 +43,7 @@
 }
 
 // duties asks a node for the state of the duties; ok is false if it does not answer.
-func (c *cluster) duties(i int) (status TaskStatus, ok bool) {
+func (c *cluster) taskStatus(i int) (status TaskStatus, ok bool) {
 	c.t.Helper()
 	code, body := c.send(i, http.MethodGet, "/api/duties", "", nil)
 	if code != http.StatusOK {
@@ -55,13 +55,13 @@
 	return status, true
 }
 
-// untilDuties waits until the duties are in a state at all nodes given, and returns the last status.
-func (c *cluster) untilDuties(what string, nodes []int, in func(s *TaskStatus) bool) (status TaskStatus) {
+// untilTaskStatus waits until the duties are in a state at all nodes given, and returns the last status.
+func (c *cluster) untilTaskStatus(what string, nodes []int, in func(s *TaskStatus) bool) (status TaskStatus) {
 	c.t.Helper()
 	c.until(what, func() bool {
 		for _, i := range nodes {
 			ok := false
-			if status, ok = c.duties(i); !ok || !in(&status) {
+			if status, ok = c.taskStatus(i); !ok || !in(&status) {
 				return false
 			}
 		}
@@ -93,14 +93,14 @@
 }
 
 // Each node answers with the state of the holder, also after the holder is lost and once the platform refuses.
-func TestEveryNodeReportsDutiesOfHolder(t *testing.T) {
-	platform, answer := newDutyPlatform(t)
-	c := newDutyCluster(t, 3, platform)
+func TestEveryNodeReportsStatusOfHolder(t *testing.T) {
+	platform, answer := newTestPlatform(t)
+	c := newTaskCluster(t, 3, platform)
 	acknowledged := func(s *TaskStatus) bool {
 		return s.Cause == "" && s.Held && s.Holder == s.Node && s.Holder == s.Head && s.LeftMs > 0 && s.Token > s.Epoch &&
 			s.Usage.LastAcknowledged > 0 && s.Usage.Outcomes.Accepted > 0 && len(s.Usage.Calls) > 0
 	}
-	first := c.untilDuties("a window is acknowledged", []int{0, 1, 2}, acknowledged)
+	first := c.untilTaskStatus("a window is acknowledged", []int{0, 1, 2}, acknowledged)
 	if call := first.Usage.Calls[0]; call.Path != usagePath || call.Token != first.Token || !strings.Contains(call.Body, `"window_no"`) {
 		t.Errorf("call %+v", call)
 	}
@@ -108,29 +108,29 @@
 	holder := c.index(first.Holder)
 	c.crash[holder]()
 	rest := c.others(holder)
-	second := c.untilDuties("another node does the duties", rest, func(s *TaskStatus) bool { return acknowledged(s) && s.Node != first.Node })
+	second := c.untilTaskStatus("another node does the duties", rest, func(s *TaskStatus) bool { return acknowledged(s) && s.Node != first.Node })
 	if second.Token <= first.Token || second.Usage.LastAcknowledged < first.Usage.LastAcknowledged {
 		t.Errorf("token %d after %d, window %d after %d", second.Token, first.Token, second.Usage.LastAcknowledged,
 			first.Usage.LastAcknowledged)
 	}
 
 	answer.Store(http.StatusConflict)
-	refused := c.untilDuties("the platform has refused", rest, func(s *TaskStatus) bool { return s.Cause == TasksTokenRefused })
+	refused := c.untilTaskStatus("the platform has refused", rest, func(s *TaskStatus) bool { return s.Cause == TasksTokenRefused })
 	if refused.Held || refused.Holder != "" || refused.Usage.Outcomes.Refused == 0 || refused.Token != second.Token {
 		t.Errorf("%+v", refused)
 	}
 }
 
 // A node that cannot reach the head says so, and a head without a majority that it is not confirmed.
-func TestDutiesWithoutMajority(t *testing.T) {
-	platform, _ := newDutyPlatform(t)
-	c := newDutyCluster(t, 3, platform)
-	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
+func TestTaskStatusWithoutMajority(t *testing.T) {
+	platform, _ := newTestPlatform(t)
+	c := newTaskCluster(t, 3, platform)
+	first := c.untilTaskStatus("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
 	c.crash[others[0]]()
 	c.crash[others[1]]()
-	status := c.untilDuties("the head is not confirmed", []int{holder}, func(s *TaskStatus) bool {
+	status := c.untilTaskStatus("the head is not confirmed", []int{holder}, func(s *TaskStatus) bool {
 		return s.Cause == TasksNoMajority || s.Cause == TasksViewChanging
 	})
 	if status.Held || status.Holder != "" || status.LeftMs != 0 {
@@ -138,15 +138,15 @@
 	}
 }
 
-func TestDutiesAtNodeThatCannotReachHead(t *testing.T) {
-	platform, _ := newDutyPlatform(t)
-	c := newDutyCluster(t, 3, platform)
-	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
+func TestTaskStatusAtNodeThatCannotReachHead(t *testing.T) {
+	platform, _ := newTestPlatform(t)
+	c := newTaskCluster(t, 3, platform)
+	first := c.untilTaskStatus("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
 	c.crash[holder]()
 	c.crash[others[0]]()
-	status := c.untilDuties("the head is silent", others[1:], func(s *TaskStatus) bool { return s.Cause == TasksHeadSilent })
+	status := c.untilTaskStatus("the head is silent", others[1:], func(s *TaskStatus) bool { return s.Cause == TasksHeadSilent })
 	if status.Node != c.cores[others[1]].self.Name || status.Held || status.Token != 0 {
 		t.Errorf("%+v", status)
 	}
--- a/internal/tier/controlnode/task_status_test.go
+++ b/internal/tier/controlnode/task_status_test.go
@@ -16,15 +16,15 @@
 	"larchrouter/internal/tier/view"
 )
 
-// newDutyServer returns a node that runs nothing, whose settings name a platform with some duties.
-func newDutyServer(duties ...string) *Server {
+// newTaskServer returns a node that runs nothing, whose settings name a platform with some duties.
+func newTaskServer(duties ...string) *Server {
 	settings := &process.Settings{}
 	settings.Platform.Address, settings.Platform.Duties = "127.0.0.1:1", duties
 	now := time.Now()
 	return &Server{settings: settings, self: view.Member{Name: "core-1"}, startedAt: now, trueTime: usage.NewTrueTime(now, 0)}
 }
 
-func TestDutyStatusInEachState(t *testing.T) {
+func TestTaskStatusInEachState(t *testing.T) {
 	const base = 1 << 20
 	held := lease.Status{Epoch: 7, Held: true, Left: 1500 * time.Millisecond}
 	rest := func(cause lease.Cause) lease.Status { return lease.Status{Epoch: 7, Cause: cause} }
@@ -62,7 +62,7 @@
 			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksLeaseLost}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newDutyServer(strings.Fields(c.duties)...)
+			s := newTaskServer(strings.Fields(c.duties)...)
 			s.dutySnapshot.Store(&taskSnapshot{at: time.Now(), tokenBase: base})
 			status := s.taskStatus(&c.query)
 			got := TaskStatus{Head: status.Head, Held: status.Held, Holder: status.Holder, Token: status.Token, LeftMs: status.LeftMs,
@@ -78,8 +78,8 @@
 }
 
 // A node that has not looked at its duties yet, and one without a platform, have a status as well.
-func TestDutyStatusBeforeFirstStep(t *testing.T) {
-	s := newDutyServer(usageTaskName)
+func TestTaskStatusBeforeFirstStep(t *testing.T) {
+	s := newTaskServer(usageTaskName)
 	s.settings.Platform.Address = ""
 	status := s.taskStatus(&leaseStatusQuery{lease: lease.Status{Epoch: 1, Held: true}, head: "core-1"})
 	if status.Cause != TasksNotExpected || status.Token != 0 {
@@ -92,8 +92,8 @@
 }
 
 // The goroutine of the duties publishes what it holds, and nothing of it once the lease is lost.
-func TestSnapshotOfDuties(t *testing.T) {
-	s := newDutyServer(usageTaskName, scaleTaskName)
+func TestSnapshotIsEmptyAfterLeaseLoss(t *testing.T) {
+	s := newTaskServer(usageTaskName, scaleTaskName)
 	d := &taskRunner{server: s, tokenBase: 5, heldEpoch: 2}
 	d.usage, d.scale = newUsageTask(d), newScaleTask(d)
 	d.usage.reset()
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestCallsAreShownByDuty(t *testing.T) {
+func TestCallsAreListedByPath(t *testing.T) {
 	var l platformCallLog
 	long := []byte(strings.Repeat("x", maxShownBody-1) + "ä and more")
 	l.record(usagePath, 3, fencedcall.Accepted, []byte("{}"))
@@ -165,8 +165,8 @@
 	}
 }
 
-// dutyStatusJSON has all keys of the status: programs of operators read them.
-const dutyStatusJSON = `{"node":"core-1","head":"core-1","epoch":7,"held":true,"holder":"core-1","token":1048583,"left_ms":1500,"wait_ms":2,` +
+// taskStatusJSON has all keys of the status: programs of operators read them.
+const taskStatusJSON = `{"node":"core-1","head":"core-1","epoch":7,"held":true,"holder":"core-1","token":1048583,"left_ms":1500,"wait_ms":2,` +
 	`"cause":"refused","step_age_ms":3,"clock_offset_ms":-4,` +
 	`"usage_report":{"expected":true,"unacknowledged_windows":[{"window":9,"ended_ms":11000,"late":true}],"last_recorded_window":9,` +
 	`"last_acknowledged_window":8,"outcomes":{"accepted":1,"refused":2,"busy":3,"invalid":4,"not_sent":5,"unknown":6},` +
@@ -176,7 +176,7 @@
 	`"outcomes":{"accepted":0,"refused":0,"busy":0,"invalid":0,"not_sent":0,"unknown":0},"calls":[]},` +
 	`"outcomes":{"accepted":1,"refused":2,"busy":3,"invalid":4,"not_sent":5,"unknown":6}}`
 
-func TestKeysOfDutyStatusAreStable(t *testing.T) {
+func TestTaskStatusKeysAreStable(t *testing.T) {
 	counts := PlatformCallCounts{Accepted: 1, Refused: 2, Busy: 3, Invalid: 4, NotSent: 5, Unknown: 6}
 	status := &TaskStatus{
 		Node: "core-1", Head: "core-1", Epoch: 7, Held: true, Holder: "core-1", Token: 1<<20 + 7, LeftMs: 1500, WaitMs: 2,
@@ -188,15 +188,15 @@
 			InForce: 4, Listed: 3, Min: 1, Max: 9, Concurrency: 2.5}}, Calls: []PlatformCallStatus{}},
 	}
 	body, err := json.Marshal(status)
-	if err != nil || string(body) != dutyStatusJSON {
-		t.Errorf("%v\n%s\nwant\n%s", err, body, dutyStatusJSON)
+	if err != nil || string(body) != taskStatusJSON {
+		t.Errorf("%v\n%s\nwant\n%s", err, body, taskStatusJSON)
 	}
 	forwarded := new(TaskStatus)
 	if err := rpc.Decode(rpc.Encode(status), forwarded); err != nil {
 		t.Fatal(err)
 	}
 	body, err = json.Marshal(forwarded)
-	if err != nil || string(body) != dutyStatusJSON {
+	if err != nil || string(body) != taskStatusJSON {
 		t.Errorf("forwarded: %v\n%s", err, body)
 	}
 }
--- a/internal/tier/controlnode/task_status_text_test.go
+++ b/internal/tier/controlnode/task_status_text_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// wellDutyStatus returns a status without a problem.
-func wellDutyStatus() TaskStatus {
+// healthyTaskStatus returns a status without a problem.
+func healthyTaskStatus() TaskStatus {
 	return TaskStatus{Node: "core-1", Head: "core-1", Held: true, Holder: "core-1", Token: 7, WaitMs: 1250,
 		Usage: UsageTaskStatus{Expected: true, Calls: []PlatformCallStatus{{Outcome: "accepted"}}},
 		Scale: ScaleTaskStatus{Expected: true, RecentFronts: 3, KnownFronts: 4, Calls: []PlatformCallStatus{{Outcome: "accepted"}}}}
@@ -36,7 +36,7 @@
 		"orders are not expected": {func(s *TaskStatus) { s.Scale = ScaleTaskStatus{} }, "core-1 does the duties"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := wellDutyStatus()
+			s := healthyTaskStatus()
 			c.change(&s)
 			if got := s.Summary(); got != c.want {
 				t.Errorf("%s\nwant %s", got, c.want)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestSummaryNamesWhyDutiesRest(t *testing.T) {
+func TestSummaryNamesInactiveCause(t *testing.T) {
 	for cause, want := range map[string]string{
 		TasksNotExpected: "no duties are expected: the settings of core-1 name none (cloud_api.address, cloud_api.duty_list)",
 		TasksNoView:      "core-1 knows no head: ask another core node; at the very first start, set bootstrap: true",
@@ -63,7 +63,7 @@
 		"later release": "the duties rest: later release",
 	} {
 		t.Run(cause, func(t *testing.T) {
-			s := wellDutyStatus()
+			s := healthyTaskStatus()
 			s.Head, s.Held, s.Holder, s.Cause = "core-2", false, "", cause
 			if got := s.Summary(); got != want {
 				t.Errorf("%s\nwant %s", got, want)
--- a/internal/tier/controlnode/task_usage.go
+++ b/internal/tier/controlnode/task_usage.go
@@ -112,7 +112,7 @@
 		return
 	}
 	u.recordDue(now)
-	u.dropBefore(u.schedule.Oldest(now))
+	u.dropBefore(u.schedule.OldestRetained(now))
 	u.send(grant, now)
 }
 
--- a/internal/tier/controlnode/task_usage_test.go
+++ b/internal/tier/controlnode/task_usage_test.go
@@ -7,7 +7,7 @@
 )
 
 // A holder records also what an earlier one left out between two windows that it recorded.
-func TestFirstUnrecorded(t *testing.T) {
+func TestFirstUnrecordedIncludesGaps(t *testing.T) {
 	entries := func(windows ...int64) (reports []orders.UsageEntry) {
 		for _, window := range windows {
 			reports = append(reports, orders.UsageEntry{Window: window})
@@ -30,7 +30,7 @@
 }
 
 // A slow platform must not make windows late that wait behind others which are late already.
-func TestWindowsInTimeAreSentFirst(t *testing.T) {
+func TestWindowsNotYetLateAreSentFirst(t *testing.T) {
 	unsent := func(windows ...int64) map[int64][]byte {
 		m := map[int64][]byte{}
 		for _, window := range windows {
--- a/internal/tier/fencedcall/client_test.go
+++ b/internal/tier/fencedcall/client_test.go
@@ -56,13 +56,13 @@
 	return c
 }
 
-func open(int64) bool { return true }
+func permitAll(int64) bool { return true }
 
-func TestOutcomes(t *testing.T) {
+func TestOutcomeFollowsResponseStatus(t *testing.T) {
 	for status, want := range map[int]Outcome{200: Accepted, 204: Accepted, 409: Refused, 429: Busy, 503: Busy, 500: Unknown, 502: Unknown,
 		400: Invalid, 404: Invalid} {
 		p, addr := startPlatform(t, status)
-		got, err := newTestClient(t, addr, open).Post(context.Background(), "/scale", 12, []byte(`{"desired":6}`))
+		got, err := newTestClient(t, addr, permitAll).Post(context.Background(), "/scale", 12, []byte(`{"desired":6}`))
 		if got != want || (err == nil) != (want == Accepted) {
 			t.Errorf("%d: the outcome is %s, %v; want %s", status, got, err, want)
 		}
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestFenceGetsTokenOfTheCall(t *testing.T) {
+func TestFenceReceivesTokenOfCall(t *testing.T) {
 	_, addr := startPlatform(t, 200)
 	current := atomic.Int64{}
 	c := newTestClient(t, addr, func(token int64) bool { return token == current.Load() })
@@ -122,7 +122,7 @@
 	defer listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if got, err := newTestClient(t, listener.Addr().String(), open).Post(ctx, "/usage", 1, []byte("{}")); got != Unknown || err == nil {
+	if got, err := newTestClient(t, listener.Addr().String(), permitAll).Post(ctx, "/usage", 1, []byte("{}")); got != Unknown || err == nil {
 		t.Errorf("the outcome is %s, %v; want %s", got, err, Unknown)
 	}
 }
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	listener.Close()
-	if got, err := newTestClient(t, listener.Addr().String(), open).Post(context.Background(), "/usage", 1, nil); got != NotSent || err == nil {
+	if got, err := newTestClient(t, listener.Addr().String(), permitAll).Post(context.Background(), "/usage", 1, nil); got != NotSent || err == nil {
 		t.Errorf("the outcome is %s, %v; want %s", got, err, NotSent)
 	}
 }
@@ -145,7 +145,7 @@
 	defer other.Close()
 	server := httptest.NewServer(http.RedirectHandler(other.URL+"/usage", http.StatusTemporaryRedirect))
 	defer server.Close()
-	got, err := newTestClient(t, strings.TrimPrefix(server.URL, "http://"), open).Post(t.Context(), "/usage", 1, []byte("{}"))
+	got, err := newTestClient(t, strings.TrimPrefix(server.URL, "http://"), permitAll).Post(t.Context(), "/usage", 1, []byte("{}"))
 	if got != Unknown || err == nil || elsewhere.Load() > 0 {
 		t.Errorf("the outcome is %s, %v; %d calls went elsewhere", got, err, elsewhere.Load())
 	}
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -20,7 +20,7 @@
 }
 
 // play plans once a second and returns the orders, 0 for none.
-func play(p *Planner, demands ...float64) (orders []int) {
+func planEachSecond(p *Planner, demands ...float64) (orders []int) {
 	for i, d := range demands {
 		hosts, ok := p.Plan(time.Duration(i)*time.Second, testSubject, demandOf(d))
 		if ok {
@@ -46,7 +46,7 @@
 		{"a peak keeps the number", []float64{4, 1, 1, 1, 1, 4, 1, 1, 1, 1, 4}, []int{0, 0, 0, 0, 0, 4, 0, 0, 0, 0, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := play(NewPlanner(testParams), c.demands...)
+			got := planEachSecond(NewPlanner(testParams), c.demands...)
 			for i := range c.want {
 				if got[i] != c.want[i] {
 					t.Fatalf("ordered %v, want %v", got, c.want)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOrderIsRepeatedUntilMade(t *testing.T) {
+func TestOrderIsRepeatedUntilAccepted(t *testing.T) {
 	p := NewPlanner(testParams)
 	for range 3 {
 		if hosts, ok := p.Plan(0, testSubject, demandOf(8)); !ok || hosts != 8 {
@@ -75,7 +75,7 @@
 // Failure: an order that timed out but took effect is taken as not made, and nothing is ordered when the demand is back.
 func TestOrderInDoubtIsFollowedByAnother(t *testing.T) {
 	p := NewPlanner(testParams)
-	if got := play(p, 6, 6, 6, 6, 6, 3, 3, 3, 3, 3); got[0] != 6 {
+	if got := planEachSecond(p, 6, 6, 6, 6, 6, 3, 3, 3, 3, 3); got[0] != 6 {
 		t.Fatalf("ordered %v", got)
 	}
 	now := 10 * time.Second
@@ -115,10 +115,10 @@
 }
 
 // Failure: a number that is above a new maximum, or below a new minimum, stays in force for DownDelay or longer.
-func TestNewBoundsHoldAtOnce(t *testing.T) {
+func TestNewBoundsApplyAtOnce(t *testing.T) {
 	for _, bounds := range []Demand{{Min: 1, Max: 6, Hosts: 4, Slots: 10}, {Min: 9, Max: 10, Hosts: 4, Slots: 10}} {
 		p := NewPlanner(testParams)
-		if got := play(p, 8); got[0] != 8 {
+		if got := planEachSecond(p, 8); got[0] != 8 {
 			t.Fatalf("ordered %v", got)
 		}
 		bounds.Concurrency = 8 * 5
@@ -140,10 +140,10 @@
 // Whatever the demand, the bounds and the outcomes: numbers stay within the bounds, are enough for the demand, and are never lowered
 // below a demand of the last DownDelay. Where no order is due, the platform has the number that was ordered last, and after DownDelay
 // there is one.
-func TestRandomDemands(t *testing.T) {
+func TestRandomDemandsKeepBoundsAndDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPlanner(testParams)
-		course := &randomCourse{last: rapid.IntRange(0, 12).Draw(t, "hosts at the start")}
+		course := &planHistory{last: rapid.IntRange(0, 12).Draw(t, "hosts at the start")}
 		course.platform = rapid.IntRange(0, 12).Draw(t, "hosts ordered by an earlier holder")
 		bounds := Demand{Min: 2, Max: 10, Hosts: course.last, Slots: 10}
 		now := time.Duration(0)
@@ -161,14 +161,14 @@
 				course.checkOrder(t, hosts, bounds)
 				course.send(t, p, hosts)
 			} else {
-				course.checkRest(t, bounds)
+				course.checkNoOrder(t, bounds)
 			}
 		}
 	})
 }
 
-// randomCourse is what happened so far in a random test.
-type randomCourse struct {
+// planHistory is what happened so far in a random test.
+type planHistory struct {
 	history  []sample // demands
 	last     int      // number that was sent last, or that was listed at the start
 	sent     bool     // an order
@@ -177,7 +177,7 @@
 }
 
 // send has an order accepted, or be in doubt and take effect or not, or not leave.
-func (c *randomCourse) send(t *rapid.T, p *Planner, hosts int) {
+func (c *planHistory) send(t *rapid.T, p *Planner, hosts int) {
 	switch rapid.SampledFrom([]string{"accepted", "accepted", "lost", "lost answer", "not sent"}).Draw(t, "outcome") {
 	case "accepted":
 		p.OrderAccepted(testSubject, hosts)
@@ -192,7 +192,7 @@
 }
 
 // checkOrder checks an order against what happened so far.
-func (c *randomCourse) checkOrder(t *rapid.T, hosts int, bounds Demand) {
+func (c *planHistory) checkOrder(t *rapid.T, hosts int, bounds Demand) {
 	now := c.history[len(c.history)-1]
 	if hosts < bounds.Min || hosts > bounds.Max || hosts < now.hosts || c.accepted && hosts == c.last {
 		t.Fatalf("ordered %d after %d", hosts, c.last)
@@ -211,8 +211,8 @@
 	}
 }
 
-// checkRest checks that no order is due.
-func (c *randomCourse) checkRest(t *rapid.T, bounds Demand) {
+// checkNoOrder checks that no order is due.
+func (c *planHistory) checkNoOrder(t *rapid.T, bounds Demand) {
 	now := c.history[len(c.history)-1]
 	switch {
 	case !c.sent && now.at-c.history[0].at < testParams.DownDelay && c.last >= now.hosts:
--- a/internal/tier/usage/collector_test.go
+++ b/internal/tier/usage/collector_test.go
@@ -14,7 +14,7 @@
 	return Report{Incarnation: incarnation, Windows: []Window{{window, counts}}}
 }
 
-func TestCollectorAddsSourcesUp(t *testing.T) {
+func TestCollectorSumsSources(t *testing.T) {
 	c := NewCollector(testParams)
 	for range 2 { // repeated
 		c.Add(at(20*second), "f1", countsOf(1, 3, TenantCount{"a", 5}, TenantCount{"b", 1}))
@@ -28,7 +28,7 @@
 	wantEqual(t, "window 5", c.Counts(5), map[string]int{})
 }
 
-func TestCollectorForgets(t *testing.T) {
+func TestCollectorExpiresWindowsAndSources(t *testing.T) {
 	c := NewCollector(testParams)
 	now := at(1000 * second) // window 200
 	for _, window := range []int64{193, 194, 200, 206, 207} {
@@ -45,7 +45,7 @@
 	wantEqual(t, "sources", len(c.sources), 0)
 }
 
-func TestCollectorKnowsFronts(t *testing.T) {
+func TestCollectorListsRecentFronts(t *testing.T) {
 	c := NewCollector(testParams)
 	c.Add(at(1*second), "f2", Report{Incarnation: 1})
 	c.Add(at(2*second), "f2", Report{Incarnation: 2})
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestCollectorForgetsLoads(t *testing.T) {
+func TestCollectorExpiresLoads(t *testing.T) {
 	c := NewCollector(testParams)
 	for i := range 100 {
 		c.Add(at(time.Duration(i)*second), "f1", busy(1, int64(i)*2000))
--- a/internal/tier/usage/counter.go
+++ b/internal/tier/usage/counter.go
@@ -41,7 +41,7 @@
 func (c *Counter) Record(tenant string, window int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.find(window)
+	w := c.findWindow(window)
 	if w == nil {
 		w = &windowCounts{number: window, counts: map[string]int64{}}
 		c.windows = append(c.windows, w)
@@ -93,14 +93,14 @@
 		}
 	}
 	for _, reported := range report.Windows {
-		if w := c.find(reported.Number); w != nil {
+		if w := c.findWindow(reported.Number); w != nil {
 			w.acknowledged = max(w.acknowledged, reported.total())
 		}
 	}
 }
 
 // find returns a retained window, nil if there is none of this number. c.mu must be held.
-func (c *Counter) find(window int64) *windowCounts {
+func (c *Counter) findWindow(window int64) *windowCounts {
 	for _, w := range slices.Backward(c.windows) {
 		if w.number == window {
 			return w
--- a/internal/tier/usage/counter_test.go
+++ b/internal/tier/usage/counter_test.go
@@ -58,7 +58,7 @@
 	wantEqual(t, "after an old receipt", numbers(c.Pending()), []int64{})
 }
 
-func TestCounterReportsToEachCollector(t *testing.T) {
+func TestCounterReportsAgainToNewCollector(t *testing.T) {
 	c := NewCounter(7, 6)
 	c.Record("a", 10)
 	c.Acknowledge("x", c.Pending())
--- a/internal/tier/usage/model_test.go
+++ b/internal/tier/usage/model_test.go
@@ -44,45 +44,45 @@
 	return step{rapid.SampledFrom(kinds).Draw(t, "kind"), argument.Draw(t, "a"), argument.Draw(t, "b"), argument.Draw(t, "c")}
 }), minModelSteps, maxModelSteps)
 
-// plantedFault changes how the model uses the code under test; nil functions change nothing.
-type plantedFault struct {
+// injectedFault changes how the model uses the code under test; nil functions change nothing.
+type injectedFault struct {
 	add         func(m *model, front string, report Report)
 	acknowledge func(c *Counter, collector string, report Report)
 }
 
 // model has fronts with their counters, the present collector, and what is in flight between them.
 type model struct {
-	fault     plantedFault
-	fronts    [modelFronts]*Counter
-	started   int64 // incarnations
-	collector *Collector
-	term      int // of the collector
-	reports   []sentReport
-	receipts  []sentReceipt
+	fault      injectedFault
+	fronts     [modelFronts]*Counter
+	started    int64 // incarnations
+	collector  *Collector
+	generation int // of the collector
+	reports    []reportInFlight
+	receipts   []receiptInFlight
 
-	counted   [modelFronts]tally // the truth of the incarnations that run
-	ofTheDead []deadCounts
+	counted   [modelFronts]requestCounts // the truth of the incarnations that run
+	restarted []restartedCounts
 }
 
-// deadCounts is what an incarnation has counted that was restarted, and reported to the collector of its time.
-type deadCounts struct {
-	term   int
-	counts tally
+// restartedCounts is what an incarnation has counted that was restarted, and reported to the collector of its time.
+type restartedCounts struct {
+	generation int
+	counts     requestCounts
 }
 
-type sentReport struct {
+type reportInFlight struct {
 	front   int
 	counter *Counter
 	report  Report
 }
 
-type sentReceipt struct {
+type receiptInFlight struct {
 	counter   *Counter
 	collector string
 	report    Report
 }
 
-func newModel(fault plantedFault) *model {
+func newModel(fault injectedFault) *model {
 	m := &model{fault: fault, collector: NewCollector(testParams)}
 	for front := range m.fronts {
 		m.start(front)
@@ -94,13 +94,13 @@
 func (m *model) start(front int) {
 	m.started++
 	m.fronts[front] = NewCounter(m.started, modelWindows)
-	m.counted[front] = tally{}
+	m.counted[front] = requestCounts{}
 }
 
 // run plays a history, and returns an error if the collector's counts are not the truth at its end.
 func (m *model) run(history []step) error {
 	for _, s := range history {
-		m.play(s)
+		m.apply(s)
 	}
 	for front := range m.fronts {
 		if err := m.flush(front); err != nil {
@@ -110,21 +110,21 @@
 	return m.check()
 }
 
-func (m *model) play(s step) {
+func (m *model) apply(s step) {
 	front := s.A % modelFronts
 	switch s.Kind {
 	case recordRequest:
 		m.record(front, tenantName(s.C), int64(s.B%modelWindows))
 	case sendReport:
-		m.reports = append(m.reports, sentReport{front, m.fronts[front], m.fronts[front].Pending()})
+		m.reports = append(m.reports, reportInFlight{front, m.fronts[front], m.fronts[front].Pending()})
 	case restartFront:
 		m.restart(front)
 	case changeCollector:
 		m.collector = NewCollector(testParams)
-		m.term++
+		m.generation++
 	case deliverReport, repeatReport, loseReport:
 		if len(m.reports) > 0 {
-			m.playReport(s.Kind, s.A%len(m.reports))
+			m.applyReport(s.Kind, s.A%len(m.reports))
 		}
 	case deliverReceipt, loseReceipt:
 		if len(m.receipts) > 0 {
@@ -137,7 +137,7 @@
 	}
 }
 
-func (m *model) playReport(kind stepKind, i int) {
+func (m *model) applyReport(kind stepKind, i int) {
 	if kind != loseReport {
 		m.receipts = append(m.receipts, m.add(m.reports[i]))
 	}
@@ -148,20 +148,20 @@
 
 func (m *model) record(front int, tenant string, window int64) {
 	m.fronts[front].Record(tenant, window)
-	m.counted[front][tallyKey{tenant, window}]++
+	m.counted[front][countKey{tenant, window}]++
 }
 
 // add adds a report to the collector and returns its receipt.
-func (m *model) add(sent sentReport) sentReceipt {
+func (m *model) add(sent reportInFlight) receiptInFlight {
 	if front := fmt.Sprint("front-", sent.front); m.fault.add != nil {
 		m.fault.add(m, front, sent.report)
 	} else {
 		m.collector.Add(at(0), front, sent.report)
 	}
-	return sentReceipt{sent.counter, fmt.Sprint("collector-", m.term), sent.report}
+	return receiptInFlight{sent.counter, fmt.Sprint("collector-", m.generation), sent.report}
 }
 
-func (m *model) acknowledge(receipt sentReceipt) {
+func (m *model) acknowledge(receipt receiptInFlight) {
 	if m.fault.acknowledge != nil {
 		m.fault.acknowledge(receipt.counter, receipt.collector, receipt.report)
 	} else {
@@ -175,7 +175,7 @@
 	c := m.fronts[front]
 	for range modelWindows + 2 {
 		report := c.Pending()
-		m.acknowledge(m.add(sentReport{front, c, report}))
+		m.acknowledge(m.add(reportInFlight{front, c, report}))
 		if len(c.Pending().Windows) == 0 {
 			return nil
 		}
@@ -188,21 +188,21 @@
 	if m.flush(front) != nil {
 		return
 	}
-	m.ofTheDead = append(m.ofTheDead, deadCounts{m.term, m.counted[front]})
+	m.restarted = append(m.restarted, restartedCounts{m.generation, m.counted[front]})
 	m.start(front)
 }
 
 // check compares the collector's counts with the truth. Of an incarnation that was gone before the collector began, the collector may
 // have any part of the counts.
 func (m *model) check() error {
-	least, most := tally{}, tally{}
+	least, most := requestCounts{}, requestCounts{}
 	for _, counts := range m.counted {
 		least.add(counts)
 		most.add(counts)
 	}
-	for _, dead := range m.ofTheDead {
+	for _, dead := range m.restarted {
 		most.add(dead.counts)
-		if dead.term == m.term {
+		if dead.generation == m.generation {
 			least.add(dead.counts)
 		}
 	}
@@ -210,7 +210,7 @@
 		got := m.collector.Counts(window)
 		for tenant := range modelTenants {
 			name := tenantName(tenant)
-			key := tallyKey{name, window}
+			key := countKey{name, window}
 			if got[name] < least[key] || got[name] > most[key] {
 				return errors.Newf("window %d has %d requests of %s, want %d to %d", window, got[name], name, least[key], most[key])
 			}
@@ -224,14 +224,14 @@
 }
 
 // tally is a number of requests by tenant and window.
-type tally map[tallyKey]int
+type requestCounts map[countKey]int
 
-type tallyKey struct {
+type countKey struct {
 	tenant string
 	window int64
 }
 
-func (t tally) add(other tally) {
+func (t requestCounts) add(other requestCounts) {
 	for key, count := range other {
 		t[key] += count
 	}
@@ -241,18 +241,18 @@
 
 // The collector's counts equal the truth, whatever becomes of reports and receipts, fronts and collectors, as long as no front took
 // counts with it that the collector has not got.
-func TestCollectorCountsTheTruth(t *testing.T) {
+func TestCollectorCountsEqualRequestsMade(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := newModel(plantedFault{}).run(histories.Draw(t, "history")); err != nil {
+		if err := newModel(injectedFault{}).run(histories.Draw(t, "history")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestModelFindsPlantedFaults checks that the property fails with each planted fault.
-func TestModelFindsPlantedFaults(t *testing.T) {
+// TestModelDetectsInjectedFaults checks that the property fails with each planted fault.
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	const drawn = 200
-	for name, fault := range map[string]plantedFault{
+	for name, fault := range map[string]injectedFault{
 		"reports are added up": {add: func(m *model, front string, report Report) {
 			m.started++
 			report.Incarnation = -m.started
--- a/internal/tier/usage/schedule.go
+++ b/internal/tier/usage/schedule.go
@@ -53,7 +53,7 @@
 
 // Due returns the oldest window that is to be recorded now. Windows that ended longer than twice LateAfter ago are given up.
 func (s Schedule) Due(now time.Time, progress Progress) (window int64, ok bool) {
-	first, last := max(progress.First, s.Oldest(now)), WindowAt(now.Add(-s.Settle), s.WindowLength)-1
+	first, last := max(progress.First, s.OldestRetained(now)), WindowAt(now.Add(-s.Settle), s.WindowLength)-1
 	for window := first; window <= last; window++ {
 		if !slices.Contains(progress.Recorded, window) && !now.Before(s.dueAt(window, progress.CollectingSince)) {
 			return window, true
@@ -62,8 +62,8 @@
 	return 0, false
 }
 
-// Oldest returns the oldest window that is not given up.
-func (s Schedule) Oldest(now time.Time) int64 {
+// OldestRetained returns the oldest window that is not given up.
+func (s Schedule) OldestRetained(now time.Time) int64 {
 	from := now.Add(-2 * s.LateAfter)
 	oldest := WindowAt(from, s.WindowLength)
 	if WindowEnd(oldest-1, s.WindowLength).Equal(from) { // it ended just then
--- a/internal/tier/usage/schedule_test.go
+++ b/internal/tier/usage/schedule_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestDue(t *testing.T) {
+func TestDueWindow(t *testing.T) {
 	const none = -1
 	// Window 200 ends at 1005 s, settles by 1007.5 s, has to be recorded by 1012 s and is given up behind 1025 s.
 	through := func(last int64) []int64 {
@@ -70,7 +70,7 @@
 }
 
 // A collector that runs on records each window once, in order and in time.
-func TestDueOverTime(t *testing.T) {
+func TestEachWindowIsDueOnceInOrder(t *testing.T) {
 	var recorded []int64
 	start := time.Unix(1000, 0)
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(100 * time.Millisecond) {
--- a/internal/tier/usage/truetime_test.go
+++ b/internal/tier/usage/truetime_test.go
@@ -13,8 +13,8 @@
 var trueStart = time.Unix(1_700_000_000, 0) // the true time at 0 of the monotonic clock
 
 // sampleOf returns a sample, taken at a time, of a clock that is wrong by a time. Of the round trip, the way back took a part.
-func sampleOf(node string, wrongBy, at, roundTrip, back time.Duration) ClockSample {
-	return ClockSample{Node: node, Wall: trueStart.Add(at - back + wrongBy), RoundTrip: roundTrip, ReceivedAt: at}
+func sampleOf(node string, offset, at, roundTrip, back time.Duration) ClockSample {
+	return ClockSample{Node: node, Wall: trueStart.Add(at - back + offset), RoundTrip: roundTrip, ReceivedAt: at}
 }
 
 // errorAt returns by how much an estimate is wrong at a time.
@@ -52,7 +52,7 @@
 }
 
 // With up to a third of the clocks stepped, either way and at any time, the estimate is right once every peer was sampled.
-func TestTrueTimeWithAThirdStepped(t *testing.T) {
+func TestTrueTimeToleratesThirdOfClocksStepped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 12).Draw(t, "clocks")
 		stepped := rapid.SliceOfNDistinct(rapid.IntRange(0, n-1), 0, n/3, rapid.ID[int]).Draw(t, "stepped")
