--- a/internal/tier/fencedcall/client.go
+++ b/internal/tier/fencedcall/client.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Header fields of a call.
+// HTTP header fields of a call.
 const (
 	holderHeader = "X-Duty-Holder"
 	tokenHeader  = "X-Fence-Token"
@@ -26,22 +26,22 @@
 	maxResponseBody = 1 << 16 // bytes
 )
 
-// Outcome is what is known of a call after it.
+// Outcome is what the caller knows about a call that has ended.
 type Outcome int
 
 // The outcomes.
 const (
-	Accepted Outcome = iota + 1 // the platform has applied it, or had applied it before
-	Refused                     // the platform has seen a higher token
-	Busy                        // not applied: over the rate, or the platform is overloaded
-	Invalid                     // not applied, and no repetition will be
-	NotSent                     // no byte of it left, as the fence did not permit it
+	Accepted Outcome = iota + 1 // the platform has applied it, now or on an earlier attempt
+	Refused                     // the platform has seen a higher fencing token
+	Busy                        // not applied: rate limit exceeded, or the platform is overloaded
+	Invalid                     // not applied, and a retry would not be applied either
+	NotSent                     // no byte was sent: the fence did not permit it, or no connection was made
 	Unknown                     // it may have been applied
 )
 
 var outcomeNames = [...]string{"none", "accepted", "refused", "busy", "invalid", "not sent", "unknown"}
 
-// String returns the outcome's name.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return "outcome " + strconv.Itoa(int(o))
@@ -49,13 +49,13 @@
 	return outcomeNames[o]
 }
 
-// Fence reports whether a call with a token may leave now.
+// Fence reports whether a call with a token may be sent now.
 type Fence func(token int64) bool
 
-// errFenced reports that the fence did not permit a write.
-var errFenced = errors.New("the lease is over: the call was not sent")
+// errFenced is returned for a call or write that the fence did not permit.
+var errFenced = errors.New("lease expired or lost: call not sent")
 
-// Client calls the platform. It makes one call at a time and is safe for concurrent use.
+// Client makes calls to the platform, one at a time. It is safe for concurrent use.
 type Client struct {
 	addr, holder string
 	fence        Fence
@@ -63,15 +63,15 @@
 
 	mu        sync.Mutex   // held during a call
 	token     atomic.Int64 // of the call
-	bytesSent atomic.Bool  // some bytes of the call have left
+	bytesSent atomic.Bool  // the call has written to the connection
 }
 
-// NewClient returns a client of the platform at an address, HOST:PORT, that calls as a holder. Close must be called at the end.
+// NewClient returns a client of the platform at an address, HOST:PORT, that names itself as the holder. The caller must call Close.
 func NewClient(addr, holder string, fence Fence) *Client {
 	c := &Client{addr: addr, holder: holder, fence: fence}
 	transport := &http.Transport{DialContext: c.dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout, Proxy: nil}
 	c.httpClient = &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse // a call goes to the platform's address and nowhere else
+		return http.ErrUseLastResponse // calls go to the configured address only
 	}}
 	return c
 }
@@ -87,12 +87,12 @@
 		return nil, err
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // what a closed connection has not sent is dropped
+		_ = tcp.SetLinger(0) // closing the connection discards unsent data
 	}
 	return &fencedConn{Conn: conn, client: c}, nil
 }
 
-// fencedConn is a connection that asks the fence before each write.
+// fencedConn is a connection that checks the fence before each write.
 type fencedConn struct {
 	net.Conn
 	client *Client
@@ -106,8 +106,8 @@
 	return f.Conn.Write(b)
 }
 
-// Post makes a call with a JSON body, under a token, and returns what is known of it. The error gives the reason of every outcome
-// but Accepted.
+// Post makes a call with a JSON body under a fencing token and returns its outcome. For every outcome but Accepted the error gives
+// the reason.
 func (c *Client) Post(ctx context.Context, path string, token int64, body []byte) (Outcome, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,11 +131,11 @@
 		return Unknown, err
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBody)) // so that the connection can be used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBody)) // lets the connection be reused
 	return outcomeOf(response.StatusCode)
 }
 
-// outcomeOf returns the outcome that a status stands for.
+// outcomeOf returns the outcome for a response status.
 func outcomeOf(status int) (Outcome, error) {
 	switch {
 	case status >= 200 && status < 300:
@@ -143,9 +143,9 @@
 	case status == http.StatusConflict:
 		return Refused, errors.New("the platform has seen a higher fencing token")
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		return Busy, errors.Newf("the platform answers %d: call less often", status)
+		return Busy, errors.Newf("the platform responded %d: rate limited or overloaded", status)
 	case status >= 500 || status < 400:
-		return Unknown, errors.Newf("the platform answers %d", status)
+		return Unknown, errors.Newf("the platform responded %d", status)
 	}
-	return Invalid, errors.Newf("the platform answers %d: the call is not as it wants it", status)
+	return Invalid, errors.Newf("the platform responded %d: request not valid", status)
 }
--- a/internal/tier/fencedcall/client_test.go
+++ b/internal/tier/fencedcall/client_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// platform records the calls that it got complete, and answers them with a status.
+// platform records the calls whose body it received completely, and responds with a fixed status.
 type platform struct {
 	mu     sync.Mutex
 	calls  []string
@@ -64,10 +64,10 @@
 		p, addr := startPlatform(t, status)
 		got, err := newTestClient(t, addr, permitAll).Post(context.Background(), "/scale", 12, []byte(`{"desired":6}`))
 		if got != want || (err == nil) != (want == Accepted) {
-			t.Errorf("%d: the outcome is %s, %v; want %s", status, got, err, want)
+			t.Errorf("status %d: outcome %s, %v; want %s", status, got, err, want)
 		}
 		if got, want := p.log(), `/scale core-1 12 {"desired":6}`; got != want {
-			t.Errorf("the platform got %q, want %q", got, want)
+			t.Errorf("the platform received %q, want %q", got, want)
 		}
 	}
 }
@@ -76,11 +76,11 @@
 	p, addr := startPlatform(t, 200)
 	got, err := newTestClient(t, addr, func(int64) bool { return false }).Post(context.Background(), "/usage", 1, nil)
 	if got != NotSent || err == nil || p.log() != "" {
-		t.Errorf("the outcome is %s, %v; the platform got %q", got, err, p.log())
+		t.Errorf("outcome %s, %v; the platform received %q", got, err, p.log())
 	}
 }
 
-// Guards against calls of a holder that stood still between its check and the call: the lease ends before the bytes leave.
+// A holder that is paused between its check of the lease and the write must not send the call once the lease has ended.
 func TestFenceIsAskedBeforeEachWrite(t *testing.T) {
 	for name, permitted := range map[string]int64{"at the first write": 1, "within a long call": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -90,10 +90,10 @@
 			long := []byte(`"` + strings.Repeat("x", 1<<20) + `"`)
 			got, err := newTestClient(t, addr, fence).Post(context.Background(), "/usage", 1, long)
 			if got == Accepted || err == nil || p.log() != "" {
-				t.Errorf("the outcome is %s, %v; the platform got %d bytes", got, err, len(p.log()))
+				t.Errorf("outcome %s, %v; the platform received %d bytes", got, err, len(p.log()))
 			}
 			if permitted == 1 && got != NotSent {
-				t.Errorf("the outcome is %s, want %s", got, NotSent)
+				t.Errorf("outcome %s, want %s", got, NotSent)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-// A call goes to the platform's address and nowhere else, whatever it answers.
+// Calls go to the configured address only, also if the platform responds with a redirect.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var elsewhere atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
--- a/internal/tier/scaling/planner.go
+++ b/internal/tier/scaling/planner.go
@@ -9,78 +9,79 @@
 
 // Params are the parameters of a Planner. Start from DefaultParams.
 type Params struct {
-	// TargetUtilization is the share of the slots of the hosts that calls should use on average: above 0, at most 1. The rest is for
-	// uneven load and for bursts until new hosts have started.
+	// TargetUtilization is the share of the hosts' slots that calls should use on average: above 0, at most 1. The rest is headroom
+	// for uneven load and for bursts until new hosts have started.
 	TargetUtilization float64
-	// DownDelay is the time for which the demand has to ask for fewer hosts before they are ordered.
+	// DownDelay is how long the demand must need fewer hosts before the number is lowered.
 	DownDelay time.Duration
 }
 
-// DefaultParams returns the parameters in service.
+// DefaultParams returns the parameters used in production.
 func DefaultParams() Params { return Params{TargetUtilization: 0.4, DownDelay: 5 * time.Second} }
 
-// Check returns an error for parameters that make no sense, with the field and the remedy.
+// Check returns an error that names the field and its valid range if a parameter is out of range.
 func (p Params) Check() error {
 	switch {
 	case !(p.TargetUtilization > 0 && p.TargetUtilization <= 1):
-		return errors.New("scaling parameters: TargetUtilization: give a share above 0, at most 1")
+		return errors.New("scaling parameters: TargetUtilization must be above 0 and at most 1")
 	case p.DownDelay < 0:
-		return errors.New("scaling parameters: DownDelay: give a time of 0 or above")
+		return errors.New("scaling parameters: DownDelay must not be negative")
 	}
 	return nil
 }
 
-// Subject is what one order is about.
+// Subject identifies the hosts that are scaled together, by one order: those of a service in a zone.
 type Subject struct{ Service, Zone string }
 
-// Demand is what is known of a subject at a time.
+// Demand is the demand of a subject at a point in time, with the bounds and the listed hosts.
 type Demand struct {
 	Min, Max    int     // bounds of the number of hosts; Min is at most Max
-	Hosts       int     // listed that are not about to leave
+	Hosts       int     // listed hosts that are not leaving
 	Slots       int     // of one host; above 0
 	Concurrency float64 // calls in flight at the hosts of the subject
 }
 
-// Planner plans the numbers of hosts. It is not safe for concurrent use. Times do not go back.
+// Planner plans the numbers of hosts. It is not safe for concurrent use. The times that it is given must not decrease.
 type Planner struct {
 	params   Params
 	subjects map[Subject]*subjectState
 }
 
-// subjectState is what the planner keeps of a subject.
+// subjectState is the planner's state of a subject.
 type subjectState struct {
 	hosts       int // number that was sent last, or that was listed at the start
 	orderState  orderState
 	firstSeenAt time.Duration
-	recentNeeds []sample // numbers that the demand asked for within DownDelay, falling; the oldest first
+	recentNeeds []sample // numbers that the demand needed within DownDelay, strictly decreasing, the oldest first
 }
 
-// standing is what is known of the number of a subject.
+// orderState says whether the number of a subject is in force.
 type orderState int
 
 const (
 	noOrderSent orderState = iota // as listed when the subject was first planned: nothing was sent so far
-	inDoubt                       // sent, but not known to be accepted: that number or an earlier one is in force
+	inDoubt                       // sent, but not known to be accepted: either this number or an earlier one is in force
 	accepted                      // in force
 )
 
-// sample is a number of hosts that the demand asked for at a time.
+// sample is the number of hosts that the demand needed at a time.
 type sample struct {
 	at    time.Duration
 	hosts int
 }
 
-// NewPlanner returns a planner that has ordered nothing. The parameters must pass Params.Check.
+// NewPlanner returns a planner that has made no order. The parameters must pass Params.Check.
 func NewPlanner(params Params) *Planner {
 	return &Planner{params: params, subjects: map[Subject]*subjectState{}}
 }
 
-// Plan takes the demand of a subject and returns the number of hosts to order; ok is false if no order is due. Until Ordered is called,
-// an order stays due:
-//   - the first one of a subject, at once if more hosts than listed are needed, else once the demand was seen for DownDelay;
-//   - after OrderInDoubt, the number that should be in force;
-//   - after Ordered, a number that differs: a higher one at once, as is one that brings the number within new bounds, and a lower one
-//     after DownDelay.
+// Plan takes the demand of a subject and returns the number of hosts to order; ok is false if no order is due. An order stays due
+// until OrderAccepted is called. An order is due
+//   - for a subject without an order so far: at once if more hosts than listed are needed, else once the demand was observed for
+//     DownDelay;
+//   - after OrderInDoubt: always, for the number that should be in force;
+//   - after OrderAccepted: for a number that differs, at once if it is higher or brings the number within new bounds, else after
+//     DownDelay.
 func (p *Planner) Plan(now time.Duration, subject Subject, demand Demand) (hosts int, ok bool) {
 	state := p.subjects[subject]
 	if state == nil {
@@ -116,17 +117,17 @@
 	return demand.clamp(s.hosts)
 }
 
-// clamp returns the number of hosts within the bounds that is next to a number.
+// clamp limits a number of hosts to the bounds.
 func (d Demand) clamp(hosts int) int { return max(d.Min, min(hosts, d.Max)) }
 
-// wanted returns the number of hosts that a demand asks for.
+// hostsNeeded returns the number of hosts that a demand needs, within its bounds.
 func (p *Planner) hostsNeeded(demand Demand) int {
 	needed := math.Ceil(demand.Concurrency / (float64(max(1, demand.Slots)) * p.params.TargetUtilization))
 	return demand.clamp(int(min(needed, math.MaxInt32)))
 }
 
-// add adds a sample and drops those before a time. Of the rest only those are kept that no later one reaches, so that the first one is
-// the highest.
+// addSample adds a sample and drops those before a time. It keeps only samples that are higher than all later ones, so that the
+// first one is the maximum.
 func (s *subjectState) addSample(newest sample, before time.Duration) {
 	for len(s.recentNeeds) > 0 && s.recentNeeds[len(s.recentNeeds)-1].hosts <= newest.hosts {
 		s.recentNeeds = s.recentNeeds[:len(s.recentNeeds)-1]
@@ -137,13 +138,13 @@
 	}
 }
 
-// Ordered notes that an order was accepted: its number is in force.
+// OrderAccepted records that an order was accepted: its number is in force.
 func (p *Planner) OrderAccepted(subject Subject, hosts int) { p.recordOrder(subject, hosts, accepted) }
 
-// OrderInDoubt notes that an order was sent and may have taken effect or not. An order that did not leave is not noted.
+// OrderInDoubt records that an order was sent and may or may not have taken effect. It is not called for an order that was not sent.
 func (p *Planner) OrderInDoubt(subject Subject, hosts int) { p.recordOrder(subject, hosts, inDoubt) }
 
-// sent notes an order.
+// recordOrder records an order that was sent.
 func (p *Planner) recordOrder(subject Subject, hosts int, standing orderState) {
 	if state := p.subjects[subject]; state != nil {
 		state.hosts, state.orderState = hosts, standing
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -14,12 +14,12 @@
 	testSubject = Subject{"redactor", "north"}
 )
 
-// demandOf is a demand for a number of hosts of ten slots, of which half should be in use.
+// demandOf returns a demand for a number of hosts with ten slots each, half of which should be in use.
 func demandOf(hosts float64) Demand {
 	return Demand{Min: 2, Max: 10, Hosts: 4, Slots: 10, Concurrency: hosts * 5}
 }
 
-// play plans once a second and returns the orders, 0 for none.
+// planEachSecond plans once a second and returns the orders, 0 for none. Each order is accepted.
 func planEachSecond(p *Planner, demands ...float64) (orders []int) {
 	for i, d := range demands {
 		hosts, ok := p.Plan(time.Duration(i)*time.Second, testSubject, demandOf(d))
@@ -72,7 +72,7 @@
 	}
 }
 
-// Failure: an order that timed out but took effect is taken as not made, and nothing is ordered when the demand is back.
+// An order that timed out may have taken effect: when the demand returns, the planner must order again.
 func TestOrderInDoubtIsFollowedByAnother(t *testing.T) {
 	p := NewPlanner(testParams)
 	if got := planEachSecond(p, 6, 6, 6, 6, 6, 3, 3, 3, 3, 3); got[0] != 6 {
@@ -95,7 +95,8 @@
 	}
 }
 
-// Failure: a number that an earlier holder ordered, beyond the bounds of now, stays in force since fewer hosts were listed at the start.
+// A number that an earlier lease holder ordered may be outside the present bounds while fewer hosts are listed at the start. It must
+// not stay in force: the planner orders its own number once.
 func TestInheritedNumberIsOrderedOnce(t *testing.T) {
 	p := NewPlanner(testParams)
 	var orders []int
@@ -114,7 +115,7 @@
 	}
 }
 
-// Failure: a number that is above a new maximum, or below a new minimum, stays in force for DownDelay or longer.
+// A number above a new maximum, or below a new minimum, must be replaced at once, without waiting for DownDelay.
 func TestNewBoundsApplyAtOnce(t *testing.T) {
 	for _, bounds := range []Demand{{Min: 1, Max: 6, Hosts: 4, Slots: 10}, {Min: 9, Max: 10, Hosts: 4, Slots: 10}} {
 		p := NewPlanner(testParams)
@@ -137,9 +138,9 @@
 	}
 }
 
-// Whatever the demand, the bounds and the outcomes: numbers stay within the bounds, are enough for the demand, and are never lowered
-// below a demand of the last DownDelay. Where no order is due, the platform has the number that was ordered last, and after DownDelay
-// there is one.
+// For any sequence of demands, bounds and outcomes: numbers stay within the bounds, meet the demand, and are never lowered below what
+// the demand needed within the last DownDelay. If no order is due, the platform has the number that was ordered last; after DownDelay
+// an order has been made.
 func TestRandomDemandsKeepBoundsAndDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPlanner(testParams)
@@ -167,16 +168,16 @@
 	})
 }
 
-// planHistory is what happened so far in a random test.
+// planHistory records the demands and orders of a random test.
 type planHistory struct {
 	history  []sample // demands
 	last     int      // number that was sent last, or that was listed at the start
-	sent     bool     // an order
-	accepted bool     // the last order that was sent
+	sent     bool     // at least one order was sent
+	accepted bool     // the last order that was sent was accepted
 	platform int      // the number in force
 }
 
-// send has an order accepted, or be in doubt and take effect or not, or not leave.
+// send draws the outcome of an order: accepted, in doubt with or without effect, or not sent.
 func (c *planHistory) send(t *rapid.T, p *Planner, hosts int) {
 	switch rapid.SampledFrom([]string{"accepted", "accepted", "lost", "lost answer", "not sent"}).Draw(t, "outcome") {
 	case "accepted":
@@ -191,13 +192,13 @@
 	}
 }
 
-// checkOrder checks an order against what happened so far.
+// checkOrder checks an order against the history.
 func (c *planHistory) checkOrder(t *rapid.T, hosts int, bounds Demand) {
 	now := c.history[len(c.history)-1]
 	if hosts < bounds.Min || hosts > bounds.Max || hosts < now.hosts || c.accepted && hosts == c.last {
 		t.Fatalf("ordered %d after %d", hosts, c.last)
 	}
-	forBounds := c.sent && hosts == bounds.Max // lowered at once, since the number is above the maximum
+	forBounds := c.sent && hosts == bounds.Max // lowered at once, since the number was above the maximum
 	if hosts >= c.last || forBounds {
 		return
 	}
@@ -211,7 +212,7 @@
 	}
 }
 
-// checkNoOrder checks that no order is due.
+// checkNoOrder checks that it was right to make no order.
 func (c *planHistory) checkNoOrder(t *rapid.T, bounds Demand) {
 	now := c.history[len(c.history)-1]
 	switch {
--- a/internal/tier/usage/collector.go
+++ b/internal/tier/usage/collector.go
@@ -10,27 +10,27 @@
 type CollectorParams struct {
 	// WindowLength is the length of a window; above 0.
 	WindowLength time.Duration
-	// Retention is the time for which windows are retained from their end on, and sources from their last report on. Windows that
-	// begin later than that after the present time are not added.
+	// Retention is how long windows are retained after their end, and sources after their last report. Windows that begin later than
+	// that after the present time are not added.
 	Retention time.Duration
-	// LoadHistory is the time for which reported loads are retained.
+	// LoadHistory is how long reported loads are retained.
 	LoadHistory time.Duration
 }
 
-// DefaultCollectorParams returns the parameters in service for a window length and the time after a window's end by which it has
-// to be recorded.
+// DefaultCollectorParams returns the parameters used in production for a window length and the time after a window's end by which it
+// must be recorded.
 func DefaultCollectorParams(windowLength, lateAfter time.Duration) CollectorParams {
 	return CollectorParams{WindowLength: windowLength, Retention: 2*lateAfter + 2*windowLength, LoadHistory: 15 * time.Second}
 }
 
-// Now is a point in time on two clocks of a node.
+// Now is the present time on two clocks of a node.
 type Now struct {
 	Mono time.Duration // on the monotonic clock, since any fixed point
-	True time.Time     // by TrueTime; it may step
+	True time.Time     // as estimated by TrueTime; it may step
 }
 
-// Collector adds up the counts that fronts report. It is not safe for concurrent use. Its memory is bounded by its parameters
-// and the number of sources that report.
+// Collector sums the counts that fronts report. It is not safe for concurrent use. Its memory is bounded by its parameters and the
+// number of reporting sources.
 type Collector struct {
 	params  CollectorParams
 	windows map[int64]map[source]map[string]int64 // counts by window, source and tenant
@@ -43,13 +43,13 @@
 	incarnation int64
 }
 
-// sourceState is what is known of a source besides its counts.
+// sourceState is the state of a source besides its counts.
 type sourceState struct {
-	lastReportAt time.Duration // of its last report
+	lastReportAt time.Duration // on the monotonic clock
 	loads        []loadSample  // by time
 }
 
-// loadSample is the loads of one report.
+// loadSample is the loads after one report.
 type loadSample struct {
 	at     time.Duration
 	busyMs map[destination]int64 // cumulative
@@ -60,7 +60,7 @@
 	return &Collector{params: params, windows: map[int64]map[source]map[string]int64{}, sources: map[source]*sourceState{}}
 }
 
-// Add adds a report of a front, in any order and any number of times.
+// Add adds a report of a front. Reports may be added in any order and repeatedly.
 func (c *Collector) Add(now Now, front string, report Report) {
 	c.Expire(now)
 	from := source{front, report.Incarnation}
@@ -79,7 +79,7 @@
 	state.expireLoads(now.Mono - c.params.LoadHistory)
 }
 
-// Forget forgets the windows and sources that are beyond the retention.
+// Expire drops the windows and sources that are beyond the retention.
 func (c *Collector) Expire(now Now) {
 	for number := range c.windows {
 		if !c.retains(now, number) {
@@ -93,13 +93,13 @@
 	}
 }
 
-// retains reports whether a window is within the retention.
+// retains reports whether a window is within the retention of the present time.
 func (c *Collector) retains(now Now, window int64) bool {
 	length := c.params.WindowLength
 	return window >= WindowAt(now.True.Add(-c.params.Retention), length) && window <= WindowAt(now.True.Add(c.params.Retention), length)
 }
 
-// addWindow adds a window of a source: of each count the larger one holds.
+// addWindow adds a window of a source. Counts are cumulative, so the larger of two counts is kept.
 func (c *Collector) addWindow(from source, w Window) {
 	bySource := c.windows[w.Number]
 	if bySource == nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// Counts returns the counts of a window by tenant, over all sources. Tenants without a request are left out.
+// Counts returns the counts of a window by tenant, summed over all sources. Tenants without a request are omitted.
 func (c *Collector) Counts(window int64) map[string]int {
 	total := map[string]int{}
 	for _, counts := range c.windows[window] {
@@ -129,7 +129,7 @@
 	return total
 }
 
-// FrontsSince returns the sorted names of the fronts of which a report came at a time of the monotonic clock or later.
+// FrontsSince returns the sorted names of the fronts whose last report arrived at or after a time of the monotonic clock.
 func (c *Collector) FrontsSince(since time.Duration) []string {
 	var fronts []string
 	for from, state := range c.sources {
@@ -147,9 +147,9 @@
 	Concurrency   float64
 }
 
-// LoadSince returns the loads from a time of the monotonic clock on, sorted by service and zone. A source counts once two reports
-// of it are retained, by the last one and the newest one from before that time, or the oldest one. A source of which nothing came
-// since then does not count. A call counts when its end is reported.
+// LoadSince returns the loads since a time of the monotonic clock, sorted by service and zone. The load of a source is measured from
+// the newest retained report at or before that time, or else the oldest one, to its last report; it needs two retained reports. A
+// source without a report since that time does not count. A call counts when its end is reported.
 func (c *Collector) LoadSince(since time.Duration) []Load {
 	total := map[destination]float64{}
 	for _, state := range c.sources {
--- a/internal/tier/usage/counter.go
+++ b/internal/tier/usage/counter.go
@@ -8,36 +8,36 @@
 	"time"
 )
 
-// Counter counts the requests that one source began, and how long its calls took. It is safe for concurrent use. Its memory is
-// bounded by the number of windows that it retains, of tenants, and of services with their zones.
+// Counter counts the requests that one source started, and sums how long its calls took. It is safe for concurrent use. Its memory is
+// bounded by the number of retained windows, of tenants, and of services with their zones.
 type Counter struct {
 	incarnation int64
 	maxWindows  int
 
 	mu        sync.Mutex
-	windows   []*windowCounts // in the order in which they were begun
+	windows   []*windowCounts // in the order of their first request
 	busy      map[destination]time.Duration
-	collector string // that gave the last receipt; empty before the first
+	collector string // sender of the last receipt; empty before the first
 }
 
-// counted is a window in which requests were counted.
+// windowCounts is the counts of a window.
 type windowCounts struct {
 	number       int64
 	counts       map[string]int64 // by tenant
 	total        int64            // of all counts
-	acknowledged int64            // of total, by the current collector
+	acknowledged int64            // part of total that the current collector has acknowledged
 }
 
-// destination is the hosts of a service in a zone.
+// destination identifies the hosts of a service in a zone.
 type destination struct{ service, zone string }
 
-// NewCounter returns a counter of an incarnation of a front. It retains the windows that were begun last, up to maxWindows, which
-// is 1 or above.
+// NewCounter returns a counter for an incarnation of a front. It retains the newest maxWindows windows by their first request;
+// maxWindows is at least 1.
 func NewCounter(incarnation int64, maxWindows int) *Counter {
 	return &Counter{incarnation: incarnation, maxWindows: max(1, maxWindows), busy: map[destination]time.Duration{}}
 }
 
-// Record counts a request of a tenant that began in a window.
+// Record counts a request of a tenant that started in a window.
 func (c *Counter) Record(tenant string, window int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,15 +53,15 @@
 	w.total++
 }
 
-// AddBusy adds the time that a call to a host of a service in a zone took.
+// AddBusy adds the duration of a call to a host of a service in a zone.
 func (c *Counter) AddBusy(service, zone string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy[destination{service, zone}] += max(0, took)
 }
 
-// Pending returns a report of the windows that the current collector has not acknowledged with their present counts, and of all
-// loads. Without such a window there is nothing that has to be reported.
+// Pending returns a report of the windows whose present counts the current collector has not acknowledged, and of all loads. If it
+// has no window, no report is required.
 func (c *Counter) Pending() Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,8 +81,8 @@
 	return report
 }
 
-// Acknowledge records that a collector has added a report of this counter. If it is another collector than that of the last
-// receipt, it is the current one from now on and lacks all other windows.
+// Acknowledge records that a collector has added a report of this counter. A collector other than that of the last receipt becomes
+// the current one; the windows that are not in this report count as not acknowledged by it.
 func (c *Counter) Acknowledge(collector string, report Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// find returns a retained window, nil if there is none of this number. c.mu must be held.
+// findWindow returns the retained window with a number, nil if there is none. c.mu must be held.
 func (c *Counter) findWindow(window int64) *windowCounts {
 	for _, w := range slices.Backward(c.windows) {
 		if w.number == window {
--- a/internal/tier/usage/doc.go
+++ b/internal/tier/usage/doc.go
@@ -1,19 +1,19 @@
-// Package usage counts, for each tenant and window of time, the requests that hosts began to run.
+// Package usage counts the requests that hosts started to process, by tenant and time window.
 //
-// A Counter at each front counts. Fronts report to a Collector at the head, which adds the counts of all fronts up. A Schedule says
-// which window is due to be recorded, and TrueTime estimates the time that windows are numbered by.
+// Each front has a Counter. Fronts report to a Collector at the head, which sums the counts of all fronts. A Schedule determines which
+// window is due to be recorded, and TrueTime estimates the time by which windows are numbered.
 //
 // # Reports
 //
-// Counts in reports are cumulative for a source, which is one incarnation of a front, and a window. So reports may be lost,
-// repeated and reordered: of two counts of a source the larger one holds, and the counts of different sources add up. A collector
-// keeps its counts in memory. A front that gets a receipt of another collector than before reports all windows that it retains once
-// more, so that a new head has the counts of each front that runs. What a front has counted and not reported is lost with it.
+// Counts in reports are cumulative for each source (one incarnation of a front) and window. Reports may therefore be lost, repeated and
+// reordered: of two counts of a source the larger one is valid, and the counts of different sources are summed. A collector keeps its
+// counts in memory only. A front that gets a receipt from a different collector reports all windows that it retains again, so that a
+// new head gets the counts of every running front. Counts that a front has not reported when it stops are lost.
 //
 // # Windows
 //
-// Window k begins k times the window length after the beginning of 1970, in true time. Nodes' wall clocks may be wrong by
-// seconds, and may step; windows are found by TrueTime, whose estimate is a median over the clocks of several nodes and goes on
+// Window k begins k window lengths after the Unix epoch, in true time. The wall clocks of nodes may be wrong by seconds, and may step;
+// windows are therefore numbered by TrueTime, which estimates the time as the median over the clocks of several nodes and advances it
 // with the node's own monotonic clock.
 //
 // The package is pure: no I/O, no clock, no goroutines.
@@ -33,21 +33,21 @@
 	Count  int64
 }
 
-// ServiceLoad is how long calls of one source to the hosts of a service in a zone have taken together since its start.
+// ServiceLoad is the total duration of the calls of one source to the hosts of a service in a zone since the source started.
 type ServiceLoad struct {
 	Service string
 	Zone    string
 	BusyMs  int64 // cumulative
 }
 
-// Report is what a source sends to the collector. The zero value is empty.
+// Report is the report of a source to the collector. The zero value is empty.
 type Report struct {
 	Incarnation int64         // of the front; no two incarnations of a front have the same
 	Windows     []Window      // sorted by number
 	Loads       []ServiceLoad // sorted by service and zone
 }
 
-// WindowAt returns the number of the window that a time is in.
+// WindowAt returns the number of the window that contains a time.
 func WindowAt(t time.Time, length time.Duration) int64 {
 	ns := t.UnixNano()
 	number := ns / int64(length)
@@ -57,7 +57,7 @@
 	return number
 }
 
-// WindowEnd returns the end of a window, which is the beginning of the next one.
+// WindowEnd returns the end of a window, which is the start of the next one.
 func WindowEnd(number int64, length time.Duration) time.Time {
 	return time.Unix(0, (number+1)*int64(length))
 }
--- a/internal/tier/usage/load.go
+++ b/internal/tier/usage/load.go
@@ -11,7 +11,7 @@
 	return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.zone, b.zone))
 }
 
-// addLoads adds the loads of a report. A report that was overtaken by a later one changes nothing.
+// addLoads adds the loads of a report. A report that arrives after a newer one does not lower any value.
 func (s *sourceState) addLoads(now time.Duration, loads []ServiceLoad) {
 	if len(loads) == 0 {
 		return
@@ -31,7 +31,7 @@
 	s.loads = append(s.loads, next)
 }
 
-// expireLoads forgets the samples before a time, except for the newest of them, with which the time behind it is measured.
+// expireLoads drops the samples before a time, except for the newest of them, which is the base for measuring the time after it.
 func (s *sourceState) expireLoads(before time.Duration) {
 	old := 0
 	for old+1 < len(s.loads) && s.loads[old+1].at <= before {
@@ -40,7 +40,7 @@
 	s.loads = slices.Delete(s.loads, 0, old)
 }
 
-// addConcurrency adds the mean number of calls in flight of a source since a time, by destination.
+// addConcurrency adds the source's mean number of calls in flight since a time to the totals, by destination.
 func (s *sourceState) addConcurrency(total map[destination]float64, since time.Duration) {
 	if len(s.loads) < 2 || s.loads[len(s.loads)-1].at < since {
 		return
--- a/internal/tier/usage/truetime.go
+++ b/internal/tier/usage/truetime.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	maxClocks          = 64                     // of which samples are kept
-	samplesPerClock    = 8                      // of which the one with the shortest round trip counts
-	maxSampleRoundTrip = time.Second            // samples with a longer one are not used
-	stepThreshold      = 250 * time.Millisecond // beyond the uncertainty of two samples of a clock: it was stepped in between
+	maxClocks          = 64                     // number of clocks of which samples are kept
+	samplesPerClock    = 8                      // samples kept of a clock; the one with the shortest round trip is used
+	maxSampleRoundTrip = time.Second            // samples with a longer round trip are dropped
+	stepThreshold      = 250 * time.Millisecond // two samples that differ by this beyond their uncertainty show a step of the clock
 )
 
-// EstimateWeight is the weight of a sample that is itself an estimate over several clocks: it prevails over the node's own clock.
+// EstimateWeight is the weight of a sample that is itself an estimate over several clocks: it outweighs the node's own clock.
 const EstimateWeight = 2
 
-// TrueTime estimates the true time, while some wall clocks are wrong, as the weighted median of the clocks' offsets to the
-// monotonic clock of this node. The wall clock of the node counts as it was at the start: a later step of it has no effect. It
-// is safe for concurrent use.
+// TrueTime estimates the true time although some wall clocks may be wrong, as the weighted median of the clocks' offsets to the
+// monotonic clock of this node. This node's own wall clock is read once, at the start: a later step of it has no effect. TrueTime is
+// safe for concurrent use.
 type TrueTime struct {
 	mu        sync.Mutex
-	localWall time.Time // wall clock of this node at 0 of the monotonic clock
+	localWall time.Time // wall clock of this node when its monotonic clock was 0
 	clocks    []clock   // of other nodes, in the order in which they were first sampled
 	offset    time.Duration
 }
@@ -36,25 +36,25 @@
 
 // offsetSample is one reading of a clock.
 type offsetSample struct {
-	offset    time.Duration // to the own wall clock as of the start
+	offset    time.Duration // to localWall
 	roundTrip time.Duration
 }
 
 // ClockSample is a reading of the wall clock of another node.
 type ClockSample struct {
 	Node       string
-	Wall       time.Time     // as the node answered
-	RoundTrip  time.Duration // of the call in which it answered
+	Wall       time.Time     // in the node's response
+	RoundTrip  time.Duration // of the call
 	ReceivedAt time.Duration // on the monotonic clock of this node
-	Weight     int           // EstimateWeight for an estimate; 0 stands for 1, for a clock
+	Weight     int           // EstimateWeight for an estimate; 0 is taken as 1, the weight of a clock
 }
 
-// NewTrueTime returns an estimate by the wall clock of this node, as read at a time of its monotonic clock.
+// NewTrueTime returns an estimate from the wall clock of this node alone, as read at a time of its monotonic clock.
 func NewTrueTime(wall time.Time, mono time.Duration) *TrueTime {
 	return &TrueTime{localWall: wall.Round(0).Add(-mono)}
 }
 
-// Observe adds a sample of the clock of another node. Samples with a round trip of more than a second are dropped.
+// Observe adds a sample of the clock of another node. Samples with a round trip of more than maxSampleRoundTrip are dropped.
 func (t *TrueTime) Observe(s ClockSample) {
 	if s.RoundTrip < 0 || s.RoundTrip > maxSampleRoundTrip {
 		return
@@ -67,21 +67,21 @@
 	t.offset = t.median()
 }
 
-// At returns the true time, by the estimate, at a time of the monotonic clock.
+// At returns the estimated true time at a time of the monotonic clock.
 func (t *TrueTime) At(mono time.Duration) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.localWall.Add(t.offset + mono)
 }
 
-// Clocks returns the number of clocks that the estimate is over, with the node's own.
+// Clocks returns the number of clocks in the estimate, including the node's own.
 func (t *TrueTime) Clocks() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return 1 + len(t.clocks)
 }
 
-// clock returns the clock of a node; it replaces the one that was first sampled if there are too many. t.mu must be held.
+// clock returns the clock of a node. A new clock replaces the one that was sampled first if there are maxClocks. t.mu must be held.
 func (t *TrueTime) clock(node string) *clock {
 	i := slices.IndexFunc(t.clocks, func(c clock) bool { return c.node == node })
 	if i >= 0 {
@@ -94,7 +94,7 @@
 	return &t.clocks[len(t.clocks)-1]
 }
 
-// add adds a sample. Those from before a step of the clock are dropped.
+// add adds a sample. Samples from before a step of the clock are dropped.
 func (c *clock) add(s offsetSample) {
 	if n := len(c.samples); n > 0 {
 		uncertainty := (s.roundTrip + c.best().roundTrip) / 2
@@ -113,8 +113,8 @@
 	return slices.MinFunc(c.samples, func(a, b offsetSample) int { return cmp.Compare(a.roundTrip, b.roundTrip) })
 }
 
-// median returns the weighted median of the offsets. Of two that are in the middle it is the one closer to the estimate so far.
-// t.mu must be held.
+// median returns the weighted median of the offsets. If two offsets are in the middle, it returns the one closer to the present
+// estimate. t.mu must be held.
 func (t *TrueTime) median() time.Duration {
 	type weighted struct {
 		offset time.Duration
