--- a/cmd/larch-control/duties_test.go
+++ b/cmd/larch-control/duties_test.go
@@ -43,7 +43,7 @@
 		`,"calls":[]},"autoscale":{"expected":false,"fronts":0,"most_fronts":0,"subjects":[],"outcomes":` + none + `,"calls":[]},"outcomes":` + none + `}`
 }
 
-const holderTable = `core-2 does the duties, but window 41 is late: the platform has not acknowledged it; see the calls and the log
+const holderTable = `core-2 runs the singleton tasks, but window 41 is late: the platform has not acknowledged it; see the calls and the log
 answered by  core-2
 head         core-2
 epoch        7
@@ -93,28 +93,28 @@
 	}{
 		{"holder", holderBody, holderTable},
 		{"not expected", restBody("core-1", "not_expected", "0"),
-			"no duties are expected: the settings of core-1 name none (cloud_api.address, cloud_api.duty_list)\n" + restTable("core-1")},
+			"no singleton tasks are configured: the settings of core-1 name none (cloud_api.address, cloud_api.duty_list)\n" + restTable("core-1")},
 		{"no view", restBody("", "no_view", "0"),
 			"core-1 knows no head: ask another core node; at the very first start, set bootstrap: true\n" + restTable("")},
 		{"not head", restBody("core-2", "not_head", "0"),
-			"the view changes: core-1 is not the head any more, core-2 is; ask again\n" + restTable("core-2")},
+			"the view is changing: core-1 is no longer the head, core-2 is; ask again\n" + restTable("core-2")},
 		{"head silent", restBody("core-2", "head_silent", "0"),
-			"not known: the head, core-2, does not answer core-1; ask again in a second, then another core node\n" + restTable("core-2")},
+			"state unknown: the head, core-2, does not respond to core-1; ask again in a second, then ask another core node\n" + restTable("core-2")},
 		{"refused", restBody("core-1", "refused", "0"),
-			"the duties rest: the platform has refused token 0 of core-1, as it has seen a higher one; " +
-				"look for another control plane that calls it, or a core that was founded anew from an older clock\n" + restTable("core-1")},
+			"singleton tasks paused: the platform has refused token 0 of core-1, as it has seen a higher one; " +
+				"look for another control plane that calls it, or for a core that was re-created with an older clock\n" + restTable("core-1")},
 		{"stopping", restBody("core-1", "stopping", "0"),
-			"the duties rest: core-1 is about to stop; the next head goes on at once\n" + restTable("core-1")},
+			"singleton tasks paused: core-1 is stopping; the next head continues at once\n" + restTable("core-1")},
 		{"view changes", restBody("core-1", "view_changes", "0"),
-			"the duties rest: the view changes; ask again, and look at larch-control status if it stays\n" + restTable("core-1")},
+			"singleton tasks paused: the view is changing; ask again, and check larch-control status if this persists\n" + restTable("core-1")},
 		{"no majority", restBody("core-1", "no_majority", "0"),
-			"the duties rest: no majority of the core nodes confirms core-1; bring enough of them back, or ask another node\n" + restTable("core-1")},
+			"singleton tasks paused: no majority of the core nodes confirms core-1; bring enough of them back, or ask another node\n" + restTable("core-1")},
 		{"just started", restBody("core-1", "just_started", "2500"),
-			"the duties rest for 2.5 s more: core-1 has just started; nothing is to be done\n" + restTable("core-1")},
+			"singleton tasks paused for another 2.5 s: core-1 has just started; no action is needed\n" + restTable("core-1")},
 		{"earlier head", restBody("core-1", "earlier_head", "2500"),
-			"the duties rest for 2.5 s more: core-1 waits for the end of the lease of the head before; nothing is to be done\n" + restTable("core-1")},
+			"singleton tasks paused for another 2.5 s: core-1 waits for the lease of the previous head to expire; no action is needed\n" + restTable("core-1")},
 		{"lease lost", restBody("core-1", "lease_lost", "2500"),
-			"the duties rest for 2.5 s more: core-1 lost the lease and has just got it back; nothing is to be done, unless the head changes often\n" +
+			"singleton tasks paused for another 2.5 s: core-1 lost the lease and has just regained it; no action is needed unless the head changes often\n" +
 				restTable("core-1")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/tier/controlnode/task_calls.go
+++ b/internal/tier/controlnode/task_calls.go
@@ -8,10 +8,10 @@
 	"larchrouter/internal/tier/fencedcall"
 )
 
-// maxLoggedCalls is how many of the newest calls to the platform are kept for operators.
+// maxLoggedCalls is the number of the newest calls to the platform that are kept for operators.
 const maxLoggedCalls = 32
 
-// platformCall is a call to the platform.
+// platformCall is a call to the platform that has ended.
 type platformCall struct {
 	at      time.Time
 	path    string
@@ -20,14 +20,14 @@
 	body    []byte
 }
 
-// platformCallLog keeps the newest calls to the platform, and counts all by outcome. It is safe for concurrent use.
+// platformCallLog keeps the newest calls to the platform, and counts all calls by path and outcome. It is safe for concurrent use.
 type platformCallLog struct {
 	mu     sync.Mutex
-	newest []platformCall // the oldest first
+	newest []platformCall // oldest first
 	counts map[callCountKey]int
 }
 
-// callCountKey is what calls are counted by.
+// callCountKey is the key by which calls are counted.
 type callCountKey struct {
 	path    string
 	outcome fencedcall.Outcome
--- a/internal/tier/controlnode/task_clock.go
+++ b/internal/tier/controlnode/task_clock.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	clockInterval = 2 * time.Second // between two rounds of calls for the clocks of other nodes
+	clockInterval = 2 * time.Second // between two rounds of clock samples
 	clockTimeout  = 500 * time.Millisecond
 )
 
-// trueNow returns the true time, as this node estimates it by the clocks of the voters.
+// trueNow returns the true time as estimated by this node from the clocks of the voters.
 func (s *Server) trueNow() time.Time { return s.trueTime.At(s.now()) }
 
-// knowsTrueTime reports whether the estimate of the true time is over the clocks of a majority of the voters. It runs on the event
+// knowsTrueTime reports whether the estimate of the true time includes the clocks of a majority of the voters. It runs on the event
 // loop.
 func (s *Server) knowsTrueTime() bool {
 	view := s.node.View()
 	return s.trueTime.Clocks() >= view.Majority()
 }
 
-// handleClock answers with the wall clock of this node.
+// handleClock returns the wall clock of this node.
 func (s *Server) handleClock(context.Context, *feed.Empty) (*feed.ClockReading, error) {
 	return &feed.ClockReading{UnixMicros: time.Now().UnixMicro()}, nil
 }
@@ -41,8 +41,8 @@
 	}
 }
 
-// sampleClocks asks the other voters for their clocks at intervals, until the server stops. The head needs them for the windows of
-// usage reports; every node asks, so that a new head has an estimate.
+// sampleClocks samples the clocks of the other voters periodically, until the server stops. The head needs them for the windows of
+// usage reports; every node takes samples, so that a new head has an estimate at once.
 func (s *Server) sampleClocks() {
 	if !s.settings.HasDuty(usageTaskName) {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// sampleClock asks one node for its clock.
+// sampleClock takes a sample of the clock of one node.
 func (s *Server) sampleClock(id, addr string) {
 	ctx, cancel := context.WithTimeout(s.ctx, clockTimeout)
 	defer cancel()
--- a/internal/tier/controlnode/task_lease.go
+++ b/internal/tier/controlnode/task_lease.go
@@ -9,21 +9,21 @@
 	"larchrouter/internal/tier/lease"
 )
 
-// defaultLeaseTerm is the term of the lease where the settings name none.
+// defaultLeaseTerm is the term of the lease if the settings give none.
 const defaultLeaseTerm = 3 * time.Second
 
-// leaseParams returns the figures of the lease on the singleton duties by the settings.
+// leaseParams returns the parameters of the singleton task lease from the settings.
 func (s *Server) leaseParams() lease.Params {
 	return lease.Params{Term: s.settings.TimingBound("lease_term_ms", defaultLeaseTerm), MaxDrift: lease.DefaultMaxDrift}
 }
 
-// publishedGrant is the lease as the goroutine of the duties sees it. It is immutable.
+// publishedGrant is the lease grant as published to the goroutine of the singleton tasks. It is immutable.
 type publishedGrant struct {
 	epoch int64
 	until time.Time // with a monotonic reading
 }
 
-// updateLease has the lease follow the node, after the sync of a batch. It runs on the event loop.
+// updateLease updates the lease from the state of the node, after a batch is synced to disk. It runs on the event loop.
 func (s *Server) updateLease() {
 	now, view := s.now(), s.node.View()
 	observation := lease.Observation{
@@ -39,7 +39,7 @@
 	}
 }
 
-// publishGrant publishes what the lease grants now, and logs where that has changed. It runs on the event loop.
+// publishGrant publishes the present grant, and logs when this node acquires or loses the lease. It runs on the event loop.
 func (s *Server) publishGrant(now time.Duration) {
 	before := s.dutyGrant.Load()
 	grant, held := s.lease.Grant(now)
@@ -53,13 +53,13 @@
 	}
 	switch {
 	case held && before == nil:
-		s.log.Info("lease on the duties begins", "epoch", grant.Epoch)
+		s.log.Info("singleton task lease acquired", "epoch", grant.Epoch)
 	case !held && before != nil:
-		s.log.Info("lease on the duties ends", "epoch", before.epoch, "waits", s.lease.WaitsFor(now))
+		s.log.Info("singleton task lease ended", "epoch", before.epoch, "waits", s.lease.WaitsFor(now))
 	}
 }
 
-// heldGrant returns the grant under which this node may act now, nil for none.
+// heldGrant returns the grant under which this node may make calls now, nil for none.
 func (s *Server) heldGrant() *publishedGrant {
 	grant := s.dutyGrant.Load()
 	if grant == nil || !time.Now().Before(grant.until) {
@@ -68,14 +68,14 @@
 	return grant
 }
 
-// sendRelease notifies the head of the view that this node, the head before it, does not act any more. It is sent once: if it is
-// lost, the head waits for the end of the term. It runs on the event loop.
+// sendRelease notifies the head of the view that this node, the previous head, makes no more calls. It is sent once: if it is lost,
+// the head waits for the end of the term. It runs on the event loop.
 func (s *Server) sendRelease(release lease.Release) {
 	to, view := s.node.HeadAddr(), s.node.View()
 	if to == "" {
 		return
 	}
-	s.log.Info("lease on the duties released", "epoch", release.Epoch, "to", s.name(view.Head()), "wait", release.Wait)
+	s.log.Info("singleton task lease released", "epoch", release.Epoch, "to", s.name(view.Head()), "wait", release.Wait)
 	message := &feed.LeaseRelease{Epoch: release.Epoch, WaitMicros: (release.Wait + time.Microsecond - 1).Microseconds()}
 	s.releasesInFlight++
 	s.wg.Go(func() {
@@ -86,7 +86,7 @@
 	})
 }
 
-// releaseDoneRequest notes that a release was answered, or given up. It counts once, however often it is handled.
+// releaseDoneRequest records that a release was acknowledged or abandoned. It is idempotent.
 type releaseDoneRequest struct{ handled bool }
 
 func (r *releaseDoneRequest) handle(s *Server) {
@@ -96,12 +96,13 @@
 	}
 }
 
-// hasPendingRelease reports whether the next head waits for a release of this node. It runs on the event loop.
+// hasPendingRelease reports whether this node has a release that is not sent, or not yet acknowledged or abandoned. It runs on the
+// event loop.
 func (s *Server) hasPendingRelease() bool {
 	return s.releasesInFlight > 0 || s.lease.HasUnsentRelease()
 }
 
-// releaseRequest takes a release at the head of the next view.
+// releaseRequest passes a release to the lease at the head of the next view.
 type releaseRequest struct{ release lease.Release }
 
 func (r *releaseRequest) handle(s *Server) {
@@ -109,14 +110,14 @@
 	s.publishGrant(s.now())
 }
 
-// handleRelease takes a release of the head of the view before. It waits until this node has adopted the next view.
+// handleRelease handles a release from the head of the previous view. It waits until this node has adopted the next view.
 func (s *Server) handleRelease(ctx context.Context, message *feed.LeaseRelease) (*feed.Empty, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for s.viewEpoch.Load() <= message.Epoch && ctx.Err() == nil && s.ctx.Err() == nil {
 		ctxtime.Sleep(ctx, retryInterval)
 	}
-	if s.viewEpoch.Load() <= message.Epoch { // this node waits for the end of the term
+	if s.viewEpoch.Load() <= message.Epoch { // the release is dropped: this node waits for the end of the term
 		return &feed.Empty{}, nil
 	}
 	wait := time.Duration(message.WaitMicros) * time.Microsecond
@@ -126,7 +127,7 @@
 	return &feed.Empty{}, nil
 }
 
-// tokenRefusedRequest notes that the platform has refused a token of this node.
+// tokenRefusedRequest records that the platform has refused a token of this node.
 type tokenRefusedRequest struct{ epoch int64 }
 
 func (r *tokenRefusedRequest) handle(s *Server) {
@@ -134,7 +135,7 @@
 	s.publishGrant(s.now())
 }
 
-// callStartRequest notes that a call to the platform begins, if the grant under which it was decided is still in force.
+// callStartRequest records the start of a call to the platform, if the grant under which it was decided is still valid.
 type callStartRequest struct {
 	call *lease.Call
 	held bool
@@ -147,10 +148,10 @@
 	}
 }
 
-// recordCallEnd notes the end of a call, if the lease has noted its start.
+// recordCallEnd records the end of a call, if the lease has recorded its start.
 func (s *Server) recordCallEnd(call *lease.Call) { s.retryOnLoop(&callEndRequest{call: call}) }
 
-// callEndRequest notes that a call has ended, so that it cannot leave this node any more.
+// callEndRequest records that a call has ended, after which this node sends nothing more of it.
 type callEndRequest struct{ call *lease.Call }
 
 func (r *callEndRequest) handle(s *Server) {
@@ -158,8 +159,8 @@
 	s.publishGrant(s.now())
 }
 
-// retryOnLoop has the event loop handle a request that the lease must not miss: it repeats the request while the disk is full,
-// until the server stops. The request may be handled more than once.
+// retryOnLoop has the event loop handle a request that must not be lost: it retries while the disk is full, until the server stops.
+// The request may be handled more than once.
 func (s *Server) retryOnLoop(request loopRequest) {
 	for !s.runOnLoop(request) && s.ctx.Err() == nil {
 		s.sleep(retryInterval)
--- a/internal/tier/controlnode/task_runner.go
+++ b/internal/tier/controlnode/task_runner.go
@@ -11,35 +11,35 @@
 	"larchrouter/internal/tier/orders"
 )
 
-// Names of the singleton duties in the settings.
+// Names of the singleton tasks in the settings.
 const (
 	usageTaskName = "usage_report"
 	scaleTaskName = "autoscale"
 )
 
-// Intervals and time-outs of the duties.
+// Intervals and time-outs of the singleton tasks.
 const (
-	taskInterval        = 200 * time.Millisecond // between two looks for what is due
+	taskInterval        = 200 * time.Millisecond // between two steps
 	platformCallTimeout = 2500 * time.Millisecond
 	minCallBackoff      = 200 * time.Millisecond
 	maxCallBackoff      = 2 * time.Second
 )
 
-// tokenBaseShift leaves room for the epochs of a control plane below its token base: the seconds since 1970 at which its first
-// token was made, shifted by so many bits.
+// tokenBaseShift is the number of bits by which the Unix time of the first token is shifted to make the token base of a control
+// plane. The low bits leave room for its epochs, so that the tokens of a control plane that is created anew are higher.
 const tokenBaseShift = 20
 
-// taskRunner carries out the singleton duties while this node has the lease. One goroutine owns it.
+// taskRunner runs the singleton tasks while this node holds the lease. One goroutine owns it.
 type taskRunner struct {
 	server    *Server
 	client    *fencedcall.Client
 	tokenBase int64 // 0 until it is known
-	heldEpoch int64 // of the grant of the last step; 0 for none
+	heldEpoch int64 // epoch of the grant in the last step; 0 for none
 	usage     *usageTask
 	scale     *scaleTask
 }
 
-// runSingletonTasks carries out the duties that the settings name, until the server stops.
+// runSingletonTasks runs the singleton tasks that the settings name, until the server stops.
 func (s *Server) runSingletonTasks() {
 	if s.settings.Platform.Address == "" || len(s.settings.Platform.Duties) == 0 {
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-// step does what is due, if this node has the lease.
+// step runs what is due, if this node holds the lease.
 func (d *taskRunner) step() {
 	grant := d.server.heldGrant()
 	if grant == nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// ensureTokenBase sets the token base, and records one if there is none. It reports whether there is one that is committed.
+// ensureTokenBase reads the committed token base, after recording one if there is none. It reports whether a base is committed.
 func (d *taskRunner) ensureTokenBase() bool {
 	base := d.server.trueNow().Unix() << tokenBaseShift
 	if _, err := d.server.decideAtHead(d.server.ctx, orders.RecordTokenBase{Base: base}); err != nil {
@@ -101,7 +101,7 @@
 	return d.tokenBase != 0
 }
 
-// taskStateQuery reads the committed state of the duties.
+// taskStateQuery reads the committed state of the singleton tasks.
 type taskStateQuery struct {
 	state *orders.State // nil if it cannot be decoded
 }
@@ -113,17 +113,17 @@
 // token returns the fencing token of a grant.
 func (d *taskRunner) token(grant *publishedGrant) int64 { return d.tokenBase + grant.epoch }
 
-// permitsToken is the fence of the client: the token is that of the grant that this node has now.
+// permitsToken is the fence of the client: it reports whether a token is that of the grant that this node holds now.
 func (d *taskRunner) permitsToken(token int64) bool {
 	grant := d.server.heldGrant()
 	return grant != nil && token == d.token(grant)
 }
 
-// post makes a call under a grant. It steps down if the platform has seen a higher token.
+// post makes a call under a grant. If the platform refuses the token, this node stops using the lease of this epoch.
 func (d *taskRunner) post(grant *publishedGrant, path string, body []byte) (fencedcall.Outcome, error) {
 	start := &callStartRequest{call: &lease.Call{Epoch: grant.epoch}}
 	if !d.server.runOnLoop(start) {
-		d.server.recordCallEnd(start.call) // its start may have been noted before the disk was found full
+		d.server.recordCallEnd(start.call) // the start may have been recorded before the disk was found to be full
 		return fencedcall.NotSent, errStopping
 	}
 	if !start.held {
@@ -136,18 +136,18 @@
 	outcome, err := d.client.Post(ctx, path, d.token(grant), body)
 	d.server.dutyCalls.record(path, d.token(grant), outcome, body)
 	if outcome != fencedcall.Accepted {
-		d.server.log.Info("call to the platform", "path", path, "token", d.token(grant), "outcome", outcome,
+		d.server.log.Info("platform call not accepted", "path", path, "token", d.token(grant), "outcome", outcome,
 			"ms", time.Since(startedAt).Milliseconds(), "err", err)
 	}
 	if outcome == fencedcall.Refused {
-		d.server.log.Error("the platform has seen a higher fencing token; this node does not act in this epoch any more",
+		d.server.log.Error("platform refused the fencing token as it has seen a higher one; no singleton tasks run on this node for the rest of the epoch",
 			"epoch", grant.epoch, "token", d.token(grant))
 		d.server.retryOnLoop(&tokenRefusedRequest{epoch: grant.epoch})
 	}
 	return outcome, err
 }
 
-// callBackoff spaces the repetitions of a call without a clear answer.
+// callBackoff is the exponential backoff of a call that is retried.
 type callBackoff struct {
 	failures int
 	next     time.Time
@@ -156,15 +156,15 @@
 // ready reports whether a call may be made.
 func (b *callBackoff) ready(now time.Time) bool { return !now.Before(b.next) }
 
-// failed notes a call without a clear answer.
+// failed records a failed call and sets the pause before the next one, which doubles with each failure up to maxCallBackoff.
 func (b *callBackoff) failed(now time.Time) {
 	pause := min(maxCallBackoff, minCallBackoff<<min(b.failures, 10))
 	b.failures++
 	b.next = now.Add(pause)
 }
 
-// succeeded notes a call with a clear answer.
+// succeeded resets the backoff.
 func (b *callBackoff) succeeded() { *b = callBackoff{} }
 
-// errLeaseLost reports that the lease under which a call was decided is over.
-var errLeaseLost = errors.New("the lease is over: the call was not made")
+// errLeaseLost is returned if the lease under which a call was decided is no longer held.
+var errLeaseLost = errors.New("lease expired or lost: call not made")
--- a/internal/tier/controlnode/task_scale.go
+++ b/internal/tier/controlnode/task_scale.go
@@ -20,32 +20,32 @@
 const (
 	scalePath           = "/scale"
 	scaleInterval       = time.Second
-	loadAveragingPeriod = 3 * time.Second // over which calls in flight are averaged
-	recentReportPeriod  = 4 * time.Second // in which fronts have to have reported
-	knownFrontPeriod    = 20 * time.Second
-	minReportingDivisor = 2 // of the fronts that have reported within knownFrontPeriod, one in so many has to have reported lately
-	defaultHostSlots    = 1 // of a host that lists no capacity
-	minOrderedHosts     = 1 // a zone without hosts shows no demand for any
-	scaleCallsPerStep   = 8 // so that a step takes a bounded time
+	loadAveragingPeriod = 3 * time.Second  // period over which calls in flight are averaged
+	recentReportPeriod  = 4 * time.Second  // a front that has reported within it counts as reporting
+	knownFrontPeriod    = 20 * time.Second // a front that has reported within it counts as known
+	minReportingDivisor = 2                // orders are made only if 1/minReportingDivisor of the known fronts have reported recently
+	defaultHostSlots    = 1                // slots of a host that lists no capacity
+	minOrderedHosts     = 1                // a zone without hosts would show no demand, and stay without hosts
+	scaleCallsPerStep   = 8                // bounds the duration of a step
 )
 
-// scaleTask orders how many hosts of a service run in a zone, for each service whose configuration has a scaling.
+// scaleTask orders the number of hosts of a service in a zone, for each service whose configuration sets scaling bounds.
 type scaleTask struct {
 	*taskRunner
 	planner         *scaling.Planner
-	knownFronts     int                              // that have reported within knownFrontPeriod
+	knownFronts     int                              // fronts that have reported within knownFrontPeriod
 	plannedAt       time.Time                        // zero before the first plan
-	backoff         map[scaling.Subject]*callBackoff // of the platform's answers
-	config          *routing.Config                  // as last parsed; nil before the first one
-	configAt        int64                            // index of its entry
-	recentFronts    int                              // that have reported lately, as last read
-	hostSlots       map[scaling.Subject]int          // of a host as listed last, of all subjects of this headship
-	plannedSubjects []scaleSubject                   // as last planned, for operators
+	backoff         map[scaling.Subject]*callBackoff // of the orders
+	config          *routing.Config                  // last one parsed; nil before the first
+	configAt        int64                            // index of its chain entry
+	recentFronts    int                              // fronts that have reported within recentReportPeriod, as last read
+	hostSlots       map[scaling.Subject]int          // slots of a host as last listed, for all subjects of this headship
+	plannedSubjects []scaleSubject                   // as in the last plan, for operators
 }
 
 func newScaleTask(d *taskRunner) *scaleTask { return &scaleTask{taskRunner: d} }
 
-// begin forgets what another holder may have ordered: each subject is ordered anew.
+// reset drops the state of an earlier lease, since another holder may have made orders meanwhile: each subject is ordered anew.
 func (d *scaleTask) reset() {
 	d.planner, d.knownFronts, d.plannedAt = scaling.NewPlanner(scaling.DefaultParams()), 0, time.Time{}
 	d.backoff = map[scaling.Subject]*callBackoff{}
@@ -54,7 +54,7 @@
 	d.recentFronts, d.plannedSubjects = 0, nil
 }
 
-// step plans all subjects once in scaleInterval, and makes the orders.
+// step plans all subjects once per scaleInterval, and makes the orders.
 func (d *scaleTask) step(grant *publishedGrant) {
 	now := time.Now()
 	if now.Sub(d.plannedAt) < scaleInterval {
@@ -67,15 +67,15 @@
 	}
 	d.recentFronts = query.recentFronts
 	if d.knownFronts = query.knownFronts; query.recentFronts == 0 || query.recentFronts < d.knownFronts/minReportingDivisor {
-		return // the fronts are not heard: the last orders stand
+		return // too few fronts report to know the demand: the last orders stay in force
 	}
 	d.adoptConfig(query.config)
 	d.plannedSubjects = d.subjects(query)
 	d.orderHosts(grant)
 }
 
-// orderHosts plans the subjects and makes the orders. It makes no further call in this step after one without a clear answer,
-// since each may take platformCallTimeout and usage reports wait meanwhile.
+// orderHosts plans the subjects and makes the orders. After a call that is not accepted it makes no further call in this step, since
+// each call may take platformCallTimeout and usage reports wait meanwhile.
 func (d *scaleTask) orderHosts(grant *publishedGrant) {
 	calls := 0
 	for _, subject := range d.plannedSubjects {
@@ -100,7 +100,7 @@
 	return backoff
 }
 
-// adoptConfig parses the configuration of a committed entry, unless it is that of the last step.
+// adoptConfig parses and adopts the configuration of a committed entry, unless it is that of the last step.
 func (d *scaleTask) adoptConfig(committed chain.Entry) {
 	var entry feed.ConfigEntry
 	if d.configAt == committed.Index || len(committed.Value) == 0 || rpc.Decode(committed.Value, &entry) != nil {
@@ -111,14 +111,14 @@
 	}
 }
 
-// demandQuery reads what the plan needs: the configuration, the hosts and the load.
+// demandQuery reads the input of the plan: the configuration, the hosts and the load.
 type demandQuery struct {
-	ok           bool        // this node is the confirmed head and has a configuration
-	config       chain.Entry // the newest committed one
+	ok           bool        // this node is the confirmed head and has a host list and a configuration
+	config       chain.Entry // entry of the newest committed configuration
 	hosts        []discovery.Host
 	loads        []usage.Load
-	recentFronts int // that have reported within recentReportPeriod
-	knownFronts  int // that have reported within knownFrontPeriod
+	recentFronts int // fronts that have reported within recentReportPeriod
+	knownFronts  int // fronts that have reported within knownFrontPeriod
 }
 
 func (q *demandQuery) handle(s *Server) {
@@ -133,8 +133,8 @@
 	q.recentFronts, q.knownFronts = len(collector.FrontsSince(s.now()-recentReportPeriod)), len(collector.FrontsSince(s.now()-knownFrontPeriod))
 }
 
-// committedConfig returns the entry of the newest committed configuration; ok is false if there is none, or if the commit index
-// may be behind what earlier heads have acknowledged.
+// committedConfig returns the entry of the newest committed configuration; ok is false if there is none, or if the local commit index
+// may be behind entries that earlier heads have acknowledged.
 func committedConfig(c *chain.Chain) (entry chain.Entry, ok bool) {
 	if !c.CommitIsCurrent() {
 		return chain.Entry{}, false
@@ -147,14 +147,14 @@
 	return chain.Entry{}, false
 }
 
-// scaleSubject is a subject with its demand.
+// scaleSubject is a subject and its demand.
 type scaleSubject struct {
 	scaling.Subject
 	scaling.Demand
 }
 
-// subjects returns the subjects with their demands, sorted: each service that is to be scaled, in each zone in which hosts of it
-// are listed, or were listed in this headship.
+// subjects returns the subjects with their demands, sorted by service and zone: each service with scaling bounds, in each zone in
+// which its hosts are listed or were listed during this headship.
 func (d *scaleTask) subjects(query *demandQuery) (subjects []scaleSubject) {
 	if d.config == nil {
 		return nil
@@ -184,8 +184,8 @@
 	return subjects
 }
 
-// updateHostSlots notes the slots of listed hosts. Subjects without listed hosts stay, those of services that are not to be scaled
-// go.
+// updateHostSlots updates the slots per host from the listed hosts. Subjects without listed hosts are kept; subjects of services
+// without scaling bounds are removed.
 func (d *scaleTask) updateHostSlots(hosts []discovery.Host) {
 	listed := map[scaling.Subject]int{}
 	for _, host := range hosts {
@@ -203,14 +203,14 @@
 	return scaling.Subject{Service: host.Service, Zone: host.Zone}
 }
 
-// scaleBody is the body of the call, with the names of the platform's page.
+// scaleBody is the body of the call, with the field names that the platform's API documents.
 type scaleBody struct {
 	Service string `json:"target_service"`
 	Zone    string `json:"zone_name"`
 	Desired int    `json:"desired"`
 }
 
-// order makes an order. It reports whether the platform has accepted it.
+// order sends an order. It reports whether the platform has accepted it.
 func (d *scaleTask) order(grant *publishedGrant, subject scaling.Subject, hosts int) bool {
 	body, err := json.Marshal(scaleBody{Service: subject.Service, Zone: subject.Zone, Desired: hosts})
 	if err != nil {
@@ -221,13 +221,13 @@
 	return outcome == fencedcall.Accepted
 }
 
-// recordOutcome notes what is known of an order after its call.
+// recordOutcome updates the planner and the backoff with the outcome of an order.
 func (d *scaleTask) recordOutcome(subject scaling.Subject, hosts int, outcome fencedcall.Outcome) {
 	switch outcome {
 	case fencedcall.Accepted:
 		d.backoffOf(subject).succeeded()
 		before, _ := d.planner.InForce(subject)
-		d.server.log.Info("hosts ordered", "service", subject.Service, "zone", subject.Zone, "hosts", hosts, "before", before)
+		d.server.log.Info("hosts ordered", "service", subject.Service, "zone", subject.Zone, "hosts", hosts, "previous", before)
 		d.planner.OrderAccepted(subject, hosts)
 	case fencedcall.NotSent:
 		d.backoffOf(subject).failed(time.Now())
--- a/internal/tier/controlnode/task_snapshot.go
+++ b/internal/tier/controlnode/task_snapshot.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// taskSnapshot is the state of the duties after a step, for operators. It is immutable.
+// taskSnapshot is the state of the singleton tasks after a step, for operators. It is immutable.
 type taskSnapshot struct {
 	at        time.Time
 	tokenBase int64 // 0 until it is known
@@ -14,20 +14,20 @@
 	scale     scaleSnapshot
 }
 
-// usageSnapshot is the state of usageTask; it is empty while the node has no lease.
+// usageSnapshot is the state of usageTask. It is empty while the node does not hold the lease.
 type usageSnapshot struct {
-	unacknowledged   []int64 // recorded windows, by rising number
+	unacknowledged   []int64 // recorded windows, in ascending order
 	lastRecorded     int64   // 0 for none
 	lastAcknowledged int64   // 0 for none
 }
 
-// scaleSnapshot is the state of scaleTask; it is empty while the node has no lease.
+// scaleSnapshot is the state of scaleTask. It is empty while the node does not hold the lease.
 type scaleSnapshot struct {
 	recentFronts, knownFronts int
 	subjects                  []ScaleSubjectStatus
 }
 
-// publishSnapshot publishes the state of the duties. It runs on the goroutine of the duties.
+// publishSnapshot publishes the state of the singleton tasks. It runs on their goroutine.
 func (d *taskRunner) publishSnapshot() {
 	snapshot := &taskSnapshot{at: time.Now(), tokenBase: d.tokenBase}
 	if d.heldEpoch != 0 && d.usage != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// newestWindow returns the highest window, 0 for none.
+// newestWindow returns the highest window number, 0 for none.
 func newestWindow(windows func(yield func(int64) bool)) (newest int64) {
 	for window := range windows {
 		newest = max(newest, window)
--- a/internal/tier/controlnode/task_status_parts.go
+++ b/internal/tier/controlnode/task_status_parts.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxShownBody   = 200 // bytes of a call's body
+	maxShownBody   = 200 // bytes of the body of a call
 	callTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
-// addTaskSnapshot adds what the goroutine of the duties has published, and its calls. Lists are empty instead of nil, so that they
-// are never null in JSON.
+// addTaskSnapshot adds the published state of the singleton tasks and their calls to a status. Lists are empty instead of nil, so that
+// they are never null in JSON.
 func (s *Server) addTaskSnapshot(status *TaskStatus, isHead bool) {
 	snapshot := s.dutySnapshot.Load()
 	if snapshot == nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// windowStatuses returns the state of windows at a time.
+// windowStatuses returns the states of windows at a time.
 func windowStatuses(windows []int64, now time.Time, length, late time.Duration) []WindowStatus {
 	statuses := []WindowStatus{}
 	for _, window := range windows {
@@ -56,7 +56,7 @@
 // clockOffset returns by how much the wall clock of this node is ahead of the time by which it numbers windows.
 func (s *Server) clockOffset() time.Duration { return time.Now().Round(0).Sub(s.trueNow()) }
 
-// newestOf returns the newest calls of a path, the newest first.
+// newestOf returns the retained calls of a path, newest first.
 func (l *platformCallLog) newestOf(path string) []PlatformCallStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +77,7 @@
 	return calls
 }
 
-// countsOf returns the numbers of calls of some paths.
+// countsOf returns the numbers of calls of some paths by outcome.
 func (l *platformCallLog) countsOf(paths ...string) (counts PlatformCallCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/tier/controlnode/task_status_text.go
+++ b/internal/tier/controlnode/task_status_text.go
@@ -6,55 +6,55 @@
 	"larchrouter/internal/tier/fencedcall"
 )
 
-// Summary returns in one line whether the duties are done and by whom, or why they rest and what to do.
+// Summary returns in one line which node runs the singleton tasks, or why none does and what to do.
 func (s *TaskStatus) Summary() string {
 	if s.Cause != "" {
 		return s.inactiveSummary()
 	}
 	if problem := s.problem(); problem != "" {
-		return s.Holder + " does the duties, but " + problem
+		return s.Holder + " runs the singleton tasks, but " + problem
 	}
-	return s.Holder + " does the duties"
+	return s.Holder + " runs the singleton tasks"
 }
 
-// inactiveSummary returns why the duties rest, or why the node does not know.
+// inactiveSummary returns why the singleton tasks do not run, or why their state is unknown.
 func (s *TaskStatus) inactiveSummary() string {
-	wait := fmt.Sprintf("the duties rest for %.1f s more: ", float64(s.WaitMs)/1000)
+	wait := fmt.Sprintf("singleton tasks paused for another %.1f s: ", float64(s.WaitMs)/1000)
 	switch s.Cause {
 	case TasksNotExpected:
-		return "no duties are expected: the settings of " + s.Node + " name none (cloud_api.address, cloud_api.duty_list)"
+		return "no singleton tasks are configured: the settings of " + s.Node + " name none (cloud_api.address, cloud_api.duty_list)"
 	case TasksNoView:
 		return s.Node + " knows no head: ask another core node; at the very first start, set bootstrap: true"
 	case TasksNotHead:
-		return "the view changes: " + s.Node + " is not the head any more, " + s.Head + " is; ask again"
+		return "the view is changing: " + s.Node + " is no longer the head, " + s.Head + " is; ask again"
 	case TasksHeadSilent:
-		return "not known: the head, " + s.Head + ", does not answer " + s.Node + "; ask again in a second, then another core node"
+		return "state unknown: the head, " + s.Head + ", does not respond to " + s.Node + "; ask again in a second, then ask another core node"
 	case TasksTokenRefused:
-		return fmt.Sprintf("the duties rest: the platform has refused token %d of %s, as it has seen a higher one; "+
-			"look for another control plane that calls it, or a core that was founded anew from an older clock", s.Token, s.Head)
+		return fmt.Sprintf("singleton tasks paused: the platform has refused token %d of %s, as it has seen a higher one; "+
+			"look for another control plane that calls it, or for a core that was re-created with an older clock", s.Token, s.Head)
 	case TasksStopping:
-		return "the duties rest: " + s.Node + " is about to stop; the next head goes on at once"
+		return "singleton tasks paused: " + s.Node + " is stopping; the next head continues at once"
 	case TasksViewChanging:
-		return "the duties rest: the view changes; ask again, and look at larch-control status if it stays"
+		return "singleton tasks paused: the view is changing; ask again, and check larch-control status if this persists"
 	case TasksNoMajority:
-		return "the duties rest: no majority of the core nodes confirms " + s.Node + "; bring enough of them back, or ask another node"
+		return "singleton tasks paused: no majority of the core nodes confirms " + s.Node + "; bring enough of them back, or ask another node"
 	case TasksJustStarted:
-		return wait + s.Node + " has just started; nothing is to be done"
+		return wait + s.Node + " has just started; no action is needed"
 	case TasksEarlierHead:
-		return wait + s.Node + " waits for the end of the lease of the head before; nothing is to be done"
+		return wait + s.Node + " waits for the lease of the previous head to expire; no action is needed"
 	case TasksLeaseLost:
-		return wait + s.Node + " lost the lease and has just got it back; nothing is to be done, unless the head changes often"
+		return wait + s.Node + " lost the lease and has just regained it; no action is needed unless the head changes often"
 	}
-	return "the duties rest: " + s.Cause
+	return "singleton tasks paused: " + s.Cause
 }
 
-// problem returns what holds up a duty of the holder, empty for nothing.
+// problem returns what delays a task of the holder, empty for nothing.
 func (s *TaskStatus) problem() string {
 	if s.Token == 0 {
-		return "its fencing token is not recorded yet: ask again, and look at larch-control status if it stays"
+		return "its fencing token is not recorded yet: ask again, and check larch-control status if this persists"
 	}
 	if problem := callProblem(s.Usage.Calls); problem != "" {
-		return "usage reports wait: " + problem
+		return "usage reports are delayed: " + problem
 	}
 	for _, window := range s.Usage.Unacknowledged {
 		if window.Late {
@@ -62,37 +62,37 @@
 		}
 	}
 	if problem := callProblem(s.Scale.Calls); problem != "" {
-		return "orders of hosts wait: " + problem
+		return "orders of hosts are delayed: " + problem
 	}
 	if s.Scale.hasTooFewFronts() {
-		return fmt.Sprintf("hosts are not ordered: %d fronts have reported lately, of %d; "+
-			"see that a configuration is taken and that fronts reach the core", s.Scale.RecentFronts, s.Scale.KnownFronts)
+		return fmt.Sprintf("hosts are not ordered: only %d of %d fronts have reported recently; "+
+			"check that a configuration is in force and that fronts reach the core", s.Scale.RecentFronts, s.Scale.KnownFronts)
 	}
 	return ""
 }
 
-// hasTooFewFronts reports whether too few fronts report for orders of hosts.
+// hasTooFewFronts reports whether orders of hosts are suspended because too few fronts have reported recently.
 func (s *ScaleTaskStatus) hasTooFewFronts() bool {
 	return s.Expected && (s.RecentFronts == 0 || s.RecentFronts < s.KnownFronts/minReportingDivisor)
 }
 
-// recentCallMs is for how long a call without success is worth a line: calls are repeated sooner than that.
+// recentCallMs is the age up to which a failed call is reported as a problem: calls are retried sooner than that.
 const recentCallMs = 10_000
 
-// callProblem returns what the newest of some calls shows of the platform, empty if it has accepted it or the call is not recent.
+// callProblem describes the failure of the newest of some calls, empty if it was accepted or is not recent.
 func callProblem(calls []PlatformCallStatus) string {
 	if len(calls) == 0 || calls[0].AgeMs > recentCallMs {
 		return ""
 	}
 	switch calls[0].Outcome {
 	case fencedcall.Busy.String():
-		return "the platform asks for fewer calls; the tier tries again by itself"
+		return "the platform asks for fewer calls; they are retried automatically"
 	case fencedcall.Invalid.String():
-		return "the platform rejects the last call as not valid; see its body, and report it"
+		return "the platform rejected the last call as invalid; see its body, and report it"
 	case fencedcall.NotSent.String():
-		return "the last call could not be sent; look whether the platform can be reached"
+		return "the last call could not be sent; check whether the platform is reachable"
 	case fencedcall.Unknown.String():
-		return "the platform has not answered the last call, or with 5xx; look whether it is down or slow"
+		return "the platform did not respond to the last call, or responded with 5xx; check whether it is down or slow"
 	}
 	return ""
 }
--- a/internal/tier/controlnode/task_usage.go
+++ b/internal/tier/controlnode/task_usage.go
@@ -20,11 +20,11 @@
 	defaultUsageLate   = 10 * time.Second
 )
 
-// usageRole is the head's collection of what fronts have counted. It is soft state of a headship: fronts report what they retain to
-// a new collector once more. It is owned by the event loop.
+// usageRole is the head's collector of the usage that fronts have counted. It is soft state of a headship: fronts report what they
+// retain to a new collector again. It is owned by the event loop.
 type usageRole struct {
 	epoch     int64
-	id        string // of the collector, in receipts
+	id        string // ID of the collector, in receipts
 	collector *usage.Collector
 	startedAt time.Duration
 }
@@ -48,7 +48,7 @@
 	return s.settings.TimingBound("usage_late_s", defaultUsageLate)
 }
 
-// usageNow returns the time for the collector. It runs on the event loop.
+// usageNow returns the present time for the collector. It runs on the event loop.
 func (s *Server) usageNow() usage.Now {
 	now := s.now()
 	return usage.Now{Mono: now, True: s.trueTime.At(now)}
@@ -75,7 +75,7 @@
 	}
 }
 
-// handleUsage takes a front's report at the head. Another node answers with the head's address.
+// handleUsage handles a front's report at the head. Other nodes return the head's address.
 func (s *Server) handleUsage(_ context.Context, report *feed.UsageReport) (*feed.UsageReceipt, error) {
 	request := &reportUsageRequest{report: report}
 	if !s.runOnLoop(request) {
@@ -84,12 +84,12 @@
 	return &request.receipt, nil
 }
 
-// usageTask reports the requests of each tenant to the platform, once for each window.
+// usageTask reports the number of requests of each tenant to the platform, once per window.
 type usageTask struct {
 	*taskRunner
 	schedule       usage.Schedule
-	first          int64            // windows before it are not this holder's to record; 0 until it is known
-	recorded       []int64          // windows that are recorded, by rising number
+	first          int64            // windows before it are not recorded by this holder; 0 until it is known
+	recorded       []int64          // windows that are recorded, in ascending order
 	unacknowledged map[int64][]byte // bodies of recorded windows that the platform has not acknowledged
 	acknowledged   map[int64]bool   // windows that the platform has acknowledged to this process
 	backoff        callBackoff
@@ -100,12 +100,12 @@
 		acknowledged: map[int64]bool{}}
 }
 
-// begin forgets what another holder may have changed.
+// reset drops the state that another holder may have changed meanwhile.
 func (u *usageTask) reset() {
 	u.first, u.recorded, u.unacknowledged, u.backoff = 0, nil, nil, callBackoff{}
 }
 
-// step records the windows that are due and sends what is recorded.
+// step records the windows that are due and sends a recorded one.
 func (u *usageTask) step(grant *publishedGrant) {
 	now := u.server.trueNow()
 	if u.unacknowledged == nil && !u.readRecorded(now) {
@@ -116,7 +116,7 @@
 	u.send(grant, now)
 }
 
-// recordDue records all windows that are due, before a call to the platform takes time.
+// recordDue records all windows that are due. It runs before the call to the platform, which may take long.
 func (u *usageTask) recordDue(now time.Time) {
 	began, ok := u.collectorStart(now)
 	for ok {
@@ -127,7 +127,7 @@
 	}
 }
 
-// readRecorded reads which windows earlier holders have recorded. They are sent once more: the platform ignores an exact repeat.
+// readRecorded reads which windows earlier holders have recorded. They are sent again, since the platform ignores exact duplicates.
 func (u *usageTask) readRecorded(now time.Time) bool {
 	query := &taskStateQuery{}
 	if !u.server.runOnLoop(query) || query.state == nil {
@@ -142,9 +142,9 @@
 	return true
 }
 
-// firstUnrecorded returns the first window that may have to be recorded: the one after the oldest one that is recorded, or the
-// present one if none is. Windows are not always recorded in order: a new collector waits longer for one that is late already than
-// for the next one, and may not come to record it.
+// firstUnrecorded returns the first window that may have to be recorded: the one after the oldest recorded window, or the present
+// window if none is recorded. Windows may be recorded out of order: a new collector waits longer with a window that is already late
+// than with the next one, and its headship may end before it records the late one.
 func firstUnrecorded(reports []orders.UsageEntry, present int64) int64 {
 	if len(reports) == 0 {
 		return present
@@ -156,7 +156,7 @@
 	return first + 1
 }
 
-// addRecorded notes a recorded window.
+// addRecorded adds a recorded window.
 func (u *usageTask) addRecorded(window int64, body []byte) {
 	u.recorded = append(u.recorded, window)
 	slices.Sort(u.recorded)
@@ -178,11 +178,11 @@
 	}
 }
 
-// collectorAgeQuery reads for how long the collector of this headship has taken reports.
+// collectorAgeQuery reads how long the collector of this headship has been collecting reports.
 type collectorAgeQuery struct {
 	age             time.Duration
-	isHead          bool // otherwise nothing is collected here
-	hasMajorityTime bool // the estimate of the true time is over the clocks of a majority
+	isHead          bool // this node is the confirmed head; otherwise it collects nothing
+	hasMajorityTime bool // the estimate of the true time includes the clocks of a majority
 }
 
 func (q *collectorAgeQuery) handle(s *Server) {
@@ -191,8 +191,8 @@
 	}
 }
 
-// collectorStart returns since when the collector has taken reports, in true time; ok is false if nothing is to be recorded here,
-// as the node is not the confirmed head, or its time is that of its own clock alone.
+// collectorStart returns when the collector started to collect reports, in true time; ok is false if this node must not record, since
+// it is not the confirmed head, or its estimate of the true time does not include the clocks of a majority.
 func (u *usageTask) collectorStart(now time.Time) (since time.Time, ok bool) {
 	query := &collectorAgeQuery{}
 	if !u.server.runOnLoop(query) || !query.isHead || !query.hasMajorityTime {
@@ -201,13 +201,13 @@
 	return now.Add(-query.age), true
 }
 
-// usageBody is the body of the call, with the names of the platform's page.
+// usageBody is the body of the call, with the field names that the platform's API documents.
 type usageBody struct {
 	Window int64          `json:"window_no"`
 	Counts map[string]int `json:"server_counts"`
 }
 
-// record records what is known of a window in the agreed state. It reports whether that is decided.
+// record records the counts of a window in the replicated state. It reports whether a decision about it was committed.
 func (u *usageTask) record(window int64) bool {
 	query := &usageCountsQuery{window: window}
 	if !u.server.runOnLoop(query) || !query.ok {
@@ -222,24 +222,24 @@
 	}
 	decision, err := u.server.decideAtHead(u.server.ctx, orders.RecordUsage{Window: window, Body: body})
 	switch {
-	case err != nil: // it may be recorded or not: the next step asks again
+	case err != nil: // the outcome is unknown: the next step tries again
 		return false
 	case decision.Kind.IsAcknowledgement():
 		u.addRecorded(window, decision.Body)
 	default:
-		u.server.log.Error("usage not recorded", "window", window, "reason", decision.Reason)
+		u.server.log.Error("usage window not recorded", "window", window, "reason", decision.Reason)
 		u.recorded = append(u.recorded, window)
 	}
 	return true
 }
 
-// drop forgets windows before the oldest one that still matters.
+// dropBefore drops the windows before the oldest one that is retained.
 func (u *usageTask) dropBefore(oldest int64) {
 	u.abandonBefore(oldest)
 	u.recorded = slices.DeleteFunc(u.recorded, func(window int64) bool { return window < oldest })
 	for window := range u.unacknowledged {
 		if window < oldest {
-			u.server.log.Error("usage not reported in time", "window", window)
+			u.server.log.Error("usage window not reported to the platform in time", "window", window)
 			delete(u.unacknowledged, window)
 		}
 	}
@@ -250,8 +250,8 @@
 	}
 }
 
-// abandonBefore gives up the windows before the oldest one that still matters, and logs the first and the last of those that no node has
-// recorded.
+// abandonBefore stops recording windows before the oldest one that is retained, and logs the first and the last of them from the
+// first one that no node has recorded.
 func (u *usageTask) abandonBefore(oldest int64) {
 	if u.first >= oldest {
 		return
@@ -260,12 +260,12 @@
 		u.first++
 	}
 	if u.first < oldest {
-		u.server.log.Error("usage not recorded", "window", u.first, "last", oldest-1, "reason", "no node had the lease in time")
+		u.server.log.Error("usage windows not recorded", "window", u.first, "last", oldest-1, "reason", "no node held the lease in time")
 	}
 	u.first = oldest
 }
 
-// send sends a recorded window that the platform has not acknowledged.
+// send sends one recorded window that the platform has not acknowledged.
 func (u *usageTask) send(grant *publishedGrant, now time.Time) {
 	if len(u.unacknowledged) == 0 || !u.backoff.ready(time.Now()) {
 		return
@@ -277,15 +277,15 @@
 		u.acknowledged[window] = true
 		delete(u.unacknowledged, window)
 	case fencedcall.Invalid:
-		u.server.log.Error("the platform rejects a usage report", "window", window)
+		u.server.log.Error("platform rejected a usage report as invalid", "window", window)
 		delete(u.unacknowledged, window)
 	default:
 		u.backoff.failed(time.Now())
 	}
 }
 
-// nextToSend returns the window to be sent next: the oldest one that is not late, else the oldest one; there must be one. What is late
-// already, or only repeats what an earlier holder has sent, must not make others late where the platform is slow.
+// nextToSend returns the window to be sent next: the oldest one that is not late, else the oldest one; there must be at least one. On
+// a slow platform, windows that are already late or only repeat what an earlier holder has sent must not make others late.
 func nextToSend(unsent map[int64][]byte, oldestInTime int64) int64 {
 	windows := slices.Sorted(maps.Keys(unsent))
 	for _, window := range windows {
