--- a/internal/tier/controlnode/task_checks_test.go
+++ b/internal/tier/controlnode/task_checks_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/tier/usage"
 )
 
-// checkPlatformCalls checks all calls of a run: the platform's rules, that tokens never go back, what was ordered and what was reported.
+// checkPlatformCalls checks all calls of a run: the platform's rules, that tokens never decrease, the orders and the reports.
 func (d *taskFleet) checkPlatformCalls() {
 	d.t.Helper()
 	calls := d.platform.DutyCalls()
@@ -31,8 +31,8 @@
 	d.t.Log(summarizeCalls(calls))
 }
 
-// checkTokens finds accepted calls with a lower token than one before for the same duty and subject, and calls that the platform
-// takes for malformed.
+// checkTokens finds accepted calls with a lower token than an earlier one for the same task and subject, and calls that the platform
+// rejected as malformed.
 func checkTokens(calls []cloudapi.DutyCall) (faults []string) {
 	highest := map[string]int64{}
 	for _, c := range calls {
@@ -48,12 +48,12 @@
 	return faults
 }
 
-// transitLimit is how long a call may be on its way through a relay of a busy machine.
+// transitLimit is the longest transit of a call through a relay on a busy machine.
 const transitLimit = 250 * time.Millisecond
 
-// checkArrivals finds calls that came to the platform after one with a higher token for any subject, be they accepted or not. They
-// were made without the lease: relays do not deliver what they have held, and a pause hardly falls between the last look at the
-// lease and the write that follows it.
+// checkArrivals finds calls, accepted or not, that arrived at the platform after one with a higher token for any subject. They were
+// made without the lease: relays do not deliver data that they have held, and a pause between the last check of the lease and the
+// write after it is very unlikely.
 func checkArrivals(calls []cloudapi.DutyCall) (faults []string) {
 	calls = slices.SortedFunc(slices.Values(calls), func(a, b cloudapi.DutyCall) int { return a.Received.Compare(b.Received) })
 	var highest cloudapi.DutyCall // the first one with its token
@@ -62,7 +62,7 @@
 		case c.Token > highest.Token:
 			highest = c
 		case c.Token < highest.Token && after > transitLimit:
-			faults = append(faults, fmt.Sprintf("%v: it came %v after the first one with token %d, by %s", c, after, highest.Token, highest.Holder))
+			faults = append(faults, fmt.Sprintf("%v: arrived %v after the first call with token %d, by %s", c, after, highest.Token, highest.Holder))
 		}
 	}
 	return faults
@@ -78,9 +78,9 @@
 	return faults
 }
 
-// checkReports finds windows of the run that were not reported, or with counts that are not those of the front. A window may be
-// missing if no holder could act for long enough while it could have been reported: a collector that begins when the window is late
-// already waits for all fronts, and a platform that is slow holds up what waits behind other reports.
+// checkReports finds windows of the run that were not reported, or whose counts differ from those of the front. A window may be
+// missing if no holder could make calls for long enough while the window could have been reported: a collector that starts when the
+// window is already late waits for all fronts, and a slow platform delays reports that are queued behind others.
 func (d *taskFleet) checkReports(calls []cloudapi.DutyCall) {
 	d.t.Helper()
 	for _, c := range calls {
@@ -89,7 +89,7 @@
 			continue
 		}
 		if counted := d.front.counted(report.WindowNo); !maps.Equal(report.ServerCounts, counted) {
-			d.t.Errorf("%v: window %d, which ended %v before, has counts %v, want %v", c, report.WindowNo,
+			d.t.Errorf("%v: window %d, which ended %v earlier, has counts %v, want %v", c, report.WindowNo,
 				c.At.Sub(usage.WindowEnd(report.WindowNo, taskTestWindow)), report.ServerCounts, counted)
 		}
 	}
@@ -97,15 +97,15 @@
 	for _, window := range missingWindows(calls, d.awaited) {
 		end := usage.WindowEnd(window, taskTestWindow)
 		if span := longestHeld(calls, end.Add(d.schedule.Settle), end.Add(2*taskTestLate)); span > enough {
-			d.t.Errorf("window %d is not reported, though one holder reported others for %v meanwhile", window, span)
+			d.t.Errorf("window %d was not reported, though one holder reported other windows for %v meanwhile", window, span)
 		} else {
-			d.t.Logf("window %d is not reported: no holder reported for longer than %v", window, span)
+			d.t.Logf("window %d was not reported: no holder reported for longer than %v", window, span)
 		}
 	}
 }
 
-// missingWindows returns the windows from the first one that was accepted up to the newest one that were not accepted. All are
-// missing if none was accepted.
+// missingWindows returns the windows that were not accepted, from the first accepted one up to the newest one. If none was accepted,
+// the newest one is missing.
 func missingWindows(calls []cloudapi.DutyCall, newest int64) (missing []int64) {
 	accepted, first := map[int64]bool{}, newest
 	for _, c := range calls {
@@ -124,11 +124,11 @@
 	return missing
 }
 
-// promptCallLimit is how long the platform takes for a call, at most, if it has no fault and the machine is not busy.
+// promptCallLimit is the longest time that the platform takes for a call if it has no fault and the machine is not busy.
 const promptCallLimit = 200 * time.Millisecond
 
-// longestHeld returns the longest time between two times in which one holder made reports in turn, each of them soon after the one
-// before, that the platform accepted without a delay.
+// longestHeld returns the longest time, between two times, during which one holder made successive reports at short intervals and the
+// platform accepted each without delay.
 func longestHeld(calls []cloudapi.DutyCall, from, until time.Time) (longest time.Duration) {
 	var first, last cloudapi.DutyCall
 	for _, c := range calls {
@@ -145,7 +145,7 @@
 	return longest
 }
 
-// summarizeCalls returns the figures of a run.
+// summarizeCalls returns a summary of the calls of a run.
 func summarizeCalls(calls []cloudapi.DutyCall) string {
 	statuses, holders, overtaken := map[int]int{}, 0, 0
 	var holder string
--- a/internal/tier/controlnode/task_faults_test.go
+++ b/internal/tier/controlnode/task_faults_test.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/standin/cutproxy"
 )
 
-var faultRuns = flag.Int("dutyruns", 1, "runs of the duties through drawn faults, each with the next seed")
+var faultRuns = flag.Int("dutyruns", 1, "runs of the singleton tasks under random faults, each with the next seed")
 
 const (
 	faultsPerRun    = 3
@@ -22,17 +22,18 @@
 	successiveKills = 3
 )
 
-// drawnFault is a fault of one node.
+// drawnFault is a fault of one node that the test injects at random.
 type drawnFault struct {
 	name  string
 	begin func(d *taskFleet, i int)
 	end   func(d *taskFleet, i int)
 }
 
-// drawnFaults are the faults of a node that the test draws from; the disk of a node is lost only if it is not the holder.
+// drawnFaults are the faults that the test chooses from. lostDisk is separate, since only a node that is not the holder may lose its
+// disk.
 var drawnFaults = []drawnFault{
 	{"is killed", func(d *taskFleet, i int) { d.kill(i) }, (*taskFleet).restartNode},
-	{"ends in order", func(d *taskFleet, i int) { d.terminate(i) }, (*taskFleet).restartNode},
+	{"shuts down gracefully", func(d *taskFleet, i int) { d.terminate(i) }, (*taskFleet).restartNode},
 	{"is paused", func(d *taskFleet, i int) { d.nodes[i].freeze(d.t) }, func(d *taskFleet, i int) { d.nodes[i].wake() }},
 	{"is cut off from other nodes", func(d *taskFleet, i int) { d.partition(i) }, func(d *taskFleet, _ int) { d.heal(true) }},
 	{"is cut off from the platform", (*taskFleet).cutPlatform, (*taskFleet).healPlatform},
@@ -43,7 +44,7 @@
 
 func (d *taskFleet) restartNode(i int) { d.start(i, false) }
 
-// cutPlatform keeps from the platform what a node sends, and from the node what the platform answers.
+// cutPlatform holds the traffic between a node and the platform in both directions.
 func (d *taskFleet) cutPlatform(i int) {
 	d.links[i].Hold(cutproxy.Forward)
 	d.links[i].Hold(cutproxy.Backward)
@@ -55,7 +56,7 @@
 	d.links[i].Reset()
 }
 
-// healPlatform ends cutPlatform and refusePlatform. What was held is lost.
+// healPlatform ends cutPlatform and refusePlatform. The data that was held is lost.
 func (d *taskFleet) healPlatform(i int) {
 	d.links[i].Reset()
 	d.links[i].Refuse(false)
@@ -63,7 +64,8 @@
 	d.links[i].Release(cutproxy.Backward)
 }
 
-// TestDutiesThroughFaults draws faults of the holder, of other nodes and of the platform, as many at once as are to be borne.
+// TestDutiesThroughFaults injects random faults of the holder, of other nodes and of the platform, at most as many at once as the core
+// tolerates. The singleton tasks must resume after each and obey the platform's rules throughout.
 func TestDutiesThroughFaults(t *testing.T) {
 	t.Parallel()
 	seed := chooseSeed(t)
@@ -83,12 +85,12 @@
 			return
 		}
 	}
-	t.Logf("%d nodes; usage went on after %v at most", d.n, longest)
+	t.Logf("%d nodes; usage reports resumed after %v at most", d.n, longest)
 	d.checkPlatformCalls()
 }
 
-// injectFaults plays a drawn fault or some that overlap, and waits until usage goes on and all nodes are members. It returns how long
-// usage took to go on after the end of the last fault.
+// injectFaults injects one random fault or several overlapping ones, and waits until usage reports resume and all nodes are members.
+// It returns how long usage reports took to resume after the end of the last fault.
 func (d *taskFleet) injectFaults(r *rand.Rand) time.Duration {
 	d.t.Helper()
 	description := ""
@@ -104,11 +106,12 @@
 	ended := time.Now()
 	took := d.awaitUsage(description, ended, d.resumeLimit())
 	d.within(catchUp+busyMargin, "all nodes are members", d.allMembers)
-	d.t.Logf("%s: %s; usage goes on after %v", ended.Format(timeWithMillis), description, took)
+	d.t.Logf("%s: %s; usage reports resumed after %v", ended.Format(timeWithMillis), description, took)
 	return took
 }
 
-// killHolders kills the holder several times in a row, each time as soon as the next one has acted and the contract permits it.
+// killHolders kills the holder several times in succession, each time as soon as the next one has reported usage and all nodes are
+// members again.
 func (d *taskFleet) killHolders() (description string) {
 	d.t.Helper()
 	var killed []string
@@ -124,7 +127,7 @@
 	return "holders " + strings.Join(killed, ", ") + " are killed in turn"
 }
 
-// killAll kills all nodes at once and starts them again.
+// killAll kills all nodes at once and restarts them.
 func (d *taskFleet) killAll(r *rand.Rand) (description string) {
 	for _, i := range d.all() {
 		d.nodes[i].signal(syscall.SIGKILL)
@@ -139,8 +142,8 @@
 	return "all nodes are killed"
 }
 
-// overlapFaults has the holder, or another node, or as many as are to be borne, have faults, at times with the platform, and ends
-// them in any order.
+// overlapFaults injects faults in the holder, in another node, or in both if the core tolerates that, sometimes together with a fault of
+// the platform, and ends them in random order.
 func (d *taskFleet) overlapFaults(r *rand.Rand) (description string) {
 	d.t.Helper()
 	holder := d.holder()
@@ -178,7 +181,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// drawPlatformFault draws a fault of the platform. A slow one answers before or after the caller gives up.
+// drawPlatformFault chooses a random fault of the platform. A slow platform may respond before or after the caller's time-out.
 func drawPlatformFault(r *rand.Rand) cloudapi.DutyFault {
 	switch r.IntN(6) {
 	case 0:
@@ -196,7 +199,8 @@
 	return cloudapi.DutyFault{Kind: cloudapi.DutySlow, Delay: delay, DecidedFirst: r.IntN(2) == 0}
 }
 
-// TestStoppedHolderReleasesLeaseEarly: the holder ends in order, and another node acts well before a term is over.
+// TestStoppedHolderReleasesLeaseEarly checks that after a graceful shutdown of the holder another node makes calls well before the term
+// of the lease ends.
 func TestStoppedHolderReleasesLeaseEarly(t *testing.T) {
 	t.Parallel()
 	const term = 8 * time.Second
@@ -207,7 +211,7 @@
 		began := time.Now()
 		d.terminate(holder)
 		var next cloudapi.DutyCall
-		d.awaitCalls("another node acts", term, func(decided []cloudapi.DutyCall, _ int) bool {
+		d.awaitCalls("another node makes a call", term, func(decided []cloudapi.DutyCall, _ int) bool {
 			i := slices.IndexFunc(decided, func(c cloudapi.DutyCall) bool { return c.Applied && c.Token > highest })
 			if i >= 0 {
 				next = decided[i]
@@ -215,9 +219,9 @@
 			return i >= 0
 		})
 		took := next.Received.Sub(began)
-		t.Logf("node %d ends; %s acts after %v", holder, next.Holder, took)
+		t.Logf("node %d shuts down; %s makes a call after %v", holder, next.Holder, took)
 		if took > term/2 {
-			t.Errorf("the next holder acts %v after SIGTERM, limit %v", took, term/2)
+			t.Errorf("the next holder made its first call %v after SIGTERM, limit %v", took, term/2)
 		}
 		d.restartNode(holder)
 		d.within(catchUp+busyMargin, "all nodes are members", d.allMembers)
--- a/internal/tier/controlnode/task_fleet_test.go
+++ b/internal/tier/controlnode/task_fleet_test.go
@@ -15,7 +15,7 @@
 	"larchrouter/internal/tier/usage"
 )
 
-// Settings of the duties in tests with processes.
+// Settings of the singleton tasks in tests with processes.
 const (
 	taskTestTerm   = 500 * time.Millisecond
 	taskTestWindow = time.Second
@@ -28,12 +28,12 @@
 // timeWithMillis is the layout of times in logs.
 const timeWithMillis = "15:04:05.000"
 
-// Times after which a duty has to go on, as the design adds them up.
+// Terms of resumeLimit, the time within which the singleton tasks must resume after a fault.
 const (
-	// detectionLimit is the time in which other nodes notice that a node is gone and agree on a view without it.
+	// detectionLimit is the time within which the other nodes detect the failure of a node and agree on a view without it.
 	detectionLimit = 2 * time.Second
 
-	// busyMargin is added for a machine that is busy with other tests.
+	// busyMargin is an allowance for a machine that is busy with other tests.
 	busyMargin = 4 * time.Second
 )
 
@@ -42,8 +42,8 @@
 	return lease.Params{Term: term, MaxDrift: lease.DefaultMaxDrift}.Takeover()
 }
 
-// taskFleet is a fleet whose nodes carry out duties at one platform, each of them through a relay of its own, with a front that
-// reports usage.
+// taskFleet is a fleet whose nodes run the singleton tasks against one platform, each node through a relay of its own, with a front
+// that reports usage.
 type taskFleet struct {
 	*fleet
 	term     time.Duration
@@ -51,7 +51,7 @@
 	platform *cloudapi.Platform
 	links    []*cutproxy.Relay // from each node to the platform
 	front    *usageFront
-	awaited  int64 // newest window whose report was waited for
+	awaited  int64 // newest window whose report the test has waited for
 }
 
 // newTaskFleet starts n nodes and waits until one of them has reported usage.
@@ -70,11 +70,11 @@
 	d.putScaling()
 	d.front = newUsageFront(t, d.fleet)
 	since := time.Now()
-	d.awaitUsage("the duty begins", since, d.resumeLimit())
+	d.awaitUsage("the usage task starts", since, d.resumeLimit())
 	return d
 }
 
-// startPlatform starts a platform with a few hosts, and a relay to it for each node.
+// startPlatform starts a platform with five hosts, and a relay to it for each node.
 func (d *taskFleet) startPlatform(t *testing.T, n int) {
 	t.Helper()
 	platform, err := cloudapi.New(cloudapi.Options{FenceChecks: true})
@@ -110,27 +110,27 @@
 	t.Logf("calls to the platform:%s", log.String())
 }
 
-// putScaling has a configuration acknowledged in which the hosts of the service are scaled.
+// putScaling puts a configuration with scaling bounds for the service, and waits until it is acknowledged.
 func (d *taskFleet) putScaling() {
 	d.t.Helper()
 	scaling := fmt.Sprintf(`"scaling":{"min_count":%d,"max_count":%d,"boot_time_s":1},"health_path"`, minScaledHosts, maxScaledHosts)
 	body := []byte(strings.Replace(string(config(2)), `"health_path"`, scaling, 1))
 	node := 0
-	d.until("the configuration with a scaling is acknowledged", func() bool {
+	d.until("the configuration with scaling bounds is acknowledged", func() bool {
 		node++
 		status, _ := d.call(node%d.n, http.MethodPut, "/api/config", "1", body)
 		return status == http.StatusOK
 	})
 }
 
-// resumeLimit is the time after a fault in which usage has to go on: the others agree on a view without the holder, its grant
-// ends, the next holder's collector may wait for the last moment of a window, and its next call may be one that it has put off.
+// resumeLimit is the time after a fault within which usage reports must resume: the others agree on a view without the holder, its grant
+// expires, the next holder's collector may wait as long as a window's deadline permits, and its next call may be in backoff.
 func (d *taskFleet) resumeLimit() time.Duration {
 	collecting := d.schedule.LateAfter - d.schedule.Margin - d.schedule.Settle
 	return detectionLimit + leaseTakeover(d.term) + collecting + maxCallBackoff + busyMargin
 }
 
-// awaitCalls waits until a condition is met about the decided calls and the number of those that the platform holds.
+// awaitCalls waits until a condition holds for the decided calls and the number of calls that the platform holds.
 func (d *taskFleet) awaitCalls(what string, limit time.Duration, met func(decided []cloudapi.DutyCall, held int) bool) {
 	d.t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), limit)
@@ -147,7 +147,7 @@
 	d.t.Fatalf("not within %v: %s; the last calls: %v", limit, what, lastCalls(d.platform.DutyCalls(), 8))
 }
 
-// awaitUsage waits until the platform has accepted a report that came after a time. It returns how long that took.
+// awaitUsage waits until the platform has accepted a usage report that it received after a time. It returns how long that took.
 func (d *taskFleet) awaitUsage(what string, since time.Time, limit time.Duration) time.Duration {
 	d.t.Helper()
 	d.awaitCalls(what+": no usage is accepted", limit, func(decided []cloudapi.DutyCall, _ int) bool {
@@ -158,8 +158,8 @@
 	return time.Since(since)
 }
 
-// awaitReports waits until the platform has accepted the reports of all windows that ended lately: after a pause as long as usage may
-// take to go on, and a collector to warm up, each of them can still be reported.
+// awaitReports waits until the platform has accepted the reports of all windows that ended within taskTestLate. Even after the longest
+// interruption of usage reports and the warm-up of a collector, each of them can still be reported.
 func (d *taskFleet) awaitReports() {
 	d.t.Helper()
 	now := time.Now()
@@ -183,7 +183,7 @@
 	}
 	i, err := strconv.Atoi(strings.TrimPrefix(newest.Holder, "core-"))
 	if err != nil || i < 0 || i >= d.n {
-		d.t.Fatalf("holder %q is no node", newest.Holder)
+		d.t.Fatalf("holder %q is not a node", newest.Holder)
 	}
 	return i
 }
--- a/internal/tier/controlnode/task_front_test.go
+++ b/internal/tier/controlnode/task_front_test.go
@@ -16,14 +16,14 @@
 const (
 	frontTick       = 40 * time.Millisecond // between two reports
 	frontTimeout    = 300 * time.Millisecond
-	frontWindows    = 64               // that it retains
-	loadPeriod      = 14 * time.Second // in which the load is high, then low
+	frontWindows    = 64               // retained windows
+	loadPeriod      = 14 * time.Second // the load is high for the first half, then low
 	highLoad        = 3.0              // calls in flight in a zone
 	lowLoad         = 0.5
 	requestsPerTick = 5
 )
 
-// usageFront counts requests of a few tenants and reports them to the head as a front does. It keeps what it has counted.
+// usageFront counts requests of a few tenants and reports them to the head as a front does. It keeps the counts for the checks.
 type usageFront struct {
 	fleet   *fleet
 	calls   rpc.Clients
@@ -35,7 +35,7 @@
 	counts map[int64]map[string]int64 // by window and tenant
 }
 
-// newUsageFront starts a front of a fleet. It ends with the test.
+// newUsageFront starts a front of a fleet. It stops at the end of the test.
 func newUsageFront(t *testing.T, f *fleet) *usageFront {
 	front := &usageFront{fleet: f, counter: usage.NewCounter(time.Now().UnixNano(), frontWindows), counts: map[int64]map[string]int64{}}
 	ctx, stop := context.WithCancel(context.Background())
@@ -58,7 +58,7 @@
 	}
 }
 
-// count counts a few requests at a time, and the load of the time before it.
+// count counts a few requests at a time, and the load of the span before it.
 func (f *usageFront) count(now time.Time, span time.Duration, random *rand.Rand) {
 	window := usage.WindowAt(now, taskTestWindow)
 	f.mu.Lock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// report sends what the current collector lacks, to the head if it is known, else to one node after the other.
+// report sends what the current collector has not acknowledged, to the head if it is known, else to the nodes in rotation.
 func (f *usageFront) report(ctx context.Context) {
 	addr := f.head
 	if addr == "" {
--- a/internal/tier/controlnode/task_lease_test.go
+++ b/internal/tier/controlnode/task_lease_test.go
@@ -14,29 +14,29 @@
 	"larchrouter/internal/tier/lease"
 )
 
-// Terms of the lease in the tests of a loop without a node.
+// Terms of the lease in tests of the event loop without a node.
 const (
 	loopTestTerm     = 10 * time.Millisecond
-	loopTestTakeover = 4 * loopTestTerm // longer than Takeover
+	loopTestTakeover = 4 * loopTestTerm // longer than lease.Params.Takeover
 )
 
-// loopBatch is what becomes of a batch with one request.
+// loopBatch is the fate of a batch with one request.
 type loopBatch int
 
 const (
-	handled            loopBatch = iota // and synced
-	handledWithoutRoom                  // the disk was full after the request was handled
-	rejected                            // the disk was full before
+	handled            loopBatch = iota // handled and synced
+	handledWithoutRoom                  // handled, but the disk was full before the sync
+	rejected                            // not handled, since the disk was full
 )
 
-// leaseLoop is a server with a lease and a loop that handles requests, but without a node. What becomes of its first batches is given;
-// those after them are handled.
+// leaseLoop is a server with a lease and a loop that handles requests, but without a node. The fates of the first batches are given;
+// later batches are handled.
 type leaseLoop struct {
 	*Server
-	done chan struct{} // closed when the loop has ended; the lease belongs to the test from then on
+	done chan struct{} // closed when the loop has ended, after which the test owns the lease
 }
 
-// newLeaseLoop returns a server that holds the lease of epoch 1.
+// newLeaseLoop starts a leaseLoop that holds the lease of epoch 1.
 func newLeaseLoop(t *testing.T, batches ...loopBatch) *leaseLoop {
 	s := &Server{startedAt: time.Now().Add(-time.Hour), requests: make(chan queuedRequest), log: process.NewLogger(io.Discard)}
 	s.ctx, s.stop = context.WithCancel(t.Context())
@@ -49,7 +49,7 @@
 	return l
 }
 
-// confirmedHead is the observation of a head that is confirmed for as long as a test runs.
+// confirmedHead returns the observation of a head that stays confirmed for the duration of a test.
 func confirmedHead(epoch int64) lease.Observation {
 	return lease.Observation{Epoch: epoch, IsHead: true, Active: true, HasConfirmed: true, ConfirmedAt: 10 * time.Hour}
 }
@@ -74,13 +74,13 @@
 	}
 }
 
-// end stops the loop.
+// end stops the loop and waits for its end.
 func (l *leaseLoop) end() {
 	l.stop()
 	<-l.done
 }
 
-// regains reports whether this node gets a grant after it has lost the lease and has waited.
+// regains reports whether this node gets a grant after it has lost the lease, become head again and waited for Takeover.
 func (l *leaseLoop) regains() bool {
 	l.end()
 	l.lease.Observe(l.now(), lease.Observation{Epoch: 2})
@@ -90,7 +90,8 @@
 	return held
 }
 
-// Guards against a node without a lease for ever: the start of a call was noted in a batch that met a full disk, and its end never.
+// If the start of a call is recorded in a batch that fails on a full disk, the end of the call must be recorded too: otherwise the node
+// would wait for the call for ever and never regain the lease.
 func TestLeaseReturnsAfterCallThatWasNotSent(t *testing.T) {
 	for name, batches := range map[string][]loopBatch{
 		"start handled without room":         {handledWithoutRoom},
@@ -105,13 +106,13 @@
 				t.Fatalf("the outcome is %v", outcome)
 			}
 			if !l.regains() {
-				t.Error("no grant after the wait, though no call is in flight")
+				t.Error("no grant after Takeover, though no call is in flight")
 			}
 		})
 	}
 }
 
-// Guards against an end that is noted twice, in a batch that met a full disk and after it: another call was taken for ended.
+// The end of a call may be handled twice: in a batch that fails on a full disk and in the retry. It must not end another call.
 func TestRepeatedCallEndCountsOnce(t *testing.T) {
 	l := newLeaseLoop(t, handledWithoutRoom, rejected)
 	call, other := &lease.Call{Epoch: 1}, &lease.Call{Epoch: 1}
@@ -119,11 +120,12 @@
 	l.lease.CallStarted(other)
 	l.recordCallEnd(call)
 	if l.regains() {
-		t.Error("a grant while a call of the lost headship is in flight")
+		t.Error("grant while a call of the lost headship is in flight")
 	}
 }
 
-// Guards against a refusal that is forgotten, as the event loop rejected its request: the node went on to act in its epoch.
+// If the event loop rejects the record of a token refusal on a full disk, the record must be retried: otherwise the node would continue
+// to make calls in its epoch.
 func TestTokenRefusalIsRecordedAfterFullDisk(t *testing.T) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusConflict) }))
 	defer platform.Close()
@@ -133,10 +135,10 @@
 	defer d.client.Close()
 	outcome, err := d.post(&publishedGrant{epoch: 1}, usagePath, []byte("{}"))
 	if outcome != fencedcall.Refused {
-		t.Fatalf("the outcome is %v, %v", outcome, err)
+		t.Fatalf("outcome %v, %v", outcome, err)
 	}
 	l.end()
 	if grant, held := l.lease.Grant(l.now()); held {
-		t.Errorf("the node has a grant %+v after the platform has refused its token", grant)
+		t.Errorf("the node still has a grant %+v after the platform refused its token", grant)
 	}
 }
--- a/internal/tier/controlnode/task_pause_test.go
+++ b/internal/tier/controlnode/task_pause_test.go
@@ -10,14 +10,14 @@
 )
 
 var (
-	holderPauses = flag.Int("pauses", 8, "pauses of the holder of the duties")
-	seedFlag     = flag.Uint64("seed", 1, "seed of the first run of the tests of duties; 0 for one by the time")
+	holderPauses = flag.Int("pauses", 8, "number of pauses of the lease holder")
+	seedFlag     = flag.Uint64("seed", 1, "seed of the first run of the tests of singleton tasks; 0 for one from the clock")
 )
 
-// pausesPerCheck is after how many pauses the reports have to be up to date again.
+// pausesPerCheck is the number of pauses after which all reports must be up to date.
 const pausesPerCheck = 5
 
-// chooseSeed returns the seed that the flag names, or one by the time.
+// chooseSeed returns the seed from the flag, or one from the clock.
 func chooseSeed(t *testing.T) uint64 {
 	seed := *seedFlag
 	if seed == 0 {
@@ -27,8 +27,8 @@
 	return seed
 }
 
-// TestPausedHoldersDoNotActTwice pauses the holder of the duties again and again, for less than the term of the lease, about
-// the term, and so long that another node takes over; now and then in the middle of a call.
+// TestPausedHoldersDoNotActTwice pauses the lease holder repeatedly: for less than the term of the lease, about the term, and so long
+// that another node takes over, sometimes in the middle of a call. A holder that resumes must not make calls on an expired lease.
 func TestPausedHoldersDoNotActTwice(t *testing.T) {
 	t.Parallel()
 	r := rand.New(rand.NewPCG(chooseSeed(t), 11))
@@ -44,22 +44,22 @@
 		}
 	}
 	d.awaitReports()
-	t.Logf("%d pauses of %d nodes; usage went on after %v at most", *holderPauses, d.n, longest)
+	t.Logf("%d pauses of %d nodes; usage reports resumed after %v at most", *holderPauses, d.n, longest)
 	d.checkPlatformCalls()
 }
 
-// cutAfterPause is for how long a node that wakes hears nothing of the others at times: long enough for another one to act.
+// cutAfterPause is how long a resumed node may be partitioned from the others: long enough for another node to take over.
 const cutAfterPause = 2 * time.Second
 
 // holderPause is one pause of the holder.
 type holderPause struct {
 	length time.Duration
 	inCall bool // while the platform holds a call
-	cutOff bool // when it wakes it does not reach the other nodes, and has a call to repeat
+	cutOff bool // when it resumes it cannot reach the other nodes, and has a call to retry
 }
 
-// pauseHolder pauses the holder once and waits until usage goes on and all nodes are members. It returns how long usage took to go
-// on after the pause.
+// pauseHolder pauses the holder once and waits until usage reports resume and all nodes are members. It returns how long usage reports
+// took to resume after the pause.
 func (d *taskFleet) pauseHolder(r *rand.Rand) time.Duration {
 	d.t.Helper()
 	pause := drawPause(r, d.term)
@@ -83,11 +83,11 @@
 	ended := time.Now()
 	took := d.awaitUsage("after a pause", ended, d.resumeLimit())
 	d.within(catchUp+busyMargin, "all nodes are members", d.allMembers)
-	d.t.Logf("node %d paused at %v, %+v; usage goes on after %v", holder, began.Format(timeWithMillis), pause, took)
+	d.t.Logf("node %d paused at %v, %+v; usage reports resumed after %v", holder, began.Format(timeWithMillis), pause, took)
 	return took
 }
 
-// waitThroughPause waits until the pause is over. Calls that the platform holds are carried out meanwhile.
+// waitThroughPause waits until the pause is over. Calls that the platform holds are resolved meanwhile.
 func (d *taskFleet) waitThroughPause(r *rand.Rand, pause holderPause) {
 	held := time.Duration(0)
 	if pause.inCall {
@@ -102,7 +102,7 @@
 	time.Sleep(pause.length - held)
 }
 
-// drawPause draws a pause: shorter than a term, about a term, or up to 4 terms longer.
+// drawPause chooses a random pause: shorter than a term, about a term, or up to 4 terms longer.
 func drawPause(r *rand.Rand, term time.Duration) holderPause {
 	pause := holderPause{inCall: r.IntN(5) < 2}
 	pause.cutOff = pause.inCall && r.IntN(2) == 0
@@ -117,7 +117,7 @@
 	return pause
 }
 
-// drawHeldFault draws what becomes of calls that the platform has held: they are decided, late or not, or rejected, or lost.
+// drawHeldFault chooses what happens to calls that the platform has held: they are decided, late or not, or rejected, or lost.
 func drawHeldFault(r *rand.Rand) cloudapi.DutyFault {
 	switch r.IntN(5) {
 	case 0:
--- a/internal/tier/controlnode/task_runner.go
+++ b/internal/tier/controlnode/task_runner.go
@@ -140,7 +140,7 @@
 			"ms", time.Since(startedAt).Milliseconds(), "err", err)
 	}
 	if outcome == fencedcall.Refused {
-		d.server.log.Error("platform refused the fencing token as it has seen a higher one; no singleton tasks run on this node for the rest of the epoch",
+		d.server.log.Error("platform refused the fencing token as it has seen a higher one; this node stops its singleton tasks for this epoch",
 			"epoch", grant.epoch, "token", d.token(grant))
 		d.server.retryOnLoop(&tokenRefusedRequest{epoch: grant.epoch})
 	}
--- a/internal/tier/controlnode/task_scale_test.go
+++ b/internal/tier/controlnode/task_scale_test.go
@@ -19,14 +19,14 @@
 
 var scaleTestSubject = scaling.Subject{Service: "s", Zone: "a"}
 
-// newTestScaleTask returns a duty of a holder that has just begun.
+// newTestScaleTask returns the scale task of a node that has just acquired the lease.
 func newTestScaleTask() *scaleTask {
 	d := newScaleTask(&taskRunner{server: &Server{log: process.NewLogger(io.Discard)}})
 	d.reset()
 	return d
 }
 
-// Failure: an order without a clear answer is taken as not made, though the platform may have applied it.
+// An order without a definite response must be repeated, since the platform may or may not have applied it.
 func TestOrderIsRepeatedUnlessAccepted(t *testing.T) {
 	for outcome, repeated := range map[fencedcall.Outcome]bool{
 		fencedcall.Accepted: false, fencedcall.NotSent: false, fencedcall.Busy: true, fencedcall.Unknown: true, fencedcall.Refused: true, fencedcall.Invalid: true,
@@ -42,7 +42,7 @@
 	}
 }
 
-// scalingConfig returns configuration 7 with a scaling of the service s; without one if most is 0.
+// scalingConfig returns a configuration of version 7 with scaling bounds for the service s; without bounds if most is 0.
 func scalingConfig(least, most int) []byte {
 	scaling := fmt.Sprintf(`,"scaling":{"min_count":%d,"max_count":%d}`, least, most)
 	if most == 0 {
@@ -52,7 +52,8 @@
 		`}],"route_table":[{"host_name":"h","path_prefix":"/p/","deadline_ms":5,"target_service":"s"}]}`)})
 }
 
-// Failure: of two configurations with the same version, of which the first was dropped with its epoch, the dropped one's bounds hold.
+// Two configurations may have the same version if the first was dropped with its epoch. The bounds of the dropped one must not stay in
+// force.
 func TestBoundsComeFromNewestConfigEntry(t *testing.T) {
 	d := newTestScaleTask()
 	for i, most := range []int{20, 4} {
@@ -62,11 +63,11 @@
 		}
 	}
 	if d.reset(); d.config != nil {
-		t.Error("a new headship has a configuration of the one before")
+		t.Error("a new headship starts with the configuration of the previous one")
 	}
 }
 
-// Failure: hosts are ordered by a configuration that is not committed, and may be dropped.
+// Hosts must not be ordered by a configuration that is not committed, since it may be dropped.
 func TestUncommittedConfigIsIgnored(t *testing.T) {
 	c := chain.New("a", chain.State{ActivatedEpoch: 1, LastIndex: 3, Commit: 1, Entries: []chain.Entry{
 		{Index: 1, Key: feed.ConfigKey, Value: scalingConfig(1, 4)},
@@ -85,7 +86,7 @@
 	}
 }
 
-// Failure: no host is ordered any more in a zone whose hosts have all gone from the list.
+// A zone must still be scaled after all of its hosts have left the list, or no host would ever be ordered there again.
 func TestZoneWithoutListedHostsIsStillScaled(t *testing.T) {
 	d := newTestScaleTask()
 	d.adoptConfig(chain.Entry{Index: 1, Value: scalingConfig(0, 20)})
@@ -100,7 +101,7 @@
 	}
 }
 
-// Failure: hosts are ordered for a service that has no scaling any more, or by a holder for zones that only an earlier one saw.
+// No hosts may be ordered for a service whose scaling bounds were removed, nor for zones that only an earlier lease holder has seen.
 func TestSubjectsEndWithScalingConfigAndHeadship(t *testing.T) {
 	d := newTestScaleTask()
 	config := chain.Entry{Index: 1, Value: scalingConfig(1, 20)}
@@ -111,7 +112,7 @@
 	}
 	d.adoptConfig(chain.Entry{Index: 2, Value: scalingConfig(0, 0)})
 	if got := d.subjects(listed); len(got) != 0 {
-		t.Errorf("subjects %+v without a scaling", got)
+		t.Errorf("subjects %+v without scaling bounds", got)
 	}
 	d.adoptConfig(chain.Entry{Index: 3, Value: config.Value})
 	d.subjects(listed)
--- a/internal/tier/controlnode/task_status_cluster_test.go
+++ b/internal/tier/controlnode/task_status_cluster_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// newTestPlatform starts a platform that answers calls of duties with the status that it is given. It lists no host.
+// newTestPlatform starts a platform that responds to calls of singleton tasks with the status stored in it. It lists no hosts.
 func newTestPlatform(t *testing.T) (addr string, status *atomic.Int64) {
 	t.Helper()
 	status = &atomic.Int64{}
@@ -26,7 +26,7 @@
 	return server.Listener.Addr().String(), status
 }
 
-// newTaskCluster starts core nodes with short windows and a short term of the lease, whose platform expects both duties.
+// newTaskCluster starts core nodes that run both singleton tasks, with short windows and a short lease term.
 func newTaskCluster(t *testing.T, n int, platform string) *cluster {
 	t.Helper()
 	c := newClusterWith(t, 0, platform)
@@ -42,7 +42,7 @@
 	return c
 }
 
-// duties asks a node for the state of the duties; ok is false if it does not answer.
+// taskStatus gets the state of the singleton tasks from a node; ok is false if it does not respond.
 func (c *cluster) taskStatus(i int) (status TaskStatus, ok bool) {
 	c.t.Helper()
 	code, body := c.send(i, http.MethodGet, "/api/duties", "", nil)
@@ -55,7 +55,7 @@
 	return status, true
 }
 
-// untilTaskStatus waits until the duties are in a state at all nodes given, and returns the last status.
+// untilTaskStatus waits until the status at all given nodes meets a condition, and returns the last status.
 func (c *cluster) untilTaskStatus(what string, nodes []int, in func(s *TaskStatus) bool) (status TaskStatus) {
 	c.t.Helper()
 	c.until(what, func() bool {
@@ -92,9 +92,9 @@
 	return nodes
 }
 
-// Each node answers with the state of the holder, also after the holder is lost and once the platform refuses.
+// Each node must report the state of the lease holder, also after the holder has crashed and after the platform has refused its token.
 func TestEveryNodeReportsStatusOfHolder(t *testing.T) {
-	platform, answer := newTestPlatform(t)
+	platform, responseStatus := newTestPlatform(t)
 	c := newTaskCluster(t, 3, platform)
 	acknowledged := func(s *TaskStatus) bool {
 		return s.Cause == "" && s.Held && s.Holder == s.Node && s.Holder == s.Head && s.LeftMs > 0 && s.Token > s.Epoch &&
@@ -108,24 +108,24 @@
 	holder := c.index(first.Holder)
 	c.crash[holder]()
 	rest := c.others(holder)
-	second := c.untilTaskStatus("another node does the duties", rest, func(s *TaskStatus) bool { return acknowledged(s) && s.Node != first.Node })
+	second := c.untilTaskStatus("another node runs the tasks", rest, func(s *TaskStatus) bool { return acknowledged(s) && s.Node != first.Node })
 	if second.Token <= first.Token || second.Usage.LastAcknowledged < first.Usage.LastAcknowledged {
 		t.Errorf("token %d after %d, window %d after %d", second.Token, first.Token, second.Usage.LastAcknowledged,
 			first.Usage.LastAcknowledged)
 	}
 
-	answer.Store(http.StatusConflict)
+	responseStatus.Store(http.StatusConflict)
 	refused := c.untilTaskStatus("the platform has refused", rest, func(s *TaskStatus) bool { return s.Cause == TasksTokenRefused })
 	if refused.Held || refused.Holder != "" || refused.Usage.Outcomes.Refused == 0 || refused.Token != second.Token {
 		t.Errorf("%+v", refused)
 	}
 }
 
-// A node that cannot reach the head says so, and a head without a majority that it is not confirmed.
+// A head without a majority must report that it is not confirmed.
 func TestTaskStatusWithoutMajority(t *testing.T) {
 	platform, _ := newTestPlatform(t)
 	c := newTaskCluster(t, 3, platform)
-	first := c.untilTaskStatus("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
+	first := c.untilTaskStatus("the tasks run", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
 	c.crash[others[0]]()
@@ -138,10 +138,11 @@
 	}
 }
 
+// A node that cannot reach the head must report that the head is silent.
 func TestTaskStatusAtNodeThatCannotReachHead(t *testing.T) {
 	platform, _ := newTestPlatform(t)
 	c := newTaskCluster(t, 3, platform)
-	first := c.untilTaskStatus("the duties are done", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
+	first := c.untilTaskStatus("the tasks run", []int{0, 1, 2}, func(s *TaskStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
 	c.crash[holder]()
--- a/internal/tier/controlnode/task_status_test.go
+++ b/internal/tier/controlnode/task_status_test.go
@@ -16,10 +16,10 @@
 	"larchrouter/internal/tier/view"
 )
 
-// newTaskServer returns a node that runs nothing, whose settings name a platform with some duties.
-func newTaskServer(duties ...string) *Server {
+// newTaskServer returns a node that runs nothing, with settings that name a platform and some singleton tasks.
+func newTaskServer(tasks ...string) *Server {
 	settings := &process.Settings{}
-	settings.Platform.Address, settings.Platform.Duties = "127.0.0.1:1", duties
+	settings.Platform.Address, settings.Platform.Duties = "127.0.0.1:1", tasks
 	now := time.Now()
 	return &Server{settings: settings, self: view.Member{Name: "core-1"}, startedAt: now, trueTime: usage.NewTrueTime(now, 0)}
 }
@@ -32,17 +32,17 @@
 		return lease.Status{Epoch: 7, Wait: 2 * time.Second, Cause: cause}
 	}
 	for name, c := range map[string]struct {
-		query  leaseStatusQuery
-		duties string
-		want   TaskStatus // the fields of the lease
+		query leaseStatusQuery
+		tasks string
+		want  TaskStatus // the fields of the lease
 	}{
 		"holder": {leaseStatusQuery{lease: held, head: "core-1"}, "usage_report autoscale",
 			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500}},
-		"holder of one duty": {leaseStatusQuery{lease: held, head: "core-1"}, "autoscale",
+		"holder with one task": {leaseStatusQuery{lease: held, head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500}},
-		"no duty in the settings": {leaseStatusQuery{lease: held, head: "core-1"}, "",
+		"no task in the settings": {leaseStatusQuery{lease: held, head: "core-1"}, "",
 			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: TasksNotExpected}},
-		"duties that are not known": {leaseStatusQuery{lease: held, head: "core-1"}, "sweep",
+		"unknown tasks only": {leaseStatusQuery{lease: held, head: "core-1"}, "sweep",
 			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: TasksNotExpected}},
 		"no view":  {leaseStatusQuery{lease: rest(lease.NotHead)}, "autoscale", TaskStatus{Cause: TasksNoView}},
 		"not head": {leaseStatusQuery{lease: rest(lease.NotHead), head: "core-2"}, "autoscale", TaskStatus{Head: "core-2", Cause: TasksNotHead}},
@@ -56,13 +56,13 @@
 			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksNoMajority}},
 		"just started": {leaseStatusQuery{lease: wait(lease.JustStarted), head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksJustStarted}},
-		"waits for the lease of the head before": {leaseStatusQuery{lease: wait(lease.EarlierHead), head: "core-1"}, "autoscale",
+		"waits for the lease of the previous head": {leaseStatusQuery{lease: wait(lease.EarlierHead), head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksEarlierHead}},
-		"lost the lease and got it back": {leaseStatusQuery{lease: wait(lease.LeaseLost), head: "core-1"}, "autoscale",
+		"lost and regained the lease": {leaseStatusQuery{lease: wait(lease.LeaseLost), head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksLeaseLost}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTaskServer(strings.Fields(c.duties)...)
+			s := newTaskServer(strings.Fields(c.tasks)...)
 			s.dutySnapshot.Store(&taskSnapshot{at: time.Now(), tokenBase: base})
 			status := s.taskStatus(&c.query)
 			got := TaskStatus{Head: status.Head, Held: status.Held, Holder: status.Holder, Token: status.Token, LeftMs: status.LeftMs,
@@ -77,7 +77,7 @@
 	}
 }
 
-// A node that has not looked at its duties yet, and one without a platform, have a status as well.
+// The status must be complete before the first step of the singleton tasks, and on a node without a platform.
 func TestTaskStatusBeforeFirstStep(t *testing.T) {
 	s := newTaskServer(usageTaskName)
 	s.settings.Platform.Address = ""
@@ -91,7 +91,7 @@
 	}
 }
 
-// The goroutine of the duties publishes what it holds, and nothing of it once the lease is lost.
+// The snapshot must contain the state of both tasks while the node holds the lease, and none of it after the lease is lost.
 func TestSnapshotIsEmptyAfterLeaseLoss(t *testing.T) {
 	s := newTaskServer(usageTaskName, scaleTaskName)
 	d := &taskRunner{server: s, tokenBase: 5, heldEpoch: 2}
@@ -147,7 +147,7 @@
 	if len(calls) != 2 || calls[0].Outcome != "invalid" || calls[1].Outcome != "not sent" || calls[1].Token != 4 {
 		t.Errorf("%+v", calls)
 	}
-	if body := calls[1].Body; body != strings.Repeat("x", maxShownBody-1) { // no half of a letter
+	if body := calls[1].Body; body != strings.Repeat("x", maxShownBody-1) { // not cut within a UTF-8 sequence
 		t.Errorf("body of %d bytes: %s", len(body), body)
 	}
 	if _, err := time.Parse(time.RFC3339, calls[0].Time); err != nil {
@@ -165,7 +165,7 @@
 	}
 }
 
-// taskStatusJSON has all keys of the status: programs of operators read them.
+// taskStatusJSON has all keys of the status. They must stay as they are, since operators' programs read them.
 const taskStatusJSON = `{"node":"core-1","head":"core-1","epoch":7,"held":true,"holder":"core-1","token":1048583,"left_ms":1500,"wait_ms":2,` +
 	`"cause":"refused","step_age_ms":3,"clock_offset_ms":-4,` +
 	`"usage_report":{"expected":true,"unacknowledged_windows":[{"window":9,"ended_ms":11000,"late":true}],"last_recorded_window":9,` +
--- a/internal/tier/controlnode/task_usage.go
+++ b/internal/tier/controlnode/task_usage.go
@@ -286,8 +286,8 @@
 
 // nextToSend returns the window to be sent next: the oldest one that is not late, else the oldest one; there must be at least one. On
 // a slow platform, windows that are already late or only repeat what an earlier holder has sent must not make others late.
-func nextToSend(unsent map[int64][]byte, oldestInTime int64) int64 {
-	windows := slices.Sorted(maps.Keys(unsent))
+func nextToSend(unacknowledged map[int64][]byte, oldestInTime int64) int64 {
+	windows := slices.Sorted(maps.Keys(unacknowledged))
 	for _, window := range windows {
 		if window >= oldestInTime {
 			return window
--- a/internal/tier/controlnode/task_usage_test.go
+++ b/internal/tier/controlnode/task_usage_test.go
@@ -6,7 +6,7 @@
 	"larchrouter/internal/tier/orders"
 )
 
-// A holder records also what an earlier one left out between two windows that it recorded.
+// A holder must also record a window that an earlier holder skipped between two windows that it recorded.
 func TestFirstUnrecordedIncludesGaps(t *testing.T) {
 	entries := func(windows ...int64) (reports []orders.UsageEntry) {
 		for _, window := range windows {
@@ -20,7 +20,7 @@
 	}{
 		"none is recorded": {nil, 90},
 		"in order":         {entries(70, 71, 72), 71},
-		"one is left out":  {entries(72, 70), 71},
+		"one is skipped":   {entries(72, 70), 71},
 		"one is recorded":  {entries(72), 73},
 	} {
 		if got := firstUnrecorded(c.reports, 90); got != c.want {
@@ -29,9 +29,9 @@
 	}
 }
 
-// A slow platform must not make windows late that wait behind others which are late already.
+// On a slow platform, windows that are already late must not delay others until those are late as well.
 func TestWindowsNotYetLateAreSentFirst(t *testing.T) {
-	unsent := func(windows ...int64) map[int64][]byte {
+	unacknowledged := func(windows ...int64) map[int64][]byte {
 		m := map[int64][]byte{}
 		for _, window := range windows {
 			m[window] = nil
@@ -39,14 +39,14 @@
 		return m
 	}
 	for name, c := range map[string]struct {
-		unsent map[int64][]byte
-		want   int64
+		unacknowledged map[int64][]byte
+		want           int64
 	}{
-		"late ones are there as well": {unsent(70, 71, 73, 72), 72},
-		"all are late":                {unsent(71, 70), 70},
-		"all are in time":             {unsent(75, 74), 74},
+		"late ones are there as well": {unacknowledged(70, 71, 73, 72), 72},
+		"all are late":                {unacknowledged(71, 70), 70},
+		"all are in time":             {unacknowledged(75, 74), 74},
 	} {
-		if got := nextToSend(c.unsent, 72); got != c.want {
+		if got := nextToSend(c.unacknowledged, 72); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -179,11 +179,11 @@
 
 // send draws the outcome of an order: accepted, in doubt with or without effect, or not sent.
 func (c *planHistory) send(t *rapid.T, p *Planner, hosts int) {
-	switch rapid.SampledFrom([]string{"accepted", "accepted", "lost", "lost answer", "not sent"}).Draw(t, "outcome") {
+	switch rapid.SampledFrom([]string{"accepted", "accepted", "lost", "response lost", "not sent"}).Draw(t, "outcome") {
 	case "accepted":
 		p.OrderAccepted(testSubject, hosts)
 		c.last, c.sent, c.accepted, c.platform = hosts, true, true, hosts
-	case "lost answer":
+	case "response lost":
 		p.OrderInDoubt(testSubject, hosts)
 		c.last, c.sent, c.accepted, c.platform = hosts, true, false, hosts
 	case "lost":
--- a/internal/tier/usage/collector_test.go
+++ b/internal/tier/usage/collector_test.go
@@ -7,7 +7,7 @@
 
 var testParams = CollectorParams{WindowLength: 5 * second, Retention: 30 * second, LoadHistory: 10 * second}
 
-// at returns a point in time, on both clocks.
+// at returns the same time on both clocks.
 func at(t time.Duration) Now { return Now{Mono: t, True: time.Unix(0, 0).Add(t)} }
 
 func countsOf(incarnation, window int64, counts ...TenantCount) Report {
@@ -16,9 +16,9 @@
 
 func TestCollectorSumsSources(t *testing.T) {
 	c := NewCollector(testParams)
-	for range 2 { // repeated
+	for range 2 { // each report is repeated
 		c.Add(at(20*second), "f1", countsOf(1, 3, TenantCount{"a", 5}, TenantCount{"b", 1}))
-		c.Add(at(20*second), "f1", countsOf(1, 3, TenantCount{"a", 4}, TenantCount{"zero", 0})) // overtaken
+		c.Add(at(20*second), "f1", countsOf(1, 3, TenantCount{"a", 4}, TenantCount{"zero", 0})) // older report, reordered
 		c.Add(at(20*second), "f1", countsOf(2, 3, TenantCount{"a", 10}))                        // after a restart
 		c.Add(at(20*second), "f2", countsOf(1, 3, TenantCount{"a", 100}, TenantCount{"c", 7}))
 		c.Add(at(20*second), "f2", countsOf(1, 4, TenantCount{"a", 1000}))
@@ -78,7 +78,7 @@
 			c.Add(at(2*second), "f1", busy(1, 9000))
 			c.Add(at(4*second), "f1", busy(1, 12000))
 		}, 3 * second, []Load{{"m", "z1", 1.5}}},
-		{"sources add up, restarted ones too", func(c *Collector) {
+		{"sources are summed, including restarted ones", func(c *Collector) {
 			c.Add(at(1*second), "f1", busy(1, 1000))
 			c.Add(at(2*second), "f1", busy(1, 3000))
 			c.Add(at(3*second), "f1", busy(2, 0))
@@ -86,11 +86,11 @@
 			c.Add(at(3*second), "f2", busy(1, 0))
 			c.Add(at(4*second), "f2", busy(1, 250))
 		}, 0, []Load{{"m", "z1", 2.75}}},
-		{"a source that is gone does not count", func(c *Collector) {
+		{"a source without recent reports does not count", func(c *Collector) {
 			c.Add(at(1*second), "f1", busy(1, 1000))
 			c.Add(at(2*second), "f1", busy(1, 3000))
 		}, 2*second + 1, []Load{}},
-		{"an overtaken report changes nothing", func(c *Collector) {
+		{"a reordered older report changes nothing", func(c *Collector) {
 			c.Add(at(1*second), "f1", busy(1, 1000))
 			c.Add(at(2*second), "f1", busy(1, 3000))
 			c.Add(at(3*second), "f1", busy(1, 2000))
--- a/internal/tier/usage/counter_test.go
+++ b/internal/tier/usage/counter_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// numbers returns the windows of a report.
+// numbers returns the window numbers of a report.
 func numbers(report Report) []int64 {
 	numbers := []int64{}
 	for _, w := range report.Windows {
@@ -49,7 +49,7 @@
 	first := c.Pending()
 	wantEqual(t, "first report", first, Report{Incarnation: 7, Windows: []Window{{10, []TenantCount{{"a", 1}}}, {11, []TenantCount{{"a", 1}, {"b", 2}}}}})
 	wantEqual(t, "without a receipt", c.Pending(), first)
-	c.Record("a", 10) // while the report is on its way
+	c.Record("a", 10) // while the report is in flight
 	c.Acknowledge("x", first)
 	wantEqual(t, "counted since", c.Pending().Windows, []Window{{10, []TenantCount{{"a", 2}}}})
 	c.Acknowledge("x", c.Pending())
@@ -77,13 +77,13 @@
 
 func TestCounterIsBounded(t *testing.T) {
 	c := NewCounter(7, 3)
-	c.Record("a", 1000) // by an estimate that was wrong
+	c.Record("a", 1000) // recorded while the estimate of the true time was wrong
 	for window := range int64(5) {
 		c.Record("a", window)
 		c.Record("a", window-1)
 	}
 	wantEqual(t, "windows", numbers(c.Pending()), []int64{2, 3, 4})
-	c.Acknowledge("x", Report{Windows: []Window{{0, []TenantCount{{"a", 9}}}}}) // of a window that is gone
+	c.Acknowledge("x", Report{Windows: []Window{{0, []TenantCount{{"a", 9}}}}}) // of a window that is no longer retained
 	wantEqual(t, "windows", numbers(c.Pending()), []int64{2, 3, 4})
 }
 
--- a/internal/tier/usage/model_test.go
+++ b/internal/tier/usage/model_test.go
@@ -11,12 +11,12 @@
 const (
 	modelFronts   = 3
 	modelTenants  = 2
-	modelWindows  = 4 // those of a history, all of which are retained
+	modelWindows  = 4 // windows of a history, all of which are retained
 	minModelSteps = 40
 	maxModelSteps = 100
 )
 
-// step is one event of a history. Its arguments are reduced to what there is.
+// step is one event of a history. Its arguments are taken modulo the number of objects of their kind.
 type step struct {
 	Kind    stepKind
 	A, B, C int
@@ -32,11 +32,11 @@
 	loseReport                     // A: report in flight
 	deliverReceipt                 // A: receipt in flight
 	loseReceipt                    // A: receipt in flight
-	restartFront                   // A: front; after it has reported everything
+	restartFront                   // A: front; it reports everything before it stops
 	changeCollector
 )
 
-// histories draws histories, in which requests and deliveries are frequent.
+// histories generates random histories, in which requests and deliveries are frequent.
 var histories = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 	kinds := []stepKind{recordRequest, recordRequest, recordRequest, sendReport, sendReport, deliverReport, deliverReport, repeatReport, loseReport,
 		deliverReceipt, deliverReceipt, loseReceipt, restartFront, changeCollector}
@@ -44,27 +44,27 @@
 	return step{rapid.SampledFrom(kinds).Draw(t, "kind"), argument.Draw(t, "a"), argument.Draw(t, "b"), argument.Draw(t, "c")}
 }), minModelSteps, maxModelSteps)
 
-// injectedFault changes how the model uses the code under test; nil functions change nothing.
+// injectedFault replaces how the model calls the code under test; nil functions replace nothing.
 type injectedFault struct {
 	add         func(m *model, front string, report Report)
 	acknowledge func(c *Counter, collector string, report Report)
 }
 
-// model has fronts with their counters, the present collector, and what is in flight between them.
+// model has the fronts with their counters, the present collector, and the reports and receipts in flight between them.
 type model struct {
 	fault      injectedFault
 	fronts     [modelFronts]*Counter
-	started    int64 // incarnations
+	started    int64 // number of incarnations started
 	collector  *Collector
 	generation int // of the collector
 	reports    []reportInFlight
 	receipts   []receiptInFlight
 
-	counted   [modelFronts]requestCounts // the truth of the incarnations that run
+	counted   [modelFronts]requestCounts // expected counts of the running incarnations
 	restarted []restartedCounts
 }
 
-// restartedCounts is what an incarnation has counted that was restarted, and reported to the collector of its time.
+// restartedCounts is the counts of an incarnation that was restarted, all of which it had reported to the collector of that time.
 type restartedCounts struct {
 	generation int
 	counts     requestCounts
@@ -97,7 +97,7 @@
 	m.counted[front] = requestCounts{}
 }
 
-// run plays a history, and returns an error if the collector's counts are not the truth at its end.
+// run applies a history, and returns an error if the collector's counts differ from the expected ones at its end.
 func (m *model) run(history []step) error {
 	for _, s := range history {
 		m.apply(s)
@@ -169,8 +169,8 @@
 	}
 }
 
-// flush has a front report to the collector until nothing is pending. The first report, which may be empty, tells it which collector
-// there is.
+// flush makes a front report to the collector until nothing is pending. The receipt of the first report, which may be empty, tells the
+// front which collector is the current one.
 func (m *model) flush(front int) error {
 	c := m.fronts[front]
 	for range modelWindows + 2 {
@@ -192,18 +192,18 @@
 	m.start(front)
 }
 
-// check compares the collector's counts with the truth. Of an incarnation that was gone before the collector began, the collector may
-// have any part of the counts.
+// check compares the collector's counts with the expected ones. Of an incarnation that ended before the collector started, the collector
+// may have any part of the counts.
 func (m *model) check() error {
 	least, most := requestCounts{}, requestCounts{}
 	for _, counts := range m.counted {
 		least.add(counts)
 		most.add(counts)
 	}
-	for _, dead := range m.restarted {
-		most.add(dead.counts)
-		if dead.generation == m.generation {
-			least.add(dead.counts)
+	for _, ended := range m.restarted {
+		most.add(ended.counts)
+		if ended.generation == m.generation {
+			least.add(ended.counts)
 		}
 	}
 	for window := range int64(modelWindows) {
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// tally is a number of requests by tenant and window.
+// requestCounts is the number of requests by tenant and window.
 type requestCounts map[countKey]int
 
 type countKey struct {
@@ -239,8 +239,8 @@
 
 func tenantName(i int) string { return fmt.Sprint("tenant-", i%modelTenants) }
 
-// The collector's counts equal the truth, whatever becomes of reports and receipts, fronts and collectors, as long as no front took
-// counts with it that the collector has not got.
+// The collector's counts must equal the requests that were made, whatever happens to reports and receipts, fronts and collectors, as
+// long as no front stops with counts that it has not reported.
 func TestCollectorCountsEqualRequestsMade(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := newModel(injectedFault{}).run(histories.Draw(t, "history")); err != nil {
@@ -249,16 +249,16 @@
 	})
 }
 
-// TestModelDetectsInjectedFaults checks that the property fails with each planted fault.
+// TestModelDetectsInjectedFaults checks that the property fails with each injected fault.
 func TestModelDetectsInjectedFaults(t *testing.T) {
 	const drawn = 200
 	for name, fault := range map[string]injectedFault{
-		"reports are added up": {add: func(m *model, front string, report Report) {
+		"reports are summed": {add: func(m *model, front string, report Report) {
 			m.started++
 			report.Incarnation = -m.started
 			m.collector.Add(at(0), front, report)
 		}},
-		"the last report holds": {add: func(m *model, front string, report Report) {
+		"the last report replaces the counts": {add: func(m *model, front string, report Report) {
 			for _, w := range report.Windows {
 				delete(m.collector.windows[w.Number], source{front, report.Incarnation})
 			}
@@ -275,10 +275,10 @@
 		"nothing is sent again to another collector": {acknowledge: func(c *Counter, _ string, report Report) {
 			c.Acknowledge("collector", report)
 		}},
-		"a receipt acknowledges what was counted since": {acknowledge: func(c *Counter, collector string, _ Report) {
+		"a receipt acknowledges requests counted after the report": {acknowledge: func(c *Counter, collector string, _ Report) {
 			c.Acknowledge(collector, c.Pending())
 		}},
-		"each receipt is as of another collector": {acknowledge: func(c *Counter, collector string, report Report) {
+		"each receipt looks like one of another collector": {acknowledge: func(c *Counter, collector string, report Report) {
 			c.Acknowledge("other", Report{})
 			c.Acknowledge(collector, report)
 		}},
@@ -286,11 +286,11 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range drawn {
 				if err := newModel(fault).run(histories.Example(seed)); err != nil {
-					t.Logf("found by seed %d: %v", seed, err)
+					t.Logf("detected with seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not found by %d histories", drawn)
+			t.Errorf("not detected in %d histories", drawn)
 		})
 	}
 }
--- a/internal/tier/usage/schedule_test.go
+++ b/internal/tier/usage/schedule_test.go
@@ -24,7 +24,7 @@
 
 func TestDueWindow(t *testing.T) {
 	const none = -1
-	// Window 200 ends at 1005 s, settles by 1007.5 s, has to be recorded by 1012 s and is given up behind 1025 s.
+	// Window 200 ends at 1005 s, settles by 1007.5 s, must be recorded by 1012 s and is abandoned after 1025 s.
 	through := func(last int64) []int64 {
 		var all []int64
 		for window := int64(190); window <= last; window++ {
@@ -44,19 +44,19 @@
 		{"recorded", 1007500 * time.Millisecond, 0, 0, through(200), none},
 		{"the oldest first", 1007500 * time.Millisecond, 0, 0, through(197), 198},
 		{"a gap", 1007500 * time.Millisecond, 0, 0, []int64{200, 199, 196, 197}, 198},
-		{"just not given up", 1025 * second, 0, 0, []int64{199}, 200},
-		{"given up", 1025*second + 1, 0, 0, []int64{199}, 201},
+		{"just still retained", 1025 * second, 0, 0, []int64{199}, 200},
+		{"no longer retained", 1025*second + 1, 0, 0, []int64{199}, 201},
 		{"nothing recorded", 1007500 * time.Millisecond, 0, 0, nil, 197},
 		{"before the first", 1007500 * time.Millisecond, 0, 200, nil, 200},
-		{"first to come", 1007500 * time.Millisecond, 0, 201, nil, none},
+		{"first is still to come", 1007500 * time.Millisecond, 0, 201, nil, none},
 		{"young collector", 1009999 * time.Millisecond, 1006 * second, 0, through(199), none},
 		{"warm collector", 1010 * second, 1006 * second, 0, through(199), 200},
-		{"young collector, and it has to be recorded", 1012 * second, 1009 * second, 0, through(199), 200},
-		{"collector too young to record anything", 1012999 * time.Millisecond, 1011 * second, 0, through(199), none},
-		{"collector of the least age", 1013 * second, 1011 * second, 0, through(199), 200},
-		{"collector began when it had to be recorded", 1013 * second, 1012 * second, 0, through(199), none},
+		{"young collector, but the window must be recorded", 1012 * second, 1009 * second, 0, through(199), 200},
+		{"collector below the minimum age", 1012999 * time.Millisecond, 1011 * second, 0, through(199), none},
+		{"collector of the minimum age", 1013 * second, 1011 * second, 0, through(199), 200},
+		{"collector started when the window had to be recorded", 1013 * second, 1012 * second, 0, through(199), none},
 		{"late, by a warm collector", 1016 * second, 1012 * second, 0, through(199), 200},
-		{"collector that began in the window", 1007500 * time.Millisecond, 1003 * second, 0, through(199), 200},
+		{"collector started within the window", 1007500 * time.Millisecond, 1003 * second, 0, through(199), 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			epoch := time.Unix(0, 0)
@@ -69,7 +69,7 @@
 	}
 }
 
-// A collector that runs on records each window once, in order and in time.
+// A collector that keeps running records each window once, in order and in time.
 func TestEachWindowIsDueOnceInOrder(t *testing.T) {
 	var recorded []int64
 	start := time.Unix(1000, 0)
--- a/internal/tier/usage/truetime_test.go
+++ b/internal/tier/usage/truetime_test.go
@@ -12,20 +12,20 @@
 
 var trueStart = time.Unix(1_700_000_000, 0) // the true time at 0 of the monotonic clock
 
-// sampleOf returns a sample, taken at a time, of a clock that is wrong by a time. Of the round trip, the way back took a part.
+// sampleOf returns a sample, received at a time, of a clock with an offset to the true time. Of the round trip, the response took back.
 func sampleOf(node string, offset, at, roundTrip, back time.Duration) ClockSample {
 	return ClockSample{Node: node, Wall: trueStart.Add(at - back + offset), RoundTrip: roundTrip, ReceivedAt: at}
 }
 
-// errorAt returns by how much an estimate is wrong at a time.
+// errorAt returns the error of an estimate at a time.
 func errorAt(t *TrueTime, at time.Duration) time.Duration { return t.At(at).Sub(trueStart.Add(at)) }
 
 func TestTrueTime(t *testing.T) {
 	const step = 6 * second
 	for _, test := range []struct {
 		name  string
-		own   time.Duration   // by which the clock is wrong
-		peers []time.Duration // the same
+		own   time.Duration   // offset of the node's clock to the true time
+		peers []time.Duration // offsets of the other nodes' clocks
 		want  time.Duration
 	}{
 		{"alone", step, nil, step},
@@ -51,7 +51,7 @@
 	}
 }
 
-// With up to a third of the clocks stepped, either way and at any time, the estimate is right once every peer was sampled.
+// The estimate must be right once every peer was sampled, while up to a third of the clocks step, in either direction and at any time.
 func TestTrueTimeToleratesThirdOfClocksStepped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 12).Draw(t, "clocks")
@@ -81,7 +81,7 @@
 	})
 }
 
-// A step of the own wall clock has no effect, since it is read once; the reading's own monotonic part has none either.
+// A step of the node's own wall clock must have no effect, since the clock is read once; nor must the monotonic part of that reading.
 func TestTrueTimeIgnoresOwnSteps(t *testing.T) {
 	wall := time.Now()
 	estimate := NewTrueTime(wall, 3*second)
@@ -100,7 +100,7 @@
 	wantEqual(t, "clocks", estimate.Clocks(), 2)
 }
 
-// A peer's step replaces what was known of its clock.
+// Samples of a peer's clock from before its step must be dropped.
 func TestTrueTimeFollowsAStepOfAnEstimate(t *testing.T) {
 	estimate := NewTrueTime(trueStart, 0)
 	observe := func(wrongBy, at time.Duration) {
@@ -114,7 +114,7 @@
 	wantEqual(t, "error", errorAt(estimate, 2*second), time.Duration(0))
 }
 
-// Clocks beyond the bound replace the oldest, and samples of a clock too.
+// The numbers of clocks and of samples per clock are bounded: new ones replace the oldest.
 func TestTrueTimeIsBounded(t *testing.T) {
 	estimate := NewTrueTime(trueStart, 0)
 	for i := range 3 * maxClocks {
