--- a/internal/tier/controlnode/duty_fleet_test.go
+++ b/internal/tier/controlnode/task_fleet_test.go
@@ -15,11 +15,11 @@
 	"larchrouter/internal/tier/usage"
 )
 
-// Settings of the duties in tests with processes.
+// Settings of the singleton tasks in tests with processes.
 const (
-	dutyTerm   = 500 * time.Millisecond
-	dutyWindow = time.Second
-	dutyLate   = 8 * time.Second
+	taskTestTerm   = 500 * time.Millisecond
+	taskTestWindow = time.Second
+	taskTestLate   = 8 * time.Second
 
 	minScaledHosts = 2
 	maxScaledHosts = 5
@@ -28,54 +28,54 @@
 // timeWithMillis is the layout of times in logs.
 const timeWithMillis = "15:04:05.000"
 
-// Times after which a duty has to go on, as the design adds them up.
+// Terms of resumeLimit, the time within which the singleton tasks must resume after a fault.
 const (
-	// detectionLimit is the time in which other nodes notice that a node is gone and agree on a view without it.
+	// detectionLimit is the time within which the other nodes detect the failure of a node and agree on a view without it.
 	detectionLimit = 2 * time.Second
 
-	// busyMargin is added for a machine that is busy with other tests.
+	// busyMargin is an allowance for a machine that is busy with other tests.
 	busyMargin = 4 * time.Second
 )
 
-// dutyTakeover is how long a new head waits for the grants of earlier ones.
-func dutyTakeover(term time.Duration) time.Duration {
+// leaseTakeover is how long a new head waits for the grants of earlier ones.
+func leaseTakeover(term time.Duration) time.Duration {
 	return lease.Params{Term: term, MaxDrift: lease.DefaultMaxDrift}.TakeoverWait()
 }
 
-// dutyFleet is a fleet whose nodes carry out duties at one platform, each of them through a relay of its own, with a front that
-// reports usage.
-type dutyFleet struct {
+// taskFleet is a fleet whose nodes run the singleton tasks against one platform, each node through a relay of its own, with a front
+// that reports usage.
+type taskFleet struct {
 	*fleet
 	term     time.Duration
 	schedule usage.Schedule
 	platform *cloudapi.Platform
 	links    []*cutproxy.Relay // from each node to the platform
-	front    *dutyFront
-	awaited  int64 // newest window whose report was waited for
+	front    *usageFront
+	awaited  int64 // newest window whose report the test has waited for
 }
 
-// newDutyFleet starts n nodes and waits until one of them has reported usage.
-func newDutyFleet(t *testing.T, n int, term time.Duration) *dutyFleet {
+// newTaskFleet starts n nodes and waits until one of them has reported usage.
+func newTaskFleet(t *testing.T, n int, term time.Duration) *taskFleet {
 	t.Helper()
-	d := &dutyFleet{term: term, schedule: usage.DefaultSchedule(dutyWindow, dutyLate)}
+	d := &taskFleet{term: term, schedule: usage.DefaultSchedule(taskTestWindow, taskTestLate)}
 	d.startPlatform(t, n)
 	t.Cleanup(func() { d.logCalls(t) })
 	d.fleet = newFleetWith(t, n, n, func(f *fleet) {
 		f.moreBounds = fmt.Sprintf(", lease_term_ms: %d, usage_window_s: %g, usage_late_s: %g, fence_checks: true",
-			term.Milliseconds(), dutyWindow.Seconds(), dutyLate.Seconds())
+			term.Milliseconds(), taskTestWindow.Seconds(), taskTestLate.Seconds())
 		f.moreSettings = func(i int) string {
-			return fmt.Sprintf("cloud_api: {address: '%s', duty_list: [%s, %s]}\n", d.links[i].Addr(), usageDutyName, scaleDutyName)
+			return fmt.Sprintf("cloud_api: {address: '%s', duty_list: [%s, %s]}\n", d.links[i].Addr(), usageTaskName, scaleTaskName)
 		}
 	})
 	d.putScaling()
-	d.front = newDutyFront(t, d.fleet)
+	d.front = newUsageFront(t, d.fleet)
 	since := time.Now()
-	d.awaitUsage("the duty begins", since, d.resumeLimit())
+	d.awaitUsage("the usage task starts", since, d.resumeLimit())
 	return d
 }
 
-// startPlatform starts a platform with a few hosts, and a relay to it for each node.
-func (d *dutyFleet) startPlatform(t *testing.T, n int) {
+// startPlatform starts a platform with five hosts, and a relay to it for each node.
+func (d *taskFleet) startPlatform(t *testing.T, n int) {
 	t.Helper()
 	platform, err := cloudapi.New(cloudapi.Options{FenceChecks: true})
 	if err != nil {
@@ -98,7 +98,7 @@
 }
 
 // logCalls logs all calls if the test has failed.
-func (d *dutyFleet) logCalls(t *testing.T) {
+func (d *taskFleet) logCalls(t *testing.T) {
 	if !t.Failed() {
 		return
 	}
@@ -110,28 +110,28 @@
 	t.Logf("calls to the platform:%s", log.String())
 }
 
-// putScaling has a configuration acknowledged in which the hosts of the service are scaled.
-func (d *dutyFleet) putScaling() {
+// putScaling puts a configuration with scaling bounds for the service, and waits until it is acknowledged.
+func (d *taskFleet) putScaling() {
 	d.t.Helper()
 	scaling := fmt.Sprintf(`"scaling":{"min_count":%d,"max_count":%d,"boot_time_s":1},"health_path"`, minScaledHosts, maxScaledHosts)
 	body := []byte(strings.Replace(string(config(2)), `"health_path"`, scaling, 1))
 	node := 0
-	d.until("the configuration with a scaling is acknowledged", func() bool {
+	d.until("the configuration with scaling bounds is acknowledged", func() bool {
 		node++
 		status, _ := d.call(node%d.n, http.MethodPut, "/api/config", "1", body)
 		return status == http.StatusOK
 	})
 }
 
-// resumeLimit is the time after a fault in which usage has to go on: the others agree on a view without the holder, its grant
-// ends, the next holder's collector may wait for the last moment of a window, and its next call may be one that it has put off.
-func (d *dutyFleet) resumeLimit() time.Duration {
+// resumeLimit is the time after a fault within which usage reports must resume: the others agree on a view without the holder, its grant
+// expires, the next holder's collector may wait as long as a window's deadline permits, and its next call may be in backoff.
+func (d *taskFleet) resumeLimit() time.Duration {
 	collecting := d.schedule.LateAfter - d.schedule.Margin - d.schedule.Settle
-	return detectionLimit + dutyTakeover(d.term) + collecting + maxCallBackoff + busyMargin
+	return detectionLimit + leaseTakeover(d.term) + collecting + maxCallBackoff + busyMargin
 }
 
-// awaitCalls waits until a condition is met about the decided calls and the number of those that the platform holds.
-func (d *dutyFleet) awaitCalls(what string, limit time.Duration, met func(decided []cloudapi.DutyCall, held int) bool) {
+// awaitCalls waits until a condition holds for the decided calls and the number of calls that the platform holds.
+func (d *taskFleet) awaitCalls(what string, limit time.Duration, met func(decided []cloudapi.DutyCall, held int) bool) {
 	d.t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), limit)
 	defer stop()
@@ -147,8 +147,8 @@
 	d.t.Fatalf("not within %v: %s; the last calls: %v", limit, what, lastCalls(d.platform.DutyCalls(), 8))
 }
 
-// awaitUsage waits until the platform has accepted a report that came after a time. It returns how long that took.
-func (d *dutyFleet) awaitUsage(what string, since time.Time, limit time.Duration) time.Duration {
+// awaitUsage waits until the platform has accepted a usage report that it received after a time. It returns how long that took.
+func (d *taskFleet) awaitUsage(what string, since time.Time, limit time.Duration) time.Duration {
 	d.t.Helper()
 	d.awaitCalls(what+": no usage is accepted", limit, func(decided []cloudapi.DutyCall, _ int) bool {
 		return indexOfCall(decided, func(c cloudapi.DutyCall) bool {
@@ -158,13 +158,13 @@
 	return time.Since(since)
 }
 
-// awaitReports waits until the platform has accepted the reports of all windows that ended lately: after a pause as long as usage may
-// take to go on, and a collector to warm up, each of them can still be reported.
-func (d *dutyFleet) awaitReports() {
+// awaitReports waits until the platform has accepted the reports of all windows that ended within taskTestLate. Even after the longest
+// interruption of usage reports and the warm-up of a collector, each of them can still be reported.
+func (d *taskFleet) awaitReports() {
 	d.t.Helper()
 	now := time.Now()
-	oldest := usage.WindowAt(now.Add(-dutyLate), dutyWindow)
-	newest := usage.WindowAt(now.Add(-d.schedule.Settle), dutyWindow) - 1
+	oldest := usage.WindowAt(now.Add(-taskTestLate), taskTestWindow)
+	newest := usage.WindowAt(now.Add(-d.schedule.Settle), taskTestWindow) - 1
 	d.awaited = newest
 	d.awaitCalls(fmt.Sprintf("reports of windows %d to %d are accepted", oldest, newest), d.resumeLimit(), func(decided []cloudapi.DutyCall, _ int) bool {
 		missing := missingWindows(decided, newest)
@@ -173,7 +173,7 @@
 }
 
 // holder returns the node whose token is the highest of all calls so far.
-func (d *dutyFleet) holder() int {
+func (d *taskFleet) holder() int {
 	d.t.Helper()
 	var newest cloudapi.DutyCall
 	for _, c := range d.platform.DutyCalls() {
@@ -183,7 +183,7 @@
 	}
 	i, err := strconv.Atoi(strings.TrimPrefix(newest.Holder, "core-"))
 	if err != nil || i < 0 || i >= d.n {
-		d.t.Fatalf("holder %q is no node", newest.Holder)
+		d.t.Fatalf("holder %q is not a node", newest.Holder)
 	}
 	return i
 }
--- a/internal/tier/controlnode/duty_scale_test.go
+++ b/internal/tier/controlnode/task_scale_test.go
@@ -11,38 +11,38 @@
 	"larchrouter/internal/rpc"
 	"larchrouter/internal/tier/chain"
 	"larchrouter/internal/tier/discovery"
-	"larchrouter/internal/tier/duty"
 	"larchrouter/internal/tier/feed"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/scaling"
 	"larchrouter/internal/tier/view"
 )
 
 var scaleTestSubject = scaling.Subject{Service: "s", Zone: "a"}
 
-// newTestScaleDuty returns a duty of a holder that has just begun.
-func newTestScaleDuty() *scaleDuty {
-	d := newScaleDuty(&dutyRunner{server: &Server{log: process.NewLogger(io.Discard)}})
-	d.begin()
+// newTestScaleTask returns the scale task of a node that has just acquired the lease.
+func newTestScaleTask() *scaleTask {
+	d := newScaleTask(&taskRunner{server: &Server{log: process.NewLogger(io.Discard)}})
+	d.reset()
 	return d
 }
 
-// Failure: an order without a clear answer is taken as not made, though the platform may have applied it.
+// An order without a definite response must be repeated, since the platform may or may not have applied it.
 func TestOrderIsRepeatedUnlessAccepted(t *testing.T) {
-	for outcome, repeated := range map[duty.Outcome]bool{
-		duty.Accepted: false, duty.NotSent: false, duty.Busy: true, duty.Unknown: true, duty.Refused: true, duty.Invalid: true,
+	for outcome, repeated := range map[fencedcall.Outcome]bool{
+		fencedcall.Accepted: false, fencedcall.NotSent: false, fencedcall.Busy: true, fencedcall.Unknown: true, fencedcall.Refused: true, fencedcall.Invalid: true,
 	} {
-		d := newTestScaleDuty()
+		d := newTestScaleTask()
 		demand := scaling.Demand{Min: 4, Max: 9, Hosts: 3, Slots: 1}
 		d.planner.Plan(0, scaleTestSubject, demand)
-		d.noteOutcome(scaleTestSubject, 4, duty.Accepted)
-		d.noteOutcome(scaleTestSubject, 5, outcome)
+		d.recordOutcome(scaleTestSubject, 4, fencedcall.Accepted)
+		d.recordOutcome(scaleTestSubject, 5, outcome)
 		if hosts, got := d.planner.Plan(time.Second, scaleTestSubject, demand); got != repeated {
 			t.Errorf("%s: planned %d, %v, want an order: %v", outcome, hosts, got, repeated)
 		}
 	}
 }
 
-// scalingConfig returns configuration 7 with a scaling of the service s; without one if most is 0.
+// scalingConfig returns a configuration of version 7 with scaling bounds for the service s; without bounds if most is 0.
 func scalingConfig(least, most int) []byte {
 	scaling := fmt.Sprintf(`,"scaling":{"min_count":%d,"max_count":%d}`, least, most)
 	if most == 0 {
@@ -52,22 +52,23 @@
 		`}],"route_table":[{"host_name":"h","path_prefix":"/p/","deadline_ms":5,"target_service":"s"}]}`)})
 }
 
-// Failure: of two configurations with the same version, of which the first was dropped with its epoch, the dropped one's bounds hold.
-func TestBoundsAreOfTheNewestEntry(t *testing.T) {
-	d := newTestScaleDuty()
+// Two configurations may have the same version if the first was dropped with its epoch. The bounds of the dropped one must not stay in
+// force.
+func TestBoundsComeFromNewestConfigEntry(t *testing.T) {
+	d := newTestScaleTask()
 	for i, most := range []int{20, 4} {
-		d.parseConfig(chain.Entry{Index: int64(i + 1), Value: scalingConfig(1, most)})
+		d.adoptConfig(chain.Entry{Index: int64(i + 1), Value: scalingConfig(1, most)})
 		if got := d.config.Services["s"].Scaling.Max; got != most {
 			t.Errorf("at most %d hosts, want %d", got, most)
 		}
 	}
-	if d.begin(); d.config != nil {
-		t.Error("a new headship has a configuration of the one before")
+	if d.reset(); d.config != nil {
+		t.Error("a new headship starts with the configuration of the previous one")
 	}
 }
 
-// Failure: hosts are ordered by a configuration that is not committed, and may be dropped.
-func TestOnlyCommittedConfigCounts(t *testing.T) {
+// Hosts must not be ordered by a configuration that is not committed, since it may be dropped.
+func TestUncommittedConfigIsIgnored(t *testing.T) {
 	c := chain.New("a", chain.State{ActivatedEpoch: 1, LastIndex: 3, Commit: 1, Entries: []chain.Entry{
 		{Index: 1, Key: feed.ConfigKey, Value: scalingConfig(1, 4)},
 		{Index: 2, Key: feed.ConfigKey, Value: scalingConfig(1, 20)},
@@ -85,10 +86,10 @@
 	}
 }
 
-// Failure: no host is ordered any more in a zone whose hosts have all gone from the list.
-func TestZoneWithoutListedHostsStaysSubject(t *testing.T) {
-	d := newTestScaleDuty()
-	d.parseConfig(chain.Entry{Index: 1, Value: scalingConfig(0, 20)})
+// A zone must still be scaled after all of its hosts have left the list, or no host would ever be ordered there again.
+func TestZoneWithoutListedHostsIsStillScaled(t *testing.T) {
+	d := newTestScaleTask()
+	d.adoptConfig(chain.Entry{Index: 1, Value: scalingConfig(0, 20)})
 	inA, inB := discovery.Host{Service: "s", Zone: "a", Capacity: 4, Phase: discovery.Ready}, discovery.Host{Service: "s", Zone: "b", Capacity: 2}
 	d.subjects(&demandQuery{hosts: []discovery.Host{inA, inB}})
 	want := []scaleSubject{
@@ -100,23 +101,23 @@
 	}
 }
 
-// Failure: hosts are ordered for a service that has no scaling any more, or by a holder for zones that only an earlier one saw.
-func TestSubjectsGoWithScalingAndHeadship(t *testing.T) {
-	d := newTestScaleDuty()
+// No hosts may be ordered for a service whose scaling bounds were removed, nor for zones that only an earlier lease holder has seen.
+func TestSubjectsEndWithScalingConfigAndHeadship(t *testing.T) {
+	d := newTestScaleTask()
 	config := chain.Entry{Index: 1, Value: scalingConfig(1, 20)}
 	listed := &demandQuery{hosts: []discovery.Host{{Service: "s", Zone: "a"}}}
-	d.parseConfig(config)
+	d.adoptConfig(config)
 	if got := d.subjects(listed); len(got) != 1 {
 		t.Fatalf("subjects %+v", got)
 	}
-	d.parseConfig(chain.Entry{Index: 2, Value: scalingConfig(0, 0)})
+	d.adoptConfig(chain.Entry{Index: 2, Value: scalingConfig(0, 0)})
 	if got := d.subjects(listed); len(got) != 0 {
-		t.Errorf("subjects %+v without a scaling", got)
+		t.Errorf("subjects %+v without scaling bounds", got)
 	}
-	d.parseConfig(chain.Entry{Index: 3, Value: config.Value})
+	d.adoptConfig(chain.Entry{Index: 3, Value: config.Value})
 	d.subjects(listed)
-	d.begin()
-	d.parseConfig(config)
+	d.reset()
+	d.adoptConfig(config)
 	if got := d.subjects(&demandQuery{}); len(got) != 0 {
 		t.Errorf("subjects %+v of an earlier headship", got)
 	}
--- a/internal/tier/controlnode/duty_snapshot.go
+++ b/internal/tier/controlnode/task_snapshot.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// dutySnapshot is the state of the duties after a step, for operators. It is immutable.
-type dutySnapshot struct {
+// taskSnapshot is the state of the singleton tasks after a step, for operators. It is immutable.
+type taskSnapshot struct {
 	at        time.Time
 	tokenBase int64 // 0 until it is known
 	usage     usageSnapshot
 	scale     scaleSnapshot
 }
 
-// usageSnapshot is the state of usageDuty; it is empty while the node has no lease.
+// usageSnapshot is the state of usageTask. It is empty while the node does not hold the lease.
 type usageSnapshot struct {
-	unacknowledged   []int64 // recorded windows, by rising number
+	unacknowledged   []int64 // recorded windows, in ascending order
 	lastRecorded     int64   // 0 for none
 	lastAcknowledged int64   // 0 for none
 }
 
-// scaleSnapshot is the state of scaleDuty; it is empty while the node has no lease.
+// scaleSnapshot is the state of scaleTask. It is empty while the node does not hold the lease.
 type scaleSnapshot struct {
-	fronts, mostFronts int
-	subjects           []ScaleSubjectStatus
+	recentFronts, knownFronts int
+	subjects                  []ScaleSubjectStatus
 }
 
-// publishSnapshot publishes the state of the duties. It runs on the goroutine of the duties.
-func (d *dutyRunner) publishSnapshot() {
-	snapshot := &dutySnapshot{at: time.Now(), tokenBase: d.tokenBase}
+// publishSnapshot publishes the state of the singleton tasks. It runs on their goroutine.
+func (d *taskRunner) publishSnapshot() {
+	snapshot := &taskSnapshot{at: time.Now(), tokenBase: d.tokenBase}
 	if d.heldEpoch != 0 && d.usage != nil {
 		snapshot.usage = d.usage.snapshot()
 	}
@@ -40,15 +40,15 @@
 }
 
 // snapshot returns the state for operators.
-func (u *usageDuty) snapshot() usageSnapshot {
+func (u *usageTask) snapshot() usageSnapshot {
 	return usageSnapshot{
-		unacknowledged:   slices.Sorted(maps.Keys(u.unsent)),
+		unacknowledged:   slices.Sorted(maps.Keys(u.unacknowledged)),
 		lastRecorded:     newestWindow(slices.Values(u.recorded)),
-		lastAcknowledged: newestWindow(maps.Keys(u.accepted)),
+		lastAcknowledged: newestWindow(maps.Keys(u.acknowledged)),
 	}
 }
 
-// newestWindow returns the highest window, 0 for none.
+// newestWindow returns the highest window number, 0 for none.
 func newestWindow(windows func(yield func(int64) bool)) (newest int64) {
 	for window := range windows {
 		newest = max(newest, window)
@@ -57,9 +57,9 @@
 }
 
 // snapshot returns the state for operators.
-func (d *scaleDuty) snapshot() scaleSnapshot {
-	snapshot := scaleSnapshot{fronts: d.fronts, mostFronts: d.mostFronts}
-	for _, subject := range d.seen {
+func (d *scaleTask) snapshot() scaleSnapshot {
+	snapshot := scaleSnapshot{recentFronts: d.recentFronts, knownFronts: d.knownFronts}
+	for _, subject := range d.plannedSubjects {
 		inForce, _ := d.planner.InForce(subject.Subject)
 		snapshot.subjects = append(snapshot.subjects, ScaleSubjectStatus{
 			Service:     subject.Service,
--- a/internal/tier/controlnode/duty_status_parts.go
+++ b/internal/tier/controlnode/task_status_parts.go
@@ -5,45 +5,45 @@
 	"strings"
 	"time"
 
-	"larchrouter/internal/tier/duty"
+	"larchrouter/internal/tier/fencedcall"
 	"larchrouter/internal/tier/usage"
 )
 
 const (
-	maxShownBody   = 200 // bytes of a call's body
+	maxShownBody   = 200 // bytes of the body of a call
 	callTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
-// addDutySnapshot adds what the goroutine of the duties has published, and its calls. Lists are empty instead of nil, so that they
-// are never null in JSON.
-func (s *Server) addDutySnapshot(status *DutyStatus, isHead bool) {
+// addTaskSnapshot adds the published state of the singleton tasks and their calls to a status. Lists are empty instead of nil, so that
+// they are never null in JSON.
+func (s *Server) addTaskSnapshot(status *TaskStatus, isHead bool) {
 	snapshot := s.dutySnapshot.Load()
 	if snapshot == nil {
-		snapshot = &dutySnapshot{at: time.Now()}
+		snapshot = &taskSnapshot{at: time.Now()}
 	}
 	status.StepAgeMs = time.Since(snapshot.at).Milliseconds()
 	if isHead && snapshot.tokenBase != 0 {
 		status.Token = snapshot.tokenBase + status.Epoch
 	}
-	status.Usage = UsageDutyStatus{
-		Expected:         s.settings.HasDuty(usageDutyName),
+	status.Usage = UsageTaskStatus{
+		Expected:         s.settings.HasDuty(usageTaskName),
 		Unacknowledged:   windowStatuses(snapshot.usage.unacknowledged, s.trueNow(), s.usageWindow(), s.usageLate()),
 		LastRecorded:     snapshot.usage.lastRecorded,
 		LastAcknowledged: snapshot.usage.lastAcknowledged,
 		Outcomes:         s.dutyCalls.countsOf(usagePath),
 		Calls:            s.dutyCalls.newestOf(usagePath),
 	}
-	status.Scale = ScaleDutyStatus{
-		Expected:   s.settings.HasDuty(scaleDutyName),
-		Fronts:     int64(snapshot.scale.fronts),
-		MostFronts: int64(snapshot.scale.mostFronts),
-		Subjects:   append([]ScaleSubjectStatus{}, snapshot.scale.subjects...),
-		Outcomes:   s.dutyCalls.countsOf(scalePath),
-		Calls:      s.dutyCalls.newestOf(scalePath),
+	status.Scale = ScaleTaskStatus{
+		Expected:     s.settings.HasDuty(scaleTaskName),
+		RecentFronts: int64(snapshot.scale.recentFronts),
+		KnownFronts:  int64(snapshot.scale.knownFronts),
+		Subjects:     append([]ScaleSubjectStatus{}, snapshot.scale.subjects...),
+		Outcomes:     s.dutyCalls.countsOf(scalePath),
+		Calls:        s.dutyCalls.newestOf(scalePath),
 	}
 }
 
-// windowStatuses returns the state of windows at a time.
+// windowStatuses returns the states of windows at a time.
 func windowStatuses(windows []int64, now time.Time, length, late time.Duration) []WindowStatus {
 	statuses := []WindowStatus{}
 	for _, window := range windows {
@@ -56,16 +56,16 @@
 // clockOffset returns by how much the wall clock of this node is ahead of the time by which it numbers windows.
 func (s *Server) clockOffset() time.Duration { return time.Now().Round(0).Sub(s.trueNow()) }
 
-// newestOf returns the newest calls of a path, the newest first.
-func (l *dutyCallLog) newestOf(path string) []DutyCallStatus {
+// newestOf returns the retained calls of a path, newest first.
+func (l *platformCallLog) newestOf(path string) []PlatformCallStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	calls := []DutyCallStatus{}
+	calls := []PlatformCallStatus{}
 	for _, call := range slices.Backward(l.newest) {
 		if call.path != path {
 			continue
 		}
-		calls = append(calls, DutyCallStatus{
+		calls = append(calls, PlatformCallStatus{
 			Time:    call.at.UTC().Format(callTimeFormat),
 			AgeMs:   time.Since(call.at).Milliseconds(),
 			Path:    call.path,
@@ -77,18 +77,18 @@
 	return calls
 }
 
-// countsOf returns the numbers of calls of some paths.
-func (l *dutyCallLog) countsOf(paths ...string) (counts DutyCallsByResult) {
+// countsOf returns the numbers of calls of some paths by outcome.
+func (l *platformCallLog) countsOf(paths ...string) (counts PlatformCallCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, path := range paths {
-		count := func(outcome duty.Outcome) int64 { return int64(l.counts[countedCalls{path, outcome}]) }
-		counts.Accepted += count(duty.Accepted)
-		counts.Refused += count(duty.Refused)
-		counts.Busy += count(duty.Busy)
-		counts.Invalid += count(duty.Invalid)
-		counts.NotSent += count(duty.NotSent)
-		counts.Unknown += count(duty.Unknown)
+		count := func(outcome fencedcall.Outcome) int64 { return int64(l.counts[callCountKey{path, outcome}]) }
+		counts.Accepted += count(fencedcall.Accepted)
+		counts.Refused += count(fencedcall.Refused)
+		counts.Busy += count(fencedcall.Busy)
+		counts.Invalid += count(fencedcall.Invalid)
+		counts.NotSent += count(fencedcall.NotSent)
+		counts.Unknown += count(fencedcall.Unknown)
 	}
 	return counts
 }
--- a/internal/tier/duty/client_test.go
+++ b/internal/tier/fencedcall/client_test.go
@@ -1,4 +1,4 @@
-package duty
+package fencedcall
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// platform records the calls that it got complete, and answers them with a status.
+// platform records the calls whose body it received completely, and responds with a fixed status.
 type platform struct {
 	mu     sync.Mutex
 	calls  []string
@@ -56,18 +56,18 @@
 	return c
 }
 
-func open(int64) bool { return true }
+func permitAll(int64) bool { return true }
 
-func TestOutcomes(t *testing.T) {
+func TestOutcomeFollowsResponseStatus(t *testing.T) {
 	for status, want := range map[int]Outcome{200: Accepted, 204: Accepted, 409: Refused, 429: Busy, 503: Busy, 500: Unknown, 502: Unknown,
 		400: Invalid, 404: Invalid} {
 		p, addr := startPlatform(t, status)
-		got, err := newTestClient(t, addr, open).Post(context.Background(), "/scale", 12, []byte(`{"desired":6}`))
+		got, err := newTestClient(t, addr, permitAll).Post(context.Background(), "/scale", 12, []byte(`{"desired":6}`))
 		if got != want || (err == nil) != (want == Accepted) {
-			t.Errorf("%d: the outcome is %s, %v; want %s", status, got, err, want)
+			t.Errorf("status %d: outcome %s, %v; want %s", status, got, err, want)
 		}
 		if got, want := p.log(), `/scale core-1 12 {"desired":6}`; got != want {
-			t.Errorf("the platform got %q, want %q", got, want)
+			t.Errorf("the platform received %q, want %q", got, want)
 		}
 	}
 }
@@ -76,11 +76,11 @@
 	p, addr := startPlatform(t, 200)
 	got, err := newTestClient(t, addr, func(int64) bool { return false }).Post(context.Background(), "/usage", 1, nil)
 	if got != NotSent || err == nil || p.log() != "" {
-		t.Errorf("the outcome is %s, %v; the platform got %q", got, err, p.log())
+		t.Errorf("outcome %s, %v; the platform received %q", got, err, p.log())
 	}
 }
 
-// Guards against calls of a holder that stood still between its check and the call: the lease ends before the bytes leave.
+// A holder that is paused between its check of the lease and the write must not send the call once the lease has ended.
 func TestFenceIsAskedBeforeEachWrite(t *testing.T) {
 	for name, permitted := range map[string]int64{"at the first write": 1, "within a long call": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -90,16 +90,16 @@
 			long := []byte(`"` + strings.Repeat("x", 1<<20) + `"`)
 			got, err := newTestClient(t, addr, fence).Post(context.Background(), "/usage", 1, long)
 			if got == Accepted || err == nil || p.log() != "" {
-				t.Errorf("the outcome is %s, %v; the platform got %d bytes", got, err, len(p.log()))
+				t.Errorf("outcome %s, %v; the platform received %d bytes", got, err, len(p.log()))
 			}
 			if permitted == 1 && got != NotSent {
-				t.Errorf("the outcome is %s, want %s", got, NotSent)
+				t.Errorf("outcome %s, want %s", got, NotSent)
 			}
 		})
 	}
 }
 
-func TestFenceGetsTokenOfTheCall(t *testing.T) {
+func TestFenceReceivesTokenOfCall(t *testing.T) {
 	_, addr := startPlatform(t, 200)
 	current := atomic.Int64{}
 	c := newTestClient(t, addr, func(token int64) bool { return token == current.Load() })
@@ -122,7 +122,7 @@
 	defer listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if got, err := newTestClient(t, listener.Addr().String(), open).Post(ctx, "/usage", 1, []byte("{}")); got != Unknown || err == nil {
+	if got, err := newTestClient(t, listener.Addr().String(), permitAll).Post(ctx, "/usage", 1, []byte("{}")); got != Unknown || err == nil {
 		t.Errorf("the outcome is %s, %v; want %s", got, err, Unknown)
 	}
 }
@@ -133,19 +133,19 @@
 		t.Fatal(err)
 	}
 	listener.Close()
-	if got, err := newTestClient(t, listener.Addr().String(), open).Post(context.Background(), "/usage", 1, nil); got != NotSent || err == nil {
+	if got, err := newTestClient(t, listener.Addr().String(), permitAll).Post(context.Background(), "/usage", 1, nil); got != NotSent || err == nil {
 		t.Errorf("the outcome is %s, %v; want %s", got, err, NotSent)
 	}
 }
 
-// A call goes to the platform's address and nowhere else, whatever it answers.
+// Calls go to the configured address only, also if the platform responds with a redirect.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var elsewhere atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
 	defer other.Close()
 	server := httptest.NewServer(http.RedirectHandler(other.URL+"/usage", http.StatusTemporaryRedirect))
 	defer server.Close()
-	got, err := newTestClient(t, strings.TrimPrefix(server.URL, "http://"), open).Post(t.Context(), "/usage", 1, []byte("{}"))
+	got, err := newTestClient(t, strings.TrimPrefix(server.URL, "http://"), permitAll).Post(t.Context(), "/usage", 1, []byte("{}"))
 	if got != Unknown || err == nil || elsewhere.Load() > 0 {
 		t.Errorf("the outcome is %s, %v; %d calls went elsewhere", got, err, elsewhere.Load())
 	}
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -14,17 +14,17 @@
 	testSubject = Subject{"redactor", "north"}
 )
 
-// demandOf is a demand for a number of hosts of ten slots, of which half should be in use.
+// demandOf returns a demand for a number of hosts with ten slots each, half of which should be in use.
 func demandOf(hosts float64) Demand {
 	return Demand{Min: 2, Max: 10, Hosts: 4, Slots: 10, Concurrency: hosts * 5}
 }
 
-// play plans once a second and returns the orders, 0 for none.
-func play(p *Planner, demands ...float64) (orders []int) {
+// planEachSecond plans once a second and returns the orders, 0 for none. Each order is accepted.
+func planEachSecond(p *Planner, demands ...float64) (orders []int) {
 	for i, d := range demands {
 		hosts, ok := p.Plan(time.Duration(i)*time.Second, testSubject, demandOf(d))
 		if ok {
-			p.Ordered(testSubject, hosts)
+			p.OrderAccepted(testSubject, hosts)
 		}
 		orders = append(orders, hosts)
 	}
@@ -46,7 +46,7 @@
 		{"a peak keeps the number", []float64{4, 1, 1, 1, 1, 4, 1, 1, 1, 1, 4}, []int{0, 0, 0, 0, 0, 4, 0, 0, 0, 0, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := play(NewPlanner(testParams), c.demands...)
+			got := planEachSecond(NewPlanner(testParams), c.demands...)
 			for i := range c.want {
 				if got[i] != c.want[i] {
 					t.Fatalf("ordered %v, want %v", got, c.want)
@@ -56,14 +56,14 @@
 	}
 }
 
-func TestOrderIsRepeatedUntilMade(t *testing.T) {
+func TestOrderIsRepeatedUntilAccepted(t *testing.T) {
 	p := NewPlanner(testParams)
 	for range 3 {
 		if hosts, ok := p.Plan(0, testSubject, demandOf(8)); !ok || hosts != 8 {
 			t.Fatalf("planned %d, %v", hosts, ok)
 		}
 	}
-	p.Ordered(testSubject, 8)
+	p.OrderAccepted(testSubject, 8)
 	if hosts, ok := p.Plan(0, testSubject, demandOf(8)); ok {
 		t.Fatalf("planned %d again", hosts)
 	}
@@ -72,30 +72,31 @@
 	}
 }
 
-// Failure: an order that timed out but took effect is taken as not made, and nothing is ordered when the demand is back.
+// An order that timed out may have taken effect: when the demand returns, the planner must order again.
 func TestOrderInDoubtIsFollowedByAnother(t *testing.T) {
 	p := NewPlanner(testParams)
-	if got := play(p, 6, 6, 6, 6, 6, 3, 3, 3, 3, 3); got[0] != 6 {
+	if got := planEachSecond(p, 6, 6, 6, 6, 6, 3, 3, 3, 3, 3); got[0] != 6 {
 		t.Fatalf("ordered %v", got)
 	}
 	now := 10 * time.Second
 	if hosts, ok := p.Plan(now, testSubject, demandOf(3)); !ok || hosts != 3 {
 		t.Fatalf("planned %d, %v, want 3", hosts, ok)
 	}
-	p.InDoubt(testSubject, 3)
+	p.OrderInDoubt(testSubject, 3)
 	for range 2 {
 		if hosts, ok := p.Plan(now, testSubject, demandOf(6)); !ok || hosts != 6 {
 			t.Fatalf("planned %d, %v, want 6", hosts, ok)
 		}
-		p.InDoubt(testSubject, 6)
+		p.OrderInDoubt(testSubject, 6)
 	}
-	p.Ordered(testSubject, 6)
+	p.OrderAccepted(testSubject, 6)
 	if hosts, ok := p.Plan(now, testSubject, demandOf(6)); ok {
 		t.Errorf("planned %d again", hosts)
 	}
 }
 
-// Failure: a number that an earlier holder ordered, beyond the bounds of now, stays in force since fewer hosts were listed at the start.
+// A number that an earlier lease holder ordered may be outside the present bounds while fewer hosts are listed at the start. It must
+// not stay in force: the planner orders its own number once.
 func TestInheritedNumberIsOrderedOnce(t *testing.T) {
 	p := NewPlanner(testParams)
 	var orders []int
@@ -106,7 +107,7 @@
 		}
 		if hosts, ok := p.Plan(at, testSubject, demand); ok {
 			orders = append(orders, hosts)
-			p.Ordered(testSubject, hosts)
+			p.OrderAccepted(testSubject, hosts)
 		}
 	}
 	if !slices.Equal(orders, []int{3}) {
@@ -114,11 +115,11 @@
 	}
 }
 
-// Failure: a number that is above a new maximum, or below a new minimum, stays in force for DownDelay or longer.
-func TestNewBoundsHoldAtOnce(t *testing.T) {
+// A number above a new maximum, or below a new minimum, must be replaced at once, without waiting for DownDelay.
+func TestNewBoundsApplyAtOnce(t *testing.T) {
 	for _, bounds := range []Demand{{Min: 1, Max: 6, Hosts: 4, Slots: 10}, {Min: 9, Max: 10, Hosts: 4, Slots: 10}} {
 		p := NewPlanner(testParams)
-		if got := play(p, 8); got[0] != 8 {
+		if got := planEachSecond(p, 8); got[0] != 8 {
 			t.Fatalf("ordered %v", got)
 		}
 		bounds.Concurrency = 8 * 5
@@ -137,13 +138,13 @@
 	}
 }
 
-// Whatever the demand, the bounds and the outcomes: numbers stay within the bounds, are enough for the demand, and are never lowered
-// below a demand of the last DownDelay. Where no order is due, the platform has the number that was ordered last, and after DownDelay
-// there is one.
-func TestRandomDemands(t *testing.T) {
+// For any sequence of demands, bounds and outcomes: numbers stay within the bounds, meet the demand, and are never lowered below what
+// the demand needed within the last DownDelay. If no order is due, the platform has the number that was ordered last; after DownDelay
+// an order has been made.
+func TestRandomDemandsKeepBoundsAndDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPlanner(testParams)
-		course := &randomCourse{last: rapid.IntRange(0, 12).Draw(t, "hosts at the start")}
+		course := &planHistory{last: rapid.IntRange(0, 12).Draw(t, "hosts at the start")}
 		course.platform = rapid.IntRange(0, 12).Draw(t, "hosts ordered by an earlier holder")
 		bounds := Demand{Min: 2, Max: 10, Hosts: course.last, Slots: 10}
 		now := time.Duration(0)
@@ -161,43 +162,43 @@
 				course.checkOrder(t, hosts, bounds)
 				course.send(t, p, hosts)
 			} else {
-				course.checkRest(t, bounds)
+				course.checkNoOrder(t, bounds)
 			}
 		}
 	})
 }
 
-// randomCourse is what happened so far in a random test.
-type randomCourse struct {
+// planHistory records the demands and orders of a random test.
+type planHistory struct {
 	history  []sample // demands
 	last     int      // number that was sent last, or that was listed at the start
-	sent     bool     // an order
-	accepted bool     // the last order that was sent
+	sent     bool     // at least one order was sent
+	accepted bool     // the last order that was sent was accepted
 	platform int      // the number in force
 }
 
-// send has an order accepted, or be in doubt and take effect or not, or not leave.
-func (c *randomCourse) send(t *rapid.T, p *Planner, hosts int) {
-	switch rapid.SampledFrom([]string{"accepted", "accepted", "lost", "lost answer", "not sent"}).Draw(t, "outcome") {
+// send draws the outcome of an order: accepted, in doubt with or without effect, or not sent.
+func (c *planHistory) send(t *rapid.T, p *Planner, hosts int) {
+	switch rapid.SampledFrom([]string{"accepted", "accepted", "lost", "response lost", "not sent"}).Draw(t, "outcome") {
 	case "accepted":
-		p.Ordered(testSubject, hosts)
+		p.OrderAccepted(testSubject, hosts)
 		c.last, c.sent, c.accepted, c.platform = hosts, true, true, hosts
-	case "lost answer":
-		p.InDoubt(testSubject, hosts)
+	case "response lost":
+		p.OrderInDoubt(testSubject, hosts)
 		c.last, c.sent, c.accepted, c.platform = hosts, true, false, hosts
 	case "lost":
-		p.InDoubt(testSubject, hosts)
+		p.OrderInDoubt(testSubject, hosts)
 		c.last, c.sent, c.accepted = hosts, true, false
 	}
 }
 
-// checkOrder checks an order against what happened so far.
-func (c *randomCourse) checkOrder(t *rapid.T, hosts int, bounds Demand) {
+// checkOrder checks an order against the history.
+func (c *planHistory) checkOrder(t *rapid.T, hosts int, bounds Demand) {
 	now := c.history[len(c.history)-1]
 	if hosts < bounds.Min || hosts > bounds.Max || hosts < now.hosts || c.accepted && hosts == c.last {
 		t.Fatalf("ordered %d after %d", hosts, c.last)
 	}
-	forBounds := c.sent && hosts == bounds.Max // lowered at once, since the number is above the maximum
+	forBounds := c.sent && hosts == bounds.Max // lowered at once, since the number was above the maximum
 	if hosts >= c.last || forBounds {
 		return
 	}
@@ -211,8 +212,8 @@
 	}
 }
 
-// checkRest checks that no order is due.
-func (c *randomCourse) checkRest(t *rapid.T, bounds Demand) {
+// checkNoOrder checks that it was right to make no order.
+func (c *planHistory) checkNoOrder(t *rapid.T, bounds Demand) {
 	now := c.history[len(c.history)-1]
 	switch {
 	case !c.sent && now.at-c.history[0].at < testParams.DownDelay && c.last >= now.hosts:
--- a/internal/tier/usage/collector_test.go
+++ b/internal/tier/usage/collector_test.go
@@ -7,18 +7,18 @@
 
 var testParams = CollectorParams{WindowLength: 5 * second, Retention: 30 * second, LoadHistory: 10 * second}
 
-// at returns a point in time, on both clocks.
+// at returns the same time on both clocks.
 func at(t time.Duration) Now { return Now{Mono: t, True: time.Unix(0, 0).Add(t)} }
 
 func countsOf(incarnation, window int64, counts ...TenantCount) Report {
 	return Report{Incarnation: incarnation, Windows: []Window{{window, counts}}}
 }
 
-func TestCollectorAddsSourcesUp(t *testing.T) {
+func TestCollectorSumsSources(t *testing.T) {
 	c := NewCollector(testParams)
-	for range 2 { // repeated
+	for range 2 { // each report is repeated
 		c.Add(at(20*second), "f1", countsOf(1, 3, TenantCount{"a", 5}, TenantCount{"b", 1}))
-		c.Add(at(20*second), "f1", countsOf(1, 3, TenantCount{"a", 4}, TenantCount{"zero", 0})) // overtaken
+		c.Add(at(20*second), "f1", countsOf(1, 3, TenantCount{"a", 4}, TenantCount{"zero", 0})) // older report, reordered
 		c.Add(at(20*second), "f1", countsOf(2, 3, TenantCount{"a", 10}))                        // after a restart
 		c.Add(at(20*second), "f2", countsOf(1, 3, TenantCount{"a", 100}, TenantCount{"c", 7}))
 		c.Add(at(20*second), "f2", countsOf(1, 4, TenantCount{"a", 1000}))
@@ -28,7 +28,7 @@
 	wantEqual(t, "window 5", c.Counts(5), map[string]int{})
 }
 
-func TestCollectorForgets(t *testing.T) {
+func TestCollectorExpiresWindowsAndSources(t *testing.T) {
 	c := NewCollector(testParams)
 	now := at(1000 * second) // window 200
 	for _, window := range []int64{193, 194, 200, 206, 207} {
@@ -38,14 +38,14 @@
 	c.Add(at(1010*second), "f2", Report{Incarnation: 1})
 	wantEqual(t, "windows", len(c.windows), 2)
 	wantEqual(t, "window 194", c.Counts(194), map[string]int{})
-	c.Forget(at(1030*second + 1))
+	c.Expire(at(1030*second + 1))
 	wantEqual(t, "sources", c.FrontsSince(0), []string{"f2"})
-	c.Forget(at(1100 * second))
+	c.Expire(at(1100 * second))
 	wantEqual(t, "windows", len(c.windows), 0)
 	wantEqual(t, "sources", len(c.sources), 0)
 }
 
-func TestCollectorKnowsFronts(t *testing.T) {
+func TestCollectorListsRecentFronts(t *testing.T) {
 	c := NewCollector(testParams)
 	c.Add(at(1*second), "f2", Report{Incarnation: 1})
 	c.Add(at(2*second), "f2", Report{Incarnation: 2})
@@ -78,7 +78,7 @@
 			c.Add(at(2*second), "f1", busy(1, 9000))
 			c.Add(at(4*second), "f1", busy(1, 12000))
 		}, 3 * second, []Load{{"m", "z1", 1.5}}},
-		{"sources add up, restarted ones too", func(c *Collector) {
+		{"sources are summed, including restarted ones", func(c *Collector) {
 			c.Add(at(1*second), "f1", busy(1, 1000))
 			c.Add(at(2*second), "f1", busy(1, 3000))
 			c.Add(at(3*second), "f1", busy(2, 0))
@@ -86,11 +86,11 @@
 			c.Add(at(3*second), "f2", busy(1, 0))
 			c.Add(at(4*second), "f2", busy(1, 250))
 		}, 0, []Load{{"m", "z1", 2.75}}},
-		{"a source that is gone does not count", func(c *Collector) {
+		{"a source without recent reports does not count", func(c *Collector) {
 			c.Add(at(1*second), "f1", busy(1, 1000))
 			c.Add(at(2*second), "f1", busy(1, 3000))
 		}, 2*second + 1, []Load{}},
-		{"an overtaken report changes nothing", func(c *Collector) {
+		{"a reordered older report changes nothing", func(c *Collector) {
 			c.Add(at(1*second), "f1", busy(1, 1000))
 			c.Add(at(2*second), "f1", busy(1, 3000))
 			c.Add(at(3*second), "f1", busy(1, 2000))
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestCollectorForgetsLoads(t *testing.T) {
+func TestCollectorExpiresLoads(t *testing.T) {
 	c := NewCollector(testParams)
 	for i := range 100 {
 		c.Add(at(time.Duration(i)*second), "f1", busy(1, int64(i)*2000))
--- a/internal/tier/usage/model_test.go
+++ b/internal/tier/usage/model_test.go
@@ -11,12 +11,12 @@
 const (
 	modelFronts   = 3
 	modelTenants  = 2
-	modelWindows  = 4 // those of a history, all of which are retained
+	modelWindows  = 4 // windows of a history, all of which are retained
 	minModelSteps = 40
 	maxModelSteps = 100
 )
 
-// step is one event of a history. Its arguments are reduced to what there is.
+// step is one event of a history. Its arguments are taken modulo the number of objects of their kind.
 type step struct {
 	Kind    stepKind
 	A, B, C int
@@ -32,11 +32,11 @@
 	loseReport                     // A: report in flight
 	deliverReceipt                 // A: receipt in flight
 	loseReceipt                    // A: receipt in flight
-	restartFront                   // A: front; after it has reported everything
+	restartFront                   // A: front; it reports everything before it stops
 	changeCollector
 )
 
-// histories draws histories, in which requests and deliveries are frequent.
+// histories generates random histories, in which requests and deliveries are frequent.
 var histories = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 	kinds := []stepKind{recordRequest, recordRequest, recordRequest, sendReport, sendReport, deliverReport, deliverReport, repeatReport, loseReport,
 		deliverReceipt, deliverReceipt, loseReceipt, restartFront, changeCollector}
@@ -44,45 +44,45 @@
 	return step{rapid.SampledFrom(kinds).Draw(t, "kind"), argument.Draw(t, "a"), argument.Draw(t, "b"), argument.Draw(t, "c")}
 }), minModelSteps, maxModelSteps)
 
-// plantedFault changes how the model uses the code under test; nil functions change nothing.
-type plantedFault struct {
+// injectedFault replaces how the model calls the code under test; nil functions replace nothing.
+type injectedFault struct {
 	add         func(m *model, front string, report Report)
 	acknowledge func(c *Counter, collector string, report Report)
 }
 
-// model has fronts with their counters, the present collector, and what is in flight between them.
+// model has the fronts with their counters, the present collector, and the reports and receipts in flight between them.
 type model struct {
-	fault     plantedFault
-	fronts    [modelFronts]*Counter
-	started   int64 // incarnations
-	collector *Collector
-	term      int // of the collector
-	reports   []sentReport
-	receipts  []sentReceipt
+	fault      injectedFault
+	fronts     [modelFronts]*Counter
+	started    int64 // number of incarnations started
+	collector  *Collector
+	generation int // of the collector
+	reports    []reportInFlight
+	receipts   []receiptInFlight
 
-	counted   [modelFronts]tally // the truth of the incarnations that run
-	ofTheDead []deadCounts
+	counted   [modelFronts]requestCounts // expected counts of the running incarnations
+	restarted []restartedCounts
 }
 
-// deadCounts is what an incarnation has counted that was restarted, and reported to the collector of its time.
-type deadCounts struct {
-	term   int
-	counts tally
+// restartedCounts is the counts of an incarnation that was restarted, all of which it had reported to the collector of that time.
+type restartedCounts struct {
+	generation int
+	counts     requestCounts
 }
 
-type sentReport struct {
+type reportInFlight struct {
 	front   int
 	counter *Counter
 	report  Report
 }
 
-type sentReceipt struct {
+type receiptInFlight struct {
 	counter   *Counter
 	collector string
 	report    Report
 }
 
-func newModel(fault plantedFault) *model {
+func newModel(fault injectedFault) *model {
 	m := &model{fault: fault, collector: NewCollector(testParams)}
 	for front := range m.fronts {
 		m.start(front)
@@ -94,13 +94,13 @@
 func (m *model) start(front int) {
 	m.started++
 	m.fronts[front] = NewCounter(m.started, modelWindows)
-	m.counted[front] = tally{}
+	m.counted[front] = requestCounts{}
 }
 
-// run plays a history, and returns an error if the collector's counts are not the truth at its end.
+// run applies a history, and returns an error if the collector's counts differ from the expected ones at its end.
 func (m *model) run(history []step) error {
 	for _, s := range history {
-		m.play(s)
+		m.apply(s)
 	}
 	for front := range m.fronts {
 		if err := m.flush(front); err != nil {
@@ -110,21 +110,21 @@
 	return m.check()
 }
 
-func (m *model) play(s step) {
+func (m *model) apply(s step) {
 	front := s.A % modelFronts
 	switch s.Kind {
 	case recordRequest:
 		m.record(front, tenantName(s.C), int64(s.B%modelWindows))
 	case sendReport:
-		m.reports = append(m.reports, sentReport{front, m.fronts[front], m.fronts[front].Pending()})
+		m.reports = append(m.reports, reportInFlight{front, m.fronts[front], m.fronts[front].Pending()})
 	case restartFront:
 		m.restart(front)
 	case changeCollector:
 		m.collector = NewCollector(testParams)
-		m.term++
+		m.generation++
 	case deliverReport, repeatReport, loseReport:
 		if len(m.reports) > 0 {
-			m.playReport(s.Kind, s.A%len(m.reports))
+			m.applyReport(s.Kind, s.A%len(m.reports))
 		}
 	case deliverReceipt, loseReceipt:
 		if len(m.receipts) > 0 {
@@ -137,7 +137,7 @@
 	}
 }
 
-func (m *model) playReport(kind stepKind, i int) {
+func (m *model) applyReport(kind stepKind, i int) {
 	if kind != loseReport {
 		m.receipts = append(m.receipts, m.add(m.reports[i]))
 	}
@@ -148,20 +148,20 @@
 
 func (m *model) record(front int, tenant string, window int64) {
 	m.fronts[front].Record(tenant, window)
-	m.counted[front][tallyKey{tenant, window}]++
+	m.counted[front][countKey{tenant, window}]++
 }
 
 // add adds a report to the collector and returns its receipt.
-func (m *model) add(sent sentReport) sentReceipt {
+func (m *model) add(sent reportInFlight) receiptInFlight {
 	if front := fmt.Sprint("front-", sent.front); m.fault.add != nil {
 		m.fault.add(m, front, sent.report)
 	} else {
 		m.collector.Add(at(0), front, sent.report)
 	}
-	return sentReceipt{sent.counter, fmt.Sprint("collector-", m.term), sent.report}
+	return receiptInFlight{sent.counter, fmt.Sprint("collector-", m.generation), sent.report}
 }
 
-func (m *model) acknowledge(receipt sentReceipt) {
+func (m *model) acknowledge(receipt receiptInFlight) {
 	if m.fault.acknowledge != nil {
 		m.fault.acknowledge(receipt.counter, receipt.collector, receipt.report)
 	} else {
@@ -169,13 +169,13 @@
 	}
 }
 
-// flush has a front report to the collector until nothing is pending. The first report, which may be empty, tells it which collector
-// there is.
+// flush makes a front report to the collector until nothing is pending. The receipt of the first report, which may be empty, tells the
+// front which collector is the current one.
 func (m *model) flush(front int) error {
 	c := m.fronts[front]
 	for range modelWindows + 2 {
 		report := c.Pending()
-		m.acknowledge(m.add(sentReport{front, c, report}))
+		m.acknowledge(m.add(reportInFlight{front, c, report}))
 		if len(c.Pending().Windows) == 0 {
 			return nil
 		}
@@ -188,29 +188,29 @@
 	if m.flush(front) != nil {
 		return
 	}
-	m.ofTheDead = append(m.ofTheDead, deadCounts{m.term, m.counted[front]})
+	m.restarted = append(m.restarted, restartedCounts{m.generation, m.counted[front]})
 	m.start(front)
 }
 
-// check compares the collector's counts with the truth. Of an incarnation that was gone before the collector began, the collector may
-// have any part of the counts.
+// check compares the collector's counts with the expected ones. Of an incarnation that ended before the collector started, the collector
+// may have any part of the counts.
 func (m *model) check() error {
-	least, most := tally{}, tally{}
+	least, most := requestCounts{}, requestCounts{}
 	for _, counts := range m.counted {
 		least.add(counts)
 		most.add(counts)
 	}
-	for _, dead := range m.ofTheDead {
-		most.add(dead.counts)
-		if dead.term == m.term {
-			least.add(dead.counts)
+	for _, ended := range m.restarted {
+		most.add(ended.counts)
+		if ended.generation == m.generation {
+			least.add(ended.counts)
 		}
 	}
 	for window := range int64(modelWindows) {
 		got := m.collector.Counts(window)
 		for tenant := range modelTenants {
 			name := tenantName(tenant)
-			key := tallyKey{name, window}
+			key := countKey{name, window}
 			if got[name] < least[key] || got[name] > most[key] {
 				return errors.Newf("window %d has %d requests of %s, want %d to %d", window, got[name], name, least[key], most[key])
 			}
@@ -223,15 +223,15 @@
 	return nil
 }
 
-// tally is a number of requests by tenant and window.
-type tally map[tallyKey]int
+// requestCounts is the number of requests by tenant and window.
+type requestCounts map[countKey]int
 
-type tallyKey struct {
+type countKey struct {
 	tenant string
 	window int64
 }
 
-func (t tally) add(other tally) {
+func (t requestCounts) add(other requestCounts) {
 	for key, count := range other {
 		t[key] += count
 	}
@@ -239,26 +239,26 @@
 
 func tenantName(i int) string { return fmt.Sprint("tenant-", i%modelTenants) }
 
-// The collector's counts equal the truth, whatever becomes of reports and receipts, fronts and collectors, as long as no front took
-// counts with it that the collector has not got.
-func TestCollectorCountsTheTruth(t *testing.T) {
+// The collector's counts must equal the requests that were made, whatever happens to reports and receipts, fronts and collectors, as
+// long as no front stops with counts that it has not reported.
+func TestCollectorCountsEqualRequestsMade(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := newModel(plantedFault{}).run(histories.Draw(t, "history")); err != nil {
+		if err := newModel(injectedFault{}).run(histories.Draw(t, "history")); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestModelFindsPlantedFaults checks that the property fails with each planted fault.
-func TestModelFindsPlantedFaults(t *testing.T) {
+// TestModelDetectsInjectedFaults checks that the property fails with each injected fault.
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	const drawn = 200
-	for name, fault := range map[string]plantedFault{
-		"reports are added up": {add: func(m *model, front string, report Report) {
+	for name, fault := range map[string]injectedFault{
+		"reports are summed": {add: func(m *model, front string, report Report) {
 			m.started++
 			report.Incarnation = -m.started
 			m.collector.Add(at(0), front, report)
 		}},
-		"the last report holds": {add: func(m *model, front string, report Report) {
+		"the last report replaces the counts": {add: func(m *model, front string, report Report) {
 			for _, w := range report.Windows {
 				delete(m.collector.windows[w.Number], source{front, report.Incarnation})
 			}
@@ -275,10 +275,10 @@
 		"nothing is sent again to another collector": {acknowledge: func(c *Counter, _ string, report Report) {
 			c.Acknowledge("collector", report)
 		}},
-		"a receipt acknowledges what was counted since": {acknowledge: func(c *Counter, collector string, _ Report) {
+		"a receipt acknowledges requests counted after the report": {acknowledge: func(c *Counter, collector string, _ Report) {
 			c.Acknowledge(collector, c.Pending())
 		}},
-		"each receipt is as of another collector": {acknowledge: func(c *Counter, collector string, report Report) {
+		"each receipt looks like one of another collector": {acknowledge: func(c *Counter, collector string, report Report) {
 			c.Acknowledge("other", Report{})
 			c.Acknowledge(collector, report)
 		}},
@@ -286,11 +286,11 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range drawn {
 				if err := newModel(fault).run(histories.Example(seed)); err != nil {
-					t.Logf("found by seed %d: %v", seed, err)
+					t.Logf("detected with seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Errorf("not found by %d histories", drawn)
+			t.Errorf("not detected in %d histories", drawn)
 		})
 	}
 }
--- a/internal/tier/usage/schedule_test.go
+++ b/internal/tier/usage/schedule_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-func TestDue(t *testing.T) {
+func TestDueWindow(t *testing.T) {
 	const none = -1
-	// Window 200 ends at 1005 s, settles by 1007.5 s, has to be recorded by 1012 s and is given up behind 1025 s.
+	// Window 200 ends at 1005 s, settles by 1007.5 s, must be recorded by 1012 s and is abandoned after 1025 s.
 	through := func(last int64) []int64 {
 		var all []int64
 		for window := int64(190); window <= last; window++ {
@@ -44,23 +44,23 @@
 		{"recorded", 1007500 * time.Millisecond, 0, 0, through(200), none},
 		{"the oldest first", 1007500 * time.Millisecond, 0, 0, through(197), 198},
 		{"a gap", 1007500 * time.Millisecond, 0, 0, []int64{200, 199, 196, 197}, 198},
-		{"just not given up", 1025 * second, 0, 0, []int64{199}, 200},
-		{"given up", 1025*second + 1, 0, 0, []int64{199}, 201},
+		{"just still retained", 1025 * second, 0, 0, []int64{199}, 200},
+		{"no longer retained", 1025*second + 1, 0, 0, []int64{199}, 201},
 		{"nothing recorded", 1007500 * time.Millisecond, 0, 0, nil, 197},
 		{"before the first", 1007500 * time.Millisecond, 0, 200, nil, 200},
-		{"first to come", 1007500 * time.Millisecond, 0, 201, nil, none},
+		{"first is still to come", 1007500 * time.Millisecond, 0, 201, nil, none},
 		{"young collector", 1009999 * time.Millisecond, 1006 * second, 0, through(199), none},
 		{"warm collector", 1010 * second, 1006 * second, 0, through(199), 200},
-		{"young collector, and it has to be recorded", 1012 * second, 1009 * second, 0, through(199), 200},
-		{"collector too young to record anything", 1012999 * time.Millisecond, 1011 * second, 0, through(199), none},
-		{"collector of the least age", 1013 * second, 1011 * second, 0, through(199), 200},
-		{"collector began when it had to be recorded", 1013 * second, 1012 * second, 0, through(199), none},
+		{"young collector, but the window must be recorded", 1012 * second, 1009 * second, 0, through(199), 200},
+		{"collector below the minimum age", 1012999 * time.Millisecond, 1011 * second, 0, through(199), none},
+		{"collector of the minimum age", 1013 * second, 1011 * second, 0, through(199), 200},
+		{"collector started when the window had to be recorded", 1013 * second, 1012 * second, 0, through(199), none},
 		{"late, by a warm collector", 1016 * second, 1012 * second, 0, through(199), 200},
-		{"collector that began in the window", 1007500 * time.Millisecond, 1003 * second, 0, through(199), 200},
+		{"collector started within the window", 1007500 * time.Millisecond, 1003 * second, 0, through(199), 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			epoch := time.Unix(0, 0)
-			window, ok := testSchedule.Due(epoch.Add(test.now), Progress{First: test.first, Recorded: test.recorded, CollectAt: epoch.Add(test.collectAt)})
+			window, ok := testSchedule.Due(epoch.Add(test.now), Progress{First: test.first, Recorded: test.recorded, CollectingSince: epoch.Add(test.collectAt)})
 			if !ok {
 				window = none
 			}
@@ -69,12 +69,12 @@
 	}
 }
 
-// A collector that runs on records each window once, in order and in time.
-func TestDueOverTime(t *testing.T) {
+// A collector that keeps running records each window once, in order and in time.
+func TestEachWindowIsDueOnceInOrder(t *testing.T) {
 	var recorded []int64
 	start := time.Unix(1000, 0)
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(100 * time.Millisecond) {
-		if window, ok := testSchedule.Due(now, Progress{First: 200, Recorded: recorded, CollectAt: start}); ok {
+		if window, ok := testSchedule.Due(now, Progress{First: 200, Recorded: recorded, CollectingSince: start}); ok {
 			recorded = append(recorded, window)
 			if took := now.Sub(WindowEnd(window, 5*second)); took != testSchedule.Settle {
 				t.Errorf("window %d is due %v after its end", window, took)
