--- a/cmd/larch-control/main.go
+++ b/cmd/larch-control/main.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	log := slog.New(ring)
-	c, err := controlnode.OpenWhenRoom(context.Background(), s, log) // a signal ends the process meanwhile: it has promised nothing
+	c, err := controlnode.OpenAwaitingSpace(context.Background(), s, log) // a signal ends the process meanwhile: it has promised nothing
 	if err != nil {
 		return err
 	}
--- a/internal/tier/controlnode/conditions.go
+++ b/internal/tier/controlnode/conditions.go
@@ -39,15 +39,15 @@
 }
 
 // addPeerConditions adds one peer to the conditions.
-func (n *Node) addPeerConditions(cond *view.Conditions, id string, heardByMajority bool) {
+func (n *Node) addPeerConditions(cond *view.Conditions, id string, reachesMajority bool) {
 	peer := n.peers[id]
 	elapsed := n.now - peer.lastHeard
 	voter := n.acceptor.View.IsVoter(id)
-	unreachable := heardByMajority && !n.hearsUs(peer) // one-way partition
+	unreachable := reachesMajority && !n.hasEchoedRecently(peer) // one-way partition
 	alive := peer.heardFrom && elapsed < n.settings.Timings.SuspectTimeout && !unreachable
 	if alive && (voter || n.isApplicant(peer)) {
 		cond.Alive[id] = true
-		cond.CaughtUp[id] = n.caughtUp(peer) && n.heardByChain(id) && peer.echoedInView
+		cond.CaughtUp[id] = n.caughtUp(peer) && n.heardByChainMembers(id) && peer.echoedInView
 		if peer.chainAck.Commit > n.chain.State().Commit {
 			cond.CaughtUp[n.settings.Self.ID] = false
 		}
@@ -61,7 +61,7 @@
 		return
 	}
 	failed := elapsed > n.settings.Timings.FailureTimeout || peer.leaving && elapsed > n.settings.Timings.SuspectTimeout
-	cond.Failed[id] = failed && !n.heardByAnother(id)
+	cond.Failed[id] = failed && !n.heardByAnotherVoter(id)
 	cond.Suspected[id] = !alive && peer.heardFrom && !cond.Failed[id]
 }
 
@@ -70,7 +70,7 @@
 func (n *Node) heardByMajority() bool {
 	count := 0
 	for _, m := range n.acceptor.View.Voters {
-		if p := n.peers[m.ID]; m.ID == n.settings.Self.ID || p != nil && n.hearsUs(p) {
+		if p := n.peers[m.ID]; m.ID == n.settings.Self.ID || p != nil && n.hasEchoedRecently(p) {
 			count++
 		}
 	}
@@ -79,7 +79,7 @@
 
 // heardByAnother reports whether another voter that this node hears from has recently heard a member, so that the link between the
 // two is cut and not the member lost. A vote is not taken away on the word of one watcher.
-func (n *Node) heardByAnother(id string) bool {
+func (n *Node) heardByAnotherVoter(id string) bool {
 	for _, m := range n.acceptor.View.Voters {
 		p := n.peers[m.ID]
 		if m.ID == id || m.ID == n.settings.Self.ID || p == nil || !n.recentlyHeard(p) {
@@ -96,7 +96,7 @@
 // this node, so that a delayed message of a machine that is lost does not apply, and no other identity
 // answers from its address.
 func (n *Node) isApplicant(p *peer) bool {
-	if !p.echoedInView || !n.hearsUs(p) {
+	if !p.echoedInView || !n.hasEchoedRecently(p) {
 		return false
 	}
 	for id, other := range n.peers {
@@ -109,7 +109,7 @@
 
 // heardByChain reports whether messages of a member reach all members of the chain that this node hears from.
 // A member that some do not hear from would be removed by them as soon as others have added it.
-func (n *Node) heardByChain(id string) bool {
+func (n *Node) heardByChainMembers(id string) bool {
 	for _, l := range n.acceptor.View.Chain {
 		p := n.peers[l.ID]
 		if l.ID == id || l.ID == n.settings.Self.ID || p == nil || !n.recentlyHeard(p) {
--- a/internal/tier/controlnode/confirmation_rounds.go
+++ b/internal/tier/controlnode/confirmation_rounds.go
@@ -79,7 +79,7 @@
 		return // of an earlier incarnation
 	}
 	if sent, ok := n.readIndex.rounds.timeSent(e.ConfirmationRound); ok {
-		p.lastHeardUs = max(p.lastHeardUs, sent)
+		p.echoedRoundSentAt = max(p.echoedRoundSentAt, sent)
 		p.echoedInView = p.echoedInView || e.ConfirmationRound > n.readIndex.roundAtAdoption
 	}
 	if m.Promised || m.Epoch != n.acceptor.View.Epoch || e.ConfirmationRound < p.confirmedRound {
--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -41,9 +41,9 @@
 // maxWriteGap bounds how long no write may be acknowledged while no more are lost than the contract permits.
 const maxWriteGap = 6 * time.Second
 
-func newContract(t testing.TB, seed uint64, n, losses int, f plantedFaults) *contract {
+func newContract(t testing.TB, seed uint64, n, losses int, f injectedBugs) *contract {
 	c := &contract{
-		simulation:  newSimulationWith(t, seed, n, losses, drawnChainLength(seed, losses), f),
+		simulation:  newSimulationWith(t, seed, n, losses, chainLengthForSeed(seed, losses), f),
 		catchUp:     4200 * time.Millisecond,
 		slots:       make([]lossSlot, losses),
 		leaving:     map[string]time.Duration{},
@@ -68,7 +68,7 @@
 
 // healthyMachines returns the machines at which a fault could be injected.
 func (c *contract) healthyMachines() (all []string) {
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		m := c.machines[a]
 		if m.up && !m.frozen && !c.countsAsLost(a) && c.leaving[a] == 0 {
 			all = append(all, a)
@@ -117,7 +117,7 @@
 	}
 	for a, since := range c.leaving {
 		m := c.machines[a]
-		if m.up && (m.node.CanStop() || c.now-since > leaveTimeout || c.fault.stopsBeforeLeft) {
+		if m.up && (m.node.CanStop() || c.now-since > leaveTimeout || c.bugs.stopsBeforeLeft) {
 			c.logf("%s is stopped, it had left: %v", a, m.node.CanStop())
 			c.stop(m)
 			if c.replaced[a] {
@@ -136,7 +136,7 @@
 	}
 	newest := c.newest
 	majority, holder := 0, false
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		m := c.machines[a]
 		if _, cut := c.partitioned[a]; !m.up || m.frozen || cut {
 			continue
@@ -175,14 +175,14 @@
 	kinds := []func(s *lossSlot, m *machine){
 		c.kill, c.wipe, c.freeze, c.partition, c.roll, c.replace, c.replacePlanned, c.killAll, c.grow,
 	}
-	if c.fault.keepsIDAfterDiskLoss { // found sooner where disks are lost again and again
+	if c.bugs.keepsIDAfterDiskLoss { // found sooner where disks are lost again and again
 		kinds = []func(s *lossSlot, m *machine){c.kill, c.wipe, c.killAll}
 	}
 	kinds[c.rng.IntN(len(kinds))](s, m)
 }
 
 func (c *contract) currentHead() string {
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		if m := c.machines[a]; m.up && m.node.IsConfirmedHead() {
 			return a
 		}
@@ -205,7 +205,7 @@
 	c.logf("%s loses its disk", m.addr)
 	c.stop(m)
 	m.disk = Durable{}
-	if !c.fault.keepsIDAfterDiskLoss {
+	if !c.bugs.keepsIDAfterDiskLoss {
 		m.id, m.incarnation = c.newID(), 0
 	}
 	s.down = true
@@ -218,7 +218,7 @@
 	m.frozen = true
 	s.end = func() {
 		if m.up {
-			c.thaw(m)
+			c.unfreeze(m)
 		}
 		c.logf("%s wakes", m.addr)
 	}
@@ -254,7 +254,7 @@
 	addr := fmt.Sprintf("n%d", c.added)
 	m := &machine{addr: addr, name: addr, id: c.newID()}
 	c.machines[addr] = m
-	c.order = append(c.order, addr)
+	c.addrs = append(c.addrs, addr)
 	c.start(m)
 	return m
 }
@@ -264,7 +264,7 @@
 		c.stop(m)
 	}
 	delete(c.leaving, a)
-	c.order = slices.DeleteFunc(c.order, func(b string) bool { return a == b })
+	c.addrs = slices.DeleteFunc(c.addrs, func(b string) bool { return a == b })
 	delete(c.machines, a)
 }
 
@@ -305,7 +305,7 @@
 func (c *contract) killAll(s *lossSlot, m *machine) {
 	c.countFault("kill all")
 	c.logf("all are killed")
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		if one := c.machines[a]; one.up {
 			c.stop(one)
 			one.frozen = false
@@ -316,9 +316,9 @@
 	}
 	s.until = c.now + time.Duration(100+c.rng.IntN(900))*time.Millisecond
 	c.checkedFrom = s.until + 3*time.Second
-	c.lastAck, c.boundsFrom = c.checkedFrom, c.checkedFrom
+	c.lastAck, c.lagCheckedFrom = c.checkedFrom, c.checkedFrom
 	s.end = func() {
-		for _, a := range c.order {
+		for _, a := range c.addrs {
 			if one := c.machines[a]; !one.up && !c.replaced[a] && c.leaving[a] == 0 && !c.willRestart(a, s) {
 				c.start(one)
 			}
@@ -352,7 +352,7 @@
 	t.Logf("seeds from %d", base)
 	writes, struck := 0, map[string]int{}
 	for i := range *contractSimulations {
-		c := contractAt(t, base+uint64(i), plantedFaults{})
+		c := contractAt(t, base+uint64(i), injectedBugs{})
 		c.play(12)
 		if c.failure != "" {
 			t.Fatalf("seed %d, %d machines, losses %d: %s\n%s", c.seed, c.initialMachines, c.faultTolerance, c.failure, c.trace())
@@ -368,7 +368,7 @@
 // Two views change within the time that followers have, and two of their sources do not answer.
 func TestFollowersSurviveTwoViewChanges(t *testing.T) {
 	t.Parallel()
-	c := contractAt(t, 1796199225728843689, plantedFaults{})
+	c := contractAt(t, 1796199225728843689, injectedBugs{})
 	c.play(12)
 	if c.failure != "" {
 		t.Errorf("%s\n%s", c.failure, c.trace())
@@ -379,8 +379,8 @@
 // seconds later.
 func TestUpdatesLostAfterIdleAreResentSoon(t *testing.T) {
 	for seed, machines := range map[uint64]int{1796199634200714431: 5, 1796199634201552299: 4} {
-		c := newSimulation(t, seed, machines, plantedFaults{})
-		c.play(6)
+		c := newSimulation(t, seed, machines, injectedBugs{})
+		c.runRandomFaults(6)
 		if c.failure != "" {
 			t.Errorf("seed %d: %s\n%s", seed, c.failure, c.trace())
 		}
@@ -388,17 +388,17 @@
 }
 
 // contractAt draws the size of a simulation by its seed: losses of 1 and 2, 3 to 8 nodes.
-func contractAt(t testing.TB, seed uint64, f plantedFaults) *contract {
+func contractAt(t testing.TB, seed uint64, f injectedBugs) *contract {
 	sizes := []struct{ n, losses int }{{3, 1}, {4, 1}, {5, 1}, {8, 1}, {5, 2}, {8, 2}}
 	one := sizes[rand.New(rand.NewPCG(seed, 1)).IntN(len(sizes))]
 	return newContract(t, seed, one.n, one.losses, f)
 }
 
 func TestSingleContractSeed(t *testing.T) {
-	c := contractAt(t, *contractSeed, plantedFaults{})
+	c := contractAt(t, *contractSeed, injectedBugs{})
 	c.play(12)
 	if c.failure != "" {
-		for _, a := range c.order {
+		for _, a := range c.addrs {
 			if m := c.machines[a]; m.up {
 				n := m.node
 				sent, ok := n.confirmedRoundSentAt()
@@ -416,7 +416,7 @@
 // Violations of the contract are found.
 func TestContractCheckFindsPlantedFaults(t *testing.T) {
 	t.Parallel()
-	for name, f := range map[string]plantedFaults{
+	for name, f := range map[string]injectedBugs{
 		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
 		"a member that leaves without a word":          {stopsBeforeLeft: true},
 		"voters that are lost keep their votes":        {neverRemovesVoters: true},
--- a/internal/tier/controlnode/cost_test.go
+++ b/internal/tier/controlnode/cost_test.go
@@ -86,7 +86,7 @@
 func (f *fleet) largeChanges(n, size int, nodes ...int) {
 	f.t.Helper()
 	for range n {
-		on, _ := f.hist.newest()
+		on, _ := f.hist.newestAcknowledged()
 		body := randomConfig(on+1, size)
 		i := 0
 		f.until("a large configuration is acknowledged", func() bool {
@@ -153,14 +153,14 @@
 	f.t.Helper()
 	began := time.Now()
 	follower := startFollowerChild(f.t, f.settings(0, false))
-	newest, _ := f.hist.newest()
+	newest, _ := f.hist.newestAcknowledged()
 	acts := fmt.Sprintf("%s%d\n", actsMark, newest)
 	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
 	f.fits("a follower that starts", follower.processorTime(f.t), onLink, time.Since(began))
 	used := follower.processorTime(f.t)
 	const more = 5
 	f.largeChanges(more, costSize, f.all()...)
-	newest, _ = f.hist.newest()
+	newest, _ = f.hist.newestAcknowledged()
 	acts = fmt.Sprintf("%s%d\n", actsMark, newest)
 	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
 	f.t.Logf("a follower that is awake: %v of processor time for each change",
--- a/internal/tier/controlnode/decisions.go
+++ b/internal/tier/controlnode/decisions.go
@@ -137,7 +137,7 @@
 func (s *Server) decideAtTail(ctx context.Context, order orders.Order) (d orders.Decision, tail string, err error) {
 	completion, _ := s.submit(ctx, readIndexRequest{})
 	switch completion.Outcome {
-	case NotHere:
+	case NotOwner:
 		return d, completion.RedirectTo, nil
 	case OutcomeUnknown:
 		return d, "", errOutcomeUnknown
@@ -170,13 +170,13 @@
 		case <-timer.C:
 		case <-callCtx.Done():
 			timer.Stop()
-			return s.undecided(ctx, order, cause)
+			return s.unknownOutcomeReply(ctx, order, cause)
 		}
 	}
 }
 
 // undecided returns the reply to an order that was not decided in time, and logs why, unless its caller has left.
-func (s *Server) undecided(ctx context.Context, order string, cause error) *feed.Reply {
+func (s *Server) unknownOutcomeReply(ctx context.Context, order string, cause error) *feed.Reply {
 	text := errOutcomeUnknown.Error()
 	if !errors.Is(cause, errOutcomeUnknown) {
 		text += " (last: " + cause.Error() + ")"
--- a/internal/tier/controlnode/disk.go
+++ b/internal/tier/controlnode/disk.go
@@ -30,7 +30,7 @@
 // before it is used.
 func (s *Server) load() (d Durable, err error) {
 	s.self = view.Member{Name: s.settings.NodeName, Addr: s.settings.PeerAddr(s.settings.IP, process.CorePort)}
-	if err := s.beginIncarnation(); err != nil {
+	if err := s.incrementIncarnation(); err != nil {
 		return d, err
 	}
 	id, err := s.db.Get("vote", selfKey)
@@ -73,7 +73,7 @@
 			founders = append(founders, view.Member{ID: "seed-" + addr, Addr: addr})
 		}
 		s.self.ID = "seed-" + s.self.Addr
-		d = Founding(founders)
+		d = BootstrapState(founders)
 	}
 	rows := append(s.changedRows(d), sqlitelog.Write{Table: "vote", Key: selfKey, Value: []byte(s.self.ID)})
 	return d, s.db.Commit(s.ctx, rows)
@@ -92,7 +92,7 @@
 // beginIncarnation counts this start, on disk before anything else. A head that dies and starts again within
 // its epoch numbers its lists of hosts above those of its last incarnation, of which only this number is
 // left.
-func (s *Server) beginIncarnation() error {
+func (s *Server) incrementIncarnation() error {
 	value, err := s.db.Get("vote", incarnationKey)
 	if err != nil {
 		return err
--- a/internal/tier/controlnode/duty_lease.go
+++ b/internal/tier/controlnode/duty_lease.go
@@ -75,7 +75,7 @@
 	if to == "" {
 		return
 	}
-	s.log.Info("lease on the duties released", "epoch", release.Epoch, "to", s.name(view.Head()), "wait", release.Wait)
+	s.log.Info("lease on the duties released", "epoch", release.Epoch, "to", s.nodeName(view.Head()), "wait", release.Wait)
 	message := &feed.LeaseRelease{Epoch: release.Epoch, WaitMicros: (release.Wait + time.Microsecond - 1).Microseconds()}
 	s.releasesInFlight++
 	s.wg.Go(func() {
--- a/internal/tier/controlnode/duty_status.go
+++ b/internal/tier/controlnode/duty_status.go
@@ -112,7 +112,7 @@
 func (q *leaseStatusQuery) handle(s *Server) {
 	view := s.node.View()
 	if head := view.Head(); head != "" {
-		q.head = s.name(head)
+		q.head = s.nodeName(head)
 	}
 	q.lease, q.headAddr, q.leaving = s.lease.Status(s.now()), s.node.HeadAddr(), s.node.leaving
 }
--- a/internal/tier/controlnode/election.go
+++ b/internal/tier/controlnode/election.go
@@ -51,7 +51,7 @@
 		return
 	}
 	cond := n.conditions()
-	if !n.majorityAlive(cond) || !n.wantsChange(cond) {
+	if !n.majorityAlive(cond) || !n.wantsViewChange(cond) {
 		n.election.changeWantedSince = 0
 		return
 	}
@@ -221,7 +221,7 @@
 	n.ready.MustSync = true
 	n.election.proposal, n.election.changeWantedSince, n.election.failedProposals = nil, 0, 0
 	n.chain.Adopt(v)
-	n.replication.learner, n.replication.updateReceived = "", false
+	n.replication.bulkLearner, n.replication.updateReceived = "", false
 	for _, m := range v.Voters {
 		n.ensurePeer(m)
 	}
--- a/internal/tier/controlnode/event_loop.go
+++ b/internal/tier/controlnode/event_loop.go
@@ -100,7 +100,7 @@
 	rows := s.changedRows(s.node.Durable())
 	err := s.syncRows(s.ctx, rows)
 	if errors.Is(err, sqlitelog.ErrFull) {
-		return s.syncWhenRoom(rows, err)
+		return s.retrySyncUntilSpace(rows, err)
 	}
 	return err
 }
@@ -165,13 +165,13 @@
 // chainNames returns the names of the chain's machines, and the ids of those whose names are unknown.
 func (s *Server) chainNames() (names []string) {
 	for _, member := range s.node.View().Chain {
-		names = append(names, s.name(member.ID))
+		names = append(names, s.nodeName(member.ID))
 	}
 	return names
 }
 
 // name returns the name of the machine with an id, or the id where the name is unknown.
-func (s *Server) name(id string) string {
+func (s *Server) nodeName(id string) string {
 	if id == s.self.ID {
 		return s.self.Name
 	}
--- a/internal/tier/controlnode/event_loop_test.go
+++ b/internal/tier/controlnode/event_loop_test.go
@@ -17,7 +17,7 @@
 const quietPeriod = 100 * time.Millisecond
 
 // startAlone starts a node that is the only one of its system: what it writes is committed with its own sync.
-func startAlone(t *testing.T) *Server {
+func startSingleNode(t *testing.T) *Server {
 	t.Helper()
 	base := freeBase(t)
 	ip := fmt.Sprintf("127.0.%d.1", 10+base%200)
@@ -51,7 +51,7 @@
 // A reader that sees a write of its own batch of the event loop gets its answer only once the write is on
 // disk: a loss of power in between would take back what it was answered.
 func TestReadsAreReportedAfterSync(t *testing.T) {
-	core := startAlone(t)
+	core := startSingleNode(t)
 	entered, release := make(chan struct{}), make(chan struct{})
 	syncing, synced := make(chan struct{}), make(chan struct{})
 	core.requests <- onLoopRequest(func() {
--- a/internal/tier/controlnode/fleet_callers_test.go
+++ b/internal/tier/controlnode/fleet_callers_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	c := &writtenCall{name: name, conn: conn, order: observedPut{node: i, on: on, version: versionOf(body), body: body}}
+	c := &writtenCall{name: name, conn: conn, order: observedPut{node: i, baseVersion: on, version: versionOf(body), body: body}}
 	c.order.began = f.hist.now()
 	_, err = fmt.Fprintf(conn, "%s %s HTTP/1.1\r\nHost: core\r\nConnection: close\r\nIf-Match: %d\r\nContent-Length: %d\r\n\r\n%s",
 		method, path, on, len(body), body)
@@ -56,7 +56,7 @@
 	}
 	if c.order.body != "" {
 		c.order.status, c.order.text, c.order.ended = resp.StatusCode, string(b), h.now()
-		h.order(c.order)
+		h.addPut(c.order)
 	}
 	return resp.StatusCode, string(b)
 }
@@ -65,12 +65,12 @@
 // that is past, a reading, an order about a store, and a reading of that.
 func (f *fleet) writeRequests(i, tag int) []*writtenCall {
 	f.t.Helper()
-	newest, body := f.hist.newest()
+	newest, body := f.hist.newestAcknowledged()
 	on := int64(0)
 	f.hist.mu.Lock()
-	for _, o := range f.hist.orders {
+	for _, o := range f.hist.puts {
 		if o.body == body {
-			on = o.on
+			on = o.baseVersion
 		}
 	}
 	f.hist.mu.Unlock()
@@ -189,7 +189,7 @@
 			changed := follower.Changed()
 			if now := follower.Tables().Config; now != nil && now.Version != last {
 				last = now.Version
-				f.hist.act(observedActivation{f.hist.now(), fmt.Sprintf("%s of %v", s.NodeName, began), began, last})
+				f.hist.addActivation(observedActivation{f.hist.now(), fmt.Sprintf("%s of %v", s.NodeName, began), began, last})
 			}
 			select {
 			case <-changed:
@@ -204,7 +204,7 @@
 // actsOnNewest waits until a follower acts on the newest version.
 func (f *fleet) actsOnNewest(follower *feed.Follower) {
 	f.t.Helper()
-	newest, _ := f.hist.newest()
+	newest, _ := f.hist.newestAcknowledged()
 	f.until(fmt.Sprintf("the follower acts on version %d", newest), func() bool {
 		now := follower.Tables().Config
 		return now != nil && now.Version >= newest
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -295,11 +295,11 @@
 
 // put sends a change to a node once, and notes the answer.
 func (f *fleet) put(i int, on int64, body string) int {
-	o := observedPut{node: i, on: on, version: versionOf(body), body: body}
+	o := observedPut{node: i, baseVersion: on, version: versionOf(body), body: body}
 	o.began = f.hist.now()
 	o.status, o.text = f.call(i, http.MethodPut, "/api/config", strconv.FormatInt(on, 10), []byte(body))
 	o.ended = f.hist.now()
-	f.hist.order(o)
+	f.hist.addPut(o)
 	return o.status
 }
 
@@ -312,9 +312,9 @@
 	switch status {
 	case http.StatusOK:
 		r.version, r.body = versionOf(text), text
-		f.hist.read(r)
+		f.hist.addRead(r)
 	case http.StatusNotFound:
-		f.hist.read(r)
+		f.hist.addRead(r)
 	}
 	return status, r.version
 }
@@ -338,7 +338,7 @@
 			r.version, r.body = c.Version, string(c.Body)
 		}
 	}
-	f.hist.read(r)
+	f.hist.addRead(r)
 	return true, r.version
 }
 
@@ -401,7 +401,7 @@
 // newest version; where another change took that place, one without a clear answer, it reads and builds on that.
 func (f *fleet) change(tag int, nodes ...int) (version int64) {
 	f.t.Helper()
-	on, _ := f.hist.newest()
+	on, _ := f.hist.newestAcknowledged()
 	i := 0
 	f.until(fmt.Sprintf("a change is acknowledged by one of %v", nodes), func() bool {
 		i++
@@ -446,7 +446,7 @@
 	f.t.Helper()
 	for _, i := range nodes {
 		f.caughtUp(i)
-		newest, _ := f.hist.newest()
+		newest, _ := f.hist.newestAcknowledged()
 		f.until(fmt.Sprintf("node %d reads version %d", i, newest), func() bool { _, v := f.read(i); return v >= newest })
 		fresh, v := f.feed(i)
 		if fresh && v < newest {
--- a/internal/tier/controlnode/follower_partition_test.go
+++ b/internal/tier/controlnode/follower_partition_test.go
@@ -15,22 +15,22 @@
 // applyTime is config_apply_ms: within it a follower that is in touch with some node acts on a change. That it does is judged
 // in virtual time, by the simulations of package feed. Here, where a busy machine keeps whole processes back, the followers
 // have to catch up while the partition lasts, within fleetLimit; a follower that takes longer than applyTime is logged.
-const applyTime = 2 * time.Second
+const configApplyLimit = 2 * time.Second
 
 // homeLimit is more than the 16 s in which a follower that began elsewhere tries to follow the first of its own order.
-const homeLimit = 40 * time.Second
+const preferredSourceLimit = 40 * time.Second
 
 // linkedFollower is a follower that reaches each node through a relay of its own.
-type linkedFollower struct {
+type relayedFollower struct {
 	*feed.Follower
 	f      *fleet
 	relays []*cutproxy.Relay // by node
 }
 
 // linked runs a follower whose first source is a node, with its links cut as set before it starts; cut may be nil.
-func (f *fleet) linked(first int, seeds []int, cut func(l *linkedFollower)) *linkedFollower {
+func (f *fleet) newRelayedFollower(first int, seeds []int, cut func(l *relayedFollower)) *relayedFollower {
 	f.t.Helper()
-	l := &linkedFollower{f: f}
+	l := &relayedFollower{f: f}
 	var routes []string
 	for i := range f.n {
 		r, err := cutproxy.New(f.peer(i), nil, nil)
@@ -51,7 +51,7 @@
 }
 
 // node is the one that is followed.
-func (l *linkedFollower) node() int {
+func (l *relayedFollower) source() int {
 	for i := range l.f.n {
 		if l.f.peer(i) == l.Core() {
 			return i
@@ -61,7 +61,7 @@
 	return 0
 }
 
-func (l *linkedFollower) hold(directions []cutproxy.Direction, nodes ...int) {
+func (l *relayedFollower) blockLinks(directions []cutproxy.Direction, nodes ...int) {
 	for _, i := range nodes {
 		for _, d := range directions {
 			l.relays[i].Hold(d)
@@ -70,7 +70,7 @@
 }
 
 // release unblocks links; what was blocked is delivered, or lost with its connection.
-func (l *linkedFollower) release(lose bool, nodes ...int) {
+func (l *relayedFollower) unblockLinks(lose bool, nodes ...int) {
 	for _, i := range nodes {
 		if lose {
 			l.relays[i].Reset()
@@ -81,14 +81,14 @@
 }
 
 // acts has a change acknowledged, and the follower act on it.
-func (l *linkedFollower) acts(what string) {
+func (l *relayedFollower) requireActsOnChange(what string) {
 	l.f.t.Helper()
 	version := l.f.change(1, l.f.all()...)
 	took := l.f.within(fleetLimit, fmt.Sprintf("%s: the follower acts on version %d", what, version), func() bool {
 		now := l.Tables().Config
 		return now != nil && now.Version >= version
 	})
-	l.f.t.Logf("%s: acts on a change %v after it was acknowledged, wanted within %v", what, took.Round(time.Millisecond), applyTime)
+	l.f.t.Logf("%s: acts on a change %v after it was acknowledged, wanted within %v", what, took.Round(time.Millisecond), configApplyLimit)
 }
 
 // TestFollowerInOneWayPartition: on sockets, a follower that receives nothing, or whose messages are lost,
@@ -105,38 +105,38 @@
 			_, r := newSeed(t)
 			f := newFleet(t, 3, 3)
 			first := r.IntN(3)
-			l := f.linked(first, f.all(), nil)
-			l.acts("all links work")
-			f.within(homeLimit, "it follows the first of its own order", func() bool { return l.node() == first })
+			l := f.newRelayedFollower(first, f.all(), nil)
+			l.requireActsOnChange("all links work")
+			f.within(preferredSourceLimit, "it follows the first of its own order", func() bool { return l.source() == first })
 			for range 3 { // the cut moves from its source to the next
-				source := l.node()
-				l.hold(directions, source)
-				l.acts("its source is cut off")
-				l.hold(directions, others(3, source)[r.IntN(2)])
-				l.acts("two of three are cut off")
-				l.release(r.IntN(2) == 0, f.all()...)
+				source := l.source()
+				l.blockLinks(directions, source)
+				l.requireActsOnChange("its source is cut off")
+				l.blockLinks(directions, others(3, source)[r.IntN(2)])
+				l.requireActsOnChange("two of three are cut off")
+				l.unblockLinks(r.IntN(2) == 0, f.all()...)
 			}
 			one := r.IntN(3)
-			second := f.linked(others(3, one)[0], f.all(), func(l *linkedFollower) { l.hold(directions, others(3, one)...) })
-			second.acts("it starts and reaches one of three")
-			l.cutEndsAsAChangeArrives(directions, r.IntN(2) == 0)
+			second := f.newRelayedFollower(others(3, one)[0], f.all(), func(l *relayedFollower) { l.blockLinks(directions, others(3, one)...) })
+			second.requireActsOnChange("it starts and reaches one of three")
+			l.healDuringChange(directions, r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
 		})
 	}
 }
 
 // cutEndsAsAChangeArrives cuts all links for longer than any call lasts, and joins them as a change is under way.
-func (l *linkedFollower) cutEndsAsAChangeArrives(directions []cutproxy.Direction, lose bool) {
+func (l *relayedFollower) healDuringChange(directions []cutproxy.Direction, lose bool) {
 	l.f.t.Helper()
-	l.hold(directions, l.f.all()...)
+	l.blockLinks(directions, l.f.all()...)
 	confirmedAt := l.Tables().ConfirmedAt
 	for range 3 {
 		l.f.change(2, l.f.all()...)
 	}
-	l.f.until("the follower has missed a poll", func() bool { return time.Since(confirmedAt) > applyTime })
+	l.f.until("the follower has missed a poll", func() bool { return time.Since(confirmedAt) > configApplyLimit })
 	var joined sync.WaitGroup
-	joined.Go(func() { l.release(lose, l.f.all()...) })
-	l.acts("all were cut off, and are joined as a change arrives")
+	joined.Go(func() { l.unblockLinks(lose, l.f.all()...) })
+	l.requireActsOnChange("all were cut off, and are joined as a change arrives")
 	joined.Wait()
 }
 
@@ -155,8 +155,8 @@
 			seed := r.IntN(3)
 			hold(f, seed)
 			f.change(1, f.allExcept(seed)...)
-			l := f.linked(seed, []int{seed}, nil)
-			newest, _ := f.hist.newest()
+			l := f.newRelayedFollower(seed, []int{seed}, nil)
+			newest, _ := f.hist.newestAcknowledged()
 			took := f.within(fleetLimit, "the follower acts on what is newest", func() bool {
 				now := l.Tables().Config
 				return now != nil && now.Version >= newest
@@ -164,7 +164,7 @@
 			t.Logf("acts on what is newest %v after its start", took.Round(time.Millisecond))
 			f.heal(r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
-			l.acts("the nodes are joined again")
+			l.requireActsOnChange("the nodes are joined again")
 		})
 	}
 }
--- a/internal/tier/controlnode/full_disk.go
+++ b/internal/tier/controlnode/full_disk.go
@@ -21,11 +21,11 @@
 var errDiskFull = errors.New("this core node's disk is full: ask another one, and give this one room")
 
 // OpenWhenRoom is Open for a disk that may be full: it waits until there is room for what a start writes, or the context ends.
-func OpenWhenRoom(ctx context.Context, s *process.Settings, log *slog.Logger) (*Server, error) {
-	return openWhenRoom(ctx, log, func() (*Server, error) { return Open(s, log) })
+func OpenAwaitingSpace(ctx context.Context, s *process.Settings, log *slog.Logger) (*Server, error) {
+	return openAwaitingSpace(ctx, log, func() (*Server, error) { return Open(s, log) })
 }
 
-func openWhenRoom(ctx context.Context, log *slog.Logger, open func() (*Server, error)) (*Server, error) {
+func openAwaitingSpace(ctx context.Context, log *slog.Logger, open func() (*Server, error)) (*Server, error) {
 	for attempt := 0; ; attempt++ {
 		server, err := open()
 		if !errors.Is(err, sqlitelog.ErrFull) {
@@ -43,7 +43,7 @@
 // syncWhenRoom syncs what a batch has changed after the disk was too full for it: it tries until there is room. Nothing of the batch
 // has left the node, and nothing does before the sync, so that to others the node is one that stands still: they go on without it, and it
 // is brought up to date once it can write again. Requests are rejected meanwhile, and messages of other nodes are dropped.
-func (s *Server) syncWhenRoom(rows []sqlitelog.Write, full error) error {
+func (s *Server) retrySyncUntilSpace(rows []sqlitelog.Write, full error) error {
 	s.log.Error("the disk is full: this node takes no part until there is room", "err", full)
 	s.diskFull.Store(true)
 	defer s.diskFull.Store(false)
@@ -57,7 +57,7 @@
 			return s.ctx.Err()
 		case <-s.peerMessages:
 		case q := <-s.requests:
-			s.handleWithoutRoom(q)
+			s.handleWhileDiskFull(q)
 		case <-retry.C:
 			err := s.syncRows(s.ctx, rows)
 			if errors.Is(err, sqlitelog.ErrFull) {
@@ -72,7 +72,7 @@
 }
 
 // handleWithoutRoom rejects a request, but for new settings, which nothing on the disk depends on.
-func (s *Server) handleWithoutRoom(q queuedRequest) {
+func (s *Server) handleWhileDiskFull(q queuedRequest) {
 	if seeds, ok := q.request.(*setSeedsRequest); ok {
 		seeds.handle(s)
 		q.synced <- true
--- a/internal/tier/controlnode/full_disk_test.go
+++ b/internal/tier/controlnode/full_disk_test.go
@@ -36,7 +36,7 @@
 
 // A node whose disk is full stays up, says so, promises nothing, and goes on once there is room.
 func TestNodeWithFullDiskWaitsForRoom(t *testing.T) {
-	core := startAlone(t)
+	core := startSingleNode(t)
 	empty := fillDisk(t, core)
 	completed := make(chan Completion, 1)
 	core.requests <- onLoopRequest(func() {
@@ -105,15 +105,15 @@
 		return func() (*Server, error) { attempts++; return &Server{}, outcomes[attempts-1] }
 	}
 	log := process.NewLogger(io.Discard)
-	if server, err := openWhenRoom(t.Context(), log, open(full, full, nil)); err != nil || server == nil || attempts != 3 {
+	if server, err := openAwaitingSpace(t.Context(), log, open(full, full, nil)); err != nil || server == nil || attempts != 3 {
 		t.Errorf("%v after %d attempts", err, attempts)
 	}
-	if _, err := openWhenRoom(t.Context(), log, open(full, broken)); !errors.Is(err, broken) || attempts != 2 {
+	if _, err := openAwaitingSpace(t.Context(), log, open(full, broken)); !errors.Is(err, broken) || attempts != 2 {
 		t.Errorf("%v after %d attempts", err, attempts)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := openWhenRoom(ctx, log, open(full, nil)); !errors.Is(err, sqlitelog.ErrFull) || attempts != 1 {
+	if _, err := openAwaitingSpace(ctx, log, open(full, nil)); !errors.Is(err, sqlitelog.ErrFull) || attempts != 1 {
 		t.Errorf("%v after %d attempts", err, attempts)
 	}
 }
--- a/internal/tier/controlnode/halves_test.go
+++ b/internal/tier/controlnode/halves_test.go
@@ -11,15 +11,15 @@
 
 // playHalves cuts the core into two halves; followers and operators reach both. Machines die and start again in either half meanwhile,
 // more of them than may be lost at once, and one may lose its disk. The cut may end in the middle of an agreement.
-func (c *simulation) playHalves(span time.Duration) {
+func (c *simulation) injectHalfPartition(span time.Duration) {
 	inFirst := map[string]bool{}
-	for _, i := range c.rng.Perm(len(c.order))[:len(c.order)/2] {
-		inFirst[c.order[i]] = true
+	for _, i := range c.rng.Perm(len(c.addrs))[:len(c.addrs)/2] {
+		inFirst[c.addrs[i]] = true
 	}
 	c.logf("cut into halves, %v in the first", inFirst)
-	c.boundsFrom = time.Hour // service may rest
-	for _, a := range c.order {
-		for _, b := range c.order {
+	c.lagCheckedFrom = time.Hour // service may rest
+	for _, a := range c.addrs {
+		for _, b := range c.addrs {
 			if inFirst[a] != inFirst[b] {
 				c.blockedLinks[[2]string{a, b}] = true
 			}
@@ -27,7 +27,7 @@
 	}
 	disk := c.rng.IntN(3) == 0 // one disk is lost
 	for end := c.now + span; c.now < end && c.failure == ""; {
-		m := c.machines[c.order[c.rng.IntN(len(c.order))]]
+		m := c.machines[c.addrs[c.rng.IntN(len(c.addrs))]]
 		switch {
 		case m.up && c.rng.IntN(3) == 0:
 			c.logf("%s dies in its half", m.addr)
@@ -47,18 +47,18 @@
 }
 
 // playHalvesCourse plays halves in turn with losses of power of all machines, of which one may lose its disk.
-func playHalvesCourse(t testing.TB, seed uint64, fault plantedFaults) *simulation {
+func runHalfPartitionSimulation(t testing.TB, seed uint64, fault injectedBugs) *simulation {
 	c := newSimulation(t, seed, 4+2*int(seed%3), fault)
 	c.faultyMachine = "none" // no machine loses power by itself: this counts what is lost
 	c.run(3 * time.Second)
 	for round := 0; round < 5 && c.failure == ""; round++ {
-		c.playHalves(time.Duration(100+c.rng.IntN(4000)) * time.Millisecond)
+		c.injectHalfPartition(time.Duration(100+c.rng.IntN(4000)) * time.Millisecond)
 		c.restartAll()
 		if c.rng.IntN(2) == 0 {
-			c.playPowerLoss(c.machines[c.order[c.rng.IntN(len(c.order))]])
+			c.injectPowerLoss(c.machines[c.addrs[c.rng.IntN(len(c.addrs))]])
 			c.restartAll()
 		}
-		c.boundsFrom = c.now + 2*maxFollowerLag
+		c.lagCheckedFrom = c.now + 2*maxFollowerLag
 		c.checkProgress()
 	}
 	return c
@@ -72,9 +72,9 @@
 	t.Logf("seeds from %d", base)
 	writes, reads := 0, 0
 	for i := range *halvesSimulations {
-		c := playHalvesCourse(t, base+uint64(i), plantedFaults{})
+		c := runHalfPartitionSimulation(t, base+uint64(i), injectedBugs{})
 		if c.failure != "" {
-			t.Fatalf("seed %d, %d machines: %s\n%s", c.seed, len(c.order), c.failure, c.trace())
+			t.Fatalf("seed %d, %d machines: %s\n%s", c.seed, len(c.addrs), c.failure, c.trace())
 		}
 		writes, reads = writes+c.writes, reads+c.reads
 	}
@@ -86,7 +86,7 @@
 
 func TestHalvesFindPlantedFaults(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]plantedFaults{
+	for name, fault := range map[string]injectedBugs{
 		"a read from an old tail":                      {readsWithoutConfirmation: true},
 		"acknowledged by the head alone":               {acknowledgesEarly: true},
 		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
@@ -96,7 +96,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
-				if c := playHalvesCourse(t, seed+1, fault); c.failure != "" {
+				if c := runHalfPartitionSimulation(t, seed+1, fault); c.failure != "" {
 					return
 				}
 			}
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -29,8 +29,8 @@
 
 // A head stops; its successor has its observations of the stores, and drops them once they are old.
 func TestNewHeadInheritsObservations(t *testing.T) {
-	c := newSimulation(t, 1, 3, plantedFaults{})
-	c.withoutChance = true
+	c := newSimulation(t, 1, 3, injectedBugs{})
+	c.noRandomFaults = true
 	c.run(time.Second)
 	head, next := c.machines["m0"], c.machines["m1"]
 	if !head.node.IsConfirmedHead() {
@@ -85,8 +85,8 @@
 
 // A node that no majority confirms does not know whether it still has the placement role.
 func TestUnconfirmedHeadSendsNoObservations(t *testing.T) {
-	c := newSimulation(t, 1, 3, plantedFaults{})
-	c.withoutChance = true
+	c := newSimulation(t, 1, 3, injectedBugs{})
+	c.noRandomFaults = true
 	c.run(time.Second)
 	head := c.machines["m0"].node
 	head.SetHandover(unresponsiveStore(time.Second))
@@ -110,14 +110,14 @@
 
 // A node that was head once sends nothing of that time when it is head again.
 func TestObservationsOfEarlierHeadshipAreNotSent(t *testing.T) {
-	c := newSimulation(t, 1, 3, plantedFaults{})
-	c.withoutChance = true
+	c := newSimulation(t, 1, 3, injectedBugs{})
+	c.noRandomFaults = true
 	c.run(time.Second)
 	head := c.machines["m0"]
 	head.node.SetHandover(unresponsiveStore(time.Second))
 	head.frozen = true
 	c.run(3 * time.Second)
-	c.thaw(head)
+	c.unfreeze(head)
 	c.run(3 * time.Second)
 	if head.node.IsConfirmedHead() || head.node.handover.outgoing != nil {
 		t.Errorf("head %v, sends %+v", head.node.IsConfirmedHead(), head.node.handover.outgoing)
@@ -125,8 +125,8 @@
 }
 
 func TestOnlyNewestHeartbeatOfHeadHandsOver(t *testing.T) {
-	c := newSimulation(t, 1, 3, plantedFaults{})
-	c.withoutChance = true
+	c := newSimulation(t, 1, 3, injectedBugs{})
+	c.noRandomFaults = true
 	c.run(time.Second)
 	head, node := c.machines["m0"], c.machines["m1"].node
 	view := node.View()
--- a/internal/tier/controlnode/history_test.go
+++ b/internal/tier/controlnode/history_test.go
@@ -18,12 +18,12 @@
 // observedPut is one sending of a configuration. Status 0, 307 and 5xx prove nothing.
 type observedPut struct {
 	span
-	node    int
-	on      int64
-	version int64
-	body    string
-	status  int
-	text    string
+	node        int
+	baseVersion int64
+	version     int64
+	body        string
+	status      int
+	text        string
 }
 
 // observedRead is one reading with a clear answer, from the operators' interface or from the feed. Version 0 is none.
@@ -47,39 +47,39 @@
 type history struct {
 	begin time.Time
 
-	mu     sync.Mutex
-	orders []observedPut
-	reads  []observedRead
-	acts   []observedActivation
+	mu          sync.Mutex
+	puts        []observedPut
+	reads       []observedRead
+	activations []observedActivation
 }
 
 func newHistory() *history { return &history{begin: time.Now()} }
 
 func (h *history) now() time.Duration { return time.Since(h.begin) }
 
-func (h *history) order(o observedPut) {
+func (h *history) addPut(o observedPut) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.orders = append(h.orders, o)
+	h.puts = append(h.puts, o)
 }
 
-func (h *history) read(r observedRead) {
+func (h *history) addRead(r observedRead) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reads = append(h.reads, r)
 }
 
-func (h *history) act(a observedActivation) {
+func (h *history) addActivation(a observedActivation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.acts = append(h.acts, a)
+	h.activations = append(h.activations, a)
 }
 
 // newest is the newest version that was acknowledged so far, with the body; 0 for none.
-func (h *history) newest() (version int64, body string) {
+func (h *history) newestAcknowledged() (version int64, body string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, o := range h.orders {
+	for _, o := range h.puts {
 		if o.status == http.StatusOK && o.version > version {
 			version, body = o.version, o.body
 		}
@@ -89,7 +89,7 @@
 
 // acknowledged is the newest version that had been acknowledged before a time.
 func (h *history) acknowledged(before time.Duration) (version int64) {
-	for _, o := range h.orders {
+	for _, o := range h.puts {
 		if o.status == http.StatusOK && o.ended < before {
 			version = max(version, o.version)
 		}
@@ -97,14 +97,14 @@
 	return version
 }
 
-func (o *observedPut) refused() bool { return o.status >= 400 && o.status < 500 }
+func (o *observedPut) rejected() bool { return o.status >= 400 && o.status < 500 }
 
 // check returns every promise that the history shows broken, as text.
 func (h *history) check() (broken []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	broken = append(broken, h.checkOrders()...)
-	broken = append(broken, h.checkRefusals()...)
+	broken = append(broken, h.checkAcknowledgements()...)
+	broken = append(broken, h.checkRejections()...)
 	broken = append(broken, h.checkReads()...)
 	broken = append(broken, h.checkFollowers()...)
 	slices.Sort(broken)
@@ -112,22 +112,22 @@
 }
 
 // checkOrders: two changes on one version are never both acknowledged; none that was acknowledged is ever refused.
-func (h *history) checkOrders() (broken []string) {
+func (h *history) checkAcknowledgements() (broken []string) {
 	won := map[int64]observedPut{}
-	for _, o := range h.orders {
+	for _, o := range h.puts {
 		if o.status != http.StatusOK {
 			continue
 		}
-		if other, some := won[o.on]; some && other.body != o.body {
+		if other, some := won[o.baseVersion]; some && other.body != o.body {
 			broken = append(broken, fmt.Sprintf("BOTH: versions %d and %d were both acknowledged on %d",
-				min(other.version, o.version), max(other.version, o.version), o.on))
+				min(other.version, o.version), max(other.version, o.version), o.baseVersion))
 		}
-		won[o.on] = o
+		won[o.baseVersion] = o
 	}
-	for _, o := range h.orders {
-		if w, some := won[o.on]; o.refused() && some && w.body == o.body {
+	for _, o := range h.puts {
+		if w, some := won[o.baseVersion]; o.rejected() && some && w.body == o.body {
 			broken = append(broken, fmt.Sprintf("REFUSED: version %d on %d was acknowledged, and refused by node %d at %v: %d %s",
-				o.version, o.on, o.node, o.ended, o.status, o.text))
+				o.version, o.baseVersion, o.node, o.ended, o.status, o.text))
 		}
 	}
 	return broken
@@ -135,17 +135,17 @@
 
 // checkRefusals: callers send valid changes on versions that were in force, so that only another change on the same
 // version is a ground for a refusal.
-func (h *history) checkRefusals() (broken []string) {
-	for _, o := range h.orders {
-		if !o.refused() {
+func (h *history) checkRejections() (broken []string) {
+	for _, o := range h.puts {
+		if !o.rejected() {
 			continue
 		}
-		ground := slices.ContainsFunc(h.orders, func(other observedPut) bool {
-			return other.on == o.on && other.body != o.body && other.began < o.ended && !other.refused()
+		ground := slices.ContainsFunc(h.puts, func(other observedPut) bool {
+			return other.baseVersion == o.baseVersion && other.body != o.body && other.began < o.ended && !other.rejected()
 		})
 		if o.status != http.StatusPreconditionFailed || !ground {
 			broken = append(broken, fmt.Sprintf("GROUNDLESS: version %d on %d was refused by node %d at %v, with no other change on %d: %d %s",
-				o.version, o.on, o.node, o.ended, o.on, o.status, o.text))
+				o.version, o.baseVersion, o.node, o.ended, o.baseVersion, o.status, o.text))
 		}
 	}
 	return broken
@@ -154,9 +154,9 @@
 // checkReads: no reading is older than what was acknowledged, or read, before it began; all read what was sent and not refused.
 func (h *history) checkReads() (broken []string) {
 	refused, sent := map[string]bool{}, map[string]bool{}
-	for _, o := range h.orders {
+	for _, o := range h.puts {
 		sent[o.body] = true
-		refused[o.body] = refused[o.body] || o.refused()
+		refused[o.body] = refused[o.body] || o.rejected()
 	}
 	for _, r := range h.reads {
 		if least := h.acknowledged(r.began); r.version < least {
@@ -170,11 +170,11 @@
 			broken = append(broken, fmt.Sprintf("INFORCE: %s returned version %d, which was refused", r.where, r.version))
 		}
 	}
-	return append(broken, h.checkReadsAmongThemselves()...)
+	return append(broken, h.checkReadMonotonicity()...)
 }
 
 // checkReadsAmongThemselves: a reading that began after another had ended is not older.
-func (h *history) checkReadsAmongThemselves() (broken []string) {
+func (h *history) checkReadMonotonicity() (broken []string) {
 	reads := slices.DeleteFunc(slices.Clone(h.reads), func(r observedRead) bool { return r.feed })
 	byEnd := slices.SortedFunc(slices.Values(reads), func(a, b observedRead) int { return int(a.ended - b.ended) })
 	byBegin := slices.SortedFunc(slices.Values(reads), func(a, b observedRead) int { return int(a.began - b.began) })
@@ -194,7 +194,7 @@
 // checkFollowers: what a follower acts on never goes back, and is not older than what was acknowledged before it began.
 func (h *history) checkFollowers() (broken []string) {
 	last := map[string]int64{}
-	for _, a := range h.acts {
+	for _, a := range h.activations {
 		before, some := last[a.follower]
 		if least := h.acknowledged(a.began); !some && a.version < least {
 			broken = append(broken, fmt.Sprintf("OLD: follower %s began with version %d, after %d was acknowledged",
@@ -210,7 +210,7 @@
 
 // played makes a history of lines "ORDER began-ended on version body status", "READ began-ended version body",
 // "FEED began-ended version body", "ACT at follower began version"; times in ms.
-func played(t *testing.T, text string) *history {
+func parseHistory(t *testing.T, text string) *history {
 	t.Helper()
 	h := newHistory()
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -226,16 +226,16 @@
 		var err error
 		switch f[0] {
 		case "ORDER":
-			_, err = fmt.Sscanf(line, "ORDER %d-%d %d %d %s %d", &a, &b, &o.on, &o.version, &o.body, &o.status)
+			_, err = fmt.Sscanf(line, "ORDER %d-%d %d %d %s %d", &a, &b, &o.baseVersion, &o.version, &o.body, &o.status)
 			o.span = span{ms(a), ms(b)}
-			h.order(o)
+			h.addPut(o)
 		case "READ", "FEED":
 			_, err = fmt.Sscanf(line, f[0]+" %d-%d %d %s", &a, &b, &o.version, &o.body)
-			h.read(observedRead{span{ms(a), ms(b)}, "a node", f[0] == "FEED", o.version, o.body})
+			h.addRead(observedRead{span{ms(a), ms(b)}, "a node", f[0] == "FEED", o.version, o.body})
 		case "ACT":
 			_, err = fmt.Sscanf(line, "ACT %d %s %d %d", &a, &s.follower, &b, &s.version)
 			s.at, s.began = ms(a), ms(b)
-			h.act(s)
+			h.addActivation(s)
 		}
 		if err != nil {
 			t.Fatal(line, err)
@@ -275,7 +275,7 @@
 		"follower begins with what is old": {"ORDER 0-10 0 1 a 200\nORDER 20-30 1 2 b 200\nACT 45 f 40 1", "OLD"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			broken := played(t, one.text).check()
+			broken := parseHistory(t, one.text).check()
 			if one.want == "" {
 				if len(broken) > 0 {
 					t.Fatal(broken)
--- a/internal/tier/controlnode/large_test.go
+++ b/internal/tier/controlnode/large_test.go
@@ -65,7 +65,7 @@
 	f.http.Timeout = largeLimit
 	large := func(nodes ...int) {
 		t.Helper()
-		on, _ := f.hist.newest()
+		on, _ := f.hist.newestAcknowledged()
 		body := hugeConfig(int(on)+1, size)
 		f.until("a large configuration is acknowledged by one of "+fmt.Sprint(nodes), func() bool {
 			for _, i := range nodes {
--- a/internal/tier/controlnode/loss_test.go
+++ b/internal/tier/controlnode/loss_test.go
@@ -65,7 +65,7 @@
 	f.requireOutcomeUnknown(f.writeRequests(1, 1), time.Now())
 	f.start(2, false)
 	f.within(catchUp, "versions go on once the second has returned", func() bool {
-		on, _ := f.hist.newest()
+		on, _ := f.hist.newestAcknowledged()
 		return f.put(0, on, variant(on+1, 3)) == 200
 	})
 	f.requireCaughtUp(f.all()...)
--- a/internal/tier/controlnode/membership.go
+++ b/internal/tier/controlnode/membership.go
@@ -16,7 +16,7 @@
 }
 
 // wantsChange reports whether the view should change.
-func (n *Node) wantsChange(cond view.Conditions) bool {
+func (n *Node) wantsViewChange(cond view.Conditions) bool {
 	v := &n.acceptor.View
 	if n.acceptor.HasPromised() && n.now-n.election.promisedAt > 2*n.settings.Timings.HeartbeatInterval {
 		return true // a proposal was started and not finished
@@ -29,7 +29,7 @@
 func (n *Node) wantsRemovalFromChain(cond view.Conditions) bool {
 	outside := n.acceptor.View.Position(n.settings.Self.ID) < 0
 	for _, l := range n.acceptor.View.Chain {
-		if outside && n.heardByAnother(l.ID) {
+		if outside && n.heardByAnotherVoter(l.ID) {
 			continue // the cut link is one that the chain does not use
 		}
 		p := n.peers[l.ID]
--- a/internal/tier/controlnode/membership_test.go
+++ b/internal/tier/controlnode/membership_test.go
@@ -18,8 +18,8 @@
 		"a large change": {catchUpBytes + 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newSimulation(t, 1, 3, plantedFaults{})
-			c.withoutChance = true
+			c := newSimulation(t, 1, 3, injectedBugs{})
+			c.noRandomFaults = true
 			c.run(time.Second)
 			head, away := c.machines["m0"].node, c.machines["m2"]
 			c.stop(away)
--- a/internal/tier/controlnode/node.go
+++ b/internal/tier/controlnode/node.go
@@ -57,7 +57,7 @@
 
 // Founding returns the durable state with which a founding seed starts: the seeds, by address, are the voters
 // and the chain of epoch 1.
-func Founding(seeds []view.Member) Durable {
+func BootstrapState(seeds []view.Member) Durable {
 	v := view.View{Epoch: 1, Voters: slices.Clone(seeds)}
 	slices.SortFunc(v.Voters, func(a, b view.Member) int { return cmp.Compare(a.ID, b.ID) })
 	for _, m := range v.Voters {
@@ -131,7 +131,7 @@
 	if gap := now - n.now; gap > n.settings.Timings.MaxPause {
 		for _, p := range n.peers {
 			p.lastHeard += gap
-			p.lastHeardUs += gap
+			p.echoedRoundSentAt += gap
 		}
 		n.election.proposal = nil
 		n.election.nextProposalAt = now + n.settings.Timings.SuspectTimeout/2
--- a/internal/tier/controlnode/partial_partition_test.go
+++ b/internal/tier/controlnode/partial_partition_test.go
@@ -6,14 +6,14 @@
 )
 
 // partialCut is how long one link of a partial partition is cut, in one direction.
-const partialCut = 4 * time.Second
+const partialPartitionDuration = 4 * time.Second
 
 // playPartialCuts cuts one link of a core of eight in one direction, again and again, and returns how many views the cuts cost, and how
 // many voters have lost their votes.
-func playPartialCuts(t *testing.T, chainLength, cuts int, involved func(from, to int) bool) (views int64, lostVotes int) {
+func runPartialPartitions(t *testing.T, chainLength, cuts int, involved func(from, to int) bool) (views int64, lostVotes int) {
 	t.Helper()
-	c := newSimulationWith(t, 1, 8, 1, chainLength, plantedFaults{})
-	c.withoutChance = true
+	c := newSimulationWith(t, 1, 8, 1, chainLength, injectedBugs{})
+	c.noRandomFaults = true
 	c.run(3 * time.Second)
 	before := c.newest.Epoch
 	for range cuts {
@@ -21,8 +21,8 @@
 		for from == to || !involved(from, to) {
 			from, to = c.rng.IntN(8), c.rng.IntN(8)
 		}
-		c.blockedLinks[[2]string{c.order[from], c.order[to]}] = true
-		c.run(partialCut)
+		c.blockedLinks[[2]string{c.addrs[from], c.addrs[to]}] = true
+		c.run(partialPartitionDuration)
 		lostVotes += 8 - len(c.newest.Voters)
 		c.blockedLinks = map[[2]string]bool{}
 		c.run(6 * time.Second)
@@ -49,7 +49,7 @@
 		{"short chain, any link", ChainLength(1), func(int, int) bool { return true }, cuts},
 		{"short chain, a link to or from a learner", ChainLength(1), outside, 0},
 	} {
-		views, lostVotes := playPartialCuts(t, test.chainLength, cuts, test.involved)
+		views, lostVotes := runPartialPartitions(t, test.chainLength, cuts, test.involved)
 		t.Logf("%s: %d views for %d cuts, %d votes lost", test.name, views, cuts, lostVotes)
 		if views > test.maxViews || lostVotes > 0 {
 			t.Errorf("%s: %d views for %d cuts, %d votes lost", test.name, views, cuts, lostVotes)
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -140,7 +140,7 @@
 	f := newFleet(t, 4, 4)
 	f.change(1, f.all()...)
 	f.partitionGroups(0, 1)
-	f.halvesDecided()
+	f.awaitMajorityLoss()
 	var all sync.WaitGroup
 	for _, i := range f.all() {
 		all.Go(func() { f.requireOutcomeUnknown(f.writeRequests(i, i), time.Now()) })
@@ -164,13 +164,13 @@
 		order := r.Perm(4)
 		f.partitionGroups(order[0], order[1])
 		if round != 1 { // else the cut ends in the middle of what it began
-			f.halvesDecided()
+			f.awaitMajorityLoss()
 		}
 		f.kill(order[0])
 		f.kill(order[2])
 		f.start(order[2], false)
 		f.heal(r.IntN(2) == 0)
-		f.goesOn(f.allExcept(order[0])...)
+		f.requireProgress(f.allExcept(order[0])...)
 		f.start(order[0], false)
 		f.until("all nodes are members", f.allMembers)
 	}
@@ -180,7 +180,7 @@
 }
 
 // halvesDecided waits until each node knows of its half: none takes itself for fresh.
-func (f *fleet) halvesDecided() {
+func (f *fleet) awaitMajorityLoss() {
 	f.t.Helper()
 	for _, i := range f.all() {
 		f.until("the node knows that it reaches no majority", func() bool { s := f.status(i); return s != nil && !s.Fresh })
@@ -198,30 +198,30 @@
 	stop := f.operators(seed, f.all()...)
 	for _, i := range r.Perm(3) {
 		f.partition(i)
-		f.goesOn(f.allExcept(i)...)
+		f.requireProgress(f.allExcept(i)...)
 		f.heal(r.IntN(2) == 0)
 	}
 	for _, relay := range f.relays {
 		relay.Reset()
 	}
-	f.goesOn(f.all()...)
+	f.requireProgress(f.all()...)
 	head := f.head(f.all()...)
 	f.partition(head)
 	f.kill(head)
-	f.goesOn(f.allExcept(head)...)
+	f.requireProgress(f.allExcept(head)...)
 	f.heal(true)
 	f.start(head, false)
-	f.goesOn(f.all()...)
+	f.requireProgress(f.all()...)
 	stop()
 	f.requireCaughtUp(f.all()...)
 	f.actsOnNewest(follower)
 }
 
 // goesOn waits until versions that were acknowledged go on; operators run.
-func (f *fleet) goesOn(nodes ...int) {
+func (f *fleet) requireProgress(nodes ...int) {
 	f.t.Helper()
-	before, _ := f.hist.newest()
-	f.until("versions go on", func() bool { now, _ := f.hist.newest(); return now > before })
+	before, _ := f.hist.newestAcknowledged()
+	f.until("versions go on", func() bool { now, _ := f.hist.newestAcknowledged(); return now > before })
 	f.until("what was acknowledged is read", func() bool { _, v := f.read(nodes[0]); return v > before })
 }
 
@@ -235,7 +235,7 @@
 	leaver := f.nodes[tail]
 	leaver.signal(syscall.SIGTERM)
 	f.change(1, f.allExcept(tail)...)
-	newest, body := f.hist.newest()
+	newest, body := f.hist.newestAcknowledged()
 	var all sync.WaitGroup
 	all.Go(func() { f.put(tail, newest-1, body) })
 	all.Go(func() { f.put(tail, newest, variant(newest+1, 9)) })
--- a/internal/tier/controlnode/peers.go
+++ b/internal/tier/controlnode/peers.go
@@ -10,20 +10,20 @@
 // peer is what a node knows of another member. Everything in it was reported by one incarnation of the peer:
 // a message of a newer incarnation resets it. Fields about confirmation are reset with each adopted view.
 type peer struct {
-	member         view.Member
-	incarnation    int64         // the newest that was heard from; messages of an older one are dropped
-	lastHeard      time.Duration // when its last message came, or when it became known
-	heardFrom      bool          // a message of this incarnation has come
-	lastHeardUs    time.Duration // when the newest of our rounds that it echoed was sent, or when it became known
-	echoedInView   bool          // it has echoed a round that this node sent since it adopted its view
-	leaving        bool
-	epoch          int64
-	chainAck       chain.Ack // its position in the chain, with its last heartbeat
-	heardPeers     []string  // the ids from which it has heard recently, sorted
-	hostListTerm   int64
-	hostListNumber int64
-	latestRound    int64 // the newest of its confirmation rounds that has come; this node echoes it
-	confirmedRound int64 // the newest of this node's rounds that it has confirmed in this epoch
+	member            view.Member
+	incarnation       int64         // the newest that was heard from; messages of an older one are dropped
+	lastHeard         time.Duration // when its last message came, or when it became known
+	heardFrom         bool          // a message of this incarnation has come
+	echoedRoundSentAt time.Duration // when the newest of our rounds that it echoed was sent, or when it became known
+	echoedInView      bool          // it has echoed a round that this node sent since it adopted its view
+	leaving           bool
+	epoch             int64
+	chainAck          chain.Ack // its position in the chain, with its last heartbeat
+	heardPeers        []string  // the ids from which it has heard recently, sorted
+	hostListTerm      int64
+	hostListNumber    int64
+	latestRound       int64 // the newest of its confirmation rounds that has come; this node echoes it
+	confirmedRound    int64 // the newest of this node's rounds that it has confirmed in this epoch
 
 	restarts [2]time.Duration // when the last two incarnations after the first one were heard of; 0 for none
 
@@ -35,7 +35,7 @@
 func (n *Node) ensurePeer(m view.Member) *peer {
 	p := n.peers[m.ID]
 	if p == nil {
-		p = &peer{member: m, lastHeard: n.now, lastHeardUs: n.now}
+		p = &peer{member: m, lastHeard: n.now, echoedRoundSentAt: n.now}
 		n.peers[m.ID] = p
 	}
 	return p
@@ -53,20 +53,20 @@
 		if p.heardFrom {
 			restarts = [2]time.Duration{restarts[1], n.now}
 		}
-		*p = peer{member: m.From, incarnation: m.Incarnation, lastHeardUs: n.now, epoch: p.epoch, leaving: false, restarts: restarts}
+		*p = peer{member: m.From, incarnation: m.Incarnation, echoedRoundSentAt: n.now, epoch: p.epoch, leaving: false, restarts: restarts}
 	}
 	p.member, p.lastHeard, p.heardFrom = m.From, n.now, true
 	return p
 }
 
 // unstableFor is how long a peer counts as unstable after a restart that follows on another within the same time.
-const unstableFor = 3 * time.Second
+const crashLoopWindow = 3 * time.Second
 
 // isUnstable reports whether a peer starts again and again. Each of its deaths holds up the chain until it is suspected, and one
 // that starts again before that is never suspected.
 func (n *Node) isUnstable(p *peer) bool {
 	last, before := p.restarts[1], p.restarts[0]
-	return before > 0 && last-before < unstableFor && n.now-last < unstableFor
+	return before > 0 && last-before < crashLoopWindow && n.now-last < crashLoopWindow
 }
 
 // recentlyHeard reports whether a message of a peer has come within three heartbeat intervals.
@@ -75,8 +75,8 @@
 }
 
 // hearsUs reports whether a peer has recently echoed a round of this node: messages reach it.
-func (n *Node) hearsUs(p *peer) bool {
-	return n.now-p.lastHeardUs <= 4*n.settings.Timings.HeartbeatInterval
+func (n *Node) hasEchoedRecently(p *peer) bool {
+	return n.now-p.echoedRoundSentAt <= 4*n.settings.Timings.HeartbeatInterval
 }
 
 // addr returns the address of a member: the one it was last heard from, or else the one in the view; empty
--- a/internal/tier/controlnode/power_loss_test.go
+++ b/internal/tier/controlnode/power_loss_test.go
@@ -40,10 +40,10 @@
 // timeToServe returns how long after the last start of a machine the first node is fresh for followers, and a write is acknowledged.
 func timeToServe(t *testing.T, seed uint64, nodes, missing int) (served, written time.Duration) {
 	t.Helper()
-	c := newSimulationWith(t, seed, nodes, 1, ChainLength(1), plantedFaults{})
-	c.withoutChance = true
+	c := newSimulationWith(t, seed, nodes, 1, ChainLength(1), injectedBugs{})
+	c.noRandomFaults = true
 	c.run(1500 * time.Millisecond)
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		c.stop(c.machines[a])
 	}
 	c.run(time.Second)
@@ -53,7 +53,7 @@
 	}
 	began := c.now
 	for end := began + startSpread; c.now <= end; c.step() {
-		for i, a := range c.order {
+		for i, a := range c.addrs {
 			if m := c.machines[a]; i != missing && !m.up && c.now-began >= offsets[i] {
 				c.start(m)
 			}
@@ -64,7 +64,7 @@
 		if c.now-lastStart > 5*time.Second {
 			t.Fatalf("seed %d: nothing is served 5 s after a loss of power\n%s", seed, c.trace())
 		}
-		for _, a := range c.order {
+		for _, a := range c.addrs {
 			m := c.machines[a]
 			if served == 0 && m.up && m.node.Fresh() {
 				served = max(c.now-lastStart, time.Millisecond)
--- a/internal/tier/controlnode/random_process_test.go
+++ b/internal/tier/controlnode/random_process_test.go
@@ -74,11 +74,11 @@
 		i, one := r.IntN(n), nodeFaults[r.IntN(len(nodeFaults))]
 		t.Logf("%v node %d %s", f.hist.now(), i, one.name)
 		one.begin(f, i)
-		f.goesOn(others(n, i)...)
+		f.requireProgress(others(n, i)...)
 		one.end(f, i, r)
 		took := f.within(catchUp, fmt.Sprintf("node %d, which %s, is a caught-up member again", i, one.name), f.allMembers)
 		t.Logf("%v node %d is a member again after %v", f.hist.now(), i, took)
-		before, _ := f.hist.newest()
+		before, _ := f.hist.newestAcknowledged()
 		f.until("the one that came back reads what is newest", func() bool { _, v := f.read(i); return v > before })
 	}
 	stop()
--- a/internal/tier/controlnode/read_index.go
+++ b/internal/tier/controlnode/read_index.go
@@ -38,7 +38,7 @@
 	return n.step(now, func() {
 		switch {
 		case !n.IsActiveHead():
-			n.complete(Completion{RequestID: requestID, Outcome: NotHere, RedirectTo: n.HeadAddr()})
+			n.complete(Completion{RequestID: requestID, Outcome: NotOwner, RedirectTo: n.HeadAddr()})
 		default:
 			n.addWaiter(waiter{requestID: requestID, index: index})
 		}
@@ -50,7 +50,7 @@
 func (n *Node) ReadIndex(now time.Duration, requestID int64) Ready {
 	return n.step(now, func() {
 		if n.acceptor.View.Tail() != n.settings.Self.ID || !n.chain.IsActive() || n.acceptor.HasPromised() {
-			n.complete(Completion{RequestID: requestID, Outcome: NotHere, RedirectTo: n.addr(n.acceptor.View.Tail())})
+			n.complete(Completion{RequestID: requestID, Outcome: NotOwner, RedirectTo: n.addr(n.acceptor.View.Tail())})
 			return
 		}
 		n.addWaiter(waiter{requestID: requestID, atTail: true, index: n.chain.State().Commit})
--- a/internal/tier/controlnode/ready.go
+++ b/internal/tier/controlnode/ready.go
@@ -37,6 +37,6 @@
 // write may be in force, now or later.
 const (
 	Committed Outcome = iota
-	NotHere
+	NotOwner
 	OutcomeUnknown
 )
--- a/internal/tier/controlnode/receive.go
+++ b/internal/tier/controlnode/receive.go
@@ -113,7 +113,7 @@
 func (n *Node) handleLearnerAck(p *peer, m Message) {
 	p.chainAck = m.Ack
 	n.chain.HandleLearnerAck(m.From.ID, m.Incarnation, m.Ack)
-	if m.From.ID == n.replication.learner {
-		n.replication.learnerAckedAt = n.now
+	if m.From.ID == n.replication.bulkLearner {
+		n.replication.bulkLearnerAckedAt = n.now
 	}
 }
--- a/internal/tier/controlnode/replication.go
+++ b/internal/tier/controlnode/replication.go
@@ -11,10 +11,10 @@
 //
 // Invariants: pendingWrites is empty unless this node is the head; at most one learner at a time is sent much.
 type replication struct {
-	updateReceived bool // the predecessor has sent an update in this epoch and incarnation
-	pendingWrites  []pendingWrite
-	learner        string        // the id of the one that the tail sends much to, empty for none
-	learnerAckedAt time.Duration // when it answered last
+	updateReceived     bool // the predecessor has sent an update in this epoch and incarnation
+	pendingWrites      []pendingWrite
+	bulkLearner        string        // the id of the one that the tail sends much to, empty for none
+	bulkLearnerAckedAt time.Duration // when it answered last
 }
 
 // pendingWrite is a write at this head whose entry is not committed yet.
@@ -28,12 +28,12 @@
 func (n *Node) Write(now time.Duration, requestID int64, key string, value []byte) Ready {
 	return n.step(now, func() {
 		if n.acceptor.HasPromised() && n.acceptor.View.Head() == n.settings.Self.ID {
-			n.complete(Completion{RequestID: requestID, Outcome: NotHere})
+			n.complete(Completion{RequestID: requestID, Outcome: NotOwner})
 			return
 		}
 		e, ok := n.chain.Append(key, value)
 		if !ok {
-			n.complete(Completion{RequestID: requestID, Outcome: NotHere, RedirectTo: n.HeadAddr()})
+			n.complete(Completion{RequestID: requestID, Outcome: NotOwner, RedirectTo: n.HeadAddr()})
 			return
 		}
 		n.ready.MustSync = true
@@ -75,35 +75,35 @@
 	for _, id := range n.laggingLearners() {
 		switch {
 		case !n.recentlyHeard(n.peers[id]):
-		case n.lacksLittle(id):
+		case n.isNearlyCaughtUp(id):
 			n.sendLearnerUpdates(id)
 		case bulk == "":
 			bulk = id
 		}
 	}
-	n.chooseLearner(bulk)
-	if n.replication.learner != "" {
-		n.sendLearnerUpdates(n.replication.learner)
+	n.chooseBulkLearner(bulk)
+	if n.replication.bulkLearner != "" {
+		n.sendLearnerUpdates(n.replication.bulkLearner)
 	}
 }
 
 // chooseLearner chooses the learner that is sent much: the present one while it is behind and answers, then the candidate.
-func (n *Node) chooseLearner(candidate string) {
+func (n *Node) chooseBulkLearner(candidate string) {
 	r := &n.replication
-	if r.learner != "" && !n.chain.LearnerIsBehind(r.learner) {
-		r.learner = ""
+	if r.bulkLearner != "" && !n.chain.LearnerIsBehind(r.bulkLearner) {
+		r.bulkLearner = ""
 	}
-	if r.learner != "" && n.now-r.learnerAckedAt > n.settings.Timings.SuspectTimeout {
-		n.chain.RemoveLearner(r.learner)
-		r.learner = ""
+	if r.bulkLearner != "" && n.now-r.bulkLearnerAckedAt > n.settings.Timings.SuspectTimeout {
+		n.chain.RemoveLearner(r.bulkLearner)
+		r.bulkLearner = ""
 	}
-	if r.learner == "" {
-		r.learner, r.learnerAckedAt = candidate, n.now
+	if r.bulkLearner == "" {
+		r.bulkLearner, r.bulkLearnerAckedAt = candidate, n.now
 	}
 }
 
 // lacksLittle reports whether what a member outside the chain lacks is soon sent on a slow link.
-func (n *Node) lacksLittle(id string) bool {
+func (n *Node) isNearlyCaughtUp(id string) bool {
 	return n.chain.CommittedBytes(n.peers[id].chainAck.Commit) <= catchUpBytes
 }
 
--- a/internal/tier/controlnode/simulation_checks_test.go
+++ b/internal/tier/controlnode/simulation_checks_test.go
@@ -19,7 +19,7 @@
 func (c *simulation) checkFollowerLag() {
 	for len(c.recentAcks) > 0 && c.recentAcks[0].at+maxFollowerLag < c.now {
 		for i, f := range c.followers {
-			if c.recentAcks[0].at > c.boundsFrom && f.index < c.recentAcks[0].index {
+			if c.recentAcks[0].at > c.lagCheckedFrom && f.index < c.recentAcks[0].index {
 				c.failf("follower %d has index %d %v after %d was acknowledged", i, f.index, maxFollowerLag, c.recentAcks[0].index)
 			}
 		}
@@ -71,7 +71,7 @@
 
 // healthy reports whether all machines run and no link is blocked.
 func (c *simulation) healthy() bool {
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		if m := c.machines[a]; !m.up || m.frozen {
 			return false
 		}
--- a/internal/tier/controlnode/simulation_faults_test.go
+++ b/internal/tier/controlnode/simulation_faults_test.go
@@ -7,7 +7,7 @@
 )
 
 // plantedFaults are faults that the harness makes; each must be found by the checks.
-type plantedFaults struct {
+type injectedBugs struct {
 	skipsSync                bool // what a step changed is on disk only with the next one's
 	sendsBeforeSync          bool // messages go out before the sync
 	keepsIDAfterDiskLoss     bool // a machine whose disk was lost comes back under its old id
@@ -26,13 +26,13 @@
 }
 
 // play injects faults, one machine at a time and some that hit all, with time to catch up between.
-func (c *simulation) play(rounds int) {
+func (c *simulation) runRandomFaults(rounds int) {
 	c.run(800 * time.Millisecond)
 	for range rounds {
 		if c.failure != "" {
 			return
 		}
-		c.playFault()
+		c.injectRandomFault()
 		c.restartAll()
 		c.faultyMachine = ""
 		c.checkProgress()
@@ -40,8 +40,8 @@
 }
 
 // playFault draws a machine, a duration and a fault, and plays it.
-func (c *simulation) playFault() {
-	a := c.order[c.rng.IntN(len(c.order))]
+func (c *simulation) injectRandomFault() {
+	a := c.addrs[c.rng.IntN(len(c.addrs))]
 	if c.faultyMachine != "" {
 		a = c.faultyMachine
 	}
@@ -49,7 +49,7 @@
 	c.faultyMachine = a
 	span := time.Duration(100+c.rng.IntN(3500)) * time.Millisecond
 	kind := c.rng.IntN(14)
-	if c.fault.losesVotes {
+	if c.bugs.losesVotes {
 		kind = 12 // lost votes show where all start again and again: elsewhere some remember
 	}
 	switch kind {
@@ -70,34 +70,34 @@
 		c.logf("%s freezes", a)
 		m.frozen = true
 		c.run(span)
-		c.thaw(m)
+		c.unfreeze(m)
 		c.logf("%s wakes", a)
 	case 4, 5, 6:
-		c.playPartition(a, span)
+		c.injectPartition(a, span)
 	case 7:
-		c.playPowerLoss(m)
+		c.injectPowerLoss(m)
 	case 9, 10, 11:
-		c.playCrashLoop(m, span)
+		c.injectCrashLoop(m, span)
 	case 12, 13:
-		c.playCrashesOfAll(span)
+		c.injectRandomCrashes(span)
 	case 8:
-		c.playLeave(m, span)
+		c.injectGracefulStop(m, span)
 	}
 }
 
 // loseDisk empties the disk of a machine that is down.
 func (c *simulation) loseDisk(m *machine) {
 	m.disk = Durable{}
-	if !c.fault.keepsIDAfterDiskLoss {
+	if !c.bugs.keepsIDAfterDiskLoss {
 		m.id = c.newID()
 	}
 }
 
 // playPartition blocks the links of a machine: in both directions, inbound or outbound.
-func (c *simulation) playPartition(a string, span time.Duration) {
+func (c *simulation) injectPartition(a string, span time.Duration) {
 	way := c.rng.IntN(3) // both, in, out
 	c.logf("%s is partitioned, way %d", a, way)
-	for _, b := range c.order {
+	for _, b := range c.addrs {
 		if b != a && way != 1 {
 			c.blockedLinks[[2]string{a, b}] = true
 		}
@@ -110,10 +110,10 @@
 }
 
 // playPowerLoss stops all machines at once; one may lose its disk.
-func (c *simulation) playPowerLoss(m *machine) {
+func (c *simulation) injectPowerLoss(m *machine) {
 	c.logf("all lose power")
-	c.boundsFrom = c.now + 2*maxFollowerLag
-	for _, b := range c.order {
+	c.lagCheckedFrom = c.now + 2*maxFollowerLag
+	for _, b := range c.addrs {
 		if c.machines[b].up {
 			c.stop(c.machines[b])
 		}
@@ -125,7 +125,7 @@
 }
 
 // playCrashLoop restarts one machine again and again; some of its links are blocked now and then.
-func (c *simulation) playCrashLoop(m *machine, span time.Duration) {
+func (c *simulation) injectCrashLoop(m *machine, span time.Duration) {
 	a := m.addr
 	c.logf("%s dies and starts again and again, partitioned from some now and then", a)
 	for end := c.now + span; c.now < end && c.failure == ""; {
@@ -137,7 +137,7 @@
 			c.start(m)
 		}
 		c.blockedLinks = map[[2]string]bool{}
-		if b := c.order[c.rng.IntN(len(c.order))]; b != a && c.rng.IntN(2) == 0 {
+		if b := c.addrs[c.rng.IntN(len(c.addrs))]; b != a && c.rng.IntN(2) == 0 {
 			c.blockedLinks[[2]string{b, a}] = c.rng.IntN(2) == 0
 			c.blockedLinks[[2]string{a, b}] = true
 		}
@@ -147,16 +147,16 @@
 }
 
 // playCrashesOfAll restarts all machines again and again, each by itself; messages with decided views may be lost.
-func (c *simulation) playCrashesOfAll(span time.Duration) {
+func (c *simulation) injectRandomCrashes(span time.Duration) {
 	c.dropsDecisions = c.rng.IntN(2) == 0
 	c.logf("all die and start again, each by itself, for a while; decisions are lost: %v", c.dropsDecisions)
-	c.boundsFrom = time.Hour
+	c.lagCheckedFrom = time.Hour
 	steps := 60 * (1 + 3*c.rng.IntN(2)) // between crashes: some hundred milliseconds, or a second and more
-	if c.fault.losesVotes {
+	if c.bugs.losesVotes {
 		steps = 240
 	}
 	for end := c.now + span; c.now < end && c.failure == ""; {
-		for _, b := range c.order {
+		for _, b := range c.addrs {
 			m := c.machines[b]
 			switch {
 			case m.up && c.rng.IntN(steps) == 0:
@@ -168,11 +168,11 @@
 		c.step()
 	}
 	c.dropsDecisions = false
-	c.boundsFrom = c.now + 2*maxFollowerLag
+	c.lagCheckedFrom = c.now + 2*maxFollowerLag
 }
 
 // playLeave stops a machine in order.
-func (c *simulation) playLeave(m *machine, span time.Duration) {
+func (c *simulation) injectGracefulStop(m *machine, span time.Duration) {
 	c.logf("%s leaves in order", m.addr)
 	if m.up {
 		c.handleReady(m, m.node.StartLeaving(c.now))
@@ -188,13 +188,13 @@
 func (c *simulation) restartAll() {
 	for down := true; down; {
 		down = false
-		for _, b := range c.order {
+		for _, b := range c.addrs {
 			if m := c.machines[b]; !m.up {
 				c.start(m)
 			}
 		}
 		c.run(4200 * time.Millisecond)
-		for _, b := range c.order {
+		for _, b := range c.addrs {
 			down = down || !c.machines[b].up
 		}
 	}
@@ -206,10 +206,10 @@
 	t.Logf("seeds from %d", base)
 	writes, reads := 0, 0
 	for i := range *simulations {
-		c := newSimulation(t, base+uint64(i), 3+i%3, plantedFaults{})
-		c.play(6)
+		c := newSimulation(t, base+uint64(i), 3+i%3, injectedBugs{})
+		c.runRandomFaults(6)
 		if c.failure != "" {
-			t.Fatalf("seed %d, %d machines: %s\n%s", c.seed, len(c.order), c.failure, c.trace())
+			t.Fatalf("seed %d, %d machines: %s\n%s", c.seed, len(c.addrs), c.failure, c.trace())
 		}
 		writes, reads = writes+c.writes, reads+c.reads
 	}
@@ -222,7 +222,7 @@
 func TestSimulationFindsPlantedFaults(t *testing.T) {
 	t.Parallel()
 	wants := map[string]string{"a follower that takes any source's index": "goes back"} // others may be found in several ways
-	for name, f := range map[string]plantedFaults{
+	for name, f := range map[string]injectedBugs{
 		"a sync left out":                              {skipsSync: true},
 		"messages before the sync":                     {sendsBeforeSync: true},
 		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
@@ -240,7 +240,7 @@
 			t.Parallel()
 			for seed := range uint64(600) {
 				c := newSimulation(t, seed+1, 3+int(seed%3), f)
-				c.play(8)
+				c.runRandomFaults(8)
 				if strings.Contains(c.failure, wants[name]) && c.failure != "" {
 					return
 				}
--- a/internal/tier/controlnode/simulation_follower_test.go
+++ b/internal/tier/controlnode/simulation_follower_test.go
@@ -8,11 +8,11 @@
 // own index. Where that one does not answer or is not fresh, the others are polled in addition, one after the
 // other, until one is fresh.
 type follower struct {
-	index  int64
-	value  string
-	source int
-	missed int // sources asked in vain since one was relied on
-	polled time.Duration
+	index         int64
+	value         string
+	source        int
+	failedSources int // sources asked in vain since one was relied on
+	nextPollAt    time.Duration
 }
 
 // Intervals of a follower. Its polls are short, in place of the long ones of the feed, so that it sees every state of a
@@ -24,21 +24,21 @@
 )
 
 func (c *simulation) pollSource(f *follower) {
-	if c.now < f.polled {
+	if c.now < f.nextPollAt {
 		return
 	}
-	m := c.machines[c.order[f.source%len(c.order)]]
-	alone := c.fault.servesStaleFeed || c.fault.learnersAnswerAlone && m.up && m.node.isVotingLearner()
+	m := c.machines[c.addrs[f.source%len(c.addrs)]]
+	alone := c.bugs.servesStaleFeed || c.bugs.learnersAnswerAlone && m.up && m.node.isVotingLearner()
 	if !m.up || m.frozen || !m.node.Fresh() && !alone {
 		c.nextSource(f, !m.up || m.frozen)
 		return
 	}
-	f.missed, f.polled = 0, c.now+pollInterval
-	if c.fault.followerRegresses && c.rng.IntN(50) == 0 {
+	f.failedSources, f.nextPollAt = 0, c.now+pollInterval
+	if c.bugs.followerRegresses && c.rng.IntN(50) == 0 {
 		f.source++
 	}
 	commit := m.node.Chain().State().Commit
-	if commit < f.index && c.fault.followerRegresses {
+	if commit < f.index && c.bugs.followerRegresses {
 		c.failf("a follower goes back from index %d to %d", f.index, commit)
 	}
 	for _, e := range m.node.Chain().Committed(f.index) {
@@ -54,12 +54,12 @@
 func (c *simulation) nextSource(f *follower, unresponsive bool) {
 	wait := pollInterval
 	switch {
-	case unresponsive && f.missed == 0:
+	case unresponsive && f.failedSources == 0:
 		wait = sourceTimeout
 	case unresponsive:
 		wait = hedgeInterval
 	}
-	f.missed++
+	f.failedSources++
 	f.source++
-	f.polled = c.now + wait
+	f.nextPollAt = c.now + wait
 }
--- a/internal/tier/controlnode/simulation_test.go
+++ b/internal/tier/controlnode/simulation_test.go
@@ -45,16 +45,16 @@
 	rng             *rand.Rand
 	now             time.Duration
 	machines        map[string]*machine
-	order           []string
+	addrs           []string
 	queue           []packet
 	seq             int
 	blockedLinks    map[[2]string]bool // from, to
 	partitioned     map[string]int     // machines partitioned from all others: 0 both ways, 1 inbound, 2 outbound
-	fault           plantedFaults
+	bugs            injectedBugs
 	log             []string
 	ids             int
 	views           map[int64]string
-	withoutChance   bool          // no chance: nothing is lost, no power fails
+	noRandomFaults  bool          // no chance: nothing is lost, no power fails
 	latency         time.Duration // of each message, in addition to a random delay
 	dropsDecisions  bool          // messages with a decided view are lost
 	faultyMachine   string        // the machine that counts as lost, until it has caught up
@@ -63,16 +63,16 @@
 	initialMachines int       // machines at the start
 	newest          view.View // that was decided
 
-	requestID  int64
-	pending    map[int64]request
-	ackedIndex int64            // the highest index that was acknowledged
-	values     map[int64]string // acknowledged, by index
-	followers  []*follower
-	recentAcks []acknowledgement // what followers are to have soon
-	boundsFrom time.Duration     // before it, the lag of followers is not checked
-	reads      int
-	writes     int
-	failure    string
+	requestID      int64
+	pending        map[int64]request
+	ackedIndex     int64            // the highest index that was acknowledged
+	values         map[int64]string // acknowledged, by index
+	followers      []*follower
+	recentAcks     []acknowledgement // what followers are to have soon
+	lagCheckedFrom time.Duration     // before it, the lag of followers is not checked
+	reads          int
+	writes         int
+	failure        string
 }
 
 type request struct {
@@ -82,19 +82,19 @@
 	by    string
 }
 
-func newSimulation(t testing.TB, seed uint64, n int, f plantedFaults) *simulation {
-	return newSimulationWith(t, seed, n, 1, drawnChainLength(seed, 1), f)
+func newSimulation(t testing.TB, seed uint64, n int, f injectedBugs) *simulation {
+	return newSimulationWith(t, seed, n, 1, chainLengthForSeed(seed, 1), f)
 }
 
 // drawnChainLength returns the length of the chain by a seed: in a third of the simulations all voters are in it.
-func drawnChainLength(seed uint64, losses int) int {
+func chainLengthForSeed(seed uint64, losses int) int {
 	if seed%3 == 0 {
 		return 0
 	}
 	return ChainLength(losses)
 }
 
-func newSimulationWith(t testing.TB, seed uint64, n, losses, chainLength int, f plantedFaults) *simulation {
+func newSimulationWith(t testing.TB, seed uint64, n, losses, chainLength int, f injectedBugs) *simulation {
 	c := &simulation{
 		initialMachines: n,
 		t:               t,
@@ -103,7 +103,7 @@
 		machines:        map[string]*machine{},
 		blockedLinks:    map[[2]string]bool{},
 		partitioned:     map[string]int{},
-		fault:           f,
+		bugs:            f,
 		pending:         map[int64]request{},
 		values:          map[int64]string{},
 		views:           map[int64]string{},
@@ -114,15 +114,15 @@
 	for i := range n {
 		addr := fmt.Sprintf("m%d", i)
 		c.machines[addr] = &machine{addr: addr, name: addr}
-		c.order = append(c.order, addr)
+		c.addrs = append(c.addrs, addr)
 		if i < 3 {
 			seeds = append(seeds, view.Member{ID: "seed-" + addr, Addr: addr})
 		}
 	}
-	for i, addr := range c.order {
+	for i, addr := range c.addrs {
 		m := c.machines[addr]
 		if i < 3 {
-			m.id, m.disk = "seed-"+addr, Founding(seeds)
+			m.id, m.disk = "seed-"+addr, BootstrapState(seeds)
 		} else {
 			m.id = c.newID()
 		}
@@ -153,8 +153,8 @@
 	d := m.disk
 	d.State.Entries = slices.Clone(d.State.Entries)
 	var seeds []string
-	for _, a := range c.order {
-		if len(seeds) < 3 && (m.incarnation > 1 || a != m.addr || len(c.order) <= c.initialMachines) {
+	for _, a := range c.addrs {
+		if len(seeds) < 3 && (m.incarnation > 1 || a != m.addr || len(c.addrs) <= c.initialMachines) {
 			seeds = append(seeds, a)
 		}
 	}
@@ -170,7 +170,7 @@
 
 func (c *simulation) timings() Timings {
 	t := DefaultTimings()
-	if c.fault.neverRemovesVoters {
+	if c.bugs.neverRemovesVoters {
 		t.FailureTimeout = time.Hour
 	}
 	return t
@@ -186,7 +186,7 @@
 }
 
 // thaw resumes a frozen machine: the messages that waited for it are received first.
-func (c *simulation) thaw(m *machine) {
+func (c *simulation) unfreeze(m *machine) {
 	m.frozen = false
 	in := m.inbox
 	m.inbox = nil
@@ -199,13 +199,13 @@
 
 func (c *simulation) save(m *machine, d Durable) {
 	d.State.Entries = slices.Clone(d.State.Entries)
-	if c.fault.losesVotes {
+	if c.bugs.losesVotes {
 		d.Acceptor.Promised, d.Acceptor.AcceptedAt, d.Acceptor.Accepted = view.Ballot{}, view.Ballot{}, view.View{}
 	}
-	if c.fault.losesEntries {
+	if c.bugs.losesEntries {
 		d.State.Entries, d.State.LastIndex, d.State.Commit = nil, 0, 0
 	}
-	if c.fault.skipsSync {
+	if c.bugs.skipsSync {
 		if m.unsyncedDisk != nil {
 			m.disk = *m.unsyncedDisk
 		}
@@ -219,13 +219,13 @@
 func (c *simulation) handleReady(m *machine, o Ready) {
 	if o.MustSync {
 		mayFail := c.faultyMachine == "" || c.faultyMachine == m.addr // one machine at a time
-		if !c.withoutChance && c.rng.IntN(400) == 0 && mayFail && !c.fault.sendsBeforeSync {
+		if !c.noRandomFaults && c.rng.IntN(400) == 0 && mayFail && !c.bugs.sendsBeforeSync {
 			c.faultyMachine = m.addr
 			c.logf("%s loses power before its sync", m.addr)
 			c.stop(m)
 			return
 		}
-		if c.fault.sendsBeforeSync && c.rng.IntN(60) == 0 && mayFail {
+		if c.bugs.sendsBeforeSync && c.rng.IntN(60) == 0 && mayFail {
 			c.faultyMachine = m.addr
 			c.deliver(m, o)
 			c.logf("%s loses power before its sync", m.addr)
@@ -235,7 +235,7 @@
 		c.save(m, m.node.Durable())
 	}
 	c.checkAgreement(m)
-	if c.fault.breaksPromises {
+	if c.bugs.breaksPromises {
 		m.node.acceptor.Promised = view.Ballot{}
 	}
 	c.deliver(m, o)
@@ -243,15 +243,15 @@
 
 func (c *simulation) deliver(m *machine, o Ready) {
 	for _, e := range o.Messages {
-		if !c.withoutChance && c.rng.IntN(50) == 0 || c.dropsDecisions && e.Kind == msgDecide {
+		if !c.noRandomFaults && c.rng.IntN(50) == 0 || c.dropsDecisions && e.Kind == msgDecide {
 			continue // lost
 		}
-		if to := c.machines[e.To]; c.fault.ignoresApplicants && to != nil && !c.newest.IsVoter(m.id) && e.Kind == msgHeartbeat {
+		if to := c.machines[e.To]; c.bugs.ignoresApplicants && to != nil && !c.newest.IsVoter(m.id) && e.Kind == msgHeartbeat {
 			continue
 		}
 		c.seq++
 		delay := time.Duration(1+c.rng.IntN(6)) * time.Millisecond
-		if !c.withoutChance && c.rng.IntN(100) == 0 {
+		if !c.noRandomFaults && c.rng.IntN(100) == 0 {
 			delay *= 60
 		}
 		c.queue = append(c.queue, packet{at: c.now + c.latency + delay, to: e.To, from: m.addr, m: e.Message, seq: c.seq})
@@ -282,7 +282,7 @@
 	value := fmt.Sprintf("v%d", c.requestID)
 	c.pending[c.requestID] = request{write: true, value: value, by: m.addr}
 	o := m.node.Write(c.now, c.requestID, "config", []byte(value))
-	if c.fault.acknowledgesEarly && o.MustSync {
+	if c.bugs.acknowledgesEarly && o.MustSync {
 		if r, ok := c.pending[c.requestID]; ok {
 			delete(c.pending, c.requestID)
 			c.acknowledge(m.node.Chain().State().LastIndex, r.value)
@@ -293,12 +293,12 @@
 
 func (c *simulation) read(m *machine) {
 	c.requestID++
-	if v := m.node.View(); c.fault.readsWithoutConfirmation && v.Tail() == m.id && m.node.Chain().IsActive() {
+	if v := m.node.View(); c.bugs.readsWithoutConfirmation && v.Tail() == m.id && m.node.Chain().IsActive() {
 		c.pending[c.requestID] = request{at: c.ackedIndex, by: m.addr}
 		c.deliver(m, Ready{Completed: []Completion{{RequestID: c.requestID, Outcome: Committed, Index: m.node.Chain().State().Commit}}})
 		return
 	}
-	if e, ok := m.node.Chain().LastEntry("config"); c.fault.readsUncommitted && ok && m.node.IsConfirmedHead() {
+	if e, ok := m.node.Chain().LastEntry("config"); c.bugs.readsUncommitted && ok && m.node.IsConfirmedHead() {
 		c.acknowledge(e.Index, string(e.Value))
 		return
 	}
@@ -329,7 +329,7 @@
 		}
 		c.handleReady(m, m.node.Receive(c.now, p.m))
 	}
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		m := c.machines[a]
 		if m == nil || !m.up || m.frozen {
 			continue
--- a/internal/tier/controlnode/slow_links_test.go
+++ b/internal/tier/controlnode/slow_links_test.go
@@ -12,15 +12,15 @@
 func TestViewIsDecidedOnSlowLinks(t *testing.T) {
 	for _, latency := range []time.Duration{0, 100 * time.Millisecond, 160 * time.Millisecond, 220 * time.Millisecond} {
 		t.Run(latency.String(), func(t *testing.T) {
-			c := newSimulation(t, 1, 3, plantedFaults{})
+			c := newSimulation(t, 1, 3, injectedBugs{})
 			c.rng = rand.New(rand.NewPCG(1, 1))
-			c.withoutChance = true
+			c.noRandomFaults = true
 			c.run(3 * time.Second)
 			c.latency = latency
 			c.run(3 * time.Second)
 			before := c.newest.Epoch
 			lost := c.newest.Head()
-			for _, a := range c.order {
+			for _, a := range c.addrs {
 				if c.machines[a].id == lost {
 					c.stop(c.machines[a])
 				}
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -139,7 +139,7 @@
 	status.Role = s.role()
 	for _, t := range s.node.Chain().Transfers() {
 		status.Transfers = append(status.Transfers, Transfer{
-			To:     s.name(t.ID),
+			To:     s.nodeName(t.ID),
 			Place:  t.LastIndex,
 			Target: t.Target,
 			Bytes:  t.PartialBytes,
--- a/internal/tier/controlnode/timeline_test.go
+++ b/internal/tier/controlnode/timeline_test.go
@@ -22,11 +22,11 @@
 //
 // and behind the bar the expectations: "w" writes were acknowledged in that time, "-" none were, "?" either; then the
 // chain as the first that runs and is fresh sees it (letters in its order), "*" for any.
-func playTimeline(t *testing.T, n, chainLength int, timeline string) {
+func runTimeline(t *testing.T, n, chainLength int, timeline string) {
 	t.Helper()
-	c := newSimulationWith(t, 1, n, 1, chainLength, plantedFaults{})
+	c := newSimulationWith(t, 1, n, 1, chainLength, injectedBugs{})
 	c.rng = rand.New(rand.NewPCG(1, 1))
-	c.withoutChance = true
+	c.noRandomFaults = true
 	letters := "abcdefgh"
 	last := map[string]string{}
 	for _, line := range strings.Split(strings.TrimSpace(timeline), "\n") {
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		c.blockedLinks = map[[2]string]bool{}
-		for i, a := range c.order {
+		for i, a := range c.addrs {
 			m, mark := c.machines[a], f[1+i]
 			switch mark {
 			case "x", "#":
@@ -64,7 +64,7 @@
 				}
 			}
 			m.frozen = mark == "z"
-			for _, b := range c.order {
+			for _, b := range c.addrs {
 				if mark == "|" || mark == ">" {
 					c.blockedLinks[[2]string{a, b}] = true
 				}
@@ -75,7 +75,7 @@
 			last[a] = mark
 		}
 		before := c.writes
-		for _, a := range c.order {
+		for _, a := range c.addrs {
 			if last[a] == "-" && c.machines[a].up {
 				c.run(200 * time.Millisecond)
 				c.stop(c.machines[a])
@@ -87,7 +87,7 @@
 		}
 		wrote := c.writes > before
 		chain := ""
-		for _, a := range c.order {
+		for _, a := range c.addrs {
 			m := c.machines[a]
 			if !m.up || m.frozen || !m.node.Fresh() {
 				continue
@@ -206,7 +206,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playTimeline(t, one.n, 0, one.line)
+			runTimeline(t, one.n, 0, one.line)
 		})
 	}
 }
@@ -273,17 +273,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playTimeline(t, one.n, ChainLength(1), one.line)
+			runTimeline(t, one.n, ChainLength(1), one.line)
 		})
 	}
 }
 
 // A learner answers followers as a member of the chain does, and no later than a moment after the commit.
 func TestLearnersServeFollowers(t *testing.T) {
-	c := newSimulationWith(t, 1, 8, 1, ChainLength(1), plantedFaults{})
-	c.withoutChance = true
+	c := newSimulationWith(t, 1, 8, 1, ChainLength(1), injectedBugs{})
+	c.noRandomFaults = true
 	c.run(1500 * time.Millisecond)
-	for _, a := range c.order[3:] {
+	for _, a := range c.addrs[3:] {
 		node := c.machines[a].node
 		if !node.isVotingLearner() || !node.Fresh() {
 			t.Fatalf("%s: a learner %v, fresh %v", a, node.isVotingLearner(), node.Fresh())
@@ -293,7 +293,7 @@
 	index := head.node.Chain().State().LastIndex + 1
 	c.handleReady(head, head.node.Write(c.now, 1000, "config", []byte("new")))
 	c.run(60 * time.Millisecond) // three hops to the tail, one to each learner, six ms each at most
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		if commit := c.machines[a].node.Chain().State().Commit; commit < index {
 			t.Errorf("%s has committed %d of %d", a, commit, index)
 		}
@@ -302,8 +302,8 @@
 
 // Two of the three members of a chain leave at once: a learner is complete before they go, within the time that they wait.
 func TestMembersOfShortChainLeaveTogether(t *testing.T) {
-	c := newSimulationWith(t, 1, 4, 1, ChainLength(1), plantedFaults{})
-	c.withoutChance = true
+	c := newSimulationWith(t, 1, 4, 1, ChainLength(1), injectedBugs{})
+	c.noRandomFaults = true
 	c.run(1500 * time.Millisecond)
 	leaving := []*machine{c.machines["m0"], c.machines["m1"]}
 	for _, m := range leaving {
@@ -327,11 +327,11 @@
 
 // A 412 names a version: it may not be answered before that one is committed, and not at all if it never is.
 func TestWaitForUncommittedIndexEndsUnknown(t *testing.T) {
-	c := newSimulation(t, 3, 3, plantedFaults{})
-	c.withoutChance = true
+	c := newSimulation(t, 3, 3, injectedBugs{})
+	c.noRandomFaults = true
 	c.run(800 * time.Millisecond)
 	head := c.machines["m0"]
-	for _, b := range c.order[1:] { // cut off before the write
+	for _, b := range c.addrs[1:] { // cut off before the write
 		c.blockedLinks[[2]string{"m0", b}], c.blockedLinks[[2]string{b, "m0"}] = true, true
 	}
 	index := head.node.Chain().State().LastIndex + 1
@@ -348,7 +348,7 @@
 	if _, waits := c.pending[1001]; waits || c.values[index] == "412" {
 		t.Fatalf("waits %v, values %v", waits, c.values)
 	}
-	for i, a := range c.order {
+	for i, a := range c.addrs {
 		if e, ok := c.machines[a].node.Chain().LastEntry("config"); !ok || string(e.Value) == "lost" {
 			t.Errorf("node %d ends with %s: %s", i, fmt.Sprint(e.Index), e.Value)
 		}
