--- a/internal/tier/controlnode/conditions.go
+++ b/internal/tier/controlnode/conditions.go
@@ -29,10 +29,10 @@
 	}
 	slices.Sort(ids)
 	cond.CaughtUp[n.settings.Self.ID] = true
-	heardByMajority := n.heardByMajority()
+	reachesMajority := n.reachesMajority()
 	for _, id := range ids {
 		if id != n.settings.Self.ID {
-			n.addPeerConditions(&cond, id, heardByMajority)
+			n.addPeerConditions(&cond, id, reachesMajority)
 		}
 	}
 	return cond
@@ -65,9 +65,9 @@
 	cond.Suspected[id] = !alive && peer.heardFrom && !cond.Failed[id]
 }
 
-// heardByMajority reports whether messages of this node reach a majority of the voters: if not, the fault is
+// reachesMajority reports whether messages of this node reach a majority of the voters: if not, the fault is
 // its own.
-func (n *Node) heardByMajority() bool {
+func (n *Node) reachesMajority() bool {
 	count := 0
 	for _, m := range n.acceptor.View.Voters {
 		if p := n.peers[m.ID]; m.ID == n.settings.Self.ID || p != nil && n.hasEchoedRecently(p) {
@@ -77,7 +77,7 @@
 	return count >= n.acceptor.View.Majority()
 }
 
-// heardByAnother reports whether another voter that this node hears from has recently heard a member, so that the link between the
+// heardByAnotherVoter reports whether another voter that this node hears from has recently heard a member, so that the link between the
 // two is cut and not the member lost. A vote is not taken away on the word of one watcher.
 func (n *Node) heardByAnotherVoter(id string) bool {
 	for _, m := range n.acceptor.View.Voters {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// heardByChain reports whether messages of a member reach all members of the chain that this node hears from.
+// heardByChainMembers reports whether messages of a member reach all members of the chain that this node hears from.
 // A member that some do not hear from would be removed by them as soon as others have added it.
 func (n *Node) heardByChainMembers(id string) bool {
 	for _, l := range n.acceptor.View.Chain {
--- a/internal/tier/controlnode/disk.go
+++ b/internal/tier/controlnode/disk.go
@@ -89,7 +89,7 @@
 	return errors.Wrap(rpc.Decode(b, v), advice)
 }
 
-// beginIncarnation counts this start, on disk before anything else. A head that dies and starts again within
+// incrementIncarnation counts this start, on disk before anything else. A head that dies and starts again within
 // its epoch numbers its lists of hosts above those of its last incarnation, of which only this number is
 // left.
 func (s *Server) incrementIncarnation() error {
--- a/internal/tier/controlnode/event_loop_test.go
+++ b/internal/tier/controlnode/event_loop_test.go
@@ -16,7 +16,7 @@
 // quietPeriod is how long nothing may be reported.
 const quietPeriod = 100 * time.Millisecond
 
-// startAlone starts a node that is the only one of its system: what it writes is committed with its own sync.
+// startSingleNode starts a node that is the only one of its system: what it writes is committed with its own sync.
 func startSingleNode(t *testing.T) *Server {
 	t.Helper()
 	base := freeBase(t)
--- a/internal/tier/controlnode/follower_partition_test.go
+++ b/internal/tier/controlnode/follower_partition_test.go
@@ -12,15 +12,15 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// applyTime is config_apply_ms: within it a follower that is in touch with some node acts on a change. That it does is judged
+// configApplyLimit is config_apply_ms: within it a follower that is in touch with some node acts on a change. That it does is judged
 // in virtual time, by the simulations of package feed. Here, where a busy machine keeps whole processes back, the followers
-// have to catch up while the partition lasts, within fleetLimit; a follower that takes longer than applyTime is logged.
+// have to catch up while the partition lasts, within fleetLimit; a follower that takes longer than configApplyLimit is logged.
 const configApplyLimit = 2 * time.Second
 
-// homeLimit is more than the 16 s in which a follower that began elsewhere tries to follow the first of its own order.
+// preferredSourceLimit is more than the 16 s in which a follower that began elsewhere tries to follow the first of its own order.
 const preferredSourceLimit = 40 * time.Second
 
-// linkedFollower is a follower that reaches each node through a relay of its own.
+// relayedFollower is a follower that reaches each node through a relay of its own.
 type relayedFollower struct {
 	*feed.Follower
 	f      *fleet
@@ -125,7 +125,7 @@
 	}
 }
 
-// cutEndsAsAChangeArrives cuts all links for longer than any call lasts, and joins them as a change is under way.
+// healDuringChange cuts all links for longer than any call lasts, and joins them as a change is under way.
 func (l *relayedFollower) healDuringChange(directions []cutproxy.Direction, lose bool) {
 	l.f.t.Helper()
 	l.blockLinks(directions, l.f.all()...)
--- a/internal/tier/controlnode/full_disk.go
+++ b/internal/tier/controlnode/full_disk.go
@@ -20,7 +20,7 @@
 // errDiskFull reports that this node's disk is full.
 var errDiskFull = errors.New("this core node's disk is full: ask another one, and give this one room")
 
-// OpenWhenRoom is Open for a disk that may be full: it waits until there is room for what a start writes, or the context ends.
+// OpenAwaitingSpace is Open for a disk that may be full: it waits until there is room for what a start writes, or the context ends.
 func OpenAwaitingSpace(ctx context.Context, s *process.Settings, log *slog.Logger) (*Server, error) {
 	return openAwaitingSpace(ctx, log, func() (*Server, error) { return Open(s, log) })
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-// syncWhenRoom syncs what a batch has changed after the disk was too full for it: it tries until there is room. Nothing of the batch
+// retrySyncUntilSpace syncs what a batch has changed after the disk was too full for it: it tries until there is room. Nothing of the batch
 // has left the node, and nothing does before the sync, so that to others the node is one that stands still: they go on without it, and it
 // is brought up to date once it can write again. Requests are rejected meanwhile, and messages of other nodes are dropped.
 func (s *Server) retrySyncUntilSpace(rows []sqlitelog.Write, full error) error {
@@ -71,7 +71,7 @@
 	}
 }
 
-// handleWithoutRoom rejects a request, but for new settings, which nothing on the disk depends on.
+// handleWhileDiskFull rejects a request, but for new settings, which nothing on the disk depends on.
 func (s *Server) handleWhileDiskFull(q queuedRequest) {
 	if seeds, ok := q.request.(*setSeedsRequest); ok {
 		seeds.handle(s)
--- a/internal/tier/controlnode/full_disk_test.go
+++ b/internal/tier/controlnode/full_disk_test.go
@@ -35,7 +35,7 @@
 }
 
 // A node whose disk is full stays up, says so, promises nothing, and goes on once there is room.
-func TestNodeWithFullDiskWaitsForRoom(t *testing.T) {
+func TestNodeWithFullDiskResumesOnceSpaceIsFree(t *testing.T) {
 	core := startSingleNode(t)
 	empty := fillDisk(t, core)
 	completed := make(chan Completion, 1)
@@ -73,7 +73,7 @@
 }
 
 // The others go on without a node whose disk is full, and it has all again once there is room: the head, the tail, a learner.
-func TestOthersGoOnWithoutNodeWithFullDisk(t *testing.T) {
+func TestClusterProgressesWithoutNodeWithFullDisk(t *testing.T) {
 	for _, node := range []int{0, 2, 3} {
 		c := newCluster(t, 4)
 		if status := c.put(1, 0, 0, 1, 2, 3); status != http.StatusOK {
@@ -96,7 +96,7 @@
 }
 
 // A start on a full disk waits for room, and ends with its context.
-func TestStartOnFullDisk(t *testing.T) {
+func TestOpenWaitsForDiskSpace(t *testing.T) {
 	full := errors.Mark(errors.New("no room"), sqlitelog.ErrFull)
 	broken := errors.New("another fault")
 	attempts := 0
--- a/internal/tier/controlnode/halves_test.go
+++ b/internal/tier/controlnode/half_partition_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// halvesSimulations is the number of simulations of TestHalvesAndOverlappingLosses.
+// halvesSimulations is the number of simulations of TestNoAcknowledgedWriteIsLostUnderHalfPartitions.
 var halvesSimulations = flag.Int("halves", 12, "simulations of halves and overlapping losses")
 
-// playHalves cuts the core into two halves; followers and operators reach both. Machines die and start again in either half meanwhile,
+// injectHalfPartition cuts the core into two halves; followers and operators reach both. Machines die and start again in either half meanwhile,
 // more of them than may be lost at once, and one may lose its disk. The cut may end in the middle of an agreement.
 func (c *simulation) injectHalfPartition(span time.Duration) {
 	inFirst := map[string]bool{}
@@ -46,7 +46,7 @@
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// playHalvesCourse plays halves in turn with losses of power of all machines, of which one may lose its disk.
+// runHalfPartitionSimulation plays halves in turn with losses of power of all machines, of which one may lose its disk.
 func runHalfPartitionSimulation(t testing.TB, seed uint64, fault injectedBugs) *simulation {
 	c := newSimulation(t, seed, 4+2*int(seed%3), fault)
 	c.faultyMachine = "none" // no machine loses power by itself: this counts what is lost
@@ -66,7 +66,7 @@
 
 // Even numbers of core nodes cut into equal halves, while more are lost than may be at once: no index is acknowledged twice, nothing
 // acknowledged is lost, and no half shows an older state.
-func TestHalvesAndOverlappingLosses(t *testing.T) {
+func TestNoAcknowledgedWriteIsLostUnderHalfPartitions(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestHalvesFindPlantedFaults(t *testing.T) {
+func TestHalfPartitionSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]injectedBugs{
 		"a read from an old tail":                      {readsWithoutConfirmation: true},
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -109,7 +109,7 @@
 }
 
 // A node that was head once sends nothing of that time when it is head again.
-func TestObservationsOfEarlierHeadshipAreNotSent(t *testing.T) {
+func TestObservationsOfEarlierTermAreNotSent(t *testing.T) {
 	c := newSimulation(t, 1, 3, injectedBugs{})
 	c.noRandomFaults = true
 	c.run(time.Second)
--- a/internal/tier/controlnode/history_test.go
+++ b/internal/tier/controlnode/history_test.go
@@ -133,7 +133,7 @@
 	return broken
 }
 
-// checkRefusals: callers send valid changes on versions that were in force, so that only another change on the same
+// checkRejections: callers send valid changes on versions that were in force, so that only another change on the same
 // version is a ground for a refusal.
 func (h *history) checkRejections() (broken []string) {
 	for _, o := range h.puts {
@@ -173,7 +173,7 @@
 	return append(broken, h.checkReadMonotonicity()...)
 }
 
-// checkReadsAmongThemselves: a reading that began after another had ended is not older.
+// checkReadMonotonicity: a reading that began after another had ended is not older.
 func (h *history) checkReadMonotonicity() (broken []string) {
 	reads := slices.DeleteFunc(slices.Clone(h.reads), func(r observedRead) bool { return r.feed })
 	byEnd := slices.SortedFunc(slices.Values(reads), func(a, b observedRead) int { return int(a.ended - b.ended) })
@@ -244,7 +244,7 @@
 	return h
 }
 
-func TestHistoryCheckFindsPlantedFaults(t *testing.T) {
+func TestHistoryCheckDetectsViolations(t *testing.T) {
 	for name, one := range map[string]struct{ text, want string }{
 		"all is well": {`ORDER 0-10 0 1 a 200
 			ORDER 5-12 0 1 a 200
--- a/internal/tier/controlnode/membership.go
+++ b/internal/tier/controlnode/membership.go
@@ -15,7 +15,7 @@
 	return alive >= n.acceptor.View.Majority()
 }
 
-// wantsChange reports whether the view should change.
+// wantsViewChange reports whether the view should change.
 func (n *Node) wantsViewChange(cond view.Conditions) bool {
 	v := &n.acceptor.View
 	if n.acceptor.HasPromised() && n.now-n.election.promisedAt > 2*n.settings.Timings.HeartbeatInterval {
--- a/internal/tier/controlnode/node.go
+++ b/internal/tier/controlnode/node.go
@@ -39,7 +39,7 @@
 }
 
 // NewNode returns a node with the state that its disk has. A founding node has a View of epoch 1 there, see
-// Founding.
+// BootstrapState.
 func NewNode(s NodeSettings, d Durable, now time.Duration) *Node {
 	n := &Node{settings: s, acceptor: d.Acceptor, chain: chain.New(s.Self.ID, d.State), peers: map[string]*peer{}, now: now}
 	n.election.ballotNumber = d.Acceptor.Promised.Number
@@ -55,7 +55,7 @@
 	return n
 }
 
-// Founding returns the durable state with which a founding seed starts: the seeds, by address, are the voters
+// BootstrapState returns the durable state with which a founding seed starts: the seeds, by address, are the voters
 // and the chain of epoch 1.
 func BootstrapState(seeds []view.Member) Durable {
 	v := view.View{Epoch: 1, Voters: slices.Clone(seeds)}
--- a/internal/tier/controlnode/partial_partition_test.go
+++ b/internal/tier/controlnode/partial_partition_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// partialCut is how long one link of a partial partition is cut, in one direction.
+// partialPartitionDuration is how long one link of a partial partition is cut, in one direction.
 const partialPartitionDuration = 4 * time.Second
 
-// playPartialCuts cuts one link of a core of eight in one direction, again and again, and returns how many views the cuts cost, and how
+// runPartialPartitions cuts one link of a core of eight in one direction, again and again, and returns how many views the cuts cost, and how
 // many voters have lost their votes.
 func runPartialPartitions(t *testing.T, chainLength, cuts int, involved func(from, to int) bool) (views int64, lostVotes int) {
 	t.Helper()
@@ -35,7 +35,7 @@
 
 // A cut of one link in one direction is no death: nobody loses its vote by it, as another voter still hears the member, and it costs a
 // view only where the two are members of the chain.
-func TestPartialPartitions(t *testing.T) {
+func TestPartialPartitionCostsNoVotes(t *testing.T) {
 	t.Parallel()
 	const cuts = 40
 	outside := func(from, to int) bool { return from >= 3 || to >= 3 } // the chain is of the first three
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -58,9 +58,9 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestHeadInOneWayPartition: it receives nothing, or nothing that it sends arrives. Others go on; it answers nothing that
+// TestHeadInOneWayPartitionIsReplaced: it receives nothing, or nothing that it sends arrives. Others go on; it answers nothing that
 // could be old, and is in the chain again afterwards.
-func TestHeadInOneWayPartition(t *testing.T) {
+func TestHeadInOneWayPartitionIsReplaced(t *testing.T) {
 	t.Parallel()
 	for name, hold := range map[string]func(f *fleet, i int){
 		"it receives nothing":           (*fleet).blockInbound,
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestTailPartitioned: reads and orders sent to it are unclear within a second, followers that begin with it are fed by
+// TestPartitionedTailAnswersNothingStale: reads and orders sent to it are unclear within a second, followers that begin with it are fed by
 // others, be it the only one that they know, and whatever comes as the partition ends is answered by what is in force.
-func TestTailPartitioned(t *testing.T) {
+func TestPartitionedTailAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
 	f := newFleet(t, 3, 3)
@@ -111,9 +111,9 @@
 	f.actsOnNewest(follower)
 }
 
-// TestNewlyPartitionedNode calls a node at once when no message reaches it any more: it still takes itself
+// TestNewlyPartitionedNodeAnswersNothingStale calls a node at once when no message reaches it any more: it still takes itself
 // for healthy.
-func TestNewlyPartitionedNode(t *testing.T) {
+func TestNewlyPartitionedNodeAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	f.change(1, f.all()...)
@@ -132,9 +132,9 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestPartitionWithoutMajority: of two sides without a majority neither accepts an order nor answers with
+// TestPartitionWithoutMajorityAnswersNothingStale: of two sides without a majority neither accepts an order nor answers with
 // what could be old.
-func TestPartitionWithoutMajority(t *testing.T) {
+func TestPartitionWithoutMajorityAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
 	f := newFleet(t, 4, 4)
@@ -179,7 +179,7 @@
 	f.actsOnNewest(follower)
 }
 
-// halvesDecided waits until each node knows of its half: none takes itself for fresh.
+// awaitMajorityLoss waits until each node knows of its half: none takes itself for fresh.
 func (f *fleet) awaitMajorityLoss() {
 	f.t.Helper()
 	for _, i := range f.all() {
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestMovingPartitions: the cut goes from one node to the next while operators race, connections are reset, and the head is
+// TestNodesArePartitionedInTurn: the cut goes from one node to the next while operators race, connections are reset, and the head is
 // killed with a change under way as it is cut off.
-func TestMovingPartitions(t *testing.T) {
+func TestNodesArePartitionedInTurn(t *testing.T) {
 	t.Parallel()
 	seed, r := newSeed(t)
 	f := newFleet(t, 3, 3)
@@ -217,7 +217,7 @@
 	f.actsOnNewest(follower)
 }
 
-// goesOn waits until versions that were acknowledged go on; operators run.
+// requireProgress waits until versions that were acknowledged go on; operators run.
 func (f *fleet) requireProgress(nodes ...int) {
 	f.t.Helper()
 	before, _ := f.hist.newestAcknowledged()
--- a/internal/tier/controlnode/peers.go
+++ b/internal/tier/controlnode/peers.go
@@ -59,7 +59,7 @@
 	return p
 }
 
-// unstableFor is how long a peer counts as unstable after a restart that follows on another within the same time.
+// crashLoopWindow is how long a peer counts as unstable after a restart that follows on another within the same time.
 const crashLoopWindow = 3 * time.Second
 
 // isUnstable reports whether a peer starts again and again. Each of its deaths holds up the chain until it is suspected, and one
@@ -74,7 +74,7 @@
 	return p.heardFrom && n.now-p.lastHeard < 3*n.settings.Timings.HeartbeatInterval
 }
 
-// hearsUs reports whether a peer has recently echoed a round of this node: messages reach it.
+// hasEchoedRecently reports whether a peer has recently echoed a round of this node: messages reach it.
 func (n *Node) hasEchoedRecently(p *peer) bool {
 	return n.now-p.echoedRoundSentAt <= 4*n.settings.Timings.HeartbeatInterval
 }
--- a/internal/tier/controlnode/ready.go
+++ b/internal/tier/controlnode/ready.go
@@ -26,13 +26,13 @@
 	RequestID  int64
 	Outcome    Outcome
 	Index      int64  // with Committed
-	RedirectTo string // with NotHere: the address of the node to ask, empty where none is known
+	RedirectTo string // with NotOwner: the address of the node to ask, empty where none is known
 }
 
 // Outcome is how a write or a read ended.
 type Outcome int
 
-// The outcomes. NotHere: this node cannot take the request and has not applied it; operators are answered as for
+// The outcomes. NotOwner: this node cannot take the request and has not applied it; operators are answered as for
 // OutcomeUnknown, since an earlier attempt of the same order may have been applied. OutcomeUnknown proves nothing: the
 // write may be in force, now or later.
 const (
--- a/internal/tier/controlnode/replication.go
+++ b/internal/tier/controlnode/replication.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// chooseLearner chooses the learner that is sent much: the present one while it is behind and answers, then the candidate.
+// chooseBulkLearner chooses the learner that is sent much: the present one while it is behind and answers, then the candidate.
 func (n *Node) chooseBulkLearner(candidate string) {
 	r := &n.replication
 	if r.bulkLearner != "" && !n.chain.LearnerIsBehind(r.bulkLearner) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// lacksLittle reports whether what a member outside the chain lacks is soon sent on a slow link.
+// isNearlyCaughtUp reports whether what a member outside the chain lacks is soon sent on a slow link.
 func (n *Node) isNearlyCaughtUp(id string) bool {
 	return n.chain.CommittedBytes(n.peers[id].chainAck.Commit) <= catchUpBytes
 }
--- a/internal/tier/controlnode/simulation_faults_test.go
+++ b/internal/tier/controlnode/simulation_faults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// plantedFaults are faults that the harness makes; each must be found by the checks.
+// injectedBugs are faults that the harness makes; each must be found by the checks.
 type injectedBugs struct {
 	skipsSync                bool // what a step changed is on disk only with the next one's
 	sendsBeforeSync          bool // messages go out before the sync
@@ -39,7 +39,7 @@
 	}
 }
 
-// playFault draws a machine, a duration and a fault, and plays it.
+// injectRandomFault draws a machine, a duration and a fault, and plays it.
 func (c *simulation) injectRandomFault() {
 	a := c.addrs[c.rng.IntN(len(c.addrs))]
 	if c.faultyMachine != "" {
@@ -93,7 +93,7 @@
 	}
 }
 
-// playPartition blocks the links of a machine: in both directions, inbound or outbound.
+// injectPartition blocks the links of a machine: in both directions, inbound or outbound.
 func (c *simulation) injectPartition(a string, span time.Duration) {
 	way := c.rng.IntN(3) // both, in, out
 	c.logf("%s is partitioned, way %d", a, way)
@@ -109,7 +109,7 @@
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// playPowerLoss stops all machines at once; one may lose its disk.
+// injectPowerLoss stops all machines at once; one may lose its disk.
 func (c *simulation) injectPowerLoss(m *machine) {
 	c.logf("all lose power")
 	c.lagCheckedFrom = c.now + 2*maxFollowerLag
@@ -124,7 +124,7 @@
 	}
 }
 
-// playCrashLoop restarts one machine again and again; some of its links are blocked now and then.
+// injectCrashLoop restarts one machine again and again; some of its links are blocked now and then.
 func (c *simulation) injectCrashLoop(m *machine, span time.Duration) {
 	a := m.addr
 	c.logf("%s dies and starts again and again, partitioned from some now and then", a)
@@ -146,7 +146,7 @@
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// playCrashesOfAll restarts all machines again and again, each by itself; messages with decided views may be lost.
+// injectRandomCrashes restarts all machines again and again, each by itself; messages with decided views may be lost.
 func (c *simulation) injectRandomCrashes(span time.Duration) {
 	c.dropsDecisions = c.rng.IntN(2) == 0
 	c.logf("all die and start again, each by itself, for a while; decisions are lost: %v", c.dropsDecisions)
@@ -171,7 +171,7 @@
 	c.lagCheckedFrom = c.now + 2*maxFollowerLag
 }
 
-// playLeave stops a machine in order.
+// injectGracefulStop stops a machine in order.
 func (c *simulation) injectGracefulStop(m *machine, span time.Duration) {
 	c.logf("%s leaves in order", m.addr)
 	if m.up {
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestRandomFaultsLoseNothing(t *testing.T) {
+func TestNoAcknowledgedWriteIsLostUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestSimulationFindsPlantedFaults(t *testing.T) {
+func TestSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
 	wants := map[string]string{"a follower that takes any source's index": "goes back"} // others may be found in several ways
 	for name, f := range map[string]injectedBugs{
--- a/internal/tier/controlnode/simulation_test.go
+++ b/internal/tier/controlnode/simulation_test.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/tier/view"
 )
 
-// simulations is the number of simulations of TestRandomFaultsLoseNothing. A simulation runs a core in virtual time: machines die,
+// simulations is the number of simulations of TestNoAcknowledgedWriteIsLostUnderRandomFaults. A simulation runs a core in virtual time: machines die,
 // lose power or disks, freeze, are partitioned (also one way) and replaced, while an operator writes and reads through any of
 // them. Nothing here sleeps.
 var simulations = flag.Int("courses", 100, "simulations with random faults")
@@ -86,7 +86,7 @@
 	return newSimulationWith(t, seed, n, 1, chainLengthForSeed(seed, 1), f)
 }
 
-// drawnChainLength returns the length of the chain by a seed: in a third of the simulations all voters are in it.
+// chainLengthForSeed returns the length of the chain by a seed: in a third of the simulations all voters are in it.
 func chainLengthForSeed(seed uint64, losses int) int {
 	if seed%3 == 0 {
 		return 0
@@ -185,7 +185,7 @@
 	}
 }
 
-// thaw resumes a frozen machine: the messages that waited for it are received first.
+// unfreeze resumes a frozen machine: the messages that waited for it are received first.
 func (c *simulation) unfreeze(m *machine) {
 	m.frozen = false
 	in := m.inbox
--- a/internal/tier/controlnode/timeline_test.go
+++ b/internal/tier/controlnode/timeline_test.go
@@ -301,7 +301,7 @@
 }
 
 // Two of the three members of a chain leave at once: a learner is complete before they go, within the time that they wait.
-func TestMembersOfShortChainLeaveTogether(t *testing.T) {
+func TestMembersOfShortChainCanLeaveTogether(t *testing.T) {
 	c := newSimulationWith(t, 1, 4, 1, ChainLength(1), injectedBugs{})
 	c.noRandomFaults = true
 	c.run(1500 * time.Millisecond)
