--- a/internal/tier/controlnode/commit_history.go
+++ b/internal/tier/controlnode/commit_history.go
@@ -4,25 +4,25 @@
 	"time"
 )
 
-// commitHistory is a ring of the commit index at times of the last second or so.
+// commitHistory is a ring buffer of the commit index, sampled with each heartbeat; it covers about a second.
 type commitHistory struct {
 	samples [8]commitSample
 	next    int
 }
 
-// commitSample is the commit index at a time.
+// commitSample is the commit index at a point in time.
 type commitSample struct {
 	at    time.Duration
 	index int64
 }
 
-// record adds the commit index at a time.
+// record adds a sample of the commit index.
 func (h *commitHistory) record(at time.Duration, index int64) {
 	h.samples[h.next%len(h.samples)] = commitSample{at, index}
 	h.next++
 }
 
-// at returns the commit index at a time, or the oldest that is known.
+// at returns the commit index at time t, or the oldest recorded one if t is earlier.
 func (h *commitHistory) at(t time.Duration) int64 {
 	index := int64(0)
 	for i := max(0, h.next-len(h.samples)); i < h.next; i++ {
--- a/internal/tier/controlnode/conditions.go
+++ b/internal/tier/controlnode/conditions.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/tier/view"
 )
 
-// conditions returns what this node would have the next view take into account.
+// conditions returns this node's observations of the members, on which it bases a proposal for the next view.
 func (n *Node) conditions() view.Conditions {
 	cond := view.Conditions{
 		Alive:          map[string]bool{n.settings.Self.ID: true},
@@ -43,7 +43,7 @@
 	peer := n.peers[id]
 	elapsed := n.now - peer.lastHeard
 	voter := n.acceptor.View.IsVoter(id)
-	unreachable := reachesMajority && !n.hasEchoedRecently(peer) // one-way partition
+	unreachable := reachesMajority && !n.hasEchoedRecently(peer) // a one-way partition
 	alive := peer.heardFrom && elapsed < n.settings.Timings.SuspectTimeout && !unreachable
 	if alive && (voter || n.isApplicant(peer)) {
 		cond.Alive[id] = true
@@ -65,8 +65,8 @@
 	cond.Suspected[id] = !alive && peer.heardFrom && !cond.Failed[id]
 }
 
-// reachesMajority reports whether messages of this node reach a majority of the voters: if not, the fault is
-// its own.
+// reachesMajority reports whether messages from this node reach a majority of the voters: if not, the fault is at this
+// node rather than at its peers.
 func (n *Node) reachesMajority() bool {
 	count := 0
 	for _, m := range n.acceptor.View.Voters {
@@ -77,8 +77,9 @@
 	return count >= n.acceptor.View.Majority()
 }
 
-// heardByAnotherVoter reports whether another voter that this node hears from has recently heard a member, so that the link between the
-// two is cut and not the member lost. A vote is not taken away on the word of one watcher.
+// heardByAnotherVoter reports whether another voter that this node hears from has recently heard from a member. Then
+// only the link between this node and the member has failed, not the member. A voter is not removed on the observation
+// of a single node.
 func (n *Node) heardByAnotherVoter(id string) bool {
 	for _, m := range n.acceptor.View.Voters {
 		p := n.peers[m.ID]
@@ -92,9 +93,9 @@
 	return false
 }
 
-// isApplicant reports whether a member without a vote may get one: it has answered the present incarnation of
-// this node, so that a delayed message of a machine that is lost does not apply, and no other identity
-// answers from its address.
+// isApplicant reports whether a member that is not a voter may become one: it has echoed a round of this node's current
+// incarnation in the current view, so a delayed message from a lost machine does not count, and no member with another
+// ID has been heard from its address more recently.
 func (n *Node) isApplicant(p *peer) bool {
 	if !p.echoedInView || !n.hasEchoedRecently(p) {
 		return false
@@ -107,8 +108,8 @@
 	return true
 }
 
-// heardByChainMembers reports whether messages of a member reach all members of the chain that this node hears from.
-// A member that some do not hear from would be removed by them as soon as others have added it.
+// heardByChainMembers reports whether messages from a member reach all members of the chain that this node hears from.
+// A member that some of them do not hear from would be removed by them as soon as others have added it.
 func (n *Node) heardByChainMembers(id string) bool {
 	for _, l := range n.acceptor.View.Chain {
 		p := n.peers[l.ID]
@@ -122,14 +123,15 @@
 	return true
 }
 
-// How far a member outside the chain may be behind and still counts as caught up: what was committed less
-// than catchUpLag ago may be in flight, unless it is so much that it takes long on a slow link.
+// How far a member outside the chain may be behind and still count as caught up: entries committed less than catchUpLag
+// ago may be in flight, but not more than catchUpBytes, which would take long on a slow link.
 const (
 	catchUpLag   = 600 * time.Millisecond
 	catchUpBytes = 4 * chain.ChunkSize
 )
 
-// caughtUp reports whether a member outside the chain lacks so little that the chain need not wait for it.
+// caughtUp reports whether a member outside the chain is so close to the commit index that the chain would not have to
+// wait for it.
 func (n *Node) caughtUp(p *peer) bool {
 	return p.chainAck.Commit >= n.recentCommits.at(n.now-catchUpLag) && n.chain.CommittedBytes(p.chainAck.Commit) <= catchUpBytes
 }
--- a/internal/tier/controlnode/confirmation_rounds.go
+++ b/internal/tier/controlnode/confirmation_rounds.go
@@ -7,19 +7,19 @@
 
 // confirmationRounds are the confirmation rounds of this node, numbered from 1 in each incarnation.
 type confirmationRounds struct {
-	number      int64 // of the newest
+	number      int64 // of the newest round
 	sentAt      [256]time.Duration
-	requestedAt time.Duration // when the last one was sent because a request waited; 0 for never
+	requestedAt time.Duration // when the last round was sent on request, outside a heartbeat; 0 for never
 }
 
-// start returns the number of a new round that is sent now.
+// start begins a new round that is sent now, and returns its number.
 func (r *confirmationRounds) start(now time.Duration) int64 {
 	r.number++
 	r.sentAt[r.number%int64(len(r.sentAt))] = now
 	return r.number
 }
 
-// timeSent returns when a round was sent; ok is false where it is too old to be known, or was never sent.
+// timeSent returns when a round was sent; ok is false if it was never sent, or is too old to be recorded.
 func (r *confirmationRounds) timeSent(number int64) (sent time.Duration, ok bool) {
 	if number <= 0 || number > r.number || number <= r.number-int64(len(r.sentAt)) {
 		return 0, false
@@ -27,8 +27,8 @@
 	return r.sentAt[number%int64(len(r.sentAt))], true
 }
 
-// confirmedRoundSentAt returns when the newest round was sent that a majority of the voters has confirmed in
-// this epoch.
+// confirmedRoundSentAt returns when the newest round that a majority of the voters has confirmed in this epoch was
+// sent.
 func (n *Node) confirmedRoundSentAt() (sent time.Duration, ok bool) {
 	if n.acceptor.View.Majority() == 1 && n.acceptor.View.IsVoter(n.settings.Self.ID) {
 		return n.now, true
@@ -36,8 +36,7 @@
 	return n.readIndex.rounds.timeSent(n.majorityRound())
 }
 
-// majorityRound returns the newest round that a majority of the voters has confirmed in this epoch, 0 for
-// none.
+// majorityRound returns the newest round that a majority of the voters has confirmed in this epoch, 0 if there is none.
 func (n *Node) majorityRound() int64 {
 	var confirmed []int64
 	for _, m := range n.acceptor.View.Voters {
@@ -55,11 +54,11 @@
 	return confirmed[len(confirmed)-majority]
 }
 
-// minRoundInterval is how long a requested round that is not confirmed yet keeps the next from being sent.
+// minRoundInterval is the minimum time between two requested rounds while the first is not confirmed yet.
 const minRoundInterval = 20 * time.Millisecond
 
-// startRequestedRound sends a round where one is requested, unless one was sent within minRoundInterval and
-// is not confirmed yet: all requests of that time share the next.
+// startRequestedRound sends a round if one is requested, unless the last requested round was sent less than
+// minRoundInterval ago and is not confirmed yet: all requests that arrive in the meantime share the next round.
 func (n *Node) startRequestedRound() {
 	if n.readIndex.requestedRound <= n.readIndex.rounds.number || n.acceptor.View.Majority() == 1 {
 		return
@@ -73,10 +72,10 @@
 	n.sendToAll(Message{Kind: msgConfirm, ConfirmationRound: n.readIndex.rounds.start(n.now)})
 }
 
-// handleEcho counts a peer's echo of one of this node's rounds.
+// handleEcho records a peer's echo of one of this node's rounds.
 func (n *Node) handleEcho(p *peer, m Message, e Echo) {
 	if e.ID != n.settings.Self.ID || e.Incarnation != n.settings.Incarnation {
-		return // of an earlier incarnation
+		return // the echo is for another node or an earlier incarnation
 	}
 	if sent, ok := n.readIndex.rounds.timeSent(e.ConfirmationRound); ok {
 		p.echoedRoundSentAt = max(p.echoedRoundSentAt, sent)
--- a/internal/tier/controlnode/decisions.go
+++ b/internal/tier/controlnode/decisions.go
@@ -11,10 +11,11 @@
 	"larchrouter/internal/tier/orders"
 )
 
-// errOutcomeUnknown reports that nothing is known of an order: it may be in force, now or later.
+// errOutcomeUnknown reports that the outcome of an order is unknown: it may be in effect, now or later. The order may
+// be sent again, as orders are idempotent.
 var errOutcomeUnknown = errors.New("no majority of the core nodes has answered in time: send the same again, it is taken once")
 
-// httpStatusByDecision is the HTTP status for each kind of decision.
+// httpStatusByDecision maps each kind of decision to an HTTP status.
 var httpStatusByDecision = map[orders.Kind]int{
 	orders.Accept:          http.StatusOK,
 	orders.AlreadyApplied:  http.StatusOK,
@@ -42,18 +43,18 @@
 	return reply
 }
 
-// headStatusQuery reports which node decides orders, as far as this node knows.
+// headStatusQuery asks which node decides orders, as far as this node knows.
 type headStatusQuery struct {
 	isHead   bool   // this node decides orders
-	headAddr string // empty where no head is known
+	headAddr string // empty if no head is known
 }
 
 func (q *headStatusQuery) handle(s *Server) {
 	q.isHead, q.headAddr = s.node.IsActiveHead(), s.node.HeadAddr()
 }
 
-// headStatus reports whether this node decides orders, and otherwise the address of the one that does, as far
-// as it knows.
+// headStatus reports whether this node decides orders, and the address of the node that does, as far as this node
+// knows.
 func (s *Server) headStatus() (isHead bool, headAddr string, err error) {
 	query := &headStatusQuery{}
 	if !s.runOnLoop(query) {
@@ -62,9 +63,9 @@
 	return query.isHead, query.headAddr, nil
 }
 
-// decideAtHeadRequest decides an order in the state of this head, committed or not. It completes once the
-// entries to append are committed, or the index that the decision depends on is committed and the epoch
-// confirmed.
+// decideAtHeadRequest decides an order based on all entries of this head, committed or not. It completes once the
+// entries to append are committed; if there are none, once the index that the decision depends on is committed and the
+// epoch is confirmed.
 type decideAtHeadRequest struct {
 	order    orders.Order
 	decision orders.Decision
@@ -97,13 +98,13 @@
 	return request.decision, nil
 }
 
-// appendEntries appends entries in their order. The request completes once the last of them is committed. It
-// runs on the event loop.
+// appendEntries appends entries in order. The request completes once the last of them is committed. It runs on the event
+// loop.
 func (s *Server) appendEntries(requestID int64, writes []orders.Write) (all Ready) {
 	for i, w := range writes {
 		writeID := requestID
 		if i < len(writes)-1 {
-			s.lastRequestID++ // nobody waits for it
+			s.lastRequestID++ // no caller waits for this ID
 			writeID = s.lastRequestID
 		}
 		ready := s.node.Write(s.now(), writeID, w.Key, w.Value)
@@ -114,14 +115,15 @@
 	return all
 }
 
-// readIndexRequest completes once what is committed here is no older than anything acknowledged before it.
+// readIndexRequest completes once the committed state of this node includes everything that was acknowledged before the
+// request.
 type readIndexRequest struct{}
 
 func (readIndexRequest) start(s *Server, requestID int64) Ready {
 	return s.node.ReadIndex(s.now(), requestID)
 }
 
-// decideCommittedQuery decides an order that only reads, in the committed entries.
+// decideCommittedQuery decides a read-only order based on the committed entries.
 type decideCommittedQuery struct {
 	order    orders.Order
 	decision orders.Decision
@@ -132,8 +134,8 @@
 	q.decision, q.err = orders.Decide(s.node.Chain().Committed(0), s.settings.FaultTolerance(), q.order)
 }
 
-// decideAtTail decides an order that only reads in what is committed, if this node is the tail; otherwise it
-// returns the address of the tail, empty where none is known.
+// decideAtTail decides a read-only order based on the committed entries, if this node is the tail. Otherwise it returns
+// the address of the tail, empty if unknown.
 func (s *Server) decideAtTail(ctx context.Context, order orders.Order) (d orders.Decision, tail string, err error) {
 	completion, _ := s.submit(ctx, readIndexRequest{})
 	switch completion.Outcome {
@@ -149,8 +151,8 @@
 	return query.decision, "", query.err
 }
 
-// retryUntilTimeout repeats a call until there is a reply or requestTimeout is over. Then the reply is 503 with the reason of the last
-// try, which is logged too.
+// retryUntilTimeout repeats a call until there is a reply or requestTimeout has passed. In the latter case the reply is
+// 503 with the error of the last attempt, which is also logged.
 func (s *Server) retryUntilTimeout(
 	ctx context.Context, order string, call func(ctx context.Context) (*feed.Reply, error),
 ) *feed.Reply {
@@ -162,7 +164,7 @@
 		if err == nil {
 			return reply
 		}
-		if cause == nil || callCtx.Err() == nil { // the end of the time is no cause
+		if cause == nil || callCtx.Err() == nil { // the error of an attempt cut off by the time-out is not the cause
 			cause = err
 		}
 		timer := time.NewTimer(retryInterval)
@@ -175,7 +177,8 @@
 	}
 }
 
-// undecided returns the reply to an order that was not decided in time, and logs why, unless its caller has left.
+// unknownOutcomeReply returns the reply to an order that was not decided in time. It logs the cause, unless the caller
+// has disconnected.
 func (s *Server) unknownOutcomeReply(ctx context.Context, order string, cause error) *feed.Reply {
 	text := errOutcomeUnknown.Error()
 	if !errors.Is(cause, errOutcomeUnknown) {
--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -23,11 +23,11 @@
 		r := replyFor(orders.Decision{Kind: k, Reason: "reason", Body: []byte("{}")})
 		switch {
 		case k.IsRejection() && (r.Status < 400 || r.Status >= 500):
-			t.Errorf("%v: %d, a refusal", k, r.Status)
+			t.Errorf("%v: status %d for a rejection", k, r.Status)
 		case k == orders.Unavailable && r.Status != http.StatusServiceUnavailable:
-			t.Errorf("%v: %d", k, r.Status)
+			t.Errorf("%v: status %d", k, r.Status)
 		case !k.IsRejection() && k != orders.Unavailable && r.Status != http.StatusOK:
-			t.Errorf("%v: %d", k, r.Status)
+			t.Errorf("%v: status %d", k, r.Status)
 		}
 	}
 }
@@ -37,33 +37,33 @@
 	c := newCluster(t, 3)
 	for v := 1; v <= versions; v++ {
 		if got := c.put(v, v-1, v%3, (v+1)%3); got != http.StatusOK {
-			t.Fatalf("version %d: %d", v, got)
+			t.Fatalf("put of version %d: status %d", v, got)
 		}
 	}
 	for v := 1; v <= versions; v++ {
 		if got := c.put(v, v-1, v%3, (v+1)%3); got != http.StatusOK {
-			t.Errorf("version %d again: %d", v, got)
+			t.Errorf("repeated put of version %d: status %d", v, got)
 		}
 	}
 	for i, one := range []struct{ on, version, want int }{
-		{0, versions, http.StatusServiceUnavailable}, // this very configuration, on another version
+		{0, versions, http.StatusServiceUnavailable}, // the current configuration, with another base version
 		{1, 3, http.StatusServiceUnavailable},
 		{versions, 3, http.StatusServiceUnavailable},
 		{5, versions + 1, http.StatusPreconditionFailed},
 	} {
 		got, text := c.send(i%3, http.MethodPut, "/api/config", strconv.Itoa(one.on), config(one.version))
 		if got != one.want || strings.Contains(text, "no majority") {
-			t.Errorf("version %d on %d: %d %s", one.version, one.on, got, text)
+			t.Errorf("version %d based on %d: status %d %s", one.version, one.on, got, text)
 		}
 	}
-	other := strings.Replace(string(config(3)), `"r"`, `"other"`, 1) // version 3 as nobody had it taken
+	other := strings.Replace(string(config(3)), `"r"`, `"other"`, 1) // a version 3 that was never accepted
 	for match, want := range map[int]int{2: http.StatusPreconditionFailed, versions: http.StatusBadRequest} {
 		if got, text := c.send(1, http.MethodPut, "/api/config", strconv.Itoa(match), []byte(other)); got != want {
-			t.Errorf("another version 3 on %d: %d %s", match, got, text)
+			t.Errorf("another version 3 based on %d: status %d %s", match, got, text)
 		}
 	}
 	if got := c.get(0); got != string(config(versions)) {
-		t.Errorf("in force: %s", got)
+		t.Errorf("current configuration: %s, want version %d", got, versions)
 	}
 }
 
@@ -79,15 +79,15 @@
 	settings := c.settings(0, false)
 	to := calls.To(settings.PeerAddr(c.control(0), process.CorePort))
 	var a feed.FollowResponse
-	c.until("a node has all that is committed", func() bool {
+	c.until("a node has all committed entries", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), 2*time.Second)
 		defer done()
 		a = feed.FollowResponse{}
 		err := to.Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "front-1", Class: "front", WaitMs: 500}, &a)
-		return err == nil && a.Confirmed && a.Index >= 6 // each version is a record and a configuration
+		return err == nil && a.Confirmed && a.Index >= 6 // each version appends two entries: the order and the configuration
 	})
 	if len(a.Entries) != 1 || a.Entries[0].Key != feed.ConfigKey {
-		t.Fatalf("a follower is sent %v", a.Entries)
+		t.Fatalf("a follower was sent %v, want only the configuration", a.Entries)
 	}
 }
 
@@ -104,25 +104,25 @@
 		method, path, match string
 		body                []byte
 	}{
-		"on a version that is past":   {http.MethodPut, "/api/config", "1", config(9)},
-		"a version not above":         {http.MethodPut, "/api/config", "2", config(2)},
-		"taken before":                {http.MethodPut, "/api/config", "0", config(1)},
-		"cut short":                   {http.MethodPut, "/api/config", "2", config(9)[:60]},
-		"the next":                    {http.MethodPut, "/api/config", "2", config(9)},
-		"read":                        {http.MethodGet, "/api/config", "", nil},
-		"an unknown store":            {http.MethodPost, "/api/retire/nobody", "", []byte(`{"within_s":10}`)},
-		"the phase of an unknown one": {http.MethodGet, "/api/retire/nobody", "", nil},
+		"superseded base version":        {http.MethodPut, "/api/config", "1", config(9)},
+		"version not above the current":  {http.MethodPut, "/api/config", "2", config(2)},
+		"repeated order":                 {http.MethodPut, "/api/config", "0", config(1)},
+		"truncated body":                 {http.MethodPut, "/api/config", "2", config(9)[:60]},
+		"valid order":                    {http.MethodPut, "/api/config", "2", config(9)},
+		"read":                           {http.MethodGet, "/api/config", "", nil},
+		"retirement of an unknown store": {http.MethodPost, "/api/retire/nobody", "", []byte(`{"within_s":10}`)},
+		"phase of an unknown store":      {http.MethodGet, "/api/retire/nobody", "", nil},
 	} {
 		began := time.Now()
 		if got, text := c.send(0, one.method, one.path, one.match, one.body); got != http.StatusServiceUnavailable {
-			t.Errorf("%s: %d %s", name, got, text)
+			t.Errorf("%s: status %d %s", name, got, text)
 		}
 		t.Logf("%s: %v", name, time.Since(began).Round(time.Millisecond))
 	}
 }
 
-// TestAbandonedRequestsAreDropped asks a head without a majority: what is written there has no end as long as its epoch
-// lasts.
+// Requests that their callers have abandoned are removed from the pending ones. At a head without a majority they would
+// otherwise stay there, as their writes do not complete while its epoch lasts.
 func TestAbandonedRequestsAreDropped(t *testing.T) {
 	settings := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir()}}
 	core, err := Open(settings.settings(0, true), process.NewLogger(io.Discard))
@@ -138,7 +138,7 @@
 	})
 	defer running.Wait()
 	defer cancel()
-	var begun atomic.Int64 // the loop may begin one whose caller has just given up
+	var begun atomic.Int64 // the loop may start a request whose caller has just abandoned it
 	for i := range 20 {
 		callers.Go(func() {
 			short, done := context.WithTimeout(ctx, 50*time.Millisecond)
@@ -147,13 +147,13 @@
 				begun.Add(1)
 				return core.node.Write(core.now(), requestID, "key", fmt.Append(nil, i))
 			})); completed {
-				t.Error("a write without a majority was done")
+				t.Error("a write without a majority was completed")
 			}
 		})
 	}
 	callers.Wait()
 	if begun.Load() == 0 {
-		t.Fatal("the loop has taken none of the orders")
+		t.Fatal("the event loop has started none of the requests")
 	}
 	left := -1
 	for end := time.Now().Add(10 * time.Second); left != 0 && time.Now().Before(end); {
--- a/internal/tier/controlnode/disk.go
+++ b/internal/tier/controlnode/disk.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/tier/view"
 )
 
-// chainMeta is the chain's state on disk in addition to its entries. The order of the fields is that of the
+// chainMeta is the state of the chain that is stored in addition to its entries. The order of the fields is that of the
 // stored bytes.
 type chainMeta struct{ ActivatedEpoch, LastIndex, Commit int64 }
 
@@ -26,8 +26,8 @@
 	metaKey        = []byte("meta")
 )
 
-// load reads the durable state from the disk. On an empty disk the node gets its identity, which is synced
-// before it is used.
+// load reads the durable state from the disk. With an empty disk it creates the node's identity, which is synced before
+// it is used.
 func (s *Server) load() (d Durable, err error) {
 	s.self = view.Member{Name: s.settings.NodeName, Addr: s.settings.PeerAddr(s.settings.IP, process.CorePort)}
 	if err := s.incrementIncarnation(); err != nil {
@@ -41,12 +41,12 @@
 		return s.createIdentity()
 	}
 	s.self.ID = string(id)
-	err = s.loadRow(acceptorKey, &d.Acceptor, "the vote on disk cannot be read: empty the data folder, the node joins anew")
+	err = s.loadRow(acceptorKey, &d.Acceptor, "cannot decode the stored votes: empty the data folder to join as a new member")
 	if err != nil {
 		return d, err
 	}
 	var meta chainMeta
-	err = s.loadRow(metaKey, &meta, "the state on disk cannot be read: empty the data folder, the node joins anew")
+	err = s.loadRow(metaKey, &meta, "cannot decode the stored chain state: empty the data folder to join as a new member")
 	if err != nil {
 		return d, err
 	}
@@ -63,8 +63,8 @@
 	return d, err
 }
 
-// createIdentity returns the durable state of a node with an empty disk, and syncs it with the identity: a
-// founding seed is named by its address, any other node at random.
+// createIdentity returns the durable state of a node with an empty disk, and syncs it together with the node's ID. The
+// ID of a seed that bootstraps the cluster is derived from its address; any other node gets a random one.
 func (s *Server) createIdentity() (d Durable, err error) {
 	s.self.ID, _ = s.db.Identity()
 	if s.settings.Bootstrap && slices.Contains(s.settings.Seeds, s.settings.Bind.Control) {
@@ -79,8 +79,8 @@
 	return d, s.db.Commit(s.ctx, rows)
 }
 
-// loadRow decodes a row of the table "vote", if it is there. The advice precedes the error of a row that
-// cannot be decoded.
+// loadRow decodes a row of the table "vote", if it exists. If the row cannot be decoded, the error is prefixed with the
+// advice.
 func (s *Server) loadRow(key []byte, v any, advice string) error {
 	b, err := s.db.Get("vote", key)
 	if err != nil || b == nil {
@@ -89,9 +89,9 @@
 	return errors.Wrap(rpc.Decode(b, v), advice)
 }
 
-// incrementIncarnation counts this start, on disk before anything else. A head that dies and starts again within
-// its epoch numbers its lists of hosts above those of its last incarnation, of which only this number is
-// left.
+// incrementIncarnation increments the incarnation and syncs it before anything else is done. A head that crashes and
+// restarts within its epoch derives the numbers of its host lists from it: they must be higher than those of the last
+// incarnation, of which nothing else is stored.
 func (s *Server) incrementIncarnation() error {
 	value, err := s.db.Get("vote", incarnationKey)
 	if err != nil {
@@ -104,17 +104,17 @@
 	return s.db.Commit(s.ctx, []sqlitelog.Write{{Table: "vote", Key: incarnationKey, Value: indexKey(s.incarnation)}})
 }
 
-// indexKey returns the key of an index in the table "entries"; the keys sort as the indexes do.
+// indexKey returns the key of an index in the table "entries"; keys sort in the order of their indexes.
 func indexKey(index int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(index)) }
 
-// changedRows returns the writes that bring the disk to the durable state, and takes them for written. It
-// runs on the event loop, or before it.
+// changedRows returns the writes that bring the disk to the given durable state, and records that state as saved. It
+// runs on the event loop, or before the loop starts.
 func (s *Server) changedRows(d Durable) []sqlitelog.Write {
 	writes := []sqlitelog.Write{
 		{Table: "vote", Key: acceptorKey, Value: rpc.Encode(&d.Acceptor)},
 		{Table: "vote", Key: metaKey, Value: rpc.Encode(&chainMeta{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit})},
 	}
-	replaced := d.State.ActivatedEpoch != s.savedState.ActivatedEpoch // entries may have been replaced under their indexes
+	replaced := d.State.ActivatedEpoch != s.savedState.ActivatedEpoch // then entries may differ at the same indexes
 	hashes := make(map[int64]uint64, len(d.State.Entries))
 	for _, e := range d.State.Entries {
 		oldHash, saved := s.savedHashes[e.Index]
@@ -136,7 +136,7 @@
 	return writes
 }
 
-// entryHash returns a hash by which entries under the same index are told apart.
+// entryHash returns a hash that distinguishes entries with the same index.
 func entryHash(e *chain.Entry) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(e.Key)
--- a/internal/tier/controlnode/disk_test.go
+++ b/internal/tier/controlnode/disk_test.go
@@ -11,7 +11,8 @@
 	"larchrouter/internal/tier/chain"
 )
 
-// Hundreds of large changes leave a folder of the size of a few: what is superseded is given back or used again.
+// The space of superseded entries is freed or reused: after hundreds of large changes the data folder is not larger than
+// a few of them.
 func TestDiskUsageIsBounded(t *testing.T) {
 	const changes, size = 300, 256 << 10
 	c := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
@@ -47,9 +48,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d changes of %d bytes leave %d bytes", changes, size, total)
+	t.Logf("%d changes of %d bytes use %d bytes on disk", changes, size, total)
 	if total > 16*size {
-		t.Errorf("the folder has %d bytes after %d changes of %d", total, changes, size)
+		t.Errorf("the data folder has %d bytes after %d changes of %d bytes", total, changes, size)
 	}
 	again, err := Open(c.settings(0, false), process.NewLogger(io.Discard))
 	if err != nil {
@@ -57,6 +58,6 @@
 	}
 	defer again.db.Close()
 	if got := again.node.Durable().State; got.LastIndex != changes || len(got.Entries) != 2 {
-		t.Errorf("it starts again at index %d with %d entries, wanted %d with 2", got.LastIndex, len(got.Entries), changes)
+		t.Errorf("restarted at index %d with %d entries, want %d with 2", got.LastIndex, len(got.Entries), changes)
 	}
 }
--- a/internal/tier/controlnode/election.go
+++ b/internal/tier/controlnode/election.go
@@ -7,33 +7,34 @@
 	"larchrouter/internal/tier/view"
 )
 
-// election is the proposer of the next view, and when it may propose. Views are decided by the voters of the
-// view before with single-decree Paxos (package view); the acceptor is in Node.acceptor and durable, this
-// part is not.
+// election is the state of this node as a proposer of the next view, and when it may propose. Each view is decided
+// with single-decree Paxos by the voters of the previous view (package view). The acceptor, Node.acceptor, is durable;
+// this state is not.
 //
-// Invariants: a ballot of this node is used once, as ballotNumber only rises and the promise to it is synced
-// before it is sent; a proposal is for the epoch after the view, and is dropped with it.
+// Invariants: each ballot of this node is used once, as ballotNumber only increases and the node's own promise is
+// synced before the ballot is sent; a proposal is for the epoch after the current view, and is dropped when that view
+// changes.
 type election struct {
 	ballotNumber      int64         // the highest that this node has used or seen
-	proposal          *proposal     // in progress; nil for none
-	failedProposals   int           // in this epoch; each gives the next one more time
-	nextProposalAt    time.Duration // no proposal before it
-	changeWantedSince time.Duration // 0 while the view suits
-	promisedAt        time.Duration // when this node promised to the epoch after its view
+	proposal          *proposal     // in progress; nil if there is none
+	failedProposals   int           // in this epoch; each one increases the time-out of the next
+	nextProposalAt    time.Duration // the earliest time of the next proposal
+	changeWantedSince time.Duration // 0 while no view change is wanted
+	promisedAt        time.Duration // when this node made its first promise for the epoch after its view
 }
 
-// proposal is a ballot of this node: it collects promises until a view can be chosen, then accepts.
+// proposal is a ballot of this node. It collects promises until a view can be chosen, and then acceptances.
 type proposal struct {
 	epoch     int64
 	ballot    view.Ballot
 	startedAt time.Duration
 	promises  map[string]view.Promise
-	view      view.View // Epoch 0 until it is chosen
+	view      view.View // Epoch is 0 until the view is chosen
 	accepts   map[string]bool
 }
 
-// maybePropose drives the proposal in progress. Without one it starts one if another view is wanted, this
-// node's turn has come, and a majority is alive.
+// maybePropose advances the proposal in progress. If there is none, it starts one if a view change is wanted, it is
+// this node's turn, and a majority is alive.
 func (n *Node) maybePropose() {
 	if p := n.election.proposal; p != nil {
 		switch {
@@ -59,26 +60,25 @@
 		n.election.changeWantedSince = max(n.now, 1)
 	}
 	turn := time.Duration(n.proposalRank(cond)) * 2 * n.settings.Timings.HeartbeatInterval
-	if n.now-n.election.changeWantedSince < turn { // those with an earlier turn go first
+	if n.now-n.election.changeWantedSince < turn { // nodes with a lower rank propose first
 		return
 	}
 	n.startProposal()
 }
 
-// Bounds of the time in which a proposal has to be decided. It takes four messages in sequence and a sync
-// before each, which may take long where the processor or the disk is slow: the time doubles with each
-// proposal that failed.
+// Time-out of a proposal. A decision takes four messages in sequence with a sync before each, which may take long on a
+// slow processor or disk, so the time-out doubles with each failed proposal.
 const (
 	proposalHeartbeats  = 3 // heartbeat intervals, for the first proposal of an epoch
 	maxTimeoutDoublings = 3
 )
 
-// proposalTimeout returns how long a proposal may take now.
+// proposalTimeout returns the time-out of a proposal, given the failed proposals so far in this epoch.
 func (n *Node) proposalTimeout() time.Duration {
 	return proposalHeartbeats * n.settings.Timings.HeartbeatInterval << min(n.election.failedProposals, maxTimeoutDoublings)
 }
 
-// startProposal begins a new ballot and asks the voters for their promises.
+// startProposal starts a new ballot and asks the voters for their promises.
 func (n *Node) startProposal() {
 	v := &n.acceptor.View
 	n.election.ballotNumber++
@@ -102,10 +102,10 @@
 	n.chooseView()
 }
 
-// handlePrepare answers a prepare with a promise, or with the decided view if the sender is behind it.
+// handlePrepare answers a prepare with a promise, or with the newest decided view if the sender does not have it.
 func (n *Node) handlePrepare(m Message) {
 	if n.acceptor.View.Epoch == 0 {
-		return // it votes on nothing before it knows a view
+		return // a node does not vote before it knows a view
 	}
 	firstPromise := !n.acceptor.HasPromised()
 	if !n.acceptor.Prepare(m.Epoch, m.Ballot) {
@@ -134,7 +134,7 @@
 	})
 }
 
-// handlePromise counts a promise for the proposal in progress.
+// handlePromise adds a promise to the proposal in progress.
 func (n *Node) handlePromise(m Message) {
 	p := n.election.proposal
 	if p == nil || m.Epoch != p.epoch || m.Ballot != p.ballot || p.view.Epoch > 0 || !n.acceptor.View.IsVoter(m.From.ID) {
@@ -144,8 +144,8 @@
 	n.chooseView()
 }
 
-// chooseView proposes a view once all voters that are alive have promised, or a majority has and the others
-// took longer than a heartbeat interval.
+// chooseView proposes a view once all voters that are alive have promised, or once a majority has promised and the
+// others have taken longer than a heartbeat interval.
 func (n *Node) chooseView() {
 	p := n.election.proposal
 	cond := n.conditions()
@@ -170,7 +170,7 @@
 	n.adoptIfAccepted()
 }
 
-// handleAccept accepts a proposed view, unless this node has promised to a higher ballot.
+// handleAccept accepts a proposed view, unless this node has promised a higher ballot.
 func (n *Node) handleAccept(m Message) {
 	if !n.acceptor.Accept(m.Ballot, m.View) {
 		n.sendDecidedView(m)
@@ -180,7 +180,7 @@
 	n.send(m.From.Addr, Message{Kind: msgAccepted, Epoch: m.Epoch, Ballot: m.Ballot})
 }
 
-// handleAccepted counts an accept for the proposal in progress.
+// handleAccepted adds an acceptance to the proposal in progress.
 func (n *Node) handleAccepted(m Message) {
 	p := n.election.proposal
 	if p != nil && p.view.Epoch > 0 && m.Epoch == p.epoch && m.Ballot == p.ballot && n.acceptor.View.IsVoter(m.From.ID) {
@@ -189,8 +189,8 @@
 	}
 }
 
-// adoptIfAccepted adopts the proposed view once a majority has accepted it, and sends it to the members of
-// the view before and after.
+// adoptIfAccepted adopts the proposed view once a majority has accepted it, and sends it to the voters of the previous
+// and of the new view.
 func (n *Node) adoptIfAccepted() {
 	p := n.election.proposal
 	if len(p.accepts) < n.acceptor.View.Majority() {
@@ -211,9 +211,9 @@
 	}
 }
 
-// adopt makes a decided view the view of this node, if it is newer. It resets what counts for one epoch only:
-// the proposal, confirmations, the learner; a node that is not head any more completes its writes with
-// OutcomeUnknown.
+// adopt makes a decided view the current view of this node, if it is newer. It resets the state that belongs to one
+// epoch: the proposal, the confirmations and the bulk learner. A node that is no longer the head completes its pending
+// writes with OutcomeUnknown.
 func (n *Node) adopt(v view.View) {
 	if !n.acceptor.Adopt(v) {
 		return
@@ -226,8 +226,8 @@
 		n.ensurePeer(m)
 	}
 	for id, p := range n.peers {
-		p.confirmedRound, p.commitReported, p.reportedCommit = 0, false, 0 // nothing was confirmed in this epoch yet
-		p.echoedInView = false                                             // an excluded member has to answer anew
+		p.confirmedRound, p.commitReported, p.reportedCommit = 0, false, 0 // nothing is confirmed in the new epoch yet
+		p.echoedInView = false                                             // a removed member must echo a round again
 		if !v.IsVoter(id) && n.now-p.lastHeard > 10*n.settings.Timings.FailureTimeout {
 			delete(n.peers, id)
 		}
@@ -242,7 +242,7 @@
 	n.readIndex.roundAtAdoption, n.readIndex.requestedRound = n.readIndex.rounds.number, n.readIndex.rounds.number+1
 	n.sendChainAck() // the predecessor needs this member's position
 	if next := v.Successor(n.settings.Self.ID); next != "" {
-		// The successor answers with its position, if it adopted the view first.
+		// A successor that adopted the view before this node answers with its position.
 		n.send(n.addr(next), Message{Kind: msgChainUpdate, Update: chain.Update{Epoch: v.Epoch}})
 	}
 }
--- a/internal/tier/controlnode/event_loop.go
+++ b/internal/tier/controlnode/event_loop.go
@@ -10,9 +10,9 @@
 	"larchrouter/internal/tier/discovery"
 )
 
-// eventLoop owns the node. It takes events in batches: what a batch changed is synced once, before any of its
-// messages, completions and reads leave the node. It returns an error if the disk fails, as a node that can
-// not sync cannot promise anything; where the disk is full it waits for room.
+// eventLoop owns the node. It handles events in batches: the changes of a batch are synced once, before any of its
+// messages, completions and reads leave the node. It returns an error if the disk fails, as a node that cannot sync
+// cannot promise anything. If the disk is full, it waits for space.
 func (s *Server) eventLoop() error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -22,7 +22,7 @@
 			if s.ctx.Err() != nil {
 				return nil
 			}
-			s.log.Error("the disk does not take the node's state; it stops", "err", err)
+			s.log.Error("cannot sync the control state to disk; the node stops", "err", err)
 			return errors.Wrap(err, "sync the control state")
 		}
 		s.deliver()
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// maxBatch bounds the events that are handled before anything is sent: many followers that call without a
-// pause must not delay the heartbeats of this node.
+// maxBatch bounds the number of events that are handled before anything is sent: many followers that call without
+// pause must not delay this node's heartbeats.
 const maxBatch = 256
 
-// handleBatch waits for an event, and handles it and those that are waiting as well. It returns false once
-// the server stops.
+// handleBatch waits for an event, and handles it together with the events that are already queued. It returns false
+// once the server stops.
 func (s *Server) handleBatch(tick <-chan time.Time) bool {
 	select {
 	case <-s.ctx.Done():
@@ -59,7 +59,7 @@
 	return true
 }
 
-// handleNext handles one waiting event, messages of other nodes first. It returns false if there is none.
+// handleNext handles one queued event, messages from other nodes first. It returns false if there is none.
 func (s *Server) handleNext(tick <-chan time.Time) bool {
 	select {
 	case m := <-s.peerMessages:
@@ -85,7 +85,7 @@
 	s.planPlacement()
 }
 
-// mergeReady adds a Ready of the node to that of the batch.
+// mergeReady adds a Ready of the node to the Ready of the batch.
 func (s *Server) mergeReady(ready Ready) {
 	s.ready.MustSync = s.ready.MustSync || ready.MustSync
 	s.ready.Messages = append(s.ready.Messages, ready.Messages...)
@@ -121,7 +121,7 @@
 	s.reportSynced(true)
 }
 
-// reportSynced reports to the callers of runOnLoop in this batch whether what they have read is on disk.
+// reportSynced tells the callers of runOnLoop in this batch whether the state that they have read is on disk.
 func (s *Server) reportSynced(ok bool) {
 	for _, synced := range s.awaitingSync {
 		synced <- ok
@@ -129,7 +129,7 @@
 	s.awaitingSync = s.awaitingSync[:0]
 }
 
-// publishedState is what followers and the log were last notified of.
+// publishedState is the state that was last logged and announced to followers.
 type publishedState struct {
 	epoch  int64
 	commit int64
@@ -137,20 +137,19 @@
 	fresh  bool
 }
 
-// publishChanges wakes the polls of followers and writes to the log where something has changed since the
-// last call.
+// publishChanges logs changes since the last call, and wakes the polls of followers if there are any.
 func (s *Server) publishChanges(last *publishedState) {
 	if v := s.node.View(); v.Epoch != last.epoch {
 		last.epoch = v.Epoch
 		chain := strings.Join(s.chainNames(), " ")
-		s.log.Info("view", "epoch", v.Epoch, "voters", len(v.Voters), "chain", chain, "id", s.self.ID)
+		s.log.Info("view adopted", "epoch", v.Epoch, "voters", len(v.Voters), "chain", chain, "id", s.self.ID)
 	}
 	commit, hosts, fresh := s.node.Chain().State().Commit, s.node.Hosts(), s.node.Fresh()
 	if commit == last.commit && hosts == last.hosts && fresh == last.fresh {
 		return
 	}
 	if fresh != last.fresh {
-		s.log.Debug("fresh for followers", "fresh", fresh, "age", s.node.ConfirmationAge(), "commit", commit)
+		s.log.Debug("freshness for followers changed", "fresh", fresh, "confirmation_age", s.node.ConfirmationAge(), "commit", commit)
 	}
 	if hosts != last.hosts {
 		s.hostListHistory.Add(last.hosts, hosts)
@@ -162,7 +161,7 @@
 	s.changed = make(chan struct{})
 }
 
-// chainNames returns the names of the chain's machines, and the ids of those whose names are unknown.
+// chainNames returns the names of the machines in the chain, or their IDs where the names are unknown.
 func (s *Server) chainNames() (names []string) {
 	for _, member := range s.node.View().Chain {
 		names = append(names, s.nodeName(member.ID))
@@ -170,7 +169,7 @@
 	return names
 }
 
-// name returns the name of the machine with an id, or the id where the name is unknown.
+// nodeName returns the name of the machine with the given ID, or the ID if the name is unknown.
 func (s *Server) nodeName(id string) string {
 	if id == s.self.ID {
 		return s.self.Name
--- a/internal/tier/controlnode/event_loop_test.go
+++ b/internal/tier/controlnode/event_loop_test.go
@@ -13,10 +13,10 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// quietPeriod is how long nothing may be reported.
+// quietPeriod is how long a test waits to see that nothing is reported.
 const quietPeriod = 100 * time.Millisecond
 
-// startSingleNode starts a node that is the only one of its system: what it writes is committed with its own sync.
+// startSingleNode starts a cluster of one node: its writes are committed once the node itself has synced them.
 func startSingleNode(t *testing.T) *Server {
 	t.Helper()
 	base := freeBase(t)
@@ -40,16 +40,16 @@
 		}
 	})
 	t.Cleanup(func() { cancel(); running.Wait() })
-	for leads := false; !leads; {
-		if !core.onLoop(func() { leads = core.node.IsActiveHead() }) {
+	for isHead := false; !isHead; {
+		if !core.onLoop(func() { isHead = core.node.IsActiveHead() }) {
 			t.Fatal("the node has stopped")
 		}
 	}
 	return core
 }
 
-// A reader that sees a write of its own batch of the event loop gets its answer only once the write is on
-// disk: a loss of power in between would take back what it was answered.
+// A read that sees a write from the same batch of the event loop is answered only once the write is on disk: otherwise a
+// power loss could undo a write whose effect was already reported.
 func TestReadsAreReportedAfterSync(t *testing.T) {
 	core := startSingleNode(t)
 	entered, release := make(chan struct{}), make(chan struct{})
@@ -72,25 +72,25 @@
 		core.onLoop(func() { entries = len(core.node.Chain().Committed(0)) })
 		read <- entries
 	}()
-	for len(core.requests) < 2 { // the write, and the reader behind it
+	for len(core.requests) < 2 { // the write, and the read behind it
 		runtime.Gosched()
 	}
 	close(release)
 	<-syncing
 	select {
 	case n := <-read:
-		t.Errorf("%d entries were read before they were on disk", n)
+		t.Errorf("%d entries were reported before they were on disk", n)
 		close(synced)
 		return
 	case <-time.After(quietPeriod):
 	}
 	close(synced)
 	if n := <-read; n != 1 {
-		t.Errorf("%d entries were read after the sync, 1 was written", n)
+		t.Errorf("%d entries were read after the sync, want 1", n)
 	}
 }
 
-// Callers that come again at once, each time they are answered, do not keep the loop from sending.
+// Callers that call again as soon as they are answered do not keep the event loop from sending.
 func TestBatchIsBounded(t *testing.T) {
 	c := &Server{ctx: t.Context(), requests: make(chan queuedRequest, 1), peerMessages: make(chan Message, 1)}
 	taken := 0
@@ -102,6 +102,6 @@
 	}
 	c.requests <- onLoopRequest(call)
 	if !c.handleBatch(nil) || taken != maxBatch {
-		t.Errorf("a batch took %d events, at most %d are taken before something is sent", taken, maxBatch)
+		t.Errorf("a batch handled %d events, want %d", taken, maxBatch)
 	}
 }
--- a/internal/tier/controlnode/full_disk.go
+++ b/internal/tier/controlnode/full_disk.go
@@ -14,13 +14,14 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// fullDiskRetryInterval is the time between two attempts to write to a full disk.
+// fullDiskRetryInterval is the time between attempts to write to a full disk.
 const fullDiskRetryInterval = 200 * time.Millisecond
 
 // errDiskFull reports that this node's disk is full.
 var errDiskFull = errors.New("this core node's disk is full: ask another one, and give this one room")
 
-// OpenAwaitingSpace is Open for a disk that may be full: it waits until there is room for what a start writes, or the context ends.
+// OpenAwaitingSpace is Open for a disk that may be full: it waits until there is space for the writes of a start, or the
+// context ends.
 func OpenAwaitingSpace(ctx context.Context, s *process.Settings, log *slog.Logger) (*Server, error) {
 	return openAwaitingSpace(ctx, log, func() (*Server, error) { return Open(s, log) })
 }
@@ -32,7 +33,7 @@
 			return server, err
 		}
 		if attempt == 0 {
-			log.Error("the disk is full: the node starts once there is room", "err", err)
+			log.Error("the disk is full: the node starts once space is available", "err", err)
 		}
 		if !ctxtime.Sleep(ctx, fullDiskRetryInterval) {
 			return nil, err
@@ -40,11 +41,12 @@
 	}
 }
 
-// retrySyncUntilSpace syncs what a batch has changed after the disk was too full for it: it tries until there is room. Nothing of the batch
-// has left the node, and nothing does before the sync, so that to others the node is one that stands still: they go on without it, and it
-// is brought up to date once it can write again. Requests are rejected meanwhile, and messages of other nodes are dropped.
+// retrySyncUntilSpace syncs the changes of a batch for which the disk was too full: it retries until there is space.
+// Nothing from the batch leaves the node before the sync, so to the other nodes this one looks frozen: they continue
+// without it, and it catches up once it can write again. Meanwhile requests are rejected and messages from other nodes
+// are dropped.
 func (s *Server) retrySyncUntilSpace(rows []sqlitelog.Write, full error) error {
-	s.log.Error("the disk is full: this node takes no part until there is room", "err", full)
+	s.log.Error("the disk is full: the node is suspended until space is available", "err", full)
 	s.diskFull.Store(true)
 	defer s.diskFull.Store(false)
 	s.isHead.Store(false) // the platform is not polled meanwhile
@@ -64,14 +66,14 @@
 				continue
 			}
 			if err == nil {
-				s.log.Info("there is room on the disk again")
+				s.log.Info("disk space is available again; the node resumes")
 			}
 			return err
 		}
 	}
 }
 
-// handleWhileDiskFull rejects a request, but for new settings, which nothing on the disk depends on.
+// handleWhileDiskFull rejects a request. Only new seeds are accepted, as nothing on the disk depends on them.
 func (s *Server) handleWhileDiskFull(q queuedRequest) {
 	if seeds, ok := q.request.(*setSeedsRequest); ok {
 		seeds.handle(s)
@@ -81,8 +83,8 @@
 	q.reject()
 }
 
-// rejectIfDiskFull answers a call of the operator API where the disk is full, and reports whether it did. There is no Retry-After: the
-// caller is to ask another node.
+// rejectIfDiskFull answers a call to the operator API with 503 if the disk is full, and reports whether it did. It sets
+// no Retry-After, as the caller should ask another node.
 func (s *Server) rejectIfDiskFull(w http.ResponseWriter) bool {
 	if !s.diskFull.Load() {
 		return false
--- a/internal/tier/controlnode/full_disk_test.go
+++ b/internal/tier/controlnode/full_disk_test.go
@@ -16,7 +16,7 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// fillDisk makes a node's disk full until the returned function is called.
+// fillDisk makes a node's writes fail with a full disk until the returned function is called.
 func fillDisk(t *testing.T, core *Server) (empty func()) {
 	t.Helper()
 	var full atomic.Bool
@@ -34,7 +34,7 @@
 	return func() { full.Store(false) }
 }
 
-// A node whose disk is full stays up, says so, promises nothing, and goes on once there is room.
+// A node whose disk is full keeps running, reports the full disk, completes nothing, and resumes once there is space.
 func TestNodeWithFullDiskResumesOnceSpaceIsFree(t *testing.T) {
 	core := startSingleNode(t)
 	empty := fillDisk(t, core)
@@ -49,7 +49,7 @@
 		t.Error("a read is answered while the disk is full")
 	}
 	if core.isHead.Load() {
-		t.Error("it goes on with the roles of the head while the disk is full")
+		t.Error("the node keeps the roles of the head while the disk is full")
 	}
 	answer := httptest.NewRecorder()
 	core.operatorAPI().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, configPath, nil))
@@ -60,19 +60,20 @@
 	settings.Seeds = []string{core.settings.Seeds[0], "127.0.0.99:4"}
 	core.UpdateSeeds(&settings)
 	if len(completed) > 0 {
-		t.Error("a write is complete that is not on disk")
+		t.Error("a write that is not on disk was completed")
 	}
 	empty()
 	if completion := <-completed; completion.Outcome != Committed {
-		t.Errorf("the write ends as %+v", completion)
+		t.Errorf("the write completed as %+v", completion)
 	}
 	seeds := 0
 	if !core.onLoop(func() { seeds = len(core.node.settings.Seeds) }) || seeds != 2 {
-		t.Errorf("%d seeds after new settings came while the disk was full", seeds)
+		t.Errorf("%d seeds after new settings arrived while the disk was full, want 2", seeds)
 	}
 }
 
-// The others go on without a node whose disk is full, and it has all again once there is room: the head, the tail, a learner.
+// The other nodes continue without a node whose disk is full, be it the head, the tail or a learner, and the node catches
+// up once there is space.
 func TestClusterProgressesWithoutNodeWithFullDisk(t *testing.T) {
 	for _, node := range []int{0, 2, 3} {
 		c := newCluster(t, 4)
@@ -83,11 +84,11 @@
 		others := slices.DeleteFunc([]int{0, 1, 2, 3}, func(i int) bool { return i == node })
 		for version := 2; version <= 4; version++ {
 			if status := c.put(version, version-1, others...); status != http.StatusOK {
-				t.Fatalf("node %d is full: version %d: %d", node, version, status)
+				t.Fatalf("the disk of node %d is full: put of version %d: status %d", node, version, status)
 			}
 		}
 		empty()
-		c.until("it has all again", func() bool {
+		c.until("the node has caught up", func() bool {
 			status, body := c.send(node, http.MethodGet, "/api/status", "", nil)
 			return status == http.StatusOK && strings.Contains(body, `"config_version":4`) &&
 				(strings.Contains(body, `"role":"member"`) || strings.Contains(body, `"role":"learner"`))
@@ -95,7 +96,7 @@
 	}
 }
 
-// A start on a full disk waits for room, and ends with its context.
+// Opening a node on a full disk waits for space until its context ends; any other error is returned immediately.
 func TestOpenWaitsForDiskSpace(t *testing.T) {
 	full := errors.Mark(errors.New("no room"), sqlitelog.ErrFull)
 	broken := errors.New("another fault")
--- a/internal/tier/controlnode/half_partition_test.go
+++ b/internal/tier/controlnode/half_partition_test.go
@@ -7,17 +7,18 @@
 )
 
 // halvesSimulations is the number of simulations of TestNoAcknowledgedWriteIsLostUnderHalfPartitions.
-var halvesSimulations = flag.Int("halves", 12, "simulations of halves and overlapping losses")
+var halvesSimulations = flag.Int("halves", 12, "number of simulations of partitions into halves with machine losses")
 
-// injectHalfPartition cuts the core into two halves; followers and operators reach both. Machines die and start again in either half meanwhile,
-// more of them than may be lost at once, and one may lose its disk. The cut may end in the middle of an agreement.
+// injectHalfPartition partitions the core nodes into two halves; followers and operators reach both. Meanwhile machines
+// crash and restart in either half, more of them than the fault tolerance, and one may lose its disk. The partition may
+// heal in the middle of a view change.
 func (c *simulation) injectHalfPartition(span time.Duration) {
 	inFirst := map[string]bool{}
 	for _, i := range c.rng.Perm(len(c.addrs))[:len(c.addrs)/2] {
 		inFirst[c.addrs[i]] = true
 	}
-	c.logf("cut into halves, %v in the first", inFirst)
-	c.lagCheckedFrom = time.Hour // service may rest
+	c.logf("partitioned into halves, %v in the first", inFirst)
+	c.lagCheckedFrom = time.Hour // the service may be unavailable
 	for _, a := range c.addrs {
 		for _, b := range c.addrs {
 			if inFirst[a] != inFirst[b] {
@@ -25,12 +26,12 @@
 			}
 		}
 	}
-	disk := c.rng.IntN(3) == 0 // one disk is lost
+	disk := c.rng.IntN(3) == 0 // whether one disk is lost
 	for end := c.now + span; c.now < end && c.failure == ""; {
 		m := c.machines[c.addrs[c.rng.IntN(len(c.addrs))]]
 		switch {
 		case m.up && c.rng.IntN(3) == 0:
-			c.logf("%s dies in its half", m.addr)
+			c.logf("%s crashes in its half", m.addr)
 			c.stop(m)
 			if disk {
 				disk = false
@@ -42,14 +43,15 @@
 		}
 		c.run(time.Duration(c.rng.IntN(100)) * 5 * time.Millisecond)
 	}
-	c.logf("the halves are joined")
+	c.logf("the partition heals")
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// runHalfPartitionSimulation plays halves in turn with losses of power of all machines, of which one may lose its disk.
+// runHalfPartitionSimulation alternates partitions into halves with power losses of all machines, in which one may lose
+// its disk.
 func runHalfPartitionSimulation(t testing.TB, seed uint64, fault injectedBugs) *simulation {
 	c := newSimulation(t, seed, 4+2*int(seed%3), fault)
-	c.faultyMachine = "none" // no machine loses power by itself: this counts what is lost
+	c.faultyMachine = "none" // no single machine loses power at random: all losses are injected here
 	c.run(3 * time.Second)
 	for round := 0; round < 5 && c.failure == ""; round++ {
 		c.injectHalfPartition(time.Duration(100+c.rng.IntN(4000)) * time.Millisecond)
@@ -64,8 +66,8 @@
 	return c
 }
 
-// Even numbers of core nodes cut into equal halves, while more are lost than may be at once: no index is acknowledged twice, nothing
-// acknowledged is lost, and no half shows an older state.
+// An even number of core nodes is partitioned into equal halves, while more are lost than the fault tolerance allows: no
+// index is acknowledged twice, nothing acknowledged is lost, and no half returns a stale state.
 func TestNoAcknowledgedWriteIsLostUnderHalfPartitions(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
@@ -80,18 +82,18 @@
 	}
 	t.Logf("%d simulations: %d writes and %d reads acknowledged", *halvesSimulations, writes, reads)
 	if writes < *halvesSimulations || reads < *halvesSimulations {
-		t.Fatalf("only %d writes and %d reads: they show nothing", writes, reads)
+		t.Fatalf("only %d writes and %d reads were acknowledged, too few for a conclusion", writes, reads)
 	}
 }
 
 func TestHalfPartitionSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]injectedBugs{
-		"a read from an old tail":                      {readsWithoutConfirmation: true},
-		"acknowledged by the head alone":               {acknowledgesEarly: true},
-		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
-		"entries not on disk":                          {losesEntries: true},
-		"a source that does not know it is cut off":    {servesStaleFeed: true, followerRegresses: true},
+		"read from an old tail":                      {readsWithoutConfirmation: true},
+		"acknowledged by the head alone":             {acknowledgesEarly: true},
+		"machine keeps its ID after losing its disk": {keepsIDAfterDiskLoss: true},
+		"entries not on disk":                        {losesEntries: true},
+		"stale feed from a partitioned source":       {servesStaleFeed: true, followerRegresses: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -100,7 +102,7 @@
 					return
 				}
 			}
-			t.Fatal("not found in 400 simulations")
+			t.Fatal("not detected in 400 simulations")
 		})
 	}
 }
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -27,14 +27,14 @@
 	}
 }
 
-// A head stops; its successor has its observations of the stores, and drops them once they are old.
+// After the head stops, its successor uses the head's observations of the stores, and drops them once they are old.
 func TestNewHeadInheritsObservations(t *testing.T) {
 	c := newSimulation(t, 1, 3, injectedBugs{})
 	c.noRandomFaults = true
 	c.run(time.Second)
 	head, next := c.machines["m0"], c.machines["m1"]
 	if !head.node.IsConfirmedHead() {
-		t.Fatalf("the first of the chain does not lead: %+v", head.node.View())
+		t.Fatalf("the first member of the chain is not the confirmed head: %+v", head.node.View())
 	}
 	want := unresponsiveStore(1500 * time.Millisecond)
 	head.node.SetHandover(want)
@@ -50,16 +50,16 @@
 	core := &Server{node: next.node, startedAt: time.Now()}
 	core.assumePlacementRole()
 	if !reflect.DeepEqual(core.placementRole.inherited, want) {
-		t.Errorf("it assumes the role with %+v", core.placementRole.inherited)
+		t.Errorf("the new head assumes the placement role with %+v, want %+v", core.placementRole.inherited, want)
 	}
 	c.run(handoverMaxAge)
 	if got := next.node.Handover(); got.Generation != 0 || len(got.Unresponsive) > 0 {
-		t.Errorf("old observations still count: %+v", got)
+		t.Errorf("expired observations are still returned: %+v", got)
 	}
 }
 
-// The head sends the other control nodes its observation of a store that does not register, until it
-// registers again.
+// The head sends the other core nodes its observation of a store that does not register, until the store registers
+// again.
 func TestHeadSendsObservationsOfUnresponsiveStores(t *testing.T) {
 	c := newCluster(t, 3)
 	registering := []string{"a", "b", "c", "d"}
@@ -75,7 +75,7 @@
 	c.until("all stores are placed", func() bool { return received().Generation > 0 })
 	c.until("all stores register", func() bool { return len(received().Unresponsive) == 0 })
 	registering = registering[:3]
-	c.until("a node that does not lead knows which store is unresponsive", func() bool {
+	c.until("a node that is not the head knows which store is unresponsive", func() bool {
 		h := received()
 		return len(h.Unresponsive) == 1 && h.Unresponsive[0].ID == "d"
 	})
@@ -83,7 +83,7 @@
 	c.until("the store registers again", func() bool { return len(received().Unresponsive) == 0 })
 }
 
-// A node that no majority confirms does not know whether it still has the placement role.
+// A head that no majority confirms does not know whether it still has the placement role, so it sends no observations.
 func TestUnconfirmedHeadSendsNoObservations(t *testing.T) {
 	c := newSimulation(t, 1, 3, injectedBugs{})
 	c.noRandomFaults = true
@@ -98,17 +98,17 @@
 		return n
 	}
 	if sent() == 0 {
-		t.Error("a confirmed head sends nothing")
+		t.Error("a confirmed head sends no observations")
 	}
 	for head.IsConfirmedHead() {
 		sent()
 	}
 	if n := sent(); n > 0 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("an unconfirmed head sent observations in %d messages", n)
 	}
 }
 
-// A node that was head once sends nothing of that time when it is head again.
+// A node that has lost the head's place drops its observations, so that it does not send them if it becomes head again.
 func TestObservationsOfEarlierTermAreNotSent(t *testing.T) {
 	c := newSimulation(t, 1, 3, injectedBugs{})
 	c.noRandomFaults = true
@@ -120,7 +120,8 @@
 	c.unfreeze(head)
 	c.run(3 * time.Second)
 	if head.node.IsConfirmedHead() || head.node.handover.outgoing != nil {
-		t.Errorf("head %v, sends %+v", head.node.IsConfirmedHead(), head.node.handover.outgoing)
+		t.Errorf("confirmed head: %v, outgoing observations: %+v, want neither",
+			head.node.IsConfirmedHead(), head.node.handover.outgoing)
 	}
 }
 
@@ -144,29 +145,29 @@
 	requireElapsed := func(what string, want time.Duration) {
 		t.Helper()
 		if got := node.Handover(); len(got.Unresponsive) != 1 || got.Unresponsive[0].Elapsed != want {
-			t.Errorf("%s: %+v, wanted %v", what, got, want)
+			t.Errorf("after %s: %+v, want %v", what, got, want)
 		}
 	}
 	deliver(head, view.Epoch, 1000, time.Second)
 	requireElapsed("the head's heartbeat", time.Second)
 	deliver(head, view.Epoch, 999, 2*time.Second)
-	requireElapsed("one that comes out of order", time.Second)
+	requireElapsed("a heartbeat that arrives out of order", time.Second)
 	deliver(head, view.Epoch-1, 1001, 2*time.Second)
-	requireElapsed("one of the epoch before", time.Second)
+	requireElapsed("a heartbeat of the previous epoch", time.Second)
 	deliver(c.machines["m2"], view.Epoch, 1002, 2*time.Second)
-	requireElapsed("one of another node", time.Second)
+	requireElapsed("a heartbeat from another node", time.Second)
 	deliver(head, view.Epoch, 1003, 3*time.Second)
-	requireElapsed("the head's next", 3*time.Second)
+	requireElapsed("the head's next heartbeat", 3*time.Second)
 }
 
 func TestPauseResetsInheritedObservations(t *testing.T) {
 	d := placementRole{tookOverAt: time.Second, lastTickAt: time.Second, inherited: unresponsiveStore(time.Second)}
 	d.tick(time.Second + maxRolePause)
 	if len(d.inherited.Unresponsive) != 1 {
-		t.Error("forgotten without a pause")
+		t.Error("the inherited observations are dropped without a pause")
 	}
 	d.tick(10 * time.Second)
 	if len(d.inherited.Unresponsive) > 0 || d.tookOverAt != 10*time.Second {
-		t.Errorf("%+v", d)
+		t.Errorf("after a pause: %+v", d)
 	}
 }
--- a/internal/tier/controlnode/membership.go
+++ b/internal/tier/controlnode/membership.go
@@ -19,7 +19,7 @@
 func (n *Node) wantsViewChange(cond view.Conditions) bool {
 	v := &n.acceptor.View
 	if n.acceptor.HasPromised() && n.now-n.election.promisedAt > 2*n.settings.Timings.HeartbeatInterval {
-		return true // a proposal was started and not finished
+		return true // an earlier proposal was started and not finished
 	}
 	return n.wantsRemovalFromChain(cond) || n.wantsChainExtension(cond) ||
 		view.CanReplace(v, cond) || view.CanAdmit(v, cond) || n.wantsVoterRemoval(cond)
@@ -30,11 +30,11 @@
 	outside := n.acceptor.View.Position(n.settings.Self.ID) < 0
 	for _, l := range n.acceptor.View.Chain {
 		if outside && n.heardByAnotherVoter(l.ID) {
-			continue // the cut link is one that the chain does not use
+			continue // only the link to this node has failed, and the chain does not use it
 		}
 		p := n.peers[l.ID]
 		if p != nil && !p.heardFrom && n.now-p.lastHeard < n.settings.Timings.StartTimeout && l.ID != n.settings.Self.ID {
-			continue // after a start of all, a member that was not heard from yet is no fault
+			continue // after all nodes have started, a member that was not heard from yet may still be starting
 		}
 		if !cond.Alive[l.ID] || (cond.Leaving[l.ID] || cond.Unstable[l.ID]) && n.canShortenChain(cond) {
 			return true
@@ -43,8 +43,8 @@
 	return false
 }
 
-// canShortenChain reports whether enough members of the chain have its complete state without those that leave or start
-// again and again.
+// canShortenChain reports whether enough members of the chain have its complete state, not counting members that leave
+// or are unstable.
 func (n *Node) canShortenChain(cond view.Conditions) bool {
 	staying := 0
 	for _, l := range n.acceptor.View.Chain {
@@ -80,7 +80,7 @@
 	return id != "" && (n.acceptor.View.Position(id) < 0 || n.canShortenChain(cond))
 }
 
-// proposalRank returns this node's turn, from 0, among those that could propose: members of the chain first.
+// proposalRank returns this node's rank, from 0, among the nodes that may propose: members of the chain come first.
 func (n *Node) proposalRank(cond view.Conditions) int {
 	rank := 0
 	for _, l := range n.acceptor.View.Chain {
--- a/internal/tier/controlnode/membership_test.go
+++ b/internal/tier/controlnode/membership_test.go
@@ -7,8 +7,9 @@
 	"larchrouter/internal/tier/chain"
 )
 
-// A member that comes back while a large change has just been committed is not taken into the chain before it has that: all
-// writes would wait while it crosses a thin link. A small change may be on its way.
+// A member that returns just after a large change was committed does not count as caught up until it has received that
+// change: if it joined the chain earlier, all writes would wait while the change crosses a slow link. A small change
+// may still be in flight.
 func TestMemberLackingLargeChangeIsNotCaughtUp(t *testing.T) {
 	for name, one := range map[string]struct {
 		size int
@@ -26,7 +27,7 @@
 			c.run(2 * time.Second)
 			before := head.chain.State().Commit
 			c.handleReady(c.machines["m0"], head.Write(c.now, 1<<40, "large", make([]byte, one.size)))
-			const soon = catchUpLag / 2 // pieces that overtake one another on their way are sent again
+			const soon = catchUpLag / 2 // chunks that arrive out of order are resent
 			for end := c.now + soon; head.chain.State().Commit <= before; c.step() {
 				if c.now > end {
 					t.Fatal("the change is not committed")
--- a/internal/tier/controlnode/message.go
+++ b/internal/tier/controlnode/message.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/tier/view"
 )
 
-// Kinds of messages between control nodes; the values are on the wire.
+// Kinds of messages between core nodes; the values are part of the wire format.
 const (
 	msgHeartbeat = iota
 	msgPrepare
@@ -16,41 +16,41 @@
 	msgAccepted
 	msgDecide
 	msgChainUpdate // from a member of the chain to its successor
-	msgChainAck    // the successor's answer
+	msgChainAck    // the answer to msgChainUpdate
 	msgConfirm
 	msgConfirmed
 	msgHostList
 	msgLearnerUpdate // from the tail to a member outside the chain
-	msgLearnerAck    // its answer
+	msgLearnerAck    // the answer to msgLearnerUpdate
 )
 
-// Message passes between control nodes. Kind decides which fields are used. On the wire the fields are
-// written in their order, without names, and the kinds as numbers: fields and kinds may be renamed, but not
-// moved, retyped, added or removed.
+// Message is a message between core nodes. Kind determines which fields are used. On the wire the fields are written in
+// this order and without names, and the kinds as numbers: fields and kinds may be renamed, but not moved, retyped, added
+// or removed.
 type Message struct {
 	Kind              int
 	From              view.Member
 	Incarnation       int64 // of the sender
-	Epoch             int64 // of the sender's view; for msgPrepare to msgAccepted the epoch to be decided
+	Epoch             int64 // of the sender's view; for msgPrepare to msgAccepted, the epoch to be decided
 	Promised          bool  // the sender has promised to the epoch after its view
 	Leaving           bool  // the sender is about to stop
-	ConfirmationRound int64 // of the sender, with msgHeartbeat and msgConfirm
+	ConfirmationRound int64 // of the sender; with msgHeartbeat and msgConfirm
 	Echoes            []Echo
 	Ballot            view.Ballot
 	AcceptedAt        view.Ballot
-	View              view.View // Epoch 0 for none
+	View              view.View // Epoch is 0 if there is none
 	ActivatedEpoch    int64
 	Update            chain.Update
 	Ack               chain.Ack         // the sender's position in the chain
 	Hosts             []discovery.List  // at most one
 	Delta             []discovery.Delta // at most one
-	HostListTerm      int64             // of the sender's list of hosts
+	HostListTerm      int64             // of the sender's host list
 	HostListNumber    int64
 	Handover          []placement.Observations // with a heartbeat of the head, at most one
 }
 
-// Echo returns to a node, identified by its ID and incarnation, the newest of its confirmation rounds that
-// has come. The order of the fields is that of the wire.
+// Echo returns to a node, identified by its ID and incarnation, the number of the newest of its confirmation rounds that
+// has arrived. The order of the fields is part of the wire format.
 type Echo struct {
 	ID                string
 	Incarnation       int64
--- a/internal/tier/controlnode/node.go
+++ b/internal/tier/controlnode/node.go
@@ -9,17 +9,16 @@
 	"larchrouter/internal/tier/view"
 )
 
-// Node is the state machine of a control node. It does no I/O and reads no clock: each exported method that
-// takes the time handles one event and returns a Ready with what the caller has to persist, send and
-// complete. It is not safe for concurrent use.
+// Node is the state machine of a core node. It does no I/O and reads no clock: each exported method that takes the time
+// handles one event and returns a Ready that says what the caller must persist, send and complete. It is not safe for
+// concurrent use.
 //
-// Its state is split by concern: acceptor (promises and the newest decided view), chain (the replicated
-// entries), peers, election (this node's proposals for the next view), replication (requests and learner in
-// progress), readIndex (confirmation rounds), hosts and handover (soft state). Only acceptor and chain
-// survive a restart.
+// Its state is split by concern: acceptor (promises and the newest decided view), chain (the replicated entries), peers,
+// election (this node's proposals for the next view), replication (pending writes and bulk transfer to a learner),
+// readIndex (confirmation rounds), hosts and handover (soft state). Only acceptor and chain survive a restart.
 type Node struct {
 	settings        NodeSettings
-	now             time.Duration // of the newest event; never goes back
+	now             time.Duration // of the newest event; never decreases
 	nextHeartbeatAt time.Duration
 	nextResendAt    time.Duration
 	leaving         bool // StartLeaving was called
@@ -35,11 +34,11 @@
 	hosts       hostList
 	handover    handover
 
-	ready Ready // collects what the current step asks for; empty between steps
+	ready Ready // collects the results of the current step; empty between steps
 }
 
-// NewNode returns a node with the state that its disk has. A founding node has a View of epoch 1 there, see
-// BootstrapState.
+// NewNode returns a node with the state that was loaded from its disk. The state of a seed that bootstraps the cluster
+// has a View of epoch 1, see BootstrapState.
 func NewNode(s NodeSettings, d Durable, now time.Duration) *Node {
 	n := &Node{settings: s, acceptor: d.Acceptor, chain: chain.New(s.Self.ID, d.State), peers: map[string]*peer{}, now: now}
 	n.election.ballotNumber = d.Acceptor.Promised.Number
@@ -55,8 +54,8 @@
 	return n
 }
 
-// BootstrapState returns the durable state with which a founding seed starts: the seeds, by address, are the voters
-// and the chain of epoch 1.
+// BootstrapState returns the durable state with which a seed starts when it bootstraps the cluster: the seeds, sorted by
+// ID, are the voters and the chain of epoch 1.
 func BootstrapState(seeds []view.Member) Durable {
 	v := view.View{Epoch: 1, Voters: slices.Clone(seeds)}
 	slices.SortFunc(v.Voters, func(a, b view.Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -66,34 +65,34 @@
 	return Durable{Acceptor: view.Acceptor{View: v}, State: chain.State{ActivatedEpoch: 1}}
 }
 
-// View returns the newest decided view that the node knows.
+// View returns the newest decided view that this node knows.
 func (n *Node) View() view.View { return n.acceptor.View }
 
-// Chain returns the node's replica of the chain, for reading only.
+// Chain returns the node's replica of the chain. Callers must not modify it.
 func (n *Node) Chain() *chain.Chain { return n.chain }
 
-// Durable returns the state that has to be on disk.
+// Durable returns the state that must be on disk.
 func (n *Node) Durable() Durable { return Durable{Acceptor: n.acceptor, State: *n.chain.State()} }
 
-// IsConfirmedHead reports whether this node has the singleton roles (planning the placement, polling the
-// platform): it is the active head, and a majority has confirmed that in a round sent within the last
-// SuspectTimeout. It is a hint; whatever the roles write is fenced by the epoch.
+// IsConfirmedHead reports whether this node has the singleton roles (planning the placement, polling the platform): it
+// is the active head, and a majority has confirmed that in a round sent within the last SuspectTimeout. This is only a
+// hint; all writes of the roles are fenced by the epoch.
 func (n *Node) IsConfirmedHead() bool {
 	return n.IsActiveHead() && n.ConfirmationAge() < n.settings.Timings.SuspectTimeout
 }
 
-// IsActiveHead reports whether orders are decided at this node: it is the head of its view's chain, is active
-// in it, and has not promised to the next epoch. It may have been replaced without knowing: a decision is
+// IsActiveHead reports whether orders are decided at this node: it is the head of the chain in its view, is active in
+// the chain, and has made no promise for the next epoch. It may have been replaced without knowing it, so a decision is
 // reported to a caller only after Confirm or a commit.
 func (n *Node) IsActiveHead() bool {
 	return n.acceptor.View.Head() == n.settings.Self.ID && n.chain.IsActive() && !n.acceptor.HasPromised()
 }
 
-// HeadAddr returns the address of the head, empty where none is known.
+// HeadAddr returns the address of the head, empty if no head is known.
 func (n *Node) HeadAddr() string { return n.addr(n.acceptor.View.Head()) }
 
-// ConfirmationAge returns how long ago the newest round was sent that a majority of the voters has confirmed,
-// or an hour where there is none.
+// ConfirmationAge returns how long ago the newest round that a majority of the voters has confirmed was sent, or an hour
+// if there is none.
 func (n *Node) ConfirmationAge() time.Duration {
 	if sent, ok := n.confirmedRoundSentAt(); ok {
 		return n.now - sent
@@ -101,18 +100,17 @@
 	return time.Hour
 }
 
-// Fresh reports whether followers may rely on this node: it had, within the last SuspectTimeout, everything
-// that was committed. It is a hint; an answer to a follower requires ConfirmedSince.
+// Fresh reports whether followers may rely on this node: at some time within the last SuspectTimeout it had all
+// committed entries. This is only a hint; an answer to a follower requires ConfirmedSince.
 func (n *Node) Fresh() bool { return n.ConfirmedSince(n.now - n.settings.Timings.SuspectTimeout) }
 
-// step handles one event and returns what it asks for. The order is part of the contract: the event,
-// completed writes, a requested confirmation round, completed waiters, and at last the updates to the
-// successor and the learner.
+// step handles one event and returns the resulting Ready. The order is part of the contract: the event, completed
+// writes, a requested confirmation round, completed waiters, and finally the updates to the successor and the learners.
 func (n *Node) step(now time.Duration, event func()) Ready {
 	n.advanceClock(now)
 	known := n.chain.CommitIsCurrent()
 	event()
-	if !known && n.chain.CommitIsCurrent() { // followers wait for this node
+	if !known && n.chain.CommitIsCurrent() { // the node can serve followers again once a round is confirmed
 		n.readIndex.requestedRound = n.readIndex.rounds.number + 1
 	}
 	n.completeCommittedWrites()
@@ -124,9 +122,9 @@
 	return ready
 }
 
-// advanceClock sets the time. After a pause of this node itself (frozen, or without a processor, for more
-// than MaxPause) the missing messages of that time are no evidence of others' faults, and the deadlines move
-// by the gap. The pause says nothing about this node's own health either: that takes a confirmation round.
+// advanceClock sets the time. After this node itself has paused for more than MaxPause (frozen, or not scheduled on a
+// CPU), the messages missing from that time are no evidence of failures of other nodes, so the deadlines move by the
+// gap. A pause is no evidence about this node's own role either: that takes a confirmation round.
 func (n *Node) advanceClock(now time.Duration) {
 	if gap := now - n.now; gap > n.settings.Timings.MaxPause {
 		for _, p := range n.peers {
@@ -139,7 +137,7 @@
 	n.now = max(n.now, now)
 }
 
-// Tick handles the passing of time. It is to be called several times in Timings.HeartbeatInterval.
+// Tick handles the passing of time. Call it several times per Timings.HeartbeatInterval.
 func (n *Node) Tick(now time.Duration) Ready {
 	return n.step(now, func() {
 		if n.now >= n.nextHeartbeatAt {
@@ -155,10 +153,10 @@
 	})
 }
 
-// complete adds the end of a write or a read to the Ready of this step.
+// complete adds the result of a write or a read to the Ready of this step.
 func (n *Node) complete(c Completion) { n.ready.Completed = append(n.ready.Completed, c) }
 
-// resend repeats what is in flight: its messages, or the answers to them, may be lost.
+// resend resends messages that are not answered yet: they, or the answers to them, may have been lost.
 func (n *Node) resend() {
 	n.chain.Resend()
 	if !n.chain.IsActive() || !n.replication.updateReceived {
@@ -176,8 +174,8 @@
 	}
 }
 
-// StartLeaving announces that this node is about to stop: another takes its place in the chain and its roles
-// at once.
+// StartLeaving starts a graceful shutdown: the node announces that it is about to stop, and another takes over its place
+// in the chain and its roles immediately.
 func (n *Node) StartLeaving(now time.Duration) Ready {
 	return n.step(now, func() {
 		n.leaving = true
@@ -187,8 +185,8 @@
 	})
 }
 
-// CanStop reports whether the node may stop: it is not in the chain any more and has no vote that others
-// would miss, or too few others are alive for a chain without it, so that waiting is of no use.
+// CanStop reports whether the node may stop: it is no longer in the chain, and is not a voter or there are too few voters
+// to remove it; or too few other nodes are alive for a chain without it, so that waiting would not help.
 func (n *Node) CanStop() bool {
 	v := &n.acceptor.View
 	if v.Position(n.settings.Self.ID) < 0 && (!v.IsVoter(n.settings.Self.ID) || len(v.Voters) <= 2*n.settings.FaultTolerance+1) {
--- a/internal/tier/controlnode/peer_calls.go
+++ b/internal/tier/controlnode/peer_calls.go
@@ -10,14 +10,14 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// Bounds of what waits for one peer.
+// Bounds of the queue of outgoing messages to one peer.
 const (
-	maxQueuedMessages = 64 // for one address
+	maxQueuedMessages = 64 // per address
 	notifyTimeout     = 800 * time.Millisecond
 )
 
-// sendToPeer queues a message for the goroutine that sends to one address, in order. A message for a full
-// queue is dropped; the node resends what matters. It runs on the event loop.
+// sendToPeer queues a message for the goroutine that sends to one address, in order. If the queue is full, the message is
+// dropped; the node resends the essential ones. It runs on the event loop.
 func (s *Server) sendToPeer(e Envelope) {
 	queue := s.senders[e.To]
 	if queue == nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// handlers returns the handlers of the calls of other nodes and of followers.
+// handlers returns the handlers of the RPC calls from other nodes and from followers.
 func (s *Server) handlers() map[rpc.Method]rpc.Handler {
 	return map[rpc.Method]rpc.Handler{
 		feed.PeerCall:         s.handlePeerMessage,
@@ -64,7 +64,7 @@
 	}
 }
 
-// handlePeerMessage queues a message of another node for the event loop. There is no answer.
+// handlePeerMessage queues a message from another node for the event loop. There is no answer.
 func (s *Server) handlePeerMessage(_ context.Context, body []byte) (any, error) {
 	var m Message
 	if err := rpc.Decode(body, &m); err != nil {
@@ -80,7 +80,7 @@
 	return nil, nil
 }
 
-// typedHandler returns the handler of a call with a typed request and response.
+// typedHandler returns the handler for a call with a typed request and response.
 func typedHandler[Request, Response any](f func(context.Context, *Request) (*Response, error)) rpc.Handler {
 	return func(ctx context.Context, body []byte) (any, error) {
 		request := new(Request)
@@ -91,14 +91,14 @@
 	}
 }
 
-// errNoHead reports that no node is known that can take a request.
+// errNoHead reports that no node that can handle the request is known.
 var errNoHead = errors.New("no node can take this now: the view changes; try again")
 
-// errStopping reports that this node stops.
+// errStopping reports that this node is shutting down.
 var errStopping = errors.New("this node stops: ask another")
 
-// forward passes a call to the node that can answer it, over one hop at most: the caller marks the request as
-// forwarded.
+// forward passes a call to the node that can answer it. The caller marks the request as forwarded, so that it is
+// forwarded at most once.
 func forward[Request, Response any](
 	ctx context.Context, s *Server, to string, method rpc.Method, request *Request,
 ) (*Response, error) {
--- a/internal/tier/controlnode/peers.go
+++ b/internal/tier/controlnode/peers.go
@@ -7,31 +7,31 @@
 	"larchrouter/internal/tier/view"
 )
 
-// peer is what a node knows of another member. Everything in it was reported by one incarnation of the peer:
-// a message of a newer incarnation resets it. Fields about confirmation are reset with each adopted view.
+// peer is what a node knows about another member. Everything in it was reported by one incarnation of the peer: a message
+// from a newer incarnation resets it. Fields about confirmation are reset with each adopted view.
 type peer struct {
 	member            view.Member
-	incarnation       int64         // the newest that was heard from; messages of an older one are dropped
-	lastHeard         time.Duration // when its last message came, or when it became known
-	heardFrom         bool          // a message of this incarnation has come
-	echoedRoundSentAt time.Duration // when the newest of our rounds that it echoed was sent, or when it became known
-	echoedInView      bool          // it has echoed a round that this node sent since it adopted its view
+	incarnation       int64         // the newest that was heard from; messages from older ones are dropped
+	lastHeard         time.Duration // when its last message arrived, or when the peer became known
+	heardFrom         bool          // a message from this incarnation has arrived
+	echoedRoundSentAt time.Duration // when the newest of this node's rounds that it echoed was sent, or when it became known
+	echoedInView      bool          // it has echoed a round that this node sent after adopting the current view
 	leaving           bool
 	epoch             int64
-	chainAck          chain.Ack // its position in the chain, with its last heartbeat
-	heardPeers        []string  // the ids from which it has heard recently, sorted
+	chainAck          chain.Ack // the last position in the chain that it reported
+	heardPeers        []string  // the sorted IDs of the members that it has heard from recently
 	hostListTerm      int64
 	hostListNumber    int64
-	latestRound       int64 // the newest of its confirmation rounds that has come; this node echoes it
+	latestRound       int64 // the newest of its confirmation rounds that has arrived; this node echoes it
 	confirmedRound    int64 // the newest of this node's rounds that it has confirmed in this epoch
 
-	restarts [2]time.Duration // when the last two incarnations after the first one were heard of; 0 for none
+	restarts [2]time.Duration // when the last two restarts were noticed; 0 for none
 
-	commitReported bool  // it has reported, in this epoch, what is committed
+	commitReported bool  // it has reported a current commit index in this epoch
 	reportedCommit int64 // valid if commitReported
 }
 
-// ensurePeer returns the peer of a member, and adds it if it is unknown.
+// ensurePeer returns the peer for a member, and adds it if it is unknown.
 func (n *Node) ensurePeer(m view.Member) *peer {
 	p := n.peers[m.ID]
 	if p == nil {
@@ -41,8 +41,8 @@
 	return p
 }
 
-// recordMessage notes that a message of a peer has come. It returns nil if the message is of an earlier
-// incarnation.
+// recordMessage records that a message from a peer has arrived, and returns the peer. It returns nil if the message is
+// from an earlier incarnation.
 func (n *Node) recordMessage(m Message) *peer {
 	p := n.ensurePeer(m.From)
 	if m.Incarnation < p.incarnation {
@@ -59,28 +59,29 @@
 	return p
 }
 
-// crashLoopWindow is how long a peer counts as unstable after a restart that follows on another within the same time.
+// crashLoopWindow is the longest time between two restarts that make a peer unstable, and how long it then counts as
+// unstable after the second one.
 const crashLoopWindow = 3 * time.Second
 
-// isUnstable reports whether a peer starts again and again. Each of its deaths holds up the chain until it is suspected, and one
-// that starts again before that is never suspected.
+// isUnstable reports whether a peer is in a crash loop. Each of its crashes blocks the chain until the peer is suspected,
+// and a peer that restarts before that is never suspected.
 func (n *Node) isUnstable(p *peer) bool {
 	last, before := p.restarts[1], p.restarts[0]
 	return before > 0 && last-before < crashLoopWindow && n.now-last < crashLoopWindow
 }
 
-// recentlyHeard reports whether a message of a peer has come within three heartbeat intervals.
+// recentlyHeard reports whether a message from a peer has arrived within three heartbeat intervals.
 func (n *Node) recentlyHeard(p *peer) bool {
 	return p.heardFrom && n.now-p.lastHeard < 3*n.settings.Timings.HeartbeatInterval
 }
 
-// hasEchoedRecently reports whether a peer has recently echoed a round of this node: messages reach it.
+// hasEchoedRecently reports whether a peer has recently echoed a round of this node, so messages from this node reach it.
 func (n *Node) hasEchoedRecently(p *peer) bool {
 	return n.now-p.echoedRoundSentAt <= 4*n.settings.Timings.HeartbeatInterval
 }
 
-// addr returns the address of a member: the one it was last heard from, or else the one in the view; empty
-// where it is unknown.
+// addr returns the address of a member: the one that it was last heard from, or else the one in the view, or empty if it
+// is unknown.
 func (n *Node) addr(id string) string {
 	if p := n.peers[id]; p != nil && p.heardFrom {
 		return p.member.Addr
--- a/internal/tier/controlnode/power_loss_test.go
+++ b/internal/tier/controlnode/power_loss_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// startSpread is the time within which machines start that get power back together.
+// startSpread is the period within which machines start whose power returns at the same time.
 const startSpread = 300 * time.Millisecond
 
-// All machines lose power, and those that come back start within startSpread. Writes are acknowledged, and followers are served by the
-// first node, a moment after the last of them has started; where one stays away, after StartTimeout at most since the first start.
+// All machines lose power, and those that return start within startSpread. If all return, writes are acknowledged and the
+// first node serves followers within two ticks of the last start; if one does not return, within StartTimeout and a view
+// change.
 func TestTimeToServeAfterPowerLoss(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{3, 4, 5, 8} {
-		for _, missing := range []int{-1, 0, 1, 2} { // the machine that stays away: none, the head, in the middle, the tail
-			name := fmt.Sprintf("%d nodes, %d missing", nodes, missing)
+		for _, missing := range []int{-1, 0, 1, 2} { // the machine that does not return: none, head, middle member, tail
+			name := fmt.Sprintf("%d nodes, missing machine %d", nodes, missing)
 			var served, written []time.Duration
 			for seed := uint64(1); seed <= 20; seed++ {
 				s, w := timeToServe(t, seed, nodes, missing)
@@ -24,20 +25,22 @@
 			}
 			slices.Sort(served)
 			slices.Sort(written)
-			t.Logf("%s: followers are served after %v (at most %v), writes after %v (at most %v)", name,
+			t.Logf("%s: followers are served after %v (median; maximum %v), writes after %v (median; maximum %v)", name,
 				served[10], served[19], written[10], written[19])
 			limit := 100 * time.Millisecond // two ticks
 			if missing >= 0 {
-				limit = DefaultTimings().StartTimeout + 150*time.Millisecond // a view is agreed on
+				limit = DefaultTimings().StartTimeout + 150*time.Millisecond // time for a view change
 			}
 			if served[19] > limit || written[19] > limit+150*time.Millisecond {
-				t.Errorf("%s: served after %v, written after %v", name, served[19], written[19])
+				t.Errorf("%s: followers are served after %v, writes after %v, limits %v and %v", name,
+					served[19], written[19], limit, limit+150*time.Millisecond)
 			}
 		}
 	}
 }
 
-// timeToServe returns how long after the last start of a machine the first node is fresh for followers, and a write is acknowledged.
+// timeToServe returns how long after the last start of a machine the first node is fresh for followers, and the first
+// write is acknowledged.
 func timeToServe(t *testing.T, seed uint64, nodes, missing int) (served, written time.Duration) {
 	t.Helper()
 	c := newSimulationWith(t, seed, nodes, 1, ChainLength(1), injectedBugs{})
@@ -62,7 +65,7 @@
 	lastStart := c.now
 	for writes := c.writes; served == 0 || written == 0; c.step() {
 		if c.now-lastStart > 5*time.Second {
-			t.Fatalf("seed %d: nothing is served 5 s after a loss of power\n%s", seed, c.trace())
+			t.Fatalf("seed %d: no service 5 s after the machines have started\n%s", seed, c.trace())
 		}
 		for _, a := range c.addrs {
 			m := c.machines[a]
--- a/internal/tier/controlnode/race_on_test.go
+++ b/internal/tier/controlnode/race_on_test.go
@@ -2,5 +2,6 @@
 
 package controlnode
 
-// raceDetector makes a process some ten times as slow, which no limit of time allows for.
+// raceDetector reports whether the race detector is on. It makes a process about ten times slower, which the time limits
+// of the tests do not allow for.
 const raceDetector = true
--- a/internal/tier/controlnode/read_index.go
+++ b/internal/tier/controlnode/read_index.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// readIndex confirms that the view of this node is the newest one, for answers that are not the commit of a
-// write (as ReadIndex in Raft). Nothing that a node answers may rest on a view that another has replaced, and
-// a node that was partitioned or frozen does not know that it was. So it asks: a confirmation round is a number
-// that is sent to all voters, with each heartbeat and when a request waits; a voter echoes the newest number
-// that has come, as long as it is in the same epoch and has not promised to the next. Once a majority has
-// echoed a round, no later view had been decided when that round was sent.
+// readIndex confirms that this node's view is the newest one, for all answers except the commit of a write (like
+// ReadIndex in Raft). No answer may be based on a view that has been replaced, and a node that was partitioned or frozen
+// does not know about newer views. It therefore asks the voters: a confirmation round is a number that is sent to all
+// voters, with each heartbeat and when a request waits. A voter echoes the newest number that it has received; the echo
+// counts if the voter is in the same epoch and has made no promise for the next one. Once a majority has echoed a round,
+// no later view had been decided when that round was sent.
 //
-// Invariants: a waiter is completed by a round that was started after it came, in the epoch in which it came.
-// No clock of another node is used, and this node's own only orders its own events.
+// Invariants: a waiter is completed by a round that was started after the request arrived, in the same epoch. The clocks
+// of other nodes are not used, and this node's clock only orders its own events.
 type readIndex struct {
 	rounds          confirmationRounds
-	requestedRound  int64 // a round with this number or a higher one is wanted
-	roundAtAdoption int64 // the newest when the view was adopted
+	requestedRound  int64 // a round with this number or a higher one is requested
+	roundAtAdoption int64 // the newest round when the view was adopted
 	waiters         []waiter
 }
 
-// waiter is a request that waits for a round that starts after it.
+// waiter is a request that waits for a round that starts after the request arrived.
 type waiter struct {
 	requestID int64
 	atTail    bool // a read at the tail; otherwise a request at the head
 	round     int64
 	epoch     int64
-	index     int64 // has to be committed
+	index     int64 // must be committed
 	startedAt time.Duration
 }
 
-// Confirm ends in a Completion with the request ID: Committed once a majority of the voters has confirmed, in
-// a round started after this call, that this head's epoch is the newest, and the index is committed. The
-// head's state up to that index is then no older than anything that was acknowledged before the call.
+// Confirm ends in a Completion with the request ID. It is Committed once the index is committed and a majority of the
+// voters has confirmed, in a round started after this call, that the epoch of this head is the newest. The head's state
+// up to that index then includes everything that was acknowledged before the call.
 func (n *Node) Confirm(now time.Duration, requestID, index int64) Ready {
 	return n.step(now, func() {
 		switch {
@@ -45,8 +45,8 @@
 	})
 }
 
-// ReadIndex ends in a Completion with the request ID whose Index is committed and not older than anything
-// that was acknowledged before the call.
+// ReadIndex ends in a Completion with the request ID. Its Index is committed, and no lower than any index that was
+// acknowledged before the call.
 func (n *Node) ReadIndex(now time.Duration, requestID int64) Ready {
 	return n.step(now, func() {
 		if n.acceptor.View.Tail() != n.settings.Self.ID || !n.chain.IsActive() || n.acceptor.HasPromised() {
@@ -57,7 +57,7 @@
 	})
 }
 
-// RequestConfirmation asks for a round now, for a caller that polls ConfirmedSince.
+// RequestConfirmation requests a confirmation round now, for a caller that polls ConfirmedSince.
 func (n *Node) RequestConfirmation(now time.Duration) Ready {
 	return n.step(now, func() {
 		if (n.chain.IsActive() || n.isVotingLearner()) && !n.acceptor.HasPromised() {
@@ -66,9 +66,9 @@
 	})
 }
 
-// ConfirmedSince reports whether what this node has committed is no older than anything that was acknowledged
-// before the given time: in a round sent at that time or later a majority has confirmed the epoch, the tail
-// has reported its commit index, and this node has everything up to it. A learner has committed entries only, so that it may answer
+// ConfirmedSince reports whether the committed state of this node includes everything that was acknowledged before the
+// given time: in a round sent at that time or later, a majority has confirmed the epoch and the tail has reported its
+// commit index, and this node has everything up to that index. A learner has only committed entries, so it may answer
 // by the same rule as a member of the chain.
 func (n *Node) ConfirmedSince(since time.Duration) bool {
 	if n.acceptor.HasPromised() || !n.chain.CommitIsCurrent() && !n.isVotingLearner() {
@@ -94,15 +94,15 @@
 	return n.acceptor.View.IsVoter(n.settings.Self.ID) && n.chain.IsLearner()
 }
 
-// addWaiter has a request wait for the next round.
+// addWaiter makes a request wait for the next round.
 func (n *Node) addWaiter(w waiter) {
 	w.round, w.epoch, w.startedAt = n.readIndex.rounds.number+1, n.acceptor.View.Epoch, n.now
 	n.readIndex.waiters = append(n.readIndex.waiters, w)
 	n.readIndex.requestedRound = max(n.readIndex.requestedRound, w.round)
 }
 
-// completeWaiters completes the waiters whose round was confirmed, and those for which it cannot be any
-// more.
+// completeWaiters completes the waiters whose round is confirmed, and those whose round can no longer be confirmed in
+// time.
 func (n *Node) completeWaiters() {
 	if len(n.readIndex.waiters) == 0 {
 		return
--- a/internal/tier/controlnode/receive.go
+++ b/internal/tier/controlnode/receive.go
@@ -6,7 +6,7 @@
 	"larchrouter/internal/tier/discovery"
 )
 
-// Receive handles a message of another node.
+// Receive handles a message from another node.
 func (n *Node) Receive(now time.Duration, m Message) Ready {
 	return n.step(now, func() {
 		if m.From.ID == n.settings.Self.ID || m.From.ID == "" {
@@ -57,8 +57,8 @@
 	}
 }
 
-// handleHeartbeat takes over a peer's state: its echoes, position in the chain, observations of stores and
-// list of hosts.
+// handleHeartbeat records the state that a peer reports: its echoes, its position in the chain, its observations of the
+// stores and the version of its host list.
 func (n *Node) handleHeartbeat(p *peer, m Message) {
 	for _, e := range m.Echoes {
 		n.handleEcho(p, m, e)
@@ -82,8 +82,8 @@
 	}
 }
 
-// handleChainUpdate takes entries from the predecessor and acknowledges them; the acknowledgement leaves
-// after the sync that MustSync asks for.
+// handleChainUpdate applies entries from the predecessor and acknowledges them. The acknowledgement leaves the node after
+// the sync that MustSync requests.
 func (n *Node) handleChainUpdate(m Message) {
 	if n.acceptor.HasPromised() {
 		return
@@ -102,14 +102,14 @@
 	n.sendChainAck()
 }
 
-// handleChainAck takes the position of the successor.
+// handleChainAck records the position of the successor.
 func (n *Node) handleChainAck(m Message) {
 	if n.chain.HandleAck(m.From.ID, m.Incarnation, m.Ack) {
-		n.sendChainAck() // the commit index goes upstream
+		n.sendChainAck() // pass the commit index on to the predecessor
 	}
 }
 
-// handleLearnerAck takes the position of a member outside the chain.
+// handleLearnerAck records the position of a member outside the chain.
 func (n *Node) handleLearnerAck(p *peer, m Message) {
 	p.chainAck = m.Ack
 	n.chain.HandleLearnerAck(m.From.ID, m.Incarnation, m.Ack)
--- a/internal/tier/controlnode/replication.go
+++ b/internal/tier/controlnode/replication.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// replication is the state of transfers along the chain that package chain does not have: the writes of this
-// head that are not committed yet, and the learner that this node, as the tail, brings up to date outside the
-// chain.
+// replication is the replication state that package chain does not keep: the writes at this head that are not
+// committed yet, and the learner (a member outside the chain) to which this node, as the tail, makes a bulk transfer.
 //
-// Invariants: pendingWrites is empty unless this node is the head; at most one learner at a time is sent much.
+// Invariants: pendingWrites is empty unless this node is the head; there is at most one bulk transfer to a learner at a
+// time.
 type replication struct {
 	updateReceived     bool // the predecessor has sent an update in this epoch and incarnation
 	pendingWrites      []pendingWrite
-	bulkLearner        string        // the id of the one that the tail sends much to, empty for none
-	bulkLearnerAckedAt time.Duration // when it answered last
+	bulkLearner        string        // the ID of the learner that receives a bulk transfer; empty if there is none
+	bulkLearnerAckedAt time.Duration // when its last acknowledgement arrived
 }
 
 // pendingWrite is a write at this head whose entry is not committed yet.
@@ -23,8 +23,8 @@
 	index     int64
 }
 
-// Write appends an entry at the head. It ends in a Completion with the request ID: Committed once every
-// member of the chain has the entry on disk.
+// Write appends an entry at the head. It ends in a Completion with the request ID, which is Committed once every member
+// of the chain has the entry on disk.
 func (n *Node) Write(now time.Duration, requestID int64, key string, value []byte) Ready {
 	return n.step(now, func() {
 		if n.acceptor.HasPromised() && n.acceptor.View.Head() == n.settings.Self.ID {
@@ -37,7 +37,7 @@
 			return
 		}
 		n.ready.MustSync = true
-		n.chain.MarkDurable() // the completion leaves after the sync that MustSync asks for
+		n.chain.MarkDurable() // MustSync: the entry is synced before the completion leaves the node
 		n.replication.pendingWrites = append(n.replication.pendingWrites, pendingWrite{requestID, e.Index})
 	})
 }
@@ -54,7 +54,7 @@
 	})
 }
 
-// replicate sends the successor, and a learner, the updates that they lack.
+// replicate sends the successor and the learners the updates that they are missing.
 func (n *Node) replicate() {
 	if !n.acceptor.HasPromised() {
 		for {
@@ -68,8 +68,9 @@
 	n.updateLearners()
 }
 
-// updateLearners sends learners the updates that they lack. Learners that lack little, such as the entry committed last, are sent it at
-// once. Of those that lack much one at a time is served: several would share the link, and all would take long.
+// updateLearners sends learners the updates that they are missing. Learners that are nearly caught up, for example
+// missing only the last committed entry, are sent it immediately. Bulk transfers are made to one learner at a time:
+// several would share the link, and all would take long.
 func (n *Node) updateLearners() {
 	bulk := ""
 	for _, id := range n.laggingLearners() {
@@ -87,7 +88,8 @@
 	}
 }
 
-// chooseBulkLearner chooses the learner that is sent much: the present one while it is behind and answers, then the candidate.
+// chooseBulkLearner chooses the learner that receives a bulk transfer: the current one while it is behind and responds,
+// then the candidate.
 func (n *Node) chooseBulkLearner(candidate string) {
 	r := &n.replication
 	if r.bulkLearner != "" && !n.chain.LearnerIsBehind(r.bulkLearner) {
@@ -102,12 +104,13 @@
 	}
 }
 
-// isNearlyCaughtUp reports whether what a member outside the chain lacks is soon sent on a slow link.
+// isNearlyCaughtUp reports whether the entries that a member outside the chain is missing are few enough to be sent
+// quickly on a slow link.
 func (n *Node) isNearlyCaughtUp(id string) bool {
 	return n.chain.CommittedBytes(n.peers[id].chainAck.Commit) <= catchUpBytes
 }
 
-// sendLearnerUpdates sends a learner as many updates as its window takes.
+// sendLearnerUpdates sends a learner as many updates as its window allows.
 func (n *Node) sendLearnerUpdates(id string) {
 	for {
 		u, ok := n.chain.NextLearnerUpdate(id)
@@ -118,7 +121,7 @@
 	}
 }
 
-// laggingLearners returns the ids of the learners that lack committed entries, sorted.
+// laggingLearners returns the sorted IDs of the learners that are missing committed entries.
 func (n *Node) laggingLearners() (ids []string) {
 	for id := range n.peers {
 		if n.chain.LearnerIsBehind(id) {
--- a/internal/tier/controlnode/send.go
+++ b/internal/tier/controlnode/send.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// send adds a message to the Ready of this step, with the sender and, unless set, the epoch of its view. A
-// message to this node itself or to an unknown address is dropped.
+// send adds a message to the Ready of this step, and sets its sender and, unless it is set already, its epoch. A message
+// to this node itself or to an unknown address is dropped.
 func (n *Node) send(to string, m Message) {
 	if to == "" || to == n.settings.Self.Addr {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// sendToAll sends to the voters, to members without a vote from which a message came recently, and to the
-// seeds while this node has no vote itself.
+// sendToAll sends a message to the voters, to all other peers that were heard from recently, and, while this node is not
+// a voter itself, to the seeds.
 func (n *Node) sendToAll(m Message) {
 	var addresses []string
 	for _, v := range n.acceptor.View.Voters {
@@ -48,7 +48,7 @@
 	}
 }
 
-// sendHeartbeat starts a confirmation round and sends this node's state with it.
+// sendHeartbeat starts a confirmation round and sends it together with this node's state.
 func (n *Node) sendHeartbeat() {
 	m := Message{
 		Kind:              msgHeartbeat,
@@ -72,7 +72,7 @@
 	n.sendToAll(m)
 }
 
-// sendDecidedView sends the newest view to the sender of a message, if that is not ahead of it.
+// sendDecidedView sends the newest view to the sender of a message, unless the message is of a later epoch.
 func (n *Node) sendDecidedView(m Message) {
 	if n.acceptor.View.Epoch > 0 && m.Epoch <= n.acceptor.View.Epoch {
 		n.send(m.From.Addr, Message{Kind: msgDecide, View: n.acceptor.View})
