--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if got := c.get(0); got != string(config(versions)) {
-		t.Errorf("current configuration: %s, want version %d", got, versions)
+		t.Errorf("unexpected current configuration: %s", got)
 	}
 }
 
--- a/internal/tier/controlnode/event_loop.go
+++ b/internal/tier/controlnode/event_loop.go
@@ -149,7 +149,7 @@
 		return
 	}
 	if fresh != last.fresh {
-		s.log.Debug("freshness for followers changed", "fresh", fresh, "confirmation_age", s.node.ConfirmationAge(), "commit", commit)
+		s.log.Debug("freshness changed", "fresh", fresh, "confirmation_age", s.node.ConfirmationAge(), "commit", commit)
 	}
 	if hosts != last.hosts {
 		s.hostListHistory.Add(last.hosts, hosts)
--- a/internal/tier/controlnode/follower_partition_test.go
+++ b/internal/tier/controlnode/follower_partition_test.go
@@ -12,22 +12,24 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// configApplyLimit is config_apply_ms: within it a follower that is in touch with some node acts on a change. That it does is judged
-// in virtual time, by the simulations of package feed. Here, where a busy machine keeps whole processes back, the followers
-// have to catch up while the partition lasts, within fleetLimit; a follower that takes longer than configApplyLimit is logged.
+// configApplyLimit is config_apply_ms: the time within which a follower that reaches some node activates a change. The
+// simulations of package feed check it in virtual time. Here a busy machine may delay whole processes, so followers only
+// have to catch up during the partition, within fleetLimit; the time that they take is logged next to configApplyLimit.
 const configApplyLimit = 2 * time.Second
 
-// preferredSourceLimit is more than the 16 s in which a follower that began elsewhere tries to follow the first of its own order.
+// preferredSourceLimit is above the 16 s within which a follower that started with another source retries its preferred
+// one.
 const preferredSourceLimit = 40 * time.Second
 
-// relayedFollower is a follower that reaches each node through a relay of its own.
+// relayedFollower is a follower that reaches each node through a separate relay.
 type relayedFollower struct {
 	*feed.Follower
 	f      *fleet
 	relays []*cutproxy.Relay // by node
 }
 
-// linked runs a follower whose first source is a node, with its links cut as set before it starts; cut may be nil.
+// newRelayedFollower runs a follower whose first source is the given node. The function cut, which may be nil, blocks
+// links before the follower starts.
 func (f *fleet) newRelayedFollower(first int, seeds []int, cut func(l *relayedFollower)) *relayedFollower {
 	f.t.Helper()
 	l := &relayedFollower{f: f}
@@ -50,14 +52,14 @@
 	return l
 }
 
-// node is the one that is followed.
+// source returns the node that is followed.
 func (l *relayedFollower) source() int {
 	for i := range l.f.n {
 		if l.f.peer(i) == l.Core() {
 			return i
 		}
 	}
-	l.f.t.Fatalf("it follows %s, which is no node", l.Core())
+	l.f.t.Fatalf("the follower follows %s, which is not a node", l.Core())
 	return 0
 }
 
@@ -69,7 +71,7 @@
 	}
 }
 
-// release unblocks links; what was blocked is delivered, or lost with its connection.
+// unblockLinks unblocks links. The blocked bytes are delivered, or, with lose, lost with their connection.
 func (l *relayedFollower) unblockLinks(lose bool, nodes ...int) {
 	for _, i := range nodes {
 		if lose {
@@ -80,7 +82,7 @@
 	}
 }
 
-// acts has a change acknowledged, and the follower act on it.
+// requireActsOnChange makes a change and requires that the follower acts on it.
 func (l *relayedFollower) requireActsOnChange(what string) {
 	l.f.t.Helper()
 	version := l.f.change(1, l.f.all()...)
@@ -88,11 +90,12 @@
 		now := l.Tables().Config
 		return now != nil && now.Version >= version
 	})
-	l.f.t.Logf("%s: acts on a change %v after it was acknowledged, wanted within %v", what, took.Round(time.Millisecond), configApplyLimit)
+	l.f.t.Logf("%s: acts on a change %v after it was acknowledged, target %v", what, took.Round(time.Millisecond), configApplyLimit)
 }
 
-// TestFollowerInOneWayPartition: on sockets, a follower that receives nothing, or whose messages are lost,
-// of its source, of one after the other, of all but one as it starts, and of all until a change arrives.
+// TestFollowerInOneWayPartition runs a follower over sockets whose links are blocked in one or both directions: to its
+// source, to each source in turn, to all nodes but one as it starts, and to all nodes until a change arrives. It must
+// still act on each change.
 func TestFollowerInOneWayPartition(t *testing.T) {
 	t.Parallel()
 	for name, directions := range map[string][]cutproxy.Direction{
@@ -107,25 +110,25 @@
 			first := r.IntN(3)
 			l := f.newRelayedFollower(first, f.all(), nil)
 			l.requireActsOnChange("all links work")
-			f.within(preferredSourceLimit, "it follows the first of its own order", func() bool { return l.source() == first })
-			for range 3 { // the cut moves from its source to the next
+			f.within(preferredSourceLimit, "it follows its preferred source", func() bool { return l.source() == first })
+			for range 3 { // the partition moves from its source to the next
 				source := l.source()
 				l.blockLinks(directions, source)
-				l.requireActsOnChange("its source is cut off")
+				l.requireActsOnChange("its source is partitioned")
 				l.blockLinks(directions, others(3, source)[r.IntN(2)])
-				l.requireActsOnChange("two of three are cut off")
+				l.requireActsOnChange("two of three nodes are partitioned")
 				l.unblockLinks(r.IntN(2) == 0, f.all()...)
 			}
 			one := r.IntN(3)
 			second := f.newRelayedFollower(others(3, one)[0], f.all(), func(l *relayedFollower) { l.blockLinks(directions, others(3, one)...) })
-			second.requireActsOnChange("it starts and reaches one of three")
+			second.requireActsOnChange("it starts and reaches one node of three")
 			l.healDuringChange(directions, r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
 		})
 	}
 }
 
-// healDuringChange cuts all links for longer than any call lasts, and joins them as a change is under way.
+// healDuringChange blocks all links for longer than any call lasts, and unblocks them while a change is in flight.
 func (l *relayedFollower) healDuringChange(directions []cutproxy.Direction, lose bool) {
 	l.f.t.Helper()
 	l.blockLinks(directions, l.f.all()...)
@@ -136,12 +139,12 @@
 	l.f.until("the follower has missed a poll", func() bool { return time.Since(confirmedAt) > configApplyLimit })
 	var joined sync.WaitGroup
 	joined.Go(func() { l.unblockLinks(lose, l.f.all()...) })
-	l.requireActsOnChange("all were cut off, and are joined as a change arrives")
+	l.requireActsOnChange("all links were blocked, and heal as a change arrives")
 	joined.Wait()
 }
 
-// TestFollowerWhoseSeedsArePartitioned: the only node that a starting follower knows is partitioned from the others in one
-// way; it names them, and they feed the follower.
+// TestFollowerWhoseSeedsArePartitioned: the only node that a starting follower knows is in a one-way partition from the
+// other nodes. It tells the follower their addresses, and they serve the follower.
 func TestFollowerWhoseSeedsArePartitioned(t *testing.T) {
 	t.Parallel()
 	for name, hold := range map[string]func(f *fleet, i int){
@@ -157,14 +160,14 @@
 			f.change(1, f.allExcept(seed)...)
 			l := f.newRelayedFollower(seed, []int{seed}, nil)
 			newest, _ := f.hist.newestAcknowledged()
-			took := f.within(fleetLimit, "the follower acts on what is newest", func() bool {
+			took := f.within(fleetLimit, "the follower acts on the newest version", func() bool {
 				now := l.Tables().Config
 				return now != nil && now.Version >= newest
 			})
-			t.Logf("acts on what is newest %v after its start", took.Round(time.Millisecond))
+			t.Logf("acts on the newest version %v after its start", took.Round(time.Millisecond))
 			f.heal(r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
-			l.requireActsOnChange("the nodes are joined again")
+			l.requireActsOnChange("the partition has healed")
 		})
 	}
 }
--- a/internal/tier/controlnode/full_disk_test.go
+++ b/internal/tier/controlnode/full_disk_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// The other nodes continue without a node whose disk is full, be it the head, the tail or a learner, and the node catches
+// The other nodes continue without a node whose disk is full (the head, the tail or a learner), and the node catches
 // up once there is space.
 func TestClusterProgressesWithoutNodeWithFullDisk(t *testing.T) {
 	for _, node := range []int{0, 2, 3} {
--- a/internal/tier/controlnode/handover_test.go
+++ b/internal/tier/controlnode/handover_test.go
@@ -50,7 +50,7 @@
 	core := &Server{node: next.node, startedAt: time.Now()}
 	core.assumePlacementRole()
 	if !reflect.DeepEqual(core.placementRole.inherited, want) {
-		t.Errorf("the new head assumes the placement role with %+v, want %+v", core.placementRole.inherited, want)
+		t.Errorf("the new head assumes the placement role with observations %+v", core.placementRole.inherited)
 	}
 	c.run(handoverMaxAge)
 	if got := next.node.Handover(); got.Generation != 0 || len(got.Unresponsive) > 0 {
--- a/internal/tier/controlnode/partial_partition_test.go
+++ b/internal/tier/controlnode/partial_partition_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// partialPartitionDuration is how long one link of a partial partition is cut, in one direction.
+// partialPartitionDuration is how long one link is blocked in one direction.
 const partialPartitionDuration = 4 * time.Second
 
-// runPartialPartitions cuts one link of a core of eight in one direction, again and again, and returns how many views the cuts cost, and how
-// many voters have lost their votes.
+// runPartialPartitions repeatedly blocks one link among eight core nodes in one direction. It returns the number of view
+// changes and of voters that were removed.
 func runPartialPartitions(t *testing.T, chainLength, cuts int, involved func(from, to int) bool) (views int64, lostVotes int) {
 	t.Helper()
 	c := newSimulationWith(t, 1, 8, 1, chainLength, injectedBugs{})
@@ -33,12 +33,12 @@
 	return c.newest.Epoch - before, lostVotes
 }
 
-// A cut of one link in one direction is no death: nobody loses its vote by it, as another voter still hears the member, and it costs a
-// view only where the two are members of the chain.
+// A link that is blocked in one direction does not remove a voter, as another voter still hears the member, and it causes
+// view changes only if both of its ends are members of the chain.
 func TestPartialPartitionCostsNoVotes(t *testing.T) {
 	t.Parallel()
 	const cuts = 40
-	outside := func(from, to int) bool { return from >= 3 || to >= 3 } // the chain is of the first three
+	outside := func(from, to int) bool { return from >= 3 || to >= 3 } // the first three are the chain
 	for _, test := range []struct {
 		name        string
 		chainLength int
@@ -50,9 +50,9 @@
 		{"short chain, a link to or from a learner", ChainLength(1), outside, 0},
 	} {
 		views, lostVotes := runPartialPartitions(t, test.chainLength, cuts, test.involved)
-		t.Logf("%s: %d views for %d cuts, %d votes lost", test.name, views, cuts, lostVotes)
+		t.Logf("%s: %d view changes for %d blocked links, %d voters removed", test.name, views, cuts, lostVotes)
 		if views > test.maxViews || lostVotes > 0 {
-			t.Errorf("%s: %d views for %d cuts, %d votes lost", test.name, views, cuts, lostVotes)
+			t.Errorf("%s: %d view changes for %d blocked links, %d voters removed", test.name, views, cuts, lostVotes)
 		}
 	}
 }
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestFrozenHeadWakesIsolated forces an order of events that a sleep would only hope for: calls wait in the
-// sockets of a frozen head while the others go on without it, and when it wakes no message of theirs reaches
-// it.
+// TestFrozenHeadWakesIsolated: calls wait in the sockets of a frozen head while the others replace it, and no messages
+// from them reach it when it resumes. It must not answer from its stale state. The test forces this order of events
+// instead of relying on sleeps.
 func TestFrozenHeadWakesIsolated(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
@@ -37,7 +37,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestFrozenHeadWakesConnected is the same with links that work: what waits in its sockets it may read first or not.
+// TestFrozenHeadWakesConnected is the same with working links: the head may read the waiting calls before or after the
+// messages of the other nodes.
 func TestFrozenHeadWakesConnected(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -58,8 +59,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestHeadInOneWayPartitionIsReplaced: it receives nothing, or nothing that it sends arrives. Others go on; it answers nothing that
-// could be old, and is in the chain again afterwards.
+// TestHeadInOneWayPartitionIsReplaced: the head receives nothing, or nothing that it sends arrives. The others continue;
+// the head gives no answer that could be stale, and is in the chain again afterwards.
 func TestHeadInOneWayPartitionIsReplaced(t *testing.T) {
 	t.Parallel()
 	for name, hold := range map[string]func(f *fleet, i int){
@@ -81,8 +82,9 @@
 	}
 }
 
-// TestPartitionedTailAnswersNothingStale: reads and orders sent to it are unclear within a second, followers that begin with it are fed by
-// others, be it the only one that they know, and whatever comes as the partition ends is answered by what is in force.
+// TestPartitionedTailAnswersNothingStale: reads and orders sent to the partitioned tail end with an unknown outcome within
+// a second. Followers that start with it are served by other nodes, even if it is the only one they know. Calls that
+// arrive as the partition heals are answered from the current state.
 func TestPartitionedTailAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
@@ -111,8 +113,8 @@
 	f.actsOnNewest(follower)
 }
 
-// TestNewlyPartitionedNodeAnswersNothingStale calls a node at once when no message reaches it any more: it still takes itself
-// for healthy.
+// TestNewlyPartitionedNodeAnswersNothingStale calls a node immediately after it is partitioned, while it still considers
+// itself healthy.
 func TestNewlyPartitionedNodeAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -132,8 +134,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestPartitionWithoutMajorityAnswersNothingStale: of two sides without a majority neither accepts an order nor answers with
-// what could be old.
+// TestPartitionWithoutMajorityAnswersNothingStale: if neither side of a partition has a majority, neither accepts an order
+// or gives an answer that could be stale.
 func TestPartitionWithoutMajorityAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
@@ -151,8 +153,9 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestEqualHalvesWithLosses cuts four nodes into drawn halves while operators race, kills a node of each half, so that more are lost than
-// may be at once, and heals the cut before or after the nodes know of it, with one of them still down.
+// TestEqualHalvesWithLosses partitions four nodes into random halves while operators race, and kills a node of each half,
+// which is more than the fault tolerance. The partition heals before or after the nodes have noticed it, with one of them
+// still down.
 func TestEqualHalvesWithLosses(t *testing.T) {
 	t.Parallel()
 	seed, r := newSeed(t)
@@ -163,7 +166,7 @@
 	for round := range 3 {
 		order := r.Perm(4)
 		f.partitionGroups(order[0], order[1])
-		if round != 1 { // else the cut ends in the middle of what it began
+		if round != 1 { // in round 1 the partition heals before all nodes have noticed it
 			f.awaitMajorityLoss()
 		}
 		f.kill(order[0])
@@ -179,7 +182,7 @@
 	f.actsOnNewest(follower)
 }
 
-// awaitMajorityLoss waits until each node knows of its half: none takes itself for fresh.
+// awaitMajorityLoss waits until each node has noticed that it reaches no majority: none considers itself fresh.
 func (f *fleet) awaitMajorityLoss() {
 	f.t.Helper()
 	for _, i := range f.all() {
@@ -187,8 +190,8 @@
 	}
 }
 
-// TestNodesArePartitionedInTurn: the cut goes from one node to the next while operators race, connections are reset, and the head is
-// killed with a change under way as it is cut off.
+// TestNodesArePartitionedInTurn: one node after the other is partitioned while operators race, connections are reset, and
+// the head is killed with changes in flight as it is partitioned.
 func TestNodesArePartitionedInTurn(t *testing.T) {
 	t.Parallel()
 	seed, r := newSeed(t)
@@ -217,16 +220,16 @@
 	f.actsOnNewest(follower)
 }
 
-// requireProgress waits until versions that were acknowledged go on; operators run.
+// requireProgress waits until newer versions are acknowledged and read; operators must be running.
 func (f *fleet) requireProgress(nodes ...int) {
 	f.t.Helper()
 	before, _ := f.hist.newestAcknowledged()
-	f.until("versions go on", func() bool { now, _ := f.hist.newestAcknowledged(); return now > before })
-	f.until("what was acknowledged is read", func() bool { _, v := f.read(nodes[0]); return v > before })
+	f.until("a newer version is acknowledged", func() bool { now, _ := f.hist.newestAcknowledged(); return now > before })
+	f.until("a newer version is read", func() bool { _, v := f.read(nodes[0]); return v > before })
 }
 
-// TestLeavingNodeThatReceivesNothing: the others replace a node that announces that it leaves at once, before
-// a time-out could show it. What it feeds and answers until its end is not old.
+// TestLeavingNodeThatReceivesNothing: the others immediately replace a node that announces its shutdown, before a time-out
+// could detect it. What the node serves and answers until it stops is not stale.
 func TestLeavingNodeThatReceivesNothing(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -251,7 +254,7 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// tail is the node that node 0 takes for the tail.
+// tail returns the node that is the tail according to node 0.
 func (f *fleet) tail() int {
 	name := f.status(0).Tail
 	return int(name[len(name)-1] - '0')
--- a/internal/tier/controlnode/power_loss_test.go
+++ b/internal/tier/controlnode/power_loss_test.go
@@ -32,8 +32,7 @@
 				limit = DefaultTimings().StartTimeout + 150*time.Millisecond // time for a view change
 			}
 			if served[19] > limit || written[19] > limit+150*time.Millisecond {
-				t.Errorf("%s: followers are served after %v, writes after %v, limits %v and %v", name,
-					served[19], written[19], limit, limit+150*time.Millisecond)
+				t.Errorf("%s: followers are served after %v, writes are acknowledged after %v", name, served[19], written[19])
 			}
 		}
 	}
--- a/internal/tier/controlnode/simulation_checks_test.go
+++ b/internal/tier/controlnode/simulation_checks_test.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// acknowledgement is an acknowledged index with its time.
+// acknowledgement is an index and the time when it was acknowledged.
 type acknowledgement struct {
 	at    time.Duration
 	index int64
 }
 
-// maxFollowerLag bounds how long a follower whose own links work may act on an older version than an
-// acknowledged one.
+// maxFollowerLag bounds how long a follower whose own links work may act on a version older than an acknowledged one.
 const maxFollowerLag = 2 * time.Second
 
-// checkFollowerLag requires followers to have what was acknowledged some time ago.
+// checkFollowerLag requires followers to have everything that was acknowledged longer than maxFollowerLag ago.
 func (c *simulation) checkFollowerLag() {
 	for len(c.recentAcks) > 0 && c.recentAcks[0].at+maxFollowerLag < c.now {
 		for i, f := range c.followers {
 			if c.recentAcks[0].at > c.lagCheckedFrom && f.index < c.recentAcks[0].index {
-				c.failf("follower %d has index %d %v after %d was acknowledged", i, f.index, maxFollowerLag, c.recentAcks[0].index)
+				c.failf("follower %d is at index %d %v after index %d was acknowledged", i, f.index, maxFollowerLag, c.recentAcks[0].index)
 			}
 		}
 		c.recentAcks = c.recentAcks[1:]
@@ -38,7 +37,7 @@
 	c.logf("index %d acknowledged: %s", index, value)
 }
 
-// checkAgreement checks that all nodes have the same view in an epoch.
+// checkAgreement checks that all nodes have the same view in each epoch.
 func (c *simulation) checkAgreement(m *machine) {
 	v := m.node.View()
 	if v.Epoch == 0 || m.checkedEpoch != nil && *m.checkedEpoch == v.Epoch {
@@ -57,7 +56,7 @@
 	}
 }
 
-// checkCommitted compares what a node has committed with what was acknowledged.
+// checkCommitted compares the committed entries of a node with what was acknowledged.
 func (c *simulation) checkCommitted(m *machine, to int64) {
 	for _, e := range m.node.Chain().Committed(0) {
 		if v, ok := c.values[e.Index]; ok && v != string(e.Value) {
@@ -65,7 +64,7 @@
 		}
 	}
 	if e, ok := m.node.Chain().LastEntry("config"); c.ackedIndex > 0 && to >= c.ackedIndex && (!ok || e.Index < c.ackedIndex) {
-		c.failf("%s reports index %d without what was acknowledged at %d", m.addr, to, c.ackedIndex)
+		c.failf("%s reports index %d without the entry that was acknowledged at %d", m.addr, to, c.ackedIndex)
 	}
 }
 
@@ -79,13 +78,13 @@
 	return len(c.blockedLinks) == 0
 }
 
-// checkProgress checks, at times, that a healthy system acknowledges writes.
+// checkProgress checks, at random, that a healthy system acknowledges writes.
 func (c *simulation) checkProgress() {
 	if c.failure == "" && c.healthy() && c.rng.IntN(3) == 0 {
 		before := c.writes
 		c.run(2500 * time.Millisecond)
 		if c.failure == "" && c.healthy() && c.writes == before {
-			c.failf("nothing was written in 2.5 healthy seconds")
+			c.failf("no write was acknowledged in 2.5 s although all machines and links are healthy")
 		}
 	}
 }
--- a/internal/tier/controlnode/simulation_faults_test.go
+++ b/internal/tier/controlnode/simulation_faults_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// injectedBugs are faults that the harness makes; each must be found by the checks.
+// injectedBugs are bugs that the simulation adds to nodes and followers; its checks must detect each of them.
 type injectedBugs struct {
-	skipsSync                bool // what a step changed is on disk only with the next one's
-	sendsBeforeSync          bool // messages go out before the sync
-	keepsIDAfterDiskLoss     bool // a machine whose disk was lost comes back under its old id
+	skipsSync                bool // the changes of a step reach the disk only with the next step
+	sendsBeforeSync          bool // messages are sent before the sync
+	keepsIDAfterDiskLoss     bool // a machine whose disk was lost returns with its old ID
 	losesVotes               bool // promises and acceptances are not on disk
 	readsWithoutConfirmation bool // reads are answered without asking a majority
-	losesEntries             bool // the entries are not on disk, the rest is
-	breaksPromises           bool // a voter that has promised goes on as if it had not
-	readsUncommitted         bool // the head answers reads from what is not committed yet
-	followerRegresses        bool // a follower that changes its source accepts whatever index that one has
-	servesStaleFeed          bool // a partitioned or lagging node claims to followers that it is fresh
-	acknowledgesEarly        bool // a write is acknowledged when the head has it
-	stopsBeforeLeft          bool // a member that is stopped in order does not wait until it has left
-	neverRemovesVoters       bool // voters keep their votes however long they do not answer
-	ignoresApplicants        bool // a member without a vote never gets one
+	losesEntries             bool // the entries are not on disk, all other state is
+	breaksPromises           bool // a voter forgets its promises
+	readsUncommitted         bool // the head answers reads from uncommitted entries
+	followerRegresses        bool // a follower that changes its source accepts any index, even a lower one
+	servesStaleFeed          bool // a partitioned or lagging node tells followers that it is fresh
+	acknowledgesEarly        bool // a write is acknowledged as soon as the head has it
+	stopsBeforeLeft          bool // a member that shuts down gracefully does not wait until it has left
+	neverRemovesVoters       bool // voters that do not answer are never removed
+	ignoresApplicants        bool // a member that is not a voter never becomes one
 	learnersAnswerAlone      bool // a learner answers followers without asking a majority
 }
 
-// play injects faults, one machine at a time and some that hit all, with time to catch up between.
+// runRandomFaults injects faults of single machines and some that affect all, with time to catch up in between.
 func (c *simulation) runRandomFaults(rounds int) {
 	c.run(800 * time.Millisecond)
 	for range rounds {
@@ -39,7 +39,7 @@
 	}
 }
 
-// injectRandomFault draws a machine, a duration and a fault, and plays it.
+// injectRandomFault draws a machine, a duration and a fault, and runs the fault.
 func (c *simulation) injectRandomFault() {
 	a := c.addrs[c.rng.IntN(len(c.addrs))]
 	if c.faultyMachine != "" {
@@ -50,7 +50,7 @@
 	span := time.Duration(100+c.rng.IntN(3500)) * time.Millisecond
 	kind := c.rng.IntN(14)
 	if c.bugs.losesVotes {
-		kind = 12 // lost votes show where all start again and again: elsewhere some remember
+		kind = 12 // lost votes only matter if all restart repeatedly: otherwise other voters still have theirs
 	}
 	switch kind {
 	case 0, 1:
@@ -71,7 +71,7 @@
 		m.frozen = true
 		c.run(span)
 		c.unfreeze(m)
-		c.logf("%s wakes", a)
+		c.logf("%s resumes", a)
 	case 4, 5, 6:
 		c.injectPartition(a, span)
 	case 7:
@@ -93,15 +93,15 @@
 	}
 }
 
-// injectPartition blocks the links of a machine: in both directions, inbound or outbound.
+// injectPartition blocks the links of a machine in both directions, inbound or outbound.
 func (c *simulation) injectPartition(a string, span time.Duration) {
-	way := c.rng.IntN(3) // both, in, out
-	c.logf("%s is partitioned, way %d", a, way)
+	direction := c.rng.IntN(3) // 0 both, 1 inbound, 2 outbound
+	c.logf("%s is partitioned, direction %d", a, direction)
 	for _, b := range c.addrs {
-		if b != a && way != 1 {
+		if b != a && direction != 1 {
 			c.blockedLinks[[2]string{a, b}] = true
 		}
-		if b != a && way != 2 {
+		if b != a && direction != 2 {
 			c.blockedLinks[[2]string{b, a}] = true
 		}
 	}
@@ -109,7 +109,7 @@
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// injectPowerLoss stops all machines at once; one may lose its disk.
+// injectPowerLoss stops all machines at the same time; one may lose its disk.
 func (c *simulation) injectPowerLoss(m *machine) {
 	c.logf("all lose power")
 	c.lagCheckedFrom = c.now + 2*maxFollowerLag
@@ -124,10 +124,10 @@
 	}
 }
 
-// injectCrashLoop restarts one machine again and again; some of its links are blocked now and then.
+// injectCrashLoop restarts one machine repeatedly; some of its links are blocked at random.
 func (c *simulation) injectCrashLoop(m *machine, span time.Duration) {
 	a := m.addr
-	c.logf("%s dies and starts again and again, partitioned from some now and then", a)
+	c.logf("%s is in a crash loop, with random partial partitions", a)
 	for end := c.now + span; c.now < end && c.failure == ""; {
 		if m.up {
 			c.stop(m)
@@ -146,12 +146,13 @@
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// injectRandomCrashes restarts all machines again and again, each by itself; messages with decided views may be lost.
+// injectRandomCrashes crashes and restarts all machines repeatedly and independently; messages with decided views may be
+// lost.
 func (c *simulation) injectRandomCrashes(span time.Duration) {
 	c.dropsDecisions = c.rng.IntN(2) == 0
-	c.logf("all die and start again, each by itself, for a while; decisions are lost: %v", c.dropsDecisions)
+	c.logf("all machines crash and restart independently; decided views are lost: %v", c.dropsDecisions)
 	c.lagCheckedFrom = time.Hour
-	steps := 60 * (1 + 3*c.rng.IntN(2)) // between crashes: some hundred milliseconds, or a second and more
+	steps := 60 * (1 + 3*c.rng.IntN(2)) // mean number of steps between crashes: 0.3 or 1.2 s
 	if c.bugs.losesVotes {
 		steps = 240
 	}
@@ -171,9 +172,9 @@
 	c.lagCheckedFrom = c.now + 2*maxFollowerLag
 }
 
-// injectGracefulStop stops a machine in order.
+// injectGracefulStop shuts a machine down gracefully.
 func (c *simulation) injectGracefulStop(m *machine, span time.Duration) {
-	c.logf("%s leaves in order", m.addr)
+	c.logf("%s shuts down gracefully", m.addr)
 	if m.up {
 		c.handleReady(m, m.node.StartLeaving(c.now))
 		c.run(300 * time.Millisecond)
@@ -184,7 +185,7 @@
 	c.run(span)
 }
 
-// restartAll starts all machines, and gives them time to catch up. Power may fail before a sync meanwhile.
+// restartAll starts all machines, and gives them time to catch up. Meanwhile a machine may lose power before a sync.
 func (c *simulation) restartAll() {
 	for down := true; down; {
 		down = false
@@ -215,26 +216,26 @@
 	}
 	t.Logf("%d simulations: %d writes and %d reads acknowledged", *simulations, writes, reads)
 	if writes < *simulations || reads < *simulations {
-		t.Fatalf("only %d writes and %d reads in %d simulations: they show nothing", writes, reads, *simulations)
+		t.Fatalf("only %d writes and %d reads were acknowledged in %d simulations, too few for a conclusion", writes, reads, *simulations)
 	}
 }
 
 func TestSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
-	wants := map[string]string{"a follower that takes any source's index": "goes back"} // others may be found in several ways
+	wants := map[string]string{"follower accepts any source's index": "follower regresses"} // others may be detected in several ways
 	for name, f := range map[string]injectedBugs{
-		"a sync left out":                              {skipsSync: true},
-		"messages before the sync":                     {sendsBeforeSync: true},
-		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
-		"votes not on disk":                            {losesVotes: true},
-		"a read from an old tail":                      {readsWithoutConfirmation: true},
-		"entries not on disk":                          {losesEntries: true},
-		"acknowledged by the head alone":               {acknowledgesEarly: true},
-		"a promise that is not kept":                   {breaksPromises: true},
-		"a read of what is not committed":              {readsUncommitted: true},
-		"a follower that takes any source's index":     {followerRegresses: true, servesStaleFeed: true},
-		"a source that does not know it is cut off":    {servesStaleFeed: true},
-		"a learner that does not know it is cut off":   {learnersAnswerAlone: true},
+		"skipped sync":                               {skipsSync: true},
+		"messages before the sync":                   {sendsBeforeSync: true},
+		"machine keeps its ID after losing its disk": {keepsIDAfterDiskLoss: true},
+		"votes not on disk":                          {losesVotes: true},
+		"read from an old tail":                      {readsWithoutConfirmation: true},
+		"entries not on disk":                        {losesEntries: true},
+		"acknowledged by the head alone":             {acknowledgesEarly: true},
+		"broken promise":                             {breaksPromises: true},
+		"read of uncommitted entries":                {readsUncommitted: true},
+		"follower accepts any source's index":        {followerRegresses: true, servesStaleFeed: true},
+		"stale feed from a partitioned source":       {servesStaleFeed: true},
+		"stale feed from a partitioned learner":      {learnersAnswerAlone: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -245,7 +246,7 @@
 					return
 				}
 			}
-			t.Fatal("not found in 600 simulations")
+			t.Fatal("not detected in 600 simulations")
 		})
 	}
 }
--- a/internal/tier/controlnode/simulation_follower_test.go
+++ b/internal/tier/controlnode/simulation_follower_test.go
@@ -4,23 +4,22 @@
 	"time"
 )
 
-// follower is a relay that follows the feed as package feed does: it takes entries from one source after its
-// own index. Where that one does not answer or is not fresh, the others are polled in addition, one after the
-// other, until one is fresh.
+// follower models a follower as package feed implements it: it polls one source for entries after its own index. If that
+// source does not answer or is not fresh, it also polls the others, one after the other, until one is fresh.
 type follower struct {
 	index         int64
 	value         string
 	source        int
-	failedSources int // sources asked in vain since one was relied on
+	failedSources int // sources polled without success since the last fresh one
 	nextPollAt    time.Duration
 }
 
-// Intervals of a follower. Its polls are short, in place of the long ones of the feed, so that it sees every state of a
+// Intervals of a follower. It uses short polls instead of the long polls of the feed, so that it sees every state of a
 // simulation.
 const (
-	pollInterval  = 50 * time.Millisecond  // of a source that has answered
-	sourceTimeout = 500 * time.Millisecond // a source that was relied on until now is waited for
-	hedgeInterval = 100 * time.Millisecond // any other is polled in addition to the next
+	pollInterval  = 50 * time.Millisecond  // between polls of a source that answers
+	sourceTimeout = 500 * time.Millisecond // how long to wait for a source that was fresh until now
+	hedgeInterval = 100 * time.Millisecond // how long to wait for any other source before also polling the next
 )
 
 func (c *simulation) pollSource(f *follower) {
@@ -39,7 +38,7 @@
 	}
 	commit := m.node.Chain().State().Commit
 	if commit < f.index && c.bugs.followerRegresses {
-		c.failf("a follower goes back from index %d to %d", f.index, commit)
+		c.failf("a follower regresses from index %d to %d", f.index, commit)
 	}
 	for _, e := range m.node.Chain().Committed(f.index) {
 		if v, ok := c.values[e.Index]; ok && v != string(e.Value) {
@@ -50,7 +49,7 @@
 	f.index = max(f.index, commit)
 }
 
-// nextSource has a follower poll the next source, as this one does not answer or is not fresh.
+// nextSource makes a follower poll the next source, as the current one does not answer or is not fresh.
 func (c *simulation) nextSource(f *follower, unresponsive bool) {
 	wait := pollInterval
 	switch {
--- a/internal/tier/controlnode/simulation_test.go
+++ b/internal/tier/controlnode/simulation_test.go
@@ -12,10 +12,10 @@
 	"larchrouter/internal/tier/view"
 )
 
-// simulations is the number of simulations of TestNoAcknowledgedWriteIsLostUnderRandomFaults. A simulation runs a core in virtual time: machines die,
-// lose power or disks, freeze, are partitioned (also one way) and replaced, while an operator writes and reads through any of
-// them. Nothing here sleeps.
-var simulations = flag.Int("courses", 100, "simulations with random faults")
+// simulations is the number of simulations of TestNoAcknowledgedWriteIsLostUnderRandomFaults. A simulation runs core nodes
+// in virtual time, without sleeping: machines crash, lose power or disks, freeze, are partitioned (also one way) and
+// replaced, while an operator writes and reads through any of them.
+var simulations = flag.Int("courses", 100, "number of simulations with random faults")
 
 type machine struct {
 	addr         string
@@ -26,8 +26,8 @@
 	incarnation  int64
 	up           bool
 	frozen       bool
-	unsyncedDisk *Durable // planted: not yet on disk
-	checkedEpoch *int64   // the epoch of the view that was last compared with others'
+	unsyncedDisk *Durable // with the bug skipsSync: the state that is not on disk yet
+	checkedEpoch *int64   // the epoch of the view that was last compared with other nodes
 	inbox        []Message
 }
 
@@ -54,22 +54,22 @@
 	log             []string
 	ids             int
 	views           map[int64]string
-	noRandomFaults  bool          // no chance: nothing is lost, no power fails
+	noRandomFaults  bool          // no messages are lost or delayed at random, and no machine loses power
 	latency         time.Duration // of each message, in addition to a random delay
 	dropsDecisions  bool          // messages with a decided view are lost
-	faultyMachine   string        // the machine that counts as lost, until it has caught up
+	faultyMachine   string        // the one machine that may be faulty now, until all have caught up; empty for none
 	faultTolerance  int
 	chainLength     int       // of NodeSettings
 	initialMachines int       // machines at the start
-	newest          view.View // that was decided
+	newest          view.View // the newest decided view
 
 	requestID      int64
 	pending        map[int64]request
-	ackedIndex     int64            // the highest index that was acknowledged
-	values         map[int64]string // acknowledged, by index
+	ackedIndex     int64            // the highest acknowledged index
+	values         map[int64]string // the acknowledged values by index
 	followers      []*follower
-	recentAcks     []acknowledgement // what followers are to have soon
-	lagCheckedFrom time.Duration     // before it, the lag of followers is not checked
+	recentAcks     []acknowledgement // not older than maxFollowerLag: followers may not have them yet
+	lagCheckedFrom time.Duration     // the lag of followers is not checked before this time
 	reads          int
 	writes         int
 	failure        string
@@ -78,7 +78,7 @@
 type request struct {
 	write bool
 	value string
-	at    int64 // acked when it was asked
+	at    int64 // the acknowledged index when a read was sent
 	by    string
 }
 
@@ -86,7 +86,7 @@
 	return newSimulationWith(t, seed, n, 1, chainLengthForSeed(seed, 1), f)
 }
 
-// chainLengthForSeed returns the length of the chain by a seed: in a third of the simulations all voters are in it.
+// chainLengthForSeed returns the chain length for a seed: in a third of the simulations all voters are in the chain.
 func chainLengthForSeed(seed uint64, losses int) int {
 	if seed%3 == 0 {
 		return 0
@@ -185,7 +185,7 @@
 	}
 }
 
-// unfreeze resumes a frozen machine: the messages that waited for it are received first.
+// unfreeze resumes a frozen machine: it first receives the messages that waited for it.
 func (c *simulation) unfreeze(m *machine) {
 	m.frozen = false
 	in := m.inbox
@@ -215,10 +215,10 @@
 	m.disk = d
 }
 
-// handleReady does with a Ready what the driver does. Between the change and the sync the power may fail.
+// handleReady handles a Ready as Server does. The machine may lose power between the change and the sync.
 func (c *simulation) handleReady(m *machine, o Ready) {
 	if o.MustSync {
-		mayFail := c.faultyMachine == "" || c.faultyMachine == m.addr // one machine at a time
+		mayFail := c.faultyMachine == "" || c.faultyMachine == m.addr // only one machine fails at a time
 		if !c.noRandomFaults && c.rng.IntN(400) == 0 && mayFail && !c.bugs.sendsBeforeSync {
 			c.faultyMachine = m.addr
 			c.logf("%s loses power before its sync", m.addr)
@@ -271,7 +271,7 @@
 		}
 		c.reads++
 		if d.Index < r.at {
-			c.failf("a read at %s gave index %d, %d was acknowledged before", m.addr, d.Index, r.at)
+			c.failf("a read at %s returned index %d, but %d was acknowledged before", m.addr, d.Index, r.at)
 		}
 		c.checkCommitted(m, d.Index)
 	}
@@ -312,7 +312,8 @@
 	return !c.blockedLinks[[2]string{from, to}] && !(cutFrom && out != 1) && !(cutTo && in != 2)
 }
 
-// step moves time by 5 ms: arrived messages are received, nodes tick, operators write and read.
+// step advances time by 5 ms: nodes receive messages that have arrived and tick, operators write and read, and followers
+// poll.
 func (c *simulation) step() {
 	c.now += 5 * time.Millisecond
 	slices.SortStableFunc(c.queue, func(a, b packet) int { return int(a.at - b.at) })
--- a/internal/tier/controlnode/timeline_test.go
+++ b/internal/tier/controlnode/timeline_test.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// Timelines have a column for each core node. A line is in force until its time in ms, with a mark for each node:
+// runTimeline runs a scenario of faults and checks its expectations. A timeline has a column for each core node. Each
+// line applies until its time in ms, and has a mark for each node:
 //
 //	.    it runs
-//	x    it is down, its disk kept
-//	#    it is down, its disk lost
+//	x    it is down, its disk is kept
+//	#    it is down, its disk is lost
 //	z    it is frozen
 //	|    it is partitioned from the others
-//	>    what it sends is lost (a one-way partition)
-//	<    what is sent to it is lost
-//	-    it has left in order, and is down
+//	>    messages that it sends are lost (a one-way partition)
+//	<    messages that are sent to it are lost
+//	-    it was shut down gracefully
 //
-// and behind the bar the expectations: "w" writes were acknowledged in that time, "-" none were, "?" either; then the
-// chain as the first that runs and is fresh sees it (letters in its order), "*" for any.
+// The expectations follow the bar: "w" if writes were acknowledged in that time, "-" if none were, "?" for either; then
+// the chain as the first running and fresh node sees it (letters in the order of the chain), "*" for any.
 func runTimeline(t *testing.T, n, chainLength int, timeline string) {
 	t.Helper()
 	c := newSimulationWith(t, 1, n, 1, chainLength, injectedBugs{})
@@ -101,10 +102,10 @@
 		}
 		want := f[2+n:]
 		if want[0] == "w" && !wrote || want[0] == "-" && wrote {
-			t.Fatalf("until %s ms: written %v, wanted %s\n%s", f[0], wrote, want[0], c.trace())
+			t.Fatalf("until %s ms: writes acknowledged: %v, want %s\n%s", f[0], wrote, want[0], c.trace())
 		}
 		if want[1] != "*" && want[1] != chain {
-			t.Fatalf("until %s ms: the chain is %q, wanted %q\n%s", f[0], chain, want[1], c.trace())
+			t.Fatalf("until %s ms: the chain is %q, want %q\n%s", f[0], chain, want[1], c.trace())
 		}
 	}
 }
@@ -114,21 +115,21 @@
 		n    int
 		line string
 	}{
-		"a founding core, and one more that is admitted": {4, `
+		"bootstrap of three seeds, and a fourth node joins": {4, `
 			600   . . . .   | w abcd`},
-		"a founding seed dies in the first second": {3, `
+		"a seed crashes in the first second": {3, `
 			100   . . .   | ? abc
 			1500  . x .   | w ac
 			2500  . . .   | w acb`},
-		"two of three founding seeds are there at first": {3, `
+		"only two of three seeds run at first": {3, `
 			900   . . x   | ? *
 			2500  . . x   | w ab
 			3500  . . .   | w abc`},
-		"the tail in a one-way partition: nothing that it sends arrives": {4, `
+		"the tail in a one-way partition: its messages are lost": {4, `
 			800   . . . .   | w abcd
 			2400  . . . >   | w abc
 			3600  . . . .   | w abcd`},
-		"the tail is cut in the other way": {4, `
+		"the tail in a one-way partition: it receives nothing": {4, `
 			800   . . . .   | w abcd
 			2700  . . . <   | w abc
 			4600  . . . .   | w abcd`},
@@ -136,66 +137,66 @@
 			800   . . . .   | w abcd
 			2700  < . . .   | w bcd
 			4600  . . . .   | w bcda`},
-		"nothing that the head sends arrives": {4, `
+		"the messages of the head are lost": {4, `
 			800   . . . .   | w abcd
 			2700  > . . .   | w bcd
 			4600  . . . .   | w bcda`},
-		"the head freezes in the middle of writes, and wakes": {4, `
+		"the head freezes during writes, and resumes": {4, `
 			800   . . . .   | w abcd
 			2600  z . . .   | w bcd
 			4500  . . . .   | w bcda`},
-		"the head is cut off alone; neither side goes wrong": {4, `
+		"the head is partitioned from all others": {4, `
 			800   . . . .   | w abcd
 			1300  | . . .   | ? *
 			3000  | . . .   | w bcd
 			4200  . . . .   | w bcda`},
-		"a core cut in two halves waits for a majority": {4, `
+		"partitioned into halves, the nodes wait for a majority": {4, `
 			800   . . . .   | w abcd
 			1000  | | . .   | ? *
 			4000  | | . .   | - *
 			6500  . . . .   | w *`},
-		"a wiped machine back at its old address is a newcomer": {4, `
+		"a wiped machine at its old address joins as a new member": {4, `
 			800   . . . .   | w abcd
 			2200  . # . .   | w acd
 			3500  . . . .   | w acdb`},
-		"a replaced one, while another is down after it": {5, `
+		"a machine is replaced, then another is down": {5, `
 			800   . . . . .   | w abcde
 			2600  . # . . .   | w acde
 			5000  . . . . .   | w acdeb
 			7000  . . x . .   | w adeb
 			9000  . . . . .   | w adebc`},
-		"all power is lost": {4, `
+		"power loss of all": {4, `
 			800   . . . .   | w abcd
 			1600  x x x x   | - *
 			3000  . . . .   | w *`},
-		"all power is lost, and they come back one after the other within half a second": {4, `
+		"power loss of all, which restart one by one within half a second": {4, `
 			800   . . . .   | w abcd
 			1600  x x x x   | - *
 			1750  . x x x   | - *
 			1900  . . x x   | - *
 			2050  . . . x   | ? *
 			3000  . . . .   | w abcd`},
-		"all power is lost, and a disk with it": {4, `
+		"power loss of all, with a lost disk": {4, `
 			800   . . . .   | w abcd
 			1600  x x # x   | - *
 			4500  . . . .   | w *`},
-		"the head leaves in order: no pause for a suspicion": {4, `
+		"graceful shutdown of the head: no wait for a failure suspicion": {4, `
 			800   . . . .   | w abcd
 			1200  - . . .   | w bcd
 			2500  . . . .   | w bcda`},
-		"its successor dies as it is named": {4, `
+		"the successor crashes as it becomes the head": {4, `
 			800   . . . .   | w abcd
 			810   - . . .   | ? *
 			2600  x x . .   | ? *
 			5500  x . . .   | w *
 			7500  . . . .   | w *`},
-		"two repairs at once: one dies as another comes back": {5, `
+		"two repairs at once: one node crashes as another returns": {5, `
 			800   . . . . .   | w abcde
 			2400  . x . . .   | w acde
 			2450  . . . . .   | ? *
 			4800  . . x . .   | w *
 			6500  . . . . .   | w *`},
-		"one after the other, each with time to catch up": {4, `
+		"three nodes fail one by one, each with time to catch up": {4, `
 			800    . . . .   | w abcd
 			2600   x . . .   | w bcd
 			7000   . . . .   | w bcda
@@ -211,31 +212,31 @@
 	}
 }
 
-// A chain has as many members as it should, and voters outside it are learners that take the places of members that are lost.
+// A chain keeps its configured length, and voters outside it are learners that replace lost members.
 func TestShortChainTimelines(t *testing.T) {
 	for name, one := range map[string]struct {
 		n    int
 		line string
 	}{
-		"a full chain takes no further members": {5, `
+		"a full chain accepts no further members": {5, `
 			1500  . . . . .   | w abc`},
-		"a learner takes the place of a member that is lost, and keeps it": {5, `
+		"a learner replaces a lost member, and stays in the chain": {5, `
 			1200  . . . . .   | w abc
 			2800  . x . . .   | w acd
 			5500  . . . . .   | w acd`},
-		"learners that come and go move no view": {5, `
+		"learners that stop and restart cause no view change": {5, `
 			1200  . . . . .   | w abc
 			1500  . . . x .   | w abc
 			1800  . . . . x   | w abc
 			2100  . . . x .   | w abc
 			4000  . . . . .   | w abc`},
-		"two members are lost one after the other": {8, `
+		"two members are lost one by one": {8, `
 			1500  . . . . . . . .   | w abc
 			3000  x . . . . . . .   | w bcd
 			3100  x . x . . . . .   | ? *
 			5000  x . x . . . . .   | w bde
 			8000  . . . . . . . .   | w bde`},
-		"a member that dies and starts again before it is suspected is a learner from its second start on": {5, `
+		"a member that crashes and restarts before it is suspected becomes a learner after its second restart": {5, `
 			1200  . . . . .   | w abc
 			1500  . x . . .   | - *
 			2000  . . . . .   | w abc
@@ -244,13 +245,13 @@
 			3700  . x . . .   | w acd
 			4300  . . . . .   | w acd
 			9000  . . . . .   | w acd`},
-		"one restart is no reason to leave": {5, `
+		"a single restart does not remove a member": {5, `
 			1200  . . . . .   | w abc
 			1500  . . x . .   | - *
 			9000  . . . . .   | w abc
 			9300  . . x . .   | - *
 			12000 . . . . .   | w abc`},
-		"all start again and again: nobody is left out": {4, `
+		"all restart repeatedly: no member is removed": {4, `
 			1200  . . . .   | w abc
 			1700  x x x x   | - *
 			2500  . . . .   | w abc
@@ -258,15 +259,15 @@
 			3900  . . . .   | w abc
 			4400  x x x x   | - *
 			5200  . . . .   | w abc`},
-		"the tail receives nothing: a learner takes its place": {5, `
+		"the tail receives nothing: a learner replaces it": {5, `
 			1200  . . . . .   | w abc
 			3200  . . < . .   | w abd
 			5000  . . . . .   | w abd`},
-		"the tail loses its disk with all power": {5, `
+		"power loss of all, and the tail loses its disk": {5, `
 			1200  . . . . .   | w abc
 			1600  x x # x x   | - *
 			4500  . . . . .   | w *`},
-		"all but the chain's last member are lost for a while": {5, `
+		"all but the last member of the chain are down for a while": {5, `
 			1200  . . . . .   | w abc
 			3000  x x . x x   | - *
 			6500  . . . . .   | w *`},
@@ -278,7 +279,7 @@
 	}
 }
 
-// A learner answers followers as a member of the chain does, and no later than a moment after the commit.
+// Learners serve followers as members of the chain do, and have a commit within 60 ms.
 func TestLearnersServeFollowers(t *testing.T) {
 	c := newSimulationWith(t, 1, 8, 1, ChainLength(1), injectedBugs{})
 	c.noRandomFaults = true
@@ -286,21 +287,22 @@
 	for _, a := range c.addrs[3:] {
 		node := c.machines[a].node
 		if !node.isVotingLearner() || !node.Fresh() {
-			t.Fatalf("%s: a learner %v, fresh %v", a, node.isVotingLearner(), node.Fresh())
+			t.Fatalf("%s: learner: %v, fresh: %v, want both", a, node.isVotingLearner(), node.Fresh())
 		}
 	}
 	head := c.machines["m0"]
 	index := head.node.Chain().State().LastIndex + 1
 	c.handleReady(head, head.node.Write(c.now, 1000, "config", []byte("new")))
-	c.run(60 * time.Millisecond) // three hops to the tail, one to each learner, six ms each at most
+	c.run(60 * time.Millisecond) // three hops to the tail and one to each learner, each 6 ms at most
 	for _, a := range c.addrs {
 		if commit := c.machines[a].node.Chain().State().Commit; commit < index {
-			t.Errorf("%s has committed %d of %d", a, commit, index)
+			t.Errorf("%s has committed up to index %d, want %d", a, commit, index)
 		}
 	}
 }
 
-// Two of the three members of a chain leave at once: a learner is complete before they go, within the time that they wait.
+// Two of the three members of a chain shut down at the same time: a learner joins the chain and is complete before they
+// stop, within leaveTimeout.
 func TestMembersOfShortChainCanLeaveTogether(t *testing.T) {
 	c := newSimulationWith(t, 1, 4, 1, ChainLength(1), injectedBugs{})
 	c.noRandomFaults = true
@@ -312,7 +314,7 @@
 	began := c.now
 	for !leaving[0].node.CanStop() || !leaving[1].node.CanStop() {
 		if c.step(); c.now-began > leaveTimeout {
-			t.Fatalf("they may not stop after %v: chain %v\n%s", leaveTimeout, c.newest.Chain, c.trace())
+			t.Fatalf("the leaving nodes may still not stop after %v: chain %v\n%s", leaveTimeout, c.newest.Chain, c.trace())
 		}
 	}
 	for _, m := range leaving {
@@ -321,17 +323,17 @@
 	writes := c.writes
 	c.run(2 * time.Second)
 	if c.failure != "" || c.writes == writes || len(c.newest.Chain) != 2 {
-		t.Fatalf("%s, %d writes, chain %v", c.failure, c.writes-writes, c.newest.Chain)
+		t.Fatalf("failure %q, %d writes, chain %v", c.failure, c.writes-writes, c.newest.Chain)
 	}
 }
 
-// A 412 names a version: it may not be answered before that one is committed, and not at all if it never is.
+// A 412 refers to a version: it must not be sent before that version is committed, and never if the version is lost.
 func TestWaitForUncommittedIndexEndsUnknown(t *testing.T) {
 	c := newSimulation(t, 3, 3, injectedBugs{})
 	c.noRandomFaults = true
 	c.run(800 * time.Millisecond)
 	head := c.machines["m0"]
-	for _, b := range c.addrs[1:] { // cut off before the write
+	for _, b := range c.addrs[1:] { // the head is partitioned before the write
 		c.blockedLinks[[2]string{"m0", b}], c.blockedLinks[[2]string{b, "m0"}] = true, true
 	}
 	index := head.node.Chain().State().LastIndex + 1
@@ -339,18 +341,18 @@
 	c.handleReady(head, o)
 	o = head.node.Confirm(c.now, 1001, index)
 	if len(o.Completed) > 0 {
-		t.Fatalf("what is not committed was reported: %+v", o.Completed)
+		t.Fatalf("completed before the index was committed: %+v", o.Completed)
 	}
 	c.pending[1001] = request{write: true, value: "412", by: "m0"}
 	c.run(3 * time.Second)
 	c.blockedLinks = map[[2]string]bool{}
 	c.run(3 * time.Second)
-	if _, waits := c.pending[1001]; waits || c.values[index] == "412" {
-		t.Fatalf("waits %v, values %v", waits, c.values)
+	if _, pending := c.pending[1001]; pending || c.values[index] == "412" {
+		t.Fatalf("still pending: %v, acknowledged values: %v", pending, c.values)
 	}
 	for i, a := range c.addrs {
 		if e, ok := c.machines[a].node.Chain().LastEntry("config"); !ok || string(e.Value) == "lost" {
-			t.Errorf("node %d ends with %s: %s", i, fmt.Sprint(e.Index), e.Value)
+			t.Errorf("node %d ends with index %s: %s", i, fmt.Sprint(e.Index), e.Value)
 		}
 	}
 }
