--- a/internal/tier/controlnode/partial_partition_test.go
+++ b/internal/tier/controlnode/partial_partition_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// partialCut is how long one link of a partial partition is cut, in one direction.
-const partialCut = 4 * time.Second
+// partialPartitionDuration is how long one link is blocked in one direction.
+const partialPartitionDuration = 4 * time.Second
 
-// playPartialCuts cuts one link of a core of eight in one direction, again and again, and returns how many views the cuts cost, and how
-// many voters have lost their votes.
-func playPartialCuts(t *testing.T, chainLength, cuts int, involved func(from, to int) bool) (views int64, lostVotes int) {
+// runPartialPartitions repeatedly blocks one link among eight core nodes in one direction. It returns the number of view
+// changes and of voters that were removed.
+func runPartialPartitions(t *testing.T, chainLength, cuts int, involved func(from, to int) bool) (views int64, lostVotes int) {
 	t.Helper()
-	c := newSimulationWith(t, 1, 8, 1, chainLength, plantedFaults{})
-	c.withoutChance = true
+	c := newSimulationWith(t, 1, 8, 1, chainLength, injectedBugs{})
+	c.noRandomFaults = true
 	c.run(3 * time.Second)
 	before := c.newest.Epoch
 	for range cuts {
@@ -21,8 +21,8 @@
 		for from == to || !involved(from, to) {
 			from, to = c.rng.IntN(8), c.rng.IntN(8)
 		}
-		c.blockedLinks[[2]string{c.order[from], c.order[to]}] = true
-		c.run(partialCut)
+		c.blockedLinks[[2]string{c.addrs[from], c.addrs[to]}] = true
+		c.run(partialPartitionDuration)
 		lostVotes += 8 - len(c.newest.Voters)
 		c.blockedLinks = map[[2]string]bool{}
 		c.run(6 * time.Second)
@@ -33,12 +33,12 @@
 	return c.newest.Epoch - before, lostVotes
 }
 
-// A cut of one link in one direction is no death: nobody loses its vote by it, as another voter still hears the member, and it costs a
-// view only where the two are members of the chain.
-func TestPartialPartitions(t *testing.T) {
+// A link that is blocked in one direction does not remove a voter, as another voter still hears the member, and it causes
+// view changes only if both of its ends are members of the chain.
+func TestPartialPartitionCostsNoVotes(t *testing.T) {
 	t.Parallel()
 	const cuts = 40
-	outside := func(from, to int) bool { return from >= 3 || to >= 3 } // the chain is of the first three
+	outside := func(from, to int) bool { return from >= 3 || to >= 3 } // the first three are the chain
 	for _, test := range []struct {
 		name        string
 		chainLength int
@@ -49,10 +49,10 @@
 		{"short chain, any link", ChainLength(1), func(int, int) bool { return true }, cuts},
 		{"short chain, a link to or from a learner", ChainLength(1), outside, 0},
 	} {
-		views, lostVotes := playPartialCuts(t, test.chainLength, cuts, test.involved)
-		t.Logf("%s: %d views for %d cuts, %d votes lost", test.name, views, cuts, lostVotes)
+		views, lostVotes := runPartialPartitions(t, test.chainLength, cuts, test.involved)
+		t.Logf("%s: %d view changes for %d blocked links, %d voters removed", test.name, views, cuts, lostVotes)
 		if views > test.maxViews || lostVotes > 0 {
-			t.Errorf("%s: %d views for %d cuts, %d votes lost", test.name, views, cuts, lostVotes)
+			t.Errorf("%s: %d view changes for %d blocked links, %d voters removed", test.name, views, cuts, lostVotes)
 		}
 	}
 }
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestFrozenHeadWakesIsolated forces an order of events that a sleep would only hope for: calls wait in the
-// sockets of a frozen head while the others go on without it, and when it wakes no message of theirs reaches
-// it.
+// TestFrozenHeadWakesIsolated: calls wait in the sockets of a frozen head while the others replace it, and no messages
+// from them reach it when it resumes. It must not answer from its stale state. The test forces this order of events
+// instead of relying on sleeps.
 func TestFrozenHeadWakesIsolated(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
@@ -37,7 +37,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestFrozenHeadWakesConnected is the same with links that work: what waits in its sockets it may read first or not.
+// TestFrozenHeadWakesConnected is the same with working links: the head may read the waiting calls before or after the
+// messages of the other nodes.
 func TestFrozenHeadWakesConnected(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -58,9 +59,9 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestHeadInOneWayPartition: it receives nothing, or nothing that it sends arrives. Others go on; it answers nothing that
-// could be old, and is in the chain again afterwards.
-func TestHeadInOneWayPartition(t *testing.T) {
+// TestHeadInOneWayPartitionIsReplaced: the head receives nothing, or nothing that it sends arrives. The others continue;
+// the head gives no answer that could be stale, and is in the chain again afterwards.
+func TestHeadInOneWayPartitionIsReplaced(t *testing.T) {
 	t.Parallel()
 	for name, hold := range map[string]func(f *fleet, i int){
 		"it receives nothing":           (*fleet).blockInbound,
@@ -81,9 +82,10 @@
 	}
 }
 
-// TestTailPartitioned: reads and orders sent to it are unclear within a second, followers that begin with it are fed by
-// others, be it the only one that they know, and whatever comes as the partition ends is answered by what is in force.
-func TestTailPartitioned(t *testing.T) {
+// TestPartitionedTailAnswersNothingStale: reads and orders sent to the partitioned tail end with an unknown outcome within
+// a second. Followers that start with it are served by other nodes, even if it is the only one they know. Calls that
+// arrive as the partition heals are answered from the current state.
+func TestPartitionedTailAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
 	f := newFleet(t, 3, 3)
@@ -111,9 +113,9 @@
 	f.actsOnNewest(follower)
 }
 
-// TestNewlyPartitionedNode calls a node at once when no message reaches it any more: it still takes itself
-// for healthy.
-func TestNewlyPartitionedNode(t *testing.T) {
+// TestNewlyPartitionedNodeAnswersNothingStale calls a node immediately after it is partitioned, while it still considers
+// itself healthy.
+func TestNewlyPartitionedNodeAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	f.change(1, f.all()...)
@@ -132,15 +134,15 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestPartitionWithoutMajority: of two sides without a majority neither accepts an order nor answers with
-// what could be old.
-func TestPartitionWithoutMajority(t *testing.T) {
+// TestPartitionWithoutMajorityAnswersNothingStale: if neither side of a partition has a majority, neither accepts an order
+// or gives an answer that could be stale.
+func TestPartitionWithoutMajorityAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	_, r := newSeed(t)
 	f := newFleet(t, 4, 4)
 	f.change(1, f.all()...)
 	f.partitionGroups(0, 1)
-	f.halvesDecided()
+	f.awaitMajorityLoss()
 	var all sync.WaitGroup
 	for _, i := range f.all() {
 		all.Go(func() { f.requireOutcomeUnknown(f.writeRequests(i, i), time.Now()) })
@@ -151,8 +153,9 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestEqualHalvesWithLosses cuts four nodes into drawn halves while operators race, kills a node of each half, so that more are lost than
-// may be at once, and heals the cut before or after the nodes know of it, with one of them still down.
+// TestEqualHalvesWithLosses partitions four nodes into random halves while operators race, and kills a node of each half,
+// which is more than the fault tolerance. The partition heals before or after the nodes have noticed it, with one of them
+// still down.
 func TestEqualHalvesWithLosses(t *testing.T) {
 	t.Parallel()
 	seed, r := newSeed(t)
@@ -163,14 +166,14 @@
 	for round := range 3 {
 		order := r.Perm(4)
 		f.partitionGroups(order[0], order[1])
-		if round != 1 { // else the cut ends in the middle of what it began
-			f.halvesDecided()
+		if round != 1 { // in round 1 the partition heals before all nodes have noticed it
+			f.awaitMajorityLoss()
 		}
 		f.kill(order[0])
 		f.kill(order[2])
 		f.start(order[2], false)
 		f.heal(r.IntN(2) == 0)
-		f.goesOn(f.allExcept(order[0])...)
+		f.requireProgress(f.allExcept(order[0])...)
 		f.start(order[0], false)
 		f.until("all nodes are members", f.allMembers)
 	}
@@ -179,17 +182,17 @@
 	f.actsOnNewest(follower)
 }
 
-// halvesDecided waits until each node knows of its half: none takes itself for fresh.
-func (f *fleet) halvesDecided() {
+// awaitMajorityLoss waits until each node has noticed that it reaches no majority: none considers itself fresh.
+func (f *fleet) awaitMajorityLoss() {
 	f.t.Helper()
 	for _, i := range f.all() {
 		f.until("the node knows that it reaches no majority", func() bool { s := f.status(i); return s != nil && !s.Fresh })
 	}
 }
 
-// TestMovingPartitions: the cut goes from one node to the next while operators race, connections are reset, and the head is
-// killed with a change under way as it is cut off.
-func TestMovingPartitions(t *testing.T) {
+// TestNodesArePartitionedInTurn: one node after the other is partitioned while operators race, connections are reset, and
+// the head is killed with changes in flight as it is partitioned.
+func TestNodesArePartitionedInTurn(t *testing.T) {
 	t.Parallel()
 	seed, r := newSeed(t)
 	f := newFleet(t, 3, 3)
@@ -198,35 +201,35 @@
 	stop := f.operators(seed, f.all()...)
 	for _, i := range r.Perm(3) {
 		f.partition(i)
-		f.goesOn(f.allExcept(i)...)
+		f.requireProgress(f.allExcept(i)...)
 		f.heal(r.IntN(2) == 0)
 	}
 	for _, relay := range f.relays {
 		relay.Reset()
 	}
-	f.goesOn(f.all()...)
+	f.requireProgress(f.all()...)
 	head := f.head(f.all()...)
 	f.partition(head)
 	f.kill(head)
-	f.goesOn(f.allExcept(head)...)
+	f.requireProgress(f.allExcept(head)...)
 	f.heal(true)
 	f.start(head, false)
-	f.goesOn(f.all()...)
+	f.requireProgress(f.all()...)
 	stop()
 	f.requireCaughtUp(f.all()...)
 	f.actsOnNewest(follower)
 }
 
-// goesOn waits until versions that were acknowledged go on; operators run.
-func (f *fleet) goesOn(nodes ...int) {
+// requireProgress waits until newer versions are acknowledged and read; operators must be running.
+func (f *fleet) requireProgress(nodes ...int) {
 	f.t.Helper()
-	before, _ := f.hist.newest()
-	f.until("versions go on", func() bool { now, _ := f.hist.newest(); return now > before })
-	f.until("what was acknowledged is read", func() bool { _, v := f.read(nodes[0]); return v > before })
+	before, _ := f.hist.newestAcknowledged()
+	f.until("a newer version is acknowledged", func() bool { now, _ := f.hist.newestAcknowledged(); return now > before })
+	f.until("a newer version is read", func() bool { _, v := f.read(nodes[0]); return v > before })
 }
 
-// TestLeavingNodeThatReceivesNothing: the others replace a node that announces that it leaves at once, before
-// a time-out could show it. What it feeds and answers until its end is not old.
+// TestLeavingNodeThatReceivesNothing: the others immediately replace a node that announces its shutdown, before a time-out
+// could detect it. What the node serves and answers until it stops is not stale.
 func TestLeavingNodeThatReceivesNothing(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -235,7 +238,7 @@
 	leaver := f.nodes[tail]
 	leaver.signal(syscall.SIGTERM)
 	f.change(1, f.allExcept(tail)...)
-	newest, body := f.hist.newest()
+	newest, body := f.hist.newestAcknowledged()
 	var all sync.WaitGroup
 	all.Go(func() { f.put(tail, newest-1, body) })
 	all.Go(func() { f.put(tail, newest, variant(newest+1, 9)) })
@@ -251,7 +254,7 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// tail is the node that node 0 takes for the tail.
+// tail returns the node that is the tail according to node 0.
 func (f *fleet) tail() int {
 	name := f.status(0).Tail
 	return int(name[len(name)-1] - '0')
--- a/internal/tier/controlnode/simulation_faults_test.go
+++ b/internal/tier/controlnode/simulation_faults_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// plantedFaults are faults that the harness makes; each must be found by the checks.
-type plantedFaults struct {
-	skipsSync                bool // what a step changed is on disk only with the next one's
-	sendsBeforeSync          bool // messages go out before the sync
-	keepsIDAfterDiskLoss     bool // a machine whose disk was lost comes back under its old id
+// injectedBugs are bugs that the simulation adds to nodes and followers; its checks must detect each of them.
+type injectedBugs struct {
+	skipsSync                bool // the changes of a step reach the disk only with the next step
+	sendsBeforeSync          bool // messages are sent before the sync
+	keepsIDAfterDiskLoss     bool // a machine whose disk was lost returns with its old ID
 	losesVotes               bool // promises and acceptances are not on disk
 	readsWithoutConfirmation bool // reads are answered without asking a majority
-	losesEntries             bool // the entries are not on disk, the rest is
-	breaksPromises           bool // a voter that has promised goes on as if it had not
-	readsUncommitted         bool // the head answers reads from what is not committed yet
-	followerRegresses        bool // a follower that changes its source accepts whatever index that one has
-	servesStaleFeed          bool // a partitioned or lagging node claims to followers that it is fresh
-	acknowledgesEarly        bool // a write is acknowledged when the head has it
-	stopsBeforeLeft          bool // a member that is stopped in order does not wait until it has left
-	neverRemovesVoters       bool // voters keep their votes however long they do not answer
-	ignoresApplicants        bool // a member without a vote never gets one
+	losesEntries             bool // the entries are not on disk, all other state is
+	breaksPromises           bool // a voter forgets its promises
+	readsUncommitted         bool // the head answers reads from uncommitted entries
+	followerRegresses        bool // a follower that changes its source accepts any index, even a lower one
+	servesStaleFeed          bool // a partitioned or lagging node tells followers that it is fresh
+	acknowledgesEarly        bool // a write is acknowledged as soon as the head has it
+	stopsBeforeLeft          bool // a member that shuts down gracefully does not wait until it has left
+	neverRemovesVoters       bool // voters that do not answer are never removed
+	ignoresApplicants        bool // a member that is not a voter never becomes one
 	learnersAnswerAlone      bool // a learner answers followers without asking a majority
 }
 
-// play injects faults, one machine at a time and some that hit all, with time to catch up between.
-func (c *simulation) play(rounds int) {
+// runRandomFaults injects faults of single machines and some that affect all, with time to catch up in between.
+func (c *simulation) runRandomFaults(rounds int) {
 	c.run(800 * time.Millisecond)
 	for range rounds {
 		if c.failure != "" {
 			return
 		}
-		c.playFault()
+		c.injectRandomFault()
 		c.restartAll()
 		c.faultyMachine = ""
 		c.checkProgress()
 	}
 }
 
-// playFault draws a machine, a duration and a fault, and plays it.
-func (c *simulation) playFault() {
-	a := c.order[c.rng.IntN(len(c.order))]
+// injectRandomFault draws a machine, a duration and a fault, and runs the fault.
+func (c *simulation) injectRandomFault() {
+	a := c.addrs[c.rng.IntN(len(c.addrs))]
 	if c.faultyMachine != "" {
 		a = c.faultyMachine
 	}
@@ -49,8 +49,8 @@
 	c.faultyMachine = a
 	span := time.Duration(100+c.rng.IntN(3500)) * time.Millisecond
 	kind := c.rng.IntN(14)
-	if c.fault.losesVotes {
-		kind = 12 // lost votes show where all start again and again: elsewhere some remember
+	if c.bugs.losesVotes {
+		kind = 12 // lost votes only matter if all restart repeatedly: otherwise other voters still have theirs
 	}
 	switch kind {
 	case 0, 1:
@@ -70,38 +70,38 @@
 		c.logf("%s freezes", a)
 		m.frozen = true
 		c.run(span)
-		c.thaw(m)
-		c.logf("%s wakes", a)
+		c.unfreeze(m)
+		c.logf("%s resumes", a)
 	case 4, 5, 6:
-		c.playPartition(a, span)
+		c.injectPartition(a, span)
 	case 7:
-		c.playPowerLoss(m)
+		c.injectPowerLoss(m)
 	case 9, 10, 11:
-		c.playCrashLoop(m, span)
+		c.injectCrashLoop(m, span)
 	case 12, 13:
-		c.playCrashesOfAll(span)
+		c.injectRandomCrashes(span)
 	case 8:
-		c.playLeave(m, span)
+		c.injectGracefulStop(m, span)
 	}
 }
 
 // loseDisk empties the disk of a machine that is down.
 func (c *simulation) loseDisk(m *machine) {
 	m.disk = Durable{}
-	if !c.fault.keepsIDAfterDiskLoss {
+	if !c.bugs.keepsIDAfterDiskLoss {
 		m.id = c.newID()
 	}
 }
 
-// playPartition blocks the links of a machine: in both directions, inbound or outbound.
-func (c *simulation) playPartition(a string, span time.Duration) {
-	way := c.rng.IntN(3) // both, in, out
-	c.logf("%s is partitioned, way %d", a, way)
-	for _, b := range c.order {
-		if b != a && way != 1 {
+// injectPartition blocks the links of a machine in both directions, inbound or outbound.
+func (c *simulation) injectPartition(a string, span time.Duration) {
+	direction := c.rng.IntN(3) // 0 both, 1 inbound, 2 outbound
+	c.logf("%s is partitioned, direction %d", a, direction)
+	for _, b := range c.addrs {
+		if b != a && direction != 1 {
 			c.blockedLinks[[2]string{a, b}] = true
 		}
-		if b != a && way != 2 {
+		if b != a && direction != 2 {
 			c.blockedLinks[[2]string{b, a}] = true
 		}
 	}
@@ -109,11 +109,11 @@
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// playPowerLoss stops all machines at once; one may lose its disk.
-func (c *simulation) playPowerLoss(m *machine) {
+// injectPowerLoss stops all machines at the same time; one may lose its disk.
+func (c *simulation) injectPowerLoss(m *machine) {
 	c.logf("all lose power")
-	c.boundsFrom = c.now + 2*maxFollowerLag
-	for _, b := range c.order {
+	c.lagCheckedFrom = c.now + 2*maxFollowerLag
+	for _, b := range c.addrs {
 		if c.machines[b].up {
 			c.stop(c.machines[b])
 		}
@@ -124,10 +124,10 @@
 	}
 }
 
-// playCrashLoop restarts one machine again and again; some of its links are blocked now and then.
-func (c *simulation) playCrashLoop(m *machine, span time.Duration) {
+// injectCrashLoop restarts one machine repeatedly; some of its links are blocked at random.
+func (c *simulation) injectCrashLoop(m *machine, span time.Duration) {
 	a := m.addr
-	c.logf("%s dies and starts again and again, partitioned from some now and then", a)
+	c.logf("%s is in a crash loop, with random partial partitions", a)
 	for end := c.now + span; c.now < end && c.failure == ""; {
 		if m.up {
 			c.stop(m)
@@ -137,7 +137,7 @@
 			c.start(m)
 		}
 		c.blockedLinks = map[[2]string]bool{}
-		if b := c.order[c.rng.IntN(len(c.order))]; b != a && c.rng.IntN(2) == 0 {
+		if b := c.addrs[c.rng.IntN(len(c.addrs))]; b != a && c.rng.IntN(2) == 0 {
 			c.blockedLinks[[2]string{b, a}] = c.rng.IntN(2) == 0
 			c.blockedLinks[[2]string{a, b}] = true
 		}
@@ -146,17 +146,18 @@
 	c.blockedLinks = map[[2]string]bool{}
 }
 
-// playCrashesOfAll restarts all machines again and again, each by itself; messages with decided views may be lost.
-func (c *simulation) playCrashesOfAll(span time.Duration) {
+// injectRandomCrashes crashes and restarts all machines repeatedly and independently; messages with decided views may be
+// lost.
+func (c *simulation) injectRandomCrashes(span time.Duration) {
 	c.dropsDecisions = c.rng.IntN(2) == 0
-	c.logf("all die and start again, each by itself, for a while; decisions are lost: %v", c.dropsDecisions)
-	c.boundsFrom = time.Hour
-	steps := 60 * (1 + 3*c.rng.IntN(2)) // between crashes: some hundred milliseconds, or a second and more
-	if c.fault.losesVotes {
+	c.logf("all machines crash and restart independently; decided views are lost: %v", c.dropsDecisions)
+	c.lagCheckedFrom = time.Hour
+	steps := 60 * (1 + 3*c.rng.IntN(2)) // mean number of steps between crashes: 0.3 or 1.2 s
+	if c.bugs.losesVotes {
 		steps = 240
 	}
 	for end := c.now + span; c.now < end && c.failure == ""; {
-		for _, b := range c.order {
+		for _, b := range c.addrs {
 			m := c.machines[b]
 			switch {
 			case m.up && c.rng.IntN(steps) == 0:
@@ -168,12 +169,12 @@
 		c.step()
 	}
 	c.dropsDecisions = false
-	c.boundsFrom = c.now + 2*maxFollowerLag
+	c.lagCheckedFrom = c.now + 2*maxFollowerLag
 }
 
-// playLeave stops a machine in order.
-func (c *simulation) playLeave(m *machine, span time.Duration) {
-	c.logf("%s leaves in order", m.addr)
+// injectGracefulStop shuts a machine down gracefully.
+func (c *simulation) injectGracefulStop(m *machine, span time.Duration) {
+	c.logf("%s shuts down gracefully", m.addr)
 	if m.up {
 		c.handleReady(m, m.node.StartLeaving(c.now))
 		c.run(300 * time.Millisecond)
@@ -184,68 +185,68 @@
 	c.run(span)
 }
 
-// restartAll starts all machines, and gives them time to catch up. Power may fail before a sync meanwhile.
+// restartAll starts all machines, and gives them time to catch up. Meanwhile a machine may lose power before a sync.
 func (c *simulation) restartAll() {
 	for down := true; down; {
 		down = false
-		for _, b := range c.order {
+		for _, b := range c.addrs {
 			if m := c.machines[b]; !m.up {
 				c.start(m)
 			}
 		}
 		c.run(4200 * time.Millisecond)
-		for _, b := range c.order {
+		for _, b := range c.addrs {
 			down = down || !c.machines[b].up
 		}
 	}
 }
 
-func TestRandomFaultsLoseNothing(t *testing.T) {
+func TestNoAcknowledgedWriteIsLostUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
 	writes, reads := 0, 0
 	for i := range *simulations {
-		c := newSimulation(t, base+uint64(i), 3+i%3, plantedFaults{})
-		c.play(6)
+		c := newSimulation(t, base+uint64(i), 3+i%3, injectedBugs{})
+		c.runRandomFaults(6)
 		if c.failure != "" {
-			t.Fatalf("seed %d, %d machines: %s\n%s", c.seed, len(c.order), c.failure, c.trace())
+			t.Fatalf("seed %d, %d machines: %s\n%s", c.seed, len(c.addrs), c.failure, c.trace())
 		}
 		writes, reads = writes+c.writes, reads+c.reads
 	}
 	t.Logf("%d simulations: %d writes and %d reads acknowledged", *simulations, writes, reads)
 	if writes < *simulations || reads < *simulations {
-		t.Fatalf("only %d writes and %d reads in %d simulations: they show nothing", writes, reads, *simulations)
+		t.Fatalf("only %d writes and %d reads were acknowledged in %d simulations, too few for a conclusion", writes, reads, *simulations)
 	}
 }
 
-func TestSimulationFindsPlantedFaults(t *testing.T) {
+func TestSimulationDetectsInjectedBugs(t *testing.T) {
 	t.Parallel()
-	wants := map[string]string{"a follower that takes any source's index": "goes back"} // others may be found in several ways
-	for name, f := range map[string]plantedFaults{
-		"a sync left out":                              {skipsSync: true},
-		"messages before the sync":                     {sendsBeforeSync: true},
-		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
-		"votes not on disk":                            {losesVotes: true},
-		"a read from an old tail":                      {readsWithoutConfirmation: true},
-		"entries not on disk":                          {losesEntries: true},
-		"acknowledged by the head alone":               {acknowledgesEarly: true},
-		"a promise that is not kept":                   {breaksPromises: true},
-		"a read of what is not committed":              {readsUncommitted: true},
-		"a follower that takes any source's index":     {followerRegresses: true, servesStaleFeed: true},
-		"a source that does not know it is cut off":    {servesStaleFeed: true},
-		"a learner that does not know it is cut off":   {learnersAnswerAlone: true},
+	wants := map[string]string{"follower accepts any source's index": "follower regresses"} // others may be detected in several ways
+	for name, f := range map[string]injectedBugs{
+		"skipped sync":                               {skipsSync: true},
+		"messages before the sync":                   {sendsBeforeSync: true},
+		"machine keeps its ID after losing its disk": {keepsIDAfterDiskLoss: true},
+		"votes not on disk":                          {losesVotes: true},
+		"read from an old tail":                      {readsWithoutConfirmation: true},
+		"entries not on disk":                        {losesEntries: true},
+		"acknowledged by the head alone":             {acknowledgesEarly: true},
+		"broken promise":                             {breaksPromises: true},
+		"read of uncommitted entries":                {readsUncommitted: true},
+		"follower accepts any source's index":        {followerRegresses: true, servesStaleFeed: true},
+		"stale feed from a partitioned source":       {servesStaleFeed: true},
+		"stale feed from a partitioned learner":      {learnersAnswerAlone: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(600) {
 				c := newSimulation(t, seed+1, 3+int(seed%3), f)
-				c.play(8)
+				c.runRandomFaults(8)
 				if strings.Contains(c.failure, wants[name]) && c.failure != "" {
 					return
 				}
 			}
-			t.Fatal("not found in 600 simulations")
+			t.Fatal("not detected in 600 simulations")
 		})
 	}
 }
--- a/internal/tier/controlnode/simulation_test.go
+++ b/internal/tier/controlnode/simulation_test.go
@@ -12,10 +12,10 @@
 	"larchrouter/internal/tier/view"
 )
 
-// simulations is the number of simulations of TestRandomFaultsLoseNothing. A simulation runs a core in virtual time: machines die,
-// lose power or disks, freeze, are partitioned (also one way) and replaced, while an operator writes and reads through any of
-// them. Nothing here sleeps.
-var simulations = flag.Int("courses", 100, "simulations with random faults")
+// simulations is the number of simulations of TestNoAcknowledgedWriteIsLostUnderRandomFaults. A simulation runs core nodes
+// in virtual time, without sleeping: machines crash, lose power or disks, freeze, are partitioned (also one way) and
+// replaced, while an operator writes and reads through any of them.
+var simulations = flag.Int("courses", 100, "number of simulations with random faults")
 
 type machine struct {
 	addr         string
@@ -26,8 +26,8 @@
 	incarnation  int64
 	up           bool
 	frozen       bool
-	unsyncedDisk *Durable // planted: not yet on disk
-	checkedEpoch *int64   // the epoch of the view that was last compared with others'
+	unsyncedDisk *Durable // with the bug skipsSync: the state that is not on disk yet
+	checkedEpoch *int64   // the epoch of the view that was last compared with other nodes
 	inbox        []Message
 }
 
@@ -45,56 +45,56 @@
 	rng             *rand.Rand
 	now             time.Duration
 	machines        map[string]*machine
-	order           []string
+	addrs           []string
 	queue           []packet
 	seq             int
 	blockedLinks    map[[2]string]bool // from, to
 	partitioned     map[string]int     // machines partitioned from all others: 0 both ways, 1 inbound, 2 outbound
-	fault           plantedFaults
+	bugs            injectedBugs
 	log             []string
 	ids             int
 	views           map[int64]string
-	withoutChance   bool          // no chance: nothing is lost, no power fails
+	noRandomFaults  bool          // no messages are lost or delayed at random, and no machine loses power
 	latency         time.Duration // of each message, in addition to a random delay
 	dropsDecisions  bool          // messages with a decided view are lost
-	faultyMachine   string        // the machine that counts as lost, until it has caught up
+	faultyMachine   string        // the one machine that may be faulty now, until all have caught up; empty for none
 	faultTolerance  int
 	chainLength     int       // of NodeSettings
 	initialMachines int       // machines at the start
-	newest          view.View // that was decided
+	newest          view.View // the newest decided view
 
-	requestID  int64
-	pending    map[int64]request
-	ackedIndex int64            // the highest index that was acknowledged
-	values     map[int64]string // acknowledged, by index
-	followers  []*follower
-	recentAcks []acknowledgement // what followers are to have soon
-	boundsFrom time.Duration     // before it, the lag of followers is not checked
-	reads      int
-	writes     int
-	failure    string
+	requestID      int64
+	pending        map[int64]request
+	ackedIndex     int64            // the highest acknowledged index
+	values         map[int64]string // the acknowledged values by index
+	followers      []*follower
+	recentAcks     []acknowledgement // not older than maxFollowerLag: followers may not have them yet
+	lagCheckedFrom time.Duration     // the lag of followers is not checked before this time
+	reads          int
+	writes         int
+	failure        string
 }
 
 type request struct {
 	write bool
 	value string
-	at    int64 // acked when it was asked
+	at    int64 // the acknowledged index when a read was sent
 	by    string
 }
 
-func newSimulation(t testing.TB, seed uint64, n int, f plantedFaults) *simulation {
-	return newSimulationWith(t, seed, n, 1, drawnChainLength(seed, 1), f)
+func newSimulation(t testing.TB, seed uint64, n int, f injectedBugs) *simulation {
+	return newSimulationWith(t, seed, n, 1, chainLengthForSeed(seed, 1), f)
 }
 
-// drawnChainLength returns the length of the chain by a seed: in a third of the simulations all voters are in it.
-func drawnChainLength(seed uint64, losses int) int {
+// chainLengthForSeed returns the chain length for a seed: in a third of the simulations all voters are in the chain.
+func chainLengthForSeed(seed uint64, losses int) int {
 	if seed%3 == 0 {
 		return 0
 	}
 	return ChainLength(losses)
 }
 
-func newSimulationWith(t testing.TB, seed uint64, n, losses, chainLength int, f plantedFaults) *simulation {
+func newSimulationWith(t testing.TB, seed uint64, n, losses, chainLength int, f injectedBugs) *simulation {
 	c := &simulation{
 		initialMachines: n,
 		t:               t,
@@ -103,7 +103,7 @@
 		machines:        map[string]*machine{},
 		blockedLinks:    map[[2]string]bool{},
 		partitioned:     map[string]int{},
-		fault:           f,
+		bugs:            f,
 		pending:         map[int64]request{},
 		values:          map[int64]string{},
 		views:           map[int64]string{},
@@ -114,15 +114,15 @@
 	for i := range n {
 		addr := fmt.Sprintf("m%d", i)
 		c.machines[addr] = &machine{addr: addr, name: addr}
-		c.order = append(c.order, addr)
+		c.addrs = append(c.addrs, addr)
 		if i < 3 {
 			seeds = append(seeds, view.Member{ID: "seed-" + addr, Addr: addr})
 		}
 	}
-	for i, addr := range c.order {
+	for i, addr := range c.addrs {
 		m := c.machines[addr]
 		if i < 3 {
-			m.id, m.disk = "seed-"+addr, Founding(seeds)
+			m.id, m.disk = "seed-"+addr, BootstrapState(seeds)
 		} else {
 			m.id = c.newID()
 		}
@@ -153,8 +153,8 @@
 	d := m.disk
 	d.State.Entries = slices.Clone(d.State.Entries)
 	var seeds []string
-	for _, a := range c.order {
-		if len(seeds) < 3 && (m.incarnation > 1 || a != m.addr || len(c.order) <= c.initialMachines) {
+	for _, a := range c.addrs {
+		if len(seeds) < 3 && (m.incarnation > 1 || a != m.addr || len(c.addrs) <= c.initialMachines) {
 			seeds = append(seeds, a)
 		}
 	}
@@ -170,7 +170,7 @@
 
 func (c *simulation) timings() Timings {
 	t := DefaultTimings()
-	if c.fault.neverRemovesVoters {
+	if c.bugs.neverRemovesVoters {
 		t.FailureTimeout = time.Hour
 	}
 	return t
@@ -185,8 +185,8 @@
 	}
 }
 
-// thaw resumes a frozen machine: the messages that waited for it are received first.
-func (c *simulation) thaw(m *machine) {
+// unfreeze resumes a frozen machine: it first receives the messages that waited for it.
+func (c *simulation) unfreeze(m *machine) {
 	m.frozen = false
 	in := m.inbox
 	m.inbox = nil
@@ -199,13 +199,13 @@
 
 func (c *simulation) save(m *machine, d Durable) {
 	d.State.Entries = slices.Clone(d.State.Entries)
-	if c.fault.losesVotes {
+	if c.bugs.losesVotes {
 		d.Acceptor.Promised, d.Acceptor.AcceptedBallot, d.Acceptor.Accepted = view.Ballot{}, view.Ballot{}, view.View{}
 	}
-	if c.fault.losesEntries {
+	if c.bugs.losesEntries {
 		d.State.Entries, d.State.LastIndex, d.State.Commit = nil, 0, 0
 	}
-	if c.fault.skipsSync {
+	if c.bugs.skipsSync {
 		if m.unsyncedDisk != nil {
 			m.disk = *m.unsyncedDisk
 		}
@@ -215,17 +215,17 @@
 	m.disk = d
 }
 
-// handleReady does with a Ready what the driver does. Between the change and the sync the power may fail.
+// handleReady handles a Ready as Server does. The machine may lose power between the change and the sync.
 func (c *simulation) handleReady(m *machine, o Ready) {
 	if o.MustSync {
-		mayFail := c.faultyMachine == "" || c.faultyMachine == m.addr // one machine at a time
-		if !c.withoutChance && c.rng.IntN(400) == 0 && mayFail && !c.fault.sendsBeforeSync {
+		mayFail := c.faultyMachine == "" || c.faultyMachine == m.addr // only one machine fails at a time
+		if !c.noRandomFaults && c.rng.IntN(400) == 0 && mayFail && !c.bugs.sendsBeforeSync {
 			c.faultyMachine = m.addr
 			c.logf("%s loses power before its sync", m.addr)
 			c.stop(m)
 			return
 		}
-		if c.fault.sendsBeforeSync && c.rng.IntN(60) == 0 && mayFail {
+		if c.bugs.sendsBeforeSync && c.rng.IntN(60) == 0 && mayFail {
 			c.faultyMachine = m.addr
 			c.deliver(m, o)
 			c.logf("%s loses power before its sync", m.addr)
@@ -235,7 +235,7 @@
 		c.save(m, m.node.Durable())
 	}
 	c.checkAgreement(m)
-	if c.fault.breaksPromises {
+	if c.bugs.breaksPromises {
 		m.node.acceptor.Promised = view.Ballot{}
 	}
 	c.deliver(m, o)
@@ -243,15 +243,15 @@
 
 func (c *simulation) deliver(m *machine, o Ready) {
 	for _, e := range o.Messages {
-		if !c.withoutChance && c.rng.IntN(50) == 0 || c.dropsDecisions && e.Kind == msgDecide {
+		if !c.noRandomFaults && c.rng.IntN(50) == 0 || c.dropsDecisions && e.Kind == msgDecide {
 			continue // lost
 		}
-		if to := c.machines[e.To]; c.fault.ignoresApplicants && to != nil && !c.newest.IsVoter(m.id) && e.Kind == msgHeartbeat {
+		if to := c.machines[e.To]; c.bugs.ignoresApplicants && to != nil && !c.newest.IsVoter(m.id) && e.Kind == msgHeartbeat {
 			continue
 		}
 		c.seq++
 		delay := time.Duration(1+c.rng.IntN(6)) * time.Millisecond
-		if !c.withoutChance && c.rng.IntN(100) == 0 {
+		if !c.noRandomFaults && c.rng.IntN(100) == 0 {
 			delay *= 60
 		}
 		c.queue = append(c.queue, packet{at: c.now + c.latency + delay, to: e.To, from: m.addr, m: e.Message, seq: c.seq})
@@ -271,7 +271,7 @@
 		}
 		c.reads++
 		if d.Index < r.at {
-			c.failf("a read at %s gave index %d, %d was acknowledged before", m.addr, d.Index, r.at)
+			c.failf("a read at %s returned index %d, but %d was acknowledged before", m.addr, d.Index, r.at)
 		}
 		c.checkCommitted(m, d.Index)
 	}
@@ -282,7 +282,7 @@
 	value := fmt.Sprintf("v%d", c.requestID)
 	c.pending[c.requestID] = request{write: true, value: value, by: m.addr}
 	o := m.node.Write(c.now, c.requestID, "config", []byte(value))
-	if c.fault.acknowledgesEarly && o.MustSync {
+	if c.bugs.acknowledgesEarly && o.MustSync {
 		if r, ok := c.pending[c.requestID]; ok {
 			delete(c.pending, c.requestID)
 			c.acknowledge(m.node.Chain().State().LastIndex, r.value)
@@ -293,12 +293,12 @@
 
 func (c *simulation) read(m *machine) {
 	c.requestID++
-	if v := m.node.View(); c.fault.readsWithoutConfirmation && v.Tail() == m.id && m.node.Chain().IsActive() {
+	if v := m.node.View(); c.bugs.readsWithoutConfirmation && v.Tail() == m.id && m.node.Chain().IsActive() {
 		c.pending[c.requestID] = request{at: c.ackedIndex, by: m.addr}
 		c.deliver(m, Ready{Completed: []Completion{{RequestID: c.requestID, Outcome: Committed, Index: m.node.Chain().State().Commit}}})
 		return
 	}
-	if e, ok := m.node.Chain().LastEntry("config"); c.fault.readsUncommitted && ok && m.node.IsConfirmedHead() {
+	if e, ok := m.node.Chain().LastEntry("config"); c.bugs.readsUncommitted && ok && m.node.IsConfirmedHead() {
 		c.acknowledge(e.Index, string(e.Value))
 		return
 	}
@@ -312,7 +312,8 @@
 	return !c.blockedLinks[[2]string{from, to}] && !(cutFrom && out != 1) && !(cutTo && in != 2)
 }
 
-// step moves time by 5 ms: arrived messages are received, nodes tick, operators write and read.
+// step advances time by 5 ms: nodes receive messages that have arrived and tick, operators write and read, and followers
+// poll.
 func (c *simulation) step() {
 	c.now += 5 * time.Millisecond
 	slices.SortStableFunc(c.queue, func(a, b packet) int { return int(a.at - b.at) })
@@ -329,7 +330,7 @@
 		}
 		c.handleReady(m, m.node.Receive(c.now, p.m))
 	}
-	for _, a := range c.order {
+	for _, a := range c.addrs {
 		m := c.machines[a]
 		if m == nil || !m.up || m.frozen {
 			continue
