--- a/cmd/larch-control/status.go
+++ b/cmd/larch-control/status.go
@@ -38,18 +38,18 @@
 func (c statusCommand) Run() error { return c.printStatus(writeStatus) }
 
 func writeStatus(w io.Writer, s *controlnode.Status) {
-	fmt.Fprintf(w, "node %s: %s\n", s.Node, s.Trouble())
+	fmt.Fprintf(w, "node %s: %s\n", s.Node, s.Summary())
 	fmt.Fprintf(w, "epoch\t%d\nchain\t%s\ncommitted\t%d of %d\nversion\t%d\nhosts\t%d\nplacement\tgen %d, %d stores\n",
-		s.Epoch, strings.Join(s.Chain, " > "), s.Commit, s.Place, s.Version, s.Hosts, s.Gen, len(s.Stores))
-	for _, store := range s.Silent {
-		fmt.Fprintf(w, "silent store\t%s at %s: %d s\n", store.Name, store.Addr, store.SilentMs/1000)
+		s.Epoch, strings.Join(s.Chain, " > "), s.Commit, s.LastIndex, s.ConfigVersion, s.Hosts, s.PlacementGeneration, len(s.Stores))
+	for _, store := range s.UnresponsiveStores {
+		fmt.Fprintf(w, "silent store\t%s at %s: %d s\n", store.Name, store.Addr, store.SinceRegistrationMs/1000)
 	}
 	if s.Role != "" {
 		fmt.Fprintf(w, "role\t%s\n", s.Role)
 	}
 	for _, transfer := range s.Transfers {
 		fmt.Fprintf(w, "brings up to date\t%s: %d of %d, and %d bytes of the next\n",
-			transfer.To, transfer.Place, transfer.Target, transfer.Bytes)
+			transfer.To, transfer.LastIndex, transfer.Target, transfer.Bytes)
 	}
 }
 
@@ -61,20 +61,20 @@
 func writeMembers(w io.Writer, s *controlnode.Status) {
 	fmt.Fprintln(w, "KIND\tNAME\tADDRESS\tSILENT\tID")
 	for _, voter := range s.Voters {
-		fmt.Fprintf(w, "core\t%s\t%s\t%d ms\t%s\n", voter.Name, voter.Addr, voter.SilentMs, voter.ID)
+		fmt.Fprintf(w, "core\t%s\t%s\t%d ms\t%s\n", voter.Name, voter.Addr, voter.SinceLastMessageMs, voter.ID)
 	}
 	for _, store := range s.Stores {
-		fmt.Fprintf(w, "store\t%s\t%s\t%s\t%s\n", store.Name, store.Addr, unresponsiveTime(s.Silent, store.ID), store.ID)
+		fmt.Fprintf(w, "store\t%s\t%s\t%s\t%s\n", store.Name, store.Addr, unresponsiveTime(s.UnresponsiveStores, store.ID), store.ID)
 	}
 }
 
 // unresponsiveTime returns how long a store has been unresponsive, "" if it is not.
-func unresponsiveTime(unresponsive []controlnode.SilentStore, id string) string {
-	i := slices.IndexFunc(unresponsive, func(s controlnode.SilentStore) bool { return s.ID == id })
+func unresponsiveTime(unresponsive []controlnode.UnresponsiveStore, id string) string {
+	i := slices.IndexFunc(unresponsive, func(s controlnode.UnresponsiveStore) bool { return s.ID == id })
 	if i < 0 {
 		return ""
 	}
-	return fmt.Sprintf("%d ms", unresponsive[i].SilentMs)
+	return fmt.Sprintf("%d ms", unresponsive[i].SinceRegistrationMs)
 }
 
 // versionsCommand lists which follower of the node's feed acts on which version of the configuration.
@@ -85,6 +85,6 @@
 func writeVersions(w io.Writer, s *controlnode.Status) {
 	fmt.Fprintln(w, "RELAY\tCLASS\tVERSION\tPLACE\tSILENT")
 	for _, follower := range s.Followers {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d ms\n", follower.Name, follower.Class, follower.Version, follower.Place, follower.SilentMs)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d ms\n", follower.Name, follower.Class, follower.ActiveVersion, follower.AppliedIndex, follower.SinceLastPollMs)
 	}
 }
--- a/cmd/larch-demo/demo.go
+++ b/cmd/larch-demo/demo.go
@@ -113,7 +113,7 @@
 				return err
 			}
 			d.printf("--- version %d is in force, the chain is %s; %s comes back",
-				status.Version, strings.Join(status.Chain, " > "), head.Name)
+				status.ConfigVersion, strings.Join(status.Chain, " > "), head.Name)
 			return head.Start()
 		},
 	} {
@@ -134,7 +134,7 @@
 func awaitVersion(ctx context.Context, t *tiertest.Tier, version int64) (status *controlnode.Status, err error) {
 	err = t.AwaitStatus(ctx, fmt.Sprintf("version %d is there", version), func(s *controlnode.Status) bool {
 		status = s
-		return s.Version == version
+		return s.ConfigVersion == version
 	})
 	return status, err
 }
--- a/internal/tier/controlnode/duty_lease.go
+++ b/internal/tier/controlnode/duty_lease.go
@@ -41,15 +41,15 @@
 
 // publishGrant publishes what the lease grants now, and logs where that has changed. It runs on the event loop.
 func (s *Server) publishGrant(now time.Duration) {
-	before := s.dutyGrant.Load()
+	before := s.taskGrant.Load()
 	grant, held := s.lease.Grant(now)
 	switch {
 	case held && before != nil && before.epoch == grant.Epoch && before.until.Equal(s.startedAt.Add(grant.Until)):
 		return
 	case held:
-		s.dutyGrant.Store(&dutyGrant{epoch: grant.Epoch, until: s.startedAt.Add(grant.Until)})
+		s.taskGrant.Store(&dutyGrant{epoch: grant.Epoch, until: s.startedAt.Add(grant.Until)})
 	default:
-		s.dutyGrant.Store(nil)
+		s.taskGrant.Store(nil)
 	}
 	switch {
 	case held && before == nil:
@@ -61,7 +61,7 @@
 
 // heldGrant returns the grant under which this node may act now, nil for none.
 func (s *Server) heldGrant() *dutyGrant {
-	grant := s.dutyGrant.Load()
+	grant := s.taskGrant.Load()
 	if grant == nil || !time.Now().Before(grant.until) {
 		return nil
 	}
--- a/internal/tier/controlnode/duty_role.go
+++ b/internal/tier/controlnode/duty_role.go
@@ -134,7 +134,7 @@
 	defer cancel()
 	startedAt := time.Now()
 	outcome, err := d.client.Post(ctx, path, d.token(grant), body)
-	d.server.dutyCalls.record(path, d.token(grant), outcome, body)
+	d.server.taskCalls.record(path, d.token(grant), outcome, body)
 	if outcome != duty.Accepted {
 		d.server.log.Info("call to the platform", "path", path, "token", d.token(grant), "outcome", outcome,
 			"ms", time.Since(startedAt).Milliseconds(), "err", err)
--- a/internal/tier/controlnode/duty_snapshot.go
+++ b/internal/tier/controlnode/duty_snapshot.go
@@ -36,7 +36,7 @@
 	if d.heldEpoch != 0 && d.scale != nil {
 		snapshot.scale = d.scale.snapshot()
 	}
-	d.server.dutySnapshot.Store(snapshot)
+	d.server.taskSnapshot.Store(snapshot)
 }
 
 // snapshot returns the state for operators.
--- a/internal/tier/controlnode/duty_status.go
+++ b/internal/tier/controlnode/duty_status.go
@@ -147,7 +147,7 @@
 		WaitMs:        query.lease.Wait.Milliseconds(),
 		Cause:         s.dutiesCause(query),
 		ClockOffsetMs: s.clockOffset().Milliseconds(),
-		Outcomes:      s.dutyCalls.countsOf(usagePath, scalePath),
+		Outcomes:      s.taskCalls.countsOf(usagePath, scalePath),
 	}
 	if status.Held {
 		status.Holder = s.self.Name
--- a/internal/tier/controlnode/duty_status_parts.go
+++ b/internal/tier/controlnode/duty_status_parts.go
@@ -17,7 +17,7 @@
 // addDutySnapshot adds what the goroutine of the duties has published, and its calls. Lists are empty instead of nil, so that they
 // are never null in JSON.
 func (s *Server) addDutySnapshot(status *DutyStatus, isHead bool) {
-	snapshot := s.dutySnapshot.Load()
+	snapshot := s.taskSnapshot.Load()
 	if snapshot == nil {
 		snapshot = &dutySnapshot{at: time.Now()}
 	}
@@ -30,16 +30,16 @@
 		Unacknowledged:   windowStatuses(snapshot.usage.unacknowledged, s.trueNow(), s.usageWindow(), s.usageLate()),
 		LastRecorded:     snapshot.usage.lastRecorded,
 		LastAcknowledged: snapshot.usage.lastAcknowledged,
-		Outcomes:         s.dutyCalls.countsOf(usagePath),
-		Calls:            s.dutyCalls.newestOf(usagePath),
+		Outcomes:         s.taskCalls.countsOf(usagePath),
+		Calls:            s.taskCalls.newestOf(usagePath),
 	}
 	status.Scale = ScaleDutyStatus{
 		Expected:   s.settings.HasDuty(scaleDutyName),
 		Fronts:     int64(snapshot.scale.fronts),
 		MostFronts: int64(snapshot.scale.mostFronts),
 		Subjects:   append([]ScaleSubjectStatus{}, snapshot.scale.subjects...),
-		Outcomes:   s.dutyCalls.countsOf(scalePath),
-		Calls:      s.dutyCalls.newestOf(scalePath),
+		Outcomes:   s.taskCalls.countsOf(scalePath),
+		Calls:      s.taskCalls.newestOf(scalePath),
 	}
 }
 
--- a/internal/tier/controlnode/duty_status_test.go
+++ b/internal/tier/controlnode/duty_status_test.go
@@ -63,7 +63,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newDutyServer(strings.Fields(c.duties)...)
-			s.dutySnapshot.Store(&dutySnapshot{at: time.Now(), tokenBase: base})
+			s.taskSnapshot.Store(&dutySnapshot{at: time.Now(), tokenBase: base})
 			status := s.dutyStatus(&c.query)
 			got := DutyStatus{Head: status.Head, Held: status.Held, Holder: status.Holder, Token: status.Token, LeftMs: status.LeftMs,
 				WaitMs: status.WaitMs, Cause: status.Cause}
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -372,7 +372,7 @@
 // learner.
 func (f *fleet) hasReplica(s *Status) bool {
 	inChain := slices.Contains(s.Chain, s.Node)
-	return s.Fresh && !s.Sealed && (inChain || len(s.Chain) >= ChainLength(f.losses) && s.Role == RoleLearner)
+	return s.Fresh && !s.Promised && (inChain || len(s.Chain) >= ChainLength(f.losses) && s.Role == RoleLearner)
 }
 
 // allMembers reports whether all nodes that run report the same: one view, whose chain has as many as it should, and each of them with
@@ -429,7 +429,7 @@
 		name := ""
 		for _, i := range nodes {
 			s := f.status(i)
-			if s == nil || s.Sealed || name != "" && s.Head != name {
+			if s == nil || s.Promised || name != "" && s.Head != name {
 				return false
 			}
 			name = s.Head
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -139,9 +139,9 @@
 	{1, "peer, active", sideRequest, &Message{Ack: chain.Ack{Active: true}}},
 	{5, "register, full", sideRequest, &feed.Registration{Full: true}},
 	{5, "register, relayed", sideRequest, &feed.Registration{Forwarded: true}},
-	{8, "status, sealed", sideReply, &Status{Sealed: true}},
+	{8, "status, sealed", sideReply, &Status{Promised: true}},
 	{8, "status, fresh", sideReply, &Status{Fresh: true}},
-	{8, "status, joint", sideReply, &Status{Joint: true}},
+	{8, "status, joint", sideReply, &Status{PlacementJoint: true}},
 	{15, "duties, held", sideReply, &DutyStatus{Held: true}},
 	{15, "duties, usage expected", sideReply, &DutyStatus{Usage: UsageDutyStatus{Expected: true}}},
 	{15, "duties, scale expected", sideReply, &DutyStatus{Scale: ScaleDutyStatus{Expected: true}}},
@@ -154,12 +154,12 @@
 }
 
 func fullStatus() *Status {
-	return &Status{Node: "node", Epoch: big + 1, Head: "head", Tail: "tail", Chain: []string{"chain-1", "chain-2"}, Voters: []Voter{{ID: "voter-id", Name: "voter-name", Addr: "voter-addr", SilentMs: big + 2}},
-		Sealed: true, Fresh: true, Place: big + 3, Commit: big + 4, Version: big + 5, Hosts: big + 6, Gen: big + 7, Joint: true,
-		Stores: []turnstore.Store{{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}}, Full: []string{"full-1", "full-2"},
-		Silent: []SilentStore{{ID: "silent-id", Name: "silent-name", Addr: "silent-addr", SilentMs: big + 8}}, Lacking: big + 9,
-		Followers: []FollowerStatus{{Name: "follower-name", Class: "follower-class", Version: big + 10, Place: big + 11, SilentMs: big + 12}}, Role: "role",
-		Transfers: []Transfer{{To: "to", Place: big + 13, Target: big + 14, Bytes: big + 15}}}
+	return &Status{Node: "node", Epoch: big + 1, Head: "head", Tail: "tail", Chain: []string{"chain-1", "chain-2"}, Voters: []Voter{{ID: "voter-id", Name: "voter-name", Addr: "voter-addr", SinceLastMessageMs: big + 2}},
+		Promised: true, Fresh: true, LastIndex: big + 3, Commit: big + 4, ConfigVersion: big + 5, Hosts: big + 6, PlacementGeneration: big + 7, PlacementJoint: true,
+		Stores: []turnstore.Store{{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}}, FullStores: []string{"full-1", "full-2"},
+		UnresponsiveStores: []UnresponsiveStore{{ID: "silent-id", Name: "silent-name", Addr: "silent-addr", SinceRegistrationMs: big + 8}}, StoresRequired: big + 9,
+		Followers: []FollowerStatus{{Name: "follower-name", Class: "follower-class", ActiveVersion: big + 10, AppliedIndex: big + 11, SinceLastPollMs: big + 12}}, Role: "role",
+		Transfers: []Transfer{{To: "to", LastIndex: big + 13, Target: big + 14, Bytes: big + 15}}}
 }
 
 func fullDutyStatus() *DutyStatus {
--- a/internal/tier/controlnode/server.go
+++ b/internal/tier/controlnode/server.go
@@ -69,15 +69,15 @@
 	hostListHistory  discovery.History
 
 	trueTime  *usage.TrueTime // over the clocks of the voters
-	dutyCalls dutyCallLog     // for operators
+	taskCalls dutyCallLog     // for operators
 
-	dutySnapshot atomic.Pointer[dutySnapshot] // of the duties after their last step, for operators; nil before the first
+	taskSnapshot atomic.Pointer[dutySnapshot] // of the duties after their last step, for operators; nil before the first
 
 	healthReported chan struct{} // of capacity 1: a front has reported since pollPlatform last looked
 
 	isHead    atomic.Bool               // IsConfirmedHead after the last batch
 	viewEpoch atomic.Int64              // of the view after the last batch
-	dutyGrant atomic.Pointer[dutyGrant] // that this node has on the singleton duties; nil for none
+	taskGrant atomic.Pointer[dutyGrant] // that this node has on the singleton duties; nil for none
 	diskFull  atomic.Bool               // the event loop waits for room on the disk
 	mu        sync.Mutex                // guards changed
 	changed   chan struct{}             // closed when there may be something new for followers
--- a/internal/tier/controlnode/server_test.go
+++ b/internal/tier/controlnode/server_test.go
@@ -310,7 +310,7 @@
 			}
 			n := 0
 			for _, f := range s.Followers {
-				if f.Version == 3 {
+				if f.ActiveVersion == 3 {
 					n++
 				}
 			}
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -18,43 +18,43 @@
 // Status is what one control node knows, for operators. It is JSON of the operator API, whose keys are in the
 // tags, and is also sent between nodes by the order of its fields.
 type Status struct {
-	Node      string            `json:"node"`
-	Epoch     int64             `json:"epoch"`
-	Head      string            `json:"head"`
-	Tail      string            `json:"tail"`
-	Chain     []string          `json:"chain"`
-	Voters    []Voter           `json:"voters"`
-	Sealed    bool              `json:"sealed"` // the node has promised to the next epoch
-	Fresh     bool              `json:"fresh"`
-	Place     int64             `json:"place"` // index of the last entry on this node's disk
-	Commit    int64             `json:"commit"`
-	Version   int64             `json:"config_version"`
-	Hosts     int               `json:"hosts"`
-	Gen       int64             `json:"placement_gen"` // generation
-	Joint     bool              `json:"placement_joint"`
-	Stores    []turnstore.Store `json:"stores"`
-	Full      []string          `json:"full_stores"`    // as far as the head knows
-	Silent    []SilentStore     `json:"silent_stores"`  // of the placement, by the head's observations; the longest first
-	Lacking   int               `json:"lacking_stores"` // how many of them have to come back for a change to end
-	Followers []FollowerStatus  `json:"followers"`
-	Role      string            `json:"role"`
-	Transfers []Transfer        `json:"transfers"` // that this node sends
+	Node                string              `json:"node"`
+	Epoch               int64               `json:"epoch"`
+	Head                string              `json:"head"`
+	Tail                string              `json:"tail"`
+	Chain               []string            `json:"chain"`
+	Voters              []Voter             `json:"voters"`
+	Promised            bool                `json:"sealed"` // the node has promised to the next epoch
+	Fresh               bool                `json:"fresh"`
+	LastIndex           int64               `json:"place"` // index of the last entry on this node's disk
+	Commit              int64               `json:"commit"`
+	ConfigVersion       int64               `json:"config_version"`
+	Hosts               int                 `json:"hosts"`
+	PlacementGeneration int64               `json:"placement_gen"`
+	PlacementJoint      bool                `json:"placement_joint"`
+	Stores              []turnstore.Store   `json:"stores"`
+	FullStores          []string            `json:"full_stores"`    // as far as the head knows
+	UnresponsiveStores  []UnresponsiveStore `json:"silent_stores"`  // of the placement, by the head's observations; the longest first
+	StoresRequired      int                 `json:"lacking_stores"` // how many of them have to come back for a change to end
+	Followers           []FollowerStatus    `json:"followers"`
+	Role                string              `json:"role"`
+	Transfers           []Transfer          `json:"transfers"` // that this node sends
 }
 
-// SilentStore is a store of the placement that has not registered for so long that another may replace it.
-type SilentStore struct {
-	ID       string `json:"id"`
-	Name     string `json:"name"`
-	Addr     string `json:"addr"`
-	SilentMs int64  `json:"silent_ms"` // since its last registration, at least: the head may have changed meanwhile
+// UnresponsiveStore is a store of the placement that has not registered for so long that another may replace it.
+type UnresponsiveStore struct {
+	ID                  string `json:"id"`
+	Name                string `json:"name"`
+	Addr                string `json:"addr"`
+	SinceRegistrationMs int64  `json:"silent_ms"` // since its last registration, at least: the head may have changed meanwhile
 }
 
 // Transfer is the progress of a member that this node brings up to date.
 type Transfer struct {
-	To     string `json:"to"`
-	Place  int64  `json:"place"` // index up to which it has all
-	Target int64  `json:"target"`
-	Bytes  int64  `json:"bytes"` // of the entry after it
+	To        string `json:"to"`
+	LastIndex int64  `json:"place"` // index up to which it has all
+	Target    int64  `json:"target"`
+	Bytes     int64  `json:"bytes"` // of the entry after it
 }
 
 // Roles of a control node in the status.
@@ -65,22 +65,21 @@
 	RoleApplicant  = "applicant"   // it has no vote yet
 )
 
-// Voter is a control node as another sees it; SilentMs is the time since its last message.
+// Voter is a control node as another sees it.
 type Voter struct {
-	ID       string `json:"id"`
-	Name     string `json:"name"`
-	Addr     string `json:"addr"`
-	SilentMs int64  `json:"silent_ms"`
+	ID                 string `json:"id"`
+	Name               string `json:"name"`
+	Addr               string `json:"addr"`
+	SinceLastMessageMs int64  `json:"silent_ms"`
 }
 
-// FollowerStatus is a follower of a node's feed; Place is its applied index, SilentMs the time since its last
-// poll.
+// FollowerStatus is a follower of a node's feed.
 type FollowerStatus struct {
-	Name     string `json:"name"`
-	Class    string `json:"class"`
-	Version  int64  `json:"config_version"`
-	Place    int64  `json:"place"`
-	SilentMs int64  `json:"silent_ms"`
+	Name            string `json:"name"`
+	Class           string `json:"class"`
+	ActiveVersion   int64  `json:"config_version"`
+	AppliedIndex    int64  `json:"place"`
+	SinceLastPollMs int64  `json:"silent_ms"`
 }
 
 // role returns this node's role. It runs on the event loop.
@@ -106,27 +105,27 @@
 		q.status.Hosts = len(h.Hosts)
 	}
 	if state, err := orders.ReadState(s.node.Chain().Committed(0), s.settings.FaultTolerance()); err == nil {
-		q.status.Version = state.Version()
+		q.status.ConfigVersion = state.Version()
 		if p := state.Placement; p != nil {
-			q.status.Gen, q.status.Joint, q.status.Stores = p.Generation, len(p.New) > 0, p.Stores()
+			q.status.PlacementGeneration, q.status.PlacementJoint, q.status.Stores = p.Generation, len(p.New) > 0, p.Stores()
 			s.addUnresponsiveStores(&q.status, p)
 		}
 	}
-	q.status.Full = s.fullStores()
+	q.status.FullStores = s.fullStores()
 }
 
 // addViewStatus adds the view and its voters. It runs on the event loop.
 func (s *Server) addViewStatus(status *Status) {
 	v := s.node.View()
 	status.Epoch, status.Chain = v.Epoch, s.chainNames()
-	status.Sealed, status.Fresh = s.node.acceptor.HasPromised(), s.node.Fresh()
+	status.Promised, status.Fresh = s.node.acceptor.HasPromised(), s.node.Fresh()
 	if len(status.Chain) > 0 {
 		status.Head, status.Tail = status.Chain[0], status.Chain[len(status.Chain)-1]
 	}
 	for _, m := range v.Voters {
 		voter := Voter{ID: m.ID, Name: m.Name, Addr: s.node.addr(m.ID)}
 		if p := s.node.peers[m.ID]; p != nil && m.ID != s.self.ID {
-			voter.Name, voter.SilentMs = cmp.Or(p.member.Name, m.Name), (s.now() - p.lastHeard).Milliseconds()
+			voter.Name, voter.SinceLastMessageMs = cmp.Or(p.member.Name, m.Name), (s.now() - p.lastHeard).Milliseconds()
 		} else if m.ID == s.self.ID {
 			voter.Name = s.self.Name
 		}
@@ -139,30 +138,30 @@
 	status.Role = s.role()
 	for _, t := range s.node.Chain().Transfers() {
 		status.Transfers = append(status.Transfers, Transfer{
-			To:     s.name(t.ID),
-			Place:  t.LastIndex,
-			Target: t.Target,
-			Bytes:  t.PartialBytes,
+			To:        s.name(t.ID),
+			LastIndex: t.LastIndex,
+			Target:    t.Target,
+			Bytes:     t.PartialBytes,
 		})
 	}
-	status.Place, status.Commit = s.node.Chain().State().LastIndex, s.node.Chain().State().Commit
+	status.LastIndex, status.Commit = s.node.Chain().State().LastIndex, s.node.Chain().State().Commit
 }
 
 // addUnresponsiveStores adds the stores that do not register. It runs on the event loop.
 func (s *Server) addUnresponsiveStores(status *Status, p *turnstore.Placement) {
 	unresponsive := s.currentObservations().FailedStores(s.placementTimings())
-	status.Lacking = placement.StoresRequired(p, unresponsive)
+	status.StoresRequired = placement.StoresRequired(p, unresponsive)
 	for _, u := range unresponsive {
 		i := slices.IndexFunc(status.Stores, func(o turnstore.Store) bool { return o.ID == u.ID })
 		if i < 0 {
 			continue
 		}
 		store := &status.Stores[i]
-		status.Silent = append(status.Silent, SilentStore{
-			ID:       u.ID,
-			Name:     store.Name,
-			Addr:     store.Addr,
-			SilentMs: u.Elapsed.Milliseconds(),
+		status.UnresponsiveStores = append(status.UnresponsiveStores, UnresponsiveStore{
+			ID:                  u.ID,
+			Name:                store.Name,
+			Addr:                store.Addr,
+			SinceRegistrationMs: u.Elapsed.Milliseconds(),
 		})
 	}
 }
@@ -175,11 +174,11 @@
 	s.followers.Range(func(_, v any) bool {
 		f := v.(*Follower)
 		status.Followers = append(status.Followers, FollowerStatus{
-			Name:     f.Name,
-			Class:    f.Class,
-			Version:  f.ActiveVersion,
-			Place:    f.AppliedIndex,
-			SilentMs: time.Since(f.LastSeen).Milliseconds(),
+			Name:            f.Name,
+			Class:           f.Class,
+			ActiveVersion:   f.ActiveVersion,
+			AppliedIndex:    f.AppliedIndex,
+			SinceLastPollMs: time.Since(f.LastSeen).Milliseconds(),
 		})
 		return true
 	})
@@ -212,7 +211,7 @@
 	latest := map[string]FollowerStatus{}
 	merge := func(followers []FollowerStatus) {
 		for _, f := range followers {
-			if old, known := latest[f.Name]; !known || f.SilentMs < old.SilentMs {
+			if old, known := latest[f.Name]; !known || f.SinceLastPollMs < old.SinceLastPollMs {
 				latest[f.Name] = f
 			}
 		}
--- a/internal/tier/controlnode/status_test.go
+++ b/internal/tier/controlnode/status_test.go
@@ -11,12 +11,12 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-func TestTroubleNamesUnresponsiveStores(t *testing.T) {
-	well := Status{Epoch: 1, Role: RoleMember, Fresh: true, Version: 1, Voters: []Voter{{}, {}, {}}}
-	one := []SilentStore{{Name: "store-2", SilentMs: 95_900}}
-	two := append(slices.Clone(one), SilentStore{Name: "store-3", SilentMs: 4_000})
+func TestSummaryNamesUnresponsiveStores(t *testing.T) {
+	well := Status{Epoch: 1, Role: RoleMember, Fresh: true, ConfigVersion: 1, Voters: []Voter{{}, {}, {}}}
+	one := []UnresponsiveStore{{Name: "store-2", SinceRegistrationMs: 95_900}}
+	two := append(slices.Clone(one), UnresponsiveStore{Name: "store-3", SinceRegistrationMs: 4_000})
 	for _, c := range []struct {
-		silent  []SilentStore
+		silent  []UnresponsiveStore
 		lacking int
 		joint   bool
 		want    string
@@ -29,23 +29,23 @@
 		{two, 1, false, "more stores are silent than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"},
 	} {
 		s := well
-		s.Silent, s.Lacking, s.Joint = c.silent, c.lacking, c.joint
-		if got := s.Trouble(); got != c.want {
+		s.UnresponsiveStores, s.StoresRequired, s.PlacementJoint = c.silent, c.lacking, c.joint
+		if got := s.Summary(); got != c.want {
 			t.Errorf("%q, wanted %q", got, c.want)
 		}
 	}
 }
 
 // A full store is named, but after stores whose loss leaves programs without a majority.
-func TestTroubleNamesFullStores(t *testing.T) {
-	s := Status{Epoch: 1, Role: RoleMember, Fresh: true, Version: 1, Voters: []Voter{{}, {}, {}}, Full: []string{"store-1"}}
+func TestSummaryNamesFullStores(t *testing.T) {
+	s := Status{Epoch: 1, Role: RoleMember, Fresh: true, ConfigVersion: 1, Voters: []Voter{{}, {}, {}}, FullStores: []string{"store-1"}}
 	const full = "a store opens no turns (store-1): its disk, or its memory of ledgers, is nearly full; its log says which"
-	if got := s.Trouble(); got != full {
+	if got := s.Summary(); got != full {
 		t.Errorf("%q, wanted %q", got, full)
 	}
-	s.Silent, s.Lacking = []SilentStore{{Name: "store-2", SilentMs: 95_900}, {Name: "store-3", SilentMs: 4_000}}, 1
+	s.UnresponsiveStores, s.StoresRequired = []UnresponsiveStore{{Name: "store-2", SinceRegistrationMs: 95_900}, {Name: "store-3", SinceRegistrationMs: 4_000}}, 1
 	const lacking = "more stores are silent than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"
-	if got := s.Trouble(); got != lacking {
+	if got := s.Summary(); got != lacking {
 		t.Errorf("%q, wanted %q", got, lacking)
 	}
 }
@@ -68,7 +68,7 @@
 	}
 	names := func(s Status) string {
 		var all []string
-		for _, one := range s.Silent {
+		for _, one := range s.UnresponsiveStores {
 			all = append(all, one.Name)
 		}
 		slices.Sort(all)
@@ -79,17 +79,21 @@
 		c.until("a node names both", func() bool {
 			register("a b e")
 			s := status(i)
-			s.Version = 1 // that there is no configuration goes before
-			return s.Joint && s.Lacking == 1 && names(s) == "store-c store-d" && strings.Contains(s.Trouble(), "store-d for ")
+			s.ConfigVersion = 1 // that there is no configuration goes before
+			return s.PlacementJoint && s.StoresRequired == 1 && names(s) == "store-c store-d" && strings.Contains(s.Summary(), "store-d for ")
 		})
 	}
-	before := status(0).Silent[0].SilentMs
+	before := status(0).UnresponsiveStores[0].SinceRegistrationMs
 	c.until("the stores stay unresponsive", func() bool {
 		register("a b e")
-		s := status(0).Silent
-		return len(s) == 2 && s[0].SilentMs >= before+1000
+		s := status(0).UnresponsiveStores
+		return len(s) == 2 && s[0].SinceRegistrationMs >= before+1000
 	})
-	c.until("one is back", func() bool { register("a b c e"); s := status(2); return s.Lacking == 0 && names(s) == "store-d" })
-	swept = status(0).Gen
-	c.until("the change ends", func() bool { register("a b c e"); return !status(0).Joint })
+	c.until("one is back", func() bool {
+		register("a b c e")
+		s := status(2)
+		return s.StoresRequired == 0 && names(s) == "store-d"
+	})
+	swept = status(0).PlacementGeneration
+	c.until("the change ends", func() bool { register("a b c e"); return !status(0).PlacementJoint })
 }
--- a/internal/tier/controlnode/status_text.go
+++ b/internal/tier/controlnode/status_text.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Trouble returns the most important fault that the status shows, in one line for operators, or that all is
+// Summary returns the most important fault that the status shows, in one line for operators, or that all is
 // well.
-func (s *Status) Trouble() string {
+func (s *Status) Summary() string {
 	unresponsive := 0
 	for _, v := range s.Voters {
-		if v.SilentMs > 1000 {
+		if v.SinceLastMessageMs > 1000 {
 			unresponsive++
 		}
 	}
@@ -19,7 +19,7 @@
 		return "it knows no view: no core node that has one answers it"
 	case len(s.Voters)-unresponsive < len(s.Voters)/2+1:
 		return "it hears no majority of the core nodes: what it tells may be old"
-	case s.Sealed:
+	case s.Promised:
 		return "the view changes"
 	case s.Role == RoleApplicant:
 		return "it has no vote yet: the others have to take it in"
@@ -29,19 +29,19 @@
 		return "no majority has confirmed lately that what it has is the newest"
 	case unresponsive > 0:
 		return "some core nodes are silent; a majority goes on"
-	case s.Version == 0:
+	case s.ConfigVersion == 0:
 		return "no configuration was taken yet"
-	case s.Lacking > 0:
+	case s.StoresRequired > 0:
 		return fmt.Sprintf("more stores are silent than may be lost (%s): bring %d of them back with their disks",
-			s.describeUnresponsive(), s.Lacking)
-	case len(s.Full) > 0:
-		return "a store opens no turns (" + strings.Join(s.Full, ", ") +
+			s.describeUnresponsive(), s.StoresRequired)
+	case len(s.FullStores) > 0:
+		return "a store opens no turns (" + strings.Join(s.FullStores, ", ") +
 			"): its disk, or its memory of ledgers, is nearly full; its log says which"
-	case s.Joint && len(s.Silent) > 0:
+	case s.PlacementJoint && len(s.UnresponsiveStores) > 0:
 		return "the placement of stores changes; silent: " + s.describeUnresponsive()
-	case s.Joint:
+	case s.PlacementJoint:
 		return "the placement of stores changes"
-	case len(s.Silent) > 0:
+	case len(s.UnresponsiveStores) > 0:
 		return "a store is silent (" + s.describeUnresponsive() + "); the others go on"
 	}
 	return "all is well"
@@ -50,8 +50,8 @@
 // describeUnresponsive returns the names of the stores that do not register, with the seconds since they did.
 func (s *Status) describeUnresponsive() string {
 	var stores []string
-	for _, store := range s.Silent {
-		stores = append(stores, fmt.Sprintf("%s for %d s", store.Name, store.SilentMs/1000))
+	for _, store := range s.UnresponsiveStores {
+		stores = append(stores, fmt.Sprintf("%s for %d s", store.Name, store.SinceRegistrationMs/1000))
 	}
 	return strings.Join(stores, ", ")
 }
--- a/internal/tier/tiertest/harness_test.go
+++ b/internal/tier/tiertest/harness_test.go
@@ -145,7 +145,7 @@
 	tt.t.Helper()
 	condition := fmt.Sprintf("%d stores are placed", stores)
 	must(tt.t, tt.AwaitStatus(stepContext(tt.t), condition, func(s *controlnode.Status) bool {
-		return len(s.Stores) == stores && !s.Joint
+		return len(s.Stores) == stores && !s.PlacementJoint
 	}))
 }
 
@@ -166,7 +166,7 @@
 	must(tt.t, tt.AwaitStatus(stepContext(tt.t), name+" is placed", func(s *controlnode.Status) bool {
 		i := slices.IndexFunc(s.Stores, func(store turnstore.Store) bool { return store.Name == name })
 		if i >= 0 {
-			id, generation = s.Stores[i].ID, s.Gen
+			id, generation = s.Stores[i].ID, s.PlacementGeneration
 		}
 		return i >= 0
 	}))
--- a/internal/tier/tiertest/random_faults_test.go
+++ b/internal/tier/tiertest/random_faults_test.go
@@ -105,7 +105,7 @@
 	rt.t.Helper()
 	must(rt.t, rt.AwaitReplicas(stepContext(rt.t)))
 	must(rt.t, rt.AwaitStatus(stepContext(rt.t), "all machines are back", func(s *controlnode.Status) bool {
-		return len(s.Stores) == len(rt.Class(Store)) && !s.Joint
+		return len(s.Stores) == len(rt.Class(Store)) && !s.PlacementJoint
 	}))
 	must(rt.t, rt.AwaitReady(stepContext(rt.t), rt.Class(Front)...))
 }
--- a/internal/tier/tiertest/tier_test.go
+++ b/internal/tier/tiertest/tier_test.go
@@ -132,7 +132,7 @@
 	must(tt.t, store.Start())
 	must(tt.t, tt.AwaitStatus(stepContext(tt.t), "the store is placed under a new id", func(s *controlnode.Status) bool {
 		i := slices.IndexFunc(s.Stores, func(other turnstore.Store) bool { return other.Name == store.Name })
-		return i >= 0 && s.Stores[i].ID != id && !s.Joint
+		return i >= 0 && s.Stores[i].ID != id && !s.PlacementJoint
 	}))
 	if _, current := tt.awaitPlaced(store.Name); current != generation+1 {
 		tt.t.Errorf("the placement has changed %d times for one disk", current-generation)
@@ -198,7 +198,7 @@
 	}
 	tt.awaitPlacement(3)
 	must(t, tt.AwaitReady(stepContext(t), tt.Class(Front)...))
-	must(t, tt.AwaitStatus(stepContext(t), "version 4 is in force", func(s *controlnode.Status) bool { return s.Version == 4 }))
+	must(t, tt.AwaitStatus(stepContext(t), "version 4 is in force", func(s *controlnode.Status) bool { return s.ConfigVersion == 4 }))
 	tt.continuePrograms("-again")
 	tt.serve("after the restart")
 	tt.checkRules()
