--- a/internal/tier/controlnode/cost_test.go
+++ b/internal/tier/controlnode/cost_test.go
@@ -15,11 +15,11 @@
 // What it costs to bring a member, and a follower, up to date after many large changes: processor time of real processes,
 // which does not depend on what else the machine does, at a tenth of a core and a link of 30 Mbit/s.
 const (
-	costChanges  = 300
-	costSize     = 1 << 20      // bytes of each
-	costShare    = 0.1          // of a core
-	costRate     = 30 * megabit // bytes a second
-	costDiskMost = 16 << 20     // bytes of a node's data folder, with its log
+	changeCount     = 300
+	changeSize      = 1 << 20      // bytes of each
+	cpuShare        = 0.1          // of a core
+	cpuTestLinkRate = 30 * megabit // bytes a second
+	maxFolderSize   = 16 << 20     // bytes of a node's data folder, with its log
 )
 
 // randomConfig is a configuration of a size with routes of common length, of which two versions have little in common.
@@ -38,8 +38,8 @@
 	return b.String()
 }
 
-// processorTimeOf is what a process has used so far, from the scheduler's own account of its threads.
-func processorTimeOf(t *testing.T, pid int) (used time.Duration) {
+// cpuTimeOf is what a process has used so far, from the scheduler's own account of its threads.
+func cpuTimeOf(t *testing.T, pid int) (used time.Duration) {
 	t.Helper()
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(paths) == 0 {
@@ -59,9 +59,9 @@
 	return used
 }
 
-func (c *child) processorTime(t *testing.T) time.Duration {
+func (c *childProcess) cpuTime(t *testing.T) time.Duration {
 	t.Helper()
-	return processorTimeOf(t, c.cmd.Process.Pid)
+	return cpuTimeOf(t, c.cmd.Process.Pid)
 }
 
 // folderSize is that of all files in a folder, in bytes.
@@ -79,11 +79,11 @@
 	return size
 }
 
-// scaled is how long processor time lasts at the share of a core.
-func scaled(used time.Duration) time.Duration { return time.Duration(float64(used) / costShare) }
+// timeAtCPUShare is how long processor time lasts at the share of a core.
+func timeAtCPUShare(used time.Duration) time.Duration { return time.Duration(float64(used) / cpuShare) }
 
-// largeChanges has so many large configurations acknowledged.
-func (f *fleet) largeChanges(n, size int, nodes ...int) {
+// putLargeConfigs has so many large configurations acknowledged.
+func (f *fleet) putLargeConfigs(n, size int, nodes ...int) {
 	f.t.Helper()
 	for range n {
 		on, _ := f.hist.newest()
@@ -100,20 +100,20 @@
 // starts, need so little processor time that a tenth of a core has them up to date within catch_up_s, the time on the
 // link included; the member does not lead before, and no disk grows with the number of changes.
 func TestCatchUpAfterManyLargeChangesFitsCPUShare(t *testing.T) {
-	changes := costChanges
+	changes := changeCount
 	if raceDetector {
-		changes /= 10 * slowness
+		changes /= 10 * raceSlowdown
 	}
 	f := newFleet(t, 3, 3)
-	f.http.Timeout = largeLimit
-	f.largeChanges(1, costSize, f.all()...)
+	f.http.Timeout = largeRequestTimeout
+	f.putLargeConfigs(1, changeSize, f.all()...)
 	f.kill(2)
-	before := f.nodes[0].processorTime(t)
-	f.largeChanges(changes, costSize, 0, 1)
+	before := f.nodes[0].cpuTime(t)
+	f.putLargeConfigs(changes, changeSize, 0, 1)
 	t.Logf("%d changes of %d KB: %v of processor time each at node 0",
-		changes, costSize>>10, (f.nodes[0].processorTime(t)-before)/time.Duration(changes))
-	f.linkRate(costRate)
-	used := map[int]time.Duration{0: f.nodes[0].processorTime(t), 1: f.nodes[1].processorTime(t)}
+		changes, changeSize>>10, (f.nodes[0].cpuTime(t)-before)/time.Duration(changes))
+	f.setLinkRate(cpuTestLinkRate)
+	used := map[int]time.Duration{0: f.nodes[0].cpuTime(t), 1: f.nodes[1].cpuTime(t)}
 	tail := f.tail()
 	f.start(2, false)
 	took := f.within(catchUp, "the node is a member of one chain with all others again", func() bool {
@@ -123,14 +123,14 @@
 		}
 		return f.allMembers()
 	})
-	const onLink = costSize * time.Second / costRate
-	f.fits("the member that returns", f.nodes[2].processorTime(t), onLink, took)
-	f.fits("the tail that sends", f.nodes[tail].processorTime(t)-used[tail], onLink, took)
-	f.linkRate(0)
-	f.followerFits(onLink)
+	const onLink = changeSize * time.Second / cpuTestLinkRate
+	f.requireFitsCPUShare("the member that returns", f.nodes[2].cpuTime(t), onLink, took)
+	f.requireFitsCPUShare("the tail that sends", f.nodes[tail].cpuTime(t)-used[tail], onLink, took)
+	f.setLinkRate(0)
+	f.requireFollowerFitsCPUShare(onLink)
 	for i := range 3 {
-		if size := folderSize(t, f.dirs[i]); size > costDiskMost {
-			t.Errorf("node %d has %d KB on disk, limit %d KB", i, size>>10, int64(costDiskMost)>>10)
+		if size := folderSize(t, f.dirs[i]); size > maxFolderSize {
+			t.Errorf("node %d has %d KB on disk, limit %d KB", i, size>>10, int64(maxFolderSize)>>10)
 		} else {
 			t.Logf("node %d has %d KB on disk", i, size>>10)
 		}
@@ -138,31 +138,31 @@
 	f.requireCaughtUp(f.tail()) // others send a reader of so much to it
 }
 
-// fits fails where processor time at the share of a core, with the time on the link, is more than catch_up_s.
-func (f *fleet) fits(who string, used, onLink, took time.Duration) {
+// requireFitsCPUShare fails where processor time at the share of a core, with the time on the link, is more than catch_up_s.
+func (f *fleet) requireFitsCPUShare(who string, used, onLink, took time.Duration) {
 	f.t.Helper()
 	f.t.Logf("%s: %v of processor time, %v at %v of a core, %v on the link, %v here", who, used.Round(time.Millisecond),
-		scaled(used).Round(10*time.Millisecond), costShare, onLink.Round(time.Millisecond), took.Round(time.Millisecond))
-	if need := scaled(used) + onLink; need > catchUp && !raceDetector {
+		timeAtCPUShare(used).Round(10*time.Millisecond), cpuShare, onLink.Round(time.Millisecond), took.Round(time.Millisecond))
+	if need := timeAtCPUShare(used) + onLink; need > catchUp && !raceDetector {
 		f.t.Errorf("%s needs %v, limit %v", who, need, catchUp)
 	}
 }
 
-// followerFits measures a follower as a process of its own, from its start until it acts on the newest version.
-func (f *fleet) followerFits(onLink time.Duration) {
+// requireFollowerFitsCPUShare measures a follower as a process of its own, from its start until it acts on the newest version.
+func (f *fleet) requireFollowerFitsCPUShare(onLink time.Duration) {
 	f.t.Helper()
 	began := time.Now()
 	follower := startFollowerChild(f.t, f.settings(0, false))
 	newest, _ := f.hist.newest()
-	acts := fmt.Sprintf("%s%d\n", actsMark, newest)
+	acts := fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
 	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
-	f.fits("a follower that starts", follower.processorTime(f.t), onLink, time.Since(began))
-	used := follower.processorTime(f.t)
+	f.requireFitsCPUShare("a follower that starts", follower.cpuTime(f.t), onLink, time.Since(began))
+	used := follower.cpuTime(f.t)
 	const more = 5
-	f.largeChanges(more, costSize, f.all()...)
+	f.putLargeConfigs(more, changeSize, f.all()...)
 	newest, _ = f.hist.newest()
-	acts = fmt.Sprintf("%s%d\n", actsMark, newest)
+	acts = fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
 	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
 	f.t.Logf("a follower that is awake: %v of processor time for each change",
-		((follower.processorTime(f.t) - used) / more).Round(time.Millisecond))
+		((follower.cpuTime(f.t) - used) / more).Round(time.Millisecond))
 }
--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -98,8 +98,8 @@
 			t.Fatalf("version %d: %d", v, got)
 		}
 	}
-	c.crash[1]()
-	c.crash[2]()
+	c.crashNode[1]()
+	c.crashNode[2]()
 	for name, one := range map[string]struct {
 		method, path, match string
 		body                []byte
@@ -124,7 +124,7 @@
 // TestAbandonedRequestsAreDropped asks a head without a majority: what is written there has no end as long as its epoch
 // lasts.
 func TestAbandonedRequestsAreDropped(t *testing.T) {
-	settings := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir()}}
+	settings := &cluster{t: t, basePort: findFreeBasePort(t), n: 3, dirs: []string{t.TempDir()}}
 	core, err := Open(settings.settings(0, true), process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tier/controlnode/disk_test.go
+++ b/internal/tier/controlnode/disk_test.go
@@ -14,7 +14,7 @@
 // Hundreds of large changes leave a folder of the size of a few: what is superseded is given back or used again.
 func TestDiskUsageIsBounded(t *testing.T) {
 	const changes, size = 300, 256 << 10
-	c := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
+	c := &cluster{t: t, basePort: findFreeBasePort(t), n: 3, dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
 	core, err := Open(c.settings(0, true), process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tier/controlnode/duty_faults_test.go
+++ b/internal/tier/controlnode/duty_faults_test.go
@@ -33,7 +33,7 @@
 var dutyFaults = []dutyFault{
 	{"is killed", func(d *dutyFleet, i int) { d.kill(i) }, (*dutyFleet).startAgain},
 	{"ends in order", func(d *dutyFleet, i int) { d.terminate(i) }, (*dutyFleet).startAgain},
-	{"is paused", func(d *dutyFleet, i int) { d.nodes[i].freeze(d.t) }, func(d *dutyFleet, i int) { d.nodes[i].wake() }},
+	{"is paused", func(d *dutyFleet, i int) { d.nodes[i].freeze(d.t) }, func(d *dutyFleet, i int) { d.nodes[i].resume() }},
 	{"is cut off from other nodes", func(d *dutyFleet, i int) { d.partition(i) }, func(d *dutyFleet, _ int) { d.heal(true) }},
 	{"is cut off from the platform", (*dutyFleet).cutPlatform, (*dutyFleet).healPlatform},
 	{"cannot connect to the platform", (*dutyFleet).refusePlatform, (*dutyFleet).healPlatform},
@@ -145,7 +145,7 @@
 	d.t.Helper()
 	holder := d.holder()
 	victims := []int{holder}
-	if other := (holder + 1 + r.IntN(d.n-1)) % d.n; d.losses > 1 && r.IntN(2) == 0 {
+	if other := (holder + 1 + r.IntN(d.n-1)) % d.n; d.faultTolerance > 1 && r.IntN(2) == 0 {
 		victims = append(victims, other)
 	} else if r.IntN(5) == 0 {
 		victims = []int{other}
--- a/internal/tier/controlnode/duty_fleet_test.go
+++ b/internal/tier/controlnode/duty_fleet_test.go
@@ -61,9 +61,9 @@
 	d.startPlatform(t, n)
 	t.Cleanup(func() { d.logCalls(t) })
 	d.fleet = newFleetWith(t, n, n, func(f *fleet) {
-		f.moreBounds = fmt.Sprintf(", lease_term_ms: %d, usage_window_s: %g, usage_late_s: %g, fence_checks: true",
+		f.extraTimingBounds = fmt.Sprintf(", lease_term_ms: %d, usage_window_s: %g, usage_late_s: %g, fence_checks: true",
 			term.Milliseconds(), dutyWindow.Seconds(), dutyLate.Seconds())
-		f.moreSettings = func(i int) string {
+		f.extraSettings = func(i int) string {
 			return fmt.Sprintf("cloud_api: {address: '%s', duty_list: [%s, %s]}\n", d.links[i].Addr(), usageDutyName, scaleDutyName)
 		}
 	})
--- a/internal/tier/controlnode/duty_pause_test.go
+++ b/internal/tier/controlnode/duty_pause_test.go
@@ -74,7 +74,7 @@
 	if pause.cutOff {
 		d.partition(holder)
 	}
-	d.nodes[holder].wake()
+	d.nodes[holder].resume()
 	if pause.cutOff {
 		time.Sleep(cutAfterPause)
 		d.heal(true)
--- a/internal/tier/controlnode/duty_status_cluster_test.go
+++ b/internal/tier/controlnode/duty_status_cluster_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	c := newClusterWith(t, 0, platform)
 	c.n, c.dirs, c.cores = n, make([]string, n), make([]*Server, n)
-	c.stops, c.crash = make([]func(), n), make([]func(), n)
+	c.stopNode, c.crashNode = make([]func(), n), make([]func(), n)
 	for i := range n {
 		c.dirs[i] = t.TempDir()
 		settings := c.settings(i, true)
@@ -106,7 +106,7 @@
 	}
 
 	holder := c.index(first.Holder)
-	c.crash[holder]()
+	c.crashNode[holder]()
 	rest := c.others(holder)
 	second := c.untilDuties("another node does the duties", rest, func(s *DutyStatus) bool { return acknowledged(s) && s.Node != first.Node })
 	if second.Token <= first.Token || second.Usage.LastAcknowledged < first.Usage.LastAcknowledged {
@@ -128,8 +128,8 @@
 	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *DutyStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
-	c.crash[others[0]]()
-	c.crash[others[1]]()
+	c.crashNode[others[0]]()
+	c.crashNode[others[1]]()
 	status := c.untilDuties("the head is not confirmed", []int{holder}, func(s *DutyStatus) bool {
 		return s.Cause == DutiesNoMajority || s.Cause == DutiesViewChanges
 	})
@@ -144,8 +144,8 @@
 	first := c.untilDuties("the duties are done", []int{0, 1, 2}, func(s *DutyStatus) bool { return s.Cause == "" })
 	holder := c.index(first.Holder)
 	others := c.others(holder)
-	c.crash[holder]()
-	c.crash[others[0]]()
+	c.crashNode[holder]()
+	c.crashNode[others[0]]()
 	status := c.untilDuties("the head is silent", others[1:], func(s *DutyStatus) bool { return s.Cause == DutiesHeadSilent })
 	if status.Node != c.cores[others[1]].self.Name || status.Held || status.Token != 0 {
 		t.Errorf("%+v", status)
--- a/internal/tier/controlnode/event_loop_test.go
+++ b/internal/tier/controlnode/event_loop_test.go
@@ -19,7 +19,7 @@
 // startAlone starts a node that is the only one of its system: what it writes is committed with its own sync.
 func startAlone(t *testing.T) *Server {
 	t.Helper()
-	base := freeBase(t)
+	base := findFreeBasePort(t)
 	ip := fmt.Sprintf("127.0.%d.1", 10+base%200)
 	text := fmt.Sprintf("node_name: core-0\nip_addr: %s\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '%s:%d'}\nport_range: [%d, %d]\n"+
 		"seed_nodes: ['%s:%d']\nbootstrap: true\ndata_dir: '%s'\nlimits: {memory_mb: 64, max_fds: 256, disk_mb: 64}\nfault_tolerance: {machine_losses: 0}\n",
--- a/internal/tier/controlnode/feed_bench_test.go
+++ b/internal/tier/controlnode/feed_bench_test.go
@@ -81,7 +81,7 @@
 			return rpc.Encode(a), nil
 		}
 	}
-	client := rpc.NewClient(c.core(0))
+	client := rpc.NewClient(c.peerAddr(0))
 	wg.Go(func() { <-ctx.Done(); client.Close() })
 	return func(q *feed.ChangesRequest) ([]byte, error) {
 		one, done := context.WithTimeout(ctx, 2*time.Second)
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -42,20 +42,20 @@
 	})
 }
 
-// ask polls a core node until it answers fresh.
-func (c *cluster) ask(calls *rpc.Clients, node int, q *feed.ChangesRequest) *feed.ChangesResponse {
+// pollUntilConfirmed polls a core node until it answers fresh.
+func (c *cluster) pollUntilConfirmed(calls *rpc.Clients, node int, q *feed.ChangesRequest) *feed.ChangesResponse {
 	c.t.Helper()
 	var a *feed.ChangesResponse
 	c.until("a fresh answer", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		a = new(feed.ChangesResponse)
-		return calls.To(c.core(node)).Call(ctx, feed.ChangesCall, q, a) == nil && a.Confirmed
+		return calls.To(c.peerAddr(node)).Call(ctx, feed.ChangesCall, q, a) == nil && a.Confirmed
 	})
 	return a
 }
 
-func (c *cluster) core(node int) string {
+func (c *cluster) peerAddr(node int) string {
 	return c.settings(0, false).PeerAddr(c.ip(node), process.CorePort)
 }
 
@@ -64,22 +64,22 @@
 	f, stop := c.follow("front-1")
 	defer stop()
 	c.putBody(0, largeConfig(3))
-	c.acts(f, 3)
+	c.awaitActiveVersion(f, 3)
 
 	calls := &rpc.Clients{}
 	defer calls.Close()
 	q := &feed.ChangesRequest{Name: "by hand", WaitMs: 500}
-	a := c.ask(calls, 0, q)
+	a := c.pollUntilConfirmed(calls, 0, q)
 	if len(a.LargeValues) != 1 || len(rpc.Encode(a)) > 1000 {
 		t.Fatalf("%d values by name in an answer of %d bytes", len(a.LargeValues), len(rpc.Encode(a)))
 	}
-	value := c.fetch(calls, a.LargeValues[0])
+	value := c.fetchChunks(calls, a.LargeValues[0])
 
 	c.putBody(3, largeConfig(9))
-	c.acts(f, 9)
+	c.awaitActiveVersion(f, 9)
 	q.ReceivedIndex = a.LargeValues[0].Index
 	q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: a.LargeValues[0].Digest}}
-	b := c.ask(calls, 0, q)
+	b := c.pollUntilConfirmed(calls, 0, q)
 	if len(b.Patches) != 1 || len(b.Patches[0].Delta) > 500 {
 		t.Fatalf("%d differences, %d by digest, %d complete", len(b.Patches), len(b.LargeValues), len(b.Entries))
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// fetch takes the pieces of a value from one node after the other.
-func (c *cluster) fetch(calls *rpc.Clients, name feed.ValueRef) (value []byte) {
+// fetchChunks takes the pieces of a value from one node after the other.
+func (c *cluster) fetchChunks(calls *rpc.Clients, name feed.ValueRef) (value []byte) {
 	c.t.Helper()
 	node := 0
 	c.until("all pieces", func() bool {
@@ -100,7 +100,7 @@
 		p := new(feed.Chunk)
 		node++
 		q := &feed.ChunkRequest{Name: "by hand", Digest: name.Digest, Offset: int64(len(value)), Length: 50_000}
-		if calls.To(c.core(node%c.n)).Call(ctx, feed.ChunkCall, q, p) == nil && p.Status == feed.ChunkServed {
+		if calls.To(c.peerAddr(node%c.n)).Call(ctx, feed.ChunkCall, q, p) == nil && p.Status == feed.ChunkServed {
 			value = append(value, p.Data...)
 		}
 		return int64(len(value)) == name.Size
@@ -122,7 +122,7 @@
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		a = new(feed.FollowResponse)
-		err := calls.To(c.core(1)).Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "old", WaitMs: 500}, a)
+		err := calls.To(c.peerAddr(1)).Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "old", WaitMs: 500}, a)
 		return err == nil && a.Confirmed && a.Index > 0
 	})
 	var e feed.ConfigEntry
@@ -168,7 +168,7 @@
 	}
 	f, stop := c.follow("front-1")
 	defer stop()
-	c.acts(f, 3)
+	c.awaitActiveVersion(f, 3)
 	frozen := c.cores[2]
 	before := int64(0)
 	c.until("the node has the version", func() bool {
@@ -195,7 +195,7 @@
 	}
 	calls := &rpc.Clients{}
 	defer calls.Close()
-	if a := c.ask(calls, 2, &feed.ChangesRequest{Name: "front-2", WaitMs: 500}); a.Index <= before {
+	if a := c.pollUntilConfirmed(calls, 2, &feed.ChangesRequest{Name: "front-2", WaitMs: 500}); a.Index <= before {
 		t.Errorf("it answers fresh at index %d, version 9 is above %d", a.Index, before)
 	}
 }
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -28,34 +28,34 @@
 	portStride  = 16
 	portStrides = 1000
 
-	pollEvery  = 15 * time.Millisecond
-	fleetLimit = 15 * time.Second // for anything that is waited for
-	catchUp    = 4200 * time.Millisecond
+	retryPause = 15 * time.Millisecond
+	waitTimeout  = 15 * time.Second // for anything that is waited for
+	catchUp      = 4200 * time.Millisecond
 
-	callerLimit = 1500 * time.Millisecond // after which a caller takes a node for dead
+	callerTimeout = 1500 * time.Millisecond // after which a caller takes a node for dead
 
-	// answerLimit is the second after which a caller takes a node for dead, with what a busy machine adds to it.
-	answerLimit = time.Second + 400*time.Millisecond
+	// maxResponseTime is the second after which a caller takes a node for dead, with what a busy machine adds to it.
+	maxResponseTime = time.Second + 400*time.Millisecond
 )
 
 // fleet is core nodes as processes, each ordered pair of which talks through a relay, and the history of their callers.
 // Callers reach a node directly: a cut is between nodes alone.
 type fleet struct {
-	t      *testing.T
-	n      int
-	losses int // at once, to be borne
-	base   int // the control port; the port range begins above it
-	dirs   []string
-	nodes  []*child
-	relays map[[2]int]*cutproxy.Relay // from, to
-	out    []*cutproxy.Bucket         // what leaves a node
-	in     []*cutproxy.Bucket         // what comes to it
-	hist   *history
-	http   *http.Client
-	calls  *rpc.Clients
-
-	moreBounds   string             // of timing_bounds, each after a comma
-	moreSettings func(i int) string // lines of a node's settings; nil for none
+	t              *testing.T
+	n              int
+	faultTolerance int // at once, to be borne
+	basePort       int // the control port; the port range begins above it
+	dirs           []string
+	nodes          []*childProcess
+	relays         map[[2]int]*cutproxy.Relay // from, to
+	out            []*cutproxy.Bucket         // what leaves a node
+	in             []*cutproxy.Bucket         // what comes to it
+	hist           *history
+	http           *http.Client
+	calls          *rpc.Clients
+
+	extraTimingBounds string             // of timing_bounds, each after a comma
+	extraSettings     func(i int) string // lines of a node's settings; nil for none
 }
 
 // newFleet starts n nodes out of room for more, and waits until all of them are caught-up members.
@@ -67,9 +67,9 @@
 // newFleetWith is newFleet for a fleet that is prepared by a function before its nodes start.
 func newFleetWith(t *testing.T, n, room int, prepare func(f *fleet)) *fleet {
 	t.Helper()
-	f := &fleet{t: t, n: room, losses: (n - 1) / 2, base: freePorts(t), dirs: make([]string, room), nodes: make([]*child, room), relays: map[[2]int]*cutproxy.Relay{},
+	f := &fleet{t: t, n: room, faultTolerance: (n - 1) / 2, basePort: findFreePorts(t), dirs: make([]string, room), nodes: make([]*childProcess, room), relays: map[[2]int]*cutproxy.Relay{},
 		hist: newHistory(), calls: &rpc.Clients{},
-		http: &http.Client{Timeout: callerLimit, Transport: &http.Transport{DisableKeepAlives: true},
+		http: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 	t.Cleanup(f.calls.Close)
 	for i := range room {
@@ -79,11 +79,11 @@
 	for from := range room {
 		for to := range room {
 			if from != to {
-				f.relay(from, to)
+				f.addRelay(from, to)
 			}
 		}
 	}
-	t.Cleanup(f.report)
+	t.Cleanup(f.checkHistory)
 	prepare(f)
 	for i := range n {
 		f.start(i, true)
@@ -93,9 +93,9 @@
 	return f
 }
 
-// freePorts gives the first of some ports that are free on all addresses. They lie below those that the system gives to
+// findFreePorts gives the first of some ports that are free on all addresses. They lie below those that the system gives to
 // whoever asks for any: nodes start again and again at their ports, and another program's :0 must not take them meanwhile.
-func freePorts(t *testing.T) int {
+func findFreePorts(t *testing.T) int {
 	t.Helper()
 	for range 100 {
 		base := firstPort + portStride*rand.IntN(portStrides)
@@ -116,7 +116,7 @@
 	return 0
 }
 
-func (f *fleet) relay(from, to int) {
+func (f *fleet) addRelay(from, to int) {
 	r, err := cutproxy.New(f.peer(to), []*cutproxy.Bucket{f.out[from], f.in[to]}, []*cutproxy.Bucket{f.out[to], f.in[from]})
 	if err != nil {
 		f.t.Fatal(err)
@@ -125,8 +125,8 @@
 	f.relays[[2]int{from, to}] = r
 }
 
-// report checks the history, and logs the output of the nodes where something is broken.
-func (f *fleet) report() {
+// checkHistory checks the history, and logs the output of the nodes where something is broken.
+func (f *fleet) checkHistory() {
 	for _, b := range f.hist.check() {
 		f.t.Error(b)
 	}
@@ -140,10 +140,10 @@
 	}
 }
 
-func (f *fleet) ip(i int) string      { return fmt.Sprintf("127.1.%d.%d", 10+f.base%200, i+1) }
-func (f *fleet) control(i int) string { return net.JoinHostPort(f.ip(i), strconv.Itoa(f.base)) }
+func (f *fleet) ip(i int) string      { return fmt.Sprintf("127.1.%d.%d", 10+f.basePort%200, i+1) }
+func (f *fleet) control(i int) string { return net.JoinHostPort(f.ip(i), strconv.Itoa(f.basePort)) }
 func (f *fleet) peer(i int) string {
-	return net.JoinHostPort(f.ip(i), strconv.Itoa(f.base+1+int(process.CorePort)))
+	return net.JoinHostPort(f.ip(i), strconv.Itoa(f.basePort+1+int(process.CorePort)))
 }
 
 func (f *fleet) all() (nodes []int) {
@@ -162,13 +162,13 @@
 
 func (f *fleet) settings(i int, bootstrap bool) string {
 	more := ""
-	if f.moreSettings != nil {
-		more = f.moreSettings(i)
+	if f.extraSettings != nil {
+		more = f.extraSettings(i)
 	}
 	return fmt.Sprintf("node_name: core-%d\nip_addr: %s\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '%s'}\nport_range: [%d, %d]\n"+
 		"seed_nodes: ['%s', '%s', '%s']\nbootstrap: %v\ndata_dir: '%s'\nlimits: {memory_mb: 200, max_fds: 256, disk_mb: 64}\n"+
 		"fault_tolerance: {machine_losses: %d}\ntiming_bounds: {contact_ms: 3000, catch_up_s: 4.2%s}\n%s",
-		i, f.ip(i), f.control(i), f.base+1, f.base+10, f.control(0), f.control(1), f.control(2), bootstrap, f.dirs[i], f.losses, f.moreBounds, more)
+		i, f.ip(i), f.control(i), f.basePort+1, f.basePort+10, f.control(0), f.control(1), f.control(2), bootstrap, f.dirs[i], f.faultTolerance, f.extraTimingBounds, more)
 }
 
 // start starts a node; the settings name it as a newcomer unless bootstrap is set.
@@ -194,7 +194,7 @@
 	for _, i := range nodes {
 		select {
 		case <-f.nodes[i].done:
-		case <-time.After(fleetLimit):
+		case <-time.After(waitTimeout):
 			f.t.Fatalf("node %d does not end after SIGTERM", i)
 		}
 		f.nodes[i] = nil
@@ -212,17 +212,17 @@
 // blockInbound keeps from a node all that others send; blockOutbound keeps from the others all that it sends.
 // Calls and their answers go on connections of either side.
 func (f *fleet) blockInbound(i int) {
-	f.links(i, func(mine, theirs *cutproxy.Relay) { mine.Hold(cutproxy.Backward); theirs.Hold(cutproxy.Forward) })
+	f.forEachLink(i, func(mine, theirs *cutproxy.Relay) { mine.Hold(cutproxy.Backward); theirs.Hold(cutproxy.Forward) })
 }
 
 func (f *fleet) blockOutbound(i int) {
-	f.links(i, func(mine, theirs *cutproxy.Relay) { mine.Hold(cutproxy.Forward); theirs.Hold(cutproxy.Backward) })
+	f.forEachLink(i, func(mine, theirs *cutproxy.Relay) { mine.Hold(cutproxy.Forward); theirs.Hold(cutproxy.Backward) })
 }
 
 func (f *fleet) partition(i int) { f.blockInbound(i); f.blockOutbound(i) }
 
-// links calls do with the relays from a node to each other one, and back.
-func (f *fleet) links(i int, do func(mine, theirs *cutproxy.Relay)) {
+// forEachLink calls do with the relays from a node to each other one, and back.
+func (f *fleet) forEachLink(i int, do func(mine, theirs *cutproxy.Relay)) {
 	for j := range f.n {
 		if j != i {
 			do(f.relays[[2]int{i, j}], f.relays[[2]int{j, i}])
@@ -252,12 +252,12 @@
 }
 
 // until calls done, with pauses, until it returns true.
-func (f *fleet) until(what string, done func() bool) { f.t.Helper(); f.within(fleetLimit, what, done) }
+func (f *fleet) until(what string, done func() bool) { f.t.Helper(); f.within(waitTimeout, what, done) }
 
 func (f *fleet) within(limit time.Duration, what string, done func() bool) time.Duration {
 	f.t.Helper()
 	began := time.Now()
-	again := time.NewTicker(pollEvery)
+	again := time.NewTicker(retryPause)
 	defer again.Stop()
 	for !done() {
 		if time.Since(began) > limit {
@@ -319,9 +319,9 @@
 	return status, r.version
 }
 
-// feed polls the feed of a node from the start, as a new follower does, and records an answer that is
+// readFeed polls the feed of a node from the start, as a new follower does, and records an answer that is
 // confirmed.
-func (f *fleet) feed(i int) (fresh bool, version int64) {
+func (f *fleet) readFeed(i int) (fresh bool, version int64) {
 	r := observedRead{where: fmt.Sprintf("feed of node %d", i), feed: true}
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
@@ -372,7 +372,7 @@
 // learner.
 func (f *fleet) hasReplica(s *Status) bool {
 	inChain := slices.Contains(s.Chain, s.Node)
-	return s.Fresh && !s.Promised && (inChain || len(s.Chain) >= ChainLength(f.losses) && s.Role == RoleLearner)
+	return s.Fresh && !s.Promised && (inChain || len(s.Chain) >= ChainLength(f.faultTolerance) && s.Role == RoleLearner)
 }
 
 // allMembers reports whether all nodes that run report the same: one view, whose chain has as many as it should, and each of them with
@@ -381,7 +381,7 @@
 	epoch, chain := int64(0), []string(nil)
 	for _, i := range f.all() {
 		s := f.status(i)
-		if s == nil || !f.hasReplica(s) || len(s.Chain) != min(len(f.all()), ChainLength(f.losses)) {
+		if s == nil || !f.hasReplica(s) || len(s.Chain) != min(len(f.all()), ChainLength(f.faultTolerance)) {
 			return false
 		}
 		if epoch != 0 && (s.Epoch != epoch || !slices.Equal(s.Chain, chain)) {
@@ -392,7 +392,7 @@
 	return true
 }
 
-func (f *fleet) caughtUp(i int) {
+func (f *fleet) awaitCaughtUp(i int) {
 	f.t.Helper()
 	f.until(fmt.Sprintf("node %d is a caught-up member", i), func() bool { return f.isMember(i) })
 }
@@ -445,10 +445,10 @@
 func (f *fleet) requireCaughtUp(nodes ...int) {
 	f.t.Helper()
 	for _, i := range nodes {
-		f.caughtUp(i)
+		f.awaitCaughtUp(i)
 		newest, _ := f.hist.newest()
 		f.until(fmt.Sprintf("node %d reads version %d", i, newest), func() bool { _, v := f.read(i); return v >= newest })
-		fresh, v := f.feed(i)
+		fresh, v := f.readFeed(i)
 		if fresh && v < newest {
 			f.t.Errorf("node %d feeds version %d, not %d", i, v, newest)
 		}
--- a/internal/tier/controlnode/follower_partition_test.go
+++ b/internal/tier/controlnode/follower_partition_test.go
@@ -14,7 +14,7 @@
 
 // applyTime is config_apply_ms: within it a follower that is in touch with some node acts on a change. That it does is judged
 // in virtual time, by the simulations of package feed. Here, where a busy machine keeps whole processes back, the followers
-// have to catch up while the partition lasts, within fleetLimit; a follower that takes longer than applyTime is logged.
+// have to catch up while the partition lasts, within waitTimeout; a follower that takes longer than applyTime is logged.
 const applyTime = 2 * time.Second
 
 // homeLimit is more than the 16 s in which a follower that began elsewhere tries to follow the first of its own order.
@@ -44,7 +44,7 @@
 	if cut != nil {
 		cut(l)
 	}
-	follower, stop := f.followerBy(&rpc.Clients{Dial: through(strings.Join(routes, ","))}, first, seeds...)
+	follower, stop := f.startFollowerWithClients(&rpc.Clients{Dial: dialThroughRelays(strings.Join(routes, ","))}, first, seeds...)
 	f.t.Cleanup(stop)
 	l.Follower = follower
 	return l
@@ -84,7 +84,7 @@
 func (l *linkedFollower) acts(what string) {
 	l.f.t.Helper()
 	version := l.f.change(1, l.f.all()...)
-	took := l.f.within(fleetLimit, fmt.Sprintf("%s: the follower acts on version %d", what, version), func() bool {
+	took := l.f.within(waitTimeout, fmt.Sprintf("%s: the follower acts on version %d", what, version), func() bool {
 		now := l.Tables().Config
 		return now != nil && now.Version >= version
 	})
@@ -102,7 +102,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := newSeed(t)
+			_, r := newLoggedSeed(t)
 			f := newFleet(t, 3, 3)
 			first := r.IntN(3)
 			l := f.linked(first, f.all(), nil)
@@ -112,12 +112,12 @@
 				source := l.node()
 				l.hold(directions, source)
 				l.acts("its source is cut off")
-				l.hold(directions, others(3, source)[r.IntN(2)])
+				l.hold(directions, allNodesExcept(3, source)[r.IntN(2)])
 				l.acts("two of three are cut off")
 				l.release(r.IntN(2) == 0, f.all()...)
 			}
 			one := r.IntN(3)
-			second := f.linked(others(3, one)[0], f.all(), func(l *linkedFollower) { l.hold(directions, others(3, one)...) })
+			second := f.linked(allNodesExcept(3, one)[0], f.all(), func(l *linkedFollower) { l.hold(directions, allNodesExcept(3, one)...) })
 			second.acts("it starts and reaches one of three")
 			l.cutEndsAsAChangeArrives(directions, r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
@@ -150,14 +150,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := newSeed(t)
+			_, r := newLoggedSeed(t)
 			f := newFleet(t, 3, 3)
 			seed := r.IntN(3)
 			hold(f, seed)
 			f.change(1, f.allExcept(seed)...)
 			l := f.linked(seed, []int{seed}, nil)
 			newest, _ := f.hist.newest()
-			took := f.within(fleetLimit, "the follower acts on what is newest", func() bool {
+			took := f.within(waitTimeout, "the follower acts on what is newest", func() bool {
 				now := l.Tables().Config
 				return now != nil && now.Version >= newest
 			})
--- a/internal/tier/controlnode/health_role_test.go
+++ b/internal/tier/controlnode/health_role_test.go
@@ -119,7 +119,7 @@
 	awaitPhase(t, one, "i0", discovery.Ready)
 	term := one.Tables().Hosts.Term
 	reportUntil(t, one, "i0")
-	c.crash[0]() // the head, as the founding order has it
+	c.crashNode[0]() // the head, as the founding order has it
 	limit := time.Now().Add(20 * time.Second)
 	for one.Tables().Hosts.Term == term && time.Now().Before(limit) {
 		time.Sleep(20 * time.Millisecond)
--- a/internal/tier/controlnode/large_test.go
+++ b/internal/tier/controlnode/large_test.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	megabit    = 1e6 / 8 // bytes a second
-	largeName  = 4 << 10
-	slowness   = 5
-	largeLimit = 10 * time.Second
+	megabit             = 1e6 / 8 // bytes a second
+	largeNameLength     = 4 << 10
+	raceSlowdown        = 5
+	largeRequestTimeout = 10 * time.Second
 
-	// returnLimit ends a return that does not come about at all. Those that take longer than the contract says fail as well.
-	returnLimit = time.Minute
+	// rejoinTimeout ends a return that does not come about at all. Those that take longer than the contract says fail as well.
+	rejoinTimeout = time.Minute
 )
 
-// hugeConfig is a configuration of a version that is large by the length of its names rather than by its routes: what is
+// longNamesConfig is a configuration of a version that is large by the length of its names rather than by its routes: what is
 // measured is how it travels, not how it is parsed.
-func hugeConfig(version, size int) string {
+func longNamesConfig(version, size int) string {
 	var b strings.Builder
-	long := strings.Repeat("x", largeName)
+	long := strings.Repeat("x", largeNameLength)
 	fmt.Fprintf(&b, `{"config_version":%d,"route_table":[`, version)
 	for i := 0; b.Len() < size; i++ {
 		if i > 0 {
@@ -53,20 +53,20 @@
 		"1 MB at 6 Mbit/s":  {1 << 20, 6 * megabit},
 	} {
 		if raceDetector {
-			links.size /= slowness
+			links.size /= raceSlowdown
 		}
-		t.Run(name, func(t *testing.T) { catchesUp(t, links.size, links.rate) })
+		t.Run(name, func(t *testing.T) { testCatchUp(t, links.size, links.rate) })
 	}
 }
 
-func catchesUp(t *testing.T, size int, linkRate float64) {
+func testCatchUp(t *testing.T, size int, linkRate float64) {
 	t.Helper()
 	f := newFleet(t, 3, 3)
-	f.http.Timeout = largeLimit
+	f.http.Timeout = largeRequestTimeout
 	large := func(nodes ...int) {
 		t.Helper()
 		on, _ := f.hist.newest()
-		body := hugeConfig(int(on)+1, size)
+		body := longNamesConfig(int(on)+1, size)
 		f.until("a large configuration is acknowledged by one of "+fmt.Sprint(nodes), func() bool {
 			for _, i := range nodes {
 				if f.put(i, on, body) == http.StatusOK {
@@ -85,41 +85,41 @@
 		large(0, 1)
 	}
 	large(f.all()...)
-	f.returns(fmt.Sprintf("its disk was lost, %d KB of state", size>>10), linkRate, wiped)
-	f.returns(fmt.Sprintf("it was long away, %d KB of state", size>>10), linkRate, away)
+	f.requireRejoinInTime(fmt.Sprintf("its disk was lost, %d KB of state", size>>10), linkRate, wiped)
+	f.requireRejoinInTime(fmt.Sprintf("it was long away, %d KB of state", size>>10), linkRate, away)
 }
 
-// mostReturns is how often a return is played where the machine kept the processes back.
-const mostReturns = 3
+// maxRejoinAttempts is how often a return is played where the machine kept the processes back.
+const maxRejoinAttempts = 3
 
-// returns has the third node go and come back over thin links: it is a member again within the contract's time. A return that
+// requireRejoinInTime has the third node go and come back over thin links: it is a member again within the contract's time. A return that
 // took longer while a thread of the nodes or of this process, which carries their links, measurably waited for a
 // processor says nothing, and is played again.
-func (f *fleet) returns(what string, linkRate float64, goes func()) {
+func (f *fleet) requireRejoinInTime(what string, linkRate float64, goes func()) {
 	f.t.Helper()
 	for play := 1; ; play++ {
 		goes()
-		f.linkRate(linkRate)
+		f.setLinkRate(linkRate)
 		f.start(2, false)
-		processes := f.processes()
+		processes := f.pids()
 		watch := starvation.Start(func() []int { return processes })
-		took := f.within(returnLimit, "the node is a member of one chain with all others again: "+what, f.allMembers)
+		took := f.within(rejoinTimeout, "the node is a member of one chain with all others again: "+what, f.allMembers)
 		waited := watch.Stop()
 		f.t.Logf("%s: a member again after %v, limit %v; a thread waited %v at most for a processor in %v",
 			what, took, catchUp, waited, starvation.Interval)
-		f.linkRate(0)
+		f.setLinkRate(0)
 		f.requireCaughtUp(2)
 		switch {
 		case took <= catchUp:
 			return
-		case waited < starvation.Limit || play == mostReturns:
+		case waited < starvation.Limit || play == maxRejoinAttempts:
 			f.t.Fatalf("%s: a member again after %v, limit %v, in play %d", what, took, catchUp, play)
 		}
 	}
 }
 
-// processes are those of the nodes that run, and this one.
-func (f *fleet) processes() []int {
+// pids are those of the nodes that run, and this one.
+func (f *fleet) pids() []int {
 	all := []int{os.Getpid()}
 	for _, node := range f.nodes {
 		if node != nil {
@@ -129,8 +129,8 @@
 	return all
 }
 
-// linkRate bounds the bytes a second of each node's link, each way; 0 is no bound.
-func (f *fleet) linkRate(rate float64) {
+// setLinkRate bounds the bytes a second of each node's link, each way; 0 is no bound.
+func (f *fleet) setLinkRate(rate float64) {
 	for i := range f.n {
 		f.out[i].SetRate(rate)
 		f.in[i].SetRate(rate)
--- a/internal/tier/controlnode/loss_test.go
+++ b/internal/tier/controlnode/loss_test.go
@@ -61,8 +61,8 @@
 	f.kill(2)
 	f.heal(false)
 	f.until("the node that is left knows that it reaches no majority", func() bool { s := f.status(0); return s != nil && !s.Fresh })
-	f.requireOutcomeUnknown(f.writeRequests(0, 0), time.Now())
-	f.requireOutcomeUnknown(f.writeRequests(1, 1), time.Now())
+	f.requireOutcomeUnknown(f.sendEachRequestKind(0, 0), time.Now())
+	f.requireOutcomeUnknown(f.sendEachRequestKind(1, 1), time.Now())
 	f.start(2, false)
 	f.within(catchUp, "versions go on once the second has returned", func() bool {
 		on, _ := f.hist.newest()
@@ -74,7 +74,7 @@
 // TestRestartOfAllNodes: with their disks, and once more with one disk lost.
 func TestRestartOfAllNodes(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
 	for round := range 2 {
 		f.change(1+round, f.all()...)
@@ -132,7 +132,7 @@
 // they are members again two others do; then all are killed at one instant, and two more disks are lost.
 func TestRepeatedDoubleLosses(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 5, 5)
 	lose := func(nodes ...int) {
 		for _, i := range nodes {
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -12,7 +12,7 @@
 // it.
 func TestFrozenHeadWakesIsolated(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
 	head := f.head(f.all()...)
 	rest := f.allExcept(head)
@@ -22,17 +22,17 @@
 	for range 3 {
 		f.change(2, rest...)
 	}
-	calls := f.writeRequests(head, 0)
-	f.nodes[head].wake()
+	calls := f.sendEachRequestKind(head, 0)
+	f.nodes[head].resume()
 	woke := time.Now()
 	var first sync.WaitGroup
 	first.Go(func() { f.requireOutcomeUnknown(calls, woke) })
-	follower, stop := f.follower(head, false)
+	follower, stop := f.startFollower(head, false)
 	defer stop()
-	f.requireNoAnswers(head)
+	f.requireOutcomeUnknownWhilePartitioned(head)
 	first.Wait()
 	f.change(1, rest...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 	f.heal(r.IntN(2) == 0)
 	f.requireCaughtUp(f.all()...)
 }
@@ -47,13 +47,13 @@
 	for range 2 {
 		f.change(2, rest...)
 	}
-	calls := f.writeRequests(head, 0)
-	f.nodes[head].wake()
+	calls := f.sendEachRequestKind(head, 0)
+	f.nodes[head].resume()
 	var all sync.WaitGroup
 	for _, c := range calls {
-		all.Go(func() { c.answer(f.hist, 2*answerLimit) })
+		all.Go(func() { c.awaitResponse(f.hist, 2*maxResponseTime) })
 	}
-	all.Go(func() { f.feed(head) })
+	all.Go(func() { f.readFeed(head) })
 	all.Wait()
 	f.requireCaughtUp(f.all()...)
 }
@@ -68,13 +68,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := newSeed(t)
+			_, r := newLoggedSeed(t)
 			f := newFleet(t, 3, 3)
 			head := f.head(f.all()...)
 			hold(f, head)
 			f.change(1, f.allExcept(head)...)
 			f.change(2, f.allExcept(head)...)
-			f.requireNoAnswers(head)
+			f.requireOutcomeUnknownWhilePartitioned(head)
 			f.heal(r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
 		})
@@ -85,30 +85,30 @@
 // others, be it the only one that they know, and whatever comes as the partition ends is answered by what is in force.
 func TestTailPartitioned(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
 	tail := f.tail()
 	rest := f.allExcept(tail)
 	f.partition(tail)
 	f.change(1, rest...)
-	follower, stop := f.follower(tail, false)
+	follower, stop := f.startFollower(tail, false)
 	defer stop()
-	seeded, stopSeeded := f.follower(tail, true)
+	seeded, stopSeeded := f.startFollower(tail, true)
 	defer stopSeeded()
-	f.requireNoAnswers(tail)
-	f.actsOnNewest(follower)
-	f.actsOnNewest(seeded)
-	calls := f.writeRequests(tail, 0)
+	f.requireOutcomeUnknownWhilePartitioned(tail)
+	f.awaitNewestActive(follower)
+	f.awaitNewestActive(seeded)
+	calls := f.sendEachRequestKind(tail, 0)
 	f.heal(r.IntN(2) == 0)
 	var all sync.WaitGroup
 	for _, c := range calls {
-		all.Go(func() { c.answer(f.hist, 2*answerLimit) })
+		all.Go(func() { c.awaitResponse(f.hist, 2*maxResponseTime) })
 	}
-	all.Go(func() { f.feed(tail) })
+	all.Go(func() { f.readFeed(tail) })
 	all.Wait()
 	f.requireCaughtUp(f.all()...)
 	f.change(2, f.all()...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 }
 
 // TestNewlyPartitionedNode calls a node at once when no message reaches it any more: it still takes itself
@@ -119,12 +119,12 @@
 	f.change(1, f.all()...)
 	for i := range 3 {
 		f.partition(i)
-		calls, since := f.writeRequests(i, i), time.Now()
+		calls, since := f.sendEachRequestKind(i, i), time.Now()
 		var all sync.WaitGroup
 		all.Go(func() { f.requireOutcomeUnknown(calls, since) })
-		all.Go(func() { f.feed(i) })
+		all.Go(func() { f.readFeed(i) })
 		f.change(2, f.allExcept(i)...)
-		f.feed(i)
+		f.readFeed(i)
 		all.Wait()
 		f.heal(true)
 		f.until("all nodes are members", f.allMembers)
@@ -136,14 +136,14 @@
 // what could be old.
 func TestPartitionWithoutMajority(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 4, 4)
 	f.change(1, f.all()...)
 	f.partitionGroups(0, 1)
 	f.halvesDecided()
 	var all sync.WaitGroup
 	for _, i := range f.all() {
-		all.Go(func() { f.requireOutcomeUnknown(f.writeRequests(i, i), time.Now()) })
+		all.Go(func() { f.requireOutcomeUnknown(f.sendEachRequestKind(i, i), time.Now()) })
 	}
 	all.Wait()
 	f.heal(r.IntN(2) == 0)
@@ -155,11 +155,11 @@
 // may be at once, and heals the cut before or after the nodes know of it, with one of them still down.
 func TestEqualHalvesWithLosses(t *testing.T) {
 	t.Parallel()
-	seed, r := newSeed(t)
+	seed, r := newLoggedSeed(t)
 	f := newFleet(t, 4, 4)
-	follower, unfollow := f.follower(r.IntN(4), false)
+	follower, unfollow := f.startFollower(r.IntN(4), false)
 	defer unfollow()
-	stop := f.operators(seed, f.all()...)
+	stop := f.startOperators(seed, f.all()...)
 	for round := range 3 {
 		order := r.Perm(4)
 		f.partitionGroups(order[0], order[1])
@@ -176,7 +176,7 @@
 	}
 	stop()
 	f.requireCaughtUp(f.all()...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 }
 
 // halvesDecided waits until each node knows of its half: none takes itself for fresh.
@@ -191,11 +191,11 @@
 // killed with a change under way as it is cut off.
 func TestMovingPartitions(t *testing.T) {
 	t.Parallel()
-	seed, r := newSeed(t)
+	seed, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
-	follower, unfollow := f.follower(r.IntN(3), false)
+	follower, unfollow := f.startFollower(r.IntN(3), false)
 	defer unfollow()
-	stop := f.operators(seed, f.all()...)
+	stop := f.startOperators(seed, f.all()...)
 	for _, i := range r.Perm(3) {
 		f.partition(i)
 		f.goesOn(f.allExcept(i)...)
@@ -214,7 +214,7 @@
 	f.goesOn(f.all()...)
 	stop()
 	f.requireCaughtUp(f.all()...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 }
 
 // goesOn waits until versions that were acknowledged go on; operators run.
@@ -241,7 +241,7 @@
 	all.Go(func() { f.put(tail, newest, variant(newest+1, 9)) })
 	all.Go(func() { f.read(tail) })
 	for range 5 {
-		f.feed(tail)
+		f.readFeed(tail)
 	}
 	all.Wait()
 	<-leaver.done
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -29,17 +29,17 @@
 // followerVariable makes a child process of the tests a follower, which prints the version that it acts on.
 const followerVariable = "CONTROLNODE_TEST_FOLLOWER"
 
-// actsMark begins the line in which a follower prints the version that it acts on.
-const actsMark = "acts on version "
+// activeVersionPrefix begins the line in which a follower prints the version that it acts on.
+const activeVersionPrefix = "acts on version "
 
-// exitFault is the code with which a child ends that could not run.
-const exitFault = 3
+// exitFailure is the code with which a child ends that could not run.
+const exitFailure = 3
 
 // childMain is a core node as larch-control runs it, with its connections to others led through relays.
 func childMain(routes string) int {
 	fault := func(err error) int {
 		fmt.Fprintln(os.Stderr, err)
-		return exitFault
+		return exitFailure
 	}
 	settings, err := process.Load()
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return fault(err)
 	}
-	core.clients.Dial = through(routes)
+	core.clients.Dial = dialThroughRelays(routes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if err := core.Run(ctx); err != nil {
@@ -64,7 +64,7 @@
 	settings, err := process.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitFault
+		return exitFailure
 	}
 	settings.NodeName, settings.MachineClass = "front-1", "front"
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -78,7 +78,7 @@
 	for {
 		changed := follower.Changed()
 		if now := follower.Tables().Config; now != nil {
-			fmt.Printf("%s%d\n", actsMark, now.Version)
+			fmt.Printf("%s%d\n", activeVersionPrefix, now.Version)
 		}
 		select {
 		case <-changed:
@@ -88,8 +88,8 @@
 	}
 }
 
-// through dials the relay of an address where there is one.
-func through(routes string) rpc.DialFunc {
+// dialThroughRelays dials the relay of an address where there is one.
+func dialThroughRelays(routes string) rpc.DialFunc {
 	relays := map[string]string{}
 	for route := range strings.SplitSeq(routes, ",") {
 		if addr, relay, is := strings.Cut(route, "="); is {
@@ -105,8 +105,8 @@
 	}
 }
 
-// child is one incarnation of a control node as a process.
-type child struct {
+// childProcess is one incarnation of a control node as a process.
+type childProcess struct {
 	cmd    *exec.Cmd
 	output syncBuffer
 	done   chan struct{} // closed once it has ended
@@ -130,25 +130,25 @@
 }
 
 // startChild starts a core node with settings and routes. It ends with the test at the latest.
-func startChild(t *testing.T, settings, routes string) *child {
+func startChild(t *testing.T, settings, routes string) *childProcess {
 	t.Helper()
 	return startChildAs(t, settings, routesVariable+"="+routes)
 }
 
 // startFollowerChild starts a follower with settings. It ends with the test at the latest.
-func startFollowerChild(t *testing.T, settings string) *child {
+func startFollowerChild(t *testing.T, settings string) *childProcess {
 	t.Helper()
 	return startChildAs(t, settings, followerVariable+"=1")
 }
 
 // startChildAs starts a child process of the kind that a variable of its environment names.
-func startChildAs(t *testing.T, settings, kind string) *child {
+func startChildAs(t *testing.T, settings, kind string) *childProcess {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := &child{cmd: exec.Command(os.Args[0]), done: make(chan struct{})}
+	c := &childProcess{cmd: exec.Command(os.Args[0]), done: make(chan struct{})}
 	c.cmd.Env = []string{process.SettingsVariable + "=" + path, kind, "GOMAXPROCS=2"}
 	c.cmd.Stdout, c.cmd.Stderr = &c.output, &c.output
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // none outlives the tests, frozen or not
@@ -163,16 +163,16 @@
 	return c
 }
 
-func (c *child) signal(s syscall.Signal) { _ = c.cmd.Process.Signal(s) }
+func (c *childProcess) signal(s syscall.Signal) { _ = c.cmd.Process.Signal(s) }
 
 // kill ends the process without a word, frozen or not.
-func (c *child) kill() {
+func (c *childProcess) kill() {
 	c.signal(syscall.SIGKILL)
 	<-c.done
 }
 
 // freeze stops the process with SIGSTOP, and returns once it is stopped.
-func (c *child) freeze(t *testing.T) {
+func (c *childProcess) freeze(t *testing.T) {
 	t.Helper()
 	c.signal(syscall.SIGSTOP)
 	for {
@@ -187,4 +187,4 @@
 	}
 }
 
-func (c *child) wake() { c.signal(syscall.SIGCONT) }
+func (c *childProcess) resume() { c.signal(syscall.SIGCONT) }
--- a/internal/tier/controlnode/random_process_test.go
+++ b/internal/tier/controlnode/random_process_test.go
@@ -19,26 +19,26 @@
 	end   func(f *fleet, i int, r *rand.Rand)
 }
 
-func startAgain(f *fleet, i int, _ *rand.Rand) { f.start(i, false) }
-func startEmpty(f *fleet, i int, _ *rand.Rand) { f.wipe(i); f.start(i, false) }
-func healAgain(f *fleet, _ int, r *rand.Rand)  { f.heal(r.IntN(2) == 0) }
+func restartNode(f *fleet, i int, _ *rand.Rand)          { f.start(i, false) }
+func restartWithEmptyDisk(f *fleet, i int, _ *rand.Rand) { f.wipe(i); f.start(i, false) }
+func healPartition(f *fleet, _ int, r *rand.Rand)        { f.heal(r.IntN(2) == 0) }
 
 // nodeFaults are the faults that the test draws from.
 var nodeFaults = []nodeFault{
-	{"ends in order", func(f *fleet, i int) { f.terminate(i) }, startAgain},
-	{"ends in order, its disk is lost", func(f *fleet, i int) { f.terminate(i) }, startEmpty},
-	{"is killed", (*fleet).kill, startAgain},
-	{"is killed, its disk is lost", (*fleet).kill, startEmpty},
-	{"is cut off", (*fleet).partition, healAgain},
-	{"receives nothing", (*fleet).blockInbound, healAgain},
-	{"sends nothing", (*fleet).blockOutbound, healAgain},
-	{"cannot connect", (*fleet).refuse, func(f *fleet, i int, _ *rand.Rand) { f.accept(i) }},
-	{"freezes", func(f *fleet, i int) { f.nodes[i].freeze(f.t) }, func(f *fleet, i int, _ *rand.Rand) { f.nodes[i].wake() }},
+	{"ends in order", func(f *fleet, i int) { f.terminate(i) }, restartNode},
+	{"ends in order, its disk is lost", func(f *fleet, i int) { f.terminate(i) }, restartWithEmptyDisk},
+	{"is killed", (*fleet).kill, restartNode},
+	{"is killed, its disk is lost", (*fleet).kill, restartWithEmptyDisk},
+	{"is cut off", (*fleet).partition, healPartition},
+	{"receives nothing", (*fleet).blockInbound, healPartition},
+	{"sends nothing", (*fleet).blockOutbound, healPartition},
+	{"cannot connect", (*fleet).refuseConnections, func(f *fleet, i int, _ *rand.Rand) { f.acceptConnections(i) }},
+	{"freezes", func(f *fleet, i int) { f.nodes[i].freeze(f.t) }, func(f *fleet, i int, _ *rand.Rand) { f.nodes[i].resume() }},
 }
 
-// refuse resets the connections of a node, and every new one, until accept.
-func (f *fleet) refuse(i int) {
-	f.links(i, func(mine, theirs *cutproxy.Relay) {
+// refuseConnections resets the connections of a node, and every new one, until accept.
+func (f *fleet) refuseConnections(i int) {
+	f.forEachLink(i, func(mine, theirs *cutproxy.Relay) {
 		mine.Refuse(true)
 		theirs.Refuse(true)
 		mine.Reset()
@@ -46,8 +46,8 @@
 	})
 }
 
-func (f *fleet) accept(i int) {
-	f.links(i, func(mine, theirs *cutproxy.Relay) { mine.Refuse(false); theirs.Refuse(false) })
+func (f *fleet) acceptConnections(i int) {
+	f.forEachLink(i, func(mine, theirs *cutproxy.Relay) { mine.Refuse(false); theirs.Refuse(false) })
 }
 
 // TestRandomFaultsOnProcesses plays core nodes as processes: one after the other has a fault, while operators race on any node,
@@ -59,22 +59,22 @@
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
 	for i := range *processSimulations {
-		t.Run(fmt.Sprint(base+uint64(i)), func(t *testing.T) { t.Parallel(); playRandomFaults(t, base+uint64(i)) })
+		t.Run(fmt.Sprint(base+uint64(i)), func(t *testing.T) { t.Parallel(); runRandomFaults(t, base+uint64(i)) })
 	}
 }
 
-func playRandomFaults(t *testing.T, seed uint64) {
+func runRandomFaults(t *testing.T, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	n := 3 + r.IntN(2)
 	f := newFleet(t, n, n)
-	follower, unfollow := f.follower(r.IntN(3), false)
+	follower, unfollow := f.startFollower(r.IntN(3), false)
 	defer unfollow()
-	stop := f.operators(seed, f.all()...)
+	stop := f.startOperators(seed, f.all()...)
 	for range 3 {
 		i, one := r.IntN(n), nodeFaults[r.IntN(len(nodeFaults))]
 		t.Logf("%v node %d %s", f.hist.now(), i, one.name)
 		one.begin(f, i)
-		f.goesOn(others(n, i)...)
+		f.goesOn(allNodesExcept(n, i)...)
 		one.end(f, i, r)
 		took := f.within(catchUp, fmt.Sprintf("node %d, which %s, is a caught-up member again", i, one.name), f.allMembers)
 		t.Logf("%v node %d is a member again after %v", f.hist.now(), i, took)
@@ -87,11 +87,11 @@
 		f.start(i, false)
 	}
 	f.requireCaughtUp(f.all()...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 }
 
-// others are the nodes but one.
-func others(n, without int) (nodes []int) {
+// allNodesExcept are the nodes but one.
+func allNodesExcept(n, without int) (nodes []int) {
 	for i := range n {
 		if i != without {
 			nodes = append(nodes, i)
--- a/internal/tier/controlnode/server_test.go
+++ b/internal/tier/controlnode/server_test.go
@@ -39,21 +39,21 @@
 
 // core is one of several core nodes on loopback addresses of their own, as real as a process but for the process.
 type cluster struct {
-	t     testing.TB
-	base  int // first port of the range; the control port lies below it
-	n     int
-	dirs  []string
-	stops []func()
-	crash []func() // ends a node without a word
-	http  *http.Client
-	cores []*Server
-	logs  syncBuffer // of all nodes
+	t         testing.TB
+	basePort  int // first port of the range; the control port lies below it
+	n         int
+	dirs      []string
+	stopNode  []func()
+	crashNode []func() // ends a node without a word
+	http      *http.Client
+	cores     []*Server
+	logs      syncBuffer // of all nodes
 
 	platform string // its address, empty for none
 }
 
-// freeBase looks for ports that are free on all the addresses.
-func freeBase(t testing.TB) int {
+// findFreeBasePort looks for ports that are free on all the addresses.
+func findFreeBasePort(t testing.TB) int {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -68,22 +68,22 @@
 func newClusterWith(t testing.TB, n int, platform string) *cluster {
 	t.Helper()
 	c := &cluster{
-		t:        t,
-		platform: platform,
-		base:     freeBase(t),
-		n:        n,
-		dirs:     make([]string, n),
-		stops:    make([]func(), n),
-		crash:    make([]func(), n),
-		cores:    make([]*Server, n),
-		http:     &http.Client{Timeout: 3 * time.Second},
+		t:         t,
+		platform:  platform,
+		basePort:  findFreeBasePort(t),
+		n:         n,
+		dirs:      make([]string, n),
+		stopNode:  make([]func(), n),
+		crashNode: make([]func(), n),
+		cores:     make([]*Server, n),
+		http:      &http.Client{Timeout: 3 * time.Second},
 	}
 	for i := range n {
 		c.dirs[i] = t.TempDir()
 		c.start(i, true)
 	}
 	t.Cleanup(func() {
-		for i := range c.stops {
+		for i := range c.stopNode {
 			c.stop(i)
 		}
 		c.http.CloseIdleConnections()
@@ -91,14 +91,14 @@
 	return c
 }
 
-func (c *cluster) ip(i int) string      { return fmt.Sprintf("127.0.%d.%d", 10+c.base%200, i+1) }
-func (c *cluster) control(i int) string { return net.JoinHostPort(c.ip(i), strconv.Itoa(c.base)) }
+func (c *cluster) ip(i int) string      { return fmt.Sprintf("127.0.%d.%d", 10+c.basePort%200, i+1) }
+func (c *cluster) control(i int) string { return net.JoinHostPort(c.ip(i), strconv.Itoa(c.basePort)) }
 
 func (c *cluster) settings(i int, bootstrap bool) *process.Settings {
 	c.t.Helper()
 	text := fmt.Sprintf("node_name: core-%d\nip_addr: %s\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '%s'}\nport_range: [%d, %d]\n"+
 		"seed_nodes: ['%s', '%s', '%s']\nbootstrap: %v\ndata_dir: '%s'\nlimits: {memory_mb: 64, max_fds: 256, disk_mb: 64}\nfault_tolerance: {machine_losses: 1}\ntiming_bounds: {contact_ms: 3000}\n",
-		i, c.ip(i), c.control(i), c.base+1, c.base+10, c.control(0), c.control(1), c.control(2), bootstrap, c.dirs[i])
+		i, c.ip(i), c.control(i), c.basePort+1, c.basePort+10, c.control(0), c.control(1), c.control(2), bootstrap, c.dirs[i])
 	if c.platform != "" {
 		text += "cloud_api: {address: '" + c.platform + "', rate_per_s: 40, max_lag_ms: 800}\n"
 	}
@@ -128,14 +128,14 @@
 			c.t.Errorf("core %d: %v", i, err)
 		}
 	})
-	c.stops[i] = func() { cancel(); wg.Wait() }
-	c.crash[i] = func() { core.stop(); cancel(); wg.Wait(); c.stops[i] = nil }
+	c.stopNode[i] = func() { cancel(); wg.Wait() }
+	c.crashNode[i] = func() { core.stop(); cancel(); wg.Wait(); c.stopNode[i] = nil }
 }
 
 func (c *cluster) stop(i int) {
-	if c.stops[i] != nil {
-		c.stops[i]()
-		c.stops[i] = nil
+	if c.stopNode[i] != nil {
+		c.stopNode[i]()
+		c.stopNode[i] = nil
 	}
 }
 
@@ -216,7 +216,7 @@
 	return f, func() { cancel(); calls.Close(); wg.Wait() }
 }
 
-func (c *cluster) acts(f *feed.Follower, version int64) {
+func (c *cluster) awaitActiveVersion(f *feed.Follower, version int64) {
 	c.t.Helper()
 	limit := time.NewTimer(20 * time.Second)
 	defer limit.Stop()
@@ -240,7 +240,7 @@
 	if got := c.put(3, 0, 3, 0, 1, 2); got != http.StatusOK {
 		t.Fatalf("first version: %d", got)
 	}
-	c.acts(f, 3)
+	c.awaitActiveVersion(f, 3)
 	for i := range 4 {
 		if got := c.get(i); got != string(config(3)) {
 			t.Fatalf("node %d reads %s", i, got)
@@ -265,7 +265,7 @@
 	if got := c.put(9, 3, 2); got != http.StatusOK {
 		t.Fatalf("next version: %d", got)
 	}
-	c.acts(f, 9)
+	c.awaitActiveVersion(f, 9)
 	if got, _ := c.send(0, http.MethodPut, "/api/config", "0", config(3)); got != http.StatusOK {
 		t.Errorf("a version that was taken and is past: %d", got)
 	}
@@ -298,7 +298,7 @@
 	for _, name := range names {
 		f, stop := c.follow(name)
 		defer stop()
-		c.acts(f, 3)
+		c.awaitActiveVersion(f, 3)
 	}
 	for i := range 3 {
 		text := ""
@@ -359,7 +359,7 @@
 			t.Fatalf("version %d: %d", version+1, got)
 		}
 		version++
-		c.acts(f, int64(version))
+		c.awaitActiveVersion(f, int64(version))
 	}
 	for i := range 4 { // each in turn is stopped, and comes back with its disk or without
 		c.stop(i)
@@ -433,7 +433,7 @@
 	for i := int64(1); i <= 3; i++ {
 		requireHost(i)
 	}
-	c.crash[0]() // the head, as the founding order has it
+	c.crashNode[0]() // the head, as the founding order has it
 	c.start(0, false)
 	requireHost(9)
 }
--- a/internal/tier/controlnode/shutdown_test.go
+++ b/internal/tier/controlnode/shutdown_test.go
@@ -15,7 +15,7 @@
 
 // A node that is stopped while it decides on an order, here without a majority, still answers it.
 func TestStopAnswersOrdersInFlight(t *testing.T) {
-	c := &cluster{t: t, base: freeBase(t), n: 3, dirs: []string{t.TempDir()}}
+	c := &cluster{t: t, basePort: findFreeBasePort(t), n: 3, dirs: []string{t.TempDir()}}
 	core, err := Open(c.settings(0, true), process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -56,7 +56,7 @@
 
 func openNetwork(t *testing.T, dir string, peers func(core *Server) Durable) *network {
 	t.Helper()
-	c := &cluster{t: t, base: 21000, n: 3, dirs: []string{dir}}
+	c := &cluster{t: t, basePort: 21000, n: 3, dirs: []string{dir}}
 	core, err := Open(c.settings(0, true), process.NewLogger(io.Discard))
 	if err != nil {
 		t.Fatal(err)
