--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -25,24 +25,24 @@
 	down        bool          // the fault keeps the machine down, and its end starts it
 }
 
-type contract struct {
+type contractSimulation struct {
 	*simulation
-	catchUp     time.Duration
-	slots       []lossSlot
-	added       int
-	lastAck     time.Duration
-	acked       int
-	checkedFrom time.Duration // all were killed: no invariant of the living before it
-	leaving     map[string]time.Duration
-	replaced    map[string]bool // leave for good
-	faultCounts map[string]int
+	catchUp       time.Duration
+	slots         []lossSlot
+	addedMachines int
+	lastAckAt     time.Duration
+	ackedWrites   int
+	checkedFrom   time.Duration // all were killed: no invariant of the living before it
+	leaving       map[string]time.Duration
+	replaced      map[string]bool // leave for good
+	faultCounts   map[string]int
 }
 
 // maxWriteGap bounds how long no write may be acknowledged while no more are lost than the contract permits.
 const maxWriteGap = 6 * time.Second
 
-func newContract(t testing.TB, seed uint64, n, losses int, f plantedFaults) *contract {
-	c := &contract{
+func newContractSimulation(t testing.TB, seed uint64, n, losses int, f plantedFaults) *contractSimulation {
+	c := &contractSimulation{
 		simulation:  newSimulationWith(t, seed, n, losses, drawnChainLength(seed, losses), f),
 		catchUp:     4200 * time.Millisecond,
 		slots:       make([]lossSlot, losses),
@@ -57,7 +57,7 @@
 	return c
 }
 
-func (c *contract) countsAsLost(addr string) bool {
+func (c *contractSimulation) countsAsLost(addr string) bool {
 	for _, s := range c.slots {
 		if s.machine == addr {
 			return true
@@ -67,7 +67,7 @@
 }
 
 // healthyMachines returns the machines at which a fault could be injected.
-func (c *contract) healthyMachines() (all []string) {
+func (c *contractSimulation) healthyMachines() (all []string) {
 	for _, a := range c.order {
 		m := c.machines[a]
 		if m.up && !m.frozen && !c.countsAsLost(a) && c.leaving[a] == 0 {
@@ -77,29 +77,29 @@
 	return all
 }
 
-// play injects a number of faults.
-func (c *contract) play(rounds int) {
+// runFaults injects a number of faults.
+func (c *contractSimulation) runFaults(rounds int) {
 	c.run(c.catchUp) // no loss is permitted before the members had their time
-	c.lastAck = c.now
-	for strikes := 0; strikes < rounds && c.failure == ""; {
+	c.lastAckAt = c.now
+	for injected := 0; injected < rounds && c.failure == ""; {
 		for i := range c.slots {
 			if c.slots[i].machine == "" && c.failure == "" {
 				c.injectFault(&c.slots[i])
-				strikes++
+				injected++
 			}
 		}
-		c.tick()
+		c.advance()
 	}
 	for end := c.now + 2*c.catchUp + 8*time.Second; c.now < end && c.failure == ""; {
-		c.tick()
+		c.advance()
 	}
 }
 
-// tick moves time on, ends faults, and checks the invariant.
-func (c *contract) tick() {
+// advance moves time on, ends faults, and checks the invariant.
+func (c *contractSimulation) advance() {
 	c.step()
-	if c.writes > c.acked {
-		c.acked, c.lastAck = c.writes, c.now
+	if c.writes > c.ackedWrites {
+		c.ackedWrites, c.lastAckAt = c.writes, c.now
 	}
 	for i := range c.slots {
 		s := &c.slots[i]
@@ -121,59 +121,59 @@
 			c.logf("%s is stopped, it had left: %v", a, m.node.CanStop())
 			c.stop(m)
 			if c.replaced[a] {
-				c.remove(a)
+				c.removeMachine(a)
 			}
 		}
 	}
-	c.invariant()
+	c.checkInvariants()
 }
 
-// invariant checks that, by the newest decided view, a majority of the voters is alive, and a member of the
+// checkInvariants checks that, by the newest decided view, a majority of the voters is alive, and a member of the
 // chain that has all that was committed.
-func (c *contract) invariant() {
+func (c *contractSimulation) checkInvariants() {
 	if c.now < c.checkedFrom || c.failure != "" {
 		return
 	}
 	newest := c.newest
-	majority, holder := 0, false
+	liveVoters, hasLiveReplica := 0, false
 	for _, a := range c.order {
 		m := c.machines[a]
 		if _, cut := c.partitioned[a]; !m.up || m.frozen || cut {
 			continue
 		}
 		if newest.IsVoter(m.id) {
-			majority++
+			liveVoters++
 		}
 		if i := newest.Position(m.id); i >= 0 && m.disk.State.ActivatedEpoch >= newest.Chain[i].JoinedEpoch {
-			holder = true
+			hasLiveReplica = true
 		}
 	}
-	if majority < newest.Majority() {
-		c.failf("of %d voters of view %d only %d live", len(newest.Voters), newest.Epoch, majority)
+	if liveVoters < newest.Majority() {
+		c.failf("of %d voters of view %d only %d live", len(newest.Voters), newest.Epoch, liveVoters)
 	}
-	if !holder {
+	if !hasLiveReplica {
 		c.failf("no member of view %d that has what was committed lives", newest.Epoch)
 	}
-	if c.now-c.lastAck > maxWriteGap {
+	if c.now-c.lastAckAt > maxWriteGap {
 		c.failf("no write was acknowledged for %v", maxWriteGap)
 	}
 }
 
 // injectFault draws a machine and a fault.
-func (c *contract) injectFault(s *lossSlot) {
-	well := c.healthyMachines()
-	if len(well) == 0 {
+func (c *contractSimulation) injectFault(s *lossSlot) {
+	healthy := c.healthyMachines()
+	if len(healthy) == 0 {
 		return
 	}
-	a := well[c.rng.IntN(len(well))]
-	if head := c.currentHead(); head != "" && c.rng.IntN(3) == 0 && slices.Contains(well, head) {
+	a := healthy[c.rng.IntN(len(healthy))]
+	if head := c.currentHead(); head != "" && c.rng.IntN(3) == 0 && slices.Contains(healthy, head) {
 		a = head
 	}
 	m := c.machines[a]
-	span := time.Duration(50+c.rng.IntN(5000)) * time.Millisecond
-	*s = lossSlot{machine: a, until: c.now + span}
+	duration := time.Duration(50+c.rng.IntN(5000)) * time.Millisecond
+	*s = lossSlot{machine: a, until: c.now + duration}
 	kinds := []func(s *lossSlot, m *machine){
-		c.kill, c.wipe, c.freeze, c.partition, c.roll, c.replace, c.replacePlanned, c.killAll, c.grow,
+		c.kill, c.wipe, c.freeze, c.partition, c.restartGracefully, c.replace, c.replaceGracefully, c.killAll, c.addMachine,
 	}
 	if c.fault.keepsIDAfterDiskLoss { // found sooner where disks are lost again and again
 		kinds = []func(s *lossSlot, m *machine){c.kill, c.wipe, c.killAll}
@@ -181,7 +181,7 @@
 	kinds[c.rng.IntN(len(kinds))](s, m)
 }
 
-func (c *contract) currentHead() string {
+func (c *contractSimulation) currentHead() string {
 	for _, a := range c.order {
 		if m := c.machines[a]; m.up && m.node.IsConfirmedHead() {
 			return a
@@ -190,9 +190,9 @@
 	return ""
 }
 
-func (c *contract) countFault(kind string) { c.faultCounts[kind]++ }
+func (c *contractSimulation) countFault(kind string) { c.faultCounts[kind]++ }
 
-func (c *contract) kill(s *lossSlot, m *machine) {
+func (c *contractSimulation) kill(s *lossSlot, m *machine) {
 	c.countFault("kill")
 	c.logf("%s is killed", m.addr)
 	c.stop(m)
@@ -200,7 +200,7 @@
 	s.end = func() { c.start(m); c.logf("%s starts", m.addr) }
 }
 
-func (c *contract) wipe(s *lossSlot, m *machine) {
+func (c *contractSimulation) wipe(s *lossSlot, m *machine) {
 	c.countFault("wipe")
 	c.logf("%s loses its disk", m.addr)
 	c.stop(m)
@@ -212,7 +212,7 @@
 	s.end = func() { c.start(m); c.logf("%s starts empty", m.addr) }
 }
 
-func (c *contract) freeze(s *lossSlot, m *machine) {
+func (c *contractSimulation) freeze(s *lossSlot, m *machine) {
 	c.countFault("freeze")
 	c.logf("%s freezes", m.addr)
 	m.frozen = true
@@ -224,16 +224,16 @@
 	}
 }
 
-func (c *contract) partition(s *lossSlot, m *machine) {
+func (c *contractSimulation) partition(s *lossSlot, m *machine) {
 	c.countFault("cut")
-	way := c.rng.IntN(3)
-	c.logf("%s is cut off, way %d", m.addr, way)
-	c.partitioned[m.addr] = way
+	direction := c.rng.IntN(3)
+	c.logf("%s is cut off, way %d", m.addr, direction)
+	c.partitioned[m.addr] = direction
 	s.end = func() { delete(c.partitioned, m.addr); c.logf("%s is joined again", m.addr) }
 }
 
-// roll stops a machine in order, and starts it again.
-func (c *contract) roll(s *lossSlot, m *machine) {
+// restartGracefully stops a machine in order, and starts it again.
+func (c *contractSimulation) restartGracefully(s *lossSlot, m *machine) {
 	c.countFault("roll")
 	c.logf("%s is stopped in order", m.addr)
 	c.handleReady(m, m.node.StartLeaving(c.now))
@@ -249,9 +249,9 @@
 	}
 }
 
-func (c *contract) newMachine() *machine {
-	c.added++
-	addr := fmt.Sprintf("n%d", c.added)
+func (c *contractSimulation) startNewMachine() *machine {
+	c.addedMachines++
+	addr := fmt.Sprintf("n%d", c.addedMachines)
 	m := &machine{addr: addr, name: addr, id: c.newID()}
 	c.machines[addr] = m
 	c.order = append(c.order, addr)
@@ -259,7 +259,7 @@
 	return m
 }
 
-func (c *contract) remove(a string) {
+func (c *contractSimulation) removeMachine(a string) {
 	if m := c.machines[a]; m != nil && m.up {
 		c.stop(m)
 	}
@@ -269,19 +269,19 @@
 }
 
 // replace removes a machine for good; an empty one comes a second later at another address.
-func (c *contract) replace(s *lossSlot, m *machine) {
+func (c *contractSimulation) replace(s *lossSlot, m *machine) {
 	c.countFault("replace")
 	c.logf("%s is removed for good", m.addr)
-	c.remove(m.addr)
+	c.removeMachine(m.addr)
 	s.until = c.now + time.Second
-	s.end = func() { s.machine = c.newMachine().addr; c.logf("%s comes for %s", s.machine, m.addr) }
+	s.end = func() { s.machine = c.startNewMachine().addr; c.logf("%s comes for %s", s.machine, m.addr) }
 }
 
-// replacePlanned starts the new machine first; the old one is stopped in order a second later, or when the
+// replaceGracefully starts the new machine first; the old one is stopped in order a second later, or when the
 // new one has had its time.
-func (c *contract) replacePlanned(s *lossSlot, m *machine) {
+func (c *contractSimulation) replaceGracefully(s *lossSlot, m *machine) {
 	c.countFault("replace planned")
-	next := c.newMachine()
+	next := c.startNewMachine()
 	began := c.now
 	c.logf("%s comes to take over from %s", next.addr, m.addr)
 	s.machine, s.until = next.addr, c.now+time.Second
@@ -294,7 +294,7 @@
 			c.handleReady(m, m.node.StartLeaving(c.now))
 			c.leaving[m.addr], c.replaced[m.addr] = c.now, true
 		} else {
-			c.remove(m.addr)
+			c.removeMachine(m.addr)
 		}
 		s.countsUntil = began + c.catchUp // the old one counts until the new one has had its time
 	}
@@ -302,7 +302,7 @@
 
 // killAll ends all processes at one instant, whatever fault_tolerance permits. They come back within a
 // second, with their disks.
-func (c *contract) killAll(s *lossSlot, m *machine) {
+func (c *contractSimulation) killAll(s *lossSlot, m *machine) {
 	c.countFault("kill all")
 	c.logf("all are killed")
 	for _, a := range c.order {
@@ -312,11 +312,11 @@
 		}
 	}
 	for a := range c.replaced {
-		c.remove(a)
+		c.removeMachine(a)
 	}
 	s.until = c.now + time.Duration(100+c.rng.IntN(900))*time.Millisecond
 	c.checkedFrom = s.until + 3*time.Second
-	c.lastAck, c.boundsFrom = c.checkedFrom, c.checkedFrom
+	c.lastAckAt, c.boundsFrom = c.checkedFrom, c.checkedFrom
 	s.end = func() {
 		for _, a := range c.order {
 			if one := c.machines[a]; !one.up && !c.replaced[a] && c.leaving[a] == 0 && !c.willRestart(a, s) {
@@ -328,7 +328,7 @@
 }
 
 // willRestart reports whether another loss will start the machine again.
-func (c *contract) willRestart(a string, but *lossSlot) bool {
+func (c *contractSimulation) willRestart(a string, but *lossSlot) bool {
 	for i := range c.slots {
 		if s := &c.slots[i]; s != but && s.machine == a && s.end != nil && s.down {
 			return true
@@ -337,10 +337,10 @@
 	return false
 }
 
-// grow adds a machine.
-func (c *contract) grow(s *lossSlot, m *machine) {
+// addMachine adds a machine.
+func (c *contractSimulation) addMachine(s *lossSlot, m *machine) {
 	c.countFault("grow")
-	next := c.newMachine()
+	next := c.startNewMachine()
 	c.logf("%s is added", next.addr)
 	s.machine, s.until = next.addr, c.now
 	s.end = func() {}
@@ -350,26 +350,26 @@
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
-	writes, struck := 0, map[string]int{}
+	writes, faultCounts := 0, map[string]int{}
 	for i := range *contractSimulations {
-		c := contractAt(t, base+uint64(i), plantedFaults{})
-		c.play(12)
+		c := newContractSimulationFromSeed(t, base+uint64(i), plantedFaults{})
+		c.runFaults(12)
 		if c.failure != "" {
 			t.Fatalf("seed %d, %d machines, losses %d: %s\n%s", c.seed, c.initialMachines, c.faultTolerance, c.failure, c.trace())
 		}
 		writes += c.writes
 		for kind, n := range c.faultCounts {
-			struck[kind] += n
+			faultCounts[kind] += n
 		}
 	}
-	t.Logf("%d simulations, %d writes acknowledged, faults: %v", *contractSimulations, writes, struck)
+	t.Logf("%d simulations, %d writes acknowledged, faults: %v", *contractSimulations, writes, faultCounts)
 }
 
 // Two views change within the time that followers have, and two of their sources do not answer.
 func TestFollowersSurviveTwoViewChanges(t *testing.T) {
 	t.Parallel()
-	c := contractAt(t, 1796199225728843689, plantedFaults{})
-	c.play(12)
+	c := newContractSimulationFromSeed(t, 1796199225728843689, plantedFaults{})
+	c.runFaults(12)
 	if c.failure != "" {
 		t.Errorf("%s\n%s", c.failure, c.trace())
 	}
@@ -387,16 +387,16 @@
 	}
 }
 
-// contractAt draws the size of a simulation by its seed: losses of 1 and 2, 3 to 8 nodes.
-func contractAt(t testing.TB, seed uint64, f plantedFaults) *contract {
+// newContractSimulationFromSeed draws the size of a simulation by its seed: losses of 1 and 2, 3 to 8 nodes.
+func newContractSimulationFromSeed(t testing.TB, seed uint64, f plantedFaults) *contractSimulation {
 	sizes := []struct{ n, losses int }{{3, 1}, {4, 1}, {5, 1}, {8, 1}, {5, 2}, {8, 2}}
-	one := sizes[rand.New(rand.NewPCG(seed, 1)).IntN(len(sizes))]
-	return newContract(t, seed, one.n, one.losses, f)
+	size := sizes[rand.New(rand.NewPCG(seed, 1)).IntN(len(sizes))]
+	return newContractSimulation(t, seed, size.n, size.losses, f)
 }
 
 func TestSingleContractSeed(t *testing.T) {
-	c := contractAt(t, *contractSeed, plantedFaults{})
-	c.play(12)
+	c := newContractSimulationFromSeed(t, *contractSeed, plantedFaults{})
+	c.runFaults(12)
 	if c.failure != "" {
 		for _, a := range c.order {
 			if m := c.machines[a]; m.up {
@@ -425,8 +425,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(200) {
-				c := contractAt(t, seed+1, f)
-				c.play(12)
+				c := newContractSimulationFromSeed(t, seed+1, f)
+				c.runFaults(12)
 				if c.failure != "" {
 					return
 				}
--- a/internal/tier/controlnode/cost_test.go
+++ b/internal/tier/controlnode/cost_test.go
@@ -113,7 +113,7 @@
 	t.Logf("%d changes of %d KB: %v of processor time each at node 0",
 		changes, changeSize>>10, (f.nodes[0].cpuTime(t)-before)/time.Duration(changes))
 	f.setLinkRate(cpuTestLinkRate)
-	used := map[int]time.Duration{0: f.nodes[0].cpuTime(t), 1: f.nodes[1].cpuTime(t)}
+	cpuBefore := map[int]time.Duration{0: f.nodes[0].cpuTime(t), 1: f.nodes[1].cpuTime(t)}
 	tail := f.tail()
 	f.start(2, false)
 	took := f.within(catchUp, "the node is a member of one chain with all others again", func() bool {
@@ -125,7 +125,7 @@
 	})
 	const onLink = changeSize * time.Second / cpuTestLinkRate
 	f.requireFitsCPUShare("the member that returns", f.nodes[2].cpuTime(t), onLink, took)
-	f.requireFitsCPUShare("the tail that sends", f.nodes[tail].cpuTime(t)-used[tail], onLink, took)
+	f.requireFitsCPUShare("the tail that sends", f.nodes[tail].cpuTime(t)-cpuBefore[tail], onLink, took)
 	f.setLinkRate(0)
 	f.requireFollowerFitsCPUShare(onLink)
 	for i := range 3 {
--- a/internal/tier/controlnode/feed_bench_test.go
+++ b/internal/tier/controlnode/feed_bench_test.go
@@ -15,15 +15,15 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// hollow is a follower that polls and keeps nothing but what the next poll has to name.
-type hollow struct {
+// pollingFollower is a follower that polls and keeps nothing but what the next poll has to name.
+type pollingFollower struct {
 	q    feed.ChangesRequest
 	call func(q *feed.ChangesRequest) ([]byte, error) // an encoded answer
 }
 
-type counts struct{ polls, asked, bytes, patches, complete, failed atomic.Int64 }
+type pollCounters struct{ polls, requestBytes, bytes, patches, complete, failed atomic.Int64 }
 
-func (h *hollow) poll(n *counts) {
+func (h *pollingFollower) poll(n *pollCounters) {
 	b, err := h.call(&h.q)
 	a := new(feed.ChangesResponse)
 	if err != nil || rpc.Decode(b, a) != nil || !a.Confirmed {
@@ -31,7 +31,7 @@
 		return
 	}
 	n.polls.Add(1)
-	n.asked.Store(int64(len(rpc.Encode(&h.q))))
+	n.requestBytes.Store(int64(len(rpc.Encode(&h.q))))
 	n.bytes.Add(int64(len(b)))
 	h.q.ReceivedIndex, h.q.AppliedIndex = a.Index, a.Index
 	for _, p := range a.Patches {
@@ -45,7 +45,7 @@
 	}
 }
 
-func processorTime() time.Duration {
+func ownCPUTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -70,8 +70,8 @@
 	return []byte(b.String())
 }
 
-// calls gives what a follower calls node 0 by.
-func (c *cluster) calls(ctx context.Context, sockets bool, wg *sync.WaitGroup) func(q *feed.ChangesRequest) ([]byte, error) {
+// pollFunc gives what a follower calls node 0 by.
+func (c *cluster) pollFunc(ctx context.Context, sockets bool, wg *sync.WaitGroup) func(q *feed.ChangesRequest) ([]byte, error) {
 	if !sockets {
 		return func(q *feed.ChangesRequest) ([]byte, error) {
 			a, err := c.cores[0].handleChanges(ctx, q)
@@ -105,19 +105,19 @@
 }
 
 func benchFollowers(b *testing.B, sockets bool) {
-	const followers, rest = 340, 3 * time.Second
+	const followers, idleTime = 340, 3 * time.Second
 	c := newCluster(b, 3)
 	version := 1
-	c.putBody(0, config1MB(version))
-	idle := processorTime()
-	time.Sleep(rest)
-	idle = processorTime() - idle
+	c.putConfigBody(0, config1MB(version))
+	idle := ownCPUTime()
+	time.Sleep(idleTime)
+	idle = ownCPUTime() - idle
 
-	n := new(counts)
+	n := new(pollCounters)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i := range followers {
-		h := &hollow{q: feed.ChangesRequest{Name: fmt.Sprint("front-", i), Class: "front", WaitMs: 500}, call: c.calls(ctx, sockets, &wg)}
+		h := &pollingFollower{q: feed.ChangesRequest{Name: fmt.Sprint("front-", i), Class: "front", WaitMs: 500}, call: c.pollFunc(ctx, sockets, &wg)}
 		wg.Go(func() {
 			for ctx.Err() == nil {
 				h.poll(n)
@@ -125,21 +125,21 @@
 		})
 	}
 	time.Sleep(time.Second) // all have begun
-	before, polls, bytes := processorTime(), n.polls.Load(), n.bytes.Load()
-	time.Sleep(rest)
-	resting := processorTime() - before - idle
+	before, polls, bytes := ownCPUTime(), n.polls.Load(), n.bytes.Load()
+	time.Sleep(idleTime)
+	cpuAtRest := ownCPUTime() - before - idle
 	polls, bytes = n.polls.Load()-polls, n.bytes.Load()-bytes
-	b.ReportMetric(float64(resting.Microseconds())/float64(polls), "us/poll")
+	b.ReportMetric(float64(cpuAtRest.Microseconds())/float64(polls), "us/poll")
 	b.ReportMetric(float64(bytes)/float64(polls), "B/poll")
-	b.ReportMetric(float64(n.asked.Load()), "B/request")
-	b.ReportMetric(float64(polls)/rest.Seconds()/followers, "polls/s/follower")
+	b.ReportMetric(float64(n.requestBytes.Load()), "B/request")
+	b.ReportMetric(float64(polls)/idleTime.Seconds()/followers, "polls/s/follower")
 
 	b.StartTimer()
-	before, bytes = processorTime(), n.bytes.Load()
+	before, bytes = ownCPUTime(), n.bytes.Load()
 	start := time.Now()
 	patches := n.patches.Load()
 	for range b.N {
-		c.putBody(version, config1MB(version+1))
+		c.putConfigBody(version, config1MB(version+1))
 		version++
 		c.until("all have the version", func() bool {
 			time.Sleep(time.Millisecond)
@@ -148,7 +148,7 @@
 	}
 	took := time.Since(start)
 	b.StopTimer()
-	spent := processorTime() - before - idle*took/rest
+	spent := ownCPUTime() - before - idle*took/idleTime
 	b.ReportMetric(float64(spent.Microseconds())/1000/float64(b.N), "ms-processor/version")
 	b.ReportMetric(float64(took.Microseconds())/1000/float64(b.N), "ms/version")
 	b.ReportMetric(float64(n.bytes.Load()-bytes)/float64(b.N)/followers, "B/version/follower")
--- a/internal/tier/controlnode/feed_poll.go
+++ b/internal/tier/controlnode/feed_poll.go
@@ -41,12 +41,12 @@
 type snapshotFeedRequest struct {
 	poll     *feed.ChangesRequest
 	arrival  time.Duration
-	over     bool // the poll has waited as long as it asked
+	expired  bool // the poll has waited as long as it asked
 	snapshot feedSnapshot
 }
 
 func (r *snapshotFeedRequest) handle(s *Server) {
-	r.snapshot = s.snapshotFeed(r.poll, r.arrival, r.over)
+	r.snapshot = s.snapshotFeed(r.poll, r.arrival, r.expired)
 }
 
 // recordFollower keeps what a poll reports of its follower.
@@ -74,18 +74,18 @@
 		changed := s.changed
 		s.mu.Unlock()
 		spent := s.now() - request.arrival
-		over := spent >= wait
-		request.over = over
+		expired := spent >= wait
+		request.expired = expired
 		if !s.runOnLoop(request) {
 			return feedSnapshot{}, errStopping
 		}
 		snapshot = request.snapshot
 		// A follower that has nothing yet waits on where one that has something is sent to another node.
-		stale := !snapshot.recent && (over || poll.ReceivedIndex > 0 && spent >= pollGrace)
-		if stale || spent >= wait+pollGrace || snapshot.confirmed && (over || snapshot.hasUpdate(poll)) {
+		stale := !snapshot.recent && (expired || poll.ReceivedIndex > 0 && spent >= pollGrace)
+		if stale || spent >= wait+pollGrace || snapshot.confirmed && (expired || snapshot.hasUpdate(poll)) {
 			return snapshot, nil
 		}
-		timer.Reset(nextCheck(spent, wait, snapshot.recent))
+		timer.Reset(pollSleep(spent, wait, snapshot.recent))
 		select {
 		case <-changed:
 		case <-snapshot.ready:
@@ -96,9 +96,9 @@
 	}
 }
 
-// nextCheck returns how long a poll may sleep: until it has waited as long as it asked, or until it is given
+// pollSleep returns how long a poll may sleep: until it has waited as long as it asked, or until it is given
 // up.
-func nextCheck(spent, wait time.Duration, recent bool) time.Duration {
+func pollSleep(spent, wait time.Duration, recent bool) time.Duration {
 	switch {
 	case !recent && spent < pollGrace && pollGrace < wait:
 		return pollGrace - spent
@@ -110,7 +110,7 @@
 
 // snapshotFeed reads the feed for a poll, which is to be answered where there is an update or its time is
 // over. It runs on the event loop.
-func (s *Server) snapshotFeed(poll *feed.ChangesRequest, arrival time.Duration, over bool) (f feedSnapshot) {
+func (s *Server) snapshotFeed(poll *feed.ChangesRequest, arrival time.Duration, expired bool) (f feedSnapshot) {
 	replica := s.node.Chain()
 	f.index = replica.State().Commit
 	behind := f.index < poll.ReceivedIndex // another node gave the follower more than this one has
@@ -128,7 +128,7 @@
 	for _, m := range s.node.View().Voters {
 		f.coreAddrs = append(f.coreAddrs, m.Addr)
 	}
-	if !f.confirmed && !behind && (over || f.hasUpdate(poll)) {
+	if !f.confirmed && !behind && (expired || f.hasUpdate(poll)) {
 		f.ready = s.registerPoll(arrival, poll)
 	}
 	return f
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -31,7 +31,7 @@
 	return []byte(b.String())
 }
 
-func (c *cluster) putBody(on int, body []byte) {
+func (c *cluster) putConfigBody(on int, body []byte) {
 	c.t.Helper()
 	c.until("an answer to a large version", func() bool {
 		status, text := c.send(on%c.n, http.MethodPut, "/api/config", strconv.Itoa(on), body)
@@ -63,7 +63,7 @@
 	c := newCluster(t, 3)
 	f, stop := c.follow("front-1")
 	defer stop()
-	c.putBody(0, largeConfig(3))
+	c.putConfigBody(0, largeConfig(3))
 	c.awaitActiveVersion(f, 3)
 
 	calls := &rpc.Clients{}
@@ -75,7 +75,7 @@
 	}
 	value := c.fetchChunks(calls, a.LargeValues[0])
 
-	c.putBody(3, largeConfig(9))
+	c.putConfigBody(3, largeConfig(9))
 	c.awaitActiveVersion(f, 9)
 	q.ReceivedIndex = a.LargeValues[0].Index
 	q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: a.LargeValues[0].Digest}}
@@ -114,7 +114,7 @@
 // A follower of the release before this one polls by the old call and gets every value complete.
 func TestFollowerOfEarlierReleaseIsServed(t *testing.T) {
 	c := newCluster(t, 3)
-	c.putBody(0, largeConfig(3))
+	c.putConfigBody(0, largeConfig(3))
 	calls := &rpc.Clients{}
 	defer calls.Close()
 	var a *feed.FollowResponse
@@ -139,11 +139,11 @@
 	q := func(i int) *feed.ChunkRequest {
 		return &feed.ChunkRequest{Name: fmt.Sprint(i), Digest: digest[:], Length: 1 << 20}
 	}
-	given, busy := 0, 0
+	served, busy := 0, 0
 	for i := range 20 {
 		switch p := s.serveChunk(q(i), entry, 0); p.Status {
 		case feed.ChunkServed:
-			given++
+			served++
 			if len(p.Data) != 64<<10 {
 				t.Errorf("a piece of %d bytes", len(p.Data))
 			}
@@ -151,8 +151,8 @@
 			busy++
 		}
 	}
-	if given != 8 || busy != 12 {
-		t.Errorf("%d were given a chunk and %d had to wait", given, busy)
+	if served != 8 || busy != 12 {
+		t.Errorf("%d were given a chunk and %d had to wait", served, busy)
 	}
 	if p := s.serveChunk(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
 		t.Errorf("a value that there never was: state %d", p.Status)
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -28,9 +28,9 @@
 	portStride  = 16
 	portStrides = 1000
 
-	retryPause = 15 * time.Millisecond
-	waitTimeout  = 15 * time.Second // for anything that is waited for
-	catchUp      = 4200 * time.Millisecond
+	retryPause  = 15 * time.Millisecond
+	waitTimeout = 15 * time.Second // for anything that is waited for
+	catchUp     = 4200 * time.Millisecond
 
 	callerTimeout = 1500 * time.Millisecond // after which a caller takes a node for dead
 
@@ -59,25 +59,25 @@
 }
 
 // newFleet starts n nodes out of room for more, and waits until all of them are caught-up members.
-func newFleet(t *testing.T, n, room int) *fleet {
+func newFleet(t *testing.T, n, capacity int) *fleet {
 	t.Helper()
-	return newFleetWith(t, n, room, func(*fleet) {})
+	return newFleetWith(t, n, capacity, func(*fleet) {})
 }
 
 // newFleetWith is newFleet for a fleet that is prepared by a function before its nodes start.
-func newFleetWith(t *testing.T, n, room int, prepare func(f *fleet)) *fleet {
+func newFleetWith(t *testing.T, n, capacity int, prepare func(f *fleet)) *fleet {
 	t.Helper()
-	f := &fleet{t: t, n: room, faultTolerance: (n - 1) / 2, basePort: findFreePorts(t), dirs: make([]string, room), nodes: make([]*childProcess, room), relays: map[[2]int]*cutproxy.Relay{},
+	f := &fleet{t: t, n: capacity, faultTolerance: (n - 1) / 2, basePort: findFreePorts(t), dirs: make([]string, capacity), nodes: make([]*childProcess, capacity), relays: map[[2]int]*cutproxy.Relay{},
 		hist: newHistory(), calls: &rpc.Clients{},
 		http: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 	t.Cleanup(f.calls.Close)
-	for i := range room {
+	for i := range capacity {
 		f.dirs[i] = t.TempDir()
 		f.out, f.in = append(f.out, cutproxy.NewBucket(0)), append(f.in, cutproxy.NewBucket(0))
 	}
-	for from := range room {
-		for to := range room {
+	for from := range capacity {
+		for to := range capacity {
 			if from != to {
 				f.addRelay(from, to)
 			}
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -44,30 +44,30 @@
 // big is beyond 32 bits, so that a field that is made narrower does not pass.
 const big = 1 << 40
 
-// encoded is one body of a frame, or one value: its method's number, a name for people, which way it goes, and the value that
+// encodedValue is one body of a frame, or one value: its method's number, a name for people, which way it goes, and the value that
 // its bytes mean.
-type encoded struct {
+type encodedValue struct {
 	method rpc.Method
 	name   string
 	side   string
 	value  any // pointer to a struct
 }
 
-func (e encoded) key() string { return fmt.Sprintf("%d %s %s", e.method, e.name, e.side) }
+func (e encodedValue) key() string { return fmt.Sprintf("%d %s %s", e.method, e.name, e.side) }
 
 // messageKinds are the kinds of messages between core nodes by their numbers, which are on the wire.
 var messageKinds = []string{"heartbeat", "prepare", "promise", "accept", "accepted", "decide", "update", "ack", "confirm", "confirmed", "host list", "learn", "learned"}
 
 // allEncoded are all that core nodes, followers and stores send each other through core nodes, and what core nodes keep.
 // Numbers are literals on purpose: they are on the wire.
-func allEncoded() []encoded {
+func allEncoded() []encodedValue {
 	host := discovery.Host{ID: "host", Service: "service", Addr: "addr", Zone: "zone", Capacity: big + 31, Phase: "phase", WarmupMs: big + 32, Models: []string{"model-1", "model-2"}}
 	list := discovery.List{Term: big + 33, Number: big + 34, Hosts: []discovery.Host{host}}
 	other := discovery.Host{ID: "host-2", Service: "service-2", Addr: "addr-2", Zone: "zone-2", Capacity: big + 41, Phase: "phase-2", WarmupMs: big + 42, Models: []string{"model-3"}}
 	delta := discovery.Delta{FromTerm: big + 43, FromNumber: big + 44, Term: big + 45, Number: big + 46, Changed: []discovery.Host{other}, Removed: []string{"removed-1", "removed-2"}}
 	entry := chain.Entry{Index: big + 51, Key: "entry-key", Value: []byte("entry-value")}
 	store := turnstore.Store{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}
-	all := []encoded{
+	all := []encodedValue{
 		{2, "follow", sideRequest, &feed.FollowRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ActiveVersion: big + 2, HostListTerm: big + 3, HostListNumber: big + 4, WaitMs: big + 5}},
 		{2, "follow", sideReply, &feed.FollowResponse{Confirmed: true, Index: big + 1, Entries: []chain.Entry{entry}, Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, CoreAddrs: []string{"core-1", "core-2"}}},
 		{3, "put", sideRequest, &feed.PutRequest{IfMatch: big + 1, Body: []byte("body"), Forwarded: true}},
@@ -116,7 +116,7 @@
 		{0, "meta", sideStored, &chainMeta{ActivatedEpoch: big + 1, LastIndex: big + 2, Commit: big + 3}},
 	}
 	for number, kind := range messageKinds {
-		all = append(all, encoded{1, "peer, " + kind, sideRequest, &Message{
+		all = append(all, encodedValue{1, "peer, " + kind, sideRequest, &Message{
 			Kind: number, From: view.Member{ID: "from-id", Name: "from-name", Addr: "from-addr"}, Incarnation: big + 1, Epoch: big + 2, Promised: true, Leaving: true, ConfirmationRound: big + 3,
 			Echoes: []Echo{{ID: "echo-1", Incarnation: big + 4, ConfirmationRound: big + 5}, {ID: "echo-2", Incarnation: big + 6, ConfirmationRound: big + 7}},
 			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedAt: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), ActivatedEpoch: big + 10,
@@ -132,7 +132,7 @@
 }
 
 // boolMessages tell booleans of one struct apart, each of which is true in allEncoded.
-var boolMessages = []encoded{
+var boolMessages = []encodedValue{
 	{1, "peer, sealed", sideRequest, &Message{Promised: true}},
 	{1, "peer, leaving", sideRequest, &Message{Leaving: true}},
 	{1, "peer, known", sideRequest, &Message{Ack: chain.Ack{CommitIsCurrent: true}}},
@@ -184,15 +184,15 @@
 	if *writeFixtures {
 		writeMissingFrames(t, path, slices.Concat(allEncoded(), boolMessages))
 	}
-	var full, alone []any
+	var full, single []any
 	for _, e := range allEncoded() {
 		requireAllSet(t, e.key(), e.value)
 		full = append(full, e.value)
 	}
 	for _, e := range boolMessages {
-		alone = append(alone, e.value)
+		single = append(single, e.value)
 	}
-	requireBoolsApart(t, full, alone)
+	requireBoolsDistinguished(t, full, single)
 	fixtures := readFrames(t, path)
 	for _, e := range slices.Concat(allEncoded(), boolMessages) {
 		old, known := fixtures[e.key()]
@@ -204,7 +204,7 @@
 		got := reflect.New(reflect.TypeOf(e.value).Elem()).Interface()
 		if err := rpc.Decode(old, got); err != nil {
 			t.Errorf("%s: the old bytes: %v", e.key(), err)
-		} else if !sameValue(got, e.value) {
+		} else if !equalValues(got, e.value) {
 			t.Errorf("%s: the old bytes mean %+v, want %+v", e.key(), got, e.value)
 		}
 		if now := rpc.Encode(e.value); !bytes.Equal(now, old) {
@@ -216,8 +216,8 @@
 	}
 }
 
-// loneCore is a core node that is the only one, so that it decides by itself. It serves no port.
-func loneCore(t *testing.T) *Server {
+// openSingleCore is a core node that is the only one, so that it decides by itself. It serves no port.
+func openSingleCore(t *testing.T) *Server {
 	t.Helper()
 	text := fmt.Sprintf("node_name: core-1\nip_addr: 127.0.0.1\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '127.0.0.1:20000'}\n"+
 		"port_range: [20001, 20010]\nseed_nodes: ['127.0.0.1:20000']\nbootstrap: true\ndata_dir: '%s'\nlimits: {memory_mb: 64, max_fds: 256, disk_mb: 64}\n", t.TempDir())
@@ -255,11 +255,11 @@
 		t.Errorf("method %d has no %s among the fixtures", method, side)
 		return nil
 	}
-	const peerNotice = 1 // it has no answer
-	c := loneCore(t)
+	const peerMessage = 1 // it has no answer
+	c := openSingleCore(t)
 	handlers := c.handlers()
 	for method, handle := range handlers {
-		if method == peerNotice {
+		if method == peerMessage {
 			continue
 		}
 		call, want := find(method, sideRequest), find(method, sideReply)
@@ -275,7 +275,7 @@
 	}
 	c.stop()
 	c.wg.Wait() // the notice is not to be acted on
-	if got, err := handlers[peerNotice](t.Context(), rpc.Encode(find(peerNotice, sideRequest))); got != nil || err != nil {
+	if got, err := handlers[peerMessage](t.Context(), rpc.Encode(find(peerMessage, sideRequest))); got != nil || err != nil {
 		t.Errorf("the notice of a peer ends in %v, %v", got, err)
 	}
 	for _, e := range allEncoded() {
@@ -286,7 +286,7 @@
 }
 
 // The numbers of methods, kinds of messages and states of pieces are on the wire.
-func TestNumbersOnTheWire(t *testing.T) {
+func TestWireNumbersAreUnchanged(t *testing.T) {
 	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutCall, feed.ReadCall, feed.RegisterCall, feed.RetireCall, feed.PhaseCall, feed.StatusCall, feed.ChangesCall, feed.ChunkCall,
 		feed.HealthCall, feed.UsageCall, feed.LeaseReleaseCall, feed.ClockCall, feed.DutiesCall}
 	if want := []rpc.Method{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}; !reflect.DeepEqual(methods, want) {
@@ -373,7 +373,7 @@
 }
 
 // writeMissingFrames adds the messages that a file of fixtures does not have.
-func writeMissingFrames(t *testing.T, path string, all []encoded) {
+func writeMissingFrames(t *testing.T, path string, all []encodedValue) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -398,15 +398,15 @@
 func requireAllSet(t *testing.T, what string, value any) {
 	t.Helper()
 	seen := map[any]bool{}
-	var look func(path string, v reflect.Value)
-	look = func(path string, v reflect.Value) {
+	var walk func(path string, v reflect.Value)
+	walk = func(path string, v reflect.Value) {
 		switch v.Kind() {
 		case reflect.Pointer:
-			look(path, v.Elem())
+			walk(path, v.Elem())
 			return
 		case reflect.Struct:
 			for i := range v.NumField() {
-				look(path+"."+v.Type().Field(i).Name, v.Field(i))
+				walk(path+"."+v.Type().Field(i).Name, v.Field(i))
 			}
 			return
 		}
@@ -423,7 +423,7 @@
 			leaf = string(v.Bytes())
 		case v.Kind() == reflect.Slice:
 			for i := range v.Len() {
-				look(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+				walk(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 			}
 			return
 		case v.CanInt():
@@ -436,26 +436,26 @@
 		}
 		seen[leaf] = true
 	}
-	look("", reflect.ValueOf(value))
+	walk("", reflect.ValueOf(value))
 }
 
-// requireBoolsApart makes sure that two booleans of a struct that changed places would show: wherever a struct has several,
+// requireBoolsDistinguished makes sure that two booleans of a struct that changed places would show: wherever a struct has several,
 // there is a message for each in which it alone is true.
-func requireBoolsApart(t *testing.T, full, alone []any) {
+func requireBoolsDistinguished(t *testing.T, full, single []any) {
 	t.Helper()
 	type field struct {
 		of   reflect.Type
 		name string
 	}
 	needed, found := map[field]bool{}, map[field]bool{}
-	var look func(v reflect.Value, set map[field]bool, most int)
-	look = func(v reflect.Value, set map[field]bool, most int) {
+	var walk func(v reflect.Value, fields map[field]bool, maxTrue int)
+	walk = func(v reflect.Value, fields map[field]bool, maxTrue int) {
 		switch {
 		case v.Kind() == reflect.Pointer:
-			look(v.Elem(), set, most)
+			walk(v.Elem(), fields, maxTrue)
 		case v.Kind() == reflect.Slice:
 			for i := range v.Len() {
-				look(v.Index(i), set, most)
+				walk(v.Index(i), fields, maxTrue)
 			}
 		case v.Kind() == reflect.Struct:
 			var bools []string
@@ -467,21 +467,21 @@
 						bools = append(bools, v.Type().Field(i).Name)
 					}
 				} else {
-					look(f, set, most)
+					walk(f, fields, maxTrue)
 				}
 			}
-			if count > 1 && len(bools) <= most {
+			if count > 1 && len(bools) <= maxTrue {
 				for _, name := range bools {
-					set[field{v.Type(), name}] = true
+					fields[field{v.Type(), name}] = true
 				}
 			}
 		}
 	}
 	for _, v := range full {
-		look(reflect.ValueOf(v), needed, math.MaxInt)
+		walk(reflect.ValueOf(v), needed, math.MaxInt)
 	}
-	for _, v := range alone {
-		look(reflect.ValueOf(v), found, 1)
+	for _, v := range single {
+		walk(reflect.ValueOf(v), found, 1)
 	}
 	for f := range needed {
 		if !found[f] {
@@ -490,25 +490,25 @@
 	}
 }
 
-// sameValue compares what was decoded with what is meant. Where nothing is meant, as in a message of one boolean, an empty
+// equalValues compares what was decoded with what is meant. Where nothing is meant, as in a message of one boolean, an empty
 // slice is as good as none: their bytes are the same.
-func sameValue(got, want any) bool {
-	return reflect.DeepEqual(got, want) || reflect.DeepEqual(withoutEmpty(got), withoutEmpty(want))
+func equalValues(got, want any) bool {
+	return reflect.DeepEqual(got, want) || reflect.DeepEqual(clearEmptySlices(got), clearEmptySlices(want))
 }
 
-// withoutEmpty clears the empty slices among the fields of the struct that v points to, and of those in it.
-func withoutEmpty(v any) any {
-	var look func(v reflect.Value)
-	look = func(v reflect.Value) {
+// clearEmptySlices clears the empty slices among the fields of the struct that v points to, and of those in it.
+func clearEmptySlices(v any) any {
+	var walk func(v reflect.Value)
+	walk = func(v reflect.Value) {
 		switch {
 		case v.Kind() == reflect.Struct:
 			for i := range v.NumField() {
-				look(v.Field(i))
+				walk(v.Field(i))
 			}
 		case v.Kind() == reflect.Slice && v.Len() == 0:
 			v.SetZero()
 		}
 	}
-	look(reflect.ValueOf(v).Elem())
+	walk(reflect.ValueOf(v).Elem())
 	return v
 }
--- a/internal/tier/controlnode/health_role_test.go
+++ b/internal/tier/controlnode/health_role_test.go
@@ -15,8 +15,8 @@
 	"larchrouter/internal/tier/hosthealth"
 )
 
-// platformOf is a platform that lists six hosts of a service; prefix begins their ids.
-func platformOf(t *testing.T, prefix *atomic.Value) string {
+// startPlatform is a platform that lists six hosts of a service; prefix begins their ids.
+func startPlatform(t *testing.T, prefix *atomic.Value) string {
 	t.Helper()
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		var hosts []string
@@ -51,8 +51,8 @@
 	}
 }
 
-// reportUntil has a front report failures of a host until the call is taken.
-func reportUntil(t *testing.T, f *feed.Follower, host string) {
+// reportFailures has a front report failures of a host until the call is taken.
+func reportFailures(t *testing.T, f *feed.Follower, host string) {
 	t.Helper()
 	var err error
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -70,7 +70,7 @@
 func TestReportsOfTwoFrontsEjectHostForAll(t *testing.T) {
 	var prefix atomic.Value
 	prefix.Store("i")
-	c := newClusterWith(t, 3, platformOf(t, &prefix))
+	c := newClusterWith(t, 3, startPlatform(t, &prefix))
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
 	}
@@ -83,8 +83,8 @@
 	for _, f := range followers {
 		awaitPhase(t, f, "i3", discovery.Ready)
 	}
-	reportUntil(t, followers[0], "i3")
-	reportUntil(t, followers[1], "i3")
+	reportFailures(t, followers[0], "i3")
+	reportFailures(t, followers[1], "i3")
 	for _, f := range followers {
 		awaitPhase(t, f, "i3", discovery.Ejected)
 		awaitPhase(t, f, "i2", discovery.Ready)
@@ -94,10 +94,10 @@
 	}
 	awaitPhase(t, followers[2], "i3", discovery.Probation)
 	awaitPhase(t, followers[2], "i3", discovery.Ready)
-	reportUntil(t, followers[0], "i4")
+	reportFailures(t, followers[0], "i4")
 	prefix.Store("j")
 	awaitPhase(t, followers[2], "j4", discovery.Ready)
-	reportUntil(t, followers[1], "i4") // late, of the incarnation before
+	reportFailures(t, followers[1], "i4") // late, of the incarnation before
 	if err := followers[3].ReportHealth(context.Background(), []hosthealth.Observation{{Host: "j4", Failures: 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -105,10 +105,10 @@
 }
 
 // The head goes between two reports: the next head begins without them, and ejects by those that it gets itself.
-func TestHeadChangesBetweenReports(t *testing.T) {
+func TestNewHeadStartsWithoutEarlierHealthReports(t *testing.T) {
 	var prefix atomic.Value
 	prefix.Store("i")
-	c := newClusterWith(t, 3, platformOf(t, &prefix))
+	c := newClusterWith(t, 3, startPlatform(t, &prefix))
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
 	}
@@ -118,21 +118,21 @@
 	defer stop()
 	awaitPhase(t, one, "i0", discovery.Ready)
 	term := one.Tables().Hosts.Term
-	reportUntil(t, one, "i0")
+	reportFailures(t, one, "i0")
 	c.crashNode[0]() // the head, as the founding order has it
 	limit := time.Now().Add(20 * time.Second)
 	for one.Tables().Hosts.Term == term && time.Now().Before(limit) {
 		time.Sleep(20 * time.Millisecond)
 	}
-	reportUntil(t, two, "i0")
+	reportFailures(t, two, "i0")
 	time.Sleep(3 * minHealthInterval)
 	for _, h := range two.Tables().Hosts.Hosts {
 		if h.Phase != discovery.Ready {
 			t.Errorf("%s is %s by one report", h.ID, h.Phase)
 		}
 	}
-	reportUntil(t, one, "i0")
-	reportUntil(t, two, "i0")
+	reportFailures(t, one, "i0")
+	reportFailures(t, two, "i0")
 	awaitPhase(t, one, "i0", discovery.Ejected)
 	awaitPhase(t, two, "i0", discovery.Ejected)
 }
--- a/internal/tier/controlnode/loss_test.go
+++ b/internal/tier/controlnode/loss_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-var admissions = flag.Int("admissions", 1, "wiped core nodes of which the time until they are members again is measured")
+var rejoinCount = flag.Int("admissions", 1, "wiped core nodes of which the time until they are members again is measured")
 
 // TestWipedNodeRejoinsInTime measures from the start of a process with an empty disk until it reports
 // itself a caught-up member. The contract counts it as lost for catch_up_s; the next loss may come right after.
@@ -16,7 +16,7 @@
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	var took []time.Duration
-	for k := range *admissions {
+	for k := range *rejoinCount {
 		i := k % 3
 		f.kill(i)
 		f.wipe(i)
@@ -71,8 +71,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestRestartOfAllNodes: with their disks, and once more with one disk lost.
-func TestRestartOfAllNodes(t *testing.T) {
+// TestStateSurvivesRestartOfAllNodes: with their disks, and once more with one disk lost.
+func TestStateSurvivesRestartOfAllNodes(t *testing.T) {
 	t.Parallel()
 	_, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
--- a/internal/tier/controlnode/operator_api.go
+++ b/internal/tier/controlnode/operator_api.go
@@ -79,19 +79,19 @@
 	_, _ = w.Write(body)
 }
 
-// badBody answers a request whose body could not be read: 413 with the limit if it is longer than that, else 400 with a text.
-func badBody(w http.ResponseWriter, err error, text string) {
+// writeBodyError answers a request whose body could not be read: 413 with the limit if it is longer than that, else 400 with a text.
+func writeBodyError(w http.ResponseWriter, err error, text string) {
 	var tooLong *http.MaxBytesError
 	if !errors.As(err, &tooLong) {
-		badRequest(w, text)
+		writeBadRequest(w, text)
 		return
 	}
 	text = fmt.Sprintf("the body is longer than %d bytes: send a shorter one", tooLong.Limit)
 	writeReply(w, &feed.Reply{Status: http.StatusRequestEntityTooLarge, Text: text})
 }
 
-// badRequest answers 400 with a text.
-func badRequest(w http.ResponseWriter, text string) {
+// writeBadRequest answers 400 with a text.
+func writeBadRequest(w http.ResponseWriter, text string) {
 	writeReply(w, &feed.Reply{Status: http.StatusBadRequest, Text: text})
 }
 
@@ -116,15 +116,15 @@
 func (s *Server) putConfig(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBody))
 	if err != nil {
-		badBody(w, err, "the configuration did not come whole: send it again")
+		writeBodyError(w, err, "the configuration did not come whole: send it again")
 		return
 	}
-	match, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
-	if err != nil || match < 0 {
-		badRequest(w, "If-Match: give the version on which the configuration builds, 0 for the first")
+	baseVersion, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
+	if err != nil || baseVersion < 0 {
+		writeBadRequest(w, "If-Match: give the version on which the configuration builds, 0 for the first")
 		return
 	}
-	request := &feed.PutRequest{IfMatch: match, Body: body}
+	request := &feed.PutRequest{IfMatch: baseVersion, Body: body}
 	order := putOrder(request)
 	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.Reply, error) {
 		return s.put(ctx, request, order)
@@ -142,7 +142,7 @@
 // postRetire serves POST /api/retire/{node}.
 func (s *Server) postRetire(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBody)); err != nil {
-		badBody(w, err, "the order did not come whole: send it again")
+		writeBodyError(w, err, "the order did not come whole: send it again")
 		return
 	}
 	request := &feed.OrderRequest{Name: r.PathValue("node")}
--- a/internal/tier/controlnode/operator_api_test.go
+++ b/internal/tier/controlnode/operator_api_test.go
@@ -10,7 +10,7 @@
 )
 
 // A body over the limit is answered with the limit, and one that is cut short is asked for again.
-func TestBodiesThatCannotBeRead(t *testing.T) {
+func TestOversizedBodiesAreRejected(t *testing.T) {
 	s := &Server{}
 	for name, test := range map[string]struct {
 		method, path string
--- a/internal/tier/controlnode/placement_role.go
+++ b/internal/tier/controlnode/placement_role.go
@@ -32,11 +32,11 @@
 
 // tick notes that the role is exercised. After a pause of this node's own, missing registrations count from
 // now on, and nothing that was measured before it.
-func (d *placementRole) tick(now time.Duration) {
-	if now-d.lastTickAt > maxRolePause {
-		d.tookOverAt, d.inherited = now, placement.Observations{}
+func (r *placementRole) tick(now time.Duration) {
+	if now-r.lastTickAt > maxRolePause {
+		r.tookOverAt, r.inherited = now, placement.Observations{}
 	}
-	d.lastTickAt = now
+	r.lastTickAt = now
 }
 
 // assumePlacementRole resets the role where the epoch has changed since it was exercised. It runs on the
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -92,12 +92,12 @@
 func dialThroughRelays(routes string) rpc.DialFunc {
 	relays := map[string]string{}
 	for route := range strings.SplitSeq(routes, ",") {
-		if addr, relay, is := strings.Cut(route, "="); is {
+		if addr, relay, ok := strings.Cut(route, "="); ok {
 			relays[addr] = relay
 		}
 	}
 	return func(ctx context.Context, addr string) (net.Conn, error) {
-		if relay, some := relays[addr]; some {
+		if relay, ok := relays[addr]; ok {
 			addr = relay
 		}
 		var d net.Dialer
--- a/internal/tier/controlnode/random_process_test.go
+++ b/internal/tier/controlnode/random_process_test.go
@@ -71,12 +71,12 @@
 	defer unfollow()
 	stop := f.startOperators(seed, f.all()...)
 	for range 3 {
-		i, one := r.IntN(n), nodeFaults[r.IntN(len(nodeFaults))]
-		t.Logf("%v node %d %s", f.hist.now(), i, one.name)
-		one.begin(f, i)
+		i, fault := r.IntN(n), nodeFaults[r.IntN(len(nodeFaults))]
+		t.Logf("%v node %d %s", f.hist.now(), i, fault.name)
+		fault.begin(f, i)
 		f.goesOn(allNodesExcept(n, i)...)
-		one.end(f, i, r)
-		took := f.within(catchUp, fmt.Sprintf("node %d, which %s, is a caught-up member again", i, one.name), f.allMembers)
+		fault.end(f, i, r)
+		took := f.within(catchUp, fmt.Sprintf("node %d, which %s, is a caught-up member again", i, fault.name), f.allMembers)
 		t.Logf("%v node %d is a member again after %v", f.hist.now(), i, took)
 		before, _ := f.hist.newest()
 		f.until("the one that came back reads what is newest", func() bool { _, v := f.read(i); return v > before })
--- a/internal/tier/controlnode/redirect_test.go
+++ b/internal/tier/controlnode/redirect_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// bodyOf is a configuration of at least so many bytes.
-func bodyOf(version, size int) []byte {
+// configOfSize is a configuration of at least so many bytes.
+func configOfSize(version, size int) []byte {
 	body := config(version)
 	pad := max(1, size-len(body))
 	return fmt.Appendf(body[:len(body)-1], `,"note":"%s"}`, bytes.Repeat([]byte("x"), pad))
@@ -23,14 +23,14 @@
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
 	}
-	last := 1
+	lastVersion := 1
 	put := func(node int, body []byte) *http.Response {
 		t.Helper()
 		req, err := http.NewRequest(http.MethodPut, "http://"+c.control(node)+"/api/config", bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		req.Header.Set("If-Match", strconv.Itoa(last))
+		req.Header.Set("If-Match", strconv.Itoa(lastVersion))
 		resp, err := c.http.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -40,14 +40,14 @@
 	}
 	redirected := 0
 	for node := range 3 {
-		resp := put(node, bodyOf(last+1, maxForwardedBody+1))
+		resp := put(node, configOfSize(lastVersion+1, maxForwardedBody+1))
 		if resp.StatusCode != http.StatusOK {
 			t.Fatalf("node %d: %d", node, resp.StatusCode)
 		}
 		if resp.Request.URL.Host != c.control(node) {
 			redirected++
 		}
-		last++
+		lastVersion++
 	}
 	if redirected != 2 {
 		t.Errorf("%d of 3 nodes sent a large body elsewhere, wanted the two that are not the head", redirected)
@@ -58,10 +58,10 @@
 			var got struct {
 				Version int `json:"config_version"`
 			}
-			return status == http.StatusOK && json.Unmarshal([]byte(body), &got) == nil && got.Version == last
+			return status == http.StatusOK && json.Unmarshal([]byte(body), &got) == nil && got.Version == lastVersion
 		})
 	}
-	if resp := put(1, config(last+1)); resp.StatusCode != http.StatusOK || resp.Request.URL.Host != c.control(1) {
+	if resp := put(1, config(lastVersion+1)); resp.StatusCode != http.StatusOK || resp.Request.URL.Host != c.control(1) {
 		t.Errorf("a small body: %d by %s", resp.StatusCode, resp.Request.URL.Host)
 	}
 }
--- a/internal/tier/controlnode/retire_test.go
+++ b/internal/tier/controlnode/retire_test.go
@@ -14,13 +14,13 @@
 // ends in complete.
 func TestRetireContinuesForStoreThatLostItsDisk(t *testing.T) {
 	c := newCluster(t, 3)
-	registering, swept := []turnstore.Store{}, int64(0)
+	registeredStores, sweptGeneration := []turnstore.Store{}, int64(0)
 	for _, name := range []string{"a", "b", "c", "d"} {
-		registering = append(registering, turnstore.Store{ID: name, Name: name, Addr: name + ":1"})
+		registeredStores = append(registeredStores, turnstore.Store{ID: name, Name: name, Addr: name + ":1"})
 	}
 	state := func() *orders.State {
-		for _, one := range registering {
-			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
+		for _, one := range registeredStores {
+			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one, Generation: sweptGeneration, SweptGeneration: sweptGeneration})
 		}
 		s := &orders.State{}
 		c.cores[0].onLoop(func() {
@@ -36,12 +36,12 @@
 		t.Fatalf("%d %s", got, text)
 	}
 	c.until("the change has begun; it cannot end, as nobody has swept", joint)
-	registering[3].ID = "d2"
+	registeredStores[3].ID = "d2"
 	c.until("the order is noted for the new identity", func() bool { return state().Retired()["d2"] })
 	if !joint() {
 		t.Errorf("the placement went on by itself: %+v", state().Placement)
 	}
-	swept = state().Placement.Generation
+	sweptGeneration = state().Placement.Generation
 	c.until("it is complete", func() bool {
 		state()
 		got, text := c.send(2, http.MethodGet, "/api/retire/d", "", nil)
--- a/internal/tier/controlnode/server_test.go
+++ b/internal/tier/controlnode/server_test.go
@@ -27,10 +27,10 @@
 
 // TestMain runs a core node instead of the tests in a child process of theirs; see process_test.go.
 func TestMain(m *testing.M) {
-	if routes, is := os.LookupEnv(routesVariable); is {
+	if routes, ok := os.LookupEnv(routesVariable); ok {
 		os.Exit(childMain(routes))
 	}
-	if _, is := os.LookupEnv(followerVariable); is {
+	if _, ok := os.LookupEnv(followerVariable); ok {
 		os.Exit(followerMain())
 	}
 	_ = flag.Set("test.parallel", "4") // unless the caller sets it: tests with processes wait most of their time
@@ -413,7 +413,7 @@
 	}
 	f, stop := c.follow("front-1")
 	defer stop()
-	requireHost := func(want int64) {
+	awaitPublishedHost := func(want int64) {
 		t.Helper()
 		host.Store(want)
 		limit := time.NewTimer(20 * time.Second)
@@ -431,9 +431,9 @@
 		}
 	}
 	for i := int64(1); i <= 3; i++ {
-		requireHost(i)
+		awaitPublishedHost(i)
 	}
 	c.crashNode[0]() // the head, as the founding order has it
 	c.start(0, false)
-	requireHost(9)
+	awaitPublishedHost(9)
 }
--- a/internal/tier/controlnode/slow_links_test.go
+++ b/internal/tier/controlnode/slow_links_test.go
@@ -18,7 +18,7 @@
 			c.run(3 * time.Second)
 			c.latency = latency
 			c.run(3 * time.Second)
-			before := c.newest.Epoch
+			oldEpoch := c.newest.Epoch
 			lost := c.newest.Head()
 			for _, a := range c.order {
 				if c.machines[a].id == lost {
@@ -26,7 +26,7 @@
 				}
 			}
 			c.run(10 * time.Second)
-			if c.newest.Epoch == before || c.newest.Position(lost) >= 0 {
+			if c.newest.Epoch == oldEpoch || c.newest.Position(lost) >= 0 {
 				t.Errorf("10 s after the head was lost the view is %v", c.newest)
 			}
 			if c.failure != "" {
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -111,7 +111,7 @@
 			s.addUnresponsiveStores(&q.status, p)
 		}
 	}
-	q.status.FullStores = s.fullStores()
+	q.status.FullStores = s.fullStoreNames()
 }
 
 // addViewStatus adds the view and its voters. It runs on the event loop.
@@ -185,21 +185,21 @@
 	return status
 }
 
-// gatherTimeout bounds the time in which other nodes are asked for their followers.
-const gatherTimeout = 300 * time.Millisecond
+// peerStatusTimeout bounds the time in which other nodes are asked for their followers.
+const peerStatusTimeout = 300 * time.Millisecond
 
-// gatherFollowers merges the followers of the other control nodes into a status: each follower polls one node
+// mergeFollowersOfPeers merges the followers of the other control nodes into a status: each follower polls one node
 // at a time, and what another has of it is older.
-func (s *Server) gatherFollowers(ctx context.Context, status *Status) {
-	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
+func (s *Server) mergeFollowersOfPeers(ctx context.Context, status *Status) {
+	ctx, cancel := context.WithTimeout(ctx, peerStatusTimeout)
 	defer cancel()
 	responses := make(chan []FollowerStatus, len(status.Voters))
-	asked := 0
+	requests := 0
 	for _, v := range status.Voters {
 		if v.ID == s.self.ID || v.Addr == "" {
 			continue
 		}
-		asked++
+		requests++
 		go func() {
 			var other Status
 			if s.clients.To(v.Addr).Call(ctx, feed.StatusCall, &feed.Empty{}, &other) != nil {
@@ -217,7 +217,7 @@
 		}
 	}
 	merge(status.Followers)
-	for range asked {
+	for range requests {
 		merge(<-responses)
 	}
 	status.Followers = slices.SortedFunc(maps.Values(latest), func(a, b FollowerStatus) int { return cmp.Compare(a.Name, b.Name) })
@@ -226,7 +226,7 @@
 // getStatus serves GET /api/status.
 func (s *Server) getStatus(w http.ResponseWriter, r *http.Request) {
 	status := s.status()
-	s.gatherFollowers(r.Context(), status)
+	s.mergeFollowersOfPeers(r.Context(), status)
 	body, err := json.Marshal(status)
 	if err != nil {
 		writeReply(w, &feed.Reply{Status: http.StatusInternalServerError, Text: err.Error()})
--- a/internal/tier/controlnode/status_test.go
+++ b/internal/tier/controlnode/status_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestSummaryNamesUnresponsiveStores(t *testing.T) {
-	well := Status{Epoch: 1, Role: RoleMember, Fresh: true, ConfigVersion: 1, Voters: []Voter{{}, {}, {}}}
+	healthy := Status{Epoch: 1, Role: RoleMember, Fresh: true, ConfigVersion: 1, Voters: []Voter{{}, {}, {}}}
 	one := []UnresponsiveStore{{Name: "store-2", SinceRegistrationMs: 95_900}}
 	two := append(slices.Clone(one), UnresponsiveStore{Name: "store-3", SinceRegistrationMs: 4_000})
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 		{two, 1, true, "more stores are silent than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"},
 		{two, 1, false, "more stores are silent than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"},
 	} {
-		s := well
+		s := healthy
 		s.UnresponsiveStores, s.StoresRequired, s.PlacementJoint = c.silent, c.lacking, c.joint
 		if got := s.Summary(); got != c.want {
 			t.Errorf("%q, wanted %q", got, c.want)
@@ -54,11 +54,11 @@
 // nodes name the two, until one is back.
 func TestStatusReportsStoresThatBlockAChange(t *testing.T) {
 	c := newCluster(t, 3)
-	swept := int64(0)
+	sweptGeneration := int64(0)
 	register := func(ids string) {
 		for _, id := range strings.Fields(ids) {
 			one := turnstore.Store{ID: id, Name: "store-" + id, Addr: id + ":1"}
-			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one, Generation: swept, SweptGeneration: swept})
+			_, _ = c.cores[1].handleRegister(t.Context(), &feed.Registration{Store: one, Generation: sweptGeneration, SweptGeneration: sweptGeneration})
 		}
 	}
 	status := func(i int) (s Status) {
@@ -66,7 +66,7 @@
 		_ = json.Unmarshal([]byte(text), &s)
 		return s
 	}
-	names := func(s Status) string {
+	unresponsiveNames := func(s Status) string {
 		var all []string
 		for _, one := range s.UnresponsiveStores {
 			all = append(all, one.Name)
@@ -80,7 +80,7 @@
 			register("a b e")
 			s := status(i)
 			s.ConfigVersion = 1 // that there is no configuration goes before
-			return s.PlacementJoint && s.StoresRequired == 1 && names(s) == "store-c store-d" && strings.Contains(s.Summary(), "store-d for ")
+			return s.PlacementJoint && s.StoresRequired == 1 && unresponsiveNames(s) == "store-c store-d" && strings.Contains(s.Summary(), "store-d for ")
 		})
 	}
 	before := status(0).UnresponsiveStores[0].SinceRegistrationMs
@@ -92,8 +92,8 @@
 	c.until("one is back", func() bool {
 		register("a b c e")
 		s := status(2)
-		return s.StoresRequired == 0 && names(s) == "store-d"
+		return s.StoresRequired == 0 && unresponsiveNames(s) == "store-d"
 	})
-	swept = status(0).PlacementGeneration
+	sweptGeneration = status(0).PlacementGeneration
 	c.until("the change ends", func() bool { register("a b c e"); return !status(0).PlacementJoint })
 }
--- a/internal/tier/controlnode/store_registration.go
+++ b/internal/tier/controlnode/store_registration.go
@@ -46,9 +46,9 @@
 	return forward[feed.Registration, feed.Empty](ctx, s, request.headAddr, feed.RegisterCall, registration)
 }
 
-// fullStores returns the names of the stores that report that their disks are nearly full. Only the head
+// fullStoreNames returns the names of the stores that report that their disks are nearly full. Only the head
 // knows; elsewhere it returns nil. It runs on the event loop.
-func (s *Server) fullStores() (names []string) {
+func (s *Server) fullStoreNames() (names []string) {
 	if !s.node.IsConfirmedHead() {
 		return nil
 	}
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -96,9 +96,9 @@
 }
 
 // until passes time and messages until something is so.
-func (n *network) until(what string, is func() bool) {
+func (n *network) until(what string, met func() bool) {
 	n.t.Helper()
-	for end := n.now + time.Minute; !is(); {
+	for end := n.now + time.Minute; !met(); {
 		if n.now += tickInterval; n.now > end {
 			n.t.Fatalf("not within a minute of the nodes' time: %s (%+v)", what, n.core.node.Durable())
 		}
@@ -127,8 +127,8 @@
 	return n.core.node.IsConfirmedHead() && len(n.core.node.View().Chain) == 3 && s.Commit == s.LastIndex
 }
 
-// order decides an order at the head and appends what it asks for.
-func (n *network) order(o orders.Order) orders.Decision {
+// decideOrder decides an order at the head and appends what it asks for.
+func (n *network) decideOrder(o orders.Order) orders.Decision {
 	n.t.Helper()
 	d, err := orders.Decide(n.core.node.Chain().State().Entries, 1, o)
 	if err != nil {
@@ -142,23 +142,23 @@
 	n.handleReady(n.core.node.Write(n.now, 1, key, value))
 }
 
-func putOf(version int64) orders.PutConfig {
+func putOrderOf(version int64) orders.PutConfig {
 	body := storedBody(version)
 	return orders.PutConfig{IfMatch: version - 1, Version: version, Digest: orders.Digest(body), Body: body}
 }
 
-// writeCoreFolder makes the fixture by what a core node does, so that each kind of row and entry is in it: those of the format
+// writeStoredFolder makes the fixture by what a core node does, so that each kind of row and entry is in it: those of the format
 // before records of orders too, which are read but not written any more.
-func writeCoreFolder(t *testing.T, dir string) {
+func writeStoredFolder(t *testing.T, dir string) {
 	t.Helper()
-	founding := func(core *Server) Durable {
+	initialState := func(core *Server) Durable {
 		return Durable{Acceptor: core.node.acceptor, State: *core.node.chain.State()}
 	}
-	openNetwork(t, dir, founding).close()
-	openNetwork(t, dir, founding).close()
-	n := openNetwork(t, dir, founding)
+	openNetwork(t, dir, initialState).close()
+	openNetwork(t, dir, initialState).close()
+	n := openNetwork(t, dir, initialState)
 	last := storedMembers[2]
-	n.start(view.Member{ID: "seed-" + last.Addr, Name: last.Name, Addr: last.Addr}, founding(n.core))
+	n.start(view.Member{ID: "seed-" + last.Addr, Name: last.Name, Addr: last.Addr}, initialState(n.core))
 	n.until("the chain is complete", n.allCaughtUp)
 	before := &feed.ConfigEntry{Version: 3, Body: storedBody(3), RecentDigests: [][]byte{orders.Digest(storedBody(2)), orders.Digest(storedBody(3))}}
 	n.write(feed.ConfigKey, rpc.Encode(before))
@@ -166,12 +166,12 @@
 	n.write("deleted", nil)
 	n.until("what the format before wrote is committed", n.allCaughtUp)
 	for version := int64(4); version <= 21; version++ {
-		if d := n.order(putOf(version)); d.Kind != orders.Accept {
+		if d := n.decideOrder(putOrderOf(version)); d.Kind != orders.Accept {
 			t.Fatalf("version %d: %+v", version, d)
 		}
 	}
 	n.write(feed.PlacementKey, rpc.Encode(storedPlacement()))
-	if d := n.order(orders.RetireStore{Name: "store-5"}); d.Kind != orders.Accept {
+	if d := n.decideOrder(orders.RetireStore{Name: "store-5"}); d.Kind != orders.Accept {
 		t.Fatalf("%+v", d)
 	}
 	n.until("all is committed", n.allCaughtUp)
@@ -182,20 +182,20 @@
 	n.until("the last is back under another identity", func() bool { return n.allCaughtUp() && n.core.node.acceptor.View.IsVoter(last.ID) })
 
 	// What is not committed, and a vote on a view that is not decided.
-	if d := n.order(putOf(22)); d.Kind != orders.Accept {
+	if d := n.decideOrder(putOrderOf(22)); d.Kind != orders.Accept {
 		t.Fatalf("%+v", d)
 	}
 	n.sent = nil
 	next := n.core.node.View()
 	next.Epoch++
-	ask := func(from view.Member, m Message) {
+	receiveFrom := func(from view.Member, m Message) {
 		m.From, m.Incarnation, m.Epoch = from, 1, next.Epoch
 		n.handleReady(n.core.node.Receive(n.now, m))
 	}
 	one := view.Ballot{Number: 101, Proposer: storedMembers[1].ID}
-	ask(storedMembers[1], Message{Kind: msgPrepare, Ballot: one})
-	ask(storedMembers[1], Message{Kind: msgAccept, Ballot: one, View: next})
-	ask(storedMembers[2], Message{Kind: msgPrepare, Ballot: view.Ballot{Number: 102, Proposer: storedMembers[2].ID}})
+	receiveFrom(storedMembers[1], Message{Kind: msgPrepare, Ballot: one})
+	receiveFrom(storedMembers[1], Message{Kind: msgAccept, Ballot: one, View: next})
+	receiveFrom(storedMembers[2], Message{Kind: msgPrepare, Ballot: view.Ballot{Number: 102, Proposer: storedMembers[2].ID}})
 	n.close()
 }
 
@@ -206,8 +206,8 @@
 	value any // pointer to a struct; nil: no bytes
 }
 
-// bytesOf gives the bytes that hexadecimal digits name.
-func bytesOf(digits string) []byte {
+// mustDecodeHex gives the bytes that hexadecimal digits name.
+func mustDecodeHex(digits string) []byte {
 	b, err := hex.DecodeString(digits)
 	if err != nil {
 		panic(err)
@@ -217,28 +217,28 @@
 
 // storedDigests are of the configurations by version, from 2 on: the first bytes of SHA-256.
 var storedDigests = [][]byte{
-	bytesOf("4957b1f8d5447d850c8afaa60a823b24"), // of version 2
-	bytesOf("870f92d43c9a4ee13f1f43be7034b95d"), // of version 3
-	bytesOf("52aa7f45a6319e707d35d8aa51cf8bc7"), // of version 4
-	bytesOf("1e2a37840b16f141ee937d459f02d6e5"), // of version 5
-	bytesOf("85b3f6cc623204849a3469ab53364cc5"), // of version 6
-	bytesOf("bbbde6e76df0044ea2b4f825e2c39b09"), // of version 7
-	bytesOf("6a9708ee7e3959e77dfc0c5124bddb32"), // of version 8
-	bytesOf("bfe67268f8d2b884301885463e82dc07"), // of version 9
-	bytesOf("fc66a5036c58364d6842cdfeb73646ab"), // of version 10
-	bytesOf("c5176da9d1a2787785f17a4d396a1c57"), // of version 11
-	bytesOf("c1fe6a5a60ae178915404e664745d09b"), // of version 12
-	bytesOf("5bd97e87245d377e418006fa2a12c8a2"), // of version 13
-	bytesOf("6400b3152294afcccfca0a38196874d5"), // of version 14
-	bytesOf("307af2cd4af79983d6e4a6d3dfac304d"), // of version 15
-	bytesOf("ba5f9381339bebe4d632d1b4b21b91c3"), // of version 16
-	bytesOf("acabac1e7670c389121931fad2384ec0"), // of version 17
-	bytesOf("d6137bdd96ae981c1293e022e22589cd"), // of version 18
-	bytesOf("acdb581f8802c538e9b892e690c78507"), // of version 19
-	bytesOf("c7d374b56189c93578c493cf8a7249e4"), // of version 20
-	bytesOf("afe37d8ab625efd04076c31e24808dd4"), // of version 21
-	bytesOf("ac3fefe52d16f53343f950019876e749"), // of version 22
-	bytesOf("f189ee79d7788445e6aa5809949ac99e"), // of version 23
+	mustDecodeHex("4957b1f8d5447d850c8afaa60a823b24"), // of version 2
+	mustDecodeHex("870f92d43c9a4ee13f1f43be7034b95d"), // of version 3
+	mustDecodeHex("52aa7f45a6319e707d35d8aa51cf8bc7"), // of version 4
+	mustDecodeHex("1e2a37840b16f141ee937d459f02d6e5"), // of version 5
+	mustDecodeHex("85b3f6cc623204849a3469ab53364cc5"), // of version 6
+	mustDecodeHex("bbbde6e76df0044ea2b4f825e2c39b09"), // of version 7
+	mustDecodeHex("6a9708ee7e3959e77dfc0c5124bddb32"), // of version 8
+	mustDecodeHex("bfe67268f8d2b884301885463e82dc07"), // of version 9
+	mustDecodeHex("fc66a5036c58364d6842cdfeb73646ab"), // of version 10
+	mustDecodeHex("c5176da9d1a2787785f17a4d396a1c57"), // of version 11
+	mustDecodeHex("c1fe6a5a60ae178915404e664745d09b"), // of version 12
+	mustDecodeHex("5bd97e87245d377e418006fa2a12c8a2"), // of version 13
+	mustDecodeHex("6400b3152294afcccfca0a38196874d5"), // of version 14
+	mustDecodeHex("307af2cd4af79983d6e4a6d3dfac304d"), // of version 15
+	mustDecodeHex("ba5f9381339bebe4d632d1b4b21b91c3"), // of version 16
+	mustDecodeHex("acabac1e7670c389121931fad2384ec0"), // of version 17
+	mustDecodeHex("d6137bdd96ae981c1293e022e22589cd"), // of version 18
+	mustDecodeHex("acdb581f8802c538e9b892e690c78507"), // of version 19
+	mustDecodeHex("c7d374b56189c93578c493cf8a7249e4"), // of version 20
+	mustDecodeHex("afe37d8ab625efd04076c31e24808dd4"), // of version 21
+	mustDecodeHex("ac3fefe52d16f53343f950019876e749"), // of version 22
+	mustDecodeHex("f189ee79d7788445e6aa5809949ac99e"), // of version 23
 }
 
 // storedRecords are those of the versions from one to another; the first record is of version 4.
@@ -318,9 +318,9 @@
 }
 
 // A folder that the code wrote before it was renamed is read completely, row by row, and the node goes on from it.
-func TestFolderOfBeforeTheRenameGoesOn(t *testing.T) {
+func TestDataFolderOfEarlierReleaseIsRead(t *testing.T) {
 	if _, err := os.Stat(storedFolder); *writeFixtures && os.IsNotExist(err) {
-		writeCoreFolder(t, storedFolder)
+		writeStoredFolder(t, storedFolder)
 	}
 	dir := filepath.Join(t.TempDir(), "core")
 	if err := os.CopyFS(dir, os.DirFS(storedFolder)); err != nil {
@@ -355,11 +355,11 @@
 	requireEntries(t, "as it was", d.State.Entries, storedEntries())
 	committed := n.core.node.Chain().Committed(0)
 	requireDecided(t, committed, orders.ReadConfig{}, orders.Found)
-	requireDecided(t, committed, putOf(3), orders.AlreadyApplied)
-	requireDecided(t, committed, putOf(4), orders.AlreadyApplied)
-	requireDecided(t, committed, putOf(21), orders.AlreadyApplied)
-	requireDecided(t, committed, putOf(22), orders.Accept) // on disk, and not committed
-	requireDecided(t, d.State.Entries, putOf(22), orders.AlreadyApplied)
+	requireDecided(t, committed, putOrderOf(3), orders.AlreadyApplied)
+	requireDecided(t, committed, putOrderOf(4), orders.AlreadyApplied)
+	requireDecided(t, committed, putOrderOf(21), orders.AlreadyApplied)
+	requireDecided(t, committed, putOrderOf(22), orders.Accept) // on disk, and not committed
+	requireDecided(t, d.State.Entries, putOrderOf(22), orders.AlreadyApplied)
 	requireDecided(t, committed, orders.StorePhase{Name: "store-0"}, orders.Complete)
 	requireDecided(t, committed, orders.StorePhase{Name: "store-1"}, orders.Serving)
 	requireDecided(t, committed, orders.RetireStore{Name: "store-5"}, orders.InProgress)
@@ -369,7 +369,7 @@
 	if epoch <= d.Acceptor.View.Epoch {
 		t.Errorf("epoch %d after epoch %d", epoch, d.Acceptor.View.Epoch)
 	}
-	if d := n.order(putOf(23)); d.Kind != orders.Accept {
+	if d := n.decideOrder(putOrderOf(23)); d.Kind != orders.Accept {
 		t.Errorf("a new configuration: %+v", d)
 	}
 	n.until("the new configuration is committed", n.allCaughtUp)
@@ -378,12 +378,12 @@
 	n = openNetwork(t, dir, peers)
 	defer n.close()
 	d = n.core.node.Durable()
-	place := storedEntries()[len(storedEntries())-1].index
-	if d.Acceptor.View.Epoch != epoch || d.State.LastIndex != place+2 || n.core.incarnation != 5 {
-		t.Errorf("opened again in incarnation %d: epoch %d, index %d; want 5, %d, %d", n.core.incarnation, d.Acceptor.View.Epoch, d.State.LastIndex, epoch, place+2)
+	lastIndex := storedEntries()[len(storedEntries())-1].index
+	if d.Acceptor.View.Epoch != epoch || d.State.LastIndex != lastIndex+2 || n.core.incarnation != 5 {
+		t.Errorf("opened again in incarnation %d: epoch %d, index %d; want 5, %d, %d", n.core.incarnation, d.Acceptor.View.Epoch, d.State.LastIndex, epoch, lastIndex+2)
 	}
-	requireDecided(t, d.State.Entries, putOf(4), orders.AlreadyApplied)
-	requireDecided(t, d.State.Entries, putOf(23), orders.AlreadyApplied)
+	requireDecided(t, d.State.Entries, putOrderOf(4), orders.AlreadyApplied)
+	requireDecided(t, d.State.Entries, putOrderOf(23), orders.AlreadyApplied)
 	requireDecided(t, d.State.Entries, orders.StorePhase{Name: "store-0"}, orders.Complete)
 	var kept []storedEntry
 	for _, e := range storedEntries() {
@@ -392,6 +392,6 @@
 		}
 	}
 	config := &feed.ConfigEntry{Version: 23, Body: storedBody(23), RecentDigests: [][]byte{storedDigests[21]}}
-	kept = append(kept, storedEntry{place + 1, "order/1", &orders.Page{Records: storedRecords(19, 23)}}, storedEntry{place + 2, "config", config})
+	kept = append(kept, storedEntry{lastIndex + 1, "order/1", &orders.Page{Records: storedRecords(19, 23)}}, storedEntry{lastIndex + 2, "config", config})
 	requireEntries(t, "opened again", d.State.Entries, kept)
 }
