--- a/internal/tier/turnstore/frames_test.go
+++ b/internal/tier/turnstore/frames_test.go
@@ -176,7 +176,7 @@
 }
 
 // The numbers of methods and statuses are on the wire.
-func TestWireNumbersAreUnchanged(t *testing.T) {
+func TestNumbersOnTheWire(t *testing.T) {
 	methods := []rpc.Method{MethodOpen, MethodClose, MethodSettle, MethodReadLedger, MethodHistory, MethodFindTurn,
 		MethodDigest, MethodListKeys, MethodStates, MethodBodies, MethodRepair}
 	if want := []rpc.Method{20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30}; !reflect.DeepEqual(methods, want) {
