--- a/internal/tier/controlnode/feed_poll.go
+++ b/internal/tier/controlnode/feed_poll.go
@@ -10,38 +10,36 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// waitingPoll is a poll that has something to answer, and waits for a confirmation round started after it
-// came.
+// waitingPoll is a poll that has something to answer and waits for a confirmation round that starts after its arrival.
 type waitingPoll struct {
 	arrival time.Duration
-	until   time.Duration // the poll has ended by then
-	ready   chan struct{} // closed once it is confirmed, or the poll has ended
+	until   time.Duration // when the poll has ended at the latest
+	ready   chan struct{} // closed once the poll is confirmed or has ended
 }
 
-// feedSnapshot is the feed after a follower's index, as the event loop read it for one look of a poll.
+// feedSnapshot is the feed after a follower's index, as the event loop read it for one check of a poll.
 type feedSnapshot struct {
-	confirmed bool          // since the poll came
+	confirmed bool          // by a round that started after the poll arrived
 	recent    bool          // confirmed within the last SuspectTimeout
-	ready     chan struct{} // closed once what is here is confirmed; nil where nothing waits for it
+	ready     chan struct{} // closed once the snapshot is confirmed; nil if no confirmation was requested
 	index     int64         // commit index
 	entries   []chain.Entry // after the index that the follower has
-	committed []chain.Entry // all of them
+	committed []chain.Entry // all committed entries for followers
 	hosts     []discovery.List
 	delta     []discovery.Delta
 	coreAddrs []string
 }
 
-// hasUpdate reports whether there is something that the follower does not have.
+// hasUpdate reports whether the snapshot has entries or hosts that the follower lacks.
 func (f *feedSnapshot) hasUpdate(poll *feed.ChangesRequest) bool {
 	return f.index > poll.ReceivedIndex || len(f.hosts)+len(f.delta) > 0
 }
 
-// snapshotFeedRequest reads the feed for a poll, and requests a confirmation round where the poll is to be
-// answered.
+// snapshotFeedRequest reads the feed for a poll, and requests a confirmation round if the poll is due for an answer.
 type snapshotFeedRequest struct {
 	poll     *feed.ChangesRequest
 	arrival  time.Duration
-	expired  bool // the poll has waited as long as it asked
+	expired  bool // the poll has waited for its WaitMs
 	snapshot feedSnapshot
 }
 
@@ -49,7 +47,7 @@
 	r.snapshot = s.snapshotFeed(r.poll, r.arrival, r.expired)
 }
 
-// recordFollower keeps what a poll reports of its follower.
+// recordFollower records the state that a poll reports of its follower.
 func (s *Server) recordFollower(poll *feed.ChangesRequest) {
 	s.followers.Store(poll.Name, &Follower{
 		Name:          poll.Name,
@@ -60,9 +58,8 @@
 	})
 }
 
-// awaitUpdate waits, for as long as a poll asks, for something that the follower does not have, and returns
-// the feed then. It is confirmed since the poll came; where that takes too long the snapshot says that it is
-// not.
+// awaitUpdate waits, for at most the poll's WaitMs, for entries or hosts that the follower lacks, and returns the feed
+// then. The snapshot is confirmed after the poll arrived; if that takes too long, its confirmed field is false.
 func (s *Server) awaitUpdate(ctx context.Context, poll *feed.ChangesRequest) (snapshot feedSnapshot, err error) {
 	s.recordFollower(poll)
 	request := &snapshotFeedRequest{poll: poll, arrival: s.now()}
@@ -80,7 +77,8 @@
 			return feedSnapshot{}, errStopping
 		}
 		snapshot = request.snapshot
-		// A follower that has nothing yet waits on where one that has something is sent to another node.
+		// A follower without any entries keeps waiting; one that has entries gets its answer now and tries another
+		// node.
 		stale := !snapshot.recent && (expired || poll.ReceivedIndex > 0 && spent >= pollGrace)
 		if stale || spent >= wait+pollGrace || snapshot.confirmed && (expired || snapshot.hasUpdate(poll)) {
 			return snapshot, nil
@@ -96,8 +94,7 @@
 	}
 }
 
-// pollSleep returns how long a poll may sleep: until it has waited as long as it asked, or until it is given
-// up.
+// pollSleep returns how long a poll may sleep: until its WaitMs are over, or until it is abandoned.
 func pollSleep(spent, wait time.Duration, recent bool) time.Duration {
 	switch {
 	case !recent && spent < pollGrace && pollGrace < wait:
@@ -108,12 +105,12 @@
 	return wait + pollGrace - spent
 }
 
-// snapshotFeed reads the feed for a poll, which is to be answered where there is an update or its time is
-// over. It runs on the event loop.
+// snapshotFeed reads the feed for a poll, which is due for an answer if there is an update or it has expired. It runs
+// on the event loop.
 func (s *Server) snapshotFeed(poll *feed.ChangesRequest, arrival time.Duration, expired bool) (f feedSnapshot) {
 	replica := s.node.Chain()
 	f.index = replica.State().Commit
-	behind := f.index < poll.ReceivedIndex // another node gave the follower more than this one has
+	behind := f.index < poll.ReceivedIndex // the follower has received newer entries from another node
 	f.confirmed = !behind && s.confirmedSince(arrival)
 	f.recent = !behind && s.node.Fresh()
 	f.committed = feed.FilterForFollowers(replica.Committed(0))
@@ -134,8 +131,8 @@
 	return f
 }
 
-// registerPoll registers a poll that is to be answered, and requests a confirmation round. It runs on the
-// event loop.
+// registerPoll registers a poll that is due for an answer, and requests a confirmation round. It runs on the event
+// loop.
 func (s *Server) registerPoll(arrival time.Duration, poll *feed.ChangesRequest) chan struct{} {
 	s.mergeReady(s.node.RequestConfirmation(s.now()))
 	until := arrival + time.Duration(poll.WaitMs)*time.Millisecond + pollGrace
@@ -144,12 +141,12 @@
 	return w.ready
 }
 
-// confirmedSince reports whether followers may rely on this node for all that was committed before a poll
-// arrived: a majority has confirmed it in a round started after that. It runs on the event loop.
+// confirmedSince reports whether this node has everything that was committed before a poll arrived: a majority has
+// confirmed the node in a round that started after the arrival. It runs on the event loop.
 func (s *Server) confirmedSince(arrival time.Duration) bool { return s.node.ConfirmedSince(arrival) }
 
-// wakeConfirmedPolls wakes the polls that are confirmed, and drops those that have ended. The event loop
-// calls it after each batch.
+// wakeConfirmedPolls wakes and removes the polls that are confirmed or have ended. The event loop calls it after each
+// batch.
 func (s *Server) wakeConfirmedPolls() {
 	if len(s.feed.waitingPolls) == 0 {
 		return
--- a/internal/tier/controlnode/feed_server.go
+++ b/internal/tier/controlnode/feed_server.go
@@ -10,16 +10,16 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// Follower is what a control node knows of one of its followers, from its last poll.
+// Follower is the state that a follower reported in its last poll.
 type Follower struct {
 	Name          string
 	Class         string
-	ActiveVersion int64 // of the configuration that it acts on
+	ActiveVersion int64 // version of the configuration in use at the follower
 	AppliedIndex  int64
 	LastSeen      time.Time
 }
 
-// feedServer is what a control node keeps for its followers. The zero feedServer is ready for use.
+// feedServer is a control node's state for serving followers. The zero feedServer is ready for use.
 type feedServer struct {
 	values       feed.ValueCache
 	mu           sync.Mutex // guards transfers
@@ -27,7 +27,7 @@
 	waitingPolls []waitingPoll // owned by the event loop
 }
 
-// handleFollow answers a poll of a follower of an earlier release, with complete values.
+// handleFollow answers a poll by a follower of an earlier release, with complete values.
 func (s *Server) handleFollow(ctx context.Context, body []byte) (any, error) {
 	var q feed.FollowRequest
 	if err := rpc.Decode(body, &q); err != nil {
@@ -56,7 +56,7 @@
 	}, nil
 }
 
-// handleChanges answers a poll of a follower: short values complete, long ones as differences or by digest.
+// handleChanges answers a poll by a follower: short values are sent complete, long ones as deltas or by digest.
 func (s *Server) handleChanges(ctx context.Context, poll *feed.ChangesRequest) (*feed.ChangesResponse, error) {
 	snapshot, err := s.awaitUpdate(ctx, poll)
 	if err != nil {
@@ -70,7 +70,7 @@
 		CoreAddrs: snapshot.coreAddrs,
 	}
 	if !snapshot.confirmed {
-		return response, nil // the follower applies nothing of it
+		return response, nil // the follower ignores an unconfirmed response
 	}
 	s.feed.values.Update(snapshot.committed)
 	for _, e := range snapshot.entries {
@@ -86,8 +86,7 @@
 	q.entries = feed.FilterForFollowers(s.node.Chain().Committed(0))
 }
 
-// handleChunk answers with a chunk of a large value that this node gave by its digest, or has committed
-// since.
+// handleChunk returns a chunk of a large value that this node announced by its digest, or has committed since.
 func (s *Server) handleChunk(_ context.Context, request *feed.ChunkRequest) (*feed.Chunk, error) {
 	query := &committedFeedQuery{}
 	if !s.runOnLoop(query) {
@@ -96,7 +95,7 @@
 	return s.feed.serveChunk(request, query.entries, s.now()), nil
 }
 
-// serveChunk returns a chunk of a value, or that too many followers transfer values now.
+// serveChunk returns a chunk of a value, or ChunkBusy while too many followers transfer values.
 func (f *feedServer) serveChunk(request *feed.ChunkRequest, committed []chain.Entry, now time.Duration) *feed.Chunk {
 	f.values.Update(committed)
 	chunk := f.values.Chunk(request)
--- a/internal/tier/controlnode/health_role.go
+++ b/internal/tier/controlnode/health_role.go
@@ -8,17 +8,19 @@
 	"larchrouter/internal/tier/hosthealth"
 )
 
-// minHealthInterval is the time between two lists that are published for the sake of verdicts, so that followers are not woken by
-// each report of a fleet.
+// minHealthInterval is the minimum time between two host lists that are published because verdicts changed. It keeps
+// each report of a large fleet from waking all followers.
 const minHealthInterval = 60 * time.Millisecond
 
-// healthRole is the singleton role of the head that turns fronts' reports into verdicts on hosts. It is owned by the event loop.
+// healthRole is the head's singleton role of outlier ejection: it turns the reports of fronts into verdicts on hosts.
+// It is owned by the event loop.
 type healthRole struct {
 	epoch   int64 // of the view in which this node assumed the role
 	tracker *hosthealth.Tracker
 }
 
-// assumeHealthRole starts without verdicts in each view. It runs on the event loop of the confirmed head.
+// assumeHealthRole returns the tracker of the current view, which starts without verdicts. It runs on the event loop of
+// the confirmed head.
 func (s *Server) assumeHealthRole() *hosthealth.Tracker {
 	if epoch := s.node.View().Epoch; s.healthRole.tracker == nil || s.healthRole.epoch != epoch {
 		s.healthRole = healthRole{epoch: epoch, tracker: hosthealth.NewTracker(hosthealth.DefaultParams())}
@@ -41,7 +43,7 @@
 	s.assumeHealthRole().Report(s.now(), r.report.Name, r.report.Observations)
 }
 
-// handleHealth adds a report at the head: here, or by forwarding it.
+// handleHealth records a report if this node is the head, and forwards it to the head otherwise.
 func (s *Server) handleHealth(ctx context.Context, report *feed.HealthReport) (*feed.Empty, error) {
 	request := &reportHealthRequest{report: report}
 	if !s.runOnLoop(request) {
@@ -50,7 +52,7 @@
 	if request.isHead {
 		select {
 		case s.healthReported <- struct{}{}:
-		default: // pollPlatform has not yet seen an earlier one
+		default: // a notification is already pending for pollPlatform
 		}
 		return &feed.Empty{}, nil
 	}
--- a/internal/tier/controlnode/operator_api.go
+++ b/internal/tier/controlnode/operator_api.go
@@ -16,11 +16,11 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// Paths and bounds of the operator API, in bytes.
+// Paths, size limits in bytes, and the retry interval of the operator API.
 const (
 	configPath       = "/api/config"
 	maxConfigBody    = 32 << 20
-	maxForwardedBody = 256 << 10 // a larger body would cross a second link of 30 Mbit/s within the second that callers wait
+	maxForwardedBody = 256 << 10 // a larger one, sent over a second 30 Mbit/s link, takes too much of the second that callers wait
 	maxOrderBody     = 1 << 16
 	retryInterval    = 40 * time.Millisecond
 )
@@ -51,10 +51,10 @@
 	return mux
 }
 
-// retryAfterUndecided is the Retry-After, in seconds, of an order that another try may decide.
+// retryAfterUndecided is the Retry-After, in seconds, of an order that a retry may decide.
 const retryAfterUndecided = "0.2"
 
-// writeReply writes a reply as an HTTP response. A 503 asks the caller to try again here.
+// writeReply writes a reply as an HTTP response. A 503 has a Retry-After.
 func writeReply(w http.ResponseWriter, reply *feed.Reply) {
 	if reply.Status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfterUndecided)
@@ -79,7 +79,8 @@
 	_, _ = w.Write(body)
 }
 
-// writeBodyError answers a request whose body could not be read: 413 with the limit if it is longer than that, else 400 with a text.
+// writeBodyError answers a request whose body could not be read: 413 with the limit if the body exceeds it, else 400
+// with a text.
 func writeBodyError(w http.ResponseWriter, err error, text string) {
 	var tooLong *http.MaxBytesError
 	if !errors.As(err, &tooLong) {
@@ -95,8 +96,8 @@
 	writeReply(w, &feed.Reply{Status: http.StatusBadRequest, Text: text})
 }
 
-// redirect returns a reply that sends the caller to another node, given by its address for calls of nodes.
-// All nodes serve the operator API at one port.
+// redirect returns a reply that redirects the caller to another node, given by its address for calls between nodes. All
+// nodes serve the operator API on the same port.
 func (s *Server) redirect(node, path string) *feed.Reply {
 	host, _, err := net.SplitHostPort(node)
 	_, port, ownErr := net.SplitHostPort(s.settings.Bind.Control)
@@ -111,8 +112,8 @@
 	}
 }
 
-// putConfig serves PUT /api/config: it reads the configuration and the version that it builds on, and repeats
-// the order until it is decided or the time is over.
+// putConfig serves PUT /api/config: it reads the configuration and its base version, and retries the order until it is
+// decided or times out.
 func (s *Server) putConfig(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBody))
 	if err != nil {
--- a/internal/tier/controlnode/operator_orders.go
+++ b/internal/tier/controlnode/operator_orders.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/tier/routing"
 )
 
-// putOrder returns a function that makes the order of a request at its first call: to parse a large
+// putOrder returns a function that creates the order of a request at its first call, since parsing a large
 // configuration takes time.
 func putOrder(request *feed.PutRequest) func() orders.PutConfig {
 	return sync.OnceValue(func() orders.PutConfig {
@@ -30,8 +30,8 @@
 	return s.put(ctx, request, putOrder(request))
 }
 
-// put decides a configuration at the head: here, or by forwarding it, or by redirecting the caller where it
-// is large.
+// put decides an order for a configuration if this node is the head. Otherwise it forwards the request to the head, or
+// redirects the caller if the body is large.
 func (s *Server) put(ctx context.Context, request *feed.PutRequest, order func() orders.PutConfig) (*feed.Reply, error) {
 	isHead, head, err := s.headStatus()
 	switch {
@@ -53,15 +53,15 @@
 	}
 	switch {
 	case decision.Kind == orders.Accept:
-		s.log.Info("configuration taken", "version", order().Version, "ms", time.Since(startedAt).Milliseconds())
+		s.log.Info("configuration accepted", "version", order().Version, "ms", time.Since(startedAt).Milliseconds())
 	case !decision.Kind.IsAcknowledgement():
-		s.log.Info("configuration not taken", "version", order().Version, "if_match", request.IfMatch, "outcome", decision.Kind,
+		s.log.Info("configuration not accepted", "version", order().Version, "if_match", request.IfMatch, "outcome", decision.Kind,
 			"reason", decision.Reason)
 	}
 	return replyFor(decision), nil
 }
 
-// handleRetire decides an order to empty a store at the head: here, or by forwarding it.
+// handleRetire decides an order to retire a store if this node is the head, and forwards it to the head otherwise.
 func (s *Server) handleRetire(ctx context.Context, request *feed.OrderRequest) (*feed.Reply, error) {
 	isHead, head, err := s.headStatus()
 	switch {
@@ -80,18 +80,18 @@
 	return replyFor(decision), nil
 }
 
-// handleRead reads the newest configuration at the tail.
+// handleRead returns the newest configuration, read at the tail.
 func (s *Server) handleRead(ctx context.Context, request *feed.OrderRequest) (*feed.Reply, error) {
 	return s.answerQuery(ctx, request, orders.ReadConfig{}, feed.ReadCall)
 }
 
-// handlePhase reads at the tail how far the emptying of a store is.
+// handlePhase returns the phase of a store's retirement, read at the tail.
 func (s *Server) handlePhase(ctx context.Context, request *feed.OrderRequest) (*feed.Reply, error) {
 	return s.answerQuery(ctx, request, orders.StorePhase{Name: request.Name}, feed.PhaseCall)
 }
 
-// answerQuery decides an order that only reads at the tail: here, or by forwarding it, or by redirecting the
-// caller where the answer is large.
+// answerQuery decides a read-only order if this node is the tail. Otherwise it forwards the order to the tail, or
+// redirects the caller if the answer is large.
 func (s *Server) answerQuery(
 	ctx context.Context, request *feed.OrderRequest, order orders.Order, call rpc.Method,
 ) (*feed.Reply, error) {
@@ -118,7 +118,7 @@
 	q.size = len(e.Value)
 }
 
-// configSize returns the size of the configuration as this node has it, in bytes.
+// configSize returns the size of this node's newest configuration in bytes, committed or not.
 func (s *Server) configSize() int {
 	query := &configSizeQuery{}
 	s.runOnLoop(query)
--- a/internal/tier/controlnode/placement_role.go
+++ b/internal/tier/controlnode/placement_role.go
@@ -10,28 +10,28 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// placementRole is what the head keeps for the placement of stores. It is soft state, and starts anew with
-// each epoch, unless this node had the role in the epoch before: then only writeInFlight is reset.
+// placementRole is the head's state for the placement of stores. It is soft state and is reset in each epoch, unless
+// this node had the role in the previous epoch: then only writeInFlight is reset.
 type placementRole struct {
 	epoch           int64
-	tookOverAt      time.Duration          // missing registrations count from then on
-	inherited       placement.Observations // of the head before
+	tookOverAt      time.Duration          // earlier missing registrations do not count
+	inherited       placement.Observations // of the previous head
 	stores          map[string]placement.StoreStatus
-	lastPlacement   *turnstore.Placement // that the planner has seen
+	lastPlacement   *turnstore.Placement // of the planner's last input
 	departures      placement.Departures
 	generation      int64         // of the placement
-	generationSince time.Duration // when the generation was seen first
+	generationSince time.Duration // when the generation was first observed
 	lastPlannedAt   time.Duration
 	lastTickAt      time.Duration
-	writeInFlight   bool // an entry is being written; nothing is planned meanwhile
+	writeInFlight   bool // an entry is being written; planning is suspended meanwhile
 }
 
-// maxRolePause is the longest time between two ticks that counts as normal: after a longer one this node was
-// frozen or had no processor, and missing registrations of that time are no evidence of faults of stores.
+// maxRolePause is the longest normal time between two ticks. After a longer one this node was frozen or had no
+// processor time, so that registrations missing in that period are no evidence of failed stores.
 const maxRolePause = 400 * time.Millisecond
 
-// tick notes that the role is exercised. After a pause of this node's own, missing registrations count from
-// now on, and nothing that was measured before it.
+// tick records that the role is running. After a pause of this node it discards the earlier observations, and missing
+// registrations count from now on.
 func (r *placementRole) tick(now time.Duration) {
 	if now-r.lastTickAt > maxRolePause {
 		r.tookOverAt, r.inherited = now, placement.Observations{}
@@ -39,8 +39,8 @@
 	r.lastTickAt = now
 }
 
-// assumePlacementRole resets the role where the epoch has changed since it was exercised. It runs on the
-// event loop of the confirmed head.
+// assumePlacementRole resets the role if the epoch has changed since it last ran. It runs on the event loop of the
+// confirmed head.
 func (s *Server) assumePlacementRole() {
 	epoch := s.node.View().Epoch
 	if s.placementRole.epoch == epoch {
@@ -59,12 +59,12 @@
 	s.placementRole.epoch, s.placementRole.stores, s.placementRole.writeInFlight = epoch, stores, false
 }
 
-// hadPlacementRole reports whether this node had the role last in an epoch, so that its measurements still
+// hadPlacementRole reports whether this node last had the role in the given epoch, so that its observations still
 // count.
 func (s *Server) hadPlacementRole(epoch int64) bool { return s.placementRole.epoch == epoch }
 
-// planPlacement exercises the role: at the confirmed head it plans the placement of stores and writes a
-// change. It runs on the event loop.
+// planPlacement runs the role: on the confirmed head it plans the placement of stores and writes a change. It runs on
+// the event loop.
 func (s *Server) planPlacement() {
 	now := s.now()
 	s.placementRole.tick(now)
@@ -79,17 +79,17 @@
 	input := s.plannerInput(now)
 	s.node.SetHandover(input.Observe(s.placementTimings()))
 	if lost := placement.LostWhileRetiring(input); len(lost) > 0 {
-		s.log.Info("a store that is emptied lost its disk: the order goes on", "store", lost[0].Name, "id", lost[0].ID)
+		s.log.Info("a store lost its disk during its retirement: the retirement continues under its new ID", "store", lost[0].Name, "id", lost[0].ID)
 		s.writePlacementEntry(orders.RetireKey(lost[0].Name, lost[0].ID), rpc.Encode(&feed.RetireEntry{ID: lost[0].ID}))
 		return
 	}
 	if next := placement.Plan(input, s.placementTimings()); next != nil {
-		s.log.Info("placement", "gen", next.Generation, "old", len(next.Old), "new", len(next.New))
+		s.log.Info("placement", "gen", next.Generation, "old_stores", len(next.Old), "new_stores", len(next.New))
 		s.writePlacementEntry(feed.PlacementKey, rpc.Encode(next))
 	}
 }
 
-// plannerInput returns the planner's input at a time, with the newest placement, committed or not. It runs on
+// plannerInput returns the planner's input at the given time, with the newest placement, committed or not. It runs on
 // the event loop of the confirmed head.
 func (s *Server) plannerInput(now time.Duration) placement.Input {
 	role := &s.placementRole
@@ -106,7 +106,7 @@
 		case e.Key == feed.PlacementKey:
 			p := new(turnstore.Placement)
 			if rpc.Decode(e.Value, p) == nil {
-				input.Current = p // the last one, committed or not
+				input.Current = p // the last one wins, committed or not
 			}
 		case len(e.Key) > len(feed.RetirePrefix) && e.Key[:len(feed.RetirePrefix)] == feed.RetirePrefix:
 			var r feed.RetireEntry
@@ -125,8 +125,8 @@
 	return input
 }
 
-// currentObservations returns what is known of stores that do not register: at the head its own observations,
-// elsewhere those that the head has sent. It runs on the event loop.
+// currentObservations returns the observations of stores that do not register: on the head its own, on other nodes
+// those that the head has sent. It runs on the event loop.
 func (s *Server) currentObservations() placement.Observations {
 	if !s.node.IsConfirmedHead() {
 		return s.node.Handover()
@@ -136,8 +136,8 @@
 	return input.Observe(s.placementTimings())
 }
 
-// writePlacementEntry writes an entry for the role; nothing is planned until that has ended. It runs on the
-// event loop.
+// writePlacementEntry starts the write of an entry; planning is suspended until the write ends. It runs on the event
+// loop.
 func (s *Server) writePlacementEntry(key string, value []byte) {
 	s.placementRole.writeInFlight = true
 	completed := make(chan Completion, 1)
@@ -154,7 +154,7 @@
 	})
 }
 
-// placementWriteEnded permits the next plan, if the role is still that of the epoch of the write.
+// placementWriteEnded resumes planning, unless the role has been assumed in another epoch since the write started.
 type placementWriteEnded struct{ epoch int64 }
 
 func (r *placementWriteEnded) handle(s *Server) {
--- a/internal/tier/controlnode/platform_poller.go
+++ b/internal/tier/controlnode/platform_poller.go
@@ -7,13 +7,13 @@
 	"larchrouter/internal/tier/discovery"
 )
 
-// publishHostsRequest publishes the platform's hosts with the verdicts on them, if this node is the confirmed head and the list differs
-// from the one before.
+// publishHostsRequest publishes the platform's hosts with the verdicts on them, if this node is the confirmed head and
+// the list differs from the one published last.
 type publishHostsRequest struct {
 	hosts         []discovery.Host // as the platform lists them
-	lastPublished *discovery.List  // by this node as the head; nil for none
-	published     *discovery.List  // the list in force; nil if this node is not the head
-	nextChange    time.Duration    // until a verdict ends; 0 for none
+	lastPublished *discovery.List  // published last by this node as the head; nil for none
+	published     *discovery.List  // the current list; nil if this node is not the head
+	nextChange    time.Duration    // time until a verdict expires; 0 for none
 }
 
 func (r *publishHostsRequest) handle(s *Server) {
@@ -35,7 +35,7 @@
 	r.published = list
 }
 
-// logVerdicts logs which hosts are ejected by the next list and were not by the last one, nil for none.
+// logVerdicts logs the hosts that are ejected in the next list and were not in the last one, which may be nil.
 func (s *Server) logVerdicts(last, next *discovery.List) {
 	ejected := map[string]bool{}
 	if last != nil {
@@ -50,13 +50,13 @@
 	}
 }
 
-// pollPlatform is the other singleton role: at the head it polls the platform's list of hosts and publishes each change, of the list
-// or of the verdicts on hosts.
+// pollPlatform is a singleton role: on the head it polls the platform's list of hosts, and publishes each change of the
+// list or of the verdicts on hosts.
 func (s *Server) pollPlatform() {
 	client := discovery.NewClient(s.settings.Platform.Address)
 	defer client.Close()
 	var lastPublished *discovery.List
-	var hosts []discovery.Host // as fetched last; nil if this node was not the head then
+	var hosts []discovery.Host // fetched last; nil if this node was not the head at that time
 	for s.ctx.Err() == nil {
 		if !s.isHead.Load() || s.settings.Platform.Address == "" {
 			lastPublished, hosts = nil, nil
@@ -68,7 +68,7 @@
 		if fetched, err := client.FetchHosts(s.ctx); err == nil {
 			hosts = fetched
 		} else {
-			s.log.Debug("the platform's list was not fetched", "err", err)
+			s.log.Debug("fetching the host list from the platform failed", "err", err)
 			end = time.Now().Add(hostPollInterval / 3)
 		}
 		if hosts == nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// publishUntil publishes a list of the platform, and again with each change of the verdicts until a time. It returns the list in force,
-// nil if this node is not the head.
+// publishUntil publishes the platform's hosts, and again with each change of the verdicts until the end time. It
+// returns the current list, nil if this node is not the head.
 func (s *Server) publishUntil(end time.Time, hosts []discovery.Host, lastPublished *discovery.List) *discovery.List {
 	for s.ctx.Err() == nil {
 		request := &publishHostsRequest{hosts: hosts, lastPublished: lastPublished}
@@ -100,7 +100,7 @@
 	return lastPublished
 }
 
-// awaitHealthReport waits for a report of a front, for a time at most. It reports whether one came.
+// awaitHealthReport waits for a report of a front for at most the given time, and reports whether one arrived.
 func (s *Server) awaitHealthReport(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/tier/controlnode/server.go
+++ b/internal/tier/controlnode/server.go
@@ -26,16 +26,16 @@
 // Intervals and time-outs of the server.
 const (
 	tickInterval     = 50 * time.Millisecond
-	requestTimeout   = 900 * time.Millisecond                // callers take a node that does not answer within a second for dead
-	leaveTimeout     = 1500 * time.Millisecond               // for the others to agree on a view without this node
-	shutdownTimeout  = requestTimeout + 300*time.Millisecond // for operators' calls in flight to be answered
-	hostPollInterval = 900 * time.Millisecond                // of the platform's list
+	requestTimeout   = 900 * time.Millisecond                // callers consider a node dead that does not answer within a second
+	leaveTimeout     = 1500 * time.Millisecond               // for the other nodes to agree on a view without this node
+	shutdownTimeout  = requestTimeout + 300*time.Millisecond // for answering operators' calls in flight
+	hostPollInterval = 900 * time.Millisecond                // between fetches of the platform's host list
 	planInterval     = 100 * time.Millisecond
-	pollGrace        = 300 * time.Millisecond // how long a follower's poll waits while this node is cut off or behind
+	pollGrace        = 300 * time.Millisecond // how long a follower's poll waits while this node is partitioned or behind
 )
 
-// Server is a control node as a process. One goroutine, the event loop, owns the Node and everything that
-// depends on it; all others hand it requests. See the package documentation.
+// Server runs a control node as a process. One goroutine, the event loop, owns the Node and everything that depends on
+// it; all other goroutines send it requests. See the package documentation.
 type Server struct {
 	settings    *process.Settings
 	db          *sqlitelog.DB
@@ -43,18 +43,18 @@
 	clients     *rpc.Clients
 	self        view.Member
 	startedAt   time.Time
-	incarnation int64 // how often this node was started with its disk
+	incarnation int64 // number of starts of this node with its disk
 
 	requests     chan queuedRequest
-	peerMessages chan Message // of other control nodes: the loop takes them before all else
+	peerMessages chan Message // from other control nodes: the loop handles them before all else
 	ctx          context.Context
 	stop         context.CancelFunc
 	wg           sync.WaitGroup
 
 	// Owned by the event loop; only loopRequest.handle and nodeRequest.start use them elsewhere.
 	node            *Node
-	ready           Ready                                          // merged from the steps of the batch
-	awaitingSync    []chan bool                                    // of runOnLoop, see queuedRequest
+	ready           Ready                                          // merged from the steps of the current batch
+	awaitingSync    []chan bool                                    // callers of runOnLoop, see queuedRequest
 	syncRows        func(context.Context, []sqlitelog.Write) error // db.Commit
 	savedHashes     map[int64]uint64                               // of the entries on disk, by index
 	savedState      chain.State                                    // on disk
@@ -62,32 +62,32 @@
 	lastRequestID   int64
 	placementRole   placementRole
 	healthRole      healthRole
-	lease           *lease.Lease // on the singleton duties
+	lease           *lease.Lease // for the singleton tasks
 
-	releasesInFlight int // of the lease, to the next head
+	releasesInFlight int // calls that release the lease to the next head
 	usageRole        usageRole
 	hostListHistory  discovery.History
 
-	trueTime  *usage.TrueTime // over the clocks of the voters
-	taskCalls dutyCallLog     // for operators
+	trueTime  *usage.TrueTime // estimated from the clocks of the voters
+	taskCalls dutyCallLog     // recent calls to the platform, for operators
 
-	taskSnapshot atomic.Pointer[dutySnapshot] // of the duties after their last step, for operators; nil before the first
+	taskSnapshot atomic.Pointer[dutySnapshot] // state of the singleton tasks after their last step, for operators; nil before the first
 
-	healthReported chan struct{} // of capacity 1: a front has reported since pollPlatform last looked
+	healthReported chan struct{} // of capacity 1: a front has reported since pollPlatform last received from it
 
 	isHead    atomic.Bool               // IsConfirmedHead after the last batch
-	viewEpoch atomic.Int64              // of the view after the last batch
-	taskGrant atomic.Pointer[dutyGrant] // that this node has on the singleton duties; nil for none
-	diskFull  atomic.Bool               // the event loop waits for room on the disk
+	viewEpoch atomic.Int64              // epoch of the view after the last batch
+	taskGrant atomic.Pointer[dutyGrant] // this node's lease for the singleton tasks; nil for none
+	diskFull  atomic.Bool               // the event loop waits for free disk space
 	mu        sync.Mutex                // guards changed
-	changed   chan struct{}             // closed when there may be something new for followers
+	changed   chan struct{}             // closed when there may be an update for followers
 	senders   map[string]chan Message   // by address; owned by the event loop
 
-	followers sync.Map // name to *Follower
+	followers sync.Map // from name to *Follower
 	feed      feedServer
 }
 
-// Open returns a control node with its settings and its disk. Run starts it.
+// Open opens the data folder of a control node and returns the node. Run starts it.
 func Open(s *process.Settings, log *slog.Logger) (*Server, error) {
 	if err := cmp.Or(
 		process.RequireSetting("bind_addrs.control_addr", s.Bind.Control, "give HOST:PORT, for operators"),
@@ -133,8 +133,8 @@
 	return server, nil
 }
 
-// chainLength returns how many members the chain should have by the settings. Where whole zones may be lost it is all voters, as a view
-// does not name the zones of its members.
+// chainLength returns the target number of chain members for the settings. If whole zones may be lost it is 0, for all
+// voters, since a view does not name the zones of its members.
 func chainLength(s *process.Settings) int {
 	if s.Tolerance.Zones > 0 {
 		return 0
@@ -150,11 +150,10 @@
 	return addrs
 }
 
-// now returns the time since the start; the clock of the Node.
+// now returns the time since the start, which is the clock of the Node.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// UpdateSeeds sets the seeds from settings that were read anew; a node without a vote announces itself to
-// them.
+// UpdateSeeds sets the seeds from reloaded settings; a node without a vote announces itself to them.
 func (s *Server) UpdateSeeds(settings *process.Settings) {
 	s.runOnLoop(&setSeedsRequest{seeds: seedAddrs(settings)})
 }
@@ -164,8 +163,9 @@
 
 func (r *setSeedsRequest) handle(s *Server) { s.node.settings.Seeds = r.seeds }
 
-// Run serves until the context ends, then leaves the view as far as others can replace this node, answers what
-// operators have sent, and stops. It returns an error where the node cannot listen or its disk fails.
+// Run serves until the context ends. It then shuts down gracefully: it leaves the view if other nodes can replace this
+// one, answers the operators' calls in flight, and stops. It returns an error if the node cannot listen or its disk
+// fails.
 func (s *Server) Run(ctx context.Context) error {
 	peers, err := net.Listen("tcp4", s.self.Addr)
 	if err != nil {
@@ -201,8 +201,7 @@
 	return errors.CombineErrors(err, s.db.Close())
 }
 
-// leaveView asks the others to agree on a view without this node, and waits for that for leaveTimeout at
-// most.
+// leaveView asks the other nodes to agree on a view without this node, and waits for at most leaveTimeout.
 func (s *Server) leaveView() {
 	s.runOnLoop(&startLeavingRequest{})
 	deadline := time.Now().Add(leaveTimeout)
@@ -219,7 +218,8 @@
 
 func (*startLeavingRequest) handle(s *Server) { s.mergeReady(s.node.StartLeaving(s.now())) }
 
-// canStopQuery reports whether others have replaced this node, or cannot, and the next head has the release of its lease.
+// canStopQuery reports whether other nodes have replaced this node, or cannot, and the next head has received the lease
+// release.
 type canStopQuery struct{ canStop bool }
 
 func (q *canStopQuery) handle(s *Server) { q.canStop = s.node.CanStop() && !s.owesRelease() }
--- a/internal/tier/controlnode/settings.go
+++ b/internal/tier/controlnode/settings.go
@@ -9,37 +9,38 @@
 // NodeSettings are the parameters of NewNode.
 type NodeSettings struct {
 	Self           view.Member
-	Incarnation    int64    // how often this node was started with its disk, this start included
-	Seeds          []string // addresses, for a node that knows no view
+	Incarnation    int64    // number of starts of this node with its disk, this one included
+	Seeds          []string // addresses, for a node that has no view
 	FaultTolerance int      // how many members may be lost at once
-	ChainLength    int      // members that the chain should have, see ChainLength; 0: all voters
+	ChainLength    int      // target number of chain members, see the function ChainLength; 0: all voters
 	Timings        Timings
 }
 
-// spareChainMembers is how many members a chain has in addition to those without which it may not take writes.
+// spareChainMembers is the number of chain members beyond those that accepting writes requires.
 const spareChainMembers = 1
 
-// ChainLength returns how many members a chain should have where a number of machines may be lost at once. What is acknowledged is on
-// the disks of all of them, so that FaultTolerance + 1 keep it. One more lets the chain lose a member and go on with the others while a
-// learner takes its place. Further members would only make each write wait for further syncs.
+// ChainLength returns the target number of chain members for a fault tolerance. Acknowledged writes are on the disks of
+// all members, so that FaultTolerance + 1 members suffice to keep them. The spare member lets the chain lose one and
+// continue with the others while a learner replaces it. Further members would only make each write wait for further
+// syncs.
 func ChainLength(faultTolerance int) int { return faultTolerance + 1 + spareChainMembers }
 
 // Timings are the intervals and time-outs of a node.
 type Timings struct {
 	HeartbeatInterval time.Duration
-	SuspectTimeout    time.Duration // without a message: the member is removed from the chain
-	// StartTimeout is the time since this node's own start without a message of a member after which the member is removed from the
-	// chain. Machines that get power back together start within 0.3 s, and a dial that hangs is made once more within 0.1 s. It is no
-	// evidence of a fault: a member that comes later is a learner and has lost nothing, since a view needs a majority of the voters
-	// whatever the time-outs.
+	SuspectTimeout    time.Duration // time without a message after which a member is removed from the chain
+	// StartTimeout is the time since this node's own start after which a member that has sent no message is removed
+	// from the chain. Machines that get power back together start within 0.3 s, and a hanging dial is repeated within
+	// 0.1 s. It is no evidence of a fault: a member that starts later joins as a learner and loses nothing, since a
+	// view needs a majority of the voters whatever the time-outs.
 	StartTimeout   time.Duration
-	FailureTimeout time.Duration // without a message: the voter may lose its vote
-	ResendInterval time.Duration // of what is in flight
-	MaxPause       time.Duration // a longer pause of this node makes others' missing messages no evidence
+	FailureTimeout time.Duration // time without a message after which a voter may lose its vote
+	ResendInterval time.Duration // between resends of unacknowledged messages
+	MaxPause       time.Duration // after a longer pause of this node, missing messages of others are no evidence of faults
 }
 
-// DefaultTimings returns timings for links with a delay of some milliseconds and disks whose syncs take a
-// little longer.
+// DefaultTimings returns timings for links with a latency of some milliseconds and disks whose syncs take slightly
+// longer.
 func DefaultTimings() Timings {
 	return Timings{
 		HeartbeatInterval: 200 * time.Millisecond,
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -15,8 +15,8 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// Status is what one control node knows, for operators. It is JSON of the operator API, whose keys are in the
-// tags, and is also sent between nodes by the order of its fields.
+// Status is the state of the control plane as one control node knows it, for operators. The operator API serves it as
+// JSON with the keys of the tags; between nodes it is encoded by the order of its fields.
 type Status struct {
 	Node                string              `json:"node"`
 	Epoch               int64               `json:"epoch"`
@@ -24,7 +24,7 @@
 	Tail                string              `json:"tail"`
 	Chain               []string            `json:"chain"`
 	Voters              []Voter             `json:"voters"`
-	Promised            bool                `json:"sealed"` // the node has promised to the next epoch
+	Promised            bool                `json:"sealed"` // the node has sent a promise for the next epoch
 	Fresh               bool                `json:"fresh"`
 	LastIndex           int64               `json:"place"` // index of the last entry on this node's disk
 	Commit              int64               `json:"commit"`
@@ -33,12 +33,12 @@
 	PlacementGeneration int64               `json:"placement_gen"`
 	PlacementJoint      bool                `json:"placement_joint"`
 	Stores              []turnstore.Store   `json:"stores"`
-	FullStores          []string            `json:"full_stores"`    // as far as the head knows
-	UnresponsiveStores  []UnresponsiveStore `json:"silent_stores"`  // of the placement, by the head's observations; the longest first
-	StoresRequired      int                 `json:"lacking_stores"` // how many of them have to come back for a change to end
+	FullStores          []string            `json:"full_stores"`    // known to the head only
+	UnresponsiveStores  []UnresponsiveStore `json:"silent_stores"`  // of the placement, as observed by the head, longest first
+	StoresRequired      int                 `json:"lacking_stores"` // how many have to return for a placement change to complete
 	Followers           []FollowerStatus    `json:"followers"`
 	Role                string              `json:"role"`
-	Transfers           []Transfer          `json:"transfers"` // that this node sends
+	Transfers           []Transfer          `json:"transfers"` // sent by this node
 }
 
 // UnresponsiveStore is a store of the placement that has not registered for so long that another may replace it.
@@ -46,23 +46,23 @@
 	ID                  string `json:"id"`
 	Name                string `json:"name"`
 	Addr                string `json:"addr"`
-	SinceRegistrationMs int64  `json:"silent_ms"` // since its last registration, at least: the head may have changed meanwhile
+	SinceRegistrationMs int64  `json:"silent_ms"` // a lower bound, since the head may have changed meanwhile
 }
 
 // Transfer is the progress of a member that this node brings up to date.
 type Transfer struct {
 	To        string `json:"to"`
-	LastIndex int64  `json:"place"` // index up to which it has all
+	LastIndex int64  `json:"place"` // the member has all entries up to this index
 	Target    int64  `json:"target"`
-	Bytes     int64  `json:"bytes"` // of the entry after it
+	Bytes     int64  `json:"bytes"` // received of the next entry
 }
 
 // Roles of a control node in the status.
 const (
-	RoleMember     = "member"      // it is in the chain, and has a replica of all that is committed
-	RoleLearner    = "learner"     // it votes and has all that is committed, outside a chain that needs no further member
-	RoleCatchingUp = "catching up" // it votes, and its replica is not complete yet
-	RoleApplicant  = "applicant"   // it has no vote yet
+	RoleMember     = "member"      // in the chain, with all committed entries
+	RoleLearner    = "learner"     // votes and has all committed entries, outside a chain that needs no further member
+	RoleCatchingUp = "catching up" // votes, and its replica is not complete yet
+	RoleApplicant  = "applicant"   // has no vote yet
 )
 
 // Voter is a control node as another sees it.
@@ -95,7 +95,7 @@
 	return RoleApplicant
 }
 
-// statusQuery reads the status, but for the followers.
+// statusQuery reads the status without the followers.
 type statusQuery struct{ status Status }
 
 func (q *statusQuery) handle(s *Server) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// status returns the status of this node, with the followers that poll it.
+// status returns the status of this node, including the followers that poll it.
 func (s *Server) status() *Status {
 	query := &statusQuery{status: Status{Node: s.self.Name}}
 	s.runOnLoop(query)
@@ -185,11 +185,11 @@
 	return status
 }
 
-// peerStatusTimeout bounds the time in which other nodes are asked for their followers.
+// peerStatusTimeout bounds the requests to other nodes for their followers.
 const peerStatusTimeout = 300 * time.Millisecond
 
-// mergeFollowersOfPeers merges the followers of the other control nodes into a status: each follower polls one node
-// at a time, and what another has of it is older.
+// mergeFollowersOfPeers merges the followers of the other control nodes into a status. Each follower polls one node at
+// a time, so that the most recent poll is the valid one.
 func (s *Server) mergeFollowersOfPeers(ctx context.Context, status *Status) {
 	ctx, cancel := context.WithTimeout(ctx, peerStatusTimeout)
 	defer cancel()
--- a/internal/tier/controlnode/store_registration.go
+++ b/internal/tier/controlnode/store_registration.go
@@ -30,7 +30,8 @@
 	}, s.now(), s.placementTimings())
 }
 
-// handleRegister records a registration, which stores repeat, at the head: here, or by forwarding it.
+// handleRegister records a registration if this node is the head, and forwards it to the head otherwise. Stores repeat
+// their registrations.
 func (s *Server) handleRegister(ctx context.Context, registration *feed.Registration) (*feed.Empty, error) {
 	request := &registerStoreRequest{registration: registration}
 	if !s.runOnLoop(request) {
@@ -46,8 +47,8 @@
 	return forward[feed.Registration, feed.Empty](ctx, s, request.headAddr, feed.RegisterCall, registration)
 }
 
-// fullStoreNames returns the names of the stores that report that their disks are nearly full. Only the head
-// knows; elsewhere it returns nil. It runs on the event loop.
+// fullStoreNames returns the names of the stores that report that their disks are nearly full. Only the head has the
+// registrations; on other nodes it returns nil. It runs on the event loop.
 func (s *Server) fullStoreNames() (names []string) {
 	if !s.node.IsConfirmedHead() {
 		return nil
