--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// A contract simulation injects losses at the moment the contract permits them: a machine counts as lost
-// while it is down, frozen or partitioned, for catch_up_s after it is back, and for as long after its start
-// if it is new; one that is removed counts until its successor has had that time. As soon as fewer count than
-// fault_tolerance permits, the next loss is injected. In each step the newest view must have a live majority
-// and a live holder of all that was committed, and writes must be acknowledged.
-var contractSimulations = flag.Int("contract", 16, "simulations of losses as soon as they are permitted")
-
-// lossSlot is one of the losses that may be in progress: it is free again when nothing of it counts any more.
+// contractSimulations simulate losses that occur as soon as the fault-tolerance contract permits them. A machine counts
+// as lost while it is down, frozen or partitioned, for catch_up_s after its return, and for catch_up_s after its first
+// start if it is new; a removed machine counts until its successor has had that time. As soon as fewer machines count
+// as lost than fault_tolerance permits, the next loss is injected. In each step the newest view must have a live
+// majority and a live replica of all committed entries, and writes must be acknowledged.
+var contractSimulations = flag.Int("contract", 16, "simulations of losses that occur as soon as the contract permits them")
+
+// lossSlot is one of the losses that may be in progress. It is free again once its machine no longer counts as lost.
 type lossSlot struct {
-	machine     string        // that counts, empty for none
+	machine     string        // address of the machine that counts as lost, empty for none
 	until       time.Duration // the end of the fault
-	countsUntil time.Duration // until then it counts, once the fault has ended
-	end         func()        // ends the fault, nil once it has
-	down        bool          // the fault keeps the machine down, and its end starts it
+	countsUntil time.Duration // the machine counts as lost until then, once the fault has ended
+	end         func()        // ends the fault, nil once that is done
+	down        bool          // the fault keeps the machine down, and end starts it
 }
 
 type contractSimulation struct {
@@ -32,13 +32,14 @@
 	addedMachines int
 	lastAckAt     time.Duration
 	ackedWrites   int
-	checkedFrom   time.Duration // all were killed: no invariant of the living before it
+	checkedFrom   time.Duration // no invariants are checked before, after all machines were killed
 	leaving       map[string]time.Duration
-	replaced      map[string]bool // leave for good
+	replaced      map[string]bool // machines that leave for good
 	faultCounts   map[string]int
 }
 
-// maxWriteGap bounds how long no write may be acknowledged while no more are lost than the contract permits.
+// maxWriteGap is the longest time without an acknowledged write while no more machines are lost than the contract
+// permits.
 const maxWriteGap = 6 * time.Second
 
 func newContractSimulation(t testing.TB, seed uint64, n, losses int, f plantedFaults) *contractSimulation {
@@ -53,7 +54,7 @@
 	if losses > 1 {
 		c.catchUp = 6 * time.Second
 	}
-	c.faultyMachine = "none" // no machine loses power by itself: this counts what is lost
+	c.faultyMachine = "none" // the base simulation injects no power losses: this one counts the lost machines
 	return c
 }
 
@@ -66,7 +67,7 @@
 	return false
 }
 
-// healthyMachines returns the machines at which a fault could be injected.
+// healthyMachines returns the machines that a fault may be injected into.
 func (c *contractSimulation) healthyMachines() (all []string) {
 	for _, a := range c.order {
 		m := c.machines[a]
@@ -79,7 +80,7 @@
 
 // runFaults injects a number of faults.
 func (c *contractSimulation) runFaults(rounds int) {
-	c.run(c.catchUp) // no loss is permitted before the members had their time
+	c.run(c.catchUp) // no loss is permitted before the members have had catch_up_s
 	c.lastAckAt = c.now
 	for injected := 0; injected < rounds && c.failure == ""; {
 		for i := range c.slots {
@@ -95,7 +96,7 @@
 	}
 }
 
-// advance moves time on, ends faults, and checks the invariant.
+// advance advances the time, ends faults, and checks the invariants.
 func (c *contractSimulation) advance() {
 	c.step()
 	if c.writes > c.ackedWrites {
@@ -108,7 +109,7 @@
 		}
 		if s.end != nil && c.now >= s.until {
 			s.countsUntil = c.now + c.catchUp
-			s.end() // may say otherwise
+			s.end() // may set another countsUntil
 			s.end = nil
 		}
 		if s.end == nil && c.now >= s.countsUntil {
@@ -118,7 +119,7 @@
 	for a, since := range c.leaving {
 		m := c.machines[a]
 		if m.up && (m.node.CanStop() || c.now-since > leaveTimeout || c.fault.stopsBeforeLeft) {
-			c.logf("%s is stopped, it had left: %v", a, m.node.CanStop())
+			c.logf("%s is stopped, it has left the view: %v", a, m.node.CanStop())
 			c.stop(m)
 			if c.replaced[a] {
 				c.removeMachine(a)
@@ -128,8 +129,8 @@
 	c.checkInvariants()
 }
 
-// checkInvariants checks that, by the newest decided view, a majority of the voters is alive, and a member of the
-// chain that has all that was committed.
+// checkInvariants checks that a majority of the voters of the newest decided view is alive, and a chain member that has
+// all committed entries.
 func (c *contractSimulation) checkInvariants() {
 	if c.now < c.checkedFrom || c.failure != "" {
 		return
@@ -149,17 +150,17 @@
 		}
 	}
 	if liveVoters < newest.Majority() {
-		c.failf("of %d voters of view %d only %d live", len(newest.Voters), newest.Epoch, liveVoters)
+		c.failf("of %d voters of view %d only %d are alive", len(newest.Voters), newest.Epoch, liveVoters)
 	}
 	if !hasLiveReplica {
-		c.failf("no member of view %d that has what was committed lives", newest.Epoch)
+		c.failf("no chain member of view %d that has all committed entries is alive", newest.Epoch)
 	}
 	if c.now-c.lastAckAt > maxWriteGap {
 		c.failf("no write was acknowledged for %v", maxWriteGap)
 	}
 }
 
-// injectFault draws a machine and a fault.
+// injectFault injects a random fault into a random machine.
 func (c *contractSimulation) injectFault(s *lossSlot) {
 	healthy := c.healthyMachines()
 	if len(healthy) == 0 {
@@ -175,7 +176,7 @@
 	kinds := []func(s *lossSlot, m *machine){
 		c.kill, c.wipe, c.freeze, c.partition, c.restartGracefully, c.replace, c.replaceGracefully, c.killAll, c.addMachine,
 	}
-	if c.fault.keepsIDAfterDiskLoss { // found sooner where disks are lost again and again
+	if c.fault.keepsIDAfterDiskLoss { // repeated disk losses find this planted fault sooner
 		kinds = []func(s *lossSlot, m *machine){c.kill, c.wipe, c.killAll}
 	}
 	kinds[c.rng.IntN(len(kinds))](s, m)
@@ -220,22 +221,22 @@
 		if m.up {
 			c.thaw(m)
 		}
-		c.logf("%s wakes", m.addr)
+		c.logf("%s resumes", m.addr)
 	}
 }
 
 func (c *contractSimulation) partition(s *lossSlot, m *machine) {
 	c.countFault("cut")
 	direction := c.rng.IntN(3)
-	c.logf("%s is cut off, way %d", m.addr, direction)
+	c.logf("%s is partitioned, direction %d", m.addr, direction)
 	c.partitioned[m.addr] = direction
-	s.end = func() { delete(c.partitioned, m.addr); c.logf("%s is joined again", m.addr) }
+	s.end = func() { delete(c.partitioned, m.addr); c.logf("the partition of %s heals", m.addr) }
 }
 
-// restartGracefully stops a machine in order, and starts it again.
+// restartGracefully shuts a machine down gracefully, and starts it again.
 func (c *contractSimulation) restartGracefully(s *lossSlot, m *machine) {
 	c.countFault("roll")
-	c.logf("%s is stopped in order", m.addr)
+	c.logf("%s shuts down gracefully", m.addr)
 	c.handleReady(m, m.node.StartLeaving(c.now))
 	c.leaving[m.addr] = c.now
 	s.down, s.until = true, max(s.until, c.now+leaveTimeout+200*time.Millisecond)
@@ -268,43 +269,46 @@
 	delete(c.machines, a)
 }
 
-// replace removes a machine for good; an empty one comes a second later at another address.
+// replace removes a machine for good; an empty one starts a second later at another address.
 func (c *contractSimulation) replace(s *lossSlot, m *machine) {
 	c.countFault("replace")
 	c.logf("%s is removed for good", m.addr)
 	c.removeMachine(m.addr)
 	s.until = c.now + time.Second
-	s.end = func() { s.machine = c.startNewMachine().addr; c.logf("%s comes for %s", s.machine, m.addr) }
+	s.end = func() {
+		s.machine = c.startNewMachine().addr
+		c.logf("%s starts as replacement of %s", s.machine, m.addr)
+	}
 }
 
-// replaceGracefully starts the new machine first; the old one is stopped in order a second later, or when the
-// new one has had its time.
+// replaceGracefully starts the new machine first; the old one shuts down gracefully a second later, or once the new one
+// has had catch_up_s.
 func (c *contractSimulation) replaceGracefully(s *lossSlot, m *machine) {
 	c.countFault("replace planned")
 	next := c.startNewMachine()
 	began := c.now
-	c.logf("%s comes to take over from %s", next.addr, m.addr)
+	c.logf("%s starts to replace %s", next.addr, m.addr)
 	s.machine, s.until = next.addr, c.now+time.Second
 	if c.rng.IntN(2) == 0 {
-		s.until = c.now + c.catchUp // the next loss may come with the order to end
+		s.until = c.now + c.catchUp // the next loss may coincide with the shutdown
 	}
 	s.end = func() {
-		c.logf("%s is stopped in order", m.addr)
+		c.logf("%s shuts down gracefully", m.addr)
 		if m.up && c.machines[m.addr] == m {
 			c.handleReady(m, m.node.StartLeaving(c.now))
 			c.leaving[m.addr], c.replaced[m.addr] = c.now, true
 		} else {
 			c.removeMachine(m.addr)
 		}
-		s.countsUntil = began + c.catchUp // the old one counts until the new one has had its time
+		s.countsUntil = began + c.catchUp // the old one counts as lost until the new one has had catch_up_s
 	}
 }
 
-// killAll ends all processes at one instant, whatever fault_tolerance permits. They come back within a
-// second, with their disks.
+// killAll kills all machines at the same instant, whatever fault_tolerance permits. They restart within a second, with
+// their disks.
 func (c *contractSimulation) killAll(s *lossSlot, m *machine) {
 	c.countFault("kill all")
-	c.logf("all are killed")
+	c.logf("all machines are killed")
 	for _, a := range c.order {
 		if one := c.machines[a]; one.up {
 			c.stop(one)
@@ -323,7 +327,7 @@
 				c.start(one)
 			}
 		}
-		c.logf("they start again")
+		c.logf("all machines start again")
 	}
 }
 
@@ -365,7 +369,7 @@
 	t.Logf("%d simulations, %d writes acknowledged, faults: %v", *contractSimulations, writes, faultCounts)
 }
 
-// Two views change within the time that followers have, and two of their sources do not answer.
+// Two view changes occur within the followers' time to catch up, and two of their sources do not answer.
 func TestFollowersSurviveTwoViewChanges(t *testing.T) {
 	t.Parallel()
 	c := newContractSimulationFromSeed(t, 1796199225728843689, plantedFaults{})
@@ -375,8 +379,8 @@
 	}
 }
 
-// Seeds in which a link of the chain lost its first update after a second without writes: the next was sent
-// seconds later.
+// An update that was lost after a second without writes was resent only seconds later. In these seeds a chain link
+// loses such an update.
 func TestUpdatesLostAfterIdleAreResentSoon(t *testing.T) {
 	for seed, machines := range map[uint64]int{1796199634200714431: 5, 1796199634201552299: 4} {
 		c := newSimulation(t, seed, machines, plantedFaults{})
@@ -387,7 +391,8 @@
 	}
 }
 
-// newContractSimulationFromSeed draws the size of a simulation by its seed: losses of 1 and 2, 3 to 8 nodes.
+// newContractSimulationFromSeed returns a simulation whose size depends on its seed: 3 to 8 nodes, a fault tolerance of
+// 1 or 2.
 func newContractSimulationFromSeed(t testing.TB, seed uint64, f plantedFaults) *contractSimulation {
 	sizes := []struct{ n, losses int }{{3, 1}, {4, 1}, {5, 1}, {8, 1}, {5, 2}, {8, 2}}
 	size := sizes[rand.New(rand.NewPCG(seed, 1)).IntN(len(sizes))]
@@ -413,14 +418,14 @@
 
 var contractSeed = flag.Uint64("contract.seed", 1, "seed of the one simulation")
 
-// Violations of the contract are found.
+// The simulation finds planted violations of the contract.
 func TestContractCheckFindsPlantedFaults(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]plantedFaults{
-		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
-		"a member that leaves without a word":          {stopsBeforeLeft: true},
-		"voters that are lost keep their votes":        {neverRemovesVoters: true},
-		"an identity that is replaced keeps its vote":  {ignoresApplicants: true},
+		"a node that keeps its ID after a disk loss":   {keepsIDAfterDiskLoss: true},
+		"a member that stops without leaving the view": {stopsBeforeLeft: true},
+		"lost voters keep their votes":                 {neverRemovesVoters: true},
+		"a replaced identity keeps its vote":           {ignoresApplicants: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -431,7 +436,7 @@
 					return
 				}
 			}
-			t.Fatal("not found in 200 simulations")
+			t.Fatal("the planted fault was not found in 200 simulations")
 		})
 	}
 }
--- a/internal/tier/controlnode/cost_test.go
+++ b/internal/tier/controlnode/cost_test.go
@@ -12,17 +12,19 @@
 	"time"
 )
 
-// What it costs to bring a member, and a follower, up to date after many large changes: processor time of real processes,
-// which does not depend on what else the machine does, at a tenth of a core and a link of 30 Mbit/s.
+// Parameters of the test of the cost of bringing a member and a follower up to date after many large changes. The test
+// measures the CPU time of real processes, which does not depend on other load of the machine, and converts it to a
+// tenth of a core and a link of 30 Mbit/s.
 const (
 	changeCount     = 300
-	changeSize      = 1 << 20      // bytes of each
+	changeSize      = 1 << 20      // bytes of each change
 	cpuShare        = 0.1          // of a core
-	cpuTestLinkRate = 30 * megabit // bytes a second
-	maxFolderSize   = 16 << 20     // bytes of a node's data folder, with its log
+	cpuTestLinkRate = 30 * megabit // bytes per second
+	maxFolderSize   = 16 << 20     // bytes of a node's data folder, including its log
 )
 
-// randomConfig is a configuration of a size with routes of common length, of which two versions have little in common.
+// randomConfig returns a configuration of at least the given size, whose routes have a common length. Two versions have
+// little in common, so that deltas between them save little.
 func randomConfig(version int64, size int) string {
 	r := rand.New(rand.NewPCG(uint64(version), 0))
 	var b strings.Builder
@@ -38,7 +40,7 @@
 	return b.String()
 }
 
-// cpuTimeOf is what a process has used so far, from the scheduler's own account of its threads.
+// cpuTimeOf returns the CPU time that a process has used so far, as the scheduler accounts it for its threads.
 func cpuTimeOf(t *testing.T, pid int) (used time.Duration) {
 	t.Helper()
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -64,7 +66,7 @@
 	return cpuTimeOf(t, c.cmd.Process.Pid)
 }
 
-// folderSize is that of all files in a folder, in bytes.
+// folderSize returns the size of all files in a folder in bytes.
 func folderSize(t *testing.T, dir string) (size int64) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -79,10 +81,10 @@
 	return size
 }
 
-// timeAtCPUShare is how long processor time lasts at the share of a core.
+// timeAtCPUShare returns the time in which a process with cpuShare of a core gets the given CPU time.
 func timeAtCPUShare(used time.Duration) time.Duration { return time.Duration(float64(used) / cpuShare) }
 
-// putLargeConfigs has so many large configurations acknowledged.
+// putLargeConfigs puts n large configurations and waits for the acknowledgement of each.
 func (f *fleet) putLargeConfigs(n, size int, nodes ...int) {
 	f.t.Helper()
 	for range n {
@@ -96,9 +98,9 @@
 	}
 }
 
-// TestCatchUpAfterManyLargeChangesFitsCPUShare: a member that was away for 300 changes of 1 MB, and a follower that
-// starts, need so little processor time that a tenth of a core has them up to date within catch_up_s, the time on the
-// link included; the member does not lead before, and no disk grows with the number of changes.
+// TestCatchUpAfterManyLargeChangesFitsCPUShare checks that a member that missed 300 changes of 1 MB, and a follower
+// that starts, catch up within catch_up_s with a tenth of a core, including the transfer time on the link. The member
+// must not become the head before, and no disk may grow with the number of changes.
 func TestCatchUpAfterManyLargeChangesFitsCPUShare(t *testing.T) {
 	changes := changeCount
 	if raceDetector {
@@ -110,22 +112,22 @@
 	f.kill(2)
 	before := f.nodes[0].cpuTime(t)
 	f.putLargeConfigs(changes, changeSize, 0, 1)
-	t.Logf("%d changes of %d KB: %v of processor time each at node 0",
+	t.Logf("%d changes of %d KB: %v of CPU time each at node 0",
 		changes, changeSize>>10, (f.nodes[0].cpuTime(t)-before)/time.Duration(changes))
 	f.setLinkRate(cpuTestLinkRate)
 	cpuBefore := map[int]time.Duration{0: f.nodes[0].cpuTime(t), 1: f.nodes[1].cpuTime(t)}
 	tail := f.tail()
 	f.start(2, false)
-	took := f.within(catchUp, "the node is a member of one chain with all others again", func() bool {
+	took := f.within(catchUp, "the node is in the same chain as all others again", func() bool {
 		s := f.status(2)
 		if s != nil && s.Head == s.Node && !f.isMember(2) {
-			t.Error("it leads before it has all that was committed")
+			t.Error("the node is the head before it has all committed entries")
 		}
 		return f.allMembers()
 	})
 	const onLink = changeSize * time.Second / cpuTestLinkRate
-	f.requireFitsCPUShare("the member that returns", f.nodes[2].cpuTime(t), onLink, took)
-	f.requireFitsCPUShare("the tail that sends", f.nodes[tail].cpuTime(t)-cpuBefore[tail], onLink, took)
+	f.requireFitsCPUShare("the returning member", f.nodes[2].cpuTime(t), onLink, took)
+	f.requireFitsCPUShare("the sending tail", f.nodes[tail].cpuTime(t)-cpuBefore[tail], onLink, took)
 	f.setLinkRate(0)
 	f.requireFollowerFitsCPUShare(onLink)
 	for i := range 3 {
@@ -135,20 +137,20 @@
 			t.Logf("node %d has %d KB on disk", i, size>>10)
 		}
 	}
-	f.requireCaughtUp(f.tail()) // others send a reader of so much to it
+	f.requireCaughtUp(f.tail()) // other nodes redirect readers of a large configuration to the tail
 }
 
-// requireFitsCPUShare fails where processor time at the share of a core, with the time on the link, is more than catch_up_s.
+// requireFitsCPUShare fails if the time for the CPU time at cpuShare, plus the time on the link, exceeds catch_up_s.
 func (f *fleet) requireFitsCPUShare(who string, used, onLink, took time.Duration) {
 	f.t.Helper()
-	f.t.Logf("%s: %v of processor time, %v at %v of a core, %v on the link, %v here", who, used.Round(time.Millisecond),
+	f.t.Logf("%s: %v of CPU time, %v at %v of a core, %v on the link, took %v on this machine", who, used.Round(time.Millisecond),
 		timeAtCPUShare(used).Round(10*time.Millisecond), cpuShare, onLink.Round(time.Millisecond), took.Round(time.Millisecond))
 	if need := timeAtCPUShare(used) + onLink; need > catchUp && !raceDetector {
 		f.t.Errorf("%s needs %v, limit %v", who, need, catchUp)
 	}
 }
 
-// requireFollowerFitsCPUShare measures a follower as a process of its own, from its start until it acts on the newest version.
+// requireFollowerFitsCPUShare measures a follower in its own process, from its start until it uses the newest version.
 func (f *fleet) requireFollowerFitsCPUShare(onLink time.Duration) {
 	f.t.Helper()
 	began := time.Now()
@@ -156,13 +158,13 @@
 	newest, _ := f.hist.newest()
 	acts := fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
 	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
-	f.requireFitsCPUShare("a follower that starts", follower.cpuTime(f.t), onLink, time.Since(began))
+	f.requireFitsCPUShare("a starting follower", follower.cpuTime(f.t), onLink, time.Since(began))
 	used := follower.cpuTime(f.t)
 	const more = 5
 	f.putLargeConfigs(more, changeSize, f.all()...)
 	newest, _ = f.hist.newest()
 	acts = fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
 	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
-	f.t.Logf("a follower that is awake: %v of processor time for each change",
+	f.t.Logf("a running follower: %v of CPU time for each change",
 		((follower.cpuTime(f.t) - used) / more).Round(time.Millisecond))
 }
--- a/internal/tier/controlnode/feed_bench_test.go
+++ b/internal/tier/controlnode/feed_bench_test.go
@@ -15,10 +15,10 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// pollingFollower is a follower that polls and keeps nothing but what the next poll has to name.
+// pollingFollower is a follower that polls and keeps only the state that its next poll has to report.
 type pollingFollower struct {
 	q    feed.ChangesRequest
-	call func(q *feed.ChangesRequest) ([]byte, error) // an encoded answer
+	call func(q *feed.ChangesRequest) ([]byte, error) // returns the encoded response
 }
 
 type pollCounters struct{ polls, requestBytes, bytes, patches, complete, failed atomic.Int64 }
@@ -51,7 +51,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// config1MB has 5,400 routes, the version's own one among them.
+// config1MB returns a configuration of 5,400 routes, one of which depends on the version.
 func config1MB(version int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"config_version":%d,"service_table":[{"name":"s"},{"name":"other"}],"route_table":[`, version)
@@ -70,7 +70,7 @@
 	return []byte(b.String())
 }
 
-// pollFunc gives what a follower calls node 0 by.
+// pollFunc returns the function by which a follower polls node 0: over a socket, or directly.
 func (c *cluster) pollFunc(ctx context.Context, sockets bool, wg *sync.WaitGroup) func(q *feed.ChangesRequest) ([]byte, error) {
 	if !sockets {
 		return func(q *feed.ChangesRequest) ([]byte, error) {
@@ -92,9 +92,9 @@
 	}
 }
 
-// BenchmarkFollowers has 340 hollow followers poll one of three core nodes in this process, once by calls and once over
-// sockets, at rest and while versions of 1 MB with one route changed follow each other. The processor's time is that of
-// the whole process: of the followers and of all three nodes as well.
+// BenchmarkFollowers has 340 followers poll one of three core nodes in this process, once by direct calls and once over
+// sockets, both idle and while versions of 1 MB that change one route are put in sequence. The CPU time is that of the
+// whole process, including the followers and all three nodes.
 func BenchmarkFollowers(b *testing.B) {
 	for _, sockets := range []bool{false, true} {
 		b.Run(fmt.Sprintf("sockets=%v", sockets), func(b *testing.B) {
@@ -124,7 +124,7 @@
 			}
 		})
 	}
-	time.Sleep(time.Second) // all have begun
+	time.Sleep(time.Second) // until all followers poll
 	before, polls, bytes := ownCPUTime(), n.polls.Load(), n.bytes.Load()
 	time.Sleep(idleTime)
 	cpuAtRest := ownCPUTime() - before - idle
@@ -141,7 +141,7 @@
 	for range b.N {
 		c.putConfigBody(version, config1MB(version+1))
 		version++
-		c.until("all have the version", func() bool {
+		c.until("all followers have the version", func() bool {
 			time.Sleep(time.Millisecond)
 			return n.patches.Load()-patches >= int64((version-1)*followers)
 		})
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -16,7 +16,7 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// largeConfig is a configuration of 150 KB.
+// largeConfig returns a configuration of 150 KB.
 func largeConfig(version int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"config_version":%d,"service_table":[{"name":"s"}],"route_table":[`, version)
@@ -33,7 +33,7 @@
 
 func (c *cluster) putConfigBody(on int, body []byte) {
 	c.t.Helper()
-	c.until("an answer to a large version", func() bool {
+	c.until("a large configuration is acknowledged", func() bool {
 		status, text := c.send(on%c.n, http.MethodPut, "/api/config", strconv.Itoa(on), body)
 		if status >= 400 && status < 500 {
 			c.t.Fatalf("%d %s", status, text)
@@ -42,11 +42,11 @@
 	})
 }
 
-// pollUntilConfirmed polls a core node until it answers fresh.
+// pollUntilConfirmed polls a core node until it returns a confirmed response.
 func (c *cluster) pollUntilConfirmed(calls *rpc.Clients, node int, q *feed.ChangesRequest) *feed.ChangesResponse {
 	c.t.Helper()
 	var a *feed.ChangesResponse
-	c.until("a fresh answer", func() bool {
+	c.until("a confirmed response", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		a = new(feed.ChangesResponse)
@@ -71,7 +71,7 @@
 	q := &feed.ChangesRequest{Name: "by hand", WaitMs: 500}
 	a := c.pollUntilConfirmed(calls, 0, q)
 	if len(a.LargeValues) != 1 || len(rpc.Encode(a)) > 1000 {
-		t.Fatalf("%d values by name in an answer of %d bytes", len(a.LargeValues), len(rpc.Encode(a)))
+		t.Fatalf("%d values by digest in a response of %d bytes", len(a.LargeValues), len(rpc.Encode(a)))
 	}
 	value := c.fetchChunks(calls, a.LargeValues[0])
 
@@ -81,20 +81,20 @@
 	q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: a.LargeValues[0].Digest}}
 	b := c.pollUntilConfirmed(calls, 0, q)
 	if len(b.Patches) != 1 || len(b.Patches[0].Delta) > 500 {
-		t.Fatalf("%d differences, %d by digest, %d complete", len(b.Patches), len(b.LargeValues), len(b.Entries))
+		t.Fatalf("%d values as deltas, %d by digest, %d complete", len(b.Patches), len(b.LargeValues), len(b.Entries))
 	}
 	next, err := bodydelta.Apply(value, b.Patches[0].Delta, rpc.MaxFrame)
 	var e feed.ConfigEntry
 	if err != nil || rpc.Decode(next, &e) != nil || string(e.Body) != string(largeConfig(9)) {
-		t.Fatalf("version 9 by its difference: %v, %d bytes", err, len(e.Body))
+		t.Fatalf("version 9 by its delta: %v, %d bytes", err, len(e.Body))
 	}
 }
 
-// fetchChunks takes the pieces of a value from one node after the other.
+// fetchChunks fetches the chunks of a value from the nodes in turn.
 func (c *cluster) fetchChunks(calls *rpc.Clients, name feed.ValueRef) (value []byte) {
 	c.t.Helper()
 	node := 0
-	c.until("all pieces", func() bool {
+	c.until("all chunks are fetched", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		p := new(feed.Chunk)
@@ -106,19 +106,19 @@
 		return int64(len(value)) == name.Size
 	})
 	if digest := bodydelta.DigestOf(value); string(digest[:]) != string(name.Digest) {
-		c.t.Fatal("the pieces are not the value that was named")
+		c.t.Fatal("the chunks do not have the announced digest")
 	}
 	return value
 }
 
-// A follower of the release before this one polls by the old call and gets every value complete.
+// A follower of an earlier release polls by FollowCall and gets every value complete.
 func TestFollowerOfEarlierReleaseIsServed(t *testing.T) {
 	c := newCluster(t, 3)
 	c.putConfigBody(0, largeConfig(3))
 	calls := &rpc.Clients{}
 	defer calls.Close()
 	var a *feed.FollowResponse
-	c.until("a fresh answer", func() bool {
+	c.until("a confirmed response", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		a = new(feed.FollowResponse)
@@ -145,22 +145,23 @@
 		case feed.ChunkServed:
 			served++
 			if len(p.Data) != 64<<10 {
-				t.Errorf("a piece of %d bytes", len(p.Data))
+				t.Errorf("a chunk of %d bytes", len(p.Data))
 			}
 		case feed.ChunkBusy:
 			busy++
 		}
 	}
 	if served != 8 || busy != 12 {
-		t.Errorf("%d were given a chunk and %d had to wait", served, busy)
+		t.Errorf("%d followers got a chunk and %d had to wait, want 8 and 12", served, busy)
 	}
 	if p := s.serveChunk(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
-		t.Errorf("a value that there never was: state %d", p.Status)
+		t.Errorf("an unknown value: status %d", p.Status)
 	}
 }
 
-// A frozen node answers the polls that come as it wakes before it has received what was committed meanwhile:
-// whatever its clock shows, the answer is not fresh until a majority has confirmed it after the poll came.
+// A node that was frozen answers the polls that arrive as it resumes before it receives what was committed meanwhile.
+// Whatever its clock shows, a response must not be confirmed before a majority has confirmed the node after the poll
+// arrived.
 func TestFrozenNodeDoesNotServeStaleFeed(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
@@ -179,7 +180,7 @@
 	go frozen.onLoop(func() {
 		<-release
 		now := frozen.now()
-		frozen.mergeReady(frozen.node.Tick(now)) // its clock goes on before its sockets are read
+		frozen.mergeReady(frozen.node.Tick(now)) // its clock advances before its sockets are read
 		woke <- frozen.snapshotFeed(&feed.ChangesRequest{Name: "front-2"}, now, true)
 	})
 	if got := c.put(9, 3, 0, 1); got != http.StatusOK {
@@ -188,21 +189,21 @@
 	close(release)
 	m := <-woke
 	if m.index != before {
-		t.Fatalf("it has index %d, wanted %d: it did not stand still", m.index, before)
+		t.Fatalf("the node has index %d, want %d: it was not frozen", m.index, before)
 	}
 	if m.confirmed {
-		t.Error("a poll that came as it woke was answered fresh with the state from before")
+		t.Error("a poll that arrived as the node resumed got a confirmed response with the state from before the freeze")
 	}
 	calls := &rpc.Clients{}
 	defer calls.Close()
 	if a := c.pollUntilConfirmed(calls, 2, &feed.ChangesRequest{Name: "front-2", WaitMs: 500}); a.Index <= before {
-		t.Errorf("it answers fresh at index %d, version 9 is above %d", a.Index, before)
+		t.Errorf("a confirmed response at index %d, version 9 is above %d", a.Index, before)
 	}
 }
 
-// An answer rests on a confirmation round that starts after its poll came, and not on one that has ended
-// before: a node that is healthy by its own state has to ask first. It asks at once, and does not wait for
-// the next heartbeats.
+// A response needs a confirmation round that starts after its poll arrived; a round that ended before is not enough,
+// even if the node considers itself up to date. The node starts the round at once, without waiting for the next
+// heartbeats.
 func TestPollWaitsForConfirmationRound(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
@@ -220,12 +221,12 @@
 			return m.recent && m.index > 0
 		})
 		if m.confirmed || m.ready == nil {
-			t.Fatalf("node %d: a poll was answered fresh as it came", i)
+			t.Fatalf("node %d: a poll was confirmed on arrival", i)
 		}
-		c.until("a round begun after the poll", func() bool {
+		c.until("a round that started after the poll", func() bool {
 			core.onLoop(func() { m = core.snapshotFeed(q, arrival, true) })
 			if !m.confirmed {
-				<-m.ready // at the latest when the poll has ended
+				<-m.ready // closed when the poll has ended at the latest
 			}
 			return m.confirmed
 		})
--- a/internal/tier/controlnode/fleet_callers_test.go
+++ b/internal/tier/controlnode/fleet_callers_test.go
@@ -17,14 +17,15 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// sentRequest is a call of which every byte is in the socket of a node, whether that can read it yet or not.
+// sentRequest is an HTTP request that is completely written to a connection to a node, even if the node cannot read it
+// yet.
 type sentRequest struct {
 	name  string
 	conn  net.Conn
-	order observedPut // body "" for a call that is no change
+	order observedPut // its body is empty unless the request is a PUT
 }
 
-// sendRequest puts a call into the socket of a node's control address.
+// sendRequest writes a request to a new connection to a node's control address.
 func (f *fleet) sendRequest(i int, name, method, path string, on int64, body string) *sentRequest {
 	f.t.Helper()
 	conn, err := net.DialTimeout("tcp4", f.control(i), time.Second)
@@ -41,7 +42,7 @@
 	return c
 }
 
-// awaitResponse waits for the answer and notes it; status 0 is none.
+// awaitResponse waits for the response and records it in the history; status 0 means no response.
 func (c *sentRequest) awaitResponse(h *history, limit time.Duration) (status int, text string) {
 	defer c.conn.Close()
 	_ = c.conn.SetReadDeadline(time.Now().Add(limit))
@@ -61,8 +62,8 @@
 	return resp.StatusCode, string(b)
 }
 
-// sendEachRequestKind writes one call of each kind to a node: the newest change again, one on the newest version, one on a version
-// that is past, a reading, an order about a store, and a reading of that.
+// sendEachRequestKind sends one request of each kind to a node: a retry of the newest change, a change on the newest
+// version, a change on an outdated version, a read, a retirement of a store, and a read of its phase.
 func (f *fleet) sendEachRequestKind(i, tag int) []*sentRequest {
 	f.t.Helper()
 	newest, body := f.hist.newest()
@@ -75,17 +76,17 @@
 	}
 	f.hist.mu.Unlock()
 	return []*sentRequest{
-		f.sendRequest(i, "the newest change again", http.MethodPut, "/api/config", on, body),
+		f.sendRequest(i, "a retry of the newest change", http.MethodPut, "/api/config", on, body),
 		f.sendRequest(i, "a change on the newest version", http.MethodPut, "/api/config", newest, variant(newest+1, 3+tag%4)),
-		f.sendRequest(i, "a change on a version that is past", http.MethodPut, "/api/config", 0, variant(newest+2, 50+tag)),
-		f.sendRequest(i, "a reading", http.MethodGet, "/api/config", 0, ""),
-		f.sendRequest(i, "an order to empty a store", http.MethodPost, "/api/retire/nobody", 0, ""),
-		f.sendRequest(i, "a reading of how far a store is", http.MethodGet, "/api/retire/nobody", 0, ""),
+		f.sendRequest(i, "a change on an outdated version", http.MethodPut, "/api/config", 0, variant(newest+2, 50+tag)),
+		f.sendRequest(i, "a read", http.MethodGet, "/api/config", 0, ""),
+		f.sendRequest(i, "a retirement of a store", http.MethodPost, "/api/retire/nobody", 0, ""),
+		f.sendRequest(i, "a read of a retirement's phase", http.MethodGet, "/api/retire/nobody", 0, ""),
 	}
 }
 
-// requireOutcomeUnknown waits for the answers of a node that no majority can have confirmed anything to: each
-// comes within a caller's second and proves nothing.
+// requireOutcomeUnknown waits for the responses of a node that no majority can confirm: each must arrive within
+// maxResponseTime and must not decide the request.
 func (f *fleet) requireOutcomeUnknown(calls []*sentRequest, since time.Time) {
 	f.t.Helper()
 	var all sync.WaitGroup
@@ -94,7 +95,7 @@
 			status, text := c.awaitResponse(f.hist, 2*maxResponseTime)
 			took := time.Since(since)
 			if status != http.StatusServiceUnavailable && status != http.StatusTemporaryRedirect {
-				f.t.Errorf("node %d cannot know, and answers %s with %d %s after %v", c.order.node, c.name, status, text, took)
+				f.t.Errorf("node %d, which no majority confirms, answers %s with %d %s after %v", c.order.node, c.name, status, text, took)
 			} else if took > maxResponseTime {
 				f.t.Errorf("node %d answers %s after %v, limit %v", c.order.node, c.name, took, maxResponseTime)
 			}
@@ -103,8 +104,8 @@
 	all.Wait()
 }
 
-// requireOutcomeUnknownWhilePartitioned calls a partitioned node, wave after wave over more than the time in which it could take
-// itself for fresh, and polls its feed as well: an answer of that must not be old.
+// requireOutcomeUnknownWhilePartitioned sends requests to a partitioned node in waves, for longer than the node may
+// consider itself up to date, and polls its feed as well, which must not return stale data.
 func (f *fleet) requireOutcomeUnknownWhilePartitioned(i int) {
 	f.t.Helper()
 	const waves, apart = 8, 110 * time.Millisecond
@@ -120,7 +121,7 @@
 	all.Wait()
 }
 
-// startOperators has callers read and change at any node until stop is called.
+// startOperators runs callers that read and change the configuration at random nodes until stop is called.
 func (f *fleet) startOperators(seed uint64, nodes ...int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -137,11 +138,11 @@
 					continue
 				}
 				round++
-				body := variant(on+1+int64(r.IntN(2)), 1000+round*2+op) // one number for two changes, at times
+				body := variant(on+1+int64(r.IntN(2)), 1000+round*2+op) // at times two changes have the same version
 				if r.IntN(4) == 0 {
-					body = variant(on+1, 0) // the very same change as the other's, at times
+					body = variant(on+1, 0) // at times both callers send the same change
 				}
-				for range 3 { // again as it was, to any node, while the answer is not clear
+				for range 3 { // retry at a random node while the outcome is unknown
 					if got := f.put(nodes[r.IntN(len(nodes))], on, body); got == http.StatusOK || got >= 400 && got < 500 {
 						break
 					}
@@ -152,8 +153,8 @@
 	return func() { cancel(); all.Wait() }
 }
 
-// startFollower runs a follower whose first source is a node, and notes what it acts on; it reaches all nodes directly. Its
-// seeds are the three that all are told of, or that first node alone.
+// startFollower runs a follower whose first source is a given node, and records the versions that it uses. It reaches
+// all nodes directly. Its seeds are the three seeds of the fleet, or that first node alone.
 func (f *fleet) startFollower(first int, alone bool) (startFollower *feed.Follower, stop func()) {
 	f.t.Helper()
 	seeds := []int{0, 1, 2}
@@ -163,7 +164,7 @@
 	return f.startFollowerWithClients(&rpc.Clients{}, first, seeds...)
 }
 
-// startFollowerWithClients runs a follower that calls nodes by some clients, which it closes.
+// startFollowerWithClients runs a follower that uses the given clients; stop closes them.
 func (f *fleet) startFollowerWithClients(calls *rpc.Clients, first int, seeds ...int) (follower *feed.Follower, stop func()) {
 	f.t.Helper()
 	s, err := process.Parse([]byte(f.settings(first, false)))
@@ -201,17 +202,17 @@
 	return follower, func() { cancel(); calls.Close(); all.Wait() }
 }
 
-// awaitNewestActive waits until a follower acts on the newest version.
+// awaitNewestActive waits until a follower uses the newest version.
 func (f *fleet) awaitNewestActive(follower *feed.Follower) {
 	f.t.Helper()
 	newest, _ := f.hist.newest()
-	f.until(fmt.Sprintf("the follower acts on version %d", newest), func() bool {
+	f.until(fmt.Sprintf("the follower uses version %d", newest), func() bool {
 		now := follower.Tables().Config
 		return now != nil && now.Version >= newest
 	})
 }
 
-// newLoggedSeed returns a seed and logs it.
+// newLoggedSeed returns a seed, which it logs, and a generator with that seed.
 func newLoggedSeed(t *testing.T) (seed uint64, r *rand.Rand) {
 	seed = uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -29,42 +29,42 @@
 	portStrides = 1000
 
 	retryPause  = 15 * time.Millisecond
-	waitTimeout = 15 * time.Second // for anything that is waited for
+	waitTimeout = 15 * time.Second // of until
 	catchUp     = 4200 * time.Millisecond
 
-	callerTimeout = 1500 * time.Millisecond // after which a caller takes a node for dead
+	callerTimeout = 1500 * time.Millisecond // after which a caller considers a node dead
 
-	// maxResponseTime is the second after which a caller takes a node for dead, with what a busy machine adds to it.
+	// maxResponseTime is the second after which a caller considers a node dead, plus an allowance for a busy machine.
 	maxResponseTime = time.Second + 400*time.Millisecond
 )
 
-// fleet is core nodes as processes, each ordered pair of which talks through a relay, and the history of their callers.
-// Callers reach a node directly: a cut is between nodes alone.
+// fleet is a set of core nodes in their own processes, with a relay for each ordered pair of nodes, and the history of
+// their callers. Callers reach a node directly: partitions affect only the links between nodes.
 type fleet struct {
 	t              *testing.T
 	n              int
-	faultTolerance int // at once, to be borne
-	basePort       int // the control port; the port range begins above it
+	faultTolerance int // how many machines may be lost at once
+	basePort       int // the control port; the port range starts above it
 	dirs           []string
 	nodes          []*childProcess
 	relays         map[[2]int]*cutproxy.Relay // from, to
-	out            []*cutproxy.Bucket         // what leaves a node
-	in             []*cutproxy.Bucket         // what comes to it
+	out            []*cutproxy.Bucket         // rate limit of the data that a node sends
+	in             []*cutproxy.Bucket         // rate limit of the data that a node receives
 	hist           *history
 	http           *http.Client
 	calls          *rpc.Clients
 
-	extraTimingBounds string             // of timing_bounds, each after a comma
-	extraSettings     func(i int) string // lines of a node's settings; nil for none
+	extraTimingBounds string             // of timing_bounds, each preceded by a comma
+	extraSettings     func(i int) string // returns additional lines of a node's settings; nil for none
 }
 
-// newFleet starts n nodes out of room for more, and waits until all of them are caught-up members.
+// newFleet starts n nodes of a fleet with the given capacity, and waits until all of them are caught-up members.
 func newFleet(t *testing.T, n, capacity int) *fleet {
 	t.Helper()
 	return newFleetWith(t, n, capacity, func(*fleet) {})
 }
 
-// newFleetWith is newFleet for a fleet that is prepared by a function before its nodes start.
+// newFleetWith is newFleet with a function that prepares the fleet before its nodes start.
 func newFleetWith(t *testing.T, n, capacity int, prepare func(f *fleet)) *fleet {
 	t.Helper()
 	f := &fleet{t: t, n: capacity, faultTolerance: (n - 1) / 2, basePort: findFreePorts(t), dirs: make([]string, capacity), nodes: make([]*childProcess, capacity), relays: map[[2]int]*cutproxy.Relay{},
@@ -93,8 +93,8 @@
 	return f
 }
 
-// findFreePorts gives the first of some ports that are free on all addresses. They lie below those that the system gives to
-// whoever asks for any: nodes start again and again at their ports, and another program's :0 must not take them meanwhile.
+// findFreePorts returns the first port of a range that is free on all addresses. The range is below the ephemeral
+// ports: nodes restart on their ports, which another program that listens on port 0 must not get meanwhile.
 func findFreePorts(t *testing.T) int {
 	t.Helper()
 	for range 100 {
@@ -112,7 +112,7 @@
 			return base
 		}
 	}
-	t.Fatal("no free ports: end what listens between ", firstPort, " and ", firstPort+portStride*portStrides)
+	t.Fatal("no free ports: stop the programs that listen between ", firstPort, " and ", firstPort+portStride*portStrides)
 	return 0
 }
 
@@ -125,7 +125,7 @@
 	f.relays[[2]int{from, to}] = r
 }
 
-// checkHistory checks the history, and logs the output of the nodes where something is broken.
+// checkHistory checks the history, and logs the output of the nodes if the test has failed.
 func (f *fleet) checkHistory() {
 	for _, b := range f.hist.check() {
 		f.t.Error(b)
@@ -155,7 +155,7 @@
 	return nodes
 }
 
-// allExcept returns the nodes that run, without those named.
+// allExcept returns the running nodes except the given ones.
 func (f *fleet) allExcept(without ...int) []int {
 	return slices.DeleteFunc(f.all(), func(i int) bool { return slices.Contains(without, i) })
 }
@@ -171,7 +171,7 @@
 		i, f.ip(i), f.control(i), f.basePort+1, f.basePort+10, f.control(0), f.control(1), f.control(2), bootstrap, f.dirs[i], f.faultTolerance, f.extraTimingBounds, more)
 }
 
-// start starts a node; the settings name it as a newcomer unless bootstrap is set.
+// start starts a node, which joins an existing cluster unless bootstrap is set.
 func (f *fleet) start(i int, bootstrap bool) {
 	f.t.Helper()
 	var routes []string
@@ -185,7 +185,7 @@
 
 func (f *fleet) kill(i int) { f.nodes[i].kill(); f.nodes[i] = nil }
 
-// terminate ends nodes in order, all at once, and waits for their ends.
+// terminate shuts nodes down gracefully, all at the same time, and waits until they have exited.
 func (f *fleet) terminate(nodes ...int) {
 	f.t.Helper()
 	for _, i := range nodes {
@@ -195,13 +195,13 @@
 		select {
 		case <-f.nodes[i].done:
 		case <-time.After(waitTimeout):
-			f.t.Fatalf("node %d does not end after SIGTERM", i)
+			f.t.Fatalf("node %d does not exit after SIGTERM", i)
 		}
 		f.nodes[i] = nil
 	}
 }
 
-// wipe gives a node that is down an empty disk.
+// wipe gives a stopped node an empty disk.
 func (f *fleet) wipe(i int) {
 	if err := os.RemoveAll(f.dirs[i]); err != nil {
 		f.t.Fatal(err)
@@ -209,8 +209,8 @@
 	f.dirs[i] = f.t.TempDir()
 }
 
-// blockInbound keeps from a node all that others send; blockOutbound keeps from the others all that it sends.
-// Calls and their answers go on connections of either side.
+// blockInbound blocks everything that other nodes send to a node; blockOutbound blocks everything that it sends to
+// them. Requests and responses use connections opened by either side.
 func (f *fleet) blockInbound(i int) {
 	f.forEachLink(i, func(mine, theirs *cutproxy.Relay) { mine.Hold(cutproxy.Backward); theirs.Hold(cutproxy.Forward) })
 }
@@ -221,7 +221,7 @@
 
 func (f *fleet) partition(i int) { f.blockInbound(i); f.blockOutbound(i) }
 
-// forEachLink calls do with the relays from a node to each other one, and back.
+// forEachLink calls do for each other node, with the relay from the node to it and the relay back.
 func (f *fleet) forEachLink(i int, do func(mine, theirs *cutproxy.Relay)) {
 	for j := range f.n {
 		if j != i {
@@ -230,7 +230,7 @@
 	}
 }
 
-// partitionGroups cuts the links between the nodes of a side and the others.
+// partitionGroups blocks the links between the given nodes and all others.
 func (f *fleet) partitionGroups(side ...int) {
 	for pair, r := range f.relays {
 		if slices.Contains(side, pair[0]) != slices.Contains(side, pair[1]) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// heal unblocks all links. Bytes that were blocked are delivered, or lost with their connections.
+// heal unblocks all links. Blocked bytes are delivered, or lost with their connections if lose is set.
 func (f *fleet) heal(lose bool) {
 	for _, r := range f.relays {
 		if lose {
@@ -251,7 +251,7 @@
 	}
 }
 
-// until calls done, with pauses, until it returns true.
+// until calls done periodically until it returns true, for at most waitTimeout.
 func (f *fleet) until(what string, done func() bool) { f.t.Helper(); f.within(waitTimeout, what, done) }
 
 func (f *fleet) within(limit time.Duration, what string, done func() bool) time.Duration {
@@ -272,7 +272,7 @@
 	return time.Since(began)
 }
 
-// call calls a node as an operator does; status 0 is no answer.
+// call sends an operator's request to a node; status 0 means no response.
 func (f *fleet) call(i int, method, path, match string, body []byte) (int, string) {
 	req, err := http.NewRequest(method, "http://"+f.control(i)+path, bytes.NewReader(body))
 	if err != nil {
@@ -293,7 +293,7 @@
 	return resp.StatusCode, string(b)
 }
 
-// put sends a change to a node once, and notes the answer.
+// put sends a change to a node once, and records the response in the history.
 func (f *fleet) put(i int, on int64, body string) int {
 	o := observedPut{node: i, on: on, version: versionOf(body), body: body}
 	o.began = f.hist.now()
@@ -303,7 +303,7 @@
 	return o.status
 }
 
-// read reads from a node once, and notes the answer.
+// read reads the configuration from a node once, and records the response in the history.
 func (f *fleet) read(i int) (status int, version int64) {
 	r := observedRead{where: fmt.Sprintf("node %d", i)}
 	r.began = f.hist.now()
@@ -319,8 +319,7 @@
 	return status, r.version
 }
 
-// readFeed polls the feed of a node from the start, as a new follower does, and records an answer that is
-// confirmed.
+// readFeed polls the feed of a node from the start, as a new follower does, and records a confirmed response.
 func (f *fleet) readFeed(i int) (fresh bool, version int64) {
 	r := observedRead{where: fmt.Sprintf("feed of node %d", i), feed: true}
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
@@ -342,7 +341,7 @@
 	return true, r.version
 }
 
-// status returns the status that a node reports; nil for no answer.
+// status returns the status that a node reports; nil for no response.
 func (f *fleet) status(i int) *Status {
 	code, text := f.call(i, http.MethodGet, "/api/status", "", nil)
 	s := new(Status)
@@ -352,7 +351,7 @@
 	return s
 }
 
-// voters are the names of the voters that a node knows.
+// voters returns the names of the voters in a node's view.
 func (f *fleet) voters(i int) (names []string) {
 	if s := f.status(i); s != nil {
 		for _, v := range s.Voters {
@@ -362,21 +361,21 @@
 	return names
 }
 
-// isMember reports whether a node reports that it is a member of the chain that has all that was committed.
+// isMember reports whether a node has all committed entries according to its status, see hasReplica.
 func (f *fleet) isMember(i int) bool {
 	s := f.status(i)
 	return s != nil && f.hasReplica(s)
 }
 
-// hasReplica reports whether a node has all that is committed: as a member of the chain, or, where that has as many as it should, as a
-// learner.
+// hasReplica reports whether a node has all committed entries: as a member of the chain, or as a learner if the chain
+// is complete.
 func (f *fleet) hasReplica(s *Status) bool {
 	inChain := slices.Contains(s.Chain, s.Node)
 	return s.Fresh && !s.Promised && (inChain || len(s.Chain) >= ChainLength(f.faultTolerance) && s.Role == RoleLearner)
 }
 
-// allMembers reports whether all nodes that run report the same: one view, whose chain has as many as it should, and each of them with
-// all that is committed.
+// allMembers reports whether all running nodes report the same view with a complete chain, and each has all committed
+// entries.
 func (f *fleet) allMembers() bool {
 	epoch, chain := int64(0), []string(nil)
 	for _, i := range f.all() {
@@ -397,8 +396,8 @@
 	f.until(fmt.Sprintf("node %d is a caught-up member", i), func() bool { return f.isMember(i) })
 }
 
-// change has one more version acknowledged, at the nodes given, sent until there is a clear answer. It builds on the
-// newest version; where another change took that place, one without a clear answer, it reads and builds on that.
+// change puts one more version at the given nodes and retries until it is acknowledged. The version is based on the
+// newest one; if another change whose outcome was unknown is in force instead, it reads that one and builds on it.
 func (f *fleet) change(tag int, nodes ...int) (version int64) {
 	f.t.Helper()
 	on, _ := f.hist.newest()
@@ -417,12 +416,12 @@
 	return on + 1
 }
 
-// variant is a configuration of a version that differs by tag.
+// variant returns a configuration of a version that depends on tag.
 func variant(version int64, tag int) string {
 	return strings.Replace(string(config(int(version))), `"name":"r"`, `"name":"r`+strconv.Itoa(tag)+`"`, 1)
 }
 
-// head is the node that all of the nodes given agree to be the head.
+// head returns the node that all of the given nodes report as the head.
 func (f *fleet) head(nodes ...int) (head int) {
 	f.t.Helper()
 	f.until(fmt.Sprintf("nodes %v agree on the head", nodes), func() bool {
@@ -441,7 +440,7 @@
 	return head
 }
 
-// requireCaughtUp waits until each node is a caught-up member and reads what is newest.
+// requireCaughtUp waits until each node is a caught-up member and returns the newest version.
 func (f *fleet) requireCaughtUp(nodes ...int) {
 	f.t.Helper()
 	for _, i := range nodes {
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -30,22 +30,22 @@
 	"larchrouter/internal/tier/view"
 )
 
-// writeFixtures has tests write the fixtures under testdata that are missing. A fixture holds the bytes of a format as they
-// were when it was first used: it is written once and never rewritten, least of all for a rename. Whoever changes a format on
-// purpose adds a new fixture beside the old one.
-var writeFixtures = flag.Bool("fixtures.write", false, "write the fixtures under testdata that are missing; those that are there stay as they are")
+// writeFixtures makes tests write missing fixtures under testdata. A fixture contains the bytes of a format at its
+// first use: it is written once and never rewritten, in particular not for a rename. An intended change of a format
+// adds a new fixture next to the old one.
+var writeFixtures = flag.Bool("fixtures.write", false, "write the missing fixtures under testdata; existing ones are not changed")
 
 const (
 	sideRequest = "request"
 	sideReply   = "reply"
-	sideStored  = "stored" // the value of an entry of the control state, or of a row on disk: method 0
+	sideStored  = "stored" // the value of an entry of the control state or of a row on disk; its method is 0
 )
 
-// big is beyond 32 bits, so that a field that is made narrower does not pass.
+// big exceeds 32 bits, so that the tests detect a field that is made narrower.
 const big = 1 << 40
 
-// encodedValue is one body of a frame, or one value: its method's number, a name for people, which way it goes, and the value that
-// its bytes mean.
+// encodedValue is the body of a frame or a stored value: the number of its method, a descriptive name, its side, and
+// the decoded value.
 type encodedValue struct {
 	method rpc.Method
 	name   string
@@ -55,11 +55,11 @@
 
 func (e encodedValue) key() string { return fmt.Sprintf("%d %s %s", e.method, e.name, e.side) }
 
-// messageKinds are the kinds of messages between core nodes by their numbers, which are on the wire.
+// messageKinds are the names of the kinds of messages between core nodes, by the numbers that are on the wire.
 var messageKinds = []string{"heartbeat", "prepare", "promise", "accept", "accepted", "decide", "update", "ack", "confirm", "confirmed", "host list", "learn", "learned"}
 
-// allEncoded are all that core nodes, followers and stores send each other through core nodes, and what core nodes keep.
-// Numbers are literals on purpose: they are on the wire.
+// allEncoded returns a value of each kind that core nodes exchange with each other, with followers and with stores, and
+// of each kind that core nodes store. Numbers are literals since they are on the wire.
 func allEncoded() []encodedValue {
 	host := discovery.Host{ID: "host", Service: "service", Addr: "addr", Zone: "zone", Capacity: big + 31, Phase: "phase", WarmupMs: big + 32, Models: []string{"model-1", "model-2"}}
 	list := discovery.List{Term: big + 33, Number: big + 34, Hosts: []discovery.Host{host}}
@@ -131,7 +131,7 @@
 	return all
 }
 
-// boolMessages tell booleans of one struct apart, each of which is true in allEncoded.
+// boolMessages distinguish the booleans of a struct, all of which are true in allEncoded.
 var boolMessages = []encodedValue{
 	{1, "peer, sealed", sideRequest, &Message{Promised: true}},
 	{1, "peer, leaving", sideRequest, &Message{Leaving: true}},
@@ -177,8 +177,9 @@
 		Outcomes: outcomes(big + 70)}
 }
 
-// The bytes of each message are those of the code before it was renamed: Avro has fields in their order and without names, so
-// that a field that was moved, added, dropped or given another type shows here and nowhere else.
+// The encoding of each message and stored value must stay compatible with earlier releases. Avro encodes fields in
+// their order and without names, so that only this test detects a field that was moved, added, dropped or given another
+// type.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	path := filepath.Join("testdata", "frames.txt")
 	if *writeFixtures {
@@ -203,20 +204,21 @@
 		}
 		got := reflect.New(reflect.TypeOf(e.value).Elem()).Interface()
 		if err := rpc.Decode(old, got); err != nil {
-			t.Errorf("%s: the old bytes: %v", e.key(), err)
+			t.Errorf("%s: decode the fixture: %v", e.key(), err)
 		} else if !equalValues(got, e.value) {
-			t.Errorf("%s: the old bytes mean %+v, want %+v", e.key(), got, e.value)
+			t.Errorf("%s: the fixture is decoded as %+v, want %+v", e.key(), got, e.value)
 		}
 		if now := rpc.Encode(e.value); !bytes.Equal(now, old) {
-			t.Errorf("%s is encoded as\n%x, was\n%x", e.key(), now, old)
+			t.Errorf("%s is encoded as\n%x, the fixture is\n%x", e.key(), now, old)
 		}
 	}
 	for key := range fixtures {
-		t.Errorf("nothing is held against the fixture %q", key)
+		t.Errorf("no value is compared with the fixture %q", key)
 	}
 }
 
-// openSingleCore is a core node that is the only one, so that it decides by itself. It serves no port.
+// openSingleCore opens the only core node of a cluster, which decides by itself, and waits until it is the head. It
+// serves no port.
 func openSingleCore(t *testing.T) *Server {
 	t.Helper()
 	text := fmt.Sprintf("node_name: core-1\nip_addr: 127.0.0.1\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '127.0.0.1:20000'}\n"+
@@ -244,7 +246,7 @@
 	return c
 }
 
-// Each method that a core node serves has fixtures, and takes and gives the types that they are of.
+// Each method that a core node serves has fixtures, whose types are those of its request and its reply.
 func TestEachMethodHasFixtures(t *testing.T) {
 	find := func(method rpc.Method, side string) any {
 		for _, e := range allEncoded() {
@@ -255,7 +257,7 @@
 		t.Errorf("method %d has no %s among the fixtures", method, side)
 		return nil
 	}
-	const peerMessage = 1 // it has no answer
+	const peerMessage = 1 // has no reply
 	c := openSingleCore(t)
 	handlers := c.handlers()
 	for method, handle := range handlers {
@@ -270,22 +272,22 @@
 		if err != nil {
 			t.Errorf("method %d: %v", method, err)
 		} else if reflect.TypeOf(got) != reflect.TypeOf(want) {
-			t.Errorf("method %d answers with %T, the fixture is of %T", method, got, want)
+			t.Errorf("method %d replies with %T, the fixture is a %T", method, got, want)
 		}
 	}
 	c.stop()
-	c.wg.Wait() // the notice is not to be acted on
+	c.wg.Wait() // so that the peer message is not handled
 	if got, err := handlers[peerMessage](t.Context(), rpc.Encode(find(peerMessage, sideRequest))); got != nil || err != nil {
-		t.Errorf("the notice of a peer ends in %v, %v", got, err)
+		t.Errorf("a peer message returns %v, %v", got, err)
 	}
 	for _, e := range allEncoded() {
 		if e.method != 0 && handlers[e.method] == nil {
-			t.Errorf("nothing serves %s", e.key())
+			t.Errorf("no handler serves %s", e.key())
 		}
 	}
 }
 
-// The numbers of methods, kinds of messages and states of pieces are on the wire.
+// The numbers of methods, message kinds and chunk statuses are on the wire.
 func TestWireNumbersAreUnchanged(t *testing.T) {
 	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutCall, feed.ReadCall, feed.RegisterCall, feed.RetireCall, feed.PhaseCall, feed.StatusCall, feed.ChangesCall, feed.ChunkCall,
 		feed.HealthCall, feed.UsageCall, feed.LeaseReleaseCall, feed.ClockCall, feed.DutiesCall}
@@ -294,15 +296,15 @@
 	}
 	kinds := []int{msgHeartbeat, msgPrepare, msgPromise, msgAccept, msgAccepted, msgDecide, msgChainUpdate, msgChainAck, msgConfirm, msgConfirmed, msgHostList, msgLearnerUpdate, msgLearnerAck}
 	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !reflect.DeepEqual(kinds, want) {
-		t.Errorf("kinds of messages are %v, want %v", kinds, want)
+		t.Errorf("message kinds are %v, want %v", kinds, want)
 	}
 	pieces := []int{feed.ChunkServed, feed.ChunkUnknown, feed.ChunkBusy}
 	if want := []int{0, 1, 2}; !reflect.DeepEqual(pieces, want) {
-		t.Errorf("states of pieces are %v, want %v", pieces, want)
+		t.Errorf("chunk statuses are %v, want %v", pieces, want)
 	}
 }
 
-// The status of a core node goes to operators, and to larch-control, as JSON.
+// Operators and larch-control get the status of a core node as JSON, whose keys must not change.
 func TestStatusKeepsItsJSON(t *testing.T) {
 	path := filepath.Join("testdata", "status.json")
 	now, err := json.MarshalIndent(fullStatus(), "", "  ")
@@ -320,15 +322,15 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(now, old) {
-		t.Errorf("the status is\n%s\nwas\n%s", now, old)
+		t.Errorf("the status is\n%s\nthe fixture is\n%s", now, old)
 	}
 	var got Status
 	if err := json.Unmarshal(old, &got); err != nil || !reflect.DeepEqual(&got, fullStatus()) {
-		t.Errorf("the old status is read as %+v (%v)", got, err)
+		t.Errorf("the fixture of the status is decoded as %+v (%v)", got, err)
 	}
 }
 
-// An operator, and larch-control, are told in JSON what became of an order.
+// Operators and larch-control get the outcome of an order as JSON, whose keys must not change.
 func TestRepliesKeepTheirJSON(t *testing.T) {
 	for _, one := range []struct {
 		reply feed.Reply
@@ -341,12 +343,12 @@
 		w := httptest.NewRecorder()
 		writeReply(w, &one.reply)
 		if got := w.Body.String(); got != one.want || w.Code != one.reply.Status {
-			t.Errorf("told %d %s, want %s", w.Code, got, one.want)
+			t.Errorf("response %d %s, want %s", w.Code, got, one.want)
 		}
 	}
 }
 
-// readFrames reads lines of a message's key and its bytes in hexadecimal.
+// readFrames reads a file of lines, each with the key of a message and its bytes in hexadecimal.
 func readFrames(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -365,14 +367,14 @@
 			t.Fatalf("%s: line %q: %v", path, line, err)
 		}
 		if frames[line[:at]] != nil {
-			t.Fatalf("%s: %q is there twice", path, line[:at])
+			t.Fatalf("%s: %q occurs twice", path, line[:at])
 		}
 		frames[line[:at]] = b
 	}
 	return frames
 }
 
-// writeMissingFrames adds the messages that a file of fixtures does not have.
+// writeMissingFrames adds the messages that are missing in a file of fixtures.
 func writeMissingFrames(t *testing.T, path string, all []encodedValue) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -393,8 +395,8 @@
 	}
 }
 
-// requireAllSet makes sure that no field of a fixture is zero, and that no two numbers or strings of it are the same: else a
-// field that was dropped, or two that changed places, might not show.
+// requireAllSet checks that no field of a fixture is zero and that no two of its numbers or strings are equal.
+// Otherwise a dropped field, or two swapped ones, might go undetected.
 func requireAllSet(t *testing.T, what string, value any) {
 	t.Helper()
 	seen := map[any]bool{}
@@ -412,7 +414,7 @@
 		}
 		var leaf any
 		switch {
-		case path == ".Kind": // of a Message: its numbers begin with 0
+		case path == ".Kind": // of a Message, whose kinds start with 0
 			return
 		case v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0:
 			t.Errorf("%s: %s is not set", what, path)
@@ -439,8 +441,8 @@
 	walk("", reflect.ValueOf(value))
 }
 
-// requireBoolsDistinguished makes sure that two booleans of a struct that changed places would show: wherever a struct has several,
-// there is a message for each in which it alone is true.
+// requireBoolsDistinguished checks that two swapped booleans of a struct would be detected: if a struct has several,
+// there must be a message for each in which only that one is true.
 func requireBoolsDistinguished(t *testing.T, full, single []any) {
 	t.Helper()
 	type field struct {
@@ -485,18 +487,19 @@
 	}
 	for f := range needed {
 		if !found[f] {
-			t.Errorf("%v has several booleans: add a message in which %s alone is true", f.of, f.name)
+			t.Errorf("%v has several booleans: add a message in which only %s is true", f.of, f.name)
 		}
 	}
 }
 
-// equalValues compares what was decoded with what is meant. Where nothing is meant, as in a message of one boolean, an empty
-// slice is as good as none: their bytes are the same.
+// equalValues compares a decoded value with the expected one. Empty and nil slices are equal, since their encodings are
+// the same.
 func equalValues(got, want any) bool {
 	return reflect.DeepEqual(got, want) || reflect.DeepEqual(clearEmptySlices(got), clearEmptySlices(want))
 }
 
-// clearEmptySlices clears the empty slices among the fields of the struct that v points to, and of those in it.
+// clearEmptySlices sets the empty slices among the fields of the struct that v points to, and of nested structs, to
+// nil.
 func clearEmptySlices(v any) any {
 	var walk func(v reflect.Value)
 	walk = func(v reflect.Value) {
--- a/internal/tier/controlnode/health_role_test.go
+++ b/internal/tier/controlnode/health_role_test.go
@@ -15,7 +15,8 @@
 	"larchrouter/internal/tier/hosthealth"
 )
 
-// startPlatform is a platform that lists six hosts of a service; prefix begins their ids.
+// startPlatform starts a platform that lists six hosts of a service, whose IDs start with prefix, and returns its
+// address.
 func startPlatform(t *testing.T, prefix *atomic.Value) string {
 	t.Helper()
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -29,7 +30,7 @@
 	return platform.Listener.Addr().String()
 }
 
-// awaitPhase waits until a follower's list has a host in a phase.
+// awaitPhase waits until a follower's list contains a host in the given phase.
 func awaitPhase(t *testing.T, f *feed.Follower, host, phase string) {
 	t.Helper()
 	limit := time.NewTimer(20 * time.Second)
@@ -51,7 +52,7 @@
 	}
 }
 
-// reportFailures has a front report failures of a host until the call is taken.
+// reportFailures reports failures of a host as a front does, and retries until a report is accepted.
 func reportFailures(t *testing.T, f *feed.Follower, host string) {
 	t.Helper()
 	var err error
@@ -62,11 +63,11 @@
 			return
 		}
 	}
-	t.Fatalf("no report is taken: %v", err)
+	t.Fatalf("no report is accepted: %v", err)
 }
 
-// The reports of two fronts, whichever nodes they follow, eject a host for all; the verdict ends by itself, and does not pass to
-// another incarnation.
+// The reports of two fronts, whichever nodes they poll, eject a host for all fronts. The ejection expires, and does not
+// apply to another incarnation of the host.
 func TestReportsOfTwoFrontsEjectHostForAll(t *testing.T) {
 	var prefix atomic.Value
 	prefix.Store("i")
@@ -75,7 +76,7 @@
 		t.Fatal(got)
 	}
 	var followers []*feed.Follower
-	for i := range 4 { // their orders of nodes differ
+	for i := range 4 { // they poll the nodes in different orders
 		f, stop := c.follow(fmt.Sprint("front-", i))
 		defer stop()
 		followers = append(followers, f)
@@ -90,21 +91,22 @@
 		awaitPhase(t, f, "i2", discovery.Ready)
 	}
 	if text := c.logs.String(); strings.Count(text, `msg="host ejected" host=i3 service=s`) != 1 {
-		t.Errorf("the verdict is not logged once:\n%s", text)
+		t.Errorf("the ejection is not logged exactly once:\n%s", text)
 	}
 	awaitPhase(t, followers[2], "i3", discovery.Probation)
 	awaitPhase(t, followers[2], "i3", discovery.Ready)
 	reportFailures(t, followers[0], "i4")
 	prefix.Store("j")
 	awaitPhase(t, followers[2], "j4", discovery.Ready)
-	reportFailures(t, followers[1], "i4") // late, of the incarnation before
+	reportFailures(t, followers[1], "i4") // a late report about the previous incarnation
 	if err := followers[3].ReportHealth(context.Background(), []hosthealth.Observation{{Host: "j4", Failures: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	awaitPhase(t, followers[2], "j4", discovery.Ready)
 }
 
-// The head goes between two reports: the next head begins without them, and ejects by those that it gets itself.
+// The head crashes between two reports: the new head starts without the earlier one, and ejects hosts by the reports
+// that it receives itself.
 func TestNewHeadStartsWithoutEarlierHealthReports(t *testing.T) {
 	var prefix atomic.Value
 	prefix.Store("i")
@@ -119,7 +121,7 @@
 	awaitPhase(t, one, "i0", discovery.Ready)
 	term := one.Tables().Hosts.Term
 	reportFailures(t, one, "i0")
-	c.crashNode[0]() // the head, as the founding order has it
+	c.crashNode[0]() // the head: the first seed is the first of the initial chain
 	limit := time.Now().Add(20 * time.Second)
 	for one.Tables().Hosts.Term == term && time.Now().Before(limit) {
 		time.Sleep(20 * time.Millisecond)
@@ -128,7 +130,7 @@
 	time.Sleep(3 * minHealthInterval)
 	for _, h := range two.Tables().Hosts.Hosts {
 		if h.Phase != discovery.Ready {
-			t.Errorf("%s is %s by one report", h.ID, h.Phase)
+			t.Errorf("%s is %s after one report", h.ID, h.Phase)
 		}
 	}
 	reportFailures(t, one, "i0")
--- a/internal/tier/controlnode/large_test.go
+++ b/internal/tier/controlnode/large_test.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	megabit             = 1e6 / 8 // bytes a second
+	megabit             = 1e6 / 8 // bytes per second
 	largeNameLength     = 4 << 10
 	raceSlowdown        = 5
 	largeRequestTimeout = 10 * time.Second
 
-	// rejoinTimeout ends a return that does not come about at all. Those that take longer than the contract says fail as well.
+	// rejoinTimeout ends the wait for a node that does not rejoin at all. One that takes longer than catchUp fails as
+	// well.
 	rejoinTimeout = time.Minute
 )
 
-// longNamesConfig is a configuration of a version that is large by the length of its names rather than by its routes: what is
-// measured is how it travels, not how it is parsed.
+// longNamesConfig returns a configuration that is large because of long names rather than many routes, so that the test
+// measures its transfer rather than its parsing.
 func longNamesConfig(version, size int) string {
 	var b strings.Builder
 	long := strings.Repeat("x", largeNameLength)
@@ -38,12 +39,13 @@
 	return b.String()
 }
 
-// TestLargeStateCatchesUpOverSlowLinks: a wiped node, and one that missed a large change, are members again within the
-// contract's time while all links are thin; the others go on meanwhile. On the thinner links a change takes longer than
-// what a member may lack to count as caught up: one that joined without it held up all writes, and views changed in turns.
+// TestLargeStateCatchesUpOverSlowLinks checks that a wiped node, and one that missed a large change, are members again
+// within catch_up_s over slow links, while the others continue. On the slower links the transfer of a change takes
+// longer than the lag with which a member counts as caught up: a member that joined without the change blocked all
+// writes, and views changed repeatedly.
 //
-// It runs alone, since the limit is of time and parsing takes the processor. Under the race detector, which makes each byte
-// dear, the state is a fifth; the limit stays.
+// It does not run in parallel with other tests, since it limits the time and parsing needs CPU time. The state is a
+// fifth under the race detector, which slows the processing of each byte down; the limit is the same.
 func TestLargeStateCatchesUpOverSlowLinks(t *testing.T) {
 	for name, links := range map[string]struct {
 		size int
@@ -85,16 +87,16 @@
 		large(0, 1)
 	}
 	large(f.all()...)
-	f.requireRejoinInTime(fmt.Sprintf("its disk was lost, %d KB of state", size>>10), linkRate, wiped)
-	f.requireRejoinInTime(fmt.Sprintf("it was long away, %d KB of state", size>>10), linkRate, away)
+	f.requireRejoinInTime(fmt.Sprintf("after a disk loss, %d KB of state", size>>10), linkRate, wiped)
+	f.requireRejoinInTime(fmt.Sprintf("after a missed change, %d KB of state", size>>10), linkRate, away)
 }
 
-// maxRejoinAttempts is how often a return is played where the machine kept the processes back.
+// maxRejoinAttempts is the number of attempts if the test machine starves the processes of CPU time.
 const maxRejoinAttempts = 3
 
-// requireRejoinInTime has the third node go and come back over thin links: it is a member again within the contract's time. A return that
-// took longer while a thread of the nodes or of this process, which carries their links, measurably waited for a
-// processor says nothing, and is played again.
+// requireRejoinInTime makes the third node leave and return over slow links, and requires that it is a member again
+// within catch_up_s. An attempt that took longer while a thread of the nodes, or of this process, which relays their
+// links, measurably waited for a CPU is inconclusive and is repeated.
 func (f *fleet) requireRejoinInTime(what string, linkRate float64, goes func()) {
 	f.t.Helper()
 	for play := 1; ; play++ {
@@ -103,9 +105,9 @@
 		f.start(2, false)
 		processes := f.pids()
 		watch := starvation.Start(func() []int { return processes })
-		took := f.within(rejoinTimeout, "the node is a member of one chain with all others again: "+what, f.allMembers)
+		took := f.within(rejoinTimeout, "the node is in the same chain as all others again: "+what, f.allMembers)
 		waited := watch.Stop()
-		f.t.Logf("%s: a member again after %v, limit %v; a thread waited %v at most for a processor in %v",
+		f.t.Logf("%s: a member again after %v, limit %v; a thread waited at most %v for a CPU in %v",
 			what, took, catchUp, waited, starvation.Interval)
 		f.setLinkRate(0)
 		f.requireCaughtUp(2)
@@ -113,12 +115,12 @@
 		case took <= catchUp:
 			return
 		case waited < starvation.Limit || play == maxRejoinAttempts:
-			f.t.Fatalf("%s: a member again after %v, limit %v, in play %d", what, took, catchUp, play)
+			f.t.Fatalf("%s: a member again after %v, limit %v, in attempt %d", what, took, catchUp, play)
 		}
 	}
 }
 
-// pids are those of the nodes that run, and this one.
+// pids returns the process IDs of the running nodes and of this process.
 func (f *fleet) pids() []int {
 	all := []int{os.Getpid()}
 	for _, node := range f.nodes {
@@ -129,7 +131,7 @@
 	return all
 }
 
-// setLinkRate bounds the bytes a second of each node's link, each way; 0 is no bound.
+// setLinkRate limits the bytes per second of each node's link in each direction; 0 means no limit.
 func (f *fleet) setLinkRate(rate float64) {
 	for i := range f.n {
 		f.out[i].SetRate(rate)
--- a/internal/tier/controlnode/loss_test.go
+++ b/internal/tier/controlnode/loss_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-var rejoinCount = flag.Int("admissions", 1, "wiped core nodes of which the time until they are members again is measured")
+var rejoinCount = flag.Int("admissions", 1, "wiped core nodes whose time until they are members again is measured")
 
-// TestWipedNodeRejoinsInTime measures from the start of a process with an empty disk until it reports
-// itself a caught-up member. The contract counts it as lost for catch_up_s; the next loss may come right after.
+// TestWipedNodeRejoinsInTime measures the time from the start of a process with an empty disk until it reports that it
+// is a caught-up member. The contract counts the node as lost for catch_up_s; the next loss may occur immediately
+// after.
 func TestWipedNodeRejoinsInTime(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -26,11 +27,11 @@
 		f.requireCaughtUp(i)
 	}
 	slices.Sort(took)
-	t.Logf("%d admissions: median %v, worst %v; the contract: %v", len(took), took[len(took)/2], took[len(took)-1], catchUp)
+	t.Logf("%d rejoins: median %v, maximum %v, limit %v", len(took), took[len(took)/2], took[len(took)-1], catchUp)
 }
 
-// TestSecondLossAfterWipedNodeRejoined: the one that was wiped carries on with any other node lost right after it
-// reports itself a member, and that one may have been wiped before as well.
+// TestSecondLossAfterWipedNodeRejoined checks that another node may be lost as soon as a wiped node reports that it is
+// a member, even if the remaining node was wiped before as well.
 func TestSecondLossAfterWipedNodeRejoined(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -47,8 +48,9 @@
 	f.requireCaughtUp(2)
 }
 
-// TestSecondLossBeforeWipedNodeRejoined is earlier than the contract permits: what is left may answer nothing until the
-// second returns, and goes on as soon as it does, with nothing lost. The wiped node is kept from admission by a cut.
+// TestSecondLossBeforeWipedNodeRejoined loses a second node earlier than the contract permits. The remaining nodes must
+// not decide anything until the second node returns, and continue as soon as it does, with no write lost. A partition
+// delays the wiped node's admission.
 func TestSecondLossBeforeWipedNodeRejoined(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -60,18 +62,18 @@
 	f.change(2, 0, 2)
 	f.kill(2)
 	f.heal(false)
-	f.until("the node that is left knows that it reaches no majority", func() bool { s := f.status(0); return s != nil && !s.Fresh })
+	f.until("the remaining node reports that it reaches no majority", func() bool { s := f.status(0); return s != nil && !s.Fresh })
 	f.requireOutcomeUnknown(f.sendEachRequestKind(0, 0), time.Now())
 	f.requireOutcomeUnknown(f.sendEachRequestKind(1, 1), time.Now())
 	f.start(2, false)
-	f.within(catchUp, "versions go on once the second has returned", func() bool {
+	f.within(catchUp, "a change is acknowledged after the second node has returned", func() bool {
 		on, _ := f.hist.newest()
 		return f.put(0, on, variant(on+1, 3)) == 200
 	})
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestStateSurvivesRestartOfAllNodes: with their disks, and once more with one disk lost.
+// TestStateSurvivesRestartOfAllNodes kills and restarts all nodes, once with all disks and once with one disk lost.
 func TestStateSurvivesRestartOfAllNodes(t *testing.T) {
 	t.Parallel()
 	_, r := newLoggedSeed(t)
@@ -95,8 +97,8 @@
 	f.change(3, f.all()...)
 }
 
-// TestLossAfterPlannedReplacement: the successor comes first, the old node ends by SIGTERM, and as soon as it has
-// ended another is killed: the one that left in order counts no more.
+// TestLossAfterPlannedReplacement starts the successor of a node, then stops the old node by SIGTERM and kills another
+// one as soon as it has exited: a node that has shut down gracefully does not count as lost.
 func TestLossAfterPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 4)
@@ -111,8 +113,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestLossAfterReplacementOfLostNode: the successor of a node that is lost for good has catch_up_s to replace
-// it among the voters; another loss right after is tolerated.
+// TestLossAfterReplacementOfLostNode checks that the successor of a node that is lost for good replaces it among the
+// voters within catch_up_s, and that another loss immediately after is tolerated.
 func TestLossAfterReplacementOfLostNode(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 4)
@@ -128,8 +130,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestRepeatedDoubleLosses: five nodes that are to bear two losses. Two lose their disks at once, and as soon as
-// they are members again two others do; then all are killed at one instant, and two more disks are lost.
+// TestRepeatedDoubleLosses runs five nodes that tolerate two losses. Two nodes lose their disks at once, and two others
+// as soon as the first are members again; then all nodes are killed at the same instant, and two more disks are lost.
 func TestRepeatedDoubleLosses(t *testing.T) {
 	t.Parallel()
 	_, r := newLoggedSeed(t)
--- a/internal/tier/controlnode/operator_api.go
+++ b/internal/tier/controlnode/operator_api.go
@@ -20,7 +20,7 @@
 const (
 	configPath       = "/api/config"
 	maxConfigBody    = 32 << 20
-	maxForwardedBody = 256 << 10 // a larger one, sent over a second 30 Mbit/s link, takes too much of the second that callers wait
+	maxForwardedBody = 256 << 10 // a larger one would have to cross a second 30 Mbit/s link within the callers' time-out of 1 s
 	maxOrderBody     = 1 << 16
 	retryInterval    = 40 * time.Millisecond
 )
--- a/internal/tier/controlnode/operator_api_test.go
+++ b/internal/tier/controlnode/operator_api_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// A body over the limit is answered with the limit, and one that is cut short is asked for again.
+// A body over the limit is answered with 413 and the limit.
 func TestOversizedBodiesAreRejected(t *testing.T) {
 	s := &Server{}
 	for name, test := range map[string]struct {
@@ -34,7 +34,7 @@
 	}
 }
 
-// An order that no head can decide is answered with the cause, which is in the log as well.
+// An order that no head can decide is answered with the cause, which is also logged.
 func TestUndecidedOrderNamesItsCause(t *testing.T) {
 	c := newCluster(t, 3)
 	if status := c.put(1, 0, 0, 1, 2); status != http.StatusOK {
@@ -50,9 +50,9 @@
 		t.Errorf("%d, Retry-After %q: %s", answer.Code, answer.Header().Get("Retry-After"), answer.Body)
 	}
 	if !strings.Contains(answer.Body.String(), "no majority") && !strings.Contains(answer.Body.String(), "last:") {
-		t.Errorf("no cause: %s", answer.Body)
+		t.Errorf("the response has no cause: %s", answer.Body)
 	}
 	if text := c.logs.String(); !strings.Contains(text, "order undecided") || !strings.Contains(text, "PUT /api/config") {
-		t.Errorf("the log has: %s", text)
+		t.Errorf("the undecided order is not in the log: %s", text)
 	}
 }
--- a/internal/tier/controlnode/placement_role_test.go
+++ b/internal/tier/controlnode/placement_role_test.go
@@ -8,8 +8,8 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// A head that was frozen for ten seconds got no registration meanwhile. It must not replace all stores by the
-// first newcomer that registers when it resumes.
+// A head that was frozen for ten seconds received no registrations meanwhile. It must not replace all stores by the
+// first new store that registers after it resumes.
 func TestStoresStayPlacedAfterPauseOfHead(t *testing.T) {
 	const pause = 10 * time.Second
 	timings := placement.DefaultTimings(3 * time.Second)
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -22,20 +22,20 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// routesVariable makes a child process of the tests a control node, and names the relay through which it reaches each other one:
-// ADDR=RELAY, separated by commas.
+// routesVariable makes a child process of the tests run a control node. Its value names the relay to each other node,
+// as ADDR=RELAY separated by commas.
 const routesVariable = "CONTROLNODE_TEST_ROUTES"
 
-// followerVariable makes a child process of the tests a follower, which prints the version that it acts on.
+// followerVariable makes a child process of the tests run a follower, which prints each version that it uses.
 const followerVariable = "CONTROLNODE_TEST_FOLLOWER"
 
-// activeVersionPrefix begins the line in which a follower prints the version that it acts on.
+// activeVersionPrefix starts the line in which a follower prints the version that it uses.
 const activeVersionPrefix = "acts on version "
 
-// exitFailure is the code with which a child ends that could not run.
+// exitFailure is the exit code of a child process that failed.
 const exitFailure = 3
 
-// childMain is a core node as larch-control runs it, with its connections to others led through relays.
+// childMain runs a core node as larch-control does, with its connections to other nodes through relays.
 func childMain(routes string) int {
 	fault := func(err error) int {
 		fmt.Fprintln(os.Stderr, err)
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// followerMain is a follower as a front runs it.
+// followerMain runs a follower as a front does.
 func followerMain() int {
 	settings, err := process.Load()
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// dialThroughRelays dials the relay of an address where there is one.
+// dialThroughRelays returns a function that dials the relay of an address instead of the address, if there is one.
 func dialThroughRelays(routes string) rpc.DialFunc {
 	relays := map[string]string{}
 	for route := range strings.SplitSeq(routes, ",") {
@@ -105,11 +105,11 @@
 	}
 }
 
-// childProcess is one incarnation of a control node as a process.
+// childProcess is a process of the tests that runs one incarnation of a control node, or a follower.
 type childProcess struct {
 	cmd    *exec.Cmd
 	output syncBuffer
-	done   chan struct{} // closed once it has ended
+	done   chan struct{} // closed once the process has exited
 }
 
 type syncBuffer struct {
@@ -129,19 +129,19 @@
 	return s.b.String()
 }
 
-// startChild starts a core node with settings and routes. It ends with the test at the latest.
+// startChild starts a core node with settings and routes. It is killed at the end of the test at the latest.
 func startChild(t *testing.T, settings, routes string) *childProcess {
 	t.Helper()
 	return startChildAs(t, settings, routesVariable+"="+routes)
 }
 
-// startFollowerChild starts a follower with settings. It ends with the test at the latest.
+// startFollowerChild starts a follower with settings. It is killed at the end of the test at the latest.
 func startFollowerChild(t *testing.T, settings string) *childProcess {
 	t.Helper()
 	return startChildAs(t, settings, followerVariable+"=1")
 }
 
-// startChildAs starts a child process of the kind that a variable of its environment names.
+// startChildAs starts a child process of the kind that an environment variable, NAME=VALUE, selects.
 func startChildAs(t *testing.T, settings, kind string) *childProcess {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.yaml")
@@ -151,7 +151,7 @@
 	c := &childProcess{cmd: exec.Command(os.Args[0]), done: make(chan struct{})}
 	c.cmd.Env = []string{process.SettingsVariable + "=" + path, kind, "GOMAXPROCS=2"}
 	c.cmd.Stdout, c.cmd.Stderr = &c.output, &c.output
-	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // none outlives the tests, frozen or not
+	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // no child outlives the tests, even if stopped
 	if err := c.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 
 func (c *childProcess) signal(s syscall.Signal) { _ = c.cmd.Process.Signal(s) }
 
-// kill ends the process without a word, frozen or not.
+// kill kills the process with SIGKILL, even if it is stopped, and waits until it has exited.
 func (c *childProcess) kill() {
 	c.signal(syscall.SIGKILL)
 	<-c.done
@@ -181,7 +181,7 @@
 			continue
 		}
 		if err != nil {
-			t.Fatal("wait for the process to stand: ", err)
+			t.Fatal("wait for the process to stop: ", err)
 		}
 		return
 	}
--- a/internal/tier/controlnode/put_bench_test.go
+++ b/internal/tier/controlnode/put_bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkPut measures the time from an operator's PUT at the head to its 200, over sockets and with real syncs, on cores of several
-// sizes. It reports the middle and the 95th percentile.
+// BenchmarkPut measures the time from an operator's PUT at the head to its 200, over sockets and with real syncs, for
+// several numbers of core nodes. It reports the median and the 95th percentile.
 func BenchmarkPut(b *testing.B) {
 	for _, nodes := range []int{3, 4, 5, 8} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -17,7 +17,7 @@
 			if status := c.put(1, 0, 0); status != http.StatusOK {
 				b.Fatal(status)
 			}
-			time.Sleep(3 * time.Second) // all nodes have votes and their places
+			time.Sleep(3 * time.Second) // until all nodes have votes and are members or learners
 			var took []time.Duration
 			version := 1
 			b.ResetTimer()
--- a/internal/tier/controlnode/random_process_test.go
+++ b/internal/tier/controlnode/random_process_test.go
@@ -10,9 +10,9 @@
 	"larchrouter/internal/standin/cutproxy"
 )
 
-var processSimulations = flag.Int("real", 1, "simulations with core nodes as processes, with their sockets and disks")
+var processSimulations = flag.Int("real", 1, "runs with random faults on core nodes in their own processes, with real sockets and disks")
 
-// nodeFault is a fault of one node: it begins, the others go on, and it ends.
+// nodeFault is a fault of one node, which begins and ends while the other nodes continue.
 type nodeFault struct {
 	name  string
 	begin func(f *fleet, i int)
@@ -25,18 +25,18 @@
 
 // nodeFaults are the faults that the test draws from.
 var nodeFaults = []nodeFault{
-	{"ends in order", func(f *fleet, i int) { f.terminate(i) }, restartNode},
-	{"ends in order, its disk is lost", func(f *fleet, i int) { f.terminate(i) }, restartWithEmptyDisk},
+	{"shuts down gracefully", func(f *fleet, i int) { f.terminate(i) }, restartNode},
+	{"shuts down gracefully and loses its disk", func(f *fleet, i int) { f.terminate(i) }, restartWithEmptyDisk},
 	{"is killed", (*fleet).kill, restartNode},
-	{"is killed, its disk is lost", (*fleet).kill, restartWithEmptyDisk},
-	{"is cut off", (*fleet).partition, healPartition},
+	{"is killed and loses its disk", (*fleet).kill, restartWithEmptyDisk},
+	{"is partitioned", (*fleet).partition, healPartition},
 	{"receives nothing", (*fleet).blockInbound, healPartition},
 	{"sends nothing", (*fleet).blockOutbound, healPartition},
 	{"cannot connect", (*fleet).refuseConnections, func(f *fleet, i int, _ *rand.Rand) { f.acceptConnections(i) }},
 	{"freezes", func(f *fleet, i int) { f.nodes[i].freeze(f.t) }, func(f *fleet, i int, _ *rand.Rand) { f.nodes[i].resume() }},
 }
 
-// refuseConnections resets the connections of a node, and every new one, until accept.
+// refuseConnections resets the connections between a node and the others, and refuses new ones until acceptConnections.
 func (f *fleet) refuseConnections(i int) {
 	f.forEachLink(i, func(mine, theirs *cutproxy.Relay) {
 		mine.Refuse(true)
@@ -50,10 +50,11 @@
 	f.forEachLink(i, func(mine, theirs *cutproxy.Relay) { mine.Refuse(false); theirs.Refuse(false) })
 }
 
-// TestRandomFaultsOnProcesses plays core nodes as processes: one after the other has a fault, while operators race on any node,
-// followers are fed, and a history of all that callers saw is checked in the end. The next fault comes as soon as the
-// contract permits it: once all nodes say that the one before is a caught-up member, for which it has catch_up_s.
-// A loss before that is the matter of TestSecondLossBeforeWipedNodeRejoined.
+// TestRandomFaultsOnProcesses runs core nodes in their own processes and injects random faults into one node at a time,
+// while operators race on random nodes and a follower polls. At the end it checks the history of everything that
+// callers observed. The next fault occurs as soon as the contract permits it: once all nodes report that the faulty one
+// is a caught-up member again, which must be within catch_up_s. TestSecondLossBeforeWipedNodeRejoined covers an earlier
+// second loss.
 func TestRandomFaultsOnProcesses(t *testing.T) {
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
@@ -79,7 +80,7 @@
 		took := f.within(catchUp, fmt.Sprintf("node %d, which %s, is a caught-up member again", i, fault.name), f.allMembers)
 		t.Logf("%v node %d is a member again after %v", f.hist.now(), i, took)
 		before, _ := f.hist.newest()
-		f.until("the one that came back reads what is newest", func() bool { _, v := f.read(i); return v > before })
+		f.until("the node that returned reads a newer version", func() bool { _, v := f.read(i); return v > before })
 	}
 	stop()
 	f.terminate(f.all()...)
@@ -90,7 +91,7 @@
 	f.awaitNewestActive(follower)
 }
 
-// allNodesExcept are the nodes but one.
+// allNodesExcept returns the numbers of n nodes except one.
 func allNodesExcept(n, without int) (nodes []int) {
 	for i := range n {
 		if i != without {
--- a/internal/tier/controlnode/redirect_test.go
+++ b/internal/tier/controlnode/redirect_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// configOfSize is a configuration of at least so many bytes.
+// configOfSize returns a configuration of at least the given number of bytes.
 func configOfSize(version, size int) []byte {
 	body := config(version)
 	pad := max(1, size-len(body))
 	return fmt.Appendf(body[:len(body)-1], `,"note":"%s"}`, bytes.Repeat([]byte("x"), pad))
 }
 
-// A body that would have to cross a second link within the second that callers wait is not passed on: the caller is sent to
-// the node that can take it. Small ones are passed on.
+// A large body is not forwarded, since it would have to cross a second link within the second that callers wait: the
+// caller is redirected to the head. Small bodies are forwarded.
 func TestLargeBodiesAreRedirectedToHead(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
@@ -50,7 +50,7 @@
 		lastVersion++
 	}
 	if redirected != 2 {
-		t.Errorf("%d of 3 nodes sent a large body elsewhere, wanted the two that are not the head", redirected)
+		t.Errorf("%d of 3 nodes redirected a large body, want the two that are not the head", redirected)
 	}
 	for node := range 3 {
 		c.until("a large configuration is read", func() bool {
@@ -62,6 +62,6 @@
 		})
 	}
 	if resp := put(1, config(lastVersion+1)); resp.StatusCode != http.StatusOK || resp.Request.URL.Host != c.control(1) {
-		t.Errorf("a small body: %d by %s", resp.StatusCode, resp.Request.URL.Host)
+		t.Errorf("a small body: %d from %s", resp.StatusCode, resp.Request.URL.Host)
 	}
 }
--- a/internal/tier/controlnode/retire_test.go
+++ b/internal/tier/controlnode/retire_test.go
@@ -10,8 +10,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// A store loses its disk while it is emptied, and comes back under another identity: the order continues, and
-// ends in complete.
+// A store loses its disk during its retirement, and returns under another ID: the retirement continues and completes.
 func TestRetireContinuesForStoreThatLostItsDisk(t *testing.T) {
 	c := newCluster(t, 3)
 	registeredStores, sweptGeneration := []turnstore.Store{}, int64(0)
@@ -35,23 +34,23 @@
 	if got, text := c.send(0, http.MethodPost, "/api/retire/d", "", []byte(`{"within_s":60}`)); got != http.StatusOK {
 		t.Fatalf("%d %s", got, text)
 	}
-	c.until("the change has begun; it cannot end, as nobody has swept", joint)
+	c.until("the placement change is in progress; it cannot complete, as no store has swept", joint)
 	registeredStores[3].ID = "d2"
-	c.until("the order is noted for the new identity", func() bool { return state().Retired()["d2"] })
+	c.until("the retirement is recorded for the new ID", func() bool { return state().Retired()["d2"] })
 	if !joint() {
-		t.Errorf("the placement went on by itself: %+v", state().Placement)
+		t.Errorf("the placement change completed without sweeps: %+v", state().Placement)
 	}
 	sweptGeneration = state().Placement.Generation
-	c.until("it is complete", func() bool {
+	c.until("the retirement is complete", func() bool {
 		state()
 		got, text := c.send(2, http.MethodGet, "/api/retire/d", "", nil)
 		return got == http.StatusOK && strings.Contains(text, "complete")
 	})
-	c.until("the head has seen it leave", func() (seen bool) {
+	c.until("the head has recorded the departure", func() (seen bool) {
 		c.cores[0].onLoop(func() { _, seen = c.cores[0].placementRole.departures["d"] })
 		return seen
 	})
 	if p := state().Placement; len(p.New) > 0 || len(p.Old) != 3 {
-		t.Errorf("%+v", p)
+		t.Errorf("the placement is %+v, want three stores and no change in progress", p)
 	}
 }
--- a/internal/tier/controlnode/server_test.go
+++ b/internal/tier/controlnode/server_test.go
@@ -25,7 +25,7 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// TestMain runs a core node instead of the tests in a child process of theirs; see process_test.go.
+// TestMain runs the tests, or in a child process of the tests a core node or a follower; see process_test.go.
 func TestMain(m *testing.M) {
 	if routes, ok := os.LookupEnv(routesVariable); ok {
 		os.Exit(childMain(routes))
@@ -33,26 +33,26 @@
 	if _, ok := os.LookupEnv(followerVariable); ok {
 		os.Exit(followerMain())
 	}
-	_ = flag.Set("test.parallel", "4") // unless the caller sets it: tests with processes wait most of their time
+	_ = flag.Set("test.parallel", "4") // a default that the command line overrides: tests with processes mostly wait
 	goleak.VerifyTestMain(m)
 }
 
-// core is one of several core nodes on loopback addresses of their own, as real as a process but for the process.
+// cluster is a set of core nodes in this process, each with its own loopback addresses, sockets and disk.
 type cluster struct {
 	t         testing.TB
-	basePort  int // first port of the range; the control port lies below it
+	basePort  int // the control port; the port range starts above it
 	n         int
 	dirs      []string
 	stopNode  []func()
-	crashNode []func() // ends a node without a word
+	crashNode []func() // stops a node without a graceful shutdown
 	http      *http.Client
 	cores     []*Server
 	logs      syncBuffer // of all nodes
 
-	platform string // its address, empty for none
+	platform string // address of the platform, empty for none
 }
 
-// findFreeBasePort looks for ports that are free on all the addresses.
+// findFreeBasePort returns a free port.
 func findFreeBasePort(t testing.TB) int {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -139,7 +139,7 @@
 	}
 }
 
-// until calls f until it returns true, for a bounded time. f waits by itself on what it calls.
+// until calls f until it returns true, for at most 20 s. f has to block between attempts.
 func (c *cluster) until(what string, f func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
@@ -158,7 +158,7 @@
 	return fmt.Appendf(nil, `{"config_version":%d,"route_table":[{"name":"r","host_name":"h.example","path_prefix":"/a/","route_kind":"idempotent","deadline_ms":%d,"target_ms":100,"rank":0,"target_service":"s","max_attempts":2}],"service_table":[{"name":"s","health_path":"/health","conn_limit":10,"protocol":"h1","tls_mode":false}]}`, version, 1000+version)
 }
 
-// send calls a core node as the operator does; 0 is no answer.
+// send sends an operator's request to a core node; status 0 means no response.
 func (c *cluster) send(i int, method, path, match string, body []byte) (int, string) {
 	req, err := http.NewRequest(method, "http://"+c.control(i)+path, bytes.NewReader(body))
 	if err != nil {
@@ -179,11 +179,11 @@
 	return resp.StatusCode, string(b)
 }
 
-// put sends until there is a clear answer, to one node after the other among those given.
+// put sends a configuration to the given nodes in turn until one accepts or rejects it.
 func (c *cluster) put(version, on int, nodes ...int) int {
 	c.t.Helper()
 	status := 0
-	c.until(fmt.Sprintf("an answer to version %d", version), func() bool {
+	c.until(fmt.Sprintf("a decision on version %d", version), func() bool {
 		for _, i := range nodes {
 			if status, _ = c.send(i, http.MethodPut, "/api/config", strconv.Itoa(on), config(version)); status != 0 && status < 500 {
 				return true
@@ -228,7 +228,7 @@
 		select {
 		case <-changed:
 		case <-limit.C:
-			c.t.Fatalf("version %d was not followed", version)
+			c.t.Fatalf("the follower does not use version %d", version)
 		}
 	}
 }
@@ -251,15 +251,15 @@
 		body  []byte
 		want  int
 	}{
-		"the same again":            {"0", config(3), 200},
-		"on a version that is past": {"0", config(9), 412},
-		"a version not above":       {"3", config(2), 400},
-		"cut short":                 {"3", config(9)[:60], 400},
-		"no If-Match":               {"", config(9), 400},
-		"unknown service":           {"3", []byte(strings.Replace(string(config(9)), `"target_service":"s"`, `"target_service":"x"`, 1)), 400},
+		"a retry":                      {"0", config(3), 200},
+		"on an outdated version":       {"0", config(9), 412},
+		"a version not above the base": {"3", config(2), 400},
+		"a truncated body":             {"3", config(9)[:60], 400},
+		"no If-Match":                  {"", config(9), 400},
+		"unknown service":              {"3", []byte(strings.Replace(string(config(9)), `"target_service":"s"`, `"target_service":"x"`, 1)), 400},
 	} {
 		if got, text := c.send(1, http.MethodPut, "/api/config", one.match, one.body); got != one.want {
-			t.Errorf("%s: %d %s, wanted %d", name, got, text, one.want)
+			t.Errorf("%s: %d %s, want %d", name, got, text, one.want)
 		}
 	}
 	if got := c.put(9, 3, 2); got != http.StatusOK {
@@ -267,7 +267,7 @@
 	}
 	c.awaitActiveVersion(f, 9)
 	if got, _ := c.send(0, http.MethodPut, "/api/config", "0", config(3)); got != http.StatusOK {
-		t.Errorf("a version that was taken and is past: %d", got)
+		t.Errorf("a retry of an accepted version that has been superseded: %d", got)
 	}
 	if got, _ := c.send(0, http.MethodPost, "/api/retire/nobody", "", []byte(`{"within_s":10}`)); got != http.StatusNotFound {
 		t.Errorf("an unknown store: %d", got)
@@ -279,7 +279,7 @@
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
 	}
-	for i := range 3 { // two of them pass the call on
+	for i := range 3 { // two of them forward the request
 		if status, text := c.send(i, http.MethodPut, "/api/config", "1", config(9)); status != http.StatusPreconditionFailed || !strings.Contains(text, "version 3 is in place, not 1") {
 			t.Errorf("node %d: %d %s", i, status, text)
 		}
@@ -302,7 +302,7 @@
 	}
 	for i := range 3 {
 		text := ""
-		c.until("all followers act on version 3", func() bool {
+		c.until("all followers use version 3", func() bool {
 			_, text = c.send(i, http.MethodGet, "/api/status", "", nil)
 			var s Status
 			if err := json.Unmarshal([]byte(text), &s); err != nil {
@@ -337,7 +337,7 @@
 			won++
 		case http.StatusPreconditionFailed:
 		default:
-			t.Errorf("answer %d", r)
+			t.Errorf("response %d", r)
 		}
 	}
 	if won != 1 {
@@ -361,7 +361,7 @@
 		version++
 		c.awaitActiveVersion(f, int64(version))
 	}
-	for i := range 4 { // each in turn is stopped, and comes back with its disk or without
+	for i := range 4 { // each in turn stops, and returns with or without its disk
 		c.stop(i)
 		rest := []int{(i + 1) % 4, (i + 2) % 4, (i + 3) % 4}
 		next(rest...)
@@ -370,12 +370,12 @@
 		}
 		c.start(i, false)
 		next(rest...)
-		c.until("it is read through the one that came back", func() bool {
+		c.until("the node that returned reads the newest version", func() bool {
 			status, body := c.send(i, http.MethodGet, "/api/config", "", nil)
 			return status == http.StatusOK && body == string(config(version))
 		})
 		body := ""
-		c.until("it has a replica again, of three in the chain and one outside", func() bool {
+		c.until("the node has a replica again, with three nodes in the chain and one learner", func() bool {
 			_, body = c.send(i, http.MethodGet, "/api/status", "", nil)
 			chain := strings.SplitN(strings.SplitN(body, `"chain":[`, 2)[1], "]", 2)[0]
 			hasReplica := strings.Contains(body, `"role":"member"`) || strings.Contains(body, `"role":"learner"`)
@@ -394,7 +394,7 @@
 	}
 	for i := range 4 {
 		if got := c.get(i); got != string(config(version)) {
-			t.Fatalf("after all were stopped and one disk was lost, node %d reads %s", i, got)
+			t.Fatalf("after a restart of all nodes and the loss of one disk, node %d reads %s", i, got)
 		}
 	}
 	next(0, 1, 2, 3)
@@ -433,7 +433,7 @@
 	for i := int64(1); i <= 3; i++ {
 		awaitPublishedHost(i)
 	}
-	c.crashNode[0]() // the head, as the founding order has it
+	c.crashNode[0]() // the head: the first seed is the first of the initial chain
 	c.start(0, false)
 	awaitPublishedHost(9)
 }
--- a/internal/tier/controlnode/shutdown_test.go
+++ b/internal/tier/controlnode/shutdown_test.go
@@ -13,7 +13,7 @@
 	"larchrouter/internal/process"
 )
 
-// A node that is stopped while it decides on an order, here without a majority, still answers it.
+// A node that is stopped while it decides an order, here without a majority, still answers the order.
 func TestStopAnswersOrdersInFlight(t *testing.T) {
 	c := &cluster{t: t, basePort: findFreeBasePort(t), n: 3, dirs: []string{t.TempDir()}}
 	core, err := Open(c.settings(0, true), process.NewLogger(io.Discard))
@@ -32,7 +32,7 @@
 	core.onLoop(func() {})
 	transport := &http.Transport{ExpectContinueTimeout: time.Minute}
 	defer transport.CloseIdleConnections()
-	trace := &httptrace.ClientTrace{Got100Continue: stop} // sent once the handler reads the body
+	trace := &httptrace.ClientTrace{Got100Continue: stop} // the server sends it once the handler reads the body
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace),
 		http.MethodPut, "http://"+c.control(0)+configPath, bytes.NewReader(config(1)))
 	if err != nil {
@@ -42,7 +42,7 @@
 	request.Header.Set("Expect", "100-continue")
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		t.Fatalf("an order that was read gets no answer: %v", err)
+		t.Fatalf("an order in flight at the shutdown gets no response: %v", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusServiceUnavailable {
--- a/internal/tier/controlnode/slow_links_test.go
+++ b/internal/tier/controlnode/slow_links_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestViewIsDecidedOnSlowLinks: a view takes four messages one after the other, and a sync before each. Where
-// these take longer than a proposal is given at first, later ones are given more, so that the others go on without a
-// head that is lost.
+// TestViewIsDecidedOnSlowLinks checks that a lost head is replaced over slow links. Deciding a view takes four
+// sequential messages with a sync before each. If these take longer than the first time-out of a proposal, later
+// proposals must get more time.
 func TestViewIsDecidedOnSlowLinks(t *testing.T) {
 	for _, latency := range []time.Duration{0, 100 * time.Millisecond, 160 * time.Millisecond, 220 * time.Millisecond} {
 		t.Run(latency.String(), func(t *testing.T) {
--- a/internal/tier/controlnode/status_test.go
+++ b/internal/tier/controlnode/status_test.go
@@ -31,7 +31,7 @@
 		s := healthy
 		s.UnresponsiveStores, s.StoresRequired, s.PlacementJoint = c.silent, c.lacking, c.joint
 		if got := s.Summary(); got != c.want {
-			t.Errorf("%q, wanted %q", got, c.want)
+			t.Errorf("%q, want %q", got, c.want)
 		}
 	}
 }
@@ -41,17 +41,17 @@
 	s := Status{Epoch: 1, Role: RoleMember, Fresh: true, ConfigVersion: 1, Voters: []Voter{{}, {}, {}}, FullStores: []string{"store-1"}}
 	const full = "a store rejects new turns (store-1): its disk or its ledger memory is nearly full, see its log"
 	if got := s.Summary(); got != full {
-		t.Errorf("%q, wanted %q", got, full)
+		t.Errorf("%q, want %q", got, full)
 	}
 	s.UnresponsiveStores, s.StoresRequired = []UnresponsiveStore{{Name: "store-2", SinceRegistrationMs: 95_900}, {Name: "store-3", SinceRegistrationMs: 4_000}}, 1
 	const lacking = "more stores are unresponsive than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"
 	if got := s.Summary(); got != lacking {
-		t.Errorf("%q, wanted %q", got, lacking)
+		t.Errorf("%q, want %q", got, lacking)
 	}
 }
 
-// Two of four stores are lost where one may be lost, and a new store has replaced one of them: the placement change cannot complete.
-// All core nodes name both lost stores until one returns.
+// Two of four stores are lost where one may be lost, and a new store has replaced one of them: the placement change
+// cannot complete. All core nodes name both lost stores until one returns.
 func TestStatusReportsStoresThatBlockAChange(t *testing.T) {
 	c := newCluster(t, 3)
 	sweptGeneration := int64(0)
@@ -76,7 +76,7 @@
 	}
 	c.until("all stores are placed", func() bool { register("a b c d"); return len(status(0).Stores) == 4 })
 	for i := range c.n {
-		c.until("a node names both", func() bool {
+		c.until("the node names both stores", func() bool {
 			register("a b e")
 			s := status(i)
 			s.ConfigVersion = 1 // a missing configuration would take precedence in the summary
@@ -89,11 +89,11 @@
 		s := status(0).UnresponsiveStores
 		return len(s) == 2 && s[0].SinceRegistrationMs >= before+1000
 	})
-	c.until("one is back", func() bool {
+	c.until("one store has returned", func() bool {
 		register("a b c e")
 		s := status(2)
 		return s.StoresRequired == 0 && unresponsiveNames(s) == "store-d"
 	})
 	sweptGeneration = status(0).PlacementGeneration
-	c.until("the change ends", func() bool { register("a b c e"); return !status(0).PlacementJoint })
+	c.until("the placement change is complete", func() bool { register("a b c e"); return !status(0).PlacementJoint })
 }
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -20,22 +20,22 @@
 	"larchrouter/internal/tier/view"
 )
 
-// storedFolder is the folder of a core node as the code wrote it before it was renamed. See writeFixtures: it is never
-// rewritten.
+// storedFolder is the data folder of a core node as an earlier release wrote it. Like all fixtures it is never
+// rewritten, see writeFixtures.
 var storedFolder = filepath.Join("testdata", "core-node-v1")
 
-// Of the three core nodes the first is the one with the folder, the head of the chain. The third has lost its disk once, and
-// has come back under another identity. Nothing listens at these addresses.
+// storedMembers are the three core nodes of the fixture. The first is the one with the folder, the head of the chain.
+// The third has lost its disk once and has returned under another ID. Nothing listens on these addresses.
 var storedMembers = []view.Member{
 	{ID: "seed-127.0.10.1:21002", Name: "core-0", Addr: "127.0.10.1:21002"},
 	{ID: "seed-127.0.10.2:21002", Name: "core-1", Addr: "127.0.10.2:21002"},
 	{ID: "second-identity", Name: "core-2", Addr: "127.0.10.3:21002"},
 }
 
-// storedBody is the configuration of a version.
+// storedBody returns the configuration of a version.
 func storedBody(version int64) []byte { return fmt.Appendf(nil, `{"config_version":%d}`, version) }
 
-// storedPlacement is in force in the fixture.
+// storedPlacement returns the placement of the fixture.
 func storedPlacement() *turnstore.Placement {
 	store := func(n int) turnstore.Store {
 		return turnstore.Store{ID: fmt.Sprintf("store-id-%d", n), Name: fmt.Sprintf("store-%d", n), Addr: fmt.Sprintf("127.0.20.%d:21003", n), Zone: fmt.Sprintf("zone-%d", n%2)}
@@ -44,12 +44,12 @@
 		New: []turnstore.Store{store(2), store(3), store(4), store(5)}, SweptIDs: []string{"store-id-2", "store-id-5"}}
 }
 
-// network is a core node with its disk, and two nodes in memory that it exchanges messages with. Time is a count.
+// network is a core node with its disk, and two nodes in memory with which it exchanges messages in virtual time.
 type network struct {
 	t     *testing.T
 	core  *Server
 	peers map[string]*Node // by address
-	cut   map[string]bool  // addresses that get and send nothing
+	cut   map[string]bool  // addresses of partitioned nodes
 	now   time.Duration
 	sent  []Envelope
 }
@@ -68,7 +68,7 @@
 	return n
 }
 
-// start replaces the node in memory at an address.
+// start starts a node in memory, which replaces the one at its address.
 func (n *network) start(self view.Member, d Durable) {
 	seeds := []string{storedMembers[0].Addr, storedMembers[1].Addr}
 	n.peers[self.Addr] = NewNode(NodeSettings{Self: self, Incarnation: 1, Seeds: seeds, FaultTolerance: 1, Timings: DefaultTimings()}, d, n.now)
@@ -83,7 +83,7 @@
 	}
 }
 
-// handleReady carries out what a step of the core node asks for, as its loop does.
+// handleReady performs what a step of the core node requests, as its event loop does.
 func (n *network) handleReady(o Ready) []Completion {
 	n.t.Helper()
 	n.core.mergeReady(o)
@@ -95,12 +95,12 @@
 	return o.Completed
 }
 
-// until passes time and messages until something is so.
+// until advances the time and delivers messages until a condition is met.
 func (n *network) until(what string, met func() bool) {
 	n.t.Helper()
 	for end := n.now + time.Minute; !met(); {
 		if n.now += tickInterval; n.now > end {
-			n.t.Fatalf("not within a minute of the nodes' time: %s (%+v)", what, n.core.node.Durable())
+			n.t.Fatalf("not within a minute of virtual time: %s (%+v)", what, n.core.node.Durable())
 		}
 		n.handleReady(n.core.node.Tick(n.now))
 		for _, m := range storedMembers[1:] {
@@ -121,13 +121,13 @@
 	}
 }
 
-// allCaughtUp reports whether all three are in the chain and all that was written is committed.
+// allCaughtUp reports whether all three nodes are in the chain and all entries are committed.
 func (n *network) allCaughtUp() bool {
 	s := n.core.node.Chain().State()
 	return n.core.node.IsConfirmedHead() && len(n.core.node.View().Chain) == 3 && s.Commit == s.LastIndex
 }
 
-// decideOrder decides an order at the head and appends what it asks for.
+// decideOrder decides an order at the head and appends the resulting entries.
 func (n *network) decideOrder(o orders.Order) orders.Decision {
 	n.t.Helper()
 	d, err := orders.Decide(n.core.node.Chain().State().Entries, 1, o)
@@ -147,8 +147,8 @@
 	return orders.PutConfig{IfMatch: version - 1, Version: version, Digest: orders.Digest(body), Body: body}
 }
 
-// writeStoredFolder makes the fixture by what a core node does, so that each kind of row and entry is in it: those of the format
-// before records of orders too, which are read but not written any more.
+// writeStoredFolder creates the fixture by running a core node, so that it contains each kind of row and entry. These
+// include the format before records of orders, which is still read but no longer written.
 func writeStoredFolder(t *testing.T, dir string) {
 	t.Helper()
 	initialState := func(core *Server) Durable {
@@ -164,7 +164,7 @@
 	n.write(feed.ConfigKey, rpc.Encode(before))
 	n.write(feed.RetirePrefix+"store-0", rpc.Encode(&feed.RetireEntry{ID: "store-id-0"}))
 	n.write("deleted", nil)
-	n.until("what the format before wrote is committed", n.allCaughtUp)
+	n.until("the entries in the earlier format are committed", n.allCaughtUp)
 	for version := int64(4); version <= 21; version++ {
 		if d := n.decideOrder(putOrderOf(version)); d.Kind != orders.Accept {
 			t.Fatalf("version %d: %+v", version, d)
@@ -174,14 +174,14 @@
 	if d := n.decideOrder(orders.RetireStore{Name: "store-5"}); d.Kind != orders.Accept {
 		t.Fatalf("%+v", d)
 	}
-	n.until("all is committed", n.allCaughtUp)
+	n.until("all entries are committed", n.allCaughtUp)
 	n.cut[last.Addr] = true
-	n.until("the last is out of the chain", func() bool { return len(n.core.node.View().Chain) == 2 })
+	n.until("the third node is removed from the chain", func() bool { return len(n.core.node.View().Chain) == 2 })
 	n.cut[last.Addr] = false
 	n.start(last, Durable{})
-	n.until("the last is back under another identity", func() bool { return n.allCaughtUp() && n.core.node.acceptor.View.IsVoter(last.ID) })
+	n.until("the third node has returned under another ID", func() bool { return n.allCaughtUp() && n.core.node.acceptor.View.IsVoter(last.ID) })
 
-	// What is not committed, and a vote on a view that is not decided.
+	// Entries that are not committed, and a vote for a view that is not decided.
 	if d := n.decideOrder(putOrderOf(22)); d.Kind != orders.Accept {
 		t.Fatalf("%+v", d)
 	}
@@ -199,14 +199,14 @@
 	n.close()
 }
 
-// storedEntry is an entry of the fixture, with the value that its bytes mean.
+// storedEntry is an entry of the fixture with its decoded value.
 type storedEntry struct {
 	index int64
 	key   string
-	value any // pointer to a struct; nil: no bytes
+	value any // pointer to a struct; nil for an empty value
 }
 
-// mustDecodeHex gives the bytes that hexadecimal digits name.
+// mustDecodeHex returns the bytes of hexadecimal digits.
 func mustDecodeHex(digits string) []byte {
 	b, err := hex.DecodeString(digits)
 	if err != nil {
@@ -215,7 +215,7 @@
 	return b
 }
 
-// storedDigests are of the configurations by version, from 2 on: the first bytes of SHA-256.
+// storedDigests are the digests of the configurations from version 2 on: the first 16 bytes of their SHA-256.
 var storedDigests = [][]byte{
 	mustDecodeHex("4957b1f8d5447d850c8afaa60a823b24"), // of version 2
 	mustDecodeHex("870f92d43c9a4ee13f1f43be7034b95d"), // of version 3
@@ -241,7 +241,7 @@
 	mustDecodeHex("f189ee79d7788445e6aa5809949ac99e"), // of version 23
 }
 
-// storedRecords are those of the versions from one to another; the first record is of version 4.
+// storedRecords returns the records of a range of versions; record 1 is that of version 4.
 func storedRecords(from, to int64) (all []orders.Record) {
 	for v := from; v <= to; v++ {
 		all = append(all, orders.Record{Sequence: v - 3, Version: v, BaseVersion: v - 1, Digest: storedDigests[v-2]})
@@ -249,7 +249,7 @@
 	return all
 }
 
-// storedEntries are the entries of the fixture.
+// storedEntries returns the entries of the fixture.
 func storedEntries() []storedEntry {
 	config := func(version int64) *feed.ConfigEntry {
 		return &feed.ConfigEntry{Version: version, Body: storedBody(version), RecentDigests: [][]byte{storedDigests[version-2]}}
@@ -263,12 +263,12 @@
 		{40, "config", config(21)},
 		{41, "placement", storedPlacement()},
 		{42, "retire/store-5/store-id-5", &feed.RetireEntry{ID: "store-id-5"}},
-		{43, "order/1", &orders.Page{Records: storedRecords(19, 22)}}, // from here on not committed
+		{43, "order/1", &orders.Page{Records: storedRecords(19, 22)}}, // this entry and the next are not committed
 		{44, "config", config(22)},
 	}
 }
 
-// storedAcceptor is the vote of the fixture.
+// storedAcceptor returns the acceptor state of the fixture.
 func storedAcceptor() view.Acceptor {
 	inView := func(epoch int64) view.View {
 		founder := func(addr string) view.Member { return view.Member{ID: "seed-" + addr, Addr: addr} }
@@ -280,7 +280,7 @@
 		AcceptedAt: view.Ballot{Number: 101, Proposer: "seed-127.0.10.2:21002"}, Accepted: inView(4)}
 }
 
-// requireEntries compares entries, values included, both as they are read and as they are encoded.
+// requireEntries compares entries and their values, both decoded and encoded.
 func requireEntries(t *testing.T, what string, got []chain.Entry, want []storedEntry) {
 	t.Helper()
 	if len(got) != len(want) {
@@ -290,12 +290,12 @@
 	for i, w := range want {
 		g := got[i]
 		if g.Index != w.index || g.Key != w.key {
-			t.Errorf("%s: entry %d has key %q, want entry %d with key %q", what, g.Index, g.Key, w.index, w.key)
+			t.Errorf("%s: index %d has key %q, want index %d with key %q", what, g.Index, g.Key, w.index, w.key)
 			continue
 		}
 		if w.value == nil {
 			if len(g.Value) != 0 {
-				t.Errorf("%s: entry %d is %x, want nothing", what, g.Index, g.Value)
+				t.Errorf("%s: entry %d is %x, want an empty value", what, g.Index, g.Value)
 			}
 			continue
 		}
@@ -304,12 +304,12 @@
 			t.Errorf("%s: entry %d (%s) is %+v (%v), want %+v", what, g.Index, g.Key, value, err, w.value)
 		}
 		if now := rpc.Encode(w.value); !bytes.Equal(now, g.Value) {
-			t.Errorf("%s: entry %d (%s) is encoded as %x, was %x", what, g.Index, g.Key, now, g.Value)
+			t.Errorf("%s: entry %d (%s) is encoded as %x, the fixture is %x", what, g.Index, g.Key, now, g.Value)
 		}
 	}
 }
 
-// requireDecided checks the decision of an order in the state.
+// requireDecided checks the decision on an order in the state of the given entries.
 func requireDecided(t *testing.T, entries []chain.Entry, o orders.Order, want orders.Kind) {
 	t.Helper()
 	if d, err := orders.Decide(entries, 1, o); err != nil || d.Kind != want {
@@ -317,7 +317,7 @@
 	}
 }
 
-// A folder that the code wrote before it was renamed is read completely, row by row, and the node goes on from it.
+// A data folder of an earlier release is read completely, row by row, and the node continues from it.
 func TestDataFolderOfEarlierReleaseIsRead(t *testing.T) {
 	if _, err := os.Stat(storedFolder); *writeFixtures && os.IsNotExist(err) {
 		writeStoredFolder(t, storedFolder)
@@ -326,7 +326,7 @@
 	if err := os.CopyFS(dir, os.DirFS(storedFolder)); err != nil {
 		t.Fatal(err)
 	}
-	peers := func(core *Server) Durable { // those that hold what is committed in the fixture
+	peers := func(core *Server) Durable { // the peers have the committed entries of the fixture
 		state := *core.node.chain.State()
 		state.Entries, state.LastIndex = core.node.chain.Committed(0), state.Commit
 		return Durable{Acceptor: view.Acceptor{View: core.node.View()}, State: state}
@@ -343,31 +343,31 @@
 		t.Fatal(err)
 	}
 	if want := map[string]bool{"self": true, "life": true, "acceptor": true, "meta": true}; !reflect.DeepEqual(rows, want) {
-		t.Errorf("the table of votes has the rows %v, want %v", rows, want)
+		t.Errorf("the table vote has the rows %v, want %v", rows, want)
 	}
 	d := n.core.node.Durable()
 	if !reflect.DeepEqual(d.Acceptor, storedAcceptor()) {
-		t.Errorf("the vote is %+v, want %+v", d.Acceptor, storedAcceptor())
+		t.Errorf("the acceptor state is %+v, want %+v", d.Acceptor, storedAcceptor())
 	}
 	if got, want := [3]int64{d.State.ActivatedEpoch, d.State.LastIndex, d.State.Commit}, [3]int64{3, 44, 42}; got != want {
 		t.Errorf("activated epoch, last index, commit are %v, want %v", got, want)
 	}
-	requireEntries(t, "as it was", d.State.Entries, storedEntries())
+	requireEntries(t, "opened first", d.State.Entries, storedEntries())
 	committed := n.core.node.Chain().Committed(0)
 	requireDecided(t, committed, orders.ReadConfig{}, orders.Found)
 	requireDecided(t, committed, putOrderOf(3), orders.AlreadyApplied)
 	requireDecided(t, committed, putOrderOf(4), orders.AlreadyApplied)
 	requireDecided(t, committed, putOrderOf(21), orders.AlreadyApplied)
-	requireDecided(t, committed, putOrderOf(22), orders.Accept) // on disk, and not committed
+	requireDecided(t, committed, putOrderOf(22), orders.Accept) // on disk but not committed
 	requireDecided(t, d.State.Entries, putOrderOf(22), orders.AlreadyApplied)
 	requireDecided(t, committed, orders.StorePhase{Name: "store-0"}, orders.Complete)
 	requireDecided(t, committed, orders.StorePhase{Name: "store-1"}, orders.Serving)
 	requireDecided(t, committed, orders.RetireStore{Name: "store-5"}, orders.InProgress)
 
-	n.until("the view that was voted on, or one after it, is decided and all is committed", n.allCaughtUp)
+	n.until("the accepted view or a later one is decided and all entries are committed", n.allCaughtUp)
 	epoch := n.core.node.View().Epoch
 	if epoch <= d.Acceptor.View.Epoch {
-		t.Errorf("epoch %d after epoch %d", epoch, d.Acceptor.View.Epoch)
+		t.Errorf("epoch %d, want one above epoch %d", epoch, d.Acceptor.View.Epoch)
 	}
 	if d := n.decideOrder(putOrderOf(23)); d.Kind != orders.Accept {
 		t.Errorf("a new configuration: %+v", d)
@@ -387,7 +387,7 @@
 	requireDecided(t, d.State.Entries, orders.StorePhase{Name: "store-0"}, orders.Complete)
 	var kept []storedEntry
 	for _, e := range storedEntries() {
-		if e.index != 39 && e.index != 40 { // compacted away since 43 and 44, under the same keys, are committed
+		if e.index != 39 && e.index != 40 { // compacted, since entries 43 and 44 with the same keys are committed
 			kept = append(kept, e)
 		}
 	}
