--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -25,6 +25,7 @@
 	down        bool          // the fault keeps the machine down, and end starts it
 }
 
+// contractSimulation is one of the contractSimulations: it injects the losses and checks the invariants.
 type contractSimulation struct {
 	*simulation
 	catchUp       time.Duration
