--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -9,40 +9,42 @@
 	"time"
 )
 
-// A contract simulation injects losses at the moment the contract permits them: a machine counts as lost
-// while it is down, frozen or partitioned, for catch_up_s after it is back, and for as long after its start
-// if it is new; one that is removed counts until its successor has had that time. As soon as fewer count than
-// fault_tolerance permits, the next loss is injected. In each step the newest view must have a live majority
-// and a live holder of all that was committed, and writes must be acknowledged.
-var contractSimulations = flag.Int("contract", 16, "simulations of losses as soon as they are permitted")
-
-// lossSlot is one of the losses that may be in progress: it is free again when nothing of it counts any more.
+// contractSimulations simulate losses that occur as soon as the fault-tolerance contract permits them. A machine counts
+// as lost while it is down, frozen or partitioned, for catch_up_s after its return, and for catch_up_s after its first
+// start if it is new; a removed machine counts until its successor has had that time. As soon as fewer machines count
+// as lost than fault_tolerance permits, the next loss is injected. In each step the newest view must have a live
+// majority and a live replica of all committed entries, and writes must be acknowledged.
+var contractSimulations = flag.Int("contract", 16, "simulations of losses that occur as soon as the contract permits them")
+
+// lossSlot is one of the losses that may be in progress. It is free again once its machine no longer counts as lost.
 type lossSlot struct {
-	machine     string        // that counts, empty for none
+	machine     string        // address of the machine that counts as lost, empty for none
 	until       time.Duration // the end of the fault
-	countsUntil time.Duration // until then it counts, once the fault has ended
-	end         func()        // ends the fault, nil once it has
-	down        bool          // the fault keeps the machine down, and its end starts it
+	countsUntil time.Duration // the machine counts as lost until then, once the fault has ended
+	end         func()        // ends the fault, nil once that is done
+	down        bool          // the fault keeps the machine down, and end starts it
 }
 
-type contract struct {
+// contractSimulation is one of the contractSimulations: it injects the losses and checks the invariants.
+type contractSimulation struct {
 	*simulation
-	catchUp     time.Duration
-	slots       []lossSlot
-	added       int
-	lastAck     time.Duration
-	acked       int
-	checkedFrom time.Duration // all were killed: no invariant of the living before it
-	leaving     map[string]time.Duration
-	replaced    map[string]bool // leave for good
-	faultCounts map[string]int
+	catchUp       time.Duration
+	slots         []lossSlot
+	addedMachines int
+	lastAckAt     time.Duration
+	ackedWrites   int
+	checkedFrom   time.Duration // no invariants are checked before, after all machines were killed
+	leaving       map[string]time.Duration
+	replaced      map[string]bool // machines that leave for good
+	faultCounts   map[string]int
 }
 
-// maxWriteGap bounds how long no write may be acknowledged while no more are lost than the contract permits.
+// maxWriteGap is the longest time without an acknowledged write while no more machines are lost than the contract
+// permits.
 const maxWriteGap = 6 * time.Second
 
-func newContract(t testing.TB, seed uint64, n, losses int, f injectedBugs) *contract {
-	c := &contract{
+func newContractSimulation(t testing.TB, seed uint64, n, losses int, f injectedBugs) *contractSimulation {
+	c := &contractSimulation{
 		simulation:  newSimulationWith(t, seed, n, losses, chainLengthForSeed(seed, losses), f),
 		catchUp:     4200 * time.Millisecond,
 		slots:       make([]lossSlot, losses),
@@ -53,11 +55,11 @@
 	if losses > 1 {
 		c.catchUp = 6 * time.Second
 	}
-	c.faultyMachine = "none" // no machine loses power by itself: this counts what is lost
+	c.faultyMachine = "none" // the base simulation injects no power losses: this one counts the lost machines
 	return c
 }
 
-func (c *contract) countsAsLost(addr string) bool {
+func (c *contractSimulation) countsAsLost(addr string) bool {
 	for _, s := range c.slots {
 		if s.machine == addr {
 			return true
@@ -66,8 +68,8 @@
 	return false
 }
 
-// healthyMachines returns the machines at which a fault could be injected.
-func (c *contract) healthyMachines() (all []string) {
+// healthyMachines returns the machines that a fault may be injected into.
+func (c *contractSimulation) healthyMachines() (all []string) {
 	for _, a := range c.addrs {
 		m := c.machines[a]
 		if m.up && !m.frozen && !c.countsAsLost(a) && c.leaving[a] == 0 {
@@ -77,29 +79,29 @@
 	return all
 }
 
-// play injects a number of faults.
-func (c *contract) play(rounds int) {
-	c.run(c.catchUp) // no loss is permitted before the members had their time
-	c.lastAck = c.now
-	for strikes := 0; strikes < rounds && c.failure == ""; {
+// runFaults injects a number of faults.
+func (c *contractSimulation) runFaults(rounds int) {
+	c.run(c.catchUp) // no loss is permitted before the members have had catch_up_s
+	c.lastAckAt = c.now
+	for injected := 0; injected < rounds && c.failure == ""; {
 		for i := range c.slots {
 			if c.slots[i].machine == "" && c.failure == "" {
 				c.injectFault(&c.slots[i])
-				strikes++
+				injected++
 			}
 		}
-		c.tick()
+		c.advance()
 	}
 	for end := c.now + 2*c.catchUp + 8*time.Second; c.now < end && c.failure == ""; {
-		c.tick()
+		c.advance()
 	}
 }
 
-// tick moves time on, ends faults, and checks the invariant.
-func (c *contract) tick() {
+// advance advances the time, ends faults, and checks the invariants.
+func (c *contractSimulation) advance() {
 	c.step()
-	if c.writes > c.acked {
-		c.acked, c.lastAck = c.writes, c.now
+	if c.writes > c.ackedWrites {
+		c.ackedWrites, c.lastAckAt = c.writes, c.now
 	}
 	for i := range c.slots {
 		s := &c.slots[i]
@@ -108,7 +110,7 @@
 		}
 		if s.end != nil && c.now >= s.until {
 			s.countsUntil = c.now + c.catchUp
-			s.end() // may say otherwise
+			s.end() // may set another countsUntil
 			s.end = nil
 		}
 		if s.end == nil && c.now >= s.countsUntil {
@@ -118,70 +120,70 @@
 	for a, since := range c.leaving {
 		m := c.machines[a]
 		if m.up && (m.node.CanStop() || c.now-since > leaveTimeout || c.bugs.stopsBeforeLeft) {
-			c.logf("%s is stopped, it had left: %v", a, m.node.CanStop())
+			c.logf("%s is stopped, it has left the view: %v", a, m.node.CanStop())
 			c.stop(m)
 			if c.replaced[a] {
-				c.remove(a)
+				c.removeMachine(a)
 			}
 		}
 	}
-	c.invariant()
+	c.checkInvariants()
 }
 
-// invariant checks that, by the newest decided view, a majority of the voters is alive, and a member of the
-// chain that has all that was committed.
-func (c *contract) invariant() {
+// checkInvariants checks that a majority of the voters of the newest decided view is alive, and a chain member that has
+// all committed entries.
+func (c *contractSimulation) checkInvariants() {
 	if c.now < c.checkedFrom || c.failure != "" {
 		return
 	}
 	newest := c.newest
-	majority, holder := 0, false
+	liveVoters, hasLiveReplica := 0, false
 	for _, a := range c.addrs {
 		m := c.machines[a]
 		if _, cut := c.partitioned[a]; !m.up || m.frozen || cut {
 			continue
 		}
 		if newest.IsVoter(m.id) {
-			majority++
+			liveVoters++
 		}
 		if i := newest.Position(m.id); i >= 0 && m.disk.State.ActivatedEpoch >= newest.Chain[i].JoinedEpoch {
-			holder = true
+			hasLiveReplica = true
 		}
 	}
-	if majority < newest.Majority() {
-		c.failf("of %d voters of view %d only %d live", len(newest.Voters), newest.Epoch, majority)
+	if liveVoters < newest.Majority() {
+		c.failf("of %d voters of view %d only %d are alive", len(newest.Voters), newest.Epoch, liveVoters)
 	}
-	if !holder {
-		c.failf("no member of view %d that has what was committed lives", newest.Epoch)
+	if !hasLiveReplica {
+		c.failf("no chain member of view %d that has all committed entries is alive", newest.Epoch)
 	}
-	if c.now-c.lastAck > maxWriteGap {
+	if c.now-c.lastAckAt > maxWriteGap {
 		c.failf("no write was acknowledged for %v", maxWriteGap)
 	}
 }
 
-// injectFault draws a machine and a fault.
-func (c *contract) injectFault(s *lossSlot) {
-	well := c.healthyMachines()
-	if len(well) == 0 {
+// injectFault injects a random fault into a random machine.
+func (c *contractSimulation) injectFault(s *lossSlot) {
+	healthy := c.healthyMachines()
+	if len(healthy) == 0 {
 		return
 	}
-	a := well[c.rng.IntN(len(well))]
-	if head := c.currentHead(); head != "" && c.rng.IntN(3) == 0 && slices.Contains(well, head) {
+	a := healthy[c.rng.IntN(len(healthy))]
+	if head := c.currentHead(); head != "" && c.rng.IntN(3) == 0 && slices.Contains(healthy, head) {
 		a = head
 	}
 	m := c.machines[a]
-	span := time.Duration(50+c.rng.IntN(5000)) * time.Millisecond
-	*s = lossSlot{machine: a, until: c.now + span}
+	duration := time.Duration(50+c.rng.IntN(5000)) * time.Millisecond
+	*s = lossSlot{machine: a, until: c.now + duration}
 	kinds := []func(s *lossSlot, m *machine){
-		c.kill, c.wipe, c.freeze, c.partition, c.roll, c.replace, c.replacePlanned, c.killAll, c.grow,
+		c.kill, c.wipe, c.freeze, c.partition, c.restartGracefully, c.replace, c.replaceGracefully, c.killAll, c.addMachine,
 	}
-	if c.bugs.keepsIDAfterDiskLoss { // found sooner where disks are lost again and again
+	if c.bugs.keepsIDAfterDiskLoss { // repeated disk losses find this planted bugs sooner
 		kinds = []func(s *lossSlot, m *machine){c.kill, c.wipe, c.killAll}
 	}
 	kinds[c.rng.IntN(len(kinds))](s, m)
 }
 
-func (c *contract) currentHead() string {
+func (c *contractSimulation) currentHead() string {
 	for _, a := range c.addrs {
 		if m := c.machines[a]; m.up && m.node.IsConfirmedHead() {
 			return a
@@ -190,9 +192,9 @@
 	return ""
 }
 
-func (c *contract) countFault(kind string) { c.faultCounts[kind]++ }
+func (c *contractSimulation) countFault(kind string) { c.faultCounts[kind]++ }
 
-func (c *contract) kill(s *lossSlot, m *machine) {
+func (c *contractSimulation) kill(s *lossSlot, m *machine) {
 	c.countFault("kill")
 	c.logf("%s is killed", m.addr)
 	c.stop(m)
@@ -200,7 +202,7 @@
 	s.end = func() { c.start(m); c.logf("%s starts", m.addr) }
 }
 
-func (c *contract) wipe(s *lossSlot, m *machine) {
+func (c *contractSimulation) wipe(s *lossSlot, m *machine) {
 	c.countFault("wipe")
 	c.logf("%s loses its disk", m.addr)
 	c.stop(m)
@@ -212,7 +214,7 @@
 	s.end = func() { c.start(m); c.logf("%s starts empty", m.addr) }
 }
 
-func (c *contract) freeze(s *lossSlot, m *machine) {
+func (c *contractSimulation) freeze(s *lossSlot, m *machine) {
 	c.countFault("freeze")
 	c.logf("%s freezes", m.addr)
 	m.frozen = true
@@ -220,22 +222,22 @@
 		if m.up {
 			c.unfreeze(m)
 		}
-		c.logf("%s wakes", m.addr)
+		c.logf("%s resumes", m.addr)
 	}
 }
 
-func (c *contract) partition(s *lossSlot, m *machine) {
+func (c *contractSimulation) partition(s *lossSlot, m *machine) {
 	c.countFault("cut")
-	way := c.rng.IntN(3)
-	c.logf("%s is cut off, way %d", m.addr, way)
-	c.partitioned[m.addr] = way
-	s.end = func() { delete(c.partitioned, m.addr); c.logf("%s is joined again", m.addr) }
+	direction := c.rng.IntN(3)
+	c.logf("%s is partitioned, direction %d", m.addr, direction)
+	c.partitioned[m.addr] = direction
+	s.end = func() { delete(c.partitioned, m.addr); c.logf("the partition of %s heals", m.addr) }
 }
 
-// roll stops a machine in order, and starts it again.
-func (c *contract) roll(s *lossSlot, m *machine) {
+// restartGracefully shuts a machine down gracefully, and starts it again.
+func (c *contractSimulation) restartGracefully(s *lossSlot, m *machine) {
 	c.countFault("roll")
-	c.logf("%s is stopped in order", m.addr)
+	c.logf("%s shuts down gracefully", m.addr)
 	c.handleReady(m, m.node.StartLeaving(c.now))
 	c.leaving[m.addr] = c.now
 	s.down, s.until = true, max(s.until, c.now+leaveTimeout+200*time.Millisecond)
@@ -249,9 +251,9 @@
 	}
 }
 
-func (c *contract) newMachine() *machine {
-	c.added++
-	addr := fmt.Sprintf("n%d", c.added)
+func (c *contractSimulation) startNewMachine() *machine {
+	c.addedMachines++
+	addr := fmt.Sprintf("n%d", c.addedMachines)
 	m := &machine{addr: addr, name: addr, id: c.newID()}
 	c.machines[addr] = m
 	c.addrs = append(c.addrs, addr)
@@ -259,7 +261,7 @@
 	return m
 }
 
-func (c *contract) remove(a string) {
+func (c *contractSimulation) removeMachine(a string) {
 	if m := c.machines[a]; m != nil && m.up {
 		c.stop(m)
 	}
@@ -268,43 +270,46 @@
 	delete(c.machines, a)
 }
 
-// replace removes a machine for good; an empty one comes a second later at another address.
-func (c *contract) replace(s *lossSlot, m *machine) {
+// replace removes a machine for good; an empty one starts a second later at another address.
+func (c *contractSimulation) replace(s *lossSlot, m *machine) {
 	c.countFault("replace")
 	c.logf("%s is removed for good", m.addr)
-	c.remove(m.addr)
+	c.removeMachine(m.addr)
 	s.until = c.now + time.Second
-	s.end = func() { s.machine = c.newMachine().addr; c.logf("%s comes for %s", s.machine, m.addr) }
+	s.end = func() {
+		s.machine = c.startNewMachine().addr
+		c.logf("%s starts as replacement of %s", s.machine, m.addr)
+	}
 }
 
-// replacePlanned starts the new machine first; the old one is stopped in order a second later, or when the
-// new one has had its time.
-func (c *contract) replacePlanned(s *lossSlot, m *machine) {
+// replaceGracefully starts the new machine first; the old one shuts down gracefully a second later, or once the new one
+// has had catch_up_s.
+func (c *contractSimulation) replaceGracefully(s *lossSlot, m *machine) {
 	c.countFault("replace planned")
-	next := c.newMachine()
+	next := c.startNewMachine()
 	began := c.now
-	c.logf("%s comes to take over from %s", next.addr, m.addr)
+	c.logf("%s starts to replace %s", next.addr, m.addr)
 	s.machine, s.until = next.addr, c.now+time.Second
 	if c.rng.IntN(2) == 0 {
-		s.until = c.now + c.catchUp // the next loss may come with the order to end
+		s.until = c.now + c.catchUp // the next loss may coincide with the shutdown
 	}
 	s.end = func() {
-		c.logf("%s is stopped in order", m.addr)
+		c.logf("%s shuts down gracefully", m.addr)
 		if m.up && c.machines[m.addr] == m {
 			c.handleReady(m, m.node.StartLeaving(c.now))
 			c.leaving[m.addr], c.replaced[m.addr] = c.now, true
 		} else {
-			c.remove(m.addr)
+			c.removeMachine(m.addr)
 		}
-		s.countsUntil = began + c.catchUp // the old one counts until the new one has had its time
+		s.countsUntil = began + c.catchUp // the old one counts as lost until the new one has had catch_up_s
 	}
 }
 
-// killAll ends all processes at one instant, whatever fault_tolerance permits. They come back within a
-// second, with their disks.
-func (c *contract) killAll(s *lossSlot, m *machine) {
+// killAll kills all machines at the same instant, whatever fault_tolerance permits. They restart within a second, with
+// their disks.
+func (c *contractSimulation) killAll(s *lossSlot, m *machine) {
 	c.countFault("kill all")
-	c.logf("all are killed")
+	c.logf("all machines are killed")
 	for _, a := range c.addrs {
 		if one := c.machines[a]; one.up {
 			c.stop(one)
@@ -312,23 +317,23 @@
 		}
 	}
 	for a := range c.replaced {
-		c.remove(a)
+		c.removeMachine(a)
 	}
 	s.until = c.now + time.Duration(100+c.rng.IntN(900))*time.Millisecond
 	c.checkedFrom = s.until + 3*time.Second
-	c.lastAck, c.lagCheckedFrom = c.checkedFrom, c.checkedFrom
+	c.lastAckAt, c.lagCheckedFrom = c.checkedFrom, c.checkedFrom
 	s.end = func() {
 		for _, a := range c.addrs {
 			if one := c.machines[a]; !one.up && !c.replaced[a] && c.leaving[a] == 0 && !c.willRestart(a, s) {
 				c.start(one)
 			}
 		}
-		c.logf("they start again")
+		c.logf("all machines start again")
 	}
 }
 
 // willRestart reports whether another loss will start the machine again.
-func (c *contract) willRestart(a string, but *lossSlot) bool {
+func (c *contractSimulation) willRestart(a string, but *lossSlot) bool {
 	for i := range c.slots {
 		if s := &c.slots[i]; s != but && s.machine == a && s.end != nil && s.down {
 			return true
@@ -337,10 +342,10 @@
 	return false
 }
 
-// grow adds a machine.
-func (c *contract) grow(s *lossSlot, m *machine) {
+// addMachine adds a machine.
+func (c *contractSimulation) addMachine(s *lossSlot, m *machine) {
 	c.countFault("grow")
-	next := c.newMachine()
+	next := c.startNewMachine()
 	c.logf("%s is added", next.addr)
 	s.machine, s.until = next.addr, c.now
 	s.end = func() {}
@@ -350,33 +355,33 @@
 	t.Parallel()
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
-	writes, struck := 0, map[string]int{}
+	writes, faultCounts := 0, map[string]int{}
 	for i := range *contractSimulations {
-		c := contractAt(t, base+uint64(i), injectedBugs{})
-		c.play(12)
+		c := newContractSimulationFromSeed(t, base+uint64(i), injectedBugs{})
+		c.runFaults(12)
 		if c.failure != "" {
 			t.Fatalf("seed %d, %d machines, losses %d: %s\n%s", c.seed, c.initialMachines, c.faultTolerance, c.failure, c.trace())
 		}
 		writes += c.writes
 		for kind, n := range c.faultCounts {
-			struck[kind] += n
+			faultCounts[kind] += n
 		}
 	}
-	t.Logf("%d simulations, %d writes acknowledged, faults: %v", *contractSimulations, writes, struck)
+	t.Logf("%d simulations, %d writes acknowledged, faults: %v", *contractSimulations, writes, faultCounts)
 }
 
-// Two views change within the time that followers have, and two of their sources do not answer.
+// Two view changes occur within the followers' time to catch up, and two of their sources do not answer.
 func TestFollowersSurviveTwoViewChanges(t *testing.T) {
 	t.Parallel()
-	c := contractAt(t, 1796199225728843689, injectedBugs{})
-	c.play(12)
+	c := newContractSimulationFromSeed(t, 1796199225728843689, injectedBugs{})
+	c.runFaults(12)
 	if c.failure != "" {
 		t.Errorf("%s\n%s", c.failure, c.trace())
 	}
 }
 
-// Seeds in which a link of the chain lost its first update after a second without writes: the next was sent
-// seconds later.
+// An update that was lost after a second without writes was resent only seconds later. In these seeds a chain link
+// loses such an update.
 func TestUpdatesLostAfterIdleAreResentSoon(t *testing.T) {
 	for seed, machines := range map[uint64]int{1796199634200714431: 5, 1796199634201552299: 4} {
 		c := newSimulation(t, seed, machines, injectedBugs{})
@@ -387,16 +392,17 @@
 	}
 }
 
-// contractAt draws the size of a simulation by its seed: losses of 1 and 2, 3 to 8 nodes.
-func contractAt(t testing.TB, seed uint64, f injectedBugs) *contract {
+// newContractSimulationFromSeed returns a simulation whose size depends on its seed: 3 to 8 nodes, a fault tolerance of
+// 1 or 2.
+func newContractSimulationFromSeed(t testing.TB, seed uint64, f injectedBugs) *contractSimulation {
 	sizes := []struct{ n, losses int }{{3, 1}, {4, 1}, {5, 1}, {8, 1}, {5, 2}, {8, 2}}
-	one := sizes[rand.New(rand.NewPCG(seed, 1)).IntN(len(sizes))]
-	return newContract(t, seed, one.n, one.losses, f)
+	size := sizes[rand.New(rand.NewPCG(seed, 1)).IntN(len(sizes))]
+	return newContractSimulation(t, seed, size.n, size.losses, f)
 }
 
 func TestSingleContractSeed(t *testing.T) {
-	c := contractAt(t, *contractSeed, injectedBugs{})
-	c.play(12)
+	c := newContractSimulationFromSeed(t, *contractSeed, injectedBugs{})
+	c.runFaults(12)
 	if c.failure != "" {
 		for _, a := range c.addrs {
 			if m := c.machines[a]; m.up {
@@ -413,25 +419,25 @@
 
 var contractSeed = flag.Uint64("contract.seed", 1, "seed of the one simulation")
 
-// Violations of the contract are found.
+// The simulation finds planted violations of the contract.
 func TestContractCheckFindsPlantedFaults(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]injectedBugs{
-		"a lost disk that comes back under its old id": {keepsIDAfterDiskLoss: true},
-		"a member that leaves without a word":          {stopsBeforeLeft: true},
-		"voters that are lost keep their votes":        {neverRemovesVoters: true},
-		"an identity that is replaced keeps its vote":  {ignoresApplicants: true},
+		"a node that keeps its ID after a disk loss":   {keepsIDAfterDiskLoss: true},
+		"a member that stops without leaving the view": {stopsBeforeLeft: true},
+		"lost voters keep their votes":                 {neverRemovesVoters: true},
+		"a replaced identity keeps its vote":           {ignoresApplicants: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(200) {
-				c := contractAt(t, seed+1, f)
-				c.play(12)
+				c := newContractSimulationFromSeed(t, seed+1, f)
+				c.runFaults(12)
 				if c.failure != "" {
 					return
 				}
 			}
-			t.Fatal("not found in 200 simulations")
+			t.Fatal("the planted fault was not found in 200 simulations")
 		})
 	}
 }
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -16,7 +16,7 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// largeConfig is a configuration of 150 KB.
+// largeConfig returns a configuration of 150 KB.
 func largeConfig(version int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"config_version":%d,"service_table":[{"name":"s"}],"route_table":[`, version)
@@ -31,9 +31,9 @@
 	return []byte(b.String())
 }
 
-func (c *cluster) putBody(on int, body []byte) {
+func (c *cluster) putConfigBody(on int, body []byte) {
 	c.t.Helper()
-	c.until("an answer to a large version", func() bool {
+	c.until("a large configuration is acknowledged", func() bool {
 		status, text := c.send(on%c.n, http.MethodPut, "/api/config", strconv.Itoa(on), body)
 		if status >= 400 && status < 500 {
 			c.t.Fatalf("%d %s", status, text)
@@ -42,20 +42,20 @@
 	})
 }
 
-// ask polls a core node until it answers fresh.
-func (c *cluster) ask(calls *rpc.Clients, node int, q *feed.ChangesRequest) *feed.ChangesResponse {
+// pollUntilConfirmed polls a core node until it returns a confirmed response.
+func (c *cluster) pollUntilConfirmed(calls *rpc.Clients, node int, q *feed.ChangesRequest) *feed.ChangesResponse {
 	c.t.Helper()
 	var a *feed.ChangesResponse
-	c.until("a fresh answer", func() bool {
+	c.until("a confirmed response", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		a = new(feed.ChangesResponse)
-		return calls.To(c.core(node)).Call(ctx, feed.ChangesCall, q, a) == nil && a.Confirmed
+		return calls.To(c.peerAddr(node)).Call(ctx, feed.ChangesCall, q, a) == nil && a.Confirmed
 	})
 	return a
 }
 
-func (c *cluster) core(node int) string {
+func (c *cluster) peerAddr(node int) string {
 	return c.settings(0, false).PeerAddr(c.ip(node), process.CorePort)
 }
 
@@ -63,66 +63,66 @@
 	c := newCluster(t, 3)
 	f, stop := c.follow("front-1")
 	defer stop()
-	c.putBody(0, largeConfig(3))
-	c.acts(f, 3)
+	c.putConfigBody(0, largeConfig(3))
+	c.awaitActiveVersion(f, 3)
 
 	calls := &rpc.Clients{}
 	defer calls.Close()
 	q := &feed.ChangesRequest{Name: "by hand", WaitMs: 500}
-	a := c.ask(calls, 0, q)
+	a := c.pollUntilConfirmed(calls, 0, q)
 	if len(a.LargeValues) != 1 || len(rpc.Encode(a)) > 1000 {
-		t.Fatalf("%d values by name in an answer of %d bytes", len(a.LargeValues), len(rpc.Encode(a)))
+		t.Fatalf("%d values by digest in a response of %d bytes", len(a.LargeValues), len(rpc.Encode(a)))
 	}
-	value := c.fetch(calls, a.LargeValues[0])
+	value := c.fetchChunks(calls, a.LargeValues[0])
 
-	c.putBody(3, largeConfig(9))
-	c.acts(f, 9)
+	c.putConfigBody(3, largeConfig(9))
+	c.awaitActiveVersion(f, 9)
 	q.ReceivedIndex = a.LargeValues[0].Index
 	q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: a.LargeValues[0].Digest}}
-	b := c.ask(calls, 0, q)
+	b := c.pollUntilConfirmed(calls, 0, q)
 	if len(b.Patches) != 1 || len(b.Patches[0].Delta) > 500 {
-		t.Fatalf("%d differences, %d by digest, %d complete", len(b.Patches), len(b.LargeValues), len(b.Entries))
+		t.Fatalf("%d values as deltas, %d by digest, %d complete", len(b.Patches), len(b.LargeValues), len(b.Entries))
 	}
 	next, err := bodydelta.Apply(value, b.Patches[0].Delta, rpc.MaxFrame)
 	var e feed.ConfigEntry
 	if err != nil || rpc.Decode(next, &e) != nil || string(e.Body) != string(largeConfig(9)) {
-		t.Fatalf("version 9 by its difference: %v, %d bytes", err, len(e.Body))
+		t.Fatalf("version 9 by its delta: %v, %d bytes", err, len(e.Body))
 	}
 }
 
-// fetch takes the pieces of a value from one node after the other.
-func (c *cluster) fetch(calls *rpc.Clients, name feed.ValueRef) (value []byte) {
+// fetchChunks fetches the chunks of a value from the nodes in turn.
+func (c *cluster) fetchChunks(calls *rpc.Clients, name feed.ValueRef) (value []byte) {
 	c.t.Helper()
 	node := 0
-	c.until("all pieces", func() bool {
+	c.until("all chunks are fetched", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		p := new(feed.Chunk)
 		node++
 		q := &feed.ChunkRequest{Name: "by hand", Digest: name.Digest, Offset: int64(len(value)), Length: 50_000}
-		if calls.To(c.core(node%c.n)).Call(ctx, feed.ChunkCall, q, p) == nil && p.Status == feed.ChunkServed {
+		if calls.To(c.peerAddr(node%c.n)).Call(ctx, feed.ChunkCall, q, p) == nil && p.Status == feed.ChunkServed {
 			value = append(value, p.Data...)
 		}
 		return int64(len(value)) == name.Size
 	})
 	if digest := bodydelta.DigestOf(value); string(digest[:]) != string(name.Digest) {
-		c.t.Fatal("the pieces are not the value that was named")
+		c.t.Fatal("the chunks do not have the announced digest")
 	}
 	return value
 }
 
-// A follower of the release before this one polls by the old call and gets every value complete.
+// A follower of an earlier release polls by FollowCall and gets every value complete.
 func TestFollowerOfEarlierReleaseIsServed(t *testing.T) {
 	c := newCluster(t, 3)
-	c.putBody(0, largeConfig(3))
+	c.putConfigBody(0, largeConfig(3))
 	calls := &rpc.Clients{}
 	defer calls.Close()
 	var a *feed.FollowResponse
-	c.until("a fresh answer", func() bool {
+	c.until("a confirmed response", func() bool {
 		ctx, done := context.WithTimeout(context.Background(), time.Second)
 		defer done()
 		a = new(feed.FollowResponse)
-		err := calls.To(c.core(1)).Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "old", WaitMs: 500}, a)
+		err := calls.To(c.peerAddr(1)).Call(ctx, feed.FollowCall, &feed.FollowRequest{Name: "old", WaitMs: 500}, a)
 		return err == nil && a.Confirmed && a.Index > 0
 	})
 	var e feed.ConfigEntry
@@ -139,28 +139,29 @@
 	q := func(i int) *feed.ChunkRequest {
 		return &feed.ChunkRequest{Name: fmt.Sprint(i), Digest: digest[:], Length: 1 << 20}
 	}
-	given, busy := 0, 0
+	served, busy := 0, 0
 	for i := range 20 {
 		switch p := s.serveChunk(q(i), entry, 0); p.Status {
 		case feed.ChunkServed:
-			given++
+			served++
 			if len(p.Data) != 64<<10 {
-				t.Errorf("a piece of %d bytes", len(p.Data))
+				t.Errorf("a chunk of %d bytes", len(p.Data))
 			}
 		case feed.ChunkBusy:
 			busy++
 		}
 	}
-	if given != 8 || busy != 12 {
-		t.Errorf("%d were given a chunk and %d had to wait", given, busy)
+	if served != 8 || busy != 12 {
+		t.Errorf("%d followers got a chunk and %d had to wait, want 8 and 12", served, busy)
 	}
 	if p := s.serveChunk(&feed.ChunkRequest{Name: "x", Digest: make([]byte, 32)}, entry, 0); p.Status != feed.ChunkUnknown {
-		t.Errorf("a value that there never was: state %d", p.Status)
+		t.Errorf("an unknown value: status %d", p.Status)
 	}
 }
 
-// A frozen node answers the polls that come as it wakes before it has received what was committed meanwhile:
-// whatever its clock shows, the answer is not fresh until a majority has confirmed it after the poll came.
+// A node that was frozen answers the polls that arrive as it resumes before it receives what was committed meanwhile.
+// Whatever its clock shows, a response must not be confirmed before a majority has confirmed the node after the poll
+// arrived.
 func TestFrozenNodeDoesNotServeStaleFeed(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
@@ -168,7 +169,7 @@
 	}
 	f, stop := c.follow("front-1")
 	defer stop()
-	c.acts(f, 3)
+	c.awaitActiveVersion(f, 3)
 	frozen := c.cores[2]
 	before := int64(0)
 	c.until("the node has the version", func() bool {
@@ -179,7 +180,7 @@
 	go frozen.onLoop(func() {
 		<-release
 		now := frozen.now()
-		frozen.mergeReady(frozen.node.Tick(now)) // its clock goes on before its sockets are read
+		frozen.mergeReady(frozen.node.Tick(now)) // its clock advances before its sockets are read
 		woke <- frozen.snapshotFeed(&feed.ChangesRequest{Name: "front-2"}, now, true)
 	})
 	if got := c.put(9, 3, 0, 1); got != http.StatusOK {
@@ -188,21 +189,21 @@
 	close(release)
 	m := <-woke
 	if m.index != before {
-		t.Fatalf("it has index %d, wanted %d: it did not stand still", m.index, before)
+		t.Fatalf("the node has index %d, want %d: it was not frozen", m.index, before)
 	}
 	if m.confirmed {
-		t.Error("a poll that came as it woke was answered fresh with the state from before")
+		t.Error("a poll that arrived as the node resumed got a confirmed response with the state from before the freeze")
 	}
 	calls := &rpc.Clients{}
 	defer calls.Close()
-	if a := c.ask(calls, 2, &feed.ChangesRequest{Name: "front-2", WaitMs: 500}); a.Index <= before {
-		t.Errorf("it answers fresh at index %d, version 9 is above %d", a.Index, before)
+	if a := c.pollUntilConfirmed(calls, 2, &feed.ChangesRequest{Name: "front-2", WaitMs: 500}); a.Index <= before {
+		t.Errorf("a confirmed response at index %d, version 9 is above %d", a.Index, before)
 	}
 }
 
-// An answer rests on a confirmation round that starts after its poll came, and not on one that has ended
-// before: a node that is healthy by its own state has to ask first. It asks at once, and does not wait for
-// the next heartbeats.
+// A response needs a confirmation round that starts after its poll arrived; a round that ended before is not enough,
+// even if the node considers itself up to date. The node starts the round at once, without waiting for the next
+// heartbeats.
 func TestPollWaitsForConfirmationRound(t *testing.T) {
 	c := newCluster(t, 3)
 	if got := c.put(3, 0, 0, 1, 2); got != http.StatusOK {
@@ -220,12 +221,12 @@
 			return m.recent && m.index > 0
 		})
 		if m.confirmed || m.ready == nil {
-			t.Fatalf("node %d: a poll was answered fresh as it came", i)
+			t.Fatalf("node %d: a poll was confirmed on arrival", i)
 		}
-		c.until("a round begun after the poll", func() bool {
+		c.until("a round that started after the poll", func() bool {
 			core.onLoop(func() { m = core.snapshotFeed(q, arrival, true) })
 			if !m.confirmed {
-				<-m.ready // at the latest when the poll has ended
+				<-m.ready // closed when the poll has ended at the latest
 			}
 			return m.confirmed
 		})
--- a/internal/tier/controlnode/follower_partition_test.go
+++ b/internal/tier/controlnode/follower_partition_test.go
@@ -14,7 +14,7 @@
 
 // configApplyLimit is config_apply_ms: the time within which a follower that reaches some node activates a change. The
 // simulations of package feed check it in virtual time. Here a busy machine may delay whole processes, so followers only
-// have to catch up during the partition, within fleetLimit; the time that they take is logged next to configApplyLimit.
+// have to catch up during the partition, within waitTimeout; the time that they take is logged next to configApplyLimit.
 const configApplyLimit = 2 * time.Second
 
 // preferredSourceLimit is above the 16 s within which a follower that started with another source retries its preferred
@@ -46,7 +46,7 @@
 	if cut != nil {
 		cut(l)
 	}
-	follower, stop := f.followerBy(&rpc.Clients{Dial: through(strings.Join(routes, ","))}, first, seeds...)
+	follower, stop := f.startFollowerWithClients(&rpc.Clients{Dial: dialThroughRelays(strings.Join(routes, ","))}, first, seeds...)
 	f.t.Cleanup(stop)
 	l.Follower = follower
 	return l
@@ -86,7 +86,7 @@
 func (l *relayedFollower) requireActsOnChange(what string) {
 	l.f.t.Helper()
 	version := l.f.change(1, l.f.all()...)
-	took := l.f.within(fleetLimit, fmt.Sprintf("%s: the follower acts on version %d", what, version), func() bool {
+	took := l.f.within(waitTimeout, fmt.Sprintf("%s: the follower acts on version %d", what, version), func() bool {
 		now := l.Tables().Config
 		return now != nil && now.Version >= version
 	})
@@ -105,7 +105,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := newSeed(t)
+			_, r := newLoggedSeed(t)
 			f := newFleet(t, 3, 3)
 			first := r.IntN(3)
 			l := f.newRelayedFollower(first, f.all(), nil)
@@ -115,12 +115,12 @@
 				source := l.source()
 				l.blockLinks(directions, source)
 				l.requireActsOnChange("its source is partitioned")
-				l.blockLinks(directions, others(3, source)[r.IntN(2)])
+				l.blockLinks(directions, allNodesExcept(3, source)[r.IntN(2)])
 				l.requireActsOnChange("two of three nodes are partitioned")
 				l.unblockLinks(r.IntN(2) == 0, f.all()...)
 			}
 			one := r.IntN(3)
-			second := f.newRelayedFollower(others(3, one)[0], f.all(), func(l *relayedFollower) { l.blockLinks(directions, others(3, one)...) })
+			second := f.newRelayedFollower(allNodesExcept(3, one)[0], f.all(), func(l *relayedFollower) { l.blockLinks(directions, allNodesExcept(3, one)...) })
 			second.requireActsOnChange("it starts and reaches one node of three")
 			l.healDuringChange(directions, r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
@@ -153,14 +153,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := newSeed(t)
+			_, r := newLoggedSeed(t)
 			f := newFleet(t, 3, 3)
 			seed := r.IntN(3)
 			hold(f, seed)
 			f.change(1, f.allExcept(seed)...)
 			l := f.newRelayedFollower(seed, []int{seed}, nil)
 			newest, _ := f.hist.newestAcknowledged()
-			took := f.within(fleetLimit, "the follower acts on the newest version", func() bool {
+			took := f.within(waitTimeout, "the follower acts on the newest version", func() bool {
 				now := l.Tables().Config
 				return now != nil && now.Version >= newest
 			})
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -30,44 +30,44 @@
 	"larchrouter/internal/tier/view"
 )
 
-// writeFixtures has tests write the fixtures under testdata that are missing. A fixture holds the bytes of a format as they
-// were when it was first used: it is written once and never rewritten, least of all for a rename. Whoever changes a format on
-// purpose adds a new fixture beside the old one.
-var writeFixtures = flag.Bool("fixtures.write", false, "write the fixtures under testdata that are missing; those that are there stay as they are")
+// writeFixtures makes tests write missing fixtures under testdata. A fixture contains the bytes of a format at its
+// first use: it is written once and never rewritten, in particular not for a rename. An intended change of a format
+// adds a new fixture next to the old one.
+var writeFixtures = flag.Bool("fixtures.write", false, "write the missing fixtures under testdata; existing ones are not changed")
 
 const (
 	sideRequest = "request"
 	sideReply   = "reply"
-	sideStored  = "stored" // the value of an entry of the control state, or of a row on disk: method 0
+	sideStored  = "stored" // the value of an entry of the control state or of a row on disk; its method is 0
 )
 
-// big is beyond 32 bits, so that a field that is made narrower does not pass.
+// big exceeds 32 bits, so that the tests detect a field that is made narrower.
 const big = 1 << 40
 
-// encoded is one body of a frame, or one value: its method's number, a name for people, which way it goes, and the value that
-// its bytes mean.
-type encoded struct {
+// encodedValue is the body of a frame or a stored value: the number of its method, a descriptive name, its side, and
+// the decoded value.
+type encodedValue struct {
 	method rpc.Method
 	name   string
 	side   string
 	value  any // pointer to a struct
 }
 
-func (e encoded) key() string { return fmt.Sprintf("%d %s %s", e.method, e.name, e.side) }
+func (e encodedValue) key() string { return fmt.Sprintf("%d %s %s", e.method, e.name, e.side) }
 
-// messageKinds are the kinds of messages between core nodes by their numbers, which are on the wire.
+// messageKinds are the names of the kinds of messages between core nodes, by the numbers that are on the wire.
 var messageKinds = []string{"heartbeat", "prepare", "promise", "accept", "accepted", "decide", "update", "ack", "confirm", "confirmed", "host list", "learn", "learned"}
 
-// allEncoded are all that core nodes, followers and stores send each other through core nodes, and what core nodes keep.
-// Numbers are literals on purpose: they are on the wire.
-func allEncoded() []encoded {
+// allEncoded returns a value of each kind that core nodes exchange with each other, with followers and with stores, and
+// of each kind that core nodes store. Numbers are literals since they are on the wire.
+func allEncoded() []encodedValue {
 	host := discovery.Host{ID: "host", Service: "service", Addr: "addr", Zone: "zone", Capacity: big + 31, Phase: "phase", WarmupMs: big + 32, Models: []string{"model-1", "model-2"}}
 	list := discovery.List{Term: big + 33, Number: big + 34, Hosts: []discovery.Host{host}}
 	other := discovery.Host{ID: "host-2", Service: "service-2", Addr: "addr-2", Zone: "zone-2", Capacity: big + 41, Phase: "phase-2", WarmupMs: big + 42, Models: []string{"model-3"}}
 	delta := discovery.Delta{FromTerm: big + 43, FromNumber: big + 44, Term: big + 45, Number: big + 46, Changed: []discovery.Host{other}, Removed: []string{"removed-1", "removed-2"}}
 	entry := chain.Entry{Index: big + 51, Key: "entry-key", Value: []byte("entry-value")}
 	store := turnstore.Store{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}
-	all := []encoded{
+	all := []encodedValue{
 		{2, "follow", sideRequest, &feed.FollowRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ActiveVersion: big + 2, HostListTerm: big + 3, HostListNumber: big + 4, WaitMs: big + 5}},
 		{2, "follow", sideReply, &feed.FollowResponse{Confirmed: true, Index: big + 1, Entries: []chain.Entry{entry}, Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, CoreAddrs: []string{"core-1", "core-2"}}},
 		{3, "put", sideRequest, &feed.PutRequest{IfMatch: big + 1, Body: []byte("body"), Forwarded: true}},
@@ -116,7 +116,7 @@
 		{0, "meta", sideStored, &chainMeta{ActivatedEpoch: big + 1, LastIndex: big + 2, Commit: big + 3}},
 	}
 	for number, kind := range messageKinds {
-		all = append(all, encoded{1, "peer, " + kind, sideRequest, &Message{
+		all = append(all, encodedValue{1, "peer, " + kind, sideRequest, &Message{
 			Kind: number, From: view.Member{ID: "from-id", Name: "from-name", Addr: "from-addr"}, Incarnation: big + 1, Epoch: big + 2, Promised: true, Leaving: true, ConfirmationRound: big + 3,
 			Echoes: []Echo{{ID: "echo-1", Incarnation: big + 4, ConfirmationRound: big + 5}, {ID: "echo-2", Incarnation: big + 6, ConfirmationRound: big + 7}},
 			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedAt: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), ActivatedEpoch: big + 10,
@@ -131,17 +131,17 @@
 	return all
 }
 
-// boolMessages tell booleans of one struct apart, each of which is true in allEncoded.
-var boolMessages = []encoded{
+// boolMessages distinguish the booleans of a struct, all of which are true in allEncoded.
+var boolMessages = []encodedValue{
 	{1, "peer, sealed", sideRequest, &Message{Promised: true}},
 	{1, "peer, leaving", sideRequest, &Message{Leaving: true}},
 	{1, "peer, known", sideRequest, &Message{Ack: chain.Ack{CommitIsCurrent: true}}},
 	{1, "peer, active", sideRequest, &Message{Ack: chain.Ack{Active: true}}},
 	{5, "register, full", sideRequest, &feed.Registration{Full: true}},
 	{5, "register, relayed", sideRequest, &feed.Registration{Forwarded: true}},
-	{8, "status, sealed", sideReply, &Status{Sealed: true}},
+	{8, "status, sealed", sideReply, &Status{Promised: true}},
 	{8, "status, fresh", sideReply, &Status{Fresh: true}},
-	{8, "status, joint", sideReply, &Status{Joint: true}},
+	{8, "status, joint", sideReply, &Status{PlacementJoint: true}},
 	{15, "duties, held", sideReply, &TaskStatus{Held: true}},
 	{15, "duties, usage expected", sideReply, &TaskStatus{Usage: UsageTaskStatus{Expected: true}}},
 	{15, "duties, scale expected", sideReply, &TaskStatus{Scale: ScaleTaskStatus{Expected: true}}},
@@ -154,12 +154,12 @@
 }
 
 func fullStatus() *Status {
-	return &Status{Node: "node", Epoch: big + 1, Head: "head", Tail: "tail", Chain: []string{"chain-1", "chain-2"}, Voters: []Voter{{ID: "voter-id", Name: "voter-name", Addr: "voter-addr", SilentMs: big + 2}},
-		Sealed: true, Fresh: true, Place: big + 3, Commit: big + 4, Version: big + 5, Hosts: big + 6, Gen: big + 7, Joint: true,
-		Stores: []turnstore.Store{{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}}, Full: []string{"full-1", "full-2"},
-		Silent: []SilentStore{{ID: "silent-id", Name: "silent-name", Addr: "silent-addr", SilentMs: big + 8}}, Lacking: big + 9,
-		Followers: []FollowerStatus{{Name: "follower-name", Class: "follower-class", Version: big + 10, Place: big + 11, SilentMs: big + 12}}, Role: "role",
-		Transfers: []Transfer{{To: "to", Place: big + 13, Target: big + 14, Bytes: big + 15}}}
+	return &Status{Node: "node", Epoch: big + 1, Head: "head", Tail: "tail", Chain: []string{"chain-1", "chain-2"}, Voters: []Voter{{ID: "voter-id", Name: "voter-name", Addr: "voter-addr", SinceLastMessageMs: big + 2}},
+		Promised: true, Fresh: true, LastIndex: big + 3, Commit: big + 4, ConfigVersion: big + 5, Hosts: big + 6, PlacementGeneration: big + 7, PlacementJoint: true,
+		Stores: []turnstore.Store{{ID: "store-id", Name: "store-name", Addr: "store-addr", Zone: "store-zone"}}, FullStores: []string{"full-1", "full-2"},
+		UnresponsiveStores: []UnresponsiveStore{{ID: "silent-id", Name: "silent-name", Addr: "silent-addr", SinceRegistrationMs: big + 8}}, StoresRequired: big + 9,
+		Followers: []FollowerStatus{{Name: "follower-name", Class: "follower-class", ActiveVersion: big + 10, AppliedIndex: big + 11, SinceLastPollMs: big + 12}}, Role: "role",
+		Transfers: []Transfer{{To: "to", LastIndex: big + 13, Target: big + 14, Bytes: big + 15}}}
 }
 
 func fullDutyStatus() *TaskStatus {
@@ -177,22 +177,23 @@
 		Outcomes: outcomes(big + 70)}
 }
 
-// The bytes of each message are those of the code before it was renamed: Avro has fields in their order and without names, so
-// that a field that was moved, added, dropped or given another type shows here and nowhere else.
+// The encoding of each message and stored value must stay compatible with earlier releases. Avro encodes fields in
+// their order and without names, so that only this test detects a field that was moved, added, dropped or given another
+// type.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	path := filepath.Join("testdata", "frames.txt")
 	if *writeFixtures {
 		writeMissingFrames(t, path, slices.Concat(allEncoded(), boolMessages))
 	}
-	var full, alone []any
+	var full, single []any
 	for _, e := range allEncoded() {
 		requireAllSet(t, e.key(), e.value)
 		full = append(full, e.value)
 	}
 	for _, e := range boolMessages {
-		alone = append(alone, e.value)
+		single = append(single, e.value)
 	}
-	requireBoolsApart(t, full, alone)
+	requireBoolsDistinguished(t, full, single)
 	fixtures := readFrames(t, path)
 	for _, e := range slices.Concat(allEncoded(), boolMessages) {
 		old, known := fixtures[e.key()]
@@ -203,21 +204,22 @@
 		}
 		got := reflect.New(reflect.TypeOf(e.value).Elem()).Interface()
 		if err := rpc.Decode(old, got); err != nil {
-			t.Errorf("%s: the old bytes: %v", e.key(), err)
-		} else if !sameValue(got, e.value) {
-			t.Errorf("%s: the old bytes mean %+v, want %+v", e.key(), got, e.value)
+			t.Errorf("%s: decode the fixture: %v", e.key(), err)
+		} else if !equalValues(got, e.value) {
+			t.Errorf("%s: the fixture is decoded as %+v, want %+v", e.key(), got, e.value)
 		}
 		if now := rpc.Encode(e.value); !bytes.Equal(now, old) {
-			t.Errorf("%s is encoded as\n%x, was\n%x", e.key(), now, old)
+			t.Errorf("%s is encoded as\n%x, the fixture is\n%x", e.key(), now, old)
 		}
 	}
 	for key := range fixtures {
-		t.Errorf("nothing is held against the fixture %q", key)
+		t.Errorf("no value is compared with the fixture %q", key)
 	}
 }
 
-// loneCore is a core node that is the only one, so that it decides by itself. It serves no port.
-func loneCore(t *testing.T) *Server {
+// openSingleCore opens the only core node of a cluster, which decides by itself, and waits until it is the head. It
+// serves no port.
+func openSingleCore(t *testing.T) *Server {
 	t.Helper()
 	text := fmt.Sprintf("node_name: core-1\nip_addr: 127.0.0.1\nzone_name: z\nregion_name: r\nzones: {z: r}\nbind_addrs: {control_addr: '127.0.0.1:20000'}\n"+
 		"port_range: [20001, 20010]\nseed_nodes: ['127.0.0.1:20000']\nbootstrap: true\ndata_dir: '%s'\nlimits: {memory_mb: 64, max_fds: 256, disk_mb: 64}\n", t.TempDir())
@@ -244,7 +246,7 @@
 	return c
 }
 
-// Each method that a core node serves has fixtures, and takes and gives the types that they are of.
+// Each method that a core node serves has fixtures, whose types are those of its request and its reply.
 func TestEachMethodHasFixtures(t *testing.T) {
 	find := func(method rpc.Method, side string) any {
 		for _, e := range allEncoded() {
@@ -255,11 +257,11 @@
 		t.Errorf("method %d has no %s among the fixtures", method, side)
 		return nil
 	}
-	const peerNotice = 1 // it has no answer
-	c := loneCore(t)
+	const peerMessage = 1 // has no reply
+	c := openSingleCore(t)
 	handlers := c.handlers()
 	for method, handle := range handlers {
-		if method == peerNotice {
+		if method == peerMessage {
 			continue
 		}
 		call, want := find(method, sideRequest), find(method, sideReply)
@@ -270,23 +272,23 @@
 		if err != nil {
 			t.Errorf("method %d: %v", method, err)
 		} else if reflect.TypeOf(got) != reflect.TypeOf(want) {
-			t.Errorf("method %d answers with %T, the fixture is of %T", method, got, want)
+			t.Errorf("method %d replies with %T, the fixture is a %T", method, got, want)
 		}
 	}
 	c.stop()
-	c.wg.Wait() // the notice is not to be acted on
-	if got, err := handlers[peerNotice](t.Context(), rpc.Encode(find(peerNotice, sideRequest))); got != nil || err != nil {
-		t.Errorf("the notice of a peer ends in %v, %v", got, err)
+	c.wg.Wait() // so that the peer message is not handled
+	if got, err := handlers[peerMessage](t.Context(), rpc.Encode(find(peerMessage, sideRequest))); got != nil || err != nil {
+		t.Errorf("a peer message returns %v, %v", got, err)
 	}
 	for _, e := range allEncoded() {
 		if e.method != 0 && handlers[e.method] == nil {
-			t.Errorf("nothing serves %s", e.key())
+			t.Errorf("no handler serves %s", e.key())
 		}
 	}
 }
 
-// The numbers of methods, kinds of messages and states of pieces are on the wire.
-func TestNumbersOnTheWire(t *testing.T) {
+// The numbers of methods, message kinds and chunk statuses are on the wire.
+func TestWireNumbersAreUnchanged(t *testing.T) {
 	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutCall, feed.ReadCall, feed.RegisterCall, feed.RetireCall, feed.PhaseCall, feed.StatusCall, feed.ChangesCall, feed.ChunkCall,
 		feed.HealthCall, feed.UsageCall, feed.LeaseReleaseCall, feed.ClockCall, feed.DutiesCall}
 	if want := []rpc.Method{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}; !reflect.DeepEqual(methods, want) {
@@ -294,15 +296,15 @@
 	}
 	kinds := []int{msgHeartbeat, msgPrepare, msgPromise, msgAccept, msgAccepted, msgDecide, msgChainUpdate, msgChainAck, msgConfirm, msgConfirmed, msgHostList, msgLearnerUpdate, msgLearnerAck}
 	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !reflect.DeepEqual(kinds, want) {
-		t.Errorf("kinds of messages are %v, want %v", kinds, want)
+		t.Errorf("message kinds are %v, want %v", kinds, want)
 	}
 	pieces := []int{feed.ChunkServed, feed.ChunkUnknown, feed.ChunkBusy}
 	if want := []int{0, 1, 2}; !reflect.DeepEqual(pieces, want) {
-		t.Errorf("states of pieces are %v, want %v", pieces, want)
+		t.Errorf("chunk statuses are %v, want %v", pieces, want)
 	}
 }
 
-// The status of a core node goes to operators, and to larch-control, as JSON.
+// Operators and larch-control get the status of a core node as JSON, whose keys must not change.
 func TestStatusKeepsItsJSON(t *testing.T) {
 	path := filepath.Join("testdata", "status.json")
 	now, err := json.MarshalIndent(fullStatus(), "", "  ")
@@ -320,15 +322,15 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(now, old) {
-		t.Errorf("the status is\n%s\nwas\n%s", now, old)
+		t.Errorf("the status is\n%s\nthe fixture is\n%s", now, old)
 	}
 	var got Status
 	if err := json.Unmarshal(old, &got); err != nil || !reflect.DeepEqual(&got, fullStatus()) {
-		t.Errorf("the old status is read as %+v (%v)", got, err)
+		t.Errorf("the fixture of the status is decoded as %+v (%v)", got, err)
 	}
 }
 
-// An operator, and larch-control, are told in JSON what became of an order.
+// Operators and larch-control get the outcome of an order as JSON, whose keys must not change.
 func TestRepliesKeepTheirJSON(t *testing.T) {
 	for _, one := range []struct {
 		reply feed.Reply
@@ -341,12 +343,12 @@
 		w := httptest.NewRecorder()
 		writeReply(w, &one.reply)
 		if got := w.Body.String(); got != one.want || w.Code != one.reply.Status {
-			t.Errorf("told %d %s, want %s", w.Code, got, one.want)
+			t.Errorf("response %d %s, want %s", w.Code, got, one.want)
 		}
 	}
 }
 
-// readFrames reads lines of a message's key and its bytes in hexadecimal.
+// readFrames reads a file of lines, each with the key of a message and its bytes in hexadecimal.
 func readFrames(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -365,15 +367,15 @@
 			t.Fatalf("%s: line %q: %v", path, line, err)
 		}
 		if frames[line[:at]] != nil {
-			t.Fatalf("%s: %q is there twice", path, line[:at])
+			t.Fatalf("%s: %q occurs twice", path, line[:at])
 		}
 		frames[line[:at]] = b
 	}
 	return frames
 }
 
-// writeMissingFrames adds the messages that a file of fixtures does not have.
-func writeMissingFrames(t *testing.T, path string, all []encoded) {
+// writeMissingFrames adds the messages that are missing in a file of fixtures.
+func writeMissingFrames(t *testing.T, path string, all []encodedValue) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
@@ -393,26 +395,26 @@
 	}
 }
 
-// requireAllSet makes sure that no field of a fixture is zero, and that no two numbers or strings of it are the same: else a
-// field that was dropped, or two that changed places, might not show.
+// requireAllSet checks that no field of a fixture is zero and that no two of its numbers or strings are equal.
+// Otherwise a dropped field, or two swapped ones, might go undetected.
 func requireAllSet(t *testing.T, what string, value any) {
 	t.Helper()
 	seen := map[any]bool{}
-	var look func(path string, v reflect.Value)
-	look = func(path string, v reflect.Value) {
+	var walk func(path string, v reflect.Value)
+	walk = func(path string, v reflect.Value) {
 		switch v.Kind() {
 		case reflect.Pointer:
-			look(path, v.Elem())
+			walk(path, v.Elem())
 			return
 		case reflect.Struct:
 			for i := range v.NumField() {
-				look(path+"."+v.Type().Field(i).Name, v.Field(i))
+				walk(path+"."+v.Type().Field(i).Name, v.Field(i))
 			}
 			return
 		}
 		var leaf any
 		switch {
-		case path == ".Kind": // of a Message: its numbers begin with 0
+		case path == ".Kind": // of a Message, whose kinds start with 0
 			return
 		case v.IsZero() || v.Kind() == reflect.Slice && v.Len() == 0:
 			t.Errorf("%s: %s is not set", what, path)
@@ -423,7 +425,7 @@
 			leaf = string(v.Bytes())
 		case v.Kind() == reflect.Slice:
 			for i := range v.Len() {
-				look(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+				walk(fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 			}
 			return
 		case v.CanInt():
@@ -436,26 +438,26 @@
 		}
 		seen[leaf] = true
 	}
-	look("", reflect.ValueOf(value))
+	walk("", reflect.ValueOf(value))
 }
 
-// requireBoolsApart makes sure that two booleans of a struct that changed places would show: wherever a struct has several,
-// there is a message for each in which it alone is true.
-func requireBoolsApart(t *testing.T, full, alone []any) {
+// requireBoolsDistinguished checks that two swapped booleans of a struct would be detected: if a struct has several,
+// there must be a message for each in which only that one is true.
+func requireBoolsDistinguished(t *testing.T, full, single []any) {
 	t.Helper()
 	type field struct {
 		of   reflect.Type
 		name string
 	}
 	needed, found := map[field]bool{}, map[field]bool{}
-	var look func(v reflect.Value, set map[field]bool, most int)
-	look = func(v reflect.Value, set map[field]bool, most int) {
+	var walk func(v reflect.Value, fields map[field]bool, maxTrue int)
+	walk = func(v reflect.Value, fields map[field]bool, maxTrue int) {
 		switch {
 		case v.Kind() == reflect.Pointer:
-			look(v.Elem(), set, most)
+			walk(v.Elem(), fields, maxTrue)
 		case v.Kind() == reflect.Slice:
 			for i := range v.Len() {
-				look(v.Index(i), set, most)
+				walk(v.Index(i), fields, maxTrue)
 			}
 		case v.Kind() == reflect.Struct:
 			var bools []string
@@ -467,48 +469,49 @@
 						bools = append(bools, v.Type().Field(i).Name)
 					}
 				} else {
-					look(f, set, most)
+					walk(f, fields, maxTrue)
 				}
 			}
-			if count > 1 && len(bools) <= most {
+			if count > 1 && len(bools) <= maxTrue {
 				for _, name := range bools {
-					set[field{v.Type(), name}] = true
+					fields[field{v.Type(), name}] = true
 				}
 			}
 		}
 	}
 	for _, v := range full {
-		look(reflect.ValueOf(v), needed, math.MaxInt)
+		walk(reflect.ValueOf(v), needed, math.MaxInt)
 	}
-	for _, v := range alone {
-		look(reflect.ValueOf(v), found, 1)
+	for _, v := range single {
+		walk(reflect.ValueOf(v), found, 1)
 	}
 	for f := range needed {
 		if !found[f] {
-			t.Errorf("%v has several booleans: add a message in which %s alone is true", f.of, f.name)
+			t.Errorf("%v has several booleans: add a message in which only %s is true", f.of, f.name)
 		}
 	}
 }
 
-// sameValue compares what was decoded with what is meant. Where nothing is meant, as in a message of one boolean, an empty
-// slice is as good as none: their bytes are the same.
-func sameValue(got, want any) bool {
-	return reflect.DeepEqual(got, want) || reflect.DeepEqual(withoutEmpty(got), withoutEmpty(want))
+// equalValues compares a decoded value with the expected one. Empty and nil slices are equal, since their encodings are
+// the same.
+func equalValues(got, want any) bool {
+	return reflect.DeepEqual(got, want) || reflect.DeepEqual(clearEmptySlices(got), clearEmptySlices(want))
 }
 
-// withoutEmpty clears the empty slices among the fields of the struct that v points to, and of those in it.
-func withoutEmpty(v any) any {
-	var look func(v reflect.Value)
-	look = func(v reflect.Value) {
+// clearEmptySlices sets the empty slices among the fields of the struct that v points to, and of nested structs, to
+// nil.
+func clearEmptySlices(v any) any {
+	var walk func(v reflect.Value)
+	walk = func(v reflect.Value) {
 		switch {
 		case v.Kind() == reflect.Struct:
 			for i := range v.NumField() {
-				look(v.Field(i))
+				walk(v.Field(i))
 			}
 		case v.Kind() == reflect.Slice && v.Len() == 0:
 			v.SetZero()
 		}
 	}
-	look(reflect.ValueOf(v).Elem())
+	walk(reflect.ValueOf(v).Elem())
 	return v
 }
--- a/internal/tier/controlnode/health_role_test.go
+++ b/internal/tier/controlnode/health_role_test.go
@@ -15,8 +15,9 @@
 	"larchrouter/internal/tier/hosthealth"
 )
 
-// platformOf is a platform that lists six hosts of a service; prefix begins their ids.
-func platformOf(t *testing.T, prefix *atomic.Value) string {
+// startPlatform starts a platform that lists six hosts of a service, whose IDs start with prefix, and returns its
+// address.
+func startPlatform(t *testing.T, prefix *atomic.Value) string {
 	t.Helper()
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		var hosts []string
@@ -29,7 +30,7 @@
 	return platform.Listener.Addr().String()
 }
 
-// awaitPhase waits until a follower's list has a host in a phase.
+// awaitPhase waits until a follower's list contains a host in the given phase.
 func awaitPhase(t *testing.T, f *feed.Follower, host, phase string) {
 	t.Helper()
 	limit := time.NewTimer(20 * time.Second)
@@ -51,8 +52,8 @@
 	}
 }
 
-// reportUntil has a front report failures of a host until the call is taken.
-func reportUntil(t *testing.T, f *feed.Follower, host string) {
+// reportFailures reports failures of a host as a front does, and retries until a report is accepted.
+func reportFailures(t *testing.T, f *feed.Follower, host string) {
 	t.Helper()
 	var err error
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -62,20 +63,20 @@
 			return
 		}
 	}
-	t.Fatalf("no report is taken: %v", err)
+	t.Fatalf("no report is accepted: %v", err)
 }
 
-// The reports of two fronts, whichever nodes they follow, eject a host for all; the verdict ends by itself, and does not pass to
-// another incarnation.
+// The reports of two fronts, whichever nodes they poll, eject a host for all fronts. The ejection expires, and does not
+// apply to another incarnation of the host.
 func TestReportsOfTwoFrontsEjectHostForAll(t *testing.T) {
 	var prefix atomic.Value
 	prefix.Store("i")
-	c := newClusterWith(t, 3, platformOf(t, &prefix))
+	c := newClusterWith(t, 3, startPlatform(t, &prefix))
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
 	}
 	var followers []*feed.Follower
-	for i := range 4 { // their orders of nodes differ
+	for i := range 4 { // they poll the nodes in different orders
 		f, stop := c.follow(fmt.Sprint("front-", i))
 		defer stop()
 		followers = append(followers, f)
@@ -83,32 +84,33 @@
 	for _, f := range followers {
 		awaitPhase(t, f, "i3", discovery.Ready)
 	}
-	reportUntil(t, followers[0], "i3")
-	reportUntil(t, followers[1], "i3")
+	reportFailures(t, followers[0], "i3")
+	reportFailures(t, followers[1], "i3")
 	for _, f := range followers {
 		awaitPhase(t, f, "i3", discovery.Ejected)
 		awaitPhase(t, f, "i2", discovery.Ready)
 	}
 	if text := c.logs.String(); strings.Count(text, `msg="host ejected" host=i3 service=s`) != 1 {
-		t.Errorf("the verdict is not logged once:\n%s", text)
+		t.Errorf("the ejection is not logged exactly once:\n%s", text)
 	}
 	awaitPhase(t, followers[2], "i3", discovery.Probation)
 	awaitPhase(t, followers[2], "i3", discovery.Ready)
-	reportUntil(t, followers[0], "i4")
+	reportFailures(t, followers[0], "i4")
 	prefix.Store("j")
 	awaitPhase(t, followers[2], "j4", discovery.Ready)
-	reportUntil(t, followers[1], "i4") // late, of the incarnation before
+	reportFailures(t, followers[1], "i4") // a late report about the previous incarnation
 	if err := followers[3].ReportHealth(context.Background(), []hosthealth.Observation{{Host: "j4", Failures: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	awaitPhase(t, followers[2], "j4", discovery.Ready)
 }
 
-// The head goes between two reports: the next head begins without them, and ejects by those that it gets itself.
-func TestHeadChangesBetweenReports(t *testing.T) {
+// The head crashes between two reports: the new head starts without the earlier one, and ejects hosts by the reports
+// that it receives itself.
+func TestNewHeadStartsWithoutEarlierHealthReports(t *testing.T) {
 	var prefix atomic.Value
 	prefix.Store("i")
-	c := newClusterWith(t, 3, platformOf(t, &prefix))
+	c := newClusterWith(t, 3, startPlatform(t, &prefix))
 	if got := c.put(1, 0, 0, 1, 2); got != http.StatusOK {
 		t.Fatal(got)
 	}
@@ -118,21 +120,21 @@
 	defer stop()
 	awaitPhase(t, one, "i0", discovery.Ready)
 	term := one.Tables().Hosts.Term
-	reportUntil(t, one, "i0")
-	c.crash[0]() // the head, as the founding order has it
+	reportFailures(t, one, "i0")
+	c.crashNode[0]() // the head: the first seed is the first of the initial chain
 	limit := time.Now().Add(20 * time.Second)
 	for one.Tables().Hosts.Term == term && time.Now().Before(limit) {
 		time.Sleep(20 * time.Millisecond)
 	}
-	reportUntil(t, two, "i0")
+	reportFailures(t, two, "i0")
 	time.Sleep(3 * minHealthInterval)
 	for _, h := range two.Tables().Hosts.Hosts {
 		if h.Phase != discovery.Ready {
-			t.Errorf("%s is %s by one report", h.ID, h.Phase)
+			t.Errorf("%s is %s after one report", h.ID, h.Phase)
 		}
 	}
-	reportUntil(t, one, "i0")
-	reportUntil(t, two, "i0")
+	reportFailures(t, one, "i0")
+	reportFailures(t, two, "i0")
 	awaitPhase(t, one, "i0", discovery.Ejected)
 	awaitPhase(t, two, "i0", discovery.Ejected)
 }
--- a/internal/tier/controlnode/operator_api.go
+++ b/internal/tier/controlnode/operator_api.go
@@ -16,11 +16,11 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// Paths and bounds of the operator API, in bytes.
+// Paths, size limits in bytes, and the retry interval of the operator API.
 const (
 	configPath       = "/api/config"
 	maxConfigBody    = 32 << 20
-	maxForwardedBody = 256 << 10 // a larger body would cross a second link of 30 Mbit/s within the second that callers wait
+	maxForwardedBody = 256 << 10 // a larger one would have to cross a second 30 Mbit/s link within the callers' time-out of 1 s
 	maxOrderBody     = 1 << 16
 	retryInterval    = 40 * time.Millisecond
 )
@@ -51,10 +51,10 @@
 	return mux
 }
 
-// retryAfterUndecided is the Retry-After, in seconds, of an order that another try may decide.
+// retryAfterUndecided is the Retry-After, in seconds, of an order that a retry may decide.
 const retryAfterUndecided = "0.2"
 
-// writeReply writes a reply as an HTTP response. A 503 asks the caller to try again here.
+// writeReply writes a reply as an HTTP response. A 503 has a Retry-After.
 func writeReply(w http.ResponseWriter, reply *feed.Reply) {
 	if reply.Status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfterUndecided)
@@ -79,24 +79,25 @@
 	_, _ = w.Write(body)
 }
 
-// badBody answers a request whose body could not be read: 413 with the limit if it is longer than that, else 400 with a text.
-func badBody(w http.ResponseWriter, err error, text string) {
+// writeBodyError answers a request whose body could not be read: 413 with the limit if the body exceeds it, else 400
+// with a text.
+func writeBodyError(w http.ResponseWriter, err error, text string) {
 	var tooLong *http.MaxBytesError
 	if !errors.As(err, &tooLong) {
-		badRequest(w, text)
+		writeBadRequest(w, text)
 		return
 	}
 	text = fmt.Sprintf("the body is longer than %d bytes: send a shorter one", tooLong.Limit)
 	writeReply(w, &feed.Reply{Status: http.StatusRequestEntityTooLarge, Text: text})
 }
 
-// badRequest answers 400 with a text.
-func badRequest(w http.ResponseWriter, text string) {
+// writeBadRequest answers 400 with a text.
+func writeBadRequest(w http.ResponseWriter, text string) {
 	writeReply(w, &feed.Reply{Status: http.StatusBadRequest, Text: text})
 }
 
-// redirect returns a reply that sends the caller to another node, given by its address for calls of nodes.
-// All nodes serve the operator API at one port.
+// redirect returns a reply that redirects the caller to another node, given by its address for calls between nodes. All
+// nodes serve the operator API on the same port.
 func (s *Server) redirect(node, path string) *feed.Reply {
 	host, _, err := net.SplitHostPort(node)
 	_, port, ownErr := net.SplitHostPort(s.settings.Bind.Control)
@@ -111,20 +112,20 @@
 	}
 }
 
-// putConfig serves PUT /api/config: it reads the configuration and the version that it builds on, and repeats
-// the order until it is decided or the time is over.
+// putConfig serves PUT /api/config: it reads the configuration and its base version, and retries the order until it is
+// decided or times out.
 func (s *Server) putConfig(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBody))
 	if err != nil {
-		badBody(w, err, "the configuration did not come whole: send it again")
+		writeBodyError(w, err, "the configuration did not come whole: send it again")
 		return
 	}
-	match, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
-	if err != nil || match < 0 {
-		badRequest(w, "If-Match: give the version on which the configuration builds, 0 for the first")
+	baseVersion, err := strconv.ParseInt(strings.Trim(strings.TrimSpace(r.Header.Get("If-Match")), `"`), 10, 64)
+	if err != nil || baseVersion < 0 {
+		writeBadRequest(w, "If-Match: give the version on which the configuration builds, 0 for the first")
 		return
 	}
-	request := &feed.PutRequest{IfMatch: match, Body: body}
+	request := &feed.PutRequest{IfMatch: baseVersion, Body: body}
 	order := putOrder(request)
 	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.Reply, error) {
 		return s.put(ctx, request, order)
@@ -142,7 +143,7 @@
 // postRetire serves POST /api/retire/{node}.
 func (s *Server) postRetire(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBody)); err != nil {
-		badBody(w, err, "the order did not come whole: send it again")
+		writeBodyError(w, err, "the order did not come whole: send it again")
 		return
 	}
 	request := &feed.OrderRequest{Name: r.PathValue("node")}
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -12,7 +12,7 @@
 // instead of relying on sleeps.
 func TestFrozenHeadWakesIsolated(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
 	head := f.head(f.all()...)
 	rest := f.allExcept(head)
@@ -22,17 +22,17 @@
 	for range 3 {
 		f.change(2, rest...)
 	}
-	calls := f.writeRequests(head, 0)
-	f.nodes[head].wake()
+	calls := f.sendEachRequestKind(head, 0)
+	f.nodes[head].resume()
 	woke := time.Now()
 	var first sync.WaitGroup
 	first.Go(func() { f.requireOutcomeUnknown(calls, woke) })
-	follower, stop := f.follower(head, false)
+	follower, stop := f.startFollower(head, false)
 	defer stop()
-	f.requireNoAnswers(head)
+	f.requireOutcomeUnknownWhilePartitioned(head)
 	first.Wait()
 	f.change(1, rest...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 	f.heal(r.IntN(2) == 0)
 	f.requireCaughtUp(f.all()...)
 }
@@ -48,13 +48,13 @@
 	for range 2 {
 		f.change(2, rest...)
 	}
-	calls := f.writeRequests(head, 0)
-	f.nodes[head].wake()
+	calls := f.sendEachRequestKind(head, 0)
+	f.nodes[head].resume()
 	var all sync.WaitGroup
 	for _, c := range calls {
-		all.Go(func() { c.answer(f.hist, 2*answerLimit) })
+		all.Go(func() { c.awaitResponse(f.hist, 2*maxResponseTime) })
 	}
-	all.Go(func() { f.feed(head) })
+	all.Go(func() { f.readFeed(head) })
 	all.Wait()
 	f.requireCaughtUp(f.all()...)
 }
@@ -69,13 +69,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, r := newSeed(t)
+			_, r := newLoggedSeed(t)
 			f := newFleet(t, 3, 3)
 			head := f.head(f.all()...)
 			hold(f, head)
 			f.change(1, f.allExcept(head)...)
 			f.change(2, f.allExcept(head)...)
-			f.requireNoAnswers(head)
+			f.requireOutcomeUnknownWhilePartitioned(head)
 			f.heal(r.IntN(2) == 0)
 			f.requireCaughtUp(f.all()...)
 		})
@@ -87,30 +87,30 @@
 // arrive as the partition heals are answered from the current state.
 func TestPartitionedTailAnswersNothingStale(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
 	tail := f.tail()
 	rest := f.allExcept(tail)
 	f.partition(tail)
 	f.change(1, rest...)
-	follower, stop := f.follower(tail, false)
+	follower, stop := f.startFollower(tail, false)
 	defer stop()
-	seeded, stopSeeded := f.follower(tail, true)
+	seeded, stopSeeded := f.startFollower(tail, true)
 	defer stopSeeded()
-	f.requireNoAnswers(tail)
-	f.actsOnNewest(follower)
-	f.actsOnNewest(seeded)
-	calls := f.writeRequests(tail, 0)
+	f.requireOutcomeUnknownWhilePartitioned(tail)
+	f.awaitNewestActive(follower)
+	f.awaitNewestActive(seeded)
+	calls := f.sendEachRequestKind(tail, 0)
 	f.heal(r.IntN(2) == 0)
 	var all sync.WaitGroup
 	for _, c := range calls {
-		all.Go(func() { c.answer(f.hist, 2*answerLimit) })
+		all.Go(func() { c.awaitResponse(f.hist, 2*maxResponseTime) })
 	}
-	all.Go(func() { f.feed(tail) })
+	all.Go(func() { f.readFeed(tail) })
 	all.Wait()
 	f.requireCaughtUp(f.all()...)
 	f.change(2, f.all()...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 }
 
 // TestNewlyPartitionedNodeAnswersNothingStale calls a node immediately after it is partitioned, while it still considers
@@ -121,12 +121,12 @@
 	f.change(1, f.all()...)
 	for i := range 3 {
 		f.partition(i)
-		calls, since := f.writeRequests(i, i), time.Now()
+		calls, since := f.sendEachRequestKind(i, i), time.Now()
 		var all sync.WaitGroup
 		all.Go(func() { f.requireOutcomeUnknown(calls, since) })
-		all.Go(func() { f.feed(i) })
+		all.Go(func() { f.readFeed(i) })
 		f.change(2, f.allExcept(i)...)
-		f.feed(i)
+		f.readFeed(i)
 		all.Wait()
 		f.heal(true)
 		f.until("all nodes are members", f.allMembers)
@@ -138,14 +138,14 @@
 // or gives an answer that could be stale.
 func TestPartitionWithoutMajorityAnswersNothingStale(t *testing.T) {
 	t.Parallel()
-	_, r := newSeed(t)
+	_, r := newLoggedSeed(t)
 	f := newFleet(t, 4, 4)
 	f.change(1, f.all()...)
 	f.partitionGroups(0, 1)
 	f.awaitMajorityLoss()
 	var all sync.WaitGroup
 	for _, i := range f.all() {
-		all.Go(func() { f.requireOutcomeUnknown(f.writeRequests(i, i), time.Now()) })
+		all.Go(func() { f.requireOutcomeUnknown(f.sendEachRequestKind(i, i), time.Now()) })
 	}
 	all.Wait()
 	f.heal(r.IntN(2) == 0)
@@ -158,11 +158,11 @@
 // still down.
 func TestEqualHalvesWithLosses(t *testing.T) {
 	t.Parallel()
-	seed, r := newSeed(t)
+	seed, r := newLoggedSeed(t)
 	f := newFleet(t, 4, 4)
-	follower, unfollow := f.follower(r.IntN(4), false)
+	follower, unfollow := f.startFollower(r.IntN(4), false)
 	defer unfollow()
-	stop := f.operators(seed, f.all()...)
+	stop := f.startOperators(seed, f.all()...)
 	for round := range 3 {
 		order := r.Perm(4)
 		f.partitionGroups(order[0], order[1])
@@ -179,7 +179,7 @@
 	}
 	stop()
 	f.requireCaughtUp(f.all()...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 }
 
 // awaitMajorityLoss waits until each node has noticed that it reaches no majority: none considers itself fresh.
@@ -194,11 +194,11 @@
 // the head is killed with changes in flight as it is partitioned.
 func TestNodesArePartitionedInTurn(t *testing.T) {
 	t.Parallel()
-	seed, r := newSeed(t)
+	seed, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
-	follower, unfollow := f.follower(r.IntN(3), false)
+	follower, unfollow := f.startFollower(r.IntN(3), false)
 	defer unfollow()
-	stop := f.operators(seed, f.all()...)
+	stop := f.startOperators(seed, f.all()...)
 	for _, i := range r.Perm(3) {
 		f.partition(i)
 		f.requireProgress(f.allExcept(i)...)
@@ -217,7 +217,7 @@
 	f.requireProgress(f.all()...)
 	stop()
 	f.requireCaughtUp(f.all()...)
-	f.actsOnNewest(follower)
+	f.awaitNewestActive(follower)
 }
 
 // requireProgress waits until newer versions are acknowledged and read; operators must be running.
@@ -244,7 +244,7 @@
 	all.Go(func() { f.put(tail, newest, variant(newest+1, 9)) })
 	all.Go(func() { f.read(tail) })
 	for range 5 {
-		f.feed(tail)
+		f.readFeed(tail)
 	}
 	all.Wait()
 	<-leaver.done
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -22,24 +22,24 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// routesVariable makes a child process of the tests a control node, and names the relay through which it reaches each other one:
-// ADDR=RELAY, separated by commas.
+// routesVariable makes a child process of the tests run a control node. Its value names the relay to each other node,
+// as ADDR=RELAY separated by commas.
 const routesVariable = "CONTROLNODE_TEST_ROUTES"
 
-// followerVariable makes a child process of the tests a follower, which prints the version that it acts on.
+// followerVariable makes a child process of the tests run a follower, which prints each version that it uses.
 const followerVariable = "CONTROLNODE_TEST_FOLLOWER"
 
-// actsMark begins the line in which a follower prints the version that it acts on.
-const actsMark = "acts on version "
+// activeVersionPrefix starts the line in which a follower prints the version that it uses.
+const activeVersionPrefix = "acts on version "
 
-// exitFault is the code with which a child ends that could not run.
-const exitFault = 3
+// exitFailure is the exit code of a child process that failed.
+const exitFailure = 3
 
-// childMain is a core node as larch-control runs it, with its connections to others led through relays.
+// childMain runs a core node as larch-control does, with its connections to other nodes through relays.
 func childMain(routes string) int {
 	fault := func(err error) int {
 		fmt.Fprintln(os.Stderr, err)
-		return exitFault
+		return exitFailure
 	}
 	settings, err := process.Load()
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return fault(err)
 	}
-	core.clients.Dial = through(routes)
+	core.clients.Dial = dialThroughRelays(routes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if err := core.Run(ctx); err != nil {
@@ -59,12 +59,12 @@
 	return 0
 }
 
-// followerMain is a follower as a front runs it.
+// followerMain runs a follower as a front does.
 func followerMain() int {
 	settings, err := process.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitFault
+		return exitFailure
 	}
 	settings.NodeName, settings.MachineClass = "front-1", "front"
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
@@ -78,7 +78,7 @@
 	for {
 		changed := follower.Changed()
 		if now := follower.Tables().Config; now != nil {
-			fmt.Printf("%s%d\n", actsMark, now.Version)
+			fmt.Printf("%s%d\n", activeVersionPrefix, now.Version)
 		}
 		select {
 		case <-changed:
@@ -88,16 +88,16 @@
 	}
 }
 
-// through dials the relay of an address where there is one.
-func through(routes string) rpc.DialFunc {
+// dialThroughRelays returns a function that dials the relay of an address instead of the address, if there is one.
+func dialThroughRelays(routes string) rpc.DialFunc {
 	relays := map[string]string{}
 	for route := range strings.SplitSeq(routes, ",") {
-		if addr, relay, is := strings.Cut(route, "="); is {
+		if addr, relay, ok := strings.Cut(route, "="); ok {
 			relays[addr] = relay
 		}
 	}
 	return func(ctx context.Context, addr string) (net.Conn, error) {
-		if relay, some := relays[addr]; some {
+		if relay, ok := relays[addr]; ok {
 			addr = relay
 		}
 		var d net.Dialer
@@ -105,11 +105,11 @@
 	}
 }
 
-// child is one incarnation of a control node as a process.
-type child struct {
+// childProcess is a process of the tests that runs one incarnation of a control node, or a follower.
+type childProcess struct {
 	cmd    *exec.Cmd
 	output syncBuffer
-	done   chan struct{} // closed once it has ended
+	done   chan struct{} // closed once the process has exited
 }
 
 type syncBuffer struct {
@@ -129,29 +129,29 @@
 	return s.b.String()
 }
 
-// startChild starts a core node with settings and routes. It ends with the test at the latest.
-func startChild(t *testing.T, settings, routes string) *child {
+// startChild starts a core node with settings and routes. It is killed at the end of the test at the latest.
+func startChild(t *testing.T, settings, routes string) *childProcess {
 	t.Helper()
 	return startChildAs(t, settings, routesVariable+"="+routes)
 }
 
-// startFollowerChild starts a follower with settings. It ends with the test at the latest.
-func startFollowerChild(t *testing.T, settings string) *child {
+// startFollowerChild starts a follower with settings. It is killed at the end of the test at the latest.
+func startFollowerChild(t *testing.T, settings string) *childProcess {
 	t.Helper()
 	return startChildAs(t, settings, followerVariable+"=1")
 }
 
-// startChildAs starts a child process of the kind that a variable of its environment names.
-func startChildAs(t *testing.T, settings, kind string) *child {
+// startChildAs starts a child process of the kind that an environment variable, NAME=VALUE, selects.
+func startChildAs(t *testing.T, settings, kind string) *childProcess {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.yaml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := &child{cmd: exec.Command(os.Args[0]), done: make(chan struct{})}
+	c := &childProcess{cmd: exec.Command(os.Args[0]), done: make(chan struct{})}
 	c.cmd.Env = []string{process.SettingsVariable + "=" + path, kind, "GOMAXPROCS=2"}
 	c.cmd.Stdout, c.cmd.Stderr = &c.output, &c.output
-	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // none outlives the tests, frozen or not
+	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true} // no child outlives the tests, even if stopped
 	if err := c.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -163,16 +163,16 @@
 	return c
 }
 
-func (c *child) signal(s syscall.Signal) { _ = c.cmd.Process.Signal(s) }
+func (c *childProcess) signal(s syscall.Signal) { _ = c.cmd.Process.Signal(s) }
 
-// kill ends the process without a word, frozen or not.
-func (c *child) kill() {
+// kill kills the process with SIGKILL, even if it is stopped, and waits until it has exited.
+func (c *childProcess) kill() {
 	c.signal(syscall.SIGKILL)
 	<-c.done
 }
 
 // freeze stops the process with SIGSTOP, and returns once it is stopped.
-func (c *child) freeze(t *testing.T) {
+func (c *childProcess) freeze(t *testing.T) {
 	t.Helper()
 	c.signal(syscall.SIGSTOP)
 	for {
@@ -181,10 +181,10 @@
 			continue
 		}
 		if err != nil {
-			t.Fatal("wait for the process to stand: ", err)
+			t.Fatal("wait for the process to stop: ", err)
 		}
 		return
 	}
 }
 
-func (c *child) wake() { c.signal(syscall.SIGCONT) }
+func (c *childProcess) resume() { c.signal(syscall.SIGCONT) }
--- a/internal/tier/controlnode/task_faults_test.go
+++ b/internal/tier/controlnode/task_faults_test.go
@@ -34,7 +34,7 @@
 var drawnFaults = []drawnFault{
 	{"is killed", func(d *taskFleet, i int) { d.kill(i) }, (*taskFleet).restartNode},
 	{"shuts down gracefully", func(d *taskFleet, i int) { d.terminate(i) }, (*taskFleet).restartNode},
-	{"is paused", func(d *taskFleet, i int) { d.nodes[i].freeze(d.t) }, func(d *taskFleet, i int) { d.nodes[i].wake() }},
+	{"is paused", func(d *taskFleet, i int) { d.nodes[i].freeze(d.t) }, func(d *taskFleet, i int) { d.nodes[i].resume() }},
 	{"is cut off from other nodes", func(d *taskFleet, i int) { d.partition(i) }, func(d *taskFleet, _ int) { d.heal(true) }},
 	{"is cut off from the platform", (*taskFleet).cutPlatform, (*taskFleet).healPlatform},
 	{"cannot connect to the platform", (*taskFleet).refusePlatform, (*taskFleet).healPlatform},
@@ -148,7 +148,7 @@
 	d.t.Helper()
 	holder := d.holder()
 	victims := []int{holder}
-	if other := (holder + 1 + r.IntN(d.n-1)) % d.n; d.losses > 1 && r.IntN(2) == 0 {
+	if other := (holder + 1 + r.IntN(d.n-1)) % d.n; d.faultTolerance > 1 && r.IntN(2) == 0 {
 		victims = append(victims, other)
 	} else if r.IntN(5) == 0 {
 		victims = []int{other}
--- a/internal/tier/controlnode/task_runner.go
+++ b/internal/tier/controlnode/task_runner.go
@@ -134,7 +134,7 @@
 	defer cancel()
 	startedAt := time.Now()
 	outcome, err := d.client.Post(ctx, path, d.token(grant), body)
-	d.server.dutyCalls.record(path, d.token(grant), outcome, body)
+	d.server.taskCalls.record(path, d.token(grant), outcome, body)
 	if outcome != fencedcall.Accepted {
 		d.server.log.Info("platform call not accepted", "path", path, "token", d.token(grant), "outcome", outcome,
 			"ms", time.Since(startedAt).Milliseconds(), "err", err)
--- a/internal/tier/controlnode/task_status.go
+++ b/internal/tier/controlnode/task_status.go
@@ -147,7 +147,7 @@
 		WaitMs:        query.lease.Wait.Milliseconds(),
 		Cause:         s.inactiveCause(query),
 		ClockOffsetMs: s.clockOffset().Milliseconds(),
-		Outcomes:      s.dutyCalls.countsOf(usagePath, scalePath),
+		Outcomes:      s.taskCalls.countsOf(usagePath, scalePath),
 	}
 	if status.Held {
 		status.Holder = s.self.Name
@@ -178,7 +178,7 @@
 	lease.NotActive:    TasksViewChanging,
 	lease.NotConfirmed: TasksNoMajority,
 	lease.JustStarted:  TasksJustStarted,
-	lease.EarlierGrant:  TasksEarlierHead,
+	lease.EarlierGrant: TasksEarlierHead,
 	lease.LeaseLost:    TasksLeaseLost,
 }
 
--- a/internal/tier/controlnode/task_status_parts.go
+++ b/internal/tier/controlnode/task_status_parts.go
@@ -17,7 +17,7 @@
 // addTaskSnapshot adds the published state of the singleton tasks and their calls to a status. Lists are empty instead of nil, so that
 // they are never null in JSON.
 func (s *Server) addTaskSnapshot(status *TaskStatus, isHead bool) {
-	snapshot := s.dutySnapshot.Load()
+	snapshot := s.taskSnapshot.Load()
 	if snapshot == nil {
 		snapshot = &taskSnapshot{at: time.Now()}
 	}
@@ -30,16 +30,16 @@
 		Unacknowledged:   windowStatuses(snapshot.usage.unacknowledged, s.trueNow(), s.usageWindow(), s.usageLate()),
 		LastRecorded:     snapshot.usage.lastRecorded,
 		LastAcknowledged: snapshot.usage.lastAcknowledged,
-		Outcomes:         s.dutyCalls.countsOf(usagePath),
-		Calls:            s.dutyCalls.newestOf(usagePath),
+		Outcomes:         s.taskCalls.countsOf(usagePath),
+		Calls:            s.taskCalls.newestOf(usagePath),
 	}
 	status.Scale = ScaleTaskStatus{
 		Expected:     s.settings.HasDuty(scaleTaskName),
 		RecentFronts: int64(snapshot.scale.recentFronts),
 		KnownFronts:  int64(snapshot.scale.knownFronts),
 		Subjects:     append([]ScaleSubjectStatus{}, snapshot.scale.subjects...),
-		Outcomes:     s.dutyCalls.countsOf(scalePath),
-		Calls:        s.dutyCalls.newestOf(scalePath),
+		Outcomes:     s.taskCalls.countsOf(scalePath),
+		Calls:        s.taskCalls.newestOf(scalePath),
 	}
 }
 
--- a/internal/tier/controlnode/task_status_test.go
+++ b/internal/tier/controlnode/task_status_test.go
@@ -63,7 +63,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTaskServer(strings.Fields(c.tasks)...)
-			s.dutySnapshot.Store(&taskSnapshot{at: time.Now(), tokenBase: base})
+			s.taskSnapshot.Store(&taskSnapshot{at: time.Now(), tokenBase: base})
 			status := s.taskStatus(&c.query)
 			got := TaskStatus{Head: status.Head, Held: status.Held, Holder: status.Holder, Token: status.Token, LeftMs: status.LeftMs,
 				WaitMs: status.WaitMs, Cause: status.Cause}
