--- a/internal/tier/lease/model_platform_test.go
+++ b/internal/tier/lease/model_platform_test.go
@@ -54,7 +54,7 @@
 	}
 	var wait time.Duration // of the sending thread
 	if n.sim.oneIn(4, freezes) {
-		wait = n.sim.between(0, 2*modelStep)
+		wait = n.sim.between(0, 2*maxThreadDelay)
 	}
 	n.sim.schedule(wait, n, n.incarnation, func() {
 		n.call(call{
--- a/internal/tier/lease/model_test.go
+++ b/internal/tier/lease/model_test.go
@@ -13,13 +13,13 @@
 // simulation runs in true time; each node reads its own clock, which drifts. At the end of a run there are no faults: then the
 // head must get the lease, and must be able to hand it over.
 const (
-	modelStep = time.Millisecond
+	maxThreadDelay = time.Millisecond
 
-	faultPhase      = 20 * time.Second
-	convergence     = 4 * time.Second // after the faults, until the head no longer changes
-	faultFreeDelay  = 4 * time.Millisecond
-	faultFreeRounds = 4 // without faults, a head holds the lease within this many rounds after its wait
-	handoverDelays  = 8 // a planned hand-over takes at most this many one-way delays and a round
+	faultPhase        = 20 * time.Second
+	convergence       = 4 * time.Second // after the faults, until the head no longer changes
+	maxFaultFreeDelay = 4 * time.Millisecond
+	faultFreeRounds   = 4 // without faults, a head holds the lease within this many rounds after its wait
+	handoverDelays    = 8 // a planned hand-over takes at most this many one-way delays and a round
 
 	minElectionTimeout          = 400 * time.Millisecond
 	maxFaultFreeElectionTimeout = 1200 * time.Millisecond
@@ -219,7 +219,7 @@
 		case !n.up || e.incarnation != 0 && e.incarnation != n.incarnation:
 			continue
 		case sim.isFrozen(e):
-			e.at = n.frozenUntil + sim.between(0, modelStep) // threads of the process resume in any order
+			e.at = n.frozenUntil + sim.between(0, maxThreadDelay) // threads of the process resume in any order
 			heap.Push(&sim.queue, e)
 			continue
 		default:
@@ -266,7 +266,7 @@
 		copies = 2
 	}
 	for range copies {
-		delay := sim.between(10*time.Microsecond, min(sim.linkDelay, faultFreeDelay))
+		delay := sim.between(10*time.Microsecond, min(sim.linkDelay, maxFaultFreeDelay))
 		if !sim.faultFree {
 			delay = sim.between(10*time.Microsecond, sim.linkDelay)
 		}
@@ -330,7 +330,7 @@
 		return
 	}
 	head.leave()
-	sim.runUntil(sim.now + handoverDelays*faultFreeDelay + 2*sim.interval)
+	sim.runUntil(sim.now + handoverDelays*maxFaultFreeDelay + 2*sim.interval)
 	newest := sim.newestView()
 	if next := sim.member(newest.head); sim.violation == "" && (newest.epoch == settled.epoch || !next.holdsLease()) {
 		sim.fail("liveness: head %s of epoch %d does not hold the lease after a planned hand-over of epoch %d, remaining wait %s", next,
