--- a/internal/tier/chain/chain_test.go
+++ b/internal/tier/chain/chain_test.go
@@ -196,7 +196,7 @@
 	for range 3 {
 		_, u, some := a.NextUpdate()
 		if changed, ok := b.HandleUpdate("a", u); !some || changed || !ok || u.Complete {
-			t.Fatal("state changed by an incomplete transfer", u.Complete)
+			t.Fatal("state changed by an incomplete transfer, or the update was rejected or complete:", u.Complete)
 		}
 	}
 	wantState(t, b, "2/1/2 x@1 own@2")
--- a/internal/tier/chain/learner.go
+++ b/internal/tier/chain/learner.go
@@ -3,10 +3,10 @@
 // HandleLearnerUpdate handles an update from the tail at a learner. It reports whether the state was changed, and so must be on
 // disk before the acknowledgement is sent.
 //
-// An update that was sent at a lower commit index than one received before is rejected. Together they might lack every entry of
-// a key that was written again in between: the beginning of the transfer, which is newer, lacks the old entry, which was
-// compacted away, and the end, which is older, lacks the new entry. The commit index of tails never decreases, so no newer
-// update is rejected for this reason.
+// An update that was sent at a lower commit index than one received before is rejected. If it ended a transfer whose beginning was
+// sent later, the transfer might have no entry of a key that was written again in between: the beginning lacks the old entry, which
+// was compacted away by then, and the end lacks the new entry. The commit index of tails never decreases, so no newer update is
+// rejected for this reason.
 func (c *Chain) HandleLearnerUpdate(update Update) (changed bool) {
 	if !c.IsLearner() || update.Base != c.state.Commit || update.Commit < c.receiver.senderCommit {
 		return false
--- a/internal/tier/lease/doc.go
+++ b/internal/tier/lease/doc.go
@@ -3,10 +3,11 @@
 //
 // # The lease
 //
-// The lease belongs to the head of the newest view. A majority of the voters grants and renews it with each confirmation
-// round (controlnode, readIndex): a voter echoes a round only while it is in the same epoch and has not promised to the
-// next. Therefore a round that a majority has echoed was sent before the next epoch was decided, and the grant lasts for
-// Params.Term from the time at which that round was sent, by the holder's monotonic clock.
+// The lease belongs to the head of the newest view (package view). A majority of the voters grants and renews it with each
+// confirmation round of the head, a numbered message to all voters that also serves linearizable reads (package controlnode,
+// confirmationRounds): a voter echoes a round only while it is in the same epoch and has not promised to the next. Therefore a
+// round that a majority has echoed was sent before the next epoch was decided, and the grant lasts for Params.Term from the
+// time at which that round was sent, by the holder's monotonic clock.
 //
 // The head of a later epoch waits for Params.TakeoverWait from the time at which it adopted its view, by its own monotonic
 // clock. At that time all earlier epochs were closed, so that no earlier grant could still be renewed. TakeoverWait exceeds
@@ -19,7 +20,8 @@
 // A holder that learns of a view with another head stops at once and sends a Release to that head, which then need not
 // wait. The release includes the remaining time that its sender itself still had to wait. It may arrive before the view does.
 // It is sent once no call of its sender is in flight: otherwise the platform could accept such a call after the next head has
-// made calls for another subject. If the view changes before that, no release is sent, and the head waits for TakeoverWait.
+// made calls for another subject (the unit for which the platform compares fencing tokens, such as one service in one zone). If
+// the view changes before that, no release is sent, and the head waits for TakeoverWait.
 //
 // # Waits that a release does not shorten
 //
@@ -33,5 +35,6 @@
 //
 // The epoch is the fencing token: each epoch has one head, epochs only increase, and a majority has them on disk. The
 // platform refuses a token lower than the highest that it has seen, which stops calls that a frozen holder had already begun
-// to send. TokenBase keeps tokens increasing when a core cluster is set up anew.
+// to send. The caller adds the epoch to a base that is recorded when a core cluster first needs a token
+// (orders.RecordFencingTokenBase), so that tokens also increase when a core cluster is set up anew and epochs restart.
 package lease
--- a/internal/tier/lease/lease.go
+++ b/internal/tier/lease/lease.go
@@ -68,7 +68,7 @@
 	active bool
 	until  time.Duration // end of the newest grant in this epoch; 0 for none
 
-	lostAt           time.Duration // when the last tenure ended, or the last call begun in an ended tenure
+	lostAt           time.Duration // end of the last tenure, or of the last call begun in an ended tenure if that is later
 	hadEarlierTenure bool          // whether a tenure has ended since the node started
 
 	inFlight map[*Call]struct{}
@@ -161,8 +161,8 @@
 	}
 }
 
-// preferredRelease returns the release of the newer epoch, or of two releases of the same epoch the one whose wait ends first. a
-// may be nil.
+// preferredRelease returns the release of the newer epoch, or of two releases of the same epoch the one whose wait ends first.
+// The first argument may be nil.
 func preferredRelease(a, b *receivedRelease) *receivedRelease {
 	if a == nil || a.epoch < b.epoch || a.epoch == b.epoch && b.endsAt < a.endsAt {
 		return b
--- a/internal/tier/lease/model_agreement_test.go
+++ b/internal/tier/lease/model_agreement_test.go
@@ -56,7 +56,8 @@
 	release     Release
 }
 
-// propose sends prepare requests for the next view under a new ballot.
+// propose sends prepare requests for the next view under a new ballot. The low four bits of a ballot are the number of the machine,
+// which makes ballots unique.
 func (n *node) propose() {
 	if !n.disk.view.isVoter(n.id) {
 		return
@@ -209,8 +210,8 @@
 	}
 }
 
-// proposeIfNeeded proposes a view if the head does not respond, if this node is a leaving head, or if an earlier proposal has got
-// promises but no decision.
+// proposeIfNeeded proposes a view if the head does not respond, if this node is a leaving head, or if no view has been decided
+// within the election timeout after this node's last promise.
 func (n *node) proposeIfNeeded() {
 	now := n.clock()
 	isHead := n.disk.view.head == n.id
--- a/internal/tier/lease/model_check_test.go
+++ b/internal/tier/lease/model_check_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// callSequence is an uninterrupted sequence of calls of one holder.
+// callSequence is a sequence of consecutive calls for one subject by the same holder.
 type callSequence struct {
 	holder *node
 	last   time.Duration // until when it may have acted
--- a/internal/tier/lease/model_injection_test.go
+++ b/internal/tier/lease/model_injection_test.go
@@ -171,7 +171,8 @@
 	}
 }
 
-// loseDisk kills a machine, which then restarts with an empty disk as another member.
+// loseDisk kills a machine, which then restarts with an empty disk as another member. Steps of 10 keep member ids unique, as there
+// are at most seven machines.
 func (n *node) loseDisk() {
 	n.kill()
 	n.id += 10
--- a/internal/tier/lease/model_test.go
+++ b/internal/tier/lease/model_test.go
@@ -13,13 +13,13 @@
 // simulation runs in true time; each node reads its own clock, which drifts. At the end of a run there are no faults: then the
 // head must get the lease, and must be able to hand it over.
 const (
-	maxThreadDelay = time.Millisecond
+	maxThreadDelay = time.Millisecond // until a thread of a resumed process runs; twice that for a sending thread
 
 	faultPhase        = 20 * time.Second
-	convergence       = 4 * time.Second // after the faults, until the head no longer changes
-	maxFaultFreeDelay = 4 * time.Millisecond
-	faultFreeRounds   = 4 // without faults, a head holds the lease within this many rounds after its wait
-	handoverDelays    = 8 // a planned hand-over takes at most this many one-way delays and a round
+	convergence       = 4 * time.Second      // after the faults, until the head no longer changes
+	maxFaultFreeDelay = 4 * time.Millisecond // one-way, of a message without faults
+	faultFreeRounds   = 4                    // without faults, a head holds the lease within this many rounds after its wait
+	handoverDelays    = 8                    // a planned hand-over takes at most this many one-way delays and a round
 
 	minElectionTimeout          = 400 * time.Millisecond
 	maxFaultFreeElectionTimeout = 1200 * time.Millisecond
--- a/internal/tier/lease/status.go
+++ b/internal/tier/lease/status.go
@@ -14,7 +14,7 @@
 	NotConfirmed              // no majority has confirmed the head within the last Term
 	JustStarted               // the node does not know which calls it made before it started
 	EarlierGrant              // the grant of an earlier head may not have expired yet
-	LeaseLost                 // the node lost the lease less than TakeoverWait ago
+	LeaseLost                 // the node lost the lease, or a call of an ended tenure ended, less than TakeoverWait ago
 )
 
 // Status is the state of a lease, for operators.
--- a/internal/tier/view/helpers_test.go
+++ b/internal/tier/view/helpers_test.go
@@ -21,6 +21,7 @@
 	return all
 }
 
+// set returns the set of the given ids, in the form in which Conditions has it.
 func set(ids ...string) map[string]bool {
 	all := map[string]bool{}
 	for _, id := range ids {
--- a/internal/tier/view/proposer_test.go
+++ b/internal/tier/view/proposer_test.go
@@ -90,7 +90,7 @@
 	next, _ = ChooseView(&current, all, Conditions{FaultTolerance: 1, Alive: set("a", "b", "c"), CaughtUp: set("c", "d")})
 	wantIDs(t, "one that has caught up is not alive", chainIDs(next), "a", "b", "c")
 	next, ok = ChooseView(&current, promisesAt(2, "a", "c", "d"), Conditions{FaultTolerance: 1, Alive: set("a", "c", "d")})
-	wantIDs(t, "too short", chainIDs(next), "a", "c")
+	wantIDs(t, "extended, as one member is fewer than required", chainIDs(next), "a", "c")
 	if !ok {
 		t.Error("rejected a chain that was extended")
 	}
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -12,7 +12,7 @@
 // ChainMember is a replica in a chain.
 type ChainMember struct {
 	ID          string
-	JoinedEpoch int64 // first epoch since which it has been in the chain of every view
+	JoinedEpoch int64 // it has been in the chain of every view from this epoch on
 }
 
 // View is the configuration of one epoch. It is immutable: a copy shares its slices.
