--- a/internal/tier/chain/model_test.go
+++ b/internal/tier/chain/model_test.go
@@ -36,9 +36,9 @@
 }
 
 type message struct {
-	due         int
-	from        int
-	to          string
+	due         int    // round in which it is delivered
+	from        int    // index of the sender in simulation.members
+	to          string // id of the receiver
 	incarnation int64
 	update      *Update
 	ack         *Ack
@@ -126,6 +126,7 @@
 	sim.deliver()
 }
 
+// append appends an entry with a random key and value at a member, if that is the active head.
 func (sim *simulation) append(i int) {
 	member := sim.members[i]
 	size := sim.draw(200)
@@ -145,6 +146,7 @@
 	}
 }
 
+// injectFaults sometimes restarts a member and sometimes changes the view.
 func (sim *simulation) injectFaults() {
 	if sim.oneIn(25) {
 		i := sim.draw(modelMembers)
@@ -180,6 +182,8 @@
 
 func (sim *simulation) member(id string) *Chain { return sim.members[id[0]-'a'] }
 
+// send puts a message in transit. Unless the period is fault-free, it may lose, delay or duplicate the message; the duplicate may be
+// delayed for longer.
 func (sim *simulation) send(message message) {
 	if sim.oneIn(4) {
 		return
@@ -219,6 +223,7 @@
 	}
 }
 
+// sendUpdate sends one update, and checks the bounds on its size and on the bytes in flight.
 func (sim *simulation) sendUpdate(i int, to string, update Update, stream *sendStream, learner bool) {
 	size := 0
 	for _, fragment := range update.Fragments {
@@ -289,6 +294,7 @@
 	}
 }
 
+// runSchedule runs a simulation to its end, or until the contract is violated.
 func runSchedule(sim *simulation) error {
 	for range scheduleRounds {
 		if sim.step(); sim.violation != nil {
--- a/internal/tier/view/model_test.go
+++ b/internal/tier/view/model_test.go
@@ -24,8 +24,8 @@
 	// Ghost variables.
 	decided    map[int64]View
 	acceptedBy map[string]map[string]bool // ids of acceptors by epoch and ballot
-	committed  []int
-	appended   int
+	committed  []int                      // numbers of the entries, in order
+	appended   int                        // number of the last entry appended at any head
 	violation  error
 }
 
@@ -85,6 +85,7 @@
 	return sim.nodes[slices.IndexFunc(sim.nodes, func(n *node) bool { return n.ID == id })]
 }
 
+// subset returns a random set with about a third of the ids.
 func (sim *simulation) subset(ids ...string) map[string]bool {
 	all := map[string]bool{}
 	for _, id := range ids {
@@ -175,6 +176,7 @@
 	return len(log) >= len(committed) && slices.Equal(log[:len(committed)], committed)
 }
 
+// propose starts a proposal of a random voter for the epoch after its view. No message is delivered yet.
 func (sim *simulation) propose() {
 	proposer := sim.nodes[sim.draw(len(sim.nodes))]
 	for range 8 { // mostly a voter that knows the newest view
@@ -206,6 +208,8 @@
 	return sim.proposals[len(sim.proposals)-1-sim.draw(min(3, len(sim.proposals)))]
 }
 
+// prepare delivers the prepare requests of a recent proposal to some voters, and some of their promises to the proposer. It may be
+// repeated until the proposer has chosen a view.
 func (sim *simulation) prepare() {
 	pending := sim.recentProposal()
 	if pending == nil || pending.chosen.Epoch > 0 {
@@ -228,6 +232,7 @@
 	sim.choose(pending)
 }
 
+// choose lets the proposer choose a view, if the promises that it has received suffice.
 func (sim *simulation) choose(pending *proposal) {
 	var promises []Promise
 	for _, voter := range pending.current.Voters {
@@ -275,6 +280,7 @@
 	return conditions
 }
 
+// accept delivers the accept requests of a recent proposal to some voters. The view is decided once a majority has accepted it.
 func (sim *simulation) accept() {
 	pending := sim.recentProposal()
 	if pending == nil || pending.chosen.Epoch == 0 {
@@ -322,6 +328,7 @@
 	}
 }
 
+// difference returns the number of members that are not among the excluded ones.
 func difference(members, excluded []Member) (n int) {
 	for _, m := range members {
 		if !slices.Contains(excluded, m) {
