--- a/internal/tier/orders/config.go
+++ b/internal/tier/orders/config.go
@@ -30,8 +30,8 @@
 	return o.decideByCurrent(state)
 }
 
-// decideInvalid decides an order whose body fails validation. A node of an earlier release with less strict validation
-// may have applied it.
+// decideInvalid decides an order whose body fails validation. A node of another release with less strict validation may
+// have applied it.
 func (o PutConfig) decideInvalid(state *State) Decision {
 	decision := Decision{Kind: Invalid, DependsOn: state.configDependsOn, Reason: o.Invalid}
 	if state.history.containsDigest(o.Digest) {
@@ -83,8 +83,9 @@
 	return decision
 }
 
-// writes returns the entries of an accepted order: the record, then the configuration. If only the first entry is
-// committed, the record is unreachable and ignored; the reverse sequence could leave a configuration without a record.
+// writes returns the entries of an accepted order: the legacy history if the current configuration has no record, then the
+// record, then the configuration. If the record is committed without the configuration, it is unreachable and ignored; the
+// reverse sequence could leave a configuration without a record.
 func (o PutConfig) writes(state *State, current int64) []Write {
 	var writes []Write
 	if current > 0 && !state.history.hasCurrent() { // the first put after the legacy format
--- a/internal/tier/orders/decision.go
+++ b/internal/tier/orders/decision.go
@@ -36,7 +36,8 @@
 	return kindNames[k]
 }
 
-// IsRejection reports whether the order was not applied and never will be.
+// IsRejection reports whether the order was not applied and never will be. A retirement that was rejected may be accepted
+// if the operator orders it again.
 func (k Kind) IsRejection() bool {
 	return k == VersionMismatch || k == Invalid || k == NotFound || k == Conflict
 }
--- a/internal/tier/orders/doc.go
+++ b/internal/tier/orders/doc.go
@@ -1,6 +1,6 @@
 // Package orders decides operators' orders: putting or reading a configuration, retiring a store, and asking for the
-// phase of that retirement. It also decides the records of singleton tasks, which are recurring calls to the platform
-// that only the lease holder may make.
+// phase of that retirement. It also decides the orders by which core nodes record the state of singleton tasks, which are
+// recurring calls to the platform that only the lease holder may make.
 //
 // # Contract
 //
--- a/internal/tier/orders/history.go
+++ b/internal/tier/orders/history.go
@@ -79,7 +79,7 @@
 	h.unlinked = append(h.unlinked, page.Records...)
 }
 
-// linkDownTo links records down to a version, or to the oldest record.
+// linkDownTo links records down to a version, or to the oldest record. Versions up to legacy.Version have no reachable records.
 func (h *history) linkDownTo(version int64) {
 	for h.hasCurrent() && h.compactedVersion >= max(version, 1) && (h.legacy == nil || h.compactedVersion != h.legacy.Version) {
 		if !h.linkPredecessor() {
--- a/internal/tier/orders/singleton_tasks.go
+++ b/internal/tier/orders/singleton_tasks.go
@@ -27,9 +27,9 @@
 // taskState is the state of singleton tasks.
 type taskState struct {
 	tokenBase      *FencingTokenBaseEntry // nil if there is none
-	tokenBaseIndex int64
-	usage          map[string]UsageEntry // by key
-	usageIndex     map[string]int64      // index of the entry by key
+	tokenBaseIndex int64                  // index of its entry
+	usage          map[string]UsageEntry  // by key
+	usageIndex     map[string]int64       // index of the entry by key
 }
 
 // usageKey returns the key under which the report of a window is recorded.
--- a/internal/tier/placement/change.go
+++ b/internal/tier/placement/change.go
@@ -4,8 +4,9 @@
 
 // changeCanEnd reports whether enough stores of the new list have completed their sweep under the current generation for the
 // joint placement to become stable. As long as the others hold FaultTolerance + 1 replicas of each program it does not wait for
-// unresponsive stores, nor for any store after FailureTimeout: one store must not keep the placement joint until the next loss.
-// Stores that it did not wait for complete their sweep while the placement is stable.
+// stores that were not confirmed for 2 * SuspectTimeout, nor for any store once the generation is older than FailureTimeout: one
+// store must not keep the placement joint until the next loss. Stores that it did not wait for complete their sweep while the
+// placement is stable.
 func (in *Input) changeCanEnd(target []turnstore.Store, t Timings) bool {
 	unswept, timedOut := 0, in.Now-in.GenerationSince > t.FailureTimeout
 	for _, store := range target {
--- a/internal/tier/placement/doc.go
+++ b/internal/tier/placement/doc.go
@@ -8,7 +8,8 @@
 // of the next generation. Each store of the new list then sweeps: it pulls what it lacks from the stores of the old list. Once
 // enough of them have completed their sweep, the change ends, in the same generation, with a stable placement on the new list.
 // Plan proposes at most one such step. As long as at most FaultTolerance machines are lost at a time, a majority of the
-// replicas of each program keeps running, and no acknowledged write is lost (design note 015).
+// replicas of each program keeps running, and no acknowledged write is lost (design note 015). Live stores that are not in the
+// placement are candidates.
 //
 // Safety depends on sweeps alone. Time-outs only decide when a store is replaced: a false time-out costs an unnecessary change.
 //
--- a/internal/tier/placement/liveness.go
+++ b/internal/tier/placement/liveness.go
@@ -37,8 +37,8 @@
 }
 
 // isSuspect reports whether a store may have failed: its registration is late, or this head has not confirmed it yet. Either
-// it registers soon, or it exceeds FailureTimeout and its successor registers; until then changes that can wait are postponed.
-// A superseded store has failed, so it is not suspect.
+// it registers soon, or it exceeds FailureTimeout and its successor registers; until then, but no longer than the contact
+// time-out (2 * FailureTimeout), changes that can wait are postponed. A superseded store has failed, so it is not suspect.
 func (in *Input) isSuspect(store turnstore.Store, t Timings) bool {
 	status, known := in.Stores[store.ID]
 	if !known {
--- a/internal/tier/placement/observations.go
+++ b/internal/tier/placement/observations.go
@@ -19,7 +19,7 @@
 // UnresponsiveStore is a store of the placement whose registration is late.
 type UnresponsiveStore struct {
 	ID      string
-	Elapsed time.Duration // time without a confirmed registration, as measured by heads
+	Elapsed time.Duration // time without a confirmed registration, as measured by heads; excludes the time between two heads
 }
 
 // Observe returns the current observations, to be published.
