--- a/internal/tier/orders/chain_model_test.go
+++ b/internal/tier/orders/chain_model_test.go
@@ -148,7 +148,7 @@
 	return head
 }
 
-// replicate sends a successor the entries that it lacks, or only the first of them.
+// replicate sends a successor the entries that it lacks, or sometimes only a prefix of them.
 func (m *chainModel) replicate(from, to *replica) {
 	if from.epoch != to.epoch || !from.active {
 		return
--- a/internal/tier/orders/config_bugs_test.go
+++ b/internal/tier/orders/config_bugs_test.go
@@ -56,7 +56,7 @@
 	t.Parallel()
 	for name, bug := range map[string]configBug{
 		"rejected after 64 others": {decide: func(d Decision, s *State, o PutConfig) Decision {
-			if d.Kind == AlreadyApplied && o.Version < s.Version()-128 {
+			if d.Kind == AlreadyApplied && o.Version < s.Version()-128 { // versions rise by about 2 on average
 				return reject(s, d)
 			}
 			return d
--- a/internal/tier/orders/config_test.go
+++ b/internal/tier/orders/config_test.go
@@ -121,7 +121,7 @@
 				t.Error("the decision has no reason")
 			}
 			if (d.Kind == Accept) != (len(d.Append) > 0) {
-				t.Errorf("%v with %d writes", d.Kind, len(d.Append))
+				t.Errorf("a decision %v appends %d entries", d.Kind, len(d.Append))
 			}
 			if d.Kind == Accept {
 				l.append(d.Append...)
@@ -170,7 +170,7 @@
 		}
 	}
 	if maxEntries > pageCount+1 {
-		t.Errorf("%d entries", maxEntries)
+		t.Errorf("the control state has %d entries, more than one for each page and the configuration", maxEntries)
 	}
 	if maxBytes > 1024 {
 		t.Errorf("a put writes an entry of %d bytes in addition to the configuration", maxBytes)
@@ -190,7 +190,7 @@
 
 func TestReadConfigReportsNotFoundWithoutConfiguration(t *testing.T) {
 	if d := (&entryLog{}).decide(t, ReadConfig{}); d.Kind != NotFound || d.DependsOn != 0 || d.Reason == "" {
-		t.Fatalf("%+v", d)
+		t.Fatalf("got %+v, want NotFound with a reason and DependsOn 0", d)
 	}
 }
 
--- a/internal/tier/orders/race_off_test.go
+++ b/internal/tier/orders/race_off_test.go
@@ -2,4 +2,5 @@
 
 package orders
 
+// raceDetector reports whether the race detector is enabled.
 const raceDetector = false
--- a/internal/tier/orders/race_on_test.go
+++ b/internal/tier/orders/race_on_test.go
@@ -2,6 +2,6 @@
 
 package orders
 
-// raceDetector reduces the number of simulations: the race detector makes them some ten times slower, and as each uses a
-// single goroutine a few are enough.
+// raceDetector reports whether the race detector is enabled. The number of simulations is smaller then: the race detector
+// makes them some ten times slower, and as each uses a single goroutine a few are enough.
 const raceDetector = true
--- a/internal/tier/orders/stores_test.go
+++ b/internal/tier/orders/stores_test.go
@@ -23,8 +23,7 @@
 	return Write{Key: feed.PlacementKey, Value: rpc.Encode(&p)}
 }
 
-// retirementWrite returns the entry of an order to retire a store, optionally with the legacy key,
-// which has only the name.
+// retirementWrite returns the entry of an order to retire a store, optionally with the legacy key, which has only the name.
 func retirementWrite(name string, withLegacyKey bool) Write {
 	s := parseStores(name)[0]
 	key := RetireKey(s.Name, s.ID)
--- a/internal/tier/placement/model_store_test.go
+++ b/internal/tier/placement/model_store_test.go
@@ -22,7 +22,7 @@
 	placement                          *turnstore.Placement
 	deliveries                         []delivery
 	registeredAt                       time.Duration
-	registeredSweptGeneration          int64
+	registeredSweptGeneration          int64 // sweptGeneration in its last registration; -1 for none
 
 	pulled            map[string]bool // peers tried in the current phase: whether the pull succeeded
 	pulledBefore      map[string]bool // peers from which it has pulled under any generation
@@ -33,11 +33,13 @@
 	unresponsiveUntil map[string]time.Duration // time until which a peer counts as unresponsive
 }
 
+// delivery is a placement on its way to a store.
 type delivery struct {
 	deliveredAt time.Duration
 	placement   *turnstore.Placement
 }
 
+// wipe empties the disk of a host, which gives it a new identity.
 func (m *simulation) wipe(h *host) {
 	m.identitiesCreated++
 	if m.bug != wipedStoreKeepsIdentity || h.id == "" {
--- a/internal/tier/placement/model_test.go
+++ b/internal/tier/placement/model_test.go
@@ -25,6 +25,7 @@
 	never                    = time.Duration(1 << 62)
 )
 
+// sentRegistration is a registration on its way to the head.
 type sentRegistration struct {
 	arrivesAt    time.Duration
 	registration Registration
@@ -34,7 +35,7 @@
 	bug               injectedBug
 	rng               *rand.Rand
 	faultTolerance    int
-	catchUpTime       time.Duration
+	catchUpTime       time.Duration // time after its return during which a machine still counts as lost
 	timings           Timings
 	maxPull           time.Duration // longest duration of a pull
 	maxDelivery       time.Duration // longest delay until a store receives a placement
@@ -55,8 +56,8 @@
 	lossTargetRand    *rand.Rand             // decides whether a loss hits a retiring store
 	lastReport        Observations           // last observations received by the other core nodes
 	referenceStores   map[string]StoreStatus // as seen by a permanent head
-	retired           map[string]bool
-	departures        Departures // as seen by the current head
+	retired           map[string]bool        // identities of stores whose retirement was accepted
+	departures        Departures             // as seen by the current head
 	inTransit         []sentRegistration
 	identitiesCreated int
 	hostsByID         map[string]*host // hosts that are not removed
@@ -64,7 +65,7 @@
 	violation         string
 	jointSince        time.Duration // start of the current joint phase
 	longestJoint      time.Duration
-	changes           int
+	changes           int // number of joint phases
 	longestNoMajority time.Duration
 	noMajoritySince   time.Duration // 0 for none
 }
--- a/internal/tier/placement/observations_test.go
+++ b/internal/tier/placement/observations_test.go
@@ -17,7 +17,7 @@
 	heads.takeOver(heads.input.Observe(heads.timings))
 	next := heads.run(10*time.Second, "a", "b", "c", "e")
 	if next == nil || !containsStore(next.New, "e") || containsStore(next.New, "d") {
-		t.Fatalf("%+v", next)
+		t.Fatalf("got %+v, want a change that replaces d by e", next)
 	}
 	if at := heads.input.Now; at != 7100*time.Millisecond {
 		t.Errorf("d was replaced at %v, want 7.1 s: after the TakeoverGrace of the new head", at)
@@ -35,7 +35,7 @@
 	heads.takeOver(in.Observe(heads.timings))
 	ended := heads.run(10*time.Second, "a", "b", "c", "d~")
 	if ended == nil || len(ended.New) > 0 {
-		t.Fatalf("%+v", ended)
+		t.Fatalf("got %+v, want the end of the change", ended)
 	}
 	if took := in.Now - in.TookOverAt; took > 200*time.Millisecond {
 		t.Errorf("the change ended %v after the new head took over", took)
@@ -73,7 +73,7 @@
 	heads.run(in.Now+300*time.Millisecond, "a", "b", "c")
 	observations := in.Observe(heads.timings)
 	if want := []UnresponsiveStore{{ID: "d", Elapsed: 1400 * time.Millisecond}}; !slices.Equal(observations.Unresponsive, want) {
-		t.Errorf("%+v", observations)
+		t.Errorf("got %+v, want d unresponsive for 1.1 s under the first head and 0.3 s under the second", observations)
 	}
 }
 
@@ -125,7 +125,7 @@
 	}}
 	want := []UnresponsiveStore{{"c", time.Minute}, {"b", 2 * time.Second}}
 	if got := observations.FailedStores(timings); !slices.Equal(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want c before b, without a", got)
 	}
 	if len(observations.Unresponsive) != 3 {
 		t.Error("FailedStores modified the observations")
--- a/internal/tier/placement/registration_test.go
+++ b/internal/tier/placement/registration_test.go
@@ -70,7 +70,7 @@
 		200  a@1:5
 		210  a@1:2`)
 	if r := stores["a"]; r.SweptGeneration != 5 || r.Generation != 5 || r.ConfirmedAt != 210*time.Millisecond {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v, want generation 5, swept 5, confirmed at 210 ms", r)
 	}
 }
 
@@ -90,13 +90,13 @@
 	in.Now = replayRegistrations(t, stores, "4300 a@1:7 b@2:9 c@3:9 d@4:9")
 	next := Plan(in, timings)
 	if next == nil || next.Generation != 10 || len(next.Old) != 4 || len(next.New) > 0 {
-		t.Fatalf("%+v", next)
+		t.Fatalf("got %+v, want a stable placement of generation 10 on four stores", next)
 	}
 	// A store that registers later with a higher generation raises the generation of the placement above its own.
 	in.Current = next
 	replayRegistrations(t, stores, "4400 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
 	in.Now = replayRegistrations(t, stores, "4500 a@1:10 b@2:10 c@3:10 d@4:10 e@5:12")
 	if next = Plan(in, timings); next == nil || next.Generation != 13 || len(next.New) != 5 {
-		t.Fatalf("%+v", next)
+		t.Fatalf("got %+v, want a change to five stores in generation 13", next)
 	}
 }
--- a/internal/tier/placement/retirement_test.go
+++ b/internal/tier/placement/retirement_test.go
@@ -17,7 +17,7 @@
 			wiped := turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"}
 			heads.registerTwice(wiped)
 			if got := SuccessorsOfRetiringStores(*in); !slices.Equal(got, []turnstore.Store{wiped}) {
-				t.Fatalf("%+v", got)
+				t.Fatalf("stores to retire: %+v, want only the wiped one", got)
 			}
 			in.Retired["d2"] = true
 			if got := SuccessorsOfRetiringStores(*in); len(got) > 0 {
@@ -62,7 +62,7 @@
 			heads.registerTwice(turnstore.Store{ID: "d2", Name: "d", Addr: "d:1"})
 			next := heads.run(in.Now+2*planStep, "a", "b", "c")
 			if next == nil || len(next.New) != 3 || containsStore(next.New, "d") {
-				t.Errorf("%+v", next)
+				t.Errorf("got %+v, want a change that removes d", next)
 			}
 		})
 	}
@@ -108,11 +108,11 @@
 	departures.Record(in.Current, nil, in.Retired, in.Now)
 	departures.Record(in.Current, in.Current, in.Retired, in.Now)
 	if len(departures) > 0 {
-		t.Errorf("%+v", departures)
+		t.Errorf("departures without a change that removes a retired store: %+v", departures)
 	}
 	departures.Record(in.Current, &after, in.Retired, in.Now)
 	if at, known := departures["d"]; len(departures) != 1 || !known || at != in.Now {
-		t.Errorf("%+v", departures)
+		t.Errorf("departures are %+v, want only d, now", departures)
 	}
 }
 
@@ -132,7 +132,7 @@
 	heads.registerTwice(successor)
 	next := heads.run(in.Now+2*planStep, "a", "b", "c")
 	if next == nil || len(next.New) != 4 || !containsStore(next.New, "d2") {
-		t.Errorf("%+v", next)
+		t.Errorf("got %+v, want a change in which d2 replaces d", next)
 	}
 }
 
@@ -158,7 +158,7 @@
 			}
 			heads.registerTwice(test.store)
 			if got := SuccessorsOfRetiringStores(heads.input); len(got) > 0 {
-				t.Errorf("%+v", got)
+				t.Errorf("the retirement extends to %+v", got)
 			}
 		})
 	}
--- a/internal/tier/placement/schedule_test.go
+++ b/internal/tier/placement/schedule_test.go
@@ -29,7 +29,7 @@
 }
 
 // faultInjector injects losses of machines, operators' orders and changes of the head. The next loss comes as soon as the
-// contract permits it, or a little later.
+// contract permits it (at most faultTolerance machines count as lost at a time), or a little later.
 type faultInjector struct {
 	*simulation
 	rng                *rand.Rand
@@ -58,7 +58,7 @@
 		}
 	}
 	if injector.now >= injector.nextHeadChange {
-		// The change of a head counts as a loss, so the next one must not come before catchUpTime.
+		// A change of the head counts as a loss, so the next change comes catchUpTime later at the earliest.
 		injector.nextHeadChange = injector.now + injector.duration(injector.catchUpTime, 25*time.Second)
 		injector.changeHead()
 	}
