--- a/internal/tier/lease/doc.go
+++ b/internal/tier/lease/doc.go
@@ -33,5 +33,6 @@
 //
 // The epoch is the fencing token: each epoch has one head, epochs only increase, and a majority has them on disk. The
 // platform refuses a token lower than the highest that it has seen, which stops calls that a frozen holder had already begun
-// to send. TokenBase keeps tokens increasing when a core cluster is set up anew.
+// to send. The base that orders.RecordFencingTokenBase records keeps tokens increasing when a core
+// cluster is set up anew.
 package lease
