--- a/cmd/larch-control/duties.go
+++ b/cmd/larch-control/duties.go
@@ -26,18 +26,18 @@
 	if c.JSON {
 		return printBody(body)
 	}
-	return writeDuties(os.Stdout, &status)
+	return writeTaskStatus(os.Stdout, &status)
 }
 
 // shownCalls is how many of the newest calls of each duty the table has; --json has all that the node keeps.
 const shownCalls = 5
 
 // writeDuties writes the state of the duties in tables, each with the width of its own columns.
-func writeDuties(w io.Writer, s *controlnode.TaskStatus) error {
+func writeTaskStatus(w io.Writer, s *controlnode.TaskStatus) error {
 	if _, err := fmt.Fprintln(w, s.Summary()); err != nil {
 		return err
 	}
-	tables := []func(io.Writer, *controlnode.TaskStatus){writeLease, writeDutyList, writeWindows, writeScaling, writeDutyCalls}
+	tables := []func(io.Writer, *controlnode.TaskStatus){writeLease, writeTaskCounts, writeWindows, writeScaling, writePlatformCalls}
 	for _, table := range tables {
 		columns := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 		table(columns, s)
@@ -57,7 +57,7 @@
 	fmt.Fprintf(w, "clock\t%+d ms to the tier's time\nlast look\t%d ms ago\n", s.ClockOffsetMs, s.StepAgeMs)
 }
 
-func writeDutyList(w io.Writer, s *controlnode.TaskStatus) {
+func writeTaskCounts(w io.Writer, s *controlnode.TaskStatus) {
 	fmt.Fprintln(w, "\nDUTY\tEXPECTED\tACCEPTED\tREFUSED\tBUSY\tINVALID\tNOT SENT\tUNKNOWN")
 	line := func(name string, expected bool, n controlnode.PlatformCallCounts) {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n",
@@ -103,7 +103,7 @@
 	}
 }
 
-func writeDutyCalls(w io.Writer, s *controlnode.TaskStatus) {
+func writePlatformCalls(w io.Writer, s *controlnode.TaskStatus) {
 	if len(s.Usage.Calls)+len(s.Scale.Calls) == 0 {
 		return
 	}
--- a/internal/tier/controlnode/task_calls.go
+++ b/internal/tier/controlnode/task_calls.go
@@ -13,7 +13,7 @@
 
 // platformCall is a call to the platform that has ended.
 type platformCall struct {
-	at      time.Time
+	endedAt time.Time
 	path    string
 	token   int64
 	outcome fencedcall.Outcome
--- a/internal/tier/controlnode/task_lease_test.go
+++ b/internal/tier/controlnode/task_lease_test.go
@@ -21,12 +21,12 @@
 )
 
 // loopBatch is the fate of a batch with one request.
-type loopBatch int
+type batchOutcome int
 
 const (
-	handled            loopBatch = iota // handled and synced
-	handledWithoutRoom                  // handled, but the disk was full before the sync
-	rejected                            // not handled, since the disk was full
+	handled            batchOutcome = iota // handled and synced
+	handledWithoutRoom                     // handled, but the disk was full before the sync
+	rejected                               // not handled, since the disk was full
 )
 
 // leaseLoop is a server with a lease and a loop that handles requests, but without a node. The fates of the first batches are given;
@@ -37,7 +37,7 @@
 }
 
 // newLeaseLoop starts a leaseLoop that holds the lease of epoch 1.
-func newLeaseLoop(t *testing.T, batches ...loopBatch) *leaseLoop {
+func newLeaseLoop(t *testing.T, batches ...batchOutcome) *leaseLoop {
 	s := &Server{startedAt: time.Now().Add(-time.Hour), requests: make(chan queuedRequest), log: process.NewLogger(io.Discard)}
 	s.ctx, s.stop = context.WithCancel(t.Context())
 	s.lease = lease.New(lease.Params{Term: loopTestTerm, MaxDrift: lease.DefaultMaxDrift}, 0)
@@ -55,7 +55,7 @@
 }
 
 // run handles requests, each in a batch of its own.
-func (l *leaseLoop) run(batches []loopBatch) {
+func (l *leaseLoop) run(batches []batchOutcome) {
 	defer close(l.done)
 	for {
 		select {
@@ -93,7 +93,7 @@
 // If the start of a call is recorded in a batch that fails on a full disk, the end of the call must be recorded too: otherwise the node
 // would wait for the call for ever and never regain the lease.
 func TestLeaseReturnsAfterCallThatWasNotSent(t *testing.T) {
-	for name, batches := range map[string][]loopBatch{
+	for name, batches := range map[string][]batchOutcome{
 		"start handled without room":         {handledWithoutRoom},
 		"start and end handled without room": {handledWithoutRoom, handledWithoutRoom},
 		"start handled, end rejected":        {handledWithoutRoom, rejected},
--- a/internal/tier/controlnode/task_status_parts.go
+++ b/internal/tier/controlnode/task_status_parts.go
@@ -66,8 +66,8 @@
 			continue
 		}
 		calls = append(calls, PlatformCallStatus{
-			Time:    call.at.UTC().Format(callTimeFormat),
-			AgeMs:   time.Since(call.at).Milliseconds(),
+			Time:    call.endedAt.UTC().Format(callTimeFormat),
+			AgeMs:   time.Since(call.endedAt).Milliseconds(),
 			Path:    call.path,
 			Token:   call.token,
 			Outcome: call.outcome.String(),
--- a/internal/tier/fencedcall/client_test.go
+++ b/internal/tier/fencedcall/client_test.go
@@ -81,7 +81,7 @@
 }
 
 // A holder that is paused between its check of the lease and the write must not send the call once the lease has ended.
-func TestFenceIsAskedBeforeEachWrite(t *testing.T) {
+func TestFenceIsCheckedBeforeEachWrite(t *testing.T) {
 	for name, permitted := range map[string]int64{"at the first write": 1, "within a long call": 2} {
 		t.Run(name, func(t *testing.T) {
 			p, addr := startPlatform(t, 200)
--- a/internal/tier/scaling/planner.go
+++ b/internal/tier/scaling/planner.go
@@ -145,9 +145,9 @@
 func (p *Planner) OrderInDoubt(subject Subject, hosts int) { p.recordOrder(subject, hosts, inDoubt) }
 
 // recordOrder records an order that was sent.
-func (p *Planner) recordOrder(subject Subject, hosts int, standing orderState) {
+func (p *Planner) recordOrder(subject Subject, hosts int, newState orderState) {
 	if state := p.subjects[subject]; state != nil {
-		state.hosts, state.orderState = hosts, standing
+		state.hosts, state.orderState = hosts, newState
 	}
 }
 
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestSubjectsArePlannedApart(t *testing.T) {
+func TestSubjectsArePlannedIndependently(t *testing.T) {
 	p := NewPlanner(testParams)
 	p.Plan(0, testSubject, demandOf(8))
 	if hosts, ok := p.Plan(0, Subject{"redactor", "south"}, demandOf(4)); ok {
@@ -144,9 +144,9 @@
 func TestRandomDemandsKeepBoundsAndDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPlanner(testParams)
-		course := &planHistory{last: rapid.IntRange(0, 12).Draw(t, "hosts at the start")}
-		course.platform = rapid.IntRange(0, 12).Draw(t, "hosts ordered by an earlier holder")
-		bounds := Demand{Min: 2, Max: 10, Hosts: course.last, Slots: 10}
+		history := &planHistory{last: rapid.IntRange(0, 12).Draw(t, "hosts at the start")}
+		history.platform = rapid.IntRange(0, 12).Draw(t, "hosts ordered by an earlier holder")
+		bounds := Demand{Min: 2, Max: 10, Hosts: history.last, Slots: 10}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
@@ -156,13 +156,13 @@
 			}
 			bounds.Concurrency = rapid.Float64Range(0, 80).Draw(t, "concurrency")
 			needed := max(bounds.Min, min(int(math.Ceil(bounds.Concurrency/5)), bounds.Max))
-			course.history = append(course.history, sample{now, needed})
+			history.demands = append(history.demands, sample{now, needed})
 			hosts, ok := p.Plan(now, testSubject, bounds)
 			if ok {
-				course.checkOrder(t, hosts, bounds)
-				course.send(t, p, hosts)
+				history.checkOrder(t, hosts, bounds)
+				history.send(t, p, hosts)
 			} else {
-				course.checkNoOrder(t, bounds)
+				history.checkNoOrder(t, bounds)
 			}
 		}
 	})
@@ -170,7 +170,7 @@
 
 // planHistory records the demands and orders of a random test.
 type planHistory struct {
-	history  []sample // demands
+	demands  []sample // demands
 	last     int      // number that was sent last, or that was listed at the start
 	sent     bool     // at least one order was sent
 	accepted bool     // the last order that was sent was accepted
@@ -194,7 +194,7 @@
 
 // checkOrder checks an order against the history.
 func (c *planHistory) checkOrder(t *rapid.T, hosts int, bounds Demand) {
-	now := c.history[len(c.history)-1]
+	now := c.demands[len(c.demands)-1]
 	if hosts < bounds.Min || hosts > bounds.Max || hosts < now.hosts || c.accepted && hosts == c.last {
 		t.Fatalf("ordered %d after %d", hosts, c.last)
 	}
@@ -202,10 +202,10 @@
 	if hosts >= c.last || forBounds {
 		return
 	}
-	if now.at-c.history[0].at < testParams.DownDelay {
-		t.Fatalf("lowered from %d to %d after %s", c.last, hosts, now.at-c.history[0].at)
+	if now.at-c.demands[0].at < testParams.DownDelay {
+		t.Fatalf("lowered from %d to %d after %s", c.last, hosts, now.at-c.demands[0].at)
 	}
-	for _, s := range c.history {
+	for _, s := range c.demands {
 		if s.at >= now.at-testParams.DownDelay && min(s.hosts, bounds.Max) > hosts {
 			t.Fatalf("lowered to %d, %s after a demand of %d", hosts, now.at-s.at, s.hosts)
 		}
@@ -214,12 +214,12 @@
 
 // checkNoOrder checks that it was right to make no order.
 func (c *planHistory) checkNoOrder(t *rapid.T, bounds Demand) {
-	now := c.history[len(c.history)-1]
+	now := c.demands[len(c.demands)-1]
 	switch {
-	case !c.sent && now.at-c.history[0].at < testParams.DownDelay && c.last >= now.hosts:
+	case !c.sent && now.at-c.demands[0].at < testParams.DownDelay && c.last >= now.hosts:
 		return
 	case !c.accepted:
-		t.Fatalf("no order after %s, though %d is not accepted", now.at-c.history[0].at, c.last)
+		t.Fatalf("no order after %s, though %d is not accepted", now.at-c.demands[0].at, c.last)
 	case c.platform != c.last || c.platform < now.hosts || c.platform > bounds.Max:
 		t.Fatalf("no order, though %d is in force and %d was ordered", c.platform, c.last)
 	}
--- a/internal/tier/usage/schedule.go
+++ b/internal/tier/usage/schedule.go
@@ -76,15 +76,15 @@
 // before the collector started, the collector warms up fully first, since the window is late anyway.
 func (s Schedule) dueAt(window int64, began time.Time) time.Time {
 	end := WindowEnd(window, s.WindowLength)
-	due, warm, latest := end.Add(s.Settle), began.Add(s.WarmUp), end.Add(s.LateAfter-s.Margin)
-	if young := began.Add(min(s.MinAge, s.WarmUp)); latest.After(began) && latest.Before(warm) {
-		warm = latest
-		if warm.Before(young) {
-			warm = young
+	due, readyAt, latest := end.Add(s.Settle), began.Add(s.WarmUp), end.Add(s.LateAfter-s.Margin)
+	if minAgeAt := began.Add(min(s.MinAge, s.WarmUp)); latest.After(began) && latest.Before(readyAt) {
+		readyAt = latest
+		if readyAt.Before(minAgeAt) {
+			readyAt = minAgeAt
 		}
 	}
-	if warm.After(due) {
-		return warm
+	if readyAt.After(due) {
+		return readyAt
 	}
 	return due
 }
