--- a/cmd/larch-control/duties.go
+++ b/cmd/larch-control/duties.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/tier/controlnode"
 )
 
-// dutiesCommand prints the state of the singleton duties.
+// dutiesCommand prints the state of the singleton tasks, which the settings and the API call duties.
 type dutiesCommand struct{ target }
 
 func (c dutiesCommand) Run() error {
@@ -29,10 +29,10 @@
 	return writeTaskStatus(os.Stdout, &status)
 }
 
-// shownCalls is how many of the newest calls of each duty the table has; --json has all that the node keeps.
+// shownCalls is the number of the newest calls of each task in the table; --json has all calls that the node keeps.
 const shownCalls = 5
 
-// writeDuties writes the state of the duties in tables, each with the width of its own columns.
+// writeTaskStatus writes the state of the singleton tasks in tables. The column widths of each table are independent.
 func writeTaskStatus(w io.Writer, s *controlnode.TaskStatus) error {
 	if _, err := fmt.Fprintln(w, s.Summary()); err != nil {
 		return err
--- a/cmd/larch-control/duties_test.go
+++ b/cmd/larch-control/duties_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// newDutiesAPI starts a core node that answers GET /api/duties with a status and a body, and returns its address.
+// newDutiesAPI starts a core node that responds to GET /api/duties with a status and a body, and returns its address.
 func newDutiesAPI(t *testing.T, status int, body string) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -34,7 +34,7 @@
 	`"outcomes":` + callCounts + `,"calls":[{"time":"2026-01-02T03:04:00.001Z","age_ms":5100,"path":"/scale","token":1048583,"outcome":"accepted",` +
 	`"body":"{\"target_service\":\"engine\",\"zone_name\":\"pier\",\"desired\":4}"}]},"outcomes":` + callCounts + `}`
 
-// restBody returns the state of a node that has not done any duty, with a cause.
+// inactiveBody returns the state of a node that runs no singleton tasks, with the cause.
 func inactiveBody(head, cause, wait string) string {
 	const none = `{"accepted":0,"refused":0,"busy":0,"invalid":0,"not_sent":0,"unknown":0}`
 	return `{"node":"core-1","head":"` + head + `","epoch":7,"held":false,"holder":"","token":0,"left_ms":0,"wait_ms":` + wait +
@@ -73,7 +73,7 @@
 /scale  2026-01-02T03:04:00.001Z  1048583  accepted  {"target_service":"engine","zone_name":"pier","desired":4}
 `
 
-// restTable returns what is printed of restBody under the first line.
+// inactiveTable returns the output for inactiveBody below the first line.
 func inactiveTable(head string) string {
 	return "answered by  core-1\n" + "head         " + head + "\n" + `epoch        7
 lease        not held
--- a/internal/tier/controlnode/task_calls.go
+++ b/internal/tier/controlnode/task_calls.go
@@ -20,7 +20,8 @@
 	body    []byte
 }
 
-// platformCallLog keeps the newest calls to the platform, and counts all calls by path and outcome. It is safe for concurrent use.
+// platformCallLog keeps the newest calls to the platform, and counts all calls by path and outcome. It is safe for concurrent
+// use.
 type platformCallLog struct {
 	mu     sync.Mutex
 	newest []platformCall // oldest first
--- a/internal/tier/controlnode/task_clock.go
+++ b/internal/tier/controlnode/task_clock.go
@@ -28,7 +28,7 @@
 	return &feed.ClockReading{UnixMicros: time.Now().UnixMicro()}, nil
 }
 
-// voterAddrsQuery reads the addresses of the other voters, by name.
+// voterAddrsQuery reads the addresses of the other voters, by node ID. Voters whose address is not known are omitted.
 type voterAddrsQuery struct{ addrs map[string]string }
 
 func (q *voterAddrsQuery) handle(s *Server) {
--- a/internal/tier/controlnode/task_fleet_test.go
+++ b/internal/tier/controlnode/task_fleet_test.go
@@ -28,7 +28,7 @@
 // timeWithMillis is the layout of times in logs.
 const timeWithMillis = "15:04:05.000"
 
-// Terms of resumeLimit, the time within which the singleton tasks must resume after a fault.
+// Parts of resumeLimit, the time within which the singleton tasks must resume after a fault.
 const (
 	// detectionLimit is the time within which the other nodes detect the failure of a node and agree on a view without it.
 	detectionLimit = 2 * time.Second
--- a/internal/tier/controlnode/task_lease.go
+++ b/internal/tier/controlnode/task_lease.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// recordCallEnd records the end of a call, if the lease has recorded its start.
+// recordCallEnd records the end of a call. It has no effect if the lease has not recorded the start of the call.
 func (s *Server) recordCallEnd(call *lease.Call) { s.retryOnLoop(&callEndRequest{call: call}) }
 
 // callEndRequest records that a call has ended, after which this node sends nothing more of it.
--- a/internal/tier/controlnode/task_lease_test.go
+++ b/internal/tier/controlnode/task_lease_test.go
@@ -20,7 +20,7 @@
 	loopTestTakeover = 4 * loopTestTerm // longer than lease.Params.TakeoverWait
 )
 
-// loopBatch is the fate of a batch with one request.
+// batchOutcome is what happens to a batch with one request.
 type batchOutcome int
 
 const (
@@ -29,8 +29,8 @@
 	rejected                               // not handled, since the disk was full
 )
 
-// leaseLoop is a server with a lease and a loop that handles requests, but without a node. The fates of the first batches are given;
-// later batches are handled.
+// leaseLoop is a server with a lease and a loop that handles requests, but without a node. The outcomes of the first batches are
+// given; later batches are handled and synced.
 type leaseLoop struct {
 	*Server
 	done chan struct{} // closed when the loop has ended, after which the test owns the lease
@@ -80,7 +80,7 @@
 	<-l.done
 }
 
-// regains reports whether this node gets a grant after it has lost the lease, become head again and waited for Takeover.
+// regains reports whether this node gets a grant after it has lost the lease, become head again and waited for loopTestTakeover.
 func (l *leaseLoop) regains() bool {
 	l.end()
 	l.lease.Observe(l.now(), lease.Observation{Epoch: 2})
@@ -106,7 +106,7 @@
 				t.Fatalf("the outcome is %v", outcome)
 			}
 			if !l.regains() {
-				t.Error("no grant after Takeover, though no call is in flight")
+				t.Error("no grant after the takeover wait, though no call is in flight")
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 	l.lease.CallStarted(other)
 	l.recordCallEnd(call)
 	if l.regains() {
-		t.Error("grant while a call of the lost headship is in flight")
+		t.Error("grant while a call of the ended tenure is in flight")
 	}
 }
 
--- a/internal/tier/controlnode/task_runner.go
+++ b/internal/tier/controlnode/task_runner.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// step runs what is due, if this node holds the lease.
+// step runs the tasks that are due, if this node holds the lease. The first step after the lease is acquired resets the tasks, since
+// another node may have held it meanwhile.
 func (d *taskRunner) step() {
 	grant := d.server.heldGrant()
 	if grant == nil {
--- a/internal/tier/controlnode/task_scale.go
+++ b/internal/tier/controlnode/task_scale.go
@@ -23,7 +23,7 @@
 	loadAveragingPeriod = 3 * time.Second  // period over which calls in flight are averaged
 	recentReportPeriod  = 4 * time.Second  // a front that has reported within it counts as reporting
 	knownFrontPeriod    = 20 * time.Second // a front that has reported within it counts as known
-	minReportingDivisor = 2                // orders are made only if 1/minReportingDivisor of the known fronts have reported recently
+	minReportingDivisor = 2                // orders are made only if max(1, knownFronts/minReportingDivisor) fronts have reported recently
 	defaultHostSlots    = 1                // slots of a host that lists no capacity
 	minOrderedHosts     = 1                // a zone without hosts would show no demand, and stay without hosts
 	scaleCallsPerStep   = 8                // bounds the duration of a step
@@ -39,7 +39,7 @@
 	config          *routing.Config                  // last one parsed; nil before the first
 	configAt        int64                            // index of its chain entry
 	recentFronts    int                              // fronts that have reported within recentReportPeriod, as last read
-	hostSlots       map[scaling.Subject]int          // slots of a host as last listed, for all subjects of this headship
+	hostSlots       map[scaling.Subject]int          // slots of a host as last listed, for all subjects since the last reset
 	plannedSubjects []scaleSubject                   // as in the last plan, for operators
 }
 
@@ -154,7 +154,7 @@
 }
 
 // subjects returns the subjects with their demands, sorted by service and zone: each service with scaling bounds, in each zone in
-// which its hosts are listed or were listed during this headship.
+// which its hosts are listed or were listed since this node acquired the lease.
 func (d *scaleTask) subjects(query *demandQuery) (subjects []scaleSubject) {
 	if d.config == nil {
 		return nil
--- a/internal/tier/controlnode/task_scale_test.go
+++ b/internal/tier/controlnode/task_scale_test.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if d.reset(); d.config != nil {
-		t.Error("a new headship starts with the configuration of the previous one")
+		t.Error("a new lease starts with the configuration of the previous one")
 	}
 }
 
@@ -102,7 +102,7 @@
 }
 
 // No hosts may be ordered for a service whose scaling bounds were removed, nor for zones that only an earlier lease holder has seen.
-func TestSubjectsEndWithScalingConfigAndHeadship(t *testing.T) {
+func TestSubjectsEndWithScalingConfigAndLease(t *testing.T) {
 	d := newTestScaleTask()
 	config := chain.Entry{Index: 1, Value: scalingConfig(1, 20)}
 	listed := &demandQuery{hosts: []discovery.Host{{Service: "s", Zone: "a"}}}
@@ -119,6 +119,6 @@
 	d.reset()
 	d.adoptConfig(config)
 	if got := d.subjects(&demandQuery{}); len(got) != 0 {
-		t.Errorf("subjects %+v of an earlier headship", got)
+		t.Errorf("subjects %+v of an earlier lease", got)
 	}
 }
--- a/internal/tier/controlnode/task_status_text.go
+++ b/internal/tier/controlnode/task_status_text.go
@@ -79,7 +79,7 @@
 // recentCallMs is the age up to which a failed call is reported as a problem: calls are retried sooner than that.
 const recentCallMs = 10_000
 
-// callProblem describes the failure of the newest of some calls, empty if it was accepted or is not recent.
+// callProblem describes the failure of the newest call, which is the first one; empty if it was accepted or is not recent.
 func callProblem(calls []PlatformCallStatus) string {
 	if len(calls) == 0 || calls[0].AgeMs > recentCallMs {
 		return ""
--- a/internal/tier/controlnode/task_usage.go
+++ b/internal/tier/controlnode/task_usage.go
@@ -20,8 +20,9 @@
 	defaultUsageLate   = 10 * time.Second
 )
 
-// usageRole is the head's collector of the usage that fronts have counted. It is soft state of a headship: fronts report what they
-// retain to a new collector again. It is owned by the event loop.
+// usageRole is the head's collector of the usage that fronts have counted. It is kept in memory for one tenure, a sequence of
+// consecutive epochs with this node as the head: fronts report what they retain again to a new collector. It is owned by the event
+// loop.
 type usageRole struct {
 	epoch     int64
 	id        string // ID of the collector, in receipts
@@ -29,7 +30,7 @@
 	startedAt time.Duration
 }
 
-// assumeUsageRole returns the collector of this headship. It runs on the event loop of the confirmed head.
+// assumeUsageRole returns the collector of this tenure, a new one if there is none. It runs on the event loop of the confirmed head.
 func (s *Server) assumeUsageRole() *usageRole {
 	role, epoch := &s.usageRole, s.node.View().Epoch
 	if role.collector == nil || epoch > role.epoch+1 { // consecutive epochs of one head share a collector
@@ -144,7 +145,7 @@
 
 // firstUnrecorded returns the first window that may have to be recorded: the one after the oldest recorded window, or the present
 // window if none is recorded. Windows may be recorded out of order: a new collector waits longer with a window that is already late
-// than with the next one, and its headship may end before it records the late one.
+// than with the next one, and its tenure may end before it records the late one.
 func firstUnrecorded(reports []orders.UsageEntry, present int64) int64 {
 	if len(reports) == 0 {
 		return present
@@ -178,7 +179,7 @@
 	}
 }
 
-// collectorAgeQuery reads how long the collector of this headship has been collecting reports.
+// collectorAgeQuery reads how long the collector of this tenure has been collecting reports.
 type collectorAgeQuery struct {
 	age             time.Duration
 	isHead          bool // this node is the confirmed head; otherwise it collects nothing
@@ -225,10 +226,10 @@
 	case err != nil: // the outcome is unknown: the next step tries again
 		return false
 	case decision.Kind.IsAcknowledgement():
-		u.addRecorded(window, decision.Body)
+		u.addRecorded(window, decision.Body) // the report that was recorded first, possibly by another node
 	default:
 		u.server.log.Error("usage window not recorded", "window", window, "reason", decision.Reason)
-		u.recorded = append(u.recorded, window)
+		u.recorded = append(u.recorded, window) // not tried again: the record of a later window has overwritten that of this one
 	}
 	return true
 }
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -170,11 +170,11 @@
 
 // planHistory records the demands and orders of a random test.
 type planHistory struct {
-	demands  []sample // demands
-	last     int      // number that was sent last, or that was listed at the start
-	sent     bool     // at least one order was sent
-	accepted bool     // the last order that was sent was accepted
-	platform int      // the number in force
+	demands  []sample
+	last     int  // number that was sent last, or that was listed at the start
+	sent     bool // at least one order was sent
+	accepted bool // the last order that was sent was accepted
+	platform int  // the number in force
 }
 
 // send draws the outcome of an order: accepted, in doubt with or without effect, or not sent.
--- a/internal/tier/usage/collector.go
+++ b/internal/tier/usage/collector.go
@@ -10,8 +10,8 @@
 type CollectorParams struct {
 	// WindowLength is the length of a window; above 0.
 	WindowLength time.Duration
-	// Retention is how long windows are retained after their end, and sources after their last report. Windows that begin later than
-	// that after the present time are not added.
+	// Retention is how long windows are retained after their end, and sources after their last report. Windows that
+	// begin more than Retention after the present time are not added.
 	Retention time.Duration
 	// LoadHistory is how long reported loads are retained.
 	LoadHistory time.Duration
@@ -49,10 +49,10 @@
 	loads        []loadSample  // by time
 }
 
-// loadSample is the loads after one report.
+// loadSample is the cumulative loads of a source after one report.
 type loadSample struct {
 	at     time.Duration
-	busyMs map[destination]int64 // cumulative
+	busyMs map[destination]int64 // total duration of calls since the source started
 }
 
 // NewCollector returns a collector without counts.
--- a/internal/tier/usage/counter.go
+++ b/internal/tier/usage/counter.go
@@ -15,9 +15,9 @@
 	maxWindows  int
 
 	mu        sync.Mutex
-	windows   []*windowCounts // in the order of their first request
-	busy      map[destination]time.Duration
-	collector string // sender of the last receipt; empty before the first
+	windows   []*windowCounts               // in the order of their first request
+	busy      map[destination]time.Duration // total duration of calls
+	collector string                        // sender of the last receipt; empty before the first
 }
 
 // windowCounts is the counts of a window.
--- a/internal/tier/usage/schedule.go
+++ b/internal/tier/usage/schedule.go
@@ -20,8 +20,8 @@
 	// MinAge is the minimum age at which a collector records a window, even if that makes the window late: by then every running
 	// front has reported to it, unless its calls fail.
 	MinAge time.Duration
-	// Margin is the part of LateAfter that is reserved for recording a window and for the call to the platform: to keep it, a
-	// collector that is younger than WarmUp stops waiting.
+	// Margin is the part of LateAfter that is reserved for recording a window and for the call to the platform. To keep it, a
+	// collector that is older than MinAge records a window without waiting for the end of WarmUp.
 	Margin time.Duration
 }
 
--- a/internal/tier/usage/truetime.go
+++ b/internal/tier/usage/truetime.go
@@ -22,9 +22,9 @@
 // safe for concurrent use.
 type TrueTime struct {
 	mu        sync.Mutex
-	localWall time.Time // wall clock of this node when its monotonic clock was 0
-	clocks    []clock   // of other nodes, in the order in which they were first sampled
-	offset    time.Duration
+	localWall time.Time     // wall clock of this node when its monotonic clock was 0
+	clocks    []clock       // of other nodes, in the order in which they were first sampled
+	offset    time.Duration // of the estimate to localWall
 }
 
 // clock is the wall clock of another node.
