--- a/internal/tier/controlnode/task_status_test.go
+++ b/internal/tier/controlnode/task_status_test.go
@@ -27,7 +27,7 @@
 func TestTaskStatusInEachState(t *testing.T) {
 	const base = 1 << 20
 	held := lease.Status{Epoch: 7, Held: true, Remaining: 1500 * time.Millisecond}
-	rest := func(cause lease.Cause) lease.Status { return lease.Status{Epoch: 7, Cause: cause} }
+	inactive := func(cause lease.Cause) lease.Status { return lease.Status{Epoch: 7, Cause: cause} }
 	wait := func(cause lease.Cause) lease.Status {
 		return lease.Status{Epoch: 7, Wait: 2 * time.Second, Cause: cause}
 	}
@@ -44,15 +44,15 @@
 			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: TasksNotExpected}},
 		"unknown tasks only": {leaseStatusQuery{lease: held, head: "core-1"}, "sweep",
 			TaskStatus{Head: "core-1", Held: true, Holder: "core-1", Token: base + 7, LeftMs: 1500, Cause: TasksNotExpected}},
-		"no view":  {leaseStatusQuery{lease: rest(lease.NotHead)}, "autoscale", TaskStatus{Cause: TasksNoView}},
-		"not head": {leaseStatusQuery{lease: rest(lease.NotHead), head: "core-2"}, "autoscale", TaskStatus{Head: "core-2", Cause: TasksNotHead}},
-		"refused": {leaseStatusQuery{lease: rest(lease.TokenRefused), head: "core-1"}, "autoscale",
+		"no view":  {leaseStatusQuery{lease: inactive(lease.NotHead)}, "autoscale", TaskStatus{Cause: TasksNoView}},
+		"not head": {leaseStatusQuery{lease: inactive(lease.NotHead), head: "core-2"}, "autoscale", TaskStatus{Head: "core-2", Cause: TasksNotHead}},
+		"refused": {leaseStatusQuery{lease: inactive(lease.TokenRefused), head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksTokenRefused}},
-		"view changes": {leaseStatusQuery{lease: rest(lease.NotActive), head: "core-1"}, "autoscale",
+		"view changes": {leaseStatusQuery{lease: inactive(lease.NotActive), head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksViewChanging}},
-		"stopping": {leaseStatusQuery{lease: rest(lease.NotActive), head: "core-1", leaving: true}, "autoscale",
+		"stopping": {leaseStatusQuery{lease: inactive(lease.NotActive), head: "core-1", leaving: true}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksStopping}},
-		"no majority": {leaseStatusQuery{lease: rest(lease.NotConfirmed), head: "core-1"}, "autoscale",
+		"no majority": {leaseStatusQuery{lease: inactive(lease.NotConfirmed), head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, Cause: TasksNoMajority}},
 		"just started": {leaseStatusQuery{lease: wait(lease.JustStarted), head: "core-1"}, "autoscale",
 			TaskStatus{Head: "core-1", Token: base + 7, WaitMs: 2000, Cause: TasksJustStarted}},
