--- a/internal/tier/controlnode/task_runner.go
+++ b/internal/tier/controlnode/task_runner.go
@@ -151,7 +151,7 @@
 // callBackoff is the exponential backoff of a call that is retried.
 type callBackoff struct {
 	failures int
-	next     time.Time
+	next     time.Time // no call before it
 }
 
 // ready reports whether a call may be made.
@@ -159,7 +159,7 @@
 
 // failed records a failed call and sets the pause before the next one, which doubles with each failure up to maxCallBackoff.
 func (b *callBackoff) failed(now time.Time) {
-	pause := min(maxCallBackoff, minCallBackoff<<min(b.failures, 10))
+	pause := min(maxCallBackoff, minCallBackoff<<min(b.failures, 10)) // the inner min prevents an overflow of the shift
 	b.failures++
 	b.next = now.Add(pause)
 }
--- a/internal/tier/controlnode/task_usage.go
+++ b/internal/tier/controlnode/task_usage.go
@@ -27,7 +27,7 @@
 	epoch     int64
 	id        string // ID of the collector, in receipts
 	collector *usage.Collector
-	startedAt time.Duration
+	startedAt time.Duration // start of the collector, on the monotonic clock
 }
 
 // assumeUsageRole returns the collector of this tenure, a new one if there is none. It runs on the event loop of the confirmed head.
--- a/internal/tier/scaling/planner_test.go
+++ b/internal/tier/scaling/planner_test.go
@@ -31,7 +31,7 @@
 	return orders
 }
 
-func TestPlan(t *testing.T) {
+func TestPlanRaisesAtOnceAndLowersAfterDelay(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		demands []float64
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestCheckParams(t *testing.T) {
+func TestParamsCheckRejectsInvalidValues(t *testing.T) {
 	if err := DefaultParams().Check(); err != nil {
 		t.Error(err)
 	}
--- a/internal/tier/usage/counter_test.go
+++ b/internal/tier/usage/counter_test.go
@@ -25,7 +25,7 @@
 	return numbers
 }
 
-func TestWindowNumbers(t *testing.T) {
+func TestWindowContainsItsTime(t *testing.T) {
 	for _, test := range []struct {
 		at   time.Duration // since 1970
 		want int64
--- a/internal/tier/usage/schedule_test.go
+++ b/internal/tier/usage/schedule_test.go
@@ -7,7 +7,7 @@
 
 var testSchedule = Schedule{WindowLength: 5 * second, LateAfter: 10 * second, Settle: 2500 * time.Millisecond, WarmUp: 4 * second, MinAge: 2 * second, Margin: 3 * second}
 
-func TestScheduleCheck(t *testing.T) {
+func TestScheduleCheckRejectsInvalidTimes(t *testing.T) {
 	wantEqual(t, "default", DefaultSchedule(5*second, 10*second).Check(), nil)
 	wantEqual(t, "default for short times", DefaultSchedule(second, second).Check(), nil)
 	for name, s := range map[string]Schedule{
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestDueWindow(t *testing.T) {
+func TestDueReturnsOldestSettledWindow(t *testing.T) {
 	const none = -1
 	// Window 200 ends at 1005 s, settles by 1007.5 s, must be recorded by 1012 s and is abandoned after 1025 s.
 	through := func(last int64) []int64 {
--- a/internal/tier/usage/truetime_test.go
+++ b/internal/tier/usage/truetime_test.go
@@ -20,7 +20,7 @@
 // errorAt returns the error of an estimate at a time.
 func errorAt(t *TrueTime, at time.Duration) time.Duration { return t.At(at).Sub(trueStart.Add(at)) }
 
-func TestTrueTime(t *testing.T) {
+func TestTrueTimeOutvotesWrongClocks(t *testing.T) {
 	const step = 6 * second
 	for _, test := range []struct {
 		name  string
