--- a/internal/tier/controlnode/task_usage.go
+++ b/internal/tier/controlnode/task_usage.go
@@ -90,7 +90,7 @@
 	*taskRunner
 	schedule       usage.Schedule
 	first          int64            // windows before it are not recorded by this holder; 0 until it is known
-	recorded       []int64          // windows that are recorded, in ascending order
+	recorded       []int64          // windows that are recorded, or can no longer be recorded
 	unacknowledged map[int64][]byte // bodies of recorded windows that the platform has not acknowledged
 	acknowledged   map[int64]bool   // windows that the platform has acknowledged to this process
 	backoff        callBackoff
