--- a/internal/tier/controlnode/task_calls.go
+++ b/internal/tier/controlnode/task_calls.go
@@ -13,14 +13,15 @@
 
 // platformCall is a call to the platform that has ended.
 type platformCall struct {
-	at      time.Time
+	endedAt time.Time
 	path    string
 	token   int64
 	outcome fencedcall.Outcome
 	body    []byte
 }
 
-// platformCallLog keeps the newest calls to the platform, and counts all calls by path and outcome. It is safe for concurrent use.
+// platformCallLog keeps the newest calls to the platform, and counts all calls by path and outcome. It is safe for concurrent
+// use.
 type platformCallLog struct {
 	mu     sync.Mutex
 	newest []platformCall // oldest first
--- a/internal/tier/controlnode/task_runner.go
+++ b/internal/tier/controlnode/task_runner.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// step runs what is due, if this node holds the lease.
+// step runs the tasks that are due, if this node holds the lease. The first step after the lease is acquired resets the tasks, since
+// another node may have held it meanwhile.
 func (d *taskRunner) step() {
 	grant := d.server.heldGrant()
 	if grant == nil {
@@ -150,7 +151,7 @@
 // callBackoff is the exponential backoff of a call that is retried.
 type callBackoff struct {
 	failures int
-	next     time.Time
+	next     time.Time // no call before it
 }
 
 // ready reports whether a call may be made.
@@ -158,7 +159,7 @@
 
 // failed records a failed call and sets the pause before the next one, which doubles with each failure up to maxCallBackoff.
 func (b *callBackoff) failed(now time.Time) {
-	pause := min(maxCallBackoff, minCallBackoff<<min(b.failures, 10))
+	pause := min(maxCallBackoff, minCallBackoff<<min(b.failures, 10)) // the inner min prevents an overflow of the shift
 	b.failures++
 	b.next = now.Add(pause)
 }
--- a/internal/tier/usage/schedule.go
+++ b/internal/tier/usage/schedule.go
@@ -20,8 +20,8 @@
 	// MinAge is the minimum age at which a collector records a window, even if that makes the window late: by then every running
 	// front has reported to it, unless its calls fail.
 	MinAge time.Duration
-	// Margin is the part of LateAfter that is reserved for recording a window and for the call to the platform: to keep it, a
-	// collector that is younger than WarmUp stops waiting.
+	// Margin is the part of LateAfter that is reserved for recording a window and for the call to the platform. To keep it, a
+	// collector that is older than MinAge records a window without waiting for the end of WarmUp.
 	Margin time.Duration
 }
 
@@ -76,15 +76,15 @@
 // before the collector started, the collector warms up fully first, since the window is late anyway.
 func (s Schedule) dueAt(window int64, began time.Time) time.Time {
 	end := WindowEnd(window, s.WindowLength)
-	due, warm, latest := end.Add(s.Settle), began.Add(s.WarmUp), end.Add(s.LateAfter-s.Margin)
-	if young := began.Add(min(s.MinAge, s.WarmUp)); latest.After(began) && latest.Before(warm) {
-		warm = latest
-		if warm.Before(young) {
-			warm = young
+	due, readyAt, latest := end.Add(s.Settle), began.Add(s.WarmUp), end.Add(s.LateAfter-s.Margin)
+	if minAgeAt := began.Add(min(s.MinAge, s.WarmUp)); latest.After(began) && latest.Before(readyAt) {
+		readyAt = latest
+		if readyAt.Before(minAgeAt) {
+			readyAt = minAgeAt
 		}
 	}
-	if warm.After(due) {
-		return warm
+	if readyAt.After(due) {
+		return readyAt
 	}
 	return due
 }
