--- a/internal/tier/controlnode/status_text.go
+++ b/internal/tier/controlnode/status_text.go
@@ -15,33 +15,33 @@
 	}
 	switch {
 	case s.Epoch == 0:
-		return "it knows no view: no core node that has one answers it"
+		return "the node has no view: no core node that has one answers"
 	case len(s.Voters)-unresponsive < len(s.Voters)/2+1:
-		return "it hears no majority of the core nodes: what it tells may be old"
+		return "no recent messages from a majority of the core nodes: this status may be outdated"
 	case s.Promised:
-		return "the view changes"
+		return "a view change is in progress"
 	case s.Role == RoleApplicant:
-		return "it has no vote yet: the others have to take it in"
+		return "the node has no vote yet: the other core nodes have to admit it"
 	case s.Role == RoleCatchingUp:
-		return "it is not a copy yet: the others bring it up to date"
+		return "the replica is incomplete: the other core nodes are sending the missing entries"
 	case !s.Fresh:
-		return "no majority has confirmed lately that what it has is the newest"
+		return "no majority has confirmed recently that the state of the node is current"
 	case unresponsive > 0:
-		return "some core nodes are silent; a majority goes on"
+		return "some core nodes are unresponsive; a majority continues"
 	case s.ConfigVersion == 0:
-		return "no configuration was taken yet"
+		return "no configuration has been accepted yet"
 	case s.StoresRequired > 0:
-		return fmt.Sprintf("more stores are silent than may be lost (%s): bring %d of them back with their disks",
+		return fmt.Sprintf("more stores are unresponsive than may be lost (%s): bring %d of them back with their disks",
 			s.describeUnresponsive(), s.StoresRequired)
 	case len(s.FullStores) > 0:
-		return "a store opens no turns (" + strings.Join(s.FullStores, ", ") +
-			"): its disk, or its memory of ledgers, is nearly full; its log says which"
+		return "a store rejects new turns (" + strings.Join(s.FullStores, ", ") +
+			"): its disk or its ledger memory is nearly full, see its log"
 	case s.PlacementJoint && len(s.UnresponsiveStores) > 0:
-		return "the placement of stores changes; silent: " + s.describeUnresponsive()
+		return "a placement change is in progress; unresponsive: " + s.describeUnresponsive()
 	case s.PlacementJoint:
-		return "the placement of stores changes"
+		return "a placement change is in progress"
 	case len(s.UnresponsiveStores) > 0:
-		return "a store is silent (" + s.describeUnresponsive() + "); the others go on"
+		return "a store is unresponsive (" + s.describeUnresponsive() + "); the others continue"
 	}
 	return "all is well"
 }
