--- a/internal/tier/controlnode/decisions.go
+++ b/internal/tier/controlnode/decisions.go
@@ -32,8 +32,8 @@
 }
 
 // replyFor returns the operator API's reply for a decision.
-func replyFor(decision orders.Decision) *feed.Reply {
-	reply := &feed.Reply{Status: httpStatusByDecision[decision.Kind], Text: decision.Reason, Body: decision.Body}
+func replyFor(decision orders.Decision) *feed.OperatorResponse {
+	reply := &feed.OperatorResponse{Status: httpStatusByDecision[decision.Kind], Text: decision.Reason, Body: decision.Body}
 	switch decision.Kind {
 	case orders.Serving:
 		reply.Body = []byte(`{"phase":"serving"}`)
@@ -154,8 +154,8 @@
 // retryUntilTimeout repeats a call until there is a reply or requestTimeout has passed. In the latter case the reply is
 // 503 with the error of the last attempt, which is also logged.
 func (s *Server) retryUntilTimeout(
-	ctx context.Context, order string, call func(ctx context.Context) (*feed.Reply, error),
-) *feed.Reply {
+	ctx context.Context, order string, call func(ctx context.Context) (*feed.OperatorResponse, error),
+) *feed.OperatorResponse {
 	callCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var cause error
@@ -179,7 +179,7 @@
 
 // unknownOutcomeReply returns the reply to an order that was not decided in time. It logs the cause, unless the caller
 // has disconnected.
-func (s *Server) unknownOutcomeReply(ctx context.Context, order string, cause error) *feed.Reply {
+func (s *Server) unknownOutcomeReply(ctx context.Context, order string, cause error) *feed.OperatorResponse {
 	text := errOutcomeUnknown.Error()
 	if !errors.Is(cause, errOutcomeUnknown) {
 		text += " (last: " + cause.Error() + ")"
@@ -187,5 +187,5 @@
 	if ctx.Err() == nil {
 		s.log.Info("order undecided", "order", order, "cause", cause)
 	}
-	return &feed.Reply{Status: http.StatusServiceUnavailable, Text: text}
+	return &feed.OperatorResponse{Status: http.StatusServiceUnavailable, Text: text}
 }
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -70,16 +70,16 @@
 	all := []encoded{
 		{2, "follow", sideRequest, &feed.FollowRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ActiveVersion: big + 2, HostListTerm: big + 3, HostListNumber: big + 4, WaitMs: big + 5}},
 		{2, "follow", sideReply, &feed.FollowResponse{Confirmed: true, Index: big + 1, Entries: []chain.Entry{entry}, Hosts: []discovery.List{list}, Delta: []discovery.Delta{delta}, CoreAddrs: []string{"core-1", "core-2"}}},
-		{3, "put", sideRequest, &feed.PutRequest{IfMatch: big + 1, Body: []byte("body"), Forwarded: true}},
-		{3, "put", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
-		{4, "read", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
-		{4, "read", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{3, "put", sideRequest, &feed.PutConfigRequest{IfMatch: big + 1, Body: []byte("body"), Forwarded: true}},
+		{3, "put", sideReply, &feed.OperatorResponse{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{4, "read", sideRequest, &feed.OperatorRequest{Name: "name", Forwarded: true}},
+		{4, "read", sideReply, &feed.OperatorResponse{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
 		{5, "register", sideRequest, &feed.Registration{Store: store, Generation: big + 1, SweptGeneration: big + 2, Full: true, Forwarded: true}},
 		{5, "register", sideReply, &feed.Empty{Unused: true}},
-		{6, "retire", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
-		{6, "retire", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
-		{7, "phase", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
-		{7, "phase", sideReply, &feed.Reply{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{6, "retire", sideRequest, &feed.OperatorRequest{Name: "name", Forwarded: true}},
+		{6, "retire", sideReply, &feed.OperatorResponse{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
+		{7, "phase", sideRequest, &feed.OperatorRequest{Name: "name", Forwarded: true}},
+		{7, "phase", sideReply, &feed.OperatorResponse{Status: big + 1, Text: "text", Body: []byte("body"), Location: "location"}},
 		{8, "status", sideRequest, &feed.Empty{Unused: true}},
 		{8, "status", sideReply, fullStatus()},
 		{9, "changes", sideRequest, &feed.ChangesRequest{Name: "name", Class: "class", AppliedIndex: big + 1, ReceivedIndex: big + 2, ActiveVersion: big + 3, HostListTerm: big + 4, HostListNumber: big + 5, WaitMs: big + 6,
@@ -99,7 +99,7 @@
 		{13, "lease release", sideReply, &feed.Empty{Unused: true}},
 		{14, "clock", sideRequest, &feed.Empty{Unused: true}},
 		{14, "clock", sideReply, &feed.ClockReading{UnixMicros: big + 1}},
-		{15, "duties", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
+		{15, "duties", sideRequest, &feed.OperatorRequest{Name: "name", Forwarded: true}},
 		{15, "duties", sideReply, fullDutyStatus()},
 
 		{0, "configuration", sideStored, &feed.ConfigEntry{Version: big + 1, Body: []byte("body"), RecentDigests: [][]byte{[]byte("digest-1"), []byte("digest-2")}}},
@@ -287,8 +287,8 @@
 
 // The numbers of methods, kinds of messages and states of pieces are on the wire.
 func TestNumbersOnTheWire(t *testing.T) {
-	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutCall, feed.ReadCall, feed.RegisterCall, feed.RetireCall, feed.PhaseCall, feed.StatusCall, feed.ChangesCall, feed.ChunkCall,
-		feed.HealthCall, feed.UsageCall, feed.LeaseReleaseCall, feed.ClockCall, feed.DutiesCall}
+	methods := []rpc.Method{feed.PeerCall, feed.FollowCall, feed.PutConfigCall, feed.ReadConfigCall, feed.RegisterCall, feed.RetireStoreCall, feed.StorePhaseCall, feed.StatusCall, feed.ChangesCall, feed.ChunkCall,
+		feed.HealthCall, feed.UsageCall, feed.LeaseReleaseCall, feed.ClockCall, feed.TaskStatusCall}
 	if want := []rpc.Method{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15}; !reflect.DeepEqual(methods, want) {
 		t.Errorf("methods are %v, want %v", methods, want)
 	}
@@ -331,10 +331,10 @@
 // An operator, and larch-control, are told in JSON what became of an order.
 func TestRepliesKeepTheirJSON(t *testing.T) {
 	for _, one := range []struct {
-		reply feed.Reply
+		reply feed.OperatorResponse
 		want  string
 	}{
-		{feed.Reply{Status: 409, Text: "a reason"}, `{"message":"a reason"}`},
+		{feed.OperatorResponse{Status: 409, Text: "a reason"}, `{"message":"a reason"}`},
 		{*replyFor(orders.Decision{Kind: orders.Serving}), `{"phase":"serving"}`},
 		{*replyFor(orders.Decision{Kind: orders.Complete}), `{"phase":"complete"}`},
 	} {
--- a/internal/tier/controlnode/full_disk.go
+++ b/internal/tier/controlnode/full_disk.go
@@ -89,6 +89,6 @@
 	if !s.diskFull.Load() {
 		return false
 	}
-	writeResponse(w, &feed.Reply{Status: http.StatusServiceUnavailable, Text: errDiskFull.Error()})
+	writeResponse(w, &feed.OperatorResponse{Status: http.StatusServiceUnavailable, Text: errDiskFull.Error()})
 	return true
 }
--- a/internal/tier/controlnode/operator_api.go
+++ b/internal/tier/controlnode/operator_api.go
@@ -55,7 +55,7 @@
 const retryAfterUndecided = "0.2"
 
 // writeReply writes a reply as an HTTP response. A 503 asks the caller to try again here.
-func writeReply(w http.ResponseWriter, reply *feed.Reply) {
+func writeReply(w http.ResponseWriter, reply *feed.OperatorResponse) {
 	if reply.Status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfterUndecided)
 	}
@@ -63,7 +63,7 @@
 }
 
 // writeResponse writes a reply as an HTTP response, without Retry-After.
-func writeResponse(w http.ResponseWriter, reply *feed.Reply) {
+func writeResponse(w http.ResponseWriter, reply *feed.OperatorResponse) {
 	body := reply.Body
 	if len(body) == 0 { // a forwarded reply has an empty body instead of nil
 		body, _ = json.Marshal(struct {
@@ -87,24 +87,24 @@
 		return
 	}
 	text = fmt.Sprintf("the body is longer than %d bytes: send a shorter one", tooLong.Limit)
-	writeReply(w, &feed.Reply{Status: http.StatusRequestEntityTooLarge, Text: text})
+	writeReply(w, &feed.OperatorResponse{Status: http.StatusRequestEntityTooLarge, Text: text})
 }
 
 // badRequest answers 400 with a text.
 func badRequest(w http.ResponseWriter, text string) {
-	writeReply(w, &feed.Reply{Status: http.StatusBadRequest, Text: text})
+	writeReply(w, &feed.OperatorResponse{Status: http.StatusBadRequest, Text: text})
 }
 
 // redirect returns a reply that sends the caller to another node, given by its address for calls of nodes.
 // All nodes serve the operator API at one port.
-func (s *Server) redirect(node, path string) *feed.Reply {
+func (s *Server) redirect(node, path string) *feed.OperatorResponse {
 	host, _, err := net.SplitHostPort(node)
 	_, port, ownErr := net.SplitHostPort(s.settings.Bind.Control)
 	if err != nil || ownErr != nil {
-		return &feed.Reply{Status: http.StatusServiceUnavailable, Text: errOutcomeUnknown.Error()}
+		return &feed.OperatorResponse{Status: http.StatusServiceUnavailable, Text: errOutcomeUnknown.Error()}
 	}
 	location := "http://" + net.JoinHostPort(host, port) + path
-	return &feed.Reply{
+	return &feed.OperatorResponse{
 		Status:   http.StatusTemporaryRedirect,
 		Text:     "too large to be passed on: send it to " + location,
 		Location: location,
@@ -124,17 +124,17 @@
 		badRequest(w, "If-Match: give the version on which the configuration builds, 0 for the first")
 		return
 	}
-	request := &feed.PutRequest{IfMatch: match, Body: body}
+	request := &feed.PutConfigRequest{IfMatch: match, Body: body}
 	order := putOrder(request)
-	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.Reply, error) {
+	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.OperatorResponse, error) {
 		return s.put(ctx, request, order)
 	}))
 }
 
 // getConfig serves GET /api/config.
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
-	request := &feed.OrderRequest{}
-	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.Reply, error) {
+	request := &feed.OperatorRequest{}
+	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.OperatorResponse, error) {
 		return s.handleRead(ctx, request)
 	}))
 }
@@ -145,16 +145,16 @@
 		badBody(w, err, "the order did not come whole: send it again")
 		return
 	}
-	request := &feed.OrderRequest{Name: r.PathValue("node")}
-	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.Reply, error) {
+	request := &feed.OperatorRequest{Name: r.PathValue("node")}
+	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.OperatorResponse, error) {
 		return s.handleRetire(ctx, request)
 	}))
 }
 
 // getRetire serves GET /api/retire/{node}.
 func (s *Server) getRetire(w http.ResponseWriter, r *http.Request) {
-	request := &feed.OrderRequest{Name: r.PathValue("node")}
-	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.Reply, error) {
+	request := &feed.OperatorRequest{Name: r.PathValue("node")}
+	writeReply(w, s.retryUntilTimeout(r.Context(), r.Method+" "+r.URL.Path, func(ctx context.Context) (*feed.OperatorResponse, error) {
 		return s.handlePhase(ctx, request)
 	}))
 }
--- a/internal/tier/controlnode/operator_orders.go
+++ b/internal/tier/controlnode/operator_orders.go
@@ -13,7 +13,7 @@
 
 // putOrder returns a function that makes the order of a request at its first call: to parse a large
 // configuration takes time.
-func putOrder(request *feed.PutRequest) func() orders.PutConfig {
+func putOrder(request *feed.PutConfigRequest) func() orders.PutConfig {
 	return sync.OnceValue(func() orders.PutConfig {
 		order := orders.PutConfig{IfMatch: request.IfMatch, Digest: orders.Digest(request.Body), Body: request.Body}
 		if config, err := routing.Parse(request.Body); err != nil {
@@ -26,13 +26,13 @@
 }
 
 // handlePut handles a configuration that another node has forwarded.
-func (s *Server) handlePut(ctx context.Context, request *feed.PutRequest) (*feed.Reply, error) {
+func (s *Server) handlePut(ctx context.Context, request *feed.PutConfigRequest) (*feed.OperatorResponse, error) {
 	return s.put(ctx, request, putOrder(request))
 }
 
 // put decides a configuration at the head: here, or by forwarding it, or by redirecting the caller where it
 // is large.
-func (s *Server) put(ctx context.Context, request *feed.PutRequest, order func() orders.PutConfig) (*feed.Reply, error) {
+func (s *Server) put(ctx context.Context, request *feed.PutConfigRequest, order func() orders.PutConfig) (*feed.OperatorResponse, error) {
 	isHead, head, err := s.headStatus()
 	switch {
 	case err != nil:
@@ -44,7 +44,7 @@
 	case !isHead:
 		forwarded := *request
 		forwarded.Forwarded = true
-		return forward[feed.PutRequest, feed.Reply](ctx, s, head, feed.PutCall, &forwarded)
+		return forward[feed.PutConfigRequest, feed.OperatorResponse](ctx, s, head, feed.PutConfigCall, &forwarded)
 	}
 	startedAt := time.Now()
 	decision, err := s.decideAtHead(ctx, order())
@@ -62,7 +62,7 @@
 }
 
 // handleRetire decides an order to empty a store at the head: here, or by forwarding it.
-func (s *Server) handleRetire(ctx context.Context, request *feed.OrderRequest) (*feed.Reply, error) {
+func (s *Server) handleRetire(ctx context.Context, request *feed.OperatorRequest) (*feed.OperatorResponse, error) {
 	isHead, head, err := s.headStatus()
 	switch {
 	case err != nil:
@@ -70,8 +70,8 @@
 	case !isHead && request.Forwarded:
 		return nil, errOutcomeUnknown
 	case !isHead:
-		forwarded := &feed.OrderRequest{Name: request.Name, Forwarded: true}
-		return forward[feed.OrderRequest, feed.Reply](ctx, s, head, feed.RetireCall, forwarded)
+		forwarded := &feed.OperatorRequest{Name: request.Name, Forwarded: true}
+		return forward[feed.OperatorRequest, feed.OperatorResponse](ctx, s, head, feed.RetireStoreCall, forwarded)
 	}
 	decision, err := s.decideAtHead(ctx, orders.RetireStore{Name: request.Name})
 	if err != nil {
@@ -81,29 +81,29 @@
 }
 
 // handleRead reads the newest configuration at the tail.
-func (s *Server) handleRead(ctx context.Context, request *feed.OrderRequest) (*feed.Reply, error) {
-	return s.answerQuery(ctx, request, orders.ReadConfig{}, feed.ReadCall)
+func (s *Server) handleRead(ctx context.Context, request *feed.OperatorRequest) (*feed.OperatorResponse, error) {
+	return s.answerQuery(ctx, request, orders.ReadConfig{}, feed.ReadConfigCall)
 }
 
 // handlePhase reads at the tail how far the emptying of a store is.
-func (s *Server) handlePhase(ctx context.Context, request *feed.OrderRequest) (*feed.Reply, error) {
-	return s.answerQuery(ctx, request, orders.StorePhase{Name: request.Name}, feed.PhaseCall)
+func (s *Server) handlePhase(ctx context.Context, request *feed.OperatorRequest) (*feed.OperatorResponse, error) {
+	return s.answerQuery(ctx, request, orders.StorePhase{Name: request.Name}, feed.StorePhaseCall)
 }
 
 // answerQuery decides an order that only reads at the tail: here, or by forwarding it, or by redirecting the
 // caller where the answer is large.
 func (s *Server) answerQuery(
-	ctx context.Context, request *feed.OrderRequest, order orders.Order, call rpc.Method,
-) (*feed.Reply, error) {
+	ctx context.Context, request *feed.OperatorRequest, order orders.Order, call rpc.Method,
+) (*feed.OperatorResponse, error) {
 	decision, tail, err := s.decideAtTail(ctx, order)
 	switch {
 	case err != nil:
 		return nil, err
-	case tail != "" && !request.Forwarded && call == feed.ReadCall && s.configSize() > maxForwardedBody:
+	case tail != "" && !request.Forwarded && call == feed.ReadConfigCall && s.configSize() > maxForwardedBody:
 		return s.redirect(tail, configPath), nil
 	case tail != "" && !request.Forwarded:
-		forwarded := &feed.OrderRequest{Name: request.Name, Forwarded: true}
-		return forward[feed.OrderRequest, feed.Reply](ctx, s, tail, call, forwarded)
+		forwarded := &feed.OperatorRequest{Name: request.Name, Forwarded: true}
+		return forward[feed.OperatorRequest, feed.OperatorResponse](ctx, s, tail, call, forwarded)
 	case decision.Kind == 0:
 		return nil, errOutcomeUnknown
 	}
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -230,8 +230,8 @@
 	s.gatherFollowers(r.Context(), status)
 	body, err := json.Marshal(status)
 	if err != nil {
-		writeReply(w, &feed.Reply{Status: http.StatusInternalServerError, Text: err.Error()})
+		writeReply(w, &feed.OperatorResponse{Status: http.StatusInternalServerError, Text: err.Error()})
 		return
 	}
-	writeReply(w, &feed.Reply{Status: http.StatusOK, Body: body})
+	writeReply(w, &feed.OperatorResponse{Status: http.StatusOK, Body: body})
 }
--- a/internal/tier/controlnode/task_status.go
+++ b/internal/tier/controlnode/task_status.go
@@ -119,14 +119,14 @@
 
 // handleTaskStatus returns the state of the singleton tasks at the head, to which it forwards the call if this node is not the head. If
 // the head does not respond, it returns the state of this node.
-func (s *Server) handleTaskStatus(ctx context.Context, request *feed.OrderRequest) (*TaskStatus, error) {
+func (s *Server) handleTaskStatus(ctx context.Context, request *feed.OperatorRequest) (*TaskStatus, error) {
 	query := &leaseStatusQuery{}
 	if !s.runOnLoop(query) {
 		return nil, errStopping
 	}
 	if query.lease.Cause == lease.NotHead && query.headAddr != "" && !request.Forwarded {
-		forwarded := &feed.OrderRequest{Forwarded: true}
-		if status, err := forward[feed.OrderRequest, TaskStatus](ctx, s, query.headAddr, feed.DutiesCall, forwarded); err == nil {
+		forwarded := &feed.OperatorRequest{Forwarded: true}
+		if status, err := forward[feed.OperatorRequest, TaskStatus](ctx, s, query.headAddr, feed.TaskStatusCall, forwarded); err == nil {
 			return status, nil
 		}
 		status := s.taskStatus(query)
@@ -178,7 +178,7 @@
 	lease.NotActive:    TasksViewChanging,
 	lease.NotConfirmed: TasksNoMajority,
 	lease.JustStarted:  TasksJustStarted,
-	lease.EarlierGrant:  TasksEarlierHead,
+	lease.EarlierGrant: TasksEarlierHead,
 	lease.LeaseLost:    TasksLeaseLost,
 }
 
@@ -189,15 +189,15 @@
 
 // getTaskStatus serves GET /api/duties.
 func (s *Server) getTaskStatus(w http.ResponseWriter, r *http.Request) {
-	status, err := s.handleTaskStatus(r.Context(), &feed.OrderRequest{})
+	status, err := s.handleTaskStatus(r.Context(), &feed.OperatorRequest{})
 	if err != nil {
-		writeReply(w, &feed.Reply{Status: http.StatusServiceUnavailable, Text: err.Error()})
+		writeReply(w, &feed.OperatorResponse{Status: http.StatusServiceUnavailable, Text: err.Error()})
 		return
 	}
 	body, err := json.Marshal(status)
 	if err != nil {
-		writeReply(w, &feed.Reply{Status: http.StatusInternalServerError, Text: err.Error()})
+		writeReply(w, &feed.OperatorResponse{Status: http.StatusInternalServerError, Text: err.Error()})
 		return
 	}
-	writeReply(w, &feed.Reply{Status: http.StatusOK, Body: body})
+	writeReply(w, &feed.OperatorResponse{Status: http.StatusOK, Body: body})
 }
--- a/internal/tier/feed/follower.go
+++ b/internal/tier/feed/follower.go
@@ -23,7 +23,7 @@
 
 // Follower follows the feed of one core node at a time and fails over to another if that one is unresponsive,
 // partitioned or behind. Values that are too large for a response are downloaded in chunks meanwhile. It implements
-// Source and is safe for concurrent use.
+// TablesProvider and is safe for concurrent use.
 type Follower struct {
 	name, class string // of the machine
 	calls       Caller
@@ -42,7 +42,7 @@
 	wg           sync.WaitGroup
 }
 
-var _ Source = (*Follower)(nil)
+var _ TablesProvider = (*Follower)(nil)
 
 // NewFollower returns a follower of the machine in the settings that knows the core nodes of the seeds. Run starts it.
 func NewFollower(s *process.Settings, calls *rpc.Clients, log *slog.Logger) *Follower {
@@ -72,10 +72,10 @@
 	f.sources.setSeeds(coreSeeds(s))
 }
 
-// Tables implements Source.
+// Tables implements TablesProvider.
 func (f *Follower) Tables() *Tables { return f.tables.Load() }
 
-// Changed implements Source.
+// Changed implements TablesProvider.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/tier/feed/messages.go
+++ b/internal/tier/feed/messages.go
@@ -13,11 +13,11 @@
 const (
 	PeerCall   rpc.Method = iota + 1 // a message between core nodes
 	FollowCall                       // a poll by a follower of an earlier version
-	PutCall
-	ReadCall
+	PutConfigCall
+	ReadConfigCall
 	RegisterCall
-	RetireCall
-	PhaseCall
+	RetireStoreCall
+	StorePhaseCall
 	StatusCall
 	ChangesCall      // a poll, with deltas and references in the response
 	ChunkCall        // a chunk of a large value
@@ -25,7 +25,7 @@
 	UsageCall        // a front's report on requests that hosts began
 	LeaseReleaseCall // from the head of an epoch to that of the next
 	ClockCall        // the wall clock of a core node
-	DutiesCall       // the state of the singleton duties, at the head
+	TaskStatusCall   // the state of the singleton tasks, at the head
 )
 
 // FollowRequest is the poll of a follower of an earlier version, which is sent every value in full. All messages are
@@ -165,23 +165,24 @@
 	TrueTimeMs int64  // the node's estimate of the true time, since the beginning of 1970; 0 if it has none
 }
 
-// PutRequest is an operator's order to put a configuration.
-type PutRequest struct {
+// PutConfigRequest is an operator's order to put a configuration.
+type PutConfigRequest struct {
 	IfMatch   int64 // the version on which it builds
 	Body      []byte
 	Forwarded bool // as in Registration
 }
 
-// Reply is the response to an operator: an HTTP status and a text, or a JSON body.
-type Reply struct {
+// OperatorResponse is the response to an operator: an HTTP status and a text, or a JSON body.
+type OperatorResponse struct {
 	Status   int
 	Text     string
 	Body     []byte
 	Location string // with status 307: the URL at the node that can answer
 }
 
-// OrderRequest is an operator's order to retire a store, or a request for the phase of its retirement.
-type OrderRequest struct {
+// OperatorRequest is an operator's order to retire a store, or a query: for the phase of a store, the configuration or the
+// state of the singleton tasks.
+type OperatorRequest struct {
 	Name      string // of the store
 	Forwarded bool   // as in Registration
 }
--- a/internal/tier/feed/tables.go
+++ b/internal/tier/feed/tables.go
@@ -36,8 +36,8 @@
 	ConfirmedAt time.Time // everything that was acknowledged before it is in the tables: when the last poll that showed so was sent
 }
 
-// Source is the feed as the rest of a process sees it.
-type Source interface {
+// TablesProvider gives the other packages of a process the current tables, and notifies them of changes.
+type TablesProvider interface {
 	Tables() *Tables          // never nil
 	Changed() <-chan struct{} // closed with the next change of the tables' index, hosts, configuration or placement
 }
--- a/internal/tier/proxy/proxy.go
+++ b/internal/tier/proxy/proxy.go
@@ -42,7 +42,7 @@
 	Zone string
 
 	// Source has the configuration, the host list and the placement of the stores.
-	Source feed.Source
+	Source feed.TablesProvider
 
 	// Ledger stores turns and budgets, for retained routes.
 	Ledger Ledger
--- a/internal/tier/proxy/proxy_test.go
+++ b/internal/tier/proxy/proxy_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// source is a feed.Source that a test sets.
+// source is a feed.TablesProvider that a test sets.
 type source struct {
 	mu      sync.Mutex
 	tables  *feed.Tables
