--- a/internal/tier/feed/bench_test.go
+++ b/internal/tier/feed/bench_test.go
@@ -51,7 +51,7 @@
 		b.Fatal(err)
 	}
 	for r.download != nil {
-		span, _ := r.download.nextSpan()
+		span, _ := r.download.nextRange()
 		d := r.download
 		d.handleChunk(span, source.values.Chunk(&ChunkRequest{Digest: d.ref.Digest, Offset: span.offset, Length: span.length}))
 		if d.complete() {
--- a/internal/tier/feed/bootstrap.go
+++ b/internal/tier/feed/bootstrap.go
@@ -15,10 +15,10 @@
 func (f *Follower) bootstrap(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if f.pollAllSources(ctx) {
-			f.watch.noteUsable(time.Now())
+			f.outages.noteUsable(time.Now())
 			return
 		}
-		f.watch.noteUnusable(time.Now(), f.knownCores())
+		f.outages.noteUnusable(time.Now(), f.knownCores())
 		ctxtime.Sleep(ctx, backoff(attempt, maxBackoff))
 	}
 }
@@ -38,12 +38,12 @@
 		result := <-results
 		switch {
 		case result.err != nil:
-			f.watch.noteFailure(result.err)
+			f.outages.noteFailure(result.err)
 		case !applied && (result.response.Index > 0 || len(result.response.Hosts) > 0) && f.handleResponse(ctx, result):
 			applied = true
 			cancel()
 		default:
-			f.watch.noteFailure(errUnconfirmed)
+			f.outages.noteFailure(errUnconfirmed)
 			f.addSources(result.response.CoreAddrs)
 		}
 	}
--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -36,8 +36,8 @@
 	return n.Size > 0 && n.Size <= rpc.MaxFrame && len(n.Digest) == len(bodydelta.Digest{})
 }
 
-// nextSpan returns the next span to request and marks it as pending; false if there is none.
-func (d *download) nextSpan() (byteRange, bool) {
+// nextRange returns the next range to request and marks it as pending; false if there is none.
+func (d *download) nextRange() (byteRange, bool) {
 	if d.abandoned {
 		return byteRange{}, false
 	}
--- a/internal/tier/feed/fetchers.go
+++ b/internal/tier/feed/fetchers.go
@@ -30,7 +30,7 @@
 func (f *Follower) fetchChunks(ctx context.Context) {
 	core := f.Core()
 	for failures := 0; ; {
-		d, span, ok := f.claimSpan(ctx)
+		d, span, ok := f.claimRange(ctx)
 		if !ok {
 			return
 		}
@@ -70,12 +70,12 @@
 	return true
 }
 
-// claimSpan returns the next span to fetch. If there is none, the calling goroutine is no longer counted and must end.
-func (f *Follower) claimSpan(ctx context.Context) (*download, byteRange, bool) {
+// claimRange returns the next range to fetch. If there is none, the calling goroutine is no longer counted and must end.
+func (f *Follower) claimRange(ctx context.Context) (*download, byteRange, bool) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
 	if d := f.replica.download; d != nil && ctx.Err() == nil {
-		if span, ok := d.nextSpan(); ok {
+		if span, ok := d.nextRange(); ok {
 			return d, span, true
 		}
 	}
--- a/internal/tier/feed/follower.go
+++ b/internal/tier/feed/follower.go
@@ -38,7 +38,7 @@
 	replica      *replica   // guarded by replicaMu
 	fetchers     int        // goroutines that fetch chunks; guarded by replicaMu
 	nextFailback time.Time  // no failback before it; used by Run only
-	watch        sourceWatch
+	outages      outageLogger
 	wg           sync.WaitGroup
 }
 
@@ -51,7 +51,7 @@
 
 func newFollower(s *process.Settings, calls Caller, log *slog.Logger) *Follower {
 	f := &Follower{name: s.NodeName, class: s.MachineClass, calls: calls, log: log,
-		changed: make(chan struct{}), replica: newReplica(), watch: sourceWatch{log: log}}
+		changed: make(chan struct{}), replica: newReplica(), outages: outageLogger{log: log}}
 	f.tables.Store(f.replica.tables)
 	f.sources = newSources(s.NodeName, coreSeeds(s))
 	return f
@@ -116,7 +116,7 @@
 	wait := pollWait
 	for failures := 0; ctx.Err() == nil; {
 		if f.poll(ctx, wait) {
-			f.watch.noteUsable(time.Now())
+			f.outages.noteUsable(time.Now())
 			failures, wait = 0, pollWait
 			f.failback(ctx)
 			continue
@@ -124,7 +124,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.watch.noteUnusable(time.Now(), f.knownCores())
+		f.outages.noteUnusable(time.Now(), f.knownCores())
 		wait = 0 // no long polls until a source is confirmed
 		f.failover()
 		ctxtime.Sleep(ctx, backoff(failures+firstPollBackoffStep, maxPollBackoff))
--- a/internal/tier/feed/follower_test.go
+++ b/internal/tier/feed/follower_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestFollowerTimelines(t *testing.T) {
+func TestFollowerConvergesDespiteSourceFailures(t *testing.T) {
 	for name, test := range map[string]struct{ seeds, timeline string }{
 		"first sources partitioned at the start": {"a+b+c", `
 			ms    commits  a         b         c         front
@@ -96,24 +96,24 @@
 			3001  edit     up,joins    down        .        .
 			6000  .        .           .           .        v3`},
 	} {
-		t.Run(name, func(t *testing.T) { playTimeline(t, test.seeds, test.timeline, nil) })
+		t.Run(name, func(t *testing.T) { runTimeline(t, test.seeds, test.timeline, nil) })
 	}
 }
 
 // The partition heals at any time of a poll, of its end and of the pauses between polls.
-func TestPartitionHealsAtAnyTime(t *testing.T) {
-	for heals := 1000; heals < 2600; heals += 17 {
-		playTimeline(t, "a+b+c", fmt.Sprintf(`
+func TestFollowerCatchesUpWheneverPartitionHeals(t *testing.T) {
+	for healsAt := 1000; healsAt < 2600; healsAt += 17 {
+		runTimeline(t, "a+b+c", fmt.Sprintf(`
 			ms    commits  a          b           c          front
 			0     few      up,joins   up,joins    up,joins   .
 			500   .        alone      cut         alone      v1
 			%d    edit     up         up          .          .
-			%d    .        .          .           .          v2`, heals, heals+2300), nil)
+			%d    .        .          .           .          v2`, healsAt, healsAt+2300), nil)
 	}
 }
 
 // Both core nodes are polled at the start. After the partition there is one response with one value or one delta.
-func TestCatchUpAfterThreeHundredChanges(t *testing.T) {
+func TestCatchUpTransfersOnlyNewestValue(t *testing.T) {
 	timeline := `
 		ms    commits  a          b           front
 		0     %s       up,joins   up,joins    .
@@ -122,8 +122,8 @@
 		5000  .        %[2]s      %[2]s       v1
 		8000  .        .          .           v301`
 	for name, test := range map[string]struct {
-		size, wakes string
-		traffic     trafficCounts // bytes: at most
+		size, recovery string
+		traffic        trafficCounts // bytes: at most
 	}{
 		"short values":                {"few", "up", trafficCounts{full: 3, bytes: 3 << 10}},
 		"old value cached":            {"some", "up", trafficCounts{full: 2, patches: 1, bytes: 24 << 10}},
@@ -132,7 +132,7 @@
 		"large, old value not cached": {"large", "lost,up", trafficCounts{chunks: 6, bytes: 303 << 10}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playTimeline(t, "a+b", fmt.Sprintf(timeline, test.size, test.wakes), func(w *scriptedCluster) {
+			runTimeline(t, "a+b", fmt.Sprintf(timeline, test.size, test.recovery), func(w *scriptedCluster) {
 				got, want := w.traffic, test.traffic
 				if got.full != want.full || got.patches != want.patches || got.chunks != want.chunks || got.bytes > want.bytes {
 					t.Errorf("%+v, want %+v", got, want)
@@ -143,8 +143,8 @@
 }
 
 // A connected follower receives each change as a delta: 300 full values of 11 KB would be 3.4 MB.
-func TestThreeHundredChangesAsDeltas(t *testing.T) {
-	playTimeline(t, "a+b", `
+func TestConnectedFollowerReceivesDeltas(t *testing.T) {
+	runTimeline(t, "a+b", `
 		ms    commits  a          b           front
 		0     some     up,joins   up,joins    .
 		1000  x300     .          .           .
@@ -156,7 +156,7 @@
 }
 
 func TestLargeValueResumesAtAnotherSource(t *testing.T) {
-	playTimeline(t, "a+b", `
+	runTimeline(t, "a+b", `
 		ms    commits  a             b             front
 		0     large    up,slow,joins down,joins    .
 		700   .        cut           up            v0
@@ -170,8 +170,8 @@
 
 // 5 MB take 1.35 s over a link of 30 Mbit/s, and a poll times out after 0.95 s. The value is downloaded while polls go on,
 // and the source fails during a download.
-func TestFiveMegabytesOverSlowLink(t *testing.T) {
-	playTimeline(t, "a+b", `
+func TestSlowDownloadSurvivesSourceFailure(t *testing.T) {
+	runTimeline(t, "a+b", `
 		ms    commits  a              b               front
 		0     huge     up,thin,joins  down,thin,joins .
 		1300  .        .              .               v0
@@ -194,8 +194,8 @@
 }
 
 // While all sources are busy, the follower requests chunks at a bounded rate, and its polls go on.
-func TestLargeValueWhileSourcesAreBusy(t *testing.T) {
-	playTimeline(t, "a+b", `
+func TestChunkRequestsAreBoundedWhileSourcesAreBusy(t *testing.T) {
+	runTimeline(t, "a+b", `
 		ms    commits  a             b              front
 		0     large    up,busy,joins up,busy,joins  .
 		10000 .        .             .              v0
@@ -209,7 +209,7 @@
 
 // Versions that change faster than a download takes don't restart it for ever.
 func TestLargeValueCompletesWhileVersionsAdvance(t *testing.T) {
-	playTimeline(t, "a+b", `
+	runTimeline(t, "a+b", `
 		ms    commits     a             b          front
 		0     large       up,slow,joins down,joins .
 		500   edit        .             .          .
@@ -224,8 +224,8 @@
 }
 
 // If no source has the value any more, the newest one is downloaded.
-func TestLargeValueLostAtAllSources(t *testing.T) {
-	playTimeline(t, "a+b", `
+func TestNewestValueReplacesDownloadLostAtAllSources(t *testing.T) {
+	runTimeline(t, "a+b", `
 		ms    commits  a             b          front
 		0     large    up,slow,joins down,joins .
 		700   large!   lost          .          .
@@ -234,7 +234,7 @@
 }
 
 func TestSourceWithoutBaseValueSendsFullValue(t *testing.T) {
-	playTimeline(t, "a+b", `
+	runTimeline(t, "a+b", `
 		ms    commits  a          b           front
 		0     some     up,joins   down,joins  .
 		1000  .        lost       .           v1
@@ -248,7 +248,7 @@
 
 func TestCorruptDeltaIsRequestedInFull(t *testing.T) {
 	for _, size := range []string{"some", "large"} {
-		playTimeline(t, "a", fmt.Sprintf(`
+		runTimeline(t, "a", fmt.Sprintf(`
 			ms    commits  a                  front
 			0     %s       up,joins,garbles   .
 			1000  edit     .                  v1
@@ -264,9 +264,9 @@
 }
 
 // While no response is confirmed, the follower keeps its tables, polls at a bounded rate, and ConfirmedAt does not rise.
-func TestNoConfirmedSourceForAMinute(t *testing.T) {
+func TestFollowerWithoutConfirmedSourceKeepsTables(t *testing.T) {
 	for _, fault := range []string{"alone", "cut", "down", "lies"} {
-		playTimeline(t, "a+b+c", fmt.Sprintf(`
+		runTimeline(t, "a+b+c", fmt.Sprintf(`
 			ms    commits  a          b           c          front
 			0     few      up,joins   up,joins    up,joins   .
 			1000  few      .          .           .          .
@@ -285,7 +285,7 @@
 }
 
 func TestConfirmedAtIsWhenThePollWasSent(t *testing.T) {
-	playTimeline(t, "a", `
+	runTimeline(t, "a", `
 		ms    commits  a             front
 		0     few      up,joins,slow .
 		400   .        .             v1`, func(w *scriptedCluster) {
@@ -305,8 +305,8 @@
 		5000  .        %[2]s                 %[2]s                 v1
 		8000  .        .                     .                     v301`
 	for name, test := range map[string]struct {
-		size, wakes string
-		maxBytes    int
+		size, recovery string
+		maxBytes       int
 	}{
 		"short values":                {"few", "up", 3 << 10}, // in full
 		"old value cached":            {"some", "up", 8 << 10},
@@ -315,7 +315,7 @@
 		"large, old value not cached": {"large", "lost,up", 112 << 10},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playTimeline(t, "a+b", fmt.Sprintf(timeline, test.size, test.wakes), func(w *scriptedCluster) {
+			runTimeline(t, "a+b", fmt.Sprintf(timeline, test.size, test.recovery), func(w *scriptedCluster) {
 				if w.traffic.chunks != 0 || w.traffic.bytes > test.maxBytes || name != "short values" && w.traffic.full != 0 {
 					t.Errorf("%+v, want at most %d bytes", w.traffic, test.maxBytes)
 				}
@@ -327,7 +327,7 @@
 // A compressed value that arrives damaged is requested in full.
 func TestCorruptCompressedValueIsRequestedInFull(t *testing.T) {
 	for _, size := range []string{"some", "large"} {
-		playTimeline(t, "a", fmt.Sprintf(`
+		runTimeline(t, "a", fmt.Sprintf(`
 			ms    commits  a                             front
 			0     %s       up,joins,compresses,garbles   .
 			1500  .        .                             v1
@@ -342,7 +342,7 @@
 
 // A value that is too large even when compressed is downloaded in chunks.
 func TestHugeValueIsDownloadedInChunks(t *testing.T) {
-	playTimeline(t, "a", `
+	runTimeline(t, "a", `
 		ms    commits  a                     front
 		0     huge     up,joins,compresses   .
 		4000  .        .                     v1`, func(w *scriptedCluster) {
--- a/internal/tier/feed/link_simulation_run_test.go
+++ b/internal/tier/feed/link_simulation_run_test.go
@@ -24,8 +24,8 @@
 	return [][]direction{{requests}, {responses}, {requests, responses}}[s.rand.IntN(3)]
 }
 
-// randomStep makes one random change. The caller holds the lock.
-func (s *linkSimulation) randomStep() {
+// applyRandomEvent makes one random change. The caller holds the lock.
+func (s *linkSimulation) applyRandomEvent() {
 	follower := s.followers[s.rand.IntN(len(s.followers))]
 	node := s.nodes[s.rand.IntN(len(s.nodes))]
 	switch s.rand.IntN(9) {
@@ -107,7 +107,7 @@
 			interval := []time.Duration{100 * time.Millisecond, time.Second, 4 * time.Second}[random.IntN(3)]
 			time.Sleep(interval + time.Duration(random.IntN(500))*time.Millisecond)
 			sim.mu.Lock()
-			sim.randomStep()
+			sim.applyRandomEvent()
 			sim.mu.Unlock()
 		}
 		time.Sleep(applyTime + time.Second)
@@ -124,7 +124,7 @@
 
 var linkSimulations = flag.Uint64("oneway", 40, "random simulations of followers with one-way partitions")
 
-func TestFollowersWithOneWayPartitions(t *testing.T) {
+func TestFollowersApplyChangesDespiteOneWayPartitions(t *testing.T) {
 	base := uint64(time.Now().UnixNano())
 	t.Logf("seeds from %d", base)
 	checked := 0
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestOneWayPartitionsFindPlantedFaults(t *testing.T) {
+func TestLinkSimulationFindsPlantedFaults(t *testing.T) {
 	for _, fault := range []linkFault{neverFailsOver, callsWithoutTimeout, staleIsConfirmed, membersNotSent} {
 		t.Run(string(fault), func(t *testing.T) {
 			for seed := range uint64(maxLinkFaultSimulations) {
--- a/internal/tier/feed/link_simulation_test.go
+++ b/internal/tier/feed/link_simulation_test.go
@@ -42,9 +42,9 @@
 
 // link is the state of the link between a follower and a node.
 type link struct {
-	cut   [2]bool
-	known bool      // the follower has the node's address
-	since time.Time // since then it is known, both directions are open and the node is not isolated; zero otherwise
+	cut         [2]bool
+	known       bool      // the follower has the node's address
+	usableSince time.Time // since then it is known, both directions are open and the node is not isolated; zero otherwise
 }
 
 // open reports whether both directions are open.
@@ -119,9 +119,9 @@
 			l := f.links[node.addr]
 			switch usable := l.known && l.open() && !node.isolated; {
 			case !usable:
-				l.since = time.Time{}
-			case l.since.IsZero():
-				l.since = time.Now()
+				l.usableSince = time.Time{}
+			case l.usableSince.IsZero():
+				l.usableSince = time.Now()
 			}
 		}
 	}
@@ -324,7 +324,7 @@
 		return ""
 	}
 	for _, n := range f.sim.nodes {
-		if l := f.links[n.addr]; !l.since.IsZero() && !l.since.After(since) {
+		if l := f.links[n.addr]; !l.usableSince.IsZero() && !l.usableSince.After(since) {
 			return n.addr
 		}
 	}
--- a/internal/tier/feed/source_watch_test.go
+++ b/internal/tier/feed/outage_logger_test.go
@@ -10,26 +10,26 @@
 	"larchrouter/internal/process"
 )
 
-func TestSourceWatchLogsOnceForEachOutage(t *testing.T) {
+func TestOutageLoggerLogsOnceForEachOutage(t *testing.T) {
 	var output bytes.Buffer
-	w := sourceWatch{log: process.NewLogger(&output)}
+	w := outageLogger{log: process.NewLogger(&output)}
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	lines := func(text string) int { return strings.Count(output.String(), text) }
 	for outage := range 2 {
 		began := time.Duration(outage) * time.Minute
 		w.noteFailure(errors.New("connection refused"))
 		w.noteUnusable(at(began), []string{"10.0.0.1:7"})
-		w.noteUnusable(at(began+noSourceLogDelay-time.Millisecond), nil)
+		w.noteUnusable(at(began+outageLogDelay-time.Millisecond), nil)
 		if lines("no core node") != outage {
-			t.Fatalf("logged before %v: %s", noSourceLogDelay, &output)
+			t.Fatalf("logged before %v: %s", outageLogDelay, &output)
 		}
-		w.noteUnusable(at(began+noSourceLogDelay), []string{"10.0.0.1:7"})
-		w.noteUnusable(at(began+2*noSourceLogDelay), []string{"10.0.0.1:7"})
+		w.noteUnusable(at(began+outageLogDelay), []string{"10.0.0.1:7"})
+		w.noteUnusable(at(began+2*outageLogDelay), []string{"10.0.0.1:7"})
 		if lines("no core node") != outage+1 || lines("connection refused") != outage+1 || lines("10.0.0.1:7") != outage+1 {
 			t.Fatalf("outage %d: %s", outage, &output)
 		}
-		w.noteUsable(at(began + 3*noSourceLogDelay))
-		w.noteUsable(at(began + 4*noSourceLogDelay))
+		w.noteUsable(at(began + 3*outageLogDelay))
+		w.noteUsable(at(began + 4*outageLogDelay))
 		if lines("followed again") != outage+1 {
 			t.Fatalf("the end of outage %d: %s", outage, &output)
 		}
@@ -44,7 +44,7 @@
 // A follower whose core nodes do not answer says so, and names them and the reason.
 func TestFollowerLogsThatNoCoreNodeAnswers(t *testing.T) {
 	var output bytes.Buffer
-	playTimelineWithLog(t, "a+b", `
+	runTimelineWithLog(t, "a+b", `
 		ms     commits  a           b           front
 		0      few      down,joins  down,joins  .
 		9000   .        up          .           v0
--- a/internal/tier/feed/poll.go
+++ b/internal/tier/feed/poll.go
@@ -59,7 +59,7 @@
 	pollCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.mu.Lock()
-	cores := f.sources.fromCurrentOn()
+	cores := f.sources.startingAtCurrent()
 	f.mu.Unlock()
 	poll := &hedgedPoll{follower: f, remaining: cores, interval: pollInterval(wait, len(cores)),
 		results: make(chan pollResult, len(cores))}
@@ -118,14 +118,14 @@
 // acceptResult applies a response and reports whether its core node is the source now.
 func (f *Follower) acceptResult(ctx context.Context, result pollResult) bool {
 	if result.err != nil {
-		f.watch.noteFailure(result.err)
+		f.outages.noteFailure(result.err)
 		if ctx.Err() == nil {
 			f.log.Debug("core node does not answer", "node", result.core, "err", result.err)
 		}
 		return false
 	}
 	if !f.handleResponse(ctx, result) {
-		f.watch.noteFailure(errUnconfirmed)
+		f.outages.noteFailure(errUnconfirmed)
 		return false
 	}
 	empty := result.response.Index == 0 && len(result.response.Entries) == 0
@@ -139,9 +139,9 @@
 // returns to it if its response is confirmed.
 func (f *Follower) failback(ctx context.Context) {
 	f.mu.Lock()
-	preferred, elsewhere := f.sources.preferred(), f.sources.current() != f.sources.preferred()
+	preferred, failedOver := f.sources.preferred(), f.sources.current() != f.sources.preferred()
 	f.mu.Unlock()
-	if !elsewhere || time.Now().Before(f.nextFailback) {
+	if !failedOver || time.Now().Before(f.nextFailback) {
 		return
 	}
 	f.nextFailback = time.Now().Add(failbackInterval + rand.N(failbackInterval))
--- a/internal/tier/feed/replica.go
+++ b/internal/tier/feed/replica.go
@@ -21,15 +21,15 @@
 // index goes back to that of the tables when a download is abandoned. It is not safe for concurrent use; the tables that
 // it made are immutable.
 type replica struct {
-	tables         *Tables          // never nil; replaced, never changed
-	receivedIndex  int64            // every entry up to it was received, in full, as a delta or as a reference
-	confirmedIndex int64            // the highest index of a confirmed response
-	valueIndexes   map[string]int64 // by key: the index of the value in the tables
-	baseValue      []byte           // the current configuration's value, the base of deltas; nil if there is none
-	baseDigest     bodydelta.Digest // of baseValue
-	requestFull    bool             // the next request names no base, since a delta could not be applied
-	download       *download        // the large value in progress, nil if there is none
-	lacksConfig    bool             // the newest configuration could not be read: the tables have an older one
+	tables           *Tables          // never nil; replaced, never changed
+	receivedIndex    int64            // every entry up to it was received, in full, as a delta or as a reference
+	confirmedIndex   int64            // the highest index of a confirmed response
+	valueIndexes     map[string]int64 // by key: the index of the value in the tables
+	baseValue        []byte           // the current configuration's value, the base of deltas; nil if there is none
+	baseDigest       bodydelta.Digest // of baseValue
+	requestFull      bool             // the next request names no base, since a delta could not be applied
+	download         *download        // the large value in progress, nil if there is none
+	configUnreadable bool             // the newest configuration could not be read: the tables have an older one
 }
 
 func newReplica() *replica { return &replica{tables: &Tables{}, valueIndexes: map[string]int64{}} }
@@ -66,7 +66,7 @@
 		faults = r.applyEntries(&next, response)
 	}
 	r.applyHosts(&next, response)
-	if next.Index == response.Index && !r.lacksConfig && sent.After(next.ConfirmedAt) {
+	if next.Index == response.Index && !r.configUnreadable && sent.After(next.ConfirmedAt) {
 		next.ConfirmedAt = sent
 	}
 	r.tables = &next
@@ -183,7 +183,7 @@
 	switch e.Key {
 	case ConfigKey:
 		err = r.applyConfig(next, e.Value)
-		r.lacksConfig = err != nil
+		r.configUnreadable = err != nil
 	case PlacementKey:
 		p := new(turnstore.Placement)
 		if err = rpc.Decode(e.Value, p); err == nil {
--- a/internal/tier/feed/replica_simulation_test.go
+++ b/internal/tier/feed/replica_simulation_test.go
@@ -30,20 +30,20 @@
 // replicaSimulation simulates a replica and three sources that lag, send stale responses as confirmed and lose cached
 // values, with a poll and chunk requests in flight.
 type replicaSimulation struct {
-	t           *testing.T
-	rand        *rand.Rand
-	log         commitLog
-	sources     []*fakeSource
-	replica     *replica
-	fault       replicaFault
-	clock       time.Time
-	inFlight    *pollExchange
-	chunks      []*chunkExchange
-	routeCount  int
-	bodySeed    int
-	commitTimes []time.Time // when each entry was committed
-	mayLie      bool        // sources may send stale responses as confirmed
-	lied        bool        // one did, so ConfirmedAt is no longer checked
+	t            *testing.T
+	rand         *rand.Rand
+	log          commitLog
+	sources      []*fakeSource
+	replica      *replica
+	fault        replicaFault
+	clock        time.Time
+	inFlight     *pollExchange
+	chunks       []*chunkExchange
+	routeCount   int
+	bodySeed     int
+	commitTimes  []time.Time // when each entry was committed
+	maySendStale bool        // sources may send stale responses as confirmed
+	sentStale    bool        // one did, so ConfirmedAt is no longer checked
 }
 
 type pollExchange struct {
@@ -66,7 +66,7 @@
 		sim.sources = append(sim.sources, &fakeSource{compresses: sim.rand.IntN(3) == 0})
 	}
 	sim.log.commitConfig(sim.routeCount, 0)
-	sim.commitTimes, sim.mayLie = []time.Time{sim.clock}, sim.rand.IntN(2) == 0
+	sim.commitTimes, sim.maySendStale = []time.Time{sim.clock}, sim.rand.IntN(2) == 0
 	sim.sources[0].commitIndex = 1
 	return sim
 }
@@ -94,15 +94,15 @@
 func (c *replicaSimulation) sendPoll() {
 	source := c.randomSource()
 	confirmed := source.commitIndex == int64(len(c.log.entries))
-	lies := !confirmed && c.mayLie && c.rand.IntN(4) == 0
-	c.lied = c.lied || lies
+	stale := !confirmed && c.maySendStale && c.rand.IntN(4) == 0
+	c.sentStale = c.sentStale || stale
 	request := c.replica.nextRequest()
-	response := source.respond(&c.log, wireCopy(&request), confirmed || lies)
+	response := source.respond(&c.log, wireCopy(&request), confirmed || stale)
 	if len(response.Patches) > 0 && c.rand.IntN(4) == 0 {
 		delta := response.Patches[0].Delta
 		delta[c.rand.IntN(len(delta))] ^= byte(1 + c.rand.IntN(255))
 	}
-	if lies && response.Index < c.replica.tables.Index && c.fault != staleAccepted {
+	if stale && response.Index < c.replica.tables.Index && c.fault != staleAccepted {
 		c.mustReject(&request, response)
 	}
 	c.inFlight = &pollExchange{c.clock, &request, response}
@@ -183,7 +183,7 @@
 	if download == nil || len(c.chunks) >= maxChunksInFlight {
 		return
 	}
-	if span, ok := download.nextSpan(); ok {
+	if span, ok := download.nextRange(); ok {
 		request := &ChunkRequest{Digest: download.ref.Digest, Offset: span.offset, Length: span.length}
 		chunk := wireCopy(c.randomSource().values.Chunk(request))
 		if chunk.Status == ChunkServed && c.rand.IntN(10) == 0 {
@@ -280,7 +280,7 @@
 		return fmt.Errorf("ConfirmedAt is in the future")
 	}
 	for i, at := range c.commitTimes {
-		if !c.lied && at.Before(tables.ConfirmedAt) && tables.Index < int64(i)+1 {
+		if !c.sentStale && at.Before(tables.ConfirmedAt) && tables.Index < int64(i)+1 {
 			return fmt.Errorf("confirmed at %v with index %d, index %d was committed before", tables.ConfirmedAt, tables.Index, i+1)
 		}
 	}
@@ -302,7 +302,7 @@
 		for c.replica.download != nil && !c.replica.download.abandoned {
 			c.replica.download.pending = nil // their requests are lost
 			download := c.replica.download
-			span, ok := download.nextSpan()
+			span, ok := download.nextRange()
 			if !ok {
 				return fmt.Errorf("nothing to request with %d of %d bytes", len(download.data), download.ref.Size)
 			}
@@ -339,7 +339,7 @@
 
 var simulations = flag.Uint64("courses", 100, "random simulations of a replica")
 
-func TestRandomReplicaSimulations(t *testing.T) {
+func TestReplicaInvariantsInRandomSimulations(t *testing.T) {
 	for seed := range *simulations {
 		if err := newReplicaSimulation(t, seed, noFault).run(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
--- a/internal/tier/feed/scripted_cluster_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -51,7 +51,7 @@
 	versions   []int64
 	routeCount int
 	bodySeed   int
-	nodes      map[string]*coreNode
+	nodes      map[string]*scriptedCore
 	members    []string
 	changed    chan struct{}
 	traffic    trafficCounts
@@ -62,7 +62,7 @@
 // trafficCounts counts what was sent to the follower.
 type trafficCounts struct{ polls, bytes, full, patches, refs, chunks int }
 
-type coreNode struct {
+type scriptedCore struct {
 	fakeSource
 	name           string
 	reachability   string // one of up, cut, down, frozen
@@ -76,9 +76,9 @@
 }
 
 func newScriptedCluster(t *testing.T, names []string) *scriptedCluster {
-	cluster := &scriptedCluster{t: t, nodes: map[string]*coreNode{}, changed: make(chan struct{}), routeCount: fewRoutes}
+	cluster := &scriptedCluster{t: t, nodes: map[string]*scriptedCore{}, changed: make(chan struct{}), routeCount: fewRoutes}
 	for _, name := range names {
-		cluster.nodes[name] = &coreNode{name: name, reachability: "down", quorum: "up"}
+		cluster.nodes[name] = &scriptedCore{name: name, reachability: "down", quorum: "up"}
 	}
 	return cluster
 }
@@ -127,7 +127,7 @@
 }
 
 // transmit returns how long bytes take over a node's link, after those that are queued in it.
-func (n *coreNode) transmit(size int) time.Duration {
+func (n *scriptedCore) transmit(size int) time.Duration {
 	if !n.slowLink {
 		return 0
 	}
@@ -140,7 +140,7 @@
 }
 
 // deliver delivers a response, unless its node was cut off or stopped meanwhile.
-func (c *scriptedCluster) deliver(ctx context.Context, node *coreNode, encoded []byte, response any) error {
+func (c *scriptedCluster) deliver(ctx context.Context, node *scriptedCore, encoded []byte, response any) error {
 	c.mu.Lock()
 	reach := node.reachability
 	c.mu.Unlock()
@@ -157,7 +157,7 @@
 }
 
 // handle returns a node's response, nil for a poll that has to wait.
-func (c *scriptedCluster) handle(node *coreNode, m rpc.Method, body any) []byte {
+func (c *scriptedCluster) handle(node *scriptedCore, m rpc.Method, body any) []byte {
 	if m == ChunkCall {
 		c.traffic.chunks++
 		node.values.Update(c.log.latest(node.commitIndex))
@@ -192,7 +192,7 @@
 }
 
 // coreAddrs returns the addresses of the members that a node knows.
-func (n *coreNode) coreAddrs(cluster *scriptedCluster) (cores []string) {
+func (n *scriptedCore) coreAddrs(cluster *scriptedCluster) (cores []string) {
 	members := cluster.members
 	if n.quorum != "up" {
 		members = n.members
@@ -252,7 +252,7 @@
 }
 
 // setNode executes one item of a node's column.
-func (c *scriptedCluster) setNode(node *coreNode, cell string) {
+func (c *scriptedCluster) setNode(node *scriptedCore, cell string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch cell {
@@ -329,15 +329,15 @@
 	}
 }
 
-// playTimeline executes a timeline with a follower that starts with the seeds, and calls check after it. The follower
+// runTimeline executes a timeline with a follower that starts with the seeds, and calls check after it. The follower
 // starts after the first line.
-func playTimeline(t *testing.T, seeds, timeline string, check func(cluster *scriptedCluster)) {
+func runTimeline(t *testing.T, seeds, timeline string, check func(cluster *scriptedCluster)) {
 	t.Helper()
-	playTimelineWithLog(t, seeds, timeline, process.NewLogger(io.Discard), check)
+	runTimelineWithLog(t, seeds, timeline, process.NewLogger(io.Discard), check)
 }
 
-// playTimelineWithLog is playTimeline with the follower's log.
-func playTimelineWithLog(t *testing.T, seeds, timeline string, log *slog.Logger, check func(cluster *scriptedCluster)) {
+// runTimelineWithLog is runTimeline with the follower's log.
+func runTimelineWithLog(t *testing.T, seeds, timeline string, log *slog.Logger, check func(cluster *scriptedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var rows [][]string
@@ -359,7 +359,7 @@
 				t.Fatal(err)
 			}
 			time.Sleep(time.Duration(math.Round(at*1e6)) - time.Since(start))
-			cluster.playRow(row, names)
+			cluster.runRow(row, names)
 			if i == 0 {
 				wg.Go(func() { cluster.follower.Run(ctx) })
 				wg.Go(func() { cluster.watch(ctx) })
@@ -377,8 +377,8 @@
 	})
 }
 
-// playRow executes one line: members, other node states, commits, checks.
-func (c *scriptedCluster) playRow(row, names []string) {
+// runRow executes one line: members, other node states, commits, checks.
+func (c *scriptedCluster) runRow(row, names []string) {
 	for _, members := range []bool{true, false} { // members first: a node that is partitioned knows those of the same line
 		for i, name := range names {
 			for cell := range strings.SplitSeq(row[i+2], ",") {
--- a/internal/tier/feed/source_balance_test.go
+++ b/internal/tier/feed/source_balance_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	crowdSize  = 60
-	crowdCores = 5
+	followerCount = 60
+	coreCount     = 5
 )
 
 // largestGroup returns the largest number of followers of one node, and the numbers by node.
@@ -37,30 +37,30 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				sim := newLinkSimulation(ctx, 1, crowdCores, "")
-				sim.startCrowd()
+				sim := newLinkSimulation(ctx, 1, coreCount, "")
+				sim.startFollowers()
 				time.Sleep(time.Second)
-				sim.checkBalance(t, "at the start", crowdCores)
+				sim.checkBalance(t, "at the start", coreCount)
 				sim.checkIdleCalls(t)
 				sim.setPartition(directions, sim.nodes[0])
 				time.Sleep(applyTime)
-				sim.checkBalance(t, "without one node", crowdCores-1)
+				sim.checkBalance(t, "without one node", coreCount-1)
 				sim.setPartition(directions, sim.nodes[1:]...)
 				sim.takeCallCounts()
 				time.Sleep(10 * time.Second)
 				for addr, n := range sim.takeCallCounts() {
-					if maxCalls := crowdSize * 10 * 3; n > maxCalls {
-						t.Errorf("%s was called %d times in 10 s by %d followers, want %d at most", addr, n, crowdSize, maxCalls)
+					if maxCalls := followerCount * 10 * 3; n > maxCalls {
+						t.Errorf("%s was called %d times in 10 s by %d followers, want %d at most", addr, n, followerCount, maxCalls)
 					}
 				}
 				sim.setPartition(directions, sim.nodes[:4]...)
 				time.Sleep(contactTime + applyTime)
-				if maxCalls, bySource := sim.largestGroup(); maxCalls != crowdSize {
-					t.Errorf("the only node that can be reached has %d of %d followers: %v", bySource[sim.nodes[4].addr], crowdSize, bySource)
+				if largest, bySource := sim.largestGroup(); largest != followerCount {
+					t.Errorf("the only node that can be reached has %d of %d followers: %v", bySource[sim.nodes[4].addr], followerCount, bySource)
 				}
 				sim.setPartition(directions)
 				time.Sleep(2*failbackInterval + time.Second)
-				sim.checkBalance(t, "once all can be reached again", crowdCores)
+				sim.checkBalance(t, "once all can be reached again", coreCount)
 				stop()
 				sim.wg.Wait()
 			})
@@ -85,20 +85,20 @@
 	for _, n := range s.takeCallCounts() {
 		total += n
 	}
-	if polls := int(10 * time.Second / pollWait); total > crowdSize*(polls+1) {
-		t.Errorf("%d followers make %d calls in 10 s without changes, want %d each at most", crowdSize, total, polls+1)
+	if polls := int(10 * time.Second / pollWait); total > followerCount*(polls+1) {
+		t.Errorf("%d followers make %d calls in 10 s without changes, want %d each at most", followerCount, total, polls+1)
 	}
 }
 
-// startCrowd starts many followers at the same time.
-func (s *linkSimulation) startCrowd() {
+// startFollowers starts many followers at the same time.
+func (s *linkSimulation) startFollowers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var seeds []string
 	for _, n := range s.nodes {
 		seeds = append(seeds, strings.TrimSuffix(n.addr, ":7000"))
 	}
-	for range crowdSize {
+	for range followerCount {
 		s.start(seeds)
 	}
 }
@@ -121,7 +121,7 @@
 // checkBalance fails if a node has more than twice its share of the followers.
 func (s *linkSimulation) checkBalance(t *testing.T, when string, nodes int) {
 	t.Helper()
-	if largest, bySource := s.largestGroup(); largest > 2*crowdSize/nodes {
-		t.Errorf("%s one of %d nodes has %d of %d followers: %v", when, nodes, largest, crowdSize, bySource)
+	if largest, bySource := s.largestGroup(); largest > 2*followerCount/nodes {
+		t.Errorf("%s one of %d nodes has %d of %d followers: %v", when, nodes, largest, followerCount, bySource)
 	}
 }
--- a/internal/tier/feed/sources.go
+++ b/internal/tier/feed/sources.go
@@ -31,14 +31,14 @@
 // advance selects the next core node in the order.
 func (s *sources) advance() { s.position = (s.position + 1) % len(s.cores) }
 
-// use selects a core node, or the first one if it is not known.
-func (s *sources) use(core string) { s.position = max(0, slices.Index(s.cores, core)) }
+// setCurrent selects a core node, or the first one if it is not known.
+func (s *sources) setCurrent(core string) { s.position = max(0, slices.Index(s.cores, core)) }
 
 // preferred returns the first core node of the order: the follower starts with it and fails back to it.
 func (s *sources) preferred() string { return s.cores[0] }
 
-// fromCurrentOn returns all core nodes in the order, starting with the current one.
-func (s *sources) fromCurrentOn() []string {
+// startingAtCurrent returns all core nodes in the order, starting with the current one.
+func (s *sources) startingAtCurrent() []string {
 	at := s.position % len(s.cores)
 	return slices.Concat(s.cores[at:], s.cores[:at])
 }
@@ -61,7 +61,7 @@
 			all = append(all, core)
 		}
 	}
-	s.setAll(all, current)
+	s.setSorted(all, current)
 }
 
 // replace replaces all core nodes by the members that a confirmed response named, and selects the node that sent it,
@@ -74,16 +74,16 @@
 	if !slices.Contains(all, source) {
 		all = append(all, source)
 	}
-	s.setAll(all, source)
+	s.setSorted(all, source)
 }
 
-// setAll sorts core nodes into the follower's order and selects the current one. The order depends on the follower's name,
+// setSorted sorts core nodes into the follower's order and selects the current one. The order depends on the follower's name,
 // so that followers spread over the core nodes.
-func (s *sources) setAll(cores []string, current string) {
+func (s *sources) setSorted(cores []string, current string) {
 	rank := func(core string) uint64 { return xxhash.Sum64String(s.name + "\x00" + core) }
 	slices.SortFunc(cores, func(a, b string) int { return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(a, b)) })
 	s.cores = slices.Compact(cores)
-	s.use(current)
+	s.setCurrent(current)
 }
 
 // next returns the core node after another one in the order.
--- a/internal/tier/feed/transfer_limiter_test.go
+++ b/internal/tier/feed/transfer_limiter_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestTransferLimiter(t *testing.T) {
+func TestTransferLimiterBoundsActiveTransfers(t *testing.T) {
 	var limiter TransferLimiter
 	for i := range maxTransfers {
 		if !limiter.Admit(fmt.Sprint("f", i), 0) {
--- a/internal/tier/feed/value_cache.go
+++ b/internal/tier/feed/value_cache.go
@@ -47,7 +47,7 @@
 	for _, e := range committed {
 		if len(e.Value) >= minPatchedValue && v.lookup(e.Key, e.Index) == nil {
 			v.values = append(v.values, &cachedValue{e, bodydelta.DigestOf(e.Value)})
-			v.trim()
+			v.evictOld()
 		}
 	}
 }
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// trim drops the oldest values beyond the bounds, never the newest one of a key. The caller holds the lock.
-func (v *ValueCache) trim() {
+// evictOld drops the oldest values beyond the bounds, never the newest one of a key. The caller holds the lock.
+func (v *ValueCache) evictOld() {
 	count, newest, oldBytes := map[string]int{}, map[string]int64{}, 0
 	for _, value := range v.values {
 		count[value.Key]++
