--- a/internal/tier/feed/bootstrap.go
+++ b/internal/tier/feed/bootstrap.go
@@ -7,11 +7,11 @@
 	"larchrouter/internal/ctxtime"
 )
 
-// initialPollWait is how long a core node may delay its response to a follower's first poll until it is confirmed.
+// initialPollWait is how long a core node may delay its response to a follower's first poll, to have it confirmed.
 const initialPollWait = time.Second
 
-// bootstrap polls all core nodes at the same time until one response is applied. When all machines have just started,
-// some core nodes don't listen yet, and polling them one after the other would cost half a second for each.
+// bootstrap polls all core nodes concurrently, with backoff, until one response is applied. When all machines have just
+// started, some core nodes don't listen yet, and polling them in turn would cost half a second each.
 func (f *Follower) bootstrap(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if f.pollAllSources(ctx) {
@@ -23,8 +23,8 @@
 	}
 }
 
-// pollAllSources polls all known core nodes and reports whether a response was applied. It applies the first confirmed
-// one that is not empty and cancels the other polls.
+// pollAllSources polls all known core nodes concurrently and reports whether a response was applied. It applies the first
+// confirmed response that is not empty and cancels the other polls.
 func (f *Follower) pollAllSources(ctx context.Context) (applied bool) {
 	cores := f.knownCores()
 	pollCtx, cancel := context.WithCancel(ctx)
--- a/internal/tier/feed/caller.go
+++ b/internal/tier/feed/caller.go
@@ -6,12 +6,12 @@
 	"larchrouter/internal/rpc"
 )
 
-// Caller makes calls to core nodes by address. A call ends at the latest when its context does.
+// Caller makes remote calls to core nodes by address. A call returns no later than its context ends.
 type Caller interface {
 	Call(ctx context.Context, to string, m rpc.Method, body, response any) error
 }
 
-// rpcCaller makes the calls over connections that are kept for each address.
+// rpcCaller is a Caller over one persistent connection for each address.
 type rpcCaller struct{ *rpc.Clients }
 
 var _ Caller = rpcCaller{}
--- a/internal/tier/feed/doc.go
+++ b/internal/tier/feed/doc.go
@@ -1,34 +1,35 @@
-// Package feed is the change feed: it replicates the committed control state from core nodes to fronts and stores, the
-// followers. The state is a set of keys with values (the configuration and the placement), changed by entries with
-// rising indexes, and the list of hosts from service discovery.
+// Package feed implements the change feed, which replicates the committed control state from core nodes to fronts and
+// stores, the followers. The state consists of key-value pairs (the configuration and the placement), which log entries
+// with rising indexes update, and of the list of hosts from service discovery.
 //
 // # Follower
 //
-// A Follower polls one core node, its source, with long polls (ChangesCall). It publishes what it received as immutable
-// Tables, which are replaced as a unit; Changed notifies of a new version. Three parts are pure, without clock, socket
-// or goroutine: replica (the follower's copy of the state), download (a large value in progress) and sources (the known
-// core nodes, in an order of the follower's own).
+// A Follower long-polls one core node, its source (ChangesCall). It publishes the received state as immutable Tables,
+// which are replaced atomically; Changed notifies of a new version. Three types use no clock, socket or goroutine:
+// replica (the follower's copy of the state), download (a large value in progress) and sources (the known core nodes, in
+// an order that differs between followers).
 //
-//   - Hedged poll: if the source's response is late or not confirmed, the other core nodes are polled too, one after the
-//     other. The first confirmed response wins, and its core node becomes the source.
+//   - Hedged poll: if the source's response is late or not confirmed, the other core nodes are polled as well, at
+//     intervals. The first confirmed response is applied, and its core node becomes the source.
 //   - Failover and failback: after a poll without any confirmed response the follower advances to the next core node.
-//     From time to time it polls the first core node of its order and returns to it, so that followers stay balanced.
+//     It periodically polls the first core node of its order and returns to it, so that followers stay balanced.
 //   - Large values are downloaded in chunks (ChunkCall) in addition to the polls, from any core node that has them.
 //
 // # Guarantees of the replica
 //
 //   - Only confirmed responses change the tables. A response is confirmed if a majority has confirmed the source's
-//     epoch after the poll arrived. All others only name core nodes.
+//     epoch after the poll arrived. From other responses only the core addresses are used.
 //   - Tables.Index, and the index of each value, never go down, whichever source responds.
 //   - Tables.Index is i only if every entry up to i, or a newer entry of its key, is applied.
-//   - A value is applied only if its bytes are those that were committed: deltas and chunks are checked by digest.
-//   - Everything that was acknowledged before Tables.ConfirmedAt is in the tables. ConfirmedAt is the time at which a
-//     poll was sent, not when its response arrived. It stays while the newest configuration cannot be read by this program.
+//   - A value is applied only if its bytes are those that were committed: deltas and downloads are verified by digest.
+//   - Every change that was acknowledged before Tables.ConfirmedAt is in the tables. ConfirmedAt is the time at which a
+//     poll was sent, not when its response arrived. It does not advance while this program cannot parse the newest
+//     configuration.
 //
-// # Source
+// # Server
 //
-// The server is in package controlnode. From this package it uses ValueCache, which decides whether an entry is sent in
-// full, as a delta or by reference, and TransferLimiter, which bounds the followers that download at the same time.
+// Package controlnode implements the server. It uses ValueCache, which decides whether an entry is sent in full, as a
+// delta or by reference, and TransferLimiter, which bounds the number of concurrent downloads.
 //
 // # Concurrency
 //
--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -10,20 +10,20 @@
 	"larchrouter/internal/tier/bodydelta"
 )
 
-// errDigestMismatch reports that the chunks don't make the value with the digest.
-var errDigestMismatch = errors.New("the chunks of a value do not match its digest: it is downloaded again from another core node")
+// errDigestMismatch reports that the assembled chunks don't have the digest of the requested value.
+var errDigestMismatch = errors.New("downloaded value does not match its digest: downloading it again from another core node")
 
 // byteRange is a range of a value's bytes.
 type byteRange struct{ offset, length int64 }
 
-// download is the state of a value's download in chunks. It is pure. Chunks may come from several core nodes, since the
-// digest identifies the value.
+// download is the state of a value's download in chunks. It makes no calls itself. Chunks may come from several core
+// nodes, since the digest identifies the value.
 type download struct {
 	ref        ValueRef
-	data       []byte           // the first bytes, without gaps
-	outOfOrder map[int64][]byte // chunks after a gap, by offset
-	pending    []byteRange      // requested chunks
-	abandoned  bool             // no source has the value; resumed if a source refers to it again
+	data       []byte           // the contiguous prefix received so far
+	outOfOrder map[int64][]byte // chunks received beyond that prefix, by offset
+	pending    []byteRange      // requested, response outstanding
+	abandoned  bool             // no source has the value; resumes if a response refers to it again
 	failures   int              // consecutive calls without a valid chunk; those at busy core nodes don't count
 }
 
@@ -31,7 +31,7 @@
 	return &download{ref: ref, outOfOrder: map[int64][]byte{}}
 }
 
-// isValid reports whether a reference can be one of a value.
+// isValid reports whether the size and the digest of a reference are plausible.
 func (n ValueRef) isValid() bool {
 	return n.Size > 0 && n.Size <= rpc.MaxFrame && len(n.Digest) == len(bodydelta.Digest{})
 }
@@ -51,7 +51,8 @@
 	return byteRange{}, false
 }
 
-// handleChunk adds the response to a request for a span, nil for a failed call, and reports whether it was a valid chunk.
+// handleChunk adds the response to the request for a range, nil for a failed call, and reports whether it was a valid
+// chunk.
 func (d *download) handleChunk(s byteRange, chunk *Chunk) bool {
 	if i := slices.Index(d.pending, s); i >= 0 {
 		d.pending = slices.Delete(d.pending, i, i+1)
@@ -75,16 +76,17 @@
 	}
 }
 
-// matches reports whether a chunk has the bytes of a span of this value, as far as can be seen before all are there.
+// matches reports whether a chunk has the requested digest, offset and length. The bytes themselves can be verified only
+// when the value is complete.
 func (d *download) matches(s byteRange, chunk *Chunk) bool {
 	return chunk.Status == ChunkServed && bytes.Equal(chunk.Digest, d.ref.Digest) &&
 		chunk.Offset == s.offset && int64(len(chunk.Data)) == s.length
 }
 
-// complete reports whether all bytes are there; their digest is not checked yet.
+// complete reports whether all bytes were received; their digest is not verified yet.
 func (d *download) complete() bool { return int64(len(d.data)) == d.ref.Size }
 
-// value returns the complete value. If its digest is wrong, all bytes are dropped and errDigestMismatch is returned.
+// value returns the complete value. On a wrong digest it discards all bytes returns errDigestMismatch.
 func (d *download) value() ([]byte, error) {
 	digest := bodydelta.DigestOf(d.data)
 	if !bytes.Equal(digest[:], d.ref.Digest) {
--- a/internal/tier/feed/fetchers.go
+++ b/internal/tier/feed/fetchers.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	maxChunksInFlight   = 2           // of the one value that a follower downloads
+	maxChunksInFlight   = 2           // concurrent chunk requests of a follower, which downloads one value at a time
 	chunkTimeout        = time.Second // of one call
-	maxChunkBackoffStep = 3           // the pause between failed calls grows up to 0.2 to 0.4 s
+	maxChunkBackoffStep = 3           // limits the backoff between failed calls to 0.2 to 0.4 s
 )
 
-// startFetchers starts the goroutines that fetch chunks, as far as they don't run, if there is a value to download.
+// startFetchers starts the goroutines that fetch chunks and don't run yet, if there is a value to download.
 func (f *Follower) startFetchers(ctx context.Context) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -25,8 +25,8 @@
 	}
 }
 
-// fetchChunks fetches one chunk after the other until none is left to request. It starts at the source and goes on to
-// the next core node after each call without a chunk.
+// fetchChunks fetches chunks sequentially until none is left to request. It starts with the source and fails over to the
+// next core node after each call that returned no valid chunk.
 func (f *Follower) fetchChunks(ctx context.Context) {
 	core := f.Core()
 	for failures := 0; ; {
@@ -40,7 +40,7 @@
 		err := f.calls.Call(callCtx, core, ChunkCall, request, chunk)
 		cancel()
 		if err != nil {
-			f.log.Debug("no piece", "node", core, "offset", span.offset, "err", err)
+			f.log.Debug("chunk request failed", "node", core, "offset", span.offset, "err", err)
 			chunk = nil
 		}
 		if f.handleChunk(d, span, chunk) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// retireFetcher reports whether the calling goroutine must end because core nodes are busy: only one goes on then. The
-// next response to a poll starts the others again.
+// retireFetcher reports whether the calling goroutine must end because core nodes are busy: a single one continues then.
+// The next applied response to a poll starts the others again.
 func (f *Follower) retireFetcher() bool {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// claimRange returns the next range to fetch. If there is none, the calling goroutine is no longer counted and must end.
+// claimRange returns the next range to fetch. If there is none, it uncounts the calling goroutine, which must end.
 func (f *Follower) claimRange(ctx context.Context) (*download, byteRange, bool) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -89,14 +89,14 @@
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
 	if f.replica.download != d {
-		return true // this download was replaced meanwhile
+		return true // the download has been replaced since the request
 	}
 	if !d.handleChunk(span, chunk) {
 		f.mu.Lock()
 		maxFailures := 2 * len(f.sources.cores)
 		f.mu.Unlock()
 		if d.failures >= maxFailures {
-			f.log.Debug("no core node has the value any more", "index", d.ref.Index, "have", len(d.data), "size", d.ref.Size)
+			f.log.Debug("download abandoned: no core node has the value any more", "index", d.ref.Index, "received", len(d.data), "size", d.ref.Size)
 			f.replica.abandonDownload()
 		}
 		return false
@@ -105,7 +105,7 @@
 		return true
 	}
 	if err := f.replica.finishDownload(); err != nil {
-		f.log.Error("a fetched value cannot be used", "index", d.ref.Index, "err", err)
+		f.log.Error("downloaded value not applied", "index", d.ref.Index, "err", err)
 		return false
 	}
 	f.publishTables()
--- a/internal/tier/feed/follower.go
+++ b/internal/tier/feed/follower.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	pollWait  = 500 * time.Millisecond // a source without changes responds to a long poll after it
-	pollGrace = 450 * time.Millisecond // a poll fails if the response is later than its wait by this
+	pollWait  = 500 * time.Millisecond // how long a source without changes delays its response to a long poll
+	pollGrace = 450 * time.Millisecond // time-out of a poll beyond its wait
 )
 
 // Follower follows the feed of one core node at a time and fails over to another if that one is unresponsive,
-// partitioned or behind. Values that are too large for a response are downloaded in chunks meanwhile. It implements
+// partitioned or behind. Values that are too large for a response are downloaded in chunks concurrently. It implements
 // TablesProvider and is safe for concurrent use.
 type Follower struct {
 	name, class string // of the machine
 	calls       Caller
 	log         *slog.Logger
-	tables      atomic.Pointer[Tables] // as published; never nil
+	tables      atomic.Pointer[Tables] // the published tables; never nil
 
 	mu      sync.Mutex
-	changed chan struct{} // closed and replaced with each published change; guarded by mu
+	changed chan struct{} // closed and replaced when changed tables are published; guarded by mu
 	sources *sources      // guarded by mu
 
 	replicaMu    sync.Mutex // held while a response or chunk is applied and published
 	replica      *replica   // guarded by replicaMu
-	fetchers     int        // goroutines that fetch chunks; guarded by replicaMu
+	fetchers     int        // number of running goroutines that fetch chunks; guarded by replicaMu
 	nextFailback time.Time  // no failback before it; used by Run only
 	outages      outageLogger
 	wg           sync.WaitGroup
@@ -44,7 +44,8 @@
 
 var _ TablesProvider = (*Follower)(nil)
 
-// NewFollower returns a follower of the machine in the settings that knows the core nodes of the seeds. Run starts it.
+// NewFollower returns a follower for the machine that the settings name, with their seeds as its core nodes. Run
+// starts it.
 func NewFollower(s *process.Settings, calls *rpc.Clients, log *slog.Logger) *Follower {
 	return newFollower(s, rpcCaller{calls}, log)
 }
@@ -57,7 +58,7 @@
 	return f
 }
 
-// coreSeeds returns the core addresses of the seeds.
+// coreSeeds returns the core-node addresses of the seed machines.
 func coreSeeds(s *process.Settings) (cores []string) {
 	for _, seed := range s.Seeds {
 		cores = append(cores, s.PeerAddr(seed, process.CorePort))
@@ -65,7 +66,7 @@
 	return cores
 }
 
-// UpdateSeeds replaces the seeds by those of new settings, and adds them to the known core nodes.
+// UpdateSeeds replaces the seeds with those of new settings, and adds them to the known core nodes.
 func (f *Follower) UpdateSeeds(s *process.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,23 +83,23 @@
 	return f.changed
 }
 
-// Placement returns the placement of the tables, nil if there is none.
+// Placement returns the placement in the tables, nil if none was received yet.
 func (f *Follower) Placement() *turnstore.Placement { return f.tables.Load().Placement }
 
-// Core returns the address of the core node that is followed.
+// Core returns the address of the current source.
 func (f *Follower) Core() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sources.current()
 }
 
-// ReportHealth sends what this machine has observed of hosts to the core node that is followed, which passes it on to the head.
+// ReportHealth sends this machine's observations of hosts to the current source, which forwards them to the head.
 func (f *Follower) ReportHealth(ctx context.Context, observations []hosthealth.Observation) error {
 	report := &HealthReport{Name: f.name, Observations: observations}
 	return f.calls.Call(ctx, f.Core(), HealthCall, report, new(Empty))
 }
 
-// ReportUsage sends a report of this machine to a core node: to the one that is followed if addr is empty.
+// ReportUsage sends a usage report of this machine to the core node at addr, or to the current source if addr is empty.
 func (f *Follower) ReportUsage(ctx context.Context, addr string, report usage.Report) (UsageReceipt, error) {
 	if addr == "" {
 		addr = f.Core()
@@ -125,7 +126,7 @@
 			return
 		}
 		f.outages.noteUnusable(time.Now(), f.knownCores())
-		wait = 0 // no long polls until a source is confirmed
+		wait = 0 // no long polls until a response is confirmed
 		f.failover()
 		ctxtime.Sleep(ctx, backoff(failures+firstPollBackoffStep, maxPollBackoff))
 		failures++
@@ -139,8 +140,8 @@
 	return slices.Clone(f.sources.cores)
 }
 
-// failover selects the next core node as the source, after all known ones have failed. The seeds are added again, since
-// all other core nodes may have been replaced.
+// failover makes the next core node the source after all known ones have failed. It adds the seeds again, since all known
+// core nodes may have been replaced.
 func (f *Follower) failover() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -148,7 +149,7 @@
 	f.sources.advance()
 }
 
-// newRequest returns the next poll request. A source without changes responds after the wait.
+// newRequest returns the next poll request. A source without changes delays its response by wait.
 func (f *Follower) newRequest(wait time.Duration) *ChangesRequest {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -167,7 +168,7 @@
 }
 
 // handleResponse applies a response and makes its core node the source. It reports false if the response is not
-// confirmed or the core node is behind; then only the core addresses are used, which are added to the known ones.
+// confirmed or the core node is behind; then it only adds the core addresses to the known ones.
 func (f *Follower) handleResponse(ctx context.Context, result pollResult) bool {
 	if result.response.Confirmed && f.applyResponse(result) {
 		f.mu.Lock()
@@ -180,7 +181,7 @@
 	return false
 }
 
-// addSources adds core nodes of a response that was not applied.
+// addSources adds the core nodes that a rejected response named.
 func (f *Follower) addSources(cores []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,17 +195,17 @@
 	defer f.replicaMu.Unlock()
 	faults, err := f.replica.handleResponse(result.sent, result.request, result.response)
 	for _, fault := range faults {
-		f.log.Error("an entry of the feed cannot be used", "err", fault)
+		f.log.Error("feed entry not applied", "err", fault)
 	}
 	if err != nil {
-		f.log.Debug("answer not taken", "index", result.response.Index, "err", err)
+		f.log.Debug("response rejected", "index", result.response.Index, "err", err)
 		return false
 	}
 	f.publishTables()
 	return true
 }
 
-// publishTables publishes the replica's tables and notifies of a change. The caller holds replicaMu.
+// publishTables publishes the replica's tables and notifies the waiters of Changed. The caller holds replicaMu.
 func (f *Follower) publishTables() {
 	old, next := f.tables.Load(), f.replica.tables
 	f.tables.Store(next)
@@ -212,7 +213,7 @@
 		f.log.Info("tables complete", "index", next.Index, "version", next.Config.Version, "hosts", len(next.Hosts.Hosts))
 	}
 	if next.Config != nil && (old.Config == nil || old.Config.Version != next.Config.Version) {
-		f.log.Info("acts on", "version", next.Config.Version)
+		f.log.Info("configuration applied", "version", next.Config.Version)
 	}
 	if next.Index == old.Index && next.Hosts == old.Hosts && next.Config == old.Config && next.Placement == old.Placement {
 		return
--- a/internal/tier/feed/messages.go
+++ b/internal/tier/feed/messages.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/tier/usage"
 )
 
-// Methods of core nodes. Those of stores begin at 20. The numbers are part of the protocol.
+// RPC methods of core nodes. Those of stores begin at 20. The numbers are part of the protocol.
 const (
 	PeerCall   rpc.Method = iota + 1 // a message between core nodes
 	FollowCall                       // a poll by a follower of an earlier version
@@ -28,8 +28,8 @@
 	TaskStatusCall   // the state of the singleton tasks, at the head
 )
 
-// FollowRequest is the poll of a follower of an earlier version, which is sent every value in full. All messages are
-// encoded as their fields in order, without names: a field must not be added, dropped, moved or retyped.
+// FollowRequest is the poll of a follower of an earlier version, which receives every value in full. Messages are encoded
+// as their fields in order, without names: fields must not be added, dropped, moved or retyped.
 type FollowRequest struct {
 	Name           string // of the machine
 	Class          string
@@ -47,15 +47,15 @@
 	Entries   []chain.Entry
 	Hosts     []discovery.List  // the full host list, at most one
 	Delta     []discovery.Delta // or the delta to the follower's list, at most one
-	CoreAddrs []string          // addresses of the members
+	CoreAddrs []string          // addresses of the member core nodes
 }
 
 // ChangesRequest is a long poll for all changes after ReceivedIndex.
 type ChangesRequest struct {
 	Name           string // of the machine
 	Class          string
-	AppliedIndex   int64 // up to it all entries are applied
-	ReceivedIndex  int64 // up to it all entries were received: above AppliedIndex while a large value is downloaded
+	AppliedIndex   int64 // every entry up to it is applied
+	ReceivedIndex  int64 // every entry up to it was received: above AppliedIndex while a large value is downloaded
 	ActiveVersion  int64 // version of the configuration in its tables, 0 if there is none
 	HostListTerm   int64 // of the host list in its tables, 0 if there is none
 	HostListNumber int64
@@ -63,14 +63,14 @@
 	BaseValues     []BaseValue // possible bases of deltas
 }
 
-// BaseValue refers to the value that a follower has for a key.
+// BaseValue identifies a value that a follower has for a key, against which the source may send a delta.
 type BaseValue struct {
 	Key    string
 	Digest []byte
 }
 
-// ChangesResponse is the response to ChangesRequest: each entry after ReceivedIndex, unless there is a newer one of its
-// key, is in one of Entries, Patches and LargeValues.
+// ChangesResponse is the response to ChangesRequest. The newest entry of each key, if it is after ReceivedIndex, is in
+// one of Entries, Patches and LargeValues.
 type ChangesResponse struct {
 	Confirmed   bool  // a majority has confirmed the source's epoch after the request arrived; otherwise only CoreAddrs counts
 	Index       int64 // of the last committed entry
@@ -79,7 +79,7 @@
 	LargeValues []ValueRef
 	Hosts       []discovery.List  // the full host list, at most one
 	Delta       []discovery.Delta // or the delta to the follower's list, at most one
-	CoreAddrs   []string          // addresses of the members
+	CoreAddrs   []string          // addresses of the member core nodes
 }
 
 // Patch is an entry whose value is sent as a delta (package bodydelta) to the follower's base value.
@@ -97,7 +97,7 @@
 	Digest []byte
 }
 
-// ChunkRequest requests a chunk of a value, from any core node.
+// ChunkRequest requests a chunk of a value; any core node may serve it.
 type ChunkRequest struct {
 	Name   string // of the machine
 	Digest []byte
@@ -108,8 +108,8 @@
 // The values of Chunk.Status.
 const (
 	ChunkServed  = iota
-	ChunkUnknown // the node does not have the value, or no longer
-	ChunkBusy    // the node serves its maximum of transfers: retry later, or at another node
+	ChunkUnknown // the node does not have the value, or has evicted it
+	ChunkBusy    // the node is at its limit of concurrent transfers: retry later or at another node
 )
 
 // Chunk is the response to ChunkRequest.
@@ -121,27 +121,27 @@
 	Final  bool // the value ends with this chunk
 }
 
-// Registration is a store's report, which it repeats as a heartbeat.
+// Registration registers a store with the head. The store repeats it as a heartbeat.
 type Registration struct {
 	Store           turnstore.Store
 	Generation      int64 // the newest placement generation that it adopted; it rejects requests under older ones
 	SweptGeneration int64 // the generation under which it completed a sweep
-	Full            bool  // its disk is almost full: it opens no turns
-	Forwarded       bool  // by a core node that is not the head; it is not forwarded again
+	Full            bool  // its disk is almost full: it accepts no new turns
+	Forwarded       bool  // set by a core node that is not the head, so that the message is not forwarded again
 }
 
-// HealthReport is what a front has seen of hosts that fail, or are on probation, since its last report.
+// HealthReport has a front's observations, since its last report, of hosts that fail or are on probation.
 type HealthReport struct {
 	Name         string // of the machine
 	Observations []hosthealth.Observation
 	Forwarded    bool // as in Registration
 }
 
-// LeaseRelease notifies the head of the next epoch that the sender, the head of an epoch, does not act under the lease on the singleton
-// duties any more; see package lease.
+// LeaseRelease notifies the head of the next epoch that the sender, the head of Epoch, no longer acts under the lease on
+// the singleton tasks; see package lease.
 type LeaseRelease struct {
 	Epoch      int64
-	WaitMicros int64 // that the sender itself still had to wait for
+	WaitMicros int64 // remaining wait that the sender itself still had before it could use the lease
 }
 
 // ClockReading is the wall clock of a node.
@@ -149,7 +149,7 @@
 	UnixMicros int64 // since 1970
 }
 
-// UsageReport is what a front has counted and the collector at the head has not acknowledged, as in usage.Report.
+// UsageReport has the counts of a front that the collector at the head has not acknowledged, as in usage.Report.
 type UsageReport struct {
 	Name        string // of the machine
 	Incarnation int64
@@ -160,14 +160,14 @@
 
 // UsageReceipt is the response to UsageReport.
 type UsageReceipt struct {
-	Collector  string // that added the report; empty if the node is not the head and has only the head's address to give
-	HeadAddr   string // where reports are to be sent; empty if the node knows of no head
+	Collector  string // that added the report; empty if the node is not the head and only returns the head's address
+	HeadAddr   string // where to send reports; empty if the node knows no head
 	TrueTimeMs int64  // the node's estimate of the true time, since the beginning of 1970; 0 if it has none
 }
 
 // PutConfigRequest is an operator's order to put a configuration.
 type PutConfigRequest struct {
-	IfMatch   int64 // the version on which it builds
+	IfMatch   int64 // the version that it replaces
 	Body      []byte
 	Forwarded bool // as in Registration
 }
@@ -180,8 +180,8 @@
 	Location string // with status 307: the URL at the node that can answer
 }
 
-// OperatorRequest is an operator's order to retire a store, or a query: for the phase of a store, the configuration or the
-// state of the singleton tasks.
+// OperatorRequest is an operator's order to retire a store, or a query: for the phase of a store, the configuration or
+// the state of the singleton tasks.
 type OperatorRequest struct {
 	Name      string // of the store
 	Forwarded bool   // as in Registration
@@ -194,7 +194,7 @@
 type ConfigEntry struct {
 	Version       int64
 	Body          []byte
-	RecentDigests [][]byte // of the configurations applied last, this one included; see package orders
+	RecentDigests [][]byte // of the most recently applied configurations, including this one; see package orders
 }
 
 // RetireEntry is the value under a key with RetirePrefix.
--- a/internal/tier/feed/outage_logger.go
+++ b/internal/tier/feed/outage_logger.go
@@ -8,16 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// outageLogDelay is how long no core node may be usable before that is logged: longer than a start of all machines takes.
+// outageLogDelay is how long no core node may be usable before it is logged: longer than all machines take to start.
 const outageLogDelay = 5 * time.Second
 
-// errUnconfirmed is the failure of a core node that answers without a majority behind it, or behind what was confirmed before.
-var errUnconfirmed = errors.New("a core node answers, and no majority confirms it")
+// errUnconfirmed is the failure of a core node whose response no majority has confirmed, or that is behind an index that
+// was confirmed earlier.
+var errUnconfirmed = errors.New("core node responded, but its response is not confirmed by a majority or is behind")
 
-// outageLogger logs that a follower has no usable core node, once for each such time, and its end. It is owned by Follower.Run.
+// outageLogger logs the start and the end of each period in which a follower has no usable core node. Only the goroutine
+// of Follower.Run uses it.
 type outageLogger struct {
 	log           *slog.Logger
-	unusableSince time.Time // since when there is no usable core node; zero while there is one
+	unusableSince time.Time // start of the outage; zero while there is a usable core node
 	lastFailure   error
 	logged        bool
 }
@@ -34,14 +36,14 @@
 		return
 	}
 	w.logged = true
-	w.log.Info("no core node can be followed: tables stay as they are", "nodes", strings.Join(cores, " "), "seconds", int(now.Sub(w.unusableSince).Seconds()),
+	w.log.Info("no usable core node: the tables are not updated", "nodes", strings.Join(cores, " "), "seconds", int(now.Sub(w.unusableSince).Seconds()),
 		"err", w.lastFailure)
 }
 
 // noteUsable records that a response was applied.
 func (w *outageLogger) noteUsable(now time.Time) {
 	if w.logged {
-		w.log.Info("a core node is followed again", "seconds", int(now.Sub(w.unusableSince).Seconds()))
+		w.log.Info("core node usable again", "seconds", int(now.Sub(w.unusableSince).Seconds()))
 	}
 	w.unusableSince, w.lastFailure, w.logged = time.Time{}, nil, false
 }
--- a/internal/tier/feed/outage_logger_test.go
+++ b/internal/tier/feed/outage_logger_test.go
@@ -20,18 +20,18 @@
 		w.noteFailure(errors.New("connection refused"))
 		w.noteUnusable(at(began), []string{"10.0.0.1:7"})
 		w.noteUnusable(at(began+outageLogDelay-time.Millisecond), nil)
-		if lines("no core node") != outage {
+		if lines("no usable core node") != outage {
 			t.Fatalf("logged before %v: %s", outageLogDelay, &output)
 		}
 		w.noteUnusable(at(began+outageLogDelay), []string{"10.0.0.1:7"})
 		w.noteUnusable(at(began+2*outageLogDelay), []string{"10.0.0.1:7"})
-		if lines("no core node") != outage+1 || lines("connection refused") != outage+1 || lines("10.0.0.1:7") != outage+1 {
+		if lines("no usable core node") != outage+1 || lines("connection refused") != outage+1 || lines("10.0.0.1:7") != outage+1 {
 			t.Fatalf("outage %d: %s", outage, &output)
 		}
 		w.noteUsable(at(began + 3*outageLogDelay))
 		w.noteUsable(at(began + 4*outageLogDelay))
-		if lines("followed again") != outage+1 {
-			t.Fatalf("the end of outage %d: %s", outage, &output)
+		if lines("core node usable again") != outage+1 {
+			t.Fatalf("end of outage %d: %s", outage, &output)
 		}
 	}
 	w.noteUnusable(at(time.Hour), nil)
@@ -41,7 +41,7 @@
 	}
 }
 
-// A follower whose core nodes do not answer says so, and names them and the reason.
+// A follower logs an outage of all its core nodes once, with their addresses, and the end of the outage once.
 func TestFollowerLogsThatNoCoreNodeAnswers(t *testing.T) {
 	var output bytes.Buffer
 	runTimelineWithLog(t, "a+b", `
@@ -50,7 +50,7 @@
 		9000   .        up          .           v0
 		11000  .        .           .           v1`, process.NewLogger(&output), nil)
 	text := output.String()
-	if strings.Count(text, "no core node can be followed") != 1 || !strings.Contains(text, "a:7000") || strings.Count(text, "followed again") != 1 {
-		t.Errorf("the log has: %s", text)
+	if strings.Count(text, "no usable core node: the tables are not updated") != 1 || !strings.Contains(text, "a:7000") || strings.Count(text, "core node usable again") != 1 {
+		t.Errorf("log: %s", text)
 	}
 }
--- a/internal/tier/feed/poll.go
+++ b/internal/tier/feed/poll.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// hedgeDelay is how late the source's response may be, after the poll's wait, before other core nodes are polled too.
+	// hedgeDelay is the time beyond the poll's wait after which other core nodes are polled as well.
 	hedgeDelay = 300 * time.Millisecond
 
-	// hedgeInterval is the time between the polls of one core node and the next. A follower that knows eight and can
-	// reach one finds it 1.4 s after its source was partitioned, within config_apply_ms. Followers that lose one source
-	// together go to different ones, each to the first of its own order that responds.
+	// hedgeInterval is the time between the polls of successive core nodes. A follower that knows eight and can reach
+	// one finds it 1.4 s after its source was partitioned, within config_apply_ms. Followers that lose the same source
+	// fail over to different ones, each to the first in its own order that responds.
 	hedgeInterval = 100 * time.Millisecond
 
-	// searchDuration is the time over which a poll spreads its calls to all core nodes if the poll before had no confirmed
-	// response. Calls overlap no more than needed for that: at the end of a partition the response to each one in
-	// flight has all changes.
+	// searchDuration is the time over which a poll spreads its calls to all core nodes if the previous poll had no
+	// confirmed response. Calls overlap no more than that requires, because when a partition heals, each call in flight
+	// is answered with all changes.
 	searchDuration = 1400 * time.Millisecond
 
-	// failbackInterval is the least time between two attempts to return to the first core node of the follower's order; a
-	// random time up to the same is added. Without failback all followers stay where the last partition drove them.
+	// failbackInterval is the minimum time between two attempts to return to the first core node of the follower's order;
+	// a random time of up to the same length is added. Without failback all followers would stay at the core nodes that
+	// the last partition left reachable.
 	failbackInterval = 8 * time.Second
 
-	// maxPollBackoff bounds the pause after a failed poll: a follower that knows three core nodes makes three calls a
-	// second.
+	// maxPollBackoff bounds the pause after a failed poll. A follower that knows three core nodes then makes three
+	// calls a second.
 	maxPollBackoff = 1200 * time.Millisecond
 
 	// firstPollBackoffStep is the step of backoff after the first failed poll: 0.2 to 0.4 s.
@@ -37,20 +38,20 @@
 // pollResult is the outcome of one call to a core node.
 type pollResult struct {
 	core     string
-	sent     time.Time // when the call was made; the response shows the state at this time or later
+	sent     time.Time // when the call began; a confirmed response has the state of this time or later
 	request  *ChangesRequest
 	response *ChangesResponse // not nil; empty if err is not nil
 	err      error
 }
 
-// hedgedPoll polls the source and, if that is late or not confirmed, the other core nodes one after the other, until the
+// hedgedPoll polls the source and, if its response is late or not confirmed, the other core nodes at intervals, until the
 // first confirmed response.
 type hedgedPoll struct {
 	follower  *Follower
-	remaining []string      // core nodes that are not polled yet
+	remaining []string      // core nodes not polled yet
 	interval  time.Duration // between two calls
 	inFlight  int
-	results   chan pollResult // with space for all calls, so that no call blocks
+	results   chan pollResult // buffered for all calls, so that none blocks
 }
 
 // poll makes one hedged poll, in which the source may delay its response by wait if there is no change. It reports
@@ -83,7 +84,8 @@
 	return false
 }
 
-// pollInterval returns the time between two calls of a poll: short if the source was confirmed until now.
+// pollInterval returns the time between two calls of a poll: hedgeInterval if the source was confirmed until now,
+// otherwise long enough to spread the calls over searchDuration, but at most pollGrace.
 func pollInterval(wait time.Duration, cores int) time.Duration {
 	if wait > 0 {
 		return hedgeInterval
@@ -91,7 +93,7 @@
 	return max(hedgeInterval, min(pollGrace, searchDuration/time.Duration(cores)))
 }
 
-// sendFirst polls the source and returns the time after which its response is late.
+// sendFirst polls the source and returns the time after which the next core node is polled.
 func (p *hedgedPoll) sendFirst(ctx context.Context, wait time.Duration) time.Duration {
 	request := p.follower.newRequest(wait)
 	if request.ReceivedIndex == 0 {
@@ -115,12 +117,12 @@
 	p.follower.wg.Go(func() { p.results <- p.follower.sendPoll(ctx, core, request) })
 }
 
-// acceptResult applies a response and reports whether its core node is the source now.
+// acceptResult applies the response of a call, if any, and reports whether its core node is now the source.
 func (f *Follower) acceptResult(ctx context.Context, result pollResult) bool {
 	if result.err != nil {
 		f.outages.noteFailure(result.err)
 		if ctx.Err() == nil {
-			f.log.Debug("core node does not answer", "node", result.core, "err", result.err)
+			f.log.Debug("poll failed", "node", result.core, "err", result.err)
 		}
 		return false
 	}
@@ -135,8 +137,8 @@
 	return true
 }
 
-// failback polls the first core node of the follower's order, if another one is the source and the time has come, and
-// returns to it if its response is confirmed.
+// failback polls the first core node of the follower's order if another one is the source and failbackInterval has
+// passed, and returns to it if its response is confirmed.
 func (f *Follower) failback(ctx context.Context) {
 	f.mu.Lock()
 	preferred, failedOver := f.sources.preferred(), f.sources.current() != f.sources.preferred()
--- a/internal/tier/feed/replica.go
+++ b/internal/tier/feed/replica.go
@@ -13,13 +13,13 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// errSourceBehind reports a response below an index that was confirmed before, although it claims to be confirmed.
-var errSourceBehind = errors.New("the source is behind an index that was confirmed before: another one is polled")
+// errSourceBehind reports a response that claims to be confirmed but whose index is below one that was confirmed earlier.
+var errSourceBehind = errors.New("source is behind an index that was confirmed earlier: polling another core node")
 
-// replica is a follower's copy of the control state. It is pure: it makes requests and turns responses into tables. The
-// index of the tables, the confirmed index and the indexes of values never go down, whatever sources send; the received
-// index goes back to that of the tables when a download is abandoned. It is not safe for concurrent use; the tables that
-// it made are immutable.
+// replica is a follower's copy of the control state. It does no I/O: it builds requests and turns responses into tables.
+// The index of the tables, the confirmed index and the indexes of values never decrease, whatever sources send; the
+// received index returns to that of the tables when a download is abandoned. It is not safe for concurrent use; the
+// tables that it built are immutable.
 type replica struct {
 	tables           *Tables          // never nil; replaced, never changed
 	receivedIndex    int64            // every entry up to it was received, in full, as a delta or as a reference
@@ -27,9 +27,9 @@
 	valueIndexes     map[string]int64 // by key: the index of the value in the tables
 	baseValue        []byte           // the current configuration's value, the base of deltas; nil if there is none
 	baseDigest       bodydelta.Digest // of baseValue
-	requestFull      bool             // the next request names no base, since a delta could not be applied
+	requestFull      bool             // the next request names no base value, since a delta could not be applied
 	download         *download        // the large value in progress, nil if there is none
-	configUnreadable bool             // the newest configuration could not be read: the tables have an older one
+	configUnreadable bool             // the newest configuration could not be parsed: the tables have an older one
 }
 
 func newReplica() *replica { return &replica{tables: &Tables{}, valueIndexes: map[string]int64{}} }
@@ -47,7 +47,7 @@
 		return request
 	}
 	if r.baseValue != nil {
-		digest := r.baseDigest // a copy: a value may be applied while the request is encoded
+		digest := r.baseDigest // a copy, since a value may be applied while the request is encoded
 		request.BaseValues = append(request.BaseValues, BaseValue{Key: ConfigKey, Digest: digest[:]})
 	}
 	empty := bodydelta.EmptyDigest() // the source may send the value compressed
@@ -55,14 +55,14 @@
 	return request
 }
 
-// handleResponse applies a confirmed response to a request that was sent at a time. Faults are the entries that could not
-// be applied. If the source is behind, nothing is applied and err is errSourceBehind.
+// handleResponse applies the confirmed response to a request that was sent at the given time. Faults are the errors of
+// entries that could not be applied. If the source is behind, nothing is applied and err is errSourceBehind.
 func (r *replica) handleResponse(sent time.Time, request *ChangesRequest, response *ChangesResponse) (faults []error, err error) {
 	if response.Index < r.confirmedIndex {
 		return nil, errSourceBehind
 	}
 	next := *r.tables
-	if request.ReceivedIndex <= r.receivedIndex { // otherwise a download ended meanwhile, and entries would be missed
+	if request.ReceivedIndex <= r.receivedIndex { // otherwise a download was abandoned or finished meanwhile, and entries would be missed
 		faults = r.applyEntries(&next, response)
 	}
 	r.applyHosts(&next, response)
@@ -73,8 +73,8 @@
 	return faults, nil
 }
 
-// applyEntries applies the entries of a response. Tables.Index rises to the response's index unless a value is still to be
-// downloaded, or a delta could not be applied; then its entry is requested in full with the next poll.
+// applyEntries applies the entries of a response. Tables.Index rises to the response's index unless a value is still to
+// be downloaded, or a delta could not be applied; the next poll then requests its entry in full.
 func (r *replica) applyEntries(next *Tables, response *ChangesResponse) (faults []error) {
 	for _, e := range response.Entries {
 		if err := r.applyEntry(next, e); err != nil {
@@ -97,7 +97,7 @@
 	return faults
 }
 
-// applyHosts applies a host list, or the delta of one, if it is newer than the current list.
+// applyHosts applies a host list, or a delta to the current list, if the result is newer than the current list.
 func (r *replica) applyHosts(next *Tables, response *ChangesResponse) {
 	current := r.tables.Hosts
 	if len(response.Hosts) == 1 && response.Hosts[0].Newer(current) {
@@ -110,13 +110,14 @@
 	}
 }
 
-// applyPatch applies an entry that was sent as a delta to baseValue, after both digests were checked.
+// applyPatch applies an entry that was sent as a delta to baseValue or to the empty value, after it verified both
+// digests.
 func (r *replica) applyPatch(next *Tables, p Patch) error {
 	if p.Index <= r.valueIndexes[p.Key] {
 		return nil
 	}
 	if p.Key != ConfigKey {
-		return errors.Newf("a delta of %s, which has no base value: the full value is requested", p.Key)
+		return errors.Newf("delta of %s, which has no base value: requesting the full value", p.Key)
 	}
 	base, baseDigest := r.baseValue, r.baseDigest
 	if bodydelta.IsCompressed(p.Delta) {
@@ -124,14 +125,14 @@
 	}
 	value, err := bodydelta.ApplyWithDigest(base, baseDigest, p.Delta, rpc.MaxFrame)
 	if err != nil {
-		return errors.Wrapf(err, "%s at index %d: the full value is requested", p.Key, p.Index)
+		return errors.Wrapf(err, "%s at index %d: requesting the full value", p.Key, p.Index)
 	}
 	return r.applyEntry(next, chain.Entry{Index: p.Index, Key: p.Key, Value: value})
 }
 
-// startDownload starts to download a value or resumes its download. A download in progress is completed even if there is
-// a newer value: that one is then sent as a delta, whereas versions that change faster than a download takes would
-// restart it for ever.
+// startDownload starts or resumes the download of a value. A download in progress is completed even if there is a newer
+// value, which is then sent as a delta: otherwise versions that change faster than a download takes would restart it
+// forever.
 func (r *replica) startDownload(ref ValueRef) {
 	if ref.Index <= r.valueIndexes[ref.Key] || ref.Key != ConfigKey && ref.Key != PlacementKey || !ref.isValid() {
 		return
@@ -146,7 +147,7 @@
 	}
 }
 
-// finishDownload applies the value of the complete download. On a digest mismatch the download starts again.
+// finishDownload applies the value of the complete download. On a digest mismatch the download restarts.
 func (r *replica) finishDownload() error {
 	d := r.download
 	value, err := d.value()
@@ -212,5 +213,5 @@
 	return nil
 }
 
-// complete reports whether the tables have all that a front needs to serve.
+// complete reports whether the tables have everything that a front needs to serve requests.
 func (t *Tables) complete() bool { return t.Config != nil && t.Placement != nil && t.Hosts != nil }
--- a/internal/tier/feed/tables.go
+++ b/internal/tier/feed/tables.go
@@ -26,18 +26,18 @@
 	return kept
 }
 
-// Tables are the state by which a front or store acts. They are immutable and replaced as a unit. What is nil was not
-// received yet.
+// Tables are the control state that a front or store uses. They are immutable and replaced as a unit. Fields that are nil
+// were not received yet.
 type Tables struct {
 	Index       int64 // every entry up to it, or a newer one of its key, is applied
 	Config      *routing.Config
 	Placement   *turnstore.Placement
 	Hosts       *discovery.List
-	ConfirmedAt time.Time // everything that was acknowledged before it is in the tables: when the last poll that showed so was sent
+	ConfirmedAt time.Time // send time of the last poll that proved it: every change acknowledged earlier is in the tables
 }
 
 // TablesProvider gives the other packages of a process the current tables, and notifies them of changes.
 type TablesProvider interface {
 	Tables() *Tables          // never nil
-	Changed() <-chan struct{} // closed with the next change of the tables' index, hosts, configuration or placement
+	Changed() <-chan struct{} // closed at the next change of the tables' index, hosts, configuration or placement
 }
--- a/internal/tier/feed/value_cache.go
+++ b/internal/tier/feed/value_cache.go
@@ -10,18 +10,18 @@
 
 const (
 	minPatchedValue = 1 << 10  // bytes; shorter values are always sent in full
-	maxPatchSize    = 32 << 10 // bytes; longer deltas between two values are not sent
+	maxPatchSize    = 32 << 10 // bytes; longer deltas between two cached values are not sent
 	maxInlineValue  = 64 << 10 // bytes; longer values are sent by reference and downloaded in chunks
-	maxValuesPerKey = 8        // cached for each key, the committed one included
-	maxCachedBytes  = 32 << 20 // of all cached values but the committed ones
+	maxValuesPerKey = 8        // cached for each key, including the newest
+	maxCachedBytes  = 32 << 20 // of all cached values except the newest of each key
 	maxChunkSize    = 64 << 10 // bytes of one chunk
 )
 
-// ValueCache keeps the values of the control state that a source sent lately, and the deltas between them, by digest. It
-// decides how an entry is sent. The zero value is ready for use. It is safe for concurrent use.
+// ValueCache caches a source's most recently committed values of the control state and the deltas between them, by
+// digest, and decides how an entry is sent. The zero value is ready for use. It is safe for concurrent use.
 type ValueCache struct {
 	mu     sync.Mutex
-	values []*cachedValue // in the order in which they were committed
+	values []*cachedValue // in commit order
 	deltas map[digestPair]*cachedDelta
 }
 
@@ -31,16 +31,16 @@
 	digest bodydelta.Digest
 }
 
-// digestPair identifies a delta.
+// digestPair identifies a delta by the digests of its base and its target.
 type digestPair struct{ base, target bodydelta.Digest }
 
-// cachedDelta is computed once, by the first follower's request that needs it.
+// cachedDelta is a delta that is computed once, by the first request that needs it.
 type cachedDelta struct {
 	once  sync.Once
 	bytes []byte // nil if there is no delta worth sending
 }
 
-// Update adds the values that are committed now, and drops old ones beyond the bounds.
+// Update adds the currently committed values, and evicts old ones beyond the bounds.
 func (v *ValueCache) Update(committed []chain.Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// lookup returns the value of a key with an index, nil if it is not cached. The caller holds the lock.
+// lookup returns the value that was committed for a key at an index, nil if it is not cached. The caller holds the lock.
 func (v *ValueCache) lookup(key string, index int64) *cachedValue {
 	for _, value := range v.values {
 		if value.Index == index && value.Key == key {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// evictOld drops the oldest values beyond the bounds, never the newest one of a key. The caller holds the lock.
+// evictOld evicts the oldest values beyond the bounds, but never the newest value of a key. The caller holds the lock.
 func (v *ValueCache) evictOld() {
 	count, newest, oldBytes := map[string]int{}, map[string]int64{}, 0
 	for _, value := range v.values {
@@ -118,8 +118,9 @@
 	return nil
 }
 
-// Add adds an entry to a response: as a delta to one of the follower's base values, compressed if the empty body is one of them, in full,
-// or by reference.
+// Add adds an entry to a response: as a delta to the first of the follower's base values for which there is one worth
+// sending (a delta to the empty value is the compressed value), otherwise in full, or by reference if it is longer than
+// maxInlineValue.
 func (v *ValueCache) Add(response *ChangesResponse, entry chain.Entry, baseValues []BaseValue) {
 	v.mu.Lock()
 	target := v.lookup(entry.Key, entry.Index)
@@ -145,8 +146,8 @@
 	response.LargeValues = append(response.LargeValues, ref)
 }
 
-// delta returns the delta from the value with a digest to another one, nil if there is none worth sending. It is computed
-// once for all followers, without the lock.
+// delta returns the delta to target from the base value with a digest, nil if there is none worth sending. It computes
+// the delta once for all followers, without holding the lock.
 func (v *ValueCache) delta(baseDigest []byte, target *cachedValue) []byte {
 	v.mu.Lock()
 	base := v.findBase(baseDigest, target.Key)
@@ -181,7 +182,8 @@
 // emptyValue is the base of compressed values.
 var emptyValue = &cachedValue{digest: bodydelta.EmptyDigest()}
 
-// findBase returns the base value of a key with a digest: a cached one or the empty one, nil if it is neither. The caller holds the lock.
+// findBase returns the base value of a key with a digest: a cached value or the empty one, nil if there is neither. The
+// caller holds the lock.
 func (v *ValueCache) findBase(digest []byte, key string) *cachedValue {
 	if bytes.Equal(digest, emptyValue.digest[:]) {
 		return emptyValue
@@ -192,7 +194,8 @@
 	return nil
 }
 
-// Chunk returns the response to a request for a chunk: at most maxChunkSize bytes of the value, or ChunkUnknown.
+// Chunk returns the response to a chunk request: at most maxChunkSize bytes of the value, or ChunkUnknown if the value is
+// not cached.
 func (v *ValueCache) Chunk(request *ChunkRequest) *Chunk {
 	value := v.Find(request.Digest)
 	if value == nil {
