--- a/internal/tier/feed/messages.go
+++ b/internal/tier/feed/messages.go
@@ -141,7 +141,7 @@
 // the singleton tasks; see package lease.
 type LeaseRelease struct {
 	Epoch      int64
-	WaitMicros int64 // remaining wait that the sender itself still had before it could use the lease
+	WaitMicros int64 // how long the sender itself still had to wait for the grants of earlier heads
 }
 
 // ClockReading is the wall clock of a node.
--- a/internal/tier/feed/scripted_cluster_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -23,23 +23,23 @@
 	slowLinkBytes = 30_000_000 / 8 // bytes a second
 )
 
-// scriptedCluster is a set of scripted core nodes and one real follower, whose tables are all checked. A script is a text
-// timeline: each line is a time in ms, then a cell for the commits, for each core node, and for the follower. A cell is a
-// list separated by commas, "." if it is empty.
+// scriptedCluster is a set of scripted core nodes and one real follower, each of whose published tables is checked. A script
+// is a text timeline: each line has a time in ms, a cell for the commits, one for each core node, and one for the follower.
+// A cell is a comma-separated list, "." if it is empty.
 //
-//	commits   few some large huge  a version with this many routes; few! ... with nothing in common with the one before
+//	commits   few some large huge  a version with this many routes; few! ... with nothing in common with the previous one
 //	          edit xN          the same routes with the next version; N of them, 10 ms apart
-//	          place            a placement
+//	          placement        a placement
 //	a node    up               its responses are confirmed, it has all committed entries
 //	          cut down frozen  calls get no response; are refused; wait until it resumes
-//	          alone            it responds without a majority, and has the entries and members that it had
-//	          lies             as alone, but its responses claim to be confirmed
-//	          thin             its link has 30 Mbit/s
-//	          slow             each response takes 300 ms more; quick ends that
-//	          lost             its cached values are dropped
-//	          garbles          each delta has a wrong byte; honest ends that
+//	          minority         it responds without a majority, and keeps the entries and members that it had
+//	          falseconfirm     as minority, but its responses claim to be confirmed
+//	          lowbandwidth     its link has 30 Mbit/s
+//	          slow             each response takes 300 ms more; fast ends that
+//	          evicted          its cached values are dropped
+//	          corrupts         each delta that it sends has a wrong byte; intact ends that
 //	          compresses       it sends values compressed, as the present release does
-//	          busy             it serves no chunks, since it has its maximum of transfers; serves ends that
+//	          busy             it serves no chunks, since it is at its limit of transfers; idle ends that
 //	          joins leaves     it becomes a member; it is removed
 //	follower  v3               it must have applied the third version by now; v0: none
 //	          seeds=a+b        SIGHUP with these seeds
@@ -66,7 +66,7 @@
 	fakeSource
 	name           string
 	reachability   string // one of up, cut, down, frozen
-	quorum         string // one of up, alone, lies
+	quorum         string // one of up, minority, falseconfirm
 	delay          time.Duration
 	corruptsDeltas bool
 	busy           bool
@@ -126,7 +126,7 @@
 	return rpc.ErrLost
 }
 
-// transmit returns how long bytes take over a node's link, after those that are queued in it.
+// transmit queues bytes on a node's link and returns how long they take, including those queued before.
 func (n *scriptedCore) transmit(size int) time.Duration {
 	if !n.slowLink {
 		return 0
@@ -139,7 +139,7 @@
 	return n.linkFreeAt.Sub(now)
 }
 
-// deliver delivers a response, unless its node was cut off or stopped meanwhile.
+// deliver delivers a response, unless its node was partitioned or stopped meanwhile.
 func (c *scriptedCluster) deliver(ctx context.Context, node *scriptedCore, encoded []byte, response any) error {
 	c.mu.Lock()
 	reach := node.reachability
@@ -167,7 +167,7 @@
 		return rpc.Encode(node.values.Chunk(body.(*ChunkRequest)))
 	}
 	request := body.(*ChangesRequest)
-	confirmed := node.quorum == "lies" || node.quorum == "up" && node.commitIndex >= request.ReceivedIndex
+	confirmed := node.quorum == "falseconfirm" || node.quorum == "up" && node.commitIndex >= request.ReceivedIndex
 	if hasUpdate := confirmed && node.commitIndex > request.ReceivedIndex; !hasUpdate && request.WaitMs > 0 {
 		wait := time.Duration(request.WaitMs) * time.Millisecond
 		request.WaitMs = 0
@@ -232,7 +232,7 @@
 	case "huge":
 		c.routeCount = hugeRoutes
 	}
-	if cell == "place" {
+	if cell == "placement" {
 		c.log.commitPlacement()
 	} else {
 		c.log.commitConfig(c.routeCount, c.bodySeed)
@@ -241,7 +241,7 @@
 	c.propagate()
 }
 
-// propagate replicates all committed entries to the nodes with a majority.
+// propagate replicates all committed entries to the nodes that have a majority.
 func (c *scriptedCluster) propagate() {
 	for _, n := range c.nodes {
 		if n.quorum == "up" && n.reachability != "frozen" {
@@ -260,25 +260,25 @@
 		node.reachability, node.quorum = "up", "up"
 	case "cut", "down", "frozen":
 		node.reachability = cell
-	case "alone", "lies":
+	case "minority", "falseconfirm":
 		node.reachability, node.quorum, node.members = "up", cell, slices.Clone(c.members)
 	case "slow":
 		node.delay = 300 * time.Millisecond
-	case "quick":
+	case "fast":
 		node.delay = 0
-	case "lost":
+	case "evicted":
 		node.values = ValueCache{}
-	case "thin":
+	case "lowbandwidth":
 		node.slowLink = true
 	case "busy":
 		node.busy = true
-	case "serves":
+	case "idle":
 		node.busy = false
 	case "compresses":
 		node.compresses = true
-	case "garbles":
+	case "corrupts":
 		node.corruptsDeltas = true
-	case "honest":
+	case "intact":
 		node.corruptsDeltas = false
 	case "joins":
 		c.members = append(c.members, node.name)
@@ -305,7 +305,7 @@
 		got = slices.Index(c.versions, config.Version) + 1
 	}
 	if got != want {
-		c.t.Errorf("at %s ms it has applied version %d, want %d", at, got, want)
+		c.t.Errorf("at %s ms the follower has applied version %d, want %d", at, got, want)
 	}
 }
 
@@ -377,9 +377,9 @@
 	})
 }
 
-// runRow executes one line: members, other node states, commits, checks.
+// runRow executes one line, in this order: membership, other node states, commits, checks.
 func (c *scriptedCluster) runRow(row, names []string) {
-	for _, members := range []bool{true, false} { // members first: a node that is partitioned knows those of the same line
+	for _, members := range []bool{true, false} { // membership first, since a node that loses its majority keeps the members of the same line
 		for i, name := range names {
 			for cell := range strings.SplitSeq(row[i+2], ",") {
 				if cell != "." && (cell == "joins" || cell == "leaves") == members {
