--- a/internal/tier/feed/bench_test.go
+++ b/internal/tier/feed/bench_test.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/rpc"
 )
 
-// BenchmarkHandleResponse1MB applies a version of 1 MB in which a few bytes have changed: as a delta, and in full.
+// BenchmarkHandleResponse1MB applies a 1 MB version that differs in a few bytes, as a delta and in full.
 func BenchmarkHandleResponse1MB(b *testing.B) {
 	var log commitLog
 	first, second := log.commitConfig(5400, 1), log.commitConfig(5400, 1)
--- a/internal/tier/feed/commit_log_test.go
+++ b/internal/tier/feed/commit_log_test.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/tier/turnstore"
 )
 
-// configBody returns a valid configuration. With the same seed and another version it differs in few bytes.
+// configBody returns a valid configuration. Versions with the same routes and seed differ in few bytes.
 func configBody(version int64, routes, seed int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"config_version":%d,"service_table":[{"name":"s"}],"route_table":[`, version)
@@ -52,7 +52,7 @@
 	hugeRoutes  = 27_500 // 5 MB
 )
 
-// commitLog is everything that was committed. A follower's tables are checked against it.
+// commitLog has all committed entries, against which a follower's tables are checked.
 type commitLog struct {
 	entries []chain.Entry
 	version int64
@@ -64,7 +64,7 @@
 	return e
 }
 
-// commitConfig commits the next version; some versions are skipped.
+// commitConfig commits the next version. Some version numbers are skipped.
 func (l *commitLog) commitConfig(routes, seed int) chain.Entry {
 	l.version += 1 + l.version%3
 	return l.put(ConfigKey, configValue(l.version, routes, seed))
@@ -75,7 +75,7 @@
 	return l.put(PlacementKey, rpc.Encode(&turnstore.Placement{Generation: int64(len(l.entries)) + 1}))
 }
 
-// latest returns the newest entry of each key up to an index, by rising index.
+// latest returns the newest entry of each key up to an index, in index order.
 func (l *commitLog) latest(index int64) (entries []chain.Entry) {
 	last := map[string]int64{}
 	for _, e := range l.entries[:index] {
@@ -89,17 +89,17 @@
 	return entries
 }
 
-// check checks new tables against those before: nothing goes back, everything was committed, nothing is missing.
+// check checks new tables against the previous ones: nothing decreases, everything was committed, nothing is missing.
 func (l *commitLog) check(before, after *Tables) error {
 	switch {
 	case after.Index < before.Index:
-		return fmt.Errorf("index goes back from %d to %d", before.Index, after.Index)
+		return fmt.Errorf("index decreases from %d to %d", before.Index, after.Index)
 	case before.Config != nil && (after.Config == nil || after.Config.Version < before.Config.Version):
-		return fmt.Errorf("configuration goes back from %d", before.Config.Version)
+		return fmt.Errorf("configuration version decreases from %d", before.Config.Version)
 	case before.Placement != nil && (after.Placement == nil || after.Placement.Generation < before.Placement.Generation):
-		return fmt.Errorf("placement goes back from %d", before.Placement.Generation)
+		return fmt.Errorf("placement generation decreases from %d", before.Placement.Generation)
 	case after.ConfirmedAt.Before(before.ConfirmedAt):
-		return fmt.Errorf("ConfirmedAt goes back")
+		return fmt.Errorf("ConfirmedAt decreases")
 	}
 	for _, e := range l.latest(min(after.Index, int64(len(l.entries)))) {
 		if e.Key == PlacementKey && (after.Placement == nil || after.Placement.Generation < e.Index) {
@@ -117,7 +117,7 @@
 
 func decodeConfig(e chain.Entry) (v ConfigEntry, err error) { return v, rpc.Decode(e.Value, &v) }
 
-// checkConfig compares the routes of the tables with those of the committed version.
+// checkConfig checks that the tables have exactly the routes of the committed version.
 func (l *commitLog) checkConfig(tables *Tables) error {
 	for _, e := range l.entries {
 		config, err := decodeConfig(e)
@@ -141,11 +141,11 @@
 	return fmt.Errorf("version %d was never committed", tables.Config.Version)
 }
 
-// fakeSource is a core node as followers see it: its commit index and its cached values.
+// fakeSource is the feed server of a core node: its commit index and its cached values.
 type fakeSource struct {
 	commitIndex int64
 	values      ValueCache
-	compresses  bool // unlike a core node of a release that does not know the empty base value
+	compresses  bool // false for a core node of a release that does not know the empty base value
 }
 
 // isEmpty reports whether a base value is the empty one.
@@ -169,7 +169,7 @@
 	return wireCopy(response)
 }
 
-// wireCopy encodes and decodes a message, so that nothing is shared.
+// wireCopy encodes and decodes a message, so that the copy shares no memory with it.
 func wireCopy[T any](v *T) *T {
 	out := new(T)
 	if err := rpc.Decode(rpc.Encode(v), out); err != nil {
--- a/internal/tier/feed/follower_test.go
+++ b/internal/tier/feed/follower_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// The partition heals at many different times: during polls, at their time-outs and in the pauses between them. A follower
-// whose pauses or time-outs are too long would exceed the time limit for some of them.
+// The partition heals at many different times: during polls, at their time-outs and in the pauses between them. The
+// follower must always apply the change within 2.3 s.
 func TestFollowerCatchesUpWheneverPartitionHeals(t *testing.T) {
 	for healsAt := 1000; healsAt < 2600; healsAt += 17 {
 		runTimeline(t, "a+b+c", fmt.Sprintf(`
@@ -113,7 +113,8 @@
 	}
 }
 
-// Both core nodes are polled at the start. After the partition, the 300 missed versions arrive as a single value or delta.
+// Both core nodes are polled at the start. After the partition, the 300 missed versions arrive as a single value or
+// delta.
 func TestCatchUpTransfersOnlyNewestValue(t *testing.T) {
 	timeline := `
 		ms   commits a        b        front
@@ -264,7 +265,8 @@
 	}
 }
 
-// While no response is confirmed, the follower keeps its tables, polls at a bounded rate, and ConfirmedAt does not advance.
+// While no response is confirmed, the follower keeps its tables, polls at a bounded rate, and ConfirmedAt does not
+// advance.
 func TestFollowerWithoutConfirmedSourceKeepsTables(t *testing.T) {
 	for _, fault := range []string{"minority", "cut", "down", "falseconfirm"} {
 		runTimeline(t, "a+b+c", fmt.Sprintf(`
--- a/internal/tier/feed/link_simulation_run_test.go
+++ b/internal/tier/feed/link_simulation_run_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// setLink cuts or opens directions of a link. The caller holds the lock.
+// setLink cuts or restores directions of a link. The caller holds the lock.
 func (f *simulatedFollower) setLink(addr string, cut bool, directions ...direction) {
 	for _, d := range directions {
 		f.links[addr].cut[d] = cut
@@ -24,12 +24,12 @@
 	return [][]direction{{requests}, {responses}, {requests, responses}}[s.rand.IntN(3)]
 }
 
-// applyRandomEvent makes one random change. The caller holds the lock.
+// applyRandomEvent applies one random event. The caller holds the lock.
 func (s *linkSimulation) applyRandomEvent() {
 	follower := s.followers[s.rand.IntN(len(s.followers))]
 	node := s.nodes[s.rand.IntN(len(s.nodes))]
 	switch s.rand.IntN(9) {
-	case 0, 1: // cut off the source just before a change is committed
+	case 0, 1: // cut the link to the source just before a change is committed
 		follower.setLink(follower.Core(), true, s.randomDirections()...)
 		s.updateLocked()
 		s.commitLocked()
@@ -43,11 +43,11 @@
 		for _, other := range s.nodes {
 			follower.setLink(other.addr, true, s.randomDirections()...)
 		}
-	case 4: // cut off the source, open the next
+	case 4: // cut the link to the source, restore the one to the next
 		next := follower.nextSource()
 		follower.setLink(follower.Core(), true, s.randomDirections()...)
 		follower.setLink(next, false, requests, responses)
-	case 5: // open all links just before a change is committed
+	case 5: // restore all links just before a change is committed
 		for _, other := range s.nodes {
 			follower.setLink(other.addr, false, requests, responses)
 		}
@@ -57,7 +57,7 @@
 		node.isolated = !node.isolated
 		s.logf("%s isolated: %v", node.addr, node.isolated)
 		s.updateLocked()
-	case 7: // start a follower that knows some nodes only
+	case 7: // start a follower that knows only some nodes
 		if len(s.followers) < 6 {
 			s.start(s.randomSeeds())
 		}
@@ -74,7 +74,7 @@
 	return f.sources.next(f.sources.current())
 }
 
-// randomSeeds returns some nodes, or only the isolated ones.
+// randomSeeds returns some nodes, or, half of the time if there are any, exactly the isolated ones.
 func (s *linkSimulation) randomSeeds() (seeds []string) {
 	for _, n := range s.nodes {
 		if n.isolated {
@@ -91,7 +91,7 @@
 	return seeds
 }
 
-// runLinkSimulation runs a simulation of a number of steps and returns it.
+// runLinkSimulation runs a simulation with the given number of random events and returns it.
 func runLinkSimulation(t *testing.T, seed uint64, steps int, fault linkFault) (sim *linkSimulation) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -135,10 +135,10 @@
 			t.Fatalf("seed %d, %d nodes: %s\n%s", seed, len(sim.nodes), sim.failures[0], strings.Join(sim.events, "\n"))
 		}
 	}
-	t.Logf("%d simulations, %d times a follower that could reach a node applied a change in time",
+	t.Logf("%d simulations, %d checks that a follower that could reach a node applied a change in time",
 		*linkSimulations, checked)
 	if checked < int(*linkSimulations)*10 {
-		t.Errorf("only %d times a follower could reach a node", checked)
+		t.Errorf("only %d checks of a follower that could reach a node", checked)
 	}
 }
 
@@ -151,7 +151,7 @@
 					return
 				}
 			}
-			t.Fatalf("not found in %d simulations", maxLinkFaultSimulations)
+			t.Fatalf("planted fault not found in %d simulations", maxLinkFaultSimulations)
 		})
 	}
 }
--- a/internal/tier/feed/link_simulation_test.go
+++ b/internal/tier/feed/link_simulation_test.go
@@ -15,8 +15,8 @@
 	"larchrouter/internal/rpc"
 )
 
-// Requirement that the simulation checks: a follower that could reach some node, in both directions, for contactTime before
-// a change was committed, and still can, must apply it within applyTime, whatever happens on its other links.
+// The simulation checks that a follower applies a change within applyTime, whatever happens on its other links, if it
+// could reach some node in both directions for contactTime before the change was committed and ever since.
 const (
 	contactTime = 3 * time.Second // contact_ms
 	applyTime   = 2 * time.Second // config_apply_ms
@@ -26,8 +26,8 @@
 type linkFault string
 
 const (
-	neverFailsOver      linkFault = "it polls one core node only"
-	callsWithoutTimeout linkFault = "its calls have no time-out"
+	neverFailsOver      linkFault = "it polls a single core node"
+	callsWithoutTimeout linkFault = "calls have no time-out"
 	staleIsConfirmed    linkFault = "an isolated node sends confirmed responses"
 	membersNotSent      linkFault = "responses name no core nodes"
 )
@@ -44,7 +44,7 @@
 type link struct {
 	cut         [2]bool
 	known       bool      // the follower has the node's address
-	usableSince time.Time // since then it is known, both directions are open and the node is not isolated; zero otherwise
+	usableSince time.Time // since when it is known, open in both directions, and the node is not isolated; zero if it is not
 }
 
 // open reports whether both directions are open.
@@ -55,10 +55,10 @@
 	fakeSource
 	addr     string
 	isolated bool
-	members  []string // as of the time when it was isolated
+	members  []string // when it was isolated, the members at that time
 }
 
-// simulatedFollower is a real follower and its links.
+// simulatedFollower is a real follower with simulated links.
 type simulatedFollower struct {
 	*Follower
 	sim       *linkSimulation
@@ -67,7 +67,7 @@
 	links     map[string]*link
 }
 
-// linkSimulation simulates followers and core nodes with links of which each direction may be cut on its own.
+// linkSimulation simulates followers and core nodes with links that can be cut in each direction separately.
 type linkSimulation struct {
 	mu           sync.Mutex
 	rand         *rand.Rand
@@ -108,8 +108,8 @@
 	s.events = append(s.events, fmt.Sprintf("%6d ms ", time.Since(s.startedAt).Milliseconds())+fmt.Sprintf(format, args...))
 }
 
-// updateLocked replicates to the nodes that are not isolated, updates the links and wakes waiting calls. The caller holds
-// the lock.
+// updateLocked replicates all entries to the nodes that are not isolated, updates the links and wakes waiting calls. The
+// caller holds the lock.
 func (s *linkSimulation) updateLocked() {
 	for _, node := range s.nodes {
 		if !node.isolated {
@@ -176,8 +176,8 @@
 	s.logf("FAILED: "+format, args...)
 }
 
-// Call implements Caller. A request on a cut direction is handled once that is open again, as bytes in a socket are; a
-// response likewise.
+// Call implements Caller. Like bytes in a socket, a request or response on a cut direction is delivered once that is open
+// again.
 func (f *simulatedFollower) Call(ctx context.Context, to string, m rpc.Method, body, response any) error {
 	sim := f.sim
 	if sim.fault == neverFailsOver {
@@ -206,7 +206,7 @@
 	return rpc.Decode(encoded, response)
 }
 
-// learnMembers records that the follower has a response of a node, and so knows its members.
+// learnMembers records that a response of a node made its members known to the follower.
 func (f *simulatedFollower) learnMembers(node *simulatedCore) {
 	f.sim.mu.Lock()
 	defer f.sim.mu.Unlock()
@@ -283,7 +283,7 @@
 	}
 }
 
-// commitLocked commits a change and checks the followers once they must have applied it. The caller holds the lock.
+// commitLocked commits a change and checks the followers after applyTime. The caller holds the lock.
 func (s *linkSimulation) commitLocked() {
 	if !slices.ContainsFunc(s.nodes, func(n *simulatedCore) bool { return !n.isolated }) {
 		return
@@ -305,7 +305,7 @@
 	})
 }
 
-// checkApplied checks that a follower that could reach a node has applied a change.
+// checkApplied checks that a follower has applied a change if it could reach a node long enough.
 func (s *linkSimulation) checkApplied(f *simulatedFollower, index int64, committed time.Time) {
 	source := f.reachableSince(committed.Add(-contactTime))
 	if source == "" {
@@ -318,7 +318,7 @@
 	}
 }
 
-// reachableSince returns a node that the follower could reach since a time, empty if there is none.
+// reachableSince returns a node that the follower has been able to reach since a time, empty if there is none.
 func (f *simulatedFollower) reachableSince(since time.Time) string {
 	if f.startedAt.After(since) {
 		return ""
--- a/internal/tier/feed/replica_simulation_test.go
+++ b/internal/tier/feed/replica_simulation_test.go
@@ -19,7 +19,7 @@
 
 const (
 	noFault        replicaFault = ""
-	indexGoesBack  replicaFault = "index goes back"
+	indexGoesBack  replicaFault = "index decreases"
 	noDigest       replicaFault = "delta applied without its digests"
 	mixedChunks    replicaFault = "chunks of two values mixed"
 	staleAccepted  replicaFault = "stale source accepted"
@@ -27,8 +27,8 @@
 	confirmedEarly replicaFault = "confirmed before a value is downloaded"
 )
 
-// replicaSimulation simulates a replica and three sources that lag, send stale responses as confirmed and lose cached
-// values, with a poll and chunk requests in flight.
+// replicaSimulation simulates a replica with a poll and chunk requests in flight, and three sources that lag, send stale
+// responses as confirmed and lose cached values.
 type replicaSimulation struct {
 	t            *testing.T
 	rand         *rand.Rand
@@ -43,7 +43,7 @@
 	bodySeed     int
 	commitTimes  []time.Time // when each entry was committed
 	maySendStale bool        // sources may send stale responses as confirmed
-	sentStale    bool        // one did, so ConfirmedAt is no longer checked
+	sentStale    bool        // a source has sent a stale response as confirmed: ConfirmedAt is no longer checked
 }
 
 type pollExchange struct {
@@ -89,8 +89,8 @@
 	c.randomSource().commitIndex = int64(len(c.log.entries))
 }
 
-// sendPoll sends a poll. The response is made now and received later. A source that was frozen may send its stale state as
-// confirmed.
+// sendPoll sends a poll. The source builds its response now, and receiveResponse delivers it later. A source that was
+// frozen may send its stale state as confirmed.
 func (c *replicaSimulation) sendPoll() {
 	source := c.randomSource()
 	confirmed := source.commitIndex == int64(len(c.log.entries))
@@ -130,7 +130,7 @@
 	}
 }
 
-// plantFault changes the replica's fields, or the response, so that one of its checks has no effect.
+// plantFault changes the replica's fields, or the response, to disable one of the replica's checks.
 func (c *replicaSimulation) plantFault(exchange *pollExchange) {
 	switch c.fault {
 	case indexGoesBack:
@@ -151,7 +151,7 @@
 	}
 }
 
-// applyUnchecked applies a delta without checking its digests; nil if that is impossible.
+// applyUnchecked applies a delta without verifying its digests. It returns nil if the delta is malformed.
 func applyUnchecked(old, delta []byte) (value []byte) {
 	operations, copied := delta[min(len(delta), 1+2*len(bodydelta.Digest{})):], 0
 	for len(operations) > 0 {
@@ -224,7 +224,7 @@
 	}
 }
 
-// mixChunks replaces a chunk by that of any other value of the same size.
+// mixChunks replaces a chunk with that of the first committed value of the same size.
 func (c *replicaSimulation) mixChunks(exchange *chunkExchange) {
 	for _, e := range c.log.entries {
 		if int64(len(e.Value)) == exchange.download.ref.Size && exchange.chunk != nil {
@@ -235,12 +235,12 @@
 	}
 }
 
-// clearCache drops a source's cached values.
+// clearCache clears the cached values of a random source.
 func (c *replicaSimulation) clearCache() { c.randomSource().values = ValueCache{} }
 
 func (c *replicaSimulation) catchUp() { c.randomSource().commitIndex = int64(len(c.log.entries)) }
 
-// step makes one random step and checks the tables.
+// step performs one random step and checks the tables.
 func (c *replicaSimulation) step() error {
 	before := c.replica.tables
 	c.clock = c.clock.Add(time.Millisecond)
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// converge makes all sources current: the replica must reach the newest index.
+// converge brings all sources up to date, after which the replica must reach the newest index.
 func (c *replicaSimulation) converge() error {
 	for _, source := range c.sources {
 		source.commitIndex = int64(len(c.log.entries))
@@ -300,11 +300,11 @@
 			return err
 		}
 		for c.replica.download != nil && !c.replica.download.abandoned {
-			c.replica.download.pending = nil // their requests are lost
+			c.replica.download.pending = nil // their requests were lost
 			download := c.replica.download
 			span, ok := download.nextRange()
 			if !ok {
-				return fmt.Errorf("nothing to request with %d of %d bytes", len(download.data), download.ref.Size)
+				return fmt.Errorf("no range left to request with %d of %d bytes", len(download.data), download.ref.Size)
 			}
 			chunk := source.values.Chunk(&ChunkRequest{Digest: download.ref.Digest, Offset: span.offset, Length: span.length})
 			if !download.handleChunk(span, chunk) && download.failures >= 6 {
@@ -320,7 +320,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("remains at index %d of %d", c.replica.tables.Index, source.commitIndex)
+	return fmt.Errorf("replica does not advance beyond index %d of %d", c.replica.tables.Index, source.commitIndex)
 }
 
 func (c *replicaSimulation) run() error {
@@ -347,7 +347,7 @@
 	}
 }
 
-// Each fault must be found by some of the simulations that find nothing without it.
+// The simulations must find each planted fault; without one, the same simulations pass.
 func TestReplicaSimulationFindsPlantedFaults(t *testing.T) {
 	for _, fault := range []replicaFault{indexGoesBack, noDigest, mixedChunks, staleAccepted, gapOverlooked, confirmedEarly} {
 		t.Run(string(fault), func(t *testing.T) {
@@ -357,7 +357,7 @@
 					return
 				}
 			}
-			t.Fatalf("not found in %d simulations", maxFaultSimulations)
+			t.Fatalf("planted fault not found in %d simulations", maxFaultSimulations)
 		})
 	}
 }
--- a/internal/tier/feed/scripted_cluster_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -23,9 +23,9 @@
 	slowLinkBytes = 30_000_000 / 8 // bytes a second
 )
 
-// scriptedCluster is a set of scripted core nodes and one real follower, each of whose published tables is checked. A script
-// is a text timeline: each line has a time in ms, a cell for the commits, one for each core node, and one for the follower.
-// A cell is a comma-separated list, "." if it is empty.
+// scriptedCluster is a set of scripted core nodes and one real follower, each of whose published tables is checked. A
+// script is a text timeline: each line has a time in ms, a cell for the commits, one for each core node, and one for the
+// follower. A cell is a comma-separated list, "." if it is empty.
 //
 //	commits   few some large huge  a version with this many routes; few! ... with nothing in common with the previous one
 //	          edit xN          the same routes with the next version; N of them, 10 ms apart
@@ -379,7 +379,7 @@
 
 // runRow executes one line, in this order: membership, other node states, commits, checks.
 func (c *scriptedCluster) runRow(row, names []string) {
-	for _, members := range []bool{true, false} { // membership first, since a node that loses its majority keeps the members of the same line
+	for _, members := range []bool{true, false} { // membership first: a node that loses its majority knows the members of this line
 		for i, name := range names {
 			for cell := range strings.SplitSeq(row[i+2], ",") {
 				if cell != "." && (cell == "joins" || cell == "leaves") == members {
--- a/internal/tier/feed/source_balance_test.go
+++ b/internal/tier/feed/source_balance_test.go
@@ -14,7 +14,7 @@
 	coreCount     = 5
 )
 
-// largestGroup returns the largest number of followers of one node, and the numbers by node.
+// largestGroup returns the largest number of followers of any node, and the number for each node.
 func (s *linkSimulation) largestGroup() (largest int, bySource map[string]int) {
 	bySource = map[string]int{}
 	for _, f := range s.followers {
@@ -26,8 +26,8 @@
 	return largest, bySource
 }
 
-// Followers that start together, those of a node that is partitioned from them, and those that one node had to serve alone
-// don't stay at one node while others can be reached, and no node is flooded with calls.
+// Followers don't crowd at one node while others can be reached: not when they start together, not after their node was
+// partitioned, and not after one node had to serve all of them. No node is overloaded with calls meanwhile.
 func TestFollowersStayBalancedAfterPartitions(t *testing.T) {
 	for name, directions := range map[string][]direction{
 		"responses cut": {responses},
@@ -56,7 +56,7 @@
 				sim.setPartition(directions, sim.nodes[:4]...)
 				time.Sleep(contactTime + applyTime)
 				if largest, bySource := sim.largestGroup(); largest != followerCount {
-					t.Errorf("the only node that can be reached has %d of %d followers: %v", bySource[sim.nodes[4].addr], followerCount, bySource)
+					t.Errorf("the only reachable node has %d of %d followers: %v", bySource[sim.nodes[4].addr], followerCount, bySource)
 				}
 				sim.setPartition(directions)
 				time.Sleep(2*failbackInterval + time.Second)
@@ -68,7 +68,7 @@
 	}
 }
 
-// takeCallCounts returns the number of calls of each node since the last time.
+// takeCallCounts returns the number of calls to each node, and resets it.
 func (s *linkSimulation) takeCallCounts() (calls map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return calls
 }
 
-// checkIdleCalls fails if followers of confirmed sources make more calls than their long polls.
+// checkIdleCalls fails if followers of confirmed sources make other calls than their long polls.
 func (s *linkSimulation) checkIdleCalls(t *testing.T) {
 	t.Helper()
 	s.takeCallCounts()
@@ -90,7 +90,7 @@
 	}
 }
 
-// startFollowers starts many followers at the same time.
+// startFollowers starts followerCount followers at the same time.
 func (s *linkSimulation) startFollowers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// setPartition cuts directions between all followers and some nodes, and opens all others.
+// setPartition cuts directions of the links between all followers and some nodes, and restores all other links.
 func (s *linkSimulation) setPartition(directions []direction, nodes ...*simulatedCore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,10 +118,10 @@
 	s.updateLocked()
 }
 
-// checkBalance fails if a node has more than twice its share of the followers.
+// checkBalance fails if a node has more than twice its fair share of the followers.
 func (s *linkSimulation) checkBalance(t *testing.T, when string, nodes int) {
 	t.Helper()
 	if largest, bySource := s.largestGroup(); largest > 2*followerCount/nodes {
-		t.Errorf("%s one of %d nodes has %d of %d followers: %v", when, nodes, largest, followerCount, bySource)
+		t.Errorf("%s: one of %d nodes has %d of %d followers: %v", when, nodes, largest, followerCount, bySource)
 	}
 }
--- a/internal/tier/feed/unreadable_config_test.go
+++ b/internal/tier/feed/unreadable_config_test.go
@@ -13,10 +13,11 @@
 	return rpc.Encode(&ConfigEntry{Version: version, Body: []byte(body)})
 }
 
-// Guards against CONFIG: tables that lack an acknowledged configuration, as this program cannot read it, must not count as confirmed.
+// Tables that lack an acknowledged configuration, because this program cannot parse it, must not count as confirmed
+// (requirement CONFIG): an API key that it revoked would still be accepted.
 func TestUnreadableConfigDoesNotConfirmTables(t *testing.T) {
 	good := `{"config_version":1,"tenant_table":[{"name":"a","api_keys":["k"]}],"service_table":[{"name":"s"}],"route_table":[{"host_name":"h","path_prefix":"/p/","deadline_ms":5,"target_service":"s"}]}`
-	// version 2 takes k from a; an older core without the check of tenants acknowledged it
+	// version 2 revokes the key k; an older core node, which does not validate tenant names, acknowledged it
 	bad := `{"config_version":2,"tenant_table":[{"name":"a b","api_keys":["z"]}],"service_table":[{"name":"s"}],"route_table":[{"host_name":"h","path_prefix":"/p/","deadline_ms":5,"target_service":"s"}]}`
 	r := newReplica()
 	t0 := time.Now()
@@ -38,7 +39,7 @@
 	defer func() {
 		step(t0.Add(11*time.Second), 3, encodedConfig(3, strings.Replace(good, `"config_version":1`, `"config_version":3`, 1)))
 		if r.tables.Config.Version != 3 || !r.tables.ConfirmedAt.Equal(t0.Add(11*time.Second)) {
-			t.Errorf("after one that can be read: version %d, confirmed at +%v", r.tables.Config.Version, r.tables.ConfirmedAt.Sub(t0))
+			t.Errorf("after a readable configuration: version %d, confirmed at +%v", r.tables.Config.Version, r.tables.ConfirmedAt.Sub(t0))
 		}
 	}()
 	if r.tables.Config.TenantOf("k") != nil && r.tables.ConfirmedAt.After(t0) {
--- a/internal/tier/feed/usage_test.go
+++ b/internal/tier/feed/usage_test.go
@@ -13,8 +13,8 @@
 	"larchrouter/internal/tier/usage"
 )
 
-// The number of the method and the bytes of its messages are on the wire: they are never written anew. big is beyond 32 bits, so
-// that a field that is made narrower does not pass.
+// The method number and the encoding of its messages are part of the wire protocol, so the expected bytes must never be
+// regenerated. big exceeds 32 bits, so that a field of a narrower type fails.
 func TestUsageMessagesKeepTheirBytes(t *testing.T) {
 	const big = 1 << 40
 	if UsageCall != 12 {
@@ -41,16 +41,16 @@
 			t.Fatal(err)
 		}
 		if now := rpc.Encode(test.value); !bytes.Equal(now, old) {
-			t.Errorf("%s is encoded as\n%x, was\n%x", test.name, now, old)
+			t.Errorf("%s is encoded as\n%x, want\n%x", test.name, now, old)
 		}
 		got := reflect.New(reflect.TypeOf(test.value).Elem()).Interface()
 		if err := rpc.Decode(old, got); err != nil || !reflect.DeepEqual(got, test.value) {
-			t.Errorf("%s: the old bytes mean %+v (%v), want %+v", test.name, got, err, test.value)
+			t.Errorf("%s: the expected bytes decode to %+v (%v), want %+v", test.name, got, err, test.value)
 		}
 	}
 }
 
-// usageCaller answers reports with a receipt, and keeps where the last one went.
+// usageCaller is a Caller that returns a fixed receipt and records the last report and its address.
 type usageCaller struct {
 	to      string
 	report  UsageReport
@@ -74,7 +74,7 @@
 	for addr, want := range map[string]string{"": "core:1", "head:1": "head:1"} {
 		receipt, err := f.ReportUsage(t.Context(), addr, report)
 		if err != nil || receipt != calls.receipt || calls.to != want {
-			t.Errorf("the report to %q went to %q and ended in %+v, %v", addr, calls.to, receipt, err)
+			t.Errorf("report to %q: sent to %q, result %+v, %v", addr, calls.to, receipt, err)
 		}
 	}
 	want := UsageReport{Name: "front-1", Incarnation: 3, Windows: report.Windows, Loads: report.Loads}
@@ -83,6 +83,6 @@
 	}
 	calls.err = errors.New("lost")
 	if _, err := f.ReportUsage(t.Context(), "", report); !errors.Is(err, calls.err) {
-		t.Errorf("a lost report ended in %v", err)
+		t.Errorf("a lost report returned %v", err)
 	}
 }
--- a/internal/tier/feed/value_cache_test.go
+++ b/internal/tier/feed/value_cache_test.go
@@ -43,7 +43,7 @@
 	source.commitIndex = 4
 	request := &ChangesRequest{ReceivedIndex: 3, BaseValues: []BaseValue{{ConfigKey, digest[:]}}}
 	if response := source.respond(&log, request, true); len(response.LargeValues) != 1 || len(response.Patches) != 0 {
-		t.Errorf("a delta that is not shorter: %d deltas, %d references", len(response.Patches), len(response.LargeValues))
+		t.Errorf("a delta that is not worth sending: %d deltas, %d references", len(response.Patches), len(response.LargeValues))
 	}
 }
 
@@ -60,9 +60,9 @@
 	v.Update([]chain.Entry{{Index: 301, Key: ConfigKey, Value: value(1, maxCachedBytes+1)}})
 	v.Update([]chain.Entry{{Index: 302, Key: ConfigKey, Value: value(2, maxCachedBytes+1)}})
 	if len(v.values) != 1 || v.values[0].Index != 302 {
-		t.Errorf("%d values cached although the one before is above the bound", len(v.values))
+		t.Errorf("%d values cached, although all but the newest exceed the byte limit", len(v.values))
 	}
 	if len(v.deltas) != 0 {
-		t.Errorf("%d deltas of dropped values", len(v.deltas))
+		t.Errorf("%d deltas of evicted values", len(v.deltas))
 	}
 }
