--- a/internal/tier/feed/bench_test.go
+++ b/internal/tier/feed/bench_test.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/rpc"
 )
 
-// BenchmarkHandleResponse1MB applies a version of 1 MB in which a few bytes have changed: as a delta, and in full.
+// BenchmarkHandleResponse1MB applies a 1 MB version that differs in a few bytes, as a delta and in full.
 func BenchmarkHandleResponse1MB(b *testing.B) {
 	var log commitLog
 	first, second := log.commitConfig(5400, 1), log.commitConfig(5400, 1)
@@ -51,7 +51,7 @@
 		b.Fatal(err)
 	}
 	for r.download != nil {
-		span, _ := r.download.nextSpan()
+		span, _ := r.download.nextRange()
 		d := r.download
 		d.handleChunk(span, source.values.Chunk(&ChunkRequest{Digest: d.ref.Digest, Offset: span.offset, Length: span.length}))
 		if d.complete() {
--- a/internal/tier/feed/scripted_cluster_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -23,23 +23,23 @@
 	slowLinkBytes = 30_000_000 / 8 // bytes a second
 )
 
-// scriptedCluster is a set of scripted core nodes and one real follower, whose tables are all checked. A script is a text
-// timeline: each line is a time in ms, then a cell for the commits, for each core node, and for the follower. A cell is a
-// list separated by commas, "." if it is empty.
+// scriptedCluster is a set of scripted core nodes and one real follower, each of whose published tables is checked. A
+// script is a text timeline: each line has a time in ms, a cell for the commits, one for each core node, and one for the
+// follower. A cell is a comma-separated list, "." if it is empty.
 //
-//	commits   few some large huge  a version with this many routes; few! ... with nothing in common with the one before
+//	commits   few some large huge  a version with this many routes; few! ... with nothing in common with the previous one
 //	          edit xN          the same routes with the next version; N of them, 10 ms apart
-//	          place            a placement
+//	          placement        a placement
 //	a node    up               its responses are confirmed, it has all committed entries
 //	          cut down frozen  calls get no response; are refused; wait until it resumes
-//	          alone            it responds without a majority, and has the entries and members that it had
-//	          lies             as alone, but its responses claim to be confirmed
-//	          thin             its link has 30 Mbit/s
-//	          slow             each response takes 300 ms more; quick ends that
-//	          lost             its cached values are dropped
-//	          garbles          each delta has a wrong byte; honest ends that
+//	          minority         it responds without a majority, and keeps the entries and members that it had
+//	          falseconfirm     as minority, but its responses claim to be confirmed
+//	          lowbandwidth     its link has 30 Mbit/s
+//	          slow             each response takes 300 ms more; fast ends that
+//	          evicted          its cached values are dropped
+//	          corrupts         each delta that it sends has a wrong byte; intact ends that
 //	          compresses       it sends values compressed, as the present release does
-//	          busy             it serves no chunks, since it has its maximum of transfers; serves ends that
+//	          busy             it serves no chunks, since it is at its limit of transfers; idle ends that
 //	          joins leaves     it becomes a member; it is removed
 //	follower  v3               it must have applied the third version by now; v0: none
 //	          seeds=a+b        SIGHUP with these seeds
@@ -51,7 +51,7 @@
 	versions   []int64
 	routeCount int
 	bodySeed   int
-	nodes      map[string]*coreNode
+	nodes      map[string]*scriptedCore
 	members    []string
 	changed    chan struct{}
 	traffic    trafficCounts
@@ -62,11 +62,11 @@
 // trafficCounts counts what was sent to the follower.
 type trafficCounts struct{ polls, bytes, full, patches, refs, chunks int }
 
-type coreNode struct {
+type scriptedCore struct {
 	fakeSource
 	name           string
 	reachability   string // one of up, cut, down, frozen
-	quorum         string // one of up, alone, lies
+	quorum         string // one of up, minority, falseconfirm
 	delay          time.Duration
 	corruptsDeltas bool
 	busy           bool
@@ -76,9 +76,9 @@
 }
 
 func newScriptedCluster(t *testing.T, names []string) *scriptedCluster {
-	cluster := &scriptedCluster{t: t, nodes: map[string]*coreNode{}, changed: make(chan struct{}), routeCount: fewRoutes}
+	cluster := &scriptedCluster{t: t, nodes: map[string]*scriptedCore{}, changed: make(chan struct{}), routeCount: fewRoutes}
 	for _, name := range names {
-		cluster.nodes[name] = &coreNode{name: name, reachability: "down", quorum: "up"}
+		cluster.nodes[name] = &scriptedCore{name: name, reachability: "down", quorum: "up"}
 	}
 	return cluster
 }
@@ -126,8 +126,8 @@
 	return rpc.ErrLost
 }
 
-// transmit returns how long bytes take over a node's link, after those that are queued in it.
-func (n *coreNode) transmit(size int) time.Duration {
+// transmit queues bytes on a node's link and returns how long they take, including those queued before.
+func (n *scriptedCore) transmit(size int) time.Duration {
 	if !n.slowLink {
 		return 0
 	}
@@ -139,8 +139,8 @@
 	return n.linkFreeAt.Sub(now)
 }
 
-// deliver delivers a response, unless its node was cut off or stopped meanwhile.
-func (c *scriptedCluster) deliver(ctx context.Context, node *coreNode, encoded []byte, response any) error {
+// deliver delivers a response, unless its node was partitioned or stopped meanwhile.
+func (c *scriptedCluster) deliver(ctx context.Context, node *scriptedCore, encoded []byte, response any) error {
 	c.mu.Lock()
 	reach := node.reachability
 	c.mu.Unlock()
@@ -157,7 +157,7 @@
 }
 
 // handle returns a node's response, nil for a poll that has to wait.
-func (c *scriptedCluster) handle(node *coreNode, m rpc.Method, body any) []byte {
+func (c *scriptedCluster) handle(node *scriptedCore, m rpc.Method, body any) []byte {
 	if m == ChunkCall {
 		c.traffic.chunks++
 		node.values.Update(c.log.latest(node.commitIndex))
@@ -167,7 +167,7 @@
 		return rpc.Encode(node.values.Chunk(body.(*ChunkRequest)))
 	}
 	request := body.(*ChangesRequest)
-	confirmed := node.quorum == "lies" || node.quorum == "up" && node.commitIndex >= request.ReceivedIndex
+	confirmed := node.quorum == "falseconfirm" || node.quorum == "up" && node.commitIndex >= request.ReceivedIndex
 	if hasUpdate := confirmed && node.commitIndex > request.ReceivedIndex; !hasUpdate && request.WaitMs > 0 {
 		wait := time.Duration(request.WaitMs) * time.Millisecond
 		request.WaitMs = 0
@@ -192,7 +192,7 @@
 }
 
 // coreAddrs returns the addresses of the members that a node knows.
-func (n *coreNode) coreAddrs(cluster *scriptedCluster) (cores []string) {
+func (n *scriptedCore) coreAddrs(cluster *scriptedCluster) (cores []string) {
 	members := cluster.members
 	if n.quorum != "up" {
 		members = n.members
@@ -232,7 +232,7 @@
 	case "huge":
 		c.routeCount = hugeRoutes
 	}
-	if cell == "place" {
+	if cell == "placement" {
 		c.log.commitPlacement()
 	} else {
 		c.log.commitConfig(c.routeCount, c.bodySeed)
@@ -241,7 +241,7 @@
 	c.propagate()
 }
 
-// propagate replicates all committed entries to the nodes with a majority.
+// propagate replicates all committed entries to the nodes that have a majority.
 func (c *scriptedCluster) propagate() {
 	for _, n := range c.nodes {
 		if n.quorum == "up" && n.reachability != "frozen" {
@@ -252,7 +252,7 @@
 }
 
 // setNode executes one item of a node's column.
-func (c *scriptedCluster) setNode(node *coreNode, cell string) {
+func (c *scriptedCluster) setNode(node *scriptedCore, cell string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch cell {
@@ -260,25 +260,25 @@
 		node.reachability, node.quorum = "up", "up"
 	case "cut", "down", "frozen":
 		node.reachability = cell
-	case "alone", "lies":
+	case "minority", "falseconfirm":
 		node.reachability, node.quorum, node.members = "up", cell, slices.Clone(c.members)
 	case "slow":
 		node.delay = 300 * time.Millisecond
-	case "quick":
+	case "fast":
 		node.delay = 0
-	case "lost":
+	case "evicted":
 		node.values = ValueCache{}
-	case "thin":
+	case "lowbandwidth":
 		node.slowLink = true
 	case "busy":
 		node.busy = true
-	case "serves":
+	case "idle":
 		node.busy = false
 	case "compresses":
 		node.compresses = true
-	case "garbles":
+	case "corrupts":
 		node.corruptsDeltas = true
-	case "honest":
+	case "intact":
 		node.corruptsDeltas = false
 	case "joins":
 		c.members = append(c.members, node.name)
@@ -305,7 +305,7 @@
 		got = slices.Index(c.versions, config.Version) + 1
 	}
 	if got != want {
-		c.t.Errorf("at %s ms it has applied version %d, want %d", at, got, want)
+		c.t.Errorf("at %s ms the follower has applied version %d, want %d", at, got, want)
 	}
 }
 
@@ -329,15 +329,15 @@
 	}
 }
 
-// playTimeline executes a timeline with a follower that starts with the seeds, and calls check after it. The follower
+// runTimeline executes a timeline with a follower that starts with the seeds, and calls check after it. The follower
 // starts after the first line.
-func playTimeline(t *testing.T, seeds, timeline string, check func(cluster *scriptedCluster)) {
+func runTimeline(t *testing.T, seeds, timeline string, check func(cluster *scriptedCluster)) {
 	t.Helper()
-	playTimelineWithLog(t, seeds, timeline, process.NewLogger(io.Discard), check)
+	runTimelineWithLog(t, seeds, timeline, process.NewLogger(io.Discard), check)
 }
 
-// playTimelineWithLog is playTimeline with the follower's log.
-func playTimelineWithLog(t *testing.T, seeds, timeline string, log *slog.Logger, check func(cluster *scriptedCluster)) {
+// runTimelineWithLog is runTimeline with the follower's log.
+func runTimelineWithLog(t *testing.T, seeds, timeline string, log *slog.Logger, check func(cluster *scriptedCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var rows [][]string
@@ -359,7 +359,7 @@
 				t.Fatal(err)
 			}
 			time.Sleep(time.Duration(math.Round(at*1e6)) - time.Since(start))
-			cluster.playRow(row, names)
+			cluster.runRow(row, names)
 			if i == 0 {
 				wg.Go(func() { cluster.follower.Run(ctx) })
 				wg.Go(func() { cluster.watch(ctx) })
@@ -377,9 +377,9 @@
 	})
 }
 
-// playRow executes one line: members, other node states, commits, checks.
-func (c *scriptedCluster) playRow(row, names []string) {
-	for _, members := range []bool{true, false} { // members first: a node that is partitioned knows those of the same line
+// runRow executes one line, in this order: membership, other node states, commits, checks.
+func (c *scriptedCluster) runRow(row, names []string) {
+	for _, members := range []bool{true, false} { // membership first: a node that loses its majority knows the members of this line
 		for i, name := range names {
 			for cell := range strings.SplitSeq(row[i+2], ",") {
 				if cell != "." && (cell == "joins" || cell == "leaves") == members {
--- a/internal/tier/feed/source_balance_test.go
+++ b/internal/tier/feed/source_balance_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	crowdSize  = 60
-	crowdCores = 5
+	followerCount = 60
+	coreCount     = 5
 )
 
-// largestGroup returns the largest number of followers of one node, and the numbers by node.
+// largestGroup returns the largest number of followers of any node, and the number for each node.
 func (s *linkSimulation) largestGroup() (largest int, bySource map[string]int) {
 	bySource = map[string]int{}
 	for _, f := range s.followers {
@@ -26,8 +26,8 @@
 	return largest, bySource
 }
 
-// Followers that start together, those of a node that is partitioned from them, and those that one node had to serve alone
-// don't stay at one node while others can be reached, and no node is flooded with calls.
+// Followers don't crowd at one node while others can be reached: not when they start together, not after their node was
+// partitioned, and not after one node had to serve all of them. No node is overloaded with calls meanwhile.
 func TestFollowersStayBalancedAfterPartitions(t *testing.T) {
 	for name, directions := range map[string][]direction{
 		"responses cut": {responses},
@@ -37,30 +37,30 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				sim := newLinkSimulation(ctx, 1, crowdCores, "")
-				sim.startCrowd()
+				sim := newLinkSimulation(ctx, 1, coreCount, "")
+				sim.startFollowers()
 				time.Sleep(time.Second)
-				sim.checkBalance(t, "at the start", crowdCores)
+				sim.checkBalance(t, "at the start", coreCount)
 				sim.checkIdleCalls(t)
 				sim.setPartition(directions, sim.nodes[0])
 				time.Sleep(applyTime)
-				sim.checkBalance(t, "without one node", crowdCores-1)
+				sim.checkBalance(t, "without one node", coreCount-1)
 				sim.setPartition(directions, sim.nodes[1:]...)
 				sim.takeCallCounts()
 				time.Sleep(10 * time.Second)
 				for addr, n := range sim.takeCallCounts() {
-					if maxCalls := crowdSize * 10 * 3; n > maxCalls {
-						t.Errorf("%s was called %d times in 10 s by %d followers, want %d at most", addr, n, crowdSize, maxCalls)
+					if maxCalls := followerCount * 10 * 3; n > maxCalls {
+						t.Errorf("%s was called %d times in 10 s by %d followers, want %d at most", addr, n, followerCount, maxCalls)
 					}
 				}
 				sim.setPartition(directions, sim.nodes[:4]...)
 				time.Sleep(contactTime + applyTime)
-				if maxCalls, bySource := sim.largestGroup(); maxCalls != crowdSize {
-					t.Errorf("the only node that can be reached has %d of %d followers: %v", bySource[sim.nodes[4].addr], crowdSize, bySource)
+				if largest, bySource := sim.largestGroup(); largest != followerCount {
+					t.Errorf("the only reachable node has %d of %d followers: %v", bySource[sim.nodes[4].addr], followerCount, bySource)
 				}
 				sim.setPartition(directions)
 				time.Sleep(2*failbackInterval + time.Second)
-				sim.checkBalance(t, "once all can be reached again", crowdCores)
+				sim.checkBalance(t, "once all can be reached again", coreCount)
 				stop()
 				sim.wg.Wait()
 			})
@@ -68,7 +68,7 @@
 	}
 }
 
-// takeCallCounts returns the number of calls of each node since the last time.
+// takeCallCounts returns the number of calls to each node, and resets it.
 func (s *linkSimulation) takeCallCounts() (calls map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return calls
 }
 
-// checkIdleCalls fails if followers of confirmed sources make more calls than their long polls.
+// checkIdleCalls fails if followers of confirmed sources make other calls than their long polls.
 func (s *linkSimulation) checkIdleCalls(t *testing.T) {
 	t.Helper()
 	s.takeCallCounts()
@@ -85,25 +85,25 @@
 	for _, n := range s.takeCallCounts() {
 		total += n
 	}
-	if polls := int(10 * time.Second / pollWait); total > crowdSize*(polls+1) {
-		t.Errorf("%d followers make %d calls in 10 s without changes, want %d each at most", crowdSize, total, polls+1)
+	if polls := int(10 * time.Second / pollWait); total > followerCount*(polls+1) {
+		t.Errorf("%d followers make %d calls in 10 s without changes, want %d each at most", followerCount, total, polls+1)
 	}
 }
 
-// startCrowd starts many followers at the same time.
-func (s *linkSimulation) startCrowd() {
+// startFollowers starts followerCount followers at the same time.
+func (s *linkSimulation) startFollowers() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var seeds []string
 	for _, n := range s.nodes {
 		seeds = append(seeds, strings.TrimSuffix(n.addr, ":7000"))
 	}
-	for range crowdSize {
+	for range followerCount {
 		s.start(seeds)
 	}
 }
 
-// setPartition cuts directions between all followers and some nodes, and opens all others.
+// setPartition cuts directions of the links between all followers and some nodes, and restores all other links.
 func (s *linkSimulation) setPartition(directions []direction, nodes ...*simulatedCore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,10 +118,10 @@
 	s.updateLocked()
 }
 
-// checkBalance fails if a node has more than twice its share of the followers.
+// checkBalance fails if a node has more than twice its fair share of the followers.
 func (s *linkSimulation) checkBalance(t *testing.T, when string, nodes int) {
 	t.Helper()
-	if largest, bySource := s.largestGroup(); largest > 2*crowdSize/nodes {
-		t.Errorf("%s one of %d nodes has %d of %d followers: %v", when, nodes, largest, crowdSize, bySource)
+	if largest, bySource := s.largestGroup(); largest > 2*followerCount/nodes {
+		t.Errorf("%s: one of %d nodes has %d of %d followers: %v", when, nodes, largest, followerCount, bySource)
 	}
 }
