--- a/internal/tier/controlnode/decisions_test.go
+++ b/internal/tier/controlnode/decisions_test.go
@@ -45,15 +45,15 @@
 			t.Errorf("repeated put of version %d: status %d", v, got)
 		}
 	}
-	for i, one := range []struct{ on, version, want int }{
+	for i, one := range []struct{ baseVersion, version, want int }{
 		{0, versions, http.StatusServiceUnavailable}, // the current configuration, with another base version
 		{1, 3, http.StatusServiceUnavailable},
 		{versions, 3, http.StatusServiceUnavailable},
 		{5, versions + 1, http.StatusPreconditionFailed},
 	} {
-		got, text := c.send(i%3, http.MethodPut, "/api/config", strconv.Itoa(one.on), config(one.version))
+		got, text := c.send(i%3, http.MethodPut, "/api/config", strconv.Itoa(one.baseVersion), config(one.version))
 		if got != one.want || strings.Contains(text, "no majority") {
-			t.Errorf("version %d based on %d: status %d %s", one.version, one.on, got, text)
+			t.Errorf("version %d based on %d: status %d %s", one.version, one.baseVersion, got, text)
 		}
 	}
 	other := strings.Replace(string(config(3)), `"r"`, `"other"`, 1) // a version 3 that was never accepted
--- a/internal/tier/controlnode/election.go
+++ b/internal/tier/controlnode/election.go
@@ -128,7 +128,7 @@
 		Kind:           msgPromise,
 		Epoch:          m.Epoch,
 		Ballot:         m.Ballot,
-		AcceptedAt:     n.acceptor.AcceptedBallot,
+		AcceptedBallot: n.acceptor.AcceptedBallot,
 		View:           n.acceptor.Accepted,
 		ActivatedEpoch: n.chain.State().ActivatedEpoch,
 	})
@@ -140,7 +140,7 @@
 	if p == nil || m.Epoch != p.epoch || m.Ballot != p.ballot || p.view.Epoch > 0 || !n.acceptor.View.IsVoter(m.From.ID) {
 		return
 	}
-	p.promises[m.From.ID] = view.Promise{From: m.From, AcceptedBallot: m.AcceptedAt, Accepted: m.View, ActivatedEpoch: m.ActivatedEpoch}
+	p.promises[m.From.ID] = view.Promise{From: m.From, AcceptedBallot: m.AcceptedBallot, Accepted: m.View, ActivatedEpoch: m.ActivatedEpoch}
 	n.chooseView()
 }
 
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -119,7 +119,7 @@
 		all = append(all, encodedValue{1, "peer, " + kind, sideRequest, &Message{
 			Kind: number, From: view.Member{ID: "from-id", Name: "from-name", Addr: "from-addr"}, Incarnation: big + 1, Epoch: big + 2, Promised: true, Leaving: true, ConfirmationRound: big + 3,
 			Echoes: []Echo{{ID: "echo-1", Incarnation: big + 4, ConfirmationRound: big + 5}, {ID: "echo-2", Incarnation: big + 6, ConfirmationRound: big + 7}},
-			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedAt: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), ActivatedEpoch: big + 10,
+			Ballot: view.Ballot{Number: big + 8, Proposer: "ballot-by"}, AcceptedBallot: view.Ballot{Number: big + 9, Proposer: "accepted-by"}, View: fullView("m", 100), ActivatedEpoch: big + 10,
 			Update: chain.Update{Epoch: big + 11, Base: big + 12, After: chain.Position{LastIndex: big + 13, PartialIndex: big + 14, PartialBytes: big + 15},
 				Fragments: []chain.Fragment{{Index: big + 16, Key: "fragment-key", ValueSize: big + 17, Checksum: big + 18, Offset: big + 19, Data: []byte("data")}},
 				Complete:  true, Through: big + 20, Commit: big + 21},
--- a/internal/tier/controlnode/full_disk_test.go
+++ b/internal/tier/controlnode/full_disk_test.go
@@ -17,7 +17,7 @@
 )
 
 // fillDisk makes a node's writes fail with a full disk until the returned function is called.
-func fillDisk(t *testing.T, core *Server) (empty func()) {
+func fillDisk(t *testing.T, core *Server) (freeSpace func()) {
 	t.Helper()
 	var full atomic.Bool
 	full.Store(true)
@@ -37,7 +37,7 @@
 // A node whose disk is full keeps running, reports the full disk, completes nothing, and resumes once there is space.
 func TestNodeWithFullDiskResumesOnceSpaceIsFree(t *testing.T) {
 	core := startSingleNode(t)
-	empty := fillDisk(t, core)
+	freeSpace := fillDisk(t, core)
 	completed := make(chan Completion, 1)
 	core.requests <- onLoopRequest(func() {
 		core.mergeReady(core.node.Write(core.now(), core.newRequestID(t.Context(), completed), "key", []byte("value")))
@@ -62,7 +62,7 @@
 	if len(completed) > 0 {
 		t.Error("a write that is not on disk was completed")
 	}
-	empty()
+	freeSpace()
 	if completion := <-completed; completion.Outcome != Committed {
 		t.Errorf("the write completed as %+v", completion)
 	}
@@ -80,14 +80,14 @@
 		if status := c.put(1, 0, 0, 1, 2, 3); status != http.StatusOK {
 			t.Fatal(status)
 		}
-		empty := fillDisk(t, c.cores[node])
+		freeSpace := fillDisk(t, c.cores[node])
 		others := slices.DeleteFunc([]int{0, 1, 2, 3}, func(i int) bool { return i == node })
 		for version := 2; version <= 4; version++ {
 			if status := c.put(version, version-1, others...); status != http.StatusOK {
 				t.Fatalf("the disk of node %d is full: put of version %d: status %d", node, version, status)
 			}
 		}
-		empty()
+		freeSpace()
 		c.until("the node has caught up", func() bool {
 			status, body := c.send(node, http.MethodGet, "/api/status", "", nil)
 			return status == http.StatusOK && strings.Contains(body, `"config_version":4`) &&
--- a/internal/tier/controlnode/message.go
+++ b/internal/tier/controlnode/message.go
@@ -37,7 +37,7 @@
 	ConfirmationRound int64 // of the sender; with msgHeartbeat and msgConfirm
 	Echoes            []Echo
 	Ballot            view.Ballot
-	AcceptedAt        view.Ballot
+	AcceptedBallot    view.Ballot
 	View              view.View // Epoch is 0 if there is none
 	ActivatedEpoch    int64
 	Update            chain.Update
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestFrozenHeadWakesIsolated: calls wait in the sockets of a frozen head while the others replace it, and no messages
+// TestFrozenHeadAnswersNothingStaleOnceResumedInIsolation: calls wait in the sockets of a frozen head while the others replace it, and no messages
 // from them reach it when it resumes. It must not answer from its stale state. The test forces this order of events
 // instead of relying on sleeps.
-func TestFrozenHeadWakesIsolated(t *testing.T) {
+func TestFrozenHeadAnswersNothingStaleOnceResumedInIsolation(t *testing.T) {
 	t.Parallel()
 	_, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
@@ -37,9 +37,9 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestFrozenHeadWakesConnected is the same with working links: the head may read the waiting calls before or after the
+// TestFrozenHeadAnswersNothingStaleOnceResumed is the same with working links: the head may read the waiting calls before or after the
 // messages of the other nodes.
-func TestFrozenHeadWakesConnected(t *testing.T) {
+func TestFrozenHeadAnswersNothingStaleOnceResumed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	head := f.head(f.all()...)
@@ -153,10 +153,10 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestEqualHalvesWithLosses partitions four nodes into random halves while operators race, and kills a node of each half,
+// TestClusterRecoversFromEqualHalvesWithLosses partitions four nodes into random halves while operators race, and kills a node of each half,
 // which is more than the fault tolerance. The partition heals before or after the nodes have noticed it, with one of them
 // still down.
-func TestEqualHalvesWithLosses(t *testing.T) {
+func TestClusterRecoversFromEqualHalvesWithLosses(t *testing.T) {
 	t.Parallel()
 	seed, r := newLoggedSeed(t)
 	f := newFleet(t, 4, 4)
@@ -190,9 +190,9 @@
 	}
 }
 
-// TestNodesArePartitionedInTurn: one node after the other is partitioned while operators race, connections are reset, and
+// TestClusterProgressesWhileNodesArePartitionedInTurn: one node after the other is partitioned while operators race, connections are reset, and
 // the head is killed with changes in flight as it is partitioned.
-func TestNodesArePartitionedInTurn(t *testing.T) {
+func TestClusterProgressesWhileNodesArePartitionedInTurn(t *testing.T) {
 	t.Parallel()
 	seed, r := newLoggedSeed(t)
 	f := newFleet(t, 3, 3)
@@ -228,9 +228,9 @@
 	f.until("a newer version is read", func() bool { _, v := f.read(nodes[0]); return v > before })
 }
 
-// TestLeavingNodeThatReceivesNothing: the others immediately replace a node that announces its shutdown, before a time-out
+// TestLeavingNodeThatReceivesNothingAnswersNothingStale: the others immediately replace a node that announces its shutdown, before a time-out
 // could detect it. What the node serves and answers until it stops is not stale.
-func TestLeavingNodeThatReceivesNothing(t *testing.T) {
+func TestLeavingNodeThatReceivesNothingAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
 	tail := f.tail()
