--- a/internal/tier/controlnode/commit_history.go
+++ b/internal/tier/controlnode/commit_history.go
@@ -4,10 +4,11 @@
 	"time"
 )
 
-// commitHistory is a ring buffer of the commit index, sampled with each heartbeat; it covers about a second.
+// commitHistory is a ring buffer of the commit index, sampled with each heartbeat. At the default HeartbeatInterval its
+// samples cover 1.4 s, which is more than catchUpLag.
 type commitHistory struct {
 	samples [8]commitSample
-	next    int
+	next    int // number of samples recorded so far
 }
 
 // commitSample is the commit index at a point in time.
--- a/internal/tier/controlnode/confirmation_rounds.go
+++ b/internal/tier/controlnode/confirmation_rounds.go
@@ -7,9 +7,9 @@
 
 // confirmationRounds are the confirmation rounds of this node, numbered from 1 in each incarnation.
 type confirmationRounds struct {
-	number      int64 // of the newest round
-	sentAt      [256]time.Duration
-	requestedAt time.Duration // when the last round was sent on request, outside a heartbeat; 0 for never
+	number      int64              // of the newest round
+	sentAt      [256]time.Duration // of the last rounds: a ring buffer indexed by the number
+	requestedAt time.Duration      // when the last round was sent on request, outside a heartbeat; 0 for never
 }
 
 // start begins a new round that is sent now, and returns its number.
--- a/internal/tier/controlnode/disk_test.go
+++ b/internal/tier/controlnode/disk_test.go
@@ -12,7 +12,7 @@
 )
 
 // The space of superseded entries is freed or reused: after hundreds of large changes the data folder is not larger than
-// a few of them.
+// 16 of them.
 func TestDiskUsageIsBounded(t *testing.T) {
 	const changes, size = 300, 256 << 10
 	c := &cluster{t: t, basePort: findFreeBasePort(t), n: 3, dirs: []string{t.TempDir(), t.TempDir(), t.TempDir()}}
--- a/internal/tier/controlnode/doc.go
+++ b/internal/tier/controlnode/doc.go
@@ -3,6 +3,10 @@
 // the chain also has two singleton roles: it plans the placement of stores and polls the platform's list of hosts.
 // The design is explained in docs/design/016-control-state.md, the terms in docs/GLOSSARY.md.
 //
+// A view is the configuration of one epoch: the voters, which decide the next view, and the chain, a sequence of some of
+// them from the head to the tail. The head decides orders and appends entries; an entry is committed once the tail has it
+// on disk. The tail answers reads, and sends committed entries to the members outside the chain, called learners.
+//
 // # Node and Server
 //
 // Node is the state machine: its inputs are time, messages and requests, its output is a Ready. It does no I/O, starts
@@ -68,5 +72,6 @@
 //  7. At the head, completeCommittedWrites (or completeWaiters) adds a Completion; deliver looks up the request ID in
 //     pendingRequests and wakes submit; decideAtHead returns the decision, and writeReply sends the answer.
 //
-// Short names in this package: m is a message, p a peer or a proposal, v a view, e an entry or an echo.
+// Short names in this package: m is a message or a member, l a member of the chain, p a peer or a proposal, v a view or
+// a voter, e an entry, an echo or an envelope.
 package controlnode
--- a/internal/tier/controlnode/event_loop.go
+++ b/internal/tier/controlnode/event_loop.go
@@ -137,7 +137,8 @@
 	fresh  bool
 }
 
-// publishChanges logs changes since the last call, and wakes the polls of followers if there are any.
+// publishChanges logs what has changed since the last call, and wakes the polls of followers if the commit index, the
+// host list or the freshness has changed.
 func (s *Server) publishChanges(last *publishedState) {
 	if v := s.node.View(); v.Epoch != last.epoch {
 		last.epoch = v.Epoch
--- a/internal/tier/controlnode/follower_partition_test.go
+++ b/internal/tier/controlnode/follower_partition_test.go
@@ -93,9 +93,9 @@
 	l.f.t.Logf("%s: acts on a change %v after it was acknowledged, target %v", what, took.Round(time.Millisecond), configApplyLimit)
 }
 
-// TestFollowerInOneWayPartitionActsOnChanges runs a follower over sockets whose links are blocked in one or both directions: to its
-// source, to each source in turn, to all nodes but one as it starts, and to all nodes until a change arrives. It must
-// still act on each change.
+// TestFollowerInOneWayPartitionActsOnChanges runs a follower over sockets whose links are blocked in one or both
+// directions: to its source, to each source in turn, to all nodes but one as it starts, and to all nodes until a change
+// arrives. It must still act on each change.
 func TestFollowerInOneWayPartitionActsOnChanges(t *testing.T) {
 	t.Parallel()
 	for name, directions := range map[string][]cutproxy.Direction{
@@ -143,8 +143,8 @@
 	joined.Wait()
 }
 
-// TestFollowerWhoseSeedIsPartitionedIsServedByOthers: the only node that a starting follower knows is in a one-way partition from the
-// other nodes. It tells the follower their addresses, and they serve the follower.
+// TestFollowerWhoseSeedIsPartitionedIsServedByOthers: the only node that a starting follower knows is in a one-way
+// partition from the other nodes. It tells the follower their addresses, and they serve the follower.
 func TestFollowerWhoseSeedIsPartitionedIsServedByOthers(t *testing.T) {
 	t.Parallel()
 	for name, hold := range map[string]func(f *fleet, i int){
--- a/internal/tier/controlnode/full_disk_test.go
+++ b/internal/tier/controlnode/full_disk_test.go
@@ -16,7 +16,7 @@
 	"larchrouter/internal/sqlitelog"
 )
 
-// fillDisk makes a node's writes fail with a full disk until the returned function is called.
+// fillDisk makes a node's writes fail with a full disk until freeSpace is called.
 func fillDisk(t *testing.T, core *Server) (freeSpace func()) {
 	t.Helper()
 	var full atomic.Bool
@@ -24,7 +24,7 @@
 	if !core.onLoop(func() {
 		core.syncRows = func(ctx context.Context, rows []sqlitelog.Write) error {
 			if full.Load() {
-				return errors.Mark(errors.New("no room"), sqlitelog.ErrFull)
+				return errors.Mark(errors.New("no space left"), sqlitelog.ErrFull)
 			}
 			return core.db.Commit(ctx, rows)
 		}
@@ -98,7 +98,7 @@
 
 // Opening a node on a full disk waits for space until its context ends; any other error is returned immediately.
 func TestOpenWaitsForDiskSpace(t *testing.T) {
-	full := errors.Mark(errors.New("no room"), sqlitelog.ErrFull)
+	full := errors.Mark(errors.New("no space left"), sqlitelog.ErrFull)
 	broken := errors.New("another fault")
 	attempts := 0
 	open := func(outcomes ...error) func() (*Server, error) {
--- a/internal/tier/controlnode/membership.go
+++ b/internal/tier/controlnode/membership.go
@@ -34,7 +34,7 @@
 		}
 		p := n.peers[l.ID]
 		if p != nil && !p.heardFrom && n.now-p.lastHeard < n.settings.Timings.StartTimeout && l.ID != n.settings.Self.ID {
-			continue // after all nodes have started, a member that was not heard from yet may still be starting
+			continue // if all nodes start at the same time, a member that was not heard from yet may still be starting
 		}
 		if !cond.Alive[l.ID] || (cond.Leaving[l.ID] || cond.Unstable[l.ID]) && n.canShortenChain(cond) {
 			return true
--- a/internal/tier/controlnode/message.go
+++ b/internal/tier/controlnode/message.go
@@ -14,12 +14,12 @@
 	msgPromise
 	msgAccept
 	msgAccepted
-	msgDecide
-	msgChainUpdate // from a member of the chain to its successor
-	msgChainAck    // the answer to msgChainUpdate
-	msgConfirm
-	msgConfirmed
-	msgHostList
+	msgDecide        // a decided view
+	msgChainUpdate   // from a member of the chain to its successor
+	msgChainAck      // the answer to msgChainUpdate
+	msgConfirm       // requests an echo of a confirmation round
+	msgConfirmed     // the answer to msgConfirm
+	msgHostList      // from the head to the voters
 	msgLearnerUpdate // from the tail to a member outside the chain
 	msgLearnerAck    // the answer to msgLearnerUpdate
 )
@@ -37,9 +37,9 @@
 	ConfirmationRound int64 // of the sender; with msgHeartbeat and msgConfirm
 	Echoes            []Echo
 	Ballot            view.Ballot
-	AcceptedBallot    view.Ballot
-	View              view.View // Epoch is 0 if there is none
-	ActivatedEpoch    int64
+	AcceptedBallot    view.Ballot // with msgPromise: of the view that the sender has accepted
+	View              view.View   // proposed, accepted or decided, depending on Kind; Epoch is 0 if there is none
+	ActivatedEpoch    int64       // of the sender's chain.State
 	Update            chain.Update
 	Ack               chain.Ack         // the sender's position in the chain
 	Hosts             []discovery.List  // at most one
--- a/internal/tier/controlnode/partition_test.go
+++ b/internal/tier/controlnode/partition_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestFrozenHeadAnswersNothingStaleOnceResumedInIsolation: calls wait in the sockets of a frozen head while the others replace it, and no messages
-// from them reach it when it resumes. It must not answer from its stale state. The test forces this order of events
-// instead of relying on sleeps.
+// TestFrozenHeadAnswersNothingStaleOnceResumedInIsolation: calls wait in the sockets of a frozen head while the others
+// replace it, and no messages from them reach it when it resumes. It must not answer from its stale state. The test
+// forces this order of events instead of relying on sleeps.
 func TestFrozenHeadAnswersNothingStaleOnceResumedInIsolation(t *testing.T) {
 	t.Parallel()
 	_, r := newLoggedSeed(t)
@@ -37,8 +37,8 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestFrozenHeadAnswersNothingStaleOnceResumed is the same with working links: the head may read the waiting calls before or after the
-// messages of the other nodes.
+// TestFrozenHeadAnswersNothingStaleOnceResumed is the same with working links: the head may read the waiting calls before
+// or after the messages of the other nodes.
 func TestFrozenHeadAnswersNothingStaleOnceResumed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
@@ -153,9 +153,9 @@
 	f.requireCaughtUp(f.all()...)
 }
 
-// TestClusterRecoversFromEqualHalvesWithLosses partitions four nodes into random halves while operators race, and kills a node of each half,
-// which is more than the fault tolerance. The partition heals before or after the nodes have noticed it, with one of them
-// still down.
+// TestClusterRecoversFromEqualHalvesWithLosses partitions four nodes into random halves while operators race, and kills a
+// node of each half, which is more than the fault tolerance. The partition heals before or after the nodes have noticed
+// it, with one of them still down. Versions must then be acknowledged again, and all nodes become members.
 func TestClusterRecoversFromEqualHalvesWithLosses(t *testing.T) {
 	t.Parallel()
 	seed, r := newLoggedSeed(t)
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestClusterProgressesWhileNodesArePartitionedInTurn: one node after the other is partitioned while operators race, connections are reset, and
-// the head is killed with changes in flight as it is partitioned.
+// TestClusterProgressesWhileNodesArePartitionedInTurn: one node after the other is partitioned while operators race,
+// connections are reset, and the head is killed with changes in flight as it is partitioned.
 func TestClusterProgressesWhileNodesArePartitionedInTurn(t *testing.T) {
 	t.Parallel()
 	seed, r := newLoggedSeed(t)
@@ -228,8 +228,8 @@
 	f.until("a newer version is read", func() bool { _, v := f.read(nodes[0]); return v > before })
 }
 
-// TestLeavingNodeThatReceivesNothingAnswersNothingStale: the others immediately replace a node that announces its shutdown, before a time-out
-// could detect it. What the node serves and answers until it stops is not stale.
+// TestLeavingNodeThatReceivesNothingAnswersNothingStale: the others immediately replace a node that announces its
+// shutdown, before a time-out could detect it. What the node serves and answers until it stops is not stale.
 func TestLeavingNodeThatReceivesNothingAnswersNothingStale(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3)
--- a/internal/tier/controlnode/peer_calls.go
+++ b/internal/tier/controlnode/peer_calls.go
@@ -10,10 +10,10 @@
 	"larchrouter/internal/tier/feed"
 )
 
-// Bounds of the queue of outgoing messages to one peer.
+// Bounds of the sending of messages to one peer.
 const (
-	maxQueuedMessages = 64 // per address
-	notifyTimeout     = 800 * time.Millisecond
+	maxQueuedMessages = 64                     // per address
+	notifyTimeout     = 800 * time.Millisecond // for sending one message
 )
 
 // sendToPeer queues a message for the goroutine that sends to one address, in order. If the queue is full, the message is
--- a/internal/tier/controlnode/peers.go
+++ b/internal/tier/controlnode/peers.go
@@ -16,11 +16,11 @@
 	heardFrom         bool          // a message from this incarnation has arrived
 	echoedRoundSentAt time.Duration // when the newest of this node's rounds that it echoed was sent, or when it became known
 	echoedInView      bool          // it has echoed a round that this node sent after adopting the current view
-	leaving           bool
-	epoch             int64
-	chainAck          chain.Ack // the last position in the chain that it reported
-	heardPeers        []string  // the sorted IDs of the members that it has heard from recently
-	hostListTerm      int64
+	leaving           bool          // it has announced that it is about to stop
+	epoch             int64         // of its view, with its last heartbeat
+	chainAck          chain.Ack     // the last position in the chain that it reported
+	heardPeers        []string      // the sorted IDs of the members that it has heard from recently
+	hostListTerm      int64         // of its host list, with its last heartbeat
 	hostListNumber    int64
 	latestRound       int64 // the newest of its confirmation rounds that has arrived; this node echoes it
 	confirmedRound    int64 // the newest of this node's rounds that it has confirmed in this epoch
--- a/internal/tier/controlnode/power_loss_test.go
+++ b/internal/tier/controlnode/power_loss_test.go
@@ -10,9 +10,9 @@
 // startSpread is the period within which machines start whose power returns at the same time.
 const startSpread = 300 * time.Millisecond
 
-// All machines lose power, and those that return start within startSpread. If all return, writes are acknowledged and the
-// first node serves followers within two ticks of the last start; if one does not return, within StartTimeout and a view
-// change.
+// All machines lose power, and those that return start within startSpread. If all return, the first node serves followers
+// within two ticks of the last start; if one does not return, within StartTimeout and a view change. The first write is
+// acknowledged at most 150 ms after these limits.
 func TestTimeToServeAfterPowerLoss(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{3, 4, 5, 8} {
--- a/internal/tier/controlnode/race_off_test.go
+++ b/internal/tier/controlnode/race_off_test.go
@@ -2,4 +2,5 @@
 
 package controlnode
 
+// raceDetector reports whether the race detector is on, see race_on_test.go.
 const raceDetector = false
--- a/internal/tier/controlnode/ready.go
+++ b/internal/tier/controlnode/ready.go
@@ -32,9 +32,10 @@
 // Outcome is how a write or a read ended.
 type Outcome int
 
-// The outcomes. NotOwner: this node cannot handle the request and has not applied it; operators get the same answer as
-// for OutcomeUnknown, since an earlier attempt of the same order may have been applied. OutcomeUnknown proves nothing:
-// the write may be in effect, now or later.
+// The outcomes. Committed: the entry of the write, or the index that the request depends on, is committed. NotOwner:
+// this node cannot handle the request and has not applied it; operators get the same answer as for OutcomeUnknown,
+// since an earlier attempt of the same order may have been applied. OutcomeUnknown proves nothing: the write may be in
+// effect, now or later.
 const (
 	Committed Outcome = iota
 	NotOwner
--- a/internal/tier/controlnode/receive.go
+++ b/internal/tier/controlnode/receive.go
@@ -58,7 +58,8 @@
 }
 
 // handleHeartbeat records the state that a peer reports: its echoes, its position in the chain, its observations of the
-// stores and the version of its host list.
+// stores and the version of its host list. A peer with an older view is sent the newest one, and a voter with an older
+// host list is sent that of the head.
 func (n *Node) handleHeartbeat(p *peer, m Message) {
 	for _, e := range m.Echoes {
 		n.handleEcho(p, m, e)
--- a/internal/tier/controlnode/simulation_test.go
+++ b/internal/tier/controlnode/simulation_test.go
@@ -26,13 +26,14 @@
 	incarnation  int64
 	up           bool
 	frozen       bool
-	unsyncedDisk *Durable // with the bug skipsSync: the state that is not on disk yet
-	checkedEpoch *int64   // the epoch of the view that was last compared with other nodes
-	inbox        []Message
+	unsyncedDisk *Durable  // with the bug skipsSync: the state that is not on disk yet
+	checkedEpoch *int64    // the epoch of the view that was last compared with other nodes
+	inbox        []Message // messages that arrived while the machine was frozen
 }
 
+// packet is a message in flight.
 type packet struct {
-	at   time.Duration
+	at   time.Duration // when it arrives
 	to   string
 	from string
 	m    Message
@@ -53,11 +54,11 @@
 	bugs            injectedBugs
 	log             []string
 	ids             int
-	views           map[int64]string
-	noRandomFaults  bool          // no messages are lost or delayed at random, and no machine loses power
-	latency         time.Duration // of each message, in addition to a random delay
-	dropsDecisions  bool          // messages with a decided view are lost
-	faultyMachine   string        // the one machine that may be faulty now, until all have caught up; empty for none
+	views           map[int64]string // the decided view of each epoch, as text
+	noRandomFaults  bool             // no messages are lost or delayed by more than 6 ms at random, and no machine loses power
+	latency         time.Duration    // of each message, in addition to a random delay
+	dropsDecisions  bool             // messages with a decided view are lost
+	faultyMachine   string           // the one machine that may be faulty now, until all have caught up; empty for none
 	faultTolerance  int
 	chainLength     int       // of NodeSettings
 	initialMachines int       // machines at the start
@@ -78,8 +79,8 @@
 type request struct {
 	write bool
 	value string
-	at    int64 // the acknowledged index when a read was sent
-	by    string
+	at    int64  // the acknowledged index when a read was sent
+	by    string // the address of the machine that handles the request
 }
 
 func newSimulation(t testing.TB, seed uint64, n int, f injectedBugs) *simulation {
