--- a/internal/tier/controlnode/disk.go
+++ b/internal/tier/controlnode/disk.go
@@ -18,7 +18,7 @@
 // stored bytes.
 type chainMeta struct{ ActivatedEpoch, LastIndex, Commit int64 }
 
-// Keys of the table "vote".
+// Keys of the table "vote"; they are part of the format on disk.
 var (
 	selfKey        = []byte("self")
 	incarnationKey = []byte("life")
