--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -333,9 +333,9 @@
 }
 
 // willRestart reports whether another loss will start the machine again.
-func (c *contractSimulation) willRestart(a string, but *lossSlot) bool {
+func (c *contractSimulation) willRestart(a string, except *lossSlot) bool {
 	for i := range c.slots {
-		if s := &c.slots[i]; s != but && s.machine == a && s.end != nil && s.down {
+		if s := &c.slots[i]; s != except && s.machine == a && s.end != nil && s.down {
 			return true
 		}
 	}
--- a/internal/tier/controlnode/cost_test.go
+++ b/internal/tier/controlnode/cost_test.go
@@ -156,15 +156,15 @@
 	began := time.Now()
 	follower := startFollowerChild(f.t, f.settings(0, false))
 	newest, _ := f.hist.newestAcknowledged()
-	acts := fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
-	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
+	activeLine := fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
+	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), activeLine) })
 	f.requireFitsCPUShare("a starting follower", follower.cpuTime(f.t), onLink, time.Since(began))
 	used := follower.cpuTime(f.t)
 	const more = 5
 	f.putLargeConfigs(more, changeSize, f.all()...)
 	newest, _ = f.hist.newestAcknowledged()
-	acts = fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
-	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), acts) })
+	activeLine = fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
+	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), activeLine) })
 	f.t.Logf("a running follower: %v of CPU time for each change",
 		((follower.cpuTime(f.t) - used) / more).Round(time.Millisecond))
 }
--- a/internal/tier/controlnode/feed_bench_test.go
+++ b/internal/tier/controlnode/feed_bench_test.go
@@ -39,9 +39,9 @@
 		size := len(bodydelta.Digest{})
 		h.q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: p.Delta[1+size : 1+2*size]}}
 	}
-	for _, name := range a.LargeValues {
+	for _, ref := range a.LargeValues {
 		n.complete.Add(1)
-		h.q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: name.Digest}}
+		h.q.BaseValues = []feed.BaseValue{{Key: feed.ConfigKey, Digest: ref.Digest}}
 	}
 }
 
--- a/internal/tier/controlnode/feed_server_test.go
+++ b/internal/tier/controlnode/feed_server_test.go
@@ -91,7 +91,7 @@
 }
 
 // fetchChunks fetches the chunks of a value from the nodes in turn.
-func (c *cluster) fetchChunks(calls *rpc.Clients, name feed.ValueRef) (value []byte) {
+func (c *cluster) fetchChunks(calls *rpc.Clients, ref feed.ValueRef) (value []byte) {
 	c.t.Helper()
 	node := 0
 	c.until("all chunks are fetched", func() bool {
@@ -99,13 +99,13 @@
 		defer done()
 		p := new(feed.Chunk)
 		node++
-		q := &feed.ChunkRequest{Name: "by hand", Digest: name.Digest, Offset: int64(len(value)), Length: 50_000}
+		q := &feed.ChunkRequest{Name: "by hand", Digest: ref.Digest, Offset: int64(len(value)), Length: 50_000}
 		if calls.To(c.peerAddr(node%c.n)).Call(ctx, feed.ChunkCall, q, p) == nil && p.Status == feed.ChunkServed {
 			value = append(value, p.Data...)
 		}
-		return int64(len(value)) == name.Size
+		return int64(len(value)) == ref.Size
 	})
-	if digest := bodydelta.DigestOf(value); string(digest[:]) != string(name.Digest) {
+	if digest := bodydelta.DigestOf(value); string(digest[:]) != string(ref.Digest) {
 		c.t.Fatal("the chunks do not have the announced digest")
 	}
 	return value
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -100,7 +100,7 @@
 		{14, "clock", sideRequest, &feed.Empty{Unused: true}},
 		{14, "clock", sideReply, &feed.ClockReading{UnixMicros: big + 1}},
 		{15, "duties", sideRequest, &feed.OrderRequest{Name: "name", Forwarded: true}},
-		{15, "duties", sideReply, fullDutyStatus()},
+		{15, "duties", sideReply, fullTaskStatus()},
 
 		{0, "configuration", sideStored, &feed.ConfigEntry{Version: big + 1, Body: []byte("body"), RecentDigests: [][]byte{[]byte("digest-1"), []byte("digest-2")}}},
 		{0, "placement", sideStored, &turnstore.Placement{Generation: big + 1, ReplicationFactor: big + 2, DurableReplicas: big + 3, FaultTolerance: big + 4, Old: []turnstore.Store{store},
@@ -162,7 +162,7 @@
 		Transfers: []Transfer{{To: "to", LastIndex: big + 13, Target: big + 14, Bytes: big + 15}}}
 }
 
-func fullDutyStatus() *TaskStatus {
+func fullTaskStatus() *TaskStatus {
 	outcomes := func(n int64) PlatformCallCounts {
 		return PlatformCallCounts{Accepted: n, Refused: n + 1, Busy: n + 2, Invalid: n + 3, NotSent: n + 4, Unknown: n + 5}
 	}
@@ -298,9 +298,9 @@
 	if want := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12}; !reflect.DeepEqual(kinds, want) {
 		t.Errorf("message kinds are %v, want %v", kinds, want)
 	}
-	pieces := []int{feed.ChunkServed, feed.ChunkUnknown, feed.ChunkBusy}
-	if want := []int{0, 1, 2}; !reflect.DeepEqual(pieces, want) {
-		t.Errorf("chunk statuses are %v, want %v", pieces, want)
+	statuses := []int{feed.ChunkServed, feed.ChunkUnknown, feed.ChunkBusy}
+	if want := []int{0, 1, 2}; !reflect.DeepEqual(statuses, want) {
+		t.Errorf("chunk statuses are %v, want %v", statuses, want)
 	}
 }
 
--- a/internal/tier/controlnode/large_test.go
+++ b/internal/tier/controlnode/large_test.go
@@ -78,17 +78,17 @@
 			return false
 		})
 	}
-	wiped := func() {
+	wipe := func() {
 		f.kill(2)
 		f.wipe(2)
 	}
-	away := func() {
+	missChange := func() {
 		f.kill(2)
 		large(0, 1)
 	}
 	large(f.all()...)
-	f.requireRejoinInTime(fmt.Sprintf("after a disk loss, %d KB of state", size>>10), linkRate, wiped)
-	f.requireRejoinInTime(fmt.Sprintf("after a missed change, %d KB of state", size>>10), linkRate, away)
+	f.requireRejoinInTime(fmt.Sprintf("after a disk loss, %d KB of state", size>>10), linkRate, wipe)
+	f.requireRejoinInTime(fmt.Sprintf("after a missed change, %d KB of state", size>>10), linkRate, missChange)
 }
 
 // maxRejoinAttempts is the number of attempts if the test machine starves the processes of CPU time.
@@ -97,10 +97,10 @@
 // requireRejoinInTime makes the third node leave and return over slow links, and requires that it is a member again
 // within catch_up_s. An attempt that took longer while a thread of the nodes, or of this process, which relays their
 // links, measurably waited for a CPU is inconclusive and is repeated.
-func (f *fleet) requireRejoinInTime(what string, linkRate float64, goes func()) {
+func (f *fleet) requireRejoinInTime(what string, linkRate float64, takeDown func()) {
 	f.t.Helper()
-	for play := 1; ; play++ {
-		goes()
+	for attempt := 1; ; attempt++ {
+		takeDown()
 		f.setLinkRate(linkRate)
 		f.start(2, false)
 		processes := f.pids()
@@ -114,8 +114,8 @@
 		switch {
 		case took <= catchUp:
 			return
-		case waited < starvation.Limit || play == maxRejoinAttempts:
-			f.t.Fatalf("%s: a member again after %v, limit %v, in attempt %d", what, took, catchUp, play)
+		case waited < starvation.Limit || attempt == maxRejoinAttempts:
+			f.t.Fatalf("%s: a member again after %v, limit %v, in attempt %d", what, took, catchUp, attempt)
 		}
 	}
 }
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -37,24 +37,24 @@
 
 // childMain runs a core node as larch-control does, with its connections to other nodes through relays.
 func childMain(routes string) int {
-	fault := func(err error) int {
+	fail := func(err error) int {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
 	}
 	settings, err := process.Load()
 	if err != nil {
-		return fault(err)
+		return fail(err)
 	}
 	log := process.NewLogger(os.Stderr)
 	core, err := Open(settings, log)
 	if err != nil {
-		return fault(err)
+		return fail(err)
 	}
 	core.clients.Dial = dialThroughRelays(routes)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	if err := core.Run(ctx); err != nil {
-		return fault(err)
+		return fail(err)
 	}
 	return 0
 }
--- a/internal/tier/controlnode/status_test.go
+++ b/internal/tier/controlnode/status_test.go
@@ -16,10 +16,10 @@
 	one := []UnresponsiveStore{{Name: "store-2", SinceRegistrationMs: 95_900}}
 	two := append(slices.Clone(one), UnresponsiveStore{Name: "store-3", SinceRegistrationMs: 4_000})
 	for _, c := range []struct {
-		silent  []UnresponsiveStore
-		lacking int
-		joint   bool
-		want    string
+		unresponsive []UnresponsiveStore
+		required     int
+		joint        bool
+		want         string
 	}{
 		{nil, 0, false, "all is well"},
 		{nil, 0, true, "a placement change is in progress"},
@@ -29,7 +29,7 @@
 		{two, 1, false, "more stores are unresponsive than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"},
 	} {
 		s := healthy
-		s.UnresponsiveStores, s.StoresRequired, s.PlacementJoint = c.silent, c.lacking, c.joint
+		s.UnresponsiveStores, s.StoresRequired, s.PlacementJoint = c.unresponsive, c.required, c.joint
 		if got := s.Summary(); got != c.want {
 			t.Errorf("%q, want %q", got, c.want)
 		}
@@ -44,9 +44,9 @@
 		t.Errorf("%q, want %q", got, full)
 	}
 	s.UnresponsiveStores, s.StoresRequired = []UnresponsiveStore{{Name: "store-2", SinceRegistrationMs: 95_900}, {Name: "store-3", SinceRegistrationMs: 4_000}}, 1
-	const lacking = "more stores are unresponsive than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"
-	if got := s.Summary(); got != lacking {
-		t.Errorf("%q, want %q", got, lacking)
+	const required = "more stores are unresponsive than may be lost (store-2 for 95 s, store-3 for 4 s): bring 1 of them back with their disks"
+	if got := s.Summary(); got != required {
+		t.Errorf("%q, want %q", got, required)
 	}
 }
 
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -46,12 +46,12 @@
 
 // network is a core node with its disk, and two nodes in memory with which it exchanges messages in virtual time.
 type network struct {
-	t     *testing.T
-	core  *Server
-	peers map[string]*Node // by address
-	cut   map[string]bool  // addresses of partitioned nodes
-	now   time.Duration
-	sent  []Envelope
+	t           *testing.T
+	core        *Server
+	peers       map[string]*Node // by address
+	partitioned map[string]bool  // addresses of partitioned nodes
+	now         time.Duration
+	sent        []Envelope
 }
 
 func openNetwork(t *testing.T, dir string, peers func(core *Server) Durable) *network {
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &network{t: t, core: core, peers: map[string]*Node{}, cut: map[string]bool{}}
+	n := &network{t: t, core: core, peers: map[string]*Node{}, partitioned: map[string]bool{}}
 	for _, m := range storedMembers[1:] {
 		n.start(m, peers(core))
 	}
@@ -109,7 +109,7 @@
 		for len(n.sent) > 0 {
 			e := n.sent[0]
 			n.sent = n.sent[1:]
-			if n.cut[e.To] || n.cut[e.From.Addr] {
+			if n.partitioned[e.To] || n.partitioned[e.From.Addr] {
 				continue
 			}
 			if e.To == n.core.self.Addr {
@@ -175,9 +175,9 @@
 		t.Fatalf("%+v", d)
 	}
 	n.until("all entries are committed", n.allCaughtUp)
-	n.cut[last.Addr] = true
+	n.partitioned[last.Addr] = true
 	n.until("the third node is removed from the chain", func() bool { return len(n.core.node.View().Chain) == 2 })
-	n.cut[last.Addr] = false
+	n.partitioned[last.Addr] = false
 	n.start(last, Durable{})
 	n.until("the third node has returned under another ID", func() bool { return n.allCaughtUp() && n.core.node.acceptor.View.IsVoter(last.ID) })
 
