--- a/internal/tier/controlnode/contract_test.go
+++ b/internal/tier/controlnode/contract_test.go
@@ -28,14 +28,14 @@
 // contractSimulation is one of the contractSimulations: it injects the losses and checks the invariants.
 type contractSimulation struct {
 	*simulation
-	catchUp       time.Duration
+	catchUp       time.Duration // catch_up_s
 	slots         []lossSlot
 	addedMachines int
 	lastAckAt     time.Duration
 	ackedWrites   int
-	checkedFrom   time.Duration // no invariants are checked before, after all machines were killed
-	leaving       map[string]time.Duration
-	replaced      map[string]bool // machines that leave for good
+	checkedFrom   time.Duration            // no invariants are checked before, after all machines were killed
+	leaving       map[string]time.Duration // by address, when the graceful shutdown began
+	replaced      map[string]bool          // machines that leave for good
 	faultCounts   map[string]int
 }
 
@@ -177,7 +177,7 @@
 	kinds := []func(s *lossSlot, m *machine){
 		c.kill, c.wipe, c.freeze, c.partition, c.restartGracefully, c.replace, c.replaceGracefully, c.killAll, c.addMachine,
 	}
-	if c.bugs.keepsIDAfterDiskLoss { // repeated disk losses find this planted bugs sooner
+	if c.bugs.keepsIDAfterDiskLoss { // repeated disk losses find this planted bug sooner
 		kinds = []func(s *lossSlot, m *machine){c.kill, c.wipe, c.killAll}
 	}
 	kinds[c.rng.IntN(len(kinds))](s, m)
@@ -285,7 +285,7 @@
 // replaceGracefully starts the new machine first; the old one shuts down gracefully a second later, or once the new one
 // has had catch_up_s.
 func (c *contractSimulation) replaceGracefully(s *lossSlot, m *machine) {
-	c.countFault("replace planned")
+	c.countFault("replace gracefully")
 	next := c.startNewMachine()
 	began := c.now
 	c.logf("%s starts to replace %s", next.addr, m.addr)
@@ -400,6 +400,7 @@
 	return newContractSimulation(t, seed, size.n, size.losses, f)
 }
 
+// TestSingleContractSeed runs the simulation of the seed that the flag contract.seed selects.
 func TestSingleContractSeed(t *testing.T) {
 	c := newContractSimulationFromSeed(t, *contractSeed, injectedBugs{})
 	c.runFaults(12)
@@ -409,7 +410,7 @@
 				n := m.node
 				sent, ok := n.confirmedRoundSentAt()
 				tail := n.peers[n.acceptor.View.Tail()]
-				c.logf("%s(%s) frozen %v fresh %v epoch %d sealed %v known %v commit %d confirmed %v %v tail %v %+v",
+				c.logf("%s(%s) frozen %v fresh %v epoch %d promised %v commit current %v commit %d confirmed %v %v tail %v %+v",
 					a, m.id, m.frozen, n.Fresh(), n.acceptor.View.Epoch, n.acceptor.HasPromised(), n.chain.CommitIsCurrent(), n.chain.State().Commit, sent, ok, n.acceptor.View.Tail(), tail)
 			}
 		}
@@ -417,7 +418,7 @@
 	}
 }
 
-var contractSeed = flag.Uint64("contract.seed", 1, "seed of the one simulation")
+var contractSeed = flag.Uint64("contract.seed", 1, "seed of the simulation of TestSingleContractSeed")
 
 // The simulation finds planted violations of the contract.
 func TestContractCheckFindsPlantedFaults(t *testing.T) {
--- a/internal/tier/controlnode/cost_test.go
+++ b/internal/tier/controlnode/cost_test.go
@@ -20,11 +20,11 @@
 	changeSize      = 1 << 20      // bytes of each change
 	cpuShare        = 0.1          // of a core
 	cpuTestLinkRate = 30 * megabit // bytes per second
-	maxFolderSize   = 16 << 20     // bytes of a node's data folder, including its log
+	maxFolderSize   = 16 << 20     // bytes of a node's data folder, including its write-ahead log
 )
 
-// randomConfig returns a configuration of at least the given size, whose routes have a common length. Two versions have
-// little in common, so that deltas between them save little.
+// randomConfig returns a configuration of at least the given size with routes of a usual length. Two versions have little
+// in common, so that deltas between them save little.
 func randomConfig(version int64, size int) string {
 	r := rand.New(rand.NewPCG(uint64(version), 0))
 	var b strings.Builder
@@ -157,14 +157,14 @@
 	follower := startFollowerChild(f.t, f.settings(0, false))
 	newest, _ := f.hist.newestAcknowledged()
 	activeLine := fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
-	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), activeLine) })
+	f.until("the follower uses the newest version", func() bool { return strings.Contains(follower.output.String(), activeLine) })
 	f.requireFitsCPUShare("a starting follower", follower.cpuTime(f.t), onLink, time.Since(began))
 	used := follower.cpuTime(f.t)
 	const more = 5
 	f.putLargeConfigs(more, changeSize, f.all()...)
 	newest, _ = f.hist.newestAcknowledged()
 	activeLine = fmt.Sprintf("%s%d\n", activeVersionPrefix, newest)
-	f.until("the follower acts on the newest version", func() bool { return strings.Contains(follower.output.String(), activeLine) })
+	f.until("the follower uses the newest version", func() bool { return strings.Contains(follower.output.String(), activeLine) })
 	f.t.Logf("a running follower: %v of CPU time for each change",
 		((follower.cpuTime(f.t) - used) / more).Round(time.Millisecond))
 }
--- a/internal/tier/controlnode/feed_poll.go
+++ b/internal/tier/controlnode/feed_poll.go
@@ -59,7 +59,8 @@
 }
 
 // awaitUpdate waits, for at most the poll's WaitMs, for entries or hosts that the follower lacks, and returns the feed
-// then. The snapshot is confirmed after the poll arrived; if that takes too long, its confirmed field is false.
+// then. The snapshot is confirmed by a round that started after the poll arrived; if that takes too long, its confirmed
+// field is false.
 func (s *Server) awaitUpdate(ctx context.Context, poll *feed.ChangesRequest) (snapshot feedSnapshot, err error) {
 	s.recordFollower(poll)
 	request := &snapshotFeedRequest{poll: poll, arrival: s.now()}
@@ -77,8 +78,8 @@
 			return feedSnapshot{}, errStopping
 		}
 		snapshot = request.snapshot
-		// A follower without any entries keeps waiting; one that has entries gets its answer now and tries another
-		// node.
+		// This node is partitioned or behind. A follower without any entries keeps waiting until its WaitMs are over; one
+		// that has entries gets an unconfirmed answer after pollGrace, and tries another node.
 		stale := !snapshot.recent && (expired || poll.ReceivedIndex > 0 && spent >= pollGrace)
 		if stale || spent >= wait+pollGrace || snapshot.confirmed && (expired || snapshot.hasUpdate(poll)) {
 			return snapshot, nil
--- a/internal/tier/controlnode/fleet_callers_test.go
+++ b/internal/tier/controlnode/fleet_callers_test.go
@@ -154,7 +154,7 @@
 }
 
 // startFollower runs a follower whose first source is a given node, and records the versions that it uses. It reaches
-// all nodes directly. Its seeds are the three seeds of the fleet, or that first node alone.
+// all nodes directly. Its seeds are the three seeds of the fleet, or only the first source if alone is set.
 func (f *fleet) startFollower(first int, alone bool) (follower *feed.Follower, stop func()) {
 	f.t.Helper()
 	seeds := []int{0, 1, 2}
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -29,8 +29,8 @@
 	portStrides = 1000
 
 	retryPause  = 15 * time.Millisecond
-	waitTimeout = 15 * time.Second // of until
-	catchUp     = 4200 * time.Millisecond
+	waitTimeout = 15 * time.Second        // for a condition, and for the exit of a process
+	catchUp     = 4200 * time.Millisecond // catch_up_s of the settings
 
 	callerTimeout = 1500 * time.Millisecond // after which a caller considers a node dead
 
@@ -42,7 +42,7 @@
 // their callers. Callers reach a node directly: partitions affect only the links between nodes.
 type fleet struct {
 	t              *testing.T
-	n              int
+	n              int // number of nodes that the fleet has room for, running or not
 	faultTolerance int // how many machines may be lost at once
 	basePort       int // the control port; the port range starts above it
 	dirs           []string
@@ -58,7 +58,8 @@
 	extraSettings     func(i int) string // returns additional lines of a node's settings; nil for none
 }
 
-// newFleet starts n nodes of a fleet with the given capacity, and waits until all of them are caught-up members.
+// newFleet starts n nodes of a fleet that has room for capacity nodes, and waits until all of them are caught-up
+// members.
 func newFleet(t *testing.T, n, capacity int) *fleet {
 	t.Helper()
 	return newFleetWith(t, n, capacity, func(*fleet) {})
@@ -440,7 +441,8 @@
 	return head
 }
 
-// requireCaughtUp waits until each node is a caught-up member and returns the newest version.
+// requireCaughtUp waits until each node is a caught-up member and serves the newest version to readers. It fails if a
+// node's feed then returns an older one.
 func (f *fleet) requireCaughtUp(nodes ...int) {
 	f.t.Helper()
 	for _, i := range nodes {
--- a/internal/tier/controlnode/frames_test.go
+++ b/internal/tier/controlnode/frames_test.go
@@ -177,9 +177,9 @@
 		Outcomes: outcomes(big + 70)}
 }
 
-// The encoding of each message and stored value must stay compatible with earlier releases. Avro encodes fields in
-// their order and without names, so that only this test detects a field that was moved, added, dropped or given another
-// type.
+// The encoding of each message and stored value must stay that of the fixtures, for compatibility with earlier releases.
+// Avro encodes fields in their order and without names, so that only this test detects a field that was moved, added,
+// dropped or given another type.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	path := filepath.Join("testdata", "frames.txt")
 	if *writeFixtures {
--- a/internal/tier/controlnode/large_test.go
+++ b/internal/tier/controlnode/large_test.go
@@ -91,12 +91,12 @@
 	f.requireRejoinInTime(fmt.Sprintf("after a missed change, %d KB of state", size>>10), linkRate, missChange)
 }
 
-// maxRejoinAttempts is the number of attempts if the test machine starves the processes of CPU time.
+// maxRejoinAttempts is the maximum number of attempts; one is repeated only if the processes were starved of CPU time.
 const maxRejoinAttempts = 3
 
-// requireRejoinInTime makes the third node leave and return over slow links, and requires that it is a member again
-// within catch_up_s. An attempt that took longer while a thread of the nodes, or of this process, which relays their
-// links, measurably waited for a CPU is inconclusive and is repeated.
+// requireRejoinInTime calls takeDown, which stops the third node, starts the node again over slow links, and requires
+// that it is a member again within catch_up_s. An attempt that took longer while a thread of the nodes, or of this
+// process, which relays their links, measurably waited for a CPU is inconclusive and is repeated.
 func (f *fleet) requireRejoinInTime(what string, linkRate float64, takeDown func()) {
 	f.t.Helper()
 	for attempt := 1; ; attempt++ {
--- a/internal/tier/controlnode/process_test.go
+++ b/internal/tier/controlnode/process_test.go
@@ -30,7 +30,7 @@
 const followerVariable = "CONTROLNODE_TEST_FOLLOWER"
 
 // activeVersionPrefix starts the line in which a follower prints the version that it uses.
-const activeVersionPrefix = "acts on version "
+const activeVersionPrefix = "active version "
 
 // exitFailure is the exit code of a child process that failed.
 const exitFailure = 3
--- a/internal/tier/controlnode/server.go
+++ b/internal/tier/controlnode/server.go
@@ -25,13 +25,13 @@
 
 // Intervals and time-outs of the server.
 const (
-	tickInterval     = 50 * time.Millisecond
+	tickInterval     = 50 * time.Millisecond                 // between ticks of the event loop
 	requestTimeout   = 900 * time.Millisecond                // callers consider a node dead that does not answer within a second
 	leaveTimeout     = 1500 * time.Millisecond               // for the other nodes to agree on a view without this node
 	shutdownTimeout  = requestTimeout + 300*time.Millisecond // for answering operators' calls in flight
 	hostPollInterval = 900 * time.Millisecond                // between fetches of the platform's host list
-	planInterval     = 100 * time.Millisecond
-	pollGrace        = 300 * time.Millisecond // how long a follower's poll waits while this node is partitioned or behind
+	planInterval     = 100 * time.Millisecond                // minimum time between two plans of the store placement
+	pollGrace        = 300 * time.Millisecond                // how long a follower's poll waits while this node is partitioned or behind
 )
 
 // Server runs a control node as a process. One goroutine, the event loop, owns the Node and everything that depends on
@@ -95,6 +95,7 @@
 	); err != nil {
 		return nil, err
 	}
+	// The database and its write-ahead log may use 80 % of the disk limit.
 	db, err := sqlitelog.Open(s.DataDir, "core.db", int64(s.Limits.DiskMB*0.8)<<20, "vote", "entries")
 	if err != nil {
 		return nil, err
--- a/internal/tier/controlnode/server_test.go
+++ b/internal/tier/controlnode/server_test.go
@@ -52,7 +52,8 @@
 	platform string // address of the platform, empty for none
 }
 
-// findFreeBasePort returns a free port.
+// findFreeBasePort returns a port that is free on 127.0.0.1. It does not check the addresses of the nodes, nor the port
+// range above.
 func findFreeBasePort(t testing.TB) int {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/tier/controlnode/settings.go
+++ b/internal/tier/controlnode/settings.go
@@ -16,7 +16,7 @@
 	Timings        Timings
 }
 
-// spareChainMembers is the number of chain members beyond those that accepting writes requires.
+// spareChainMembers is the number of chain members beyond those without which the chain may not accept writes.
 const spareChainMembers = 1
 
 // ChainLength returns the target number of chain members for a fault tolerance. Acknowledged writes are on the disks of
@@ -31,8 +31,8 @@
 	SuspectTimeout    time.Duration // time without a message after which a member is removed from the chain
 	// StartTimeout is the time since this node's own start after which a member that has sent no message is removed
 	// from the chain. Machines that get power back together start within 0.3 s, and a hanging dial is repeated within
-	// 0.1 s. It is no evidence of a fault: a member that starts later joins as a learner and loses nothing, since a
-	// view needs a majority of the voters whatever the time-outs.
+	// 0.1 s. Exceeding it is no evidence of a fault: a member that starts later joins as a learner and loses nothing,
+	// since a view needs a majority of the voters whatever the time-outs.
 	StartTimeout   time.Duration
 	FailureTimeout time.Duration // time without a message after which a voter may lose its vote
 	ResendInterval time.Duration // between resends of unacknowledged messages
--- a/internal/tier/controlnode/slow_links_test.go
+++ b/internal/tier/controlnode/slow_links_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestViewIsDecidedOnSlowLinks checks that a lost head is replaced over slow links. Deciding a view takes four
+// TestViewIsDecidedOnSlowLinks checks that the other nodes replace a lost head over slow links. Deciding a view takes four
 // sequential messages with a sync before each. If these take longer than the first time-out of a proposal, later
 // proposals must get more time.
 func TestViewIsDecidedOnSlowLinks(t *testing.T) {
--- a/internal/tier/controlnode/status.go
+++ b/internal/tier/controlnode/status.go
@@ -49,12 +49,12 @@
 	SinceRegistrationMs int64  `json:"silent_ms"` // a lower bound, since the head may have changed meanwhile
 }
 
-// Transfer is the progress of a member that this node brings up to date.
+// Transfer is the progress of a chain member or learner to which this node sends missing entries.
 type Transfer struct {
 	To        string `json:"to"`
-	LastIndex int64  `json:"place"` // the member has all entries up to this index
-	Target    int64  `json:"target"`
-	Bytes     int64  `json:"bytes"` // received of the next entry
+	LastIndex int64  `json:"place"`  // the member has all entries up to this index
+	Target    int64  `json:"target"` // index that the member has to reach
+	Bytes     int64  `json:"bytes"`  // received of the next entry
 }
 
 // Roles of a control node in the status.
--- a/internal/tier/controlnode/status_test.go
+++ b/internal/tier/controlnode/status_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Unresponsive stores that leave programs without a majority take precedence over a full store.
+// Unresponsive stores take precedence over a full store if programs have no majority of replicas without them.
 func TestSummaryNamesFullStores(t *testing.T) {
 	s := Status{Epoch: 1, Role: RoleMember, Fresh: true, ConfigVersion: 1, Voters: []Voter{{}, {}, {}}, FullStores: []string{"store-1"}}
 	const full = "a store rejects new turns (store-1): its disk or its ledger memory is nearly full, see its log"
--- a/internal/tier/controlnode/store_registration.go
+++ b/internal/tier/controlnode/store_registration.go
@@ -47,8 +47,9 @@
 	return forward[feed.Registration, feed.Empty](ctx, s, request.headAddr, feed.RegisterCall, registration)
 }
 
-// fullStoreNames returns the names of the stores that report that their disks are nearly full. Only the head has the
-// registrations; on other nodes it returns nil. It runs on the event loop.
+// fullStoreNames returns the names of the stores that report that they reject new turns because their disk, or their
+// memory of ledgers, is nearly full. Only the head has the registrations; on other nodes it returns nil. It runs on the
+// event loop.
 func (s *Server) fullStoreNames() (names []string) {
 	if !s.node.IsConfirmedHead() {
 		return nil
--- a/internal/tier/controlnode/stored_test.go
+++ b/internal/tier/controlnode/stored_test.go
@@ -54,6 +54,7 @@
 	sent        []Envelope
 }
 
+// openNetwork opens the core node with the given data folder. The nodes in memory start with the state that peers returns.
 func openNetwork(t *testing.T, dir string, peers func(core *Server) Durable) *network {
 	t.Helper()
 	c := &cluster{t: t, basePort: 21000, n: 3, dirs: []string{dir}}
