--- a/internal/tier/controlnode/feed_poll.go
+++ b/internal/tier/controlnode/feed_poll.go
@@ -19,15 +19,15 @@
 
 // feedSnapshot is the feed after a follower's index, as the event loop read it for one check of a poll.
 type feedSnapshot struct {
-	confirmed bool          // by a round that started after the poll arrived
-	recent    bool          // confirmed within the last SuspectTimeout
-	ready     chan struct{} // closed once the snapshot is confirmed; nil if no confirmation was requested
-	index     int64         // commit index
-	entries   []chain.Entry // after the index that the follower has
-	committed []chain.Entry // all committed entries for followers
-	hosts     []discovery.List
-	delta     []discovery.Delta
-	coreAddrs []string
+	confirmed bool              // by a round that started after the poll arrived
+	recent    bool              // confirmed within the last SuspectTimeout
+	ready     chan struct{}     // closed once the snapshot is confirmed; nil if no confirmation was requested
+	index     int64             // commit index
+	entries   []chain.Entry     // after the index that the follower has
+	committed []chain.Entry     // all committed entries for followers
+	hosts     []discovery.List  // the complete newest list, if the follower's is older and there is no delta from it
+	delta     []discovery.Delta // a single delta from the follower's list to the newest one, if there is one
+	coreAddrs []string          // of the voters
 }
 
 // hasUpdate reports whether the snapshot has entries or hosts that the follower lacks.
--- a/internal/tier/controlnode/fleet_test.go
+++ b/internal/tier/controlnode/fleet_test.go
@@ -32,7 +32,7 @@
 	waitTimeout = 15 * time.Second        // for a condition, and for the exit of a process
 	catchUp     = 4200 * time.Millisecond // catch_up_s of the settings
 
-	callerTimeout = 1500 * time.Millisecond // after which a caller considers a node dead
+	callerTimeout = 1500 * time.Millisecond // after which a caller of these tests abandons a request and considers the node dead
 
 	// maxResponseTime is the second after which a caller considers a node dead, plus an allowance for a busy machine.
 	maxResponseTime = time.Second + 400*time.Millisecond
--- a/internal/tier/controlnode/placement_role.go
+++ b/internal/tier/controlnode/placement_role.go
@@ -14,10 +14,10 @@
 // this node had the role in the previous epoch: then only writeInFlight is reset.
 type placementRole struct {
 	epoch           int64
-	tookOverAt      time.Duration          // earlier missing registrations do not count
-	inherited       placement.Observations // of the previous head
-	stores          map[string]placement.StoreStatus
-	lastPlacement   *turnstore.Placement // of the planner's last input
+	tookOverAt      time.Duration                    // earlier missing registrations do not count
+	inherited       placement.Observations           // of the previous head
+	stores          map[string]placement.StoreStatus // registered stores, by ID
+	lastPlacement   *turnstore.Placement             // of the planner's last input
 	departures      placement.Departures
 	generation      int64         // of the placement
 	generationSince time.Duration // when the generation was first observed
