--- a/internal/tier/controlnode/feed_poll.go
+++ b/internal/tier/controlnode/feed_poll.go
@@ -21,7 +21,7 @@
 type feedSnapshot struct {
 	confirmed bool              // by a round that started after the poll arrived
 	recent    bool              // confirmed within the last SuspectTimeout
-	ready     chan struct{}     // closed once the snapshot is confirmed; nil if no confirmation was requested
+	ready     chan struct{}     // closed once the poll is confirmed or has ended; nil if no confirmation was requested
 	index     int64             // commit index
 	entries   []chain.Entry     // after the index that the follower has
 	committed []chain.Entry     // all committed entries for followers
