--- a/internal/tier/controlnode/feed_poll.go
+++ b/internal/tier/controlnode/feed_poll.go
@@ -19,15 +19,15 @@
 
 // feedSnapshot is the feed after a follower's index, as the event loop read it for one check of a poll.
 type feedSnapshot struct {
-	confirmed bool          // by a round that started after the poll arrived
-	recent    bool          // confirmed within the last SuspectTimeout
-	ready     chan struct{} // closed once the snapshot is confirmed; nil if no confirmation was requested
-	index     int64         // commit index
-	entries   []chain.Entry // after the index that the follower has
-	committed []chain.Entry // all committed entries for followers
-	hosts     []discovery.List
-	delta     []discovery.Delta
-	coreAddrs []string
+	confirmed bool              // by a round that started after the poll arrived
+	recent    bool              // confirmed within the last SuspectTimeout
+	ready     chan struct{}     // closed once the poll is confirmed or has ended; nil if no confirmation was requested
+	index     int64             // commit index
+	entries   []chain.Entry     // after the index that the follower has
+	committed []chain.Entry     // all committed entries for followers
+	hosts     []discovery.List  // the complete newest list, if the follower's is older and there is no delta from it
+	delta     []discovery.Delta // a single delta from the follower's list to the newest one, if there is one
+	coreAddrs []string          // of the voters
 }
 
 // hasUpdate reports whether the snapshot has entries or hosts that the follower lacks.
@@ -59,7 +59,8 @@
 }
 
 // awaitUpdate waits, for at most the poll's WaitMs, for entries or hosts that the follower lacks, and returns the feed
-// then. The snapshot is confirmed after the poll arrived; if that takes too long, its confirmed field is false.
+// then. The snapshot is confirmed by a round that started after the poll arrived; if that takes too long, its confirmed
+// field is false.
 func (s *Server) awaitUpdate(ctx context.Context, poll *feed.ChangesRequest) (snapshot feedSnapshot, err error) {
 	s.recordFollower(poll)
 	request := &snapshotFeedRequest{poll: poll, arrival: s.now()}
@@ -77,8 +78,8 @@
 			return feedSnapshot{}, errStopping
 		}
 		snapshot = request.snapshot
-		// A follower without any entries keeps waiting; one that has entries gets its answer now and tries another
-		// node.
+		// This node is partitioned or behind. A follower without any entries keeps waiting until its WaitMs are over; one
+		// that has entries gets an unconfirmed answer after pollGrace, and tries another node.
 		stale := !snapshot.recent && (expired || poll.ReceivedIndex > 0 && spent >= pollGrace)
 		if stale || spent >= wait+pollGrace || snapshot.confirmed && (expired || snapshot.hasUpdate(poll)) {
 			return snapshot, nil
