--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -32,8 +32,8 @@
 }
 
 // isValid reports whether the size and the digest of a reference are plausible.
-func (n ValueRef) isValid() bool {
-	return n.Size > 0 && n.Size <= rpc.MaxFrame && len(n.Digest) == len(bodydelta.Digest{})
+func (ref ValueRef) isValid() bool {
+	return ref.Size > 0 && ref.Size <= rpc.MaxFrame && len(ref.Digest) == len(bodydelta.Digest{})
 }
 
 // nextRange returns the next range to request and marks it as pending; false if there is none.
@@ -42,10 +42,10 @@
 		return byteRange{}, false
 	}
 	for offset := int64(len(d.data)); offset < d.ref.Size; offset += maxChunkSize {
-		s := byteRange{offset, min(maxChunkSize, d.ref.Size-offset)}
-		if _, received := d.outOfOrder[offset]; !received && !slices.Contains(d.pending, s) {
-			d.pending = append(d.pending, s)
-			return s, true
+		span := byteRange{offset, min(maxChunkSize, d.ref.Size-offset)}
+		if _, received := d.outOfOrder[offset]; !received && !slices.Contains(d.pending, span) {
+			d.pending = append(d.pending, span)
+			return span, true
 		}
 	}
 	return byteRange{}, false
@@ -53,19 +53,19 @@
 
 // handleChunk adds the response to the request for a range, nil for a failed call, and reports whether it was a valid
 // chunk.
-func (d *download) handleChunk(s byteRange, chunk *Chunk) bool {
-	if i := slices.Index(d.pending, s); i >= 0 {
+func (d *download) handleChunk(span byteRange, chunk *Chunk) bool {
+	if i := slices.Index(d.pending, span); i >= 0 {
 		d.pending = slices.Delete(d.pending, i, i+1)
 	}
 	if chunk != nil && chunk.Status == ChunkBusy {
 		return false
 	}
-	if chunk == nil || !d.matches(s, chunk) {
+	if chunk == nil || !d.matches(span, chunk) {
 		d.failures++
 		return false
 	}
 	d.failures = 0
-	d.outOfOrder[s.offset] = chunk.Data
+	d.outOfOrder[span.offset] = chunk.Data
 	for {
 		next, ok := d.outOfOrder[int64(len(d.data))]
 		if !ok {
@@ -78,9 +78,9 @@
 
 // matches reports whether a chunk has the requested digest, offset and length. The bytes themselves can be verified only
 // when the value is complete.
-func (d *download) matches(s byteRange, chunk *Chunk) bool {
+func (d *download) matches(span byteRange, chunk *Chunk) bool {
 	return chunk.Status == ChunkServed && bytes.Equal(chunk.Digest, d.ref.Digest) &&
-		chunk.Offset == s.offset && int64(len(chunk.Data)) == s.length
+		chunk.Offset == span.offset && int64(len(chunk.Data)) == span.length
 }
 
 // complete reports whether all bytes were received; their digest is not verified yet.
--- a/internal/tier/feed/outage_logger.go
+++ b/internal/tier/feed/outage_logger.go
@@ -25,25 +25,25 @@
 }
 
 // noteFailure records why a core node could not be used.
-func (w *outageLogger) noteFailure(err error) { w.lastFailure = err }
+func (l *outageLogger) noteFailure(err error) { l.lastFailure = err }
 
 // noteUnusable records that none of the core nodes could be used.
-func (w *outageLogger) noteUnusable(now time.Time, cores []string) {
-	if w.unusableSince.IsZero() {
-		w.unusableSince = now
+func (l *outageLogger) noteUnusable(now time.Time, cores []string) {
+	if l.unusableSince.IsZero() {
+		l.unusableSince = now
 	}
-	if w.logged || now.Sub(w.unusableSince) < outageLogDelay {
+	if l.logged || now.Sub(l.unusableSince) < outageLogDelay {
 		return
 	}
-	w.logged = true
-	w.log.Info("no usable core node: the tables are not updated", "nodes", strings.Join(cores, " "), "seconds", int(now.Sub(w.unusableSince).Seconds()),
-		"err", w.lastFailure)
+	l.logged = true
+	l.log.Info("no usable core node: the tables are not updated", "nodes", strings.Join(cores, " "), "seconds", int(now.Sub(l.unusableSince).Seconds()),
+		"err", l.lastFailure)
 }
 
 // noteUsable records that a response was applied.
-func (w *outageLogger) noteUsable(now time.Time) {
-	if w.logged {
-		w.log.Info("core node usable again", "seconds", int(now.Sub(w.unusableSince).Seconds()))
+func (l *outageLogger) noteUsable(now time.Time) {
+	if l.logged {
+		l.log.Info("core node usable again", "seconds", int(now.Sub(l.unusableSince).Seconds()))
 	}
-	w.unusableSince, w.lastFailure, w.logged = time.Time{}, nil, false
+	l.unusableSince, l.lastFailure, l.logged = time.Time{}, nil, false
 }
