--- a/internal/tier/feed/bootstrap.go
+++ b/internal/tier/feed/bootstrap.go
@@ -7,7 +7,7 @@
 	"larchrouter/internal/ctxtime"
 )
 
-// initialPollWait is how long a core node may delay its response to a follower's first poll, to have it confirmed.
+// initialPollWait is how long a core node may delay its response to a follower's first poll until a majority confirms it.
 const initialPollWait = time.Second
 
 // bootstrap polls all core nodes concurrently, with backoff, until one response is applied. When all machines have just
--- a/internal/tier/feed/caller.go
+++ b/internal/tier/feed/caller.go
@@ -11,7 +11,7 @@
 	Call(ctx context.Context, to string, m rpc.Method, body, response any) error
 }
 
-// rpcCaller is a Caller over one persistent connection for each address.
+// rpcCaller is a Caller over rpc.Clients, which keeps one client for each address.
 type rpcCaller struct{ *rpc.Clients }
 
 var _ Caller = rpcCaller{}
--- a/internal/tier/feed/download.go
+++ b/internal/tier/feed/download.go
@@ -13,7 +13,7 @@
 // errDigestMismatch reports that the assembled chunks don't have the digest of the requested value.
 var errDigestMismatch = errors.New("downloaded value does not match its digest: downloading it again from another core node")
 
-// byteRange is a range of a value's bytes.
+// byteRange is a span of a value's bytes, requested as one chunk.
 type byteRange struct{ offset, length int64 }
 
 // download is the state of a value's download in chunks. It makes no calls itself. Chunks may come from several core
@@ -23,7 +23,7 @@
 	data       []byte           // the contiguous prefix received so far
 	outOfOrder map[int64][]byte // chunks received beyond that prefix, by offset
 	pending    []byteRange      // requested, response outstanding
-	abandoned  bool             // no source has the value; resumes if a response refers to it again
+	abandoned  bool             // no source served the value; resumes if a response refers to it again
 	failures   int              // consecutive calls without a valid chunk; those at busy core nodes don't count
 }
 
@@ -31,12 +31,12 @@
 	return &download{ref: ref, outOfOrder: map[int64][]byte{}}
 }
 
-// isValid reports whether the size and the digest of a reference are plausible.
+// isValid reports whether a reference has a size of 1 to rpc.MaxFrame bytes and a digest of the right length.
 func (ref ValueRef) isValid() bool {
 	return ref.Size > 0 && ref.Size <= rpc.MaxFrame && len(ref.Digest) == len(bodydelta.Digest{})
 }
 
-// nextRange returns the next range to request and marks it as pending; false if there is none.
+// nextRange returns the next span to request and marks it as pending; false if there is none.
 func (d *download) nextRange() (byteRange, bool) {
 	if d.abandoned {
 		return byteRange{}, false
@@ -51,7 +51,7 @@
 	return byteRange{}, false
 }
 
-// handleChunk adds the response to the request for a range, nil for a failed call, and reports whether it was a valid
+// handleChunk adds the response to the request for a span, nil for a failed call, and reports whether it was a valid
 // chunk.
 func (d *download) handleChunk(span byteRange, chunk *Chunk) bool {
 	if i := slices.Index(d.pending, span); i >= 0 {
@@ -86,7 +86,7 @@
 // complete reports whether all bytes were received; their digest is not verified yet.
 func (d *download) complete() bool { return int64(len(d.data)) == d.ref.Size }
 
-// value returns the complete value. On a wrong digest it discards all bytes returns errDigestMismatch.
+// value returns the complete value. On a wrong digest it discards all bytes and returns errDigestMismatch.
 func (d *download) value() ([]byte, error) {
 	digest := bodydelta.DigestOf(d.data)
 	if !bytes.Equal(digest[:], d.ref.Digest) {
--- a/internal/tier/feed/fetchers.go
+++ b/internal/tier/feed/fetchers.go
@@ -13,7 +13,7 @@
 	maxChunkBackoffStep = 3           // limits the backoff between failed calls to 0.2 to 0.4 s
 )
 
-// startFetchers starts the goroutines that fetch chunks and don't run yet, if there is a value to download.
+// startFetchers starts goroutines that fetch chunks until maxChunksInFlight run, if there is a value to download.
 func (f *Follower) startFetchers(ctx context.Context) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// claimRange returns the next range to fetch. If there is none, it uncounts the calling goroutine, which must end.
+// claimRange returns the next span to fetch. If there is none, it no longer counts the calling goroutine, which must end.
 func (f *Follower) claimRange(ctx context.Context) (*download, byteRange, bool) {
 	f.replicaMu.Lock()
 	defer f.replicaMu.Unlock()
@@ -96,7 +96,8 @@
 		maxFailures := 2 * len(f.sources.cores)
 		f.mu.Unlock()
 		if d.failures >= maxFailures {
-			f.log.Debug("download abandoned: no core node has the value any more", "index", d.ref.Index, "received", len(d.data), "size", d.ref.Size)
+			f.log.Debug("download abandoned: no core node served a valid chunk", "index", d.ref.Index,
+				"received", len(d.data), "size", d.ref.Size)
 			f.replica.abandonDownload()
 		}
 		return false
--- a/internal/tier/feed/link_simulation_test.go
+++ b/internal/tier/feed/link_simulation_test.go
@@ -44,7 +44,7 @@
 type link struct {
 	cut         [2]bool
 	known       bool      // the follower has the node's address
-	usableSince time.Time // since when it is known, open in both directions, and the node is not isolated; zero if it is not
+	usableSince time.Time // since when it is known and open in both directions and the node not isolated; zero otherwise
 }
 
 // open reports whether both directions are open.
--- a/internal/tier/feed/messages.go
+++ b/internal/tier/feed/messages.go
@@ -15,10 +15,10 @@
 	FollowCall                       // a poll by a follower of an earlier version
 	PutConfigCall
 	ReadConfigCall
-	RegisterCall
+	RegisterCall // a store's heartbeat
 	RetireStoreCall
 	StorePhaseCall
-	StatusCall
+	StatusCall       // the status of a core node
 	ChangesCall      // a poll, with deltas and references in the response
 	ChunkCall        // a chunk of a large value
 	HealthCall       // a front's report on hosts
@@ -141,7 +141,7 @@
 // the singleton tasks; see package lease.
 type LeaseRelease struct {
 	Epoch      int64
-	WaitMicros int64 // how long the sender itself still had to wait for the grants of earlier heads
+	WaitMicros int64 // how long the sender itself still had to wait for the grants of earlier heads to expire
 }
 
 // ClockReading is the wall clock of a node.
@@ -180,8 +180,8 @@
 	Location string // with status 307: the URL at the node that can answer
 }
 
-// OperatorRequest is an operator's order to retire a store, or a query: for the phase of a store, the configuration or
-// the state of the singleton tasks.
+// OperatorRequest is an operator's order to retire a store, or a query: for the phase of a store's retirement, the
+// configuration or the state of the singleton tasks.
 type OperatorRequest struct {
 	Name      string // of the store
 	Forwarded bool   // as in Registration
--- a/internal/tier/feed/outage_logger.go
+++ b/internal/tier/feed/outage_logger.go
@@ -36,8 +36,8 @@
 		return
 	}
 	l.logged = true
-	l.log.Info("no usable core node: the tables are not updated", "nodes", strings.Join(cores, " "), "seconds", int(now.Sub(l.unusableSince).Seconds()),
-		"err", l.lastFailure)
+	l.log.Info("no usable core node: the tables are not updated", "nodes", strings.Join(cores, " "),
+		"seconds", int(now.Sub(l.unusableSince).Seconds()), "err", l.lastFailure)
 }
 
 // noteUsable records that a response was applied.
--- a/internal/tier/feed/outage_logger_test.go
+++ b/internal/tier/feed/outage_logger_test.go
@@ -50,7 +50,8 @@
 		9000   .        up          .           v0
 		11000  .        .           .           v1`, process.NewLogger(&output), nil)
 	text := output.String()
-	if strings.Count(text, "no usable core node: the tables are not updated") != 1 || !strings.Contains(text, "a:7000") || strings.Count(text, "core node usable again") != 1 {
+	if strings.Count(text, "no usable core node: the tables are not updated") != 1 || !strings.Contains(text, "a:7000") ||
+		strings.Count(text, "core node usable again") != 1 {
 		t.Errorf("log: %s", text)
 	}
 }
--- a/internal/tier/feed/poll.go
+++ b/internal/tier/feed/poll.go
@@ -131,14 +131,14 @@
 		return false
 	}
 	empty := result.response.Index == 0 && len(result.response.Entries) == 0
-	if empty && result.request.ReceivedIndex == 0 { // there is no control state yet
+	if empty && result.request.ReceivedIndex == 0 { // no control state yet: the source responds to such a poll at once
 		ctxtime.Sleep(ctx, initialBackoff)
 	}
 	return true
 }
 
-// failback polls the first core node of the follower's order if another one is the source and failbackInterval has
-// passed, and returns to it if its response is confirmed.
+// failback polls the first core node of the follower's order if another one is the source and the time of the next
+// failback has come, and returns to it if its response is confirmed.
 func (f *Follower) failback(ctx context.Context) {
 	f.mu.Lock()
 	preferred, failedOver := f.sources.preferred(), f.sources.current() != f.sources.preferred()
--- a/internal/tier/feed/replica.go
+++ b/internal/tier/feed/replica.go
@@ -62,7 +62,8 @@
 		return nil, errSourceBehind
 	}
 	next := *r.tables
-	if request.ReceivedIndex <= r.receivedIndex { // otherwise a download was abandoned or finished meanwhile, and entries would be missed
+	// A larger index was requested before a download was abandoned or finished: its response would miss entries.
+	if request.ReceivedIndex <= r.receivedIndex {
 		faults = r.applyEntries(&next, response)
 	}
 	r.applyHosts(&next, response)
--- a/internal/tier/feed/source_balance_test.go
+++ b/internal/tier/feed/source_balance_test.go
@@ -26,8 +26,8 @@
 	return largest, bySource
 }
 
-// Followers don't crowd at one node while others can be reached: not when they start together, not after their node was
-// partitioned, and not after one node had to serve all of them. No node is overloaded with calls meanwhile.
+// Followers don't concentrate on one node while others can be reached: not when they start together, not after their
+// node was partitioned, and not after one node had to serve all of them. No node is overloaded with calls meanwhile.
 func TestFollowersStayBalancedAfterPartitions(t *testing.T) {
 	for name, directions := range map[string][]direction{
 		"responses cut": {responses},
@@ -76,7 +76,7 @@
 	return calls
 }
 
-// checkIdleCalls fails if followers of confirmed sources make other calls than their long polls.
+// checkIdleCalls fails if followers of confirmed sources make more calls than their long polls.
 func (s *linkSimulation) checkIdleCalls(t *testing.T) {
 	t.Helper()
 	s.takeCallCounts()
--- a/internal/tier/feed/tables.go
+++ b/internal/tier/feed/tables.go
@@ -33,7 +33,7 @@
 	Config      *routing.Config
 	Placement   *turnstore.Placement
 	Hosts       *discovery.List
-	ConfirmedAt time.Time // send time of the last poll that proved it: every change acknowledged earlier is in the tables
+	ConfirmedAt time.Time // every change acknowledged before it is in the tables: when the last poll that showed so was sent
 }
 
 // TablesProvider gives the other packages of a process the current tables, and notifies them of changes.
--- a/internal/tier/feed/value_cache.go
+++ b/internal/tier/feed/value_cache.go
@@ -11,7 +11,7 @@
 const (
 	minPatchedValue = 1 << 10  // bytes; shorter values are always sent in full
 	maxPatchSize    = 32 << 10 // bytes; longer deltas between two cached values are not sent
-	maxInlineValue  = 64 << 10 // bytes; longer values are sent by reference and downloaded in chunks
+	maxInlineValue  = 64 << 10 // bytes, in full or compressed; longer values are sent by reference, downloaded in chunks
 	maxValuesPerKey = 8        // cached for each key, including the newest
 	maxCachedBytes  = 32 << 20 // of all cached values except the newest of each key
 	maxChunkSize    = 64 << 10 // bytes of one chunk
@@ -120,7 +120,7 @@
 
 // Add adds an entry to a response: as a delta to the first of the follower's base values for which there is one worth
 // sending (a delta to the empty value is the compressed value), otherwise in full, or by reference if it is longer than
-// maxInlineValue.
+// maxInlineValue. An entry that is not cached is sent in full.
 func (v *ValueCache) Add(response *ChangesResponse, entry chain.Entry, baseValues []BaseValue) {
 	v.mu.Lock()
 	target := v.lookup(entry.Key, entry.Index)
