--- a/internal/tier/feed/scripted_cluster_test.go
+++ b/internal/tier/feed/scripted_cluster_test.go
@@ -379,7 +379,8 @@
 
 // runRow executes one line, in this order: membership, other node states, commits, checks.
 func (c *scriptedCluster) runRow(row, names []string) {
-	for _, members := range []bool{true, false} { // membership first, as a node keeps it when it loses its majority
+	// Membership first: a node that loses its majority in this line knows the members of this line.
+	for _, members := range []bool{true, false} {
 		for i, name := range names {
 			for cell := range strings.SplitSeq(row[i+2], ",") {
 				if cell != "." && (cell == "joins" || cell == "leaves") == members {
--- a/internal/tier/feed/tables.go
+++ b/internal/tier/feed/tables.go
@@ -29,11 +29,14 @@
 // Tables are the control state that a front or store uses. They are immutable and replaced as a unit. Fields that are nil
 // were not received yet.
 type Tables struct {
-	Index       int64 // every entry up to it, or a newer one of its key, is applied
-	Config      *routing.Config
-	Placement   *turnstore.Placement
-	Hosts       *discovery.List
-	ConfirmedAt time.Time // every change acknowledged before it is in the tables: when the last poll that showed so was sent
+	Index     int64 // every entry up to it, or a newer one of its key, is applied
+	Config    *routing.Config
+	Placement *turnstore.Placement
+	Hosts     *discovery.List
+
+	// Every change that was acknowledged before ConfirmedAt is in the tables. It is the time at which the last poll that
+	// proved this was sent.
+	ConfirmedAt time.Time
 }
 
 // TablesProvider gives the other packages of a process the current tables, and notifies them of changes.
